--- /dev/null
+++ b/choice/encoding_test.go
@@ -0,0 +1,101 @@
+package choice
+
+import (
+	"encoding/hex"
+	"fmt"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+)
+
+// encodeAction writes an action as one line of text that names no Go identifier, so that the record of decisions in
+// testdata/streams.txt outlives renames. Every field of every action stands in it, exactly: whole numbers and durations in
+// decimal (durations in nanoseconds), bytes and texts in hexadecimal. A type that is not listed is an error.
+func encodeAction(a Action) (string, error) {
+	switch a := a.(type) {
+	case Send:
+		return fmt.Sprintf("send request=%d worker=%d timeout=%d", uint64(a.Request), uint64(a.Worker), int64(a.Timeout)), nil
+	case Refuse:
+		return fmt.Sprintf("reject request=%d retry-after=%d", uint64(a.Request), int64(a.After)), nil
+	case Fail:
+		return fmt.Sprintf("fail request=%d", uint64(a.Request)), nil
+	case Cancel:
+		return fmt.Sprintf("cancel request=%d attempt=%d", uint64(a.Request), a.Attempt), nil
+	case Wake:
+		return fmt.Sprintf("wake at=%d token=%d", int64(a.At), a.Token), nil
+	case Probe:
+		return fmt.Sprintf("probe worker=%d", uint64(a.Worker)), nil
+	case Close:
+		return fmt.Sprintf("close worker=%d", uint64(a.Worker)), nil
+	case Tell:
+		return fmt.Sprintf("gossip to=%d payload=%s", a.To, hex.EncodeToString(a.Payload)), nil
+	case Log:
+		return "log text=" + hex.EncodeToString([]byte(a.Text)), nil
+	case Watch:
+		return fmt.Sprintf("watch on=%t", a.On), nil
+	case Fetch:
+		return "fetch", nil
+	case Hold:
+		return fmt.Sprintf("load worker=%d function=%d copies=%d", uint64(a.Worker), uint64(a.Function), a.Copies), nil
+	case Unload:
+		return fmt.Sprintf("unload worker=%d function=%d", uint64(a.Worker), uint64(a.Function)), nil
+	}
+	return "", fmt.Errorf("no encoding of action %T", a)
+}
+
+// exactFloat writes a number in hexadecimal, with every bit of it.
+func exactFloat(x float64) string { return strconv.FormatFloat(x, 'x', -1, 64) }
+
+func encodeSnapshot(l Look) string {
+	return fmt.Sprintf("place=%d ring=%d ready=%t ejected=%t warming=%t copy=%t rank=%d tokens=%s busy=%d pace=%s loads=%d admitted=%s waiting=%d out=%d",
+		l.Place, l.Ring, l.Ready, l.Ejected, l.Cold, l.Warm, l.Rank, exactFloat(l.Tokens), l.Busy, exactFloat(l.Pace), l.Loads,
+		exactFloat(l.Pass), l.Waiting, l.InFlight)
+}
+
+func encodeWorkerSnapshot(l WorkerLook) string {
+	return fmt.Sprintf("worker=%d state=%d heard=%d copies=%d %s", uint64(l.ID), int(l.State), int64(l.Heard), l.Copies, encodeSnapshot(l.Look))
+}
+
+func encodeFunctionSnapshot(l FunctionLook) string {
+	return fmt.Sprintf("function=%d home=%d waiting=%d out=%d run=%d gap=%d copies=%d advised=%t", uint64(l.ID), uint64(l.Home), l.Waiting,
+		l.InFlight, int64(l.Run), int64(l.Gap), l.Copies, l.Wanted)
+}
+
+// Every type of action has an encoding of its own, in which each field shows.
+func TestActionEncodingShowsEveryField(t *testing.T) {
+	variants := [][]Action{
+		{Send{}, Send{Request: 1}, Send{Worker: 1}, Send{Timeout: time.Nanosecond}},
+		{Refuse{}, Refuse{Request: 1}, Refuse{After: time.Nanosecond}},
+		{Fail{}, Fail{Request: 1}},
+		{Cancel{}, Cancel{Request: 1}, Cancel{Attempt: 1}},
+		{Wake{}, Wake{At: time.Nanosecond}, Wake{Token: 1}},
+		{Probe{}, Probe{Worker: 1}},
+		{Close{}, Close{Worker: 1}},
+		{Tell{}, Tell{To: Everyone}, Tell{Payload: []byte{0}}, Tell{Payload: []byte{1}}},
+		{Log{}, Log{Text: "a"}},
+		{Watch{}, Watch{On: true}},
+		{Fetch{}},
+		{Hold{}, Hold{Worker: 1}, Hold{Function: 1}, Hold{Copies: 1}},
+		{Unload{}, Unload{Worker: 1}, Unload{Function: 1}},
+	}
+	seen := map[string]Action{}
+	for _, actions := range variants {
+		for _, a := range actions {
+			line, err := encodeAction(a)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if other, ok := seen[line]; ok {
+				t.Errorf("%#v and %#v are both %q", a, other, line)
+			}
+			if strings.ContainsAny(line, "\n") {
+				t.Errorf("%#v is more than one line", a)
+			}
+			seen[line] = a
+		}
+	}
+	if _, err := encodeAction(nil); err == nil {
+		t.Error("nil has an encoding")
+	}
+}
--- a/choice/streams_test.go
+++ b/choice/streams_test.go
@@ -15,9 +15,12 @@
 	"time"
 )
 
-var recordStreams = flag.Bool("record-streams", false, "write testdata/streams.txt anew: only where a change of decisions is meant")
+var recordStreams = flag.Bool("record-streams", false, "write testdata/actions.txt anew: only where a change of decisions is meant")
 
-const streamsFile = "testdata/streams.txt"
+const (
+	actionsFile = "testdata/actions.txt" // hashes of the encoded actions
+	streamsFile = "testdata/streams.txt" // hashes of the actions as fmt prints them, with names of types and fields
+)
 
 // A streamCase is one seeded day: an installation and the trouble it has.
 type streamCase struct {
@@ -84,20 +87,29 @@
 	}
 }
 
-// The same events give the same actions, byte for byte, as recorded before the module's indexes: a change of how it finds what
-// to look at changes no decision. A change of decisions that is meant records anew with -record-streams and says why.
+// The same events give the same actions, bit for bit, as recorded: a change of how the module is written changes no decision. A
+// change of decisions that is meant records anew with -record-streams and says why.
 func TestStreamsEqual(t *testing.T) {
-	var lines []string
+	var encoded, printed []string
 	for _, c := range streamCases() {
-		lines = append(lines, playStream(t, c, uint64(len(lines)+1)))
+		p := playStream(t, c, uint64(len(encoded)+1))
+		encoded = append(encoded, p.encodedLine())
+		printed = append(printed, p.printedLine())
 	}
+	compareLines(t, streamsFile, printed)
 	if *recordStreams {
-		if err := os.WriteFile(streamsFile, []byte(strings.Join(lines, "\n")+"\n"), 0o644); err != nil {
+		if err := os.WriteFile(actionsFile, []byte(strings.Join(encoded, "\n")+"\n"), 0o644); err != nil {
 			t.Fatal(err)
 		}
 		return
 	}
-	f, err := os.Open(streamsFile)
+	compareLines(t, actionsFile, encoded)
+}
+
+// compareLines fails the test where a recorded file has other lines, fewer or more.
+func compareLines(t *testing.T, path string, lines []string) {
+	t.Helper()
+	f, err := os.Open(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -105,14 +117,14 @@
 	in := bufio.NewScanner(f)
 	for _, got := range lines {
 		if !in.Scan() {
-			t.Fatalf("%s ends before %s", streamsFile, got)
+			t.Fatalf("%s ends before %s", path, got)
 		}
 		if in.Text() != got {
 			t.Errorf("stream differs:\n got  %s\n want %s", got, in.Text())
 		}
 	}
 	if in.Scan() {
-		t.Errorf("%s has more: %s", streamsFile, in.Text())
+		t.Errorf("%s has more: %s", path, in.Text())
 	}
 }
 
@@ -145,6 +157,7 @@
 
 // A streamPlay is one day under way: the dispatcher and a plain model of what answers it.
 type streamPlay struct {
+	t        *testing.T
 	c        streamCase
 	s        Settings
 	d        *Dispatcher
@@ -159,17 +172,18 @@
 	attempts map[RequestID]int
 	sent     map[RequestID][]WorkerID
 	copies   map[workerFunction]time.Duration // when a copy was last used; it may be loading
-	sum      hash.Hash
+	encoded  hash.Hash                        // of the actions and the state at the end, encoded
+	printed  hash.Hash                        // of the same as fmt prints them
 	actions  int
-	counts   map[string]int
+	counts   map[string]int // of actions, by the first word of their encoding
 }
 
-func playStream(t *testing.T, c streamCase, seed uint64) string {
+func playStream(t *testing.T, c streamCase, seed uint64) *streamPlay {
 	return playStreamWith(t, c, seed, func(*Dispatcher) {})
 }
 
-// playStreamWith plays a day, calls after each step what is to be looked at, and returns the line that describes its actions.
-func playStreamWith(t *testing.T, c streamCase, seed uint64, after func(*Dispatcher)) string {
+// playStreamWith plays a day, calls after each step what is to be looked at, and returns the play.
+func playStreamWith(t *testing.T, c streamCase, seed uint64, after func(*Dispatcher)) *streamPlay {
 	s := base()
 	s.Tick, s.Loading.IdleLife = c.tick, c.idleLife
 	if c.adjust != nil {
@@ -179,9 +193,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &streamPlay{c: c, s: s, d: d, rnd: rand.New(rand.NewPCG(seed, 11)), now: time.Hour, nextCall: 1, nextID: 1,
+	p := &streamPlay{t: t, c: c, s: s, d: d, rnd: rand.New(rand.NewPCG(seed, 11)), now: time.Hour, nextCall: 1, nextID: 1,
 		function: map[RequestID]FunctionID{}, attempts: map[RequestID]int{}, sent: map[RequestID][]WorkerID{},
-		copies: map[workerFunction]time.Duration{}, sum: sha256.New(), counts: map[string]int{}}
+		copies: map[workerFunction]time.Duration{}, encoded: sha256.New(), printed: sha256.New(), counts: map[string]int{}}
 	for range c.workers {
 		p.list = append(p.list, p.newWorker(false))
 	}
@@ -197,17 +211,37 @@
 		p.step(events)
 		after(d)
 	}
-	for _, l := range d.Workers() {
-		fmt.Fprintf(p.sum, "%+v\n", l)
-	}
-	for _, l := range d.Functions() {
-		fmt.Fprintf(p.sum, "%+v\n", l)
+	p.addState()
+	return p
+}
+
+// addState adds what the dispatcher shows of its workers and functions to the sums.
+func (p *streamPlay) addState() {
+	for _, l := range p.d.Workers() {
+		fmt.Fprintf(p.printed, "%+v\n", l)
+		fmt.Fprintln(p.encoded, encodeWorkerSnapshot(l))
+	}
+	for _, l := range p.d.Functions() {
+		fmt.Fprintf(p.printed, "%+v\n", l)
+		fmt.Fprintln(p.encoded, encodeFunctionSnapshot(l))
 		if len(p.list) > 0 {
-			fmt.Fprintf(p.sum, "%+v\n", d.Look(l.ID, p.list[p.rnd.IntN(len(p.list))].ID))
+			shown := p.d.Look(l.ID, p.list[p.rnd.IntN(len(p.list))].ID)
+			fmt.Fprintf(p.printed, "%+v\n", shown)
+			fmt.Fprintln(p.encoded, encodeSnapshot(shown))
 		}
 	}
-	return fmt.Sprintf("%s %x actions %d sends %d holds %d asked %d refused %d failed %d cancelled %d", c.name, p.sum.Sum(nil)[:16], p.actions,
-		p.counts["choice.Send"], p.counts["choice.Hold"], p.counts["choice.Probe"], p.counts["choice.Refuse"], p.counts["choice.Fail"], p.counts["choice.Cancel"])
+}
+
+// encodedLine describes the play by the hash of its encoded actions, and counts of them.
+func (p *streamPlay) encodedLine() string {
+	return fmt.Sprintf("%s %x actions %d sends %d loads %d probes %d rejected %d failed %d cancelled %d", p.c.name, p.encoded.Sum(nil)[:16],
+		p.actions, p.counts["send"], p.counts["load"], p.counts["probe"], p.counts["reject"], p.counts["fail"], p.counts["cancel"])
+}
+
+// printedLine is encodedLine with the hash of the actions as fmt prints them, and the words of the older record.
+func (p *streamPlay) printedLine() string {
+	return fmt.Sprintf("%s %x actions %d sends %d holds %d asked %d refused %d failed %d cancelled %d", p.c.name, p.printed.Sum(nil)[:16],
+		p.actions, p.counts["send"], p.counts["load"], p.counts["probe"], p.counts["reject"], p.counts["fail"], p.counts["cancel"])
 }
 
 func (p *streamPlay) chance(perSecond float64) bool {
@@ -334,13 +368,19 @@
 	return Regarded{Worker: p.list[p.rnd.IntN(len(p.list))].ID, Rank: p.rnd.IntN(5) - 2, Until: until}
 }
 
-// step plays one step, adds its actions to the sum, and has the model answer them.
+// step plays one step, adds its actions to the sums, and has the model answer them.
 func (p *streamPlay) step(events []Event) {
 	actions := p.d.Step(p.now, events)
 	for _, a := range actions {
 		p.actions++
-		p.counts[fmt.Sprintf("%T", a)]++
-		fmt.Fprintf(p.sum, "%d %T%+v\n", p.now, a, a)
+		line, err := encodeAction(a)
+		if err != nil {
+			p.t.Fatal(err)
+		}
+		kind, _, _ := strings.Cut(line, " ")
+		p.counts[kind]++
+		fmt.Fprintf(p.printed, "%d %T%+v\n", p.now, a, a)
+		fmt.Fprintf(p.encoded, "%d %s\n", p.now, line)
 		p.answer(a)
 	}
 }
