--- /dev/null
+++ b/cmd/kitehub/interface_test.go
@@ -0,0 +1,492 @@
+package main
+
+import (
+	"bytes"
+	"encoding"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"reflect"
+	"regexp"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/alecthomas/kong"
+	"google.golang.org/protobuf/reflect/protoreflect"
+	"google.golang.org/protobuf/reflect/protoregistry"
+
+	"kitehub/controller"
+	"kitehub/discovery"
+	"kitehub/front/jsonrpc"
+	"kitehub/gateway"
+	"kitehub/hooks"
+	"kitehub/internal/trace"
+	"kitehub/registry"
+	"kitehub/registry/wire"
+)
+
+// The tests of this file hold what operators type and read: a rename of a Go identifier, or a move of a package, must leave
+// the golden files as they are. Where the interface itself is meant to change, run this package's tests with -update and read
+// the difference.
+var update = flag.Bool("update", false, "write the golden files of the interface anew")
+
+// golden compares text with a file of testdata/interface, or writes it.
+func golden(t *testing.T, name, text string) {
+	t.Helper()
+	path := filepath.Join("testdata", "interface", name)
+	if *update {
+		if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if string(want) == text {
+		return
+	}
+	held, found := strings.Split(string(want), "\n"), strings.Split(text, "\n")
+	t.Errorf("%s differs", name)
+	for _, line := range held {
+		if !slices.Contains(found, line) {
+			t.Errorf("%s: gone: %s", name, line)
+		}
+	}
+	for _, line := range found {
+		if !slices.Contains(held, line) {
+			t.Errorf("%s: new: %s", name, line)
+		}
+	}
+}
+
+// TestCommandLine holds the commands, with their arguments, flags and defaults.
+func TestCommandLine(t *testing.T) {
+	parser, err := kong.New(&cli, kong.Name("kitehub"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var out strings.Builder
+	var walk func(node *kong.Node, path string)
+	walk = func(node *kong.Node, path string) {
+		fmt.Fprintf(&out, "%s%s%s\n", path, list(" aliases", node.Aliases), mark(node.Hidden, " hidden"))
+		if node.DefaultCmd != nil {
+			fmt.Fprintf(&out, "    default command %s\n", node.DefaultCmd.Name)
+		}
+		for _, argument := range node.Positional {
+			fmt.Fprintf(&out, "    <%s> %s\n", argument.Name, describe(argument))
+		}
+		for _, option := range node.Flags {
+			short := ""
+			if option.Short != 0 {
+				short = " -" + string(option.Short)
+			}
+			fmt.Fprintf(&out, "    --%s%s %s%s%s%s%s%s%s\n", option.Name, short, describe(option.Value), mark(option.Tag.Negatable != "", " negatable"),
+				list(" env", option.Envs), list(" aliases", option.Aliases), list(" xor", option.Xor), list(" and", option.And), mark(option.Hidden, " hidden"))
+		}
+		for _, child := range node.Children {
+			name := child.Name
+			if child.Argument != nil {
+				name = "<" + child.Argument.Name + "> " + describe(child.Argument)
+			}
+			walk(child, path+" "+name)
+		}
+	}
+	walk(parser.Model.Node, "kitehub")
+	golden(t, "commands.txt", out.String())
+}
+
+// describe tells the form of a value of the command line, without the names of Go types.
+func describe(value *kong.Value) string {
+	return form(value.Target.Type()) + mark(value.Required, " required") + mark(value.HasDefault, " default="+strconv.Quote(value.Default)) +
+		mark(value.Enum != "", " enum="+value.Enum) + mark(value.Tag.Type != "", " type="+value.Tag.Type)
+}
+
+func mark(is bool, text string) string {
+	if is {
+		return text
+	}
+	return ""
+}
+
+func list(name string, values []string) string {
+	return mark(len(values) > 0, name+"="+strings.Join(values, ","))
+}
+
+// form is a type without the names of those that the program declares.
+func form(t reflect.Type) string {
+	switch {
+	case t == reflect.TypeFor[time.Duration]():
+		return "duration"
+	case t == reflect.TypeFor[time.Time]():
+		return "time"
+	}
+	switch t.Kind() {
+	case reflect.Pointer:
+		return form(t.Elem())
+	case reflect.Slice, reflect.Array:
+		return "[]" + form(t.Elem())
+	case reflect.Map:
+		return "map[" + form(t.Key()) + "]" + form(t.Elem())
+	}
+	return t.Kind().String()
+}
+
+// TestProtocolBuffers holds the fields and enums of the configuration and of the script of a day.
+func TestProtocolBuffers(t *testing.T) {
+	for name, pack := range map[string]protoreflect.FullName{"config.txt": "kitehub.config.v1", "day.txt": "kitehub.day.v1"} {
+		var out strings.Builder
+		protoregistry.GlobalFiles.RangeFilesByPackage(pack, func(file protoreflect.FileDescriptor) bool {
+			local := func(d protoreflect.Descriptor) string {
+				return strings.TrimPrefix(string(d.FullName()), string(pack)+".")
+			}
+			var messages func(l protoreflect.MessageDescriptors)
+			enums := func(l protoreflect.EnumDescriptors) {
+				for i := range l.Len() {
+					fmt.Fprintf(&out, "enum %s\n", local(l.Get(i)))
+					for j := range l.Get(i).Values().Len() {
+						value := l.Get(i).Values().Get(j)
+						fmt.Fprintf(&out, "    %d %s\n", value.Number(), value.Name())
+					}
+				}
+			}
+			messages = func(l protoreflect.MessageDescriptors) {
+				for i := range l.Len() {
+					message := l.Get(i)
+					if message.IsMapEntry() {
+						continue
+					}
+					fmt.Fprintf(&out, "message %s\n", local(message))
+					for j := range message.Fields().Len() {
+						fmt.Fprintf(&out, "    %s\n", field(message.Fields().Get(j), local))
+					}
+					enums(message.Enums())
+					messages(message.Messages())
+				}
+			}
+			messages(file.Messages())
+			enums(file.Enums())
+			return true
+		})
+		if out.Len() == 0 {
+			t.Errorf("no file of %s is in the program", pack)
+		}
+		golden(t, name, out.String())
+	}
+}
+
+func field(f protoreflect.FieldDescriptor, local func(protoreflect.Descriptor) string) string {
+	kind := func(f protoreflect.FieldDescriptor) string {
+		switch {
+		case f.Message() != nil:
+			return local(f.Message())
+		case f.Enum() != nil:
+			return local(f.Enum())
+		}
+		return f.Kind().String()
+	}
+	text := kind(f)
+	switch {
+	case f.IsMap():
+		text = "map<" + kind(f.MapKey()) + ", " + kind(f.MapValue()) + ">"
+	case f.IsList():
+		text = "repeated " + text
+	}
+	text = fmt.Sprintf("%d %s %s%s", f.Number(), f.Name(), text, mark(f.HasOptionalKeyword(), " optional"))
+	if one := f.ContainingOneof(); one != nil && !one.IsSynthetic() {
+		text += " oneof=" + string(one.Name())
+	}
+	return text
+}
+
+// TestMessages holds the keys of the JSON that is read and written by way of exported types: results of JSON-RPC methods, the
+// registry's questions and answers (its exported state among them), the list of workers and the lines of a trace. Fields
+// without a tag are there under the names that Go gives them, and a rename of one of these is a change of the interface.
+func TestMessages(t *testing.T) {
+	var out strings.Builder
+	for _, root := range []struct {
+		name string
+		of   reflect.Type
+	}{
+		{"jsonrpc error", reflect.TypeFor[jsonrpc.Error]()},
+		{"jsonrpc result of status", reflect.TypeFor[controller.Status]()},
+		{"jsonrpc result of workers, each", reflect.TypeFor[gateway.WorkerView]()},
+		{"jsonrpc result of functions, each", reflect.TypeFor[gateway.FunctionView]()},
+		{"jsonrpc result of explain", reflect.TypeFor[gateway.Explained]()},
+		{"jsonrpc result of hooks", reflect.TypeFor[hooks.Overview]()},
+		{"registry command", reflect.TypeFor[wire.Command]()},
+		{"registry query", reflect.TypeFor[wire.Query]()},
+		{"registry answer", reflect.TypeFor[wire.Answer]()},
+		{"registry answer, models, each", reflect.TypeFor[registry.Model]()},
+		{"registry answer, state", reflect.TypeFor[registry.State]()},
+		{"registry discovery request", reflect.TypeFor[wire.Request]()},
+		{"registry discovery response", reflect.TypeFor[wire.Response]()},
+		{"registry discovery resource", reflect.TypeFor[wire.Alias]()},
+		{"workers in a list", reflect.TypeFor[discovery.Assignment]()},
+		{"line of a trace", reflect.TypeFor[trace.Record]()},
+	} {
+		fmt.Fprintln(&out, root.name)
+		shape(&out, root.of, "    ", nil)
+	}
+	golden(t, "messages.txt", out.String())
+}
+
+// shape writes the keys that encoding/json gives to a type, each with the form of its value.
+func shape(out *strings.Builder, t reflect.Type, indent string, within []reflect.Type) {
+	for t.Kind() == reflect.Pointer || t.Kind() == reflect.Slice || t.Kind() == reflect.Array || t.Kind() == reflect.Map {
+		t = t.Elem()
+	}
+	if t.Kind() != reflect.Struct || t == reflect.TypeFor[time.Time]() {
+		return
+	}
+	if to := reflect.PointerTo(t); to.Implements(reflect.TypeFor[json.Marshaler]()) || to.Implements(reflect.TypeFor[encoding.TextMarshaler]()) {
+		fmt.Fprintf(out, "%s(written by itself)\n", indent)
+		return
+	}
+	if slices.Contains(within, t) {
+		fmt.Fprintf(out, "%s(as above)\n", indent)
+		return
+	}
+	within = append(slices.Clone(within), t)
+	for i := range t.NumField() {
+		f := t.Field(i)
+		tag := f.Tag.Get("json")
+		name, options, _ := strings.Cut(tag, ",")
+		if f.Anonymous && name == "" && f.Type.Kind() == reflect.Struct {
+			shape(out, f.Type, indent, within[:len(within)-1])
+			continue
+		}
+		if !f.IsExported() || tag == "-" {
+			continue
+		}
+		if name == "" {
+			name = f.Name
+		}
+		fmt.Fprintf(out, "%s%s %s%s\n", indent, name, form(f.Type), mark(options != "", " "+options))
+		shape(out, f.Type, indent+"    ", within)
+	}
+}
+
+// Forms of strings that are names on the wire, wherever in the program they stand.
+var wireNames = []struct {
+	file string
+	form *regexp.Regexp
+}{
+	{"headers.txt", regexp.MustCompile(`^([a-z]+|[A-Z][A-Za-z]*)(-([a-z]+|[A-Z][A-Za-z]*))+$|^(Prefer|traceparent|Allow|Range|Expect|Host|Connection)$`)},
+	{"names.txt", regexp.MustCompile(`^urn:|^type\.googleapis\.com/`)},
+	{"paths.txt", regexp.MustCompile(`^/[A-Za-z0-9_./:{}-]*$`)},
+	{"environment.txt", regexp.MustCompile(`^(RELAY|KITEHUB|NOTIFY|LISTEN|XDG)_[A-Z_]+$`)},
+}
+
+// word is the form of what may be a word of the interface, and is no sentence.
+var word = regexp.MustCompile(`^[A-Za-z0-9_.-]{1,40}$`)
+
+// TestWords holds the words of the interface that stand in the program's text, as there is no table to reach: names on the
+// wire by their form; words that are compared with (methods, commands, kinds of question), keys of map literals, words that are
+// constants, elements of lists or returned (statuses, outcomes, kinds of record), statuses with the kind of problem, and the
+// keys of each struct with JSON tags, also of those without a name. Sets over the whole module: so neither names in Go nor the
+// packages where they stand are in them. A word that stands in two places is held in a set only as long as one of them has it:
+// so the words of each switch and the keys of each map literal stand together besides, a line each. Where a switch is cut in
+// two, these lines change and the sets do not; that is no change of the interface.
+func TestWords(t *testing.T) {
+	found := map[string]map[string]bool{}
+	add := func(file, text string) {
+		if found[file] == nil {
+			found[file] = map[string]bool{}
+		}
+		found[file][text] = true
+	}
+	addAll := func(file string, words []string) {
+		if len(words) > 0 {
+			slices.Sort(words)
+			add(file, strings.Join(slices.Compact(words), " "))
+		}
+	}
+	files := token.NewFileSet()
+	root := moduleRoot(t)
+	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
+		switch {
+		case err != nil:
+			return err
+		case entry.IsDir() && path != root && (strings.HasPrefix(entry.Name(), ".") || entry.Name() == "testdata" || entry.Name() == "bin" || exists(filepath.Join(path, "go.mod"))):
+			return filepath.SkipDir
+		case entry.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go"):
+			return nil
+		}
+		file, err := parser.ParseFile(files, path, nil, parser.ParseComments|parser.SkipObjectResolution)
+		if err != nil || ast.IsGenerated(file) {
+			return err
+		}
+		ast.Inspect(file, func(node ast.Node) bool {
+			switch node := node.(type) {
+			case *ast.ImportSpec:
+				return false
+			case *ast.BasicLit:
+				if text, ok := literal(node); ok {
+					for _, w := range wireNames {
+						if w.form.MatchString(text) {
+							add(w.file, text)
+						}
+					}
+				}
+			case *ast.SwitchStmt:
+				var words []string
+				for _, clause := range node.Body.List {
+					for _, e := range clause.(*ast.CaseClause).List {
+						if text, ok := literal(e); ok && text != "" {
+							words = append(words, text)
+							add("cases.txt", text)
+						}
+					}
+				}
+				addAll("switches.txt", words)
+			case *ast.BinaryExpr:
+				for _, e := range []ast.Expr{node.X, node.Y} {
+					if text, ok := literal(e); ok && word.MatchString(text) && (node.Op == token.EQL || node.Op == token.NEQ) {
+						add("cases.txt", text)
+					}
+				}
+			case *ast.ValueSpec:
+				for _, e := range node.Values {
+					if text, ok := literal(e); ok && word.MatchString(text) {
+						add("words.txt", text)
+					}
+				}
+			case *ast.CompositeLit:
+				var keys []string
+				for _, e := range node.Elts {
+					if pair, ok := e.(*ast.KeyValueExpr); ok {
+						if text, ok := literal(pair.Key); ok {
+							keys = append(keys, text)
+							add("keys.txt", text)
+						}
+						e = pair.Value
+					}
+					if text, ok := literal(e); ok && word.MatchString(text) {
+						add("words.txt", text)
+					}
+				}
+				addAll("maps.txt", keys)
+			case *ast.ReturnStmt:
+				for _, e := range node.Results {
+					if text, ok := literal(e); ok && word.MatchString(text) {
+						add("words.txt", text)
+					}
+				}
+			case *ast.AssignStmt:
+				for _, left := range node.Lhs {
+					if index, ok := left.(*ast.IndexExpr); ok {
+						if text, ok := literal(index.Index); ok {
+							add("keys.txt", text)
+						}
+					}
+				}
+			case *ast.CallExpr:
+				if len(node.Args) > 1 {
+					status, ok := node.Args[0].(*ast.BasicLit)
+					text, isText := literal(node.Args[1])
+					if ok && isText && status.Kind == token.INT && len(status.Value) == 3 && status.Value >= "400" && status.Value < "600" {
+						add("problems.txt", status.Value+" "+text)
+					}
+				}
+			case *ast.StructType:
+				if keys := tagged(node); keys != "" {
+					add("objects.txt", keys)
+				}
+			}
+			return true
+		})
+		return nil
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, name := range []string{"headers.txt", "names.txt", "paths.txt", "environment.txt", "cases.txt", "switches.txt", "keys.txt", "maps.txt", "words.txt", "problems.txt", "objects.txt"} {
+		var lines bytes.Buffer
+		words := make([]string, 0, len(found[name]))
+		for word := range found[name] {
+			words = append(words, word)
+		}
+		slices.Sort(words)
+		for _, word := range words {
+			fmt.Fprintln(&lines, word)
+		}
+		if len(words) == 0 {
+			t.Errorf("%s: nothing found: the test looks in the wrong place", name)
+		}
+		golden(t, name, lines.String())
+	}
+}
+
+// literal is the text of a string literal.
+func literal(e ast.Expr) (string, bool) {
+	l, ok := e.(*ast.BasicLit)
+	if !ok || l.Kind != token.STRING {
+		return "", false
+	}
+	text, err := strconv.Unquote(l.Value)
+	return text, err == nil
+}
+
+// tagged lists the keys of a struct with JSON tags, each with its type where Go has a name for it.
+func tagged(s *ast.StructType) string {
+	var keys []string
+	for _, f := range s.Fields.List {
+		if f.Tag == nil {
+			continue
+		}
+		tag, _ := literal(f.Tag)
+		if key, ok := reflect.StructTag(tag).Lookup("json"); ok {
+			keys = append(keys, key+" "+builtinForm(f.Type))
+		}
+	}
+	return strings.Join(keys, "; ")
+}
+
+// builtinForm tells a type without the names of those that the program declares.
+func builtinForm(e ast.Expr) string {
+	switch e := e.(type) {
+	case *ast.Ident:
+		if slices.Contains([]string{"string", "bool", "int", "int32", "int64", "uint32", "uint64", "float64", "any"}, e.Name) {
+			return e.Name
+		}
+	case *ast.StarExpr:
+		return builtinForm(e.X)
+	case *ast.ArrayType:
+		return "[]" + builtinForm(e.Elt)
+	case *ast.MapType:
+		return "map[" + builtinForm(e.Key) + "]" + builtinForm(e.Value)
+	}
+	return "other"
+}
+
+// moduleRoot is the nearest directory above that has a go.mod.
+func moduleRoot(t *testing.T) string {
+	t.Helper()
+	dir, err := os.Getwd()
+	for err == nil && !exists(filepath.Join(dir, "go.mod")) {
+		if dir == filepath.Dir(dir) {
+			t.Fatal("no go.mod above")
+		}
+		dir = filepath.Dir(dir)
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+	return dir
+}
+
+func exists(path string) bool {
+	_, err := os.Stat(path)
+	return err == nil
+}
