--- /dev/null
+++ b/hook/golden_test.go
@@ -0,0 +1,63 @@
+package hook
+
+import (
+	"encoding/json"
+	"testing"
+
+	"kitehub/internal/goldenfile"
+)
+
+// everyType has a state variable of each type, with values that are hard to keep: beyond 2^53, with quotes, empty.
+const everyType = `state flag bool = true
+state count int = 9007199254740993
+state share float = 0.1
+state name string = "a \"quoted\" <name>"
+state pause duration = 1500ms
+state recent list[int] = [3, 1, 2]
+state none list[string] = list[string]{}
+state seen map[string]int = map[string]int{"b": 2, "a": 1}
+state by_number map[int]list[float] = map[int]list[float]{7: [0.5], 8: list[float]{}}
+`
+
+// The state of a script is stored by one process and read by a later one, perhaps of another version of the program.
+func TestStoredStateIsAsBefore(t *testing.T) {
+	program, err := Compile("every.hook", everyType)
+	if err != nil {
+		t.Fatal(err)
+	}
+	written, err := json.Marshal(program.State())
+	if err != nil {
+		t.Fatal(err)
+	}
+	goldenfile.Compare(t, "state.json", written)
+
+	restored, err := program.Restore(goldenfile.Read(t, "state.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !restored.Equal(program.State()) {
+		t.Errorf("read: %v\nwant: %v", restored, program.State())
+	}
+}
+
+// Subscribers of the second front are sent events as JSON. Zero values are sent too.
+func TestSentEventsAreAsBefore(t *testing.T) {
+	var written []byte
+	for _, event := range []Event{
+		Call{Function: "resize", Tenant: "t", Client: "c", Class: "safe", Retry: true, Wait: 3, Size: 4, Open: 5},
+		Ended{Function: "resize", Tenant: "t", Class: "safe", Worker: "w1", Answer: "served", Took: 6, Attempts: 2, Late: true},
+		Worker{Name: "w1", Group: "g", Zone: "z", State: "ready"},
+		Load{Function: "resize", Worker: "w1", Outcome: "full", Took: 7},
+		Level{Name: "spare", Before: "all", Why: "late"},
+		Tick{Count: 8, Open: 9},
+		Move{Model: "m", Alias: "current", Version: "m-2", Revision: 10},
+		Call{}, Ended{}, Worker{}, Load{}, Level{}, Tick{}, Move{},
+	} {
+		line, err := json.Marshal(event)
+		if err != nil {
+			t.Fatal(err)
+		}
+		written = append(append(written, line...), '\n')
+	}
+	goldenfile.Compare(t, "events.jsonl", written)
+}
--- /dev/null
+++ b/hooks/golden_test.go
@@ -0,0 +1,197 @@
+package hooks
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"net"
+	"reflect"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"kitehub/advice"
+	"kitehub/internal/clock"
+	"kitehub/internal/goldenfile"
+	"kitehub/internal/http1"
+	"kitehub/signing"
+	"kitehub/store"
+)
+
+const storedText = "state seen int = 0\non ended(c) { seen = seen + 1 }\n"
+
+// storedScripts has a script in which every stored field is set, and one in which hardly any is.
+func storedScripts() []*Script {
+	version := func(number uint64) *Version {
+		return &Version{Number: number, Digest: Digest(storedText), Text: storedText, From: "user <me>"}
+	}
+	given := version(2)
+	given.Bad = "raised"
+	return []*Script{
+		{Name: "a", Live: version(3), Before: given, Shadow: version(4), Tally: Tally{Runs: 1, Faults: 2, Fuel: 3, Differ: 4, Skipped: 5},
+			Trial: Tally{Runs: 6, Faults: 7, Fuel: 8, Differ: 9, Skipped: 10}, Fault: "raised"},
+		{Name: "b", Live: &Version{Number: 1, Digest: Digest(storedText), Text: storedText}},
+	}
+}
+
+const storedState = `[{"name":"seen","type":"int","value":"7"}]`
+
+// openStore opens a store in a folder and gives what it holds.
+func openStore(t *testing.T, folder string) (log *store.Log, snapshot []byte, records [][]byte) {
+	t.Helper()
+	log, _, err := store.Open(store.Dir(folder), store.Options{MaxRecord: 16 << 20, MaxGroup: 32 << 20},
+		func(_ uint64, state []byte) error { snapshot = append([]byte(nil), state...); return nil },
+		func(_ uint64, payload []byte) error {
+			records = append(records, append([]byte(nil), payload...))
+			return nil
+		})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return log, snapshot, records
+}
+
+// Scripts and their states are stored as records, and now and then as a snapshot of all.
+func TestStoredScriptsAreAsBefore(t *testing.T) {
+	folder := t.TempDir()
+	log, _, _ := openStore(t, folder)
+	engine := &Engine{log: log, life: &Lifecycle{Scripts: storedScripts(), Last: 4}, states: map[string]json.RawMessage{"a": json.RawMessage(storedState)},
+		cfg: Config{Log: zerolog.Nop()}}
+	engine.append(record{Scripts: engine.life.Scripts, Last: engine.life.Last})
+	engine.append(record{State: "a", Value: json.RawMessage(storedState)})
+	engine.append(record{})
+	log.Close()
+	log, snapshot, records := openStore(t, folder)
+	if snapshot != nil || len(records) != 3 {
+		t.Fatalf("a snapshot of %d bytes, %d records", len(snapshot), len(records))
+	}
+	goldenfile.Compare(t, "record_scripts.json", records[0])
+	goldenfile.Compare(t, "record_state.json", records[1])
+	goldenfile.Compare(t, "record_empty.json", records[2])
+
+	engine.log, engine.since = log, recordsKept-1
+	engine.append(record{State: "a", Value: json.RawMessage(storedState)})
+	if engine.failed != nil || engine.since != 0 {
+		t.Fatal(engine.failed, engine.since)
+	}
+	log.Close()
+	log, snapshot, _ = openStore(t, folder)
+	log.Close()
+	goldenfile.Compare(t, "snapshot.json", snapshot)
+}
+
+// An engine begins with what was stored, by records or by a snapshot.
+func TestStoredScriptsAreReadAsBefore(t *testing.T) {
+	fill := map[string]func(*store.Log) error{
+		"records": func(log *store.Log) error {
+			for _, name := range []string{"record_scripts.json", "record_state.json"} {
+				if _, err := log.Append(context.Background(), goldenfile.Read(t, name)); err != nil {
+					return err
+				}
+			}
+			return nil
+		},
+		"snapshot": func(log *store.Log) error {
+			seq, err := log.Append(context.Background(), goldenfile.Read(t, "record_empty.json"))
+			if err != nil {
+				return err
+			}
+			return log.Snapshot(seq, goldenfile.Read(t, "snapshot.json"))
+		},
+	}
+	for name, fill := range fill {
+		folder := t.TempDir()
+		log, _, _ := openStore(t, folder)
+		if err := fill(log); err != nil {
+			t.Fatal(err)
+		}
+		log.Close()
+		engine := &Engine{cfg: Config{FS: store.Dir(folder), Clock: clock.System(), Log: zerolog.Nop()}, life: NewLifecycle(LifeSettings{}, 1),
+			ran: map[string]*running{}, shadow: map[string]*running{}}
+		var err error
+		if engine.table, err = advice.New(advice.Settings{Cap: 1}, nil); err != nil {
+			t.Fatal(err)
+		}
+		if err := engine.recover(); err != nil {
+			t.Fatal(err)
+		}
+		engine.log.Close()
+		if got, _ := json.Marshal(engine.life.Scripts); !reflect.DeepEqual(engine.life.Scripts, storedScripts()) || engine.life.Last != 4 {
+			t.Errorf("%s: read %s, last version %d", name, got, engine.life.Last)
+		}
+		if state := string(engine.states["a"]); state != storedState {
+			t.Errorf("%s: read the state %s", name, state)
+		}
+		if state := engine.ran["a"].state.String(); state != "state seen int = 7\n" {
+			t.Errorf("%s: runs with %s", name, state)
+		}
+		if engine.shadow["a"] == nil || engine.ran["b"] == nil {
+			t.Errorf("%s: not all versions run", name)
+		}
+	}
+}
+
+// A notice goes out as a signed webhook.
+func TestSentNoticeIsAsBefore(t *testing.T) {
+	key, err := signing.ParseKey("whsec_MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw")
+	if err != nil {
+		t.Fatal(err)
+	}
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer listener.Close()
+	taken := make(chan string, 1)
+	server := &http1.Server{Handler: http1.HandlerFunc(func(_ *http1.Conn, r *http1.Request) *http1.Response {
+		written := fmt.Sprintf("%s %s\n", r.Method, r.Target)
+		for _, name := range []string{"User-Agent", "Content-Type", "webhook-id"} {
+			written += fmt.Sprintf("%s: %s\n", name, r.Header.Get(name))
+		}
+		taken <- written + "\n" + string(r.Body) + "\n"
+		return &http1.Response{Status: 204}
+	})}
+	go server.Serve(listener)
+	defer server.Cut()
+	notifier := NewNotifier("c1", []Target{{Name: "ops", Address: listener.Addr().String(), Path: "/n", Key: key}}, clock.System(), zerolog.Nop())
+	defer notifier.Close()
+	if err := notifier.send(note{advice.Notice{Script: "a", Target: "ops", Text: `lost "3" <of> 4`}, "note_1", time.Unix(1700000000, 5e8)}); err != nil {
+		t.Fatal(err)
+	}
+	goldenfile.Compare(t, "notice.txt", []byte(<-taken))
+}
+
+// Operators are shown scripts, and the advice that stands.
+func TestOverviewIsAsBefore(t *testing.T) {
+	now := 10 * time.Second
+	overview := Overview{
+		Scripts: []Shown{
+			{Name: "a", Status: "open", Live: 1, Digest: "sha256:00", Before: 2, Shadow: 3, Points: []string{"ended"}, Tally: Tally{Runs: 4, Faults: 5, Fuel: 6, Differ: 7, Skipped: 8},
+				Trial: &Tally{Runs: 9}, Fault: "raised", State: "state n int = 1\n", BackInS: 1.5},
+			{Name: "b", Status: "empty"},
+		},
+		Standing: []string{
+			standing(advice.Warm{Function: "resize", Copies: 2, Until: now + 90*time.Second}, now),
+			standing(advice.Regard{Worker: "w1", Rank: -1, Until: now + time.Second}, now),
+			standing(advice.Tenants{By: map[string]advice.Tenant{"t": {Weight: 0.5, Most: 3}, "s": {}}}, now),
+			standing(advice.Tenants{}, now),
+		},
+		Posted: 1, Dropped: 2, Waiting: 3, Taken: 4, Refused: 5, Over: 6, Aside: 7,
+	}
+	for name, overview := range map[string]Overview{"overview.json": overview, "overview_empty.json": {Scripts: []Shown{}, Standing: []string{}}} {
+		written, err := json.Marshal(overview)
+		if err != nil {
+			t.Fatal(err)
+		}
+		goldenfile.Compare(t, name, written)
+
+		var read Overview
+		if err := json.Unmarshal(goldenfile.Read(t, name), &read); err != nil {
+			t.Fatal(err)
+		}
+		if !reflect.DeepEqual(read, overview) {
+			t.Errorf("%s: read %+v, want %+v", name, read, overview)
+		}
+	}
+}
