--- /dev/null
+++ b/daemon/golden_test.go
@@ -0,0 +1,131 @@
+package daemon
+
+import (
+	"fmt"
+	"net"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+	"time"
+
+	"kitehub/internal/goldenfile"
+)
+
+// The crash-loop file is written at one start of the process and read at the next.
+func TestStoredStartsAreAsBefore(t *testing.T) {
+	starts := []Start{
+		{At: time.Date(2026, 3, 4, 5, 6, 7, 890, time.UTC), Clean: true},
+		{At: time.Date(2026, 3, 4, 5, 6, 8, 0, time.FixedZone("", 3600))},
+	}
+	for name, starts := range map[string][]Start{"starts.json": starts, "starts_none.json": nil} {
+		stored := filepath.Join(t.TempDir(), name)
+		loop := Loop{Starts: starts}
+		if err := loop.Save(stored); err != nil {
+			t.Fatal(err)
+		}
+		written, err := os.ReadFile(stored)
+		if err != nil {
+			t.Fatal(err)
+		}
+		goldenfile.Compare(t, name, written)
+
+		read := Loop{Starts: []Start{{Clean: true}}}
+		read.Load(filepath.Join("testdata", "golden", name))
+		if len(read.Starts) != len(starts) {
+			t.Fatalf("%s: read %v, want %v", name, read.Starts, starts)
+		}
+		for i := range starts {
+			if !read.Starts[i].At.Equal(starts[i].At) || read.Starts[i].Clean != starts[i].Clean {
+				t.Errorf("%s: read %v, want %v", name, read.Starts, starts)
+			}
+		}
+	}
+}
+
+// The packets of a handover go between two versions of the program: a byte for the kind, then what it carries. A text goes in
+// parts.
+func TestPacketsAreAsBefore(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "h")
+	listener, err := ListenLinks(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer listener.Close()
+	sender, err := DialLink(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer sender.Close()
+	receiver, err := listener.AcceptUnix()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer receiver.Close()
+	receiver.SetReadDeadline(time.Now().Add(10 * time.Second))
+
+	kinds := []Kind{Hello, Sockets, Wish, Part, Whole, Taken, Go, Conn, Answer, Done, Abort}
+	var written []byte
+	take := func(name string) {
+		packet := make([]byte, 2*PartSize)
+		n, err := receiver.Read(packet)
+		if err != nil {
+			t.Fatal(err)
+		}
+		line := fmt.Sprintf("%s: %q", name, packet[:n])
+		if n > 100 {
+			line = fmt.Sprintf("%s: %q and %d bytes more", name, packet[:10], n-10)
+		}
+		written = append(written, line+"\n"...)
+	}
+	names := []string{"Hello", "Sockets", "Wish", "Part", "Whole", "Taken", "Go", "Conn", "Answer", "Done", "Abort"}
+	for i, kind := range kinds {
+		if err := sender.Send(kind, []byte("{\x00}")); err != nil {
+			t.Fatal(err)
+		}
+		take(names[i])
+		if err := sender.Send(kind, nil); err != nil {
+			t.Fatal(err)
+		}
+		take(names[i] + " alone")
+	}
+	for _, size := range []int{0, PartSize, PartSize + 1} {
+		if err := sender.SendAll(make([]byte, size)); err != nil {
+			t.Fatal(err)
+		}
+		for sent := 0; sent == 0 || sent < size; sent += PartSize {
+			take(fmt.Sprintf("text of %d bytes", size))
+		}
+	}
+	goldenfile.Compare(t, "packets.txt", written)
+}
+
+// The other end takes packets as they were written before.
+func TestPacketsAreReadAsBefore(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "h")
+	listener, err := ListenLinks(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer listener.Close()
+	writer, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Name: path, Net: "unixpacket"})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer writer.Close()
+	accepted, err := listener.AcceptUnix()
+	if err != nil {
+		t.Fatal(err)
+	}
+	link := NewLink(accepted)
+	defer link.Close()
+	for _, packet := range []string{"H", "L", "R", "S{}", "E", "T", "G", "CGET /", `A{"Unkept":true}`, "D", "X"} {
+		if _, err := writer.Write([]byte(packet)); err != nil {
+			t.Fatal(err)
+		}
+		kind, carried, _, err := link.Receive(10 * time.Second)
+		if err != nil || !reflect.DeepEqual(append([]byte{byte(kind)}, carried...), []byte(packet)) {
+			t.Errorf("%q is read as %q with %q: %v", packet, kind, carried, err)
+		}
+	}
+}
--- /dev/null
+++ b/discovery/golden_test.go
@@ -0,0 +1,91 @@
+package discovery
+
+import (
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+	"time"
+
+	"kitehub/choice"
+	"kitehub/gateway"
+	"kitehub/internal/goldenfile"
+)
+
+// listed has workers of each kind that a list can tell of.
+var listed = []gateway.Worker{
+	worker("a", "127.0.0.1:1", choice.Ready),
+	worker("b", "[::1]:2", choice.Draining),
+	{Name: "bare", Network: "tcp", Addr: "127.0.0.1:3", State: choice.Ready},
+	{Name: "u", Network: "unix", Addr: "/run/u", Zone: "b", State: choice.Ready, Size: 1, Started: time.Unix(1700000001, 0).UTC()},
+}
+
+// The list is kept in a file for the next start of the process.
+func TestCachedListIsAsBefore(t *testing.T) {
+	for name, workers := range map[string][]gateway.Worker{"cache.json": listed, "cache_empty.json": nil} {
+		file := filepath.Join(t.TempDir(), name)
+		known := map[string]gateway.Worker{}
+		for _, w := range workers {
+			known[w.Name] = w
+		}
+		watcher := &Watcher{cfg: Config{Cluster: "c", Cache: file}, state: State{Cluster: "c", known: known}}
+		watcher.save()
+		written, err := os.ReadFile(file)
+		if err != nil {
+			t.Fatal(err)
+		}
+		goldenfile.Compare(t, name, written)
+
+		told := &toldSink{}
+		(&Watcher{cfg: Config{Cluster: "c", Cache: filepath.Join("testdata", "golden", name), Sink: told}}).cached()
+		byName := map[string]gateway.Worker{}
+		for _, w := range told.workers {
+			byName[w.Name] = w
+		}
+		if told.kind != choice.Cached || !reflect.DeepEqual(byName, known) {
+			t.Errorf("%s: read %v as kind %v, want %v", name, byName, told.kind, known)
+		}
+	}
+}
+
+// toldSink keeps the last list that it was told.
+type toldSink struct {
+	kind    choice.ListKind
+	workers []gateway.Worker
+}
+
+func (s *toldSink) Workers(kind choice.ListKind, _ uint32, workers []gateway.Worker) error {
+	s.kind, s.workers = kind, workers
+	return nil
+}
+
+// A server of lists is asked, and answers, in Envoy's messages.
+func TestDiscoveryMessagesAreAsBefore(t *testing.T) {
+	changed, removed, err := Difference([]gateway.Worker{listed[0], listed[3]}, listed[:3], "7")
+	if err != nil {
+		t.Fatal(err)
+	}
+	for name, message := range map[string]any{
+		"request.json": &Request{VersionInfo: "6", Node: Node{"c1"}, ResourceNames: []string{"c"}, TypeURL: TypeAssignment, ResponseNonce: "n",
+			ErrorDetail: &ErrorDetail{Code: 3, Message: "clusterName: empty"}},
+		"request_first.json": &Request{TypeURL: TypeEndpoint},
+		"update.json": &Update{VersionInfo: "7", SystemVersionInfo: "8", TypeURL: TypeEndpoint, Nonce: "n", Resources: changed,
+			RemovedResources: removed},
+		"update_empty.json": &Update{},
+	} {
+		written, err := json.Marshal(message)
+		if err != nil {
+			t.Fatal(err)
+		}
+		goldenfile.Compare(t, name, written)
+
+		read := reflect.New(reflect.TypeOf(message).Elem()).Interface()
+		if err := json.Unmarshal(goldenfile.Read(t, name), read); err != nil {
+			t.Fatal(err)
+		}
+		if !reflect.DeepEqual(read, message) {
+			t.Errorf("%s: read %+v, want %+v", name, read, message)
+		}
+	}
+}
