--- /dev/null
+++ b/controller/golden_test.go
@@ -0,0 +1,94 @@
+package controller
+
+import (
+	"encoding/json"
+	"fmt"
+	"net"
+	"reflect"
+	"testing"
+	"time"
+
+	"kitehub/choice"
+	"kitehub/daemon"
+	"kitehub/front/webhook"
+	"kitehub/gateway"
+	"kitehub/internal/goldenfile"
+	"kitehub/replay"
+)
+
+// The state that goes over in a handover is written by one version of the program and read by another.
+func TestHandedOverStateIsAsBefore(t *testing.T) {
+	for name, state := range map[string]legacy{
+		"legacy.json": {
+			Front: webhook.State{Known: []replay.Remembered{{Key: replay.Key{Client: 1, ID: "msg_a"}, Last: 2, Digest: []byte{3}, Status: 200}}, Barrier: 4, Durable: 5, Highest: 6},
+			Spent: choice.Inherited{Orders: []time.Duration{7}, Arrivals: []time.Duration{8, 9}},
+			Open:  10,
+		},
+		"legacy_empty.json": {},
+	} {
+		written, err := json.Marshal(state)
+		if err != nil {
+			t.Fatal(err)
+		}
+		goldenfile.Compare(t, name, written)
+
+		var read legacy
+		if err := json.Unmarshal(goldenfile.Read(t, name), &read); err != nil {
+			t.Fatal(err)
+		}
+		if !reflect.DeepEqual(read, state) {
+			t.Errorf("%s: read %+v, want %+v", name, read, state)
+		}
+	}
+}
+
+// What a successor is told of an end: with its answer, without one that must stay or is too long, and refused.
+func TestToldEndsAreAsBefore(t *testing.T) {
+	key := replay.Key{Client: 1, ID: "msg_a"}
+	long := make([]byte, daemon.PartSize)
+	for name, told := range map[string]struct {
+		answer replay.Answer
+		end    ended
+	}{
+		"ended.json":         {replay.Answer{Status: 200, Type: "application/json", Body: []byte(`{"a":"<b>"}`)}, ended{Key: key, End: replay.Answer{Status: 200, Type: "application/json", Body: []byte(`{"a":"<b>"}`)}}},
+		"ended_refused.json": {replay.Answer{Refused: true, Status: 503}, ended{Key: key, End: replay.Answer{Refused: true, Status: 503}}},
+		"ended_version.json": {replay.Answer{Status: 200, Tag: gateway.Bound{}, Body: []byte("x")}, ended{Key: key, End: replay.Answer{Status: 200}, Unkept: true}},
+		"ended_long.json":    {replay.Answer{Status: 200, Body: long}, ended{Key: key, End: replay.Answer{Status: 200}, Unkept: true}},
+	} {
+		goldenfile.Compare(t, name, toSuccessor(key, told.answer))
+
+		var read ended
+		if err := json.Unmarshal(goldenfile.Read(t, name), &read); err != nil {
+			t.Fatal(err)
+		}
+		if !reflect.DeepEqual(read, told.end) {
+			t.Errorf("%s: read %+v, want %+v", name, read, told.end)
+		}
+	}
+}
+
+// Words between controllers go as datagrams, behind the sender's number where that is agreed.
+func TestPeersDatagramIsAsBefore(t *testing.T) {
+	heard, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer heard.Close()
+	heard.SetReadDeadline(time.Now().Add(10 * time.Second))
+	var written []byte
+	for _, numbered := range []bool{true, false} {
+		peers, err := ListenPeers(258, "127.0.0.1:0", map[int]string{1: heard.LocalAddr().String()}, numbered)
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer peers.Close()
+		peers.Tell(1, []byte("a\x00word"))
+		datagram := make([]byte, 1000)
+		n, err := heard.Read(datagram)
+		if err != nil {
+			t.Fatal(err)
+		}
+		written = fmt.Appendf(written, "numbered %v: %q\n", numbered, datagram[:n])
+	}
+	goldenfile.Compare(t, "peers.txt", written)
+}
