--- /dev/null
+++ b/controller/rpc_golden_test.go
@@ -0,0 +1,125 @@
+package controller
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"sort"
+	"strings"
+	"testing"
+
+	"kitehub/internal/goldenfile"
+)
+
+// shape writes JSON with its keys in their order and no values: of a list only the first element, and for a number 0, for a
+// string "" and for a truth false.
+func shape(text string) string {
+	var written bytes.Buffer
+	decoder := json.NewDecoder(strings.NewReader(text))
+	var value func(to *bytes.Buffer) error
+	value = func(to *bytes.Buffer) error {
+		token, err := decoder.Token()
+		if err != nil {
+			return err
+		}
+		switch token := token.(type) {
+		case json.Delim:
+			to.WriteString(token.String())
+			for i := 0; decoder.More(); i++ {
+				into := to
+				if token == '[' && i > 0 {
+					into = &bytes.Buffer{} // the elements of a list are alike
+				} else if i > 0 {
+					to.WriteByte(',')
+				}
+				if token == '{' {
+					key, err := decoder.Token()
+					if err != nil {
+						return err
+					}
+					fmt.Fprintf(to, "%q:", key)
+				}
+				if err := value(into); err != nil {
+					return err
+				}
+			}
+			end, err := decoder.Token()
+			if err != nil {
+				return err
+			}
+			to.WriteString(end.(json.Delim).String())
+		case string:
+			to.WriteString(`""`)
+		case float64:
+			to.WriteByte('0')
+		case bool:
+			to.WriteString("false")
+		default:
+			to.WriteString("null")
+		}
+		return nil
+	}
+	if err := value(&written); err != nil {
+		return "not JSON: " + err.Error() + ": " + text
+	}
+	return written.String()
+}
+
+// Every method of the second front, with all its params; the keys of its results and notifications, and its errors word by word.
+func TestSecondFrontIsAsBefore(t *testing.T) {
+	r := newRig(t, 2, nil)
+	r.start(r.build("c", withRPC(r, "hooks {}")...))
+	l := dial(t, r)
+	var written strings.Builder
+	// ask notes a request and what comes of it: so many lines in any order, as notifications may come before the answer.
+	ask := func(name, text string, lines int) {
+		l.send(text)
+		var got []string
+		for range lines {
+			line := l.next()
+			if !strings.Contains(line, `"error"`) {
+				line = shape(line)
+			}
+			got = append(got, line)
+		}
+		sort.Strings(got)
+		fmt.Fprintf(&written, "%s\n-> %s\n", name, text)
+		for _, line := range got {
+			fmt.Fprintf(&written, "<- %s\n", line)
+		}
+	}
+	script := `"text":"state n int = 7\non moved(m) { n = n + 1 }\n"`
+	ask("status", request("1", "status", "{}"), 1)
+	ask("call", call("2", "safe-1", `,"wait_ms":60000,"retry":true,"trace":"00112233445566778899aabbccddeeff"`), 1)
+	ask("call with a key", call("3", "keyed-1", `,"key":"k"`), 1)
+	ask("explain", request("4", "explain", `{"id":"me:2"}`), 1)
+	ask("explain of no call", request("5", "explain", `{"id":"none"}`), 1)
+	ask("workers", request("6", "workers", "{}"), 1)
+	ask("functions", request("7", "functions", "{}"), 1)
+	ask("hooks, none", request("8", "hooks", "{}"), 1)
+	ask("hook.load", request("9", "hook.load", `{"name":"a",`+script+`,"shadow":false}`), 1)
+	ask("hook.load of a wrong text", request("10", "hook.load", `{"name":"b","text":"on arrive(c) {"}`), 1)
+	ask("hook.load into the shadow", request("11", "hook.load", `{"name":"a","text":"on moved(m) { log(\"x\") }\n","shadow":true}`), 1)
+	ask("hooks", request("12", "hooks", "{}"), 1)
+	ask("hook.promote too soon", request("13", "hook.promote", `{"name":"a"}`), 1)
+	ask("hook.promote", request("14", "hook.promote", `{"name":"a","force":true}`), 1)
+	ask("hook.rollback", request("15", "hook.rollback", `{"name":"a"}`), 1)
+	ask("hook.release of what is not held", request("16", "hook.release", `{"name":"a"}`), 1)
+	ask("hook.remove", request("17", "hook.remove", `{"name":"a"}`), 1)
+	ask("hook.remove of none", request("18", "hook.remove", `{"name":"a"}`), 1)
+	ask("subscribe", request("19", "subscribe", `{"topics":["ended"]}`), 1)
+	ask("call with progress and an event", call("20", "safe-1", `,"progress":true`), 3)
+	ask("unsubscribe", request("21", "unsubscribe", `{"topics":["ended"]}`), 1)
+	ask("cancel", request("22", "cancel", `{"id":77}`), 1)
+	ask("reload where there is none", request("23", "reload", "{}"), 1)
+	ask("no such method", request("24", "nothing", "{}"), 1)
+	ask("a param that is not known", request("25", "explain", `{"call":"x"}`), 1)
+	ask("a param of a wrong type", request("26", "hook.promote", `{"name":1}`), 1)
+	ask("no such function", call("27", "none", ""), 1)
+	ask("a key used for another call", request("28", "call", `{"function":"keyed-1","body":{"x":2},"key":"k"}`), 1)
+	ask("a batch", "["+request("29", "cancel", `{"id":77}`)+","+request("30", "nothing", "{}")+"]", 1)
+	ask("not JSON", "{", 1)
+	ask("drain", request("31", "drain", "{}"), 1)
+	ask("call while it drains", call("32", "safe-1", ""), 1)
+	goldenfile.Compare(t, "second_front.txt", []byte(written.String()))
+}
--- /dev/null
+++ b/gateway/golden_test.go
@@ -0,0 +1,45 @@
+package gateway
+
+import (
+	"encoding/json"
+	"reflect"
+	"testing"
+	"time"
+
+	"kitehub/choice"
+	"kitehub/internal/goldenfile"
+)
+
+// Operators and their tools read what the gateway shows of workers, functions and calls.
+func TestViewsAreAsBefore(t *testing.T) {
+	look := choice.Look{Place: 1, Ring: 2, Ready: true, Ejected: true, Cold: true, Warm: true, Rank: -1, Tokens: 2.5, Busy: 3, Pace: 0.5, Loads: 4,
+		Pass: 0.25, Waiting: 5, InFlight: 6}
+	for name, shown := range map[string]any{
+		"workers.json": &[]WorkerView{
+			{"w1", choice.WorkerLook{ID: 1, State: choice.Draining, Look: look, Heard: 2 * time.Second, Copies: 3}},
+			{},
+		},
+		"functions.json": &[]FunctionView{
+			{"resize", "w1", choice.FunctionLook{ID: 1, Home: 2, Waiting: 3, InFlight: 4, Run: 5 * time.Second, Gap: 6, Copies: 7, Wanted: true}},
+			{},
+		},
+		"explained.json": &[]Explained{
+			{ID: "me:1", Request: 2, Function: "resize", Tenant: "t", Class: "safe", Answer: "served", TookMS: 3.5, Why: "closed", Lines: []string{"a", "b"}},
+			{Lines: []string{}},
+		},
+	} {
+		written, err := json.Marshal(shown)
+		if err != nil {
+			t.Fatal(err)
+		}
+		goldenfile.Compare(t, name, written)
+
+		read := reflect.New(reflect.TypeOf(shown).Elem()).Interface()
+		if err := json.Unmarshal(goldenfile.Read(t, name), read); err != nil {
+			t.Fatal(err)
+		}
+		if !reflect.DeepEqual(read, shown) {
+			t.Errorf("%s: read %+v, want %+v", name, read, shown)
+		}
+	}
+}
