--- /dev/null
+++ b/day/golden_test.go
@@ -0,0 +1,29 @@
+package day
+
+import (
+	"encoding/json"
+	"reflect"
+	"testing"
+
+	"kitehub/internal/goldenfile"
+)
+
+// "kitehub day play --json" prints the total of a day's tallies; scripts read it.
+func TestPrintedTotalIsAsBefore(t *testing.T) {
+	total := Tally{Calls: 1, Served: 2, InAim: 3, Refused: 4, Failed: 5, Left: 6, Nowhere: 7, Late: 8, Tries: 9}
+	for name, total := range map[string]Tally{"total.json": total, "total_empty.json": {}} {
+		written, err := json.Marshal(total)
+		if err != nil {
+			t.Fatal(err)
+		}
+		goldenfile.Compare(t, name, written)
+
+		var read Tally
+		if err := json.Unmarshal(goldenfile.Read(t, name), &read); err != nil {
+			t.Fatal(err)
+		}
+		if !reflect.DeepEqual(read, total) {
+			t.Errorf("%s: read %+v, want %+v", name, read, total)
+		}
+	}
+}
--- /dev/null
+++ b/rules/golden_test.go
@@ -0,0 +1,27 @@
+package rules
+
+import (
+	"encoding/json"
+	"reflect"
+	"testing"
+
+	"kitehub/internal/goldenfile"
+)
+
+// "kitehub day play --json" prints the breaks of rules, a rule by its number; scripts read it.
+func TestPrintedBreaksAreAsBefore(t *testing.T) {
+	breaks := []Break{{Rule: OneAnswer}, {Rule: NoRepeat, At: 1}, {Rule: Drains, At: 2}, {Rule: Cold, At: 3}, {Rule: Loads, At: 4, What: "too <many>"}}
+	written, err := json.Marshal(breaks)
+	if err != nil {
+		t.Fatal(err)
+	}
+	goldenfile.Compare(t, "breaks.json", written)
+
+	var read []Break
+	if err := json.Unmarshal(goldenfile.Read(t, "breaks.json"), &read); err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(read, breaks) {
+		t.Errorf("read %+v, want %+v", read, breaks)
+	}
+}
