--- a/choice/api.go
+++ b/choice/api.go
@@ -320,7 +320,10 @@
 }
 
 // Inherited begins with what another process has used up for this controller: when it ordered loads, and when requests came.
-type Inherited struct{ Orders, Arrivals []time.Duration }
+type Inherited struct {
+	Orders   []time.Duration `json:"Orders"`
+	Arrivals []time.Duration `json:"Arrivals"`
+}
 
 // Retired says that another process takes over: what is in hand is finished, with no order to load and nothing more to a
 // cold worker, as the other one now has both budgets. On false it is so no longer.
--- a/controller/golden_test.go
+++ b/controller/golden_test.go
@@ -92,3 +92,8 @@
 	}
 	goldenfile.Compare(t, "peers.txt", written)
 }
+
+// Each field that is stored or sent has a key of its own: what it is called in Go may change, the format may not.
+func TestKeysDoNotFollowFieldNames(t *testing.T) {
+	goldenfile.Tagged(t, legacy{}, ended{}, Status{})
+}
--- a/controller/handover.go
+++ b/controller/handover.go
@@ -23,16 +23,16 @@
 
 // legacy is the state that goes over.
 type legacy struct {
-	Front webhook.State
-	Spent choice.Inherited
-	Open  int // calls in hand
+	Front webhook.State    `json:"Front"`
+	Spent choice.Inherited `json:"Spent"`
+	Open  int              `json:"Open"` // calls in hand
 }
 
 // ended is how a call in hand of the old process ended.
 type ended struct {
-	Key    replay.Key
-	End    replay.Answer
-	Unkept bool // its answer is not given again
+	Key    replay.Key    `json:"Key"`
+	End    replay.Answer `json:"End"`
+	Unkept bool          `json:"Unkept"` // its answer is not given again
 }
 
 // toSuccessor is what the other process is told of an end. An answer of a model's version does not go over: it must be asked for at the
--- a/front/jsonrpc/golden_test.go
+++ b/front/jsonrpc/golden_test.go
@@ -129,3 +129,8 @@
 	}
 	goldenfile.Compare(t, "client.jsonl", []byte(<-asked+<-asked))
 }
+
+// Each field that is stored or sent has a key of its own: what it is called in Go may change, the format may not.
+func TestKeysDoNotFollowFieldNames(t *testing.T) {
+	goldenfile.Tagged(t, callParams{}, Error{})
+}
--- a/front/webhook/handover.go
+++ b/front/webhook/handover.go
@@ -6,8 +6,10 @@
 
 // State is what a process that takes over must know of messages.
 type State struct {
-	Known                     []replay.Remembered
-	Barrier, Durable, Highest int64
+	Known   []replay.Remembered `json:"Known"`
+	Barrier int64               `json:"Barrier"`
+	Durable int64               `json:"Durable"`
+	Highest int64               `json:"Highest"`
 }
 
 // Pause has all further messages wait, and returns what is known of those before; ended is told how those in hand end from then
--- a/internal/goldenfile/goldenfile.go
+++ b/internal/goldenfile/goldenfile.go
@@ -7,6 +7,8 @@
 	"flag"
 	"os"
 	"path/filepath"
+	"reflect"
+	"strings"
 	"testing"
 )
 
@@ -40,3 +42,36 @@
 	}
 	return golden
 }
+
+// Tagged fails the test where a field that is stored or sent with one of the values takes its key from the name of the Go field,
+// so that a rename would change the format. It looks into the program's own types; an embedded struct needs no tag, its fields do.
+func Tagged(t testing.TB, values ...any) {
+	t.Helper()
+	seen := map[reflect.Type]bool{}
+	for _, value := range values {
+		for _, field := range untagged(reflect.TypeOf(value), seen) {
+			t.Errorf("%s has no key of its own in JSON: give it a tag with today's", field)
+		}
+	}
+}
+
+func untagged(typ reflect.Type, seen map[reflect.Type]bool) (fields []string) {
+	switch typ.Kind() {
+	case reflect.Pointer, reflect.Slice, reflect.Array, reflect.Map:
+		return untagged(typ.Elem(), seen)
+	}
+	if typ.Kind() != reflect.Struct || seen[typ] || typ.PkgPath() != "" && !strings.HasPrefix(typ.PkgPath(), "kitehub/") {
+		return nil
+	}
+	seen[typ] = true
+	for field := range typ.Fields() {
+		key, _, _ := strings.Cut(field.Tag.Get("json"), ",")
+		if key == "" && field.IsExported() && !field.Anonymous {
+			fields = append(fields, typ.String()+"."+field.Name)
+		}
+		if field.IsExported() || field.Anonymous {
+			fields = append(fields, untagged(field.Type, seen)...)
+		}
+	}
+	return fields
+}
--- a/internal/trace/golden_test.go
+++ b/internal/trace/golden_test.go
@@ -45,3 +45,8 @@
 	}
 	goldenfile.Compare(t, "kinds.txt", written.Bytes())
 }
+
+// Each field that is stored or sent has a key of its own: what it is called in Go may change, the format may not.
+func TestKeysDoNotFollowFieldNames(t *testing.T) {
+	goldenfile.Tagged(t, Record{})
+}
--- a/replay/golden_test.go
+++ b/replay/golden_test.go
@@ -61,3 +61,8 @@
 		t.Errorf("read: %+v\nwant: %+v", read, ends)
 	}
 }
+
+// Each field that is stored or sent has a key of its own: what it is called in Go may change, the format may not.
+func TestKeysDoNotFollowFieldNames(t *testing.T) {
+	goldenfile.Tagged(t, Key{}, Answer{}, Remembered{})
+}
--- a/replay/replay.go
+++ b/replay/replay.go
@@ -32,8 +32,8 @@
 
 // A Key names a message: ids are unique within a client.
 type Key struct {
-	Client int
-	ID     string
+	Client int    `json:"Client"`
+	ID     string `json:"ID"`
 }
 
 // A Message is a verified one.
@@ -62,11 +62,11 @@
 
 // An Answer is what a call ended in.
 type Answer struct {
-	Refused bool // a client may try again
-	Status  int
-	Type    string
-	Body    []byte
-	Tag     any // what the answer depends on, for who gives it; the guard does not look at it
+	Refused bool   `json:"Refused"` // a client may try again
+	Status  int    `json:"Status"`
+	Type    string `json:"Type"`
+	Body    []byte `json:"Body"`
+	Tag     any    `json:"Tag"` // what the answer depends on, for who gives it; the guard does not look at it
 }
 
 type entry struct {
@@ -233,15 +233,15 @@
 
 // Remembered is one id, for a process that takes over.
 type Remembered struct {
-	Key     Key
-	Last    int64
-	Digest  []byte
-	Running bool
-	Dropped bool
-	Refused bool
-	Status  int
-	Type    string
-	Body    []byte
+	Key     Key    `json:"Key"`
+	Last    int64  `json:"Last"`
+	Digest  []byte `json:"Digest"`
+	Running bool   `json:"Running"`
+	Dropped bool   `json:"Dropped"`
+	Refused bool   `json:"Refused"`
+	Status  int    `json:"Status"`
+	Type    string `json:"Type"`
+	Body    []byte `json:"Body"`
 }
 
 // Export returns all that is remembered, by the time it was last taken, and the marks.
