--- a/advice/advice.go
+++ b/advice/advice.go
@@ -98,7 +98,9 @@
 		Until  time.Duration
 	}
 	// Tenants is what holds for tenants now, all of it. It is not to be changed.
-	Tenants struct{ By map[string]Tenant }
+	Tenants struct {
+		By map[string]Tenant `json:"By"`
+	}
 	// Notice is to be sent.
 	Notice struct{ Script, Target, Text string }
 	// Dropped tells operators what was not followed, and why.
@@ -117,8 +119,8 @@
 
 // Tenant is what holds for one: a weight where fewer than all calls pass (0: 1), and at most so many calls in hand (0: any).
 type Tenant struct {
-	Weight float64
-	Most   int
+	Weight float64 `json:"Weight"`
+	Most   int     `json:"Most"`
 }
 
 type key struct{ kind, name string }
--- a/hook/golden_test.go
+++ b/hook/golden_test.go
@@ -61,3 +61,8 @@
 	}
 	goldenfile.Compare(t, "events.jsonl", written)
 }
+
+// Each field that is stored or sent has a key of its own: what it is called in Go may change, the format may not.
+func TestKeysDoNotFollowFieldNames(t *testing.T) {
+	goldenfile.Tagged(t, Call{}, Ended{}, Worker{}, Load{}, Level{}, Tick{}, Move{}, saved{})
+}
--- a/hook/host.go
+++ b/hook/host.go
@@ -11,37 +11,57 @@
 type (
 	// A Call has arrived and is decided upon next.
 	Call struct {
-		Function, Tenant, Client, Class string
-		Retry                           bool
-		Wait                            time.Duration // how long the client waits
-		Size                            int           // bytes of the body
-		Open                            int           // calls in hand
+		Function string        `json:"Function"`
+		Tenant   string        `json:"Tenant"`
+		Client   string        `json:"Client"`
+		Class    string        `json:"Class"`
+		Retry    bool          `json:"Retry"`
+		Wait     time.Duration `json:"Wait"` // how long the client waits
+		Size     int           `json:"Size"` // bytes of the body
+		Open     int           `json:"Open"` // calls in hand
 	}
 	// Ended is a call that got its final answer.
 	Ended struct {
-		Function, Tenant, Class, Worker, Answer string // Worker of the last attempt; Answer: served, refused, failed, gone, left
-		Took                                    time.Duration
-		Attempts                                int
-		Late                                    bool
+		Function string        `json:"Function"`
+		Tenant   string        `json:"Tenant"`
+		Class    string        `json:"Class"`
+		Worker   string        `json:"Worker"` // of the last attempt
+		Answer   string        `json:"Answer"` // served, refused, failed, gone, left
+		Took     time.Duration `json:"Took"`
+		Attempts int           `json:"Attempts"`
+		Late     bool          `json:"Late"`
 	}
 	// Worker has joined, or left (drains, or is gone from the list).
-	Worker struct{ Name, Group, Zone, State string }
+	Worker struct {
+		Name  string `json:"Name"`
+		Group string `json:"Group"`
+		Zone  string `json:"Zone"`
+		State string `json:"State"`
+	}
 	// Load is an order to load that was refused.
 	Load struct {
-		Function, Worker, Outcome string
-		Took                      time.Duration
+		Function string        `json:"Function"`
+		Worker   string        `json:"Worker"`
+		Outcome  string        `json:"Outcome"`
+		Took     time.Duration `json:"Took"`
 	}
 	// Level is a level of reduced service that changed.
-	Level struct{ Name, Before, Why string }
+	Level struct {
+		Name   string `json:"Name"`
+		Before string `json:"Before"`
+		Why    string `json:"Why"`
+	}
 	// Tick is a timer's run.
 	Tick struct {
-		Count int64 // from 1
-		Open  int   // calls in hand
+		Count int64 `json:"Count"` // from 1
+		Open  int   `json:"Open"`  // calls in hand
 	}
 	// Move is an alias that names another version.
 	Move struct {
-		Model, Alias, Version string
-		Revision              int64
+		Model    string `json:"Model"`
+		Alias    string `json:"Alias"`
+		Version  string `json:"Version"`
+		Revision int64  `json:"Revision"`
 	}
 )
 
