--- a/choice/look.go
+++ b/choice/look.go
@@ -8,20 +8,20 @@
 
 // Look is how a worker and a function look to the dispatcher, for people to read. Nothing is decided by it.
 type Look struct {
-	Place    int     // of the worker in the function's walk: 0 is its home; -1: not on the ring
-	Ring     int     // workers on the ring
-	Ready    bool    // may be sent something new
-	Ejected  bool    // off the ring for failures
-	Cold     bool    // started not long ago: held to its share
-	Warm     bool    // a copy is believed to stand
-	Rank     int     // as advised
-	Tokens   float64 // of the worker
-	Busy     int     // of them, in use
-	Pace     float64 // mean of its run times over its classes' means; 0: not known
-	Loads    int     // attempts there that may wait for a load
-	Pass     float64 // share of requests let pass
-	Waiting  int     // requests of the function in its queue
-	InFlight int     // and out
+	Place    int     `json:"Place"`    // of the worker in the function's walk: 0 is its home; -1: not on the ring
+	Ring     int     `json:"Ring"`     // workers on the ring
+	Ready    bool    `json:"Ready"`    // may be sent something new
+	Ejected  bool    `json:"Ejected"`  // off the ring for failures
+	Cold     bool    `json:"Cold"`     // started not long ago: held to its share
+	Warm     bool    `json:"Warm"`     // a copy is believed to stand
+	Rank     int     `json:"Rank"`     // as advised
+	Tokens   float64 `json:"Tokens"`   // of the worker
+	Busy     int     `json:"Busy"`     // of them, in use
+	Pace     float64 `json:"Pace"`     // mean of its run times over its classes' means; 0: not known
+	Loads    int     `json:"Loads"`    // attempts there that may wait for a load
+	Pass     float64 `json:"Pass"`     // share of requests let pass
+	Waiting  int     `json:"Waiting"`  // requests of the function in its queue
+	InFlight int     `json:"InFlight"` // and out
 }
 
 // Look returns how a worker and a function look now.
@@ -51,11 +51,11 @@
 
 // WorkerLook is a worker as the dispatcher sees it.
 type WorkerLook struct {
-	ID     WorkerID
-	State  WorkerState
-	Look   Look
-	Heard  time.Duration // since its last answer; -1: none yet
-	Copies int           // functions believed to stand there
+	ID     WorkerID      `json:"ID"`
+	State  WorkerState   `json:"State"`
+	Look   Look          `json:"Look"`
+	Heard  time.Duration `json:"Heard"`  // since its last answer; -1: none yet
+	Copies int           `json:"Copies"` // functions believed to stand there
 }
 
 // Workers returns all workers, by id.
@@ -77,14 +77,14 @@
 
 // FunctionLook is a function as the dispatcher sees it.
 type FunctionLook struct {
-	ID       FunctionID
-	Home     WorkerID // 0: none is ready
-	Waiting  int
-	InFlight int
-	Run      time.Duration // mean; 0: not known
-	Gap      time.Duration // mean time between arrivals; 0: not known
-	Copies   int           // workers where one is believed to stand
-	Wanted   bool          // advised
+	ID       FunctionID    `json:"ID"`
+	Home     WorkerID      `json:"Home"` // 0: none is ready
+	Waiting  int           `json:"Waiting"`
+	InFlight int           `json:"InFlight"`
+	Run      time.Duration `json:"Run"`    // mean; 0: not known
+	Gap      time.Duration `json:"Gap"`    // mean time between arrivals; 0: not known
+	Copies   int           `json:"Copies"` // workers where one is believed to stand
+	Wanted   bool          `json:"Wanted"` // advised
 }
 
 // Functions returns the functions that are remembered, by id.
--- a/gateway/explain.go
+++ b/gateway/explain.go
@@ -137,13 +137,13 @@
 	return x, ok, err
 }
 
-// WorkerView is a worker as this controller sees it.
+// WorkerView is a worker as this controller sees it. Its JSON has the keys of the look beside the name, as it is embedded.
 type WorkerView struct {
 	Name string `json:"name"`
 	choice.WorkerLook
 }
 
-// FunctionView is a function as this controller sees it.
+// FunctionView is a function as this controller sees it; its JSON is as WorkerView's.
 type FunctionView struct {
 	Name string `json:"name"`
 	Home string `json:"home"`
