--- a/day/load.go
+++ b/day/load.go
@@ -45,10 +45,16 @@
 
 // Tally counts calls of a class by how they ended, over all tries of each.
 type Tally struct {
-	Calls, Served, InAim, Refused, Failed, Left, Nowhere int
-	Late                                                 int // answers of any kind after the client's time
-	Tries                                                int
-	Took                                                 *hdrhistogram.Histogram // of those served, µs from the intended start
+	Calls   int                     `json:"Calls"`
+	Served  int                     `json:"Served"`
+	InAim   int                     `json:"InAim"`
+	Refused int                     `json:"Refused"`
+	Failed  int                     `json:"Failed"`
+	Left    int                     `json:"Left"`
+	Nowhere int                     `json:"Nowhere"`
+	Late    int                     `json:"Late"` // answers of any kind after the client's time
+	Tries   int                     `json:"Tries"`
+	Took    *hdrhistogram.Histogram `json:"Took"` // of those served, µs from the intended start
 }
 
 // A load is an open loop of signed calls: each starts at its time whether or not earlier ones have ended, and is
--- a/rules/golden_test.go
+++ b/rules/golden_test.go
@@ -25,3 +25,8 @@
 		t.Errorf("read %+v, want %+v", read, breaks)
 	}
 }
+
+// Each field that is stored or sent has a key of its own: what it is called in Go may change, the format may not.
+func TestKeysDoNotFollowFieldNames(t *testing.T) {
+	goldenfile.Tagged(t, Break{})
+}
--- a/rules/rules.go
+++ b/rules/rules.go
@@ -33,9 +33,9 @@
 
 // A Break is one thing that broke a rule.
 type Break struct {
-	Rule Rule
-	At   time.Duration
-	What string
+	Rule Rule          `json:"Rule"`
+	At   time.Duration `json:"At"`
+	What string        `json:"What"`
 }
 
 // A Verdict is what a trace shows.
