--- a/hook/interface_test.go
+++ b/hook/interface_test.go
@@ -1,17 +1,14 @@
 package hook
 
 import (
-	"flag"
 	"fmt"
 	"maps"
-	"os"
-	"path/filepath"
 	"slices"
 	"strings"
 	"testing"
-)
 
-var update = flag.Bool("update", false, "write the golden file of the language's names anew")
+	"kitehub/internal/goldenfile"
+)
 
 // TestNames holds the names that scripts are written with: keywords, signs, types, points with what they may advise, fields of
 // records, functions with their signatures, and the kinds of fault that operators read. Scripts that run must go on to run, so
@@ -43,24 +40,5 @@
 		FaultKey, FaultRange, FaultRaised, FaultExpect, FaultInternal} {
 		fmt.Fprintf(&out, "fault %s\n", kind)
 	}
-	path := filepath.Join("testdata", "interface.txt")
-	if *update {
-		if err := os.WriteFile(path, []byte(out.String()), 0o644); err != nil {
-			t.Fatal(err)
-		}
-		return
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if string(want) == out.String() {
-		return
-	}
-	held, found := strings.Split(string(want), "\n"), strings.Split(out.String(), "\n")
-	for i := range max(len(held), len(found)) {
-		if i >= len(held) || i >= len(found) || held[i] != found[i] {
-			t.Fatalf("line %d differs from %s:\n%s", i+1, path, strings.Join(found[min(i, len(found)):min(i+3, len(found))], "\n"))
-		}
-	}
+	goldenfile.Compare(t, "interface.txt", []byte(out.String()))
 }
--- a/internal/layers/layers_test.go
+++ b/internal/layers/layers_test.go
@@ -56,6 +56,8 @@
 		"kitehub/standin", "kitehub/standin/platform"}},
 	{"tries out: days and measurements", false, []string{
 		"kitehub/bench", "kitehub/day", "kitehub/scale"}},
+	{"what tests share", false, []string{
+		"kitehub/internal/goldenfile"}},
 	{"programs, and tools of the source", false, []string{
 		"kitehub/cmd/kitehub", "kitehub/cmd/wirehost", "kitehub/internal/gen", "kitehub/internal/layers"}},
 }
