--- a/choice/api.go
+++ b/choice/api.go
@@ -11,36 +11,36 @@
 // A FunctionID names a function (a model, a handler): what a copy is loaded of.
 type FunctionID uint64
 
-// Effect says what running a request twice would do. The zero value is not valid.
-type Effect int
+// Idempotency says what running a request twice would do. The zero value is not valid.
+type Idempotency int
 
 const (
-	Safe   Effect = iota + 1 // may run any number of times
-	Keyed                    // a group of workers drops repeats for a while
-	Unsafe                   // must never run twice
+	Idempotent        Idempotency = iota + 1 // may run any number of times
+	IdempotentWithKey                        // a group of workers drops repeats for a while
+	NonIdempotent                            // must never run twice
 )
 
-// Scope says which workers drop the repeats of a keyed request. The zero value is not valid.
-type Scope int
+// DedupScope says which workers drop the repeats of a keyed request. The zero value is not valid.
+type DedupScope int
 
 const (
-	AllWorkers Scope = iota + 1 // any worker
-	SameZone                    // the workers of one zone
-	SameGroup                   // the workers of one group
+	AllWorkers DedupScope = iota + 1 // any worker
+	SameZone                         // the workers of one zone
+	SameGroup                        // the workers of one group
 )
 
 // A Class is a kind of request.
 type Class struct {
-	Name       string
-	Effect     Effect
-	Scope      Scope         // for Keyed
-	Window     time.Duration // for Keyed: how long repeats are dropped, from the first send that may have run
-	Aim        time.Duration // an answer within this earns the full worth
-	AimStretch float64       // extra time on the aim, as a multiple of the request's work
-	Deadline   time.Duration // the client's patience over all its tries
-	Worth      float64
-	LateShare  float64 // part of the worth that an answer after the aim earns
-	Stream     bool
+	Name        string
+	Idempotency Idempotency
+	DedupScope  DedupScope    // for Keyed
+	DedupWindow time.Duration // for Keyed: how long repeats are dropped, from the first send that may have run
+	Aim         time.Duration // an answer within this earns the full worth
+	AimStretch  float64       // extra time on the aim, as a multiple of the request's work
+	Deadline    time.Duration // the client's patience over all its tries
+	Worth       float64
+	LateShare   float64 // part of the worth that an answer after the aim earns
+	Stream      bool
 }
 
 // A Tenant is a customer with a share of the fleet.
--- a/choice/attempts.go
+++ b/choice/attempts.go
@@ -282,7 +282,7 @@
 // mayRefuse: a refusal tells the client that another try does no harm.
 func (d *Dispatcher) mayRefuse(r *request) bool {
 	c := d.s.Classes[r.Class]
-	return c.Effect == Safe || r.mayHaveRun() == nil || c.Effect == Keyed && c.Scope == AllWorkers
+	return c.Idempotency == Idempotent || r.mayHaveRun() == nil || c.Idempotency == IdempotentWithKey && c.DedupScope == AllWorkers
 }
 
 // mayTry tells whether the rules leave room for another attempt at all.
@@ -304,13 +304,13 @@
 	first := r.mayHaveRun()
 	c := d.s.Classes[r.Class]
 	switch {
-	case first == nil || c.Effect == Safe:
+	case first == nil || c.Idempotency == Idempotent:
 		return true
-	case c.Effect == Unsafe:
+	case c.Idempotency == NonIdempotent:
 		return false
 	}
-	return d.now < first.sent+c.Window-d.s.Tick && (c.Scope == AllWorkers ||
-		c.Scope == SameZone && w.Zone == first.zone || c.Scope == SameGroup && w.Group == first.group)
+	return d.now < first.sent+c.DedupWindow-d.s.Tick && (c.DedupScope == AllWorkers ||
+		c.DedupScope == SameZone && w.Zone == first.zone || c.DedupScope == SameGroup && w.Group == first.group)
 }
 
 // rescue finds another worker for what waits on one that no longer answers.
@@ -321,7 +321,7 @@
 	for _, r := range d.open {
 		for i := range r.tries {
 			t := &r.tries[i]
-			if r.ended || r.waiting || t.w != w || t.done || d.s.Classes[r.Class].Effect == Unsafe {
+			if r.ended || r.waiting || t.w != w || t.done || d.s.Classes[r.Class].Idempotency == NonIdempotent {
 				continue
 			}
 			if r.cover = d.s.Limits.Duplicate; !r.cover && len(r.tries) < d.s.Limits.Attempts {
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -15,10 +15,10 @@
 func base() Settings {
 	return Settings{Controllers: 1, Tick: 2 * ms,
 		Classes: []Class{
-			{Name: "safe", Effect: Safe, Aim: 500 * ms, Deadline: 4 * time.Second, Worth: 1},
-			{Name: "keyed", Effect: Keyed, Scope: SameGroup, Window: 2 * time.Second, Aim: 500 * ms,
+			{Name: "safe", Idempotency: Idempotent, Aim: 500 * ms, Deadline: 4 * time.Second, Worth: 1},
+			{Name: "keyed", Idempotency: IdempotentWithKey, DedupScope: SameGroup, DedupWindow: 2 * time.Second, Aim: 500 * ms,
 				Deadline: 4 * time.Second, Worth: 1},
-			{Name: "unsafe", Effect: Unsafe, Aim: 500 * ms, Deadline: 4 * time.Second, Worth: 1}},
+			{Name: "unsafe", Idempotency: NonIdempotent, Aim: 500 * ms, Deadline: 4 * time.Second, Worth: 1}},
 		Limits: Limits{Attempts: 3, Open: 100, Dial: 250 * ms, Cancel: true},
 		Loading: Loading{Orders: true, LoadsOnMiss: true, OnMissKnown: true, IdleLife: 8 * time.Second,
 			Answer: 10 * time.Second, WarmNotes: true},
@@ -76,8 +76,8 @@
 		spoil func(*Settings)
 	}{
 		{"Classes", func(s *Settings) { s.Classes = nil }},
-		{"Effect", func(s *Settings) { s.Classes[0].Effect = 0 }},
-		{"Scope", func(s *Settings) { s.Classes[1].Scope = 9 }},
+		{"Effect", func(s *Settings) { s.Classes[0].Idempotency = 0 }},
+		{"Scope", func(s *Settings) { s.Classes[1].DedupScope = 9 }},
 		{"Window", func(s *Settings) { s.Loading.Window = -1 }},
 		{"Ratio", func(s *Settings) { s.Loading.Ratio = math.NaN() }},
 		{"ColdShare", func(s *Settings) { s.Guarantees.ColdShare = math.Inf(1) }},
@@ -301,7 +301,7 @@
 func TestKeyedWindow(t *testing.T) {
 	for _, at := range []time.Duration{2900 * ms, 3100 * ms} { // sent at 1 s, window 2 s
 		s := base()
-		s.Classes[1].Scope = AllWorkers
+		s.Classes[1].DedupScope = AllWorkers
 		d := start(t, s, ready(1, 2)...)
 		home := pickOut[Send](d.Step(time.Second, []Event{arrival(1, 1, 7)}))[0].Worker
 		e := []Event{Returned{Request: 1, Worker: home, Outcome: Reset}}
@@ -395,7 +395,7 @@
 
 func Example() {
 	d, err := New(Settings{Controllers: 1, Tick: 2 * ms,
-		Classes: []Class{{Name: "quote", Effect: Safe, Aim: 600 * ms, Deadline: 4 * time.Second, Worth: 1}},
+		Classes: []Class{{Name: "quote", Idempotency: Idempotent, Aim: 600 * ms, Deadline: 4 * time.Second, Worth: 1}},
 		Limits:  Limits{Attempts: 3, Dial: 250 * ms},
 		Loading: Loading{Orders: true, LoadsOnMiss: true, OnMissKnown: true, IdleLife: 8 * time.Second}}, 1)
 	if err != nil {
--- a/choice/property_test.go
+++ b/choice/property_test.go
@@ -57,7 +57,7 @@
 	s.Limits.Duplicate = seed%2 == 0
 	s.Limits.Cancel = seed%3 != 0
 	s.Loading.Window, s.Loading.Free, s.Loading.Ratio = 5*time.Second, 3, 0.2
-	s.Classes[1].Scope = Scope(seed%3 + 1)
+	s.Classes[1].DedupScope = DedupScope(seed%3 + 1)
 	d, err := New(s, seed)
 	if err != nil {
 		t.Fatal(err)
@@ -147,11 +147,11 @@
 					t.Fatalf("seed %d: attempt %d", seed, len(q.sent)+1)
 				case q.out() > 0 && !s.Limits.Duplicate:
 					t.Fatalf("seed %d: two attempts out", seed)
-				case first >= 0 && c.Effect == Unsafe:
+				case first >= 0 && c.Idempotency == NonIdempotent:
 					t.Fatalf("seed %d: unsafe request sent again", seed)
-				case first >= 0 && c.Effect == Keyed && now >= q.sent[first]+c.Window:
+				case first >= 0 && c.Idempotency == IdempotentWithKey && now >= q.sent[first]+c.DedupWindow:
 					t.Fatalf("seed %d: keyed request sent after its window", seed)
-				case first >= 0 && c.Effect == Keyed && group(c.Scope, list[a.Worker]) != q.groups[first]:
+				case first >= 0 && c.Idempotency == IdempotentWithKey && group(c.DedupScope, list[a.Worker]) != q.groups[first]:
 					t.Fatalf("seed %d: keyed request left its group", seed)
 				}
 				if since, is := barred[a.Worker]; is && now > since+s.Guarantees.DrainGrace {
@@ -159,11 +159,11 @@
 				}
 				q.sent, q.outcome = append(q.sent, now), append(q.outcome, 0)
 				q.workers = append(q.workers, a.Worker)
-				q.groups = append(q.groups, group(c.Scope, list[a.Worker]))
+				q.groups = append(q.groups, group(c.DedupScope, list[a.Worker]))
 			case Refuse:
 				q, c := requests[a.Request], s.Classes[requests[a.Request].a.Class]
 				seen["refusals"]++
-				if c.Effect != Safe && q.mayHaveRun() >= 0 && !(c.Effect == Keyed && c.Scope == AllWorkers) {
+				if c.Idempotency != Idempotent && q.mayHaveRun() >= 0 && !(c.Idempotency == IdempotentWithKey && c.DedupScope == AllWorkers) {
 					t.Fatalf("seed %d: refused a request that may have run", seed)
 				}
 				answer(t, seed, q, now)
@@ -207,7 +207,7 @@
 	q.answers++
 }
 
-func group(s Scope, w WorkerInfo) int {
+func group(s DedupScope, w WorkerInfo) int {
 	switch s {
 	case SameZone:
 		return w.Zone
--- a/choice/ring.go
+++ b/choice/ring.go
@@ -133,7 +133,7 @@
 	r, placed := s.request, s.queue.placements[w]
 	warm := d.warm(placed, w)
 	s.chance = s.chance || warm || w.ejected || s.home == nil && w.loadTo < r.final
-	if !d.ready(w) || !d.maySend(r, w) || d.now < w.failTo && d.s.Classes[r.Class].Effect != Safe {
+	if !d.ready(w) || !d.maySend(r, w) || d.now < w.failTo && d.s.Classes[r.Class].Idempotency != Idempotent {
 		return false
 	}
 	switch {
--- a/choice/settings.go
+++ b/choice/settings.go
@@ -38,14 +38,14 @@
 	}
 	for i, c := range s.Classes {
 		switch {
-		case c.Effect < Safe || c.Effect > Unsafe:
-			return fmt.Errorf("settings: Classes[%d].Effect: unknown effect %d", i, c.Effect)
-		case c.Effect == Keyed && (c.Scope < AllWorkers || c.Scope > SameGroup):
-			return fmt.Errorf("settings: Classes[%d].Scope: unknown group %d", i, c.Scope)
+		case c.Idempotency < Idempotent || c.Idempotency > NonIdempotent:
+			return fmt.Errorf("settings: Classes[%d].Effect: unknown effect %d", i, c.Idempotency)
+		case c.Idempotency == IdempotentWithKey && (c.DedupScope < AllWorkers || c.DedupScope > SameGroup):
+			return fmt.Errorf("settings: Classes[%d].Scope: unknown group %d", i, c.DedupScope)
 		case c.Aim <= 0 || c.Deadline <= 0:
 			return fmt.Errorf("settings: Classes[%d]: aim %v and deadline %v must be above 0", i, c.Aim, c.Deadline)
-		case c.Window < 0:
-			return fmt.Errorf("settings: Classes[%d].Window: %v is negative", i, c.Window)
+		case c.DedupWindow < 0:
+			return fmt.Errorf("settings: Classes[%d].Window: %v is negative", i, c.DedupWindow)
 		case !(c.Worth >= 0) || math.IsInf(c.Worth, 0) || !(c.LateShare >= 0) || math.IsInf(c.LateShare, 0):
 			return fmt.Errorf("settings: Classes[%d]: worth %v or late share %v is negative or not finite", i,
 				c.Worth, c.LateShare)
--- a/choice/streams_test.go
+++ b/choice/streams_test.go
@@ -54,7 +54,7 @@
 	}
 	noOrders := func(s *Settings) {
 		s.Loading.Orders, s.Limits.Probe, s.Limits.Cancel = false, true, false
-		s.Classes[1].Scope = SameZone
+		s.Classes[1].DedupScope = SameZone
 	}
 	large := func(s *Settings) {
 		s.Controllers = 800
--- a/config/build.go
+++ b/config/build.go
@@ -69,8 +69,8 @@
 	return Build(f, &c)
 }
 
-var effects = map[Effect]choice.Effect{Effect_SAFE: choice.Safe, Effect_KEYED: choice.Keyed, Effect_UNSAFE: choice.Unsafe}
-var scopes = map[Scope]choice.Scope{Scope_ALL_WORKERS: choice.AllWorkers, Scope_SAME_ZONE: choice.SameZone, Scope_SAME_GROUP: choice.SameGroup}
+var effects = map[Effect]choice.Idempotency{Effect_SAFE: choice.Idempotent, Effect_KEYED: choice.IdempotentWithKey, Effect_UNSAFE: choice.NonIdempotent}
+var scopes = map[Scope]choice.DedupScope{Scope_ALL_WORKERS: choice.AllWorkers, Scope_SAME_ZONE: choice.SameZone, Scope_SAME_GROUP: choice.SameGroup}
 var fields = map[Field]choice.ReportField{Field_IN_FLIGHT: choice.FieldInFlight, Field_QUEUE: choice.FieldQueue,
 	Field_UTIL: choice.FieldUtil, Field_LATENCY_MS: choice.FieldLatencyMS, Field_RATE: choice.FieldRate,
 	Field_ERROR_RATE: choice.FieldErrorRate, Field_X0: choice.FieldX0, Field_X1: choice.FieldX1}
@@ -170,7 +170,7 @@
 		s.Loading.MemoryMB = append(s.Loading.MemoryMB, k.MemoryMb)
 	}
 	for _, cl := range c.Classes {
-		s.Classes = append(s.Classes, choice.Class{Name: cl.Name, Effect: effects[cl.Effect], Scope: scopes[cl.Scope], Window: ms(cl.WindowMs),
+		s.Classes = append(s.Classes, choice.Class{Name: cl.Name, Idempotency: effects[cl.Effect], DedupScope: scopes[cl.Scope], DedupWindow: ms(cl.WindowMs),
 			Aim: ms(cl.AimMs), AimStretch: cl.AimStretch, Deadline: ms(cl.DeadlineMs), Worth: cl.Worth, LateShare: cl.LateShare})
 	}
 	for _, t := range c.Tenants {
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -169,7 +169,7 @@
 	}
 	wc.Gateway, wc.Clock, wc.Log, wc.Mark, wc.Functions = c.Gateway, o.Clock, o.Log, webhook.File(b.Mark), functions.Find
 	wc.Deadline = func(class int) time.Duration { return b.Settings.Classes[class].Deadline }
-	wc.Effect = func(class int) choice.Effect { return b.Settings.Classes[class].Effect }
+	wc.Effect = func(class int) choice.Idempotency { return b.Settings.Classes[class].Idempotency }
 	if o.After != nil {
 		wc.State = &o.After.s.state.Front
 		c.Gateway.Inherit(o.After.s.state.Spent)
--- a/day/guards_test.go
+++ b/day/guards_test.go
@@ -73,7 +73,7 @@
 		}}},
 		{"effect", "cut-answers", rules.NoRepeat, func(d *Day) { d.Troubles[0].Part = 0.8 }, Options{Spoil: func(b *config.Built) {
 			for i := range b.Settings.Classes {
-				b.Settings.Classes[i].Effect = choice.Safe
+				b.Settings.Classes[i].Idempotency = choice.Idempotent
 			}
 		}}},
 		{"deadline", "slowed", rules.OneAnswer, func(d *Day) { d.Troubles[0].Part, d.Troubles[0].Size = 1, 100 }, Options{Spoil: func(b *config.Built) {
--- a/front/bind.go
+++ b/front/bind.go
@@ -23,10 +23,10 @@
 
 // A Binder has calls of models run under the version that their alias names.
 type Binder struct {
-	Models Models
-	Effect func(class int) choice.Effect
-	Clock  clock.Clock
-	Anew   *atomic.Int64 // counts calls that began anew
+	Models      Models
+	Idempotency func(class int) choice.Idempotency
+	Clock       clock.Clock
+	Anew        *atomic.Int64 // counts calls that began anew
 }
 
 // A Bound call is what a Binder runs.
@@ -75,9 +75,9 @@
 			c.Deliver(a, &b, nil)
 			return
 		}
-		next := registry.After(n.Effect(fn.Class), false, a.MayRun, times)
+		next := registry.After(n.Idempotency(fn.Class), false, a.MayRun, times)
 		if a.Verdict == registry.NoLease {
-			next = registry.WithoutLease(n.Effect(fn.Class), false, a.MayRun)
+			next = registry.WithoutLease(n.Idempotency(fn.Class), false, a.MayRun)
 		}
 		switch {
 		case next == registry.Fail:
@@ -93,8 +93,8 @@
 }
 
 // Settled says how an answer that its client left stands for the next try: as refused, where trying again does no harm.
-func Settled(a gateway.Answer, e choice.Effect) gateway.Answer {
-	if a.Kind == gateway.Gone && (!a.MayRun || e == choice.Safe) {
+func Settled(a gateway.Answer, e choice.Idempotency) gateway.Answer {
+	if a.Kind == gateway.Gone && (!a.MayRun || e == choice.Idempotent) {
 		a.Kind = gateway.Refused
 	}
 	return a
--- a/front/jsonrpc/server.go
+++ b/front/jsonrpc/server.go
@@ -33,7 +33,7 @@
 	Gateway   *gateway.Gateway
 	Functions func(name string) *gateway.Function
 	Deadline  func(class int) time.Duration
-	Effect    func(class int) choice.Effect
+	Effect    func(class int) choice.Idempotency
 	Window    func(class int) time.Duration // in which workers drop repeats of a keyed call
 	Models    front.Models                  // nil: no function has versions
 	Clock     clock.Clock
@@ -103,7 +103,7 @@
 		cfg.Half = 10 * time.Second
 	}
 	s := &Server{cfg: cfg, conns: map[*conn]bool{}, keys: keys{most: cfg.Keys, bytes: cfg.KeyBytes, by: map[string]*keyed{}}}
-	s.binder = front.Binder{Models: cfg.Models, Effect: cfg.Effect, Clock: cfg.Clock, Anew: &s.Counts.Anew}
+	s.binder = front.Binder{Models: cfg.Models, Idempotency: cfg.Effect, Clock: cfg.Clock, Anew: &s.Counts.Anew}
 	return s
 }
 
--- a/front/msgpackrpc/front_test.go
+++ b/front/msgpackrpc/front_test.go
@@ -46,8 +46,8 @@
 func (g *taker) Cancel(id choice.RequestID) { g.left <- id }
 
 func settings() choice.Settings {
-	s := choice.Settings{Classes: []choice.Class{{Name: "lookup", Effect: choice.Safe, Deadline: 4 * time.Second},
-		{Name: "update", Effect: choice.Keyed, Deadline: 4 * time.Second}, {Name: "status", Effect: choice.Safe, Deadline: time.Second}},
+	s := choice.Settings{Classes: []choice.Class{{Name: "lookup", Idempotency: choice.Idempotent, Deadline: 4 * time.Second},
+		{Name: "update", Idempotency: choice.IdempotentWithKey, Deadline: 4 * time.Second}, {Name: "status", Idempotency: choice.Idempotent, Deadline: time.Second}},
 		Tenants: []choice.Tenant{{Name: "acme"}}, Tick: time.Millisecond}
 	return s
 }
--- a/front/msgpackrpc/parse.go
+++ b/front/msgpackrpc/parse.go
@@ -90,7 +90,7 @@
 	}
 	fn := &gateway.Function{Name: x.item, ID: choice.FunctionID(item), Class: class}
 	p.call = &gateway.Call{ID: x.txn, Function: fn, Tenant: tenant, Body: m.body, Expires: left, Retry: x.second != ""}
-	if c.Effect == choice.Keyed {
+	if c.Idempotency == choice.IdempotentWithKey {
 		if !isKey(x.unique) {
 			return p, fmt.Errorf("unique: want a key of up to 64 letters and digits")
 		}
--- a/front/webhook/front.go
+++ b/front/webhook/front.go
@@ -60,7 +60,7 @@
 	Gateway   *gateway.Gateway
 	Functions func(name string) *gateway.Function // nil: no such function
 	Deadline  func(class int) time.Duration       // longest time that a client of the class waits
-	Effect    func(class int) choice.Effect
+	Effect    func(class int) choice.Idempotency
 	Clock     clock.Clock
 	Replay    replay.Settings
 	Mark      MarkFile
@@ -121,7 +121,7 @@
 	if s := cfg.State; s != nil {
 		f.guard.Import(s.Known, s.Barrier, s.Durable, s.Highest)
 	}
-	f.binder = front.Binder{Models: cfg.Models, Effect: cfg.Effect, Clock: cfg.Clock, Anew: &f.Counts.Anew}
+	f.binder = front.Binder{Models: cfg.Models, Idempotency: cfg.Effect, Clock: cfg.Clock, Anew: &f.Counts.Anew}
 	f.clients.Store(&clients)
 	if err := f.extend(); err != nil {
 		return nil, err
@@ -323,7 +323,7 @@
 	client := (*f.clients.Load())[v.client]
 	call := gateway.Call{ID: v.id, Function: fn, Tenant: client.Tenant, Client: client.Name, Body: r.Body, Retry: retry,
 		Trace: traceID(r.Header.Get("traceparent")), Expires: patience(r.Header, f.cfg.Deadline(fn.Class))}
-	if f.cfg.Effect(fn.Class) == choice.Keyed {
+	if f.cfg.Effect(fn.Class) == choice.IdempotentWithKey {
 		call.Key = client.Name + ":" + v.id
 	}
 	if fn.Versions {
--- a/gateway/carry.go
+++ b/gateway/carry.go
@@ -215,7 +215,7 @@
 	if want == "" || res.Outcome != choice.OK || res.Digest == want && !r.wrong.Load() {
 		return false
 	}
-	r.wrong.Store(g.cfg.Settings.Classes[call.Function.Class].Effect == choice.Keyed)
+	r.wrong.Store(g.cfg.Settings.Classes[call.Function.Class].Idempotency == choice.IdempotentWithKey)
 	return true
 }
 
@@ -251,7 +251,7 @@
 // leave takes a request whose version was left, or may have been, from the module and hands it back to its front, if what
 // is out needs not be waited for. What is out is withdrawn.
 func (g *Gateway) leave(id choice.RequestID, r *entry, v registry.Verdict, now time.Duration) bool {
-	effect, mayHaveRun := g.cfg.Settings.Classes[r.call.Function.Class].Effect, r.mayHaveRun()
+	effect, mayHaveRun := g.cfg.Settings.Classes[r.call.Function.Class].Idempotency, r.mayHaveRun()
 	out := slices.ContainsFunc(r.tries, func(t try) bool { return t.run != nil })
 	next := registry.After(effect, out, mayHaveRun, r.call.Bound.Times)
 	if v == registry.NoLease {
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -18,8 +18,8 @@
 const ms = time.Millisecond
 
 func settings() choice.Settings {
-	return choice.Settings{Controllers: 1, Tick: ms, Classes: []choice.Class{{Name: "safe", Effect: choice.Safe, Aim: 500 * ms, Deadline: 2 * time.Second, Worth: 1},
-		{Name: "unsafe", Effect: choice.Unsafe, Aim: 500 * ms, Deadline: 2 * time.Second, Worth: 1}},
+	return choice.Settings{Controllers: 1, Tick: ms, Classes: []choice.Class{{Name: "safe", Idempotency: choice.Idempotent, Aim: 500 * ms, Deadline: 2 * time.Second, Worth: 1},
+		{Name: "unsafe", Idempotency: choice.NonIdempotent, Aim: 500 * ms, Deadline: 2 * time.Second, Worth: 1}},
 		Limits:     choice.Limits{Attempts: 3, Open: 10, Dial: 250 * ms, Cancel: true, Peers: true},
 		Loading:    choice.Loading{Orders: true, LoadsOnMiss: true, OnMissKnown: true, IdleLife: 8 * time.Second, Answer: 5 * time.Second, WarmNotes: true},
 		Guarantees: choice.Guarantees{DrainGrace: 500 * ms, ColdShare: 0.2, ColdFor: 10 * time.Second, FallFactor: 2, FallWithin: 2 * time.Second}}
@@ -415,11 +415,11 @@
 // the right digest. A safe one takes the answer of the right bytes.
 func TestWrongBytes(t *testing.T) {
 	for _, tt := range []struct {
-		effect choice.Effect
+		effect choice.Idempotency
 		want   Kind
-	}{{choice.Safe, Served}, {choice.Keyed, Failed}} {
+	}{{choice.Idempotent, Served}, {choice.IdempotentWithKey, Failed}} {
 		g, c, clk, _ := fixed(t)
-		g.cfg.Settings.Classes[0].Effect, g.cfg.Settings.Classes[0].Scope, g.cfg.Settings.Classes[0].Window = tt.effect, choice.AllWorkers, time.Second
+		g.cfg.Settings.Classes[0].Idempotency, g.cfg.Settings.Classes[0].DedupScope, g.cfg.Settings.Classes[0].DedupWindow = tt.effect, choice.AllWorkers, time.Second
 		var err error
 		if g.d, err = choice.New(g.cfg.Settings, 1); err != nil {
 			t.Fatal(err)
@@ -474,7 +474,7 @@
 func TestAnswerAll(t *testing.T) {
 	for class, want := range map[int]Kind{0: Refused, 1: Failed} {
 		g, c, clk, _ := fixed(t)
-		if effect := g.cfg.Settings.Classes[class].Effect; (effect == choice.Safe) != (want == Refused) {
+		if effect := g.cfg.Settings.Classes[class].Idempotency; (effect == choice.Idempotent) != (want == Refused) {
 			t.Fatalf("class %d is %v", class, effect)
 		}
 		var out, full []Answer
--- a/gateway/loop.go
+++ b/gateway/loop.go
@@ -216,7 +216,7 @@
 			continue
 		}
 		k := Failed
-		if !r.mayHaveRun() || g.cfg.Settings.Classes[r.call.Function.Class].Effect == choice.Safe {
+		if !r.mayHaveRun() || g.cfg.Settings.Classes[r.call.Function.Class].Idempotency == choice.Idempotent {
 			k = Refused
 		}
 		if r.claim(k) {
--- a/gateway/path_test.go
+++ b/gateway/path_test.go
@@ -35,7 +35,7 @@
 		t.Fatal(err)
 	}
 	defer host.Close()
-	s := choice.Settings{Controllers: 1, Tick: ms, Classes: []choice.Class{{Name: "quote", Effect: choice.Safe, Aim: 500 * ms, Deadline: 2 * time.Second, Worth: 1}},
+	s := choice.Settings{Controllers: 1, Tick: ms, Classes: []choice.Class{{Name: "quote", Idempotency: choice.Idempotent, Aim: 500 * ms, Deadline: 2 * time.Second, Worth: 1}},
 		Limits:     choice.Limits{Attempts: 3, Open: 100, Dial: 250 * ms, Cancel: true, KeepAlive: 5 * time.Second},
 		Loading:    choice.Loading{Orders: true, LoadsOnMiss: true, OnMissKnown: true, IdleLife: 8 * time.Second, Answer: 5 * time.Second, WarmNotes: true},
 		Guarantees: choice.Guarantees{DrainGrace: 500 * ms, ColdShare: 0.2, ColdFor: 10 * time.Second, FallFactor: 2, FallWithin: 2 * time.Second}}
@@ -65,7 +65,7 @@
 				return f
 			}
 			return nil
-		}, Deadline: func(int) time.Duration { return 2 * time.Second }, Effect: func(int) choice.Effect { return choice.Safe },
+		}, Deadline: func(int) time.Duration { return 2 * time.Second }, Effect: func(int) choice.Idempotency { return choice.Idempotent },
 		Replay: replay.Settings{Past: time.Minute, Future: 5 * time.Second, Ahead: 2 * time.Second, Entries: 1000, Bytes: 1 << 20}},
 		[]webhook.Client{{Name: "shop", Keys: []*signing.Key{key}}})
 	if err != nil {
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -111,8 +111,8 @@
 }
 
 var (
-	effects = map[string]choice.Effect{"pure": choice.Safe, "token": choice.Keyed, "side_effect": choice.Unsafe}
-	scopes  = map[string]choice.Scope{"all": choice.AllWorkers, "zone": choice.SameZone, "cell": choice.SameGroup}
+	effects = map[string]choice.Idempotency{"pure": choice.Idempotent, "token": choice.IdempotentWithKey, "side_effect": choice.NonIdempotent}
+	scopes  = map[string]choice.DedupScope{"all": choice.AllWorkers, "zone": choice.SameZone, "cell": choice.SameGroup}
 	vias    = map[string]choice.ReportSource{"answers": choice.ReportsInAnswers, "probe": choice.ReportsInProbes}
 	sizes   = map[string]choice.SizeMeaning{"nominal": choice.SizeNominal, "rough": choice.SizeRough,
 		"live": choice.SizeLive}
@@ -159,8 +159,8 @@
 			Waste: e.Costs.Waste},
 	}
 	for _, c := range e.Classes {
-		s.Classes = append(s.Classes, choice.Class{Name: c.Name, Effect: effects[c.Effect],
-			Scope: scopes[c.KeyScope], Window: c.WindowMs.d(), Aim: c.TargetMs.d(), AimStretch: c.AimStretch,
+		s.Classes = append(s.Classes, choice.Class{Name: c.Name, Idempotency: effects[c.Effect],
+			DedupScope: scopes[c.KeyScope], DedupWindow: c.WindowMs.d(), Aim: c.TargetMs.d(), AimStretch: c.AimStretch,
 			Deadline: c.GiveUpMs.d(), Worth: c.Worth, LateShare: c.LateShare, Stream: c.Stream})
 	}
 	for _, t := range e.Tenants {
--- a/registry/registry_test.go
+++ b/registry/registry_test.go
@@ -323,9 +323,9 @@
 }
 
 func TestAfter(t *testing.T) {
-	const safe, keyed, unsafe = choice.Safe, choice.Keyed, choice.Unsafe
+	const safe, keyed, unsafe = choice.Idempotent, choice.IdempotentWithKey, choice.NonIdempotent
 	for _, tt := range []struct {
-		effect      choice.Effect
+		effect      choice.Idempotency
 		out, ran    bool
 		times       int
 		left, alone Next // where the alias has left, and where the registry is not heard
