--- a/choice/api.go
+++ b/choice/api.go
@@ -31,16 +31,16 @@
 
 // A Class is a kind of request.
 type Class struct {
-	Name        string
-	Idempotency Idempotency
-	DedupScope  DedupScope    // for Keyed
-	DedupWindow time.Duration // for Keyed: how long repeats are dropped, from the first send that may have run
-	Aim         time.Duration // an answer within this earns the full worth
-	AimStretch  float64       // extra time on the aim, as a multiple of the request's work
-	Deadline    time.Duration // the client's patience over all its tries
-	Worth       float64
-	LateShare   float64 // part of the worth that an answer after the aim earns
-	Stream      bool
+	Name             string
+	Idempotency      Idempotency
+	DedupScope       DedupScope    // for Keyed
+	DedupWindow      time.Duration // for Keyed: how long repeats are dropped, from the first send that may have run
+	LatencyObjective time.Duration // an answer within this earns the full worth
+	ObjectiveStretch float64       // extra time on the aim, as a multiple of the request's work
+	Deadline         time.Duration // the client's patience over all its tries
+	PriorityWeight   float64
+	LateValue        float64 // part of the worth that an answer after the aim earns
+	Stream           bool
 }
 
 // A Tenant is a customer with a share of the fleet.
@@ -147,8 +147,8 @@
 	Kinds           []string
 	Classes         []Class
 	Tenants         []Tenant
-	OverShareWorth  float64 // worth of a request over its tenant's share
-	WorthByWork     bool
+	OverQuotaWeight float64 // worth of a request over its tenant's share
+	WeightByWork    bool
 	MarksRetry      bool // clients mark their repeats
 	AskForList      bool // the list of workers comes only when asked for
 	Tick            time.Duration
--- a/choice/attempts.go
+++ b/choice/attempts.go
@@ -83,7 +83,7 @@
 
 // late tells whether a request is past its aim and the load that it may have waited for.
 func (d *Dispatcher) late(r *request) bool {
-	return d.now > r.at+d.s.Classes[r.Class].Aim+r.loading
+	return d.now > r.at+d.s.Classes[r.Class].LatencyObjective+r.loading
 }
 
 // finish gives our own final answer and calls off what is out. The fewer pass, the later one may come back.
@@ -196,7 +196,7 @@
 		}
 	}
 	took := e.Took.Seconds()
-	slow := e.Took > d.s.Classes[r.Class].Aim ||
+	slow := e.Took > d.s.Classes[r.Class].LatencyObjective ||
 		took > d.slower(r.Lanes)*d.usualPace()*d.classRun[r.Class]
 	d.crowd(r.q, e.Alike, r.Lanes, slow && d.share(w) >= 1)
 	waited := e.Note == BeganLoad || e.Note == AwaitedOne
@@ -204,7 +204,7 @@
 		r.q.run = mean(r.q.run, took)
 		d.classRun[r.Class] = mean(d.classRun[r.Class], took)
 		d.setPace(w, mean(w.pace, took/d.classRun[r.Class]))
-		d.adjustTokens(r, w, e.Took > d.s.Classes[r.Class].Aim)
+		d.adjustTokens(r, w, e.Took > d.s.Classes[r.Class].LatencyObjective)
 	}
 }
 
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -65,7 +65,7 @@
 		requests: map[RequestID]*request{}, pass: 1, rng: rand.New(rand.NewPCG(seed, seed)),
 		ring: ring.Ring[*worker]{Hash: func(id uint64, i int) uint64 { return mix(mix(id) + uint64(i)) }}}
 	for _, c := range s.Classes {
-		d.classRun = append(d.classRun, guessRun*c.Aim.Seconds())
+		d.classRun = append(d.classRun, guessRun*c.LatencyObjective.Seconds())
 	}
 	return d, nil
 }
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -15,10 +15,10 @@
 func base() Settings {
 	return Settings{Controllers: 1, Tick: 2 * ms,
 		Classes: []Class{
-			{Name: "safe", Idempotency: Idempotent, Aim: 500 * ms, Deadline: 4 * time.Second, Worth: 1},
-			{Name: "keyed", Idempotency: IdempotentWithKey, DedupScope: SameGroup, DedupWindow: 2 * time.Second, Aim: 500 * ms,
-				Deadline: 4 * time.Second, Worth: 1},
-			{Name: "unsafe", Idempotency: NonIdempotent, Aim: 500 * ms, Deadline: 4 * time.Second, Worth: 1}},
+			{Name: "safe", Idempotency: Idempotent, LatencyObjective: 500 * ms, Deadline: 4 * time.Second, PriorityWeight: 1},
+			{Name: "keyed", Idempotency: IdempotentWithKey, DedupScope: SameGroup, DedupWindow: 2 * time.Second, LatencyObjective: 500 * ms,
+				Deadline: 4 * time.Second, PriorityWeight: 1},
+			{Name: "unsafe", Idempotency: NonIdempotent, LatencyObjective: 500 * ms, Deadline: 4 * time.Second, PriorityWeight: 1}},
 		Limits: Limits{Attempts: 3, Open: 100, Dial: 250 * ms, Cancel: true},
 		Loading: Loading{Orders: true, LoadsOnMiss: true, OnMissKnown: true, IdleLife: 8 * time.Second,
 			Answer: 10 * time.Second, WarmNotes: true},
@@ -395,7 +395,7 @@
 
 func Example() {
 	d, err := New(Settings{Controllers: 1, Tick: 2 * ms,
-		Classes: []Class{{Name: "quote", Idempotency: Idempotent, Aim: 600 * ms, Deadline: 4 * time.Second, Worth: 1}},
+		Classes: []Class{{Name: "quote", Idempotency: Idempotent, LatencyObjective: 600 * ms, Deadline: 4 * time.Second, PriorityWeight: 1}},
 		Limits:  Limits{Attempts: 3, Dial: 250 * ms},
 		Loading: Loading{Orders: true, LoadsOnMiss: true, OnMissKnown: true, IdleLife: 8 * time.Second}}, 1)
 	if err != nil {
--- a/choice/cold_test.go
+++ b/choice/cold_test.go
@@ -59,7 +59,7 @@
 		}
 	}
 	s := choice.Settings{Controllers: c.controllers, Tick: tick,
-		Classes: []choice.Class{{Name: "a", Idempotency: choice.Idempotent, Aim: 500 * ms, Deadline: 2500 * ms, Worth: 1}},
+		Classes: []choice.Class{{Name: "a", Idempotency: choice.Idempotent, LatencyObjective: 500 * ms, Deadline: 2500 * ms, PriorityWeight: 1}},
 		Limits:  choice.Limits{Attempts: 3, Open: 20000, Dial: 250 * ms, Cancel: true},
 		Loading: choice.Loading{Orders: true, LoadsOnMiss: true, OnMissKnown: true, IdleLife: 2 * time.Second, Answer: 5 * time.Second,
 			Window: 5 * time.Second, Free: 10, Ratio: 0.1, WarmNotes: true},
--- a/choice/loadorders.go
+++ b/choice/loadorders.go
@@ -9,7 +9,7 @@
 
 // loadTime is how long a load for the request is likely to take.
 func (d *Dispatcher) loadTime(r *request) time.Duration {
-	return cmp.Or(r.LoadTime, seconds(guessLoad*d.s.Classes[r.Class].Aim.Seconds()))
+	return cmp.Or(r.LoadTime, seconds(guessLoad*d.s.Classes[r.Class].LatencyObjective.Seconds()))
 }
 
 // warm tells whether a copy is believed to stand: one was seen, not longer ago than an idle copy stays, and
@@ -85,7 +85,7 @@
 // deny keeps further loads from a worker that had no room for one, or failed at it, for a growing time: an
 // order or a send that is turned away at once would otherwise be repeated at once.
 func (d *Dispatcher) deny(w *worker) {
-	span := guessLoad * d.s.Classes[0].Aim.Seconds() * math.Pow(2, float64(w.denied)-1)
+	span := guessLoad * d.s.Classes[0].LatencyObjective.Seconds() * math.Pow(2, float64(w.denied)-1)
 	w.loadTo = d.now + min(seconds(span), d.s.Loading.IdleLife)
 	w.denied = min(w.denied+1, 10)
 }
--- a/choice/queues.go
+++ b/choice/queues.go
@@ -110,7 +110,7 @@
 // fresh tells whether a waiting request can still be answered within its aim.
 func (d *Dispatcher) fresh(r *request) bool {
 	c := d.s.Classes[r.Class]
-	aim := min(c.Aim+time.Duration(c.AimStretch*float64(r.Hint)), c.Deadline)
+	aim := min(c.LatencyObjective+time.Duration(c.ObjectiveStretch*float64(r.Hint)), c.Deadline)
 	return d.now+seconds(d.runOf(r.q, r)) < r.at+aim
 }
 
--- a/choice/ring.go
+++ b/choice/ring.go
@@ -120,7 +120,7 @@
 	r.barred = !s.chance && !s.loading && !d.fresh(r) && !r.out()
 	// A home without a token is waited for, longer where copies prove pushed out: memory is short then.
 	wait := min(1, spillAfter+spillCrowd*d.crowded)
-	due := d.now >= r.at+seconds(wait*d.s.Classes[r.Class].Aim.Seconds())
+	due := d.now >= r.at+seconds(wait*d.s.Classes[r.Class].LatencyObjective.Seconds())
 	if s.spare == s.home && !s.loading ||
 		s.spare != nil && due && !s.loading && d.fresh(r) && !d.prepare(q, s.spare) {
 		return s.spare
@@ -194,7 +194,7 @@
 	if slices.ContainsFunc(r.tries, func(t attempt) bool { return t.w == w }) {
 		place = 1
 	}
-	return place*(1-(d.now-r.at).Seconds()/d.s.Classes[r.Class].Aim.Seconds()) < min(1, w.tokens)
+	return place*(1-(d.now-r.at).Seconds()/d.s.Classes[r.Class].LatencyObjective.Seconds()) < min(1, w.tokens)
 }
 
 // crowd follows how many workers a function needs. Its calls meet at home from all controllers, so one called
--- a/choice/settings.go
+++ b/choice/settings.go
@@ -23,7 +23,7 @@
 	numbers := []struct {
 		name string
 		v    float64
-	}{{"OverShareWorth", s.OverShareWorth}, {"Tick", float64(s.Tick)}, {"Loading.Free", l.Free},
+	}{{"OverShareWorth", s.OverQuotaWeight}, {"Tick", float64(s.Tick)}, {"Loading.Free", l.Free},
 		{"Loading.Ratio", l.Ratio}, {"Loading.Window", float64(l.Window)}, {"Loading.IdlePrice", l.IdlePrice},
 		{"Loading.IdleLife", float64(l.IdleLife)}, {"Loading.Answer", float64(l.Answer)},
 		{"Limits.Dial", float64(s.Limits.Dial)}, {"Guarantees.ColdShare", g.ColdShare},
@@ -42,13 +42,13 @@
 			return fmt.Errorf("settings: Classes[%d].Effect: unknown effect %d", i, c.Idempotency)
 		case c.Idempotency == IdempotentWithKey && (c.DedupScope < AllWorkers || c.DedupScope > SameGroup):
 			return fmt.Errorf("settings: Classes[%d].Scope: unknown group %d", i, c.DedupScope)
-		case c.Aim <= 0 || c.Deadline <= 0:
-			return fmt.Errorf("settings: Classes[%d]: aim %v and deadline %v must be above 0", i, c.Aim, c.Deadline)
+		case c.LatencyObjective <= 0 || c.Deadline <= 0:
+			return fmt.Errorf("settings: Classes[%d]: aim %v and deadline %v must be above 0", i, c.LatencyObjective, c.Deadline)
 		case c.DedupWindow < 0:
 			return fmt.Errorf("settings: Classes[%d].Window: %v is negative", i, c.DedupWindow)
-		case !(c.Worth >= 0) || math.IsInf(c.Worth, 0) || !(c.LateShare >= 0) || math.IsInf(c.LateShare, 0):
+		case !(c.PriorityWeight >= 0) || math.IsInf(c.PriorityWeight, 0) || !(c.LateValue >= 0) || math.IsInf(c.LateValue, 0):
 			return fmt.Errorf("settings: Classes[%d]: worth %v or late share %v is negative or not finite", i,
-				c.Worth, c.LateShare)
+				c.PriorityWeight, c.LateValue)
 		}
 	}
 	return nil
--- a/config/build.go
+++ b/config/build.go
@@ -171,7 +171,7 @@
 	}
 	for _, cl := range c.Classes {
 		s.Classes = append(s.Classes, choice.Class{Name: cl.Name, Idempotency: effects[cl.Effect], DedupScope: scopes[cl.Scope], DedupWindow: ms(cl.WindowMs),
-			Aim: ms(cl.AimMs), AimStretch: cl.AimStretch, Deadline: ms(cl.DeadlineMs), Worth: cl.Worth, LateShare: cl.LateShare})
+			LatencyObjective: ms(cl.AimMs), ObjectiveStretch: cl.AimStretch, Deadline: ms(cl.DeadlineMs), PriorityWeight: cl.Worth, LateValue: cl.LateShare})
 	}
 	for _, t := range c.Tenants {
 		s.Tenants = append(s.Tenants, choice.Tenant{Name: t.Name, Quota: t.QuotaPerS, Share: t.Share})
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -18,8 +18,8 @@
 const ms = time.Millisecond
 
 func settings() choice.Settings {
-	return choice.Settings{Controllers: 1, Tick: ms, Classes: []choice.Class{{Name: "safe", Idempotency: choice.Idempotent, Aim: 500 * ms, Deadline: 2 * time.Second, Worth: 1},
-		{Name: "unsafe", Idempotency: choice.NonIdempotent, Aim: 500 * ms, Deadline: 2 * time.Second, Worth: 1}},
+	return choice.Settings{Controllers: 1, Tick: ms, Classes: []choice.Class{{Name: "safe", Idempotency: choice.Idempotent, LatencyObjective: 500 * ms, Deadline: 2 * time.Second, PriorityWeight: 1},
+		{Name: "unsafe", Idempotency: choice.NonIdempotent, LatencyObjective: 500 * ms, Deadline: 2 * time.Second, PriorityWeight: 1}},
 		Limits:     choice.Limits{Attempts: 3, Open: 10, Dial: 250 * ms, Cancel: true, Peers: true},
 		Loading:    choice.Loading{Orders: true, LoadsOnMiss: true, OnMissKnown: true, IdleLife: 8 * time.Second, Answer: 5 * time.Second, WarmNotes: true},
 		Guarantees: choice.Guarantees{DrainGrace: 500 * ms, ColdShare: 0.2, ColdFor: 10 * time.Second, FallFactor: 2, FallWithin: 2 * time.Second}}
--- a/gateway/path_test.go
+++ b/gateway/path_test.go
@@ -35,7 +35,7 @@
 		t.Fatal(err)
 	}
 	defer host.Close()
-	s := choice.Settings{Controllers: 1, Tick: ms, Classes: []choice.Class{{Name: "quote", Idempotency: choice.Idempotent, Aim: 500 * ms, Deadline: 2 * time.Second, Worth: 1}},
+	s := choice.Settings{Controllers: 1, Tick: ms, Classes: []choice.Class{{Name: "quote", Idempotency: choice.Idempotent, LatencyObjective: 500 * ms, Deadline: 2 * time.Second, PriorityWeight: 1}},
 		Limits:     choice.Limits{Attempts: 3, Open: 100, Dial: 250 * ms, Cancel: true, KeepAlive: 5 * time.Second},
 		Loading:    choice.Loading{Orders: true, LoadsOnMiss: true, OnMissKnown: true, IdleLife: 8 * time.Second, Answer: 5 * time.Second, WarmNotes: true},
 		Guarantees: choice.Guarantees{DrainGrace: 500 * ms, ColdShare: 0.2, ColdFor: 10 * time.Second, FallFactor: 2, FallWithin: 2 * time.Second}}
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -131,7 +131,7 @@
 	}
 	s := choice.Settings{
 		Me: e.Me, Controllers: e.Balancers, Zone: e.Zone, Zones: e.Localities, Tier: e.Tier, Tiers: e.Tiers,
-		Kinds: e.Kinds, OverShareWorth: e.OverShareWorth, WorthByWork: e.WorthBy == "work",
+		Kinds: e.Kinds, OverQuotaWeight: e.OverShareWorth, WeightByWork: e.WorthBy == "work",
 		MarksRetry: e.Clients.MarksRetry, AskForList: e.MembershipMode == "ask", Tick: e.TickMs.d(),
 		Workload: e.Workload, Sizes: sizes[e.WeightSource], ReportVia: vias[e.Report.Via],
 		Limits: choice.Limits{Attempts: e.Limits.MostTries, Open: e.Limits.MaxOpen,
@@ -160,8 +160,8 @@
 	}
 	for _, c := range e.Classes {
 		s.Classes = append(s.Classes, choice.Class{Name: c.Name, Idempotency: effects[c.Effect],
-			DedupScope: scopes[c.KeyScope], DedupWindow: c.WindowMs.d(), Aim: c.TargetMs.d(), AimStretch: c.AimStretch,
-			Deadline: c.GiveUpMs.d(), Worth: c.Worth, LateShare: c.LateShare, Stream: c.Stream})
+			DedupScope: scopes[c.KeyScope], DedupWindow: c.WindowMs.d(), LatencyObjective: c.TargetMs.d(), ObjectiveStretch: c.AimStretch,
+			Deadline: c.GiveUpMs.d(), PriorityWeight: c.Worth, LateValue: c.LateShare, Stream: c.Stream})
 	}
 	for _, t := range e.Tenants {
 		s.Tenants = append(s.Tenants, choice.Tenant{Name: t.Name, Quota: t.QuotaPerS, Share: t.Share})
--- a/scale/dispatch.go
+++ b/scale/dispatch.go
@@ -113,8 +113,8 @@
 	const ms = time.Millisecond
 	return choice.Settings{Controllers: 800, Tick: l.Tick,
 		Classes: []choice.Class{
-			{Name: "read", Idempotency: choice.Idempotent, Aim: 500 * ms, Deadline: 2500 * ms, Worth: 1},
-			{Name: "write", Idempotency: choice.NonIdempotent, Aim: 500 * ms, Deadline: 2500 * ms, Worth: 1}},
+			{Name: "read", Idempotency: choice.Idempotent, LatencyObjective: 500 * ms, Deadline: 2500 * ms, PriorityWeight: 1},
+			{Name: "write", Idempotency: choice.NonIdempotent, LatencyObjective: 500 * ms, Deadline: 2500 * ms, PriorityWeight: 1}},
 		Limits: choice.Limits{Attempts: 3, Open: 4000, Dial: 250 * ms, Cancel: true, Probe: true},
 		Loading: choice.Loading{Orders: true, LoadsOnMiss: true, OnMissKnown: true, IdleLife: l.IdleLife, Answer: 5 * time.Second,
 			Window: 5 * time.Second, Free: 20, Ratio: 1, WarmNotes: true, MemoryMB: []float64{8000, 16000}},
