--- a/backend/backend.go
+++ b/backend/backend.go
@@ -284,7 +284,7 @@
 	}
 	if !x.hold(c) || !x.commit(p, always) {
 		c.Close()
-		return nil, choice.Moot
+		return nil, choice.NotStarted
 	}
 	resp, o := b.talk(x, c, req, end)
 	if o == choice.OK && !resp.Close && c.br.Buffered() == 0 && x.hold(nil) {
@@ -306,12 +306,12 @@
 	dead := x.cancelled
 	x.mu.Unlock()
 	if dead || p.withdrawn.Load() && !always {
-		return nil, choice.Moot
+		return nil, choice.NotStarted
 	}
 	nc, err := b.cfg.Dial(ctx, p.Network, p.Addr)
 	if err != nil {
 		if x.isCancelled() {
-			return nil, choice.Moot
+			return nil, choice.NotStarted
 		}
 		return nil, choice.ConnectFailed
 	}
--- a/backend/backend_test.go
+++ b/backend/backend_test.go
@@ -122,8 +122,8 @@
 		want   choice.Outcome
 	}{
 		{"served", say(served, true), choice.OK},
-		{"full", say(problem(503, ProblemFull), true), choice.Full},
-		{"miss", say(problem(404, ProblemMiss), true), choice.Miss},
+		{"full", say(problem(503, ProblemFull), true), choice.AtCapacity},
+		{"miss", say(problem(404, ProblemMiss), true), choice.NotLoaded},
 		{"503 that does not say full", say("HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", true), choice.Error},
 		{"503 of another kind", say(problem(503, "about:blank"), true), choice.Error},
 		{"full with another status", say(problem(500, ProblemFull), true), choice.Error},
@@ -175,7 +175,7 @@
 	t.Run("unknown worker", func(t *testing.T) {
 		b := start(t, "127.0.0.1:1", nil)
 		b.Update(nil)
-		if r := infer(b, time.Second); r.Outcome != choice.Moot {
+		if r := infer(b, time.Second); r.Outcome != choice.NotStarted {
 			t.Errorf("outcome %v", r.Outcome)
 		}
 	})
@@ -281,15 +281,15 @@
 		}
 		b.Update(list)
 		close(told)
-		if r := <-got; r.Outcome != choice.Moot {
+		if r := <-got; r.Outcome != choice.NotStarted {
 			t.Errorf("outcome %v, want Moot", r.Outcome)
 		}
-		if r := infer(b, time.Second); r.Outcome != choice.Moot {
+		if r := infer(b, time.Second); r.Outcome != choice.NotStarted {
 			t.Errorf("afterwards: outcome %v, want Moot", r.Outcome)
 		}
 		hold := make(chan choice.Outcome)
 		b.Hold(Order{Worker: 1, Function: "f", Copies: 1}, func(o choice.Outcome, _ int, _ time.Duration) { hold <- o })
-		if o := <-hold; o != choice.Moot {
+		if o := <-hold; o != choice.NotStarted {
 			t.Errorf("order: outcome %v, want Moot", o)
 		}
 		if n := w.count(); n != 0 {
@@ -336,7 +336,7 @@
 	r = b.Send(Attempt{Worker: 1, Function: "f", Trace: "t", Within: time.Minute}, func(r Result) { res <- r })
 	<-dialling
 	r.Cancel()
-	if r := <-res; r.Outcome != choice.Moot {
+	if r := <-res; r.Outcome != choice.NotStarted {
 		t.Errorf("while it dials: outcome %v, want Moot", r.Outcome)
 	}
 }
@@ -347,7 +347,7 @@
 	b := start(t, w.ln.Addr().String(), nil)
 	got := make(chan Result)
 	b.Send(Attempt{Worker: 1, Function: "f", Trace: "t", Within: time.Second, Wanted: func() bool { return false }}, func(r Result) { got <- r })
-	if r := <-got; r.Outcome != choice.Moot || w.count() != 0 {
+	if r := <-got; r.Outcome != choice.NotStarted || w.count() != 0 {
 		t.Errorf("outcome %v, %d requests reached the worker", r.Outcome, w.count())
 	}
 }
@@ -364,7 +364,7 @@
 		stand          int
 	}{
 		{"stands", strings.Replace(ok(""), "OK\r\n", "OK\r\nendpoint-load-metrics: TEXT named_metrics.copies=2\r\n", 1), "f", 1, choice.OK, 2},
-		{"no room", problem(503, ProblemFull), "f", 1, choice.Full, 0},
+		{"no room", problem(503, ProblemFull), "f", 1, choice.AtCapacity, 0},
 		{"failed", problem(500, "x"), "f", 1, choice.Error, 0},
 		{"asked", ok(index), "f", 0, choice.OK, 3},
 		{"asked of one with no count", ok(index), "g", 0, choice.OK, 1},
--- a/backend/frame/codec.go
+++ b/backend/frame/codec.go
@@ -134,12 +134,12 @@
 }
 
 // Notes of answers, by their words on the wire.
-var notes = map[string]choice.Note{"resident": choice.FoundWarm, "booted": choice.BeganLoad, "rode": choice.AwaitedOne,
+var notes = map[string]choice.LoadNote{"resident": choice.FoundWarm, "booted": choice.StartedLoad, "rode": choice.AwaitedLoad,
 	"boot_error": choice.LoadFailed}
 
 // said is what the fields of an answer tell. What is not known is passed over, what does not fit counts as not there.
 type said struct {
-	note   choice.Note
+	note   choice.LoadNote
 	alike  int
 	copies int
 	report []float64
--- a/backend/frame/ends.go
+++ b/backend/frame/ends.go
@@ -26,13 +26,13 @@
 	case codeOK:
 		return choice.OK, true
 	case codeMiss:
-		return choice.Miss, true
+		return choice.NotLoaded, true
 	case codeFull:
-		return choice.Full, true
+		return choice.AtCapacity, true
 	case codeError:
 		return choice.Error, true
 	case codeOver:
-		return choice.Moot, true
+		return choice.NotStarted, true
 	}
 	return 0, false
 }
--- a/backend/frame/frame.go
+++ b/backend/frame/frame.go
@@ -221,7 +221,7 @@
 	}
 	id, err := strconv.ParseUint(a.Call, 16, 64)
 	if err != nil { // the front takes no such id
-		go t.end(choice.Moot, nil)
+		go t.end(choice.NotStarted, nil)
 		return t
 	}
 	t.x.id = id
@@ -278,14 +278,14 @@
 
 // Probe is not spoken here: what a ping tells is of the connection alone. The platform allows none.
 func (b *Backend) Probe(w choice.WorkerID, done func(choice.Outcome, time.Duration, []float64)) {
-	go done(choice.Moot, 0, nil)
+	go done(choice.NotStarted, 0, nil)
 }
 
 // carry puts the attempt on a connection, at once where one stands.
 func (t *attempt) carry(w choice.WorkerID) {
 	p, most := t.b.peer(w)
 	if p == nil {
-		go t.end(choice.Moot, nil)
+		go t.end(choice.NotStarted, nil)
 		return
 	}
 	c, found := t.b.place(p, t.x.id, most)
@@ -297,7 +297,7 @@
 	case found == dialOne:
 		go t.dial(p)
 	case c != nil:
-		go t.end(choice.Moot, nil) // nothing of it went out
+		go t.end(choice.NotStarted, nil) // nothing of it went out
 	default:
 		t.b.Counts.NoPlace.Add(1)
 		go t.end(choice.ConnectFailed, nil)
@@ -447,7 +447,7 @@
 		unwanted = unwanted || t.cancelled
 		t.mu.Unlock()
 		if unwanted {
-			t.end(choice.Moot, nil)
+			t.end(choice.NotStarted, nil)
 		} else {
 			t.b.Counts.DialFailed.Add(1)
 			t.end(choice.ConnectFailed, nil)
@@ -459,7 +459,7 @@
 	p.conns = append(p.conns, c)
 	p.mu.Unlock()
 	if !t.put(c) {
-		t.end(choice.Moot, nil) // the connection is for whoever comes next
+		t.end(choice.NotStarted, nil) // the connection is for whoever comes next
 	}
 	c.read()
 }
--- a/backend/frame/frame_test.go
+++ b/backend/frame/frame_test.go
@@ -100,9 +100,9 @@
 			}
 			hold(c)
 		}, choice.OK},
-		{"miss", write(reply(codeMiss, id, "note=boot_error", "")), choice.Miss},
-		{"full", write(reply(codeFull, id, "company=9", "")), choice.Full},
-		{"over already", write(reply(codeOver, id, "", "")), choice.Moot},
+		{"miss", write(reply(codeMiss, id, "note=boot_error", "")), choice.NotLoaded},
+		{"full", write(reply(codeFull, id, "company=9", "")), choice.AtCapacity},
+		{"over already", write(reply(codeOver, id, "", "")), choice.NotStarted},
 		{"error", write(reply(codeError, id, "", "")), choice.Error},
 		{"a second copy", write(ok, ok), choice.OK},
 		{"an answer to an unknown id ahead", write(reply(codeFull, 5, "", ""), ok), choice.OK},
@@ -117,7 +117,7 @@
 		{"cut short", func(c *net.TCPConn) { c.Write(ok[:len(ok)-3]) }, choice.Reset},
 		{"closed", func(*net.TCPConn) {}, choice.Reset},
 		{"reset", func(c *net.TCPConn) { c.SetLinger(0) }, choice.Reset},
-		{"full, then noise", write(reply(codeFull, id, "", ""), []byte("noise")), choice.Full},
+		{"full, then noise", write(reply(codeFull, id, "", ""), []byte("noise")), choice.AtCapacity},
 	}
 	for _, tt := range tests {
 		addr := invoker(t, func(_ int, c *net.TCPConn) {
@@ -130,7 +130,7 @@
 		if r.Outcome != tt.want || (r.Outcome == choice.OK) != (string(r.Body) == "answer") {
 			t.Errorf("%s: %v, body %q, want outcome %v", tt.name, r.Outcome, r.Body, tt.want)
 		}
-		if tt.name == "ok" && (r.Note != choice.BeganLoad || r.Alike != 3 || len(r.Report) != 2 || r.Report[0] != 0.5 || r.Report[1] != 2) {
+		if tt.name == "ok" && (r.Note != choice.StartedLoad || r.Alike != 3 || len(r.Report) != 2 || r.Report[0] != 0.5 || r.Report[1] != 2) {
 			t.Errorf("%s: %+v", tt.name, r)
 		}
 	}
@@ -149,23 +149,23 @@
 	}
 	a := call(2)
 	a.Worker = 77
-	if r := run(b, a); r.Outcome != choice.Moot {
+	if r := run(b, a); r.Outcome != choice.NotStarted {
 		t.Errorf("a worker that is not listed: %v", r.Outcome)
 	}
 	addr, commands := recorded(t, mute)
 	b = start(t, addr, nil)
 	a = call(3)
 	a.Wanted = func() bool { return false }
-	if r := run(b, a); r.Outcome != choice.Moot {
+	if r := run(b, a); r.Outcome != choice.NotStarted {
 		t.Errorf("unwanted: %v", r.Outcome)
 	}
 	b.Update([]backend.Endpoint{{ID: 1, Name: "w", Network: "tcp", Addr: addr}})
-	if r := run(b, call(4)); r.Outcome != choice.Moot {
+	if r := run(b, call(4)); r.Outcome != choice.NotStarted {
 		t.Errorf("a worker that drains: %v", r.Outcome)
 	}
 	held := make(chan choice.Outcome, 1)
 	b.Hold(backend.Order{Worker: 1, Function: "7f3a9c21e0b4d655", Copies: 1}, func(o choice.Outcome, _ int, _ time.Duration) { held <- o })
-	if o := <-held; o != choice.Moot {
+	if o := <-held; o != choice.NotStarted {
 		t.Errorf("an order to a worker that drains: %v", o)
 	}
 	if len(commands) > 0 {
@@ -241,7 +241,7 @@
 		hold(c)
 	})
 	b := start(t, addr, nil)
-	if r := run(b, call(7)); r.Outcome != choice.Full {
+	if r := run(b, call(7)); r.Outcome != choice.AtCapacity {
 		t.Fatalf("first: %v", r.Outcome)
 	}
 	if r := run(b, call(7)); r.Outcome != choice.OK {
@@ -453,7 +453,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	b.Update([]backend.Endpoint{{ID: 1, Name: "w", Network: "tcp", Addr: addr}})
-	if r := run(b, call(2)); r.Outcome != choice.Moot && r.Outcome != choice.ConnectFailed {
+	if r := run(b, call(2)); r.Outcome != choice.NotStarted && r.Outcome != choice.ConnectFailed {
 		t.Errorf("a call after the drain: %v", r.Outcome)
 	}
 	close(begin)
--- a/backend/frame/room_test.go
+++ b/backend/frame/room_test.go
@@ -96,7 +96,7 @@
 		<-dialling
 		tt.then(b, r, &wanted, addr)
 		close(up)
-		if r := <-over; r.Outcome != choice.Moot {
+		if r := <-over; r.Outcome != choice.NotStarted {
 			t.Errorf("%s: %v, want moot", tt.name, r.Outcome)
 		}
 		b.check()
--- a/backend/infer.go
+++ b/backend/infer.go
@@ -46,7 +46,7 @@
 type Result struct {
 	Outcome choice.Outcome
 	Took    time.Duration
-	Note    choice.Note
+	Note    choice.LoadNote
 	Alike   int
 	Report  []float64
 	Body    []byte
@@ -68,7 +68,7 @@
 	start := b.cfg.Clock.Now()
 	p := b.peer(a.Worker)
 	if p == nil {
-		return Result{Outcome: choice.Moot}
+		return Result{Outcome: choice.NotStarted}
 	}
 	head := make([]byte, 0, 192)
 	head = append(head, `{"inputs":[{"name":"body","shape":[1],"datatype":"BYTES","parameters":{"binary_data_size":`...)
@@ -96,9 +96,9 @@
 	res.Status, res.Digest = resp.Status, resp.Header.Get(HeaderDigest)
 	m := readLoad(resp.Header.Get(HeaderLoad))
 	res.Report = m.report(b.cfg.Fields)
-	res.Alike, res.Note = int(m.named["alike"]), choice.Note(m.named["copy"])
-	if res.Note < choice.NoNote || res.Note > choice.LoadFailed {
-		res.Note = choice.NoNote
+	res.Alike, res.Note = int(m.named["alike"]), choice.LoadNote(m.named["copy"])
+	if res.Note < choice.NoLoadNote || res.Note > choice.LoadFailed {
+		res.Note = choice.NoLoadNote
 	}
 	switch resp.Status {
 	case 200:
@@ -158,9 +158,9 @@
 	}
 	switch {
 	case p.Type == ProblemFull && resp.Status == 503:
-		return choice.Full
+		return choice.AtCapacity
 	case p.Type == ProblemMiss && resp.Status == 404:
-		return choice.Miss
+		return choice.NotLoaded
 	}
 	return choice.Error
 }
@@ -185,7 +185,7 @@
 func (b *Backend) hold(o Order) (choice.Outcome, int) {
 	p := b.peer(o.Worker)
 	if p == nil {
-		return choice.Moot, 0
+		return choice.NotStarted, 0
 	}
 	digest := ""
 	if o.Digest != "" {
@@ -202,7 +202,7 @@
 	}
 	if resp.Status != 200 {
 		out = saidBy(resp)
-		if out != choice.Full {
+		if out != choice.AtCapacity {
 			out = choice.Error
 		}
 		return out, int(readLoad(resp.Header.Get(HeaderLoad)).named["copies"])
@@ -259,7 +259,7 @@
 	go func() {
 		p := b.peer(worker)
 		if p == nil {
-			done(choice.Moot, 0, nil)
+			done(choice.NotStarted, 0, nil)
 			return
 		}
 		start := b.cfg.Clock.Now()
--- a/choice/advice_test.go
+++ b/choice/advice_test.go
@@ -21,7 +21,7 @@
 	for now := 2 * time.Second; now < 60*time.Second; now += 100 * ms {
 		var in []Event
 		for _, h := range out {
-			in = append(in, Held{Worker: h.Worker, Function: h.Function, Outcome: OK, Copies: 1})
+			in = append(in, LoadOrderEnded{Worker: h.Worker, Function: h.Function, Outcome: OK, Copies: 1})
 			most = now
 		}
 		out = nil
@@ -56,7 +56,7 @@
 		}
 		n += len(l)
 		for _, h := range l {
-			in = append(in, Held{Worker: h.Worker, Function: h.Function, Outcome: OK, Copies: 1})
+			in = append(in, LoadOrderEnded{Worker: h.Worker, Function: h.Function, Outcome: OK, Copies: 1})
 		}
 	}
 	if first != 4 || n != 4 {
@@ -73,7 +73,7 @@
 	drained := ready(1, 2)
 	drained[0].State = Draining
 	for now := 2 * time.Second; now < 30*time.Second; now += 100 * ms {
-		for _, h := range pickOut[Hold](d.Step(now, []Event{List{Kind: Whole, Workers: drained}, Arrival{Request: RequestID(now), Function: 7, Expires: time.Second, Lanes: 2}})) {
+		for _, h := range pickOut[Hold](d.Step(now, []Event{ListUpdate{Kind: FullList, Workers: drained}, Arrival{Request: RequestID(now), Function: 7, TimeLeft: time.Second, Lanes: 2}})) {
 			if h.Worker == 1 {
 				t.Fatal("an order to a drained worker")
 			}
@@ -110,7 +110,7 @@
 func TestUnwantedAndWeight(t *testing.T) {
 	d := start(t, base(), ready(1, 2)...)
 	a := arrival(1, 0, 7)
-	a.Unwanted = true
+	a.ShedAdvised = true
 	l := d.Step(2*time.Second, []Event{a, arrival(2, 0, 7)})
 	if r, s := pickOut[Refuse](l), pickOut[Send](l); len(r) != 1 || r[0].Request != 1 || len(s) != 1 || s[0].Request != 2 {
 		t.Errorf("%v", l)
@@ -167,7 +167,7 @@
 		t.Error("one that goes on has no budget")
 	}
 	w := old.order[0]
-	w.coldFrom, w.Started = 4*time.Second, 4*time.Second
+	w.coldFrom, w.StartedAt = 4*time.Second, 4*time.Second
 	old.Step(5*time.Second, []Event{Retired{On: true}})
 	w.credit = 100
 	if old.share(w) < 1 && old.coldRoom(w, 0.001) {
--- a/choice/api.go
+++ b/choice/api.go
@@ -174,13 +174,13 @@
 
 // WorkerInfo is one line of the list of workers.
 type WorkerInfo struct {
-	ID      WorkerID
-	Size    float64
-	Started time.Duration // on the clock of Step; 0: long ago
-	Group   int
-	Zone    int
-	Kind    int
-	State   WorkerState
+	ID        WorkerID
+	Size      float64
+	StartedAt time.Duration // on the clock of Step; 0: long ago
+	Group     int
+	Zone      int
+	Kind      int
+	State     WorkerState
 }
 
 // Outcome is how an attempt, a probe or an order ended.
@@ -189,24 +189,24 @@
 const (
 	OK Outcome = iota + 1
 	Error
-	Full // never ran
+	AtCapacity // never ran
 	TimedOut
 	ConnectFailed // never ran
 	Reset
 	Cancelled
-	Moot // never ran
-	Miss // never ran
+	NotStarted // never ran
+	NotLoaded  // never ran
 )
 
-// Note says what an answered attempt met at the worker.
-type Note int
+// LoadNote says what an answered attempt met at the worker.
+type LoadNote int
 
 const (
-	NoNote     Note = iota
-	FoundWarm       // a copy stood loaded
-	BeganLoad       // this request began a load
-	AwaitedOne      // it waited for a load begun before
-	LoadFailed      // with Miss or Error: a load failed
+	NoLoadNote  LoadNote = iota
+	FoundWarm            // a copy stood loaded
+	StartedLoad          // this request began a load
+	AwaitedLoad          // it waited for a load begun before
+	LoadFailed           // with Miss or Error: a load failed
 )
 
 // An Event is one of List, Arrival, Started, Returned, ClientGone, Timer, Probed, Message, Held, Staged, Wanted and
@@ -217,14 +217,14 @@
 type ListKind int
 
 const (
-	Delta ListKind = iota + 1
-	Whole
-	Cached
+	ListDelta ListKind = iota + 1
+	FullList
+	CachedList
 	ListFailed
 )
 
-// List is news of the workers.
-type List struct {
+// ListUpdate is news of the workers.
+type ListUpdate struct {
 	Kind    ListKind
 	Version uint32
 	Workers []WorkerInfo
@@ -232,40 +232,40 @@
 
 // Arrival is a request that the instance has taken.
 type Arrival struct {
-	Request  RequestID
-	Class    int
-	Tenant   int
-	Function FunctionID
-	Expires  time.Duration // how long this try's client still waits
-	Hint     time.Duration // a guess of its core time
-	HasHint  bool
-	MemoryMB float64
-	Lanes    float64 // requests one copy runs at a time
-	LoadTime time.Duration
-	Retry    bool
-	Again    bool // the instance has taken it before, under another function: it earns no load anew
-	Write    bool
-	Unwanted bool    // advised to be refused
-	Weight   float64 // of its tenant, where fewer than all pass; 0: 1
+	Request        RequestID
+	Class          int
+	Tenant         int
+	Function       FunctionID
+	TimeLeft       time.Duration // how long this try's client still waits
+	RunTimeHint    time.Duration // a guess of its core time
+	HasRunTimeHint bool
+	MemoryMB       float64
+	Lanes          float64 // requests one copy runs at a time
+	LoadTime       time.Duration
+	ClientRetry    bool
+	Resubmitted    bool // the instance has taken it before, under another function: it earns no load anew
+	Write          bool
+	ShedAdvised    bool    // advised to be refused
+	Weight         float64 // of its tenant, where fewer than all pass; 0: 1
 }
 
-// Started says that a streamed answer has begun.
-type Started struct {
+// ResponseStarted says that a streamed answer has begun.
+type ResponseStarted struct {
 	Request RequestID
 	Attempt int
 	Worker  WorkerID
 	Took    time.Duration
 }
 
-// Returned ends one attempt.
-type Returned struct {
+// AttemptEnded ends one attempt.
+type AttemptEnded struct {
 	Request  RequestID
 	Attempt  int
 	Worker   WorkerID
 	Outcome  Outcome
 	Took     time.Duration
 	Complete bool // the request is finished
-	Note     Note
+	Note     LoadNote
 	Alike    int // requests of the function that the worker already held
 	Report   []float64
 }
@@ -276,22 +276,22 @@
 // Timer is a Wake come due.
 type Timer struct{ Token uint64 }
 
-// Probed answers a Probe.
-type Probed struct {
+// ProbeEnded answers a Probe.
+type ProbeEnded struct {
 	Worker  WorkerID
 	Outcome Outcome
 	Took    time.Duration
 	Report  []float64
 }
 
-// Message comes from another instance.
-type Message struct {
+// GossipMessage comes from another instance.
+type GossipMessage struct {
 	From    int
 	Payload []byte
 }
 
-// Held answers a Hold.
-type Held struct {
+// LoadOrderEnded answers a Hold.
+type LoadOrderEnded struct {
 	Worker   WorkerID
 	Function FunctionID
 	Outcome  Outcome
@@ -329,20 +329,20 @@
 // cold worker, as the other one now has both budgets. On false it is so no longer.
 type Retired struct{ On bool }
 
-func (Inherited) event()  {}
-func (Retired) event()    {}
-func (Wanted) event()     {}
-func (Regarded) event()   {}
-func (List) event()       {}
-func (Staged) event()     {}
-func (Arrival) event()    {}
-func (Started) event()    {}
-func (Returned) event()   {}
-func (ClientGone) event() {}
-func (Timer) event()      {}
-func (Probed) event()     {}
-func (Message) event()    {}
-func (Held) event()       {}
+func (Inherited) event()       {}
+func (Retired) event()         {}
+func (Wanted) event()          {}
+func (Regarded) event()        {}
+func (ListUpdate) event()      {}
+func (Staged) event()          {}
+func (Arrival) event()         {}
+func (ResponseStarted) event() {}
+func (AttemptEnded) event()    {}
+func (ClientGone) event()      {}
+func (Timer) event()           {}
+func (ProbeEnded) event()      {}
+func (GossipMessage) event()   {}
+func (LoadOrderEnded) event()  {}
 
 // An Action is one of the types below.
 type Action interface{ action() }
--- a/choice/attempts.go
+++ b/choice/attempts.go
@@ -24,7 +24,7 @@
 		for i := range r.tries {
 			if t := &r.tries[i]; !t.done {
 				// An outcome that never comes must not hold memory or a token for ever.
-				if r.ended && d.now > r.final+r.Expires+d.s.Classes[r.Class].Deadline {
+				if r.ended && d.now > r.final+r.TimeLeft+d.s.Classes[r.Class].Deadline {
 					d.release(r, t, TimedOut)
 					continue
 				}
@@ -44,7 +44,7 @@
 // hopeless tells whether a queued request is given up, and answered at once: it does not pass, no worker may
 // have it again, or no run fits its time (a mean too long for a new one is lowered; with none, its class's).
 func (d *Dispatcher) hopeless(r *request) bool {
-	run := cmp.Or(r.q.run, min(d.classRun[r.Class], guessRun*r.Expires.Seconds()))
+	run := cmp.Or(r.q.run, min(d.classRun[r.Class], guessRun*r.TimeLeft.Seconds()))
 	over := d.now+seconds(run) >= r.final
 	if over && d.now == r.at {
 		r.q.run = mean(r.q.run, 0)
@@ -62,10 +62,10 @@
 	if r.Weight > 0 {
 		share = math.Pow(share, 1/r.Weight)
 	}
-	if r.Retry {
+	if r.ClientRetry {
 		share = math.Pow(share, passRepeat)
 	}
-	return len(r.tries) > 0 || !r.Unwanted && unit(mix(^uint64(r.Request))) < share
+	return len(r.tries) > 0 || !r.ShedAdvised && unit(mix(^uint64(r.Request))) < share
 }
 
 // judge follows the share let pass, by each request that was sent: once, when it is answered or late.
@@ -150,7 +150,7 @@
 
 // returned ends an attempt and learns from it. What follows is decided after the events of the step: the next
 // may be the client leaving.
-func (d *Dispatcher) returned(e Returned) {
+func (d *Dispatcher) returned(e AttemptEnded) {
 	r := d.requests[e.Request]
 	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.tries) || r.tries[e.Attempt].done {
 		return
@@ -161,7 +161,7 @@
 	switch e.Outcome {
 	case OK:
 		d.afterSuccess(r, t, placed, e)
-	case Full:
+	case AtCapacity:
 		d.afterRefusal(r, t, e)
 	case TimedOut:
 		t.w.tokens = max(d.tokenStep(), t.w.tokens/2)
@@ -178,12 +178,12 @@
 	r.due = true
 }
 
-func (d *Dispatcher) afterSuccess(r *request, t *attempt, placed *placement, e Returned) {
+func (d *Dispatcher) afterSuccess(r *request, t *attempt, placed *placement, e AttemptEnded) {
 	w := t.w
 	d.answered(w, OK)
 	w.strikes = 0
 	d.judge(r, !d.late(r))
-	if e.Note == BeganLoad {
+	if e.Note == StartedLoad {
 		w.denied = 0
 	}
 	w.ejections = 0
@@ -191,7 +191,7 @@
 	placed.seen = d.now
 	if !t.load {
 		d.crowded *= 1 - crowdWeight
-		if e.Note == BeganLoad && e.Alike == 0 {
+		if e.Note == StartedLoad && e.Alike == 0 {
 			d.crowded += crowdWeight
 		}
 	}
@@ -199,7 +199,7 @@
 	slow := e.Took > d.s.Classes[r.Class].LatencyObjective ||
 		took > d.slower(r.Lanes)*d.usualPace()*d.classRun[r.Class]
 	d.crowd(r.q, e.Alike, r.Lanes, slow && d.share(w) >= 1)
-	waited := e.Note == BeganLoad || e.Note == AwaitedOne
+	waited := e.Note == StartedLoad || e.Note == AwaitedLoad
 	if !waited && (e.Note == FoundWarm || !t.load) {
 		r.q.run = mean(r.q.run, took)
 		d.classRun[r.Class] = mean(d.classRun[r.Class], took)
@@ -226,7 +226,7 @@
 // tokenStep is the least part of a token, and the step below one.
 func (d *Dispatcher) tokenStep() float64 { return max(partRise, 1/float64(d.s.Controllers)) }
 
-func (d *Dispatcher) afterRefusal(r *request, t *attempt, e Returned) {
+func (d *Dispatcher) afterRefusal(r *request, t *attempt, e AttemptEnded) {
 	w := t.w
 	d.answered(w, OK)
 	w.tokens = max(min(1, w.tokens), w.tokens/2)
@@ -251,7 +251,7 @@
 // release ends an attempt's hold on its worker and records whether it may have run.
 func (d *Dispatcher) release(r *request, t *attempt, o Outcome) {
 	t.done = true
-	t.mayRun = o != Full && o != ConnectFailed && o != Moot && o != Miss
+	t.mayRun = o != AtCapacity && o != ConnectFailed && o != NotStarted && o != NotLoaded
 	t.w.out--
 	d.watch(t.w)
 	placed := d.placement(r.q, t.w)
@@ -273,7 +273,7 @@
 	switch o {
 	case OK:
 		d.served += t.work
-	case ConnectFailed, Moot:
+	case ConnectFailed, NotStarted:
 	default: // it has weighed on the worker, and may still
 		t.w.credit -= t.work
 	}
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -77,19 +77,19 @@
 	d.out = nil
 	for _, e := range events {
 		switch e := e.(type) {
-		case List:
+		case ListUpdate:
 			d.list(e)
 		case Arrival:
 			d.arrive(e)
-		case Returned:
+		case AttemptEnded:
 			d.returned(e)
 		case ClientGone:
 			if r := d.requests[e.Request]; r != nil {
 				d.end(r)
 			}
-		case Held:
+		case LoadOrderEnded:
 			d.held(e)
-		case Probed:
+		case ProbeEnded:
 			d.answered(d.workers[e.Worker], e.Outcome)
 		case Staged:
 			d.stage(e)
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.Step(time.Second, []Event{List{Kind: Cached, Workers: workers}})
+	d.Step(time.Second, []Event{ListUpdate{Kind: CachedList, Workers: workers}})
 	return d
 }
 
@@ -44,7 +44,7 @@
 }
 
 func arrival(id RequestID, class int, fn FunctionID) Arrival {
-	return Arrival{Request: id, Class: class, Function: fn, Expires: 3 * time.Second, Lanes: 2}
+	return Arrival{Request: id, Class: class, Function: fn, TimeLeft: 3 * time.Second, Lanes: 2}
 }
 
 // walk returns the listed workers in the order of the queue's walk.
@@ -101,10 +101,10 @@
 		outcome Outcome
 		want    want
 	}{
-		{0, Full, want{sends: 1}}, {0, ConnectFailed, want{sends: 1}}, {0, Miss, want{sends: 1}},
+		{0, AtCapacity, want{sends: 1}}, {0, ConnectFailed, want{sends: 1}}, {0, NotLoaded, want{sends: 1}},
 		{0, Error, want{sends: 1}}, {0, Reset, want{sends: 1}}, {0, OK, want{}},
-		{1, Full, want{sends: 1}}, {1, ConnectFailed, want{sends: 1}}, {1, OK, want{}},
-		{2, Full, want{sends: 1}}, {2, ConnectFailed, want{sends: 1}},
+		{1, AtCapacity, want{sends: 1}}, {1, ConnectFailed, want{sends: 1}}, {1, OK, want{}},
+		{2, AtCapacity, want{sends: 1}}, {2, ConnectFailed, want{sends: 1}},
 		{2, Error, want{fails: 1}}, {2, Reset, want{fails: 1}}, {2, TimedOut, want{fails: 1}},
 		{2, Cancelled, want{fails: 1}}, {2, OK, want{}},
 	}
@@ -115,7 +115,7 @@
 			t.Fatalf("class %d: %d sends on arrival, want 1", tt.class, len(sent))
 		}
 		var got want
-		e := Event(Returned{Request: 1, Worker: sent[0].Worker, Outcome: tt.outcome, Took: 20 * ms,
+		e := Event(AttemptEnded{Request: 1, Worker: sent[0].Worker, Outcome: tt.outcome, Took: 20 * ms,
 			Complete: tt.outcome == OK})
 		for now := 1020 * ms; now < 3500*ms && got == (want{}); now += 20 * ms {
 			actions := d.Step(now, []Event{e})
@@ -143,8 +143,8 @@
 				news = append(news, w)
 			}
 		}
-		d.Step(1001*ms, []Event{List{Kind: Delta, Workers: append(news, WorkerInfo{ID: home, State: Draining})}})
-		actions := d.Step(1020*ms, []Event{Returned{Request: 1, Worker: home, Outcome: Reset, Took: 20 * ms}})
+		d.Step(1001*ms, []Event{ListUpdate{Kind: ListDelta, Workers: append(news, WorkerInfo{ID: home, State: Draining})}})
+		actions := d.Step(1020*ms, []Event{AttemptEnded{Request: 1, Worker: home, Outcome: Reset, Took: 20 * ms}})
 		again, fails := pickOut[Send](actions), pickOut[Fail](actions)
 		if mate && (len(again) != 1 || again[0].Worker != news[0].ID) {
 			t.Errorf("with a mate: sends %v, want one to %d", again, news[0].ID)
@@ -184,7 +184,7 @@
 func TestTimeAlreadyOver(t *testing.T) {
 	d := start(t, base(), ready(1)...)
 	a := arrival(1, 2, 7)
-	a.Expires = 0
+	a.TimeLeft = 0
 	got := d.Step(time.Second, []Event{a})
 	if len(pickOut[Refuse](got)) != 1 || len(pickOut[Send](got)) != 0 {
 		t.Errorf("got %v, want one Refuse and no Send", got)
@@ -195,9 +195,9 @@
 func TestDrain(t *testing.T) {
 	d := start(t, base(), ready(1, 2)...)
 	home := pickOut[Send](d.Step(time.Second, []Event{arrival(1, 0, 7)}))[0].Worker
-	d.Step(1100*ms, []Event{Returned{Request: 1, Worker: home, Outcome: OK, Complete: true, Took: 100 * ms,
+	d.Step(1100*ms, []Event{AttemptEnded{Request: 1, Worker: home, Outcome: OK, Complete: true, Took: 100 * ms,
 		Note: FoundWarm}})
-	d.Step(1200*ms, []Event{List{Kind: Delta, Workers: []WorkerInfo{{ID: home, State: Draining}}}})
+	d.Step(1200*ms, []Event{ListUpdate{Kind: ListDelta, Workers: []WorkerInfo{{ID: home, State: Draining}}}})
 	for i := 1; i < 3000; i++ {
 		now := 1200*ms + time.Duration(i)*10*ms
 		var events []Event
@@ -224,7 +224,7 @@
 	d := start(t, base())
 	d.Step(time.Second, []Event{arrival(1, 0, 7)})
 	d.Step(2*time.Second, []Event{arrival(2, 0, 7)})
-	sent := pickOut[Send](d.Step(2002*ms, []Event{List{Kind: Whole, Workers: ready(1)}}))
+	sent := pickOut[Send](d.Step(2002*ms, []Event{ListUpdate{Kind: FullList, Workers: ready(1)}}))
 	if len(sent) != 1 || sent[0].Request != 2 {
 		t.Errorf("sent %v, want request 2 first: 1 is past its aim", sent)
 	}
@@ -245,7 +245,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.Step(begin-20*time.Second, []Event{List{Kind: Cached, Workers: list}})
+		d.Step(begin-20*time.Second, []Event{ListUpdate{Kind: CachedList, Workers: list}})
 		ds[i] = d
 	}
 	var cold []time.Duration // sends to the cold worker
@@ -255,12 +255,12 @@
 			events := pending[i]
 			pending[i] = nil
 			if now == begin {
-				list[0].Started = begin
-				events = append(events, List{Kind: Delta, Workers: list[:1]})
+				list[0].StartedAt = begin
+				events = append(events, ListUpdate{Kind: ListDelta, Workers: list[:1]})
 			}
 			if (int(now/run)+i)%2 == 0 { // five calls a second at each controller
 				events = append(events, Arrival{Request: next, Function: FunctionID(next%40 + 1),
-					Expires: 3 * time.Second, Lanes: 8})
+					TimeLeft: 3 * time.Second, Lanes: 8})
 				next++
 			}
 			for _, a := range d.Step(now, events) {
@@ -269,10 +269,10 @@
 					if answered++; a.Worker == 1 && now >= begin {
 						cold = append(cold, now)
 					}
-					pending[i] = append(pending[i], Returned{Request: a.Request, Worker: a.Worker, Outcome: OK,
+					pending[i] = append(pending[i], AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: OK,
 						Took: run, Complete: true, Note: FoundWarm})
 				case Hold:
-					pending[i] = append(pending[i], Held{Worker: a.Worker, Function: a.Function, Outcome: OK, Copies: 1})
+					pending[i] = append(pending[i], LoadOrderEnded{Worker: a.Worker, Function: a.Function, Outcome: OK, Copies: 1})
 				}
 			}
 		}
@@ -304,7 +304,7 @@
 		s.Classes[1].DedupScope = AllWorkers
 		d := start(t, s, ready(1, 2)...)
 		home := pickOut[Send](d.Step(time.Second, []Event{arrival(1, 1, 7)}))[0].Worker
-		e := []Event{Returned{Request: 1, Worker: home, Outcome: Reset}}
+		e := []Event{AttemptEnded{Request: 1, Worker: home, Outcome: Reset}}
 		if sent := len(pickOut[Send](d.Step(at, e))); (sent == 1) != (at < 3*time.Second) {
 			t.Errorf("reset at %v: %d further sends", at, sent)
 		}
@@ -344,15 +344,15 @@
 			events = append(events, arrival(id, 0, FunctionID(id)))
 		}
 		w := WorkerID(10 + round)
-		events = append(events, List{Kind: Whole, Workers: ready(w, w+1)})
+		events = append(events, ListUpdate{Kind: FullList, Workers: ready(w, w+1)})
 		for s := 0; s < 90; s++ {
 			actions := d.Step(now+time.Duration(s)*time.Second, events)
 			events = nil
 			for _, a := range pickOut[Send](actions) {
-				events = append(events, Returned{Request: a.Request, Worker: a.Worker, Outcome: OK, Complete: true})
+				events = append(events, AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: OK, Complete: true})
 			}
 			for _, h := range pickOut[Hold](actions) {
-				events = append(events, Held{Worker: h.Worker, Function: h.Function, Outcome: OK, Copies: h.Copies})
+				events = append(events, LoadOrderEnded{Worker: h.Worker, Function: h.Function, Outcome: OK, Copies: h.Copies})
 			}
 		}
 	}
@@ -364,8 +364,8 @@
 // Words about what is not known are ignored.
 func TestUnknownIgnored(t *testing.T) {
 	d := start(t, base(), ready(1)...)
-	got := d.Step(time.Second, []Event{Returned{Request: 9}, ClientGone{9}, Timer{4}, Held{Worker: 8, Function: 3},
-		Probed{Worker: 8}, Started{Request: 9}, Message{}, List{Kind: ListFailed}, Arrival{Request: 1, Class: 99}})
+	got := d.Step(time.Second, []Event{AttemptEnded{Request: 9}, ClientGone{9}, Timer{4}, LoadOrderEnded{Worker: 8, Function: 3},
+		ProbeEnded{Worker: 8}, ResponseStarted{Request: 9}, GossipMessage{}, ListUpdate{Kind: ListFailed}, Arrival{Request: 1, Class: 99}})
 	for _, a := range got {
 		if _, ok := a.(Wake); !ok {
 			t.Errorf("acted on unknown things: %#v", a)
@@ -402,8 +402,8 @@
 		fmt.Println(err)
 		return
 	}
-	d.Step(0, []Event{List{Kind: Whole, Workers: []WorkerInfo{{ID: 4, State: Ready}}}})
-	for _, a := range d.Step(2*ms, []Event{Arrival{Request: 1, Function: 7, Expires: 4 * time.Second, Lanes: 2}}) {
+	d.Step(0, []Event{ListUpdate{Kind: FullList, Workers: []WorkerInfo{{ID: 4, State: Ready}}}})
+	for _, a := range d.Step(2*ms, []Event{Arrival{Request: 1, Function: 7, TimeLeft: 4 * time.Second, Lanes: 2}}) {
 		if s, ok := a.(Send); ok {
 			fmt.Printf("request %d to worker %d, at most %v\n", s.Request, s.Worker, s.Timeout)
 		}
--- a/choice/cold_test.go
+++ b/choice/cold_test.go
@@ -81,7 +81,7 @@
 			t.Fatal(err)
 		}
 		ds[i] = d
-		inbox[i] = []choice.Event{choice.List{Kind: choice.Cached, Workers: list}}
+		inbox[i] = []choice.Event{choice.ListUpdate{Kind: choice.CachedList, Workers: list}}
 	}
 	type call struct {
 		controller int
@@ -104,20 +104,20 @@
 			}
 			switch e.Kind {
 			case fleet.Answered:
-				o := map[fleet.Outcome]choice.Outcome{fleet.OK: choice.OK, fleet.Full: choice.Full, fleet.Reset: choice.Reset,
-					fleet.Failed: choice.Miss, fleet.Error: choice.Error}[e.Outcome]
+				o := map[fleet.Outcome]choice.Outcome{fleet.OK: choice.OK, fleet.Full: choice.AtCapacity, fleet.Reset: choice.Reset,
+					fleet.Failed: choice.NotLoaded, fleet.Error: choice.Error}[e.Outcome]
 				if o == choice.OK {
 					p.served++
 				}
-				inbox[k.controller] = append(inbox[k.controller], choice.Returned{Request: k.request, Attempt: k.attempt,
-					Worker: choice.WorkerID(k.worker + 1), Outcome: o, Took: now - k.sent, Note: choice.Note(e.Note), Alike: e.Alike})
+				inbox[k.controller] = append(inbox[k.controller], choice.AttemptEnded{Request: k.request, Attempt: k.attempt,
+					Worker: choice.WorkerID(k.worker + 1), Outcome: o, Took: now - k.sent, Note: choice.LoadNote(e.Note), Alike: e.Alike})
 				delete(calls, e.ID)
 			case fleet.Stands:
 				o := choice.OK
 				if e.Outcome != fleet.OK {
-					o = choice.Full
+					o = choice.AtCapacity
 				}
-				inbox[k.controller] = append(inbox[k.controller], choice.Held{Worker: choice.WorkerID(k.worker + 1),
+				inbox[k.controller] = append(inbox[k.controller], choice.LoadOrderEnded{Worker: choice.WorkerID(k.worker + 1),
 					Function: choice.FunctionID(k.hold), Outcome: o, Took: now - k.sent, Copies: e.Copies})
 				delete(calls, e.ID)
 			}
@@ -131,7 +131,7 @@
 		if now == backAt {
 			for w := range dead {
 				f.Start(w)
-				list[w].Started = now
+				list[w].StartedAt = now
 			}
 			for i := range inbox {
 				if c.restarted && i%3 == 0 {
@@ -139,7 +139,7 @@
 					if err != nil {
 						t.Fatal(err)
 					}
-					ds[i], inbox[i] = d, []choice.Event{choice.List{Kind: choice.Cached, Workers: slices.Clone(list)}}
+					ds[i], inbox[i] = d, []choice.Event{choice.ListUpdate{Kind: choice.CachedList, Workers: slices.Clone(list)}}
 				}
 			}
 		}
@@ -149,7 +149,7 @@
 				told += c.late
 			}
 			if now == told {
-				inbox[i] = append(inbox[i], choice.List{Kind: choice.Delta, Workers: slices.Clone(list[:dead])})
+				inbox[i] = append(inbox[i], choice.ListUpdate{Kind: choice.ListDelta, Workers: slices.Clone(list[:dead])})
 			}
 		}
 		rate := c.rate
@@ -161,7 +161,7 @@
 			n, _ := slices.BinarySearch(weights, rng.Float64()*weights[functions-1])
 			i := min(sort.SearchFloat64s(portions, rng.Float64()*portions[c.controllers-1]), c.controllers-1)
 			functionOf[request] = n
-			inbox[i] = append(inbox[i], choice.Arrival{Request: request, Function: choice.FunctionID(n + 1), Expires: 2500 * ms, Lanes: 2,
+			inbox[i] = append(inbox[i], choice.Arrival{Request: request, Function: choice.FunctionID(n + 1), TimeLeft: 2500 * ms, Lanes: 2,
 				LoadTime: c.load + 80*ms})
 		}
 		for wakes.Len() > 0 && (*wakes)[0].at <= now {
@@ -181,7 +181,7 @@
 					k := call{controller: i, request: a.Request, attempt: tries[a.Request], worker: w, sent: now}
 					tries[a.Request]++
 					if !f.Up(w) {
-						inbox[i] = append(inbox[i], choice.Returned{Request: a.Request, Attempt: k.attempt, Worker: a.Worker, Outcome: choice.ConnectFailed})
+						inbox[i] = append(inbox[i], choice.AttemptEnded{Request: a.Request, Attempt: k.attempt, Worker: a.Worker, Outcome: choice.ConnectFailed})
 						continue
 					}
 					if at := f.Started(w); at > 0 && now < at+c.coldFor {
@@ -199,7 +199,7 @@
 				case choice.Hold:
 					w := int(a.Worker) - 1
 					if !f.Up(w) {
-						inbox[i] = append(inbox[i], choice.Held{Worker: a.Worker, Function: a.Function, Outcome: choice.ConnectFailed})
+						inbox[i] = append(inbox[i], choice.LoadOrderEnded{Worker: a.Worker, Function: a.Function, Outcome: choice.ConnectFailed})
 						continue
 					}
 					calls[next] = call{controller: i, worker: w, sent: now, hold: int(a.Function)}
@@ -210,13 +210,13 @@
 					if !f.Up(int(a.Worker) - 1) {
 						o = choice.ConnectFailed
 					}
-					inbox[i] = append(inbox[i], choice.Probed{Worker: a.Worker, Outcome: o})
+					inbox[i] = append(inbox[i], choice.ProbeEnded{Worker: a.Worker, Outcome: o})
 				case choice.Cancel:
 					for id, k := range calls {
 						if k.hold == 0 && k.request == a.Request && k.attempt == a.Attempt {
 							f.Cancel(k.worker, id)
 							delete(calls, id)
-							inbox[i] = append(inbox[i], choice.Returned{Request: a.Request, Attempt: a.Attempt,
+							inbox[i] = append(inbox[i], choice.AttemptEnded{Request: a.Request, Attempt: a.Attempt,
 								Worker: choice.WorkerID(k.worker + 1), Outcome: choice.Cancelled, Took: now - k.sent})
 							break
 						}
--- a/choice/health.go
+++ b/choice/health.go
@@ -15,7 +15,7 @@
 // failed follows a worker's share of errors. One that fails most calls at once has tokens to spare, and draws
 // in more. What may not be repeated freely is lost there and goes elsewhere for a growing time, unless its
 // peers fail as much. Safe calls go on, and show when it is over.
-func (d *Dispatcher) failed(w *worker, e Returned) {
+func (d *Dispatcher) failed(w *worker, e AttemptEnded) {
 	if e.Outcome == Error && e.Note != LoadFailed {
 		d.setFailing(w, w.failing+meanWeight*(1-w.failing))
 	}
@@ -46,7 +46,7 @@
 
 // answered notes any sign of life of a worker.
 func (d *Dispatcher) answered(w *worker, o Outcome) {
-	if w == nil || o == Cancelled || o == Moot {
+	if w == nil || o == Cancelled || o == NotStarted {
 		return
 	}
 	w.asked = 0
--- a/choice/health_test.go
+++ b/choice/health_test.go
@@ -17,12 +17,12 @@
 		actions := d.Step(now, events)
 		events = nil
 		for _, a := range pickOut[Send](actions) {
-			events = append(events, Returned{Request: a.Request, Attempt: len(d.requests[a.Request].tries) - 1,
+			events = append(events, AttemptEnded{Request: a.Request, Attempt: len(d.requests[a.Request].tries) - 1,
 				Worker: a.Worker, Outcome: ConnectFailed})
 		}
 		for _, a := range pickOut[Hold](actions) {
 			asked++
-			events = append(events, Held{Worker: a.Worker, Function: a.Function, Outcome: ConnectFailed})
+			events = append(events, LoadOrderEnded{Worker: a.Worker, Function: a.Function, Outcome: ConnectFailed})
 		}
 	}
 	if asked > 40 {
@@ -36,7 +36,7 @@
 	for i := RequestID(1); i < 30; i++ {
 		now := time.Second + time.Duration(i)*50*ms
 		for _, a := range pickOut[Send](d.Step(now, []Event{arrival(i, 0, FunctionID(i))})) {
-			d.Step(now, []Event{Returned{Request: a.Request, Worker: a.Worker, Outcome: ConnectFailed}})
+			d.Step(now, []Event{AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: ConnectFailed}})
 		}
 	}
 	up := 0
@@ -61,7 +61,7 @@
 		for id := RequestID(1); id <= 5; id++ {
 			now += time.Second
 			for _, a := range pickOut[Send](d.Step(now, []Event{arrival(id, 0, 7)})) {
-				d.Step(now, []Event{Returned{Request: id, Worker: a.Worker, Outcome: OK, Took: 800 * ms, Complete: true,
+				d.Step(now, []Event{AttemptEnded{Request: id, Worker: a.Worker, Outcome: OK, Took: 800 * ms, Complete: true,
 					Note: FoundWarm, Alike: 9}})
 			}
 		}
@@ -85,7 +85,7 @@
 				took = 300 * ms
 			}
 			share[a.Worker]++
-			d.Step(now, []Event{Returned{Request: a.Request, Worker: a.Worker, Outcome: OK, Complete: true, Took: took,
+			d.Step(now, []Event{AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: OK, Complete: true, Took: took,
 				Note: FoundWarm}})
 		}
 	}
@@ -113,7 +113,7 @@
 			for i := 0; i < 5 && len(pickOut[Send](actions)) == 0; i++ {
 				var held []Event
 				for _, a := range pickOut[Hold](actions) {
-					held = append(held, Held{Worker: a.Worker, Function: a.Function, Outcome: OK, Copies: 1})
+					held = append(held, LoadOrderEnded{Worker: a.Worker, Function: a.Function, Outcome: OK, Copies: 1})
 				}
 				now += 100 * ms
 				actions = d.Step(now, held)
@@ -123,7 +123,7 @@
 				t.Fatalf("request %d: %d sends, want 1", id, len(sent))
 			}
 			home = max(home, sent[0].Worker*WorkerID(1-min(1, int(home))))
-			e := Returned{Request: id, Worker: sent[0].Worker, Outcome: OK, Took: 20 * ms, Complete: true,
+			e := AttemptEnded{Request: id, Worker: sent[0].Worker, Outcome: OK, Took: 20 * ms, Complete: true,
 				Note: FoundWarm}
 			if id++; sent[0].Worker != home {
 				away++
--- a/choice/index_test.go
+++ b/choice/index_test.go
@@ -168,7 +168,7 @@
 		arrivals = append(arrivals, arrival(RequestID(i+1), 0, fn))
 	}
 	for _, a := range pickOut[Send](d.Step(time.Second, arrivals)) {
-		answers = append(answers, Returned{Request: a.Request, Worker: a.Worker, Outcome: OK, Complete: true, Note: BeganLoad, Took: 100 * ms})
+		answers = append(answers, AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: OK, Complete: true, Note: StartedLoad, Took: 100 * ms})
 	}
 	if len(answers) != len(fns) {
 		t.Fatalf("%d of %d calls sent", len(answers), len(fns))
@@ -209,7 +209,7 @@
 	if got := renewals(d, 7*time.Second); got != nil { // was due at 5.9 s, and a call is out
 		t.Errorf("renewed %v while a call was out", got)
 	}
-	d.Step(7100*ms, []Event{Returned{Request: 50, Worker: sent[0].Worker, Outcome: OK, Complete: true, Note: FoundWarm, Took: 100 * ms}})
+	d.Step(7100*ms, []Event{AttemptEnded{Request: 50, Worker: sent[0].Worker, Outcome: OK, Complete: true, Note: FoundWarm, Took: 100 * ms}})
 	if got := renewals(d, 11800*ms); got != nil {
 		t.Errorf("renewed %v less than its time after the last call", got)
 	}
@@ -238,7 +238,7 @@
 	for i := range 10 {
 		now := 1200*ms + time.Duration(i)*10*ms
 		for _, a := range pickOut[Send](d.Step(now, []Event{arrival(RequestID(60+i), 0, 7)})) {
-			d.Step(now, []Event{Returned{Request: a.Request, Worker: a.Worker, Outcome: OK, Complete: true, Note: FoundWarm, Took: ms}})
+			d.Step(now, []Event{AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: OK, Complete: true, Note: FoundWarm, Took: ms}})
 		}
 	}
 	d.reindex()
@@ -296,9 +296,9 @@
 		old := d.workers[sent[0].Worker]
 		gone, back := old.WorkerInfo, old.WorkerInfo
 		gone.State = Gone
-		events := []Event{List{Kind: Delta, Workers: []WorkerInfo{gone, back}}}
+		events := []Event{ListUpdate{Kind: ListDelta, Workers: []WorkerInfo{gone, back}}}
 		if !one {
-			events = []Event{List{Kind: Delta, Workers: []WorkerInfo{gone}}, List{Kind: Delta, Workers: []WorkerInfo{back}}}
+			events = []Event{ListUpdate{Kind: ListDelta, Workers: []WorkerInfo{gone}}, ListUpdate{Kind: ListDelta, Workers: []WorkerInfo{back}}}
 		}
 		d.Step(2010*ms, events)
 		now := d.workers[old.ID]
@@ -306,7 +306,7 @@
 			t.Fatalf("in one list %v: the same worker %v, of which %d functions are known", one, now == old, len(now.placements))
 		}
 		checkIndexes(t, d)
-		d.Step(2100*ms, []Event{Returned{Request: 90, Worker: old.ID, Outcome: OK, Complete: true, Note: FoundWarm, Took: 100 * ms}})
+		d.Step(2100*ms, []Event{AttemptEnded{Request: 90, Worker: old.ID, Outcome: OK, Complete: true, Note: FoundWarm, Took: 100 * ms}})
 		if now.out != 0 && !slices.Contains(d.watchList, now) || old.out != 0 {
 			t.Errorf("in one list %v: %d out at the new one, %d at the old", one, now.out, old.out)
 		}
@@ -330,14 +330,14 @@
 	if len(sent) < 290 {
 		t.Fatalf("%d of 300 sent: the test tests too little", len(sent))
 	}
-	d.Step(3*time.Second, []Event{List{Kind: Whole, Workers: many(5000)}})
+	d.Step(3*time.Second, []Event{ListUpdate{Kind: FullList, Workers: many(5000)}})
 	if len(d.order) != 2000 || d.order[0].ID != 5000 || d.ring.Len() != 2000 {
 		t.Errorf("%d listed from %d on, %d on the ring", len(d.order), d.order[0].ID, d.ring.Len())
 	}
 	checkIndexes(t, d)
 	var answers []Event
 	for _, a := range sent {
-		answers = append(answers, Returned{Request: a.Request, Worker: a.Worker, Outcome: OK, Complete: true, Note: BeganLoad, Took: time.Second})
+		answers = append(answers, AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: OK, Complete: true, Note: StartedLoad, Took: time.Second})
 	}
 	d.Step(4*time.Second, answers)
 	for fn, q := range d.queues {
@@ -372,13 +372,13 @@
 		}
 		answers := []Event{}
 		for _, a := range pickOut[Send](d.Step(now, events)) {
-			answers = append(answers, Returned{Request: a.Request, Worker: a.Worker, Outcome: OK, Complete: true, Note: FoundWarm, Took: ms})
+			answers = append(answers, AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: OK, Complete: true, Note: FoundWarm, Took: ms})
 		}
 		for len(answers) > 0 { // what waited goes out as tokens come back
 			actions := d.Step(now, answers)
 			answers = answers[:0]
 			for _, a := range pickOut[Send](actions) {
-				answers = append(answers, Returned{Request: a.Request, Worker: a.Worker, Outcome: OK, Complete: true, Note: FoundWarm, Took: ms})
+				answers = append(answers, AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: OK, Complete: true, Note: FoundWarm, Took: ms})
 			}
 		}
 	}
@@ -414,7 +414,7 @@
 	d := start(t, base(), infos...)
 	for i := range RequestID(500) {
 		for _, a := range pickOut[Send](d.Step(time.Second, []Event{arrival(i+1, 0, FunctionID(i+1))})) {
-			d.Step(time.Second, []Event{Returned{Request: a.Request, Worker: a.Worker, Outcome: OK, Complete: true, Note: FoundWarm, Took: ms}})
+			d.Step(time.Second, []Event{AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: OK, Complete: true, Note: FoundWarm, Took: ms}})
 		}
 	}
 	d.Step(1010*ms, nil)
@@ -435,7 +435,7 @@
 // The order by id is that of the list, whatever order workers came in.
 func TestOrderByID(t *testing.T) {
 	d := start(t, base(), ready(5, 2, 9)...)
-	d.Step(2*time.Second, []Event{List{Kind: Delta, Workers: ready(1, 7, 3)}})
+	d.Step(2*time.Second, []Event{ListUpdate{Kind: ListDelta, Workers: ready(1, 7, 3)}})
 	if !slices.IsSortedFunc(d.order, byID) || len(d.order) != 6 {
 		t.Errorf("%d workers, sorted %v", len(d.order), slices.IsSortedFunc(d.order, byID))
 	}
@@ -483,7 +483,7 @@
 	known := d.order[0].ID
 	d.Step(2*time.Second, []Event{Regarded{Worker: known, Rank: -1, Until: 4 * time.Second}, Regarded{Worker: 9, Rank: 1, Until: 5 * time.Second}})
 	rank(known, -1)
-	d.Step(3*time.Second, []Event{List{Kind: Whole, Workers: listed}})
+	d.Step(3*time.Second, []Event{ListUpdate{Kind: FullList, Workers: listed}})
 	rank(9, 1)
 	d.Step(4*time.Second, nil)
 	rank(known, 0)
--- a/choice/loadorders.go
+++ b/choice/loadorders.go
@@ -64,7 +64,7 @@
 }
 
 // held notes what stands where. An order that failed says nothing of the worker's health but its silence.
-func (d *Dispatcher) held(e Held) {
+func (d *Dispatcher) held(e LoadOrderEnded) {
 	w, q := d.workers[e.Worker], d.queues[e.Function]
 	d.answered(w, e.Outcome)
 	if w == nil || q == nil {
@@ -75,7 +75,7 @@
 	switch {
 	case e.Copies > 0:
 		placed.seen, placed.copies, w.denied = d.now, e.Copies, 0
-	case e.Outcome == Full || e.Outcome == Error:
+	case e.Outcome == AtCapacity || e.Outcome == Error:
 		d.deny(w)
 	case e.Outcome == OK && placed.out == 0:
 		placed.seen = 0
--- a/choice/loadorders_test.go
+++ b/choice/loadorders_test.go
@@ -61,7 +61,7 @@
 			if h.Copies > 0 {
 				holds++
 			}
-			events = append(events, Held{Worker: h.Worker, Function: h.Function, Outcome: Full})
+			events = append(events, LoadOrderEnded{Worker: h.Worker, Function: h.Function, Outcome: AtCapacity})
 		}
 	}
 	if holds > 4 {
@@ -71,13 +71,13 @@
 
 // From i45c260: where copies turn out pushed out, a further copy waits longer.
 func TestSpillWaitsWhereMemoryIsShort(t *testing.T) {
-	for _, note := range []Note{FoundWarm, BeganLoad} {
+	for _, note := range []LoadNote{FoundWarm, StartedLoad} {
 		d := start(t, base(), ready(1, 2)...)
 		now, id := time.Second, RequestID(0)
 		for range 40 {
 			id, now = id+1, now+100*ms
 			for _, a := range pickOut[Send](d.Step(now, []Event{arrival(id, 0, 7)})) {
-				d.Step(now, []Event{Returned{Request: a.Request, Worker: a.Worker, Outcome: OK, Complete: true,
+				d.Step(now, []Event{AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: OK, Complete: true,
 					Took: 50 * ms, Note: note}})
 			}
 		}
--- a/choice/mechanism_test.go
+++ b/choice/mechanism_test.go
@@ -59,7 +59,7 @@
 func TestRenewal(t *testing.T) {
 	d := start(t, base(), ready(1, 2)...)
 	home := pickOut[Send](d.Step(time.Second, []Event{arrival(1, 0, 7)}))[0].Worker
-	d.Step(1100*ms, []Event{Returned{Request: 1, Worker: home, Outcome: OK, Complete: true, Note: FoundWarm}})
+	d.Step(1100*ms, []Event{AttemptEnded{Request: 1, Worker: home, Outcome: OK, Complete: true, Note: FoundWarm}})
 	holds := 0
 	for now := 1200 * ms; now < 8*time.Second; now += 20 * ms {
 		for _, h := range pickOut[Hold](d.Step(now, nil)) {
@@ -80,7 +80,7 @@
 	w := d.workers[1]
 	w.tokens = 8
 	d.Step(time.Second, []Event{arrival(1, 0, 7)})
-	d.Step(1010*ms, []Event{Returned{Request: 1, Worker: 1, Outcome: Full}})
+	d.Step(1010*ms, []Event{AttemptEnded{Request: 1, Worker: 1, Outcome: AtCapacity}})
 	if w.tokens != 4 {
 		t.Errorf("D %v after a refusal at 8, want 4", w.tokens)
 	}
@@ -110,7 +110,7 @@
 		r.tries[0].w = w // wherever its home is
 		w.out, w.busy, w.loads = 1, 1, 0
 		r.tries[0].load = false
-		d.Step(1150*ms, []Event{Returned{Request: 1, Worker: w.ID, Outcome: OK, Complete: true, Note: FoundWarm, Took: 175 * ms}})
+		d.Step(1150*ms, []Event{AttemptEnded{Request: 1, Worker: w.ID, Outcome: OK, Complete: true, Note: FoundWarm, Took: 175 * ms}})
 		if (w.tokens < 8) != tt.falls {
 			t.Errorf("%d controllers: D %v after an answer at 1.4 of the usual pace, was 8", tt.controllers, w.tokens)
 		}
@@ -122,13 +122,13 @@
 	d := start(t, base(), ready(1)...)
 	for i := RequestID(1); i <= 50; i++ {
 		id := WorkerID(i)
-		d.Step(time.Second, []Event{List{Kind: Whole, Workers: ready(id)}})
+		d.Step(time.Second, []Event{ListUpdate{Kind: FullList, Workers: ready(id)}})
 		sends := pickOut[Send](d.Step(time.Second, []Event{arrival(i, 0, 7)}))
 		if len(sends) != 1 || sends[0].Worker != id {
 			t.Fatalf("%+v", sends)
 		}
-		d.Step(time.Second, []Event{List{Kind: Whole, Workers: ready(id + 1)}})
-		d.Step(time.Second, []Event{Returned{Request: i, Worker: id, Outcome: OK, Complete: true, Note: FoundWarm}})
+		d.Step(time.Second, []Event{ListUpdate{Kind: FullList, Workers: ready(id + 1)}})
+		d.Step(time.Second, []Event{AttemptEnded{Request: i, Worker: id, Outcome: OK, Complete: true, Note: FoundWarm}})
 	}
 	if n := len(d.queues[7].placements); n > 1 {
 		t.Errorf("%d workers remembered, one is there", n)
@@ -142,7 +142,7 @@
 	d := start(t, s, ready(1, 2, 3, 4)...)
 	l := ready(1)
 	l[0].State = Draining
-	d.Step(time.Second, []Event{List{Kind: Delta, Workers: l}})
+	d.Step(time.Second, []Event{ListUpdate{Kind: ListDelta, Workers: l}})
 	first := pickOut[Hold](d.Step(time.Second, []Event{Staged{Function: 7, Copies: 2}}))
 	if len(first) != 2 || first[0].Worker == 1 || first[1].Worker == 1 || first[0].Worker == first[1].Worker || first[0].Function != 7 {
 		t.Fatalf("%+v, want two orders at two ready workers", first)
@@ -152,7 +152,7 @@
 	}
 	var held []Event
 	for _, h := range first {
-		held = append(held, Held{Worker: h.Worker, Function: 7, Outcome: OK, Copies: 1})
+		held = append(held, LoadOrderEnded{Worker: h.Worker, Function: 7, Outcome: OK, Copies: 1})
 	}
 	if l := pickOut[Hold](d.Step(2*time.Second, append(held, Staged{Function: 7, Copies: 2}))); len(l) != 0 {
 		t.Errorf("told again while they stand: %+v", l)
@@ -169,7 +169,7 @@
 	for _, again := range []bool{false, true} {
 		d := start(t, s, ready(1, 2)...)
 		a := arrival(1, 0, 5)
-		a.Again = again
+		a.Resubmitted = again
 		d.Step(time.Second, []Event{a})
 		l := pickOut[Hold](d.Step(time.Second, []Event{Staged{Function: 9, Copies: 1}}))
 		if (len(l) == 1) == again {
@@ -198,7 +198,7 @@
 			todo := d.Step(now, []Event{arrival(i, class, FunctionID(class*100)+FunctionID(i%24))})
 			for ; len(todo) > 0; todo = todo[1:] {
 				if h, ok := todo[0].(Hold); ok {
-					todo = append(todo, d.Step(now, []Event{Held{Worker: h.Worker, Function: h.Function, Outcome: OK, Copies: 1}})...)
+					todo = append(todo, d.Step(now, []Event{LoadOrderEnded{Worker: h.Worker, Function: h.Function, Outcome: OK, Copies: 1}})...)
 				}
 				a, ok := todo[0].(Send)
 				if !ok {
@@ -211,7 +211,7 @@
 				if tt.fails(a.Worker, a.Request) {
 					o = Error
 				}
-				todo = append(todo, d.Step(now, []Event{Returned{Request: a.Request, Attempt: tries[a.Request], Worker: a.Worker, Outcome: o,
+				todo = append(todo, d.Step(now, []Event{AttemptEnded{Request: a.Request, Attempt: tries[a.Request], Worker: a.Worker, Outcome: o,
 					Complete: o == OK, Took: 5 * ms, Note: FoundWarm}})...)
 				tries[a.Request]++
 			}
@@ -234,7 +234,7 @@
 		d.now = max(d.now, w.failTo)
 		before := w.failTo
 		for w.failTo == before {
-			d.failed(w, Returned{Outcome: Error})
+			d.failed(w, AttemptEnded{Outcome: Error})
 		}
 		spans = append(spans, w.failTo-d.now)
 	}
@@ -246,7 +246,7 @@
 	for range 10 {
 		w.failing *= 1 - meanWeight // as ten answers do
 	}
-	d.failed(w, Returned{Outcome: Error})
+	d.failed(w, AttemptEnded{Outcome: Error})
 	if d.now < w.failTo {
 		t.Error("one error after ten answers is enough")
 	}
@@ -257,7 +257,7 @@
 func TestGivenUpUnserved(t *testing.T) {
 	d := start(t, base()) // no worker is known
 	now := 2 * time.Second
-	if l := d.Step(now, []Event{arrival(1, 0, 7), Arrival{Request: 2, Function: 8, Expires: 100 * ms, Lanes: 2}}); len(pickOut[Refuse](l)) > 0 {
+	if l := d.Step(now, []Event{arrival(1, 0, 7), Arrival{Request: 2, Function: 8, TimeLeft: 100 * ms, Lanes: 2}}); len(pickOut[Refuse](l)) > 0 {
 		t.Fatal("given up as they came")
 	}
 	run := seconds(guessRun * 0.5) // of the aim
--- a/choice/overload_test.go
+++ b/choice/overload_test.go
@@ -18,10 +18,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.Step(time.Hour, []Event{List{Kind: Cached, Workers: ready(1, 2, 3, 4)}})
+		d.Step(time.Hour, []Event{ListUpdate{Kind: CachedList, Workers: ready(1, 2, 3, 4)}})
 		home := walk(d, d.queue(7))[0].ID
 		begin := time.Hour + time.Second
-		d.Step(begin, []Event{List{Kind: Delta, Workers: []WorkerInfo{{ID: home, State: Ready, Started: begin}}}})
+		d.Step(begin, []Event{ListUpdate{Kind: ListDelta, Workers: []WorkerInfo{{ID: home, State: Ready, StartedAt: begin}}}})
 		next := RequestID(seed * 1000)
 		for now := begin + 6*time.Second; now < begin+15*time.Second; now += 4 * time.Second {
 			next++
@@ -30,7 +30,7 @@
 				if total++; a.Worker == home {
 					sent++
 				}
-				d.Step(now+50*ms, []Event{Returned{Request: a.Request, Worker: a.Worker, Outcome: OK, Took: 50 * ms,
+				d.Step(now+50*ms, []Event{AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: OK, Took: 50 * ms,
 					Complete: true}})
 			}
 		}
@@ -44,7 +44,7 @@
 func slowDays(t *testing.T, d *Dispatcher, from time.Duration, n int, took time.Duration, o Outcome) (now time.Duration) {
 	t.Helper()
 	type out struct {
-		r Returned
+		r AttemptEnded
 		t time.Duration
 	}
 	var pending []out
@@ -59,7 +59,7 @@
 			events = append(events, arrival(RequestID(from)+RequestID(i), 0, FunctionID(i%3)))
 		}
 		for _, a := range pickOut[Send](d.Step(now, events)) {
-			pending = append(pending, out{Returned{Request: a.Request, Worker: a.Worker, Outcome: o, Took: took,
+			pending = append(pending, out{AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: o, Took: took,
 				Complete: o == OK, Attempt: len(d.requests[a.Request].tries) - 1}, now + took})
 		}
 	}
@@ -80,7 +80,7 @@
 		afters = map[time.Duration]bool{}
 		for i := 0; i < 200; i++ {
 			a := arrival(RequestID(1e9+i), 0, 5)
-			if a.Retry = retry; retry {
+			if a.ClientRetry = retry; retry {
 				a.Request += 1e9
 			}
 			now += s.Tick
@@ -145,7 +145,7 @@
 				break
 			}
 		}
-		d.Step(1010*ms, []Event{List{Kind: Delta, Workers: []WorkerInfo{{ID: home, State: Draining, Group: int(home)}}}})
+		d.Step(1010*ms, []Event{ListUpdate{Kind: ListDelta, Workers: []WorkerInfo{{ID: home, State: Draining, Group: int(home)}}}})
 		return d, home, time.Second
 	}
 	tests := []struct {
@@ -155,19 +155,19 @@
 	}{
 		{"window closes in the queue", func(t *testing.T) (*Dispatcher, time.Duration, time.Duration, []Event) {
 			d, home, sent := keyed(t, false)
-			d.Step(1020*ms, []Event{Returned{Request: 1, Worker: home, Outcome: Error}})
+			d.Step(1020*ms, []Event{AttemptEnded{Request: 1, Worker: home, Outcome: Error}})
 			return d, sent + 1990*ms, sent + 2*time.Second, nil
 		}, true},
 		{"group leaves the list", func(t *testing.T) (*Dispatcher, time.Duration, time.Duration, []Event) {
 			d, home, _ := keyed(t, false)
-			d.Step(1020*ms, []Event{Returned{Request: 1, Worker: home, Outcome: Error}})
+			d.Step(1020*ms, []Event{AttemptEnded{Request: 1, Worker: home, Outcome: Error}})
 			var gone []WorkerInfo
 			for _, w := range d.order {
 				if w.Group == int(home) {
 					gone = append(gone, WorkerInfo{ID: w.ID, State: Gone})
 				}
 			}
-			return d, 1030 * ms, 1040 * ms, []Event{List{Kind: Delta, Workers: gone}}
+			return d, 1030 * ms, 1040 * ms, []Event{ListUpdate{Kind: ListDelta, Workers: gone}}
 		}, true},
 		{"queued beside an attempt that fails after the window", func(t *testing.T) (*Dispatcher, time.Duration,
 			time.Duration, []Event) {
@@ -176,7 +176,7 @@
 			if !d.requests[1].waiting {
 				t.Fatal("not queued for a second copy")
 			}
-			return d, sent + 2100*ms, sent + 2200*ms, []Event{Returned{Request: 1, Worker: home, Outcome: Reset}}
+			return d, sent + 2100*ms, sent + 2200*ms, []Event{AttemptEnded{Request: 1, Worker: home, Outcome: Reset}}
 		}, true},
 		{"too late for any answer", func(t *testing.T) (*Dispatcher, time.Duration, time.Duration, []Event) {
 			d := start(t, base(), ready(1, 2)...)
--- a/choice/property_test.go
+++ b/choice/property_test.go
@@ -30,7 +30,7 @@
 // mayHaveRun returns the index of the first attempt that may have run or is out, or -1.
 func (s *sender) mayHaveRun() int {
 	for i, o := range s.outcome {
-		if o != Full && o != ConnectFailed && o != Moot && o != Miss {
+		if o != AtCapacity && o != ConnectFailed && o != NotStarted && o != NotLoaded {
 			return i
 		}
 	}
@@ -73,9 +73,9 @@
 		now += time.Duration(rnd.IntN(12)) * s.Tick / 2
 		var events []Event
 		if step == 0 || rnd.IntN(60) == 0 {
-			l := List{Kind: Delta}
+			l := ListUpdate{Kind: ListDelta}
 			if step == 0 {
-				l.Kind = Cached
+				l.Kind = CachedList
 			}
 			for id := WorkerID(1); id <= 8; id++ {
 				if step > 0 && rnd.IntN(4) > 0 {
@@ -88,7 +88,7 @@
 				if w.State == Ready {
 					delete(barred, id)
 					if rnd.IntN(2) == 0 {
-						w.Started = now - time.Second
+						w.StartedAt = now - time.Second
 					}
 				} else if _, was := barred[id]; !was {
 					barred[id] = now
@@ -101,7 +101,7 @@
 		}
 		for n := rnd.IntN(3); n > 0; n-- {
 			a := Arrival{Request: next, Class: rnd.IntN(3), Function: FunctionID(rnd.IntN(12)), Lanes: 2,
-				Expires: time.Duration(rnd.IntN(3000)) * ms}
+				TimeLeft: time.Duration(rnd.IntN(3000)) * ms}
 			requests[next] = &sender{a: a, at: now}
 			open = append(open, next)
 			taken = append(taken, now)
@@ -112,8 +112,8 @@
 			q := requests[id]
 			for i, o := range q.outcome {
 				if o == 0 && rnd.IntN(40) == 0 {
-					r := Returned{Request: id, Attempt: i, Worker: q.workers[i], Outcome: Outcome(1 + rnd.IntN(9)),
-						Took: now - q.sent[i], Note: Note(rnd.IntN(4))}
+					r := AttemptEnded{Request: id, Attempt: i, Worker: q.workers[i], Outcome: Outcome(1 + rnd.IntN(9)),
+						Took: now - q.sent[i], Note: LoadNote(rnd.IntN(4))}
 					q.outcome[i] = r.Outcome
 					q.finished = q.finished || r.Outcome == OK
 					r.Complete = q.finished
@@ -128,7 +128,7 @@
 		for len(holds) > 0 && rnd.IntN(2) == 0 {
 			h := holds[0]
 			holds = holds[1:]
-			events = append(events, Held{Worker: h.Worker, Function: h.Function, Outcome: Outcome(1 + rnd.IntN(6)),
+			events = append(events, LoadOrderEnded{Worker: h.Worker, Function: h.Function, Outcome: Outcome(1 + rnd.IntN(6)),
 				Copies: rnd.IntN(2)})
 		}
 		for _, a := range d.Step(now, events) {
@@ -188,8 +188,8 @@
 		kept := open[:0]
 		for _, id := range open {
 			q := requests[id]
-			if !q.finished && now > q.at+q.a.Expires+6*s.Tick {
-				t.Fatalf("seed %d: request %d has no answer %v after its time", seed, id, now-q.at-q.a.Expires)
+			if !q.finished && now > q.at+q.a.TimeLeft+6*s.Tick {
+				t.Fatalf("seed %d: request %d has no answer %v after its time", seed, id, now-q.at-q.a.TimeLeft)
 			}
 			if !q.finished || q.out() > 0 {
 				kept = append(kept, id)
--- a/choice/queues.go
+++ b/choice/queues.go
@@ -9,7 +9,7 @@
 	if _, known := d.requests[a.Request]; known || a.Class < 0 || a.Class >= len(d.s.Classes) {
 		return
 	}
-	if d.s.Loading.Window > 0 && !a.Again {
+	if d.s.Loading.Window > 0 && !a.Resubmitted {
 		d.arrivals.Add(d.now)
 	}
 	q := d.queue(a.Function)
@@ -19,7 +19,7 @@
 	q.last = max(d.now, 1)
 	d.touch(q)
 	d.activate(q)
-	r := &request{Arrival: a, q: q, at: d.now, final: d.now + a.Expires - graceTicks*d.s.Tick}
+	r := &request{Arrival: a, q: q, at: d.now, final: d.now + a.TimeLeft - graceTicks*d.s.Tick}
 	d.requests[a.Request] = r
 	d.open = append(d.open, r)
 	d.enqueue(r)
@@ -110,7 +110,7 @@
 // fresh tells whether a waiting request can still be answered within its aim.
 func (d *Dispatcher) fresh(r *request) bool {
 	c := d.s.Classes[r.Class]
-	aim := min(c.LatencyObjective+time.Duration(c.ObjectiveStretch*float64(r.Hint)), c.Deadline)
+	aim := min(c.LatencyObjective+time.Duration(c.ObjectiveStretch*float64(r.RunTimeHint)), c.Deadline)
 	return d.now+seconds(d.runOf(r.q, r)) < r.at+aim
 }
 
--- a/choice/ring.go
+++ b/choice/ring.go
@@ -51,7 +51,7 @@
 	}
 }
 
-func (d *Dispatcher) list(l List) {
+func (d *Dispatcher) list(l ListUpdate) {
 	if l.Kind == ListFailed {
 		return
 	}
@@ -64,19 +64,19 @@
 		}
 		if w == nil {
 			w = d.join(i.ID)
-			if l.Kind == Cached {
+			if l.Kind == CachedList {
 				w.tokens = 1 // it may be stale: little trust until it answers
 			}
 		}
-		if i.Started > w.Started && i.Started > w.coldFrom {
-			w.coldFrom, w.credit, w.creditAt, w.served = i.Started, 0, i.Started, d.served
+		if i.StartedAt > w.StartedAt && i.StartedAt > w.coldFrom {
+			w.coldFrom, w.credit, w.creditAt, w.served = i.StartedAt, 0, i.StartedAt, d.served
 			w.even = coldCores / float64(d.s.Controllers) // the least: it is not told
 			w.tokens = min(w.tokens, startTokens)
 		}
 		w.WorkerInfo, w.listed = i, d.lists
 	}
 	for _, w := range d.order {
-		if l.Kind != Delta && w.listed != d.lists && w.State != Gone {
+		if l.Kind != ListDelta && w.listed != d.lists && w.State != Gone {
 			d.depart(w)
 		}
 	}
--- a/choice/state.go
+++ b/choice/state.go
@@ -192,5 +192,5 @@
 
 // runOf returns how long a request is likely to run, in seconds.
 func (d *Dispatcher) runOf(q *queue, r *request) float64 {
-	return cmp.Or(q.run, max(0, r.Hint.Seconds()), d.classRun[r.Class])
+	return cmp.Or(q.run, max(0, r.RunTimeHint.Seconds()), d.classRun[r.Class])
 }
--- a/choice/streams_test.go
+++ b/choice/streams_test.go
@@ -194,7 +194,7 @@
 	for range c.workers {
 		p.list = append(p.list, p.newWorker(false))
 	}
-	p.step([]Event{List{Kind: Cached, Workers: p.list}})
+	p.step([]Event{ListUpdate{Kind: CachedList, Workers: p.list}})
 	after(d)
 	for end := p.now + c.span; p.now < end; {
 		p.tick()
@@ -248,7 +248,7 @@
 	w := WorkerInfo{ID: p.nextID, State: Ready, Group: int(p.nextID) / 3, Zone: int(p.nextID) % 3, Kind: int(p.nextID) % 3}
 	p.nextID++
 	if later && p.rnd.Float64() < p.c.started {
-		w.Started = p.now - time.Duration(p.rnd.IntN(3000))*ms
+		w.StartedAt = p.now - time.Duration(p.rnd.IntN(3000))*ms
 	}
 	return w
 }
@@ -276,13 +276,13 @@
 func (p *streamPlay) call() Event {
 	x := math.Pow(float64(p.c.functions), p.rnd.Float64())
 	fn := FunctionID(min(int(x), p.c.functions))
-	a := Arrival{Request: p.nextCall, Class: p.rnd.IntN(3), Function: fn, Lanes: float64(1 + fn%3), Retry: p.rnd.IntN(20) == 0,
-		Expires: time.Duration(200+p.rnd.IntN(3800)) * ms}
+	a := Arrival{Request: p.nextCall, Class: p.rnd.IntN(3), Function: fn, Lanes: float64(1 + fn%3), ClientRetry: p.rnd.IntN(20) == 0,
+		TimeLeft: time.Duration(200+p.rnd.IntN(3800)) * ms}
 	if p.rnd.IntN(10) == 0 {
 		a.LoadTime = time.Duration(100+p.rnd.IntN(900)) * ms
 	}
 	if p.c.advice > 0 {
-		a.Unwanted = p.rnd.IntN(50) == 0
+		a.ShedAdvised = p.rnd.IntN(50) == 0
 		a.Weight = float64(p.rnd.IntN(3))
 	}
 	p.function[a.Request] = fn
@@ -295,7 +295,7 @@
 		for i := range p.list {
 			p.list[i] = p.newWorker(true)
 		}
-		return []Event{List{Kind: Whole, Workers: p.list}}
+		return []Event{ListUpdate{Kind: FullList, Workers: p.list}}
 	}
 	if len(p.list) == 0 {
 		return nil
@@ -305,34 +305,34 @@
 	switch p.rnd.IntN(8) {
 	case 0: // drains
 		p.list[i].State = Draining
-		return []Event{List{Kind: Delta, Workers: p.list[i : i+1]}}
+		return []Event{ListUpdate{Kind: ListDelta, Workers: p.list[i : i+1]}}
 	case 1: // gone and back under one id, within one step
 		gone := old
 		gone.State = Gone
 		p.list[i].State = Ready
-		return []Event{List{Kind: Delta, Workers: []WorkerInfo{gone, p.list[i]}}}
+		return []Event{ListUpdate{Kind: ListDelta, Workers: []WorkerInfo{gone, p.list[i]}}}
 	case 2: // started anew under its id
-		p.list[i].Started, p.list[i].State = p.now, Ready
-		return []Event{List{Kind: Whole, Workers: p.list}}
+		p.list[i].StartedAt, p.list[i].State = p.now, Ready
+		return []Event{ListUpdate{Kind: FullList, Workers: p.list}}
 	case 3: // the same list once more, or none
-		return []Event{List{Kind: Whole, Workers: p.list}, List{Kind: ListFailed}}
+		return []Event{ListUpdate{Kind: FullList, Workers: p.list}, ListUpdate{Kind: ListFailed}}
 	case 4: // ready again
 		p.list[i].State = Ready
-		return []Event{List{Kind: Delta, Workers: p.list[i : i+1]}}
+		return []Event{ListUpdate{Kind: ListDelta, Workers: p.list[i : i+1]}}
 	case 5: // one is left out
 		if len(p.list) > max(1, p.c.workers/2) {
 			p.list = append(p.list[:i:i], p.list[i+1:]...)
 		}
-		return []Event{List{Kind: Whole, Workers: p.list}}
+		return []Event{ListUpdate{Kind: FullList, Workers: p.list}}
 	case 6: // one more
 		if len(p.list) < 2*p.c.workers {
 			p.list = append(p.list, p.newWorker(true))
 		}
-		return []Event{List{Kind: Delta, Workers: p.list[len(p.list)-1:]}}
+		return []Event{ListUpdate{Kind: ListDelta, Workers: p.list[len(p.list)-1:]}}
 	}
 	old.State = Gone
 	p.list[i] = p.newWorker(true)
-	return []Event{List{Kind: Delta, Workers: []WorkerInfo{old, p.list[i]}}}
+	return []Event{ListUpdate{Kind: ListDelta, Workers: []WorkerInfo{old, p.list[i]}}}
 }
 
 func (p *streamPlay) advise() Event {
@@ -382,15 +382,15 @@
 		p.answerSend(a)
 	case Hold:
 		key := workerFunction{a.Worker, a.Function}
-		h := Held{Worker: a.Worker, Function: a.Function, Outcome: OK, Copies: a.Copies}
+		h := LoadOrderEnded{Worker: a.Worker, Function: a.Function, Outcome: OK, Copies: a.Copies}
 		after := 150 * ms
 		switch {
 		case a.Copies == 0 && p.now-p.copies[key] < p.c.idleLife:
 			h.Copies, after = 1, 2*ms
 		case p.faulty(a.Worker):
-			h.Copies, h.Outcome = 0, []Outcome{Full, TimedOut, Error, ConnectFailed}[p.rnd.IntN(4)]
+			h.Copies, h.Outcome = 0, []Outcome{AtCapacity, TimedOut, Error, ConnectFailed}[p.rnd.IntN(4)]
 		case p.rnd.IntN(12) == 0:
-			h.Copies, h.Outcome = 0, Full
+			h.Copies, h.Outcome = 0, AtCapacity
 		default:
 			p.copies[key] = p.now
 		}
@@ -400,7 +400,7 @@
 		if p.faulty(a.Worker) {
 			o = TimedOut
 		}
-		p.later(20*ms, Probed{Worker: a.Worker, Outcome: o})
+		p.later(20*ms, ProbeEnded{Worker: a.Worker, Outcome: o})
 	}
 }
 
@@ -413,9 +413,9 @@
 	p.attempts[a.Request]++
 	key := workerFunction{a.Worker, p.function[a.Request]}
 	took := time.Duration(20+p.rnd.ExpFloat64()*80) * ms
-	r := Returned{Request: a.Request, Attempt: attempt, Worker: a.Worker, Outcome: OK, Note: FoundWarm, Alike: p.rnd.IntN(3), Complete: true}
+	r := AttemptEnded{Request: a.Request, Attempt: attempt, Worker: a.Worker, Outcome: OK, Note: FoundWarm, Alike: p.rnd.IntN(3), Complete: true}
 	if p.now-p.copies[key] >= p.c.idleLife {
-		r.Note, took = BeganLoad, took+time.Duration(200+p.rnd.IntN(600))*ms
+		r.Note, took = StartedLoad, took+time.Duration(200+p.rnd.IntN(600))*ms
 	}
 	p.copies[key] = p.now
 	switch {
@@ -423,18 +423,18 @@
 		if p.rnd.IntN(5) == 0 {
 			return // silent: nothing ever comes
 		}
-		r.Outcome, r.Complete = []Outcome{Error, Full, TimedOut, ConnectFailed, Reset, Miss, Moot}[p.rnd.IntN(7)], false
+		r.Outcome, r.Complete = []Outcome{Error, AtCapacity, TimedOut, ConnectFailed, Reset, NotLoaded, NotStarted}[p.rnd.IntN(7)], false
 		took = time.Duration(p.rnd.IntN(400)) * ms
 	case p.faulty(a.Worker):
 		took *= 5
 	case p.rnd.IntN(60) == 0:
-		r.Outcome, r.Complete, r.Note = Full, false, NoNote
+		r.Outcome, r.Complete, r.Note = AtCapacity, false, NoLoadNote
 	case p.rnd.IntN(200) == 0:
-		r.Outcome, r.Complete, r.Note = Error, false, NoNote
+		r.Outcome, r.Complete, r.Note = Error, false, NoLoadNote
 	}
 	r.Took = min(took, a.Timeout)
 	if took > a.Timeout {
-		r.Outcome, r.Complete, r.Note = TimedOut, false, NoNote
+		r.Outcome, r.Complete, r.Note = TimedOut, false, NoLoadNote
 	}
 	p.later(r.Took, r)
 }
--- a/controller/controller_test.go
+++ b/controller/controller_test.go
@@ -450,7 +450,7 @@
 		}
 		l = append(l, gateway.Worker{Name: name, Network: "tcp", Addr: r.host.Addr(name), Group: "g", State: st, Size: 1})
 	}
-	if err := c.Gateway.Workers(choice.Whole, 9, l); err != nil {
+	if err := c.Gateway.Workers(choice.FullList, 9, l); err != nil {
 		t.Fatal(err)
 	}
 	for i := range 5 {
@@ -473,7 +473,7 @@
 	r := newRig(t, 2, nil)
 	c := r.start(r.build("c1"))
 	want(t, exchange(t, c.Addr(), sign(t, common, "c1", "m1", "unsafe-1", `{}`, time.Now())), "200 served")
-	if err := c.Gateway.Workers(choice.Whole, 9, nil); err != nil {
+	if err := c.Gateway.Workers(choice.FullList, 9, nil); err != nil {
 		t.Fatal(err)
 	}
 	m := sign(t, common, "c1", "m2", "unsafe-1", `{}`, time.Now())
--- a/day/guards_test.go
+++ b/day/guards_test.go
@@ -39,7 +39,7 @@
 		}
 		return 1
 	})
-	return d.Sink.Workers(choice.Whole, version, all)
+	return d.Sink.Workers(choice.FullList, version, all)
 }
 
 // A gateway with one guard taken out is caught by the rule that the guard is for.
--- a/discovery/dns/watch.go
+++ b/discovery/dns/watch.go
@@ -213,7 +213,7 @@
 			return serial == state.Serial
 		}
 		w.Counts.Changed.Add(1)
-		if err := w.cfg.Sink.Workers(choice.Whole, serial, l); err != nil {
+		if err := w.cfg.Sink.Workers(choice.FullList, serial, l); err != nil {
 			w.cfg.Log.Error().Err(err).Uint32("serial", serial).Msg("list not taken")
 		}
 		return true
--- a/discovery/golden_test.go
+++ b/discovery/golden_test.go
@@ -43,7 +43,7 @@
 		for _, w := range told.workers {
 			byName[w.Name] = w
 		}
-		if told.kind != choice.Cached || !reflect.DeepEqual(byName, known) {
+		if told.kind != choice.CachedList || !reflect.DeepEqual(byName, known) {
 			t.Errorf("%s: read %v as kind %v, want %v", name, byName, told.kind, known)
 		}
 	}
--- a/discovery/list.go
+++ b/discovery/list.go
@@ -314,10 +314,10 @@
 		if s.known == nil {
 			return nil, fmt.Errorf("resources: a delta before any whole list")
 		}
-		news.Kind = choice.Delta
+		news.Kind = choice.ListDelta
 		news.Workers, err = s.delta(u, next)
 	} else {
-		news.Kind = choice.Whole
+		news.Kind = choice.FullList
 		news.Workers, err = s.whole(u, next)
 	}
 	if err != nil {
--- a/discovery/watch.go
+++ b/discovery/watch.go
@@ -103,7 +103,7 @@
 		l, err = ParseAssignment(text, w.cfg.Cluster)
 	}
 	if err == nil {
-		err = w.cfg.Sink.Workers(choice.Cached, 0, l)
+		err = w.cfg.Sink.Workers(choice.CachedList, 0, l)
 	}
 	if err != nil {
 		w.cfg.Log.Warn().Err(err).Str("file", w.cfg.Cache).Msg("cached list not used")
--- a/gateway/carry.go
+++ b/gateway/carry.go
@@ -13,7 +13,7 @@
 )
 
 // returned notes how an attempt ended. If it served the request, the answer is out already: see send.
-func (g *Gateway) returned(e choice.Returned, res backend.Result, now time.Duration) {
+func (g *Gateway) returned(e choice.AttemptEnded, res backend.Result, now time.Duration) {
 	r := g.table[e.Request]
 	if r == nil || e.Attempt >= len(r.tries) {
 		return
@@ -96,7 +96,7 @@
 		}
 	case choice.Probe:
 		g.cfg.Carrier.Probe(a.Worker, func(o choice.Outcome, took time.Duration, report []float64) {
-			g.put(choice.Probed{Worker: a.Worker, Outcome: o, Took: took, Report: report})
+			g.put(choice.ProbeEnded{Worker: a.Worker, Outcome: o, Took: took, Report: report})
 		})
 	case choice.Close:
 		g.cfg.Carrier.CloseIdle(a.Worker)
@@ -158,8 +158,8 @@
 
 // sendNothing counts an attempt of which nothing goes out, and ends it.
 func (g *Gateway) sendNothing(r *entry, a choice.Send, now time.Duration) {
-	g.put(choice.Returned{Request: a.Request, Attempt: len(r.tries), Worker: a.Worker, Outcome: choice.Moot})
-	r.tries = append(r.tries, try{worker: g.workerName(a.Worker), sent: now, outcome: choice.Moot})
+	g.put(choice.AttemptEnded{Request: a.Request, Attempt: len(r.tries), Worker: a.Worker, Outcome: choice.NotStarted})
+	r.tries = append(r.tries, try{worker: g.workerName(a.Worker), sent: now, outcome: choice.NotStarted})
 	r.out++
 }
 
@@ -197,7 +197,7 @@
 		alone = g.deliver(r, call, res.Body) && g.open.Load() == 1
 	}
 	res.Body = nil
-	e := choice.Returned{Request: a.Request, Attempt: attempt, Worker: a.Worker, Outcome: res.Outcome, Took: res.Took,
+	e := choice.AttemptEnded{Request: a.Request, Attempt: attempt, Worker: a.Worker, Outcome: res.Outcome, Took: res.Took,
 		Complete: res.Outcome == choice.OK, Note: res.Note, Alike: res.Alike, Report: res.Report}
 	g.mu.Lock()
 	g.results[result{a.Request, attempt}] = res
@@ -244,7 +244,7 @@
 // mayHaveRun tells whether an attempt of a request may have run, or may yet.
 func (r *entry) mayHaveRun() bool {
 	return slices.ContainsFunc(r.tries, func(t try) bool {
-		return t.outcome != choice.Full && t.outcome != choice.ConnectFailed && t.outcome != choice.Moot && t.outcome != choice.Miss
+		return t.outcome != choice.AtCapacity && t.outcome != choice.ConnectFailed && t.outcome != choice.NotStarted && t.outcome != choice.NotLoaded
 	})
 }
 
@@ -272,7 +272,7 @@
 func (g *Gateway) hold(a choice.Hold) {
 	name, digest, ok := g.functionName(a.Function)
 	if !ok {
-		g.put(choice.Held{Worker: a.Worker, Function: a.Function, Outcome: choice.Moot})
+		g.put(choice.LoadOrderEnded{Worker: a.Worker, Function: a.Function, Outcome: choice.NotStarted})
 		return
 	}
 	g.cfg.Carrier.Hold(backend.Order{Worker: a.Worker, Function: name, Digest: digest, Copies: a.Copies},
@@ -280,9 +280,9 @@
 			if digest != "" && o == choice.OK && g.cfg.Versions != nil {
 				g.cfg.Versions.Stands(name, g.workerName(a.Worker), copies)
 			}
-			if h := g.cfg.Hooks; h != nil && (o == choice.Full || o == choice.Error) {
+			if h := g.cfg.Hooks; h != nil && (o == choice.AtCapacity || o == choice.Error) {
 				h.Post("load_refused", hook.Load{Function: name, Worker: g.workerName(a.Worker), Outcome: outcomes[o], Took: took})
 			}
-			g.put(choice.Held{Worker: a.Worker, Function: a.Function, Outcome: o, Took: took, Copies: copies})
+			g.put(choice.LoadOrderEnded{Worker: a.Worker, Function: a.Function, Outcome: o, Took: took, Copies: copies})
 		})
 }
--- a/gateway/closing.go
+++ b/gateway/closing.go
@@ -7,9 +7,9 @@
 	"kitehub/choice"
 )
 
-var outcomes = map[choice.Outcome]string{0: "out", choice.OK: "ok", choice.Error: "error", choice.Full: "full",
+var outcomes = map[choice.Outcome]string{0: "out", choice.OK: "ok", choice.Error: "error", choice.AtCapacity: "full",
 	choice.TimedOut: "timed out", choice.ConnectFailed: "connect failed", choice.Reset: "reset",
-	choice.Cancelled: "cancelled", choice.Moot: "moot", choice.Miss: "miss"}
+	choice.Cancelled: "cancelled", choice.NotStarted: "moot", choice.NotLoaded: "miss"}
 
 // closing writes a request's one line. It holds names and numbers, never bodies, headers or keys.
 func (g *Gateway) closing(id choice.RequestID, r *entry, a Answer, now time.Duration) {
--- a/gateway/explain.go
+++ b/gateway/explain.go
@@ -74,7 +74,7 @@
 	return x
 }
 
-var met = map[choice.Note]string{choice.FoundWarm: ", a copy stood", choice.BeganLoad: ", it began a load", choice.AwaitedOne: ", it waited for a load that had begun", choice.LoadFailed: ", a load failed"}
+var met = map[choice.LoadNote]string{choice.FoundWarm: ", a copy stood", choice.StartedLoad: ", it began a load", choice.AwaitedLoad: ", it waited for a load that had begun", choice.LoadFailed: ", a load failed"}
 
 func seen(l choice.Look) string {
 	var s []string
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -156,7 +156,7 @@
 	in      []choice.Event
 	calls   map[choice.RequestID]*Call // arrivals in in
 	results map[result]backend.Result  // of the Returned in in
-	list    *choice.List
+	list    *choice.ListUpdate
 	points  []backend.Endpoint
 	names   names
 	stopped bool
@@ -203,7 +203,7 @@
 	outcome choice.Outcome
 	took    time.Duration
 	status  int
-	note    choice.Note
+	note    choice.LoadNote
 	look    choice.Look // the worker and function as the module saw them, where calls are explained
 }
 
@@ -253,9 +253,9 @@
 	}
 	c.at = g.cfg.Clock.Now()
 	g.calls[id] = c
-	g.in = append(g.in, choice.Arrival{Request: id, Class: f.Class, Tenant: c.Tenant, Function: f.ID, Expires: c.Expires,
-		Hint: c.Hint, HasHint: c.Hint > 0, MemoryMB: f.MemoryMB, Lanes: f.Lanes, LoadTime: f.LoadTime, Retry: c.Retry,
-		Again: c.Bound != nil && c.Bound.Times > 0, Unwanted: c.verdict.Unwanted, Weight: c.verdict.Weight})
+	g.in = append(g.in, choice.Arrival{Request: id, Class: f.Class, Tenant: c.Tenant, Function: f.ID, TimeLeft: c.Expires,
+		RunTimeHint: c.Hint, HasRunTimeHint: c.Hint > 0, MemoryMB: f.MemoryMB, Lanes: f.Lanes, LoadTime: f.LoadTime, ClientRetry: c.Retry,
+		Resubmitted: c.Bound != nil && c.Bound.Times > 0, ShedAdvised: c.verdict.Unwanted, Weight: c.verdict.Weight})
 	g.mu.Unlock()
 	g.poke()
 	return id, true
@@ -267,7 +267,7 @@
 // Message hands over the word of another controller.
 func (g *Gateway) Message(from int, payload []byte) {
 	if g.cfg.Settings.Limits.Peers {
-		g.put(choice.Message{From: from, Payload: payload})
+		g.put(choice.GossipMessage{From: from, Payload: payload})
 	}
 }
 
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -93,7 +93,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := g.Workers(choice.Whole, 1, []Worker{{Name: "w1", Network: "tcp", Addr: "a:1", State: choice.Ready}, {Name: "w2", Network: "tcp", Addr: "a:2", State: choice.Ready}}); err != nil {
+	if err := g.Workers(choice.FullList, 1, []Worker{{Name: "w1", Network: "tcp", Addr: "a:1", State: choice.Ready}, {Name: "w2", Network: "tcp", Addr: "a:2", State: choice.Ready}}); err != nil {
 		t.Fatal(err)
 	}
 	return g, c, clk, log
@@ -267,7 +267,7 @@
 	before := len(c.list)
 	twice := []Worker{{Name: "w1", Network: "tcp", Addr: "x:1", State: choice.Ready}, {Name: "w9", Network: "tcp", Addr: "x:2", State: choice.Ready}}
 	g.names.workers[WorkerID("w9")] = Worker{Name: "another"}
-	if err := g.Workers(choice.Delta, 2, twice); err == nil || len(c.list) != before {
+	if err := g.Workers(choice.ListDelta, 2, twice); err == nil || len(c.list) != before {
 		t.Errorf("err %v, list of %d", err, len(c.list))
 	}
 }
@@ -276,7 +276,7 @@
 func TestDrainReachesBackendAtOnce(t *testing.T) {
 	g, c, clk, _ := fixed(t)
 	g.step(clk.Now())
-	if err := g.Workers(choice.Delta, 2, []Worker{{Name: "w1", Network: "tcp", Addr: "a:1", State: choice.Draining}, {Name: "w2", State: choice.Gone}}); err != nil {
+	if err := g.Workers(choice.ListDelta, 2, []Worker{{Name: "w1", Network: "tcp", Addr: "a:1", State: choice.Draining}, {Name: "w2", State: choice.Gone}}); err != nil {
 		t.Fatal(err)
 	}
 	if len(c.list) != 1 || c.list[0].Name != "w1" || c.list[0].Ready {
@@ -295,10 +295,10 @@
 	g, _, clk, _ := fixed(t)
 	clk.SetWall(clk.Wall().Add(time.Hour))
 	started := clk.Wall().Add(-3 * time.Second)
-	if err := g.Workers(choice.Whole, 2, []Worker{{Name: "w1", Network: "tcp", Addr: "a:1", State: choice.Ready, Started: started}}); err != nil {
+	if err := g.Workers(choice.FullList, 2, []Worker{{Name: "w1", Network: "tcp", Addr: "a:1", State: choice.Ready, Started: started}}); err != nil {
 		t.Fatal(err)
 	}
-	if got := clk.Now() - g.list.Workers[0].Started; got != 3*time.Second {
+	if got := clk.Now() - g.list.Workers[0].StartedAt; got != 3*time.Second {
 		t.Errorf("started %v ago, want 3 s", got)
 	}
 }
@@ -333,7 +333,7 @@
 	for i := range 12 {
 		l = append(l, Worker{Name: fmt.Sprint("w", i), Network: "tcp", Addr: fmt.Sprint("a:", i), State: choice.Ready})
 	}
-	g.Workers(choice.Whole, 1, l)
+	g.Workers(choice.FullList, 1, l)
 	var fns []*Function
 	for i := range 20 {
 		name := fmt.Sprint("f", i)
@@ -490,10 +490,10 @@
 		g, c, clk, _ = fixed(t)
 		call(t, g, class, &full)
 		g.step(clk.Now())
-		c.send(0)(backend.Result{Outcome: choice.Full, Took: ms})
+		c.send(0)(backend.Result{Outcome: choice.AtCapacity, Took: ms})
 		events, _, results := g.take()
 		for _, e := range events {
-			if e, ok := e.(choice.Returned); ok {
+			if e, ok := e.(choice.AttemptEnded); ok {
 				g.returned(e, results[result{e.Request, e.Attempt}], clk.Now())
 			}
 		}
--- a/gateway/loop.go
+++ b/gateway/loop.go
@@ -88,15 +88,15 @@
 	case choice.Arrival:
 		c := calls[e.Request]
 		g.table[e.Request] = &entry{call: c, at: c.at}
-		e.Expires -= now - c.at // it has waited for the loop
+		e.TimeLeft -= now - c.at // it has waited for the loop
 		return e
 	case choice.ClientGone:
 		if r := g.table[e.Request]; r != nil && r.claim(Gone) {
 			g.answer(e.Request, r, Answer{Kind: Gone}, now)
 		}
-	case choice.Returned:
+	case choice.AttemptEnded:
 		g.returned(e, results[result{e.Request, e.Attempt}], now)
-	case choice.List:
+	case choice.ListUpdate:
 		g.cfg.Log.Info().Int("workers", len(e.Workers)).Uint32("version", e.Version).Int("kind", int(e.Kind)).Msg("list")
 	}
 	return e
@@ -197,7 +197,7 @@
 	}
 	g.d, g.tokens = d, nil
 	g.mu.Lock()
-	l := g.names.whole(choice.Cached)
+	l := g.names.whole(choice.CachedList)
 	g.list = &l
 	g.mu.Unlock()
 	g.poke()
@@ -258,7 +258,7 @@
 		switch e := e.(type) {
 		case choice.Arrival:
 			g.table[e.Request] = &entry{call: calls[e.Request], at: calls[e.Request].at}
-		case choice.Returned:
+		case choice.AttemptEnded:
 			g.returned(e, results[result{e.Request, e.Attempt}], now)
 		}
 	}
--- a/gateway/names.go
+++ b/gateway/names.go
@@ -141,7 +141,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	next := map[choice.WorkerID]Worker{}
-	if kind == choice.Delta {
+	if kind == choice.ListDelta {
 		next = maps.Clone(g.names.workers)
 	}
 	var gone []choice.WorkerInfo
@@ -170,11 +170,11 @@
 		g.tellHooks(was, next)
 	}
 	// A list that waits and this one become one whole list: the module is told what holds, not how it came.
-	if kind == choice.Delta {
-		kind = choice.Whole
+	if kind == choice.ListDelta {
+		kind = choice.FullList
 	}
-	if g.list != nil && g.list.Kind == choice.Whole {
-		kind = choice.Whole
+	if g.list != nil && g.list.Kind == choice.FullList {
+		kind = choice.FullList
 	}
 	l := g.names.whole(kind)
 	l.Workers = append(l.Workers, gone...)
@@ -215,14 +215,14 @@
 }
 
 // whole returns the list as it stands, sorted by id.
-func (n *names) whole(kind choice.ListKind) choice.List {
-	l := choice.List{Kind: kind, Version: n.version}
+func (n *names) whole(kind choice.ListKind) choice.ListUpdate {
+	l := choice.ListUpdate{Kind: kind, Version: n.version}
 	for _, id := range sortedKeys(n.workers) {
 		w := n.workers[id]
 		i := choice.WorkerInfo{ID: id, Size: cmp.Or(w.Size, 1), State: w.State, Zone: n.id("zone", w.Zone),
 			Group: n.id("group", w.Group), Kind: n.id("kind", w.Kind)}
 		if !w.Started.IsZero() {
-			i.Started = max(1, time.Duration(w.Started.UnixNano())+n.offset)
+			i.StartedAt = max(1, time.Duration(w.Started.UnixNano())+n.offset)
 		}
 		l.Workers = append(l.Workers, i)
 	}
--- a/gateway/path_test.go
+++ b/gateway/path_test.go
@@ -51,7 +51,7 @@
 	}
 	go g.Run()
 	defer g.Stop(time.Second)
-	if err := g.Workers(choice.Whole, 1, []gateway.Worker{{Name: "w1", Network: "tcp", Addr: host.Addr("w1"), State: choice.Ready}}); err != nil {
+	if err := g.Workers(choice.FullList, 1, []gateway.Worker{{Name: "w1", Network: "tcp", Addr: host.Addr("w1"), State: choice.Ready}}); err != nil {
 		t.Fatal(err)
 	}
 	key, err := signing.ParseKey("whsec_MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw")
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -187,7 +187,7 @@
 	}
 	list := make([]choice.WorkerInfo, 0, n)
 	for ; n > 0; n-- {
-		w := choice.WorkerInfo{Size: float64(c.f32()), Started: ToDuration(c.f64()), Group: int(c.u16())}
+		w := choice.WorkerInfo{Size: float64(c.f32()), StartedAt: ToDuration(c.f64()), Group: int(c.u16())}
 		w.ID = c.worker()
 		at := c.at
 		switch s := c.u8(); s {
@@ -213,7 +213,7 @@
 	case codeFleet:
 		at := c.at
 		kind := c.u8()
-		l := choice.List{Version: c.u32()}
+		l := choice.ListUpdate{Version: c.u32()}
 		id := int(c.u16())
 		switch {
 		case c.err != nil:
@@ -226,37 +226,37 @@
 		default:
 			l.Workers = d.lists[id]
 		}
-		l.Kind = [...]choice.ListKind{choice.Delta, choice.Whole, choice.Cached, choice.ListFailed}[kind&3]
+		l.Kind = [...]choice.ListKind{choice.ListDelta, choice.FullList, choice.CachedList, choice.ListFailed}[kind&3]
 		return l
 	case codeJobIn:
 		a := choice.Arrival{Request: choice.RequestID(c.u64()), Class: int(c.u16()), Tenant: int(c.u32()),
-			Function: choice.FunctionID(c.u64()), Expires: ToDuration(c.f64()), Hint: ToDuration(c.f64()),
+			Function: choice.FunctionID(c.u64()), TimeLeft: ToDuration(c.f64()), RunTimeHint: ToDuration(c.f64()),
 			MemoryMB: float64(c.f32()), Lanes: float64(c.f32()), LoadTime: ToDuration(float64(c.f32()))}
 		bits := c.u8()
-		a.HasHint, a.Retry, a.Write = bits&1 != 0, bits&2 != 0, bits&4 != 0
+		a.HasRunTimeHint, a.ClientRetry, a.Write = bits&1 != 0, bits&2 != 0, bits&4 != 0
 		return a
 	case codeStreaming:
-		e := choice.Started{Request: choice.RequestID(c.u64()), Took: ToDuration(c.f64()), Worker: c.worker()}
+		e := choice.ResponseStarted{Request: choice.RequestID(c.u64()), Took: ToDuration(c.f64()), Worker: c.worker()}
 		e.Attempt = int(c.u8())
 		return e
 	case codeReturned:
-		e := choice.Returned{Request: choice.RequestID(c.u64()), Attempt: int(c.u8()), Worker: c.worker(),
+		e := choice.AttemptEnded{Request: choice.RequestID(c.u64()), Attempt: int(c.u8()), Worker: c.worker(),
 			Outcome: c.outcome(), Took: ToDuration(c.f64()), Complete: c.u8() != 0}
 		info := c.u8()
-		e.Note, e.Alike, e.Report = choice.Note(info&7), int(info>>3), c.report()
+		e.Note, e.Alike, e.Report = choice.LoadNote(info&7), int(info>>3), c.report()
 		return e
 	case codeHangup:
 		return choice.ClientGone{Request: choice.RequestID(c.u64())}
 	case codeElapsed:
 		return choice.Timer{Token: c.u64()}
 	case codeProbeDone:
-		e := choice.Probed{Outcome: c.outcome(), Worker: c.worker(), Took: ToDuration(c.f64())}
+		e := choice.ProbeEnded{Outcome: c.outcome(), Worker: c.worker(), Took: ToDuration(c.f64())}
 		e.Report = c.report()
 		return e
 	case codeMail:
-		return choice.Message{From: int(c.u32()), Payload: c.bytes(int64(c.u16()))}
+		return choice.GossipMessage{From: int(c.u32()), Payload: c.bytes(int64(c.u16()))}
 	case codeLoadDone:
-		return choice.Held{Worker: c.worker(), Function: choice.FunctionID(c.u64()), Outcome: c.outcome(),
+		return choice.LoadOrderEnded{Worker: c.worker(), Function: choice.FunctionID(c.u64()), Outcome: c.outcome(),
 			Took: ToDuration(c.f64()), Copies: int(c.u8())}
 	}
 	return Halt{}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -37,24 +37,24 @@
 }{
 	{"JOB_IN", `02 00000003 000121185d3a91c4 0000 00000000 0000007c55d20a01 406e000000000000 4028000000000000
 		43c00000 40000000 00000000 01`,
-		choice.Arrival{Request: 0x121185d3a91c4, Function: 0x7c55d20a01, Expires: 240 * time.Millisecond,
-			Hint: 12 * time.Millisecond, HasHint: true, MemoryMB: 384, Lanes: 2}},
+		choice.Arrival{Request: 0x121185d3a91c4, Function: 0x7c55d20a01, TimeLeft: 240 * time.Millisecond,
+			RunTimeHint: 12 * time.Millisecond, HasRunTimeHint: true, MemoryMB: 384, Lanes: 2}},
 	{"ELAPSED", `06 00000003 000000000000004d`, choice.Timer{Token: 0x4d}},
 	{"HANGUP", `05 00000003 000dbb200e6f2b19`, choice.ClientGone{Request: 0xdbb200e6f2b19}},
 	{"STREAMING", `03 00000003 000121185d3a91c4 4022800000000000 0a124a07 1f43 00`,
-		choice.Started{Request: 0x121185d3a91c4, Took: 9250 * time.Microsecond, Worker: worker}},
+		choice.ResponseStarted{Request: 0x121185d3a91c4, Took: 9250 * time.Microsecond, Worker: worker}},
 	{"RETURNED", `04 00000003 000121185d3a91c4 00 0a124a07 1f43 0001 4032800000000000 01 0a 01 40000000`,
-		choice.Returned{Request: 0x121185d3a91c4, Worker: worker, Outcome: choice.OK,
-			Took: 18500 * time.Microsecond, Complete: true, Note: choice.BeganLoad, Alike: 1, Report: []float64{2}}},
+		choice.AttemptEnded{Request: 0x121185d3a91c4, Worker: worker, Outcome: choice.OK,
+			Took: 18500 * time.Microsecond, Complete: true, Note: choice.StartedLoad, Alike: 1, Report: []float64{2}}},
 	{"PROBE_DONE", `07 00000003 0001 0a124a07 1f43 3ff8000000000000 02 4040000040e00000`,
-		choice.Probed{Worker: worker, Outcome: choice.OK, Took: 1500 * time.Microsecond, Report: []float64{3, 7}}},
-	{"MAIL", `08 00000003 00000002 0004 68692037`, choice.Message{From: 2, Payload: []byte("hi 7")}},
+		choice.ProbeEnded{Worker: worker, Outcome: choice.OK, Took: 1500 * time.Microsecond, Report: []float64{3, 7}}},
+	{"MAIL", `08 00000003 00000002 0004 68692037`, choice.GossipMessage{From: 2, Payload: []byte("hi 7")}},
 	{"LOAD_DONE", `0a 00000003 0a124a07 1f43 0000007c55d20a01 0001 4084000000000000 01`,
-		choice.Held{Worker: worker, Function: 0x7c55d20a01, Outcome: choice.OK, Took: 640 * time.Millisecond,
+		choice.LoadOrderEnded{Worker: worker, Function: 0x7c55d20a01, Outcome: choice.OK, Took: 640 * time.Millisecond,
 			Copies: 1}},
 	{"HALT", `09 00000003`, Halt{}},
 	{"PROVISION", `00 00000003 0000000000000009 00000002 7b7d`, Provision{Seed: 9, Env: []byte("{}")}},
-	{"FLEET failed", `01 00000003 03 00000007 0000`, choice.List{Kind: choice.ListFailed, Version: 7}},
+	{"FLEET failed", `01 00000003 03 00000007 0000`, choice.ListUpdate{Kind: choice.ListFailed, Version: 7}},
 }
 
 func TestEvents(t *testing.T) {
@@ -86,7 +86,7 @@
 		t.Fatal(err)
 	}
 	for i, id := range []choice.WorkerID{0x0a0000011f43, 0x0a0000021f43} {
-		want := choice.List{Kind: choice.Whole, Version: 0x29, Workers: []choice.WorkerInfo{{ID: id, Size: 1, Group: 1,
+		want := choice.ListUpdate{Kind: choice.FullList, Version: 0x29, Workers: []choice.WorkerInfo{{ID: id, Size: 1, Group: 1,
 			State: choice.Ready, Kind: 1, Zone: 2}}}
 		if got := b.Records[i].Event; !reflect.DeepEqual(got, want) {
 			t.Errorf("list %d: %+v, want %+v", i, got, want)
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -72,7 +72,7 @@
 	if r.Gateway, err = gateway.New(gc); err != nil {
 		return nil, &Problem{"settings", err}
 	}
-	if err = r.Gateway.Workers(choice.Cached, c.Serial, c.Known); err != nil {
+	if err = r.Gateway.Workers(choice.CachedList, c.Serial, c.Known); err != nil {
 		return nil, &Problem{"known", err}
 	}
 	r.Front = msgpackrpc.New(msgpackrpc.Config{Gateway: r.Gateway, Clock: o.Clock, Settings: s, Log: o.Log, MostBody: mostBody, MostOpen: mostOpen,
--- a/scale/dispatch.go
+++ b/scale/dispatch.go
@@ -139,7 +139,7 @@
 	}
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	p.step([]choice.Event{choice.List{Kind: choice.Whole, Workers: p.workers}}, true)
+	p.step([]choice.Event{choice.ListUpdate{Kind: choice.FullList, Workers: p.workers}}, true)
 	p.run(load.Span / warmUpShare)
 	p.cost = DispatchCost{Span: load.Span}
 	var before, after runtime.MemStats
@@ -184,9 +184,9 @@
 // replaceOne has one worker gone and another come, which is cold. The gateway tells the module whole lists, also where it was told a delta.
 func (p *dispatchPlay) replaceOne() choice.Event {
 	w := p.newWorker()
-	w.Started = p.now
+	w.StartedAt = p.now
 	p.workers[p.random.IntN(len(p.workers))] = w
-	return choice.List{Kind: choice.Whole, Workers: p.workers}
+	return choice.ListUpdate{Kind: choice.FullList, Workers: p.workers}
 }
 
 func (p *dispatchPlay) call() choice.Event {
@@ -207,7 +207,7 @@
 	if p.random.IntN(5) == 0 {
 		class = 1
 	}
-	return choice.Arrival{Request: id, Class: class, Function: choice.FunctionID(low + 1), Expires: 2500 * time.Millisecond, Lanes: 2, LoadTime: loadTime}
+	return choice.Arrival{Request: id, Class: class, Function: choice.FunctionID(low + 1), TimeLeft: 2500 * time.Millisecond, Lanes: 2, LoadTime: loadTime}
 }
 
 func threadTime() time.Duration {
@@ -248,9 +248,9 @@
 		p.hold(a)
 	case choice.Probe:
 		p.cost.Questions++
-		p.later(roundTrip, choice.Probed{Worker: a.Worker, Outcome: choice.OK})
+		p.later(roundTrip, choice.ProbeEnded{Worker: a.Worker, Outcome: choice.OK})
 	case choice.Cancel:
-		p.later(roundTrip, choice.Returned{Request: a.Request, Attempt: a.Attempt, Outcome: choice.Cancelled})
+		p.later(roundTrip, choice.AttemptEnded{Request: a.Request, Attempt: a.Attempt, Outcome: choice.Cancelled})
 	case choice.Refuse:
 		p.cost.Refused++
 		p.forget(a.Request)
@@ -285,7 +285,7 @@
 
 // hold answers an order to load, or the question how many copies stand.
 func (p *dispatchPlay) hold(a choice.Hold) {
-	held := choice.Held{Worker: a.Worker, Function: a.Function, Outcome: choice.OK, Copies: a.Copies}
+	held := choice.LoadOrderEnded{Worker: a.Worker, Function: a.Function, Outcome: choice.OK, Copies: a.Copies}
 	after := roundTrip
 	if a.Copies == 0 {
 		p.cost.Questions++
@@ -324,7 +324,7 @@
 }
 
 func (p *dispatchPlay) serve(a choice.Send) {
-	r := choice.Returned{Request: a.Request, Attempt: p.attempts[a.Request], Worker: a.Worker}
+	r := choice.AttemptEnded{Request: a.Request, Attempt: p.attempts[a.Request], Worker: a.Worker}
 	p.attempts[a.Request]++
 	switch p.fault(a.Worker) {
 	case resets:
@@ -338,7 +338,7 @@
 		r.Outcome, r.Complete, r.Note = choice.OK, true, choice.FoundWarm
 		r.Took = time.Duration(p.random.ExpFloat64() * float64(meanRun))
 		if p.copies(key) == 0 {
-			r.Note = choice.BeganLoad
+			r.Note = choice.StartedLoad
 			r.Took += loadTime
 		}
 		p.lastUse[key] = p.now
