--- a/choice/api.go
+++ b/choice/api.go
@@ -259,15 +259,15 @@
 
 // AttemptEnded ends one attempt.
 type AttemptEnded struct {
-	Request  RequestID
-	Attempt  int
-	Worker   WorkerID
-	Outcome  Outcome
-	Took     time.Duration
-	Complete bool // the request is finished
-	Note     LoadNote
-	Alike    int // requests of the function that the worker already held
-	Report   []float64
+	Request      RequestID
+	Attempt      int
+	Worker       WorkerID
+	Outcome      Outcome
+	Took         time.Duration
+	Complete     bool // the request is finished
+	Note         LoadNote
+	SameFunction int // requests of the function that the worker already held
+	Report       []float64
 }
 
 // ClientGone says that the client has left.
--- a/choice/attempts.go
+++ b/choice/attempts.go
@@ -191,14 +191,14 @@
 	placed.seen = d.now
 	if !t.load {
 		d.crowded *= 1 - crowdWeight
-		if e.Note == StartedLoad && e.Alike == 0 {
+		if e.Note == StartedLoad && e.SameFunction == 0 {
 			d.crowded += crowdWeight
 		}
 	}
 	took := e.Took.Seconds()
 	slow := e.Took > d.s.Classes[r.Class].LatencyObjective ||
 		took > d.slower(r.Lanes)*d.usualPace()*d.classRun[r.Class]
-	d.crowd(r.q, e.Alike, r.Lanes, slow && d.share(w) >= 1)
+	d.crowd(r.q, e.SameFunction, r.Lanes, slow && d.share(w) >= 1)
 	waited := e.Note == StartedLoad || e.Note == AwaitedLoad
 	if !waited && (e.Note == FoundWarm || !t.load) {
 		r.q.run = mean(r.q.run, took)
@@ -230,7 +230,7 @@
 	w := t.w
 	d.answered(w, OK)
 	w.tokens = max(min(1, w.tokens), w.tokens/2)
-	d.crowd(r.q, e.Alike, r.Lanes, d.share(w) >= 1)
+	d.crowd(r.q, e.SameFunction, r.Lanes, d.share(w) >= 1)
 	if len(r.tries) >= d.s.Limits.Attempts {
 		d.judge(r, false)
 	}
--- a/choice/cold_test.go
+++ b/choice/cold_test.go
@@ -110,7 +110,7 @@
 					p.served++
 				}
 				inbox[k.controller] = append(inbox[k.controller], choice.AttemptEnded{Request: k.request, Attempt: k.attempt,
-					Worker: choice.WorkerID(k.worker + 1), Outcome: o, Took: now - k.sent, Note: choice.LoadNote(e.Note), Alike: e.Alike})
+					Worker: choice.WorkerID(k.worker + 1), Outcome: o, Took: now - k.sent, Note: choice.LoadNote(e.Note), SameFunction: e.Alike})
 				delete(calls, e.ID)
 			case fleet.Stands:
 				o := choice.OK
--- a/choice/health_test.go
+++ b/choice/health_test.go
@@ -62,7 +62,7 @@
 			now += time.Second
 			for _, a := range pickOut[Send](d.Step(now, []Event{arrival(id, 0, 7)})) {
 				d.Step(now, []Event{AttemptEnded{Request: id, Worker: a.Worker, Outcome: OK, Took: 800 * ms, Complete: true,
-					Note: FoundWarm, Alike: 9}})
+					Note: FoundWarm, SameFunction: 9}})
 			}
 		}
 		if spread := d.queues[7].spread; (spread > 1) != (n == 100) {
@@ -128,7 +128,7 @@
 			if id++; sent[0].Worker != home {
 				away++
 			} else if alike > 0 {
-				e.Alike, e.Took = alike, 600*ms
+				e.SameFunction, e.Took = alike, 600*ms
 			}
 			now += 20 * ms
 			d.Step(now, []Event{e})
--- a/choice/streams_test.go
+++ b/choice/streams_test.go
@@ -413,7 +413,7 @@
 	p.attempts[a.Request]++
 	key := workerFunction{a.Worker, p.function[a.Request]}
 	took := time.Duration(20+p.rnd.ExpFloat64()*80) * ms
-	r := AttemptEnded{Request: a.Request, Attempt: attempt, Worker: a.Worker, Outcome: OK, Note: FoundWarm, Alike: p.rnd.IntN(3), Complete: true}
+	r := AttemptEnded{Request: a.Request, Attempt: attempt, Worker: a.Worker, Outcome: OK, Note: FoundWarm, SameFunction: p.rnd.IntN(3), Complete: true}
 	if p.now-p.copies[key] >= p.c.idleLife {
 		r.Note, took = StartedLoad, took+time.Duration(200+p.rnd.IntN(600))*ms
 	}
--- a/gateway/carry.go
+++ b/gateway/carry.go
@@ -198,7 +198,7 @@
 	}
 	res.Body = nil
 	e := choice.AttemptEnded{Request: a.Request, Attempt: attempt, Worker: a.Worker, Outcome: res.Outcome, Took: res.Took,
-		Complete: res.Outcome == choice.OK, Note: res.Note, Alike: res.Alike, Report: res.Report}
+		Complete: res.Outcome == choice.OK, Note: res.Note, SameFunction: res.Alike, Report: res.Report}
 	g.mu.Lock()
 	g.results[result{a.Request, attempt}] = res
 	g.in = append(g.in, e)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -243,7 +243,7 @@
 		e := choice.AttemptEnded{Request: choice.RequestID(c.u64()), Attempt: int(c.u8()), Worker: c.worker(),
 			Outcome: c.outcome(), Took: ToDuration(c.f64()), Complete: c.u8() != 0}
 		info := c.u8()
-		e.Note, e.Alike, e.Report = choice.LoadNote(info&7), int(info>>3), c.report()
+		e.Note, e.SameFunction, e.Report = choice.LoadNote(info&7), int(info>>3), c.report()
 		return e
 	case codeHangup:
 		return choice.ClientGone{Request: choice.RequestID(c.u64())}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -45,7 +45,7 @@
 		choice.ResponseStarted{Request: 0x121185d3a91c4, Took: 9250 * time.Microsecond, Worker: worker}},
 	{"RETURNED", `04 00000003 000121185d3a91c4 00 0a124a07 1f43 0001 4032800000000000 01 0a 01 40000000`,
 		choice.AttemptEnded{Request: 0x121185d3a91c4, Worker: worker, Outcome: choice.OK,
-			Took: 18500 * time.Microsecond, Complete: true, Note: choice.StartedLoad, Alike: 1, Report: []float64{2}}},
+			Took: 18500 * time.Microsecond, Complete: true, Note: choice.StartedLoad, SameFunction: 1, Report: []float64{2}}},
 	{"PROBE_DONE", `07 00000003 0001 0a124a07 1f43 3ff8000000000000 02 4040000040e00000`,
 		choice.ProbeEnded{Worker: worker, Outcome: choice.OK, Took: 1500 * time.Microsecond, Report: []float64{3, 7}}},
 	{"MAIL", `08 00000003 00000002 0004 68692037`, choice.GossipMessage{From: 2, Payload: []byte("hi 7")}},
