--- a/choice/advice_test.go
+++ b/choice/advice_test.go
@@ -7,11 +7,11 @@
 
 func TestAdvisedCopiesStand(t *testing.T) {
 	d := start(t, base(), ready(1, 2, 3, 4)...)
-	begin := d.Step(2*time.Second, []Event{Wanted{Function: 7, Copies: 2, Until: 40 * time.Second}})
+	begin := d.Step(2*time.Second, []Event{DesiredCopies{Function: 7, Copies: 2, Until: 40 * time.Second}})
 	holds := map[WorkerID]int{}
-	var out []Hold
+	var out []LoadOrder
 	take := func(l []Action) {
-		for _, h := range pickOut[Hold](l) {
+		for _, h := range pickOut[LoadOrder](l) {
 			holds[h.Worker]++
 			out = append(out, h)
 		}
@@ -46,11 +46,11 @@
 	d := start(t, s, ready(1, 2, 3, 4)...)
 	var in []Event
 	for f := range 100 {
-		in = append(in, Wanted{Function: FunctionID(f + 1), Copies: 4, Until: time.Hour})
+		in = append(in, DesiredCopies{Function: FunctionID(f + 1), Copies: 4, Until: time.Hour})
 	}
 	n, first := 0, 0
 	for now := 2 * time.Second; now < 12*time.Second; now += 100 * ms {
-		l := pickOut[Hold](d.Step(now, in))
+		l := pickOut[LoadOrder](d.Step(now, in))
 		if in = nil; n == 0 {
 			first = len(l)
 		}
@@ -69,11 +69,11 @@
 
 func TestAdviceNeverReachesDrained(t *testing.T) {
 	d := start(t, base(), ready(1, 2)...)
-	d.Step(2*time.Second, []Event{Regarded{Worker: 1, Rank: 1, Until: time.Hour}, Wanted{Function: 7, Copies: 2, Until: time.Hour}})
+	d.Step(2*time.Second, []Event{WorkerRank{Worker: 1, Rank: 1, Until: time.Hour}, DesiredCopies{Function: 7, Copies: 2, Until: time.Hour}})
 	drained := ready(1, 2)
 	drained[0].State = Draining
 	for now := 2 * time.Second; now < 30*time.Second; now += 100 * ms {
-		for _, h := range pickOut[Hold](d.Step(now, []Event{ListUpdate{Kind: FullList, Workers: drained}, Arrival{Request: RequestID(now), Function: 7, TimeLeft: time.Second, Lanes: 2}})) {
+		for _, h := range pickOut[LoadOrder](d.Step(now, []Event{ListUpdate{Kind: FullList, Workers: drained}, Arrival{Request: RequestID(now), Function: 7, TimeLeft: time.Second, Lanes: 2}})) {
 			if h.Worker == 1 {
 				t.Fatal("an order to a drained worker")
 			}
@@ -85,13 +85,13 @@
 	d := start(t, base(), ready(1, 2, 3, 4)...)
 	q := d.queue(7)
 	home := walk(d, q)[0].ID
-	d.Step(2*time.Second, []Event{Regarded{Worker: home, Rank: -1, Until: 5 * time.Second}})
+	d.Step(2*time.Second, []Event{WorkerRank{Worker: home, Rank: -1, Until: 5 * time.Second}})
 	if l := walk(d, q); l[3].ID != home {
 		t.Errorf("an avoided worker is not the last of the walk")
 	}
 	points := func(id WorkerID) int { return d.workers[id].place.Points() }
 	before := points(home)
-	d.Step(5*time.Second, []Event{Regarded{Worker: home, Rank: 1, Until: 8 * time.Second}})
+	d.Step(5*time.Second, []Event{WorkerRank{Worker: home, Rank: 1, Until: 8 * time.Second}})
 	if walk(d, q)[0].ID != home || points(home) <= before {
 		t.Error("a preferred worker has no longer arc")
 	}
@@ -100,7 +100,7 @@
 		t.Error("advice outlives its time")
 	}
 	for _, w := range []WorkerID{1, 2, 3, 4} { // of all alike: no worker is better than another
-		d.Step(9*time.Second, []Event{Regarded{Worker: w, Rank: -1, Until: time.Hour}})
+		d.Step(9*time.Second, []Event{WorkerRank{Worker: w, Rank: -1, Until: time.Hour}})
 	}
 	if walk(d, q)[0].ID != home || len(pickOut[Send](d.Step(10*time.Second, []Event{arrival(1, 0, 7)}))) != 1 {
 		t.Error("a call is not sent where all workers are to be avoided")
@@ -112,7 +112,7 @@
 	a := arrival(1, 0, 7)
 	a.ShedAdvised = true
 	l := d.Step(2*time.Second, []Event{a, arrival(2, 0, 7)})
-	if r, s := pickOut[Refuse](l), pickOut[Send](l); len(r) != 1 || r[0].Request != 1 || len(s) != 1 || s[0].Request != 2 {
+	if r, s := pickOut[Reject](l), pickOut[Send](l); len(r) != 1 || r[0].Request != 1 || len(s) != 1 || s[0].Request != 2 {
 		t.Errorf("%v", l)
 	}
 	d.pass = 0.25
@@ -136,18 +136,18 @@
 	old, next := start(t, s, ready(1, 2, 3, 4)...), start(t, s, ready(1, 2, 3, 4)...)
 	want := func(n int) (in []Event) {
 		for f := range n {
-			in = append(in, Wanted{Function: FunctionID(f + 1), Copies: 4, Until: time.Hour})
+			in = append(in, DesiredCopies{Function: FunctionID(f + 1), Copies: 4, Until: time.Hour})
 		}
 		return in
 	}
-	first := len(pickOut[Hold](old.Step(2*time.Second, want(1))))
-	old.Step(3*time.Second, []Event{Retired{On: true}})
+	first := len(pickOut[LoadOrder](old.Step(2*time.Second, want(1))))
+	old.Step(3*time.Second, []Event{Superseded{On: true}})
 	for f := range 10 { // prepared for calls beyond home, which advice does not limit
 		if old.prepare(old.queue(FunctionID(100+f)), old.order[0]) {
 			t.Fatal("a retired one orders a load")
 		}
 	}
-	next.Step(3*time.Second, []Event{old.Spent()})
+	next.Step(3*time.Second, []Event{old.BudgetHandover()})
 	n := 0
 	for f := range 20 {
 		for _, w := range next.order {
@@ -162,13 +162,13 @@
 	if next.Step(12*time.Second+1, nil); !next.mayOrder() {
 		t.Error("what was inherited does not expire")
 	}
-	old.Step(4*time.Second, []Event{Retired{}})
+	old.Step(4*time.Second, []Event{Superseded{}})
 	if !old.mayOrder() {
 		t.Error("one that goes on has no budget")
 	}
 	w := old.order[0]
 	w.coldFrom, w.StartedAt = 4*time.Second, 4*time.Second
-	old.Step(5*time.Second, []Event{Retired{On: true}})
+	old.Step(5*time.Second, []Event{Superseded{On: true}})
 	w.credit = 100
 	if old.share(w) < 1 && old.coldRoom(w, 0.001) {
 		t.Error("a retired one sends to a cold worker")
--- a/choice/api.go
+++ b/choice/api.go
@@ -299,42 +299,42 @@
 	Copies   int
 }
 
-// Staged says that copies of a function are wanted before it is called.
-type Staged struct {
+// StagedCopies says that copies of a function are wanted before it is called.
+type StagedCopies struct {
 	Function FunctionID
 	Copies   int
 }
 
-// Wanted advises that copies of a function stand until a time, called or not. It replaces what was said before.
-type Wanted struct {
+// DesiredCopies advises that copies of a function stand until a time, called or not. It replaces what was said before.
+type DesiredCopies struct {
 	Function FunctionID
 	Copies   int // 0: no longer
 	Until    time.Duration
 }
 
-// Regarded advises how a worker is to be looked at until a time. It replaces what was said before.
-type Regarded struct {
+// WorkerRank advises how a worker is to be looked at until a time. It replaces what was said before.
+type WorkerRank struct {
 	Worker WorkerID
 	Rank   int // above 0: rather than others; below: after all others; 0: as any
 	Until  time.Duration
 }
 
-// Inherited begins with what another process has used up for this controller: when it ordered loads, and when requests came.
-type Inherited struct {
+// BudgetHandover begins with what another process has used up for this controller: when it ordered loads, and when requests came.
+type BudgetHandover struct {
 	Orders   []time.Duration `json:"Orders"`
 	Arrivals []time.Duration `json:"Arrivals"`
 }
 
-// Retired says that another process takes over: what is in hand is finished, with no order to load and nothing more to a
+// Superseded says that another process takes over: what is in hand is finished, with no order to load and nothing more to a
 // cold worker, as the other one now has both budgets. On false it is so no longer.
-type Retired struct{ On bool }
+type Superseded struct{ On bool }
 
-func (Inherited) event()       {}
-func (Retired) event()         {}
-func (Wanted) event()          {}
-func (Regarded) event()        {}
+func (BudgetHandover) event()  {}
+func (Superseded) event()      {}
+func (DesiredCopies) event()   {}
+func (WorkerRank) event()      {}
 func (ListUpdate) event()      {}
-func (Staged) event()          {}
+func (StagedCopies) event()    {}
 func (Arrival) event()         {}
 func (ResponseStarted) event() {}
 func (AttemptEnded) event()    {}
@@ -354,10 +354,10 @@
 	Timeout time.Duration // 0: until the client leaves
 }
 
-// Refuse is a final answer: no, and another try does no harm.
-type Refuse struct {
-	Request RequestID
-	After   time.Duration // advice for the client's next try
+// Reject is a final answer: no, and another try does no harm.
+type Reject struct {
+	Request    RequestID
+	RetryAfter time.Duration // advice for the client's next try
 }
 
 // Fail is a final answer that promises nothing.
@@ -384,8 +384,8 @@
 // Everyone addresses a Tell to all other instances.
 const Everyone = -1
 
-// Tell sends up to 256 bytes to another instance.
-type Tell struct {
+// Gossip sends up to 256 bytes to another instance.
+type Gossip struct {
 	To      int
 	Payload []byte
 }
@@ -399,8 +399,8 @@
 // Fetch asks once for the whole list of workers.
 type Fetch struct{}
 
-// Hold asks a worker to hold at least Copies of a function; 0 only asks how many stand.
-type Hold struct {
+// LoadOrder asks a worker to hold at least Copies of a function; 0 only asks how many stand.
+type LoadOrder struct {
 	Worker   WorkerID
 	Function FunctionID
 	Copies   int
@@ -412,16 +412,16 @@
 	Function FunctionID
 }
 
-func (Send) action()   {}
-func (Refuse) action() {}
-func (Fail) action()   {}
-func (Cancel) action() {}
-func (Wake) action()   {}
-func (Probe) action()  {}
-func (Close) action()  {}
-func (Tell) action()   {}
-func (Log) action()    {}
-func (Watch) action()  {}
-func (Fetch) action()  {}
-func (Hold) action()   {}
-func (Unload) action() {}
+func (Send) action()      {}
+func (Reject) action()    {}
+func (Fail) action()      {}
+func (Cancel) action()    {}
+func (Wake) action()      {}
+func (Probe) action()     {}
+func (Close) action()     {}
+func (Gossip) action()    {}
+func (Log) action()       {}
+func (Watch) action()     {}
+func (Fetch) action()     {}
+func (LoadOrder) action() {}
+func (Unload) action()    {}
--- a/choice/attempts.go
+++ b/choice/attempts.go
@@ -89,9 +89,9 @@
 // finish gives our own final answer and calls off what is out. The fewer pass, the later one may come back.
 func (d *Dispatcher) finish(r *request) {
 	if d.mayRefuse(r) {
-		a := Refuse{Request: r.Request}
+		a := Reject{Request: r.Request}
 		if l := d.s.Limits; l.RetryAfter && d.pass < 1 {
-			a.After = seconds(l.MaxRetryAfter.Seconds() * (1 - d.pass) * (1 - jitter*d.rng.Float64()))
+			a.RetryAfter = seconds(l.MaxRetryAfter.Seconds() * (1 - d.pass) * (1 - jitter*d.rng.Float64()))
 		}
 		d.do(a)
 	} else {
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -91,19 +91,19 @@
 			d.held(e)
 		case ProbeEnded:
 			d.answered(d.workers[e.Worker], e.Outcome)
-		case Staged:
+		case StagedCopies:
 			d.stage(e)
-		case Inherited:
+		case BudgetHandover:
 			d.orders.Add(e.Orders...)
 			d.arrivals.Add(e.Arrivals...)
-		case Retired:
+		case Superseded:
 			d.retired = e.On
-		case Wanted:
-			d.wanted = replace(d.wanted, e, func(o Wanted) uint64 { return uint64(o.Function) },
+		case DesiredCopies:
+			d.wanted = replace(d.wanted, e, func(o DesiredCopies) uint64 { return uint64(o.Function) },
 				e.Copies > 0)
-		case Regarded:
+		case WorkerRank:
 			d.ranksStale = true
-			d.regarded = replace(d.regarded, e, func(o Regarded) uint64 { return uint64(o.Worker) },
+			d.regarded = replace(d.regarded, e, func(o WorkerRank) uint64 { return uint64(o.Worker) },
 				e.Rank != 0)
 		}
 	}
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -120,7 +120,7 @@
 		for now := 1020 * ms; now < 3500*ms && got == (want{}); now += 20 * ms {
 			actions := d.Step(now, []Event{e})
 			got.sends += len(pickOut[Send](actions))
-			got.refuses += len(pickOut[Refuse](actions))
+			got.refuses += len(pickOut[Reject](actions))
 			got.fails += len(pickOut[Fail](actions))
 			e = Timer{}
 		}
@@ -149,7 +149,7 @@
 		if mate && (len(again) != 1 || again[0].Worker != news[0].ID) {
 			t.Errorf("with a mate: sends %v, want one to %d", again, news[0].ID)
 		}
-		if !mate && (len(again) != 0 || len(fails) != 1 || len(pickOut[Refuse](actions)) != 0) {
+		if !mate && (len(again) != 0 || len(fails) != 1 || len(pickOut[Reject](actions)) != 0) {
 			t.Errorf("without a mate: %v, want one Fail and nothing else", actions)
 		}
 	}
@@ -166,7 +166,7 @@
 				events = []Event{arrival(1, class, 7)}
 			}
 			actions := d.Step(now, events)
-			n := len(pickOut[Refuse](actions)) + len(pickOut[Fail](actions))
+			n := len(pickOut[Reject](actions)) + len(pickOut[Fail](actions))
 			if n > 0 && now >= 4*time.Second {
 				t.Errorf("class %d: answered at %v, the client left at 4s", class, now)
 			}
@@ -186,7 +186,7 @@
 	a := arrival(1, 2, 7)
 	a.TimeLeft = 0
 	got := d.Step(time.Second, []Event{a})
-	if len(pickOut[Refuse](got)) != 1 || len(pickOut[Send](got)) != 0 {
+	if len(pickOut[Reject](got)) != 1 || len(pickOut[Send](got)) != 0 {
 		t.Errorf("got %v, want one Refuse and no Send", got)
 	}
 }
@@ -211,7 +211,7 @@
 				t.Fatalf("%v: send to a draining worker", now)
 			}
 		}
-		for _, a := range pickOut[Hold](actions) {
+		for _, a := range pickOut[LoadOrder](actions) {
 			if a.Worker == home && a.Copies > 0 {
 				t.Fatalf("%v: order to a draining worker", now)
 			}
@@ -271,7 +271,7 @@
 					}
 					pending[i] = append(pending[i], AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: OK,
 						Took: run, Complete: true, Note: FoundWarm})
-				case Hold:
+				case LoadOrder:
 					pending[i] = append(pending[i], LoadOrderEnded{Worker: a.Worker, Function: a.Function, Outcome: OK, Copies: 1})
 				}
 			}
@@ -351,7 +351,7 @@
 			for _, a := range pickOut[Send](actions) {
 				events = append(events, AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: OK, Complete: true})
 			}
-			for _, h := range pickOut[Hold](actions) {
+			for _, h := range pickOut[LoadOrder](actions) {
 				events = append(events, LoadOrderEnded{Worker: h.Worker, Function: h.Function, Outcome: OK, Copies: h.Copies})
 			}
 		}
--- a/choice/cold_test.go
+++ b/choice/cold_test.go
@@ -196,7 +196,7 @@
 					calls[next] = k
 					f.Call(w, fleet.Call{ID: next, Function: &fns[functionOf[a.Request]], Work: c.work.Seconds() * (0.5 + rng.Float64()), Mean: 0})
 					next++
-				case choice.Hold:
+				case choice.LoadOrder:
 					w := int(a.Worker) - 1
 					if !f.Up(w) {
 						inbox[i] = append(inbox[i], choice.LoadOrderEnded{Worker: a.Worker, Function: a.Function, Outcome: choice.ConnectFailed})
--- a/choice/encoding_test.go
+++ b/choice/encoding_test.go
@@ -16,8 +16,8 @@
 	switch a := a.(type) {
 	case Send:
 		return fmt.Sprintf("send request=%d worker=%d timeout=%d", uint64(a.Request), uint64(a.Worker), int64(a.Timeout)), nil
-	case Refuse:
-		return fmt.Sprintf("reject request=%d retry-after=%d", uint64(a.Request), int64(a.After)), nil
+	case Reject:
+		return fmt.Sprintf("reject request=%d retry-after=%d", uint64(a.Request), int64(a.RetryAfter)), nil
 	case Fail:
 		return fmt.Sprintf("fail request=%d", uint64(a.Request)), nil
 	case Cancel:
@@ -28,7 +28,7 @@
 		return fmt.Sprintf("probe worker=%d", uint64(a.Worker)), nil
 	case Close:
 		return fmt.Sprintf("close worker=%d", uint64(a.Worker)), nil
-	case Tell:
+	case Gossip:
 		return fmt.Sprintf("gossip to=%d payload=%s", a.To, hex.EncodeToString(a.Payload)), nil
 	case Log:
 		return "log text=" + hex.EncodeToString([]byte(a.Text)), nil
@@ -36,7 +36,7 @@
 		return fmt.Sprintf("watch on=%t", a.On), nil
 	case Fetch:
 		return "fetch", nil
-	case Hold:
+	case LoadOrder:
 		return fmt.Sprintf("load worker=%d function=%d copies=%d", uint64(a.Worker), uint64(a.Function), a.Copies), nil
 	case Unload:
 		return fmt.Sprintf("unload worker=%d function=%d", uint64(a.Worker), uint64(a.Function)), nil
@@ -66,17 +66,17 @@
 func TestActionEncodingShowsEveryField(t *testing.T) {
 	variants := [][]Action{
 		{Send{}, Send{Request: 1}, Send{Worker: 1}, Send{Timeout: time.Nanosecond}},
-		{Refuse{}, Refuse{Request: 1}, Refuse{After: time.Nanosecond}},
+		{Reject{}, Reject{Request: 1}, Reject{RetryAfter: time.Nanosecond}},
 		{Fail{}, Fail{Request: 1}},
 		{Cancel{}, Cancel{Request: 1}, Cancel{Attempt: 1}},
 		{Wake{}, Wake{At: time.Nanosecond}, Wake{Token: 1}},
 		{Probe{}, Probe{Worker: 1}},
 		{Close{}, Close{Worker: 1}},
-		{Tell{}, Tell{To: Everyone}, Tell{Payload: []byte{0}}, Tell{Payload: []byte{1}}},
+		{Gossip{}, Gossip{To: Everyone}, Gossip{Payload: []byte{0}}, Gossip{Payload: []byte{1}}},
 		{Log{}, Log{Text: "a"}},
 		{Watch{}, Watch{On: true}},
 		{Fetch{}},
-		{Hold{}, Hold{Worker: 1}, Hold{Function: 1}, Hold{Copies: 1}},
+		{LoadOrder{}, LoadOrder{Worker: 1}, LoadOrder{Function: 1}, LoadOrder{Copies: 1}},
 		{Unload{}, Unload{Worker: 1}, Unload{Function: 1}},
 	}
 	seen := map[string]Action{}
--- a/choice/health.go
+++ b/choice/health.go
@@ -101,7 +101,7 @@
 func (d *Dispatcher) ask(w *worker) bool {
 	switch {
 	case d.s.Loading.Orders && w.fn != 0:
-		d.do(Hold{Worker: w.ID, Function: w.fn})
+		d.do(LoadOrder{Worker: w.ID, Function: w.fn})
 	case d.s.Limits.Probe:
 		d.do(Probe{Worker: w.ID})
 	default:
--- a/choice/health_test.go
+++ b/choice/health_test.go
@@ -20,7 +20,7 @@
 			events = append(events, AttemptEnded{Request: a.Request, Attempt: len(d.requests[a.Request].tries) - 1,
 				Worker: a.Worker, Outcome: ConnectFailed})
 		}
-		for _, a := range pickOut[Hold](actions) {
+		for _, a := range pickOut[LoadOrder](actions) {
 			asked++
 			events = append(events, LoadOrderEnded{Worker: a.Worker, Function: a.Function, Outcome: ConnectFailed})
 		}
@@ -112,7 +112,7 @@
 			actions := d.Step(now, []Event{arrival(id, 0, 7)})
 			for i := 0; i < 5 && len(pickOut[Send](actions)) == 0; i++ {
 				var held []Event
-				for _, a := range pickOut[Hold](actions) {
+				for _, a := range pickOut[LoadOrder](actions) {
 					held = append(held, LoadOrderEnded{Worker: a.Worker, Function: a.Function, Outcome: OK, Copies: 1})
 				}
 				now += 100 * ms
--- a/choice/index_test.go
+++ b/choice/index_test.go
@@ -97,7 +97,7 @@
 		t.Fatal("no walk")
 	}
 	plain := walk(d, q)
-	d.Step(2*time.Second, []Event{Regarded{Worker: plain[0].ID, Rank: -2, Until: 4 * time.Second}, Regarded{Worker: plain[2].ID, Rank: -1, Until: 5 * time.Second}})
+	d.Step(2*time.Second, []Event{WorkerRank{Worker: plain[0].ID, Rank: -2, Until: 4 * time.Second}, WorkerRank{Worker: plain[2].ID, Rank: -1, Until: 5 * time.Second}})
 	want := append(slices.Clone(plain[1:2]), plain[3:]...)
 	want = append(want, plain[2], plain[0])
 	if got := walk(d, q); !slices.Equal(got, want) {
@@ -151,7 +151,7 @@
 
 // renewals returns the functions renewed at a step, in order. A hold of no copies is a question.
 func renewals(d *Dispatcher, now time.Duration) (fns []FunctionID) {
-	for _, h := range pickOut[Hold](d.Step(now, nil)) {
+	for _, h := range pickOut[LoadOrder](d.Step(now, nil)) {
 		if h.Copies > 0 {
 			fns = append(fns, h.Function)
 		}
@@ -214,12 +214,12 @@
 		t.Errorf("renewed %v less than its time after the last call", got)
 	}
 	// While advice keeps the copy, by orders of its own, it is not renewed.
-	d.Step(11850*ms, []Event{Wanted{Function: 7, Copies: 1, Until: 12500 * ms}})
+	d.Step(11850*ms, []Event{DesiredCopies{Function: 7, Copies: 1, Until: 12500 * ms}})
 	d.reindex()
 	if q := d.queues[7]; q.renewal.Key() != 12500*ms {
 		t.Errorf("its renewal is due at %v while advice keeps it until 12.5s", q.renewal.Key())
 	}
-	d.Step(11900*ms, []Event{Wanted{Function: 7}})
+	d.Step(11900*ms, []Event{DesiredCopies{Function: 7}})
 	if got := renewals(d, 12500*ms-1); got != nil {
 		t.Errorf("renewed %v before the time that the advice named", got)
 	}
@@ -481,14 +481,14 @@
 		listed = append(listed, w.WorkerInfo)
 	}
 	known := d.order[0].ID
-	d.Step(2*time.Second, []Event{Regarded{Worker: known, Rank: -1, Until: 4 * time.Second}, Regarded{Worker: 9, Rank: 1, Until: 5 * time.Second}})
+	d.Step(2*time.Second, []Event{WorkerRank{Worker: known, Rank: -1, Until: 4 * time.Second}, WorkerRank{Worker: 9, Rank: 1, Until: 5 * time.Second}})
 	rank(known, -1)
 	d.Step(3*time.Second, []Event{ListUpdate{Kind: FullList, Workers: listed}})
 	rank(9, 1)
 	d.Step(4*time.Second, nil)
 	rank(known, 0)
 	rank(9, 1)
-	d.Step(4500*ms, []Event{Regarded{Worker: 9, Rank: 0, Until: 5 * time.Second}})
+	d.Step(4500*ms, []Event{WorkerRank{Worker: 9, Rank: 0, Until: 5 * time.Second}})
 	rank(9, 0)
 	checkIndexes(t, d)
 }
--- a/choice/loadorders.go
+++ b/choice/loadorders.go
@@ -27,7 +27,7 @@
 
 // stage orders the copies of a function that is about to be called, at the first workers of its ring, within
 // the limit on orders. It is told again until they stand.
-func (d *Dispatcher) stage(e Staged) {
+func (d *Dispatcher) stage(e StagedCopies) {
 	q := d.queue(e.Function)
 	for i := 0; e.Copies > 0 && i < len(d.order); i++ {
 		if w := q.worker(i); d.ready(w) && d.prepare(q, w) {
@@ -59,7 +59,7 @@
 	placed := d.placement(d.queue(fn), w)
 	placed.ordered++
 	placed.since = d.now
-	d.do(Hold{Worker: w.ID, Function: fn, Copies: copies})
+	d.do(LoadOrder{Worker: w.ID, Function: fn, Copies: copies})
 	return true
 }
 
@@ -116,7 +116,7 @@
 // warmUp orders the copies that are advised: one order at a worker at a time, within its part of the budget,
 // and none where copies are pushed out already. A copy that stands is renewed as one that calls keep.
 func (d *Dispatcher) warmUp() {
-	d.wanted = slices.DeleteFunc(d.wanted, func(e Wanted) bool { return e.Until <= d.now })
+	d.wanted = slices.DeleteFunc(d.wanted, func(e DesiredCopies) bool { return e.Until <= d.now })
 	after := time.Duration(renewAfter * float64(d.s.Loading.IdleLife))
 	for _, order := range []bool{false, true} {
 		for _, e := range d.wanted {
--- a/choice/loadorders_test.go
+++ b/choice/loadorders_test.go
@@ -20,7 +20,7 @@
 		}
 		for _, a := range d.Step(now, events) {
 			switch a := a.(type) {
-			case Hold:
+			case LoadOrder:
 				if a.Copies > 0 {
 					orders = append(orders, now)
 					n, m := 0, 0
@@ -57,7 +57,7 @@
 	for now := time.Second; now < 2*time.Second; now += 10 * ms {
 		actions := d.Step(now, events)
 		events = nil
-		for _, h := range pickOut[Hold](actions) {
+		for _, h := range pickOut[LoadOrder](actions) {
 			if h.Copies > 0 {
 				holds++
 			}
@@ -87,7 +87,7 @@
 			events = append(events, arrival(id, 0, 7))
 		}
 		d.Step(now, events)
-		orders := len(pickOut[Hold](d.Step(now+150*ms, []Event{Timer{}}))) // a quarter of the aim is over
+		orders := len(pickOut[LoadOrder](d.Step(now+150*ms, []Event{Timer{}}))) // a quarter of the aim is over
 		if want := note == FoundWarm; (orders > 0) != want {
 			t.Errorf("note %d: %d orders for a further copy, want some: %v", note, orders, want)
 		}
--- a/choice/mechanism_test.go
+++ b/choice/mechanism_test.go
@@ -62,8 +62,8 @@
 	d.Step(1100*ms, []Event{AttemptEnded{Request: 1, Worker: home, Outcome: OK, Complete: true, Note: FoundWarm}})
 	holds := 0
 	for now := 1200 * ms; now < 8*time.Second; now += 20 * ms {
-		for _, h := range pickOut[Hold](d.Step(now, nil)) {
-			if h != (Hold{Worker: home, Function: 7, Copies: 1}) || now < 1100*ms+4800*ms {
+		for _, h := range pickOut[LoadOrder](d.Step(now, nil)) {
+			if h != (LoadOrder{Worker: home, Function: 7, Copies: 1}) || now < 1100*ms+4800*ms {
 				t.Errorf("%v: %+v", now, h)
 			}
 			holds++
@@ -143,21 +143,21 @@
 	l := ready(1)
 	l[0].State = Draining
 	d.Step(time.Second, []Event{ListUpdate{Kind: ListDelta, Workers: l}})
-	first := pickOut[Hold](d.Step(time.Second, []Event{Staged{Function: 7, Copies: 2}}))
+	first := pickOut[LoadOrder](d.Step(time.Second, []Event{StagedCopies{Function: 7, Copies: 2}}))
 	if len(first) != 2 || first[0].Worker == 1 || first[1].Worker == 1 || first[0].Worker == first[1].Worker || first[0].Function != 7 {
 		t.Fatalf("%+v, want two orders at two ready workers", first)
 	}
-	if l := pickOut[Hold](d.Step(time.Second, []Event{Staged{Function: 7, Copies: 2}})); len(l) != 0 {
+	if l := pickOut[LoadOrder](d.Step(time.Second, []Event{StagedCopies{Function: 7, Copies: 2}})); len(l) != 0 {
 		t.Errorf("told again while they load: %+v", l)
 	}
 	var held []Event
 	for _, h := range first {
 		held = append(held, LoadOrderEnded{Worker: h.Worker, Function: 7, Outcome: OK, Copies: 1})
 	}
-	if l := pickOut[Hold](d.Step(2*time.Second, append(held, Staged{Function: 7, Copies: 2}))); len(l) != 0 {
+	if l := pickOut[LoadOrder](d.Step(2*time.Second, append(held, StagedCopies{Function: 7, Copies: 2}))); len(l) != 0 {
 		t.Errorf("told again while they stand: %+v", l)
 	}
-	if l := pickOut[Hold](d.Step(2*time.Second, []Event{Staged{Function: 8, Copies: 3}})); len(l) != 1 {
+	if l := pickOut[LoadOrder](d.Step(2*time.Second, []Event{StagedCopies{Function: 8, Copies: 3}})); len(l) != 1 {
 		t.Errorf("%d orders, want the one that the limit leaves", len(l))
 	}
 }
@@ -171,7 +171,7 @@
 		a := arrival(1, 0, 5)
 		a.Resubmitted = again
 		d.Step(time.Second, []Event{a})
-		l := pickOut[Hold](d.Step(time.Second, []Event{Staged{Function: 9, Copies: 1}}))
+		l := pickOut[LoadOrder](d.Step(time.Second, []Event{StagedCopies{Function: 9, Copies: 1}}))
 		if (len(l) == 1) == again {
 			t.Errorf("again %v: %d orders", again, len(l))
 		}
@@ -197,7 +197,7 @@
 			class := int(i%2) * 2
 			todo := d.Step(now, []Event{arrival(i, class, FunctionID(class*100)+FunctionID(i%24))})
 			for ; len(todo) > 0; todo = todo[1:] {
-				if h, ok := todo[0].(Hold); ok {
+				if h, ok := todo[0].(LoadOrder); ok {
 					todo = append(todo, d.Step(now, []Event{LoadOrderEnded{Worker: h.Worker, Function: h.Function, Outcome: OK, Copies: 1}})...)
 				}
 				a, ok := todo[0].(Send)
@@ -257,13 +257,13 @@
 func TestGivenUpUnserved(t *testing.T) {
 	d := start(t, base()) // no worker is known
 	now := 2 * time.Second
-	if l := d.Step(now, []Event{arrival(1, 0, 7), Arrival{Request: 2, Function: 8, TimeLeft: 100 * ms, Lanes: 2}}); len(pickOut[Refuse](l)) > 0 {
+	if l := d.Step(now, []Event{arrival(1, 0, 7), Arrival{Request: 2, Function: 8, TimeLeft: 100 * ms, Lanes: 2}}); len(pickOut[Reject](l)) > 0 {
 		t.Fatal("given up as they came")
 	}
 	run := seconds(guessRun * 0.5) // of the aim
 	at := map[RequestID]time.Duration{}
 	for end := now + 4*time.Second; now < end; now += 2 * ms {
-		for _, r := range pickOut[Refuse](d.Step(now, nil)) {
+		for _, r := range pickOut[Reject](d.Step(now, nil)) {
 			at[r.Request] = now - 2*time.Second
 		}
 	}
--- a/choice/overload_test.go
+++ b/choice/overload_test.go
@@ -84,12 +84,12 @@
 				a.Request += 1e9
 			}
 			now += s.Tick
-			for _, f := range pickOut[Refuse](d.Step(now, []Event{a})) {
-				if f.Request != a.Request || f.After <= 0 || f.After > s.Limits.MaxRetryAfter {
+			for _, f := range pickOut[Reject](d.Step(now, []Event{a})) {
+				if f.Request != a.Request || f.RetryAfter <= 0 || f.RetryAfter > s.Limits.MaxRetryAfter {
 					t.Fatalf("%+v, want request %d refused, to come back within a second", f, a.Request)
 				}
 				refused++
-				afters[f.After] = true
+				afters[f.RetryAfter] = true
 			}
 		}
 		return refused, afters
@@ -205,11 +205,11 @@
 	for _, tt := range tests {
 		d, before, at, events := tt.run(t)
 		got := d.Step(before, nil)
-		if n := len(pickOut[Fail](got)) + len(pickOut[Refuse](got)); n > 0 {
+		if n := len(pickOut[Fail](got)) + len(pickOut[Reject](got)); n > 0 {
 			t.Errorf("%s: answered before: %v", tt.name, got)
 		}
 		got = d.Step(at, events)
-		fails, refusals := len(pickOut[Fail](got)), len(pickOut[Refuse](got))
+		fails, refusals := len(pickOut[Fail](got)), len(pickOut[Reject](got))
 		if tt.fail && (fails != 1 || refusals != 0) || !tt.fail && (fails != 0 || refusals != 1) {
 			t.Errorf("%s: %d failures, %d refusals in that step", tt.name, fails, refusals)
 		}
@@ -253,11 +253,11 @@
 	}
 	d.pass = 0
 	for now := 1010 * ms; now < 3900*ms; now += 10 * ms {
-		if got := d.Step(now, nil); len(pickOut[Refuse](got))+len(pickOut[Fail](got)) > 0 {
+		if got := d.Step(now, nil); len(pickOut[Reject](got))+len(pickOut[Fail](got)) > 0 {
 			t.Fatalf("%v: %v, want the outcome awaited", now, got)
 		}
 	}
-	if got := d.Step(4*time.Second, nil); len(pickOut[Refuse](got)) != 1 {
+	if got := d.Step(4*time.Second, nil); len(pickOut[Reject](got)) != 1 {
 		t.Errorf("at its end: %v, want a refusal", got)
 	}
 }
--- a/choice/property_test.go
+++ b/choice/property_test.go
@@ -67,7 +67,7 @@
 	requests := map[RequestID]*sender{}
 	var open []RequestID
 	var taken, orders []time.Duration
-	var holds []Hold
+	var holds []LoadOrder
 	now, next := time.Hour, RequestID(1)
 	for step := 0; step < 1500; step++ {
 		now += time.Duration(rnd.IntN(12)) * s.Tick / 2
@@ -160,7 +160,7 @@
 				q.sent, q.outcome = append(q.sent, now), append(q.outcome, 0)
 				q.workers = append(q.workers, a.Worker)
 				q.groups = append(q.groups, group(c.DedupScope, list[a.Worker]))
-			case Refuse:
+			case Reject:
 				q, c := requests[a.Request], s.Classes[requests[a.Request].a.Class]
 				seen["refusals"]++
 				if c.Idempotency != Idempotent && q.mayHaveRun() >= 0 && !(c.Idempotency == IdempotentWithKey && c.DedupScope == AllWorkers) {
@@ -170,7 +170,7 @@
 			case Fail:
 				seen["failures"]++
 				answer(t, seed, requests[a.Request], now)
-			case Hold:
+			case LoadOrder:
 				holds = append(holds, a)
 				if a.Copies == 0 {
 					continue
--- a/choice/ring.go
+++ b/choice/ring.go
@@ -32,7 +32,7 @@
 // comes last in every walk.
 func (d *Dispatcher) regard() {
 	before := len(d.regarded)
-	d.regarded = slices.DeleteFunc(d.regarded, func(r Regarded) bool { return r.Until <= d.now })
+	d.regarded = slices.DeleteFunc(d.regarded, func(r WorkerRank) bool { return r.Until <= d.now })
 	if !d.ranksStale && len(d.regarded) == before {
 		return
 	}
@@ -40,7 +40,7 @@
 	d.ranksStale = false
 	for _, w := range d.order {
 		rank := 0
-		if i := slices.IndexFunc(d.regarded, func(r Regarded) bool { return r.Worker == w.ID }); i >= 0 {
+		if i := slices.IndexFunc(d.regarded, func(r WorkerRank) bool { return r.Worker == w.ID }); i >= 0 {
 			rank = d.regarded[i].Rank
 		}
 		changed = changed || rank != w.rank
--- a/choice/state.go
+++ b/choice/state.go
@@ -30,10 +30,10 @@
 	crowded  float64     // share of copies believed to stand that had been pushed out
 	arrivals index.Times // within the load window
 	orders   index.Times
-	retired  bool       // another process has the budgets
-	wanted   []Wanted   // by function
-	regarded []Regarded // by worker
-	lists    int        // taken in
+	retired  bool            // another process has the budgets
+	wanted   []DesiredCopies // by function
+	regarded []WorkerRank    // by worker
+	lists    int             // taken in
 
 	indexes // of workers and queues: index.go
 }
@@ -146,9 +146,9 @@
 
 func (d *Dispatcher) do(a Action) { d.out = append(d.out, a) }
 
-// Spent returns what a process that takes over begins with.
-func (d *Dispatcher) Spent() Inherited {
-	return Inherited{d.orders.All(), d.arrivals.All()}
+// BudgetHandover returns what a process that takes over begins with.
+func (d *Dispatcher) BudgetHandover() BudgetHandover {
+	return BudgetHandover{d.orders.All(), d.arrivals.All()}
 }
 
 // mayHaveRun returns the first attempt that may have run, or may yet.
--- a/choice/streams_test.go
+++ b/choice/streams_test.go
@@ -340,18 +340,18 @@
 	until := p.now + time.Duration(p.rnd.IntN(8000))*ms
 	switch p.rnd.IntN(8) {
 	case 0, 1:
-		return Staged{Function: fn, Copies: 1 + p.rnd.IntN(3)}
+		return StagedCopies{Function: fn, Copies: 1 + p.rnd.IntN(3)}
 	case 2, 3:
-		return Wanted{Function: fn, Copies: p.rnd.IntN(4), Until: until}
+		return DesiredCopies{Function: fn, Copies: p.rnd.IntN(4), Until: until}
 	case 4:
-		return Retired{On: p.rnd.IntN(4) == 0}
+		return Superseded{On: p.rnd.IntN(4) == 0}
 	case 5:
-		return Inherited{Orders: []time.Duration{p.now - time.Second}, Arrivals: []time.Duration{p.now - 2*time.Second, p.now}}
+		return BudgetHandover{Orders: []time.Duration{p.now - time.Second}, Arrivals: []time.Duration{p.now - 2*time.Second, p.now}}
 	}
 	if len(p.list) == 0 {
 		return Timer{}
 	}
-	return Regarded{Worker: p.list[p.rnd.IntN(len(p.list))].ID, Rank: p.rnd.IntN(5) - 2, Until: until}
+	return WorkerRank{Worker: p.list[p.rnd.IntN(len(p.list))].ID, Rank: p.rnd.IntN(5) - 2, Until: until}
 }
 
 // step plays one step, adds its actions to the sum, and has the model answer them.
@@ -380,7 +380,7 @@
 	switch a := a.(type) {
 	case Send:
 		p.answerSend(a)
-	case Hold:
+	case LoadOrder:
 		key := workerFunction{a.Worker, a.Function}
 		h := LoadOrderEnded{Worker: a.Worker, Function: a.Function, Outcome: OK, Copies: a.Copies}
 		after := 150 * ms
--- a/controller/golden_test.go
+++ b/controller/golden_test.go
@@ -21,7 +21,7 @@
 	for name, state := range map[string]legacy{
 		"legacy.json": {
 			Front: webhook.State{Known: []replay.Remembered{{Key: replay.Key{Client: 1, ID: "msg_a"}, Last: 2, Digest: []byte{3}, Status: 200}}, Barrier: 4, Durable: 5, Highest: 6},
-			Spent: choice.Inherited{Orders: []time.Duration{7}, Arrivals: []time.Duration{8, 9}},
+			Spent: choice.BudgetHandover{Orders: []time.Duration{7}, Arrivals: []time.Duration{8, 9}},
 			Open:  10,
 		},
 		"legacy_empty.json": {},
--- a/controller/handover.go
+++ b/controller/handover.go
@@ -23,9 +23,9 @@
 
 // legacy is the state that goes over.
 type legacy struct {
-	Front webhook.State    `json:"Front"`
-	Spent choice.Inherited `json:"Spent"`
-	Open  int              `json:"Open"` // calls in hand
+	Front webhook.State         `json:"Front"`
+	Spent choice.BudgetHandover `json:"Spent"`
+	Open  int                   `json:"Open"` // calls in hand
 }
 
 // ended is how a call in hand of the old process ended.
--- a/gateway/carry.go
+++ b/gateway/carry.go
@@ -77,8 +77,8 @@
 	switch a := a.(type) {
 	case choice.Send:
 		g.send(a, now)
-	case choice.Refuse:
-		g.final(a.Request, Answer{Kind: Refused, After: a.After}, now)
+	case choice.Reject:
+		g.final(a.Request, Answer{Kind: Refused, After: a.RetryAfter}, now)
 	case choice.Fail:
 		r := g.table[a.Request]
 		g.final(a.Request, Answer{Kind: Failed, Late: r != nil && r.out > 0}, now)
@@ -88,7 +88,7 @@
 		}
 	case choice.Wake:
 		g.tokens = append(g.tokens, a)
-	case choice.Hold:
+	case choice.LoadOrder:
 		g.hold(a)
 	case choice.Unload:
 		if name, _, ok := g.functionName(a.Function); ok {
@@ -108,7 +108,7 @@
 		if g.cfg.Lister != nil {
 			g.cfg.Lister.Fetch()
 		}
-	case choice.Tell:
+	case choice.Gossip:
 		if g.cfg.Peers != nil && g.cfg.Settings.Limits.Peers {
 			g.cfg.Peers.Tell(a.To, a.Payload)
 		}
@@ -269,7 +269,7 @@
 	return true
 }
 
-func (g *Gateway) hold(a choice.Hold) {
+func (g *Gateway) hold(a choice.LoadOrder) {
 	name, digest, ok := g.functionName(a.Function)
 	if !ok {
 		g.put(choice.LoadOrderEnded{Worker: a.Worker, Function: a.Function, Outcome: choice.NotStarted})
--- a/gateway/closing.go
+++ b/gateway/closing.go
@@ -70,22 +70,22 @@
 		delete(g.names.advised, id)
 	}
 	g.mu.Unlock()
-	g.put(choice.Wanted{Function: id, Copies: copies, Until: until})
+	g.put(choice.DesiredCopies{Function: id, Copies: copies, Until: until})
 }
 
 // Regard advises the module to prefer a worker (rank above 0), to avoid it (below), or neither, until a time.
 func (g *Gateway) Regard(worker string, rank int, until time.Duration) {
-	g.put(choice.Regarded{Worker: WorkerID(worker), Rank: rank, Until: until})
+	g.put(choice.WorkerRank{Worker: WorkerID(worker), Rank: rank, Until: until})
 }
 
 // Spent returns what a process that takes over begins with.
-func (g *Gateway) Spent() (e choice.Inherited, err error) {
-	err = g.ask(func() { e = g.d.Spent() })
+func (g *Gateway) Spent() (e choice.BudgetHandover, err error) {
+	err = g.ask(func() { e = g.d.BudgetHandover() })
 	return e, err
 }
 
 // Inherit begins with what another process has used up. It is called before Run.
-func (g *Gateway) Inherit(e choice.Inherited) { g.put(e) }
+func (g *Gateway) Inherit(e choice.BudgetHandover) { g.put(e) }
 
 // Retire has the gateway finish what is in hand, without the budgets that another process now has; with false, no longer.
-func (g *Gateway) Retire(on bool) { g.put(choice.Retired{On: on}) }
+func (g *Gateway) Retire(on bool) { g.put(choice.Superseded{On: on}) }
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -239,8 +239,8 @@
 	}
 	w := WorkerID("w1")
 	for _, a := range []choice.Action{choice.Unload{Worker: w, Function: fn}, choice.Probe{Worker: w}, choice.Close{Worker: w},
-		choice.Tell{To: 2, Payload: []byte("hi")}, choice.Watch{On: true}, choice.Fetch{}, choice.Log{Text: "note"}, choice.Hold{Worker: w, Function: fn, Copies: 2},
-		choice.Hold{Worker: w, Function: 99}, choice.Wake{At: clk.Now() + ms, Token: 7}, choice.Refuse{Request: 12345}, choice.Cancel{Request: 12345}} {
+		choice.Gossip{To: 2, Payload: []byte("hi")}, choice.Watch{On: true}, choice.Fetch{}, choice.Log{Text: "note"}, choice.LoadOrder{Worker: w, Function: fn, Copies: 2},
+		choice.LoadOrder{Worker: w, Function: 99}, choice.Wake{At: clk.Now() + ms, Token: 7}, choice.Reject{Request: 12345}, choice.Cancel{Request: 12345}} {
 		g.carry(a, clk.Now())
 	}
 	if s := strings.Join(c.log, ", "); s != "unload f, probe, close, hold f 2" {
@@ -370,7 +370,7 @@
 	id := call(t, g, 0, &got)
 	g.step(clk.Now())
 	c.send(0)(backend.Result{Outcome: choice.OK, Took: ms, Body: []byte("x")})
-	g.carry(choice.Refuse{Request: id}, clk.Now())
+	g.carry(choice.Reject{Request: id}, clk.Now())
 	g.carry(choice.Send{Request: id, Worker: WorkerID("w2"), Timeout: time.Second}, clk.Now())
 	if c.send(1) != nil {
 		t.Error("sent after it was served")
--- a/gateway/names.go
+++ b/gateway/names.go
@@ -125,7 +125,7 @@
 
 // Stage says that copies of a function are wanted before it is called.
 func (g *Gateway) Stage(f *Function, copies int) {
-	g.put(choice.Staged{Function: f.ID, Copies: copies})
+	g.put(choice.StagedCopies{Function: f.ID, Copies: copies})
 }
 
 func (g *Gateway) workerName(id choice.WorkerID) string {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -384,10 +384,10 @@
 		e.u64(uint64(a.Request))
 		e.f64(FromDuration(a.Timeout))
 		e.worker(a.Worker)
-	case choice.Refuse:
+	case choice.Reject:
 		e.head(codeDeny, instance)
 		e.u64(uint64(a.Request))
-		e.f64(FromDuration(a.After))
+		e.f64(FromDuration(a.RetryAfter))
 	case choice.Fail:
 		e.head(codeDrop, instance)
 		e.u64(uint64(a.Request))
@@ -405,7 +405,7 @@
 	case choice.Close:
 		e.head(codeFree, instance)
 		e.worker(a.Worker)
-	case choice.Tell:
+	case choice.Gossip:
 		e.head(codeNotify, instance)
 		if a.To == choice.Everyone {
 			e.u16(math.MaxUint16)
@@ -425,7 +425,7 @@
 		e.b = append(e.b, on)
 	case choice.Fetch:
 		e.head(codeRefresh, instance)
-	case choice.Hold:
+	case choice.LoadOrder:
 		e.head(codePreload, instance)
 		e.worker(a.Worker)
 		e.u64(uint64(a.Function))
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -101,18 +101,18 @@
 	}{
 		{choice.Send{Request: 0x121185d3a91c4, Worker: worker, Timeout: 80 * time.Millisecond},
 			`00 00000003 000121185d3a91c4 4054000000000000 0a124a07 1f43`},
-		{choice.Refuse{Request: 0xdbb200e6f2b19, After: 250 * time.Millisecond},
+		{choice.Reject{Request: 0xdbb200e6f2b19, RetryAfter: 250 * time.Millisecond},
 			`01 00000003 000dbb200e6f2b19 406f400000000000`},
 		{choice.Fail{Request: 0xdbb200e6f2b19}, `02 00000003 000dbb200e6f2b19`},
 		{choice.Cancel{Request: 0x121185d3a91c4, Attempt: 1}, `03 00000003 000121185d3a91c4 01`},
 		{choice.Wake{At: 8964250 * time.Microsecond, Token: 0x4d}, `04 00000003 40c1822000000000 000000000000004d`},
 		{choice.Probe{Worker: worker}, `05 00000003 0a124a07 1f43`},
 		{choice.Close{Worker: worker}, `06 00000003 0a124a07 1f43`},
-		{choice.Tell{To: choice.Everyone, Payload: []byte("hi 7")}, `07 00000003 ffff 0004 68692037`},
+		{choice.Gossip{To: choice.Everyone, Payload: []byte("hi 7")}, `07 00000003 ffff 0004 68692037`},
 		{choice.Log{Text: "two servers known"}, `08 00000003 0011 74776f2073657276657273206b6e6f776e`},
 		{choice.Watch{On: true}, `0a 00000003 01`},
 		{choice.Fetch{}, `0b 00000003`},
-		{choice.Hold{Worker: worker, Function: 0x7c55d20a01, Copies: 1}, `0c 00000003 0a124a07 1f43 0000007c55d20a01 01`},
+		{choice.LoadOrder{Worker: worker, Function: 0x7c55d20a01, Copies: 1}, `0c 00000003 0a124a07 1f43 0000007c55d20a01 01`},
 		{choice.Unload{Worker: worker, Function: 0x7c55d20a01}, `0d 00000003 0a124a07 1f43 0000007c55d20a01`},
 	}
 	for _, tt := range tests {
--- a/scale/dispatch.go
+++ b/scale/dispatch.go
@@ -244,14 +244,14 @@
 	switch a := a.(type) {
 	case choice.Send:
 		p.serve(a)
-	case choice.Hold:
+	case choice.LoadOrder:
 		p.hold(a)
 	case choice.Probe:
 		p.cost.Questions++
 		p.later(roundTrip, choice.ProbeEnded{Worker: a.Worker, Outcome: choice.OK})
 	case choice.Cancel:
 		p.later(roundTrip, choice.AttemptEnded{Request: a.Request, Attempt: a.Attempt, Outcome: choice.Cancelled})
-	case choice.Refuse:
+	case choice.Reject:
 		p.cost.Refused++
 		p.forget(a.Request)
 	case choice.Fail:
@@ -284,7 +284,7 @@
 }
 
 // hold answers an order to load, or the question how many copies stand.
-func (p *dispatchPlay) hold(a choice.Hold) {
+func (p *dispatchPlay) hold(a choice.LoadOrder) {
 	held := choice.LoadOrderEnded{Worker: a.Worker, Function: a.Function, Outcome: choice.OK, Copies: a.Copies}
 	after := roundTrip
 	if a.Copies == 0 {
