--- a/choice/encoding_test.go
+++ b/choice/encoding_test.go
@@ -47,19 +47,19 @@
 // exactFloat writes a number in hexadecimal, with every bit of it.
 func exactFloat(x float64) string { return strconv.FormatFloat(x, 'x', -1, 64) }
 
-func encodeSnapshot(l Look) string {
+func encodeSnapshot(l Snapshot) string {
 	return fmt.Sprintf("place=%d ring=%d ready=%t ejected=%t warming=%t copy=%t rank=%d tokens=%s busy=%d pace=%s loads=%d admitted=%s waiting=%d out=%d",
-		l.Place, l.Ring, l.Ready, l.Ejected, l.Cold, l.Warm, l.Rank, exactFloat(l.Tokens), l.Busy, exactFloat(l.Pace), l.Loads,
-		exactFloat(l.Pass), l.Waiting, l.InFlight)
+		l.RingPosition, l.RingSize, l.Ready, l.Ejected, l.WarmingUp, l.HasCopy, l.Rank, exactFloat(l.Tokens), l.Busy, exactFloat(l.LatencyRatio), l.Loads,
+		exactFloat(l.AdmittedFraction), l.Queued, l.InFlight)
 }
 
-func encodeWorkerSnapshot(l WorkerLook) string {
-	return fmt.Sprintf("worker=%d state=%d heard=%d copies=%d %s", uint64(l.ID), int(l.State), int64(l.Heard), l.Copies, encodeSnapshot(l.Look))
+func encodeWorkerSnapshot(l WorkerSnapshot) string {
+	return fmt.Sprintf("worker=%d state=%d heard=%d copies=%d %s", uint64(l.ID), int(l.State), int64(l.SinceLastAnswer), l.Copies, encodeSnapshot(l.Snapshot))
 }
 
-func encodeFunctionSnapshot(l FunctionLook) string {
-	return fmt.Sprintf("function=%d home=%d waiting=%d out=%d run=%d gap=%d copies=%d advised=%t", uint64(l.ID), uint64(l.Home), l.Waiting,
-		l.InFlight, int64(l.Run), int64(l.Gap), l.Copies, l.Wanted)
+func encodeFunctionSnapshot(l FunctionSnapshot) string {
+	return fmt.Sprintf("function=%d home=%d waiting=%d out=%d run=%d gap=%d copies=%d advised=%t", uint64(l.ID), uint64(l.Home), l.Queued,
+		l.InFlight, int64(l.MeanRunTime), int64(l.MeanInterarrival), l.Copies, l.Desired)
 }
 
 // Every type of action has an encoding of its own, in which each field shows.
--- a/choice/streams_test.go
+++ b/choice/streams_test.go
@@ -218,7 +218,7 @@
 	for _, l := range p.d.Functions() {
 		fmt.Fprintln(p.encoded, encodeFunctionSnapshot(l))
 		if len(p.list) > 0 {
-			shown := p.d.Look(l.ID, p.list[p.rnd.IntN(len(p.list))].ID)
+			shown := p.d.Snapshot(l.ID, p.list[p.rnd.IntN(len(p.list))].ID)
 			fmt.Fprintln(p.encoded, encodeSnapshot(shown))
 		}
 	}
--- a/cmd/kitehub/operate.go
+++ b/cmd/kitehub/operate.go
@@ -90,17 +90,17 @@
 				for _, n := range []struct {
 					on   bool
 					text string
-				}{{x.Look.Cold, "cold"}, {x.Look.Ejected, "ejected"}, {x.Look.Rank > 0, "preferred"}, {x.Look.Rank < 0, "avoided"}} {
+				}{{x.Snapshot.WarmingUp, "cold"}, {x.Snapshot.Ejected, "ejected"}, {x.Snapshot.Rank > 0, "preferred"}, {x.Snapshot.Rank < 0, "avoided"}} {
 					if n.on {
 						notes = append(notes, n.text)
 					}
 				}
 				heard := "never"
-				if x.Heard >= 0 {
-					heard = x.Heard.Round(time.Millisecond).String() + " ago"
+				if x.SinceLastAnswer >= 0 {
+					heard = x.SinceLastAnswer.Round(time.Millisecond).String() + " ago"
 				}
 				state := map[bool]string{true: "ready", false: "draining"}[x.State == 1]
-				fmt.Fprintf(w, "%s\t%s\t%.1f\t%d\t%d\t%d\t%s\t%s\n", x.Name, state, x.Look.Tokens, x.Look.Busy, x.Look.Loads, x.Copies, heard, strings.Join(notes, ", "))
+				fmt.Fprintf(w, "%s\t%s\t%.1f\t%d\t%d\t%d\t%s\t%s\n", x.Name, state, x.Snapshot.Tokens, x.Snapshot.Busy, x.Snapshot.Loads, x.Copies, heard, strings.Join(notes, ", "))
 			}
 		})
 	})
@@ -114,10 +114,10 @@
 		table("FUNCTION\tHOME\tWAITING\tOUT\tRUN\tGAP\tCOPIES\tNOTES", func(w *tabwriter.Writer) {
 			for _, x := range l {
 				note := ""
-				if x.Wanted {
+				if x.Desired {
 					note = "kept warm by advice"
 				}
-				fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%v\t%v\t%d\t%s\n", x.Name, x.Home, x.Waiting, x.InFlight, x.Run.Round(time.Millisecond), x.Gap.Round(time.Millisecond), x.Copies, note)
+				fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%v\t%v\t%d\t%s\n", x.Name, x.Home, x.Queued, x.InFlight, x.MeanRunTime.Round(time.Millisecond), x.MeanInterarrival.Round(time.Millisecond), x.Copies, note)
 			}
 		})
 	})
--- a/gateway/carry.go
+++ b/gateway/carry.go
@@ -168,10 +168,10 @@
 	n, call := len(r.tries), r.call
 	t := try{worker: g.workerName(a.Worker), sent: now}
 	if g.told.most > 0 || call.Progress != nil {
-		t.look = g.d.Look(call.Function.ID, a.Worker)
+		t.look = g.d.Snapshot(call.Function.ID, a.Worker)
 	}
 	if call.Progress != nil {
-		call.Progress(n, t.worker, !t.look.Warm)
+		call.Progress(n, t.worker, !t.look.HasCopy)
 	}
 	r.out++
 	attempt := backend.Attempt{Worker: a.Worker, Call: call.ID, Class: g.cfg.Settings.Classes[call.Function.Class].Name,
--- a/gateway/explain.go
+++ b/gateway/explain.go
@@ -76,28 +76,28 @@
 
 var met = map[choice.LoadNote]string{choice.FoundWarm: ", a copy stood", choice.StartedLoad: ", it began a load", choice.AwaitedLoad: ", it waited for a load that had begun", choice.LoadFailed: ", a load failed"}
 
-func seen(l choice.Look) string {
+func seen(l choice.Snapshot) string {
 	var s []string
 	switch {
-	case l.Place == 0:
+	case l.RingPosition == 0:
 		s = append(s, "the function's home")
-	case l.Place > 0:
-		s = append(s, fmt.Sprintf("place %d of %d from its home", l.Place, l.Ring))
+	case l.RingPosition > 0:
+		s = append(s, fmt.Sprintf("place %d of %d from its home", l.RingPosition, l.RingSize))
 	}
-	if l.Warm {
+	if l.HasCopy {
 		s = append(s, "a copy believed to stand")
 	} else {
 		s = append(s, "no copy known to stand")
 	}
-	if l.Cold {
+	if l.WarmingUp {
 		s = append(s, "cold")
 	}
 	if l.Rank != 0 {
 		s = append(s, map[bool]string{true: "preferred by advice", false: "to be avoided by advice"}[l.Rank > 0])
 	}
 	s = append(s, fmt.Sprintf("%d of %.1f tokens in use", l.Busy, l.Tokens))
-	if l.Pass < 1 {
-		s = append(s, fmt.Sprintf("%.0f%% of calls let pass", 100*l.Pass))
+	if l.AdmittedFraction < 1 {
+		s = append(s, fmt.Sprintf("%.0f%% of calls let pass", 100*l.AdmittedFraction))
 	}
 	return strings.Join(s, ", ")
 }
@@ -140,14 +140,14 @@
 // WorkerView is a worker as this controller sees it. Its JSON has the keys of the look beside the name, as it is embedded.
 type WorkerView struct {
 	Name string `json:"name"`
-	choice.WorkerLook
+	choice.WorkerSnapshot
 }
 
 // FunctionView is a function as this controller sees it; its JSON is as WorkerView's.
 type FunctionView struct {
 	Name string `json:"name"`
 	Home string `json:"home"`
-	choice.FunctionLook
+	choice.FunctionSnapshot
 }
 
 // View returns workers and functions as the module sees them, by name, and the share of requests that it lets pass.
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -204,7 +204,7 @@
 	took    time.Duration
 	status  int
 	note    choice.LoadNote
-	look    choice.Look // the worker and function as the module saw them, where calls are explained
+	look    choice.Snapshot // the worker and function as the module saw them, where calls are explained
 }
 
 // New returns a gateway that does not run yet.
--- a/relay/belief.go
+++ b/relay/belief.go
@@ -22,7 +22,7 @@
 	}
 	for _, s := range now {
 		v, known := of[s.Name]
-		out := v.Look.Busy + v.Look.Loads
+		out := v.Snapshot.Busy + v.Snapshot.Loads
 		differ += max(out-s.Open, s.Open-out)
 		if len(lines) == mostTold {
 			continue
@@ -34,15 +34,15 @@
 		}
 		state := "not known"
 		switch {
-		case v.Look.Ejected:
+		case v.Snapshot.Ejected:
 			state = "ejected"
-		case v.Look.Cold:
+		case v.Snapshot.WarmingUp:
 			state = "cold"
 		case known:
 			state = "well"
 		}
 		lines = append(lines, fmt.Sprintf("%s out %d/%d conns %d served %d in %dms lost %d; %s pace %.2f tokens %.1f", s.Name, out, s.Open, s.Conns,
-			s.Answered-was.Answered, mean.Milliseconds(), s.Lost-was.Lost, state, v.Look.Pace, v.Look.Tokens))
+			s.Answered-was.Answered, mean.Milliseconds(), s.Lost-was.Lost, state, v.Snapshot.LatencyRatio, v.Snapshot.Tokens))
 	}
 	return lines, differ
 }
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -240,8 +240,8 @@
 func TestBeliefs(t *testing.T) {
 	seen := []frame.Seen{{Worker: 1, Name: "a", Open: 3, Answered: 30, Took: 3 * time.Second, Conns: 4}, {Worker: 2, Name: "b", Open: 0, Lost: 2}, {Worker: 3, Name: "c"}}
 	before := map[choice.WorkerID]frame.Seen{1: {Answered: 10, Took: time.Second}}
-	views := []gateway.WorkerView{{Name: "a", WorkerLook: choice.WorkerLook{Look: choice.Look{Busy: 2, Loads: 1, Tokens: 4, Pace: 1.5}}},
-		{Name: "b", WorkerLook: choice.WorkerLook{Look: choice.Look{Busy: 2, Ejected: true}}}}
+	views := []gateway.WorkerView{{Name: "a", WorkerSnapshot: choice.WorkerSnapshot{Snapshot: choice.Snapshot{Busy: 2, Loads: 1, Tokens: 4, LatencyRatio: 1.5}}},
+		{Name: "b", WorkerSnapshot: choice.WorkerSnapshot{Snapshot: choice.Snapshot{Busy: 2, Ejected: true}}}}
 	lines, differ := beliefs(seen, before, views)
 	want := []string{"a out 3/3 conns 4 served 20 in 100ms lost 0; well pace 1.50 tokens 4.0", "b out 2/0 conns 0 served 0 in 0ms lost 2; ejected pace 0.00 tokens 0.0",
 		"c out 0/0 conns 0 served 0 in 0ms lost 0; not known pace 0.00 tokens 0.0"}
