--- a/choice/advice_test.go
+++ b/choice/advice_test.go
@@ -42,7 +42,7 @@
 
 func TestAdviceKeepsBudget(t *testing.T) {
 	s := base()
-	s.Loading.Window, s.Loading.Free, s.Loading.Ratio = 10*time.Second, 8, 0
+	s.Loading.BudgetWindow, s.Loading.BudgetFree, s.Loading.BudgetRatio = 10*time.Second, 8, 0
 	d := start(t, s, ready(1, 2, 3, 4)...)
 	var in []Event
 	for f := range 100 {
@@ -132,7 +132,7 @@
 // Two processes of one controller, one after the other, keep one load budget; the one that retires sends nothing to the cold.
 func TestInheritedBudget(t *testing.T) {
 	s := base()
-	s.Loading.Window, s.Loading.Free, s.Loading.Ratio = 10*time.Second, 8, 0
+	s.Loading.BudgetWindow, s.Loading.BudgetFree, s.Loading.BudgetRatio = 10*time.Second, 8, 0
 	old, next := start(t, s, ready(1, 2, 3, 4)...), start(t, s, ready(1, 2, 3, 4)...)
 	want := func(n int) (in []Event) {
 		for f := range n {
--- a/choice/api.go
+++ b/choice/api.go
@@ -52,51 +52,51 @@
 
 // Limits are what the deployment permits.
 type Limits struct {
-	Attempts        int // for one request
-	Open            int // requests an instance can hold
-	Duplicate       bool
-	Cancel          bool
-	Probe           bool
-	Peers           bool
-	RetryAfter      bool
-	MaxRetryAfter   time.Duration
-	Dial            time.Duration // a connection not up by then has failed
-	KeepAlive       time.Duration // of idle connections
-	Streams         int           // attempts one connection carries
-	CPUPerRequestUS float64
-	CPUPerSecondUS  float64
+	MaxAttempts           int // for one request
+	MaxOpenRequests       int // requests an instance can hold
+	HedgedRequests        bool
+	Cancel                bool
+	Probe                 bool
+	Peers                 bool
+	RetryAfter            bool
+	MaxRetryAfter         time.Duration
+	DialTimeout           time.Duration // a connection not up by then has failed
+	IdleConnectionTimeout time.Duration // of idle connections
+	StreamsPerConnection  int           // attempts one connection carries
+	CPUPerRequestUS       float64
+	CPUPerSecondUS        float64
 }
 
 // Loading states what holds for copies of functions.
 type Loading struct {
-	Orders      bool          // Hold and Unload are allowed
-	LoadsOnMiss bool          // a worker without the function loads it; otherwise it answers Miss
-	OnMissKnown bool          // the deployment said which of the two
-	IdleLife    time.Duration // an idle copy stays at least this long
-	Answer      time.Duration // longest wait for a Held
-	Window      time.Duration // of the load budget; 0: none
-	Free        float64       // orders within Window that are always allowed
-	Ratio       float64       // further orders for each request taken within Window
-	IdlePrice   float64       // for the mean share of memory held by idle or loading copies
-	WarmNotes   bool          // Returned.Note is given
-	CountsAlike bool          // Returned.Alike is given
-	MemoryMB    []float64     // by kind of worker
-	X0, X1      string        // what the report values of these names mean
+	Orders              bool          // Hold and Unload are allowed
+	LoadsOnMiss         bool          // a worker without the function loads it; otherwise it answers Miss
+	OnMissKnown         bool          // the deployment said which of the two
+	IdleCopyTTL         time.Duration // an idle copy stays at least this long
+	OrderTimeout        time.Duration // longest wait for a Held
+	BudgetWindow        time.Duration // of the load budget; 0: none
+	BudgetFree          float64       // orders within Window that are always allowed
+	BudgetRatio         float64       // further orders for each request taken within Window
+	IdlePrice           float64       // for the mean share of memory held by idle or loading copies
+	LoadNotesGiven      bool          // Returned.Note is given
+	SameFunctionCounted bool          // Returned.Alike is given
+	MemoryMB            []float64     // by kind of worker
+	X0, X1              string        // what the report values of these names mean
 }
 
 // Guarantees are the figures of the rules.
 type Guarantees struct {
-	AnswerGrace time.Duration // a final answer this long after the deadline still counts
-	DrainGrace  time.Duration // sends to a draining or gone worker stop within this
-	AskWithin   time.Duration // where the list must be asked for
-	ColdShare   float64       // a starting worker's part of its capacity
-	ColdFor     time.Duration // and when it is warm at the latest
-	FallFactor  float64       // sent more than this multiple of its present capacity
-	FallWithin  time.Duration // for this long, a cold worker falls over
+	AnswerGrace    time.Duration // a final answer this long after the deadline still counts
+	DrainGrace     time.Duration // sends to a draining or gone worker stop within this
+	PollWithin     time.Duration // where the list must be asked for
+	WarmupFraction float64       // a starting worker's part of its capacity
+	WarmupTime     time.Duration // and when it is warm at the latest
+	CollapseFactor float64       // sent more than this multiple of its present capacity
+	CollapseWindow time.Duration // for this long, a cold worker falls over
 }
 
 // Goal weighs the parts of the result.
-type Goal struct{ Whole, WorstWindow, WorstClass, WorstTenant float64 }
+type Goal struct{ Overall, WorstWindow, WorstClass, WorstTenant float64 }
 
 // Prices are taken off the result, each for one unit of what it names.
 type Prices struct {
@@ -139,28 +139,28 @@
 
 // Settings are given once, at the start of an instance.
 type Settings struct {
-	Me, Controllers int
-	Zone            int
-	Zones           []string
-	Tier            int
-	Tiers           []string
-	Kinds           []string
-	Classes         []Class
-	Tenants         []Tenant
-	OverQuotaWeight float64 // worth of a request over its tenant's share
-	WeightByWork    bool
-	MarksRetry      bool // clients mark their repeats
-	AskForList      bool // the list of workers comes only when asked for
-	Tick            time.Duration
-	Workload        string
-	Sizes           SizeMeaning
-	Report          []ReportField
-	ReportVia       ReportSource
-	Limits          Limits
-	Loading         Loading
-	Guarantees      Guarantees
-	Goal            Goal
-	Prices          Prices
+	ControllerIndex, Controllers int
+	Zone                         int
+	Zones                        []string
+	Tier                         int
+	Tiers                        []string
+	Kinds                        []string
+	Classes                      []Class
+	Tenants                      []Tenant
+	OverQuotaWeight              float64 // worth of a request over its tenant's share
+	WeightByWork                 bool
+	ClientsMarkRetries           bool // clients mark their repeats
+	PollForList                  bool // the list of workers comes only when asked for
+	Tick                         time.Duration
+	Workload                     string
+	Sizes                        SizeMeaning
+	Report                       []ReportField
+	ReportVia                    ReportSource
+	Limits                       Limits
+	Loading                      Loading
+	Guarantees                   Guarantees
+	Goal                         Goal
+	Prices                       Prices
 }
 
 // WorkerState is what the list says of a worker.
--- a/choice/attempts.go
+++ b/choice/attempts.go
@@ -231,7 +231,7 @@
 	d.answered(w, OK)
 	w.tokens = max(min(1, w.tokens), w.tokens/2)
 	d.crowd(r.q, e.SameFunction, r.Lanes, d.share(w) >= 1)
-	if len(r.tries) >= d.s.Limits.Attempts {
+	if len(r.tries) >= d.s.Limits.MaxAttempts {
 		d.judge(r, false)
 	}
 	if t.load {
@@ -292,12 +292,12 @@
 
 // maySend keeps the rules on effects for one more attempt at a worker.
 func (d *Dispatcher) maySend(r *request, w *worker) bool {
-	if r.ended || w.State != Ready || len(r.tries) >= d.s.Limits.Attempts || d.now >= r.final {
+	if r.ended || w.State != Ready || len(r.tries) >= d.s.Limits.MaxAttempts || d.now >= r.final {
 		return false
 	}
 	for i := range r.tries {
 		t := &r.tries[i]
-		if !t.done && (!d.s.Limits.Duplicate || !t.left && !r.cover || t.w == w) {
+		if !t.done && (!d.s.Limits.HedgedRequests || !t.left && !r.cover || t.w == w) {
 			return false
 		}
 	}
@@ -324,7 +324,7 @@
 			if r.ended || r.waiting || t.w != w || t.done || d.s.Classes[r.Class].Idempotency == NonIdempotent {
 				continue
 			}
-			if r.cover = d.s.Limits.Duplicate; !r.cover && len(r.tries) < d.s.Limits.Attempts {
+			if r.cover = d.s.Limits.HedgedRequests; !r.cover && len(r.tries) < d.s.Limits.MaxAttempts {
 				d.cancel(r, i)
 			} else if r.cover && d.mayTry(r) {
 				d.enqueue(r)
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -119,7 +119,7 @@
 
 // wake asks for the next step: each tick or so while something is open, else when a queue may want renewal.
 func (d *Dispatcher) wake() {
-	at := d.now + max(d.s.Tick, d.s.Limits.Dial/10)
+	at := d.now + max(d.s.Tick, d.s.Limits.DialTimeout/10)
 	for _, r := range d.open {
 		if !r.ended {
 			at = min(at, max(r.final, d.now+1))
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -19,11 +19,11 @@
 			{Name: "keyed", Idempotency: IdempotentWithKey, DedupScope: SameGroup, DedupWindow: 2 * time.Second, LatencyObjective: 500 * ms,
 				Deadline: 4 * time.Second, PriorityWeight: 1},
 			{Name: "unsafe", Idempotency: NonIdempotent, LatencyObjective: 500 * ms, Deadline: 4 * time.Second, PriorityWeight: 1}},
-		Limits: Limits{Attempts: 3, Open: 100, Dial: 250 * ms, Cancel: true},
-		Loading: Loading{Orders: true, LoadsOnMiss: true, OnMissKnown: true, IdleLife: 8 * time.Second,
-			Answer: 10 * time.Second, WarmNotes: true},
-		Guarantees: Guarantees{DrainGrace: 500 * ms, ColdShare: 0.2, ColdFor: 16 * time.Second, FallFactor: 3,
-			FallWithin: 2 * time.Second}}
+		Limits: Limits{MaxAttempts: 3, MaxOpenRequests: 100, DialTimeout: 250 * ms, Cancel: true},
+		Loading: Loading{Orders: true, LoadsOnMiss: true, OnMissKnown: true, IdleCopyTTL: 8 * time.Second,
+			OrderTimeout: 10 * time.Second, LoadNotesGiven: true},
+		Guarantees: Guarantees{DrainGrace: 500 * ms, WarmupFraction: 0.2, WarmupTime: 16 * time.Second, CollapseFactor: 3,
+			CollapseWindow: 2 * time.Second}}
 }
 
 func start(t *testing.T, s Settings, workers ...WorkerInfo) *Dispatcher {
@@ -78,10 +78,10 @@
 		{"Classes", func(s *Settings) { s.Classes = nil }},
 		{"Effect", func(s *Settings) { s.Classes[0].Idempotency = 0 }},
 		{"Scope", func(s *Settings) { s.Classes[1].DedupScope = 9 }},
-		{"Window", func(s *Settings) { s.Loading.Window = -1 }},
-		{"Ratio", func(s *Settings) { s.Loading.Ratio = math.NaN() }},
-		{"ColdShare", func(s *Settings) { s.Guarantees.ColdShare = math.Inf(1) }},
-		{"Attempts", func(s *Settings) { s.Limits.Attempts = 0 }},
+		{"Window", func(s *Settings) { s.Loading.BudgetWindow = -1 }},
+		{"Ratio", func(s *Settings) { s.Loading.BudgetRatio = math.NaN() }},
+		{"ColdShare", func(s *Settings) { s.Guarantees.WarmupFraction = math.Inf(1) }},
+		{"Attempts", func(s *Settings) { s.Limits.MaxAttempts = 0 }},
 		{"Controllers", func(s *Settings) { s.Controllers = 0 }},
 	}
 	for _, tt := range tests {
@@ -235,8 +235,8 @@
 func TestColdWorkerSum(t *testing.T) {
 	const n, workers, run = 100, 10, 100 * ms
 	s := base()
-	s.Controllers, s.Guarantees.FallFactor = n, 2
-	s.Loading.IdleLife = time.Hour
+	s.Controllers, s.Guarantees.CollapseFactor = n, 2
+	s.Loading.IdleCopyTTL = time.Hour
 	begin := time.Hour
 	list := ready(1, 2, 3, 4, 5, 6, 7, 8, 9, 10)
 	ds, pending := make([]*Dispatcher, n), make([][]Event, n)
@@ -278,7 +278,7 @@
 		}
 	}
 	even := float64(answered) / 20 / workers // calls a second of one worker
-	g, window := s.Guarantees, s.Guarantees.FallWithin
+	g, window := s.Guarantees, s.Guarantees.CollapseWindow
 	for at := begin; at < begin+8*time.Second; at += run {
 		sent := 0
 		for _, c := range cold {
@@ -286,8 +286,8 @@
 				sent++
 			}
 		}
-		mid := float64(at+window/2-begin) / float64(g.ColdFor)
-		limit := g.FallFactor * (g.ColdShare + (1-g.ColdShare)*mid) * even * window.Seconds()
+		mid := float64(at+window/2-begin) / float64(g.WarmupTime)
+		limit := g.CollapseFactor * (g.WarmupFraction + (1-g.WarmupFraction)*mid) * even * window.Seconds()
 		if float64(sent) > limit {
 			t.Errorf("%v after the start: %d sends in a window, the budget is %.0f", at-begin, sent, limit)
 		}
@@ -396,8 +396,8 @@
 func Example() {
 	d, err := New(Settings{Controllers: 1, Tick: 2 * ms,
 		Classes: []Class{{Name: "quote", Idempotency: Idempotent, LatencyObjective: 600 * ms, Deadline: 4 * time.Second, PriorityWeight: 1}},
-		Limits:  Limits{Attempts: 3, Dial: 250 * ms},
-		Loading: Loading{Orders: true, LoadsOnMiss: true, OnMissKnown: true, IdleLife: 8 * time.Second}}, 1)
+		Limits:  Limits{MaxAttempts: 3, DialTimeout: 250 * ms},
+		Loading: Loading{Orders: true, LoadsOnMiss: true, OnMissKnown: true, IdleCopyTTL: 8 * time.Second}}, 1)
 	if err != nil {
 		fmt.Println(err)
 		return
--- a/choice/cold_test.go
+++ b/choice/cold_test.go
@@ -60,10 +60,10 @@
 	}
 	s := choice.Settings{Controllers: c.controllers, Tick: tick,
 		Classes: []choice.Class{{Name: "a", Idempotency: choice.Idempotent, LatencyObjective: 500 * ms, Deadline: 2500 * ms, PriorityWeight: 1}},
-		Limits:  choice.Limits{Attempts: 3, Open: 20000, Dial: 250 * ms, Cancel: true},
-		Loading: choice.Loading{Orders: true, LoadsOnMiss: true, OnMissKnown: true, IdleLife: 2 * time.Second, Answer: 5 * time.Second,
-			Window: 5 * time.Second, Free: 10, Ratio: 0.1, WarmNotes: true},
-		Guarantees: choice.Guarantees{DrainGrace: 500 * ms, ColdShare: c.share, ColdFor: c.coldFor, FallFactor: c.factor, FallWithin: c.within}}
+		Limits:  choice.Limits{MaxAttempts: 3, MaxOpenRequests: 20000, DialTimeout: 250 * ms, Cancel: true},
+		Loading: choice.Loading{Orders: true, LoadsOnMiss: true, OnMissKnown: true, IdleCopyTTL: 2 * time.Second, OrderTimeout: 5 * time.Second,
+			BudgetWindow: 5 * time.Second, BudgetFree: 10, BudgetRatio: 0.1, LoadNotesGiven: true},
+		Guarantees: choice.Guarantees{DrainGrace: 500 * ms, WarmupFraction: c.share, WarmupTime: c.coldFor, CollapseFactor: c.factor, CollapseWindow: c.within}}
 	now := time.Hour
 	f := fleet.New(cfg, now)
 	portions := make([]float64, c.controllers) // of the calls, up to and with each controller
@@ -75,7 +75,7 @@
 	}
 	ds, inbox := make([]*choice.Dispatcher, c.controllers), make([][]choice.Event, c.controllers)
 	for i := range ds {
-		s.Me = i
+		s.ControllerIndex = i
 		d, err := choice.New(s, seed*1000+uint64(i))
 		if err != nil {
 			t.Fatal(err)
--- a/choice/coldstart.go
+++ b/choice/coldstart.go
@@ -5,10 +5,10 @@
 // share is the part of its capacity that a worker has now at least.
 func (d *Dispatcher) share(w *worker) float64 {
 	g := d.s.Guarantees
-	if w.coldFrom <= 0 || d.now-w.coldFrom >= g.ColdFor {
+	if w.coldFrom <= 0 || d.now-w.coldFrom >= g.WarmupTime {
 		return 1
 	}
-	return g.ColdShare + (1-g.ColdShare)*float64(max(0, d.now-w.coldFrom))/float64(g.ColdFor)
+	return g.WarmupFraction + (1-g.WarmupFraction)*float64(max(0, d.now-w.coldFrom))/float64(g.WarmupTime)
 }
 
 // coldRoom keeps a cold worker from being pushed over by all controllers together, with no word between them.
@@ -24,21 +24,21 @@
 	if share >= 1 || d.retired {
 		return share >= 1
 	}
-	window, dt := creditKeep*g.FallWithin.Seconds(), max(0, (d.now-max(w.creditAt, w.coldFrom)).Seconds())
+	window, dt := creditKeep*g.CollapseWindow.Seconds(), max(0, (d.now-max(w.creditAt, w.coldFrom)).Seconds())
 	kept, gain := math.Exp(-dt/window), 0.0
 	if dt > 0 {
 		gain = max((d.served-w.served)/max(d.readyShares(), 1)/dt, coldCores/n)
 		w.even += (gain - w.even) * (1 - kept)
 	}
-	holds := g.FallFactor * share * w.even * n * g.FallWithin.Seconds() / work // calls in a window, by all
+	holds := g.CollapseFactor * share * w.even * n * g.CollapseWindow.Seconds() / work // calls in a window, by all
 	mean := math.Pow(math.Sqrt(holds+coldDraws*coldDraws/4)-coldDraws/2, 2) / holds
-	w.credit = w.credit*kept + min(1+coldPart*(g.FallFactor-1), g.FallFactor*mean)*share*gain*window*(1-kept)
+	w.credit = w.credit*kept + min(1+coldPart*(g.CollapseFactor-1), g.CollapseFactor*mean)*share*gain*window*(1-kept)
 	w.creditAt, w.served = d.now, d.served
 	if holds < coldDraws {
 		w.credit = min(0, w.credit)
 		return false
 	}
-	free := (g.FallFactor-1)*share*coldCores*g.FallWithin.Seconds()/n - w.work + min(0, w.credit)
+	free := (g.CollapseFactor-1)*share*coldCores*g.CollapseWindow.Seconds()/n - w.work + min(0, w.credit)
 	if w.credit >= work || free >= work {
 		w.credit = max(w.credit-work, min(0, w.credit))
 		return true
--- a/choice/health.go
+++ b/choice/health.go
@@ -27,8 +27,8 @@
 
 // offFor is a time off the ring, longer with each before it.
 func (d *Dispatcher) offFor(before int) time.Duration {
-	span := ejectDials * float64(d.s.Limits.Dial) * math.Pow(2, float64(min(before, 10)))
-	span = min(span, ejectCold*float64(d.s.Guarantees.ColdFor))
+	span := ejectDials * float64(d.s.Limits.DialTimeout) * math.Pow(2, float64(min(before, 10)))
+	span = min(span, ejectCold*float64(d.s.Guarantees.WarmupTime))
 	return time.Duration(span * (1 + jitter*(d.rng.Float64()-0.5)))
 }
 
@@ -73,8 +73,8 @@
 
 // health asks workers that are quiet with something out, ejects those that stay so, and tries the ejected.
 func (d *Dispatcher) health() {
-	quiet := max(d.s.Limits.Dial, seconds(quietRuns*slices.Max(d.classRun)))
-	patience := seconds(askDials * d.s.Limits.Dial.Seconds()) // a busy worker answers questions late as well
+	quiet := max(d.s.Limits.DialTimeout, seconds(quietRuns*slices.Max(d.classRun)))
+	patience := seconds(askDials * d.s.Limits.DialTimeout.Seconds()) // a busy worker answers questions late as well
 	for w := range d.watched() {
 		d.examine(w, quiet, patience)
 	}
--- a/choice/health_test.go
+++ b/choice/health_test.go
@@ -103,7 +103,7 @@
 // answers that did not bring them back.
 func TestCrowdedHomeSheds(t *testing.T) {
 	s := base()
-	s.Controllers, s.Loading.CountsAlike = 100, true
+	s.Controllers, s.Loading.SameFunctionCounted = 100, true
 	d := start(t, s, ready(1, 2, 3, 4, 5, 6)...)
 	now, id, home := time.Second, RequestID(1), WorkerID(0)
 	run := func(calls, alike int) (away int) {
--- a/choice/loadorders.go
+++ b/choice/loadorders.go
@@ -16,7 +16,7 @@
 // the worker has not started since.
 func (d *Dispatcher) warm(placed *placement, w *worker) bool {
 	return placed != nil && placed.seen > 0 && placed.seen >= w.coldFrom &&
-		(placed.out > 0 || d.now-placed.seen < d.s.Loading.IdleLife)
+		(placed.out > 0 || d.now-placed.seen < d.s.Loading.IdleCopyTTL)
 }
 
 // prepare orders a copy where one is wanted soon, and tells whether one is coming.
@@ -39,13 +39,13 @@
 // mayOrder keeps the load budget: an exact count of orders and requests within the window.
 func (d *Dispatcher) mayOrder() bool {
 	l := d.s.Loading
-	if !l.Orders || l.Window == 0 || d.retired {
+	if !l.Orders || l.BudgetWindow == 0 || d.retired {
 		return l.Orders && !d.retired
 	}
-	from := d.now - l.Window
+	from := d.now - l.BudgetWindow
 	d.arrivals.ForgetBefore(from + 1)
 	d.orders.ForgetBefore(from)
-	return float64(d.orders.Len()+1) <= l.Free+l.Ratio*float64(d.arrivals.Len())
+	return float64(d.orders.Len()+1) <= l.BudgetFree+l.BudgetRatio*float64(d.arrivals.Len())
 }
 
 // hold orders copies; the caller has seen that the worker is ready.
@@ -53,7 +53,7 @@
 	if !d.mayOrder() {
 		return false
 	}
-	if d.s.Loading.Window > 0 {
+	if d.s.Loading.BudgetWindow > 0 {
 		d.orders.Add(d.now)
 	}
 	placed := d.placement(d.queue(fn), w)
@@ -86,7 +86,7 @@
 // order or a send that is turned away at once would otherwise be repeated at once.
 func (d *Dispatcher) deny(w *worker) {
 	span := guessLoad * d.s.Classes[0].LatencyObjective.Seconds() * math.Pow(2, float64(w.denied)-1)
-	w.loadTo = d.now + min(seconds(span), d.s.Loading.IdleLife)
+	w.loadTo = d.now + min(seconds(span), d.s.Loading.IdleCopyTTL)
 	w.denied = min(w.denied+1, 10)
 }
 
@@ -109,7 +109,7 @@
 
 // renewAt is when an active, idle queue wants its copy renewed.
 func (d *Dispatcher) renewAt(q *queue) time.Duration {
-	after := time.Duration(renewAfter * float64(d.s.Loading.IdleLife))
+	after := time.Duration(renewAfter * float64(d.s.Loading.IdleCopyTTL))
 	return max(max(q.lastExec, q.renewed)+after, q.wanted)
 }
 
@@ -117,7 +117,7 @@
 // and none where copies are pushed out already. A copy that stands is renewed as one that calls keep.
 func (d *Dispatcher) warmUp() {
 	d.wanted = slices.DeleteFunc(d.wanted, func(e DesiredCopies) bool { return e.Until <= d.now })
-	after := time.Duration(renewAfter * float64(d.s.Loading.IdleLife))
+	after := time.Duration(renewAfter * float64(d.s.Loading.IdleCopyTTL))
 	for _, order := range []bool{false, true} {
 		for _, e := range d.wanted {
 			q := d.queue(e.Function)
@@ -147,6 +147,6 @@
 // mayWarm tells whether advice may use more of the load budget.
 func (d *Dispatcher) mayWarm() bool {
 	l := d.s.Loading
-	most := wantPart * (l.Free + l.Ratio*float64(d.arrivals.Len()))
-	return d.crowded < wantCrowded && d.mayOrder() && (l.Window == 0 || float64(d.orders.Len()+1) <= most)
+	most := wantPart * (l.BudgetFree + l.BudgetRatio*float64(d.arrivals.Len()))
+	return d.crowded < wantCrowded && d.mayOrder() && (l.BudgetWindow == 0 || float64(d.orders.Len()+1) <= most)
 }
--- a/choice/loadorders_test.go
+++ b/choice/loadorders_test.go
@@ -8,7 +8,7 @@
 // Holds stay within the load budget at each order.
 func TestLoadBudget(t *testing.T) {
 	s := base()
-	s.Loading.Window, s.Loading.Free, s.Loading.Ratio = 5*time.Second, 2, 0.1
+	s.Loading.BudgetWindow, s.Loading.BudgetFree, s.Loading.BudgetRatio = 5*time.Second, 2, 0.1
 	d := start(t, s, ready(1, 2, 3)...)
 	var taken, orders []time.Duration
 	for i := 0; i < 6000; i++ {
--- a/choice/look.go
+++ b/choice/look.go
@@ -41,7 +41,7 @@
 		return l
 	}
 	l.Ready, l.Ejected, l.Rank = d.ready(w), w.ejected, w.rank
-	l.WarmingUp = w.coldFrom > 0 && d.now < w.coldFrom+d.s.Guarantees.ColdFor
+	l.WarmingUp = w.coldFrom > 0 && d.now < w.coldFrom+d.s.Guarantees.WarmupTime
 	l.Tokens, l.Busy, l.Loads, l.LatencyRatio = w.tokens, w.busy, w.loads, w.pace
 	if q != nil {
 		l.HasCopy = d.warm(q.placements[w], w)
--- a/choice/mechanism_test.go
+++ b/choice/mechanism_test.go
@@ -138,7 +138,7 @@
 // Copies that are asked for ahead of calls come by orders within the limit, to ready workers only, and once.
 func TestStaged(t *testing.T) {
 	s := base()
-	s.Loading.Window, s.Loading.Free, s.Loading.Ratio = 5*time.Second, 3, 0
+	s.Loading.BudgetWindow, s.Loading.BudgetFree, s.Loading.BudgetRatio = 5*time.Second, 3, 0
 	d := start(t, s, ready(1, 2, 3, 4)...)
 	l := ready(1)
 	l[0].State = Draining
@@ -165,7 +165,7 @@
 // A call that the instance has taken before earns no load anew.
 func TestAgainEarnsNoLoad(t *testing.T) {
 	s := base()
-	s.Loading.Window, s.Loading.Free, s.Loading.Ratio = 5*time.Second, 0, 1
+	s.Loading.BudgetWindow, s.Loading.BudgetFree, s.Loading.BudgetRatio = 5*time.Second, 0, 1
 	for _, again := range []bool{false, true} {
 		d := start(t, s, ready(1, 2)...)
 		a := arrival(1, 0, 5)
--- a/choice/overload_test.go
+++ b/choice/overload_test.go
@@ -11,7 +11,7 @@
 func TestColdHomeIsUsedWithoutOrders(t *testing.T) {
 	s := base()
 	s.Controllers = 50
-	s.Loading.Window = 5 * time.Second // no order is ever within the budget
+	s.Loading.BudgetWindow = 5 * time.Second // no order is ever within the budget
 	sent, total := 0, 0
 	for seed := uint64(1); seed <= 60; seed++ {
 		d, err := New(s, seed)
@@ -135,7 +135,7 @@
 	// keyed starts a keyed request that may have run and is queued for its only mate, which is off the ring.
 	keyed := func(t *testing.T, duplicate bool) (d *Dispatcher, home WorkerID, sent time.Duration) {
 		s := base()
-		s.Limits.Duplicate = duplicate
+		s.Limits.HedgedRequests = duplicate
 		d = start(t, s, ready(1, 2, 3, 4)...)
 		home = pickOut[Send](d.Step(time.Second, []Event{arrival(1, 1, 7)}))[0].Worker
 		for _, w := range d.order {
@@ -244,7 +244,7 @@
 // A request that waits for a second copy is not given up while its first attempt is out.
 func TestAwaitedIsNotGivenUp(t *testing.T) {
 	s := base()
-	s.Limits.Duplicate = true
+	s.Limits.HedgedRequests = true
 	d := start(t, s, ready(1, 2)...)
 	home := pickOut[Send](d.Step(time.Second, []Event{arrival(1, 0, 7)}))[0].Worker
 	d.rescue(d.workers[home])
--- a/choice/property_test.go
+++ b/choice/property_test.go
@@ -54,9 +54,9 @@
 func rules(t *testing.T, seed uint64, seen map[string]int) {
 	rnd := rand.New(rand.NewPCG(seed, 7))
 	s := base()
-	s.Limits.Duplicate = seed%2 == 0
+	s.Limits.HedgedRequests = seed%2 == 0
 	s.Limits.Cancel = seed%3 != 0
-	s.Loading.Window, s.Loading.Free, s.Loading.Ratio = 5*time.Second, 3, 0.2
+	s.Loading.BudgetWindow, s.Loading.BudgetFree, s.Loading.BudgetRatio = 5*time.Second, 3, 0.2
 	s.Classes[1].DedupScope = DedupScope(seed%3 + 1)
 	d, err := New(s, seed)
 	if err != nil {
@@ -143,9 +143,9 @@
 				switch {
 				case q.finished:
 					t.Fatalf("seed %d: request %d sent after its end", seed, a.Request)
-				case len(q.sent) >= s.Limits.Attempts:
+				case len(q.sent) >= s.Limits.MaxAttempts:
 					t.Fatalf("seed %d: attempt %d", seed, len(q.sent)+1)
-				case q.out() > 0 && !s.Limits.Duplicate:
+				case q.out() > 0 && !s.Limits.HedgedRequests:
 					t.Fatalf("seed %d: two attempts out", seed)
 				case first >= 0 && c.Idempotency == NonIdempotent:
 					t.Fatalf("seed %d: unsafe request sent again", seed)
--- a/choice/queues.go
+++ b/choice/queues.go
@@ -9,7 +9,7 @@
 	if _, known := d.requests[a.Request]; known || a.Class < 0 || a.Class >= len(d.s.Classes) {
 		return
 	}
-	if d.s.Loading.Window > 0 && !a.Resubmitted {
+	if d.s.Loading.BudgetWindow > 0 && !a.Resubmitted {
 		d.arrivals.Add(d.now)
 	}
 	q := d.queue(a.Function)
@@ -35,7 +35,7 @@
 
 // ttl is how long an empty queue stays active.
 func (d *Dispatcher) ttl(q *queue) time.Duration {
-	return cmp.Or(seconds(alpha*q.gap), d.s.Loading.IdleLife)
+	return cmp.Or(seconds(alpha*q.gap), d.s.Loading.IdleCopyTTL)
 }
 
 // age expires queues that nobody calls and moves Global_VT to the lowest VT of an active queue.
@@ -58,7 +58,7 @@
 
 // forgetAt is when nothing that is known of an idle queue is of use any more.
 func (d *Dispatcher) forgetAt(q *queue) time.Duration {
-	kept := d.ttl(q) + d.s.Loading.IdleLife + d.s.Guarantees.ColdFor
+	kept := d.ttl(q) + d.s.Loading.IdleCopyTTL + d.s.Guarantees.WarmupTime
 	return max(q.idleSince()+kept+1, q.wanted)
 }
 
--- a/choice/settings.go
+++ b/choice/settings.go
@@ -13,8 +13,8 @@
 	if s.Controllers < 1 {
 		return fmt.Errorf("settings: Controllers: %d is under 1", s.Controllers)
 	}
-	if s.Limits.Attempts < 1 {
-		return fmt.Errorf("settings: Limits.Attempts: %d is under 1", s.Limits.Attempts)
+	if s.Limits.MaxAttempts < 1 {
+		return fmt.Errorf("settings: Limits.Attempts: %d is under 1", s.Limits.MaxAttempts)
 	}
 	if !s.Loading.OnMissKnown {
 		return fmt.Errorf("settings: Loading.LoadsOnMiss: unknown what a worker does on a miss")
@@ -23,12 +23,12 @@
 	numbers := []struct {
 		name string
 		v    float64
-	}{{"OverShareWorth", s.OverQuotaWeight}, {"Tick", float64(s.Tick)}, {"Loading.Free", l.Free},
-		{"Loading.Ratio", l.Ratio}, {"Loading.Window", float64(l.Window)}, {"Loading.IdlePrice", l.IdlePrice},
-		{"Loading.IdleLife", float64(l.IdleLife)}, {"Loading.Answer", float64(l.Answer)},
-		{"Limits.Dial", float64(s.Limits.Dial)}, {"Guarantees.ColdShare", g.ColdShare},
-		{"Guarantees.FallFactor", g.FallFactor}, {"Guarantees.ColdFor", float64(g.ColdFor)},
-		{"Guarantees.DrainGrace", float64(g.DrainGrace)}, {"Guarantees.FallWithin", float64(g.FallWithin)},
+	}{{"OverShareWorth", s.OverQuotaWeight}, {"Tick", float64(s.Tick)}, {"Loading.Free", l.BudgetFree},
+		{"Loading.Ratio", l.BudgetRatio}, {"Loading.Window", float64(l.BudgetWindow)}, {"Loading.IdlePrice", l.IdlePrice},
+		{"Loading.IdleLife", float64(l.IdleCopyTTL)}, {"Loading.Answer", float64(l.OrderTimeout)},
+		{"Limits.Dial", float64(s.Limits.DialTimeout)}, {"Guarantees.ColdShare", g.WarmupFraction},
+		{"Guarantees.FallFactor", g.CollapseFactor}, {"Guarantees.ColdFor", float64(g.WarmupTime)},
+		{"Guarantees.DrainGrace", float64(g.DrainGrace)}, {"Guarantees.FallWithin", float64(g.CollapseWindow)},
 		{"Guarantees.AnswerGrace", float64(g.AnswerGrace)}, {"Prices.Waste", s.Prices.Waste},
 		{"Prices.LateFail", s.Prices.LateFail}, {"Prices.Origin", s.Prices.Origin}}
 	for _, n := range numbers {
--- a/choice/streams_test.go
+++ b/choice/streams_test.go
@@ -39,12 +39,12 @@
 
 func streamCases() []streamCase {
 	budget := func(s *Settings) {
-		s.Loading.Window, s.Loading.Free, s.Loading.Ratio = 5*time.Second, 4, 0.3
+		s.Loading.BudgetWindow, s.Loading.BudgetFree, s.Loading.BudgetRatio = 5*time.Second, 4, 0.3
 	}
 	many := func(s *Settings) {
 		budget(s)
 		s.Controllers = 300
-		s.Limits.Duplicate = true
+		s.Limits.HedgedRequests = true
 	}
 	kinds := func(s *Settings) {
 		budget(s)
@@ -58,7 +58,7 @@
 	}
 	large := func(s *Settings) {
 		s.Controllers = 800
-		s.Loading.Window, s.Loading.Free, s.Loading.Ratio = 5*time.Second, 20, 1
+		s.Loading.BudgetWindow, s.Loading.BudgetFree, s.Loading.BudgetRatio = 5*time.Second, 20, 1
 		s.Loading.MemoryMB = []float64{4000, 8000}
 	}
 	return []streamCase{
@@ -180,7 +180,7 @@
 // playStreamWith plays a day, calls after each step what is to be looked at, and returns the play.
 func playStreamWith(t *testing.T, c streamCase, seed uint64, after func(*Dispatcher)) *streamPlay {
 	s := base()
-	s.Tick, s.Loading.IdleLife = c.tick, c.idleLife
+	s.Tick, s.Loading.IdleCopyTTL = c.tick, c.idleLife
 	if c.adjust != nil {
 		c.adjust(&s)
 	}
--- a/config/build.go
+++ b/config/build.go
@@ -154,15 +154,15 @@
 
 func (b *Built) settings(c *Config, zone int) {
 	l, g, lo, p := c.Limits, c.Guarantees, c.Loading, c.GetPrices()
-	s := choice.Settings{Me: int(c.Me), Controllers: int(c.Controllers), Zone: zone, Zones: c.Zones, Tick: ms(c.TickMs),
-		Limits: choice.Limits{Attempts: int(l.Attempts), Open: int(l.Open), Duplicate: l.Duplicate, Cancel: l.Cancel, Probe: l.Probe,
-			Peers: l.TellPeers, RetryAfter: l.RetryAfter, MaxRetryAfter: ms(l.MaxRetryAfterMs), Dial: ms(l.DialMs),
-			KeepAlive: ms(l.KeepAliveMs), Streams: 1},
-		Loading: choice.Loading{Orders: lo.Orders, LoadsOnMiss: lo.OnMiss == OnMiss_LOAD, OnMissKnown: true, IdleLife: ms(lo.IdleLifeMs),
-			Answer: ms(lo.AnswerMs), Window: ms(lo.WindowMs), Free: lo.Free, Ratio: lo.Ratio, IdlePrice: lo.IdlePrice,
-			WarmNotes: lo.WarmNotes, CountsAlike: lo.CountsAlike},
-		Guarantees: choice.Guarantees{AnswerGrace: ms(g.AnswerGraceMs), DrainGrace: ms(g.DrainGraceMs), ColdShare: g.ColdShare,
-			ColdFor: ms(g.ColdMs), FallFactor: g.FallFactor, FallWithin: ms(g.FallWithinMs)},
+	s := choice.Settings{ControllerIndex: int(c.Me), Controllers: int(c.Controllers), Zone: zone, Zones: c.Zones, Tick: ms(c.TickMs),
+		Limits: choice.Limits{MaxAttempts: int(l.Attempts), MaxOpenRequests: int(l.Open), HedgedRequests: l.Duplicate, Cancel: l.Cancel, Probe: l.Probe,
+			Peers: l.TellPeers, RetryAfter: l.RetryAfter, MaxRetryAfter: ms(l.MaxRetryAfterMs), DialTimeout: ms(l.DialMs),
+			IdleConnectionTimeout: ms(l.KeepAliveMs), StreamsPerConnection: 1},
+		Loading: choice.Loading{Orders: lo.Orders, LoadsOnMiss: lo.OnMiss == OnMiss_LOAD, OnMissKnown: true, IdleCopyTTL: ms(lo.IdleLifeMs),
+			OrderTimeout: ms(lo.AnswerMs), BudgetWindow: ms(lo.WindowMs), BudgetFree: lo.Free, BudgetRatio: lo.Ratio, IdlePrice: lo.IdlePrice,
+			LoadNotesGiven: lo.WarmNotes, SameFunctionCounted: lo.CountsAlike},
+		Guarantees: choice.Guarantees{AnswerGrace: ms(g.AnswerGraceMs), DrainGrace: ms(g.DrainGraceMs), WarmupFraction: g.ColdShare,
+			WarmupTime: ms(g.ColdMs), CollapseFactor: g.FallFactor, CollapseWindow: ms(g.FallWithinMs)},
 		Prices: choice.Prices{CrossZone: p.GetCrossZone(), LateFail: p.GetLateFail(), Origin: p.GetOrigin(), Probe: p.GetProbe(), Waste: p.GetWaste()},
 	}
 	for _, k := range c.Kinds {
@@ -337,10 +337,10 @@
 			}
 			secrets[s] = names[i]
 		}
-		if who, ok := numbers[b.Settings.Me]; ok {
-			out = append(out, Problem{File: names[i], Field: "me", What: fmt.Sprintf("%d is also that of %s", b.Settings.Me, who), Remedy: "number them from 0"})
+		if who, ok := numbers[b.Settings.ControllerIndex]; ok {
+			out = append(out, Problem{File: names[i], Field: "me", What: fmt.Sprintf("%d is also that of %s", b.Settings.ControllerIndex, who), Remedy: "number them from 0"})
 		}
-		numbers[b.Settings.Me] = names[i]
+		numbers[b.Settings.ControllerIndex] = names[i]
 		if who, ok := called[b.Name]; ok {
 			out = append(out, Problem{File: names[i], Field: "name", What: fmt.Sprintf("%q is also that of %s", b.Name, who), Remedy: "names must differ"})
 		}
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -71,7 +71,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if b.Settings.Classes[1].Idempotency != choice.IdempotentWithKey || b.Settings.Classes[1].DedupScope != choice.SameGroup || b.Settings.Limits.Open != 1000 ||
+	if b.Settings.Classes[1].Idempotency != choice.IdempotentWithKey || b.Settings.Classes[1].DedupScope != choice.SameGroup || b.Settings.Limits.MaxOpenRequests != 1000 ||
 		len(b.Specs) != 2 || b.Specs[1].Class != 1 || b.Clients[0].Tenant != 0 || len(b.Clients[0].Keys) != 1 || !b.Settings.Loading.LoadsOnMiss {
 		t.Errorf("%+v", b)
 	}
--- a/controller/handover.go
+++ b/controller/handover.go
@@ -77,7 +77,7 @@
 	defer l.Close()
 	var old daemon.Old
 	// As many as may be in hand: whoever answers a call never waits for the link.
-	halted, told := false, make(chan ended, c.b.Settings.Limits.Open+16)
+	halted, told := false, make(chan ended, c.b.Settings.Limits.MaxOpenRequests+16)
 	for {
 		k, _, files, err := l.Receive(stageTime)
 		for _, f := range files {
--- a/controller/peers.go
+++ b/controller/peers.go
@@ -23,7 +23,7 @@
 const mostWord = 256
 
 func newPeers(b *config.Built) (*Peers, error) {
-	return ListenPeers(b.Settings.Me, b.Listen, b.Peers, true)
+	return ListenPeers(b.Settings.ControllerIndex, b.Listen, b.Peers, true)
 }
 
 // ListenPeers sends and takes words at the address listen. numbered puts the sender's number in front of each.
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -3,7 +3,7 @@
 //
 // A worker has cores shared evenly by what runs, memory for copies of functions, lanes in each copy, a bounded
 // queue, a few load slots, and a cold spell after its start during which its capacity rises evenly. Sent more
-// than FallFactor times what it can do then, for FallWithin, it falls over and stays down.
+// than CollapseFactor times what it can do then, for CollapseWindow, it falls over and stays down.
 package fleet
 
 import (
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -209,8 +209,8 @@
 
 // New returns a gateway that does not run yet.
 func New(cfg Config) (*Gateway, error) {
-	if cfg.Settings.Limits.Open < 1 {
-		return nil, fmt.Errorf("gateway: Limits.Open: %d is under 1", cfg.Settings.Limits.Open)
+	if cfg.Settings.Limits.MaxOpenRequests < 1 {
+		return nil, fmt.Errorf("gateway: Limits.Open: %d is under 1", cfg.Settings.Limits.MaxOpenRequests)
 	}
 	if cfg.Settings.Tick <= 0 {
 		return nil, fmt.Errorf("gateway: Tick: %v is not above 0", cfg.Settings.Tick)
@@ -230,7 +230,7 @@
 
 // Submit hands a call over; false if the gateway holds all that it may, or stops: a refusal then harms nobody.
 func (g *Gateway) Submit(c *Call) (choice.RequestID, bool) {
-	if g.open.Add(1) > int64(g.cfg.Settings.Limits.Open) {
+	if g.open.Add(1) > int64(g.cfg.Settings.Limits.MaxOpenRequests) {
 		g.open.Add(-1)
 		g.Counts.Turned.Add(1)
 		return 0, false
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -20,9 +20,9 @@
 func settings() choice.Settings {
 	return choice.Settings{Controllers: 1, Tick: ms, Classes: []choice.Class{{Name: "safe", Idempotency: choice.Idempotent, LatencyObjective: 500 * ms, Deadline: 2 * time.Second, PriorityWeight: 1},
 		{Name: "unsafe", Idempotency: choice.NonIdempotent, LatencyObjective: 500 * ms, Deadline: 2 * time.Second, PriorityWeight: 1}},
-		Limits:     choice.Limits{Attempts: 3, Open: 10, Dial: 250 * ms, Cancel: true, Peers: true},
-		Loading:    choice.Loading{Orders: true, LoadsOnMiss: true, OnMissKnown: true, IdleLife: 8 * time.Second, Answer: 5 * time.Second, WarmNotes: true},
-		Guarantees: choice.Guarantees{DrainGrace: 500 * ms, ColdShare: 0.2, ColdFor: 10 * time.Second, FallFactor: 2, FallWithin: 2 * time.Second}}
+		Limits:     choice.Limits{MaxAttempts: 3, MaxOpenRequests: 10, DialTimeout: 250 * ms, Cancel: true, Peers: true},
+		Loading:    choice.Loading{Orders: true, LoadsOnMiss: true, OnMissKnown: true, IdleCopyTTL: 8 * time.Second, OrderTimeout: 5 * time.Second, LoadNotesGiven: true},
+		Guarantees: choice.Guarantees{DrainGrace: 500 * ms, WarmupFraction: 0.2, WarmupTime: 10 * time.Second, CollapseFactor: 2, CollapseWindow: 2 * time.Second}}
 }
 
 // carrier notes what is carried, and leaves the ends to the test.
@@ -323,7 +323,7 @@
 // BenchmarkStep is the CPU of a step with a call in and an answer out, at 50 requests in hand on 12 workers.
 func BenchmarkStep(b *testing.B) {
 	s := settings()
-	s.Limits.Open = 1000
+	s.Limits.MaxOpenRequests = 1000
 	c, clk := &carrier{}, clock.NewManual(time.Unix(1700000000, 0))
 	g, err := New(Config{Settings: s, Seed: 1, Clock: clk, Carrier: c, Log: zerolog.Nop(), Quiet: true})
 	if err != nil {
--- a/gateway/path_test.go
+++ b/gateway/path_test.go
@@ -36,9 +36,9 @@
 	}
 	defer host.Close()
 	s := choice.Settings{Controllers: 1, Tick: ms, Classes: []choice.Class{{Name: "quote", Idempotency: choice.Idempotent, LatencyObjective: 500 * ms, Deadline: 2 * time.Second, PriorityWeight: 1}},
-		Limits:     choice.Limits{Attempts: 3, Open: 100, Dial: 250 * ms, Cancel: true, KeepAlive: 5 * time.Second},
-		Loading:    choice.Loading{Orders: true, LoadsOnMiss: true, OnMissKnown: true, IdleLife: 8 * time.Second, Answer: 5 * time.Second, WarmNotes: true},
-		Guarantees: choice.Guarantees{DrainGrace: 500 * ms, ColdShare: 0.2, ColdFor: 10 * time.Second, FallFactor: 2, FallWithin: 2 * time.Second}}
+		Limits:     choice.Limits{MaxAttempts: 3, MaxOpenRequests: 100, DialTimeout: 250 * ms, Cancel: true, IdleConnectionTimeout: 5 * time.Second},
+		Loading:    choice.Loading{Orders: true, LoadsOnMiss: true, OnMissKnown: true, IdleCopyTTL: 8 * time.Second, OrderTimeout: 5 * time.Second, LoadNotesGiven: true},
+		Guarantees: choice.Guarantees{DrainGrace: 500 * ms, WarmupFraction: 0.2, WarmupTime: 10 * time.Second, CollapseFactor: 2, CollapseWindow: 2 * time.Second}}
 	be := backend.New(backend.Config{Controller: "c1", Clock: clk, DialWithin: 250 * ms, KeepAlive: 5 * time.Second, OrderTime: 5 * time.Second, ProbeTime: time.Second})
 	defer be.Close()
 	g, err := gateway.New(gateway.Config{Name: "c1", Settings: s, Seed: 1, Clock: clk, Carrier: be, Log: zerolog.New(zerolog.NewTestWriter(t))})
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -183,7 +183,7 @@
 		t.Fatal(err)
 	}
 	c := s.Classes[0]
-	if s.Controllers != 3 || s.Tick != 2500*time.Microsecond || !s.AskForList || c.Idempotency != choice.IdempotentWithKey ||
+	if s.Controllers != 3 || s.Tick != 2500*time.Microsecond || !s.PollForList || c.Idempotency != choice.IdempotentWithKey ||
 		c.DedupScope != choice.SameGroup || c.DedupWindow != 5*time.Second || s.Loading.LoadsOnMiss || !s.Loading.OnMissKnown ||
 		s.ReportVia != choice.ReportsInProbes || !reflect.DeepEqual(s.Report,
 		[]choice.ReportField{choice.FieldQueue, choice.FieldX1}) {
--- a/relay/budget.go
+++ b/relay/budget.go
@@ -43,7 +43,7 @@
 )
 
 func dials(s choice.Settings, n float64) time.Duration {
-	return time.Duration(n * float64(s.Limits.Dial))
+	return time.Duration(n * float64(s.Limits.DialTimeout))
 }
 
 // longest is the longest deadline of a class.
--- a/relay/config.go
+++ b/relay/config.go
@@ -224,11 +224,11 @@
 		return problem("limits.memory_mb", "%v is not above 0", l.MemoryMB)
 	case l.Sockets < leastSockets:
 		return problem("limits.sockets", "%d is under %d", l.Sockets, leastSockets)
-	case c.Settings.Limits.Open < 1:
-		return problem("settings.limits.maxOpen", "%d is under 1", c.Settings.Limits.Open)
-	case c.Settings.Limits.Dial <= 0:
+	case c.Settings.Limits.MaxOpenRequests < 1:
+		return problem("settings.limits.maxOpen", "%d is under 1", c.Settings.Limits.MaxOpenRequests)
+	case c.Settings.Limits.DialTimeout <= 0:
 		return problem("settings.limits.dialTimeoutMs", "not above 0")
-	case c.Settings.Limits.KeepAlive <= 0:
+	case c.Settings.Limits.IdleConnectionTimeout <= 0:
 		return problem("settings.limits.keepaliveMs", "not above 0")
 	case c.Settings.Guarantees.DrainGrace <= 0:
 		return problem("settings.guarantees.drainGraceMs", "not above 0")
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -51,9 +51,9 @@
 func Start(c *Config, o Options) (r *Relay, err error) {
 	s, b := c.Settings, divide(c.Limits)
 	r = &Relay{cfg: c, log: o.Log, done: make(chan struct{})}
-	r.Backend = frame.New(frame.Config{Clock: o.Clock, Within: s.Limits.Dial, Idle: s.Limits.KeepAlive, Streams: s.Limits.Streams,
-		Conns: b.workers, MostBody: b.mostBody, Patience: s.Limits.Dial, Forget: time.Duration(lateAnswer * float64(longest(s))),
-		Order: s.Loading.Answer, Report: s.Report, Log: o.Log})
+	r.Backend = frame.New(frame.Config{Clock: o.Clock, Within: s.Limits.DialTimeout, Idle: s.Limits.IdleConnectionTimeout, Streams: s.Limits.StreamsPerConnection,
+		Conns: b.workers, MostBody: b.mostBody, Patience: s.Limits.DialTimeout, Forget: time.Duration(lateAnswer * float64(longest(s))),
+		Order: s.Loading.OrderTimeout, Report: s.Report, Log: o.Log})
 	defer func() {
 		if err != nil {
 			r.Backend.Close()
@@ -64,7 +64,7 @@
 	}()
 	gc := gateway.Config{Name: c.Name, Settings: s, Seed: c.Seed, Clock: o.Clock, Carrier: r.Backend, NameOf: msgpackrpc.Item, Log: o.Log, Quiet: true}
 	if s.Limits.Peers && len(c.Peers) > 0 {
-		if r.peers, err = controller.ListenPeers(s.Me, c.PeerListen, c.Peers, false); err != nil {
+		if r.peers, err = controller.ListenPeers(s.ControllerIndex, c.PeerListen, c.Peers, false); err != nil {
 			return nil, &Problem{"peer_listen", err}
 		}
 		gc.Peers = r.peers
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -383,7 +383,7 @@
 }
 
 func TestTimes(t *testing.T) {
-	s := choice.Settings{Classes: []choice.Class{{Deadline: 4}, {Deadline: 9}, {Deadline: 5}}, Limits: choice.Limits{Dial: 10}}
+	s := choice.Settings{Classes: []choice.Class{{Deadline: 4}, {Deadline: 9}, {Deadline: 5}}, Limits: choice.Limits{DialTimeout: 10}}
 	if longest(s) != 9 || dials(s, 2.5) != 25 {
 		t.Errorf("%v, %v", longest(s), dials(s, 2.5))
 	}
--- a/scale/dispatch.go
+++ b/scale/dispatch.go
@@ -115,10 +115,10 @@
 		Classes: []choice.Class{
 			{Name: "read", Idempotency: choice.Idempotent, LatencyObjective: 500 * ms, Deadline: 2500 * ms, PriorityWeight: 1},
 			{Name: "write", Idempotency: choice.NonIdempotent, LatencyObjective: 500 * ms, Deadline: 2500 * ms, PriorityWeight: 1}},
-		Limits: choice.Limits{Attempts: 3, Open: 4000, Dial: 250 * ms, Cancel: true, Probe: true},
-		Loading: choice.Loading{Orders: true, LoadsOnMiss: true, OnMissKnown: true, IdleLife: l.IdleLife, Answer: 5 * time.Second,
-			Window: 5 * time.Second, Free: 20, Ratio: 1, WarmNotes: true, MemoryMB: []float64{8000, 16000}},
-		Guarantees: choice.Guarantees{DrainGrace: 500 * ms, ColdShare: 0.2, ColdFor: 16 * time.Second, FallFactor: 3, FallWithin: 2 * time.Second}}
+		Limits: choice.Limits{MaxAttempts: 3, MaxOpenRequests: 4000, DialTimeout: 250 * ms, Cancel: true, Probe: true},
+		Loading: choice.Loading{Orders: true, LoadsOnMiss: true, OnMissKnown: true, IdleCopyTTL: l.IdleLife, OrderTimeout: 5 * time.Second,
+			BudgetWindow: 5 * time.Second, BudgetFree: 20, BudgetRatio: 1, LoadNotesGiven: true, MemoryMB: []float64{8000, 16000}},
+		Guarantees: choice.Guarantees{DrainGrace: 500 * ms, WarmupFraction: 0.2, WarmupTime: 16 * time.Second, CollapseFactor: 3, CollapseWindow: 2 * time.Second}}
 }
 
 // PlayDispatch plays a load and returns its cost.
@@ -299,7 +299,7 @@
 		after = roundTrip
 	case silent:
 		held.Outcome, held.Copies = choice.TimedOut, 0
-		after = dispatchSettings(p.load).Loading.Answer
+		after = dispatchSettings(p.load).Loading.OrderTimeout
 	default:
 		if a.Copies == 0 {
 			held.Copies = p.copies(copyKey{a.Worker, a.Function})
