--- a/advice/advice.go
+++ b/advice/advice.go
@@ -17,26 +17,26 @@
 
 // Settings bound what hooks can bring about. A zero field has the default named beside it.
 type Settings struct {
-	Functions   int           // kept warm at once: 64
-	Copies      int           // of one function: 4
-	MemoryShare float64       // of the ready workers' memory that copies kept warm may take: 0.25
-	Longest     time.Duration // that one piece of advice holds: 1 h
-	Workers     float64       // share of the workers that are preferred, and that are avoided, at once: 0.25
-	Weight      float64       // a tenant's weight lies between this and its inverse: 4
-	Refuse      float64       // share of the calls in a window that hooks may have refused: 0.5
-	Cap         int           // calls in hand that a tenant's cap is a share of; must be given
-	Flips       int           // changes of one piece by one script in a window, beyond which it is set aside: 6
-	Window      time.Duration // 1 min
-	Notices     int           // notices of one script in a window: 10
-	Pieces      int           // that one script may have standing: 256
+	Functions           int           // kept warm at once: 64
+	Copies              int           // of one function: 4
+	MemoryShare         float64       // of the ready workers' memory that copies kept warm may take: 0.25
+	MaxDuration         time.Duration // that one piece of advice holds: 1 h
+	Workers             float64       // share of the workers that are preferred, and that are avoided, at once: 0.25
+	Weight              float64       // a tenant's weight lies between this and its inverse: 4
+	MaxRejectedFraction float64       // share of the calls in a window that hooks may have refused: 0.5
+	Cap                 int           // calls in hand that a tenant's cap is a share of; must be given
+	Flips               int           // changes of one piece by one script in a window, beyond which it is set aside: 6
+	Window              time.Duration // 1 min
+	MaxNotices          int           // notices of one script in a window: 10
+	Pieces              int           // that one script may have standing: 256
 }
 
 func (s Settings) filled() Settings {
 	s.Functions, s.Copies = cmp.Or(s.Functions, 64), cmp.Or(s.Copies, 4)
-	s.MemoryShare, s.Longest = cmp.Or(s.MemoryShare, 0.25), cmp.Or(s.Longest, time.Hour)
-	s.Workers, s.Weight, s.Refuse = cmp.Or(s.Workers, 0.25), cmp.Or(s.Weight, 4), cmp.Or(s.Refuse, 0.5)
+	s.MemoryShare, s.MaxDuration = cmp.Or(s.MemoryShare, 0.25), cmp.Or(s.MaxDuration, time.Hour)
+	s.Workers, s.Weight, s.MaxRejectedFraction = cmp.Or(s.Workers, 0.25), cmp.Or(s.Weight, 4), cmp.Or(s.MaxRejectedFraction, 0.5)
 	s.Flips, s.Window = cmp.Or(s.Flips, 6), cmp.Or(s.Window, time.Minute)
-	s.Notices, s.Pieces = cmp.Or(s.Notices, 10), cmp.Or(s.Pieces, 256)
+	s.MaxNotices, s.Pieces = cmp.Or(s.MaxNotices, 10), cmp.Or(s.Pieces, 256)
 	return s
 }
 
@@ -85,14 +85,14 @@
 type Effect interface{ effect() }
 
 type (
-	// Warm has copies of a function kept; Copies 0: no longer.
-	Warm struct {
+	// KeepWarm has copies of a function kept; Copies 0: no longer.
+	KeepWarm struct {
 		Function string
 		Copies   int
 		Until    time.Duration
 	}
-	// Regard has a worker preferred (1), avoided (-1) or looked at as any (0).
-	Regard struct {
+	// RankWorker has a worker preferred (1), avoided (-1) or looked at as any (0).
+	RankWorker struct {
 		Worker string
 		Rank   int
 		Until  time.Duration
@@ -103,24 +103,24 @@
 	}
 	// Notice is to be sent.
 	Notice struct{ Script, Target, Text string }
-	// Dropped tells operators what was not followed, and why.
-	Dropped struct {
+	// Discarded tells operators what was not followed, and why.
+	Discarded struct {
 		Script string
 		Item   hook.Advice
 		Why    string
 	}
 )
 
-func (Warm) effect()    {}
-func (Regard) effect()  {}
-func (Tenants) effect() {}
-func (Notice) effect()  {}
-func (Dropped) effect() {}
+func (KeepWarm) effect()   {}
+func (RankWorker) effect() {}
+func (Tenants) effect()    {}
+func (Notice) effect()     {}
+func (Discarded) effect()  {}
 
 // Tenant is what holds for one: a weight where fewer than all calls pass (0: 1), and at most so many calls in hand (0: any).
 type Tenant struct {
-	Weight float64 `json:"Weight"`
-	Most   int     `json:"Most"`
+	Weight       float64 `json:"Weight"`
+	MaxOpenCalls int     `json:"Most"`
 }
 
 type key struct{ kind, name string }
@@ -161,8 +161,8 @@
 	memory  float64   // of the ready ones
 	ready   int
 	out     []Effect
-	warm    map[string]Warm
-	regard  map[string]Regard
+	warm    map[string]KeepWarm
+	regard  map[string]RankWorker
 	tenants map[string]Tenant
 	Counts  Counts
 }
@@ -179,15 +179,15 @@
 	for _, v := range []struct {
 		name string
 		x    float64
-	}{{"MemoryShare", s.MemoryShare}, {"Workers", s.Workers}, {"Refuse", s.Refuse}} {
+	}{{"MemoryShare", s.MemoryShare}, {"Workers", s.Workers}, {"Refuse", s.MaxRejectedFraction}} {
 		if !(v.x >= 0 && v.x <= 1) {
 			return nil, fmt.Errorf("advice: %s: %v is not from 0 to 1", v.name, v.x)
 		}
 	}
-	if !(s.Weight >= 1) || s.Functions < 0 || s.Copies < 0 || s.Longest < 0 || s.Window <= 0 || s.Flips < 1 || s.Notices < 0 || s.Pieces < 1 {
+	if !(s.Weight >= 1) || s.Functions < 0 || s.Copies < 0 || s.MaxDuration < 0 || s.Window <= 0 || s.Flips < 1 || s.MaxNotices < 0 || s.Pieces < 1 {
 		return nil, fmt.Errorf("advice: Weight is under 1, or a bound is below zero: %+v", s)
 	}
-	return &Table{s: s, facts: f, warm: map[string]Warm{}, regard: map[string]Regard{}, tenants: map[string]Tenant{}}, nil
+	return &Table{s: s, facts: f, warm: map[string]KeepWarm{}, regard: map[string]RankWorker{}, tenants: map[string]Tenant{}}, nil
 }
 
 // Step takes what has come since the last step and returns what changes by it, and by time alone.
@@ -242,7 +242,7 @@
 
 func (t *Table) drop(s *script, a hook.Advice, count *int, format string, args ...any) {
 	*count++
-	t.out = append(t.out, Dropped{s.name, a, fmt.Sprintf(format, args...)})
+	t.out = append(t.out, Discarded{s.name, a, fmt.Sprintf(format, args...)})
 }
 
 func (t *Table) offered(e Offered) {
@@ -255,8 +255,8 @@
 		switch a.Kind {
 		case "notify":
 			s.notices = slices.DeleteFunc(s.notices, func(at time.Duration) bool { return at <= t.now-t.s.Window })
-			if len(s.notices) >= t.s.Notices {
-				t.drop(s, a, &t.Counts.Limited, "more than %d notices in %v", t.s.Notices, t.s.Window)
+			if len(s.notices) >= t.s.MaxNotices {
+				t.drop(s, a, &t.Counts.Limited, "more than %d notices in %v", t.s.MaxNotices, t.s.Window)
 				continue
 			}
 			s.notices = append(s.notices, t.now)
@@ -309,7 +309,7 @@
 			}
 		}
 	}
-	life := min(a.For, t.s.Longest)
+	life := min(a.For, t.s.MaxDuration)
 	if p.until = t.now + life; life <= 0 || p.value == 0 { // withdrawn
 		p.value, p.until = 0, 0
 	}
@@ -375,8 +375,8 @@
 
 // warmth: of several scripts the most copies, until the latest time. In the order of the names, as far as the bounds go: that
 // order is no better than another, but the same at each step, so that bounds do not make copies come and go.
-func (t *Table) warmth() map[string]Warm {
-	warm, room := map[string]Warm{}, t.s.MemoryShare*t.memory
+func (t *Table) warmth() map[string]KeepWarm {
+	warm, room := map[string]KeepWarm{}, t.s.MemoryShare*t.memory
 	for _, p := range t.stands("warm") {
 		w, known := warm[p.name]
 		if !known && len(warm) >= t.s.Functions {
@@ -394,27 +394,27 @@
 			continue
 		}
 		room -= float64(copies) * mb
-		warm[p.name] = Warm{p.name, w.Copies + copies, max(w.Until, p.until)}
+		warm[p.name] = KeepWarm{p.name, w.Copies + copies, max(w.Until, p.until)}
 	}
 	return warm
 }
 
 // ranks: who is avoided by one script and preferred by another is avoided. At most a share of the workers each way, and none
 // that drains is preferred.
-func (t *Table) ranks() map[string]Regard {
-	all := map[string]Regard{}
+func (t *Table) ranks() map[string]RankWorker {
+	all := map[string]RankWorker{}
 	for _, p := range t.stands("rank") {
 		r, known := all[p.name]
 		rank := int(p.value)
 		switch {
 		case !known || rank < r.Rank:
-			all[p.name] = Regard{p.name, rank, p.until}
+			all[p.name] = RankWorker{p.name, rank, p.until}
 		case rank == r.Rank:
-			all[p.name] = Regard{p.name, rank, max(r.Until, p.until)}
+			all[p.name] = RankWorker{p.name, rank, max(r.Until, p.until)}
 		}
 	}
 	most, n := int(t.s.Workers*float64(len(t.workers))), map[int]int{}
-	kept := map[string]Regard{}
+	kept := map[string]RankWorker{}
 	for _, w := range t.workers {
 		r, ok := all[w.Name]
 		if !ok || r.Rank > 0 && !w.Ready {
@@ -439,15 +439,15 @@
 	}
 	for _, p := range t.stands("cap") {
 		x, most := all[p.name], max(1, int(p.value*float64(t.s.Cap)))
-		if x.Most == 0 || most < x.Most {
-			x.Most = most
+		if x.MaxOpenCalls == 0 || most < x.MaxOpenCalls {
+			x.MaxOpenCalls = most
 		}
 		all[p.name] = x
 	}
 	return all
 }
 
-func (t *Table) merged(warm map[string]Warm, regard map[string]Regard, tenants map[string]Tenant) {
+func (t *Table) merged(warm map[string]KeepWarm, regard map[string]RankWorker, tenants map[string]Tenant) {
 	for _, name := range names(t.warm, warm) {
 		if w := warm[name]; w != t.warm[name] {
 			w.Function = name
--- a/advice/advice_test.go
+++ b/advice/advice_test.go
@@ -44,7 +44,7 @@
 func show(l []Effect) string {
 	var s []string
 	for _, e := range l {
-		if d, ok := e.(Dropped); ok {
+		if d, ok := e.(Discarded); ok {
 			s = append(s, "dropped: "+d.Why)
 			continue
 		}
@@ -117,7 +117,7 @@
 	for i := range 2000 {
 		now = time.Duration(i) * sec
 		for _, e := range b.Step(now, []Event{by("a", warm("f1", int64(1+i%2), time.Hour))}) {
-			if _, ok := e.(Warm); ok {
+			if _, ok := e.(KeepWarm); ok {
 				changes++
 			}
 		}
@@ -134,10 +134,10 @@
 func TestBounds(t *testing.T) {
 	kinds := []string{"keep_warm", "tenant_weight", "tenant_cap", "prefer", "avoid", "refuse", "notify", "", "send"}
 	rapid.Check(t, func(t *rapid.T) {
-		s := Settings{Functions: 3, Copies: 3, MemoryShare: 0.2, Workers: 0.3, Longest: 30 * sec, Pieces: 20}
+		s := Settings{Functions: 3, Copies: 3, MemoryShare: 0.2, Workers: 0.3, MaxDuration: 30 * sec, Pieces: 20}
 		b := table(t, s)
-		held := map[string]Warm{}
-		ranks := map[string]Regard{}
+		held := map[string]KeepWarm{}
+		ranks := map[string]RankWorker{}
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 5000).Draw(t, "ms")) * time.Millisecond
@@ -151,12 +151,12 @@
 			}
 			for _, e := range b.Step(now, []Event{by(rapid.SampledFrom([]string{"a", "b"}).Draw(t, "script"), l...)}) {
 				switch e := e.(type) {
-				case Warm:
+				case KeepWarm:
 					held[e.Function] = e
 					if e.Copies == 0 {
 						delete(held, e.Function)
 					}
-				case Regard:
+				case RankWorker:
 					ranks[e.Worker] = e
 				}
 			}
@@ -185,19 +185,19 @@
 }
 
 func TestDoor(t *testing.T) {
-	d := NewDoor(Settings{})
-	d.Set(Tenants{map[string]Tenant{"t": {Weight: 2, Most: 3}}})
+	d := NewAdmissionGate(Settings{})
+	d.Set(Tenants{map[string]Tenant{"t": {Weight: 2, MaxOpenCalls: 3}}})
 	no := []hook.Advice{{Kind: "refuse", Text: "x"}}
 	refused, over := 0, 0
 	for i := range 1000 { // a script that refuses all
 		v := d.Arrive(time.Duration(i)*10*time.Millisecond, "u", no)
-		if v.Unwanted {
+		if v.ShedAdvised {
 			refused++
 		}
-		if v.Over {
+		if v.OverRejectionLimit {
 			over++
 		}
-		d.Left("u")
+		d.CallEnded("u")
 	}
 	if refused < 490 || refused > 510 || over != 1000-refused {
 		t.Errorf("%d refused, %d over the bound, of 1000", refused, over)
@@ -205,7 +205,7 @@
 	var got []bool
 	for range 5 {
 		v := d.Arrive(11*sec, "t", nil)
-		got = append(got, v.Unwanted)
+		got = append(got, v.ShedAdvised)
 		if v.Weight != 2 {
 			t.Error(v)
 		}
@@ -213,10 +213,10 @@
 	if !slices.Equal(got, []bool{false, false, false, true, true}) {
 		t.Error(got)
 	}
-	d.Left("t")
-	d.Left("t")
-	d.Left("t")
-	if v := d.Arrive(12*sec, "t", []hook.Advice{{Kind: "annotate", Key: "k"}}); v.Unwanted || len(v.Notes) != 1 {
+	d.CallEnded("t")
+	d.CallEnded("t")
+	d.CallEnded("t")
+	if v := d.Arrive(12*sec, "t", []hook.Advice{{Kind: "annotate", Key: "k"}}); v.ShedAdvised || len(v.Notes) != 1 {
 		t.Error(v)
 	}
 }
--- a/advice/door.go
+++ b/advice/door.go
@@ -6,9 +6,9 @@
 	"kitehub/hook"
 )
 
-// A Door judges calls as they arrive, by what hooks say of them and what stands for their tenants. Like the Table it is pure,
+// A AdmissionGate judges calls as they arrive, by what hooks say of them and what stands for their tenants. Like the Table it is pure,
 // and it is not safe for concurrent use.
-type Door struct {
+type AdmissionGate struct {
 	s       Settings
 	tenants map[string]Tenant
 	open    map[string]int // calls in hand by tenant
@@ -19,12 +19,12 @@
 
 // A Verdict is what becomes of a call before the module sees it.
 type Verdict struct {
-	Unwanted bool
-	Why      string
-	Weight   float64
-	Notes    []hook.Advice // annotations, at most notesKept
-	// Over tells that a hook wanted it refused and the bound on refusals did not let it.
-	Over bool
+	ShedAdvised bool
+	Why         string
+	Weight      float64
+	Notes       []hook.Advice // annotations, at most notesKept
+	// OverRejectionLimit tells that a hook wanted it refused and the bound on refusals did not let it.
+	OverRejectionLimit bool
 }
 
 const (
@@ -32,14 +32,16 @@
 	refuseLow = 10 // refusals in a window that are always let: a share of few calls is none
 )
 
-// NewDoor returns a door that knows of no tenant.
-func NewDoor(s Settings) *Door { return &Door{s: s.filled(), open: map[string]int{}} }
+// NewAdmissionGate returns a door that knows of no tenant.
+func NewAdmissionGate(s Settings) *AdmissionGate {
+	return &AdmissionGate{s: s.filled(), open: map[string]int{}}
+}
 
 // Set tells what holds for tenants.
-func (d *Door) Set(t Tenants) { d.tenants = t.By }
+func (d *AdmissionGate) Set(t Tenants) { d.tenants = t.By }
 
 // Arrive judges a call, and counts it in hand until Left.
-func (d *Door) Arrive(now time.Duration, tenant string, items []hook.Advice) (v Verdict) {
+func (d *AdmissionGate) Arrive(now time.Duration, tenant string, items []hook.Advice) (v Verdict) {
 	if gone := now - d.from; gone >= d.s.Window {
 		d.calls[1], d.denied[1] = d.calls[0], d.denied[0]
 		if gone >= 2*d.s.Window {
@@ -53,8 +55,8 @@
 	for _, a := range items {
 		switch a.Kind {
 		case "refuse":
-			if !v.Unwanted {
-				v.Unwanted, v.Why = true, "hook: "+a.Text
+			if !v.ShedAdvised {
+				v.ShedAdvised, v.Why = true, "hook: "+a.Text
 			}
 		case "annotate":
 			if len(v.Notes) < notesKept {
@@ -62,23 +64,23 @@
 			}
 		}
 	}
-	if v.Unwanted { // by a script: a tenant's cap is no one's whim, and has no bound
+	if v.ShedAdvised { // by a script: a tenant's cap is no one's whim, and has no bound
 		n := d.denied[0] + d.denied[1] + 1
-		if n > refuseLow && float64(n) > d.s.Refuse*float64(d.calls[0]+d.calls[1]) {
-			v.Unwanted, v.Why, v.Over = false, "", true
+		if n > refuseLow && float64(n) > d.s.MaxRejectedFraction*float64(d.calls[0]+d.calls[1]) {
+			v.ShedAdvised, v.Why, v.OverRejectionLimit = false, "", true
 		} else {
 			d.denied[0]++
 		}
 	}
-	if t.Most > 0 && d.open[tenant] >= t.Most && !v.Unwanted {
-		v.Unwanted, v.Why = true, "the tenant's cap"
+	if t.MaxOpenCalls > 0 && d.open[tenant] >= t.MaxOpenCalls && !v.ShedAdvised {
+		v.ShedAdvised, v.Why = true, "the tenant's cap"
 	}
 	d.open[tenant]++
 	return v
 }
 
-// Left says that a call was answered.
-func (d *Door) Left(tenant string) {
+// CallEnded says that a call was answered.
+func (d *AdmissionGate) CallEnded(tenant string) {
 	if d.open[tenant]--; d.open[tenant] <= 0 {
 		delete(d.open, tenant)
 	}
--- a/bench/bench_test.go
+++ b/bench/bench_test.go
@@ -119,7 +119,7 @@
 	s := &http1.Server{MaxOpen: 20000, Limits: http1.Limits{Idle: time.Hour, FirstByte: time.Hour}, Handler: http1.HandlerFunc(func(c *http1.Conn, r *http1.Request) *http1.Response {
 		done := make(chan struct{})
 		var a gateway.Answer
-		id, ok := ctl.Gateway.Submit(&gateway.Call{Function: fns.Find("g" + r.Path()[len("/call/f"):]), Body: r.Body, Expires: 5 * time.Second,
+		id, ok := ctl.Gateway.Submit(&gateway.Call{Function: fns.Find("g" + r.Path()[len("/call/f"):]), Body: r.Body, TimeLeft: 5 * time.Second,
 			Deliver: func(got gateway.Answer) { a = got; c.Wake(); close(done) }})
 		if !ok {
 			return &http1.Response{Status: 503}
--- a/cmd/kitehub/interface_test.go
+++ b/cmd/kitehub/interface_test.go
@@ -222,7 +222,7 @@
 		{"jsonrpc result of status", reflect.TypeFor[controller.Status]()},
 		{"jsonrpc result of workers, each", reflect.TypeFor[gateway.WorkerView]()},
 		{"jsonrpc result of functions, each", reflect.TypeFor[gateway.FunctionView]()},
-		{"jsonrpc result of explain", reflect.TypeFor[gateway.Explained]()},
+		{"jsonrpc result of explain", reflect.TypeFor[gateway.Explanation]()},
 		{"jsonrpc result of hooks", reflect.TypeFor[hooks.Overview]()},
 		{"registry command", reflect.TypeFor[wire.Command]()},
 		{"registry query", reflect.TypeFor[wire.Query]()},
--- a/cmd/kitehub/operate.go
+++ b/cmd/kitehub/operate.go
@@ -154,7 +154,7 @@
 }
 
 func (s *explainCmd) Run() error {
-	var x gateway.Explained
+	var x gateway.Explanation
 	return s.ask("explain", map[string]string{"id": s.ID}, &x, func() {
 		how := "in hand"
 		if x.Answer != "" {
--- a/cmd/kitehub/serve.go
+++ b/cmd/kitehub/serve.go
@@ -167,8 +167,8 @@
 		select {
 		case err := <-done:
 			n := &c.Gateway.Counts
-			log.Info().Int64("served", n.Served.Load()).Int64("refused", n.Refused.Load()).Int64("failed", n.Failed.Load()).
-				Int64("gone", n.Gone.Load()).Int64("turned", n.Turned.Load()).Msg("stopped")
+			log.Info().Int64("served", n.Served.Load()).Int64("refused", n.Rejected.Load()).Int64("failed", n.Failed.Load()).
+				Int64("gone", n.ClientClosed.Load()).Int64("turned", n.OverCapacity.Load()).Msg("stopped")
 			return errors.Join(err, ended())
 		case sig := <-signals:
 			if sig != syscall.SIGHUP {
--- a/config/hooks.go
+++ b/config/hooks.go
@@ -23,7 +23,7 @@
 		return
 	}
 	b.Hooks = &hooks.Config{Seed: b.Seed, Queue: int(h.Queue), Advice: advice.Settings{Functions: int(h.Functions), Copies: int(h.Copies),
-		MemoryShare: h.MemoryShare, Longest: ms(h.LongestMs), Workers: h.Workers, Weight: h.Weight, Refuse: h.Refuse, Cap: int(c.Limits.Open)}}
+		MemoryShare: h.MemoryShare, MaxDuration: ms(h.LongestMs), Workers: h.Workers, Weight: h.Weight, MaxRejectedFraction: h.Refuse, Cap: int(c.Limits.Open)}}
 	if h.Weight != 0 && h.Weight < 1 {
 		f.Problem("hooks.weight", fmt.Sprintf("%v is under 1", h.Weight), "a factor: weights lie between it and its inverse")
 	}
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -116,7 +116,7 @@
 	bc := b.Backend
 	bc.Clock, bc.Dial = o.Clock, c.tracked(dial)
 	c.Backend = backend.New(bc)
-	gc := gateway.Config{Name: b.Name, Settings: b.Settings, Seed: b.Seed, Clock: o.Clock, Carrier: c.Backend, Log: o.Log, Quiet: b.NoLines}
+	gc := gateway.Config{Name: b.Name, Settings: b.Settings, Seed: b.Seed, Clock: o.Clock, Transport: c.Backend, Log: o.Log, OmitRequestLog: b.NoLines}
 	if b.Settings.Limits.Peers && len(b.Peers) > 0 {
 		if c.peers, err = newPeers(b); err != nil {
 			return err
@@ -124,7 +124,7 @@
 		gc.Peers = c.peers
 	}
 	if b.Hooks != nil || b.RPC != nil {
-		gc.Hooks, gc.Explain = &c.tap, b.Explain
+		gc.Hooks, gc.MaxExplanations = &c.tap, b.Explain
 	}
 	c.Reload = o.Reload
 	ms := &models{clock: o.Clock, tap: &c.tap}
--- a/controller/controller_test.go
+++ b/controller/controller_test.go
@@ -361,7 +361,7 @@
 			time.Sleep(ms)
 		}
 		want(t, exchange(t, c.Addr(), sign(t, common, "c1", "m1", class+"-1", `{"work_ms":200}`, now.Add(time.Second))), then)
-		if n := c.Gateway.Counts.Gone.Load(); n != 1 {
+		if n := c.Gateway.Counts.ClientClosed.Load(); n != 1 {
 			t.Errorf("%s: %d gone", class, n)
 		}
 	}
@@ -385,8 +385,8 @@
 		time.Sleep(ms)
 	}
 	n := &c.Gateway.Counts
-	if sum := n.Served.Load() + n.Gone.Load(); sum != 61 {
-		t.Errorf("%d served and %d gone of 61", n.Served.Load(), n.Gone.Load())
+	if sum := n.Served.Load() + n.ClientClosed.Load(); sum != 61 {
+		t.Errorf("%d served and %d gone of 61", n.Served.Load(), n.ClientClosed.Load())
 	}
 	want(t, exchange(t, c.Addr(), sign(t, common, "c1", "last", "safe-1", `{}`, time.Now())), "200 served")
 }
@@ -605,8 +605,8 @@
 	for range 20 {
 		count[(<-got).String()]++
 	}
-	if count["200 served"] < 4 || count["200 served"]+count["503 refused"] != 20 || c.Gateway.Counts.Turned.Load() == 0 {
-		t.Errorf("%v, %d turned away", count, c.Gateway.Counts.Turned.Load())
+	if count["200 served"] < 4 || count["200 served"]+count["503 refused"] != 20 || c.Gateway.Counts.OverCapacity.Load() == 0 {
+		t.Errorf("%v, %d turned away", count, c.Gateway.Counts.OverCapacity.Load())
 	}
 }
 
--- a/controller/golden_test.go
+++ b/controller/golden_test.go
@@ -52,7 +52,7 @@
 	}{
 		"ended.json":         {replay.Answer{Status: 200, Type: "application/json", Body: []byte(`{"a":"<b>"}`)}, ended{Key: key, End: replay.Answer{Status: 200, Type: "application/json", Body: []byte(`{"a":"<b>"}`)}}},
 		"ended_refused.json": {replay.Answer{Refused: true, Status: 503}, ended{Key: key, End: replay.Answer{Refused: true, Status: 503}}},
-		"ended_version.json": {replay.Answer{Status: 200, Tag: gateway.Bound{}, Body: []byte("x")}, ended{Key: key, End: replay.Answer{Status: 200}, Unkept: true}},
+		"ended_version.json": {replay.Answer{Status: 200, Tag: gateway.VersionBinding{}, Body: []byte("x")}, ended{Key: key, End: replay.Answer{Status: 200}, Unkept: true}},
 		"ended_long.json":    {replay.Answer{Status: 200, Body: long}, ended{Key: key, End: replay.Answer{Status: 200}, Unkept: true}},
 	} {
 		goldenfile.Compare(t, name, toSuccessor(key, told.answer))
@@ -82,7 +82,7 @@
 			t.Fatal(err)
 		}
 		defer peers.Close()
-		peers.Tell(1, []byte("a\x00word"))
+		peers.Send(1, []byte("a\x00word"))
 		datagram := make([]byte, 1000)
 		n, err := heard.Read(datagram)
 		if err != nil {
--- a/controller/models.go
+++ b/controller/models.go
@@ -43,8 +43,8 @@
 }
 
 // Bind implements front.Models.
-func (m *models) Bind(model *gateway.Function, alias string) (*gateway.Function, gateway.Bound, registry.Verdict) {
-	b := gateway.Bound{Name: registry.Name{Model: model.Name, Alias: alias}}
+func (m *models) Bind(model *gateway.Function, alias string) (*gateway.Function, gateway.VersionBinding, registry.Verdict) {
+	b := gateway.VersionBinding{Name: registry.Name{Model: model.Name, Alias: alias}}
 	a := m.agent.Load()
 	if a == nil {
 		return nil, b, registry.NoLease
@@ -80,12 +80,12 @@
 }
 
 // Unbind implements front.Models.
-func (m *models) Unbind(b gateway.Bound, ran, failed bool) {
+func (m *models) Unbind(b gateway.VersionBinding, ran, failed bool) {
 	m.agent.Load().Unuse(b.Name, b.Target, ran, failed)
 }
 
 // Begin implements front.Models.
-func (m *models) Begin(b gateway.Bound) (func(), time.Duration, registry.Verdict) {
+func (m *models) Begin(b gateway.VersionBinding) (func(), time.Duration, registry.Verdict) {
 	t, until, v := m.agent.Load().Begin(b.Name, b.Target)
 	if v != registry.May {
 		return nil, 0, v
@@ -102,10 +102,10 @@
 	return m.agent.Load().MayAnswer(n, t)
 }
 
-// Stands implements gateway.Versions.
-func (m *models) Stands(function, worker string, copies int) {
+// CopiesReady implements gateway.Versions.
+func (m *models) CopiesReady(function, worker string, copies int) {
 	if model, version, ok := strings.Cut(function, "@"); ok {
-		m.agent.Load().Stands(registry.Bytes{Model: model, Version: version}, worker, copies)
+		m.agent.Load().CopiesReady(registry.Bytes{Model: model, Version: version}, worker, copies)
 	}
 }
 
--- a/controller/operate.go
+++ b/controller/operate.go
@@ -31,9 +31,9 @@
 	return advice.Verdict{}
 }
 
-func (t *tap) Left(tenant string) {
+func (t *tap) CallEnded(tenant string) {
 	if e := t.engine.Load(); e != nil {
-		e.Left(tenant)
+		e.CallEnded(tenant)
 	}
 }
 
@@ -188,7 +188,7 @@
 		n := &c.Gateway.Counts
 		s := Status{Name: c.b.Name, PID: os.Getpid(), Open: c.Gateway.Open(), Draining: c.draining.Load(), Crashes: n.Crashes.Load(),
 			StepUS:  float64(n.StepNanos.Load()) / 1e3 / float64(max(1, n.Steps.Load())),
-			Answers: map[string]int64{"served": n.Served.Load(), "refused": n.Refused.Load(), "failed": n.Failed.Load(), "gone": n.Gone.Load(), "left": n.Left.Load(), "turned": n.Turned.Load()}}
+			Answers: map[string]int64{"served": n.Served.Load(), "refused": n.Rejected.Load(), "failed": n.Failed.Load(), "gone": n.ClientClosed.Load(), "left": n.Superseded.Load(), "turned": n.OverCapacity.Load()}}
 		if r := c.RPC; r != nil {
 			k := &r.Counts
 			s.Rpc = map[string]int64{"connections": k.Connections.Load(), "denied": k.Denied.Load(), "messages": k.Messages.Load(), "bad": k.Bad.Load(), "calls": k.Calls.Load(),
--- a/controller/peers.go
+++ b/controller/peers.go
@@ -49,8 +49,8 @@
 	return p, nil
 }
 
-// Tell implements gateway.Peers.
-func (p *Peers) Tell(to int, payload []byte) {
+// Send implements gateway.Peers.
+func (p *Peers) Send(to int, payload []byte) {
 	if len(payload) > mostWord {
 		return
 	}
--- a/controller/peers_test.go
+++ b/controller/peers_test.go
@@ -22,8 +22,8 @@
 			t.Fatal(err)
 		}
 		defer p.Close()
-		p.Tell(0, make([]byte, mostWord+1))
-		p.Tell(choice.Everyone, []byte("word"))
+		p.Send(0, make([]byte, mostWord+1))
+		p.Send(choice.Everyone, []byte("word"))
 		want := "word"
 		if numbered {
 			want = "\x00\x00\x00\x02word"
--- a/controller/rpc_test.go
+++ b/controller/rpc_test.go
@@ -170,7 +170,7 @@
 		t.Error(got)
 	}
 	l.nc.Close()
-	for c.Gateway.Counts.Gone.Load() < 2 { // or the test's time is up
+	for c.Gateway.Counts.ClientClosed.Load() < 2 { // or the test's time is up
 		runtime.Gosched()
 	}
 }
@@ -266,7 +266,7 @@
 	if err := l.Do("call", map[string]any{"function": "safe-1", "body": 1}, nil, 5*time.Second); err != nil {
 		t.Error(err)
 	}
-	if n := c.Gateway.Counts.Refused.Load(); n != 0 {
+	if n := c.Gateway.Counts.Rejected.Load(); n != 0 {
 		t.Error(n)
 	}
 }
--- a/daemon/notify.go
+++ b/daemon/notify.go
@@ -52,8 +52,8 @@
 	return s.every
 }
 
-// Tell sends one message of variables. A supervisor that does not listen must not hold the process up.
-func (s *Supervisor) Tell(vars ...string) error {
+// Send sends one message of variables. A supervisor that does not listen must not hold the process up.
+func (s *Supervisor) Send(vars ...string) error {
 	if s == nil || s.addr == nil {
 		return nil
 	}
@@ -73,22 +73,22 @@
 }
 
 // Ready, Reloading, Stopping and Alive are the messages of the protocol.
-func (s *Supervisor) Ready(status string) error { return s.Tell("READY=1", "STATUS="+status) }
+func (s *Supervisor) Ready(status string) error { return s.Send("READY=1", "STATUS="+status) }
 
 // Reloading is followed by Ready. now is CLOCK_MONOTONIC, in microseconds.
 func (s *Supervisor) Reloading(now int64) error {
-	return s.Tell("RELOADING=1", "MONOTONIC_USEC="+strconv.FormatInt(now, 10))
+	return s.Send("RELOADING=1", "MONOTONIC_USEC="+strconv.FormatInt(now, 10))
 }
 
 // Stopping says that the process ends by itself.
-func (s *Supervisor) Stopping() error { return s.Tell("STOPPING=1") }
+func (s *Supervisor) Stopping() error { return s.Send("STOPPING=1") }
 
 // Alive answers the watchdog.
-func (s *Supervisor) Alive() error { return s.Tell("WATCHDOG=1") }
+func (s *Supervisor) Alive() error { return s.Send("WATCHDOG=1") }
 
 // Main says that another process is the service now, and ready.
 func (s *Supervisor) Main(pid int) error {
-	return s.Tell("MAINPID="+strconv.Itoa(pid), "READY=1")
+	return s.Send("MAINPID="+strconv.Itoa(pid), "READY=1")
 }
 
 // WritePID writes a process's number to a file, whole or not at all. One that names another living process is an error.
--- a/day/guards_test.go
+++ b/day/guards_test.go
@@ -129,7 +129,7 @@
 
 func (trusting) MayAnswer(registry.Name, registry.Target) registry.Verdict { return registry.May }
 
-func (trusting) Begin(gateway.Bound) (func(), time.Duration, registry.Verdict) {
+func (trusting) Begin(gateway.VersionBinding) (func(), time.Duration, registry.Verdict) {
 	return func() {}, 0, registry.May
 }
 
--- a/day/play.go
+++ b/day/play.go
@@ -390,7 +390,7 @@
 	p.mu.Lock()
 	for _, c := range p.controllers {
 		if c != nil {
-			res.LateStep = max(res.LateStep, time.Duration(c.Gateway.Counts.LateNanos.Load()))
+			res.LateStep = max(res.LateStep, time.Duration(c.Gateway.Counts.MaxStepDelayNanos.Load()))
 			if e := c.Hooks(); e != nil {
 				n := &e.Counts
 				h := HookResult{Controller: c.Name(), Inline: n.Inline.Load(), Aside: n.Aside.Load(), Faults: n.Faults.Load(), Refused: n.Refusals.Load(), Dropped: n.Dropped.Load(),
--- a/front/bind.go
+++ b/front/bind.go
@@ -14,11 +14,11 @@
 // Models is the registry as this controller knows it. agent.Agent with gateway.Functions is one.
 type Models interface {
 	// Bind resolves a model's alias to a version, as a function of its own.
-	Bind(model *gateway.Function, alias string) (*gateway.Function, gateway.Bound, registry.Verdict)
+	Bind(model *gateway.Function, alias string) (*gateway.Function, gateway.VersionBinding, registry.Verdict)
 	// Unbind ends a call's hold on its version; ran and failed say whether a worker answered it, and in an error.
-	Unbind(b gateway.Bound, ran, failed bool)
+	Unbind(b gateway.VersionBinding, ran, failed bool)
 	// Begin asks, just before the first byte, for an answer to be let out; see agent.Begin.
-	Begin(gateway.Bound) (done func(), within time.Duration, v registry.Verdict)
+	Begin(gateway.VersionBinding) (done func(), within time.Duration, v registry.Verdict)
 }
 
 // A Binder has calls of models run under the version that their alias names.
@@ -40,7 +40,7 @@
 	Left   func() bool
 	// Deliver is called once with the final answer. Where release is not nil, the answer is of version b, and release is to be
 	// called when it has been written, or never will be: a move of the alias waits for that.
-	Deliver func(a gateway.Answer, b *gateway.Bound, release func())
+	Deliver func(a gateway.Answer, b *gateway.VersionBinding, release func())
 }
 
 // Run resolves a call's alias and submits it; the alias may leave its version before the answer, and the call begin anew then,
@@ -52,15 +52,15 @@
 	switch verdict {
 	case registry.May:
 	case registry.Unknown:
-		c.Deliver(gateway.Answer{Kind: gateway.Refused, Verdict: verdict}, nil, nil)
+		c.Deliver(gateway.Answer{Kind: gateway.Rejected, Verdict: verdict}, nil, nil)
 		return
 	default:
-		c.Deliver(gateway.Answer{Kind: gateway.Refused, Verdict: registry.NoLease, After: time.Second}, nil, nil)
+		c.Deliver(gateway.Answer{Kind: gateway.Rejected, Verdict: registry.NoLease, RetryAfter: time.Second}, nil, nil)
 		return
 	}
-	b.Times = times
+	b.Restarts = times
 	call := c.Call
-	call.Function, call.Bound, call.Expires = fn, &b, c.Final-n.Clock.Now()
+	call.Function, call.Binding, call.TimeLeft = fn, &b, c.Final-n.Clock.Now()
 	call.Retry = call.Retry && times == 0
 	call.Deliver = func(a gateway.Answer) {
 		unbind := func() {
@@ -71,13 +71,13 @@
 			return
 		}
 		defer unbind()
-		if a.Kind != gateway.Left {
+		if a.Kind != gateway.Superseded {
 			c.Deliver(a, &b, nil)
 			return
 		}
-		next := registry.After(n.Idempotency(fn.Class), false, a.MayRun, times)
+		next := registry.After(n.Idempotency(fn.Class), false, a.MayHaveRun, times)
 		if a.Verdict == registry.NoLease {
-			next = registry.WithoutLease(n.Idempotency(fn.Class), false, a.MayRun)
+			next = registry.WithoutLease(n.Idempotency(fn.Class), false, a.MayHaveRun)
 		}
 		switch {
 		case next == registry.Fail:
@@ -86,7 +86,7 @@
 			n.Anew.Add(1)
 			n.run(c, times+1)
 		default:
-			c.Deliver(gateway.Answer{Kind: gateway.Refused, Verdict: a.Verdict}, nil, nil)
+			c.Deliver(gateway.Answer{Kind: gateway.Rejected, Verdict: a.Verdict}, nil, nil)
 		}
 	}
 	c.Submit(&call)
@@ -94,8 +94,8 @@
 
 // Settled says how an answer that its client left stands for the next try: as refused, where trying again does no harm.
 func Settled(a gateway.Answer, e choice.Idempotency) gateway.Answer {
-	if a.Kind == gateway.Gone && (!a.MayRun || e == choice.Idempotent) {
-		a.Kind = gateway.Refused
+	if a.Kind == gateway.ClientClosed && (!a.MayHaveRun || e == choice.Idempotent) {
+		a.Kind = gateway.Rejected
 	}
 	return a
 }
--- a/front/jsonrpc/call.go
+++ b/front/jsonrpc/call.go
@@ -90,7 +90,7 @@
 	if p.WaitMS > 0 && p.WaitMS < wait.Milliseconds() {
 		wait = time.Duration(p.WaitMS) * time.Millisecond
 	}
-	call := gateway.Call{ID: c.user.Name + ":" + strings.Trim(id, `"`), Function: fn, Tenant: c.user.Tenant, Client: c.user.Name, Body: p.Body, Retry: p.Retry, Expires: wait}
+	call := gateway.Call{ID: c.user.Name + ":" + strings.Trim(id, `"`), Function: fn, Tenant: c.user.Tenant, Client: c.user.Name, Body: p.Body, Retry: p.Retry, TimeLeft: wait}
 	if n, err := hex.Decode(call.Trace[:], []byte(p.Trace)); len(p.Trace) != 32 || err != nil || n != 16 {
 		rand.Read(call.Trace[:])
 	}
@@ -106,8 +106,8 @@
 	if effect == choice.IdempotentWithKey {
 		to.key = c.user.Name + ":" + p.Key
 	}
-	deliver := func(a gateway.Answer, b *gateway.Bound, release func()) { c.deliver(to, a, b, release) }
-	h.gone = func() { deliver(gateway.Answer{Kind: gateway.Gone, MayRun: true}, nil, nil) }
+	deliver := func(a gateway.Answer, b *gateway.VersionBinding, release func()) { c.deliver(to, a, b, release) }
+	h.gone = func() { deliver(gateway.Answer{Kind: gateway.ClientClosed, MayHaveRun: true}, nil, nil) }
 	if effect != choice.IdempotentWithKey {
 		s.run(c, h, call, fn, alias, deliver)
 		return nil
@@ -124,11 +124,11 @@
 }
 
 // run submits a call, bound to a version where its function is a model.
-func (s *Server) run(c *conn, h *inHand, call gateway.Call, fn *gateway.Function, alias string, deliver func(gateway.Answer, *gateway.Bound, func())) {
+func (s *Server) run(c *conn, h *inHand, call gateway.Call, fn *gateway.Function, alias string, deliver func(gateway.Answer, *gateway.VersionBinding, func())) {
 	submit := func(k *gateway.Call) {
 		id, taken := s.cfg.Gateway.Submit(k)
 		if !taken {
-			k.Deliver(gateway.Answer{Kind: gateway.Refused, After: time.Second})
+			k.Deliver(gateway.Answer{Kind: gateway.Rejected, RetryAfter: time.Second})
 			return
 		}
 		c.mu.Lock()
@@ -144,7 +144,7 @@
 		submit(&call)
 		return
 	}
-	s.binder.Run(&front.Bound{Call: call, Model: fn, Alias: alias, Final: s.cfg.Clock.Now() + call.Expires, Submit: submit,
+	s.binder.Run(&front.Bound{Call: call, Model: fn, Alias: alias, Final: s.cfg.Clock.Now() + call.TimeLeft, Submit: submit,
 		Left: func() bool {
 			c.mu.Lock()
 			defer c.mu.Unlock()
@@ -153,10 +153,10 @@
 }
 
 // keyed runs a call with a key, or joins the one that runs, or gives the answer that is kept.
-func (s *Server) keyed(c *conn, h *inHand, call gateway.Call, fn *gateway.Function, alias string, p callParams, deliver func(gateway.Answer, *gateway.Bound, func())) *Error {
+func (s *Server) keyed(c *conn, h *inHand, call gateway.Call, fn *gateway.Function, alias string, p callParams, deliver func(gateway.Answer, *gateway.VersionBinding, func())) *Error {
 	body := append([]byte(p.Function+"\x00"), p.Body...)
 	s.mu.Lock()
-	what, e := s.keys.take(s.cfg.Clock.Now(), call.Key, body, s.cfg.Window(fn.Class)+call.Expires, deliver)
+	what, e := s.keys.take(s.cfg.Clock.Now(), call.Key, body, s.cfg.Window(fn.Class)+call.TimeLeft, deliver)
 	s.mu.Unlock()
 	switch what {
 	case takeReused:
@@ -188,7 +188,7 @@
 	s.mu.Lock()
 	e.hangUp = func() { s.hangUp(c, own) }
 	s.mu.Unlock()
-	s.run(c, own, call, fn, alias, func(a gateway.Answer, b *gateway.Bound, release func()) {
+	s.run(c, own, call, fn, alias, func(a gateway.Answer, b *gateway.VersionBinding, release func()) {
 		s.mu.Lock()
 		l := s.keys.end(e, front.Settled(a, choice.IdempotentWithKey), b)
 		s.mu.Unlock()
@@ -258,7 +258,7 @@
 }
 
 // deliver has the one answer of a try written. It does not block; a second answer is dropped.
-func (c *conn) deliver(t try, a gateway.Answer, b *gateway.Bound, release func()) {
+func (c *conn) deliver(t try, a gateway.Answer, b *gateway.VersionBinding, release func()) {
 	i := item{calls: 1, render: func() ([]byte, time.Duration, func()) { return c.s.render(t, a, b, release) }}
 	c.mu.Lock()
 	second := t.hand.answered
@@ -283,7 +283,7 @@
 }
 
 // render writes an answer as it goes out. That of a version is asked for at the door: its alias may have left it.
-func (s *Server) render(t try, a gateway.Answer, b *gateway.Bound, release func()) ([]byte, time.Duration, func()) {
+func (s *Server) render(t try, a gateway.Answer, b *gateway.VersionBinding, release func()) ([]byte, time.Duration, func()) {
 	id := t.id
 	if a.Kind != gateway.Served || b == nil {
 		return reply(id, result(a, nil), failure(a)), 0, release
@@ -298,7 +298,7 @@
 		}
 	}
 	s.Counts.Withheld.Add(1)
-	k := gateway.Answer{Kind: gateway.Refused, Verdict: verdict}
+	k := gateway.Answer{Kind: gateway.Rejected, Verdict: verdict}
 	if registry.WithoutLease(s.cfg.Effect(t.class), false, true) == registry.Fail {
 		k.Kind = gateway.Failed
 	} else if t.key != "" {
@@ -309,7 +309,7 @@
 	return reply(id, nil, failure(k)), 0, release
 }
 
-func result(a gateway.Answer, b *gateway.Bound) any {
+func result(a gateway.Answer, b *gateway.VersionBinding) any {
 	if a.Kind != gateway.Served {
 		return nil
 	}
@@ -329,7 +329,7 @@
 	switch {
 	case a.Kind == gateway.Served:
 		return nil
-	case a.Kind == gateway.Refused:
+	case a.Kind == gateway.Rejected:
 		why := "no worker takes it now"
 		switch a.Verdict {
 		case registry.Left:
@@ -339,10 +339,10 @@
 		case registry.Unknown:
 			why = "the alias names no version"
 		}
-		return &Error{CodeRefused, why, map[string]any{"outcome": "refused", "retry_after_ms": a.After.Milliseconds()}}
-	case a.Kind == gateway.Gone:
-		return &Error{CodeGone, "cancelled", map[string]any{"outcome": "gone", "may_have_run": a.MayRun}}
-	case a.Late:
+		return &Error{CodeRefused, why, map[string]any{"outcome": "refused", "retry_after_ms": a.RetryAfter.Milliseconds()}}
+	case a.Kind == gateway.ClientClosed:
+		return &Error{CodeGone, "cancelled", map[string]any{"outcome": "gone", "may_have_run": a.MayHaveRun}}
+	case a.DeadlineExceeded:
 		return &Error{CodeLate, "no answer came in the client's time", map[string]any{"outcome": "failed"}}
 	case a.Verdict != 0:
 		return &Error{CodeFailed, "its version may have been replaced while it ran", map[string]any{"outcome": "failed"}}
--- a/front/jsonrpc/golden_test.go
+++ b/front/jsonrpc/golden_test.go
@@ -18,24 +18,24 @@
 
 // How a call ended is told in a result or an error; clients act upon code, outcome and what stands beside them.
 func TestAnswersOfCallsAreAsBefore(t *testing.T) {
-	version := &gateway.Bound{Target: registry.Target{Version: "m-2", Revision: 3}}
+	version := &gateway.VersionBinding{Target: registry.Target{Version: "m-2", Revision: 3}}
 	var written strings.Builder
 	for _, ended := range []struct {
 		what   string
 		answer gateway.Answer
-		bound  *gateway.Bound
+		bound  *gateway.VersionBinding
 	}{
 		{"served JSON", gateway.Answer{Kind: gateway.Served, Body: []byte(`{"a":1}`)}, nil},
 		{"served other bytes", gateway.Answer{Kind: gateway.Served, Body: []byte("\x00<a>")}, nil},
 		{"served nothing", gateway.Answer{Kind: gateway.Served}, nil},
 		{"served by a version", gateway.Answer{Kind: gateway.Served, Body: []byte(`1`)}, version},
-		{"refused", gateway.Answer{Kind: gateway.Refused, After: 1500 * time.Millisecond}, nil},
-		{"refused, version replaced", gateway.Answer{Kind: gateway.Refused, Verdict: registry.Left}, nil},
-		{"refused, no lease", gateway.Answer{Kind: gateway.Refused, Verdict: registry.NoLease}, nil},
-		{"refused, no version", gateway.Answer{Kind: gateway.Refused, Verdict: registry.Unknown}, nil},
-		{"gone", gateway.Answer{Kind: gateway.Gone}, nil},
-		{"gone, may have run", gateway.Answer{Kind: gateway.Gone, MayRun: true}, nil},
-		{"late", gateway.Answer{Kind: gateway.Failed, Late: true}, nil},
+		{"refused", gateway.Answer{Kind: gateway.Rejected, RetryAfter: 1500 * time.Millisecond}, nil},
+		{"refused, version replaced", gateway.Answer{Kind: gateway.Rejected, Verdict: registry.Left}, nil},
+		{"refused, no lease", gateway.Answer{Kind: gateway.Rejected, Verdict: registry.NoLease}, nil},
+		{"refused, no version", gateway.Answer{Kind: gateway.Rejected, Verdict: registry.Unknown}, nil},
+		{"gone", gateway.Answer{Kind: gateway.ClientClosed}, nil},
+		{"gone, may have run", gateway.Answer{Kind: gateway.ClientClosed, MayHaveRun: true}, nil},
+		{"late", gateway.Answer{Kind: gateway.Failed, DeadlineExceeded: true}, nil},
 		{"failed, version replaced", gateway.Answer{Kind: gateway.Failed, Verdict: registry.Left}, nil},
 		{"failed", gateway.Answer{Kind: gateway.Failed}, nil},
 	} {
--- a/front/jsonrpc/keys.go
+++ b/front/jsonrpc/keys.go
@@ -25,14 +25,14 @@
 	left    int // of them, those that were given up
 	ended   bool
 	answer  gateway.Answer
-	bound   *gateway.Bound // of the answer; asked for anew each time that it goes out
-	lost    bool           // its answer was too large to keep
+	bound   *gateway.VersionBinding // of the answer; asked for anew each time that it goes out
+	lost    bool                    // its answer was too large to keep
 	until   time.Duration
 	hangUp  func()
 }
 
 // A reader takes the answer of a keyed call; written is called when it has written it, or never will.
-type reader func(a gateway.Answer, b *gateway.Bound, written func())
+type reader func(a gateway.Answer, b *gateway.VersionBinding, written func())
 
 type take int
 
@@ -93,11 +93,11 @@
 }
 
 // end gives a call its answer and returns who waits for it. A refused one is forgotten: the next try runs anew.
-func (k *keys) end(e *keyed, a gateway.Answer, b *gateway.Bound) []reader {
+func (k *keys) end(e *keyed, a gateway.Answer, b *gateway.VersionBinding) []reader {
 	e.ended, e.answer, e.bound = true, a, b
 	l := e.waiting
 	e.waiting, e.hangUp = nil, nil
-	if a.Kind == gateway.Refused {
+	if a.Kind == gateway.Rejected {
 		e.answer.Body = nil
 		k.forget(e)
 		return l
--- a/front/msgpackrpc/front.go
+++ b/front/msgpackrpc/front.go
@@ -336,7 +336,7 @@
 	c.f.Counts.Requests.Add(1)
 	request, ok := c.f.cfg.Gateway.Submit(p.call)
 	if !ok {
-		c.deliver(id, o, gateway.Answer{Kind: gateway.Refused})
+		c.deliver(id, o, gateway.Answer{Kind: gateway.Rejected})
 		return true
 	}
 	c.mu.Lock()
@@ -380,13 +380,13 @@
 	switch a.Kind {
 	case gateway.Served:
 		b = appendServed(make([]byte, 0, len(a.Body)+24), id, a.Body)
-	case gateway.Refused:
-		if a.After > 0 && c.f.cfg.Settings.Limits.RetryAfter {
-			b = appendError(nil, id, wordRejected, "later", strconv.FormatInt(max(1, a.After.Milliseconds()), 10))
+	case gateway.Rejected:
+		if a.RetryAfter > 0 && c.f.cfg.Settings.Limits.RetryAfter {
+			b = appendError(nil, id, wordRejected, "later", strconv.FormatInt(max(1, a.RetryAfter.Milliseconds()), 10))
 		} else {
 			b = appendError(nil, id, wordRejected, "", "")
 		}
-	case gateway.Gone:
+	case gateway.ClientClosed:
 		return
 	default:
 		b = appendError(nil, id, wordFailed, "", "")
--- a/front/msgpackrpc/front_test.go
+++ b/front/msgpackrpc/front_test.go
@@ -171,12 +171,12 @@
 		return <-r.g.came
 	}
 	a, b, d := call(1), call(2), call(3)
-	if a.Expires != 1500*time.Millisecond || a.Function.Lanes != 2 || a.Function.MemoryMB != 512 || a.Function.LoadTime != 640*time.Millisecond ||
+	if a.TimeLeft != 1500*time.Millisecond || a.Function.Lanes != 2 || a.Function.MemoryMB != 512 || a.Function.LoadTime != 640*time.Millisecond ||
 		Item(a.Function.ID) != a.Function.Name {
 		t.Errorf("call %+v of %+v", a, a.Function)
 	}
 	d.Deliver(gateway.Answer{Kind: gateway.Failed})
-	b.Deliver(gateway.Answer{Kind: gateway.Refused, After: 70 * time.Millisecond})
+	b.Deliver(gateway.Answer{Kind: gateway.Rejected, RetryAfter: 70 * time.Millisecond})
 	a.Deliver(gateway.Answer{Kind: gateway.Served, Body: []byte("one")})
 	a.Deliver(gateway.Answer{Kind: gateway.Served, Body: []byte("two")}) // never a second one
 	for _, want := range []string{"3 Failed", "2 Rejected", "1 served one"} {
@@ -222,7 +222,7 @@
 	}
 	// A number is free again once its request is over, and so is a txn.
 	c.put(request(1, "lookup", with("txn", txn(1)), []byte("x")))
-	(<-r.g.came).Deliver(gateway.Answer{Kind: gateway.Refused})
+	(<-r.g.came).Deliver(gateway.Answer{Kind: gateway.Rejected})
 	if id, got := c.answer(); id != 1 || got != "Rejected" {
 		t.Errorf("%d %s", id, got)
 	}
--- a/front/msgpackrpc/parse.go
+++ b/front/msgpackrpc/parse.go
@@ -89,7 +89,7 @@
 		return p, fmt.Errorf("limit: want milliseconds, above 0 and up to %d", patience*c.Deadline.Milliseconds())
 	}
 	fn := &gateway.Function{Name: x.item, ID: choice.FunctionID(item), Class: class}
-	p.call = &gateway.Call{ID: x.txn, Function: fn, Tenant: tenant, Body: m.body, Expires: left, Retry: x.second != ""}
+	p.call = &gateway.Call{ID: x.txn, Function: fn, Tenant: tenant, Body: m.body, TimeLeft: left, Retry: x.second != ""}
 	if c.Idempotency == choice.IdempotentWithKey {
 		if !isKey(x.unique) {
 			return p, fmt.Errorf("unique: want a key of up to 64 letters and digits")
@@ -97,7 +97,7 @@
 		p.call.Key = x.unique
 	}
 	if x.cpu != "" {
-		if p.call.Hint, err = millis(x.cpu); err != nil || p.call.Hint < 0 {
+		if p.call.RunTimeHint, err = millis(x.cpu); err != nil || p.call.RunTimeHint < 0 {
 			return p, fmt.Errorf("cpu: want milliseconds")
 		}
 	}
--- a/front/webhook/answer.go
+++ b/front/webhook/answer.go
@@ -20,23 +20,23 @@
 		return problem(502, "failed", "its version was replaced while it ran", nil)
 	case a.Kind == gateway.Failed && a.Verdict == registry.NoLease:
 		return problem(502, "failed", "it ran, and the registry was not heard: its version may have been replaced", nil)
-	case a.Kind == gateway.Refused && a.Verdict == registry.Left:
-		return refused("its version was replaced", a.After)
-	case a.Kind == gateway.Refused && a.Verdict == registry.NoLease:
-		return refused("the registry is not heard: which version is to answer is not known", a.After)
-	case a.Kind == gateway.Refused && a.Verdict == registry.Unknown:
-		return refused("the alias names no version", a.After)
+	case a.Kind == gateway.Rejected && a.Verdict == registry.Left:
+		return refused("its version was replaced", a.RetryAfter)
+	case a.Kind == gateway.Rejected && a.Verdict == registry.NoLease:
+		return refused("the registry is not heard: which version is to answer is not known", a.RetryAfter)
+	case a.Kind == gateway.Rejected && a.Verdict == registry.Unknown:
+		return refused("the alias names no version", a.RetryAfter)
 	}
 	switch a.Kind {
 	case gateway.Served:
 		return &http1.Response{Status: 200, Header: http1.Header{{Name: "Content-Type", Value: "application/json"}}, Body: a.Body}
-	case gateway.Refused:
-		return refused("no worker takes it now", a.After)
+	case gateway.Rejected:
+		return refused("no worker takes it now", a.RetryAfter)
 	}
-	if a.Kind == gateway.Gone {
+	if a.Kind == gateway.ClientClosed {
 		return problem(502, "failed", "an earlier try was given up by its client and may have run", nil)
 	}
-	if a.Late {
+	if a.DeadlineExceeded {
 		return problem(504, "failed", "no answer came in the client's time", nil)
 	}
 	return problem(502, "failed", "the attempts that the call allows are over", nil)
--- a/front/webhook/front.go
+++ b/front/webhook/front.go
@@ -101,9 +101,9 @@
 	done    chan struct{}
 	conns   []*http1.Conn
 	answer  gateway.Answer
-	bound   *gateway.Bound // of the answer
-	holders int            // tries whose client has still to be written the answer, once it is there
-	release func()         // called when none has
+	bound   *gateway.VersionBinding // of the answer
+	holders int                     // tries whose client has still to be written the answer, once it is there
+	release func()                  // called when none has
 	ended   bool
 	started bool
 }
@@ -284,7 +284,7 @@
 		return f.wait(c, v, key, l, fn.Class)
 	case replay.Kept:
 		f.Counts.Kept.Add(1)
-		b, _ := kept.Tag.(*gateway.Bound)
+		b, _ := kept.Tag.(*gateway.VersionBinding)
 		return f.gated(v, key, b, fn.Class, &http1.Response{Status: kept.Status, Header: http1.Header{{Name: "Content-Type", Value: kept.Type}}, Body: kept.Body}, nil)
 	case replay.Lost:
 		return problem(502, "failed", "the call has ended; its answer was too large to keep", nil)
@@ -322,19 +322,19 @@
 func (f *Front) call(c *http1.Conn, r *http1.Request, v verified, key replay.Key, fn *gateway.Function, alias string, l *live, retry bool) *http1.Response {
 	client := (*f.clients.Load())[v.client]
 	call := gateway.Call{ID: v.id, Function: fn, Tenant: client.Tenant, Client: client.Name, Body: r.Body, Retry: retry,
-		Trace: traceID(r.Header.Get("traceparent")), Expires: patience(r.Header, f.cfg.Deadline(fn.Class))}
+		Trace: traceID(r.Header.Get("traceparent")), TimeLeft: patience(r.Header, f.cfg.Deadline(fn.Class))}
 	if f.cfg.Effect(fn.Class) == choice.IdempotentWithKey {
 		call.Key = client.Name + ":" + v.id
 	}
 	if fn.Versions {
-		f.binder.Run(&front.Bound{Call: call, Model: fn, Alias: alias, Final: f.cfg.Clock.Now() + call.Expires,
+		f.binder.Run(&front.Bound{Call: call, Model: fn, Alias: alias, Final: f.cfg.Clock.Now() + call.TimeLeft,
 			Submit: func(c *gateway.Call) { f.submit(c, key, l) },
 			Left: func() bool {
 				f.mu.Lock()
 				defer f.mu.Unlock()
 				return l.waiting == 0
 			},
-			Deliver: func(a gateway.Answer, b *gateway.Bound, release func()) {
+			Deliver: func(a gateway.Answer, b *gateway.VersionBinding, release func()) {
 				if release != nil { // until it is written: a move waits for that
 					f.hold(l, release)
 				}
@@ -351,7 +351,7 @@
 func (f *Front) submit(call *gateway.Call, key replay.Key, l *live) {
 	id, taken := f.cfg.Gateway.Submit(call)
 	if !taken {
-		call.Deliver(gateway.Answer{Kind: gateway.Refused, After: time.Second})
+		call.Deliver(gateway.Answer{Kind: gateway.Rejected, RetryAfter: time.Second})
 		return
 	}
 	f.mu.Lock()
@@ -386,7 +386,7 @@
 }
 
 // deliver ends a live call: its answer is kept, and all that wait for it are woken.
-func (f *Front) deliver(key replay.Key, l *live, a gateway.Answer, b *gateway.Bound) {
+func (f *Front) deliver(key replay.Key, l *live, a gateway.Answer, b *gateway.VersionBinding) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if l.ended {
@@ -401,7 +401,7 @@
 		delete(f.live, key)
 	}
 	resp := answered(a)
-	end := replay.Answer{Refused: a.Kind == gateway.Refused, Status: resp.Status, Type: resp.Header.Get("Content-Type"), Body: resp.Body, Tag: tag}
+	end := replay.Answer{Refused: a.Kind == gateway.Rejected, Status: resp.Status, Type: resp.Header.Get("Content-Type"), Body: resp.Body, Tag: tag}
 	f.guard.Ended(key, end)
 	if f.ended != nil {
 		f.ended(key, end)
@@ -434,7 +434,7 @@
 
 // gated has the answer of a version asked for at the door: it is checked once more as its first byte goes out, as the alias
 // may have left it since. What goes out instead is the one answer.
-func (f *Front) gated(v verified, key replay.Key, b *gateway.Bound, class int, resp *http1.Response, l *live) *http1.Response {
+func (f *Front) gated(v verified, key replay.Key, b *gateway.VersionBinding, class int, resp *http1.Response, l *live) *http1.Response {
 	if b == nil {
 		return resp
 	}
@@ -460,7 +460,7 @@
 		f.mu.Lock()
 		f.guard.Withdrawn(key) // a further try runs anew
 		f.mu.Unlock()
-		return f.signed(v, answered(gateway.Answer{Kind: gateway.Refused, Verdict: verdict})), 0, nil
+		return f.signed(v, answered(gateway.Answer{Kind: gateway.Rejected, Verdict: verdict})), 0, nil
 	}
 	return resp
 }
--- a/gateway/carry.go
+++ b/gateway/carry.go
@@ -21,7 +21,7 @@
 	t := &r.tries[e.Attempt]
 	t.outcome, t.took, t.status, t.note, t.run = e.Outcome, e.Took, res.Status, e.Note, nil
 	r.out--
-	if k := Kind(r.claimed.Load()); e.Outcome == choice.OK && (k == Served || k == Left) && !r.noted {
+	if k := AnswerKind(r.claimed.Load()); e.Outcome == choice.OK && (k == Served || k == Superseded) && !r.noted {
 		g.note(e.Request, r, Answer{Kind: k}, now)
 	}
 	if r.noted && r.out == 0 {
@@ -31,7 +31,7 @@
 
 // answer gives the final answer of a request that the loop has claimed.
 func (g *Gateway) answer(id choice.RequestID, r *entry, a Answer, now time.Duration) {
-	a.MayRun = r.mayHaveRun()
+	a.MayHaveRun = r.mayHaveRun()
 	r.call.Deliver(a)
 	g.note(id, r, a, now)
 }
@@ -43,21 +43,21 @@
 	switch a.Kind {
 	case Served:
 		g.Counts.Served.Add(1)
-	case Refused:
-		g.Counts.Refused.Add(1)
+	case Rejected:
+		g.Counts.Rejected.Add(1)
 	case Failed:
 		g.Counts.Failed.Add(1)
-	case Gone:
-		g.Counts.Gone.Add(1)
-	case Left:
-		g.Counts.Left.Add(1)
+	case ClientClosed:
+		g.Counts.ClientClosed.Add(1)
+	case Superseded:
+		g.Counts.Superseded.Add(1)
 	}
 	g.closing(id, r, a, now)
 	if h := g.cfg.Hooks; h != nil {
 		tenant := g.tenant(r.call.Tenant)
-		h.Left(tenant)
+		h.CallEnded(tenant)
 		e := hook.Ended{Function: r.call.Function.Name, Tenant: tenant, Class: g.cfg.Settings.Classes[r.call.Function.Class].Name, Answer: a.Kind.String(),
-			Took: now - r.at, Attempts: len(r.tries), Late: now > r.at+r.call.Expires}
+			Took: now - r.at, Attempts: len(r.tries), Late: now > r.at+r.call.TimeLeft}
 		if len(r.tries) > 0 {
 			e.Worker = r.tries[len(r.tries)-1].worker
 		}
@@ -78,10 +78,10 @@
 	case choice.Send:
 		g.send(a, now)
 	case choice.Reject:
-		g.final(a.Request, Answer{Kind: Refused, After: a.RetryAfter}, now)
+		g.final(a.Request, Answer{Kind: Rejected, RetryAfter: a.RetryAfter}, now)
 	case choice.Fail:
 		r := g.table[a.Request]
-		g.final(a.Request, Answer{Kind: Failed, Late: r != nil && r.out > 0}, now)
+		g.final(a.Request, Answer{Kind: Failed, DeadlineExceeded: r != nil && r.out > 0}, now)
 	case choice.Cancel:
 		if r := g.table[a.Request]; r != nil && a.Attempt < len(r.tries) && r.tries[a.Attempt].run != nil {
 			r.tries[a.Attempt].run.Cancel()
@@ -92,14 +92,14 @@
 		g.hold(a)
 	case choice.Unload:
 		if name, _, ok := g.functionName(a.Function); ok {
-			g.cfg.Carrier.Unload(a.Worker, name)
+			g.cfg.Transport.Unload(a.Worker, name)
 		}
 	case choice.Probe:
-		g.cfg.Carrier.Probe(a.Worker, func(o choice.Outcome, took time.Duration, report []float64) {
+		g.cfg.Transport.Probe(a.Worker, func(o choice.Outcome, took time.Duration, report []float64) {
 			g.put(choice.ProbeEnded{Worker: a.Worker, Outcome: o, Took: took, Report: report})
 		})
 	case choice.Close:
-		g.cfg.Carrier.CloseIdle(a.Worker)
+		g.cfg.Transport.CloseIdle(a.Worker)
 	case choice.Watch:
 		if g.cfg.Lister != nil {
 			g.cfg.Lister.Watch(a.On)
@@ -110,7 +110,7 @@
 		}
 	case choice.Gossip:
 		if g.cfg.Peers != nil && g.cfg.Settings.Limits.Peers {
-			g.cfg.Peers.Tell(a.To, a.Payload)
+			g.cfg.Peers.Send(a.To, a.Payload)
 		}
 	case choice.Log:
 		g.cfg.Log.Info().Str("text", a.Text).Msg("module")
@@ -143,7 +143,7 @@
 		return
 	}
 	v := g.verdict(r.call)
-	if v == registry.Leaving && (r.mayHaveRun() || r.call.Bound.Times >= registry.MostAnew) {
+	if v == registry.Leaving && (r.mayHaveRun() || r.call.Binding.Restarts >= registry.MostAnew) {
 		v = registry.May // it goes on under what it began with
 	}
 	if v != registry.May {
@@ -177,7 +177,7 @@
 	attempt := backend.Attempt{Worker: a.Worker, Call: call.ID, Class: g.cfg.Settings.Classes[call.Function.Class].Name,
 		Function: call.Function.Name, Trace: traceparent(call.Trace, g.rng.Uint64()), Key: call.Key, Digest: call.Function.Digest,
 		Body: call.Body, Within: a.Timeout, Wanted: func() bool { return r.claimed.Load() == 0 }}
-	t.run = g.cfg.Carrier.Send(attempt, func(res backend.Result) { g.ended(r, call, a, n, res) })
+	t.run = g.cfg.Transport.Send(attempt, func(res backend.Result) { g.ended(r, call, a, n, res) })
 	r.tries = append(r.tries, t)
 }
 
@@ -222,8 +222,8 @@
 // deliver gives a worker's answer to the client, or tells it that its version was left; true if it was served.
 func (g *Gateway) deliver(r *entry, call *Call, body []byte) bool {
 	if v := g.verdict(call); v != registry.May && v != registry.Leaving {
-		if r.claim(Left) {
-			call.Deliver(Answer{Kind: Left, Verdict: v, MayRun: true})
+		if r.claim(Superseded) {
+			call.Deliver(Answer{Kind: Superseded, Verdict: v, MayHaveRun: true})
 		}
 		return false
 	}
@@ -235,10 +235,10 @@
 }
 
 func (g *Gateway) verdict(c *Call) registry.Verdict {
-	if c.Bound == nil || g.cfg.Versions == nil {
+	if c.Binding == nil || g.cfg.Versions == nil {
 		return registry.May
 	}
-	return g.cfg.Versions.MayAnswer(c.Bound.Name, c.Bound.Target)
+	return g.cfg.Versions.MayAnswer(c.Binding.Name, c.Binding.Target)
 }
 
 // mayHaveRun tells whether an attempt of a request may have run, or may yet.
@@ -253,11 +253,11 @@
 func (g *Gateway) leave(id choice.RequestID, r *entry, v registry.Verdict, now time.Duration) bool {
 	effect, mayHaveRun := g.cfg.Settings.Classes[r.call.Function.Class].Idempotency, r.mayHaveRun()
 	out := slices.ContainsFunc(r.tries, func(t try) bool { return t.run != nil })
-	next := registry.After(effect, out, mayHaveRun, r.call.Bound.Times)
+	next := registry.After(effect, out, mayHaveRun, r.call.Binding.Restarts)
 	if v == registry.NoLease {
 		next = registry.WithoutLease(effect, out, mayHaveRun)
 	}
-	if next == registry.Wait || !r.claim(Left) {
+	if next == registry.Wait || !r.claim(Superseded) {
 		return false
 	}
 	for i := range r.tries {
@@ -265,7 +265,7 @@
 			run.Cancel()
 		}
 	}
-	g.answer(id, r, Answer{Kind: Left, Verdict: v}, now)
+	g.answer(id, r, Answer{Kind: Superseded, Verdict: v}, now)
 	return true
 }
 
@@ -275,10 +275,10 @@
 		g.put(choice.LoadOrderEnded{Worker: a.Worker, Function: a.Function, Outcome: choice.NotStarted})
 		return
 	}
-	g.cfg.Carrier.Hold(backend.Order{Worker: a.Worker, Function: name, Digest: digest, Copies: a.Copies},
+	g.cfg.Transport.Hold(backend.Order{Worker: a.Worker, Function: name, Digest: digest, Copies: a.Copies},
 		func(o choice.Outcome, copies int, took time.Duration) {
 			if digest != "" && o == choice.OK && g.cfg.Versions != nil {
-				g.cfg.Versions.Stands(name, g.workerName(a.Worker), copies)
+				g.cfg.Versions.CopiesReady(name, g.workerName(a.Worker), copies)
 			}
 			if h := g.cfg.Hooks; h != nil && (o == choice.AtCapacity || o == choice.Error) {
 				h.Post("load_refused", hook.Load{Function: name, Worker: g.workerName(a.Worker), Outcome: outcomes[o], Took: took})
--- a/gateway/closing.go
+++ b/gateway/closing.go
@@ -13,7 +13,7 @@
 
 // closing writes a request's one line. It holds names and numbers, never bodies, headers or keys.
 func (g *Gateway) closing(id choice.RequestID, r *entry, a Answer, now time.Duration) {
-	if g.cfg.Quiet {
+	if g.cfg.OmitRequestLog {
 		return
 	}
 	e := g.cfg.Log.Info()
@@ -23,7 +23,7 @@
 	c := r.call
 	e.Str("id", c.ID).Uint64("request", uint64(id)).Str("client", c.Client).Str("function", c.Function.Name).
 		Str("class", g.cfg.Settings.Classes[c.Function.Class].Name).Str("trace", hex.EncodeToString(c.Trace[:])).
-		Str("answer", a.Kind.String()).Dur("took", now-r.at).Dur("allowed", c.Expires).Bool("late", now > r.at+c.Expires).
+		Str("answer", a.Kind.String()).Dur("took", now-r.at).Dur("allowed", c.TimeLeft).Bool("late", now > r.at+c.TimeLeft).
 		Bool("retry", c.Retry)
 	if t := g.tenant(c.Tenant); t != "" {
 		e.Str("tenant", t)
@@ -34,8 +34,8 @@
 	for _, n := range c.verdict.Notes {
 		e.Str("note."+n.Key, n.Text)
 	}
-	if a.After > 0 {
-		e.Dur("after", a.After)
+	if a.RetryAfter > 0 {
+		e.Dur("after", a.RetryAfter)
 	}
 	tries := make([]string, 0, 4)
 	for i := range r.tries {
--- a/gateway/explain.go
+++ b/gateway/explain.go
@@ -12,12 +12,12 @@
 // told keeps the last calls that were answered, for Explain. It is the loop's.
 type told struct {
 	most int
-	ring []Explained
+	ring []Explanation
 	next int
 }
 
-// Explained is why a call went where it went, from what the module saw as it sent, and what came of it.
-type Explained struct {
+// Explanation is why a call went where it went, from what the module saw as it sent, and what came of it.
+type Explanation struct {
 	ID       string   `json:"id"`
 	Request  uint64   `json:"request"`
 	Function string   `json:"function"`
@@ -43,13 +43,13 @@
 	t.next = (t.next + 1) % t.most
 }
 
-func explain(id choice.RequestID, r *entry, answer string, now time.Duration) Explained {
-	x := Explained{ID: r.call.ID, Request: uint64(id), Function: r.call.Function.Name, Answer: answer, TookMS: float64(now-r.at) / 1e6, Why: r.call.verdict.Why, Lines: []string{}}
+func explain(id choice.RequestID, r *entry, answer string, now time.Duration) Explanation {
+	x := Explanation{ID: r.call.ID, Request: uint64(id), Function: r.call.Function.Name, Answer: answer, TookMS: float64(now-r.at) / 1e6, Why: r.call.verdict.Why, Lines: []string{}}
 	if r.call.Retry {
 		x.Lines = append(x.Lines, "its client marks it as a repeat: it is served last where few pass")
 	}
-	if b := r.call.Bound; b != nil {
-		x.Lines = append(x.Lines, fmt.Sprintf("%s names version %s, revision %d; begun anew %d times", b.Name.Alias, b.Target.Version, b.Target.Revision, b.Times))
+	if b := r.call.Binding; b != nil {
+		x.Lines = append(x.Lines, fmt.Sprintf("%s names version %s, revision %d; begun anew %d times", b.Name.Alias, b.Target.Version, b.Target.Revision, b.Restarts))
 	}
 	if w := r.call.verdict.Weight; w > 0 && w != 1 {
 		x.Lines = append(x.Lines, fmt.Sprintf("a hook weighs its tenant by %g", w))
@@ -121,11 +121,11 @@
 }
 
 // Explain returns why a call went where it went: one that runs, or one of the last that were answered; the newest of its id.
-func (g *Gateway) Explain(id string) (x Explained, ok bool, err error) {
+func (g *Gateway) Explain(id string) (x Explanation, ok bool, err error) {
 	err = g.ask(func() {
 		for _, k := range sortedKeys(g.table) {
 			if r := g.table[k]; r.call != nil && r.call.ID == id {
-				x, ok = explain(k, r, Kind(r.claimed.Load()).String(), g.cfg.Clock.Now()), true // answered, perhaps, and not taken in
+				x, ok = explain(k, r, AnswerKind(r.claimed.Load()).String(), g.cfg.Clock.Now()), true // answered, perhaps, and not taken in
 			}
 		}
 		for i := range g.told.ring {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -26,10 +26,10 @@
 	"kitehub/registry"
 )
 
-// A Carrier sends attempts, orders and questions to workers. backend.Backend and frame.Backend are. Send and Hold must
+// A Transport sends attempts, orders and questions to workers. backend.Backend and frame.Backend are. Send and Hold must
 // not wait for the network, and call back once, on another goroutine; Cancel of what they
 // began may call back itself.
-type Carrier interface {
+type Transport interface {
 	Send(backend.Attempt, func(backend.Result)) backend.Running
 	Hold(backend.Order, func(choice.Outcome, int, time.Duration))
 	Unload(choice.WorkerID, string)
@@ -45,88 +45,88 @@
 }
 
 // Peers carries the module's words to other controllers.
-type Peers interface{ Tell(to int, payload []byte) }
+type Peers interface{ Send(to int, payload []byte) }
 
 // Config sets up a Gateway. Lister and Peers may be nil.
 type Config struct {
-	Name     string
-	Settings choice.Settings
-	Seed     uint64
-	Clock    clock.Clock
-	Carrier  Carrier
-	Lister   Lister
-	Peers    Peers
-	Versions Versions // nil: no call is Bound
-	Hooks    Hooks    // nil: none
+	Name      string
+	Settings  choice.Settings
+	Seed      uint64
+	Clock     clock.Clock
+	Transport Transport
+	Lister    Lister
+	Peers     Peers
+	Versions  Versions // nil: no call is Bound
+	Hooks     Hooks    // nil: none
 	// NameOf, where set, gives the name of a function by its number, which then needs not be made known: no table grows
 	// with the names that clients come up with.
-	NameOf  func(choice.FunctionID) string
-	Explain int // calls that are kept for Explain once they are answered; 0: none
-	Log     zerolog.Logger
-	Quiet   bool // no closing line for each request
+	NameOf          func(choice.FunctionID) string
+	MaxExplanations int // calls that are kept for Explain once they are answered; 0: none
+	Log             zerolog.Logger
+	OmitRequestLog  bool // no closing line for each request
 }
 
 // Versions is what the registry says of the versions of models.
 type Versions interface {
 	MayAnswer(registry.Name, registry.Target) registry.Verdict
-	Stands(function, worker string, copies int)
+	CopiesReady(function, worker string, copies int)
 }
 
 // Hooks are what operators' scripts see of the gateway, and say of calls. hooks.Engine is one. None may block.
 type Hooks interface {
 	// Arrive judges a call that is being taken; Left is told when it is answered.
 	Arrive(hook.Call) advice.Verdict
-	Left(tenant string)
+	CallEnded(tenant string)
 	Post(point string, e hook.Event)
 	Workers([]advice.Worker)
 }
 
-// Bound is what a call of a model's alias was resolved to.
-type Bound struct {
-	Name   registry.Name
-	Target registry.Target
-	Times  int // that the call began anew before
+// VersionBinding is what a call of a model's alias was resolved to.
+type VersionBinding struct {
+	Name     registry.Name
+	Target   registry.Target
+	Restarts int // that the call began anew before
 }
 
-// Kind is how a request ended.
-type Kind int
+// AnswerKind is how a request ended.
+type AnswerKind int
 
 const (
-	Served  Kind = iota + 1
-	Refused      // trying again does no harm
-	Failed       // promises nothing
-	Gone         // the client left first
-	Left         // no answer: the alias has left the call's version, or may have; see Answer.Verdict
+	Served       AnswerKind = iota + 1
+	Rejected                // trying again does no harm
+	Failed                  // promises nothing
+	ClientClosed            // the client left first
+	Superseded              // no answer: the alias has left the call's version, or may have; see Answer.Verdict
 )
 
-func (k Kind) String() string {
+func (k AnswerKind) String() string {
 	return [...]string{"", "served", "refused", "failed", "gone", "left"}[k]
 }
 
 // An Answer is the final one of a request.
 type Answer struct {
-	Kind  Kind
-	Body  []byte        // where served
-	After time.Duration // where refused: advice for the next try, 0 for none
-	Late  bool          // where failed: the time was up, not the attempts
-	// MayRun tells, where the client is gone or the version left, that an attempt may have run.
-	MayRun  bool
-	Verdict registry.Verdict // where left: Left or NoLease
+	Kind             AnswerKind
+	Body             []byte        // where served
+	RetryAfter       time.Duration // where refused: advice for the next try, 0 for none
+	DeadlineExceeded bool          // where failed: the time was up, not the attempts
+	// MayHaveRun tells, where the client is gone or the version left, that an attempt may have run.
+	MayHaveRun bool
+	Verdict    registry.Verdict // where left: Left or NoLease
 }
 
 // A Call is what a front submits.
 type Call struct {
-	ID       string // for the log
-	Function *Function
-	Bound    *Bound // nil: the function has no versions
-	Tenant   int
-	Client   string
-	Body     []byte
-	Expires  time.Duration // how long the client still waits
-	Key      string        // "" where the class has none
-	Trace    [16]byte      // trace id
-	Retry    bool
-	Hint     time.Duration
+	ID          string // for the log
+	Function    *Function
+	Binding     *VersionBinding // nil: the function has no versions
+	Tenant      int
+	Client      string
+	Body        []byte
+	TimeLeft    time.Duration // how long the client still waits
+	Key         string        // "" where the class has none
+	Trace       [16]byte      // trace id
+	Retry       bool
+	RunTimeHint time.Duration
 	// Deliver is called once, on any goroutine; with Gone after a Cancel. It must not block.
 	Deliver func(Answer)
 	// Progress, where set, is told of each attempt that goes out, and whether it may wait for a load. It must not block.
@@ -137,11 +137,11 @@
 
 // Counts of what was answered, and of the loop.
 type Counts struct {
-	Served, Refused, Failed, Gone, Left, Turned, Steps, Crashes atomic.Int64
+	Served, Rejected, Failed, ClientClosed, Superseded, OverCapacity, Steps, Crashes atomic.Int64
 	// Mismatched counts answers of workers that ran other bytes than they were asked to: none is handed out.
 	Mismatched atomic.Int64
-	// StepNanos is the time spent in the module, LateNanos the longest that a step came after its time.
-	StepNanos, LateNanos atomic.Int64
+	// StepNanos is the time spent in the module, MaxStepDelayNanos the longest that a step came after its time.
+	StepNanos, MaxStepDelayNanos atomic.Int64
 }
 
 // A Gateway is one controller. It is safe for concurrent use.
@@ -194,7 +194,7 @@
 }
 
 // claim takes the right to give the one final answer.
-func (r *entry) claim(k Kind) bool { return r.claimed.CompareAndSwap(0, int32(k)) }
+func (r *entry) claim(k AnswerKind) bool { return r.claimed.CompareAndSwap(0, int32(k)) }
 
 type try struct {
 	worker  string
@@ -222,7 +222,7 @@
 	g := &Gateway{cfg: cfg, d: d, table: map[choice.RequestID]*entry{}, rng: rand.New(rand.NewPCG(cfg.Seed, 1)),
 		calls: map[choice.RequestID]*Call{}, results: map[result]backend.Result{}, wake: make(chan struct{}, 1), asked: make(chan func()),
 		halt: make(chan struct{}), done: make(chan struct{}), names: newNames(cfg.Settings)}
-	g.told.most = cfg.Explain
+	g.told.most = cfg.MaxExplanations
 	// The module draws by hash of the request's number: two controllers must not count alike.
 	g.nextID.Store(g.rng.Uint64() >> 24 << 8)
 	return g, nil
@@ -232,30 +232,30 @@
 func (g *Gateway) Submit(c *Call) (choice.RequestID, bool) {
 	if g.open.Add(1) > int64(g.cfg.Settings.Limits.MaxOpenRequests) {
 		g.open.Add(-1)
-		g.Counts.Turned.Add(1)
+		g.Counts.OverCapacity.Add(1)
 		return 0, false
 	}
 	id := choice.RequestID(g.nextID.Add(1))
 	f := c.Function
 	if h := g.cfg.Hooks; h != nil {
 		c.verdict = h.Arrive(hook.Call{Function: f.Name, Tenant: g.tenant(c.Tenant), Client: c.Client, Class: g.cfg.Settings.Classes[f.Class].Name,
-			Retry: c.Retry, Wait: c.Expires, Size: len(c.Body), Open: g.Open()})
+			Retry: c.Retry, Wait: c.TimeLeft, Size: len(c.Body), Open: g.Open()})
 	}
 	g.mu.Lock()
 	if g.stopped {
 		g.mu.Unlock()
 		if h := g.cfg.Hooks; h != nil {
-			h.Left(g.tenant(c.Tenant))
+			h.CallEnded(g.tenant(c.Tenant))
 		}
 		g.open.Add(-1)
-		g.Counts.Turned.Add(1)
+		g.Counts.OverCapacity.Add(1)
 		return 0, false
 	}
 	c.at = g.cfg.Clock.Now()
 	g.calls[id] = c
-	g.in = append(g.in, choice.Arrival{Request: id, Class: f.Class, Tenant: c.Tenant, Function: f.ID, TimeLeft: c.Expires,
-		RunTimeHint: c.Hint, HasRunTimeHint: c.Hint > 0, MemoryMB: f.MemoryMB, Lanes: f.Lanes, LoadTime: f.LoadTime, ClientRetry: c.Retry,
-		Resubmitted: c.Bound != nil && c.Bound.Times > 0, ShedAdvised: c.verdict.Unwanted, Weight: c.verdict.Weight})
+	g.in = append(g.in, choice.Arrival{Request: id, Class: f.Class, Tenant: c.Tenant, Function: f.ID, TimeLeft: c.TimeLeft,
+		RunTimeHint: c.RunTimeHint, HasRunTimeHint: c.RunTimeHint > 0, MemoryMB: f.MemoryMB, Lanes: f.Lanes, LoadTime: f.LoadTime, ClientRetry: c.Retry,
+		Resubmitted: c.Binding != nil && c.Binding.Restarts > 0, ShedAdvised: c.verdict.ShedAdvised, Weight: c.verdict.Weight})
 	g.mu.Unlock()
 	g.poke()
 	return id, true
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -76,7 +76,7 @@
 
 type words struct{ told []string }
 
-func (w *words) Tell(to int, payload []byte) {
+func (w *words) Send(to int, payload []byte) {
 	w.told = append(w.told, fmt.Sprint(to, " ", string(payload)))
 }
 
@@ -89,7 +89,7 @@
 func fixed(t *testing.T) (*Gateway, *carrier, *clock.Manual, *strings.Builder) {
 	t.Helper()
 	c, clk, log := &carrier{}, clock.NewManual(time.Unix(1700000000, 0)), &strings.Builder{}
-	g, err := New(Config{Name: "c", Settings: settings(), Seed: 1, Clock: clk, Carrier: c, Log: zerolog.New(log), Peers: &words{}, Lister: &lister{}})
+	g, err := New(Config{Name: "c", Settings: settings(), Seed: 1, Clock: clk, Transport: c, Log: zerolog.New(log), Peers: &words{}, Lister: &lister{}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -106,7 +106,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, ok := g.Submit(&Call{ID: "m", Function: &Function{Name: name, ID: id, Class: class, Lanes: 2}, Expires: 2 * time.Second,
+	r, ok := g.Submit(&Call{ID: "m", Function: &Function{Name: name, ID: id, Class: class, Lanes: 2}, TimeLeft: 2 * time.Second,
 		Deliver: func(a Answer) { *answers = append(*answers, a) }})
 	if !ok {
 		t.Fatal("not taken")
@@ -162,7 +162,7 @@
 		clk.Advance(10 * ms)
 		g.step(clk.Now())
 	}
-	if len(got) != 1 || got[0].Kind != Failed || !got[0].Late {
+	if len(got) != 1 || got[0].Kind != Failed || !got[0].DeadlineExceeded {
 		t.Fatalf("%+v", got)
 	}
 	c.send(0)(backend.Result{Outcome: choice.OK, Took: 3 * time.Second, Body: []byte("late")})
@@ -185,7 +185,7 @@
 			g.Cancel(id)
 			g.step(clk.Now())
 			ok()
-			want = Gone
+			want = ClientClosed
 		} else {
 			ok()
 			g.Cancel(id)
@@ -194,7 +194,7 @@
 		if len(got) != 1 || got[0].Kind != want || g.Open() != 0 || len(g.table) != 0 {
 			t.Errorf("%+v, want one %v; %d open, table %d", got, want, g.Open(), len(g.table))
 		}
-		if want == Gone && !got[0].MayRun {
+		if want == ClientClosed && !got[0].MayHaveRun {
 			t.Error("an attempt that was out did not count as one that may have run")
 		}
 	}
@@ -210,7 +210,7 @@
 	call(t, g, 1, &queued)
 	g.d = nil // the next step is a crash
 	g.step(clk.Now())
-	if len(sent) != 1 || sent[0].Kind != Failed || len(queued) != 1 || queued[0].Kind != Refused {
+	if len(sent) != 1 || sent[0].Kind != Failed || len(queued) != 1 || queued[0].Kind != Rejected {
 		t.Errorf("sent %+v, queued %+v", sent, queued)
 	}
 	if g.Counts.Crashes.Load() != 1 || !strings.Contains(log.String(), "module crashed") {
@@ -325,7 +325,7 @@
 	s := settings()
 	s.Limits.MaxOpenRequests = 1000
 	c, clk := &carrier{}, clock.NewManual(time.Unix(1700000000, 0))
-	g, err := New(Config{Settings: s, Seed: 1, Clock: clk, Carrier: c, Log: zerolog.Nop(), Quiet: true})
+	g, err := New(Config{Settings: s, Seed: 1, Clock: clk, Transport: c, Log: zerolog.Nop(), OmitRequestLog: true})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -342,7 +342,7 @@
 	}
 	answered := 0
 	next := func(i int) {
-		g.Submit(&Call{Function: fns[i%len(fns)], Expires: time.Second, Deliver: func(Answer) { answered++ }})
+		g.Submit(&Call{Function: fns[i%len(fns)], TimeLeft: time.Second, Deliver: func(Answer) { answered++ }})
 	}
 	for i := range 50 {
 		next(i)
@@ -384,7 +384,7 @@
 
 // Advice to keep names warm takes none of the places that a star leaves for names that are called, and leaves no name behind.
 func TestAdviceTakesNoPlace(t *testing.T) {
-	g, err := New(Config{Settings: settings(), Seed: 1, Clock: clock.System(), Carrier: &carrier{}, Log: zerolog.Nop()})
+	g, err := New(Config{Settings: settings(), Seed: 1, Clock: clock.System(), Transport: &carrier{}, Log: zerolog.Nop()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -416,7 +416,7 @@
 func TestWrongBytes(t *testing.T) {
 	for _, tt := range []struct {
 		effect choice.Idempotency
-		want   Kind
+		want   AnswerKind
 	}{{choice.Idempotent, Served}, {choice.IdempotentWithKey, Failed}} {
 		g, c, clk, _ := fixed(t)
 		g.cfg.Settings.Classes[0].Idempotency, g.cfg.Settings.Classes[0].DedupScope, g.cfg.Settings.Classes[0].DedupWindow = tt.effect, choice.AllWorkers, time.Second
@@ -429,7 +429,7 @@
 			t.Fatal(err)
 		}
 		var got []Answer
-		if _, ok := g.Submit(&Call{ID: "m", Function: &Function{Name: "m@1", ID: id, Digest: "right", Lanes: 2}, Expires: 2 * time.Second,
+		if _, ok := g.Submit(&Call{ID: "m", Function: &Function{Name: "m@1", ID: id, Digest: "right", Lanes: 2}, TimeLeft: 2 * time.Second,
 			Deliver: func(a Answer) { got = append(got, a) }}); !ok {
 			t.Fatal("not taken")
 		}
@@ -442,7 +442,7 @@
 				digests = digests[1:]
 			}
 		}
-		if len(got) != 1 || got[0].Kind != tt.want && !(tt.want == Failed && got[0].Kind == Refused) || len(digests) > 3 {
+		if len(got) != 1 || got[0].Kind != tt.want && !(tt.want == Failed && got[0].Kind == Rejected) || len(digests) > 3 {
 			t.Errorf("effect %d: %+v after %d attempts, want %v", tt.effect, got, 5-len(digests), tt.want)
 		}
 	}
@@ -465,16 +465,16 @@
 	call(t, g, 0, &got)
 	clk.Advance(3 * time.Second)
 	g.step(clk.Now())
-	if len(got) != 1 || got[0].Kind != Refused {
+	if len(got) != 1 || got[0].Kind != Rejected {
 		t.Errorf("%+v to a call whose time was up before the loop came, want it refused at once", got)
 	}
 }
 
 // TestAnswerAll: what is open when the loop ends is refused where another try does no harm, and has failed where it may have run.
 func TestAnswerAll(t *testing.T) {
-	for class, want := range map[int]Kind{0: Refused, 1: Failed} {
+	for class, want := range map[int]AnswerKind{0: Rejected, 1: Failed} {
 		g, c, clk, _ := fixed(t)
-		if effect := g.cfg.Settings.Classes[class].Idempotency; (effect == choice.Idempotent) != (want == Refused) {
+		if effect := g.cfg.Settings.Classes[class].Idempotency; (effect == choice.Idempotent) != (want == Rejected) {
 			t.Fatalf("class %d is %v", class, effect)
 		}
 		var out, full []Answer
@@ -498,7 +498,7 @@
 			}
 		}
 		g.answerAll(clk.Now())
-		if len(full) != 1 || full[0].Kind != Refused {
+		if len(full) != 1 || full[0].Kind != Rejected {
 			t.Errorf("class %d, with an attempt that never ran: %+v, want a refusal", class, full)
 		}
 	}
@@ -541,7 +541,7 @@
 	case <-time.After(20 * time.Second):
 		t.Fatal("it does not end before its tick is over")
 	}
-	if len(answers) != 1 || answers[0].Kind != Refused {
+	if len(answers) != 1 || answers[0].Kind != Rejected {
 		t.Errorf("%+v", answers)
 	}
 }
--- a/gateway/golden_test.go
+++ b/gateway/golden_test.go
@@ -23,7 +23,7 @@
 			{"resize", "w1", choice.FunctionSnapshot{ID: 1, Home: 2, Queued: 3, InFlight: 4, MeanRunTime: 5 * time.Second, MeanInterarrival: 6, Copies: 7, Desired: true}},
 			{},
 		},
-		"explained.json": &[]Explained{
+		"explained.json": &[]Explanation{
 			{ID: "me:1", Request: 2, Function: "resize", Tenant: "t", Class: "safe", Answer: "served", TookMS: 3.5, Why: "closed", Lines: []string{"a", "b"}},
 			{Lines: []string{}},
 		},
@@ -46,5 +46,5 @@
 
 // Each field that is stored or sent has a key of its own: what it is called in Go may change, the format may not.
 func TestKeysDoNotFollowFieldNames(t *testing.T) {
-	goldenfile.Tagged(t, WorkerView{}, FunctionView{}, Explained{})
+	goldenfile.Tagged(t, WorkerView{}, FunctionView{}, Explanation{})
 }
--- a/gateway/loop.go
+++ b/gateway/loop.go
@@ -47,8 +47,8 @@
 		}
 		waiting = false
 		last = g.cfg.Clock.Now()
-		if late := int64(last - g.timer); g.timer > 0 && late > g.Counts.LateNanos.Load() {
-			g.Counts.LateNanos.Store(late)
+		if late := int64(last - g.timer); g.timer > 0 && late > g.Counts.MaxStepDelayNanos.Load() {
+			g.Counts.MaxStepDelayNanos.Store(late)
 		}
 		g.step(last)
 	}
@@ -91,8 +91,8 @@
 		e.TimeLeft -= now - c.at // it has waited for the loop
 		return e
 	case choice.ClientGone:
-		if r := g.table[e.Request]; r != nil && r.claim(Gone) {
-			g.answer(e.Request, r, Answer{Kind: Gone}, now)
+		if r := g.table[e.Request]; r != nil && r.claim(ClientClosed) {
+			g.answer(e.Request, r, Answer{Kind: ClientClosed}, now)
 		}
 	case choice.AttemptEnded:
 		g.returned(e, results[result{e.Request, e.Attempt}], now)
@@ -177,7 +177,7 @@
 		}
 		v := g.verdict(r.call)
 		// While the move is not acknowledged, what runs goes on, and what does not run begins anew.
-		leave := v == registry.Left || v == registry.Leaving && !r.mayHaveRun() && r.out == 0 && r.call.Bound.Times < registry.MostAnew
+		leave := v == registry.Left || v == registry.Leaving && !r.mayHaveRun() && r.out == 0 && r.call.Binding.Restarts < registry.MostAnew
 		if leave && g.leave(id, r, v, now) {
 			events = append(events, choice.ClientGone{Request: id})
 		}
@@ -217,12 +217,12 @@
 		}
 		k := Failed
 		if !r.mayHaveRun() || g.cfg.Settings.Classes[r.call.Function.Class].Idempotency == choice.Idempotent {
-			k = Refused
+			k = Rejected
 		}
 		if r.claim(k) {
 			g.answer(id, r, Answer{Kind: k}, now)
 		} else { // answered, and its event was not taken in
-			g.note(id, r, Answer{Kind: Kind(r.claimed.Load())}, now)
+			g.note(id, r, Answer{Kind: AnswerKind(r.claimed.Load())}, now)
 		}
 	}
 }
--- a/gateway/names.go
+++ b/gateway/names.go
@@ -165,7 +165,7 @@
 		w := next[id]
 		g.points = append(g.points, backend.Endpoint{ID: id, Name: w.Name, Network: w.Network, Addr: w.Addr, Ready: w.State == choice.Ready})
 	}
-	g.cfg.Carrier.Update(g.points)
+	g.cfg.Transport.Update(g.points)
 	if g.cfg.Hooks != nil {
 		g.tellHooks(was, next)
 	}
--- a/gateway/path_test.go
+++ b/gateway/path_test.go
@@ -41,7 +41,7 @@
 		Guarantees: choice.Guarantees{DrainGrace: 500 * ms, WarmupFraction: 0.2, WarmupTime: 10 * time.Second, CollapseFactor: 2, CollapseWindow: 2 * time.Second}}
 	be := backend.New(backend.Config{Controller: "c1", Clock: clk, DialWithin: 250 * ms, KeepAlive: 5 * time.Second, OrderTime: 5 * time.Second, ProbeTime: time.Second})
 	defer be.Close()
-	g, err := gateway.New(gateway.Config{Name: "c1", Settings: s, Seed: 1, Clock: clk, Carrier: be, Log: zerolog.New(zerolog.NewTestWriter(t))})
+	g, err := gateway.New(gateway.Config{Name: "c1", Settings: s, Seed: 1, Clock: clk, Transport: be, Log: zerolog.New(zerolog.NewTestWriter(t))})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/hooks/control.go
+++ b/hooks/control.go
@@ -173,10 +173,10 @@
 	text, _ := json.Marshal(x)
 	kind := "tenants"
 	switch x := x.(type) {
-	case advice.Warm:
+	case advice.KeepWarm:
 		kind = "warm"
 		text, _ = json.Marshal(map[string]any{"function": x.Function, "copies": x.Copies, "for_s": (x.Until - now).Seconds()})
-	case advice.Regard:
+	case advice.RankWorker:
 		kind = "regard"
 		text, _ = json.Marshal(map[string]any{"worker": x.Worker, "rank": x.Rank, "for_s": (x.Until - now).Seconds()})
 	}
--- a/hooks/engine.go
+++ b/hooks/engine.go
@@ -63,7 +63,7 @@
 	live   atomic.Pointer[[]inline]
 	points atomic.Pointer[map[string]bool] // that some script has a handler of
 	dmu    sync.Mutex
-	door   *advice.Door
+	door   *advice.AdmissionGate
 
 	// Owned by the goroutine.
 	life   *Lifecycle
@@ -144,7 +144,7 @@
 		cfg.Keep = time.Second
 	}
 	e := &Engine{cfg: cfg, queue: make(chan posted, cfg.Queue), calls: make(chan func()), wake: make(chan struct{}, 1), stop: make(chan struct{}), done: make(chan struct{}),
-		life: NewLifecycle(cfg.Life, cfg.Seed), vm: hook.NewVM(), ran: map[string]*running{}, shadow: map[string]*running{}, door: advice.NewDoor(cfg.Advice),
+		life: NewLifecycle(cfg.Life, cfg.Seed), vm: hook.NewVM(), ran: map[string]*running{}, shadow: map[string]*running{}, door: advice.NewAdmissionGate(cfg.Advice),
 		states: map[string]json.RawMessage{}}
 	e.pool.New = func() any { return hook.NewVM() }
 	var err error
@@ -260,19 +260,19 @@
 	e.dmu.Lock()
 	v := e.door.Arrive(now, c.Tenant, all)
 	e.dmu.Unlock()
-	if v.Unwanted {
+	if v.ShedAdvised {
 		e.Counts.Refusals.Add(1)
 	}
-	if v.Over {
+	if v.OverRejectionLimit {
 		e.Counts.Over.Add(1)
 	}
 	return v
 }
 
-// Left says that a call that arrived has its answer.
-func (e *Engine) Left(tenant string) {
+// CallEnded says that a call that arrived has its answer.
+func (e *Engine) CallEnded(tenant string) {
 	e.dmu.Lock()
-	e.door.Left(tenant)
+	e.door.CallEnded(tenant)
 	e.dmu.Unlock()
 }
 
@@ -318,9 +318,9 @@
 func (e *Engine) advise(in []advice.Event) {
 	for _, x := range e.table.Step(e.cfg.Clock.Now(), in) {
 		switch x := x.(type) {
-		case advice.Warm:
+		case advice.KeepWarm:
 			e.cfg.Sink.Warm(x.Function, x.Copies, x.Until)
-		case advice.Regard:
+		case advice.RankWorker:
 			e.cfg.Sink.Regard(x.Worker, x.Rank, x.Until)
 		case advice.Tenants:
 			e.dmu.Lock()
@@ -331,7 +331,7 @@
 			if e.cfg.Notify != nil {
 				e.cfg.Notify(x)
 			}
-		case advice.Dropped:
+		case advice.Discarded:
 			e.cfg.Log.Debug().Str("script", x.Script).Str("kind", x.Item.Kind).Str("why", x.Why).Msg("advice dropped")
 		}
 	}
--- a/hooks/golden_test.go
+++ b/hooks/golden_test.go
@@ -172,9 +172,9 @@
 			{Name: "b", Status: "empty"},
 		},
 		Standing: []string{
-			standing(advice.Warm{Function: "resize", Copies: 2, Until: now + 90*time.Second}, now),
-			standing(advice.Regard{Worker: "w1", Rank: -1, Until: now + time.Second}, now),
-			standing(advice.Tenants{By: map[string]advice.Tenant{"t": {Weight: 0.5, Most: 3}, "s": {}}}, now),
+			standing(advice.KeepWarm{Function: "resize", Copies: 2, Until: now + 90*time.Second}, now),
+			standing(advice.RankWorker{Worker: "w1", Rank: -1, Until: now + time.Second}, now),
+			standing(advice.Tenants{By: map[string]advice.Tenant{"t": {Weight: 0.5, MaxOpenCalls: 3}, "s": {}}}, now),
 			standing(advice.Tenants{}, now),
 		},
 		Posted: 1, Dropped: 2, Waiting: 3, Taken: 4, Refused: 5, Over: 6, Aside: 7,
--- a/hooks/hooks_test.go
+++ b/hooks/hooks_test.go
@@ -292,7 +292,7 @@
 	for range 10_000 {
 		e.Post("ended", hook.Ended{})
 	}
-	if v := e.Arrive(hook.Call{Tenant: "t"}); !v.Unwanted || v.Why != "hook: no" {
+	if v := e.Arrive(hook.Call{Tenant: "t"}); !v.ShedAdvised || v.Why != "hook: no" {
 		t.Error(v)
 	}
 	if n := e.Counts.Dropped.Load(); n != 10_001-4096 {
@@ -320,10 +320,10 @@
 	if h.words() != "regard w1 -1, regard w1 0, regard w1 -1" && h.words() != "regard w1 -1, regard w1 -1" {
 		t.Error(h.words())
 	}
-	if v := e.Arrive(hook.Call{Tenant: "t"}); v.Unwanted || v.Weight != 2 {
+	if v := e.Arrive(hook.Call{Tenant: "t"}); v.ShedAdvised || v.Weight != 2 {
 		t.Error(v)
 	}
-	if v := e.Arrive(hook.Call{Tenant: "t"}); !v.Unwanted {
+	if v := e.Arrive(hook.Call{Tenant: "t"}); !v.ShedAdvised {
 		t.Error(v)
 	}
 }
--- a/registry/agent/agent.go
+++ b/registry/agent/agent.go
@@ -189,8 +189,8 @@
 	}
 }
 
-// Stands notes what a worker told of its copies of a version.
-func (a *Agent) Stands(b registry.Bytes, worker string, copies int) {
+// CopiesReady notes what a worker told of its copies of a version.
+func (a *Agent) CopiesReady(b registry.Bytes, worker string, copies int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if slices.ContainsFunc(a.staged, func(s wire.Stage) bool { return s.Model == b.Model && s.Version == b.Version }) {
--- a/registry/registry_test.go
+++ b/registry/registry_test.go
@@ -219,12 +219,12 @@
 		}
 		var asks []ask
 		apply := func(c Command) {
-			before := s.Tell(0).Targets[name]
+			before := s.Send(0).Targets[name]
 			effects, err := d.say(now, c)
 			if err != nil {
 				return
 			}
-			after := s.Tell(0).Targets[name]
+			after := s.Send(0).Targets[name]
 			if before != after && before.Version != "" {
 				moving[s.NextMove] = append(moving[s.NextMove], before)
 			}
@@ -258,7 +258,7 @@
 							apply(renew{fmt.Sprint("c", j), a.epoch})
 						}
 					}
-					told := s.Tell(a.epoch)
+					told := s.Send(a.epoch)
 					a.told = &told
 				} else {
 					a.p.view.Learn(a.asked, *a.told)
--- a/registry/service/http.go
+++ b/registry/service/http.go
@@ -235,7 +235,7 @@
 			f.s.Do(func(_ time.Duration, st *registry.State, _ *registry.Leases) {
 				a.Epoch, changed = st.Epoch, f.s.changed
 				if st.Epoch > q.Since {
-					a.Targets = targets(st.Tell(q.Since))
+					a.Targets = targets(st.Send(q.Since))
 				}
 			})
 			if a.Epoch > q.Since || !sleep(f.s, changed, time.Until(end)) {
@@ -322,7 +322,7 @@
 		if q.ResponseNonce == "" {
 			since = 0 // it has just come: all is told
 		}
-		told := s.state.Tell(since)
+		told := s.state.Send(since)
 		a := wire.Response{VersionInfo: strconv.FormatUint(told.Epoch, 10), TypeURL: wire.TypeAlias, Since: told.Since,
 			LeaseMS: float64(told.Lease) / float64(time.Millisecond), SettleMS: float64(told.Settle) / float64(time.Millisecond), Barred: told.Barred, Stage: f.stage(who.Name)}
 		for m := range told.Stale {
--- a/registry/view.go
+++ b/registry/view.go
@@ -30,9 +30,9 @@
 	Settle  time.Duration // how long calls that run under a target that was left may go on to their answer
 }
 
-// Tell returns what a controller is to know now that holds an epoch; 0: nothing. An alias that names no version is told
+// Send returns what a controller is to know now that holds an epoch; 0: nothing. An alias that names no version is told
 // as an empty target.
-func (s *State) Tell(since uint64) Told {
+func (s *State) Send(since uint64) Told {
 	if since > s.Epoch {
 		since = 0
 	}
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -62,7 +62,7 @@
 			}
 		}
 	}()
-	gc := gateway.Config{Name: c.Name, Settings: s, Seed: c.Seed, Clock: o.Clock, Carrier: r.Backend, NameOf: msgpackrpc.Item, Log: o.Log, Quiet: true}
+	gc := gateway.Config{Name: c.Name, Settings: s, Seed: c.Seed, Clock: o.Clock, Transport: r.Backend, NameOf: msgpackrpc.Item, Log: o.Log, OmitRequestLog: true}
 	if s.Limits.Peers && len(c.Peers) > 0 {
 		if r.peers, err = controller.ListenPeers(s.ControllerIndex, c.PeerListen, c.Peers, false); err != nil {
 			return nil, &Problem{"peer_listen", err}
@@ -153,9 +153,9 @@
 		var m runtime.MemStats
 		runtime.ReadMemStats(&m)
 		g, f, b, w := &r.Gateway.Counts, &r.Front.Counts, &r.Backend.Counts, &r.Watch.Counts
-		r.log.Info().Int64("served", g.Served.Load()).Int64("refused", g.Refused.Load()).Int64("failed", g.Failed.Load()).
-			Int64("gone", g.Gone.Load()).Int64("turned", g.Turned.Load()).Int("open", r.Gateway.Open()).Int64("crashes", g.Crashes.Load()).
-			Int64("steps", g.Steps.Load()).Int64("step_us", g.StepNanos.Load()/1000).Int64("late_us", g.LateNanos.Load()/1000).
+		r.log.Info().Int64("served", g.Served.Load()).Int64("refused", g.Rejected.Load()).Int64("failed", g.Failed.Load()).
+			Int64("gone", g.ClientClosed.Load()).Int64("turned", g.OverCapacity.Load()).Int("open", r.Gateway.Open()).Int64("crashes", g.Crashes.Load()).
+			Int64("steps", g.Steps.Load()).Int64("step_us", g.StepNanos.Load()/1000).Int64("late_us", g.MaxStepDelayNanos.Load()/1000).
 			Int("clients", r.Front.Conns()).Int64("accepted", f.Accepted.Load()).Int64("evicted", f.Evicted.Load()).Int64("shut", f.Shut.Load()).
 			Int64("requests", f.Requests.Load()).Int64("invalid", f.Invalid.Load()).Int64("over", f.Over.Load()).Int64("broken", f.Broken.Load()).
 			Int64("withdrawn", f.Withdrawn.Load()).
--- a/scale/list.go
+++ b/scale/list.go
@@ -88,7 +88,7 @@
 // playGateway tells a gateway of changes of one worker each. Its loop does not run.
 func (c *ListCost) playGateway(workers []gateway.Worker, times int) error {
 	settings := dispatchSettings(DispatchLoad{Tick: 10 * time.Millisecond, IdleLife: time.Minute})
-	g, err := gateway.New(gateway.Config{Name: "scale", Settings: settings, Clock: clock.System(), Carrier: noCarrier{}, Log: zerolog.Nop(), Quiet: true})
+	g, err := gateway.New(gateway.Config{Name: "scale", Settings: settings, Clock: clock.System(), Transport: noCarrier{}, Log: zerolog.Nop(), OmitRequestLog: true})
 	if err != nil {
 		return err
 	}
--- a/scale/models.go
+++ b/scale/models.go
@@ -93,22 +93,22 @@
 	}
 	c.Command = timed(times, move)
 	var told registry.Told
-	c.TellAll = timed(times, func() { told = s.Tell(0) })
+	c.TellAll = timed(times, func() { told = s.Send(0) })
 	c.AllBytes = wireBytes(told)
 	told = registry.Told{}
 	before := heapInUse()
 	var view registry.View
-	told = s.Tell(0)
+	told = s.Send(0)
 	c.LearnAll = timed(1, func() { view.Learn(0, told) })
 	told = registry.Told{}
 	c.ViewBytes = heapInUse() - before
 	move()
-	news := s.Tell(view.Epoch())
+	news := s.Send(view.Epoch())
 	c.LearnNews = timed(1, func() { view.Learn(0, news) })
 	if _, verdict := view.Resolve(0, registry.Name{Model: modelName(models - 1), Alias: scaleAlias}); err == nil && verdict != registry.May {
 		err = fmt.Errorf("the view does not resolve its last alias: verdict %d", verdict)
 	}
-	c.TellNews = timed(times, func() { told = s.Tell(s.Epoch) })
+	c.TellNews = timed(times, func() { told = s.Send(s.Epoch) })
 	c.Snapshot = timed(1, func() { _, _ = json.Marshal(s) })
 	runtime.KeepAlive(&view)
 	return c, err
