--- a/backend/backend.go
+++ b/backend/backend.go
@@ -44,16 +44,16 @@
 
 // Config sets up a Backend.
 type Config struct {
-	Controller string // told to workers as the user agent
-	Clock      clock.Clock
-	Dial       DialFunc // nil: the machine's
-	DialWithin time.Duration
-	KeepAlive  time.Duration // of idle connections; must be under the workers' own
-	MostIdle   int           // idle connections to one worker
-	Limits     http1.Limits  // of answers
-	OrderTime  time.Duration // longest wait for the answer to an order
-	ProbeTime  time.Duration // longest wait for the answer to a question
-	Fields     []choice.ReportField
+	Controller       string // told to workers as the user agent
+	Clock            clock.Clock
+	Dial             DialFunc // nil: the machine's
+	DialTimeout      time.Duration
+	IdleTimeout      time.Duration // of idle connections; must be under the workers' own
+	MaxIdlePerWorker int           // idle connections to one worker
+	Limits           http1.Limits  // of answers
+	OrderTimeout     time.Duration // longest wait for the answer to an order
+	ProbeTimeout     time.Duration // longest wait for the answer to a question
+	Fields           []choice.ReportField
 }
 
 // A Backend holds the connections to all workers. It is safe for concurrent use.
@@ -87,8 +87,8 @@
 	if cfg.Dial == nil {
 		cfg.Dial = (&net.Dialer{}).DialContext
 	}
-	if cfg.MostIdle == 0 {
-		cfg.MostIdle = 64
+	if cfg.MaxIdlePerWorker == 0 {
+		cfg.MaxIdlePerWorker = 64
 	}
 	cfg.Limits = cfg.Limits.Filled()
 	return &Backend{cfg: cfg, peers: map[choice.WorkerID]*peer{}}
@@ -169,7 +169,7 @@
 		c := p.idle[n-1]
 		p.idle = p.idle[:n-1]
 		p.mu.Unlock()
-		if b.cfg.Clock.Now()-c.since < b.cfg.KeepAlive && quiet(c) {
+		if b.cfg.Clock.Now()-c.since < b.cfg.IdleTimeout && quiet(c) {
 			b.Reused.Add(1)
 			return c
 		}
@@ -211,7 +211,7 @@
 	}
 	var old *conn
 	p.idle = append(p.idle, c)
-	if len(p.idle) > b.cfg.MostIdle || b.cfg.Clock.Now()-p.idle[0].since >= b.cfg.KeepAlive {
+	if len(p.idle) > b.cfg.MaxIdlePerWorker || b.cfg.Clock.Now()-p.idle[0].since >= b.cfg.IdleTimeout {
 		old = p.idle[0]
 		p.idle = p.idle[1:]
 	}
@@ -299,7 +299,7 @@
 }
 
 func (b *Backend) dial(x *call, p *peer, within time.Duration, always bool) (*conn, choice.Outcome) {
-	ctx, cancel := context.WithTimeout(context.Background(), min(b.cfg.DialWithin, within))
+	ctx, cancel := context.WithTimeout(context.Background(), min(b.cfg.DialTimeout, within))
 	defer cancel()
 	x.mu.Lock()
 	x.cancel = cancel
--- a/backend/backend_test.go
+++ b/backend/backend_test.go
@@ -92,7 +92,7 @@
 
 func start(t testing.TB, addr string, change func(*Config)) *Backend {
 	t.Helper()
-	cfg := Config{Controller: "c1", Clock: clock.System(), DialWithin: 200 * ms, KeepAlive: time.Minute, OrderTime: time.Second, ProbeTime: time.Second,
+	cfg := Config{Controller: "c1", Clock: clock.System(), DialTimeout: 200 * ms, IdleTimeout: time.Minute, OrderTimeout: time.Second, ProbeTimeout: time.Second,
 		Fields: []choice.ReportField{choice.FieldQueue, choice.FieldUtil}}
 	if change != nil {
 		change(&cfg)
@@ -105,7 +105,7 @@
 
 func infer(b *Backend, within time.Duration) Result {
 	got := make(chan Result, 1)
-	b.Send(Attempt{Worker: 1, Function: "f", Trace: "t", Body: []byte("x"), Within: within}, func(r Result) { got <- r })
+	b.Send(Attempt{Worker: 1, Function: "f", Trace: "t", Body: []byte("x"), Timeout: within}, func(r Result) { got <- r })
 	return <-got
 }
 
@@ -274,7 +274,7 @@
 			}
 		})
 		got := make(chan Result)
-		b.Send(Attempt{Worker: 1, Function: "f", Trace: "t", Within: time.Second}, func(r Result) { got <- r })
+		b.Send(Attempt{Worker: 1, Function: "f", Trace: "t", Timeout: time.Second}, func(r Result) { got <- r })
 		<-dialling
 		for i := range list {
 			list[i].Addr = w.ln.Addr().String()
@@ -288,7 +288,7 @@
 			t.Errorf("afterwards: outcome %v, want Moot", r.Outcome)
 		}
 		hold := make(chan choice.Outcome)
-		b.Hold(Order{Worker: 1, Function: "f", Copies: 1}, func(o choice.Outcome, _ int, _ time.Duration) { hold <- o })
+		b.LoadCopies(LoadOrder{Worker: 1, Function: "f", Copies: 1}, func(o choice.Outcome, _ int, _ time.Duration) { hold <- o })
 		if o := <-hold; o != choice.NotStarted {
 			t.Errorf("order: outcome %v, want Moot", o)
 		}
@@ -314,7 +314,7 @@
 	})
 	b := start(t, w.ln.Addr().String(), nil)
 	res := make(chan Result, 1)
-	r := b.Send(Attempt{Worker: 1, Function: "f", Trace: "t", Within: time.Minute}, func(r Result) { res <- r })
+	r := b.Send(Attempt{Worker: 1, Function: "f", Trace: "t", Timeout: time.Minute}, func(r Result) { res <- r })
 	<-got
 	r.Cancel()
 	r.Cancel()
@@ -326,14 +326,14 @@
 	}
 	dialling := make(chan struct{})
 	b = start(t, w.ln.Addr().String(), func(c *Config) {
-		c.DialWithin = time.Minute
+		c.DialTimeout = time.Minute
 		c.Dial = func(ctx context.Context, _, _ string) (net.Conn, error) {
 			close(dialling)
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
 	})
-	r = b.Send(Attempt{Worker: 1, Function: "f", Trace: "t", Within: time.Minute}, func(r Result) { res <- r })
+	r = b.Send(Attempt{Worker: 1, Function: "f", Trace: "t", Timeout: time.Minute}, func(r Result) { res <- r })
 	<-dialling
 	r.Cancel()
 	if r := <-res; r.Outcome != choice.NotStarted {
@@ -346,7 +346,7 @@
 	w := worker(t, say(served, true))
 	b := start(t, w.ln.Addr().String(), nil)
 	got := make(chan Result)
-	b.Send(Attempt{Worker: 1, Function: "f", Trace: "t", Within: time.Second, Wanted: func() bool { return false }}, func(r Result) { got <- r })
+	b.Send(Attempt{Worker: 1, Function: "f", Trace: "t", Timeout: time.Second, Wanted: func() bool { return false }}, func(r Result) { got <- r })
 	if r := <-got; r.Outcome != choice.NotStarted || w.count() != 0 {
 		t.Errorf("outcome %v, %d requests reached the worker", r.Outcome, w.count())
 	}
@@ -376,7 +376,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			b := start(t, worker(t, say(tt.text, true)).ln.Addr().String(), nil)
 			done := make(chan struct{})
-			b.Hold(Order{Worker: 1, Function: tt.fn, Copies: tt.copies}, func(o choice.Outcome, n int, _ time.Duration) {
+			b.LoadCopies(LoadOrder{Worker: 1, Function: tt.fn, Copies: tt.copies}, func(o choice.Outcome, n int, _ time.Duration) {
 				if o != tt.want || n != tt.stand {
 					t.Errorf("%v with %d, want %v with %d", o, n, tt.want, tt.stand)
 				}
@@ -407,10 +407,10 @@
 func TestPoolIsBounded(t *testing.T) {
 	release := make(chan struct{})
 	w := worker(t, func(c net.Conn, _ int) bool { <-release; io.WriteString(c, served); return true })
-	b := start(t, w.ln.Addr().String(), func(c *Config) { c.MostIdle = 3 })
+	b := start(t, w.ln.Addr().String(), func(c *Config) { c.MaxIdlePerWorker = 3 })
 	got := make(chan Result)
 	for range 8 {
-		b.Send(Attempt{Worker: 1, Function: "f", Trace: "t", Within: 10 * time.Second}, func(r Result) { got <- r })
+		b.Send(Attempt{Worker: 1, Function: "f", Trace: "t", Timeout: 10 * time.Second}, func(r Result) { got <- r })
 	}
 	for w.count() < 8 {
 		time.Sleep(ms)
--- a/backend/frame/frame.go
+++ b/backend/frame/frame.go
@@ -207,7 +207,7 @@
 
 // Send starts an attempt; done is called once, never by Send itself.
 func (b *Backend) Send(a backend.Attempt, done func(backend.Result)) backend.Running {
-	t := &attempt{b: b, within: a.Within, start: b.cfg.Clock.Now()}
+	t := &attempt{b: b, within: a.Timeout, start: b.cfg.Clock.Now()}
 	t.ended = func(o choice.Outcome, ans *answer) {
 		res := backend.Result{Outcome: o, Took: b.cfg.Clock.Now() - t.start}
 		if ans != nil {
@@ -230,7 +230,7 @@
 		f := make([]byte, 0, 128)
 		f = appendField(f, "c", a.Class)
 		f = appendField(f, "k", a.Function)
-		left := a.Within - (b.cfg.Clock.Now() - t.start)
+		left := a.Timeout - (b.cfg.Clock.Now() - t.start)
 		f = appendField(f, "w", strconv.FormatInt(max(1, left.Milliseconds()), 10))
 		if a.Key != "" {
 			f = appendField(f, "i", a.Key)
@@ -241,8 +241,8 @@
 	return t
 }
 
-// Hold sends an order to load. It stands even if its connection ends, so a lost one is told as such.
-func (b *Backend) Hold(o backend.Order, done func(choice.Outcome, int, time.Duration)) {
+// LoadCopies sends an order to load. It stands even if its connection ends, so a lost one is told as such.
+func (b *Backend) LoadCopies(o backend.LoadOrder, done func(choice.Outcome, int, time.Duration)) {
 	t := &attempt{b: b, within: b.cfg.Order, start: b.cfg.Clock.Now()}
 	t.x.id, t.x.order = b.ids.Add(1), true
 	t.ended = func(out choice.Outcome, ans *answer) {
--- a/backend/frame/frame_test.go
+++ b/backend/frame/frame_test.go
@@ -65,7 +65,7 @@
 }
 
 func call(id uint64) backend.Attempt {
-	return backend.Attempt{Worker: 1, Call: fmt.Sprintf("%016x", id), Class: "lookup", Function: "7f3a9c21e0b4d655", Body: []byte("body"), Within: 20 * time.Second}
+	return backend.Attempt{Worker: 1, Call: fmt.Sprintf("%016x", id), Class: "lookup", Function: "7f3a9c21e0b4d655", Body: []byte("body"), Timeout: 20 * time.Second}
 }
 
 func run(b *Backend, a backend.Attempt) backend.Result {
@@ -164,7 +164,7 @@
 		t.Errorf("a worker that drains: %v", r.Outcome)
 	}
 	held := make(chan choice.Outcome, 1)
-	b.Hold(backend.Order{Worker: 1, Function: "7f3a9c21e0b4d655", Copies: 1}, func(o choice.Outcome, _ int, _ time.Duration) { held <- o })
+	b.LoadCopies(backend.LoadOrder{Worker: 1, Function: "7f3a9c21e0b4d655", Copies: 1}, func(o choice.Outcome, _ int, _ time.Duration) { held <- o })
 	if o := <-held; o != choice.NotStarted {
 		t.Errorf("an order to a worker that drains: %v", o)
 	}
@@ -198,7 +198,7 @@
 	}
 	r.Cancel() // twice does nothing
 	copies := make(chan int, 1)
-	b.Hold(backend.Order{Worker: 1, Function: "7f3a9c21e0b4d655", Copies: 2}, func(o choice.Outcome, n int, _ time.Duration) { copies <- n })
+	b.LoadCopies(backend.LoadOrder{Worker: 1, Function: "7f3a9c21e0b4d655", Copies: 2}, func(o choice.Outcome, n int, _ time.Duration) { copies <- n })
 	if g := <-commands; g.Code != codeHold || g.Fields != "k=7f3a9c21e0b4d655,slots_up=2" {
 		t.Errorf("order: %+v", g)
 	}
@@ -210,7 +210,7 @@
 		t.Errorf("unload: %+v", g)
 	}
 	a = call(9)
-	a.Within = time.Millisecond
+	a.Timeout = time.Millisecond
 	if r := run(b, a); r.Outcome != choice.TimedOut {
 		t.Errorf("no answer: %v", r.Outcome)
 	}
@@ -479,7 +479,7 @@
 	b := start(t, addr, nil)
 	run(b, call(3)) // the connection stands: to open it may take longer than the call that is to be late has
 	a := call(1)
-	a.Within = time.Millisecond
+	a.Timeout = time.Millisecond
 	if r := run(b, a); r.Outcome != choice.TimedOut {
 		t.Fatalf("no answer in time: %v", r.Outcome)
 	}
--- a/backend/infer.go
+++ b/backend/infer.go
@@ -38,7 +38,7 @@
 	Key      string // repeats of it are dropped by the worker's group; "" for none
 	Digest   string // of the bytes that are to run; "": any
 	Body     []byte
-	Within   time.Duration
+	Timeout  time.Duration
 	Wanted   func() bool // asked just before the first byte goes out; false ends it as Moot. nil: always
 }
 
@@ -79,7 +79,7 @@
 		http1.Field{Name: "User-Agent", Value: "kitehub/" + b.cfg.Controller},
 		http1.Field{Name: "Content-Type", Value: "application/octet-stream"},
 		http1.Field{Name: HeaderJSONLength, Value: strconv.Itoa(len(head))},
-		http1.Field{Name: HeaderTimeLeft, Value: strconv.FormatInt(a.Within.Milliseconds(), 10)},
+		http1.Field{Name: HeaderTimeLeft, Value: strconv.FormatInt(a.Timeout.Milliseconds(), 10)},
 		http1.Field{Name: HeaderTrace, Value: a.Trace})
 	if a.Key != "" {
 		req.Header.Add(HeaderKey, a.Key)
@@ -88,7 +88,7 @@
 		req.Header.Add(HeaderDigest, a.Digest)
 	}
 	req.Body = append(head, a.Body...)
-	resp, o := b.exchange(x, p, req, a.Within, false)
+	resp, o := b.exchange(x, p, req, a.Timeout, false)
 	res := Result{Outcome: o, Took: b.cfg.Clock.Now() - start}
 	if o != choice.OK {
 		return res
@@ -165,16 +165,16 @@
 	return choice.Error
 }
 
-// An Order is a Hold of the module; Copies 0 only asks.
-type Order struct {
+// An LoadOrder is a Hold of the module; Copies 0 only asks.
+type LoadOrder struct {
 	Worker   choice.WorkerID
 	Function string
 	Digest   string // of the bytes to load; "": the worker knows
 	Copies   int
 }
 
-// Hold starts an order; done is called once, on a goroutine of its own.
-func (b *Backend) Hold(o Order, done func(outcome choice.Outcome, copies int, took time.Duration)) {
+// LoadCopies starts an order; done is called once, on a goroutine of its own.
+func (b *Backend) LoadCopies(o LoadOrder, done func(outcome choice.Outcome, copies int, took time.Duration)) {
 	go func() {
 		start := b.cfg.Clock.Now()
 		outcome, copies := b.hold(o)
@@ -182,7 +182,7 @@
 	}()
 }
 
-func (b *Backend) hold(o Order) (choice.Outcome, int) {
+func (b *Backend) hold(o LoadOrder) (choice.Outcome, int) {
 	p := b.peer(o.Worker)
 	if p == nil {
 		return choice.NotStarted, 0
@@ -191,10 +191,10 @@
 	if o.Digest != "" {
 		digest = `,"digest":` + strconv.Quote(o.Digest)
 	}
-	req, within := b.post(p, "/v2/repository/index", []byte(`{"ready":true}`)), b.cfg.ProbeTime
+	req, within := b.post(p, "/v2/repository/index", []byte(`{"ready":true}`)), b.cfg.ProbeTimeout
 	if o.Copies > 0 {
 		req, within = b.post(p, "/v2/repository/models/"+url.PathEscape(o.Function)+"/load",
-			[]byte(`{"parameters":{"copies":`+strconv.Itoa(o.Copies)+digest+`}}`)), b.cfg.OrderTime
+			[]byte(`{"parameters":{"copies":`+strconv.Itoa(o.Copies)+digest+`}}`)), b.cfg.OrderTimeout
 	}
 	resp, out := b.exchange(&call{}, p, req, within, o.Copies == 0)
 	if out != choice.OK {
@@ -250,7 +250,7 @@
 func (b *Backend) Unload(worker choice.WorkerID, function string) {
 	if p := b.peer(worker); p != nil {
 		req := b.post(p, "/v2/repository/models/"+url.PathEscape(function)+"/unload", []byte(`{}`))
-		go b.exchange(&call{}, p, req, b.cfg.ProbeTime, false)
+		go b.exchange(&call{}, p, req, b.cfg.ProbeTimeout, false)
 	}
 }
 
@@ -265,7 +265,7 @@
 		start := b.cfg.Clock.Now()
 		req := &http1.Request{Method: "GET", Target: "/v2/health/ready", Header: http1.Header{{Name: "Host", Value: p.Name},
 			{Name: "User-Agent", Value: "kitehub/" + b.cfg.Controller}}}
-		resp, o := b.exchange(&call{}, p, req, b.cfg.ProbeTime, true)
+		resp, o := b.exchange(&call{}, p, req, b.cfg.ProbeTimeout, true)
 		var report []float64
 		if o == choice.OK {
 			report = readLoad(resp.Header.Get(HeaderLoad)).report(b.cfg.Fields)
--- a/config/build.go
+++ b/config/build.go
@@ -303,8 +303,8 @@
 	}
 	b.Webhook = webhook.Config{Prefix: w.Prefix, Source: src, Field: w.FunctionField,
 		Replay: replay.Settings{Past: ms(w.PastMs), Future: ms(w.FutureMs), Ahead: ms(w.AheadMs), Entries: int(w.Remembered), Bytes: int(w.KeptBytes)}}
-	b.Backend = backend.Config{Controller: c.Name, DialWithin: ms(l.DialMs), KeepAlive: ms(l.KeepAliveMs), OrderTime: ms(c.Loading.AnswerMs),
-		ProbeTime: 3 * ms(l.DialMs), Fields: b.Settings.Report}
+	b.Backend = backend.Config{Controller: c.Name, DialTimeout: ms(l.DialMs), IdleTimeout: ms(l.KeepAliveMs), OrderTimeout: ms(c.Loading.AnswerMs),
+		ProbeTimeout: 3 * ms(l.DialMs), Fields: b.Settings.Report}
 	if (d.File == "") == (d.Server == "") {
 		f.Problem("discovery", "not exactly one of file and server", "give one")
 	}
--- a/gateway/carry.go
+++ b/gateway/carry.go
@@ -176,7 +176,7 @@
 	r.out++
 	attempt := backend.Attempt{Worker: a.Worker, Call: call.ID, Class: g.cfg.Settings.Classes[call.Function.Class].Name,
 		Function: call.Function.Name, Trace: traceparent(call.Trace, g.rng.Uint64()), Key: call.Key, Digest: call.Function.Digest,
-		Body: call.Body, Within: a.Timeout, Wanted: func() bool { return r.claimed.Load() == 0 }}
+		Body: call.Body, Timeout: a.Timeout, Wanted: func() bool { return r.claimed.Load() == 0 }}
 	t.run = g.cfg.Transport.Send(attempt, func(res backend.Result) { g.ended(r, call, a, n, res) })
 	r.tries = append(r.tries, t)
 }
@@ -275,7 +275,7 @@
 		g.put(choice.LoadOrderEnded{Worker: a.Worker, Function: a.Function, Outcome: choice.NotStarted})
 		return
 	}
-	g.cfg.Transport.Hold(backend.Order{Worker: a.Worker, Function: name, Digest: digest, Copies: a.Copies},
+	g.cfg.Transport.LoadCopies(backend.LoadOrder{Worker: a.Worker, Function: name, Digest: digest, Copies: a.Copies},
 		func(o choice.Outcome, copies int, took time.Duration) {
 			if digest != "" && o == choice.OK && g.cfg.Versions != nil {
 				g.cfg.Versions.CopiesReady(name, g.workerName(a.Worker), copies)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -31,7 +31,7 @@
 // began may call back itself.
 type Transport interface {
 	Send(backend.Attempt, func(backend.Result)) backend.Running
-	Hold(backend.Order, func(choice.Outcome, int, time.Duration))
+	LoadCopies(backend.LoadOrder, func(choice.Outcome, int, time.Duration))
 	Unload(choice.WorkerID, string)
 	Probe(choice.WorkerID, func(choice.Outcome, time.Duration, []float64))
 	CloseIdle(choice.WorkerID)
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -44,7 +44,7 @@
 	c.sends, c.to = append(c.sends, done), append(c.to, a.Worker)
 	return idle{}
 }
-func (c *carrier) Hold(o backend.Order, done func(choice.Outcome, int, time.Duration)) {
+func (c *carrier) LoadCopies(o backend.LoadOrder, done func(choice.Outcome, int, time.Duration)) {
 	c.note("hold %s %d", o.Function, o.Copies)
 	go done(choice.OK, o.Copies, ms)
 }
--- a/gateway/path_test.go
+++ b/gateway/path_test.go
@@ -39,7 +39,7 @@
 		Limits:     choice.Limits{MaxAttempts: 3, MaxOpenRequests: 100, DialTimeout: 250 * ms, Cancel: true, IdleConnectionTimeout: 5 * time.Second},
 		Loading:    choice.Loading{Orders: true, LoadsOnMiss: true, OnMissKnown: true, IdleCopyTTL: 8 * time.Second, OrderTimeout: 5 * time.Second, LoadNotesGiven: true},
 		Guarantees: choice.Guarantees{DrainGrace: 500 * ms, WarmupFraction: 0.2, WarmupTime: 10 * time.Second, CollapseFactor: 2, CollapseWindow: 2 * time.Second}}
-	be := backend.New(backend.Config{Controller: "c1", Clock: clk, DialWithin: 250 * ms, KeepAlive: 5 * time.Second, OrderTime: 5 * time.Second, ProbeTime: time.Second})
+	be := backend.New(backend.Config{Controller: "c1", Clock: clk, DialTimeout: 250 * ms, IdleTimeout: 5 * time.Second, OrderTimeout: 5 * time.Second, ProbeTimeout: time.Second})
 	defer be.Close()
 	g, err := gateway.New(gateway.Config{Name: "c1", Settings: s, Seed: 1, Clock: clk, Transport: be, Log: zerolog.New(zerolog.NewTestWriter(t))})
 	if err != nil {
--- a/scale/list.go
+++ b/scale/list.go
@@ -77,9 +77,9 @@
 // noCarrier carries nothing.
 type noCarrier struct{}
 
-func (noCarrier) Send(backend.Attempt, func(backend.Result)) backend.Running   { return nil }
-func (noCarrier) Hold(backend.Order, func(choice.Outcome, int, time.Duration)) {}
-func (noCarrier) Unload(choice.WorkerID, string)                               {}
+func (noCarrier) Send(backend.Attempt, func(backend.Result)) backend.Running             { return nil }
+func (noCarrier) LoadCopies(backend.LoadOrder, func(choice.Outcome, int, time.Duration)) {}
+func (noCarrier) Unload(choice.WorkerID, string)                                         {}
 func (noCarrier) Probe(choice.WorkerID, func(choice.Outcome, time.Duration, []float64)) {
 }
 func (noCarrier) CloseIdle(choice.WorkerID) {}
