--- a/discovery/discovery_test.go
+++ b/discovery/discovery_test.go
@@ -157,10 +157,10 @@
 
 func TestRetry(t *testing.T) {
 	for n, want := range map[int]time.Duration{1: 100 * time.Millisecond, 2: 200 * time.Millisecond, 5: 1600 * time.Millisecond, 60: 5 * time.Second} {
-		if got := Retry(n, leastWait, mostWait, 1); got != want {
+		if got := Backoff(n, leastWait, mostWait, 1); got != want {
 			t.Errorf("%d failures: %v, want %v", n, got, want)
 		}
-		if got := Retry(n, leastWait, mostWait, 0); got != want/2 {
+		if got := Backoff(n, leastWait, mostWait, 0); got != want/2 {
 			t.Errorf("%d failures, least draw: %v, want %v", n, got, want/2)
 		}
 	}
--- a/discovery/list.go
+++ b/discovery/list.go
@@ -273,8 +273,8 @@
 	Message string `json:"message"`
 }
 
-// A News is what an update changes.
-type News struct {
+// A WatchEvent is what an update changes.
+type WatchEvent struct {
 	Kind    choice.ListKind
 	Version uint32
 	Workers []gateway.Worker
@@ -290,7 +290,7 @@
 }
 
 // Apply takes an update in. On an error nothing has changed. Nil news means that nothing is new.
-func (s *State) Apply(u Update) (*News, error) {
+func (s *State) Apply(u Update) (*WatchEvent, error) {
 	delta := u.TypeURL == TypeEndpoint
 	version := u.VersionInfo
 	if delta {
@@ -309,7 +309,7 @@
 		return nil, nil
 	}
 	next := map[string]gateway.Worker{}
-	var news News
+	var news WatchEvent
 	if delta {
 		if s.known == nil {
 			return nil, fmt.Errorf("resources: a delta before any whole list")
@@ -401,9 +401,9 @@
 	return l
 }
 
-// Retry returns how long to wait after so many failures in a row: twice as long each time from least to most,
+// Backoff returns how long to wait after so many failures in a row: twice as long each time from least to most,
 // and from half of it to all of it by the draw in [0, 1), so that many controllers do not come back in step.
-func Retry(failures int, least, most time.Duration, draw float64) time.Duration {
+func Backoff(failures int, least, most time.Duration, draw float64) time.Duration {
 	d := least
 	for i := 1; i < failures && d < most; i++ {
 		d *= 2
--- a/discovery/watch.go
+++ b/discovery/watch.go
@@ -42,8 +42,8 @@
 
 // How a server is asked. A long poll is answered after its hold at the latest, so silence for longer is a fault.
 const (
-	Hold      = 10 * time.Second
-	silence   = Hold + 5*time.Second
+	LongPoll  = 10 * time.Second
+	silence   = LongPoll + 5*time.Second
 	leastWait = 100 * time.Millisecond
 	mostWait  = 5 * time.Second
 )
@@ -244,7 +244,7 @@
 	if w.ctx.Err() != nil {
 		return
 	}
-	wait := Retry(failures, leastWait, mostWait, rand.Float64())
+	wait := Backoff(failures, leastWait, mostWait, rand.Float64())
 	w.cfg.Log.Warn().Err(err).Int("failures", failures).Dur("again_in", wait).Msg("server of the list")
 	w.sleep(wait)
 }
--- a/standin/list.go
+++ b/standin/list.go
@@ -207,7 +207,7 @@
 	if have == l.version || l.version == 0 {
 		news := l.news
 		l.mu.Unlock()
-		timer := time.NewTimer(discovery.Hold)
+		timer := time.NewTimer(discovery.LongPoll)
 		select {
 		case <-news:
 		case <-timer.C:
