--- a/choice/attempts.go
+++ b/choice/attempts.go
@@ -282,7 +282,8 @@
 // mayRefuse: a refusal tells the client that another try does no harm.
 func (d *Dispatcher) mayRefuse(r *request) bool {
 	c := d.s.Classes[r.Class]
-	return c.Idempotency == Idempotent || r.mayHaveRun() == nil || c.Idempotency == IdempotentWithKey && c.DedupScope == AllWorkers
+	return c.Idempotency == Idempotent || r.mayHaveRun() == nil ||
+		c.Idempotency == IdempotentWithKey && c.DedupScope == AllWorkers
 }
 
 // mayTry tells whether the rules leave room for another attempt at all.
@@ -310,7 +311,8 @@
 		return false
 	}
 	return d.now < first.sent+c.DedupWindow-d.s.Tick && (c.DedupScope == AllWorkers ||
-		c.DedupScope == SameZone && w.Zone == first.zone || c.DedupScope == SameGroup && w.Group == first.group)
+		c.DedupScope == SameZone && w.Zone == first.zone ||
+		c.DedupScope == SameGroup && w.Group == first.group)
 }
 
 // rescue finds another worker for what waits on one that no longer answers.
@@ -321,7 +323,8 @@
 	for _, r := range d.open {
 		for i := range r.tries {
 			t := &r.tries[i]
-			if r.ended || r.waiting || t.w != w || t.done || d.s.Classes[r.Class].Idempotency == NonIdempotent {
+			if r.ended || r.waiting || t.w != w || t.done ||
+				d.s.Classes[r.Class].Idempotency == NonIdempotent {
 				continue
 			}
 			if r.cover = d.s.Limits.HedgedRequests; !r.cover && len(r.tries) < d.s.Limits.MaxAttempts {
--- a/choice/coldstart.go
+++ b/choice/coldstart.go
@@ -30,9 +30,11 @@
 		gain = max((d.served-w.served)/max(d.readyShares(), 1)/dt, coldCores/n)
 		w.even += (gain - w.even) * (1 - kept)
 	}
-	holds := g.CollapseFactor * share * w.even * n * g.CollapseWindow.Seconds() / work // calls in a window, by all
+	// Calls in a window, by all controllers.
+	holds := g.CollapseFactor * share * w.even * n * g.CollapseWindow.Seconds() / work
 	mean := math.Pow(math.Sqrt(holds+coldDraws*coldDraws/4)-coldDraws/2, 2) / holds
-	w.credit = w.credit*kept + min(1+coldPart*(g.CollapseFactor-1), g.CollapseFactor*mean)*share*gain*window*(1-kept)
+	multiple := min(1+coldPart*(g.CollapseFactor-1), g.CollapseFactor*mean)
+	w.credit = w.credit*kept + multiple*share*gain*window*(1-kept)
 	w.creditAt, w.served = d.now, d.served
 	if holds < coldDraws {
 		w.credit = min(0, w.credit)
--- a/choice/health.go
+++ b/choice/health.go
@@ -74,7 +74,8 @@
 // health asks workers that are quiet with something out, ejects those that stay so, and tries the ejected.
 func (d *Dispatcher) health() {
 	quiet := max(d.s.Limits.DialTimeout, seconds(quietRuns*slices.Max(d.classRun)))
-	patience := seconds(askDials * d.s.Limits.DialTimeout.Seconds()) // a busy worker answers questions late as well
+	// A busy worker answers questions late as well.
+	patience := seconds(askDials * d.s.Limits.DialTimeout.Seconds())
 	for w := range d.watched() {
 		d.examine(w, quiet, patience)
 	}
--- a/choice/loadorders.go
+++ b/choice/loadorders.go
@@ -148,5 +148,8 @@
 func (d *Dispatcher) mayWarm() bool {
 	l := d.s.Loading
 	most := wantPart * (l.BudgetFree + l.BudgetRatio*float64(d.arrivals.Len()))
-	return d.crowded < wantCrowded && d.mayOrder() && (l.BudgetWindow == 0 || float64(d.orders.Len()+1) <= most)
+	if d.crowded >= wantCrowded || !d.mayOrder() { // which forgets the orders before the window
+		return false
+	}
+	return l.BudgetWindow == 0 || float64(d.orders.Len()+1) <= most
 }
