--- a/cmd/kitehub/hook.go
+++ b/cmd/kitehub/hook.go
@@ -8,7 +8,7 @@
 	"path/filepath"
 	"strings"
 
-	"kitehub/hook"
+	"kitehub/internal/hooklang"
 )
 
 type hookCmd struct {
@@ -35,7 +35,7 @@
 		if err != nil {
 			return err
 		}
-		p, err := hook.Compile(name, string(text))
+		p, err := hooklang.Compile(name, string(text))
 		if err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			bad++
@@ -66,7 +66,7 @@
 		if err != nil {
 			return err
 		}
-		out, err := hook.Format(name, string(text))
+		out, err := hooklang.Format(name, string(text))
 		if err != nil {
 			return err
 		}
@@ -117,12 +117,12 @@
 	return nil
 }
 
-func compileFile(name string) (*hook.Program, error) {
+func compileFile(name string) (*hooklang.Program, error) {
 	text, err := os.ReadFile(name)
 	if err != nil {
 		return nil, err
 	}
-	return hook.Compile(name, string(text))
+	return hooklang.Compile(name, string(text))
 }
 
 type hookTraceCmd struct {
@@ -136,7 +136,7 @@
 		return err
 	}
 	lines := strings.Split(p.Text, "\n")
-	found, err := p.TraceTest(h.Test, func(s hook.Step) {
+	found, err := p.TraceTest(h.Test, func(s hooklang.Step) {
 		fmt.Printf("%4d  %-60s", s.Pos.Line, strings.TrimSpace(lines[s.Pos.Line-1]))
 		if len(s.Vars) > 0 {
 			fmt.Printf("  # %s", strings.Join(s.Vars, ", "))
@@ -152,7 +152,7 @@
 type hookReplCmd struct{}
 
 func (h *hookReplCmd) Run() error {
-	r := &hook.Session{}
+	r := &hooklang.Session{}
 	in := bufio.NewScanner(os.Stdin)
 	fmt.Fprintln(os.Stderr, "Declarations and statements are kept, expressions are printed. Ctrl-D ends.")
 	for fmt.Fprint(os.Stderr, "> "); in.Scan(); fmt.Fprint(os.Stderr, "> ") {
--- a/cmd/kitehub/interface_test.go
+++ b/cmd/kitehub/interface_test.go
@@ -24,14 +24,14 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 	"google.golang.org/protobuf/reflect/protoregistry"
 
-	"kitehub/controller"
-	"kitehub/discovery"
-	"kitehub/front/jsonrpc"
-	"kitehub/gateway"
-	"kitehub/hooks"
-	"kitehub/internal/trace"
-	"kitehub/registry"
-	"kitehub/registry/wire"
+	"kitehub/internal/controller"
+	"kitehub/internal/discovery"
+	"kitehub/internal/gateway"
+	"kitehub/internal/harness/trace"
+	"kitehub/internal/hookengine"
+	"kitehub/internal/ingress/jsonrpc"
+	"kitehub/internal/registry"
+	"kitehub/internal/registry/wire"
 )
 
 // The tests of this file hold what operators type and read: a rename of a Go identifier, or a move of a package, must leave
@@ -223,7 +223,7 @@
 		{"jsonrpc result of workers, each", reflect.TypeFor[gateway.WorkerView]()},
 		{"jsonrpc result of functions, each", reflect.TypeFor[gateway.FunctionView]()},
 		{"jsonrpc result of explain", reflect.TypeFor[gateway.Explanation]()},
-		{"jsonrpc result of hooks", reflect.TypeFor[hooks.Overview]()},
+		{"jsonrpc result of hooks", reflect.TypeFor[hookengine.Overview]()},
 		{"registry command", reflect.TypeFor[wire.Command]()},
 		{"registry query", reflect.TypeFor[wire.Query]()},
 		{"registry answer", reflect.TypeFor[wire.Answer]()},
--- a/cmd/kitehub/main.go
+++ b/cmd/kitehub/main.go
@@ -11,7 +11,7 @@
 	"github.com/alecthomas/kong"
 
 	"kitehub/config"
-	"kitehub/relay"
+	"kitehub/internal/relay"
 )
 
 var cli struct {
--- a/cmd/kitehub/main_test.go
+++ b/cmd/kitehub/main_test.go
@@ -16,14 +16,14 @@
 	"testing"
 	"time"
 
-	"kitehub/choice"
-	"kitehub/discovery"
-	"kitehub/fleet"
-	"kitehub/gateway"
 	"kitehub/internal/clock"
-	"kitehub/internal/trace"
-	"kitehub/signing"
-	"kitehub/standin"
+	"kitehub/internal/discovery"
+	"kitehub/internal/gateway"
+	"kitehub/internal/harness/fakeworker"
+	"kitehub/internal/harness/trace"
+	"kitehub/internal/harness/workersim"
+	"kitehub/internal/signing"
+	"kitehub/scheduler"
 )
 
 // TestMain runs the program itself where a test asks for it: so tests kill real processes.
@@ -107,19 +107,19 @@
 }
 
 // example writes the configuration of examples/loopback with another folder and port.
-func example(t *testing.T) (dir, config string, host *standin.Host, log *trace.Log) {
+func example(t *testing.T) (dir, config string, host *fakeworker.Host, log *trace.Log) {
 	t.Helper()
 	dir = t.TempDir()
 	clk := clock.System()
 	log = trace.NewLog(clk.Now)
-	host, err := standin.Start(standin.Config{Clock: clk, Trace: log, Fleet: fleet.Config{Store: fleet.Store{Pace: 4}, Workers: []fleet.Spec{{Name: "w", Cores: 2, Speed: 1,
-		MemoryMB: 4000, Queue: 9, LoadSlots: 2, IdleLife: time.Minute}}}, Functions: []standin.Kind{{Function: fleet.Function{Name: "trade", MemoryMB: 1, Lanes: 4,
+	host, err := fakeworker.Start(fakeworker.Config{Clock: clk, Trace: log, Fleet: workersim.Config{Store: workersim.Store{Pace: 4}, Workers: []workersim.Spec{{Name: "w", Cores: 2, Speed: 1,
+		MemoryMB: 4000, Queue: 9, LoadSlots: 2, IdleLife: time.Minute}}}, Functions: []fakeworker.Kind{{Function: workersim.Function{Name: "trade", MemoryMB: 1, Lanes: 4,
 		Fetch: time.Millisecond}, Class: "trade", Work: time.Millisecond}}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(host.Close)
-	text, err := discovery.Render("workers", []gateway.Worker{{Name: "w", Network: "tcp", Addr: host.Addr("w"), State: choice.Ready, Size: 1}})
+	text, err := discovery.Render("workers", []gateway.Worker{{Name: "w", Network: "tcp", Addr: host.Addr("w"), State: scheduler.Ready, Size: 1}})
 	if err == nil {
 		err = discovery.WriteFile(filepath.Join(dir, "workers.json"), text)
 	}
--- a/cmd/kitehub/operate.go
+++ b/cmd/kitehub/operate.go
@@ -10,10 +10,10 @@
 	"text/tabwriter"
 	"time"
 
-	"kitehub/controller"
-	"kitehub/front/jsonrpc"
-	"kitehub/gateway"
-	"kitehub/hooks"
+	"kitehub/internal/controller"
+	"kitehub/internal/gateway"
+	"kitehub/internal/hookengine"
+	"kitehub/internal/ingress/jsonrpc"
 )
 
 // A socket is where a running controller listens for operators.
@@ -126,7 +126,7 @@
 type hooksCmd struct{ socket }
 
 func (s *hooksCmd) Run() error {
-	var o hooks.Overview
+	var o hookengine.Overview
 	return s.ask("hooks", nil, &o, func() {
 		table("SCRIPT\tSTATUS\tVERSION\tSHADOW\tRUNS\tFAULTS\tLAST FAULT", func(w *tabwriter.Writer) {
 			for _, x := range o.Scripts {
--- a/cmd/kitehub/registry.go
+++ b/cmd/kitehub/registry.go
@@ -19,12 +19,12 @@
 	"kitehub/config"
 	"kitehub/internal/clock"
 	"kitehub/internal/http1"
-	"kitehub/registry"
-	"kitehub/registry/client"
-	"kitehub/registry/service"
-	"kitehub/registry/wire"
-	"kitehub/signing"
-	"kitehub/store"
+	"kitehub/internal/registry"
+	"kitehub/internal/registry/client"
+	"kitehub/internal/registry/service"
+	"kitehub/internal/registry/wire"
+	"kitehub/internal/signing"
+	"kitehub/internal/store"
 )
 
 type registryCmd struct {
--- a/cmd/kitehub/relay.go
+++ b/cmd/kitehub/relay.go
@@ -7,7 +7,7 @@
 
 	"github.com/rs/zerolog"
 
-	"kitehub/relay"
+	"kitehub/internal/relay"
 )
 
 type relayCmd struct{}
--- a/cmd/kitehub/serve.go
+++ b/cmd/kitehub/serve.go
@@ -16,9 +16,9 @@
 	"golang.org/x/sys/unix"
 
 	"kitehub/config"
-	"kitehub/controller"
-	"kitehub/daemon"
 	"kitehub/internal/clock"
+	"kitehub/internal/controller"
+	"kitehub/internal/daemon"
 )
 
 type serveCmd struct {
--- a/cmd/kitehub/standin.go
+++ b/cmd/kitehub/standin.go
@@ -8,12 +8,12 @@
 	"syscall"
 	"time"
 
-	"kitehub/choice"
-	"kitehub/discovery"
-	"kitehub/fleet"
-	"kitehub/gateway"
 	"kitehub/internal/clock"
-	"kitehub/standin"
+	"kitehub/internal/discovery"
+	"kitehub/internal/gateway"
+	"kitehub/internal/harness/fakeworker"
+	"kitehub/internal/harness/workersim"
+	"kitehub/scheduler"
 )
 
 type standinCmd struct {
@@ -30,9 +30,9 @@
 	if s.Workers < 1 || s.Workers > 80 {
 		return fmt.Errorf("--workers: %d is not from 1 to 80", s.Workers)
 	}
-	cfg := standin.Config{Clock: clock.System(), Fleet: fleet.Config{Store: fleet.Store{Pace: float64(s.Workers)}, Window: 5 * time.Second}}
+	cfg := fakeworker.Config{Clock: clock.System(), Fleet: workersim.Config{Store: workersim.Store{Pace: float64(s.Workers)}, Window: 5 * time.Second}}
 	for i := range s.Workers {
-		cfg.Fleet.Workers = append(cfg.Fleet.Workers, fleet.Spec{Name: fmt.Sprintf("worker-%d", i+1), Group: "g", Cores: 2, Speed: 1, MemoryMB: 4000, Queue: 32,
+		cfg.Fleet.Workers = append(cfg.Fleet.Workers, workersim.Spec{Name: fmt.Sprintf("worker-%d", i+1), Group: "g", Cores: 2, Speed: 1, MemoryMB: 4000, Queue: 32,
 			LoadSlots: 4, IdleLife: 8 * time.Second})
 	}
 	for _, f := range s.Function {
@@ -40,19 +40,19 @@
 		if !ok || name == "" || class == "" {
 			return fmt.Errorf("--function: %q is not a name and a class", f)
 		}
-		cfg.Functions = append(cfg.Functions, standin.Kind{Function: fleet.Function{Name: name, MemoryMB: 500, Lanes: 2, Fetch: s.Load * 2 / 3, Start: s.Load / 3},
+		cfg.Functions = append(cfg.Functions, fakeworker.Kind{Function: workersim.Function{Name: name, MemoryMB: 500, Lanes: 2, Fetch: s.Load * 2 / 3, Start: s.Load / 3},
 			Class: class, Work: s.Work})
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	host, err := standin.Start(cfg)
+	host, err := fakeworker.Start(cfg)
 	if err != nil {
 		return err
 	}
 	defer host.Close()
 	var l []gateway.Worker
 	for _, name := range host.Names() {
-		l = append(l, gateway.Worker{Name: name, Network: "tcp", Addr: host.Addr(name), Group: "g", Kind: "std", State: choice.Ready, Size: 1})
+		l = append(l, gateway.Worker{Name: name, Network: "tcp", Addr: host.Addr(name), Group: "g", Kind: "std", State: scheduler.Ready, Size: 1})
 		fmt.Println(name, host.Addr(name))
 	}
 	text, err := discovery.Render(s.Cluster, l)
--- a/cmd/kitehub/tools.go
+++ b/cmd/kitehub/tools.go
@@ -13,10 +13,10 @@
 	"github.com/rs/zerolog"
 
 	"kitehub/config"
-	"kitehub/day"
-	"kitehub/internal/trace"
-	"kitehub/rules"
-	"kitehub/signing"
+	"kitehub/internal/harness/invariant"
+	"kitehub/internal/harness/scenario"
+	"kitehub/internal/harness/trace"
+	"kitehub/internal/signing"
 )
 
 type demoCmd struct {
@@ -25,7 +25,7 @@
 
 // Run plays the demo's day. A rule that nothing was judged on is not shown to be kept.
 func (d *demoCmd) Run() error {
-	s, err := day.Load("demo")
+	s, err := scenario.Load("demo")
 	if err != nil {
 		return err
 	}
@@ -43,12 +43,12 @@
 	return verdict(res)
 }
 
-func play(s *day.Day, out string) (*day.Result, error) {
-	o := day.Options{Log: zerolog.Nop()}
+func play(s *scenario.Day, out string) (*scenario.Result, error) {
+	o := scenario.Options{Log: zerolog.Nop()}
 	if isatty.IsTerminal(os.Stderr.Fd()) {
 		o.Progress = os.Stderr
 	}
-	res, err := day.Play(s, o)
+	res, err := scenario.Play(s, o)
 	if err == nil && out != "" {
 		err = writeTrace(out, res.Trace)
 	}
@@ -67,7 +67,7 @@
 	return err
 }
 
-func verdict(res *day.Result) error {
+func verdict(res *scenario.Result) error {
 	if res.Forged > 0 {
 		return fmt.Errorf("%d answers have no valid signature", res.Forged)
 	}
@@ -85,7 +85,7 @@
 type dayListCmd struct{}
 
 func (dayListCmd) Run() error {
-	for _, name := range day.Names() {
+	for _, name := range scenario.Names() {
 		fmt.Println(name)
 	}
 	return nil
@@ -99,7 +99,7 @@
 }
 
 func (d *dayPlayCmd) Run() error {
-	s, err := day.Load(d.Script)
+	s, err := scenario.Load(d.Script)
 	if err != nil {
 		return err
 	}
@@ -144,7 +144,7 @@
 		if err != nil {
 			return fmt.Errorf("%s: %w", name, err)
 		}
-		v, err := rules.Judge(records)
+		v, err := invariant.Judge(records)
 		if err != nil {
 			return fmt.Errorf("%s: %w", name, err)
 		}
--- a/cmd/wirehost/main.go
+++ b/cmd/simadapter/main.go
@@ -9,8 +9,8 @@
 	"io"
 	"os"
 
-	"kitehub/choice"
-	"kitehub/internal/wire"
+	"kitehub/internal/simwire"
+	"kitehub/scheduler"
 )
 
 func main() {
@@ -22,9 +22,9 @@
 
 // serve answers batches until input ends.
 func serve(in io.Reader, out io.Writer) error {
-	dec := wire.NewDecoder(bufio.NewReaderSize(in, 1<<16))
+	dec := simwire.NewDecoder(bufio.NewReaderSize(in, 1<<16))
 	w := bufio.NewWriterSize(out, 1<<16)
-	h := host{live: map[uint32]*choice.Dispatcher{}, slot: map[uint32]int{}}
+	h := host{live: map[uint32]*scheduler.Dispatcher{}, slot: map[uint32]int{}}
 	for {
 		b, err := dec.Read()
 		if errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
@@ -49,26 +49,26 @@
 // A run is the events of one batch for one life of an instance.
 type run struct {
 	instance uint32
-	d        *choice.Dispatcher
-	events   []choice.Event
+	d        *scheduler.Dispatcher
+	events   []scheduler.Event
 }
 
 type host struct {
-	live map[uint32]*choice.Dispatcher
+	live map[uint32]*scheduler.Dispatcher
 	slot map[uint32]int // open run of an instance in this batch, plus one
-	enc  wire.Encoder
+	enc  simwire.Encoder
 	runs []run
 }
 
 // answer hands each instance its events of the batch together, in order, and gathers the actions.
-func (h *host) answer(b wire.Batch) ([]byte, error) {
+func (h *host) answer(b simwire.Batch) ([]byte, error) {
 	h.enc.Reset()
 	h.runs = h.runs[:0]
 	clear(h.slot)
 	for _, rec := range b.Records {
 		switch e := rec.Event.(type) {
-		case wire.Provision:
-			s, err := wire.ParseSettings(e.Env)
+		case simwire.Provision:
+			s, err := simwire.ParseSettings(e.Env)
 			if err != nil {
 				return nil, fmt.Errorf("%s, offset %d: %w", rec.Name, rec.Offset, err)
 			}
@@ -79,9 +79,9 @@
 				continue
 			}
 			h.live[rec.Instance] = d
-		case wire.Halt:
+		case simwire.Halt:
 			h.stop(rec.Instance)
-		case choice.Event:
+		case scheduler.Event:
 			d := h.live[rec.Instance]
 			if d == nil {
 				return nil, fmt.Errorf("%s, offset %d: instance %d does not live", rec.Name, rec.Offset, rec.Instance)
@@ -122,12 +122,12 @@
 	}
 }
 
-func build(s choice.Settings, seed uint64) (d *choice.Dispatcher, err error) {
+func build(s scheduler.Settings, seed uint64) (d *scheduler.Dispatcher, err error) {
 	defer caught(&err)
-	return choice.New(s, seed)
+	return scheduler.New(s, seed)
 }
 
-func step(r run, b wire.Batch) (a []choice.Action, err error) {
+func step(r run, b simwire.Batch) (a []scheduler.Action, err error) {
 	defer caught(&err)
 	return r.d.Step(b.Now, r.events), nil
 }
--- a/config/build.go
+++ b/config/build.go
@@ -11,23 +11,23 @@
 
 	"github.com/rs/zerolog"
 
-	"kitehub/backend"
-	"kitehub/choice"
-	"kitehub/discovery"
-	"kitehub/front/jsonrpc"
-	"kitehub/front/webhook"
-	"kitehub/gateway"
-	"kitehub/hooks"
+	"kitehub/internal/backend"
+	"kitehub/internal/discovery"
+	"kitehub/internal/gateway"
+	"kitehub/internal/hookengine"
 	"kitehub/internal/http1"
-	"kitehub/replay"
-	"kitehub/signing"
+	"kitehub/internal/ingress/jsonrpc"
+	"kitehub/internal/ingress/webhook"
+	"kitehub/internal/replayguard"
+	"kitehub/internal/signing"
+	"kitehub/scheduler"
 )
 
 // A Built is a checked configuration in the forms that the parts of a controller take.
 type Built struct {
 	Name      string
 	Seed      uint64
-	Settings  choice.Settings
+	Settings  scheduler.Settings
 	Specs     []gateway.Spec
 	Clients   []webhook.Client
 	Secrets   []string // effective text of each shared key, for checks across controllers; never to be shown
@@ -40,11 +40,11 @@
 	Discovery discovery.Config
 	Mark      string
 	Peers     map[int]string
-	Registry  string        // "": none
-	Key       *signing.Key  // of this controller there
-	Hooks     *hooks.Config // nil: none; without what runs
+	Registry  string             // "": none
+	Key       *signing.Key       // of this controller there
+	Hooks     *hookengine.Config // nil: none; without what runs
 	Scripts   []*HookFile
-	Targets   []hooks.Target
+	Targets   []hookengine.Target
 	RPC       *jsonrpc.Config // nil: none; without what runs
 	Socket    string
 	Mode      os.FileMode
@@ -69,11 +69,11 @@
 	return Build(f, &c)
 }
 
-var effects = map[Effect]choice.Idempotency{Effect_SAFE: choice.Idempotent, Effect_KEYED: choice.IdempotentWithKey, Effect_UNSAFE: choice.NonIdempotent}
-var scopes = map[Scope]choice.DedupScope{Scope_ALL_WORKERS: choice.AllWorkers, Scope_SAME_ZONE: choice.SameZone, Scope_SAME_GROUP: choice.SameGroup}
-var fields = map[Field]choice.ReportField{Field_IN_FLIGHT: choice.FieldInFlight, Field_QUEUE: choice.FieldQueue,
-	Field_UTIL: choice.FieldUtil, Field_LATENCY_MS: choice.FieldLatencyMS, Field_RATE: choice.FieldRate,
-	Field_ERROR_RATE: choice.FieldErrorRate, Field_X0: choice.FieldX0, Field_X1: choice.FieldX1}
+var effects = map[Effect]scheduler.Idempotency{Effect_SAFE: scheduler.Idempotent, Effect_KEYED: scheduler.IdempotentWithKey, Effect_UNSAFE: scheduler.NonIdempotent}
+var scopes = map[Scope]scheduler.DedupScope{Scope_ALL_WORKERS: scheduler.AllWorkers, Scope_SAME_ZONE: scheduler.SameZone, Scope_SAME_GROUP: scheduler.SameGroup}
+var fields = map[Field]scheduler.ReportField{Field_IN_FLIGHT: scheduler.FieldInFlight, Field_QUEUE: scheduler.FieldQueue,
+	Field_UTIL: scheduler.FieldUtil, Field_LATENCY_MS: scheduler.FieldLatencyMS, Field_RATE: scheduler.FieldRate,
+	Field_ERROR_RATE: scheduler.FieldErrorRate, Field_X0: scheduler.FieldX0, Field_X1: scheduler.FieldX1}
 
 // Build checks what the schema cannot say, and maps the rest. Its errors are Problems.
 func Build(f *File, c *Config) (*Built, error) {
@@ -145,7 +145,7 @@
 	if err := f.Err(); err != nil {
 		return nil, err
 	}
-	if _, err := choice.New(b.Settings, b.Seed); err != nil {
+	if _, err := scheduler.New(b.Settings, b.Seed); err != nil {
 		f.Problem("", err.Error(), "")
 		return nil, f.Err()
 	}
@@ -154,33 +154,33 @@
 
 func (b *Built) settings(c *Config, zone int) {
 	l, g, lo, p := c.Limits, c.Guarantees, c.Loading, c.GetPrices()
-	s := choice.Settings{ControllerIndex: int(c.Me), Controllers: int(c.Controllers), Zone: zone, Zones: c.Zones, Tick: ms(c.TickMs),
-		Limits: choice.Limits{MaxAttempts: int(l.Attempts), MaxOpenRequests: int(l.Open), HedgedRequests: l.Duplicate, Cancel: l.Cancel, Probe: l.Probe,
+	s := scheduler.Settings{ControllerIndex: int(c.Me), Controllers: int(c.Controllers), Zone: zone, Zones: c.Zones, Tick: ms(c.TickMs),
+		Limits: scheduler.Limits{MaxAttempts: int(l.Attempts), MaxOpenRequests: int(l.Open), HedgedRequests: l.Duplicate, Cancel: l.Cancel, Probe: l.Probe,
 			Peers: l.TellPeers, RetryAfter: l.RetryAfter, MaxRetryAfter: ms(l.MaxRetryAfterMs), DialTimeout: ms(l.DialMs),
 			IdleConnectionTimeout: ms(l.KeepAliveMs), StreamsPerConnection: 1},
-		Loading: choice.Loading{Orders: lo.Orders, LoadsOnMiss: lo.OnMiss == OnMiss_LOAD, OnMissKnown: true, IdleCopyTTL: ms(lo.IdleLifeMs),
+		Loading: scheduler.Loading{Orders: lo.Orders, LoadsOnMiss: lo.OnMiss == OnMiss_LOAD, OnMissKnown: true, IdleCopyTTL: ms(lo.IdleLifeMs),
 			OrderTimeout: ms(lo.AnswerMs), BudgetWindow: ms(lo.WindowMs), BudgetFree: lo.Free, BudgetRatio: lo.Ratio, IdlePrice: lo.IdlePrice,
 			LoadNotesGiven: lo.WarmNotes, SameFunctionCounted: lo.CountsAlike},
-		Guarantees: choice.Guarantees{AnswerGrace: ms(g.AnswerGraceMs), DrainGrace: ms(g.DrainGraceMs), WarmupFraction: g.ColdShare,
+		Guarantees: scheduler.Guarantees{AnswerGrace: ms(g.AnswerGraceMs), DrainGrace: ms(g.DrainGraceMs), WarmupFraction: g.ColdShare,
 			WarmupTime: ms(g.ColdMs), CollapseFactor: g.FallFactor, CollapseWindow: ms(g.FallWithinMs)},
-		Prices: choice.Prices{CrossZone: p.GetCrossZone(), LateFail: p.GetLateFail(), Origin: p.GetOrigin(), Probe: p.GetProbe(), Waste: p.GetWaste()},
+		Prices: scheduler.Prices{CrossZone: p.GetCrossZone(), LateFail: p.GetLateFail(), Origin: p.GetOrigin(), Probe: p.GetProbe(), Waste: p.GetWaste()},
 	}
 	for _, k := range c.Kinds {
 		s.Kinds = append(s.Kinds, k.Name)
 		s.Loading.MemoryMB = append(s.Loading.MemoryMB, k.MemoryMb)
 	}
 	for _, cl := range c.Classes {
-		s.Classes = append(s.Classes, choice.Class{Name: cl.Name, Idempotency: effects[cl.Effect], DedupScope: scopes[cl.Scope], DedupWindow: ms(cl.WindowMs),
+		s.Classes = append(s.Classes, scheduler.Class{Name: cl.Name, Idempotency: effects[cl.Effect], DedupScope: scopes[cl.Scope], DedupWindow: ms(cl.WindowMs),
 			LatencyObjective: ms(cl.AimMs), ObjectiveStretch: cl.AimStretch, Deadline: ms(cl.DeadlineMs), PriorityWeight: cl.Worth, LateValue: cl.LateShare})
 	}
 	for _, t := range c.Tenants {
-		s.Tenants = append(s.Tenants, choice.Tenant{Name: t.Name, Quota: t.QuotaPerS, Share: t.Share})
+		s.Tenants = append(s.Tenants, scheduler.Tenant{Name: t.Name, Quota: t.QuotaPerS, Share: t.Share})
 	}
 	for _, fd := range c.GetReport().GetFields() {
 		s.Report = append(s.Report, fields[fd])
 	}
 	if len(s.Report) > 0 {
-		s.ReportVia = choice.ReportsInAnswers
+		s.ReportVia = scheduler.ReportsInAnswers
 	}
 	b.Settings = s
 }
@@ -194,7 +194,7 @@
 		classes[cl.Name] = i
 	}
 	seen := map[string]int{}
-	ids := map[choice.FunctionID]string{}
+	ids := map[scheduler.FunctionID]string{}
 	for i, fn := range c.Functions {
 		at := fmt.Sprintf("functions[%d]", i)
 		if j, ok := seen[fn.Name]; ok {
@@ -302,7 +302,7 @@
 		src = webhook.FromBody
 	}
 	b.Webhook = webhook.Config{Prefix: w.Prefix, Source: src, Field: w.FunctionField,
-		Replay: replay.Settings{Past: ms(w.PastMs), Future: ms(w.FutureMs), Ahead: ms(w.AheadMs), Entries: int(w.Remembered), Bytes: int(w.KeptBytes)}}
+		Replay: replayguard.Settings{Past: ms(w.PastMs), Future: ms(w.FutureMs), Ahead: ms(w.AheadMs), Entries: int(w.Remembered), Bytes: int(w.KeptBytes)}}
 	b.Backend = backend.Config{Controller: c.Name, DialTimeout: ms(l.DialMs), IdleTimeout: ms(l.KeepAliveMs), OrderTimeout: ms(c.Loading.AnswerMs),
 		ProbeTimeout: 3 * ms(l.DialMs), Fields: b.Settings.Report}
 	if (d.File == "") == (d.Server == "") {
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"kitehub/choice"
+	"kitehub/scheduler"
 )
 
 const secret = "whsec_MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw"
@@ -71,7 +71,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if b.Settings.Classes[1].Idempotency != choice.IdempotentWithKey || b.Settings.Classes[1].DedupScope != choice.SameGroup || b.Settings.Limits.MaxOpenRequests != 1000 ||
+	if b.Settings.Classes[1].Idempotency != scheduler.IdempotentWithKey || b.Settings.Classes[1].DedupScope != scheduler.SameGroup || b.Settings.Limits.MaxOpenRequests != 1000 ||
 		len(b.Specs) != 2 || b.Specs[1].Class != 1 || b.Clients[0].Tenant != 0 || len(b.Clients[0].Keys) != 1 || !b.Settings.Loading.LoadsOnMiss {
 		t.Errorf("%+v", b)
 	}
--- a/config/hooks.go
+++ b/config/hooks.go
@@ -7,10 +7,10 @@
 	"strings"
 	"time"
 
-	"kitehub/advice"
-	"kitehub/front/jsonrpc"
-	"kitehub/hooks"
-	"kitehub/signing"
+	"kitehub/internal/hookadvice"
+	"kitehub/internal/hookengine"
+	"kitehub/internal/ingress/jsonrpc"
+	"kitehub/internal/signing"
 )
 
 func (b *Built) hooks(f *File, c *Config) {
@@ -22,7 +22,7 @@
 	if h == nil {
 		return
 	}
-	b.Hooks = &hooks.Config{Seed: b.Seed, Queue: int(h.Queue), Advice: advice.Settings{Functions: int(h.Functions), Copies: int(h.Copies),
+	b.Hooks = &hookengine.Config{Seed: b.Seed, Queue: int(h.Queue), Advice: hookadvice.Settings{Functions: int(h.Functions), Copies: int(h.Copies),
 		MemoryShare: h.MemoryShare, MaxDuration: ms(h.LongestMs), Workers: h.Workers, Weight: h.Weight, MaxRejectedFraction: h.Refuse, Cap: int(c.Limits.Open)}}
 	if h.Weight != 0 && h.Weight < 1 {
 		f.Problem("hooks.weight", fmt.Sprintf("%v is under 1", h.Weight), "a factor: weights lie between it and its inverse")
@@ -50,7 +50,7 @@
 			f.Problem(at+".key", err.Error(), "make a secret with: kitehub key new")
 		}
 		b.Secrets = append(b.Secrets, t.Key)
-		b.Targets = append(b.Targets, hooks.Target{Name: t.Name, Address: t.Address, Path: t.Path, Key: k})
+		b.Targets = append(b.Targets, hookengine.Target{Name: t.Name, Address: t.Address, Path: t.Path, Key: k})
 	}
 }
 
--- a/config/registry.go
+++ b/config/registry.go
@@ -3,9 +3,9 @@
 import (
 	"fmt"
 
-	"kitehub/registry"
-	"kitehub/registry/service"
-	"kitehub/signing"
+	"kitehub/internal/registry"
+	"kitehub/internal/registry/service"
+	"kitehub/internal/signing"
 )
 
 // A BuiltRegistry is the checked configuration of a registry's process.
--- a/backend/backend.go
+++ b/internal/backend/backend.go
@@ -25,14 +25,14 @@
 	"syscall"
 	"time"
 
-	"kitehub/choice"
 	"kitehub/internal/clock"
 	"kitehub/internal/http1"
+	"kitehub/scheduler"
 )
 
 // An Endpoint is where a worker listens.
 type Endpoint struct {
-	ID      choice.WorkerID
+	ID      scheduler.WorkerID
 	Name    string
 	Network string // tcp or unix
 	Addr    string
@@ -53,14 +53,14 @@
 	Limits           http1.Limits  // of answers
 	OrderTimeout     time.Duration // longest wait for the answer to an order
 	ProbeTimeout     time.Duration // longest wait for the answer to a question
-	Fields           []choice.ReportField
+	Fields           []scheduler.ReportField
 }
 
 // A Backend holds the connections to all workers. It is safe for concurrent use.
 type Backend struct {
 	cfg    Config
 	mu     sync.RWMutex
-	peers  map[choice.WorkerID]*peer
+	peers  map[scheduler.WorkerID]*peer
 	closed atomic.Bool
 	// Opened counts connections opened, Reused those taken from the idle ones, Stale idle ones found closed.
 	Opened, Reused, Stale atomic.Int64
@@ -91,7 +91,7 @@
 		cfg.MaxIdlePerWorker = 64
 	}
 	cfg.Limits = cfg.Limits.Filled()
-	return &Backend{cfg: cfg, peers: map[choice.WorkerID]*peer{}}
+	return &Backend{cfg: cfg, peers: map[scheduler.WorkerID]*peer{}}
 }
 
 // Update replaces the list of workers. What is not yet on the wire to one that is not Ready, or no longer
@@ -99,7 +99,7 @@
 func (b *Backend) Update(list []Endpoint) {
 	b.mu.Lock()
 	old := b.peers
-	b.peers = make(map[choice.WorkerID]*peer, len(list))
+	b.peers = make(map[scheduler.WorkerID]*peer, len(list))
 	for _, e := range list {
 		p := old[e.ID]
 		if p == nil || p.Network != e.Network || p.Addr != e.Addr || p.Name != e.Name {
@@ -128,7 +128,7 @@
 }
 
 // CloseIdle frees the idle connections to a worker.
-func (b *Backend) CloseIdle(id choice.WorkerID) {
+func (b *Backend) CloseIdle(id scheduler.WorkerID) {
 	if p := b.peer(id); p != nil {
 		p.mu.Lock()
 		idle := p.idle
@@ -140,7 +140,7 @@
 	}
 }
 
-func (b *Backend) peer(id choice.WorkerID) *peer {
+func (b *Backend) peer(id scheduler.WorkerID) *peer {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	return b.peers[id]
@@ -273,32 +273,32 @@
 
 // exchange sends a request to a worker and reads its answer. The outcome is OK where an answer was read,
 // whatever its status. always sends to a withdrawn worker too: questions may go there.
-func (b *Backend) exchange(x *call, p *peer, req *http1.Request, within time.Duration, always bool) (*http1.Response, choice.Outcome) {
+func (b *Backend) exchange(x *call, p *peer, req *http1.Request, within time.Duration, always bool) (*http1.Response, scheduler.Outcome) {
 	end := time.Now().Add(within)
 	c := b.take(p)
 	if c == nil {
-		var o choice.Outcome
+		var o scheduler.Outcome
 		if c, o = b.dial(x, p, within, always); c == nil {
 			return nil, o
 		}
 	}
 	if !x.hold(c) || !x.commit(p, always) {
 		c.Close()
-		return nil, choice.NotStarted
+		return nil, scheduler.NotStarted
 	}
 	resp, o := b.talk(x, c, req, end)
-	if o == choice.OK && !resp.Close && c.br.Buffered() == 0 && x.hold(nil) {
+	if o == scheduler.OK && !resp.Close && c.br.Buffered() == 0 && x.hold(nil) {
 		b.give(p, c)
 	} else {
 		c.Close()
 	}
-	if x.isCancelled() && o != choice.OK {
-		o = choice.Cancelled
+	if x.isCancelled() && o != scheduler.OK {
+		o = scheduler.Cancelled
 	}
 	return resp, o
 }
 
-func (b *Backend) dial(x *call, p *peer, within time.Duration, always bool) (*conn, choice.Outcome) {
+func (b *Backend) dial(x *call, p *peer, within time.Duration, always bool) (*conn, scheduler.Outcome) {
 	ctx, cancel := context.WithTimeout(context.Background(), min(b.cfg.DialTimeout, within))
 	defer cancel()
 	x.mu.Lock()
@@ -306,24 +306,24 @@
 	dead := x.cancelled
 	x.mu.Unlock()
 	if dead || p.withdrawn.Load() && !always {
-		return nil, choice.NotStarted
+		return nil, scheduler.NotStarted
 	}
 	nc, err := b.cfg.Dial(ctx, p.Network, p.Addr)
 	if err != nil {
 		if x.isCancelled() {
-			return nil, choice.NotStarted
+			return nil, scheduler.NotStarted
 		}
-		return nil, choice.ConnectFailed
+		return nil, scheduler.ConnectFailed
 	}
 	b.Opened.Add(1)
-	return &conn{Conn: nc, br: bufio.NewReaderSize(nc, http1.ReadBuffer)}, choice.OK
+	return &conn{Conn: nc, br: bufio.NewReaderSize(nc, http1.ReadBuffer)}, scheduler.OK
 }
 
 var buffers = sync.Pool{New: func() any { b := make([]byte, 0, http1.ReadBuffer); return &b }}
 
 const mostPooled = 64 << 10 // bytes of a buffer that is kept for the next request
 
-func (b *Backend) talk(x *call, c *conn, req *http1.Request, end time.Time) (*http1.Response, choice.Outcome) {
+func (b *Backend) talk(x *call, c *conn, req *http1.Request, end time.Time) (*http1.Response, scheduler.Outcome) {
 	c.SetDeadline(end)
 	buf := buffers.Get().(*[]byte)
 	*buf = http1.AppendRequest((*buf)[:0], req)
@@ -334,18 +334,18 @@
 	if err != nil {
 		switch {
 		case n == 0 && !errors.Is(err, os.ErrDeadlineExceeded) && !errors.Is(err, net.ErrClosed):
-			return nil, choice.ConnectFailed // the kernel took nothing: nothing can have run
+			return nil, scheduler.ConnectFailed // the kernel took nothing: nothing can have run
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			return nil, choice.TimedOut
+			return nil, scheduler.TimedOut
 		}
-		return nil, choice.Reset
+		return nil, scheduler.Reset
 	}
 	resp, err := http1.ReadResponse(c.br, &b.cfg.Limits, req.Method)
 	switch {
 	case err == nil:
-		return resp, choice.OK
+		return resp, scheduler.OK
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return nil, choice.TimedOut
+		return nil, scheduler.TimedOut
 	}
-	return nil, choice.Reset
+	return nil, scheduler.Reset
 }
--- a/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -12,9 +12,9 @@
 	"testing"
 	"time"
 
-	"kitehub/choice"
 	"kitehub/internal/clock"
 	"kitehub/internal/http1"
+	"kitehub/scheduler"
 )
 
 const ms = time.Millisecond
@@ -93,7 +93,7 @@
 func start(t testing.TB, addr string, change func(*Config)) *Backend {
 	t.Helper()
 	cfg := Config{Controller: "c1", Clock: clock.System(), DialTimeout: 200 * ms, IdleTimeout: time.Minute, OrderTimeout: time.Second, ProbeTimeout: time.Second,
-		Fields: []choice.ReportField{choice.FieldQueue, choice.FieldUtil}}
+		Fields: []scheduler.ReportField{scheduler.FieldQueue, scheduler.FieldUtil}}
 	if change != nil {
 		change(&cfg)
 	}
@@ -119,40 +119,40 @@
 	tests := []struct {
 		name   string
 		script func(net.Conn, int) bool
-		want   choice.Outcome
+		want   scheduler.Outcome
 	}{
-		{"served", say(served, true), choice.OK},
-		{"full", say(problem(503, ProblemFull), true), choice.AtCapacity},
-		{"miss", say(problem(404, ProblemMiss), true), choice.NotLoaded},
-		{"503 that does not say full", say("HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", true), choice.Error},
-		{"503 of another kind", say(problem(503, "about:blank"), true), choice.Error},
-		{"full with another status", say(problem(500, ProblemFull), true), choice.Error},
-		{"miss with another status", say(problem(503, ProblemMiss), true), choice.Error},
-		{"404 that does not say miss", say("HTTP/1.1 404 X\r\nContent-Length: 0\r\n\r\n", true), choice.Error},
-		{"full in words only", say("HTTP/1.1 503 X\r\nContent-Type: text/plain\r\nContent-Length: 4\r\n\r\nfull", true), choice.Error},
-		{"error", say("HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n", true), choice.Error},
-		{"200 with no output", say("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}", true), choice.Error},
-		{"200 with more output than body", say(strings.Replace(served, `size":2`, `size":9`, 1), true), choice.Error},
-		{"closed with nothing said", say("", false), choice.Reset},
-		{"reset with nothing said", reset, choice.Reset},
-		{"reset in mid-answer", func(c net.Conn, n int) bool { io.WriteString(c, served[:60]); return reset(c, n) }, choice.Reset},
-		{"garbage", say("\x00\x01\x02 hello\r\n\r\n", true), choice.Reset},
-		{"body over the limit", say("HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n", true), choice.Reset},
-		{"silent", quiet(never), choice.TimedOut},
-		{"half an answer, then silent", func(c net.Conn, _ int) bool { io.WriteString(c, served[:60]); <-never; return false }, choice.TimedOut},
+		{"served", say(served, true), scheduler.OK},
+		{"full", say(problem(503, ProblemFull), true), scheduler.AtCapacity},
+		{"miss", say(problem(404, ProblemMiss), true), scheduler.NotLoaded},
+		{"503 that does not say full", say("HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", true), scheduler.Error},
+		{"503 of another kind", say(problem(503, "about:blank"), true), scheduler.Error},
+		{"full with another status", say(problem(500, ProblemFull), true), scheduler.Error},
+		{"miss with another status", say(problem(503, ProblemMiss), true), scheduler.Error},
+		{"404 that does not say miss", say("HTTP/1.1 404 X\r\nContent-Length: 0\r\n\r\n", true), scheduler.Error},
+		{"full in words only", say("HTTP/1.1 503 X\r\nContent-Type: text/plain\r\nContent-Length: 4\r\n\r\nfull", true), scheduler.Error},
+		{"error", say("HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n", true), scheduler.Error},
+		{"200 with no output", say("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}", true), scheduler.Error},
+		{"200 with more output than body", say(strings.Replace(served, `size":2`, `size":9`, 1), true), scheduler.Error},
+		{"closed with nothing said", say("", false), scheduler.Reset},
+		{"reset with nothing said", reset, scheduler.Reset},
+		{"reset in mid-answer", func(c net.Conn, n int) bool { io.WriteString(c, served[:60]); return reset(c, n) }, scheduler.Reset},
+		{"garbage", say("\x00\x01\x02 hello\r\n\r\n", true), scheduler.Reset},
+		{"body over the limit", say("HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n", true), scheduler.Reset},
+		{"silent", quiet(never), scheduler.TimedOut},
+		{"half an answer, then silent", func(c net.Conn, _ int) bool { io.WriteString(c, served[:60]); <-never; return false }, scheduler.TimedOut},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			b := start(t, worker(t, tt.script).ln.Addr().String(), nil)
 			within := 5 * time.Second
-			if tt.want == choice.TimedOut {
+			if tt.want == scheduler.TimedOut {
 				within = 50 * ms
 			}
 			r := infer(b, within)
 			if r.Outcome != tt.want {
 				t.Errorf("outcome %v, want %v", r.Outcome, tt.want)
 			}
-			if tt.want == choice.OK && (string(r.Body) != "ok" || r.Note != choice.FoundWarm || r.Alike != 2 || r.Report[0] != 3 || r.Report[1] != 0.5) {
+			if tt.want == scheduler.OK && (string(r.Body) != "ok" || r.Note != scheduler.FoundWarm || r.Alike != 2 || r.Report[0] != 3 || r.Report[1] != 0.5) {
 				t.Errorf("%q %+v", r.Body, r)
 			}
 		})
@@ -160,7 +160,7 @@
 	t.Run("connect refused", func(t *testing.T) {
 		ln, _ := net.Listen("tcp", "127.0.0.1:0")
 		ln.Close()
-		if r := infer(start(t, ln.Addr().String(), nil), time.Second); r.Outcome != choice.ConnectFailed {
+		if r := infer(start(t, ln.Addr().String(), nil), time.Second); r.Outcome != scheduler.ConnectFailed {
 			t.Errorf("outcome %v", r.Outcome)
 		}
 	})
@@ -168,14 +168,14 @@
 		b := start(t, "127.0.0.1:1", func(c *Config) {
 			c.Dial = func(ctx context.Context, _, _ string) (net.Conn, error) { <-ctx.Done(); return nil, ctx.Err() }
 		})
-		if r := infer(b, 5*time.Second); r.Outcome != choice.ConnectFailed || r.Took < 200*ms || r.Took > 4*time.Second {
+		if r := infer(b, 5*time.Second); r.Outcome != scheduler.ConnectFailed || r.Took < 200*ms || r.Took > 4*time.Second {
 			t.Errorf("outcome %v after %v", r.Outcome, r.Took)
 		}
 	})
 	t.Run("unknown worker", func(t *testing.T) {
 		b := start(t, "127.0.0.1:1", nil)
 		b.Update(nil)
-		if r := infer(b, time.Second); r.Outcome != choice.NotStarted {
+		if r := infer(b, time.Second); r.Outcome != scheduler.NotStarted {
 			t.Errorf("outcome %v", r.Outcome)
 		}
 	})
@@ -195,8 +195,8 @@
 	for _, tt := range []struct {
 		n    int
 		err  error
-		want choice.Outcome
-	}{{0, syscall.EPIPE, choice.ConnectFailed}, {1, syscall.ECONNRESET, choice.Reset}} {
+		want scheduler.Outcome
+	}{{0, syscall.EPIPE, scheduler.ConnectFailed}, {1, syscall.ECONNRESET, scheduler.Reset}} {
 		w := worker(t, say(served, true))
 		b := start(t, w.ln.Addr().String(), func(c *Config) {
 			c.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -227,7 +227,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			b := start(t, worker(t, tt.script).ln.Addr().String(), nil)
 			for i := range 3 {
-				if r := infer(b, 5*time.Second); r.Outcome != choice.OK || string(r.Body) != "ok" {
+				if r := infer(b, 5*time.Second); r.Outcome != scheduler.OK || string(r.Body) != "ok" {
 					t.Fatalf("attempt %d: %v %q", i, r.Outcome, r.Body)
 				}
 				if tt.name == "closed unsaid" { // until the end has been seen by the kernel here
@@ -252,10 +252,10 @@
 		}
 		return reset(c, n) // the second request is read, and perhaps run, before the connection ends
 	}).ln.Addr().String(), nil)
-	if r := infer(b, time.Second); r.Outcome != choice.OK {
+	if r := infer(b, time.Second); r.Outcome != scheduler.OK {
 		t.Fatal(r.Outcome)
 	}
-	if r := infer(b, time.Second); r.Outcome != choice.Reset || b.Reused.Load() != 1 {
+	if r := infer(b, time.Second); r.Outcome != scheduler.Reset || b.Reused.Load() != 1 {
 		t.Errorf("outcome %v after %d reuses, want Reset after one", r.Outcome, b.Reused.Load())
 	}
 }
@@ -281,15 +281,15 @@
 		}
 		b.Update(list)
 		close(told)
-		if r := <-got; r.Outcome != choice.NotStarted {
+		if r := <-got; r.Outcome != scheduler.NotStarted {
 			t.Errorf("outcome %v, want Moot", r.Outcome)
 		}
-		if r := infer(b, time.Second); r.Outcome != choice.NotStarted {
+		if r := infer(b, time.Second); r.Outcome != scheduler.NotStarted {
 			t.Errorf("afterwards: outcome %v, want Moot", r.Outcome)
 		}
-		hold := make(chan choice.Outcome)
-		b.LoadCopies(LoadOrder{Worker: 1, Function: "f", Copies: 1}, func(o choice.Outcome, _ int, _ time.Duration) { hold <- o })
-		if o := <-hold; o != choice.NotStarted {
+		hold := make(chan scheduler.Outcome)
+		b.LoadCopies(LoadOrder{Worker: 1, Function: "f", Copies: 1}, func(o scheduler.Outcome, _ int, _ time.Duration) { hold <- o })
+		if o := <-hold; o != scheduler.NotStarted {
 			t.Errorf("order: outcome %v, want Moot", o)
 		}
 		if n := w.count(); n != 0 {
@@ -318,10 +318,10 @@
 	<-got
 	r.Cancel()
 	r.Cancel()
-	if r := <-res; r.Outcome != choice.Cancelled {
+	if r := <-res; r.Outcome != scheduler.Cancelled {
 		t.Errorf("outcome %v, want Cancelled", r.Outcome)
 	}
-	if r := infer(b, time.Second); r.Outcome != choice.OK || b.Reused.Load() != 0 {
+	if r := infer(b, time.Second); r.Outcome != scheduler.OK || b.Reused.Load() != 0 {
 		t.Errorf("afterwards: outcome %v, %d connections reused", r.Outcome, b.Reused.Load())
 	}
 	dialling := make(chan struct{})
@@ -336,7 +336,7 @@
 	r = b.Send(Attempt{Worker: 1, Function: "f", Trace: "t", Timeout: time.Minute}, func(r Result) { res <- r })
 	<-dialling
 	r.Cancel()
-	if r := <-res; r.Outcome != choice.NotStarted {
+	if r := <-res; r.Outcome != scheduler.NotStarted {
 		t.Errorf("while it dials: outcome %v, want Moot", r.Outcome)
 	}
 }
@@ -347,7 +347,7 @@
 	b := start(t, w.ln.Addr().String(), nil)
 	got := make(chan Result)
 	b.Send(Attempt{Worker: 1, Function: "f", Trace: "t", Timeout: time.Second, Wanted: func() bool { return false }}, func(r Result) { got <- r })
-	if r := <-got; r.Outcome != choice.NotStarted || w.count() != 0 {
+	if r := <-got; r.Outcome != scheduler.NotStarted || w.count() != 0 {
 		t.Errorf("outcome %v, %d requests reached the worker", r.Outcome, w.count())
 	}
 }
@@ -360,23 +360,23 @@
 	tests := []struct {
 		name, text, fn string
 		copies         int
-		want           choice.Outcome
+		want           scheduler.Outcome
 		stand          int
 	}{
-		{"stands", strings.Replace(ok(""), "OK\r\n", "OK\r\nendpoint-load-metrics: TEXT named_metrics.copies=2\r\n", 1), "f", 1, choice.OK, 2},
-		{"no room", problem(503, ProblemFull), "f", 1, choice.AtCapacity, 0},
-		{"failed", problem(500, "x"), "f", 1, choice.Error, 0},
-		{"asked", ok(index), "f", 0, choice.OK, 3},
-		{"asked of one with no count", ok(index), "g", 0, choice.OK, 1},
-		{"asked of one not ready", ok(index), "h", 0, choice.OK, 0},
-		{"asked of one not there", ok(index), "zz", 0, choice.OK, 0},
-		{"an index that is none", ok("{{"), "f", 0, choice.Error, 0},
+		{"stands", strings.Replace(ok(""), "OK\r\n", "OK\r\nendpoint-load-metrics: TEXT named_metrics.copies=2\r\n", 1), "f", 1, scheduler.OK, 2},
+		{"no room", problem(503, ProblemFull), "f", 1, scheduler.AtCapacity, 0},
+		{"failed", problem(500, "x"), "f", 1, scheduler.Error, 0},
+		{"asked", ok(index), "f", 0, scheduler.OK, 3},
+		{"asked of one with no count", ok(index), "g", 0, scheduler.OK, 1},
+		{"asked of one not ready", ok(index), "h", 0, scheduler.OK, 0},
+		{"asked of one not there", ok(index), "zz", 0, scheduler.OK, 0},
+		{"an index that is none", ok("{{"), "f", 0, scheduler.Error, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			b := start(t, worker(t, say(tt.text, true)).ln.Addr().String(), nil)
 			done := make(chan struct{})
-			b.LoadCopies(LoadOrder{Worker: 1, Function: tt.fn, Copies: tt.copies}, func(o choice.Outcome, n int, _ time.Duration) {
+			b.LoadCopies(LoadOrder{Worker: 1, Function: tt.fn, Copies: tt.copies}, func(o scheduler.Outcome, n int, _ time.Duration) {
 				if o != tt.want || n != tt.stand {
 					t.Errorf("%v with %d, want %v with %d", o, n, tt.want, tt.stand)
 				}
@@ -388,7 +388,7 @@
 }
 
 func TestReadLoad(t *testing.T) {
-	fields := []choice.ReportField{choice.FieldUtil, choice.FieldInFlight, choice.FieldRate, choice.FieldX0}
+	fields := []scheduler.ReportField{scheduler.FieldUtil, scheduler.FieldInFlight, scheduler.FieldRate, scheduler.FieldX0}
 	for text, want := range map[string]string{
 		"": "[]",
 		"TEXT cpu_utilization=0.3,named_metrics.inflight=4, rps_fractional=9.5": "[0.3 4 9.5 0]",
@@ -417,7 +417,7 @@
 	}
 	close(release)
 	for range 8 {
-		if r := <-got; r.Outcome != choice.OK {
+		if r := <-got; r.Outcome != scheduler.OK {
 			t.Fatal(r.Outcome)
 		}
 	}
--- a/backend/frame/codec.go
+++ b/internal/backend/frame/codec.go
@@ -10,7 +10,7 @@
 	"strconv"
 	"strings"
 
-	"kitehub/choice"
+	"kitehub/scheduler"
 )
 
 // Marks and codes of frames: the platform's PROTOCOL page.
@@ -134,12 +134,12 @@
 }
 
 // Notes of answers, by their words on the wire.
-var notes = map[string]choice.LoadNote{"resident": choice.FoundWarm, "booted": choice.StartedLoad, "rode": choice.AwaitedLoad,
-	"boot_error": choice.LoadFailed}
+var notes = map[string]scheduler.LoadNote{"resident": scheduler.FoundWarm, "booted": scheduler.StartedLoad, "rode": scheduler.AwaitedLoad,
+	"boot_error": scheduler.LoadFailed}
 
 // said is what the fields of an answer tell. What is not known is passed over, what does not fit counts as not there.
 type said struct {
-	note   choice.LoadNote
+	note   scheduler.LoadNote
 	alike  int
 	copies int
 	report []float64
@@ -147,7 +147,7 @@
 
 const mostAlike = 1 << 16
 
-func parseFields(text string, report []choice.ReportField) (s said) {
+func parseFields(text string, report []scheduler.ReportField) (s said) {
 	for text != "" {
 		var pair string
 		pair, text, _ = strings.Cut(text, ",")
@@ -175,14 +175,14 @@
 }
 
 // loadNames are the words for the fields of a load report: the platform's, and those of the settings.
-var loadNames = map[string]choice.ReportField{"inflight": choice.FieldInFlight, "outstanding": choice.FieldInFlight,
-	"queue": choice.FieldQueue, "backlog": choice.FieldQueue, "util": choice.FieldUtil, "utilization": choice.FieldUtil,
-	"latency_ms": choice.FieldLatencyMS, "recent_ms": choice.FieldLatencyMS, "qps": choice.FieldRate, "throughput": choice.FieldRate,
-	"eps": choice.FieldErrorRate, "errors_per_s": choice.FieldErrorRate, "x0": choice.FieldX0, "x1": choice.FieldX1}
+var loadNames = map[string]scheduler.ReportField{"inflight": scheduler.FieldInFlight, "outstanding": scheduler.FieldInFlight,
+	"queue": scheduler.FieldQueue, "backlog": scheduler.FieldQueue, "util": scheduler.FieldUtil, "utilization": scheduler.FieldUtil,
+	"latency_ms": scheduler.FieldLatencyMS, "recent_ms": scheduler.FieldLatencyMS, "qps": scheduler.FieldRate, "throughput": scheduler.FieldRate,
+	"eps": scheduler.FieldErrorRate, "errors_per_s": scheduler.FieldErrorRate, "x0": scheduler.FieldX0, "x1": scheduler.FieldX1}
 
 // parseLoad reads a load report like "inflight:7;util:0.61", in the order of the settings. A report that lacks a field or
 // has one that is no number is none.
-func parseLoad(text string, fields []choice.ReportField) []float64 {
+func parseLoad(text string, fields []scheduler.ReportField) []float64 {
 	if len(fields) == 0 {
 		return nil
 	}
--- a/backend/frame/conn.go
+++ b/internal/backend/frame/conn.go
@@ -9,8 +9,8 @@
 	"sync/atomic"
 	"time"
 
-	"kitehub/choice"
 	"kitehub/internal/outbox"
+	"kitehub/scheduler"
 )
 
 // An exchange is a call or an order on a connection, until it ends.
@@ -18,7 +18,7 @@
 	id    uint64
 	end   uint64 // of its frame in the connection's stream
 	order bool
-	over  func(choice.Outcome, *answer) // called once, by whoever takes it from the table
+	over  func(scheduler.Outcome, *answer) // called once, by whoever takes it from the table
 	timer *time.Timer
 	sent  time.Duration
 }
@@ -92,7 +92,7 @@
 }
 
 // giveUp ends an exchange without an answer and says so to the worker.
-func (c *conn) giveUp(x *exchange, o choice.Outcome) {
+func (c *conn) giveUp(x *exchange, o scheduler.Outcome) {
 	if !c.take(x) {
 		return
 	}
--- a/backend/frame/ends.go
+++ b/internal/backend/frame/ends.go
@@ -1,6 +1,6 @@
 package frame
 
-import "kitehub/choice"
+import "kitehub/scheduler"
 
 // How an attempt on a connection can end, and what each end proves. The module may repeat only what never ran, so this
 // table is the one place that says so:
@@ -21,24 +21,24 @@
 //	given up after the first byte                    Cancelled      it may have run
 
 // answered is what an answer to a call proves; false for a code that answers no call.
-func answered(code byte) (choice.Outcome, bool) {
+func answered(code byte) (scheduler.Outcome, bool) {
 	switch code {
 	case codeOK:
-		return choice.OK, true
+		return scheduler.OK, true
 	case codeMiss:
-		return choice.NotLoaded, true
+		return scheduler.NotLoaded, true
 	case codeFull:
-		return choice.AtCapacity, true
+		return scheduler.AtCapacity, true
 	case codeError:
-		return choice.Error, true
+		return scheduler.Error, true
 	case codeOver:
-		return choice.NotStarted, true
+		return scheduler.NotStarted, true
 	}
 	return 0, false
 }
 
 // held is what an answer to an order says.
-func held(code byte) (choice.Outcome, bool) {
+func held(code byte) (scheduler.Outcome, bool) {
 	switch code {
 	case codeOK, codeFull, codeError:
 		return answered(code)
@@ -47,9 +47,9 @@
 }
 
 // lost is what the end of its connection proves of an attempt whose frame had come whole to the kernel, or had not.
-func lost(whole bool) choice.Outcome {
+func lost(whole bool) scheduler.Outcome {
 	if whole {
-		return choice.Reset
+		return scheduler.Reset
 	}
-	return choice.ConnectFailed
+	return scheduler.ConnectFailed
 }
--- a/backend/frame/frame.go
+++ b/internal/backend/frame/frame.go
@@ -18,9 +18,9 @@
 
 	"github.com/rs/zerolog"
 
-	"kitehub/backend"
-	"kitehub/choice"
+	"kitehub/internal/backend"
 	"kitehub/internal/clock"
+	"kitehub/scheduler"
 )
 
 // Config sets up a Backend.
@@ -35,7 +35,7 @@
 	Patience time.Duration    // silence after which a connection with something open is asked, and as long again for its answer
 	Forget   time.Duration    // an answer that comes later than this after its exchange has ended cannot come any more
 	Order    time.Duration    // longest wait for the answer to an order
-	Report   []choice.ReportField
+	Report   []scheduler.ReportField
 	Log      zerolog.Logger
 }
 
@@ -54,7 +54,7 @@
 	held   atomic.Int64  // connections that stand or are being opened
 
 	mu     sync.RWMutex
-	peers  map[choice.WorkerID]*peer
+	peers  map[scheduler.WorkerID]*peer
 	old    []*peer // no longer listed, with something still open
 	most   int     // connections to one worker
 	closed bool
@@ -73,7 +73,7 @@
 	if cfg.Dial == nil {
 		cfg.Dial = (&net.Dialer{}).DialContext
 	}
-	b := &Backend{cfg: cfg, lim: limits{streams: max(1, cfg.Streams), lifeIdle: trusted(cfg.Within, cfg.Idle)}, peers: map[choice.WorkerID]*peer{},
+	b := &Backend{cfg: cfg, lim: limits{streams: max(1, cfg.Streams), lifeIdle: trusted(cfg.Within, cfg.Idle)}, peers: map[scheduler.WorkerID]*peer{},
 		most: max(1, cfg.Conns), done: make(chan struct{})}
 	b.ids.Store(uint64(cfg.Clock.Now()))
 	go b.watch()
@@ -126,7 +126,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	old := b.peers
-	b.peers = make(map[choice.WorkerID]*peer, len(list))
+	b.peers = make(map[scheduler.WorkerID]*peer, len(list))
 	for _, e := range list {
 		p := old[e.ID]
 		if p == nil || p.Network != e.Network || p.Addr != e.Addr || p.Name != e.Name {
@@ -169,14 +169,14 @@
 	}
 }
 
-func (b *Backend) peer(id choice.WorkerID) (*peer, int) {
+func (b *Backend) peer(id scheduler.WorkerID) (*peer, int) {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	return b.peers[id], b.most
 }
 
 // CloseIdle frees the idle connections to a worker.
-func (b *Backend) CloseIdle(id choice.WorkerID) {
+func (b *Backend) CloseIdle(id scheduler.WorkerID) {
 	p, _ := b.peer(id)
 	if p == nil {
 		return
@@ -194,7 +194,7 @@
 	x      exchange
 	frame  func() []byte // built just before it goes out: the time left is in it
 	fit    func() bool
-	ended  func(choice.Outcome, *answer)
+	ended  func(scheduler.Outcome, *answer)
 	within time.Duration
 	start  time.Duration
 
@@ -208,12 +208,12 @@
 // Send starts an attempt; done is called once, never by Send itself.
 func (b *Backend) Send(a backend.Attempt, done func(backend.Result)) backend.Running {
 	t := &attempt{b: b, within: a.Timeout, start: b.cfg.Clock.Now()}
-	t.ended = func(o choice.Outcome, ans *answer) {
+	t.ended = func(o scheduler.Outcome, ans *answer) {
 		res := backend.Result{Outcome: o, Took: b.cfg.Clock.Now() - t.start}
 		if ans != nil {
 			s := parseFields(ans.text, b.cfg.Report)
 			res.Status, res.Note, res.Alike, res.Report = int(ans.code), s.note, s.alike, s.report
-			if o == choice.OK {
+			if o == scheduler.OK {
 				res.Body = ans.body
 			}
 		}
@@ -221,7 +221,7 @@
 	}
 	id, err := strconv.ParseUint(a.Call, 16, 64)
 	if err != nil { // the front takes no such id
-		go t.end(choice.NotStarted, nil)
+		go t.end(scheduler.NotStarted, nil)
 		return t
 	}
 	t.x.id = id
@@ -242,10 +242,10 @@
 }
 
 // LoadCopies sends an order to load. It stands even if its connection ends, so a lost one is told as such.
-func (b *Backend) LoadCopies(o backend.LoadOrder, done func(choice.Outcome, int, time.Duration)) {
+func (b *Backend) LoadCopies(o backend.LoadOrder, done func(scheduler.Outcome, int, time.Duration)) {
 	t := &attempt{b: b, within: b.cfg.Order, start: b.cfg.Clock.Now()}
 	t.x.id, t.x.order = b.ids.Add(1), true
-	t.ended = func(out choice.Outcome, ans *answer) {
+	t.ended = func(out scheduler.Outcome, ans *answer) {
 		copies := 0
 		if ans != nil {
 			copies = parseFields(ans.text, nil).copies
@@ -262,7 +262,7 @@
 }
 
 // Unload has a worker drop its idle copies of a function. There is no answer.
-func (b *Backend) Unload(w choice.WorkerID, function string) {
+func (b *Backend) Unload(w scheduler.WorkerID, function string) {
 	id, err := strconv.ParseUint(function, 16, 64)
 	p, _ := b.peer(w)
 	if err != nil || p == nil {
@@ -277,15 +277,15 @@
 }
 
 // Probe is not spoken here: what a ping tells is of the connection alone. The platform allows none.
-func (b *Backend) Probe(w choice.WorkerID, done func(choice.Outcome, time.Duration, []float64)) {
-	go done(choice.NotStarted, 0, nil)
+func (b *Backend) Probe(w scheduler.WorkerID, done func(scheduler.Outcome, time.Duration, []float64)) {
+	go done(scheduler.NotStarted, 0, nil)
 }
 
 // carry puts the attempt on a connection, at once where one stands.
-func (t *attempt) carry(w choice.WorkerID) {
+func (t *attempt) carry(w scheduler.WorkerID) {
 	p, most := t.b.peer(w)
 	if p == nil {
-		go t.end(choice.NotStarted, nil)
+		go t.end(scheduler.NotStarted, nil)
 		return
 	}
 	c, found := t.b.place(p, t.x.id, most)
@@ -297,10 +297,10 @@
 	case found == dialOne:
 		go t.dial(p)
 	case c != nil:
-		go t.end(choice.NotStarted, nil) // nothing of it went out
+		go t.end(scheduler.NotStarted, nil) // nothing of it went out
 	default:
 		t.b.Counts.NoPlace.Add(1)
-		go t.end(choice.ConnectFailed, nil)
+		go t.end(scheduler.ConnectFailed, nil)
 	}
 }
 
@@ -376,20 +376,20 @@
 }
 
 // tally notes how a call ended that went out.
-func (t *attempt) tally(p *peer, o choice.Outcome) {
+func (t *attempt) tally(p *peer, o scheduler.Outcome) {
 	p.open.Add(-1)
 	switch o {
-	case choice.OK:
+	case scheduler.OK:
 		p.answered.Add(1)
 		p.took.Add(int64(t.b.cfg.Clock.Now() - t.x.sent))
-	case choice.Reset, choice.ConnectFailed, choice.TimedOut:
+	case scheduler.Reset, scheduler.ConnectFailed, scheduler.TimedOut:
 		p.lost.Add(1)
 	}
 }
 
 // Seen is what passed between this controller and a worker: the truth that the module's belief can be held against.
 type Seen struct {
-	Worker   choice.WorkerID
+	Worker   scheduler.WorkerID
 	Name     string
 	Conns    int
 	Open     int           // calls on the sockets
@@ -417,7 +417,7 @@
 	c := t.c
 	t.mu.Unlock()
 	if c != nil {
-		c.giveUp(&t.x, choice.TimedOut)
+		c.giveUp(&t.x, scheduler.TimedOut)
 	}
 }
 
@@ -447,10 +447,10 @@
 		unwanted = unwanted || t.cancelled
 		t.mu.Unlock()
 		if unwanted {
-			t.end(choice.NotStarted, nil)
+			t.end(scheduler.NotStarted, nil)
 		} else {
 			t.b.Counts.DialFailed.Add(1)
-			t.end(choice.ConnectFailed, nil)
+			t.end(scheduler.ConnectFailed, nil)
 		}
 		return
 	}
@@ -459,7 +459,7 @@
 	p.conns = append(p.conns, c)
 	p.mu.Unlock()
 	if !t.put(c) {
-		t.end(choice.NotStarted, nil) // the connection is for whoever comes next
+		t.end(scheduler.NotStarted, nil) // the connection is for whoever comes next
 	}
 	c.read()
 }
@@ -474,12 +474,12 @@
 	c := t.c
 	t.mu.Unlock()
 	if c != nil {
-		c.giveUp(&t.x, choice.Cancelled)
+		c.giveUp(&t.x, scheduler.Cancelled)
 	}
 }
 
 // end tells how the attempt ended, once.
-func (t *attempt) end(o choice.Outcome, a *answer) {
+func (t *attempt) end(o scheduler.Outcome, a *answer) {
 	t.mu.Lock()
 	over, c := t.over, t.c
 	t.over = true
--- a/backend/frame/frame_test.go
+++ b/internal/backend/frame/frame_test.go
@@ -12,17 +12,17 @@
 
 	"github.com/rs/zerolog"
 
-	"kitehub/backend"
-	"kitehub/choice"
+	"kitehub/internal/backend"
 	"kitehub/internal/clock"
-	"kitehub/standin/platform"
+	"kitehub/internal/harness/fakeplatform"
+	"kitehub/scheduler"
 )
 
-var reply, readCommand = platform.Reply, platform.ReadCommand
+var reply, readCommand = fakeplatform.Reply, fakeplatform.ReadCommand
 
 func invoker(t *testing.T, script func(n int, c *net.TCPConn)) (addr string) {
 	t.Helper()
-	ln, err := platform.Invoke(script)
+	ln, err := fakeplatform.Invoke(script)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -31,9 +31,9 @@
 }
 
 // recorded is an invoker that answers each command as told, and hands over what came.
-func recorded(t *testing.T, answer func(platform.Command) []byte) (addr string, commands <-chan platform.Command) {
+func recorded(t *testing.T, answer func(fakeplatform.Command) []byte) (addr string, commands <-chan fakeplatform.Command) {
 	t.Helper()
-	ln, commands, err := platform.Record(answer)
+	ln, commands, err := fakeplatform.Record(answer)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,14 +42,14 @@
 }
 
 // serves answers every call, and nothing else.
-func serves(g platform.Command) []byte {
+func serves(g fakeplatform.Command) []byte {
 	if g.Code != codeCall {
 		return nil
 	}
 	return reply(codeOK, g.ID, "", "answer")
 }
 
-func mute(platform.Command) []byte { return nil }
+func mute(fakeplatform.Command) []byte { return nil }
 
 func start(t *testing.T, addr string, change func(*Config)) *Backend {
 	t.Helper()
@@ -91,33 +91,33 @@
 	tests := []struct {
 		name string
 		then func(*net.TCPConn)
-		want choice.Outcome
+		want scheduler.Outcome
 	}{
-		{"ok", write(ok), choice.OK},
+		{"ok", write(ok), scheduler.OK},
 		{"ok in single bytes", func(c *net.TCPConn) {
 			for i := range ok {
 				c.Write(ok[i : i+1])
 			}
 			hold(c)
-		}, choice.OK},
-		{"miss", write(reply(codeMiss, id, "note=boot_error", "")), choice.NotLoaded},
-		{"full", write(reply(codeFull, id, "company=9", "")), choice.AtCapacity},
-		{"over already", write(reply(codeOver, id, "", "")), choice.NotStarted},
-		{"error", write(reply(codeError, id, "", "")), choice.Error},
-		{"a second copy", write(ok, ok), choice.OK},
-		{"an answer to an unknown id ahead", write(reply(codeFull, 5, "", ""), ok), choice.OK},
-		{"a pong that nobody asked for", write(reply(codePong, id, "", ""), ok), choice.OK},
-		{"an answer with a code that answers no call", write(reply(71, id, "", ""), ok), choice.Reset},
-		{"a bad check", write(bad(func(b []byte) { b[len(b)-1] ^= 1 })), choice.Reset},
-		{"a changed body", write(bad(func(b []byte) { b[headSize+15] ^= 1 })), choice.Reset},
-		{"a wrong mark", write(bad(func(b []byte) { b[0] = markCommand })), choice.Reset},
-		{"3 GB by its head", write(bad(func(b []byte) { binary.BigEndian.PutUint32(b[4:], 3<<30) }), make([]byte, 1<<20)), choice.Reset},
-		{"fields over the bound", write(bad(func(b []byte) { binary.BigEndian.PutUint16(b[2:], 0xffff) })), choice.Reset},
-		{"noise", write([]byte("HTTP/1.1 200 OK\r\n\r\n")), choice.Reset},
-		{"cut short", func(c *net.TCPConn) { c.Write(ok[:len(ok)-3]) }, choice.Reset},
-		{"closed", func(*net.TCPConn) {}, choice.Reset},
-		{"reset", func(c *net.TCPConn) { c.SetLinger(0) }, choice.Reset},
-		{"full, then noise", write(reply(codeFull, id, "", ""), []byte("noise")), choice.AtCapacity},
+		}, scheduler.OK},
+		{"miss", write(reply(codeMiss, id, "note=boot_error", "")), scheduler.NotLoaded},
+		{"full", write(reply(codeFull, id, "company=9", "")), scheduler.AtCapacity},
+		{"over already", write(reply(codeOver, id, "", "")), scheduler.NotStarted},
+		{"error", write(reply(codeError, id, "", "")), scheduler.Error},
+		{"a second copy", write(ok, ok), scheduler.OK},
+		{"an answer to an unknown id ahead", write(reply(codeFull, 5, "", ""), ok), scheduler.OK},
+		{"a pong that nobody asked for", write(reply(codePong, id, "", ""), ok), scheduler.OK},
+		{"an answer with a code that answers no call", write(reply(71, id, "", ""), ok), scheduler.Reset},
+		{"a bad check", write(bad(func(b []byte) { b[len(b)-1] ^= 1 })), scheduler.Reset},
+		{"a changed body", write(bad(func(b []byte) { b[headSize+15] ^= 1 })), scheduler.Reset},
+		{"a wrong mark", write(bad(func(b []byte) { b[0] = markCommand })), scheduler.Reset},
+		{"3 GB by its head", write(bad(func(b []byte) { binary.BigEndian.PutUint32(b[4:], 3<<30) }), make([]byte, 1<<20)), scheduler.Reset},
+		{"fields over the bound", write(bad(func(b []byte) { binary.BigEndian.PutUint16(b[2:], 0xffff) })), scheduler.Reset},
+		{"noise", write([]byte("HTTP/1.1 200 OK\r\n\r\n")), scheduler.Reset},
+		{"cut short", func(c *net.TCPConn) { c.Write(ok[:len(ok)-3]) }, scheduler.Reset},
+		{"closed", func(*net.TCPConn) {}, scheduler.Reset},
+		{"reset", func(c *net.TCPConn) { c.SetLinger(0) }, scheduler.Reset},
+		{"full, then noise", write(reply(codeFull, id, "", ""), []byte("noise")), scheduler.AtCapacity},
 	}
 	for _, tt := range tests {
 		addr := invoker(t, func(_ int, c *net.TCPConn) {
@@ -125,12 +125,12 @@
 				tt.then(c)
 			}
 		})
-		b := start(t, addr, func(c *Config) { c.Report = []choice.ReportField{choice.FieldUtil, choice.FieldQueue} })
+		b := start(t, addr, func(c *Config) { c.Report = []scheduler.ReportField{scheduler.FieldUtil, scheduler.FieldQueue} })
 		r := run(b, call(id))
-		if r.Outcome != tt.want || (r.Outcome == choice.OK) != (string(r.Body) == "answer") {
+		if r.Outcome != tt.want || (r.Outcome == scheduler.OK) != (string(r.Body) == "answer") {
 			t.Errorf("%s: %v, body %q, want outcome %v", tt.name, r.Outcome, r.Body, tt.want)
 		}
-		if tt.name == "ok" && (r.Note != choice.StartedLoad || r.Alike != 3 || len(r.Report) != 2 || r.Report[0] != 0.5 || r.Report[1] != 2) {
+		if tt.name == "ok" && (r.Note != scheduler.StartedLoad || r.Alike != 3 || len(r.Report) != 2 || r.Report[0] != 0.5 || r.Report[1] != 2) {
 			t.Errorf("%s: %+v", tt.name, r)
 		}
 	}
@@ -144,28 +144,28 @@
 	nobody := ln.Addr().String()
 	ln.Close()
 	b := start(t, nobody, nil)
-	if r := run(b, call(1)); r.Outcome != choice.ConnectFailed {
+	if r := run(b, call(1)); r.Outcome != scheduler.ConnectFailed {
 		t.Errorf("nobody listens: %v", r.Outcome)
 	}
 	a := call(2)
 	a.Worker = 77
-	if r := run(b, a); r.Outcome != choice.NotStarted {
+	if r := run(b, a); r.Outcome != scheduler.NotStarted {
 		t.Errorf("a worker that is not listed: %v", r.Outcome)
 	}
 	addr, commands := recorded(t, mute)
 	b = start(t, addr, nil)
 	a = call(3)
 	a.Wanted = func() bool { return false }
-	if r := run(b, a); r.Outcome != choice.NotStarted {
+	if r := run(b, a); r.Outcome != scheduler.NotStarted {
 		t.Errorf("unwanted: %v", r.Outcome)
 	}
 	b.Update([]backend.Endpoint{{ID: 1, Name: "w", Network: "tcp", Addr: addr}})
-	if r := run(b, call(4)); r.Outcome != choice.NotStarted {
+	if r := run(b, call(4)); r.Outcome != scheduler.NotStarted {
 		t.Errorf("a worker that drains: %v", r.Outcome)
 	}
-	held := make(chan choice.Outcome, 1)
-	b.LoadCopies(backend.LoadOrder{Worker: 1, Function: "7f3a9c21e0b4d655", Copies: 1}, func(o choice.Outcome, _ int, _ time.Duration) { held <- o })
-	if o := <-held; o != choice.NotStarted {
+	held := make(chan scheduler.Outcome, 1)
+	b.LoadCopies(backend.LoadOrder{Worker: 1, Function: "7f3a9c21e0b4d655", Copies: 1}, func(o scheduler.Outcome, _ int, _ time.Duration) { held <- o })
+	if o := <-held; o != scheduler.NotStarted {
 		t.Errorf("an order to a worker that drains: %v", o)
 	}
 	if len(commands) > 0 {
@@ -174,7 +174,7 @@
 }
 
 func TestWire(t *testing.T) {
-	addr, commands := recorded(t, func(g platform.Command) []byte {
+	addr, commands := recorded(t, func(g fakeplatform.Command) []byte {
 		if g.Code == codeHold {
 			return reply(codeOK, g.ID, "slots_up=2", "")
 		}
@@ -193,12 +193,12 @@
 	if g := <-commands; g.Code != codeGiveUp || g.ID != 0x2d41 {
 		t.Errorf("given up: %+v", g)
 	}
-	if r := <-over; r.Outcome != choice.Cancelled {
+	if r := <-over; r.Outcome != scheduler.Cancelled {
 		t.Errorf("given up: %v", r.Outcome)
 	}
 	r.Cancel() // twice does nothing
 	copies := make(chan int, 1)
-	b.LoadCopies(backend.LoadOrder{Worker: 1, Function: "7f3a9c21e0b4d655", Copies: 2}, func(o choice.Outcome, n int, _ time.Duration) { copies <- n })
+	b.LoadCopies(backend.LoadOrder{Worker: 1, Function: "7f3a9c21e0b4d655", Copies: 2}, func(o scheduler.Outcome, n int, _ time.Duration) { copies <- n })
 	if g := <-commands; g.Code != codeHold || g.Fields != "k=7f3a9c21e0b4d655,slots_up=2" {
 		t.Errorf("order: %+v", g)
 	}
@@ -211,7 +211,7 @@
 	}
 	a = call(9)
 	a.Timeout = time.Millisecond
-	if r := run(b, a); r.Outcome != choice.TimedOut {
+	if r := run(b, a); r.Outcome != scheduler.TimedOut {
 		t.Errorf("no answer: %v", r.Outcome)
 	}
 	if g, g2 := <-commands, <-commands; g.Code != codeCall || g2.Code != codeGiveUp || g2.ID != 9 {
@@ -241,10 +241,10 @@
 		hold(c)
 	})
 	b := start(t, addr, nil)
-	if r := run(b, call(7)); r.Outcome != choice.AtCapacity {
+	if r := run(b, call(7)); r.Outcome != scheduler.AtCapacity {
 		t.Fatalf("first: %v", r.Outcome)
 	}
-	if r := run(b, call(7)); r.Outcome != choice.OK {
+	if r := run(b, call(7)); r.Outcome != scheduler.OK {
 		t.Errorf("repeat: %v", r.Outcome)
 	}
 	if a, c := <-conns, <-conns; a == c {
@@ -256,28 +256,28 @@
 func TestSilence(t *testing.T) {
 	tests := []struct {
 		name   string
-		answer func(platform.Command) []byte
-		want   choice.Outcome
+		answer func(fakeplatform.Command) []byte
+		want   scheduler.Outcome
 	}{
-		{"slow, but its connection works", func(g platform.Command) []byte {
+		{"slow, but its connection works", func(g fakeplatform.Command) []byte {
 			if g.Code == codeCall {
 				return nil
 			}
 			return reply(codePong, g.ID, "", "")
-		}, choice.OK},
-		{"dead", mute, choice.Reset},
-		{"stuck in the middle of an answer", func(g platform.Command) []byte {
+		}, scheduler.OK},
+		{"dead", mute, scheduler.Reset},
+		{"stuck in the middle of an answer", func(g fakeplatform.Command) []byte {
 			if g.Code == codeCall {
 				return reply(codeOK, g.ID, "", "answer")[:20]
 			}
 			return reply(codePong, g.ID, "", "")
-		}, choice.Reset},
+		}, scheduler.Reset},
 	}
 	for _, tt := range tests {
 		pings := 0
-		addr, commands := recorded(t, func(g platform.Command) []byte {
+		addr, commands := recorded(t, func(g fakeplatform.Command) []byte {
 			if g.Code == codePing {
-				if pings++; pings == 3 && tt.want == choice.OK {
+				if pings++; pings == 3 && tt.want == scheduler.OK {
 					return append(tt.answer(g), reply(codeOK, 7, "", "answer")...)
 				}
 			}
@@ -291,10 +291,10 @@
 		for i := 0; i < 3 && len(over) == 0; i++ {
 			clk.Advance(61 * time.Second)
 			b.check()
-			if i == 0 || tt.want == choice.OK {
+			if i == 0 || tt.want == scheduler.OK {
 				<-commands
 			}
-			for c := b.peers[1].list(); tt.want == choice.OK && len(c) > 0 && c[0].view(0).suspect; {
+			for c := b.peers[1].list(); tt.want == scheduler.OK && len(c) > 0 && c[0].view(0).suspect; {
 				time.Sleep(time.Millisecond) // until the pong is read
 			}
 		}
@@ -313,7 +313,7 @@
 	b.Update([]backend.Endpoint{{ID: 2, Name: "new", Network: "tcp", Addr: addr, Ready: true}})
 	a := call(3)
 	a.Worker = 2
-	if r := run(b, a); r.Outcome != choice.OK {
+	if r := run(b, a); r.Outcome != scheduler.OK {
 		t.Errorf("new worker: %v", r.Outcome)
 	}
 	if x, y, z := (<-commands).Conn, (<-commands).Conn, (<-commands).Conn; x != 0 || y != 0 || z != 1 {
@@ -360,7 +360,7 @@
 	b := start(t, addr, func(c *Config) { c.Clock, c.Within, c.Patience = clk, 5*time.Second, time.Hour })
 	for i, after := range []time.Duration{0, 4 * time.Second, 6 * time.Second} {
 		clk.Advance(after)
-		if r := run(b, call(uint64(i+1))); r.Outcome != choice.OK {
+		if r := run(b, call(uint64(i+1))); r.Outcome != scheduler.OK {
 			t.Fatalf("call %d: %v", i, r.Outcome)
 		}
 	}
@@ -390,7 +390,7 @@
 		if readAnswer(bufio.NewReader(bytes.NewReader(in)), 1000, &a) != nil {
 			return
 		}
-		parseFields(a.text, []choice.ReportField{choice.FieldUtil})
+		parseFields(a.text, []scheduler.ReportField{scheduler.FieldUtil})
 		if again := reply(a.code, a.id, a.text, string(a.body)); !bytes.HasPrefix(in, again) {
 			t.Errorf("%x was read as %x", in, again)
 		}
@@ -399,7 +399,7 @@
 
 // TestSuspicion: nothing new goes on a connection whose ping is out, also when what was open on it has been given up.
 func TestSuspicion(t *testing.T) {
-	addr, commands := recorded(t, func(g platform.Command) []byte {
+	addr, commands := recorded(t, func(g fakeplatform.Command) []byte {
 		if g.Conn > 0 {
 			return serves(g)
 		}
@@ -415,14 +415,14 @@
 	if g := <-commands; g.Code != codePing {
 		t.Fatalf("%+v, want a ping", g)
 	}
-	if r, g := run(b, call(2)), <-commands; r.Outcome != choice.OK || g.Conn == 0 {
+	if r, g := run(b, call(2)), <-commands; r.Outcome != scheduler.OK || g.Conn == 0 {
 		t.Errorf("beside it: %v on connection %d", r.Outcome, g.Conn)
 	}
 	first.Cancel()
 	<-over
 	<-commands // its end
 	b.check()
-	if r, g := run(b, call(3)), <-commands; r.Outcome != choice.OK || g.Conn == 0 {
+	if r, g := run(b, call(3)), <-commands; r.Outcome != scheduler.OK || g.Conn == 0 {
 		t.Errorf("after its call was given up: %v on connection %d", r.Outcome, g.Conn)
 	}
 	clk.Advance(61 * time.Second)
@@ -435,10 +435,10 @@
 // TestHalfWritten: a call whose first byte went out before its worker began to drain comes whole; none begins afterwards, also
 // not one that found no room in the kernel's buffers.
 func TestHalfWritten(t *testing.T) {
-	begin, commands := make(chan struct{}), make(chan platform.Command, 100)
+	begin, commands := make(chan struct{}), make(chan fakeplatform.Command, 100)
 	addr := invoker(t, func(_ int, c *net.TCPConn) {
 		<-begin
-		platform.Commands(c, func(g platform.Command) bool {
+		fakeplatform.Commands(c, func(g fakeplatform.Command) bool {
 			commands <- g
 			c.Write(serves(g))
 			return true
@@ -453,11 +453,11 @@
 		time.Sleep(time.Millisecond)
 	}
 	b.Update([]backend.Endpoint{{ID: 1, Name: "w", Network: "tcp", Addr: addr}})
-	if r := run(b, call(2)); r.Outcome != choice.NotStarted && r.Outcome != choice.ConnectFailed {
+	if r := run(b, call(2)); r.Outcome != scheduler.NotStarted && r.Outcome != scheduler.ConnectFailed {
 		t.Errorf("a call after the drain: %v", r.Outcome)
 	}
 	close(begin)
-	if r := <-over; r.Outcome != choice.OK {
+	if r := <-over; r.Outcome != scheduler.OK {
 		t.Errorf("half written: %v", r.Outcome)
 	}
 	if g := <-commands; g.ID != 1 || len(g.Body) != 32<<20 || len(commands) > 0 {
@@ -467,7 +467,7 @@
 
 // TestLateAnswer: an answer after its time, on a connection used again, is nobody's.
 func TestLateAnswer(t *testing.T) {
-	addr, _ := recorded(t, func(g platform.Command) []byte {
+	addr, _ := recorded(t, func(g fakeplatform.Command) []byte {
 		switch g.ID {
 		case 1:
 			return nil
@@ -480,7 +480,7 @@
 	run(b, call(3)) // the connection stands: to open it may take longer than the call that is to be late has
 	a := call(1)
 	a.Timeout = time.Millisecond
-	if r := run(b, a); r.Outcome != choice.TimedOut {
+	if r := run(b, a); r.Outcome != scheduler.TimedOut {
 		t.Fatalf("no answer in time: %v", r.Outcome)
 	}
 	if r := run(b, call(2)); string(r.Body) != "answer" || b.Counts.Opened.Load() != 1 || b.Counts.Strays.Load() != 1 {
--- a/backend/frame/room_test.go
+++ b/internal/backend/frame/room_test.go
@@ -8,9 +8,9 @@
 	"testing"
 	"time"
 
-	"kitehub/backend"
-	"kitehub/choice"
-	"kitehub/standin/platform"
+	"kitehub/internal/backend"
+	"kitehub/internal/harness/fakeplatform"
+	"kitehub/scheduler"
 )
 
 // TestRoomForNew: where all connections that may be open are idle at one worker, one of them makes room for another worker's
@@ -18,7 +18,7 @@
 func TestRoomForNew(t *testing.T) {
 	for _, busy := range []bool{false, true} {
 		answer := make(chan struct{})
-		addr, commands := recorded(t, func(g platform.Command) []byte {
+		addr, commands := recorded(t, func(g fakeplatform.Command) []byte {
 			<-answer
 			return serves(g)
 		})
@@ -42,9 +42,9 @@
 		b.Update([]backend.Endpoint{{ID: 1, Name: "w", Network: "tcp", Addr: addr, Ready: true}, {ID: 2, Name: "new", Network: "tcp", Addr: other, Ready: true}})
 		a := call(3)
 		a.Worker = 2
-		want := choice.OK
+		want := scheduler.OK
 		if busy {
-			want = choice.ConnectFailed
+			want = scheduler.ConnectFailed
 		}
 		if r := run(b, a); r.Outcome != want {
 			t.Errorf("busy %v: the new worker's call ends as %v, want %v", busy, r.Outcome, want)
@@ -96,7 +96,7 @@
 		<-dialling
 		tt.then(b, r, &wanted, addr)
 		close(up)
-		if r := <-over; r.Outcome != choice.NotStarted {
+		if r := <-over; r.Outcome != scheduler.NotStarted {
 			t.Errorf("%s: %v, want moot", tt.name, r.Outcome)
 		}
 		b.check()
@@ -132,7 +132,7 @@
 	for b.Seen()[0].Conns > 0 {
 		time.Sleep(time.Millisecond)
 	}
-	if r := run(b, call(2)); r.Outcome != choice.OK || b.Counts.LostNew.Load()+b.Counts.LostUsed.Load() != 0 {
+	if r := run(b, call(2)); r.Outcome != scheduler.OK || b.Counts.LostNew.Load()+b.Counts.LostUsed.Load() != 0 {
 		t.Errorf("%v, %d lost", r.Outcome, b.Counts.LostNew.Load()+b.Counts.LostUsed.Load())
 	}
 }
--- a/backend/infer.go
+++ b/internal/backend/infer.go
@@ -8,8 +8,8 @@
 	"strings"
 	"time"
 
-	"kitehub/choice"
 	"kitehub/internal/http1"
+	"kitehub/scheduler"
 )
 
 // Problem types (RFC 9457) by which a worker says that a call did not run. Nothing else counts as saying so.
@@ -30,7 +30,7 @@
 
 // An Attempt is one call of a function at a worker.
 type Attempt struct {
-	Worker   choice.WorkerID
+	Worker   scheduler.WorkerID
 	Call     string // the client's id of the call, for protocols that pass it on
 	Class    string // its class's name, likewise
 	Function string
@@ -44,9 +44,9 @@
 
 // A Result is how an attempt ended. Body is set where Outcome is OK.
 type Result struct {
-	Outcome choice.Outcome
+	Outcome scheduler.Outcome
 	Took    time.Duration
-	Note    choice.LoadNote
+	Note    scheduler.LoadNote
 	Alike   int
 	Report  []float64
 	Body    []byte
@@ -68,7 +68,7 @@
 	start := b.cfg.Clock.Now()
 	p := b.peer(a.Worker)
 	if p == nil {
-		return Result{Outcome: choice.NotStarted}
+		return Result{Outcome: scheduler.NotStarted}
 	}
 	head := make([]byte, 0, 192)
 	head = append(head, `{"inputs":[{"name":"body","shape":[1],"datatype":"BYTES","parameters":{"binary_data_size":`...)
@@ -90,21 +90,21 @@
 	req.Body = append(head, a.Body...)
 	resp, o := b.exchange(x, p, req, a.Timeout, false)
 	res := Result{Outcome: o, Took: b.cfg.Clock.Now() - start}
-	if o != choice.OK {
+	if o != scheduler.OK {
 		return res
 	}
 	res.Status, res.Digest = resp.Status, resp.Header.Get(HeaderDigest)
 	m := readLoad(resp.Header.Get(HeaderLoad))
 	res.Report = m.report(b.cfg.Fields)
-	res.Alike, res.Note = int(m.named["alike"]), choice.LoadNote(m.named["copy"])
-	if res.Note < choice.NoLoadNote || res.Note > choice.LoadFailed {
-		res.Note = choice.NoLoadNote
+	res.Alike, res.Note = int(m.named["alike"]), scheduler.LoadNote(m.named["copy"])
+	if res.Note < scheduler.NoLoadNote || res.Note > scheduler.LoadFailed {
+		res.Note = scheduler.NoLoadNote
 	}
 	switch resp.Status {
 	case 200:
 		var ok bool
 		if res.Body, ok = output(resp); !ok {
-			res.Outcome = choice.Error
+			res.Outcome = scheduler.Error
 		}
 	default:
 		res.Outcome = saidBy(resp)
@@ -146,35 +146,35 @@
 }
 
 // saidBy reads what an answer other than 200 proves.
-func saidBy(resp *http1.Response) choice.Outcome {
+func saidBy(resp *http1.Response) scheduler.Outcome {
 	if !strings.HasPrefix(resp.Header.Get("Content-Type"), "application/problem+json") {
-		return choice.Error
+		return scheduler.Error
 	}
 	var p struct {
 		Type string `json:"type"`
 	}
 	if json.Unmarshal(resp.Body, &p) != nil {
-		return choice.Error
+		return scheduler.Error
 	}
 	switch {
 	case p.Type == ProblemFull && resp.Status == 503:
-		return choice.AtCapacity
+		return scheduler.AtCapacity
 	case p.Type == ProblemMiss && resp.Status == 404:
-		return choice.NotLoaded
+		return scheduler.NotLoaded
 	}
-	return choice.Error
+	return scheduler.Error
 }
 
 // An LoadOrder is a Hold of the module; Copies 0 only asks.
 type LoadOrder struct {
-	Worker   choice.WorkerID
+	Worker   scheduler.WorkerID
 	Function string
 	Digest   string // of the bytes to load; "": the worker knows
 	Copies   int
 }
 
 // LoadCopies starts an order; done is called once, on a goroutine of its own.
-func (b *Backend) LoadCopies(o LoadOrder, done func(outcome choice.Outcome, copies int, took time.Duration)) {
+func (b *Backend) LoadCopies(o LoadOrder, done func(outcome scheduler.Outcome, copies int, took time.Duration)) {
 	go func() {
 		start := b.cfg.Clock.Now()
 		outcome, copies := b.hold(o)
@@ -182,10 +182,10 @@
 	}()
 }
 
-func (b *Backend) hold(o LoadOrder) (choice.Outcome, int) {
+func (b *Backend) hold(o LoadOrder) (scheduler.Outcome, int) {
 	p := b.peer(o.Worker)
 	if p == nil {
-		return choice.NotStarted, 0
+		return scheduler.NotStarted, 0
 	}
 	digest := ""
 	if o.Digest != "" {
@@ -197,24 +197,24 @@
 			[]byte(`{"parameters":{"copies":`+strconv.Itoa(o.Copies)+digest+`}}`)), b.cfg.OrderTimeout
 	}
 	resp, out := b.exchange(&call{}, p, req, within, o.Copies == 0)
-	if out != choice.OK {
+	if out != scheduler.OK {
 		return out, 0
 	}
 	if resp.Status != 200 {
 		out = saidBy(resp)
-		if out != choice.AtCapacity {
-			out = choice.Error
+		if out != scheduler.AtCapacity {
+			out = scheduler.Error
 		}
 		return out, int(readLoad(resp.Header.Get(HeaderLoad)).named["copies"])
 	}
 	if o.Copies > 0 {
-		return choice.OK, max(o.Copies, int(readLoad(resp.Header.Get(HeaderLoad)).named["copies"]))
+		return scheduler.OK, max(o.Copies, int(readLoad(resp.Header.Get(HeaderLoad)).named["copies"]))
 	}
 	n, ok := indexed(resp.Body, o.Function)
 	if !ok {
-		return choice.Error, 0
+		return scheduler.Error, 0
 	}
-	return choice.OK, n
+	return scheduler.OK, n
 }
 
 // indexed finds how many copies of a function an index tells of: its "copies" parameter (ours), or one where
@@ -247,7 +247,7 @@
 }
 
 // Unload asks a worker to drop the idle copies of a function. Nothing is told of how that ends.
-func (b *Backend) Unload(worker choice.WorkerID, function string) {
+func (b *Backend) Unload(worker scheduler.WorkerID, function string) {
 	if p := b.peer(worker); p != nil {
 		req := b.post(p, "/v2/repository/models/"+url.PathEscape(function)+"/unload", []byte(`{}`))
 		go b.exchange(&call{}, p, req, b.cfg.ProbeTimeout, false)
@@ -255,11 +255,11 @@
 }
 
 // Probe asks a worker whether it is ready.
-func (b *Backend) Probe(worker choice.WorkerID, done func(o choice.Outcome, took time.Duration, report []float64)) {
+func (b *Backend) Probe(worker scheduler.WorkerID, done func(o scheduler.Outcome, took time.Duration, report []float64)) {
 	go func() {
 		p := b.peer(worker)
 		if p == nil {
-			done(choice.NotStarted, 0, nil)
+			done(scheduler.NotStarted, 0, nil)
 			return
 		}
 		start := b.cfg.Clock.Now()
@@ -267,10 +267,10 @@
 			{Name: "User-Agent", Value: "kitehub/" + b.cfg.Controller}}}
 		resp, o := b.exchange(&call{}, p, req, b.cfg.ProbeTimeout, true)
 		var report []float64
-		if o == choice.OK {
+		if o == scheduler.OK {
 			report = readLoad(resp.Header.Get(HeaderLoad)).report(b.cfg.Fields)
 			if resp.Status != 200 {
-				o = choice.Error
+				o = scheduler.Error
 			}
 		}
 		done(o, b.cfg.Clock.Now()-start, report)
--- a/backend/orca.go
+++ b/internal/backend/orca.go
@@ -6,7 +6,7 @@
 	"strconv"
 	"strings"
 
-	"kitehub/choice"
+	"kitehub/scheduler"
 )
 
 // A load is an ORCA report (the endpoint-load-metrics header, in its TEXT or JSON form). What has a field of its
@@ -60,27 +60,27 @@
 }
 
 // report returns the values in the order of the settings' fields; nil if none is told.
-func (l load) report(fields []choice.ReportField) []float64 {
+func (l load) report(fields []scheduler.ReportField) []float64 {
 	out, any := make([]float64, len(fields)), false
 	for i, f := range fields {
 		var v float64
 		var ok bool
 		switch f {
-		case choice.FieldUtil:
+		case scheduler.FieldUtil:
 			v, ok = l.fields["cpu_utilization"]
-		case choice.FieldRate:
+		case scheduler.FieldRate:
 			v, ok = l.fields["rps_fractional"]
-		case choice.FieldErrorRate:
+		case scheduler.FieldErrorRate:
 			v, ok = l.fields["eps"]
-		case choice.FieldInFlight:
+		case scheduler.FieldInFlight:
 			v, ok = l.named["inflight"]
-		case choice.FieldQueue:
+		case scheduler.FieldQueue:
 			v, ok = l.named["queue"]
-		case choice.FieldLatencyMS:
+		case scheduler.FieldLatencyMS:
 			v, ok = l.named["latency_ms"]
-		case choice.FieldX0:
+		case scheduler.FieldX0:
 			v, ok = l.named["x0"]
-		case choice.FieldX1:
+		case scheduler.FieldX1:
 			v, ok = l.named["x1"]
 		}
 		out[i], any = v, any || ok
--- a/fetch/client.go
+++ b/internal/blobfetch/client.go
@@ -1,4 +1,4 @@
-package fetch
+package blobfetch
 
 import (
 	"context"
--- a/fetch/fetch_test.go
+++ b/internal/blobfetch/fetch_test.go
@@ -1,4 +1,4 @@
-package fetch_test
+package blobfetch_test
 
 import (
 	"context"
@@ -11,14 +11,14 @@
 
 	"github.com/rs/zerolog"
 
-	"kitehub/fetch"
+	"kitehub/internal/blobfetch"
 	"kitehub/internal/clock"
-	"kitehub/standin"
+	"kitehub/internal/harness/fakeworker"
 )
 
 const ms = time.Millisecond
 
-var set = fetch.Settings{Tries: 60, Pause: ms, Longest: 4 * ms, Blame: time.Hour}
+var set = blobfetch.Settings{Tries: 60, Pause: ms, Longest: 4 * ms, Blame: time.Hour}
 
 // Blobs that are truncated, swapped, extended, rotten or missing: what comes is proved, or nothing does.
 func TestFaults(t *testing.T) {
@@ -28,32 +28,32 @@
 	}
 	sum := sha256.Sum256(blob)
 	digest := "sha256:" + hex.EncodeToString(sum[:])
-	good, trunc, swapped, extended, rotten, none, long := standin.GoodBlobs, standin.Truncated, standin.Swapped, standin.Extended, standin.Rotten, standin.NoBlobs, standin.LongBlobs
+	good, trunc, swapped, extended, rotten, none, long := fakeworker.GoodBlobs, fakeworker.Truncated, fakeworker.Swapped, fakeworker.Extended, fakeworker.Rotten, fakeworker.NoBlobs, fakeworker.LongBlobs
 	tests := []struct {
 		name   string
-		faults []standin.BlobFault
+		faults []fakeworker.BlobFault
 		from   int // store that gave the end; -1: none
 		err    error
 		asked  []int // most requests to each store
 	}{
-		{"good", []standin.BlobFault{good, good}, 0, nil, []int{1, 0}},
-		{"missing at the first", []standin.BlobFault{none, good}, 1, nil, []int{1, 1}},
-		{"truncated for ever is gone on with, elsewhere where that may be asked", []standin.BlobFault{trunc, good}, 1, nil, []int{1, 1}},
-		{"truncated everywhere is gone on with until it is whole", []standin.BlobFault{trunc, trunc}, -2, nil, []int{60, 60}},
-		{"swapped", []standin.BlobFault{swapped, good}, 1, nil, []int{1, 1}},
-		{"extended", []standin.BlobFault{extended, good}, 1, nil, []int{1, 1}},
-		{"rotten", []standin.BlobFault{rotten, good}, 1, nil, []int{1, 1}},
-		{"bytes behind the length", []standin.BlobFault{long, none}, 0, nil, []int{1, 0}},
-		{"truncated, then rotten: nobody knows whose fault, each alone", []standin.BlobFault{trunc, rotten, good}, 2, nil, []int{60, 2, 2}},
-		{"a mismatch everywhere", []standin.BlobFault{swapped, rotten, extended}, -1, fetch.ErrMismatch, []int{1, 1, 1}},
-		{"missing everywhere", []standin.BlobFault{none, none}, -1, fetch.ErrGivenUp, []int{60, 60}},
+		{"good", []fakeworker.BlobFault{good, good}, 0, nil, []int{1, 0}},
+		{"missing at the first", []fakeworker.BlobFault{none, good}, 1, nil, []int{1, 1}},
+		{"truncated for ever is gone on with, elsewhere where that may be asked", []fakeworker.BlobFault{trunc, good}, 1, nil, []int{1, 1}},
+		{"truncated everywhere is gone on with until it is whole", []fakeworker.BlobFault{trunc, trunc}, -2, nil, []int{60, 60}},
+		{"swapped", []fakeworker.BlobFault{swapped, good}, 1, nil, []int{1, 1}},
+		{"extended", []fakeworker.BlobFault{extended, good}, 1, nil, []int{1, 1}},
+		{"rotten", []fakeworker.BlobFault{rotten, good}, 1, nil, []int{1, 1}},
+		{"bytes behind the length", []fakeworker.BlobFault{long, none}, 0, nil, []int{1, 0}},
+		{"truncated, then rotten: nobody knows whose fault, each alone", []fakeworker.BlobFault{trunc, rotten, good}, 2, nil, []int{60, 2, 2}},
+		{"a mismatch everywhere", []fakeworker.BlobFault{swapped, rotten, extended}, -1, blobfetch.ErrMismatch, []int{1, 1, 1}},
+		{"missing everywhere", []fakeworker.BlobFault{none, none}, -1, blobfetch.ErrGivenUp, []int{60, 60}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			var stores []*standin.Blobs
+			var stores []*fakeworker.Blobs
 			var names []string
 			for _, f := range tt.faults {
-				b, err := standin.StartBlobs()
+				b, err := fakeworker.StartBlobs()
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -62,7 +62,7 @@
 				b.Fault(f)
 				stores, names = append(stores, b), append(names, b.Addr())
 			}
-			c := fetch.NewClient(set, names, time.Second, clock.System(), zerolog.Nop())
+			c := blobfetch.NewClient(set, names, time.Second, clock.System(), zerolog.Nop())
 			defer c.Close()
 			got, from, err := c.Fetch(context.Background(), "m", digest, int64(len(blob)))
 			if !errors.Is(err, tt.err) || (err == nil) != (tt.err == nil) {
@@ -79,7 +79,7 @@
 					t.Errorf("store %d was asked %d times, at most %d", i, s.Asked(), tt.asked[i])
 				}
 			}
-			if errors.Is(err, fetch.ErrMismatch) {
+			if errors.Is(err, blobfetch.ErrMismatch) {
 				for _, n := range names {
 					if !strings.Contains(err.Error(), n) {
 						t.Errorf("%v does not name %s", err, n)
@@ -92,11 +92,11 @@
 
 // A store that gave wrong bytes is avoided, longer each time; one that failed only for a little while.
 func TestBlameGrows(t *testing.T) {
-	stores := fetch.NewStores(fetch.Settings{Tries: 9, Pause: 10 * ms, Longest: time.Hour, Blame: time.Second}, []string{"a", "b"})
+	stores := blobfetch.NewStores(blobfetch.Settings{Tries: 9, Pause: 10 * ms, Longest: time.Hour, Blame: time.Second}, []string{"a", "b"})
 	now := time.Duration(0)
 	var asked []string
 	for range 3 {
-		p := fetch.NewPlan(stores, 10)
+		p := blobfetch.NewPlan(stores, 10)
 		for {
 			ask, wait, err := p.Next(now)
 			if err != nil {
--- a/fetch/plan.go
+++ b/internal/blobfetch/plan.go
@@ -1,11 +1,11 @@
-// Package fetch gets the bytes of a model's version from stores that speak the OCI distribution protocol, and lets nobody
+// Package blobfetch gets the bytes of a model's version from stores that speak the OCI distribution protocol, and lets nobody
 // have them before their digest is proved. A Plan decides, purely: which store next, from which byte, after what pause, and
 // who is to blame for bytes that are wrong. A Client carries plans out.
 //
 // Blame. Bytes that are wrong show only when all are there. If one store gave them all, it is to blame. If a fetch was
 // resumed at another store, nobody knows which: all is dropped, and each store is asked for the whole alone. So a store that
 // corrupts slowly, a byte in a thousand fetches, is found by its own fetch, and a good one is not avoided for it.
-package fetch
+package blobfetch
 
 import (
 	"errors"
--- a/controller/controller.go
+++ b/internal/controller/controller.go
@@ -16,20 +16,20 @@
 
 	"github.com/rs/zerolog"
 
-	"kitehub/backend"
-	"kitehub/choice"
 	"kitehub/config"
-	"kitehub/discovery"
-	"kitehub/front"
-	"kitehub/front/jsonrpc"
-	"kitehub/front/webhook"
-	"kitehub/gateway"
-	"kitehub/hooks"
+	"kitehub/internal/backend"
 	"kitehub/internal/clock"
+	"kitehub/internal/discovery"
+	"kitehub/internal/gateway"
+	"kitehub/internal/hookengine"
 	"kitehub/internal/http1"
-	"kitehub/registry/agent"
-	"kitehub/registry/client"
-	"kitehub/store"
+	"kitehub/internal/ingress"
+	"kitehub/internal/ingress/jsonrpc"
+	"kitehub/internal/ingress/webhook"
+	"kitehub/internal/registry/agent"
+	"kitehub/internal/registry/client"
+	"kitehub/internal/store"
+	"kitehub/scheduler"
 )
 
 // Options are what a configuration does not say.
@@ -42,7 +42,7 @@
 	Sink    func(discovery.Sink) discovery.Sink
 	Handler func(http1.Handler) http1.Handler
 	// Models and Versions stand before the registry's view, likewise.
-	Models   func(front.Models) front.Models
+	Models   func(ingress.Models) ingress.Models
 	Versions func(gateway.Versions) gateway.Versions
 	// NoHooks starts without scripts: after a crash loop they may be its cause.
 	NoHooks bool
@@ -72,8 +72,8 @@
 	wc          webhook.Config
 	functions   *gateway.Functions
 	models      *models
-	hooks       atomic.Pointer[hooks.Engine]
-	notifier    *hooks.Notifier
+	hooks       atomic.Pointer[hookengine.Engine]
+	notifier    *hookengine.Notifier
 	tap         tap
 	rpcListener net.Listener
 	draining    atomic.Bool
@@ -169,7 +169,7 @@
 	}
 	wc.Gateway, wc.Clock, wc.Log, wc.Mark, wc.Functions = c.Gateway, o.Clock, o.Log, webhook.File(b.Mark), functions.Find
 	wc.Deadline = func(class int) time.Duration { return b.Settings.Classes[class].Deadline }
-	wc.Effect = func(class int) choice.Idempotency { return b.Settings.Classes[class].Idempotency }
+	wc.Effect = func(class int) scheduler.Idempotency { return b.Settings.Classes[class].Idempotency }
 	if o.After != nil {
 		wc.State = &o.After.s.state.Front
 		c.Gateway.Inherit(o.After.s.state.Spent)
--- a/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -17,16 +17,16 @@
 
 	"github.com/rs/zerolog"
 
-	"kitehub/choice"
 	"kitehub/config"
-	"kitehub/discovery"
-	"kitehub/fleet"
-	"kitehub/gateway"
 	"kitehub/internal/clock"
+	"kitehub/internal/discovery"
+	"kitehub/internal/gateway"
+	"kitehub/internal/harness/fakeworker"
+	"kitehub/internal/harness/trace"
+	"kitehub/internal/harness/workersim"
 	"kitehub/internal/http1"
-	"kitehub/internal/trace"
-	"kitehub/signing"
-	"kitehub/standin"
+	"kitehub/internal/signing"
+	"kitehub/scheduler"
 )
 
 const ms = time.Millisecond
@@ -37,7 +37,7 @@
 // A rig is a host of stand-in workers, a list of them and controllers in front.
 type rig struct {
 	t    *testing.T
-	host *standin.Host
+	host *fakeworker.Host
 	log  *trace.Log
 	dir  string
 	file string
@@ -45,42 +45,42 @@
 	mu   sync.Mutex
 }
 
-func newRig(t *testing.T, workers int, change func(*standin.Config)) *rig {
+func newRig(t *testing.T, workers int, change func(*fakeworker.Config)) *rig {
 	t.Helper()
 	r := &rig{t: t, dir: t.TempDir(), clk: clock.System()}
 	r.file = filepath.Join(r.dir, "list.json")
 	r.log = trace.NewLog(r.clk.Now)
-	cfg := standin.Config{Clock: r.clk, Trace: r.log, Fleet: fleet.Config{Store: fleet.Store{Pace: 10}, Window: 4 * time.Second}}
+	cfg := fakeworker.Config{Clock: r.clk, Trace: r.log, Fleet: workersim.Config{Store: workersim.Store{Pace: 10}, Window: 4 * time.Second}}
 	for i := range workers {
-		cfg.Fleet.Workers = append(cfg.Fleet.Workers, fleet.Spec{Name: fmt.Sprintf("w%d", i), Group: "g", Cores: 4, Speed: 1, MemoryMB: 4000, Queue: 20,
+		cfg.Fleet.Workers = append(cfg.Fleet.Workers, workersim.Spec{Name: fmt.Sprintf("w%d", i), Group: "g", Cores: 4, Speed: 1, MemoryMB: 4000, Queue: 20,
 			LoadSlots: 4, IdleLife: time.Minute})
 	}
 	for _, class := range []string{"safe", "keyed", "unsafe"} {
-		cfg.Functions = append(cfg.Functions, standin.Kind{Function: fleet.Function{Name: class + "-1", MemoryMB: 100, Lanes: 4, Fetch: 5 * ms, Start: ms},
+		cfg.Functions = append(cfg.Functions, fakeworker.Kind{Function: workersim.Function{Name: class + "-1", MemoryMB: 100, Lanes: 4, Fetch: 5 * ms, Start: ms},
 			Class: class, Work: 5 * ms, Keyed: class == "keyed"})
 	}
 	if change != nil {
 		change(&cfg)
 	}
 	var err error
-	if r.host, err = standin.Start(cfg); err != nil {
+	if r.host, err = fakeworker.Start(cfg); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(r.host.Close)
-	r.list(choice.Ready)
+	r.list(scheduler.Ready)
 	return r
 }
 
 // list writes the list, with the first worker in a state (Gone leaves all out).
-func (r *rig) list(first choice.WorkerState) {
+func (r *rig) list(first scheduler.WorkerState) {
 	r.t.Helper()
 	var l []gateway.Worker
 	for i, name := range r.host.Names() {
-		w := gateway.Worker{Name: name, Network: "tcp", Addr: r.host.Addr(name), Group: "g", State: choice.Ready, Size: 1}
+		w := gateway.Worker{Name: name, Network: "tcp", Addr: r.host.Addr(name), Group: "g", State: scheduler.Ready, Size: 1}
 		if i == 0 {
 			w.State = first
 		}
-		if first != choice.Gone {
+		if first != scheduler.Gone {
 			l = append(l, w)
 		}
 	}
@@ -444,13 +444,13 @@
 	home := r.await(kind(trace.Began)).Worker
 	var l []gateway.Worker
 	for _, name := range r.host.Names() {
-		st := choice.Ready
+		st := scheduler.Ready
 		if name == home {
-			st = choice.Draining
+			st = scheduler.Draining
 		}
 		l = append(l, gateway.Worker{Name: name, Network: "tcp", Addr: r.host.Addr(name), Group: "g", State: st, Size: 1})
 	}
-	if err := c.Gateway.Workers(choice.FullList, 9, l); err != nil {
+	if err := c.Gateway.Workers(scheduler.FullList, 9, l); err != nil {
 		t.Fatal(err)
 	}
 	for i := range 5 {
@@ -473,13 +473,13 @@
 	r := newRig(t, 2, nil)
 	c := r.start(r.build("c1"))
 	want(t, exchange(t, c.Addr(), sign(t, common, "c1", "m1", "unsafe-1", `{}`, time.Now())), "200 served")
-	if err := c.Gateway.Workers(choice.FullList, 9, nil); err != nil {
+	if err := c.Gateway.Workers(scheduler.FullList, 9, nil); err != nil {
 		t.Fatal(err)
 	}
 	m := sign(t, common, "c1", "m2", "unsafe-1", `{}`, time.Now())
 	m.extra = http1.Header{{Name: "Prefer", Value: "wait=1"}}
 	want(t, exchange(t, c.Addr(), m), "503 refused")
-	r.list(choice.Draining) // another text than before, so that the file is read
+	r.list(scheduler.Draining) // another text than before, so that the file is read
 	for {
 		m := sign(t, common, "c1", fmt.Sprint("m", time.Now().UnixNano()), "unsafe-1", `{}`, time.Now())
 		if a := exchange(t, c.Addr(), m); a.status == 200 {
@@ -490,8 +490,8 @@
 
 // Whatever a worker answers, a call gets one answer by its deadline; unsafe ones are not run twice.
 func TestFaultyWorkers(t *testing.T) {
-	faults := map[string]standin.Fault{"cut": standin.CutAnswer, "garbage": standin.Garbage, "two": standin.TwoAnswers, "long": standin.LongBody,
-		"huge": standin.HugeBody, "drip": standin.Drip}
+	faults := map[string]fakeworker.Fault{"cut": fakeworker.CutAnswer, "garbage": fakeworker.Garbage, "two": fakeworker.TwoAnswers, "long": fakeworker.LongBody,
+		"huge": fakeworker.HugeBody, "drip": fakeworker.Drip}
 	for name, f := range faults {
 		for _, class := range []string{"safe", "keyed", "unsafe"} {
 			t.Run(name+" "+class, func(t *testing.T) {
@@ -505,7 +505,7 @@
 				m.extra = http1.Header{{Name: "x-envoy-upstream-rq-timeout-ms", Value: "700"}}
 				a := exchange(t, c.Addr(), m)
 				switch {
-				case f == standin.TwoAnswers || f == standin.LongBody:
+				case f == fakeworker.TwoAnswers || f == fakeworker.LongBody:
 					want(t, a, "200 served")
 				case class == "safe":
 					want(t, a, "503 refused")
--- a/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -8,20 +8,20 @@
 	"testing"
 	"time"
 
-	"kitehub/choice"
-	"kitehub/daemon"
-	"kitehub/front/webhook"
-	"kitehub/gateway"
+	"kitehub/internal/daemon"
+	"kitehub/internal/gateway"
 	"kitehub/internal/goldenfile"
-	"kitehub/replay"
+	"kitehub/internal/ingress/webhook"
+	"kitehub/internal/replayguard"
+	"kitehub/scheduler"
 )
 
 // The state that goes over in a handover is written by one version of the program and read by another.
 func TestHandedOverStateIsAsBefore(t *testing.T) {
 	for name, state := range map[string]legacy{
 		"legacy.json": {
-			Front: webhook.State{Known: []replay.Remembered{{Key: replay.Key{Client: 1, ID: "msg_a"}, Last: 2, Digest: []byte{3}, Status: 200}}, Barrier: 4, Durable: 5, Highest: 6},
-			Spent: choice.BudgetHandover{Orders: []time.Duration{7}, Arrivals: []time.Duration{8, 9}},
+			Front: webhook.State{Known: []replayguard.Remembered{{Key: replayguard.Key{Client: 1, ID: "msg_a"}, Last: 2, Digest: []byte{3}, Status: 200}}, Barrier: 4, Durable: 5, Highest: 6},
+			Spent: scheduler.BudgetHandover{Orders: []time.Duration{7}, Arrivals: []time.Duration{8, 9}},
 			Open:  10,
 		},
 		"legacy_empty.json": {},
@@ -44,16 +44,16 @@
 
 // What a successor is told of an end: with its answer, without one that must stay or is too long, and refused.
 func TestToldEndsAreAsBefore(t *testing.T) {
-	key := replay.Key{Client: 1, ID: "msg_a"}
+	key := replayguard.Key{Client: 1, ID: "msg_a"}
 	long := make([]byte, daemon.PartSize)
 	for name, told := range map[string]struct {
-		answer replay.Answer
+		answer replayguard.Answer
 		end    ended
 	}{
-		"ended.json":         {replay.Answer{Status: 200, Type: "application/json", Body: []byte(`{"a":"<b>"}`)}, ended{Key: key, End: replay.Answer{Status: 200, Type: "application/json", Body: []byte(`{"a":"<b>"}`)}}},
-		"ended_refused.json": {replay.Answer{Refused: true, Status: 503}, ended{Key: key, End: replay.Answer{Refused: true, Status: 503}}},
-		"ended_version.json": {replay.Answer{Status: 200, Tag: gateway.VersionBinding{}, Body: []byte("x")}, ended{Key: key, End: replay.Answer{Status: 200}, Unkept: true}},
-		"ended_long.json":    {replay.Answer{Status: 200, Body: long}, ended{Key: key, End: replay.Answer{Status: 200}, Unkept: true}},
+		"ended.json":         {replayguard.Answer{Status: 200, Type: "application/json", Body: []byte(`{"a":"<b>"}`)}, ended{Key: key, End: replayguard.Answer{Status: 200, Type: "application/json", Body: []byte(`{"a":"<b>"}`)}}},
+		"ended_refused.json": {replayguard.Answer{Refused: true, Status: 503}, ended{Key: key, End: replayguard.Answer{Refused: true, Status: 503}}},
+		"ended_version.json": {replayguard.Answer{Status: 200, Tag: gateway.VersionBinding{}, Body: []byte("x")}, ended{Key: key, End: replayguard.Answer{Status: 200}, Unkept: true}},
+		"ended_long.json":    {replayguard.Answer{Status: 200, Body: long}, ended{Key: key, End: replayguard.Answer{Status: 200}, Unkept: true}},
 	} {
 		goldenfile.Compare(t, name, toSuccessor(key, told.answer))
 
--- a/controller/handover.go
+++ b/internal/controller/handover.go
@@ -11,11 +11,11 @@
 	"syscall"
 	"time"
 
-	"kitehub/choice"
-	"kitehub/daemon"
-	"kitehub/front/webhook"
-	"kitehub/replay"
-	"kitehub/store"
+	"kitehub/internal/daemon"
+	"kitehub/internal/ingress/webhook"
+	"kitehub/internal/replayguard"
+	"kitehub/internal/store"
+	"kitehub/scheduler"
 )
 
 // Each stage of a handover must be over in this time; until it is, calls wait.
@@ -23,28 +23,28 @@
 
 // legacy is the state that goes over.
 type legacy struct {
-	Front webhook.State         `json:"Front"`
-	Spent choice.BudgetHandover `json:"Spent"`
-	Open  int                   `json:"Open"` // calls in hand
+	Front webhook.State            `json:"Front"`
+	Spent scheduler.BudgetHandover `json:"Spent"`
+	Open  int                      `json:"Open"` // calls in hand
 }
 
 // ended is how a call in hand of the old process ended.
 type ended struct {
-	Key    replay.Key    `json:"Key"`
-	End    replay.Answer `json:"End"`
-	Unkept bool          `json:"Unkept"` // its answer is not given again
+	Key    replayguard.Key    `json:"Key"`
+	End    replayguard.Answer `json:"End"`
+	Unkept bool               `json:"Unkept"` // its answer is not given again
 }
 
 // toSuccessor is what the other process is told of an end. An answer of a model's version does not go over: it must be asked for at the
 // door each time, and the other could not; nor does one that fits no packet.
-func toSuccessor(k replay.Key, a replay.Answer) []byte {
+func toSuccessor(k replayguard.Key, a replayguard.Answer) []byte {
 	e := ended{Key: k, End: a}
 	if a.Tag == nil {
 		if text, err := json.Marshal(e); err == nil && len(text) <= daemon.PartSize {
 			return text
 		}
 	}
-	e.End, e.Unkept = replay.Answer{Refused: a.Refused, Status: a.Status}, !a.Refused
+	e.End, e.Unkept = replayguard.Answer{Refused: a.Refused, Status: a.Status}, !a.Refused
 	text, _ := json.Marshal(e) // strings and numbers cannot fail
 	return text
 }
@@ -139,7 +139,7 @@
 // halt has everything new wait, and sends what the other must know. What is in hand goes on.
 func (c *Controller) halt(l *daemon.Link, told chan ended) error {
 	c.log.Info().Int("open", c.Gateway.Open()).Msg("handover: halted")
-	s := legacy{Front: c.Front.Pause(func(k replay.Key, a replay.Answer) {
+	s := legacy{Front: c.Front.Pause(func(k replayguard.Key, a replayguard.Answer) {
 		told <- ended{Key: k, End: a}
 	}), Open: c.Gateway.Open()}
 	if c.RPC != nil {
@@ -377,7 +377,7 @@
 func (s *Succession) follow(c *Controller) {
 	defer close(c.following)
 	defer s.s.l.Close()
-	running := map[replay.Key]bool{}
+	running := map[replayguard.Key]bool{}
 	for _, r := range s.s.state.Front.Known {
 		if r.Running {
 			running[r.Key] = true
@@ -419,7 +419,7 @@
 		}
 	}
 	if len(running) > 0 { // the old process is gone, and with it these
-		var l []replay.Key
+		var l []replayguard.Key
 		for k := range running {
 			l = append(l, k)
 		}
--- a/controller/handover_test.go
+++ b/internal/controller/handover_test.go
@@ -21,16 +21,16 @@
 
 	"github.com/rs/zerolog"
 
-	"kitehub/daemon"
-	"kitehub/front/webhook"
-	"kitehub/internal/trace"
-	"kitehub/replay"
-	"kitehub/standin"
+	"kitehub/internal/daemon"
+	"kitehub/internal/harness/fakeworker"
+	"kitehub/internal/harness/trace"
+	"kitehub/internal/ingress/webhook"
+	"kitehub/internal/replayguard"
 )
 
 // handing is a rig whose controller can be taken over.
 func handing(t *testing.T, work time.Duration) (*rig, []string, string) {
-	r := newRig(t, 3, func(c *standin.Config) {
+	r := newRig(t, 3, func(c *fakeworker.Config) {
 		for i := range c.Functions {
 			c.Functions[i].Work = work
 		}
@@ -274,8 +274,8 @@
 			t.Fatal(err)
 		}
 		m := sign(t, common, "c", "known", "unsafe-1", `{}`, time.Now().Add(-3*time.Second))
-		state := legacy{Front: webhook.State{Highest: time.Now().Unix(), Durable: time.Now().Unix() + 10, Known: []replay.Remembered{
-			{Key: replay.Key{ID: "known"}, Last: time.Now().Unix() - 3, Running: true, Digest: bodyDigest("unsafe-1", m)}}}}
+		state := legacy{Front: webhook.State{Highest: time.Now().Unix(), Durable: time.Now().Unix() + 10, Known: []replayguard.Remembered{
+			{Key: replayguard.Key{ID: "known"}, Last: time.Now().Unix() - 3, Running: true, Digest: bodyDigest("unsafe-1", m)}}}}
 		text, _ := json.Marshal(state)
 		go func() {
 			uc, err := links.AcceptUnix()
@@ -414,16 +414,16 @@
 
 // An answer of a model's version never goes over: the successor could not ask whether its alias has left it.
 func TestVersionedAnswerStays(t *testing.T) {
-	k := replay.Key{ID: "x"}
+	k := replayguard.Key{ID: "x"}
 	for _, c := range []struct {
-		a      replay.Answer
+		a      replayguard.Answer
 		unkept bool
 		body   string
 	}{
-		{replay.Answer{Status: 200, Body: []byte("v1")}, false, "v1"},
-		{replay.Answer{Status: 200, Body: []byte("v1"), Tag: 1}, true, ""},
-		{replay.Answer{Status: 200, Body: make([]byte, daemon.PartSize)}, true, ""},
-		{replay.Answer{Status: 503, Refused: true, Body: []byte("no"), Tag: 1}, false, ""},
+		{replayguard.Answer{Status: 200, Body: []byte("v1")}, false, "v1"},
+		{replayguard.Answer{Status: 200, Body: []byte("v1"), Tag: 1}, true, ""},
+		{replayguard.Answer{Status: 200, Body: make([]byte, daemon.PartSize)}, true, ""},
+		{replayguard.Answer{Status: 503, Refused: true, Body: []byte("no"), Tag: 1}, false, ""},
 	} {
 		var e ended
 		if err := json.Unmarshal(toSuccessor(k, c.a), &e); err != nil || e.Unkept != c.unkept || string(e.End.Body) != c.body || e.End.Refused != c.a.Refused {
@@ -431,10 +431,10 @@
 		}
 	}
 	now := time.Now()
-	g := replay.NewGuard(replay.Settings{Past: time.Minute, Future: time.Second, Ahead: time.Second, Entries: 9, Bytes: 99}, now, time.Time{})
-	g.Import([]replay.Remembered{{Key: k, Last: now.Unix() - 2, Running: true, Digest: make([]byte, 32)}}, 0, now.Unix()+5, 0)
+	g := replayguard.NewGuard(replayguard.Settings{Past: time.Minute, Future: time.Second, Ahead: time.Second, Entries: 9, Bytes: 99}, now, time.Time{})
+	g.Import([]replayguard.Remembered{{Key: k, Last: now.Unix() - 2, Running: true, Digest: make([]byte, 32)}}, 0, now.Unix()+5, 0)
 	g.Unkept(k)
-	if v, _, _ := g.Take(now, replay.Message{Key: k, Stamp: now.Add(-time.Second)}); v != replay.Lost {
+	if v, _, _ := g.Take(now, replayguard.Message{Key: k, Stamp: now.Add(-time.Second)}); v != replayguard.Lost {
 		t.Errorf("verdict %v: lost is wanted, neither run again nor given", v)
 	}
 }
--- a/controller/models.go
+++ b/internal/controller/models.go
@@ -6,12 +6,12 @@
 	"sync/atomic"
 	"time"
 
-	"kitehub/gateway"
-	"kitehub/hook"
 	"kitehub/internal/clock"
-	"kitehub/registry"
-	"kitehub/registry/agent"
-	"kitehub/registry/wire"
+	"kitehub/internal/gateway"
+	"kitehub/internal/hooklang"
+	"kitehub/internal/registry"
+	"kitehub/internal/registry/agent"
+	"kitehub/internal/registry/wire"
 )
 
 // models joins the registry's agent with the gateway's functions: what the front and the gateway ask of versions.
@@ -38,7 +38,7 @@
 	}
 	m.mu.Unlock()
 	if known && t.Revision > old {
-		m.tap.Post("moved", hook.Move{Model: n.Model, Alias: n.Alias, Version: t.Version, Revision: int64(t.Revision)})
+		m.tap.Post("moved", hooklang.Move{Model: n.Model, Alias: n.Alias, Version: t.Version, Revision: int64(t.Revision)})
 	}
 }
 
--- a/controller/operate.go
+++ b/internal/controller/operate.go
@@ -9,26 +9,26 @@
 	"sync/atomic"
 	"time"
 
-	"kitehub/advice"
 	"kitehub/config"
-	"kitehub/front/jsonrpc"
-	"kitehub/gateway"
-	"kitehub/hook"
-	"kitehub/hooks"
-	"kitehub/store"
+	"kitehub/internal/gateway"
+	"kitehub/internal/hookadvice"
+	"kitehub/internal/hookengine"
+	"kitehub/internal/hooklang"
+	"kitehub/internal/ingress/jsonrpc"
+	"kitehub/internal/store"
 )
 
 // tap stands between the gateway, the hooks and those who watch: all see the same events.
 type tap struct {
-	engine atomic.Pointer[hooks.Engine]
+	engine atomic.Pointer[hookengine.Engine]
 	rpc    atomic.Pointer[jsonrpc.Server]
 }
 
-func (t *tap) Arrive(c hook.Call) advice.Verdict {
+func (t *tap) Arrive(c hooklang.Call) hookadvice.Verdict {
 	if e := t.engine.Load(); e != nil {
 		return e.Arrive(c)
 	}
-	return advice.Verdict{}
+	return hookadvice.Verdict{}
 }
 
 func (t *tap) CallEnded(tenant string) {
@@ -37,7 +37,7 @@
 	}
 }
 
-func (t *tap) Post(point string, ev hook.Event) {
+func (t *tap) Post(point string, ev hooklang.Event) {
 	if e := t.engine.Load(); e != nil {
 		e.Post(point, ev)
 	}
@@ -46,7 +46,7 @@
 	}
 }
 
-func (t *tap) Workers(l []advice.Worker) {
+func (t *tap) Workers(l []hookadvice.Worker) {
 	if e := t.engine.Load(); e != nil {
 		e.Workers(l)
 	}
@@ -98,10 +98,10 @@
 	hc := *c.b.Hooks
 	hc.Facts, hc.Sink, hc.Clock, hc.Log, hc.FS, hc.Open = f, sink{c}, o.Clock, o.Log, store.Dir(dir), c.Gateway.Open
 	if len(c.b.Targets) > 0 {
-		c.notifier = hooks.NewNotifier(c.b.Name, c.b.Targets, o.Clock, o.Log)
+		c.notifier = hookengine.NewNotifier(c.b.Name, c.b.Targets, o.Clock, o.Log)
 		hc.Notify = c.notifier.Notify
 	}
-	e, err := hooks.Start(hc)
+	e, err := hookengine.Start(hc)
 	if err != nil {
 		return err
 	}
@@ -119,7 +119,7 @@
 	for _, s := range b.Scripts {
 		text, err := os.ReadFile(s.File)
 		if err == nil {
-			var warnings hook.Problems
+			var warnings hooklang.Problems
 			_, warnings, err = c.hooks.Load().Load(s.Name, string(text), s.File, s.Shadow)
 			for _, w := range warnings {
 				c.log.Warn().Str("script", s.Name).Msg(w.Error())
@@ -277,7 +277,7 @@
 	default:
 		return nil, jsonrpc.ErrMethod
 	}
-	if errors.Is(err, hooks.ErrUnknown) {
+	if errors.Is(err, hookengine.ErrUnknown) {
 		err = fmt.Errorf("%w: %s", jsonrpc.ErrUnknown, p.Name)
 	}
 	return "ok", err
@@ -293,7 +293,7 @@
 }
 
 // Hooks returns the engine that runs scripts, or nil.
-func (c *Controller) Hooks() *hooks.Engine { return c.hooks.Load() }
+func (c *Controller) Hooks() *hookengine.Engine { return c.hooks.Load() }
 
 // LoadHook takes a script.
 func (c *Controller) LoadHook(name, text string) error {
--- a/controller/peers.go
+++ b/internal/controller/peers.go
@@ -5,9 +5,9 @@
 	"fmt"
 	"net"
 
-	"kitehub/choice"
 	"kitehub/config"
-	"kitehub/gateway"
+	"kitehub/internal/gateway"
+	"kitehub/scheduler"
 )
 
 // Peers carries the module's words between controllers as datagrams of up to 256 bytes, behind the sender's number where
@@ -60,7 +60,7 @@
 	}
 	b = append(b, payload...)
 	for n, a := range p.to {
-		if n == to || to == choice.Everyone && n != p.me {
+		if n == to || to == scheduler.Everyone && n != p.me {
 			p.conn.WriteToUDP(b, a)
 		}
 	}
--- a/controller/peers_test.go
+++ b/internal/controller/peers_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"kitehub/choice"
+	"kitehub/scheduler"
 )
 
 // Words go as they are where the address alone tells who sends, behind the sender's number elsewhere; one that is too long
@@ -23,7 +23,7 @@
 		}
 		defer p.Close()
 		p.Send(0, make([]byte, mostWord+1))
-		p.Send(choice.Everyone, []byte("word"))
+		p.Send(scheduler.Everyone, []byte("word"))
 		want := "word"
 		if numbered {
 			want = "\x00\x00\x00\x02word"
--- a/controller/rpc_test.go
+++ b/internal/controller/rpc_test.go
@@ -12,9 +12,9 @@
 	"testing"
 	"time"
 
-	"kitehub/fleet"
-	"kitehub/front/jsonrpc"
-	"kitehub/standin"
+	"kitehub/internal/harness/fakeworker"
+	"kitehub/internal/harness/workersim"
+	"kitehub/internal/ingress/jsonrpc"
 )
 
 // withRPC adds the second front, for the user of the test.
@@ -132,7 +132,7 @@
 
 // What is in hand is given up when its client cancels or leaves; a keyed call goes on while another try waits for it.
 func TestRPCCancel(t *testing.T) {
-	r := newRig(t, 1, func(c *standin.Config) {
+	r := newRig(t, 1, func(c *fakeworker.Config) {
 		for i := range c.Functions {
 			c.Functions[i].Work = 400 * ms
 		}
@@ -236,7 +236,7 @@
 
 // A script comes by the second front, keeps copies warm before the first call, and what it refuses is refused with its reason.
 func TestHooksInController(t *testing.T) {
-	r := newRig(t, 3, func(c *standin.Config) {
+	r := newRig(t, 3, func(c *fakeworker.Config) {
 		for i := range c.Functions {
 			c.Functions[i].Function.Fetch = 50 * ms
 		}
@@ -251,7 +251,7 @@
 		t.Fatal(err)
 	}
 	copies := func() (n int) {
-		r.host.Do(func(f *fleet.Fleet) {
+		r.host.Do(func(f *workersim.Fleet) {
 			for w := range r.host.Names() {
 				n += f.Copies(w, "safe-1")
 			}
--- a/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -11,15 +11,15 @@
 
 	"github.com/rs/zerolog"
 
+	"kitehub/internal/harness/fakeworker"
+	"kitehub/internal/harness/trace"
 	"kitehub/internal/http1"
-	"kitehub/internal/trace"
-	"kitehub/registry"
-	"kitehub/registry/client"
-	"kitehub/registry/service"
-	"kitehub/registry/wire"
-	"kitehub/signing"
-	"kitehub/standin"
-	"kitehub/store"
+	"kitehub/internal/registry"
+	"kitehub/internal/registry/client"
+	"kitehub/internal/registry/service"
+	"kitehub/internal/registry/wire"
+	"kitehub/internal/signing"
+	"kitehub/internal/store"
 )
 
 const operatorSecret = "whsec_b3BlcmF0b3Itb3BlcmF0b3Itb3BlcmF0b3I="
@@ -44,7 +44,7 @@
 func newDesk(t *testing.T, settle time.Duration) *desk {
 	t.Helper()
 	d := &desk{hold: map[string]chan struct{}{}}
-	d.rig = newRig(t, 3, func(c *standin.Config) {
+	d.rig = newRig(t, 3, func(c *fakeworker.Config) {
 		for i := range c.Functions {
 			c.Functions[i].Versions = true
 		}
--- a/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -13,12 +13,12 @@
 
 	"github.com/rs/zerolog"
 
-	"kitehub/choice"
-	"kitehub/gateway"
+	"kitehub/internal/gateway"
 	"kitehub/internal/http1"
+	"kitehub/scheduler"
 )
 
-func worker(name, addr string, state choice.WorkerState) gateway.Worker {
+func worker(name, addr string, state scheduler.WorkerState) gateway.Worker {
 	return gateway.Worker{Name: name, Network: "tcp", Addr: addr, Zone: "a", Group: "g", Kind: "std", State: state, Size: 2,
 		Started: time.Unix(1700000000, 5e8).UTC()}
 }
@@ -33,8 +33,8 @@
 }
 
 func TestRoundTrip(t *testing.T) {
-	in := []gateway.Worker{worker("a", "127.0.0.1:1", choice.Ready), worker("b", "[::1]:2", choice.Draining),
-		{Name: "u", Network: "unix", Addr: "/run/u", State: choice.Ready, Size: 1}}
+	in := []gateway.Worker{worker("a", "127.0.0.1:1", scheduler.Ready), worker("b", "[::1]:2", scheduler.Draining),
+		{Name: "u", Network: "unix", Addr: "/run/u", State: scheduler.Ready, Size: 1}}
 	out, err := ParseAssignment([]byte(list(t, in...)), "c")
 	if err != nil {
 		t.Fatal(err)
@@ -45,7 +45,7 @@
 }
 
 func TestParseAssignmentRefuses(t *testing.T) {
-	good := list(t, worker("a", "127.0.0.1:1", choice.Ready), worker("b", "127.0.0.1:2", choice.Ready))
+	good := list(t, worker("a", "127.0.0.1:1", scheduler.Ready), worker("b", "127.0.0.1:2", scheduler.Ready))
 	if _, err := ParseAssignment([]byte(good), "c"); err != nil {
 		t.Fatal(err)
 	}
@@ -83,7 +83,7 @@
 // TestState reads as a script: an update a line, and the list that holds afterwards.
 func TestState(t *testing.T) {
 	s := State{Cluster: "c"}
-	w := func(name string, port int, st choice.WorkerState) gateway.Worker {
+	w := func(name string, port int, st scheduler.WorkerState) gateway.Worker {
 		return worker(name, fmt.Sprintf("127.0.0.1:%d", port), st)
 	}
 	whole := func(version string, l ...gateway.Worker) Update {
@@ -96,12 +96,12 @@
 		}
 		return Update{SystemVersionInfo: version, TypeURL: TypeEndpoint, Resources: changed, RemovedResources: removed}
 	}
-	a, b, c := w("a", 1, choice.Ready), w("b", 2, choice.Ready), w("c", 3, choice.Ready)
-	drained := w("a", 1, choice.Draining)
+	a, b, c := w("a", 1, scheduler.Ready), w("b", 2, scheduler.Ready), w("c", 3, scheduler.Ready)
+	drained := w("a", 1, scheduler.Draining)
 	l := func(l ...gateway.Worker) []gateway.Worker { return l }
 	torn := whole("9", a)
 	torn.Resources[0] = torn.Resources[0][:40]
-	twice := delta("9", nil, l(w("x", 2, choice.Ready)))
+	twice := delta("9", nil, l(w("x", 2, scheduler.Ready)))
 	both := delta("9", nil, l(b))
 	both.RemovedResources = []string{"b"}
 	steps := []struct {
@@ -173,7 +173,7 @@
 	fail error
 }
 
-func (s *sink) Workers(kind choice.ListKind, _ uint32, l []gateway.Worker) error {
+func (s *sink) Workers(kind scheduler.ListKind, _ uint32, l []gateway.Worker) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.fail != nil {
@@ -244,7 +244,7 @@
 			t.Fatal(err)
 		}
 	}
-	a, b := worker("a", "127.0.0.1:1", choice.Ready), worker("b", "127.0.0.1:2", choice.Ready)
+	a, b := worker("a", "127.0.0.1:1", scheduler.Ready), worker("b", "127.0.0.1:2", scheduler.Ready)
 	s, log := &sink{told: make(chan string, 10)}, &lockedBuffer{ch: make(chan struct{}, 1)}
 	cfg := Config{Node: "n", Cluster: "c", File: file, Cache: cache, Poll: time.Millisecond, Sink: s, Log: zerolog.New(log)}
 	w := Start(cfg)
@@ -278,7 +278,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, b := worker("a", "127.0.0.1:1", choice.Ready), worker("b", "127.0.0.1:2", choice.Ready)
+	a, b := worker("a", "127.0.0.1:1", scheduler.Ready), worker("b", "127.0.0.1:2", scheduler.Ready)
 	asked := make(chan Request, 100)
 	answer := make(chan func(c *http1.Conn) *http1.Response, 100)
 	srv := &http1.Server{Handler: http1.HandlerFunc(func(c *http1.Conn, r *http1.Request) *http1.Response {
--- a/discovery/dns/dns_test.go
+++ b/internal/discovery/dns/dns_test.go
@@ -17,16 +17,16 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/net/dns/dnsmessage"
 
-	"kitehub/choice"
-	"kitehub/gateway"
-	"kitehub/standin/platform"
+	"kitehub/internal/gateway"
+	"kitehub/internal/harness/fakeplatform"
+	"kitehub/scheduler"
 )
 
-const service = platform.Service
+const service = fakeplatform.Service
 
 func name(s string) dnsmessage.Name { return dnsmessage.MustNewName(s + ".") }
 
-func answer(t testing.TB, l platform.List, id uint16) []byte {
+func answer(t testing.TB, l fakeplatform.List, id uint16) []byte {
 	t.Helper()
 	b, err := l.Pack(id)
 	if err != nil {
@@ -39,24 +39,24 @@
 	two := []string{"s-2", "s-1"}
 	tests := []struct {
 		name string
-		d    platform.List
+		d    fakeplatform.List
 		id   uint16
 		err  string
 	}{
-		{"good", platform.List{Serial: 41, Workers: two}, 7, ""},
-		{"empty", platform.List{Serial: 41}, 7, ""},
-		{"draining", platform.List{Serial: 41, Workers: two, Prio: 1}, 7, ""},
-		{"another id", platform.List{Serial: 41, Workers: two}, 8, "not the answer"},
-		{"a question come back", platform.List{Serial: 41, Workers: two, NotAnswer: true}, 7, "not the answer"},
-		{"another question", platform.List{Serial: 41, Workers: two, Question: "_web._tcp.cluster.lan"}, 7, "not the answer"},
-		{"a failure", platform.List{Serial: 41, Workers: two, RCode: dnsmessage.RCodeServerFailure}, 7, "failure"},
-		{"truncated", platform.List{Serial: 41, Workers: two, Cut: true}, 7, "truncated"},
-		{"no number", platform.List{Workers: two, NoSOA: true}, 7, "no number"},
-		{"an address missing", platform.List{Serial: 41, Workers: two, NoA: true}, 7, "missing"},
-		{"facts missing", platform.List{Serial: 41, Workers: two, NoTXT: true}, 7, "missing"},
-		{"every record twice", platform.List{Serial: 41, Workers: two, Twice: true}, 7, ""},
-		{"an unknown priority", platform.List{Serial: 41, Workers: two, Prio: 2}, 7, "priority"},
-		{"a start that is no time", platform.List{Serial: 41, Workers: two, Started: "soon"}, 7, "no time"},
+		{"good", fakeplatform.List{Serial: 41, Workers: two}, 7, ""},
+		{"empty", fakeplatform.List{Serial: 41}, 7, ""},
+		{"draining", fakeplatform.List{Serial: 41, Workers: two, Prio: 1}, 7, ""},
+		{"another id", fakeplatform.List{Serial: 41, Workers: two}, 8, "not the answer"},
+		{"a question come back", fakeplatform.List{Serial: 41, Workers: two, NotAnswer: true}, 7, "not the answer"},
+		{"another question", fakeplatform.List{Serial: 41, Workers: two, Question: "_web._tcp.cluster.lan"}, 7, "not the answer"},
+		{"a failure", fakeplatform.List{Serial: 41, Workers: two, RCode: dnsmessage.RCodeServerFailure}, 7, "failure"},
+		{"truncated", fakeplatform.List{Serial: 41, Workers: two, Cut: true}, 7, "truncated"},
+		{"no number", fakeplatform.List{Workers: two, NoSOA: true}, 7, "no number"},
+		{"an address missing", fakeplatform.List{Serial: 41, Workers: two, NoA: true}, 7, "missing"},
+		{"facts missing", fakeplatform.List{Serial: 41, Workers: two, NoTXT: true}, 7, "missing"},
+		{"every record twice", fakeplatform.List{Serial: 41, Workers: two, Twice: true}, 7, ""},
+		{"an unknown priority", fakeplatform.List{Serial: 41, Workers: two, Prio: 2}, 7, "priority"},
+		{"a start that is no time", fakeplatform.List{Serial: 41, Workers: two, Started: "soon"}, 7, "no time"},
 	}
 	for _, tt := range tests {
 		b := answer(t, tt.d, 7)
@@ -74,8 +74,8 @@
 			}
 		}
 	}
-	_, l, _ := Parse(answer(t, platform.List{Serial: 41, Workers: two, Started: "1500"}, 7), 7, name(service))
-	want := gateway.Worker{Name: "s-1", Network: "tcp", Addr: "10.1.0.10:7001", Zone: "east", Group: "2", Kind: "std", State: choice.Ready, Size: 4, Started: time.UnixMilli(1500)}
+	_, l, _ := Parse(answer(t, fakeplatform.List{Serial: 41, Workers: two, Started: "1500"}, 7), 7, name(service))
+	want := gateway.Worker{Name: "s-1", Network: "tcp", Addr: "10.1.0.10:7001", Zone: "east", Group: "2", Kind: "std", State: scheduler.Ready, Size: 4, Started: time.UnixMilli(1500)}
 	if len(l) != 2 || l[0] != want {
 		t.Errorf("%+v, want %+v", l, want)
 	}
@@ -86,18 +86,18 @@
 	tests := []struct {
 		name   string
 		change func(*dnsmessage.SRVResource) // of the second record
-		want   choice.WorkerState
+		want   scheduler.WorkerState
 		err    string
 	}{
-		{"the same", func(*dnsmessage.SRVResource) {}, choice.Ready, ""},
-		{"ready and draining", func(r *dnsmessage.SRVResource) { r.Priority = 1 }, choice.Draining, ""},
+		{"the same", func(*dnsmessage.SRVResource) {}, scheduler.Ready, ""},
+		{"ready and draining", func(r *dnsmessage.SRVResource) { r.Priority = 1 }, scheduler.Draining, ""},
 		{"at two ports", func(r *dnsmessage.SRVResource) { r.Port++ }, 0, "listed twice"},
 		{"of two sizes", func(r *dnsmessage.SRVResource) { r.Weight = 80 }, 0, "listed twice"},
 	}
 	for _, tt := range tests {
 		for _, second := range []int{0, 1} { // in either order
 			var m dnsmessage.Message
-			if err := m.Unpack(answer(t, platform.List{Serial: 41, Workers: []string{"s-1"}, Twice: true}, 7)); err != nil {
+			if err := m.Unpack(answer(t, fakeplatform.List{Serial: 41, Workers: []string{"s-1"}, Twice: true}, 7)); err != nil {
 				t.Fatal(err)
 			}
 			tt.change(m.Answers[second].Body.(*dnsmessage.SRVResource))
@@ -132,7 +132,7 @@
 // sink hands lists to the test.
 type sink struct{ news chan string }
 
-func (s sink) Workers(_ choice.ListKind, version uint32, l []gateway.Worker) error {
+func (s sink) Workers(_ scheduler.ListKind, version uint32, l []gateway.Worker) error {
 	text := fmt.Sprint(version)
 	for _, w := range l {
 		text += " " + w.Name
@@ -143,7 +143,7 @@
 
 func server(t *testing.T, script func(n int, id uint16) [][]byte) string {
 	t.Helper()
-	c, err := platform.Direct(script)
+	c, err := fakeplatform.Direct(script)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -162,21 +162,21 @@
 		case 0:
 			return nil
 		case 1:
-			return [][]byte{answer(t, platform.List{Serial: 9, Workers: []string{"evil"}}, id+1)}
+			return [][]byte{answer(t, fakeplatform.List{Serial: 9, Workers: []string{"evil"}}, id+1)}
 		case 2:
-			return [][]byte{answer(t, platform.List{Serial: 9, RCode: dnsmessage.RCodeServerFailure}, id)}
+			return [][]byte{answer(t, fakeplatform.List{Serial: 9, RCode: dnsmessage.RCodeServerFailure}, id)}
 		case 3:
-			return [][]byte{answer(t, platform.List{Serial: 9, Workers: []string{"a"}}, id)[:30]}
+			return [][]byte{answer(t, fakeplatform.List{Serial: 9, Workers: []string{"a"}}, id)[:30]}
 		case 4:
-			return [][]byte{answer(t, platform.List{Serial: 2, Workers: []string{"old"}}, id)}
+			return [][]byte{answer(t, fakeplatform.List{Serial: 2, Workers: []string{"old"}}, id)}
 		case 5: // noise first, then the answer, then it once more
-			good := answer(t, platform.List{Serial: 4, Workers: []string{"a", "b"}}, id)
+			good := answer(t, fakeplatform.List{Serial: 4, Workers: []string{"a", "b"}}, id)
 			return [][]byte{[]byte("noise"), good, good}
 		}
-		return [][]byte{answer(t, platform.List{Serial: 4, Workers: []string{"a", "b"}}, id)}
+		return [][]byte{answer(t, fakeplatform.List{Serial: 4, Workers: []string{"a", "b"}}, id)}
 	})
 	second := server(t, func(_ int, id uint16) [][]byte {
-		return [][]byte{answer(t, platform.List{Serial: 5, Workers: []string{"b"}}, id)}
+		return [][]byte{answer(t, fakeplatform.List{Serial: 5, Workers: []string{"b"}}, id)}
 	})
 	s := sink{make(chan string, 10)}
 	w, err := Start(Config{Service: service, Server: first, Serial: 3, Period: 20 * time.Millisecond, Sink: s, Log: zerolog.Nop()})
@@ -244,7 +244,7 @@
 		}
 		close(asked)
 		<-named
-		return [][]byte{answer(t, platform.List{Serial: 4, Workers: []string{"a"}}, id)}
+		return [][]byte{answer(t, fakeplatform.List{Serial: 4, Workers: []string{"a"}}, id)}
 	})
 	w, s := watch(t, server(t, func(int, uint16) [][]byte { return nil }))
 	w.mustSetServer(t, addr)
@@ -266,13 +266,13 @@
 	go func() {
 		_, from, _ := first.ReadFrom(make([]byte, 512))
 		close(asked)
-		first.WriteTo(answer(t, platform.List{Serial: 9, Workers: []string{"old"}}, <-ids), from)
+		first.WriteTo(answer(t, fakeplatform.List{Serial: 9, Workers: []string{"old"}}, <-ids), from)
 		close(written)
 	}()
 	second := server(t, func(_ int, id uint16) [][]byte {
 		ids <- id
 		<-written // it lies before ours in the socket
-		return [][]byte{answer(t, platform.List{Serial: 5, Workers: []string{"b"}}, id)}
+		return [][]byte{answer(t, fakeplatform.List{Serial: 5, Workers: []string{"b"}}, id)}
 	})
 	w, s := watch(t, server(t, func(int, uint16) [][]byte { return nil }))
 	w.mustSetServer(t, first.LocalAddr().String())
@@ -284,7 +284,7 @@
 // TestNoDescriptorNeeded: another server is asked though no descriptor is left, as where idle clients hold them all.
 func TestNoDescriptorNeeded(t *testing.T) {
 	addr := server(t, func(_ int, id uint16) [][]byte {
-		return [][]byte{answer(t, platform.List{Serial: 4, Workers: []string{"a"}}, id)}
+		return [][]byte{answer(t, fakeplatform.List{Serial: 4, Workers: []string{"a"}}, id)}
 	})
 	w, s := watch(t, addr)
 	w.mustSetServer(t, "127.0.0.1:1") // nobody is there, and the kernel says so at once to a socket that is connected
@@ -330,7 +330,7 @@
 				lost = from.String()
 			}
 			if from.String() != lost {
-				c.WriteTo(answer(t, platform.List{Serial: 4, Workers: []string{"a"}}, binary.BigEndian.Uint16(buf[:n])), from)
+				c.WriteTo(answer(t, fakeplatform.List{Serial: 4, Workers: []string{"a"}}, binary.BigEndian.Uint16(buf[:n])), from)
 			}
 		}
 	}()
@@ -369,7 +369,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add(answer(f, platform.List{Serial: 41, Workers: []string{"a", "b"}}, 7))
+	f.Add(answer(f, fakeplatform.List{Serial: 41, Workers: []string{"a", "b"}}, 7))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		_, l, err := Parse(in, 7, name(service))
 		if err == nil {
--- a/discovery/dns/state.go
+++ b/internal/discovery/dns/state.go
@@ -18,8 +18,8 @@
 
 	"golang.org/x/net/dns/dnsmessage"
 
-	"kitehub/choice"
-	"kitehub/gateway"
+	"kitehub/internal/gateway"
+	"kitehub/scheduler"
 )
 
 // MostBytes is the longest answer of the platform's directory.
@@ -171,16 +171,16 @@
 			Group: h.cell, Kind: h.kind, Size: float64(srv.Weight) / weightOfSize, Started: h.started}
 		switch srv.Priority {
 		case priorityReady:
-			w.State = choice.Ready
+			w.State = scheduler.Ready
 		case priorityDraining:
-			w.State = choice.Draining
+			w.State = scheduler.Draining
 		default:
 			return nil, fmt.Errorf("%s: priority %d", name, srv.Priority)
 		}
 		// A record that comes twice says nothing new (RFC 2181, 5). A worker that is listed as ready and as draining drains:
 		// to refuse the whole list for it would keep sending there.
 		if i, twice := seen[labels[0]]; twice {
-			if w.State != choice.Draining {
+			if w.State != scheduler.Draining {
 				w.State = l[i].State
 			}
 			if l[i].State = w.State; l[i] != w {
--- a/discovery/dns/watch.go
+++ b/internal/discovery/dns/watch.go
@@ -12,13 +12,13 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/net/dns/dnsmessage"
 
-	"kitehub/choice"
-	"kitehub/gateway"
+	"kitehub/internal/gateway"
+	"kitehub/scheduler"
 )
 
 // A Sink takes news of the list. gateway.Gateway is one.
 type Sink interface {
-	Workers(kind choice.ListKind, version uint32, l []gateway.Worker) error
+	Workers(kind scheduler.ListKind, version uint32, l []gateway.Worker) error
 }
 
 // Config sets up a Watcher.
@@ -213,7 +213,7 @@
 			return serial == state.Serial
 		}
 		w.Counts.Changed.Add(1)
-		if err := w.cfg.Sink.Workers(choice.FullList, serial, l); err != nil {
+		if err := w.cfg.Sink.Workers(scheduler.FullList, serial, l); err != nil {
 			w.cfg.Log.Error().Err(err).Uint32("serial", serial).Msg("list not taken")
 		}
 		return true
--- a/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -8,17 +8,17 @@
 	"testing"
 	"time"
 
-	"kitehub/choice"
-	"kitehub/gateway"
+	"kitehub/internal/gateway"
 	"kitehub/internal/goldenfile"
+	"kitehub/scheduler"
 )
 
 // listed has workers of each kind that a list can tell of.
 var listed = []gateway.Worker{
-	worker("a", "127.0.0.1:1", choice.Ready),
-	worker("b", "[::1]:2", choice.Draining),
-	{Name: "bare", Network: "tcp", Addr: "127.0.0.1:3", State: choice.Ready},
-	{Name: "u", Network: "unix", Addr: "/run/u", Zone: "b", State: choice.Ready, Size: 1, Started: time.Unix(1700000001, 0).UTC()},
+	worker("a", "127.0.0.1:1", scheduler.Ready),
+	worker("b", "[::1]:2", scheduler.Draining),
+	{Name: "bare", Network: "tcp", Addr: "127.0.0.1:3", State: scheduler.Ready},
+	{Name: "u", Network: "unix", Addr: "/run/u", Zone: "b", State: scheduler.Ready, Size: 1, Started: time.Unix(1700000001, 0).UTC()},
 }
 
 // The list is kept in a file for the next start of the process.
@@ -43,7 +43,7 @@
 		for _, w := range told.workers {
 			byName[w.Name] = w
 		}
-		if told.kind != choice.CachedList || !reflect.DeepEqual(byName, known) {
+		if told.kind != scheduler.CachedList || !reflect.DeepEqual(byName, known) {
 			t.Errorf("%s: read %v as kind %v, want %v", name, byName, told.kind, known)
 		}
 	}
@@ -51,11 +51,11 @@
 
 // toldSink keeps the last list that it was told.
 type toldSink struct {
-	kind    choice.ListKind
+	kind    scheduler.ListKind
 	workers []gateway.Worker
 }
 
-func (s *toldSink) Workers(kind choice.ListKind, _ uint32, workers []gateway.Worker) error {
+func (s *toldSink) Workers(kind scheduler.ListKind, _ uint32, workers []gateway.Worker) error {
 	s.kind, s.workers = kind, workers
 	return nil
 }
--- a/discovery/list.go
+++ b/internal/discovery/list.go
@@ -15,8 +15,8 @@
 	"strings"
 	"time"
 
-	"kitehub/choice"
-	"kitehub/gateway"
+	"kitehub/internal/gateway"
+	"kitehub/scheduler"
 )
 
 // Type URLs of the resources understood.
@@ -90,8 +90,8 @@
 
 // health maps envoy.config.core.v3.HealthStatus. UNHEALTHY and TIMEOUT are worker checks of others: the module
 // has its own, so these workers stay listed.
-var health = map[string]choice.WorkerState{"": choice.Ready, "UNKNOWN": choice.Ready, "HEALTHY": choice.Ready,
-	"DEGRADED": choice.Ready, "UNHEALTHY": choice.Ready, "TIMEOUT": choice.Ready, "DRAINING": choice.Draining}
+var health = map[string]scheduler.WorkerState{"": scheduler.Ready, "UNKNOWN": scheduler.Ready, "HEALTHY": scheduler.Ready,
+	"DEGRADED": scheduler.Ready, "UNHEALTHY": scheduler.Ready, "TIMEOUT": scheduler.Ready, "DRAINING": scheduler.Draining}
 
 // ParseAssignment reads a whole list. Errors name the field at fault.
 func ParseAssignment(text []byte, cluster string) ([]gateway.Worker, error) {
@@ -139,7 +139,7 @@
 			return fmt.Errorf("hostname: %q twice", w.Name)
 		}
 		names[w.Name] = true
-		if old, ok := addrs[w.Network+w.Addr]; ok && w.State != choice.Gone {
+		if old, ok := addrs[w.Network+w.Addr]; ok && w.State != scheduler.Gone {
 			return fmt.Errorf("address: %s is both %q's and %q's", w.Addr, old, w.Name)
 		}
 		addrs[w.Network+w.Addr] = w.Name
@@ -190,7 +190,7 @@
 func Render(cluster string, l []gateway.Worker) ([]byte, error) {
 	a := Assignment{Type: TypeAssignment, ClusterName: cluster, Endpoints: []Locality{}}
 	for _, w := range l {
-		if w.State == choice.Gone {
+		if w.State == scheduler.Gone {
 			continue
 		}
 		e, err := endpoint(w)
@@ -223,7 +223,7 @@
 		e.Endpoint.Address.SocketAddress = &SocketAddress{host, uint32(n)}
 	}
 	e.HealthStatus = "HEALTHY"
-	if w.State == choice.Draining {
+	if w.State == scheduler.Draining {
 		e.HealthStatus = "DRAINING"
 	}
 	m := &e.Metadata.FilterMetadata.Kitehub
@@ -275,7 +275,7 @@
 
 // A WatchEvent is what an update changes.
 type WatchEvent struct {
-	Kind    choice.ListKind
+	Kind    scheduler.ListKind
 	Version uint32
 	Workers []gateway.Worker
 }
@@ -314,10 +314,10 @@
 		if s.known == nil {
 			return nil, fmt.Errorf("resources: a delta before any whole list")
 		}
-		news.Kind = choice.ListDelta
+		news.Kind = scheduler.ListDelta
 		news.Workers, err = s.delta(u, next)
 	} else {
-		news.Kind = choice.FullList
+		news.Kind = scheduler.FullList
 		news.Workers, err = s.whole(u, next)
 	}
 	if err != nil {
@@ -376,7 +376,7 @@
 			return nil, fmt.Errorf("removedResources[%d]: %q is changed by the same update", i, name)
 		}
 		delete(next, name)
-		w.State = choice.Gone
+		w.State = scheduler.Gone
 		l = append(l, w)
 	}
 	all := make([]gateway.Worker, 0, len(next))
--- a/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -17,14 +17,14 @@
 
 	"github.com/rs/zerolog"
 
-	"kitehub/choice"
-	"kitehub/gateway"
+	"kitehub/internal/gateway"
 	"kitehub/internal/http1"
+	"kitehub/scheduler"
 )
 
 // A Sink takes news of the list. gateway.Gateway is one.
 type Sink interface {
-	Workers(kind choice.ListKind, version uint32, l []gateway.Worker) error
+	Workers(kind scheduler.ListKind, version uint32, l []gateway.Worker) error
 }
 
 // Config sets up a Watcher, of a file or of a server.
@@ -103,7 +103,7 @@
 		l, err = ParseAssignment(text, w.cfg.Cluster)
 	}
 	if err == nil {
-		err = w.cfg.Sink.Workers(choice.CachedList, 0, l)
+		err = w.cfg.Sink.Workers(scheduler.CachedList, 0, l)
 	}
 	if err != nil {
 		w.cfg.Log.Warn().Err(err).Str("file", w.cfg.Cache).Msg("cached list not used")
--- a/gateway/carry.go
+++ b/internal/gateway/carry.go
@@ -6,14 +6,14 @@
 	"slices"
 	"time"
 
-	"kitehub/backend"
-	"kitehub/choice"
-	"kitehub/hook"
-	"kitehub/registry"
+	"kitehub/internal/backend"
+	"kitehub/internal/hooklang"
+	"kitehub/internal/registry"
+	"kitehub/scheduler"
 )
 
 // returned notes how an attempt ended. If it served the request, the answer is out already: see send.
-func (g *Gateway) returned(e choice.AttemptEnded, res backend.Result, now time.Duration) {
+func (g *Gateway) returned(e scheduler.AttemptEnded, res backend.Result, now time.Duration) {
 	r := g.table[e.Request]
 	if r == nil || e.Attempt >= len(r.tries) {
 		return
@@ -21,7 +21,7 @@
 	t := &r.tries[e.Attempt]
 	t.outcome, t.took, t.status, t.note, t.run = e.Outcome, e.Took, res.Status, e.Note, nil
 	r.out--
-	if k := AnswerKind(r.claimed.Load()); e.Outcome == choice.OK && (k == Served || k == Superseded) && !r.noted {
+	if k := AnswerKind(r.claimed.Load()); e.Outcome == scheduler.OK && (k == Served || k == Superseded) && !r.noted {
 		g.note(e.Request, r, Answer{Kind: k}, now)
 	}
 	if r.noted && r.out == 0 {
@@ -30,14 +30,14 @@
 }
 
 // answer gives the final answer of a request that the loop has claimed.
-func (g *Gateway) answer(id choice.RequestID, r *entry, a Answer, now time.Duration) {
+func (g *Gateway) answer(id scheduler.RequestID, r *entry, a Answer, now time.Duration) {
 	a.MayHaveRun = r.mayHaveRun()
 	r.call.Deliver(a)
 	g.note(id, r, a, now)
 }
 
 // note counts and logs an answer that was given.
-func (g *Gateway) note(id choice.RequestID, r *entry, a Answer, now time.Duration) {
+func (g *Gateway) note(id scheduler.RequestID, r *entry, a Answer, now time.Duration) {
 	r.noted = true
 	g.open.Add(-1)
 	switch a.Kind {
@@ -56,7 +56,7 @@
 	if h := g.cfg.Hooks; h != nil {
 		tenant := g.tenant(r.call.Tenant)
 		h.CallEnded(tenant)
-		e := hook.Ended{Function: r.call.Function.Name, Tenant: tenant, Class: g.cfg.Settings.Classes[r.call.Function.Class].Name, Answer: a.Kind.String(),
+		e := hooklang.Ended{Function: r.call.Function.Name, Tenant: tenant, Class: g.cfg.Settings.Classes[r.call.Function.Class].Name, Answer: a.Kind.String(),
 			Took: now - r.at, Attempts: len(r.tries), Late: now > r.at+r.call.TimeLeft}
 		if len(r.tries) > 0 {
 			e.Worker = r.tries[len(r.tries)-1].worker
@@ -73,53 +73,53 @@
 var errNoRequest = errors.New("the module acts on a request that is not open")
 
 // carry carries one action out.
-func (g *Gateway) carry(a choice.Action, now time.Duration) {
+func (g *Gateway) carry(a scheduler.Action, now time.Duration) {
 	switch a := a.(type) {
-	case choice.Send:
+	case scheduler.Send:
 		g.send(a, now)
-	case choice.Reject:
+	case scheduler.Reject:
 		g.final(a.Request, Answer{Kind: Rejected, RetryAfter: a.RetryAfter}, now)
-	case choice.Fail:
+	case scheduler.Fail:
 		r := g.table[a.Request]
 		g.final(a.Request, Answer{Kind: Failed, DeadlineExceeded: r != nil && r.out > 0}, now)
-	case choice.Cancel:
+	case scheduler.Cancel:
 		if r := g.table[a.Request]; r != nil && a.Attempt < len(r.tries) && r.tries[a.Attempt].run != nil {
 			r.tries[a.Attempt].run.Cancel()
 		}
-	case choice.Wake:
+	case scheduler.Wake:
 		g.tokens = append(g.tokens, a)
-	case choice.LoadOrder:
+	case scheduler.LoadOrder:
 		g.hold(a)
-	case choice.Unload:
+	case scheduler.Unload:
 		if name, _, ok := g.functionName(a.Function); ok {
 			g.cfg.Transport.Unload(a.Worker, name)
 		}
-	case choice.Probe:
-		g.cfg.Transport.Probe(a.Worker, func(o choice.Outcome, took time.Duration, report []float64) {
-			g.put(choice.ProbeEnded{Worker: a.Worker, Outcome: o, Took: took, Report: report})
+	case scheduler.Probe:
+		g.cfg.Transport.Probe(a.Worker, func(o scheduler.Outcome, took time.Duration, report []float64) {
+			g.put(scheduler.ProbeEnded{Worker: a.Worker, Outcome: o, Took: took, Report: report})
 		})
-	case choice.Close:
+	case scheduler.Close:
 		g.cfg.Transport.CloseIdle(a.Worker)
-	case choice.Watch:
+	case scheduler.Watch:
 		if g.cfg.Lister != nil {
 			g.cfg.Lister.Watch(a.On)
 		}
-	case choice.Fetch:
+	case scheduler.Fetch:
 		if g.cfg.Lister != nil {
 			g.cfg.Lister.Fetch()
 		}
-	case choice.Gossip:
+	case scheduler.Gossip:
 		if g.cfg.Peers != nil && g.cfg.Settings.Limits.Peers {
 			g.cfg.Peers.Send(a.To, a.Payload)
 		}
-	case choice.Log:
+	case scheduler.Log:
 		g.cfg.Log.Info().Str("text", a.Text).Msg("module")
 	default:
 		g.cfg.Log.Error().Str("action", fmt.Sprintf("%T", a)).Msg("unknown action")
 	}
 }
 
-func (g *Gateway) final(id choice.RequestID, a Answer, now time.Duration) {
+func (g *Gateway) final(id scheduler.RequestID, a Answer, now time.Duration) {
 	r := g.table[id]
 	if r == nil || r.noted {
 		g.cfg.Log.Error().Uint64("request", uint64(id)).Err(errNoRequest).Msg("final")
@@ -132,7 +132,7 @@
 
 // send gives a request to a worker, unless it has been answered meanwhile or its version was left: then the module is told that
 // nothing went out.
-func (g *Gateway) send(a choice.Send, now time.Duration) {
+func (g *Gateway) send(a scheduler.Send, now time.Duration) {
 	r := g.table[a.Request]
 	if r == nil || r.noted {
 		g.cfg.Log.Error().Uint64("request", uint64(a.Request)).Err(errNoRequest).Msg("send")
@@ -149,7 +149,7 @@
 	if v != registry.May {
 		g.sendNothing(r, a, now)
 		if g.leave(a.Request, r, v, now) {
-			g.put(choice.ClientGone{Request: a.Request})
+			g.put(scheduler.ClientGone{Request: a.Request})
 		}
 		return
 	}
@@ -157,14 +157,14 @@
 }
 
 // sendNothing counts an attempt of which nothing goes out, and ends it.
-func (g *Gateway) sendNothing(r *entry, a choice.Send, now time.Duration) {
-	g.put(choice.AttemptEnded{Request: a.Request, Attempt: len(r.tries), Worker: a.Worker, Outcome: choice.NotStarted})
-	r.tries = append(r.tries, try{worker: g.workerName(a.Worker), sent: now, outcome: choice.NotStarted})
+func (g *Gateway) sendNothing(r *entry, a scheduler.Send, now time.Duration) {
+	g.put(scheduler.AttemptEnded{Request: a.Request, Attempt: len(r.tries), Worker: a.Worker, Outcome: scheduler.NotStarted})
+	r.tries = append(r.tries, try{worker: g.workerName(a.Worker), sent: now, outcome: scheduler.NotStarted})
 	r.out++
 }
 
 // begin has the carrier make an attempt.
-func (g *Gateway) begin(r *entry, a choice.Send, now time.Duration) {
+func (g *Gateway) begin(r *entry, a scheduler.Send, now time.Duration) {
 	n, call := len(r.tries), r.call
 	t := try{worker: g.workerName(a.Worker), sent: now}
 	if g.told.most > 0 || call.Progress != nil {
@@ -185,20 +185,20 @@
 // ends the request, and whoever claims it first, this or the loop, gives the one answer. With no other request in hand there is
 // nothing to decide by it: it is taken in with the next step, which the module's Wake brings at the latest. The entry's call is the
 // loop's, which lets go of it with the answer, so it is given here.
-func (g *Gateway) ended(r *entry, call *Call, a choice.Send, attempt int, res backend.Result) {
+func (g *Gateway) ended(r *entry, call *Call, a scheduler.Send, attempt int, res backend.Result) {
 	if g.ranOtherBytes(r, call, res) {
 		g.Counts.Mismatched.Add(1)
 		g.cfg.Log.Error().Str("worker", g.workerName(a.Worker)).Str("function", call.Function.Name).Str("wanted", call.Function.Digest).
 			Str("ran", res.Digest).Msg("other bytes ran: the answer is dropped")
-		res.Outcome = choice.Error
+		res.Outcome = scheduler.Error
 	}
 	alone := false
-	if res.Outcome == choice.OK {
+	if res.Outcome == scheduler.OK {
 		alone = g.deliver(r, call, res.Body) && g.open.Load() == 1
 	}
 	res.Body = nil
-	e := choice.AttemptEnded{Request: a.Request, Attempt: attempt, Worker: a.Worker, Outcome: res.Outcome, Took: res.Took,
-		Complete: res.Outcome == choice.OK, Note: res.Note, SameFunction: res.Alike, Report: res.Report}
+	e := scheduler.AttemptEnded{Request: a.Request, Attempt: attempt, Worker: a.Worker, Outcome: res.Outcome, Took: res.Took,
+		Complete: res.Outcome == scheduler.OK, Note: res.Note, SameFunction: res.Alike, Report: res.Report}
 	g.mu.Lock()
 	g.results[result{a.Request, attempt}] = res
 	g.in = append(g.in, e)
@@ -212,10 +212,10 @@
 // ranOtherBytes tells whether an answer is of other bytes than were asked for, or under a key of which other bytes ran.
 func (g *Gateway) ranOtherBytes(r *entry, call *Call, res backend.Result) bool {
 	want := call.Function.Digest
-	if want == "" || res.Outcome != choice.OK || res.Digest == want && !r.wrong.Load() {
+	if want == "" || res.Outcome != scheduler.OK || res.Digest == want && !r.wrong.Load() {
 		return false
 	}
-	r.wrong.Store(g.cfg.Settings.Classes[call.Function.Class].Idempotency == choice.IdempotentWithKey)
+	r.wrong.Store(g.cfg.Settings.Classes[call.Function.Class].Idempotency == scheduler.IdempotentWithKey)
 	return true
 }
 
@@ -244,13 +244,13 @@
 // mayHaveRun tells whether an attempt of a request may have run, or may yet.
 func (r *entry) mayHaveRun() bool {
 	return slices.ContainsFunc(r.tries, func(t try) bool {
-		return t.outcome != choice.AtCapacity && t.outcome != choice.ConnectFailed && t.outcome != choice.NotStarted && t.outcome != choice.NotLoaded
+		return t.outcome != scheduler.AtCapacity && t.outcome != scheduler.ConnectFailed && t.outcome != scheduler.NotStarted && t.outcome != scheduler.NotLoaded
 	})
 }
 
 // leave takes a request whose version was left, or may have been, from the module and hands it back to its front, if what
 // is out needs not be waited for. What is out is withdrawn.
-func (g *Gateway) leave(id choice.RequestID, r *entry, v registry.Verdict, now time.Duration) bool {
+func (g *Gateway) leave(id scheduler.RequestID, r *entry, v registry.Verdict, now time.Duration) bool {
 	effect, mayHaveRun := g.cfg.Settings.Classes[r.call.Function.Class].Idempotency, r.mayHaveRun()
 	out := slices.ContainsFunc(r.tries, func(t try) bool { return t.run != nil })
 	next := registry.After(effect, out, mayHaveRun, r.call.Binding.Restarts)
@@ -269,20 +269,20 @@
 	return true
 }
 
-func (g *Gateway) hold(a choice.LoadOrder) {
+func (g *Gateway) hold(a scheduler.LoadOrder) {
 	name, digest, ok := g.functionName(a.Function)
 	if !ok {
-		g.put(choice.LoadOrderEnded{Worker: a.Worker, Function: a.Function, Outcome: choice.NotStarted})
+		g.put(scheduler.LoadOrderEnded{Worker: a.Worker, Function: a.Function, Outcome: scheduler.NotStarted})
 		return
 	}
 	g.cfg.Transport.LoadCopies(backend.LoadOrder{Worker: a.Worker, Function: name, Digest: digest, Copies: a.Copies},
-		func(o choice.Outcome, copies int, took time.Duration) {
-			if digest != "" && o == choice.OK && g.cfg.Versions != nil {
+		func(o scheduler.Outcome, copies int, took time.Duration) {
+			if digest != "" && o == scheduler.OK && g.cfg.Versions != nil {
 				g.cfg.Versions.CopiesReady(name, g.workerName(a.Worker), copies)
 			}
-			if h := g.cfg.Hooks; h != nil && (o == choice.AtCapacity || o == choice.Error) {
-				h.Post("load_refused", hook.Load{Function: name, Worker: g.workerName(a.Worker), Outcome: outcomes[o], Took: took})
+			if h := g.cfg.Hooks; h != nil && (o == scheduler.AtCapacity || o == scheduler.Error) {
+				h.Post("load_refused", hooklang.Load{Function: name, Worker: g.workerName(a.Worker), Outcome: outcomes[o], Took: took})
 			}
-			g.put(choice.LoadOrderEnded{Worker: a.Worker, Function: a.Function, Outcome: o, Took: took, Copies: copies})
+			g.put(scheduler.LoadOrderEnded{Worker: a.Worker, Function: a.Function, Outcome: o, Took: took, Copies: copies})
 		})
 }
--- a/gateway/closing.go
+++ b/internal/gateway/closing.go
@@ -4,15 +4,15 @@
 	"encoding/hex"
 	"time"
 
-	"kitehub/choice"
+	"kitehub/scheduler"
 )
 
-var outcomes = map[choice.Outcome]string{0: "out", choice.OK: "ok", choice.Error: "error", choice.AtCapacity: "full",
-	choice.TimedOut: "timed out", choice.ConnectFailed: "connect failed", choice.Reset: "reset",
-	choice.Cancelled: "cancelled", choice.NotStarted: "moot", choice.NotLoaded: "miss"}
+var outcomes = map[scheduler.Outcome]string{0: "out", scheduler.OK: "ok", scheduler.Error: "error", scheduler.AtCapacity: "full",
+	scheduler.TimedOut: "timed out", scheduler.ConnectFailed: "connect failed", scheduler.Reset: "reset",
+	scheduler.Cancelled: "cancelled", scheduler.NotStarted: "moot", scheduler.NotLoaded: "miss"}
 
 // closing writes a request's one line. It holds names and numbers, never bodies, headers or keys.
-func (g *Gateway) closing(id choice.RequestID, r *entry, a Answer, now time.Duration) {
+func (g *Gateway) closing(id scheduler.RequestID, r *entry, a Answer, now time.Duration) {
 	if g.cfg.OmitRequestLog {
 		return
 	}
@@ -70,22 +70,22 @@
 		delete(g.names.advised, id)
 	}
 	g.mu.Unlock()
-	g.put(choice.DesiredCopies{Function: id, Copies: copies, Until: until})
+	g.put(scheduler.DesiredCopies{Function: id, Copies: copies, Until: until})
 }
 
 // Regard advises the module to prefer a worker (rank above 0), to avoid it (below), or neither, until a time.
 func (g *Gateway) Regard(worker string, rank int, until time.Duration) {
-	g.put(choice.WorkerRank{Worker: WorkerID(worker), Rank: rank, Until: until})
+	g.put(scheduler.WorkerRank{Worker: WorkerID(worker), Rank: rank, Until: until})
 }
 
 // Spent returns what a process that takes over begins with.
-func (g *Gateway) Spent() (e choice.BudgetHandover, err error) {
+func (g *Gateway) Spent() (e scheduler.BudgetHandover, err error) {
 	err = g.ask(func() { e = g.d.BudgetHandover() })
 	return e, err
 }
 
 // Inherit begins with what another process has used up. It is called before Run.
-func (g *Gateway) Inherit(e choice.BudgetHandover) { g.put(e) }
+func (g *Gateway) Inherit(e scheduler.BudgetHandover) { g.put(e) }
 
 // Retire has the gateway finish what is in hand, without the budgets that another process now has; with false, no longer.
-func (g *Gateway) Retire(on bool) { g.put(choice.Superseded{On: on}) }
+func (g *Gateway) Retire(on bool) { g.put(scheduler.Superseded{On: on}) }
--- a/gateway/explain.go
+++ b/internal/gateway/explain.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"kitehub/choice"
+	"kitehub/scheduler"
 )
 
 // told keeps the last calls that were answered, for Explain. It is the loop's.
@@ -29,7 +29,7 @@
 	Lines    []string `json:"lines"`
 }
 
-func (t *told) keep(id choice.RequestID, r *entry, a Answer, now time.Duration) {
+func (t *told) keep(id scheduler.RequestID, r *entry, a Answer, now time.Duration) {
 	if t.most == 0 {
 		return
 	}
@@ -43,7 +43,7 @@
 	t.next = (t.next + 1) % t.most
 }
 
-func explain(id choice.RequestID, r *entry, answer string, now time.Duration) Explanation {
+func explain(id scheduler.RequestID, r *entry, answer string, now time.Duration) Explanation {
 	x := Explanation{ID: r.call.ID, Request: uint64(id), Function: r.call.Function.Name, Answer: answer, TookMS: float64(now-r.at) / 1e6, Why: r.call.verdict.Why, Lines: []string{}}
 	if r.call.Retry {
 		x.Lines = append(x.Lines, "its client marks it as a repeat: it is served last where few pass")
@@ -74,9 +74,9 @@
 	return x
 }
 
-var met = map[choice.LoadNote]string{choice.FoundWarm: ", a copy stood", choice.StartedLoad: ", it began a load", choice.AwaitedLoad: ", it waited for a load that had begun", choice.LoadFailed: ", a load failed"}
+var met = map[scheduler.LoadNote]string{scheduler.FoundWarm: ", a copy stood", scheduler.StartedLoad: ", it began a load", scheduler.AwaitedLoad: ", it waited for a load that had begun", scheduler.LoadFailed: ", a load failed"}
 
-func seen(l choice.Snapshot) string {
+func seen(l scheduler.Snapshot) string {
 	var s []string
 	switch {
 	case l.RingPosition == 0:
@@ -140,14 +140,14 @@
 // WorkerView is a worker as this controller sees it. Its JSON has the keys of the look beside the name, as it is embedded.
 type WorkerView struct {
 	Name string `json:"name"`
-	choice.WorkerSnapshot
+	scheduler.WorkerSnapshot
 }
 
 // FunctionView is a function as this controller sees it; its JSON is as WorkerView's.
 type FunctionView struct {
 	Name string `json:"name"`
 	Home string `json:"home"`
-	choice.FunctionSnapshot
+	scheduler.FunctionSnapshot
 }
 
 // View returns workers and functions as the module sees them, by name, and the share of requests that it lets pass.
--- a/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -18,12 +18,12 @@
 
 	"github.com/rs/zerolog"
 
-	"kitehub/advice"
-	"kitehub/backend"
-	"kitehub/choice"
-	"kitehub/hook"
+	"kitehub/internal/backend"
 	"kitehub/internal/clock"
-	"kitehub/registry"
+	"kitehub/internal/hookadvice"
+	"kitehub/internal/hooklang"
+	"kitehub/internal/registry"
+	"kitehub/scheduler"
 )
 
 // A Transport sends attempts, orders and questions to workers. backend.Backend and frame.Backend are. Send and Hold must
@@ -31,10 +31,10 @@
 // began may call back itself.
 type Transport interface {
 	Send(backend.Attempt, func(backend.Result)) backend.Running
-	LoadCopies(backend.LoadOrder, func(choice.Outcome, int, time.Duration))
-	Unload(choice.WorkerID, string)
-	Probe(choice.WorkerID, func(choice.Outcome, time.Duration, []float64))
-	CloseIdle(choice.WorkerID)
+	LoadCopies(backend.LoadOrder, func(scheduler.Outcome, int, time.Duration))
+	Unload(scheduler.WorkerID, string)
+	Probe(scheduler.WorkerID, func(scheduler.Outcome, time.Duration, []float64))
+	CloseIdle(scheduler.WorkerID)
 	Update([]backend.Endpoint)
 }
 
@@ -50,7 +50,7 @@
 // Config sets up a Gateway. Lister and Peers may be nil.
 type Config struct {
 	Name      string
-	Settings  choice.Settings
+	Settings  scheduler.Settings
 	Seed      uint64
 	Clock     clock.Clock
 	Transport Transport
@@ -60,7 +60,7 @@
 	Hooks     Hooks    // nil: none
 	// NameOf, where set, gives the name of a function by its number, which then needs not be made known: no table grows
 	// with the names that clients come up with.
-	NameOf          func(choice.FunctionID) string
+	NameOf          func(scheduler.FunctionID) string
 	MaxExplanations int // calls that are kept for Explain once they are answered; 0: none
 	Log             zerolog.Logger
 	OmitRequestLog  bool // no closing line for each request
@@ -72,13 +72,13 @@
 	CopiesReady(function, worker string, copies int)
 }
 
-// Hooks are what operators' scripts see of the gateway, and say of calls. hooks.Engine is one. None may block.
+// Hooks are what operators' scripts see of the gateway, and say of calls. hookengine.Engine is one. None may block.
 type Hooks interface {
 	// Arrive judges a call that is being taken; Left is told when it is answered.
-	Arrive(hook.Call) advice.Verdict
+	Arrive(hooklang.Call) hookadvice.Verdict
 	CallEnded(tenant string)
-	Post(point string, e hook.Event)
-	Workers([]advice.Worker)
+	Post(point string, e hooklang.Event)
+	Workers([]hookadvice.Worker)
 }
 
 // VersionBinding is what a call of a model's alias was resolved to.
@@ -131,7 +131,7 @@
 	Deliver func(Answer)
 	// Progress, where set, is told of each attempt that goes out, and whether it may wait for a load. It must not block.
 	Progress func(attempt int, worker string, load bool)
-	verdict  advice.Verdict
+	verdict  hookadvice.Verdict
 	at       time.Duration // when it was submitted
 }
 
@@ -153,10 +153,10 @@
 	killed atomic.Bool
 
 	mu      sync.Mutex // guards what is below
-	in      []choice.Event
-	calls   map[choice.RequestID]*Call // arrivals in in
-	results map[result]backend.Result  // of the Returned in in
-	list    *choice.ListUpdate
+	in      []scheduler.Event
+	calls   map[scheduler.RequestID]*Call // arrivals in in
+	results map[result]backend.Result     // of the Returned in in
+	list    *scheduler.ListUpdate
 	points  []backend.Endpoint
 	names   names
 	stopped bool
@@ -168,17 +168,17 @@
 	asked chan func()
 
 	// Owned by the loop.
-	d      *choice.Dispatcher
-	table  map[choice.RequestID]*entry
+	d      *scheduler.Dispatcher
+	table  map[scheduler.RequestID]*entry
 	timer  time.Duration // next Wake; 0: none
-	tokens []choice.Wake
+	tokens []scheduler.Wake
 	rng    *rand.Rand
 	crash  uint64
 	told   told
 }
 
 type result struct {
-	id      choice.RequestID
+	id      scheduler.RequestID
 	attempt int
 }
 
@@ -200,11 +200,11 @@
 	worker  string
 	run     backend.Running
 	sent    time.Duration
-	outcome choice.Outcome
+	outcome scheduler.Outcome
 	took    time.Duration
 	status  int
-	note    choice.LoadNote
-	look    choice.Snapshot // the worker and function as the module saw them, where calls are explained
+	note    scheduler.LoadNote
+	look    scheduler.Snapshot // the worker and function as the module saw them, where calls are explained
 }
 
 // New returns a gateway that does not run yet.
@@ -215,12 +215,12 @@
 	if cfg.Settings.Tick <= 0 {
 		return nil, fmt.Errorf("gateway: Tick: %v is not above 0", cfg.Settings.Tick)
 	}
-	d, err := choice.New(cfg.Settings, cfg.Seed)
+	d, err := scheduler.New(cfg.Settings, cfg.Seed)
 	if err != nil {
 		return nil, err
 	}
-	g := &Gateway{cfg: cfg, d: d, table: map[choice.RequestID]*entry{}, rng: rand.New(rand.NewPCG(cfg.Seed, 1)),
-		calls: map[choice.RequestID]*Call{}, results: map[result]backend.Result{}, wake: make(chan struct{}, 1), asked: make(chan func()),
+	g := &Gateway{cfg: cfg, d: d, table: map[scheduler.RequestID]*entry{}, rng: rand.New(rand.NewPCG(cfg.Seed, 1)),
+		calls: map[scheduler.RequestID]*Call{}, results: map[result]backend.Result{}, wake: make(chan struct{}, 1), asked: make(chan func()),
 		halt: make(chan struct{}), done: make(chan struct{}), names: newNames(cfg.Settings)}
 	g.told.most = cfg.MaxExplanations
 	// The module draws by hash of the request's number: two controllers must not count alike.
@@ -229,16 +229,16 @@
 }
 
 // Submit hands a call over; false if the gateway holds all that it may, or stops: a refusal then harms nobody.
-func (g *Gateway) Submit(c *Call) (choice.RequestID, bool) {
+func (g *Gateway) Submit(c *Call) (scheduler.RequestID, bool) {
 	if g.open.Add(1) > int64(g.cfg.Settings.Limits.MaxOpenRequests) {
 		g.open.Add(-1)
 		g.Counts.OverCapacity.Add(1)
 		return 0, false
 	}
-	id := choice.RequestID(g.nextID.Add(1))
+	id := scheduler.RequestID(g.nextID.Add(1))
 	f := c.Function
 	if h := g.cfg.Hooks; h != nil {
-		c.verdict = h.Arrive(hook.Call{Function: f.Name, Tenant: g.tenant(c.Tenant), Client: c.Client, Class: g.cfg.Settings.Classes[f.Class].Name,
+		c.verdict = h.Arrive(hooklang.Call{Function: f.Name, Tenant: g.tenant(c.Tenant), Client: c.Client, Class: g.cfg.Settings.Classes[f.Class].Name,
 			Retry: c.Retry, Wait: c.TimeLeft, Size: len(c.Body), Open: g.Open()})
 	}
 	g.mu.Lock()
@@ -253,7 +253,7 @@
 	}
 	c.at = g.cfg.Clock.Now()
 	g.calls[id] = c
-	g.in = append(g.in, choice.Arrival{Request: id, Class: f.Class, Tenant: c.Tenant, Function: f.ID, TimeLeft: c.TimeLeft,
+	g.in = append(g.in, scheduler.Arrival{Request: id, Class: f.Class, Tenant: c.Tenant, Function: f.ID, TimeLeft: c.TimeLeft,
 		RunTimeHint: c.RunTimeHint, HasRunTimeHint: c.RunTimeHint > 0, MemoryMB: f.MemoryMB, Lanes: f.Lanes, LoadTime: f.LoadTime, ClientRetry: c.Retry,
 		Resubmitted: c.Binding != nil && c.Binding.Restarts > 0, ShedAdvised: c.verdict.ShedAdvised, Weight: c.verdict.Weight})
 	g.mu.Unlock()
@@ -262,16 +262,16 @@
 }
 
 // Cancel says that the client of a call has left.
-func (g *Gateway) Cancel(id choice.RequestID) { g.put(choice.ClientGone{Request: id}) }
+func (g *Gateway) Cancel(id scheduler.RequestID) { g.put(scheduler.ClientGone{Request: id}) }
 
 // Message hands over the word of another controller.
 func (g *Gateway) Message(from int, payload []byte) {
 	if g.cfg.Settings.Limits.Peers {
-		g.put(choice.GossipMessage{From: from, Payload: payload})
+		g.put(scheduler.GossipMessage{From: from, Payload: payload})
 	}
 }
 
-func (g *Gateway) put(e choice.Event) {
+func (g *Gateway) put(e scheduler.Event) {
 	g.mu.Lock()
 	g.in = append(g.in, e)
 	g.mu.Unlock()
--- a/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -10,26 +10,26 @@
 
 	"github.com/rs/zerolog"
 
-	"kitehub/backend"
-	"kitehub/choice"
+	"kitehub/internal/backend"
 	"kitehub/internal/clock"
+	"kitehub/scheduler"
 )
 
 const ms = time.Millisecond
 
-func settings() choice.Settings {
-	return choice.Settings{Controllers: 1, Tick: ms, Classes: []choice.Class{{Name: "safe", Idempotency: choice.Idempotent, LatencyObjective: 500 * ms, Deadline: 2 * time.Second, PriorityWeight: 1},
-		{Name: "unsafe", Idempotency: choice.NonIdempotent, LatencyObjective: 500 * ms, Deadline: 2 * time.Second, PriorityWeight: 1}},
-		Limits:     choice.Limits{MaxAttempts: 3, MaxOpenRequests: 10, DialTimeout: 250 * ms, Cancel: true, Peers: true},
-		Loading:    choice.Loading{Orders: true, LoadsOnMiss: true, OnMissKnown: true, IdleCopyTTL: 8 * time.Second, OrderTimeout: 5 * time.Second, LoadNotesGiven: true},
-		Guarantees: choice.Guarantees{DrainGrace: 500 * ms, WarmupFraction: 0.2, WarmupTime: 10 * time.Second, CollapseFactor: 2, CollapseWindow: 2 * time.Second}}
+func settings() scheduler.Settings {
+	return scheduler.Settings{Controllers: 1, Tick: ms, Classes: []scheduler.Class{{Name: "safe", Idempotency: scheduler.Idempotent, LatencyObjective: 500 * ms, Deadline: 2 * time.Second, PriorityWeight: 1},
+		{Name: "unsafe", Idempotency: scheduler.NonIdempotent, LatencyObjective: 500 * ms, Deadline: 2 * time.Second, PriorityWeight: 1}},
+		Limits:     scheduler.Limits{MaxAttempts: 3, MaxOpenRequests: 10, DialTimeout: 250 * ms, Cancel: true, Peers: true},
+		Loading:    scheduler.Loading{Orders: true, LoadsOnMiss: true, OnMissKnown: true, IdleCopyTTL: 8 * time.Second, OrderTimeout: 5 * time.Second, LoadNotesGiven: true},
+		Guarantees: scheduler.Guarantees{DrainGrace: 500 * ms, WarmupFraction: 0.2, WarmupTime: 10 * time.Second, CollapseFactor: 2, CollapseWindow: 2 * time.Second}}
 }
 
 // carrier notes what is carried, and leaves the ends to the test.
 type carrier struct {
 	mu    sync.Mutex
 	sends []func(backend.Result)
-	to    []choice.WorkerID
+	to    []scheduler.WorkerID
 	list  []backend.Endpoint
 	log   []string
 }
@@ -44,16 +44,16 @@
 	c.sends, c.to = append(c.sends, done), append(c.to, a.Worker)
 	return idle{}
 }
-func (c *carrier) LoadCopies(o backend.LoadOrder, done func(choice.Outcome, int, time.Duration)) {
+func (c *carrier) LoadCopies(o backend.LoadOrder, done func(scheduler.Outcome, int, time.Duration)) {
 	c.note("hold %s %d", o.Function, o.Copies)
-	go done(choice.OK, o.Copies, ms)
+	go done(scheduler.OK, o.Copies, ms)
 }
-func (c *carrier) Unload(_ choice.WorkerID, fn string) { c.note("unload %s", fn) }
-func (c *carrier) Probe(_ choice.WorkerID, done func(choice.Outcome, time.Duration, []float64)) {
+func (c *carrier) Unload(_ scheduler.WorkerID, fn string) { c.note("unload %s", fn) }
+func (c *carrier) Probe(_ scheduler.WorkerID, done func(scheduler.Outcome, time.Duration, []float64)) {
 	c.note("probe")
-	go done(choice.OK, ms, nil)
+	go done(scheduler.OK, ms, nil)
 }
-func (c *carrier) CloseIdle(choice.WorkerID) { c.note("close") }
+func (c *carrier) CloseIdle(scheduler.WorkerID) { c.note("close") }
 func (c *carrier) Update(l []backend.Endpoint) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -93,13 +93,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := g.Workers(choice.FullList, 1, []Worker{{Name: "w1", Network: "tcp", Addr: "a:1", State: choice.Ready}, {Name: "w2", Network: "tcp", Addr: "a:2", State: choice.Ready}}); err != nil {
+	if err := g.Workers(scheduler.FullList, 1, []Worker{{Name: "w1", Network: "tcp", Addr: "a:1", State: scheduler.Ready}, {Name: "w2", Network: "tcp", Addr: "a:2", State: scheduler.Ready}}); err != nil {
 		t.Fatal(err)
 	}
 	return g, c, clk, log
 }
 
-func call(t *testing.T, g *Gateway, class int, answers *[]Answer) choice.RequestID {
+func call(t *testing.T, g *Gateway, class int, answers *[]Answer) scheduler.RequestID {
 	t.Helper()
 	name := fmt.Sprint("f", class)
 	id, err := g.AddFunction(name)
@@ -123,7 +123,7 @@
 		t.Fatal("nothing sent")
 	}
 	clk.Advance(30 * ms)
-	c.send(0)(backend.Result{Outcome: choice.OK, Took: 30 * ms, Body: []byte("yes")})
+	c.send(0)(backend.Result{Outcome: scheduler.OK, Took: 30 * ms, Body: []byte("yes")})
 	g.step(clk.Now())
 	if len(got) != 1 || got[0].Kind != Served || string(got[0].Body) != "yes" || g.Open() != 0 || len(g.table) != 0 {
 		t.Errorf("%+v, %d open, table %d", got, g.Open(), len(g.table))
@@ -144,7 +144,7 @@
 		t.Error("an eleventh was taken")
 	}
 	g.step(clk.Now())
-	c.send(0)(backend.Result{Outcome: choice.OK, Took: ms})
+	c.send(0)(backend.Result{Outcome: scheduler.OK, Took: ms})
 	g.step(clk.Now())
 	call(t, g, 0, &got)
 	if g.Open() != 10 {
@@ -165,7 +165,7 @@
 	if len(got) != 1 || got[0].Kind != Failed || !got[0].DeadlineExceeded {
 		t.Fatalf("%+v", got)
 	}
-	c.send(0)(backend.Result{Outcome: choice.OK, Took: 3 * time.Second, Body: []byte("late")})
+	c.send(0)(backend.Result{Outcome: scheduler.OK, Took: 3 * time.Second, Body: []byte("late")})
 	g.step(clk.Now())
 	if len(got) != 1 || len(g.table) != 0 {
 		t.Errorf("%+v, table %d", got, len(g.table))
@@ -179,7 +179,7 @@
 		var got []Answer
 		id := call(t, g, 1, &got)
 		g.step(clk.Now())
-		ok := func() { c.send(0)(backend.Result{Outcome: choice.OK, Took: ms, Body: []byte("x")}) }
+		ok := func() { c.send(0)(backend.Result{Outcome: scheduler.OK, Took: ms, Body: []byte("x")}) }
 		want := Served
 		if hangUpFirst {
 			g.Cancel(id)
@@ -217,13 +217,13 @@
 		t.Error("not told")
 	}
 	clk.Advance(ms)
-	c.send(0)(backend.Result{Outcome: choice.OK, Took: ms}) // of before
+	c.send(0)(backend.Result{Outcome: scheduler.OK, Took: ms}) // of before
 	call(t, g, 1, &after)
 	g.step(clk.Now())
 	if c.send(1) == nil {
 		t.Fatal("nothing sent after the crash")
 	}
-	c.send(1)(backend.Result{Outcome: choice.OK, Took: ms})
+	c.send(1)(backend.Result{Outcome: scheduler.OK, Took: ms})
 	g.step(clk.Now())
 	if len(after) != 1 || after[0].Kind != Served || len(sent) != 1 {
 		t.Errorf("after %+v, sent %+v", after, sent)
@@ -238,9 +238,9 @@
 		t.Fatal(err)
 	}
 	w := WorkerID("w1")
-	for _, a := range []choice.Action{choice.Unload{Worker: w, Function: fn}, choice.Probe{Worker: w}, choice.Close{Worker: w},
-		choice.Gossip{To: 2, Payload: []byte("hi")}, choice.Watch{On: true}, choice.Fetch{}, choice.Log{Text: "note"}, choice.LoadOrder{Worker: w, Function: fn, Copies: 2},
-		choice.LoadOrder{Worker: w, Function: 99}, choice.Wake{At: clk.Now() + ms, Token: 7}, choice.Reject{Request: 12345}, choice.Cancel{Request: 12345}} {
+	for _, a := range []scheduler.Action{scheduler.Unload{Worker: w, Function: fn}, scheduler.Probe{Worker: w}, scheduler.Close{Worker: w},
+		scheduler.Gossip{To: 2, Payload: []byte("hi")}, scheduler.Watch{On: true}, scheduler.Fetch{}, scheduler.Log{Text: "note"}, scheduler.LoadOrder{Worker: w, Function: fn, Copies: 2},
+		scheduler.LoadOrder{Worker: w, Function: 99}, scheduler.Wake{At: clk.Now() + ms, Token: 7}, scheduler.Reject{Request: 12345}, scheduler.Cancel{Request: 12345}} {
 		g.carry(a, clk.Now())
 	}
 	if s := strings.Join(c.log, ", "); s != "unload f, probe, close, hold f 2" {
@@ -265,9 +265,9 @@
 		t.Error("two functions with one hash")
 	}
 	before := len(c.list)
-	twice := []Worker{{Name: "w1", Network: "tcp", Addr: "x:1", State: choice.Ready}, {Name: "w9", Network: "tcp", Addr: "x:2", State: choice.Ready}}
+	twice := []Worker{{Name: "w1", Network: "tcp", Addr: "x:1", State: scheduler.Ready}, {Name: "w9", Network: "tcp", Addr: "x:2", State: scheduler.Ready}}
 	g.names.workers[WorkerID("w9")] = Worker{Name: "another"}
-	if err := g.Workers(choice.ListDelta, 2, twice); err == nil || len(c.list) != before {
+	if err := g.Workers(scheduler.ListDelta, 2, twice); err == nil || len(c.list) != before {
 		t.Errorf("err %v, list of %d", err, len(c.list))
 	}
 }
@@ -276,7 +276,7 @@
 func TestDrainReachesBackendAtOnce(t *testing.T) {
 	g, c, clk, _ := fixed(t)
 	g.step(clk.Now())
-	if err := g.Workers(choice.ListDelta, 2, []Worker{{Name: "w1", Network: "tcp", Addr: "a:1", State: choice.Draining}, {Name: "w2", State: choice.Gone}}); err != nil {
+	if err := g.Workers(scheduler.ListDelta, 2, []Worker{{Name: "w1", Network: "tcp", Addr: "a:1", State: scheduler.Draining}, {Name: "w2", State: scheduler.Gone}}); err != nil {
 		t.Fatal(err)
 	}
 	if len(c.list) != 1 || c.list[0].Name != "w1" || c.list[0].Ready {
@@ -295,7 +295,7 @@
 	g, _, clk, _ := fixed(t)
 	clk.SetWall(clk.Wall().Add(time.Hour))
 	started := clk.Wall().Add(-3 * time.Second)
-	if err := g.Workers(choice.FullList, 2, []Worker{{Name: "w1", Network: "tcp", Addr: "a:1", State: choice.Ready, Started: started}}); err != nil {
+	if err := g.Workers(scheduler.FullList, 2, []Worker{{Name: "w1", Network: "tcp", Addr: "a:1", State: scheduler.Ready, Started: started}}); err != nil {
 		t.Fatal(err)
 	}
 	if got := clk.Now() - g.list.Workers[0].StartedAt; got != 3*time.Second {
@@ -331,9 +331,9 @@
 	}
 	var l []Worker
 	for i := range 12 {
-		l = append(l, Worker{Name: fmt.Sprint("w", i), Network: "tcp", Addr: fmt.Sprint("a:", i), State: choice.Ready})
+		l = append(l, Worker{Name: fmt.Sprint("w", i), Network: "tcp", Addr: fmt.Sprint("a:", i), State: scheduler.Ready})
 	}
-	g.Workers(choice.FullList, 1, l)
+	g.Workers(scheduler.FullList, 1, l)
 	var fns []*Function
 	for i := range 20 {
 		name := fmt.Sprint("f", i)
@@ -356,7 +356,7 @@
 		c.sends, c.to = nil, nil
 		c.mu.Unlock()
 		for _, done := range sends {
-			done(backend.Result{Outcome: choice.OK, Took: 20 * ms, Note: choice.FoundWarm})
+			done(backend.Result{Outcome: scheduler.OK, Took: 20 * ms, Note: scheduler.FoundWarm})
 			next(i)
 		}
 	}
@@ -369,9 +369,9 @@
 	var got []Answer
 	id := call(t, g, 0, &got)
 	g.step(clk.Now())
-	c.send(0)(backend.Result{Outcome: choice.OK, Took: ms, Body: []byte("x")})
-	g.carry(choice.Reject{Request: id}, clk.Now())
-	g.carry(choice.Send{Request: id, Worker: WorkerID("w2"), Timeout: time.Second}, clk.Now())
+	c.send(0)(backend.Result{Outcome: scheduler.OK, Took: ms, Body: []byte("x")})
+	g.carry(scheduler.Reject{Request: id}, clk.Now())
+	g.carry(scheduler.Send{Request: id, Worker: WorkerID("w2"), Timeout: time.Second}, clk.Now())
 	if c.send(1) != nil {
 		t.Error("sent after it was served")
 	}
@@ -415,13 +415,13 @@
 // the right digest. A safe one takes the answer of the right bytes.
 func TestWrongBytes(t *testing.T) {
 	for _, tt := range []struct {
-		effect choice.Idempotency
+		effect scheduler.Idempotency
 		want   AnswerKind
-	}{{choice.Idempotent, Served}, {choice.IdempotentWithKey, Failed}} {
+	}{{scheduler.Idempotent, Served}, {scheduler.IdempotentWithKey, Failed}} {
 		g, c, clk, _ := fixed(t)
-		g.cfg.Settings.Classes[0].Idempotency, g.cfg.Settings.Classes[0].DedupScope, g.cfg.Settings.Classes[0].DedupWindow = tt.effect, choice.AllWorkers, time.Second
+		g.cfg.Settings.Classes[0].Idempotency, g.cfg.Settings.Classes[0].DedupScope, g.cfg.Settings.Classes[0].DedupWindow = tt.effect, scheduler.AllWorkers, time.Second
 		var err error
-		if g.d, err = choice.New(g.cfg.Settings, 1); err != nil {
+		if g.d, err = scheduler.New(g.cfg.Settings, 1); err != nil {
 			t.Fatal(err)
 		}
 		id, err := g.AddFunction("m@1")
@@ -438,7 +438,7 @@
 			g.step(clk.Now())
 			clk.Advance(10 * ms)
 			if n := len(digests); n > 0 && c.send(5-n) != nil {
-				c.send(5 - n)(backend.Result{Outcome: choice.OK, Took: 10 * ms, Digest: digests[0], Body: []byte("x")})
+				c.send(5 - n)(backend.Result{Outcome: scheduler.OK, Took: 10 * ms, Digest: digests[0], Body: []byte("x")})
 				digests = digests[1:]
 			}
 		}
@@ -474,7 +474,7 @@
 func TestAnswerAll(t *testing.T) {
 	for class, want := range map[int]AnswerKind{0: Rejected, 1: Failed} {
 		g, c, clk, _ := fixed(t)
-		if effect := g.cfg.Settings.Classes[class].Idempotency; (effect == choice.Idempotent) != (want == Rejected) {
+		if effect := g.cfg.Settings.Classes[class].Idempotency; (effect == scheduler.Idempotent) != (want == Rejected) {
 			t.Fatalf("class %d is %v", class, effect)
 		}
 		var out, full []Answer
@@ -490,10 +490,10 @@
 		g, c, clk, _ = fixed(t)
 		call(t, g, class, &full)
 		g.step(clk.Now())
-		c.send(0)(backend.Result{Outcome: choice.AtCapacity, Took: ms})
+		c.send(0)(backend.Result{Outcome: scheduler.AtCapacity, Took: ms})
 		events, _, results := g.take()
 		for _, e := range events {
-			if e, ok := e.(choice.AttemptEnded); ok {
+			if e, ok := e.(scheduler.AttemptEnded); ok {
 				g.returned(e, results[result{e.Request, e.Attempt}], clk.Now())
 			}
 		}
--- a/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -4,9 +4,9 @@
 	"fmt"
 	"time"
 
-	"kitehub/backend"
-	"kitehub/choice"
-	"kitehub/registry"
+	"kitehub/internal/backend"
+	"kitehub/internal/registry"
+	"kitehub/scheduler"
 )
 
 // Run steps the module until Stop. It is to be called once.
@@ -83,20 +83,20 @@
 }
 
 // receive notes an event that has come, and returns it as the module is to have it.
-func (g *Gateway) receive(e choice.Event, calls map[choice.RequestID]*Call, results map[result]backend.Result, now time.Duration) choice.Event {
+func (g *Gateway) receive(e scheduler.Event, calls map[scheduler.RequestID]*Call, results map[result]backend.Result, now time.Duration) scheduler.Event {
 	switch e := e.(type) {
-	case choice.Arrival:
+	case scheduler.Arrival:
 		c := calls[e.Request]
 		g.table[e.Request] = &entry{call: c, at: c.at}
 		e.TimeLeft -= now - c.at // it has waited for the loop
 		return e
-	case choice.ClientGone:
+	case scheduler.ClientGone:
 		if r := g.table[e.Request]; r != nil && r.claim(ClientClosed) {
 			g.answer(e.Request, r, Answer{Kind: ClientClosed}, now)
 		}
-	case choice.AttemptEnded:
+	case scheduler.AttemptEnded:
 		g.returned(e, results[result{e.Request, e.Attempt}], now)
-	case choice.ListUpdate:
+	case scheduler.ListUpdate:
 		g.cfg.Log.Info().Int("workers", len(e.Workers)).Uint32("version", e.Version).Int("kind", int(e.Kind)).Msg("list")
 	}
 	return e
@@ -112,14 +112,14 @@
 }
 
 // dueTimers returns the timers that have come due, and forgets them.
-func (g *Gateway) dueTimers(now time.Duration) (due []choice.Event) {
+func (g *Gateway) dueTimers(now time.Duration) (due []scheduler.Event) {
 	g.timer = 0
 	for _, w := range g.tokens {
 		if w.At <= now {
-			due = append(due, choice.Timer{Token: w.Token})
+			due = append(due, scheduler.Timer{Token: w.Token})
 		}
 	}
-	g.tokens = keep(g.tokens, func(w choice.Wake) bool { return w.At > now })
+	g.tokens = keep(g.tokens, func(w scheduler.Wake) bool { return w.At > now })
 	return due
 }
 
@@ -133,25 +133,25 @@
 	return kept
 }
 
-func (g *Gateway) take() ([]choice.Event, map[choice.RequestID]*Call, map[result]backend.Result) {
+func (g *Gateway) take() ([]scheduler.Event, map[scheduler.RequestID]*Call, map[result]backend.Result) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	events, calls, results := g.in, g.calls, g.results
 	g.in = nil
 	if len(calls) > 0 {
-		g.calls = make(map[choice.RequestID]*Call, len(calls))
+		g.calls = make(map[scheduler.RequestID]*Call, len(calls))
 	}
 	if len(results) > 0 {
 		g.results = make(map[result]backend.Result, len(results))
 	}
 	if g.list != nil { // first, as the events that follow may be of its workers
-		events = append([]choice.Event{*g.list}, events...)
+		events = append([]scheduler.Event{*g.list}, events...)
 		g.list = nil
 	}
 	return events, calls, results
 }
 
-func (g *Gateway) decide(now time.Duration, events []choice.Event) (a []choice.Action, err error) {
+func (g *Gateway) decide(now time.Duration, events []scheduler.Event) (a []scheduler.Action, err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			err = fmt.Errorf("module crashed: %v", p)
@@ -169,7 +169,7 @@
 }
 
 // sweep hands back the calls that have been left, and returns what the module is to be told.
-func (g *Gateway) sweep(now time.Duration) (events []choice.Event) {
+func (g *Gateway) sweep(now time.Duration) (events []scheduler.Event) {
 	for _, id := range sortedKeys(g.table) {
 		r := g.table[id]
 		if r.noted || r.claimed.Load() != 0 {
@@ -179,7 +179,7 @@
 		// While the move is not acknowledged, what runs goes on, and what does not run begins anew.
 		leave := v == registry.Left || v == registry.Leaving && !r.mayHaveRun() && r.out == 0 && r.call.Binding.Restarts < registry.MostAnew
 		if leave && g.leave(id, r, v, now) {
-			events = append(events, choice.ClientGone{Request: id})
+			events = append(events, scheduler.ClientGone{Request: id})
 		}
 	}
 	return events
@@ -191,13 +191,13 @@
 	g.cfg.Log.Error().Err(err).Int("open", g.Open()).Msg("all open requests are answered, the module starts anew")
 	g.answerAll(now)
 	g.crash++
-	d, err := choice.New(g.cfg.Settings, g.cfg.Seed+g.crash)
+	d, err := scheduler.New(g.cfg.Settings, g.cfg.Seed+g.crash)
 	if err != nil {
 		panic(err) // it took these settings before
 	}
 	g.d, g.tokens = d, nil
 	g.mu.Lock()
-	l := g.names.whole(choice.CachedList)
+	l := g.names.whole(scheduler.CachedList)
 	g.list = &l
 	g.mu.Unlock()
 	g.poke()
@@ -216,7 +216,7 @@
 			continue
 		}
 		k := Failed
-		if !r.mayHaveRun() || g.cfg.Settings.Classes[r.call.Function.Class].Idempotency == choice.Idempotent {
+		if !r.mayHaveRun() || g.cfg.Settings.Classes[r.call.Function.Class].Idempotency == scheduler.Idempotent {
 			k = Rejected
 		}
 		if r.claim(k) {
@@ -256,9 +256,9 @@
 	events, calls, results := g.take()
 	for _, e := range events {
 		switch e := e.(type) {
-		case choice.Arrival:
+		case scheduler.Arrival:
 			g.table[e.Request] = &entry{call: calls[e.Request], at: calls[e.Request].at}
-		case choice.AttemptEnded:
+		case scheduler.AttemptEnded:
 			g.returned(e, results[result{e.Request, e.Attempt}], now)
 		}
 	}
--- a/gateway/names.go
+++ b/internal/gateway/names.go
@@ -10,10 +10,10 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"kitehub/advice"
-	"kitehub/backend"
-	"kitehub/choice"
-	"kitehub/hook"
+	"kitehub/internal/backend"
+	"kitehub/internal/hookadvice"
+	"kitehub/internal/hooklang"
+	"kitehub/scheduler"
 )
 
 // A Function is what calls name.
@@ -21,7 +21,7 @@
 	Name     string
 	Digest   string // of the bytes, where the registry names them
 	Versions bool   // it names a model: its versions are called, not it
-	ID       choice.FunctionID
+	ID       scheduler.FunctionID
 	Class    int
 	MemoryMB float64
 	Lanes    float64
@@ -29,38 +29,38 @@
 }
 
 // FunctionID returns the id of a function's name. It is a hash, so that all controllers place a function alike.
-func FunctionID(name string) choice.FunctionID {
-	return choice.FunctionID(max(1, xxhash.Sum64String("function "+name)))
+func FunctionID(name string) scheduler.FunctionID {
+	return scheduler.FunctionID(max(1, xxhash.Sum64String("function "+name)))
 }
 
 // WorkerID returns the id of a worker's name.
-func WorkerID(name string) choice.WorkerID {
-	return choice.WorkerID(max(1, xxhash.Sum64String("worker "+name)))
+func WorkerID(name string) scheduler.WorkerID {
+	return scheduler.WorkerID(max(1, xxhash.Sum64String("worker "+name)))
 }
 
 // A Worker is one line of a list as discovery gives it.
 type Worker struct {
 	Name, Network, Addr string
 	Zone, Group, Kind   string
-	State               choice.WorkerState
+	State               scheduler.WorkerState
 	Size                float64
 	Started             time.Time // zero: long ago
 }
 
 // names maps what the list and the configuration name to the module's numbers. It is guarded by Gateway.mu.
 type names struct {
-	functions map[choice.FunctionID]string
-	digests   map[choice.FunctionID]string // of those that the registry names
-	advised   map[choice.FunctionID]bool   // known by advice alone: forgotten with it
-	workers   map[choice.WorkerID]Worker
+	functions map[scheduler.FunctionID]string
+	digests   map[scheduler.FunctionID]string // of those that the registry names
+	advised   map[scheduler.FunctionID]bool   // known by advice alone: forgotten with it
+	workers   map[scheduler.WorkerID]Worker
 	ids       map[string]int // zones, groups and kinds seen, each with its kind of name in front
-	settings  choice.Settings
+	settings  scheduler.Settings
 	offset    time.Duration // of the clock over the time of day
 	version   uint32
 }
 
-func newNames(s choice.Settings) names {
-	n := names{functions: map[choice.FunctionID]string{}, digests: map[choice.FunctionID]string{}, advised: map[choice.FunctionID]bool{}, workers: map[choice.WorkerID]Worker{}, ids: map[string]int{}, settings: s}
+func newNames(s scheduler.Settings) names {
+	n := names{functions: map[scheduler.FunctionID]string{}, digests: map[scheduler.FunctionID]string{}, advised: map[scheduler.FunctionID]bool{}, workers: map[scheduler.WorkerID]Worker{}, ids: map[string]int{}, settings: s}
 	for i, z := range s.Zones {
 		n.ids["zone "+z] = i
 	}
@@ -82,7 +82,7 @@
 }
 
 // AddFunction makes a function known, so that orders to load can name it. Two names with one hash are an error.
-func (g *Gateway) AddFunction(name string) (choice.FunctionID, error) {
+func (g *Gateway) AddFunction(name string) (scheduler.FunctionID, error) {
 	id := FunctionID(name)
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -94,7 +94,7 @@
 	return id, nil
 }
 
-func (g *Gateway) functionName(id choice.FunctionID) (name, digest string, ok bool) {
+func (g *Gateway) functionName(id scheduler.FunctionID) (name, digest string, ok bool) {
 	if g.cfg.NameOf != nil {
 		return g.cfg.NameOf(id), "", true
 	}
@@ -105,7 +105,7 @@
 }
 
 // addVersion makes a version of a model known.
-func (g *Gateway) addVersion(name, digest string) (choice.FunctionID, error) {
+func (g *Gateway) addVersion(name, digest string) (scheduler.FunctionID, error) {
 	id, err := g.AddFunction(name)
 	if err == nil {
 		g.mu.Lock()
@@ -116,7 +116,7 @@
 }
 
 // dropVersion forgets one. Orders that the module still makes for it are not sent.
-func (g *Gateway) dropVersion(id choice.FunctionID) {
+func (g *Gateway) dropVersion(id scheduler.FunctionID) {
 	g.mu.Lock()
 	delete(g.names.functions, id)
 	delete(g.names.digests, id)
@@ -125,10 +125,10 @@
 
 // Stage says that copies of a function are wanted before it is called.
 func (g *Gateway) Stage(f *Function, copies int) {
-	g.put(choice.StagedCopies{Function: f.ID, Copies: copies})
+	g.put(scheduler.StagedCopies{Function: f.ID, Copies: copies})
 }
 
-func (g *Gateway) workerName(id choice.WorkerID) string {
+func (g *Gateway) workerName(id scheduler.WorkerID) string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.names.workers[id].Name
@@ -137,22 +137,22 @@
 // Workers takes news of the list: Whole or Cached replaces it, Delta changes the workers that it names. The back
 // end is told at once, so that nothing which is still unsent goes to a worker that drains; the module hears of it
 // in its next step. An error leaves the list as it was.
-func (g *Gateway) Workers(kind choice.ListKind, version uint32, news []Worker) error {
+func (g *Gateway) Workers(kind scheduler.ListKind, version uint32, news []Worker) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	next := map[choice.WorkerID]Worker{}
-	if kind == choice.ListDelta {
+	next := map[scheduler.WorkerID]Worker{}
+	if kind == scheduler.ListDelta {
 		next = maps.Clone(g.names.workers)
 	}
-	var gone []choice.WorkerInfo
+	var gone []scheduler.WorkerInfo
 	for _, w := range news {
 		id := WorkerID(w.Name)
 		if old, ok := next[id]; ok && old.Name != w.Name {
 			return fmt.Errorf("workers %q and %q have the same hash: rename one", old.Name, w.Name)
 		}
-		if w.State == choice.Gone {
+		if w.State == scheduler.Gone {
 			delete(next, id)
-			gone = append(gone, choice.WorkerInfo{ID: id, State: choice.Gone})
+			gone = append(gone, scheduler.WorkerInfo{ID: id, State: scheduler.Gone})
 			continue
 		}
 		next[id] = w
@@ -163,18 +163,18 @@
 	g.points = g.points[:0]
 	for _, id := range sortedKeys(next) {
 		w := next[id]
-		g.points = append(g.points, backend.Endpoint{ID: id, Name: w.Name, Network: w.Network, Addr: w.Addr, Ready: w.State == choice.Ready})
+		g.points = append(g.points, backend.Endpoint{ID: id, Name: w.Name, Network: w.Network, Addr: w.Addr, Ready: w.State == scheduler.Ready})
 	}
 	g.cfg.Transport.Update(g.points)
 	if g.cfg.Hooks != nil {
 		g.tellHooks(was, next)
 	}
 	// A list that waits and this one become one whole list: the module is told what holds, not how it came.
-	if kind == choice.ListDelta {
-		kind = choice.FullList
+	if kind == scheduler.ListDelta {
+		kind = scheduler.FullList
 	}
-	if g.list != nil && g.list.Kind == choice.FullList {
-		kind = choice.FullList
+	if g.list != nil && g.list.Kind == scheduler.FullList {
+		kind = scheduler.FullList
 	}
 	l := g.names.whole(kind)
 	l.Workers = append(l.Workers, gone...)
@@ -183,23 +183,23 @@
 	return nil
 }
 
-var states = map[choice.WorkerState]string{choice.Ready: "ready", choice.Draining: "draining", choice.Gone: "gone"}
+var states = map[scheduler.WorkerState]string{scheduler.Ready: "ready", scheduler.Draining: "draining", scheduler.Gone: "gone"}
 
 // tellHooks tells who joined and who left.
-func (g *Gateway) tellHooks(was, is map[choice.WorkerID]Worker) {
-	var l []advice.Worker
-	tell := func(point string, w Worker, state choice.WorkerState) {
-		g.cfg.Hooks.Post(point, hook.Worker{Name: w.Name, Group: w.Group, Zone: w.Zone, State: states[state]})
+func (g *Gateway) tellHooks(was, is map[scheduler.WorkerID]Worker) {
+	var l []hookadvice.Worker
+	tell := func(point string, w Worker, state scheduler.WorkerState) {
+		g.cfg.Hooks.Post(point, hooklang.Worker{Name: w.Name, Group: w.Group, Zone: w.Zone, State: states[state]})
 	}
 	for _, id := range sortedKeys(is) {
 		w, old := is[id], was[id]
-		ready := w.State == choice.Ready
-		a := advice.Worker{Name: w.Name, Ready: ready}
+		ready := w.State == scheduler.Ready
+		a := hookadvice.Worker{Name: w.Name, Ready: ready}
 		if k, ok := g.names.ids["kind "+w.Kind]; ok && k < len(g.cfg.Settings.Loading.MemoryMB) {
 			a.MemoryMB = g.cfg.Settings.Loading.MemoryMB[k]
 		}
 		l = append(l, a)
-		switch wasReady := old.State == choice.Ready; {
+		switch wasReady := old.State == scheduler.Ready; {
 		case ready && !wasReady:
 			tell("joined", w, w.State)
 		case !ready && wasReady:
@@ -207,19 +207,19 @@
 		}
 	}
 	for _, id := range sortedKeys(was) {
-		if _, ok := is[id]; !ok && was[id].State == choice.Ready {
-			tell("left", was[id], choice.Gone)
+		if _, ok := is[id]; !ok && was[id].State == scheduler.Ready {
+			tell("left", was[id], scheduler.Gone)
 		}
 	}
 	g.cfg.Hooks.Workers(l)
 }
 
 // whole returns the list as it stands, sorted by id.
-func (n *names) whole(kind choice.ListKind) choice.ListUpdate {
-	l := choice.ListUpdate{Kind: kind, Version: n.version}
+func (n *names) whole(kind scheduler.ListKind) scheduler.ListUpdate {
+	l := scheduler.ListUpdate{Kind: kind, Version: n.version}
 	for _, id := range sortedKeys(n.workers) {
 		w := n.workers[id]
-		i := choice.WorkerInfo{ID: id, Size: cmp.Or(w.Size, 1), State: w.State, Zone: n.id("zone", w.Zone),
+		i := scheduler.WorkerInfo{ID: id, Size: cmp.Or(w.Size, 1), State: w.State, Zone: n.id("zone", w.Zone),
 			Group: n.id("group", w.Group), Kind: n.id("kind", w.Kind)}
 		if !w.Started.IsZero() {
 			i.StartedAt = max(1, time.Duration(w.Started.UnixNano())+n.offset)
--- a/gateway/path_test.go
+++ b/internal/gateway/path_test.go
@@ -10,16 +10,16 @@
 
 	"github.com/rs/zerolog"
 
-	"kitehub/backend"
-	"kitehub/choice"
-	"kitehub/fleet"
-	"kitehub/front/webhook"
-	"kitehub/gateway"
+	"kitehub/internal/backend"
 	"kitehub/internal/clock"
+	"kitehub/internal/gateway"
+	"kitehub/internal/harness/fakeworker"
+	"kitehub/internal/harness/workersim"
 	"kitehub/internal/http1"
-	"kitehub/replay"
-	"kitehub/signing"
-	"kitehub/standin"
+	"kitehub/internal/ingress/webhook"
+	"kitehub/internal/replayguard"
+	"kitehub/internal/signing"
+	"kitehub/scheduler"
 )
 
 const ms = time.Millisecond
@@ -27,18 +27,18 @@
 // One signed call through real sockets to a stand-in worker and back.
 func TestOneCall(t *testing.T) {
 	clk := clock.System()
-	fn := standin.Kind{Function: fleet.Function{Name: "quote", MemoryMB: 100, Lanes: 2, Fetch: 20 * ms, Start: 10 * ms}, Class: "quote", Work: 5 * ms}
-	host, err := standin.Start(standin.Config{Clock: clk, Functions: []standin.Kind{fn}, Fleet: fleet.Config{
-		Workers: []fleet.Spec{{Name: "w1", Cores: 2, Speed: 1, MemoryMB: 1000, Queue: 10, LoadSlots: 2, IdleLife: 8 * time.Second}},
-		Store:   fleet.Store{Pace: 4}}})
+	fn := fakeworker.Kind{Function: workersim.Function{Name: "quote", MemoryMB: 100, Lanes: 2, Fetch: 20 * ms, Start: 10 * ms}, Class: "quote", Work: 5 * ms}
+	host, err := fakeworker.Start(fakeworker.Config{Clock: clk, Functions: []fakeworker.Kind{fn}, Fleet: workersim.Config{
+		Workers: []workersim.Spec{{Name: "w1", Cores: 2, Speed: 1, MemoryMB: 1000, Queue: 10, LoadSlots: 2, IdleLife: 8 * time.Second}},
+		Store:   workersim.Store{Pace: 4}}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer host.Close()
-	s := choice.Settings{Controllers: 1, Tick: ms, Classes: []choice.Class{{Name: "quote", Idempotency: choice.Idempotent, LatencyObjective: 500 * ms, Deadline: 2 * time.Second, PriorityWeight: 1}},
-		Limits:     choice.Limits{MaxAttempts: 3, MaxOpenRequests: 100, DialTimeout: 250 * ms, Cancel: true, IdleConnectionTimeout: 5 * time.Second},
-		Loading:    choice.Loading{Orders: true, LoadsOnMiss: true, OnMissKnown: true, IdleCopyTTL: 8 * time.Second, OrderTimeout: 5 * time.Second, LoadNotesGiven: true},
-		Guarantees: choice.Guarantees{DrainGrace: 500 * ms, WarmupFraction: 0.2, WarmupTime: 10 * time.Second, CollapseFactor: 2, CollapseWindow: 2 * time.Second}}
+	s := scheduler.Settings{Controllers: 1, Tick: ms, Classes: []scheduler.Class{{Name: "quote", Idempotency: scheduler.Idempotent, LatencyObjective: 500 * ms, Deadline: 2 * time.Second, PriorityWeight: 1}},
+		Limits:     scheduler.Limits{MaxAttempts: 3, MaxOpenRequests: 100, DialTimeout: 250 * ms, Cancel: true, IdleConnectionTimeout: 5 * time.Second},
+		Loading:    scheduler.Loading{Orders: true, LoadsOnMiss: true, OnMissKnown: true, IdleCopyTTL: 8 * time.Second, OrderTimeout: 5 * time.Second, LoadNotesGiven: true},
+		Guarantees: scheduler.Guarantees{DrainGrace: 500 * ms, WarmupFraction: 0.2, WarmupTime: 10 * time.Second, CollapseFactor: 2, CollapseWindow: 2 * time.Second}}
 	be := backend.New(backend.Config{Controller: "c1", Clock: clk, DialTimeout: 250 * ms, IdleTimeout: 5 * time.Second, OrderTimeout: 5 * time.Second, ProbeTimeout: time.Second})
 	defer be.Close()
 	g, err := gateway.New(gateway.Config{Name: "c1", Settings: s, Seed: 1, Clock: clk, Transport: be, Log: zerolog.New(zerolog.NewTestWriter(t))})
@@ -51,7 +51,7 @@
 	}
 	go g.Run()
 	defer g.Stop(time.Second)
-	if err := g.Workers(choice.FullList, 1, []gateway.Worker{{Name: "w1", Network: "tcp", Addr: host.Addr("w1"), State: choice.Ready}}); err != nil {
+	if err := g.Workers(scheduler.FullList, 1, []gateway.Worker{{Name: "w1", Network: "tcp", Addr: host.Addr("w1"), State: scheduler.Ready}}); err != nil {
 		t.Fatal(err)
 	}
 	key, err := signing.ParseKey("whsec_MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw")
@@ -65,8 +65,8 @@
 				return f
 			}
 			return nil
-		}, Deadline: func(int) time.Duration { return 2 * time.Second }, Effect: func(int) choice.Idempotency { return choice.Idempotent },
-		Replay: replay.Settings{Past: time.Minute, Future: 5 * time.Second, Ahead: 2 * time.Second, Entries: 1000, Bytes: 1 << 20}},
+		}, Deadline: func(int) time.Duration { return 2 * time.Second }, Effect: func(int) scheduler.Idempotency { return scheduler.Idempotent },
+		Replay: replayguard.Settings{Past: time.Minute, Future: 5 * time.Second, Ahead: 2 * time.Second, Entries: 1000, Bytes: 1 << 20}},
 		[]webhook.Client{{Name: "shop", Keys: []*signing.Key{key}}})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/gen/main.go
+++ b/internal/gen/main.go
@@ -8,7 +8,7 @@
 	"flag"
 	"fmt"
 	"os"
-	"path"
+	"strings"
 
 	"github.com/bufbuild/protocompile"
 	"google.golang.org/protobuf/cmd/protoc-gen-go/internal_gengo"
@@ -22,7 +22,7 @@
 	_ "buf.build/gen/go/bufbuild/protovalidate/protocolbuffers/go/buf/validate"
 )
 
-var files = []string{"config/config.proto", "day/day.proto"}
+var files = []string{"config/config.proto", "internal/harness/scenario/day.proto"}
 
 func main() {
 	check := flag.Bool("check", false, "write nothing; fail if a file is not up to date")
@@ -90,7 +90,7 @@
 		return fmt.Errorf("%s", *resp.Error)
 	}
 	for _, out := range resp.File {
-		name := path.Join(path.Base(path.Dir(out.GetName())), path.Base(out.GetName()))
+		name := strings.TrimPrefix(out.GetName(), "kitehub/") // by go_package, which is the path within the module
 		old, _ := os.ReadFile(name)
 		if bytes.Equal(old, []byte(out.GetContent())) {
 			continue
--- a/standin/platform/directory.go
+++ b/internal/harness/fakeplatform/directory.go
@@ -1,4 +1,4 @@
-package platform
+package fakeplatform
 
 import (
 	"net"
--- a/standin/platform/invoker.go
+++ b/internal/harness/fakeplatform/invoker.go
@@ -1,7 +1,7 @@
-// Package platform has stand-ins of the parties that a relay meets on its platform: invokers, the directory and clients. They
+// Package fakeplatform has stand-ins of the parties that a relay meets on its platform: invokers, the directory and clients. They
 // speak the platform's published protocol by code of their own, so that a fault of the relay's codecs does not hide in both.
 // What a party does is a script of the rig's; the stand-ins themselves only frame, listen and count.
-package platform
+package fakeplatform
 
 import (
 	"encoding/binary"
--- a/standin/list.go
+++ b/internal/harness/fakeworker/list.go
@@ -1,4 +1,4 @@
-package standin
+package fakeworker
 
 import (
 	"encoding/json"
@@ -8,11 +8,11 @@
 	"sync"
 	"time"
 
-	"kitehub/choice"
-	"kitehub/discovery"
-	"kitehub/gateway"
+	"kitehub/internal/discovery"
+	"kitehub/internal/gateway"
+	"kitehub/internal/harness/trace"
 	"kitehub/internal/http1"
-	"kitehub/internal/trace"
+	"kitehub/scheduler"
 )
 
 // A List is a stand-in for the server of the list of workers. Changes are published after a delay, to the server's
@@ -151,7 +151,7 @@
 	present := map[string]bool{}
 	for _, w := range list {
 		state := "ready"
-		if w.State != choice.Ready {
+		if w.State != scheduler.Ready {
 			state = "draining"
 		}
 		present[w.Name] = true
--- a/standin/serve.go
+++ b/internal/harness/fakeworker/serve.go
@@ -1,4 +1,4 @@
-package standin
+package fakeworker
 
 import (
 	"encoding/json"
@@ -8,14 +8,14 @@
 	"strings"
 	"time"
 
-	"kitehub/backend"
-	"kitehub/fleet"
+	"kitehub/internal/backend"
+	"kitehub/internal/harness/trace"
+	"kitehub/internal/harness/workersim"
 	"kitehub/internal/http1"
-	"kitehub/internal/trace"
 )
 
-func (h *Host) ask() (uint64, chan fleet.Effect) {
-	ch := make(chan fleet.Effect, 1)
+func (h *Host) ask() (uint64, chan workersim.Effect) {
+	ch := make(chan workersim.Effect, 1)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.nextID++
@@ -24,8 +24,8 @@
 }
 
 // await waits for an effect while watching the connection; false if the other end left first.
-func await(c *http1.Conn, ch chan fleet.Effect) (fleet.Effect, bool) {
-	var e fleet.Effect
+func await(c *http1.Conn, ch chan workersim.Effect) (workersim.Effect, bool) {
+	var e workersim.Effect
 	done := make(chan struct{})
 	quit := make(chan struct{})
 	defer close(quit)
@@ -38,7 +38,7 @@
 		}
 	}()
 	if c.Await(done) {
-		return fleet.Effect{}, false
+		return workersim.Effect{}, false
 	}
 	c.Rearm()
 	return e, true
@@ -93,7 +93,7 @@
 			case "load":
 				return w.load(c, r, name)
 			case "unload":
-				w.h.Do(func(f *fleet.Fleet) { f.Unload(w.index, name) })
+				w.h.Do(func(f *workersim.Fleet) { f.Unload(w.index, name) })
 				return &http1.Response{Status: 200}
 			}
 		}
@@ -107,9 +107,9 @@
 }
 
 // reported adds the load report.
-func (w *site) reported(resp *http1.Response, e *fleet.Effect, copies int) *http1.Response {
-	var rep fleet.Report
-	w.h.Do(func(f *fleet.Fleet) { rep = f.Report(w.index) })
+func (w *site) reported(resp *http1.Response, e *workersim.Effect, copies int) *http1.Response {
+	var rep workersim.Report
+	w.h.Do(func(f *workersim.Fleet) { rep = f.Report(w.index) })
 	s := fmt.Sprintf("TEXT cpu_utilization=%.3f, named_metrics.queue=%d, named_metrics.inflight=%d, named_metrics.x0=%.3f, named_metrics.x1=%d",
 		rep.Util, rep.Queue, rep.InFlight, rep.Memory, rep.Loads)
 	if e != nil {
@@ -129,7 +129,7 @@
 		Copies int    `json:"copies"`
 	}
 	l := []line{}
-	w.h.Do(func(f *fleet.Fleet) {
+	w.h.Do(func(f *workersim.Fleet) {
 		for _, k := range w.h.cfg.Functions {
 			if n := f.Copies(w.index, k.Name); n > 0 {
 				l = append(l, line{k.Name, "READY", n})
@@ -162,15 +162,15 @@
 		return w.reported(fault(500, "urn:kitehub:problem:load-failed"), nil, 0)
 	}
 	id, ch := w.h.ask()
-	w.h.Do(func(f *fleet.Fleet) { f.Hold(w.index, id, &k.Function, copies) })
+	w.h.Do(func(f *workersim.Fleet) { f.Hold(w.index, id, &k.Function, copies) })
 	e, ok := await(c, ch)
-	if !ok || e.Outcome == fleet.Reset || !w.hush(c) {
+	if !ok || e.Outcome == workersim.Reset || !w.hush(c) {
 		return nil
 	}
 	switch e.Outcome {
-	case fleet.OK:
+	case workersim.OK:
 		return w.reported(&http1.Response{Status: 200}, nil, e.Copies)
-	case fleet.Full:
+	case workersim.Full:
 		return w.reported(fault(503, backend.ProblemFull), nil, e.Copies)
 	}
 	return w.reported(fault(500, "urn:kitehub:problem:load-failed"), nil, e.Copies)
@@ -253,7 +253,7 @@
 	w.h.cfg.Trace.Add(rec)
 	if k.Versions {
 		if rec.Digest = w.proved(k, r.Header.Get(backend.HeaderDigest)); rec.Digest == "" {
-			return w.reported(fault(404, backend.ProblemMiss), &fleet.Effect{Note: 4}, 0) // the load failed; nothing ran
+			return w.reported(fault(404, backend.ProblemMiss), &workersim.Effect{Note: 4}, 0) // the load failed; nothing ran
 		}
 		w.mu.Lock()
 		if w.lies {
@@ -266,22 +266,22 @@
 	w.h.began[id] = rec
 	fails := w.h.fails[k.Class]
 	w.h.mu.Unlock()
-	call := fleet.Call{ID: id, Function: &k.Function, Work: work, Mean: k.Work.Seconds(), Fails: fails}
+	call := workersim.Call{ID: id, Function: &k.Function, Work: work, Mean: k.Work.Seconds(), Fails: fails}
 	if k.Keyed {
 		call.Key = rec.Key
 	}
-	w.h.Do(func(f *fleet.Fleet) { f.Call(w.index, call) })
+	w.h.Do(func(f *workersim.Fleet) { f.Call(w.index, call) })
 	e, ok := await(c, ch)
-	if ok && e.Outcome != fleet.Reset {
+	if ok && e.Outcome != workersim.Reset {
 		ok = w.hush(c)
 	}
 	if !ok {
 		rec.Kind, rec.At = trace.Left, 0
 		w.h.cfg.Trace.Add(rec)
-		w.h.Do(func(f *fleet.Fleet) { f.Cancel(w.index, id) })
+		w.h.Do(func(f *workersim.Fleet) { f.Cancel(w.index, id) })
 		return nil
 	}
-	if e.Outcome == fleet.Reset {
+	if e.Outcome == workersim.Reset {
 		c.Reset()
 		return nil
 	}
@@ -289,7 +289,7 @@
 	w.h.cfg.Trace.Add(rec)
 	var resp *http1.Response
 	switch e.Outcome {
-	case fleet.OK:
+	case workersim.OK:
 		head := `{"model_name":"` + name + `","outputs":[{"name":"body","shape":[1],"datatype":"BYTES","parameters":{"binary_data_size":` +
 			strconv.Itoa(len(body)) + `}}]}`
 		resp = &http1.Response{Status: 200, Header: http1.Header{{Name: "Content-Type", Value: "application/octet-stream"},
@@ -297,7 +297,7 @@
 		if rec.Digest != "" {
 			resp.Header.Add(backend.HeaderDigest, rec.Digest)
 		}
-	case fleet.Full:
+	case workersim.Full:
 		resp = fault(503, backend.ProblemFull)
 	default:
 		resp = fault(500, "urn:kitehub:problem:"+string(e.Outcome))
--- a/standin/standin.go
+++ b/internal/harness/fakeworker/standin.go
@@ -1,7 +1,7 @@
-// Package standin puts sockets around package fleet: workers that speak the Open Inference Protocol with its
+// Package fakeworker puts sockets around package workersim: workers that speak the Open Inference Protocol with its
 // repository extension and ORCA reports, and that can be told to fail in every way that a real one might. One Host
 // holds them all, eighty or more. What really happened goes to the trace, whatever the answers say.
-package standin
+package fakeworker
 
 import (
 	"fmt"
@@ -9,15 +9,15 @@
 	"sync"
 	"time"
 
-	"kitehub/fleet"
 	"kitehub/internal/clock"
+	"kitehub/internal/harness/trace"
+	"kitehub/internal/harness/workersim"
 	"kitehub/internal/http1"
-	"kitehub/internal/trace"
 )
 
 // A Kind of function tells how calls of it run.
 type Kind struct {
-	fleet.Function
+	workersim.Function
 	Class string
 	Work  time.Duration // mean, on a core of speed 1
 	Keyed bool
@@ -27,7 +27,7 @@
 
 // Config sets up a Host.
 type Config struct {
-	Fleet     fleet.Config
+	Fleet     workersim.Config
 	Functions []Kind
 	Clock     clock.Clock
 	Trace     *trace.Log
@@ -53,14 +53,14 @@
 type Host struct {
 	cfg     Config
 	kinds   map[string]*Kind
-	do      chan func(*fleet.Fleet)
+	do      chan func(*workersim.Fleet)
 	end     chan struct{}
 	stopped sync.WaitGroup
 	workers []*site
 
 	mu      sync.Mutex
 	nextID  uint64
-	waiting map[uint64]chan fleet.Effect
+	waiting map[uint64]chan workersim.Effect
 	began   map[uint64]trace.Record
 	fails   map[string]bool  // classes whose calls end in errors
 	made    map[string]*Kind // versions of models
@@ -84,8 +84,8 @@
 
 // Start opens a loopback listener for each worker.
 func Start(cfg Config) (*Host, error) {
-	h := &Host{cfg: cfg, kinds: map[string]*Kind{}, do: make(chan func(*fleet.Fleet), 256), end: make(chan struct{}),
-		waiting: map[uint64]chan fleet.Effect{}, began: map[uint64]trace.Record{}, fails: map[string]bool{}, made: map[string]*Kind{}}
+	h := &Host{cfg: cfg, kinds: map[string]*Kind{}, do: make(chan func(*workersim.Fleet), 256), end: make(chan struct{}),
+		waiting: map[uint64]chan workersim.Effect{}, began: map[uint64]trace.Record{}, fails: map[string]bool{}, made: map[string]*Kind{}}
 	for i := range cfg.Functions {
 		h.kinds[cfg.Functions[i].Name] = &cfg.Functions[i]
 	}
@@ -117,7 +117,7 @@
 // run owns the fleet.
 func (h *Host) run() {
 	defer h.stopped.Done()
-	f := fleet.New(h.cfg.Fleet, h.cfg.Clock.Now())
+	f := workersim.New(h.cfg.Fleet, h.cfg.Clock.Now())
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for {
@@ -140,15 +140,15 @@
 }
 
 // tell hands what happened to those who wait, and to the trace.
-func (h *Host) tell(effects []fleet.Effect) {
+func (h *Host) tell(effects []workersim.Effect) {
 	for _, e := range effects {
 		w := h.workers[e.Worker]
 		switch e.Kind {
-		case fleet.Fell:
+		case workersim.Fell:
 			h.cfg.Trace.Add(trace.Record{At: e.At, Kind: trace.Fell, Worker: w.name})
 			go w.shut()
 			continue
-		case fleet.Began:
+		case workersim.Began:
 			h.mu.Lock()
 			rec := h.began[e.ID]
 			h.mu.Unlock()
@@ -176,10 +176,10 @@
 }
 
 // Do runs f on the fleet and waits for it.
-func (h *Host) Do(f func(*fleet.Fleet)) {
+func (h *Host) Do(f func(*workersim.Fleet)) {
 	done := make(chan struct{})
 	select {
-	case h.do <- func(fl *fleet.Fleet) { f(fl); close(done) }:
+	case h.do <- func(fl *workersim.Fleet) { f(fl); close(done) }:
 		select {
 		case <-done:
 		case <-h.end:
@@ -218,7 +218,7 @@
 	w := h.site(name)
 	h.cfg.Trace.Add(trace.Record{Kind: trace.WorkerDown, Worker: name})
 	w.shut()
-	h.Do(func(f *fleet.Fleet) { f.Kill(w.index) })
+	h.Do(func(f *workersim.Fleet) { f.Kill(w.index) })
 }
 
 // Restart brings a worker up again, cold and empty, at its old address unless that is taken: see Addr.
@@ -226,7 +226,7 @@
 	w := h.site(name)
 	h.Kill(name)
 	up := false
-	h.Do(func(f *fleet.Fleet) { up = f.Start(w.index) })
+	h.Do(func(f *workersim.Fleet) { up = f.Start(w.index) })
 	if !up {
 		return fmt.Errorf("standin: %s fell over and stays down", name)
 	}
--- a/rules/golden_test.go
+++ b/internal/harness/invariant/golden_test.go
@@ -1,4 +1,4 @@
-package rules
+package invariant
 
 import (
 	"encoding/json"
--- a/rules/rules.go
+++ b/internal/harness/invariant/rules.go
@@ -1,11 +1,11 @@
-// Package rules judges the five rules from a trace of both ends alone: what clients sent and read, what workers read,
+// Package invariant judges the five rules from a trace of both ends alone: what clients sent and read, what workers read,
 // ran and wrote, and when a list was written to a controller. It knows nothing of the gateway's insides.
 //
 // Bytes take time, so each judgement allows Slack between a decision and its bytes being seen, always in the
 // gateway's favour: a break shorter than that is not found here. Package choice tests those without sockets. Where
 // the rig noted that the machine stood still for a time (Stall), that time is allowed too; what was excused by it is
 // counted in the verdict.
-package rules
+package invariant
 
 import (
 	"fmt"
@@ -13,7 +13,7 @@
 	"slices"
 	"time"
 
-	"kitehub/internal/trace"
+	"kitehub/internal/harness/trace"
 )
 
 // A Rule is one of the five.
--- a/rules/versions.go
+++ b/internal/harness/invariant/versions.go
@@ -1,11 +1,11 @@
-package rules
+package invariant
 
 import (
 	"fmt"
 	"slices"
 	"time"
 
-	"kitehub/internal/trace"
+	"kitehub/internal/harness/trace"
 )
 
 // A VersionBreak is an answer, or a run, of a version that should not have been.
--- a/rules/versions_test.go
+++ b/internal/harness/invariant/versions_test.go
@@ -1,11 +1,11 @@
-package rules
+package invariant
 
 import (
 	"strings"
 	"testing"
 	"time"
 
-	"kitehub/internal/trace"
+	"kitehub/internal/harness/trace"
 )
 
 func TestVersions(t *testing.T) {
