--- a/bench/bench_test.go
+++ b/internal/harness/proxybench/bench_test.go
@@ -1,6 +1,6 @@
-// Package bench measures the gateway against httputil.ReverseProxy before the same stand-in workers, in one run, by
+// Package proxybench measures the gateway against httputil.ReverseProxy before the same stand-in workers, in one run, by
 // turns, so that the ratio holds on whatever machine it is run. It is no test: see docs/gateway.md for figures.
-package bench
+package proxybench
 
 import (
 	"bufio"
@@ -24,14 +24,14 @@
 	"github.com/rs/zerolog"
 	standard "github.com/standard-webhooks/standard-webhooks/libraries/go"
 
-	"kitehub/choice"
 	"kitehub/config"
-	"kitehub/controller"
-	"kitehub/discovery"
-	"kitehub/gateway"
 	"kitehub/internal/clock"
+	"kitehub/internal/controller"
+	"kitehub/internal/discovery"
+	"kitehub/internal/gateway"
 	"kitehub/internal/http1"
-	"kitehub/signing"
+	"kitehub/internal/signing"
+	"kitehub/scheduler"
 )
 
 const secret = "whsec_MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw"
@@ -79,7 +79,7 @@
 	dir := t.TempDir()
 	var l []gateway.Worker
 	for i, a := range addrs {
-		l = append(l, gateway.Worker{Name: fmt.Sprint("w", i), Network: "tcp", Addr: a, State: choice.Ready, Size: 1})
+		l = append(l, gateway.Worker{Name: fmt.Sprint("w", i), Network: "tcp", Addr: a, State: scheduler.Ready, Size: 1})
 	}
 	list, err := discovery.Render("c", l)
 	if err == nil {
--- a/scale/dispatch.go
+++ b/internal/harness/scalebench/dispatch.go
@@ -1,7 +1,7 @@
-// Package scale measures how the cost of the product's parts grows with the size of an installation: drivers over the real code,
+// Package scalebench measures how the cost of the product's parts grows with the size of an installation: drivers over the real code,
 // against hollow partners that share the process. Its tests assert shape (counts, bytes, growth) in seconds; its benchmarks
 // play the sizes of docs/CAPACITY.md.
-package scale
+package scalebench
 
 import (
 	"container/heap"
@@ -12,7 +12,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"kitehub/choice"
+	"kitehub/scheduler"
 )
 
 // Figures of the hollow workers that answer a dispatcher. They have no queue and no memory limit, and no fault but those that a load
@@ -59,7 +59,7 @@
 	Bytes        uint64 // allocated
 	Heap         uint64 // in use at the end, the play's own included
 	Functions    int    // remembered at the end
-	Effort       choice.Effort
+	Effort       scheduler.Effort
 }
 
 // Core returns the part of a processor core that the steps used.
@@ -68,7 +68,7 @@
 type timedEvent struct {
 	at    time.Duration
 	order int
-	event choice.Event
+	event scheduler.Event
 }
 
 type timedEvents []timedEvent
@@ -86,49 +86,49 @@
 }
 
 type copyKey struct {
-	worker   choice.WorkerID
-	function choice.FunctionID
+	worker   scheduler.WorkerID
+	function scheduler.FunctionID
 }
 
 // A dispatchPlay is a dispatcher with its hollow workers, under way.
 type dispatchPlay struct {
 	load       DispatchLoad
-	dispatcher *choice.Dispatcher
+	dispatcher *scheduler.Dispatcher
 	random     *rand.Rand
 	now        time.Duration
 	events     timedEvents
 	order      int
-	workers    []choice.WorkerInfo
-	nextWorker choice.WorkerID
-	nextCall   choice.RequestID
+	workers    []scheduler.WorkerInfo
+	nextWorker scheduler.WorkerID
+	nextCall   scheduler.RequestID
 	popularity []float64 // cumulative, by function
-	functions  map[choice.RequestID]choice.FunctionID
-	attempts   map[choice.RequestID]int
+	functions  map[scheduler.RequestID]scheduler.FunctionID
+	attempts   map[scheduler.RequestID]int
 	lastUse    map[copyKey]time.Duration
 	cost       DispatchCost
 }
 
 // dispatchSettings are those of a large installation with copies of two sizes of worker.
-func dispatchSettings(l DispatchLoad) choice.Settings {
+func dispatchSettings(l DispatchLoad) scheduler.Settings {
 	const ms = time.Millisecond
-	return choice.Settings{Controllers: 800, Tick: l.Tick,
-		Classes: []choice.Class{
-			{Name: "read", Idempotency: choice.Idempotent, LatencyObjective: 500 * ms, Deadline: 2500 * ms, PriorityWeight: 1},
-			{Name: "write", Idempotency: choice.NonIdempotent, LatencyObjective: 500 * ms, Deadline: 2500 * ms, PriorityWeight: 1}},
-		Limits: choice.Limits{MaxAttempts: 3, MaxOpenRequests: 4000, DialTimeout: 250 * ms, Cancel: true, Probe: true},
-		Loading: choice.Loading{Orders: true, LoadsOnMiss: true, OnMissKnown: true, IdleCopyTTL: l.IdleLife, OrderTimeout: 5 * time.Second,
+	return scheduler.Settings{Controllers: 800, Tick: l.Tick,
+		Classes: []scheduler.Class{
+			{Name: "read", Idempotency: scheduler.Idempotent, LatencyObjective: 500 * ms, Deadline: 2500 * ms, PriorityWeight: 1},
+			{Name: "write", Idempotency: scheduler.NonIdempotent, LatencyObjective: 500 * ms, Deadline: 2500 * ms, PriorityWeight: 1}},
+		Limits: scheduler.Limits{MaxAttempts: 3, MaxOpenRequests: 4000, DialTimeout: 250 * ms, Cancel: true, Probe: true},
+		Loading: scheduler.Loading{Orders: true, LoadsOnMiss: true, OnMissKnown: true, IdleCopyTTL: l.IdleLife, OrderTimeout: 5 * time.Second,
 			BudgetWindow: 5 * time.Second, BudgetFree: 20, BudgetRatio: 1, LoadNotesGiven: true, MemoryMB: []float64{8000, 16000}},
-		Guarantees: choice.Guarantees{DrainGrace: 500 * ms, WarmupFraction: 0.2, WarmupTime: 16 * time.Second, CollapseFactor: 3, CollapseWindow: 2 * time.Second}}
+		Guarantees: scheduler.Guarantees{DrainGrace: 500 * ms, WarmupFraction: 0.2, WarmupTime: 16 * time.Second, CollapseFactor: 3, CollapseWindow: 2 * time.Second}}
 }
 
 // PlayDispatch plays a load and returns its cost.
 func PlayDispatch(load DispatchLoad) (DispatchCost, error) {
-	d, err := choice.New(dispatchSettings(load), load.Seed)
+	d, err := scheduler.New(dispatchSettings(load), load.Seed)
 	if err != nil {
 		return DispatchCost{}, err
 	}
 	p := &dispatchPlay{load: load, dispatcher: d, random: rand.New(rand.NewPCG(load.Seed, 29)), now: firstClock, nextWorker: 1, nextCall: 1,
-		functions: map[choice.RequestID]choice.FunctionID{}, attempts: map[choice.RequestID]int{}, lastUse: map[copyKey]time.Duration{}}
+		functions: map[scheduler.RequestID]scheduler.FunctionID{}, attempts: map[scheduler.RequestID]int{}, lastUse: map[copyKey]time.Duration{}}
 	for range load.Workers {
 		p.workers = append(p.workers, p.newWorker())
 	}
@@ -139,7 +139,7 @@
 	}
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	p.step([]choice.Event{choice.ListUpdate{Kind: choice.FullList, Workers: p.workers}}, true)
+	p.step([]scheduler.Event{scheduler.ListUpdate{Kind: scheduler.FullList, Workers: p.workers}}, true)
 	p.run(load.Span / warmUpShare)
 	p.cost = DispatchCost{Span: load.Span}
 	var before, after runtime.MemStats
@@ -147,7 +147,7 @@
 	runtime.ReadMemStats(&before)
 	p.run(load.Span)
 	runtime.ReadMemStats(&after)
-	p.cost.Effort = choice.Effort{Points: d.Effort().Points - effort.Points, Workers: d.Effort().Workers - effort.Workers, Queues: d.Effort().Queues - effort.Queues, Summed: d.Effort().Summed - effort.Summed}
+	p.cost.Effort = scheduler.Effort{Points: d.Effort().Points - effort.Points, Workers: d.Effort().Workers - effort.Workers, Queues: d.Effort().Queues - effort.Queues, Summed: d.Effort().Summed - effort.Summed}
 	p.cost.Allocations, p.cost.Bytes = after.Mallocs-before.Mallocs, after.TotalAlloc-before.TotalAlloc
 	runtime.GC()
 	runtime.ReadMemStats(&after)
@@ -155,8 +155,8 @@
 	return p.cost, nil
 }
 
-func (p *dispatchPlay) newWorker() choice.WorkerInfo {
-	w := choice.WorkerInfo{ID: p.nextWorker, State: choice.Ready, Group: int(p.nextWorker) / 8, Zone: int(p.nextWorker) % 10, Kind: int(p.nextWorker) % 2}
+func (p *dispatchPlay) newWorker() scheduler.WorkerInfo {
+	w := scheduler.WorkerInfo{ID: p.nextWorker, State: scheduler.Ready, Group: int(p.nextWorker) / 8, Zone: int(p.nextWorker) % 10, Kind: int(p.nextWorker) % 2}
 	p.nextWorker++
 	return w
 }
@@ -164,7 +164,7 @@
 func (p *dispatchPlay) run(span time.Duration) {
 	for end := p.now + span; p.now < end; {
 		p.now += p.load.Tick
-		var events []choice.Event
+		var events []scheduler.Event
 		for len(p.events) > 0 && p.events[0].at <= p.now {
 			events = append(events, heap.Pop(&p.events).(timedEvent).event)
 		}
@@ -182,14 +182,14 @@
 }
 
 // replaceOne has one worker gone and another come, which is cold. The gateway tells the module whole lists, also where it was told a delta.
-func (p *dispatchPlay) replaceOne() choice.Event {
+func (p *dispatchPlay) replaceOne() scheduler.Event {
 	w := p.newWorker()
 	w.StartedAt = p.now
 	p.workers[p.random.IntN(len(p.workers))] = w
-	return choice.ListUpdate{Kind: choice.FullList, Workers: p.workers}
+	return scheduler.ListUpdate{Kind: scheduler.FullList, Workers: p.workers}
 }
 
-func (p *dispatchPlay) call() choice.Event {
+func (p *dispatchPlay) call() scheduler.Event {
 	x := p.random.Float64() * p.popularity[len(p.popularity)-1]
 	low, high := 0, len(p.popularity)-1
 	for low < high {
@@ -201,13 +201,13 @@
 	}
 	id := p.nextCall
 	p.nextCall++
-	p.functions[id] = choice.FunctionID(low + 1)
+	p.functions[id] = scheduler.FunctionID(low + 1)
 	p.cost.Calls++
 	class := 0
 	if p.random.IntN(5) == 0 {
 		class = 1
 	}
-	return choice.Arrival{Request: id, Class: class, Function: choice.FunctionID(low + 1), TimeLeft: 2500 * time.Millisecond, Lanes: 2, LoadTime: loadTime}
+	return scheduler.Arrival{Request: id, Class: class, Function: scheduler.FunctionID(low + 1), TimeLeft: 2500 * time.Millisecond, Lanes: 2, LoadTime: loadTime}
 }
 
 func threadTime() time.Duration {
@@ -218,7 +218,7 @@
 	return time.Duration(t.Nano())
 }
 
-func (p *dispatchPlay) step(events []choice.Event, list bool) {
+func (p *dispatchPlay) step(events []scheduler.Event, list bool) {
 	began := threadTime()
 	actions := p.dispatcher.Step(p.now, events)
 	took := threadTime() - began
@@ -235,26 +235,26 @@
 	}
 }
 
-func (p *dispatchPlay) later(after time.Duration, e choice.Event) {
+func (p *dispatchPlay) later(after time.Duration, e scheduler.Event) {
 	p.order++
 	heap.Push(&p.events, timedEvent{p.now + after, p.order, e})
 }
 
-func (p *dispatchPlay) answer(a choice.Action) {
+func (p *dispatchPlay) answer(a scheduler.Action) {
 	switch a := a.(type) {
-	case choice.Send:
+	case scheduler.Send:
 		p.serve(a)
-	case choice.LoadOrder:
+	case scheduler.LoadOrder:
 		p.hold(a)
-	case choice.Probe:
+	case scheduler.Probe:
 		p.cost.Questions++
-		p.later(roundTrip, choice.ProbeEnded{Worker: a.Worker, Outcome: choice.OK})
-	case choice.Cancel:
-		p.later(roundTrip, choice.AttemptEnded{Request: a.Request, Attempt: a.Attempt, Outcome: choice.Cancelled})
-	case choice.Reject:
+		p.later(roundTrip, scheduler.ProbeEnded{Worker: a.Worker, Outcome: scheduler.OK})
+	case scheduler.Cancel:
+		p.later(roundTrip, scheduler.AttemptEnded{Request: a.Request, Attempt: a.Attempt, Outcome: scheduler.Cancelled})
+	case scheduler.Reject:
 		p.cost.Refused++
 		p.forget(a.Request)
-	case choice.Fail:
+	case scheduler.Fail:
 		p.cost.Failed++
 		p.forget(a.Request)
 	}
@@ -271,7 +271,7 @@
 
 // fault returns what is wrong with a worker now. Workers with faults are spread evenly over the ids, and half of them have theirs
 // while the other half have none.
-func (p *dispatchPlay) fault(w choice.WorkerID) fault {
+func (p *dispatchPlay) fault(w scheduler.WorkerID) fault {
 	faulty := int(float64(w)*p.load.Faulty) - int(float64(w-1)*p.load.Faulty)
 	number := int(float64(w) * p.load.Faulty)
 	if faulty == 0 || (int(p.now/faultPeriod)+number)%2 == 0 {
@@ -284,8 +284,8 @@
 }
 
 // hold answers an order to load, or the question how many copies stand.
-func (p *dispatchPlay) hold(a choice.LoadOrder) {
-	held := choice.LoadOrderEnded{Worker: a.Worker, Function: a.Function, Outcome: choice.OK, Copies: a.Copies}
+func (p *dispatchPlay) hold(a scheduler.LoadOrder) {
+	held := scheduler.LoadOrderEnded{Worker: a.Worker, Function: a.Function, Outcome: scheduler.OK, Copies: a.Copies}
 	after := roundTrip
 	if a.Copies == 0 {
 		p.cost.Questions++
@@ -295,10 +295,10 @@
 	}
 	switch p.fault(a.Worker) {
 	case resets:
-		held.Outcome, held.Copies = choice.Reset, 0
+		held.Outcome, held.Copies = scheduler.Reset, 0
 		after = roundTrip
 	case silent:
-		held.Outcome, held.Copies = choice.TimedOut, 0
+		held.Outcome, held.Copies = scheduler.TimedOut, 0
 		after = dispatchSettings(p.load).Loading.OrderTimeout
 	default:
 		if a.Copies == 0 {
@@ -318,27 +318,27 @@
 	return 0
 }
 
-func (p *dispatchPlay) forget(id choice.RequestID) {
+func (p *dispatchPlay) forget(id scheduler.RequestID) {
 	delete(p.functions, id)
 	delete(p.attempts, id)
 }
 
-func (p *dispatchPlay) serve(a choice.Send) {
-	r := choice.AttemptEnded{Request: a.Request, Attempt: p.attempts[a.Request], Worker: a.Worker}
+func (p *dispatchPlay) serve(a scheduler.Send) {
+	r := scheduler.AttemptEnded{Request: a.Request, Attempt: p.attempts[a.Request], Worker: a.Worker}
 	p.attempts[a.Request]++
 	switch p.fault(a.Worker) {
 	case resets:
 		p.cost.Lost++
-		r.Outcome, r.Took = choice.Reset, roundTrip
+		r.Outcome, r.Took = scheduler.Reset, roundTrip
 	case silent:
 		p.cost.Lost++
-		r.Outcome, r.Took = choice.TimedOut, a.Timeout
+		r.Outcome, r.Took = scheduler.TimedOut, a.Timeout
 	default:
 		key := copyKey{a.Worker, p.functions[a.Request]}
-		r.Outcome, r.Complete, r.Note = choice.OK, true, choice.FoundWarm
+		r.Outcome, r.Complete, r.Note = scheduler.OK, true, scheduler.FoundWarm
 		r.Took = time.Duration(p.random.ExpFloat64() * float64(meanRun))
 		if p.copies(key) == 0 {
-			r.Note = choice.StartedLoad
+			r.Note = scheduler.StartedLoad
 			r.Took += loadTime
 		}
 		p.lastUse[key] = p.now
--- a/scale/dispatch_test.go
+++ b/internal/harness/scalebench/dispatch_test.go
@@ -1,4 +1,4 @@
-package scale_test
+package scalebench_test
 
 import (
 	"cmp"
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"kitehub/choice"
-	"kitehub/scale"
+	"kitehub/internal/harness/scalebench"
+	"kitehub/scheduler"
 )
 
 // dispatchSizes are those of the table in docs/CAPACITY.md: workers and functions.
@@ -22,35 +22,35 @@
 func BenchmarkDispatch(b *testing.B) {
 	for _, size := range dispatchSizes {
 		for _, life := range []time.Duration{60 * time.Second, 8 * time.Second} {
-			benchmarkDispatch(b, scale.DispatchLoad{Workers: size.workers, Functions: size.functions, Rate: callRate, IdleLife: life})
+			benchmarkDispatch(b, scalebench.DispatchLoad{Workers: size.workers, Functions: size.functions, Rate: callRate, IdleLife: life})
 		}
-		benchmarkDispatch(b, scale.DispatchLoad{Workers: size.workers, Functions: size.functions, Rate: callRate, IdleLife: 60 * time.Second, Changes: 1})
-		benchmarkDispatch(b, scale.DispatchLoad{Workers: size.workers, Functions: size.functions, Rate: callRate, IdleLife: 60 * time.Second, Faulty: faultyShare})
-		benchmarkDispatch(b, scale.DispatchLoad{Workers: size.workers, Functions: size.functions, IdleLife: 60 * time.Second})
+		benchmarkDispatch(b, scalebench.DispatchLoad{Workers: size.workers, Functions: size.functions, Rate: callRate, IdleLife: 60 * time.Second, Changes: 1})
+		benchmarkDispatch(b, scalebench.DispatchLoad{Workers: size.workers, Functions: size.functions, Rate: callRate, IdleLife: 60 * time.Second, Faulty: faultyShare})
+		benchmarkDispatch(b, scalebench.DispatchLoad{Workers: size.workers, Functions: size.functions, IdleLife: 60 * time.Second})
 	}
 }
 
 // What steps look at grows with the calls, not with the fleet: of three sizes, the largest looks at four times as much a call as the
 // smallest at the most, in points of the ring, workers and functions, also while the list changes and new workers are cold; with no calls at nothing.
 func TestDispatchShape(t *testing.T) {
-	var small, last choice.Effort
+	var small, last scheduler.Effort
 	for _, size := range dispatchSizes {
-		load := scale.DispatchLoad{Workers: size.workers, Functions: size.functions, Rate: callRate, Changes: 1, IdleLife: 8 * time.Second,
+		load := scalebench.DispatchLoad{Workers: size.workers, Functions: size.functions, Rate: callRate, Changes: 1, IdleLife: 8 * time.Second,
 			Tick: 10 * time.Millisecond, Span: 12 * time.Second, Seed: 1}
-		c, err := scale.PlayDispatch(load)
+		c, err := scalebench.PlayDispatch(load)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if c.Sent < c.Calls*9/10 || c.Orders == 0 || c.Lists == 0 {
 			t.Fatalf("%d of %d calls sent, %d orders, %d lists: the play tests too little", c.Sent, c.Calls, c.Orders, c.Lists)
 		}
-		a := choice.Effort{Points: c.Effort.Points * 100 / uint64(c.Calls), Workers: c.Effort.Workers * 100 / uint64(c.Calls), Queues: c.Effort.Queues * 100 / uint64(c.Calls), Summed: c.Effort.Summed * 100 / uint64(c.Calls)}
+		a := scheduler.Effort{Points: c.Effort.Points * 100 / uint64(c.Calls), Workers: c.Effort.Workers * 100 / uint64(c.Calls), Queues: c.Effort.Queues * 100 / uint64(c.Calls), Summed: c.Effort.Summed * 100 / uint64(c.Calls)}
 		// The sum over all that a cold worker's bound asks for is made once a step at the most, where one is considered: under a third of calls.
 		if c.Effort.Summed > uint64(c.Calls*size.workers/3) {
 			t.Errorf("%d workers: %d shares added up for %d calls", size.workers, c.Effort.Summed, c.Calls)
 		}
 		t.Logf("%d workers, %d functions: a hundred calls look at %+v; %d orders", size.workers, size.functions, a, c.Orders)
-		if small == (choice.Effort{}) {
+		if small == (scheduler.Effort{}) {
 			small = a
 		}
 		last = a
@@ -70,7 +70,7 @@
 	const faulty = 12 // workers: half of them at a time
 	var small, last uint64
 	for _, size := range dispatchSizes {
-		c, err := scale.PlayDispatch(scale.DispatchLoad{Workers: size.workers, Functions: size.functions, Rate: callRate, IdleLife: 8 * time.Second,
+		c, err := scalebench.PlayDispatch(scalebench.DispatchLoad{Workers: size.workers, Functions: size.functions, Rate: callRate, IdleLife: 8 * time.Second,
 			Tick: 10 * time.Millisecond, Span: 30 * time.Second, Seed: 1, Faulty: faulty / float64(size.workers)})
 		if err != nil {
 			t.Fatal(err)
@@ -89,16 +89,16 @@
 
 func atRest(t *testing.T) {
 	t.Helper()
-	c, err := scale.PlayDispatch(scale.DispatchLoad{Workers: 1000, Functions: 100, IdleLife: 8 * time.Second, Tick: 10 * time.Millisecond, Span: 3 * time.Second, Seed: 1})
+	c, err := scalebench.PlayDispatch(scalebench.DispatchLoad{Workers: 1000, Functions: 100, IdleLife: 8 * time.Second, Tick: 10 * time.Millisecond, Span: 3 * time.Second, Seed: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Effort != (choice.Effort{}) || c.Allocations > uint64(10*c.Steps) {
+	if c.Effort != (scheduler.Effort{}) || c.Allocations > uint64(10*c.Steps) {
 		t.Errorf("with no calls %d steps looked at %+v and allocated %d times", c.Steps, c.Effort, c.Allocations)
 	}
 }
 
-func benchmarkDispatch(b *testing.B, load scale.DispatchLoad) {
+func benchmarkDispatch(b *testing.B, load scalebench.DispatchLoad) {
 	load.Tick = 10 * time.Millisecond
 	name := fmt.Sprintf("workers=%d/functions=%d/rate=%g/life=%s/changes=%g/faulty=%g", load.Workers, load.Functions, load.Rate, load.IdleLife, load.Changes, load.Faulty)
 	b.Run(name, func(b *testing.B) {
@@ -107,7 +107,7 @@
 		var core, longest, list, lists, listCPU, orders, questions, lost, bytes, heap, functions float64
 		for i := range b.N {
 			load.Seed = uint64(i + 1)
-			c, err := scale.PlayDispatch(load)
+			c, err := scalebench.PlayDispatch(load)
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/scale/list.go
+++ b/internal/harness/scalebench/list.go
@@ -1,4 +1,4 @@
-package scale
+package scalebench
 
 import (
 	"encoding/json"
@@ -9,12 +9,12 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/net/dns/dnsmessage"
 
-	"kitehub/backend"
-	"kitehub/choice"
-	"kitehub/discovery"
-	"kitehub/discovery/dns"
-	"kitehub/gateway"
+	"kitehub/internal/backend"
 	"kitehub/internal/clock"
+	"kitehub/internal/discovery"
+	"kitehub/internal/discovery/dns"
+	"kitehub/internal/gateway"
+	"kitehub/scheduler"
 )
 
 // ListLoad is a list of workers as a controller takes it in, with the changes of one worker each.
@@ -33,7 +33,7 @@
 
 func listedWorker(i int) gateway.Worker {
 	return gateway.Worker{Name: fmt.Sprintf("worker-%05d", i), Network: "tcp", Addr: fmt.Sprintf("10.%d.%d.%d:8080", i>>16, i>>8&255, i&255),
-		Zone: "zone-" + strconv.Itoa(i%10), Group: "rack-" + strconv.Itoa(i/8), Kind: "large", Size: 8, State: choice.Ready,
+		Zone: "zone-" + strconv.Itoa(i%10), Group: "rack-" + strconv.Itoa(i/8), Kind: "large", Size: 8, State: scheduler.Ready,
 		Started: time.Unix(1700000000+int64(i), 0)}
 }
 
@@ -77,13 +77,13 @@
 // noCarrier carries nothing.
 type noCarrier struct{}
 
-func (noCarrier) Send(backend.Attempt, func(backend.Result)) backend.Running             { return nil }
-func (noCarrier) LoadCopies(backend.LoadOrder, func(choice.Outcome, int, time.Duration)) {}
-func (noCarrier) Unload(choice.WorkerID, string)                                         {}
-func (noCarrier) Probe(choice.WorkerID, func(choice.Outcome, time.Duration, []float64)) {
+func (noCarrier) Send(backend.Attempt, func(backend.Result)) backend.Running                { return nil }
+func (noCarrier) LoadCopies(backend.LoadOrder, func(scheduler.Outcome, int, time.Duration)) {}
+func (noCarrier) Unload(scheduler.WorkerID, string)                                         {}
+func (noCarrier) Probe(scheduler.WorkerID, func(scheduler.Outcome, time.Duration, []float64)) {
 }
-func (noCarrier) CloseIdle(choice.WorkerID) {}
-func (noCarrier) Update([]backend.Endpoint) {}
+func (noCarrier) CloseIdle(scheduler.WorkerID) {}
+func (noCarrier) Update([]backend.Endpoint)    {}
 
 // playGateway tells a gateway of changes of one worker each. Its loop does not run.
 func (c *ListCost) playGateway(workers []gateway.Worker, times int) error {
@@ -92,15 +92,15 @@
 	if err != nil {
 		return err
 	}
-	if err := g.Workers(choice.FullList, 1, workers); err != nil {
+	if err := g.Workers(scheduler.FullList, 1, workers); err != nil {
 		return err
 	}
 	began := processTime()
 	for i := range times {
 		gone, come := workers[i%len(workers)], listedWorker(2*len(workers)+i)
-		gone.State = choice.Gone
+		gone.State = scheduler.Gone
 		workers[i%len(workers)] = come
-		if err := g.Workers(choice.ListDelta, uint32(i+2), []gateway.Worker{gone, come}); err != nil {
+		if err := g.Workers(scheduler.ListDelta, uint32(i+2), []gateway.Worker{gone, come}); err != nil {
 			return err
 		}
 	}
--- a/scale/list_test.go
+++ b/internal/harness/scalebench/list_test.go
@@ -1,10 +1,10 @@
-package scale_test
+package scalebench_test
 
 import (
 	"fmt"
 	"testing"
 
-	"kitehub/scale"
+	"kitehub/internal/harness/scalebench"
 )
 
 var listSizes = []int{36, 300, 1000, 2000}
@@ -13,10 +13,10 @@
 func BenchmarkList(b *testing.B) {
 	for _, workers := range listSizes {
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) {
-			var c scale.ListCost
+			var c scalebench.ListCost
 			for range b.N {
 				var err error
-				if c, err = scale.PlayList(scale.ListLoad{Workers: workers, Changes: 100}); err != nil {
+				if c, err = scalebench.PlayList(scalebench.ListLoad{Workers: workers, Changes: 100}); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -34,12 +34,12 @@
 // A whole list grows with its workers; a delta of one worker does not, nor do its bytes. The relay's directory says all in one
 // datagram, which holds some sixty workers: more need another form of the list.
 func TestListShape(t *testing.T) {
-	var small, large scale.ListCost
+	var small, large scalebench.ListCost
 	for _, p := range []struct {
 		workers int
-		cost    *scale.ListCost
+		cost    *scalebench.ListCost
 	}{{36, &small}, {1000, &large}} {
-		c, err := scale.PlayList(scale.ListLoad{Workers: p.workers, Changes: 3})
+		c, err := scalebench.PlayList(scalebench.ListLoad{Workers: p.workers, Changes: 3})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/scale/models.go
+++ b/internal/harness/scalebench/models.go
@@ -1,4 +1,4 @@
-package scale
+package scalebench
 
 import (
 	"encoding/json"
@@ -6,8 +6,8 @@
 	"runtime"
 	"time"
 
-	"kitehub/registry"
-	"kitehub/registry/wire"
+	"kitehub/internal/registry"
+	"kitehub/internal/registry/wire"
 )
 
 // ModelsCost is what a registry's state costs by the models it holds, and what one controller's view of them does, with no network.
--- a/scale/registry.go
+++ b/internal/harness/scalebench/registry.go
@@ -1,4 +1,4 @@
-package scale
+package scalebench
 
 import (
 	"context"
@@ -15,13 +15,13 @@
 
 	"kitehub/internal/clock"
 	"kitehub/internal/http1"
-	"kitehub/registry"
-	"kitehub/registry/agent"
-	"kitehub/registry/client"
-	"kitehub/registry/service"
-	"kitehub/registry/wire"
-	"kitehub/signing"
-	"kitehub/store"
+	"kitehub/internal/registry"
+	"kitehub/internal/registry/agent"
+	"kitehub/internal/registry/client"
+	"kitehub/internal/registry/service"
+	"kitehub/internal/registry/wire"
+	"kitehub/internal/signing"
+	"kitehub/internal/store"
 )
 
 // RegistryLoad is a registry's process with hollow controllers: real agents that take no calls, one connection each, in one process
--- a/scale/registry_test.go
+++ b/internal/harness/scalebench/registry_test.go
@@ -1,11 +1,11 @@
-package scale_test
+package scalebench_test
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"kitehub/scale"
+	"kitehub/internal/harness/scalebench"
 )
 
 // BenchmarkRegistry prints what a registry costs by controllers and models. One play a size: it is as long as it has to be.
@@ -13,7 +13,7 @@
 	for _, size := range []struct{ controllers, models int }{{100, 250}, {100, 1000}, {100, 2500}, {400, 250}, {400, 1000}, {800, 250}, {800, 1000}, {800, 2500}} {
 		b.Run(fmt.Sprintf("controllers=%d/models=%d", size.controllers, size.models), func(b *testing.B) {
 			for range b.N {
-				benchmarkRegistry(b, scale.RegistryLoad{Controllers: size.controllers, Models: size.models})
+				benchmarkRegistry(b, scalebench.RegistryLoad{Controllers: size.controllers, Models: size.models})
 			}
 		})
 	}
@@ -25,16 +25,16 @@
 	for _, controllers := range []int{10, 50, 100} {
 		b.Run(fmt.Sprintf("controllers=%d/models=23000", controllers), func(b *testing.B) {
 			for range b.N {
-				benchmarkRegistry(b, scale.RegistryLoad{Controllers: controllers, Models: 23000, FromSnapshot: true})
+				benchmarkRegistry(b, scalebench.RegistryLoad{Controllers: controllers, Models: 23000, FromSnapshot: true})
 			}
 		})
 	}
 }
 
-func benchmarkRegistry(b *testing.B, load scale.RegistryLoad) {
+func benchmarkRegistry(b *testing.B, load scalebench.RegistryLoad) {
 	b.Helper()
 	load.Moves, load.Rest, load.Within, load.Lease, load.Dir = 3, 5*time.Second, 40*time.Second, 15*time.Second, b.TempDir()
-	c, err := scale.PlayRegistry(load)
+	c, err := scalebench.PlayRegistry(load)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -44,9 +44,9 @@
 // What a controller receives to join grows with the models and not with the controllers; what it receives at rest and for a move
 // grows with neither. Nothing here is a time.
 func TestRegistryShape(t *testing.T) {
-	play := func(controllers, models int, fromSnapshot bool) scale.RegistryCost {
+	play := func(controllers, models int, fromSnapshot bool) scalebench.RegistryCost {
 		t.Helper()
-		c, err := scale.PlayRegistry(scale.RegistryLoad{Controllers: controllers, Models: models, FromSnapshot: fromSnapshot, Moves: 2, Rest: 200 * time.Millisecond,
+		c, err := scalebench.PlayRegistry(scalebench.RegistryLoad{Controllers: controllers, Models: models, FromSnapshot: fromSnapshot, Moves: 2, Rest: 200 * time.Millisecond,
 			Within: 20 * time.Second, Lease: 5 * time.Second, Dir: t.TempDir()})
 		if err != nil {
 			t.Fatal(err)
@@ -77,10 +77,10 @@
 func BenchmarkModels(b *testing.B) {
 	for _, models := range []int{250, 1000, 2500, 10000, 23000} {
 		b.Run(fmt.Sprintf("models=%d", models), func(b *testing.B) {
-			var c scale.ModelsCost
+			var c scalebench.ModelsCost
 			for range b.N {
 				var err error
-				if c, err = scale.PlayModels(models); err != nil {
+				if c, err = scalebench.PlayModels(models); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -98,9 +98,9 @@
 
 // What a joining controller is told, and the memory of what it knows, grow with the models and no faster.
 func TestModelsShape(t *testing.T) {
-	var small, large scale.ModelsCost
-	for models, cost := range map[int]*scale.ModelsCost{500: &small, 5000: &large} {
-		c, err := scale.PlayModels(models)
+	var small, large scalebench.ModelsCost
+	for models, cost := range map[int]*scalebench.ModelsCost{500: &small, 5000: &large} {
+		c, err := scalebench.PlayModels(models)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/day/controllers.go
+++ b/internal/harness/scenario/controllers.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 	"strings"
 
 	"kitehub/config"
-	"kitehub/controller"
-	"kitehub/internal/trace"
+	"kitehub/internal/controller"
+	"kitehub/internal/harness/trace"
 )
 
 func (p *player) startController(i int) error { return p.runController(i, false) }
--- a/day/golden_test.go
+++ b/internal/harness/scenario/golden_test.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"encoding/json"
--- a/day/guards_test.go
+++ b/internal/harness/scenario/guards_test.go
@@ -1,18 +1,18 @@
-package day
+package scenario
 
 import (
 	"slices"
 	"testing"
 	"time"
 
-	"kitehub/choice"
 	"kitehub/config"
-	"kitehub/discovery"
-	"kitehub/front"
-	"kitehub/gateway"
+	"kitehub/internal/discovery"
+	"kitehub/internal/gateway"
+	"kitehub/internal/harness/invariant"
 	"kitehub/internal/http1"
-	"kitehub/registry"
-	"kitehub/rules"
+	"kitehub/internal/ingress"
+	"kitehub/internal/registry"
+	"kitehub/scheduler"
 )
 
 // deaf is a sink that does not hear of drains or departures.
@@ -21,12 +21,12 @@
 	known map[string]gateway.Worker
 }
 
-func (d *deaf) Workers(kind choice.ListKind, version uint32, l []gateway.Worker) error {
+func (d *deaf) Workers(kind scheduler.ListKind, version uint32, l []gateway.Worker) error {
 	for _, w := range l {
-		if w.State == choice.Gone {
+		if w.State == scheduler.Gone {
 			continue
 		}
-		w.State = choice.Ready
+		w.State = scheduler.Ready
 		d.known[w.Name] = w
 	}
 	var all []gateway.Worker
@@ -39,7 +39,7 @@
 		}
 		return 1
 	})
-	return d.Sink.Workers(choice.FullList, version, all)
+	return d.Sink.Workers(scheduler.FullList, version, all)
 }
 
 // A gateway with one guard taken out is caught by the rule that the guard is for.
@@ -47,22 +47,22 @@
 	tests := []struct {
 		name   string
 		script string
-		rule   rules.Rule
+		rule   invariant.Rule
 		change func(*Day)
 		o      Options
 	}{
-		{"drain", "deploy", rules.Drains, func(d *Day) {
+		{"drain", "deploy", invariant.Drains, func(d *Day) {
 			for _, t := range d.Troubles {
 				t.DrainS = 1.5
 			}
 		}, Options{Sink: func(s discovery.Sink) discovery.Sink { return &deaf{s, map[string]gateway.Worker{}} }}},
-		{"cold bound", "killed", rules.Cold, func(d *Day) {
+		{"cold bound", "killed", invariant.Cold, func(d *Day) {
 			d.Rate, d.Rules.ColdShare, d.Rules.FallFactor, d.Rules.FallWithinMs, d.Rules.ColdMs = 700, 0.1, 1.6, 500, 5000
 			d.Troubles[0].Part, d.Troubles[0].ForS = 0.75, 0.5
 		}, Options{Spoil: func(b *config.Built) { b.Settings.Guarantees.WarmupTime = 0 }}},
-		{"load budget", "flush", rules.Loads, func(d *Day) { d.Rules.LoadFree, d.Rules.LoadRatio = 2, 0.02 },
+		{"load budget", "flush", invariant.Loads, func(d *Day) { d.Rules.LoadFree, d.Rules.LoadRatio = 2, 0.02 },
 			Options{Spoil: func(b *config.Built) { b.Settings.Loading.BudgetWindow = 0 }}},
-		{"double answer", "quiet", rules.OneAnswer, func(*Day) {}, Options{Handler: func(h http1.Handler) http1.Handler {
+		{"double answer", "quiet", invariant.OneAnswer, func(*Day) {}, Options{Handler: func(h http1.Handler) http1.Handler {
 			return http1.HandlerFunc(func(c *http1.Conn, r *http1.Request) *http1.Response {
 				resp := h.Serve(c, r)
 				if resp != nil {
@@ -71,12 +71,12 @@
 				return resp
 			})
 		}}},
-		{"effect", "cut-answers", rules.NoRepeat, func(d *Day) { d.Troubles[0].Part = 0.8 }, Options{Spoil: func(b *config.Built) {
+		{"effect", "cut-answers", invariant.NoRepeat, func(d *Day) { d.Troubles[0].Part = 0.8 }, Options{Spoil: func(b *config.Built) {
 			for i := range b.Settings.Classes {
-				b.Settings.Classes[i].Idempotency = choice.Idempotent
+				b.Settings.Classes[i].Idempotency = scheduler.Idempotent
 			}
 		}}},
-		{"deadline", "slowed", rules.OneAnswer, func(d *Day) { d.Troubles[0].Part, d.Troubles[0].Size = 1, 100 }, Options{Spoil: func(b *config.Built) {
+		{"deadline", "slowed", invariant.OneAnswer, func(d *Day) { d.Troubles[0].Part, d.Troubles[0].Size = 1, 100 }, Options{Spoil: func(b *config.Built) {
 			for i := range b.Settings.Classes {
 				b.Settings.Classes[i].Deadline *= 3
 			}
@@ -94,7 +94,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
-			breaks := func(o Options) (l []rules.Break) {
+			breaks := func(o Options) (l []invariant.Break) {
 				d := small(t, tt.script)
 				d.Rate *= slower // few calls would break little
 				tt.change(d)
@@ -123,7 +123,7 @@
 
 // trusting takes the check of versions out, as their answers come in and at the door.
 type trusting struct {
-	front.Models
+	ingress.Models
 	gateway.Versions
 }
 
@@ -151,7 +151,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
-			play := func(o Options) *rules.VersionVerdict {
+			play := func(o Options) *invariant.VersionVerdict {
 				d := small(t, tt.script)
 				tt.change(d)
 				return playSmall(t, d, o).Versions
@@ -159,7 +159,7 @@
 			if v := play(Options{}); len(v.Breaks) > 0 || v.Answers == 0 {
 				t.Errorf("with the guard: %d answers, %d breaks: %v", v.Answers, len(v.Breaks), v.Breaks)
 			}
-			v := play(Options{Models: func(m front.Models) front.Models { return trusting{Models: m} },
+			v := play(Options{Models: func(m ingress.Models) ingress.Models { return trusting{Models: m} },
 				Versions: func(g gateway.Versions) gateway.Versions { return trusting{Versions: g} }})
 			if len(v.Breaks) == 0 {
 				t.Errorf("without the guard no break was found in %d answers", v.Answers)
@@ -170,7 +170,7 @@
 	}
 }
 
-func first(l []rules.Break) string {
+func first(l []invariant.Break) string {
 	if len(l) == 0 {
 		return ""
 	}
--- a/day/hostile_test.go
+++ b/internal/harness/scenario/hostile_test.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"fmt"
@@ -6,13 +6,13 @@
 	"strings"
 	"testing"
 
-	"kitehub/hook"
+	"kitehub/internal/hooklang"
 )
 
 // All hostile scripts that can be loaded at all, in half of the controllers, while signed and JSON-RPC calls go on: the five rules are
 // kept by the trace of both ends, and calls are served.
 func TestHostileScripts(t *testing.T) {
-	text, err := os.ReadFile("../hook/testdata/hostile.txt")
+	text, err := os.ReadFile("../../hooklang/testdata/hostile.txt")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -63,6 +63,6 @@
 }
 
 func compiles(text string) bool {
-	_, err := hook.Compile("h", text)
+	_, err := hooklang.Compile("h", text)
 	return err == nil
 }
--- a/day/load.go
+++ b/internal/harness/scenario/load.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"bufio"
@@ -16,12 +16,12 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"kitehub/front/jsonrpc"
 	"kitehub/internal/clock"
+	"kitehub/internal/harness/invariant"
+	"kitehub/internal/harness/trace"
 	"kitehub/internal/http1"
-	"kitehub/internal/trace"
-	"kitehub/rules"
-	"kitehub/signing"
+	"kitehub/internal/ingress/jsonrpc"
+	"kitehub/internal/signing"
 )
 
 // A target is a controller as clients see it.
@@ -227,7 +227,7 @@
 		tries++
 		var after time.Duration
 		outcome, after = l.try(p, t, w, stamp, end, rng)
-		if outcome == rules.Unreached && p.class.Effect == "safe" && tries <= int(l.s.Retries) {
+		if outcome == invariant.Unreached && p.class.Effect == "safe" && tries <= int(l.s.Retries) {
 			at = (at + 1) % len(l.targets)
 			continue
 		}
@@ -260,7 +260,7 @@
 		y.Refused++
 	case "failed":
 		y.Failed++
-	case rules.Left, rules.Unreached:
+	case invariant.Left, invariant.Unreached:
 		y.Left++
 	default:
 		y.Nowhere++
@@ -357,12 +357,12 @@
 	}
 	if _, err := w.Write(http1.AppendRequest(nil, req)); err != nil {
 		w.Close()
-		return answer(rules.Unreached, 0)
+		return answer(invariant.Unreached, 0)
 	}
 	resp, err := http1.ReadResponse(w.br, &clientLimits, "POST")
 	if err != nil {
 		w.Close()
-		return answer(rules.Unreached, 0)
+		return answer(invariant.Unreached, 0)
 	}
 	outcome, after := "served", time.Duration(0)
 	rec.Revision, _ = strconv.ParseUint(resp.Header.Get("kitehub-revision"), 10, 64)
@@ -435,11 +435,11 @@
 		m, _ := e.Data.(map[string]any)
 		outcome, _ = m["outcome"].(string)
 	case err != nil:
-		outcome = rules.Unreached
+		outcome = invariant.Unreached
 	}
 	rec.Kind, rec.At, rec.Outcome = trace.Answered, 0, outcome
 	l.log.Add(rec)
-	if outcome == rules.Unreached {
+	if outcome == invariant.Unreached {
 		c.Close()
 	} else {
 		t.mu.Lock()
--- a/day/norace_test.go
+++ b/internal/harness/scenario/norace_test.go
@@ -1,5 +1,5 @@
 //go:build !race
 
-package day
+package scenario
 
 const slower, together = 1, 4
--- a/day/play.go
+++ b/internal/harness/scenario/play.go
@@ -1,7 +1,7 @@
-// Package day plays scripted days of trouble: real controllers, stand-in workers and signed load, all on loopback
+// Package scenario plays scripted days of trouble: real controllers, stand-in workers and signed load, all on loopback
 // sockets of one process, with troubles by time and target. Its proof is the trace of both ends, judged by package
 // rules; it never asks the gateway what it did.
-package day
+package scenario
 
 import (
 	"embed"
@@ -19,19 +19,19 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/rs/zerolog"
 
-	"kitehub/choice"
 	"kitehub/config"
-	"kitehub/controller"
-	"kitehub/discovery"
-	"kitehub/fleet"
-	"kitehub/front"
-	"kitehub/gateway"
 	"kitehub/internal/clock"
+	"kitehub/internal/controller"
+	"kitehub/internal/discovery"
+	"kitehub/internal/gateway"
+	"kitehub/internal/harness/fakeworker"
+	"kitehub/internal/harness/invariant"
+	"kitehub/internal/harness/trace"
+	"kitehub/internal/harness/workersim"
 	"kitehub/internal/http1"
-	"kitehub/internal/trace"
-	"kitehub/rules"
-	"kitehub/signing"
-	"kitehub/standin"
+	"kitehub/internal/ingress"
+	"kitehub/internal/signing"
+	"kitehub/scheduler"
 )
 
 //go:embed scripts/*.textproto
@@ -89,20 +89,20 @@
 	Spoil    func(*config.Built)
 	Sink     func(discovery.Sink) discovery.Sink
 	Handler  func(http1.Handler) http1.Handler
-	Models   func(front.Models) front.Models
+	Models   func(ingress.Models) ingress.Models
 	Versions func(gateway.Versions) gateway.Versions
 }
 
 // A Result is what a day came to.
 type Result struct {
-	Verdict *rules.Verdict
+	Verdict *invariant.Verdict
 	Classes []string
 	Tallies []*Tally
 	Forged  int
 	// Of a day with versions: what became of moves, what the trace shows, calls that began anew, answers withheld at the
 	// door, and answers of other bytes that were dropped.
 	Moves                      VersionCounts
-	Versions                   *rules.VersionVerdict
+	Versions                   *invariant.VersionVerdict
 	Anew, Withheld, Mismatched int64
 	Trace                      []trace.Record
 	// Attempts that reached workers, loads ordered, fetches that the store served and turned away.
@@ -132,8 +132,8 @@
 	o        Options
 	clk      clock.Clock
 	log      *trace.Log
-	host     *standin.Host
-	list     *standin.List
+	host     *fakeworker.Host
+	list     *fakeworker.List
 	net      *network
 	load     *load
 	versions *versions // nil: functions have none
@@ -146,20 +146,20 @@
 
 	mu          sync.Mutex
 	controllers []*controller.Controller
-	listed      map[string]choice.WorkerState
+	listed      map[string]scheduler.WorkerState
 	started     map[string]time.Time
 	hidden      bool // the list shows no workers
 	spares      []string
 	retired     []*controller.Controller // that were taken over from
 	socks       string
-	specs       map[string]fleet.Spec
+	specs       map[string]workersim.Spec
 	err         error
 }
 
 // Play plays a day to its end and judges it.
 func Play(s *Day, o Options) (*Result, error) {
 	p := &player{s: s, o: o, clk: clock.System(), rng: rand.New(rand.NewPCG(s.Seed, 11)), stop: make(chan struct{}),
-		listed: map[string]choice.WorkerState{}, started: map[string]time.Time{}, specs: map[string]fleet.Spec{}, dir: o.Dir}
+		listed: map[string]scheduler.WorkerState{}, started: map[string]time.Time{}, specs: map[string]workersim.Spec{}, dir: o.Dir}
 	p.log = trace.NewLog(p.clk.Now)
 	if p.dir == "" {
 		dir, err := os.MkdirTemp("", "kitehub-day")
@@ -186,11 +186,11 @@
 	s := p.s
 	facts := p.facts()
 	p.log.Add(trace.Record{Kind: trace.Facts, Rules: &facts, Note: s.Name})
-	hc := standin.Config{Clock: p.clk, Trace: p.log, Fleet: fleet.Config{Store: fleet.Store{Pace: s.Store.Pace, Limit: int(s.Store.Limit)},
-		Cold: fleet.Cold{Share: s.Rules.ColdShare, For: ms(s.Rules.ColdMs), FallFactor: s.Rules.FallFactor, FallWithin: ms(s.Rules.FallWithinMs)}}}
+	hc := fakeworker.Config{Clock: p.clk, Trace: p.log, Fleet: workersim.Config{Store: workersim.Store{Pace: s.Store.Pace, Limit: int(s.Store.Limit)},
+		Cold: workersim.Cold{Share: s.Rules.ColdShare, For: ms(s.Rules.ColdMs), FallFactor: s.Rules.FallFactor, FallWithin: ms(s.Rules.FallWithinMs)}}}
 	n := int(s.Workers.Count)
 	for i := range 2 * n { // as many spares, to replace them in a deploy
-		w := fleet.Spec{Name: fmt.Sprintf("w%02d", i), Zone: s.Zones[i%n%len(s.Zones)], Group: fmt.Sprintf("g%d", i%n/int(s.Workers.GroupSize)),
+		w := workersim.Spec{Name: fmt.Sprintf("w%02d", i), Zone: s.Zones[i%n%len(s.Zones)], Group: fmt.Sprintf("g%d", i%n/int(s.Workers.GroupSize)),
 			Cores: s.Workers.Cores, Speed: s.Workers.Speeds[i%n%len(s.Workers.Speeds)], MemoryMB: s.Workers.MemoryMb, Queue: int(s.Workers.Queue),
 			LoadSlots: int(s.Workers.LoadSlots), IdleLife: ms(s.Workers.IdleLifeMs), Eager: s.Workers.Eager}
 		hc.Fleet.Workers = append(hc.Fleet.Workers, w)
@@ -200,7 +200,7 @@
 	for _, c := range s.Classes {
 		hc.Fleet.Window = max(hc.Fleet.Window, ms(c.WindowMs))
 		for i := range int(c.Functions) + 3 {
-			hc.Functions = append(hc.Functions, standin.Kind{Function: fleet.Function{Name: functionName(c.Name, i), MemoryMB: c.MemoryMb,
+			hc.Functions = append(hc.Functions, fakeworker.Kind{Function: workersim.Function{Name: functionName(c.Name, i), MemoryMB: c.MemoryMb,
 				Lanes: int(c.Lanes), Fetch: ms(c.FetchMs), Start: ms(c.StartMs)}, Class: c.Name, Work: ms(c.WorkMs), Keyed: c.Effect == "keyed", Versions: s.Versions != nil})
 			models = append(models, functionName(c.Name, i))
 		}
@@ -215,7 +215,7 @@
 		}
 		hc.Fetch = p.versions.get
 	}
-	if p.host, err = standin.Start(hc); err != nil {
+	if p.host, err = fakeworker.Start(hc); err != nil {
 		return err
 	}
 	for _, name := range p.host.Names()[n:] {
@@ -223,10 +223,10 @@
 		p.spares = append(p.spares, name)
 	}
 	for _, name := range p.host.Names()[:n] {
-		p.listed[name] = choice.Ready
+		p.listed[name] = scheduler.Ready
 	}
 	p.net = newNetwork(p.zoneOf)
-	if p.list, err = standin.NewList(cluster, p.log); err != nil {
+	if p.list, err = fakeworker.NewList(cluster, p.log); err != nil {
 		return err
 	}
 	p.list.Delay(ms(s.ListDelayMs))
@@ -336,7 +336,7 @@
 	defer p.wg.Done()
 	for last := p.clk.Now(); p.wait(50 * time.Millisecond); {
 		now := p.clk.Now()
-		p.host.Do(func(f *fleet.Fleet) {
+		p.host.Do(func(f *workersim.Fleet) {
 			for w := range p.host.Names() {
 				*sum += f.Idle(w) * (now - last).Seconds()
 			}
@@ -386,7 +386,7 @@
 			res.Orders++
 		}
 	}
-	p.host.Do(func(f *fleet.Fleet) { res.Fetches, res.Refusals = f.Fetches, f.Refusals })
+	p.host.Do(func(f *workersim.Fleet) { res.Fetches, res.Refusals = f.Fetches, f.Refusals })
 	p.mu.Lock()
 	for _, c := range p.controllers {
 		if c != nil {
@@ -407,7 +407,7 @@
 	p.mu.Unlock()
 	if p.versions != nil {
 		res.Moves = p.versions.counts
-		res.Versions = rules.Versions(res.Trace, 50*time.Millisecond)
+		res.Versions = invariant.Versions(res.Trace, 50*time.Millisecond)
 		p.mu.Lock()
 		for _, c := range p.controllers {
 			if c != nil {
@@ -418,7 +418,7 @@
 		}
 		p.mu.Unlock()
 	}
-	res.Verdict, err = rules.Judge(res.Trace)
+	res.Verdict, err = invariant.Judge(res.Trace)
 	return res, err
 }
 
--- a/day/trouble.go
+++ b/internal/harness/scenario/trouble.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"fmt"
@@ -6,10 +6,10 @@
 	"slices"
 	"time"
 
-	"kitehub/choice"
-	"kitehub/fleet"
-	"kitehub/internal/trace"
-	"kitehub/standin"
+	"kitehub/internal/harness/fakeworker"
+	"kitehub/internal/harness/trace"
+	"kitehub/internal/harness/workersim"
+	"kitehub/scheduler"
 )
 
 // wait sleeps; false if the day ended first.
@@ -36,7 +36,7 @@
 	defer p.mu.Unlock()
 	var l []string
 	for _, name := range p.host.Names() {
-		if p.listed[name] == choice.Ready {
+		if p.listed[name] == scheduler.Ready {
 			l = append(l, name)
 		}
 	}
@@ -54,8 +54,8 @@
 	}
 	length := seconds(t.ForS)
 	p.log.Add(trace.Record{Kind: trace.Trouble, Note: fmt.Sprintf("%v part %v size %v %s", t.What, t.Part, t.Size, t.Target)})
-	faults := map[What]standin.Fault{What_CUT_ANSWERS: standin.CutAnswer, What_GARBAGE: standin.Garbage, What_TWO_ANSWERS: standin.TwoAnswers,
-		What_LONG_BODY: standin.LongBody, What_HUGE_BODY: standin.HugeBody, What_DRIP: standin.Drip}
+	faults := map[What]fakeworker.Fault{What_CUT_ANSWERS: fakeworker.CutAnswer, What_GARBAGE: fakeworker.Garbage, What_TWO_ANSWERS: fakeworker.TwoAnswers,
+		What_LONG_BODY: fakeworker.LongBody, What_HUGE_BODY: fakeworker.HugeBody, What_DRIP: fakeworker.Drip}
 	if f, ok := faults[t.What]; ok {
 		workers := p.pick(t.Part)
 		for _, w := range workers {
@@ -63,7 +63,7 @@
 		}
 		p.wait(length)
 		for _, w := range workers {
-			p.host.Fault(w, standin.NoFault)
+			p.host.Fault(w, fakeworker.NoFault)
 		}
 		return
 	}
@@ -110,7 +110,7 @@
 	case What_SLOW, What_CROWDED:
 		workers := p.pick(t.Part)
 		set := func(slow, taken float64) {
-			p.host.Do(func(f *fleet.Fleet) {
+			p.host.Do(func(f *workersim.Fleet) {
 				for i, name := range p.host.Names() {
 					if slices.Contains(workers, name) && f.Up(i) {
 						f.Slow(i, slow)
@@ -165,15 +165,15 @@
 		p.wait(length)
 		set(func() { delete(l.tenant, t.Target) })
 	case What_FLUSH:
-		p.host.Do(func(f *fleet.Fleet) { f.Flush() })
+		p.host.Do(func(f *workersim.Fleet) { f.Flush() })
 	case What_STORE_SLOW:
-		p.host.Do(func(f *fleet.Fleet) { f.SlowStore(t.Size) })
+		p.host.Do(func(f *workersim.Fleet) { f.SlowStore(t.Size) })
 		p.wait(length)
-		p.host.Do(func(f *fleet.Fleet) { f.SlowStore(1) })
+		p.host.Do(func(f *workersim.Fleet) { f.SlowStore(1) })
 	case What_STORE_REFUSES:
-		p.host.Do(func(f *fleet.Fleet) { f.RefuseStore(true) })
+		p.host.Do(func(f *workersim.Fleet) { f.RefuseStore(true) })
 		p.wait(length)
-		p.host.Do(func(f *fleet.Fleet) { f.RefuseStore(false) })
+		p.host.Do(func(f *workersim.Fleet) { f.RefuseStore(false) })
 	case What_CLASS_FAILS:
 		p.host.FailClass(t.Target, true)
 		p.wait(length)
@@ -196,7 +196,7 @@
 	}
 	p.change(func() {
 		for _, w := range up {
-			p.listed[w], p.started[w] = choice.Ready, now
+			p.listed[w], p.started[w] = scheduler.Ready, now
 		}
 	})
 }
@@ -213,10 +213,10 @@
 		workers = workers[n:]
 		p.change(func() {
 			for _, w := range now {
-				p.listed[w] = choice.Draining
+				p.listed[w] = scheduler.Draining
 			}
 		})
-		p.host.Do(func(f *fleet.Fleet) {
+		p.host.Do(func(f *workersim.Fleet) {
 			for i, name := range p.host.Names() {
 				if slices.Contains(now, name) {
 					f.Drain(i)
--- a/day/versions.go
+++ b/internal/harness/scenario/versions.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"context"
@@ -15,16 +15,16 @@
 
 	"github.com/rs/zerolog"
 
-	"kitehub/fetch"
+	"kitehub/internal/blobfetch"
+	"kitehub/internal/harness/fakeworker"
+	"kitehub/internal/harness/trace"
 	"kitehub/internal/http1"
-	"kitehub/internal/trace"
-	"kitehub/registry"
-	"kitehub/registry/client"
-	"kitehub/registry/service"
-	rwire "kitehub/registry/wire"
-	"kitehub/signing"
-	"kitehub/standin"
-	"kitehub/store"
+	"kitehub/internal/registry"
+	"kitehub/internal/registry/client"
+	"kitehub/internal/registry/service"
+	rwire "kitehub/internal/registry/wire"
+	"kitehub/internal/signing"
+	"kitehub/internal/store"
 )
 
 // versions is the registry of a day, its stores of blobs, and the operator who moves aliases.
@@ -33,11 +33,11 @@
 	p     *player
 	dir   string
 	addr  string
-	blobs []*standin.Blobs
-	fetch map[string]*fetch.Client // of each worker
-	sizes map[string]int64         // of digests
-	names []string                 // models
-	keys  map[string]string        // secrets, of controllers and the operator
+	blobs []*fakeworker.Blobs
+	fetch map[string]*blobfetch.Client // of each worker
+	sizes map[string]int64             // of digests
+	names []string                     // models
+	keys  map[string]string            // secrets, of controllers and the operator
 
 	mu      sync.Mutex
 	service *service.Service
@@ -65,7 +65,7 @@
 
 // newVersions starts the registry and makes all models known, each live at its first version.
 func newVersions(p *player, names []string) (*versions, error) {
-	v := &versions{s: p.s.Versions, p: p, dir: filepath.Join(p.dir, "registry"), names: names, fetch: map[string]*fetch.Client{}, sizes: map[string]int64{}, keys: map[string]string{}}
+	v := &versions{s: p.s.Versions, p: p, dir: filepath.Join(p.dir, "registry"), names: names, fetch: map[string]*blobfetch.Client{}, sizes: map[string]int64{}, keys: map[string]string{}}
 	if err := os.MkdirAll(v.dir, 0o700); err != nil {
 		return nil, err
 	}
@@ -75,12 +75,12 @@
 	}
 	var stores []string
 	for i := range int(v.s.Stores) {
-		b, err := standin.StartBlobs()
+		b, err := fakeworker.StartBlobs()
 		if err != nil {
 			return nil, err
 		}
 		if i == 1 && v.s.Rotten {
-			b.Fault(standin.Rotten)
+			b.Fault(fakeworker.Rotten)
 		}
 		v.blobs = append(v.blobs, b)
 		stores = append(stores, b.Addr())
@@ -89,7 +89,7 @@
 		// Each worker prefers another store.
 		l := append([]string(nil), stores...)
 		p.rng.Shuffle(len(l), func(i, j int) { l[i], l[j] = l[j], l[i] })
-		v.fetch[name] = fetch.NewClient(fetch.Settings{Tries: 12, Pause: 5 * time.Millisecond, Longest: 200 * time.Millisecond, Blame: time.Second}, l,
+		v.fetch[name] = blobfetch.NewClient(blobfetch.Settings{Tries: 12, Pause: 5 * time.Millisecond, Longest: 200 * time.Millisecond, Blame: time.Second}, l,
 			time.Second, p.clk, zerolog.Nop())
 	}
 	if err := v.start(); err != nil {
--- a/internal/trace/trace.go
+++ b/internal/harness/trace/trace.go
@@ -1,4 +1,4 @@
-// Package trace is the record that all rigs write and package rules reads: what went over the sockets, seen from
+// Package trace is the record that all rigs write and package invariant reads: what went over the sockets, seen from
 // both ends, on one clock. It holds nothing that the gateway says of itself.
 package trace
 
--- a/fleet/fleet.go
+++ b/internal/harness/workersim/fleet.go
@@ -1,10 +1,10 @@
-// Package fleet models workers that load functions on demand and the store that all of them fetch from, as a pure
-// state machine in virtual time. It tells the truth about what ran; sockets are put around it by package standin.
+// Package workersim models workers that load functions on demand and the store that all of them fetch from, as a pure
+// state machine in virtual time. It tells the truth about what ran; sockets are put around it by package fakeworker.
 //
 // A worker has cores shared evenly by what runs, memory for copies of functions, lanes in each copy, a bounded
 // queue, a few load slots, and a cold spell after its start during which its capacity rises evenly. Sent more
 // than CollapseFactor times what it can do then, for CollapseWindow, it falls over and stays down.
-package fleet
+package workersim
 
 import (
 	"cmp"
--- a/fleet/load.go
+++ b/internal/harness/workersim/load.go
@@ -1,4 +1,4 @@
-package fleet
+package workersim
 
 import (
 	"slices"
--- a/advice/advice.go
+++ b/internal/hookadvice/advice.go
@@ -1,8 +1,8 @@
-// Package advice decides what becomes of the advice that hooks give: it checks, limits, expires and merges it, and sets aside
+// Package hookadvice decides what becomes of the advice that hooks give: it checks, limits, expires and merges it, and sets aside
 // what flips. What is left goes to the module, which weighs it; a hook itself can send, answer, cancel or order nothing.
 //
 // Like choice it is pure: events in, effects out, no clock, I/O, goroutine or map order.
-package advice
+package hookadvice
 
 import (
 	"cmp"
@@ -12,7 +12,7 @@
 	"slices"
 	"time"
 
-	"kitehub/hook"
+	"kitehub/internal/hooklang"
 )
 
 // Settings bound what hooks can bring about. A zero field has the default named beside it.
@@ -62,7 +62,7 @@
 	Offered struct {
 		Script  string
 		Version uint64
-		Items   []hook.Advice
+		Items   []hooklang.Advice
 	}
 	// Live says which version of a script is heard from now on. What an earlier one advised stands until it expires or is
 	// replaced; what still comes from it is dropped.
@@ -106,7 +106,7 @@
 	// Discarded tells operators what was not followed, and why.
 	Discarded struct {
 		Script string
-		Item   hook.Advice
+		Item   hooklang.Advice
 		Why    string
 	}
 )
@@ -135,7 +135,7 @@
 // A piece is what one script last said of one thing.
 type piece struct {
 	key
-	item  hook.Advice
+	item  hooklang.Advice
 	value float64 // copies, weight, cap or rank
 	until time.Duration
 	flips []time.Duration // when it changed its value
@@ -240,7 +240,7 @@
 	return t.scripts[i]
 }
 
-func (t *Table) drop(s *script, a hook.Advice, count *int, format string, args ...any) {
+func (t *Table) drop(s *script, a hooklang.Advice, count *int, format string, args ...any) {
 	*count++
 	t.out = append(t.out, Discarded{s.name, a, fmt.Sprintf(format, args...)})
 }
@@ -269,7 +269,7 @@
 }
 
 // stand takes a piece that holds for a time.
-func (t *Table) stand(s *script, a hook.Advice) {
+func (t *Table) stand(s *script, a hooklang.Advice) {
 	kind, ok := standing[a.Kind]
 	if !ok {
 		t.drop(s, a, &t.Counts.Unknown, "%s does not stand", a.Kind)
@@ -329,7 +329,7 @@
 
 // change sets a piece. One that changes its mind too often is set aside, for longer each time in a row: copies would be
 // loaded and let go, or homes moved, to and fro. Set aside, it is as if it were not advised.
-func (t *Table) change(s *script, o *piece, p piece, a hook.Advice) {
+func (t *Table) change(s *script, o *piece, p piece, a hooklang.Advice) {
 	if o.aside > t.now {
 		t.drop(s, a, &t.Counts.Aside, "it flips: not heard for another %v", (o.aside - t.now).Round(time.Millisecond))
 		return
--- a/advice/advice_test.go
+++ b/internal/hookadvice/advice_test.go
@@ -1,4 +1,4 @@
-package advice
+package hookadvice
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 
 	"pgregory.net/rapid"
 
-	"kitehub/hook"
+	"kitehub/internal/hooklang"
 )
 
 type facts struct{}
@@ -35,11 +35,11 @@
 	return b
 }
 
-func warm(f string, n int64, d time.Duration) hook.Advice {
-	return hook.Advice{Kind: "keep_warm", Function: f, Copies: n, For: d}
+func warm(f string, n int64, d time.Duration) hooklang.Advice {
+	return hooklang.Advice{Kind: "keep_warm", Function: f, Copies: n, For: d}
 }
 
-func by(script string, l ...hook.Advice) Event { return Offered{script, 1, l} }
+func by(script string, l ...hooklang.Advice) Event { return Offered{script, 1, l} }
 
 func show(l []Effect) string {
 	var s []string
@@ -48,7 +48,7 @@
 			s = append(s, "dropped: "+d.Why)
 			continue
 		}
-		s = append(s, strings.TrimPrefix(fmt.Sprintf("%T%+v", e, e), "advice."))
+		s = append(s, strings.TrimPrefix(fmt.Sprintf("%T%+v", e, e), "hookadvice."))
 	}
 	return strings.Join(s, "\n")
 }
@@ -57,9 +57,9 @@
 
 // Each line: what is said, and what comes of it.
 func TestTable(t *testing.T) {
-	rank := func(kind, w string) hook.Advice { return hook.Advice{Kind: kind, Worker: w, For: 10 * sec} }
-	tenant := func(kind, n string, f float64) hook.Advice {
-		return hook.Advice{Kind: kind, Tenant: n, Factor: f, For: 10 * sec}
+	rank := func(kind, w string) hooklang.Advice { return hooklang.Advice{Kind: kind, Worker: w, For: 10 * sec} }
+	tenant := func(kind, n string, f float64) hooklang.Advice {
+		return hooklang.Advice{Kind: kind, Tenant: n, Factor: f, For: 10 * sec}
 	}
 	for _, c := range []struct {
 		name string
@@ -86,9 +86,9 @@
 		{"no weight at all", []Event{by("a", tenant("tenant_weight", "t", 0))}, "dropped: 0 is not above 0"},
 		{"an old version", []Event{Live{"a", 2}, by("a", warm("f1", 2, 10*sec))}, "dropped: of version 1, which is not heard"},
 		{"a script that is not heard", []Event{by("c", warm("f1", 2, 10*sec))}, "dropped: of version 1, which is not heard"},
-		{"what cannot stand", []Event{by("a", hook.Advice{Kind: "send"})}, "dropped: send does not stand"},
+		{"what cannot stand", []Event{by("a", hooklang.Advice{Kind: "send"})}, "dropped: send does not stand"},
 		{"a script that ends", []Event{by("a", warm("f1", 2, 10*sec)), Ended{"a"}}, ""},
-		{"a notice", []Event{by("a", hook.Advice{Kind: "notify", Key: "ops", Text: "x"})}, "Notice{Script:a Target:ops Text:x}"},
+		{"a notice", []Event{by("a", hooklang.Advice{Kind: "notify", Key: "ops", Text: "x"})}, "Notice{Script:a Target:ops Text:x}"},
 	} {
 		if got := show(table(t, Settings{}).Step(0, c.in)); got != c.want {
 			t.Errorf("%s:\n%s\nwanted:\n%s", c.name, got, c.want)
@@ -98,7 +98,7 @@
 
 func TestExpiryAndWorkers(t *testing.T) {
 	b := table(t, Settings{})
-	b.Step(0, []Event{by("a", warm("f1", 2, 10*sec), hook.Advice{Kind: "prefer", Worker: "w1", For: 20 * sec})})
+	b.Step(0, []Event{by("a", warm("f1", 2, 10*sec), hooklang.Advice{Kind: "prefer", Worker: "w1", For: 20 * sec})})
 	if b.Next() != 10*sec {
 		t.Error(b.Next())
 	}
@@ -141,9 +141,9 @@
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 5000).Draw(t, "ms")) * time.Millisecond
-			var l []hook.Advice
+			var l []hooklang.Advice
 			for range rapid.IntRange(0, 6).Draw(t, "items") {
-				l = append(l, hook.Advice{Kind: rapid.SampledFrom(kinds).Draw(t, "kind"), Function: fmt.Sprint("f", rapid.IntRange(0, 9).Draw(t, "f")),
+				l = append(l, hooklang.Advice{Kind: rapid.SampledFrom(kinds).Draw(t, "kind"), Function: fmt.Sprint("f", rapid.IntRange(0, 9).Draw(t, "f")),
 					Copies: rapid.Int64Range(-2, 9).Draw(t, "copies"), For: time.Duration(rapid.Int64().Draw(t, "for"))})
 				if k := l[len(l)-1].Kind; k == "prefer" || k == "avoid" {
 					l[len(l)-1].Function, l[len(l)-1].Worker = "", fmt.Sprint("w", rapid.IntRange(0, 9).Draw(t, "w"))
@@ -187,7 +187,7 @@
 func TestDoor(t *testing.T) {
 	d := NewAdmissionGate(Settings{})
 	d.Set(Tenants{map[string]Tenant{"t": {Weight: 2, MaxOpenCalls: 3}}})
-	no := []hook.Advice{{Kind: "refuse", Text: "x"}}
+	no := []hooklang.Advice{{Kind: "refuse", Text: "x"}}
 	refused, over := 0, 0
 	for i := range 1000 { // a script that refuses all
 		v := d.Arrive(time.Duration(i)*10*time.Millisecond, "u", no)
@@ -216,7 +216,7 @@
 	d.CallEnded("t")
 	d.CallEnded("t")
 	d.CallEnded("t")
-	if v := d.Arrive(12*sec, "t", []hook.Advice{{Kind: "annotate", Key: "k"}}); v.ShedAdvised || len(v.Notes) != 1 {
+	if v := d.Arrive(12*sec, "t", []hooklang.Advice{{Kind: "annotate", Key: "k"}}); v.ShedAdvised || len(v.Notes) != 1 {
 		t.Error(v)
 	}
 }
--- a/advice/door.go
+++ b/internal/hookadvice/door.go
@@ -1,9 +1,9 @@
-package advice
+package hookadvice
 
 import (
 	"time"
 
-	"kitehub/hook"
+	"kitehub/internal/hooklang"
 )
 
 // A AdmissionGate judges calls as they arrive, by what hooks say of them and what stands for their tenants. Like the Table it is pure,
@@ -22,7 +22,7 @@
 	ShedAdvised bool
 	Why         string
 	Weight      float64
-	Notes       []hook.Advice // annotations, at most notesKept
+	Notes       []hooklang.Advice // annotations, at most notesKept
 	// OverRejectionLimit tells that a hook wanted it refused and the bound on refusals did not let it.
 	OverRejectionLimit bool
 }
@@ -41,7 +41,7 @@
 func (d *AdmissionGate) Set(t Tenants) { d.tenants = t.By }
 
 // Arrive judges a call, and counts it in hand until Left.
-func (d *AdmissionGate) Arrive(now time.Duration, tenant string, items []hook.Advice) (v Verdict) {
+func (d *AdmissionGate) Arrive(now time.Duration, tenant string, items []hooklang.Advice) (v Verdict) {
 	if gone := now - d.from; gone >= d.s.Window {
 		d.calls[1], d.denied[1] = d.calls[0], d.denied[0]
 		if gone >= 2*d.s.Window {
--- a/hooks/control.go
+++ b/internal/hookengine/control.go
@@ -1,12 +1,12 @@
-package hooks
+package hookengine
 
 import (
 	"context"
 	"encoding/json"
 	"time"
 
-	"kitehub/advice"
-	"kitehub/hook"
+	"kitehub/internal/hookadvice"
+	"kitehub/internal/hooklang"
 )
 
 // recordsKept is how many records the log may have before a snapshot of all is written.
@@ -63,8 +63,8 @@
 }
 
 // Load checks a text and takes it as a script's next version.
-func (e *Engine) Load(name, text, from string, shadow bool) (version uint64, warnings hook.Problems, err error) {
-	p, err := hook.Compile(name+".hook", text)
+func (e *Engine) Load(name, text, from string, shadow bool) (version uint64, warnings hooklang.Problems, err error) {
+	p, err := hooklang.Compile(name+".hook", text)
 	if err != nil {
 		return 0, nil, err
 	}
@@ -169,14 +169,14 @@
 	return o, err
 }
 
-func standing(x advice.Effect, now time.Duration) string {
+func standing(x hookadvice.Effect, now time.Duration) string {
 	text, _ := json.Marshal(x)
 	kind := "tenants"
 	switch x := x.(type) {
-	case advice.KeepWarm:
+	case hookadvice.KeepWarm:
 		kind = "warm"
 		text, _ = json.Marshal(map[string]any{"function": x.Function, "copies": x.Copies, "for_s": (x.Until - now).Seconds()})
-	case advice.RankWorker:
+	case hookadvice.RankWorker:
 		kind = "regard"
 		text, _ = json.Marshal(map[string]any{"worker": x.Worker, "rank": x.Rank, "for_s": (x.Until - now).Seconds()})
 	}
--- a/hooks/engine.go
+++ b/internal/hookengine/engine.go
@@ -1,4 +1,4 @@
-package hooks
+package hookengine
 
 import (
 	"encoding/json"
@@ -10,10 +10,10 @@
 
 	"github.com/rs/zerolog"
 
-	"kitehub/advice"
-	"kitehub/hook"
 	"kitehub/internal/clock"
-	"kitehub/store"
+	"kitehub/internal/hookadvice"
+	"kitehub/internal/hooklang"
+	"kitehub/internal/store"
 )
 
 // A Sink takes what hooks bring about. gateway.Gateway is one.
@@ -25,20 +25,20 @@
 // Config sets up an Engine.
 type Config struct {
 	Life   LifeSettings
-	Advice advice.Settings
-	Facts  advice.Facts
+	Advice hookadvice.Settings
+	Facts  hookadvice.Facts
 	Sink   Sink
-	Notify func(advice.Notice) // must not block; nil: notices are logged only
-	Open   func() int          // calls in hand, for timers
+	Notify func(hookadvice.Notice) // must not block; nil: notices are logged only
+	Open   func() int              // calls in hand, for timers
 	Clock  clock.Clock
 	Log    zerolog.Logger
 	FS     store.FS // for scripts and their state; nil: they end with the process
 	Seed   uint64
-	Queue  int           // events that wait for the hooks; further ones are dropped and counted; 0: 4096
-	Aside  hook.Limits   // zero: hook.Aside
-	Inline hook.Limits   // zero: hook.Inline
-	Within time.Duration // one run aside, as the last net: 250 ms
-	Keep   time.Duration // state is stored at most so often: 1 s
+	Queue  int             // events that wait for the hooks; further ones are dropped and counted; 0: 4096
+	Aside  hooklang.Limits // zero: hook.Aside
+	Inline hooklang.Limits // zero: hook.Inline
+	Within time.Duration   // one run aside, as the last net: 250 ms
+	Keep   time.Duration   // state is stored at most so often: 1 s
 }
 
 // Counts of what was run.
@@ -53,7 +53,7 @@
 	Counts Counts
 	queue  chan posted
 	calls  chan func()
-	list   atomic.Pointer[[]advice.Worker] // not taken in yet
+	list   atomic.Pointer[[]hookadvice.Worker] // not taken in yet
 	wake   chan struct{}
 	stop   chan struct{}
 	done   chan struct{}
@@ -63,12 +63,12 @@
 	live   atomic.Pointer[[]inline]
 	points atomic.Pointer[map[string]bool] // that some script has a handler of
 	dmu    sync.Mutex
-	door   *advice.AdmissionGate
+	door   *hookadvice.AdmissionGate
 
 	// Owned by the goroutine.
 	life   *Lifecycle
-	table  *advice.Table
-	vm     *hook.VM
+	table  *hookadvice.Table
+	vm     *hooklang.VM
 	ran    map[string]*running
 	shadow map[string]*running
 	log    *store.Log
@@ -83,8 +83,8 @@
 type running struct {
 	name    string
 	version uint64
-	p       *hook.Program
-	state   *hook.State
+	p       *hooklang.Program
+	state   *hooklang.State
 	every   time.Duration
 	next    time.Duration // of its timer
 	count   int64
@@ -94,20 +94,20 @@
 type inline struct {
 	name    string
 	version uint64
-	p       *hook.Program
-	state   *hook.State
+	p       *hooklang.Program
+	state   *hooklang.State
 	shadow  *running // nil: none to compare
 }
 
 type posted struct {
 	point string
-	event hook.Event
+	event hooklang.Event
 	// Of a run that was made inline: what it led to.
 	script  string
 	version uint64
 	fault   string
 	fuel    int64
-	advice  []hook.Advice
+	advice  []hooklang.Advice
 	ran     bool
 	at      time.Duration
 }
@@ -132,10 +132,10 @@
 		cfg.Queue = 4096
 	}
 	if cfg.Aside.Fuel == 0 {
-		cfg.Aside = hook.Aside
+		cfg.Aside = hooklang.Aside
 	}
 	if cfg.Inline.Fuel == 0 {
-		cfg.Inline = hook.Inline
+		cfg.Inline = hooklang.Inline
 	}
 	if cfg.Within == 0 {
 		cfg.Within = 250 * time.Millisecond
@@ -144,11 +144,11 @@
 		cfg.Keep = time.Second
 	}
 	e := &Engine{cfg: cfg, queue: make(chan posted, cfg.Queue), calls: make(chan func()), wake: make(chan struct{}, 1), stop: make(chan struct{}), done: make(chan struct{}),
-		life: NewLifecycle(cfg.Life, cfg.Seed), vm: hook.NewVM(), ran: map[string]*running{}, shadow: map[string]*running{}, door: advice.NewAdmissionGate(cfg.Advice),
+		life: NewLifecycle(cfg.Life, cfg.Seed), vm: hooklang.NewVM(), ran: map[string]*running{}, shadow: map[string]*running{}, door: hookadvice.NewAdmissionGate(cfg.Advice),
 		states: map[string]json.RawMessage{}}
-	e.pool.New = func() any { return hook.NewVM() }
+	e.pool.New = func() any { return hooklang.NewVM() }
 	var err error
-	if e.table, err = advice.New(cfg.Advice, cfg.Facts); err != nil {
+	if e.table, err = hookadvice.New(cfg.Advice, cfg.Facts); err != nil {
 		return nil, err
 	}
 	if cfg.FS != nil {
@@ -198,7 +198,7 @@
 				}
 			}
 			e.ran[s.Name] = r
-			e.advise([]advice.Event{advice.Live{Script: s.Name, Version: s.Live.Number}})
+			e.advise([]hookadvice.Event{hookadvice.Live{Script: s.Name, Version: s.Live.Number}})
 		}
 		if s.Shadow != nil {
 			if r, err := e.prepare(s.Name, s.Shadow); err == nil {
@@ -212,7 +212,7 @@
 }
 
 func (e *Engine) prepare(name string, v *Version) (*running, error) {
-	p, err := hook.Compile(name+".hook", v.Text)
+	p, err := hooklang.Compile(name+".hook", v.Text)
 	if err != nil {
 		return nil, err
 	}
@@ -235,12 +235,12 @@
 
 // Arrive runs the handlers of a call that arrives, on the caller's goroutine, and judges it. The call is counted in hand of its
 // tenant until Left. A call is judged by the versions that were live when it arrived.
-func (e *Engine) Arrive(c hook.Call) advice.Verdict {
+func (e *Engine) Arrive(c hooklang.Call) hookadvice.Verdict {
 	now := e.cfg.Clock.Now()
-	var all []hook.Advice
+	var all []hooklang.Advice
 	if l := *e.live.Load(); len(l) > 0 {
-		env := hook.Env{Now: int64(now), Wall: e.cfg.Clock.Wall().Unix()}
-		vm := e.pool.Get().(*hook.VM)
+		env := hooklang.Env{Now: int64(now), Wall: e.cfg.Clock.Wall().Unix()}
+		vm := e.pool.Get().(*hooklang.VM)
 		for _, s := range l {
 			res, err := vm.Run(s.p, "arrive", c, s.state, env, e.cfg.Inline)
 			p := posted{point: "arrive", script: s.name, version: s.version, fuel: res.Fuel, advice: res.Advice, ran: true, at: now}
@@ -277,7 +277,7 @@
 }
 
 // Post hands an event to the hooks, if any wants it. It never blocks: where too many wait the event is dropped, and counted.
-func (e *Engine) Post(point string, ev hook.Event) {
+func (e *Engine) Post(point string, ev hooklang.Event) {
 	if m := e.points.Load(); m != nil && !(*m)[point] {
 		return
 	}
@@ -285,7 +285,7 @@
 }
 
 // Workers tells the list of workers as it stands. It does not block; a newer list replaces one that waits.
-func (e *Engine) Workers(l []advice.Worker) {
+func (e *Engine) Workers(l []hookadvice.Worker) {
 	e.list.Store(&l)
 	select {
 	case e.wake <- struct{}{}:
@@ -315,23 +315,23 @@
 }
 
 // advise steps the table and carries out what comes of it.
-func (e *Engine) advise(in []advice.Event) {
+func (e *Engine) advise(in []hookadvice.Event) {
 	for _, x := range e.table.Step(e.cfg.Clock.Now(), in) {
 		switch x := x.(type) {
-		case advice.KeepWarm:
+		case hookadvice.KeepWarm:
 			e.cfg.Sink.Warm(x.Function, x.Copies, x.Until)
-		case advice.RankWorker:
+		case hookadvice.RankWorker:
 			e.cfg.Sink.Regard(x.Worker, x.Rank, x.Until)
-		case advice.Tenants:
+		case hookadvice.Tenants:
 			e.dmu.Lock()
 			e.door.Set(x)
 			e.dmu.Unlock()
-		case advice.Notice:
+		case hookadvice.Notice:
 			e.cfg.Log.Info().Str("script", x.Script).Str("target", x.Target).Msg("notice")
 			if e.cfg.Notify != nil {
 				e.cfg.Notify(x)
 			}
-		case advice.Discarded:
+		case hookadvice.Discarded:
 			e.cfg.Log.Debug().Str("script", x.Script).Str("kind", x.Item.Kind).Str("why", x.Why).Msg("advice dropped")
 		}
 	}
@@ -352,7 +352,7 @@
 				if text, err := old.state.MarshalJSON(); err == nil { // it may come back
 					e.states[c.Script] = text
 				}
-				e.advise([]advice.Event{advice.Ended{Script: c.Script}})
+				e.advise([]hookadvice.Event{hookadvice.Ended{Script: c.Script}})
 			}
 		} else if old == nil || old.version != c.Live.Number {
 			r, err := e.prepare(c.Script, c.Live)
@@ -369,7 +369,7 @@
 			}
 			r.changed = true
 			e.ran[c.Script] = r
-			e.advise([]advice.Event{advice.Live{Script: c.Script, Version: r.version}})
+			e.advise([]hookadvice.Event{hookadvice.Live{Script: c.Script, Version: r.version}})
 		}
 		s := e.life.Find(c.Script)
 		if s == nil {
--- a/hooks/golden_test.go
+++ b/internal/hookengine/golden_test.go
@@ -1,4 +1,4 @@
-package hooks
+package hookengine
 
 import (
 	"context"
@@ -11,12 +11,12 @@
 
 	"github.com/rs/zerolog"
 
-	"kitehub/advice"
 	"kitehub/internal/clock"
 	"kitehub/internal/goldenfile"
+	"kitehub/internal/hookadvice"
 	"kitehub/internal/http1"
-	"kitehub/signing"
-	"kitehub/store"
+	"kitehub/internal/signing"
+	"kitehub/internal/store"
 )
 
 const storedText = "state seen int = 0\non ended(c) { seen = seen + 1 }\n"
@@ -110,7 +110,7 @@
 		engine := &Engine{cfg: Config{FS: store.Dir(folder), Clock: clock.System(), Log: zerolog.Nop()}, life: NewLifecycle(LifeSettings{}, 1),
 			ran: map[string]*running{}, shadow: map[string]*running{}}
 		var err error
-		if engine.table, err = advice.New(advice.Settings{Cap: 1}, nil); err != nil {
+		if engine.table, err = hookadvice.New(hookadvice.Settings{Cap: 1}, nil); err != nil {
 			t.Fatal(err)
 		}
 		if err := engine.recover(); err != nil {
@@ -156,7 +156,7 @@
 	defer server.Cut()
 	notifier := NewNotifier("c1", []Target{{Name: "ops", Address: listener.Addr().String(), Path: "/n", Key: key}}, clock.System(), zerolog.Nop())
 	defer notifier.Close()
-	if err := notifier.send(note{advice.Notice{Script: "a", Target: "ops", Text: `lost "3" <of> 4`}, "note_1", time.Unix(1700000000, 5e8)}); err != nil {
+	if err := notifier.send(note{hookadvice.Notice{Script: "a", Target: "ops", Text: `lost "3" <of> 4`}, "note_1", time.Unix(1700000000, 5e8)}); err != nil {
 		t.Fatal(err)
 	}
 	goldenfile.Compare(t, "notice.txt", []byte(<-taken))
@@ -172,10 +172,10 @@
 			{Name: "b", Status: "empty"},
 		},
 		Standing: []string{
-			standing(advice.KeepWarm{Function: "resize", Copies: 2, Until: now + 90*time.Second}, now),
-			standing(advice.RankWorker{Worker: "w1", Rank: -1, Until: now + time.Second}, now),
-			standing(advice.Tenants{By: map[string]advice.Tenant{"t": {Weight: 0.5, MaxOpenCalls: 3}, "s": {}}}, now),
-			standing(advice.Tenants{}, now),
+			standing(hookadvice.KeepWarm{Function: "resize", Copies: 2, Until: now + 90*time.Second}, now),
+			standing(hookadvice.RankWorker{Worker: "w1", Rank: -1, Until: now + time.Second}, now),
+			standing(hookadvice.Tenants{By: map[string]hookadvice.Tenant{"t": {Weight: 0.5, MaxOpenCalls: 3}, "s": {}}}, now),
+			standing(hookadvice.Tenants{}, now),
 		},
 		Posted: 1, Dropped: 2, Waiting: 3, Taken: 4, Refused: 5, Over: 6, Aside: 7,
 	}
@@ -198,5 +198,5 @@
 
 // Each field that is stored or sent has a key of its own: what it is called in Go may change, the format may not.
 func TestKeysDoNotFollowFieldNames(t *testing.T) {
-	goldenfile.Tagged(t, record{}, snapshot{}, Overview{}, advice.Tenants{})
+	goldenfile.Tagged(t, record{}, snapshot{}, Overview{}, hookadvice.Tenants{})
 }
--- a/hooks/hooks_test.go
+++ b/internal/hookengine/hooks_test.go
@@ -1,4 +1,4 @@
-package hooks
+package hookengine
 
 import (
 	"errors"
@@ -11,10 +11,10 @@
 
 	"github.com/rs/zerolog"
 
-	"kitehub/advice"
-	"kitehub/hook"
 	"kitehub/internal/clock"
-	"kitehub/store"
+	"kitehub/internal/hookadvice"
+	"kitehub/internal/hooklang"
+	"kitehub/internal/store"
 )
 
 const sec = time.Second
@@ -124,7 +124,7 @@
 type host struct {
 	mu    sync.Mutex
 	said  []string
-	notes []advice.Notice
+	notes []hookadvice.Notice
 }
 
 func (h *host) Warm(f string, n int, until time.Duration) {
@@ -152,8 +152,8 @@
 	if rate != nil {
 		life.Rate = rate[0]
 	}
-	cfg := Config{Life: life, Advice: advice.Settings{Cap: 100}, Facts: h, Sink: h, Clock: clk, Log: zerolog.Nop(), Keep: time.Nanosecond,
-		Notify: func(n advice.Notice) { h.mu.Lock(); h.notes = append(h.notes, n); h.mu.Unlock() }}
+	cfg := Config{Life: life, Advice: hookadvice.Settings{Cap: 100}, Facts: h, Sink: h, Clock: clk, Log: zerolog.Nop(), Keep: time.Nanosecond,
+		Notify: func(n hookadvice.Notice) { h.mu.Lock(); h.notes = append(h.notes, n); h.mu.Unlock() }}
 	if dir != "" {
 		cfg.FS = store.Dir(dir)
 	}
@@ -162,7 +162,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { e.Close() })
-	e.Workers([]advice.Worker{{Name: "w1", Ready: true}, {Name: "w2", Ready: true}, {Name: "w3", Ready: true}, {Name: "w4", Ready: true}})
+	e.Workers([]hookadvice.Worker{{Name: "w1", Ready: true}, {Name: "w2", Ready: true}, {Name: "w3", Ready: true}, {Name: "w4", Ready: true}})
 	return e
 }
 
@@ -193,9 +193,9 @@
 	e := engine(t, h, clk, dir)
 	load(t, e, "a", counter, false)
 	for range 3 {
-		e.Post("ended", hook.Ended{})
+		e.Post("ended", hooklang.Ended{})
 	}
-	e.Post("timer", hook.Tick{}) // nobody wants it
+	e.Post("timer", hooklang.Tick{}) // nobody wants it
 	all(t, e)
 	if got := h.words(); got != "warm f1 1, warm f2 1, warm f3 1" {
 		t.Fatal(got)
@@ -207,7 +207,7 @@
 	h = &host{}
 	e = engine(t, h, clk, dir)
 	load(t, e, "a", strings.Replace(counter, "1h", "2h", 1), false)
-	e.Post("ended", hook.Ended{})
+	e.Post("ended", hooklang.Ended{})
 	all(t, e)
 	if got := h.words(); got != "warm f4 1" {
 		t.Error(got)
@@ -244,7 +244,7 @@
 	load(t, e, "bad", "state n int = 0\non ended(e) {\nn += 1\nkeep_warm(\"f0\", 1, 1h)\nif n > 2 { for i in 0..9223372036854775807 {} }\n}\n", false)
 	load(t, e, "good", counter, false)
 	for range 10 {
-		e.Post("ended", hook.Ended{})
+		e.Post("ended", hooklang.Ended{})
 	}
 	all(t, e)
 	o, _ := e.Overview()
@@ -265,9 +265,9 @@
 	e := engine(t, h, clk, "")
 	load(t, e, "a", "on ended(e) { keep_warm(\"f1\", 1, 1h) }\non arrive(c) { annotate(\"k\", \"1\") }", false)
 	load(t, e, "a", "on ended(e) { keep_warm(e.function, 1, 1h) }\non arrive(c) { annotate(\"k\", \"2\") }", true)
-	e.Post("ended", hook.Ended{Function: "f1"})
-	e.Post("ended", hook.Ended{Function: "f2"})
-	v := e.Arrive(hook.Call{})
+	e.Post("ended", hooklang.Ended{Function: "f1"})
+	e.Post("ended", hooklang.Ended{Function: "f2"})
+	v := e.Arrive(hooklang.Call{})
 	all(t, e)
 	o, _ := e.Overview()
 	if tr := o.Scripts[0].Trial; tr.Runs != 3 || tr.Differ != 2 || h.words() != "warm f1 1" || v.Notes[0].Text != "1" {
@@ -276,7 +276,7 @@
 	if err := e.Promote("a", true); err != nil {
 		t.Fatal(err)
 	}
-	if v := e.Arrive(hook.Call{}); v.Notes[0].Text != "2" {
+	if v := e.Arrive(hooklang.Call{}); v.Notes[0].Text != "2" {
 		t.Error(v)
 	}
 }
@@ -290,9 +290,9 @@
 	go e.do(func() { close(held); <-hold })
 	<-held
 	for range 10_000 {
-		e.Post("ended", hook.Ended{})
+		e.Post("ended", hooklang.Ended{})
 	}
-	if v := e.Arrive(hook.Call{Tenant: "t"}); !v.ShedAdvised || v.Why != "hook: no" {
+	if v := e.Arrive(hooklang.Call{Tenant: "t"}); !v.ShedAdvised || v.Why != "hook: no" {
 		t.Error(v)
 	}
 	if n := e.Counts.Dropped.Load(); n != 10_001-4096 {
@@ -320,10 +320,10 @@
 	if h.words() != "regard w1 -1, regard w1 0, regard w1 -1" && h.words() != "regard w1 -1, regard w1 -1" {
 		t.Error(h.words())
 	}
-	if v := e.Arrive(hook.Call{Tenant: "t"}); v.ShedAdvised || v.Weight != 2 {
+	if v := e.Arrive(hooklang.Call{Tenant: "t"}); v.ShedAdvised || v.Weight != 2 {
 		t.Error(v)
 	}
-	if v := e.Arrive(hook.Call{Tenant: "t"}); !v.ShedAdvised {
+	if v := e.Arrive(hooklang.Call{Tenant: "t"}); !v.ShedAdvised {
 		t.Error(v)
 	}
 }
@@ -336,7 +336,7 @@
 	load(t, e, "good", counter, false)
 	for range 20 {
 		for range 50 {
-			e.Post("ended", hook.Ended{})
+			e.Post("ended", hooklang.Ended{})
 		}
 		all(t, e)
 		clk.Advance(sec)
--- a/hooks/lifecycle.go
+++ b/internal/hookengine/lifecycle.go
@@ -1,6 +1,6 @@
-// Package hooks runs operators' scripts beside the gateway: it loads, checks, shadows, promotes and withdraws them, runs their
-// handlers, and hands what they advise to package advice. Lifecycle and advice.Table decide, without I/O; Engine carries out.
-package hooks
+// Package hookengine runs operators' scripts beside the gateway: it loads, checks, shadows, promotes and withdraws them, runs their
+// handlers, and hands what they advise to package hookadvice. Lifecycle and hookadvice.Table decide, without I/O; Engine carries out.
+package hookengine
 
 import (
 	"cmp"
--- a/hooks/notify.go
+++ b/internal/hookengine/notify.go
@@ -1,4 +1,4 @@
-package hooks
+package hookengine
 
 import (
 	"bufio"
@@ -15,10 +15,10 @@
 
 	"github.com/rs/zerolog"
 
-	"kitehub/advice"
 	"kitehub/internal/clock"
+	"kitehub/internal/hookadvice"
 	"kitehub/internal/http1"
-	"kitehub/signing"
+	"kitehub/internal/signing"
 )
 
 // A Target takes notices.
@@ -46,7 +46,7 @@
 }
 
 type note struct {
-	advice.Notice
+	hookadvice.Notice
 	id string
 	at time.Time
 }
@@ -69,7 +69,7 @@
 }
 
 // Notify takes a notice, and does not block.
-func (n *Notifier) Notify(x advice.Notice) {
+func (n *Notifier) Notify(x hookadvice.Notice) {
 	if _, ok := n.targets[x.Target]; !ok {
 		n.Failed.Add(1)
 		n.log.Warn().Str("script", x.Script).Str("target", x.Target).Msg("notice: no such target in hooks.targets")
--- a/hooks/notify_test.go
+++ b/internal/hookengine/notify_test.go
@@ -1,4 +1,4 @@
-package hooks
+package hookengine
 
 import (
 	"net"
@@ -9,10 +9,10 @@
 
 	"github.com/rs/zerolog"
 
-	"kitehub/advice"
 	"kitehub/internal/clock"
+	"kitehub/internal/hookadvice"
 	"kitehub/internal/http1"
-	"kitehub/signing"
+	"kitehub/internal/signing"
 )
 
 // A notice is signed, tried again under its id until it is taken, and one for nobody is counted.
@@ -46,8 +46,8 @@
 	defer ln.Close()
 	n := NewNotifier("c", []Target{{Name: "ops", Address: ln.Addr().String(), Path: "/n", Key: key}}, clock.System(), zerolog.Nop())
 	defer n.Close()
-	n.Notify(advice.Notice{Script: "a", Target: "nobody", Text: "x"})
-	n.Notify(advice.Notice{Script: "a", Target: "ops", Text: "lost 3"})
+	n.Notify(hookadvice.Notice{Script: "a", Target: "nobody", Text: "x"})
+	n.Notify(hookadvice.Notice{Script: "a", Target: "ops", Text: "lost 3"})
 	select {
 	case got := <-taken:
 		if !strings.Contains(got, `"type":"hook.notice"`) || !strings.Contains(got, `"text":"lost 3"`) {
--- a/hooks/run.go
+++ b/internal/hookengine/run.go
@@ -1,11 +1,11 @@
-package hooks
+package hookengine
 
 import (
 	"slices"
 	"time"
 
-	"kitehub/advice"
-	"kitehub/hook"
+	"kitehub/internal/hookadvice"
+	"kitehub/internal/hooklang"
 )
 
 func (e *Engine) run() {
@@ -30,7 +30,7 @@
 		case <-timer.C:
 		}
 		if l := e.list.Swap(nil); l != nil {
-			e.advise([]advice.Event{advice.Workers{List: *l}})
+			e.advise([]hookadvice.Event{hookadvice.Workers{List: *l}})
 		}
 		e.follow()
 		now := e.cfg.Clock.Now()
@@ -74,7 +74,7 @@
 			if e.cfg.Open != nil {
 				open = e.cfg.Open()
 			}
-			e.event(s, "timer", hook.Tick{Count: r.count, Open: open}, now)
+			e.event(s, "timer", hooklang.Tick{Count: r.count, Open: open}, now)
 		}
 	}
 }
@@ -102,7 +102,7 @@
 }
 
 // event runs a script's handler of one event, aside, and then its shadow's.
-func (e *Engine) event(s *Script, point string, ev hook.Event, now time.Duration) {
+func (e *Engine) event(s *Script, point string, ev hooklang.Event, now time.Duration) {
 	r := e.ran[s.Name]
 	if r == nil || !r.p.Has(point) {
 		if sh := e.shadow[s.Name]; r != nil && sh != nil && sh.p.Has(point) {
@@ -127,7 +127,7 @@
 	}
 	e.life.Ran(now, s.Name, r.version, fault, res.Fuel)
 	if len(res.Advice) > 0 {
-		var l []hook.Advice
+		var l []hooklang.Advice
 		for _, a := range res.Advice {
 			if a.Kind == "log" {
 				e.cfg.Log.Info().Str("script", s.Name).Msg(a.Text)
@@ -135,28 +135,28 @@
 				l = append(l, a)
 			}
 		}
-		e.advise([]advice.Event{advice.Offered{Script: s.Name, Version: r.version, Items: l}})
+		e.advise([]hookadvice.Event{hookadvice.Offered{Script: s.Name, Version: r.version, Items: l}})
 	}
 	if sh := e.shadow[s.Name]; sh != nil {
 		e.try(sh, point, ev, res.Advice, fault)
 	}
 }
 
-func (e *Engine) aside(r *running, point string, ev hook.Event) (hook.Result, error) {
+func (e *Engine) aside(r *running, point string, ev hooklang.Event) (hooklang.Result, error) {
 	begin := time.Now()
 	lim := e.cfg.Aside
 	if point == "arrive" {
 		lim = e.cfg.Inline
 	}
 	lim.Stop = func() bool { return time.Since(begin) > e.cfg.Within }
-	res, err := e.vm.Run(r.p, point, ev, r.state, hook.Env{Now: int64(e.cfg.Clock.Now()), Wall: e.cfg.Clock.Wall().Unix()}, lim)
+	res, err := e.vm.Run(r.p, point, ev, r.state, hooklang.Env{Now: int64(e.cfg.Clock.Now()), Wall: e.cfg.Clock.Wall().Unix()}, lim)
 	e.Counts.Aside.Add(1)
 	e.Counts.AsideNanos.Add(int64(time.Since(begin)))
 	return res, err
 }
 
 // try runs a shadow on an event that the live version has had, and compares. What it advises goes nowhere.
-func (e *Engine) try(r *running, point string, ev hook.Event, live []hook.Advice, fault string) {
+func (e *Engine) try(r *running, point string, ev hooklang.Event, live []hooklang.Advice, fault string) {
 	if !r.p.Has(point) {
 		e.life.Tried(r.name, r.version, "", 0, len(live) == 0)
 		return
--- a/hook/checkstmt.go
+++ b/internal/hooklang/checkstmt.go
@@ -1,4 +1,4 @@
-package hook
+package hooklang
 
 func (c *checker) block(b *block) (ends bool) {
 	c.push()
--- a/hook/compilestmt.go
+++ b/internal/hooklang/compilestmt.go
@@ -1,4 +1,4 @@
-package hook
+package hooklang
 
 func (c *compiler) function(d *funcDecl, f *function) {
 	c.fn, c.now = f, 0
--- a/hook/doc.go
+++ b/internal/hooklang/doc.go
@@ -1,4 +1,4 @@
-// Package hook is the language in which operators write hooks: small scripts that the gateway runs at named points and
+// Package hooklang is the language in which operators write hooks: small scripts that the gateway runs at named points and
 // that answer with advice. A script can compute, and read what the host gives it, and nothing else: no I/O, no clock but
 // the host's, no variables that outlive a run but those that the host stores. docs/hooks.md is grammar and reference.
 //
@@ -6,7 +6,7 @@
 // a limit or makes a fault ends with a *Fault, and its effects are dropped whole: advice, and changes of state.
 //
 // Nothing here depends on the order of a Go map, on time or on chance: same program, state, event and clock, same result.
-package hook
+package hooklang
 
 import (
 	"fmt"
--- a/hook/docs_test.go
+++ b/internal/hooklang/docs_test.go
@@ -1,4 +1,4 @@
-package hook
+package hooklang
 
 import (
 	"os"
@@ -8,7 +8,7 @@
 
 // The examples of the manual are scripts in their one form, whose tests pass.
 func TestManual(t *testing.T) {
-	text, err := os.ReadFile("../docs/hooks.md")
+	text, err := os.ReadFile("../../docs/hooks.md")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/hook/parseexpr.go
+++ b/internal/hooklang/parseexpr.go
@@ -1,4 +1,4 @@
-package hook
+package hooklang
 
 var levels = [][]string{{"or"}, {"and"}, {"==", "!=", "<", "<=", ">", ">=", "in"}, {"+", "-"}, {"*", "/", "%"}}
 
--- a/hook/parser.go
+++ b/internal/hooklang/parser.go
@@ -1,4 +1,4 @@
-package hook
+package hooklang
 
 import (
 	"fmt"
--- a/front/bind.go
+++ b/internal/ingress/bind.go
@@ -1,14 +1,14 @@
-// Package front holds what all fronts share: the binding of calls to versions of models.
-package front
+// Package ingress holds what all fronts share: the binding of calls to versions of models.
+package ingress
 
 import (
 	"sync/atomic"
 	"time"
 
-	"kitehub/choice"
-	"kitehub/gateway"
 	"kitehub/internal/clock"
-	"kitehub/registry"
+	"kitehub/internal/gateway"
+	"kitehub/internal/registry"
+	"kitehub/scheduler"
 )
 
 // Models is the registry as this controller knows it. agent.Agent with gateway.Functions is one.
@@ -24,7 +24,7 @@
 // A Binder has calls of models run under the version that their alias names.
 type Binder struct {
 	Models      Models
-	Idempotency func(class int) choice.Idempotency
+	Idempotency func(class int) scheduler.Idempotency
 	Clock       clock.Clock
 	Anew        *atomic.Int64 // counts calls that began anew
 }
@@ -93,8 +93,8 @@
 }
 
 // Settled says how an answer that its client left stands for the next try: as refused, where trying again does no harm.
-func Settled(a gateway.Answer, e choice.Idempotency) gateway.Answer {
-	if a.Kind == gateway.ClientClosed && (!a.MayHaveRun || e == choice.Idempotent) {
+func Settled(a gateway.Answer, e scheduler.Idempotency) gateway.Answer {
+	if a.Kind == gateway.ClientClosed && (!a.MayHaveRun || e == scheduler.Idempotent) {
 		a.Kind = gateway.Rejected
 	}
 	return a
--- a/front/jsonrpc/call.go
+++ b/internal/ingress/jsonrpc/call.go
@@ -8,10 +8,10 @@
 	"sync/atomic"
 	"time"
 
-	"kitehub/choice"
-	"kitehub/front"
-	"kitehub/gateway"
-	"kitehub/registry"
+	"kitehub/internal/gateway"
+	"kitehub/internal/ingress"
+	"kitehub/internal/registry"
+	"kitehub/scheduler"
 )
 
 // callParams are those of the method "call".
@@ -61,10 +61,10 @@
 		return problem(CodeUnknown, "no such function")
 	}
 	effect := s.cfg.Effect(fn.Class)
-	if (effect == choice.IdempotentWithKey) != (p.Key != "") {
-		return problem(CodeParams, "key: a call of this class has %s", map[bool]string{true: "one", false: "none"}[effect == choice.IdempotentWithKey])
+	if (effect == scheduler.IdempotentWithKey) != (p.Key != "") {
+		return problem(CodeParams, "key: a call of this class has %s", map[bool]string{true: "one", false: "none"}[effect == scheduler.IdempotentWithKey])
 	}
-	if after := s.cfg.After; after > 0 && effect == choice.IdempotentWithKey {
+	if after := s.cfg.After; after > 0 && effect == scheduler.IdempotentWithKey {
 		// The other process took calls until then, each for its deadline at most, and may have run one with this key.
 		if left := after + s.cfg.Deadline(fn.Class) + s.cfg.Window(fn.Class) - s.cfg.Clock.Now(); left > 0 {
 			return &Error{CodeRefused, "the process before may have run this key", map[string]any{"outcome": "refused", "retry_after_ms": left.Milliseconds() + 1}}
@@ -103,12 +103,12 @@
 		}
 	}
 	to := try{id: r.ID, batch: t, hand: h, class: fn.Class}
-	if effect == choice.IdempotentWithKey {
+	if effect == scheduler.IdempotentWithKey {
 		to.key = c.user.Name + ":" + p.Key
 	}
 	deliver := func(a gateway.Answer, b *gateway.VersionBinding, release func()) { c.deliver(to, a, b, release) }
 	h.gone = func() { deliver(gateway.Answer{Kind: gateway.ClientClosed, MayHaveRun: true}, nil, nil) }
-	if effect != choice.IdempotentWithKey {
+	if effect != scheduler.IdempotentWithKey {
 		s.run(c, h, call, fn, alias, deliver)
 		return nil
 	}
@@ -144,7 +144,7 @@
 		submit(&call)
 		return
 	}
-	s.binder.Run(&front.Bound{Call: call, Model: fn, Alias: alias, Final: s.cfg.Clock.Now() + call.TimeLeft, Submit: submit,
+	s.binder.Run(&ingress.Bound{Call: call, Model: fn, Alias: alias, Final: s.cfg.Clock.Now() + call.TimeLeft, Submit: submit,
 		Left: func() bool {
 			c.mu.Lock()
 			defer c.mu.Unlock()
@@ -190,7 +190,7 @@
 	s.mu.Unlock()
 	s.run(c, own, call, fn, alias, func(a gateway.Answer, b *gateway.VersionBinding, release func()) {
 		s.mu.Lock()
-		l := s.keys.end(e, front.Settled(a, choice.IdempotentWithKey), b)
+		l := s.keys.end(e, ingress.Settled(a, scheduler.IdempotentWithKey), b)
 		s.mu.Unlock()
 		var written func()
 		if release != nil { // when all who wait have been written it
--- a/front/jsonrpc/conn.go
+++ b/internal/ingress/jsonrpc/conn.go
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"kitehub/choice"
+	"kitehub/scheduler"
 )
 
 // A conn is one connection: a goroutine that reads and carries out, and one that writes.
@@ -39,7 +39,7 @@
 }
 
 type inHand struct {
-	request  choice.RequestID
+	request  scheduler.RequestID
 	started  bool
 	left     bool
 	answered bool
--- a/front/jsonrpc/golden_test.go
+++ b/internal/ingress/jsonrpc/golden_test.go
@@ -11,9 +11,9 @@
 	"testing"
 	"time"
 
-	"kitehub/gateway"
+	"kitehub/internal/gateway"
 	"kitehub/internal/goldenfile"
-	"kitehub/registry"
+	"kitehub/internal/registry"
 )
 
 // How a call ended is told in a result or an error; clients act upon code, outcome and what stands beside them.
--- a/front/jsonrpc/keys.go
+++ b/internal/ingress/jsonrpc/keys.go
@@ -4,7 +4,7 @@
 	"crypto/sha256"
 	"time"
 
-	"kitehub/gateway"
+	"kitehub/internal/gateway"
 )
 
 // keys remembers keyed calls, so that a client's repeat joins the one that runs, or gets its answer, for as long as the class's
--- a/front/jsonrpc/server.go
+++ b/internal/ingress/jsonrpc/server.go
@@ -12,10 +12,10 @@
 
 	"github.com/rs/zerolog"
 
-	"kitehub/choice"
-	"kitehub/front"
-	"kitehub/gateway"
 	"kitehub/internal/clock"
+	"kitehub/internal/gateway"
+	"kitehub/internal/ingress"
+	"kitehub/scheduler"
 )
 
 // A User is who may connect, and what for.
@@ -33,9 +33,9 @@
 	Gateway   *gateway.Gateway
 	Functions func(name string) *gateway.Function
 	Deadline  func(class int) time.Duration
-	Effect    func(class int) choice.Idempotency
+	Effect    func(class int) scheduler.Idempotency
 	Window    func(class int) time.Duration // in which workers drop repeats of a keyed call
-	Models    front.Models                  // nil: no function has versions
+	Models    ingress.Models                // nil: no function has versions
 	Clock     clock.Clock
 	Log       zerolog.Logger
 	Operator  Operator
@@ -73,7 +73,7 @@
 type Server struct {
 	cfg     Config
 	Counts  Counts
-	binder  front.Binder
+	binder  ingress.Binder
 	mu      sync.Mutex
 	conns   map[*conn]bool
 	keys    keys
@@ -103,7 +103,7 @@
 		cfg.Half = 10 * time.Second
 	}
 	s := &Server{cfg: cfg, conns: map[*conn]bool{}, keys: keys{most: cfg.Keys, bytes: cfg.KeyBytes, by: map[string]*keyed{}}}
-	s.binder = front.Binder{Models: cfg.Models, Idempotency: cfg.Effect, Clock: cfg.Clock, Anew: &s.Counts.Anew}
+	s.binder = ingress.Binder{Models: cfg.Models, Idempotency: cfg.Effect, Clock: cfg.Clock, Anew: &s.Counts.Anew}
 	return s
 }
 
--- a/front/msgpackrpc/decode_test.go
+++ b/internal/ingress/msgpackrpc/decode_test.go
@@ -11,10 +11,10 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"kitehub/standin/platform"
+	"kitehub/internal/harness/fakeplatform"
 )
 
-var request, with, txn = platform.Request, platform.Fields, platform.Txn
+var request, with, txn = fakeplatform.Request, fakeplatform.Fields, fakeplatform.Txn
 
 func decode(r io.Reader) (message, error) {
 	d := decoder{r: bufio.NewReaderSize(r, 16), mostBody: 100}
@@ -36,15 +36,15 @@
 		{"empty body", request(7, "call", with(), []byte{}), "", false},
 		{"wide numbers", request(uint64(1<<32-1), "call", with(), []byte("body")), "", false},
 		{"status", request(8, "status", map[string]string{}), "", false},
-		{"withdraw", platform.Withdraw(7, 8), "", false},
+		{"withdraw", fakeplatform.Withdraw(7, 8), "", false},
 		{"fields that are no map", request(7, "call", "x", []byte("body")), "fields must be a map", false},
 		{"a body that is no bin", request(7, "call", with(), 17), "the body must be bin", false},
 		{"a field that is a number", request(7, "call", map[string]any{"limit": 1500}, []byte("b")), "a field that is no string", false},
 		{"a field that is a tree", request(7, "call", map[string]any{"limit": []any{1, map[string]any{"a": 2.5}}}, []byte("b")), "a field that is no string", false},
 		{"three params", request(7, "call", with(), []byte("b"), 3), "params must be fields and a body", false},
-		{"no params", platform.Pack([]any{0, 7, "call", []any{}}), "params must be fields and a body", false},
+		{"no params", fakeplatform.Pack([]any{0, 7, "call", []any{}}), "params must be fields and a body", false},
 		{"a field twice", append(request(7, "call")[:8], 0x91, 0x82, 0xa3, 't', 'x', 'n', 0xa1, 'a', 0xa3, 't', 'x', 'n', 0xa1, 'b'), "a field given twice", false},
-		{"withdraw of a word", platform.Withdraw("x"), "a msgid that is no number", false},
+		{"withdraw of a word", fakeplatform.Withdraw("x"), "a msgid that is no number", false},
 		{"a body of 101 bytes", request(7, "call", with(), make([]byte, 101)), "", true},
 		{"a body of 4 GB", append(request(7, "call", with(), []byte{})[:len(request(7, "call", with(), []byte{}))-2], 0xc6, 0xff, 0xff, 0xff, 0xff), "", true},
 		{"a long field", request(7, "call", map[string]string{"txn": long}), "", true},
@@ -56,10 +56,10 @@
 		{"a negative msgid", request(-1, "call", with()), "", true},
 		{"a msgid over 32 bits", request(uint64(1<<32), "call", with()), "", true},
 		{"a msgid that is a word", request("7", "call", with()), "", true},
-		{"an answer", platform.Pack([]any{1, 7, nil, nil}), "", true},
-		{"a request of three", platform.Pack([]any{0, 7, "call"}), "", true},
-		{"a notification of four", platform.Pack([]any{2, 7, "call", []any{}}), "", true},
-		{"a map", platform.Pack(with()), "", true},
+		{"an answer", fakeplatform.Pack([]any{1, 7, nil, nil}), "", true},
+		{"a request of three", fakeplatform.Pack([]any{0, 7, "call"}), "", true},
+		{"a notification of four", fakeplatform.Pack([]any{2, 7, "call", []any{}}), "", true},
+		{"a map", fakeplatform.Pack(with()), "", true},
 		{"HTTP", []byte("GET / HTTP/1.1\r\n\r\n"), "", true},
 		{"0xc1, which is never used", append(request(7, "call")[:8], 0x91, 0xc1), "", true},
 	}
@@ -98,7 +98,7 @@
 // FuzzDecode holds the decoder against another one: what ours takes as a request, theirs reads the same.
 func FuzzDecode(f *testing.F) {
 	f.Add(request(7, "call", with(), []byte("body")))
-	f.Add(platform.Withdraw(7))
+	f.Add(fakeplatform.Withdraw(7))
 	f.Add(request(uint64(1<<31), "call", map[string]any{"limit": 1500, "x": []any{1.5, nil, true}}, []byte("b")))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		d := decoder{r: bufio.NewReader(bytes.NewReader(in)), mostBody: 100}
--- a/front/msgpackrpc/finish_test.go
+++ b/internal/ingress/msgpackrpc/finish_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"kitehub/gateway"
+	"kitehub/internal/gateway"
 )
 
 // finishing starts Finish and returns once it has marked all connections; the channel is closed when it is done.
--- a/front/msgpackrpc/front.go
+++ b/internal/ingress/msgpackrpc/front.go
@@ -19,23 +19,23 @@
 
 	"github.com/rs/zerolog"
 
-	"kitehub/choice"
-	"kitehub/gateway"
 	"kitehub/internal/clock"
+	"kitehub/internal/gateway"
 	"kitehub/internal/outbox"
+	"kitehub/scheduler"
 )
 
 // A Gateway takes calls. gateway.Gateway is one.
 type Gateway interface {
-	Submit(*gateway.Call) (choice.RequestID, bool)
-	Cancel(choice.RequestID)
+	Submit(*gateway.Call) (scheduler.RequestID, bool)
+	Cancel(scheduler.RequestID)
 }
 
 // Config sets up a Front.
 type Config struct {
 	Gateway  Gateway
 	Clock    clock.Clock
-	Settings choice.Settings
+	Settings scheduler.Settings
 	Log      zerolog.Logger
 	MostBody int           // bytes; the platform has 16 KiB
 	MostOpen int           // requests open on one connection; the platform has 32
@@ -225,7 +225,7 @@
 
 type openCall struct {
 	txn uint64
-	id  choice.RequestID
+	id  scheduler.RequestID
 }
 
 func (c *conn) view() connView {
--- a/front/msgpackrpc/front_test.go
+++ b/internal/ingress/msgpackrpc/front_test.go
@@ -13,26 +13,26 @@
 
 	"github.com/rs/zerolog"
 
-	"kitehub/choice"
-	"kitehub/gateway"
 	"kitehub/internal/clock"
-	"kitehub/standin/platform"
+	"kitehub/internal/gateway"
+	"kitehub/internal/harness/fakeplatform"
+	"kitehub/scheduler"
 )
 
 // taker is a gateway that leaves the answers to the test.
 type taker struct {
 	mu   sync.Mutex
-	next choice.RequestID
+	next scheduler.RequestID
 	full bool
 	came chan *gateway.Call
-	left chan choice.RequestID
+	left chan scheduler.RequestID
 }
 
 func newTaker() *taker {
-	return &taker{came: make(chan *gateway.Call, 1000), left: make(chan choice.RequestID, 1000)}
+	return &taker{came: make(chan *gateway.Call, 1000), left: make(chan scheduler.RequestID, 1000)}
 }
 
-func (g *taker) Submit(c *gateway.Call) (choice.RequestID, bool) {
+func (g *taker) Submit(c *gateway.Call) (scheduler.RequestID, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.full {
@@ -43,12 +43,12 @@
 	return g.next, true
 }
 
-func (g *taker) Cancel(id choice.RequestID) { g.left <- id }
+func (g *taker) Cancel(id scheduler.RequestID) { g.left <- id }
 
-func settings() choice.Settings {
-	s := choice.Settings{Classes: []choice.Class{{Name: "lookup", Idempotency: choice.Idempotent, Deadline: 4 * time.Second},
-		{Name: "update", Idempotency: choice.IdempotentWithKey, Deadline: 4 * time.Second}, {Name: "status", Idempotency: choice.Idempotent, Deadline: time.Second}},
-		Tenants: []choice.Tenant{{Name: "acme"}}, Tick: time.Millisecond}
+func settings() scheduler.Settings {
+	s := scheduler.Settings{Classes: []scheduler.Class{{Name: "lookup", Idempotency: scheduler.Idempotent, Deadline: 4 * time.Second},
+		{Name: "update", Idempotency: scheduler.IdempotentWithKey, Deadline: 4 * time.Second}, {Name: "status", Idempotency: scheduler.Idempotent, Deadline: time.Second}},
+		Tenants: []scheduler.Tenant{{Name: "acme"}}, Tick: time.Millisecond}
 	return s
 }
 
@@ -82,13 +82,13 @@
 }
 
 type client struct {
-	*platform.Client
+	*fakeplatform.Client
 	t *testing.T
 }
 
 func (r *rig) dial(t *testing.T) *client {
 	t.Helper()
-	c, err := platform.Dial(r.addr, 20*time.Second) // a test that hangs ends
+	c, err := fakeplatform.Dial(r.addr, 20*time.Second) // a test that hangs ends
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -101,7 +101,7 @@
 // answer reads one answer, or that the connection was closed.
 func (c *client) answer() (id int64, what string) {
 	c.t.Helper()
-	if id, what = c.Answer(); what == platform.Silent {
+	if id, what = c.Answer(); what == fakeplatform.Silent {
 		c.t.Fatal(what)
 	}
 	return id, what
@@ -205,7 +205,7 @@
 	c := r.dial(t)
 	// Two messages and a half in one segment, the rest later.
 	second := request(2, "lookup", with("txn", txn(2)), []byte("x"))
-	c.put(request(1, "lookup", with("txn", txn(1)), []byte("x")), platform.Withdraw(1, 99), second[:20])
+	c.put(request(1, "lookup", with("txn", txn(1)), []byte("x")), fakeplatform.Withdraw(1, 99), second[:20])
 	call := <-r.g.came
 	if id := <-r.g.left; id != 1 {
 		t.Errorf("request %d is taken back, want 1", id)
@@ -216,7 +216,7 @@
 	if id, got := c.answer(); id != 2 || got != "served two" {
 		t.Errorf("%d %s, want the answer of 2 alone", id, got)
 	}
-	c.put(platform.Withdraw(2), request(3, "status", map[string]string{}))
+	c.put(fakeplatform.Withdraw(2), request(3, "status", map[string]string{}))
 	if id, _ := c.answer(); id != 3 {
 		t.Errorf("answer to %d", id)
 	}
@@ -263,7 +263,7 @@
 		}
 	}
 	c.Close()
-	seen := map[choice.RequestID]bool{}
+	seen := map[scheduler.RequestID]bool{}
 	for range 32 {
 		seen[<-r.g.left] = true
 	}
@@ -291,7 +291,7 @@
 			c.Deliver(gateway.Answer{Kind: gateway.Served, Body: c.Body})
 		}
 	}()
-	for _, h := range platform.Hostiles() {
+	for _, h := range fakeplatform.Hostiles() {
 		for range 3 {
 			wg.Add(1)
 			go func() {
--- a/front/msgpackrpc/parse.go
+++ b/internal/ingress/msgpackrpc/parse.go
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
-	"kitehub/choice"
-	"kitehub/gateway"
+	"kitehub/internal/gateway"
+	"kitehub/scheduler"
 )
 
 // Bounds of figures, far over what any machine has: they keep sums finite, no more.
@@ -26,13 +26,13 @@
 }
 
 // FunctionID is the number that an item writes in 16 hex digits; Item writes it back. So no table of names is kept.
-func FunctionID(item string) (choice.FunctionID, bool) {
+func FunctionID(item string) (scheduler.FunctionID, bool) {
 	v, ok := hex16(item)
-	return choice.FunctionID(v), ok
+	return scheduler.FunctionID(v), ok
 }
 
 // Item is the name of a function on the wire.
-func Item(id choice.FunctionID) string { return fmt.Sprintf("%016x", uint64(id)) }
+func Item(id scheduler.FunctionID) string { return fmt.Sprintf("%016x", uint64(id)) }
 
 // hex16 reads 16 lower-case hex digits: other spellings would not pass on unchanged.
 func hex16(s string) (v uint64, ok bool) {
@@ -88,9 +88,9 @@
 	if err != nil || left <= 0 || left > patience*c.Deadline {
 		return p, fmt.Errorf("limit: want milliseconds, above 0 and up to %d", patience*c.Deadline.Milliseconds())
 	}
-	fn := &gateway.Function{Name: x.item, ID: choice.FunctionID(item), Class: class}
+	fn := &gateway.Function{Name: x.item, ID: scheduler.FunctionID(item), Class: class}
 	p.call = &gateway.Call{ID: x.txn, Function: fn, Tenant: tenant, Body: m.body, TimeLeft: left, Retry: x.second != ""}
-	if c.Idempotency == choice.IdempotentWithKey {
+	if c.Idempotency == scheduler.IdempotentWithKey {
 		if !isKey(x.unique) {
 			return p, fmt.Errorf("unique: want a key of up to 64 letters and digits")
 		}
--- a/front/webhook/answer.go
+++ b/internal/ingress/webhook/answer.go
@@ -8,10 +8,10 @@
 	"strings"
 	"time"
 
-	"kitehub/gateway"
+	"kitehub/internal/gateway"
 	"kitehub/internal/http1"
-	"kitehub/registry"
-	"kitehub/signing"
+	"kitehub/internal/registry"
+	"kitehub/internal/signing"
 )
 
 func answered(a gateway.Answer) *http1.Response {
--- a/front/webhook/front.go
+++ b/internal/ingress/webhook/front.go
@@ -1,6 +1,6 @@
 // Package webhook is the first front: calls come as signed webhooks (the Standard Webhooks specification) over
 // HTTP/1.1, and their answers go back signed as well. It verifies, tells replays and retries from new calls by
-// package replay, and hands calls to the gateway. Nothing unverified gets that far.
+// package replayguard, and hands calls to the gateway. Nothing unverified gets that far.
 //
 //	served     200  the worker's answer
 //	refused    503  Retry-After; trying again does no harm
@@ -26,14 +26,14 @@
 
 	"github.com/rs/zerolog"
 
-	"kitehub/choice"
-	"kitehub/front"
-	"kitehub/gateway"
 	"kitehub/internal/clock"
+	"kitehub/internal/gateway"
 	"kitehub/internal/http1"
-	"kitehub/registry"
-	"kitehub/replay"
-	"kitehub/signing"
+	"kitehub/internal/ingress"
+	"kitehub/internal/registry"
+	"kitehub/internal/replayguard"
+	"kitehub/internal/signing"
+	"kitehub/scheduler"
 )
 
 // A Client is who may call.
@@ -60,14 +60,14 @@
 	Gateway   *gateway.Gateway
 	Functions func(name string) *gateway.Function // nil: no such function
 	Deadline  func(class int) time.Duration       // longest time that a client of the class waits
-	Effect    func(class int) choice.Idempotency
+	Effect    func(class int) scheduler.Idempotency
 	Clock     clock.Clock
-	Replay    replay.Settings
+	Replay    replayguard.Settings
 	Mark      MarkFile
 	Log       zerolog.Logger
-	State     *State       // of the process before; nil: none
-	MaxJoin   int          // tries that wait for the same call; 0: 16
-	Models    front.Models // nil: no function has versions
+	State     *State         // of the process before; nil: none
+	MaxJoin   int            // tries that wait for the same call; 0: 16
+	Models    ingress.Models // nil: no function has versions
 }
 
 // Counts of what came in, by what became of it before the gateway.
@@ -83,20 +83,20 @@
 	Counts  Counts
 	clients atomic.Pointer[[]Client]
 	mu      sync.Mutex
-	guard   *replay.Guard
-	live    map[replay.Key]*live
+	guard   *replayguard.Guard
+	live    map[replayguard.Key]*live
 	stop    chan struct{}
 	stopped sync.WaitGroup
 	closing atomic.Bool
-	binder  front.Binder
+	binder  ingress.Binder
 	paused  chan struct{} // closed when a pause is over; nil: none; guarded by mu
 	passed  bool          // another process takes what comes
-	ended   func(replay.Key, replay.Answer)
+	ended   func(replayguard.Key, replayguard.Answer)
 }
 
 // A live call has the tries of its client that wait for its answer.
 type live struct {
-	id      choice.RequestID
+	id      scheduler.RequestID
 	waiting int
 	done    chan struct{}
 	conns   []*http1.Conn
@@ -117,11 +117,11 @@
 	if cfg.MaxJoin == 0 {
 		cfg.MaxJoin = 16
 	}
-	f := &Front{cfg: cfg, guard: replay.NewGuard(cfg.Replay, cfg.Clock.Wall(), mark), live: map[replay.Key]*live{}, stop: make(chan struct{})}
+	f := &Front{cfg: cfg, guard: replayguard.NewGuard(cfg.Replay, cfg.Clock.Wall(), mark), live: map[replayguard.Key]*live{}, stop: make(chan struct{})}
 	if s := cfg.State; s != nil {
 		f.guard.Import(s.Known, s.Barrier, s.Durable, s.Highest)
 	}
-	f.binder = front.Binder{Models: cfg.Models, Idempotency: cfg.Effect, Clock: cfg.Clock, Anew: &f.Counts.Anew}
+	f.binder = ingress.Binder{Models: cfg.Models, Idempotency: cfg.Effect, Clock: cfg.Clock, Anew: &f.Counts.Anew}
 	f.clients.Store(&clients)
 	if err := f.extend(); err != nil {
 		return nil, err
@@ -242,11 +242,11 @@
 		f.Counts.Unknown.Add(1)
 		return problem(404, "unknown", "no such function", nil)
 	}
-	key := replay.Key{Client: v.client, ID: v.id}
+	key := replayguard.Key{Client: v.client, ID: v.id}
 	digest := sha256.New()
 	digest.Write([]byte(fn.Name + "\x00" + alias + "\x00"))
 	digest.Write(r.Body)
-	m := replay.Message{Key: key, Stamp: v.stamp}
+	m := replayguard.Message{Key: key, Stamp: v.stamp}
 	digest.Sum(m.Digest[:0])
 
 	f.mu.Lock()
@@ -263,41 +263,41 @@
 	verdict, kept, after := f.guard.Take(f.cfg.Clock.Wall(), m)
 	var l *live
 	switch verdict {
-	case replay.New, replay.Retry:
+	case replayguard.New, replayguard.Retry:
 		l = &live{done: make(chan struct{}), waiting: 1, conns: []*http1.Conn{c}}
 		f.live[key] = l
-	case replay.Join:
+	case replayguard.Join:
 		if l = f.live[key]; l != nil && len(l.conns) < f.cfg.MaxJoin {
 			l.waiting++
 			l.conns = append(l.conns, c)
 		} else {
-			verdict, after = replay.Crowded, time.Second // or in hand of the process before
+			verdict, after = replayguard.Crowded, time.Second // or in hand of the process before
 		}
 	}
 	f.mu.Unlock()
 
 	switch verdict {
-	case replay.New, replay.Retry:
-		return f.call(c, r, v, key, fn, alias, l, verdict == replay.Retry)
-	case replay.Join:
+	case replayguard.New, replayguard.Retry:
+		return f.call(c, r, v, key, fn, alias, l, verdict == replayguard.Retry)
+	case replayguard.Join:
 		f.Counts.Joined.Add(1)
 		return f.wait(c, v, key, l, fn.Class)
-	case replay.Kept:
+	case replayguard.Kept:
 		f.Counts.Kept.Add(1)
 		b, _ := kept.Tag.(*gateway.VersionBinding)
 		return f.gated(v, key, b, fn.Class, &http1.Response{Status: kept.Status, Header: http1.Header{{Name: "Content-Type", Value: kept.Type}}, Body: kept.Body}, nil)
-	case replay.Lost:
+	case replayguard.Lost:
 		return problem(502, "failed", "the call has ended; its answer was too large to keep", nil)
-	case replay.Replay:
+	case replayguard.Replay:
 		f.Counts.Replayed.Add(1)
 		return problem(409, "replayed", "this message was taken before", nil)
-	case replay.Reused:
+	case replayguard.Reused:
 		f.Counts.Reused.Add(1)
 		return problem(422, "reused", "the webhook-id was used for another call", nil)
-	case replay.Stale, replay.Early:
+	case replayguard.Stale, replayguard.Early:
 		f.Counts.Stale.Add(1)
 		return problem(401, "forged", "webhook-timestamp is too old or too far ahead", nil)
-	case replay.Unsettled:
+	case replayguard.Unsettled:
 		f.Counts.Unsettled.Add(1)
 		return refused("this message may have been taken before a restart: sign it again with the present time", after)
 	}
@@ -319,15 +319,15 @@
 }
 
 // call submits a new call and waits for its answer.
-func (f *Front) call(c *http1.Conn, r *http1.Request, v verified, key replay.Key, fn *gateway.Function, alias string, l *live, retry bool) *http1.Response {
+func (f *Front) call(c *http1.Conn, r *http1.Request, v verified, key replayguard.Key, fn *gateway.Function, alias string, l *live, retry bool) *http1.Response {
 	client := (*f.clients.Load())[v.client]
 	call := gateway.Call{ID: v.id, Function: fn, Tenant: client.Tenant, Client: client.Name, Body: r.Body, Retry: retry,
 		Trace: traceID(r.Header.Get("traceparent")), TimeLeft: patience(r.Header, f.cfg.Deadline(fn.Class))}
-	if f.cfg.Effect(fn.Class) == choice.IdempotentWithKey {
+	if f.cfg.Effect(fn.Class) == scheduler.IdempotentWithKey {
 		call.Key = client.Name + ":" + v.id
 	}
 	if fn.Versions {
-		f.binder.Run(&front.Bound{Call: call, Model: fn, Alias: alias, Final: f.cfg.Clock.Now() + call.TimeLeft,
+		f.binder.Run(&ingress.Bound{Call: call, Model: fn, Alias: alias, Final: f.cfg.Clock.Now() + call.TimeLeft,
 			Submit: func(c *gateway.Call) { f.submit(c, key, l) },
 			Left: func() bool {
 				f.mu.Lock()
@@ -338,17 +338,17 @@
 				if release != nil { // until it is written: a move waits for that
 					f.hold(l, release)
 				}
-				f.deliver(key, l, front.Settled(a, f.cfg.Effect(fn.Class)), b)
+				f.deliver(key, l, ingress.Settled(a, f.cfg.Effect(fn.Class)), b)
 			}})
 	} else {
-		call.Deliver = func(a gateway.Answer) { f.deliver(key, l, front.Settled(a, f.cfg.Effect(fn.Class)), nil) }
+		call.Deliver = func(a gateway.Answer) { f.deliver(key, l, ingress.Settled(a, f.cfg.Effect(fn.Class)), nil) }
 		f.submit(&call, key, l)
 	}
 	return f.wait(c, v, key, l, fn.Class)
 }
 
 // submit hands a call to the gateway.
-func (f *Front) submit(call *gateway.Call, key replay.Key, l *live) {
+func (f *Front) submit(call *gateway.Call, key replayguard.Key, l *live) {
 	id, taken := f.cfg.Gateway.Submit(call)
 	if !taken {
 		call.Deliver(gateway.Answer{Kind: gateway.Rejected, RetryAfter: time.Second})
@@ -386,7 +386,7 @@
 }
 
 // deliver ends a live call: its answer is kept, and all that wait for it are woken.
-func (f *Front) deliver(key replay.Key, l *live, a gateway.Answer, b *gateway.VersionBinding) {
+func (f *Front) deliver(key replayguard.Key, l *live, a gateway.Answer, b *gateway.VersionBinding) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if l.ended {
@@ -401,7 +401,7 @@
 		delete(f.live, key)
 	}
 	resp := answered(a)
-	end := replay.Answer{Refused: a.Kind == gateway.Rejected, Status: resp.Status, Type: resp.Header.Get("Content-Type"), Body: resp.Body, Tag: tag}
+	end := replayguard.Answer{Refused: a.Kind == gateway.Rejected, Status: resp.Status, Type: resp.Header.Get("Content-Type"), Body: resp.Body, Tag: tag}
 	f.guard.Ended(key, end)
 	if f.ended != nil {
 		f.ended(key, end)
@@ -413,7 +413,7 @@
 }
 
 // wait blocks until the call has its answer or this try's client has left. The last to leave hangs up.
-func (f *Front) wait(c *http1.Conn, v verified, key replay.Key, l *live, class int) *http1.Response {
+func (f *Front) wait(c *http1.Conn, v verified, key replayguard.Key, l *live, class int) *http1.Response {
 	if !c.Await(l.done) {
 		return f.gated(v, key, l.bound, class, answered(l.answer), l)
 	}
@@ -434,7 +434,7 @@
 
 // gated has the answer of a version asked for at the door: it is checked once more as its first byte goes out, as the alias
 // may have left it since. What goes out instead is the one answer.
-func (f *Front) gated(v verified, key replay.Key, b *gateway.VersionBinding, class int, resp *http1.Response, l *live) *http1.Response {
+func (f *Front) gated(v verified, key replayguard.Key, b *gateway.VersionBinding, class int, resp *http1.Response, l *live) *http1.Response {
 	if b == nil {
 		return resp
 	}
--- a/front/webhook/verify.go
+++ b/internal/ingress/webhook/verify.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"kitehub/internal/http1"
-	"kitehub/signing"
+	"kitehub/internal/signing"
 )
 
 // A verified message.
--- a/internal/layers/layers_test.go
+++ b/internal/layers/layers_test.go
@@ -27,39 +27,39 @@
 // out; the third is programs, and what tries the others out, which no part of the product may import.
 var layers = []layer{
 	{"decides: by itself", true, []string{
-		"kitehub/choice/index", "kitehub/choice/ring", "kitehub/fleet", "kitehub/hook", "kitehub/internal/trace", "kitehub/replay", "kitehub/signing"}},
+		"kitehub/scheduler/index", "kitehub/scheduler/ring", "kitehub/internal/harness/workersim", "kitehub/internal/hooklang", "kitehub/internal/harness/trace", "kitehub/internal/replayguard", "kitehub/internal/signing"}},
 	{"decides: on one of those", true, []string{
-		"kitehub/advice", "kitehub/choice", "kitehub/rules"}},
+		"kitehub/internal/hookadvice", "kitehub/scheduler", "kitehub/internal/harness/invariant"}},
 	{"decides: on the module", true, []string{
-		"kitehub/internal/wire", "kitehub/registry"}},
+		"kitehub/internal/simwire", "kitehub/internal/registry"}},
 	{"messages of the registry", true, []string{
-		"kitehub/registry/wire"}},
+		"kitehub/internal/registry/wire"}},
 
 	{"carries out: clock, sockets and files", false, []string{
-		"kitehub/daemon", "kitehub/internal/clock", "kitehub/internal/http1", "kitehub/internal/outbox", "kitehub/store"}},
+		"kitehub/internal/daemon", "kitehub/internal/clock", "kitehub/internal/http1", "kitehub/internal/outbox", "kitehub/internal/store"}},
 	{"carries out: one other party each", false, []string{
-		"kitehub/backend", "kitehub/fetch", "kitehub/hooks", "kitehub/registry/client", "kitehub/registry/service"}},
+		"kitehub/internal/backend", "kitehub/internal/blobfetch", "kitehub/internal/hookengine", "kitehub/internal/registry/client", "kitehub/internal/registry/service"}},
 	{"carries out: the loop, and the lease", false, []string{
-		"kitehub/backend/frame", "kitehub/gateway", "kitehub/registry/agent"}},
+		"kitehub/internal/backend/frame", "kitehub/internal/gateway", "kitehub/internal/registry/agent"}},
 	{"carries out: what feeds the loop", false, []string{
-		"kitehub/discovery", "kitehub/discovery/dns", "kitehub/front", "kitehub/front/msgpackrpc"}},
+		"kitehub/internal/discovery", "kitehub/internal/discovery/dns", "kitehub/internal/ingress", "kitehub/internal/ingress/msgpackrpc"}},
 	{"carries out: fronts with versions", false, []string{
-		"kitehub/front/jsonrpc", "kitehub/front/webhook"}},
+		"kitehub/internal/ingress/jsonrpc", "kitehub/internal/ingress/webhook"}},
 	{"puts together: the configuration", false, []string{
 		"kitehub/config"}},
 	{"puts together: a controller", false, []string{
-		"kitehub/controller"}},
+		"kitehub/internal/controller"}},
 	{"puts together: a controller on a platform", false, []string{
-		"kitehub/relay"}},
+		"kitehub/internal/relay"}},
 
 	{"tries out: the other parties", false, []string{
-		"kitehub/standin", "kitehub/standin/platform"}},
+		"kitehub/internal/harness/fakeworker", "kitehub/internal/harness/fakeplatform"}},
 	{"tries out: days and measurements", false, []string{
-		"kitehub/bench", "kitehub/day", "kitehub/scale"}},
+		"kitehub/internal/harness/proxybench", "kitehub/internal/harness/scenario", "kitehub/internal/harness/scalebench"}},
 	{"what tests share", false, []string{
 		"kitehub/internal/goldenfile"}},
 	{"programs, and tools of the source", false, []string{
-		"kitehub/cmd/kitehub", "kitehub/cmd/wirehost", "kitehub/internal/gen", "kitehub/internal/layers"}},
+		"kitehub/cmd/kitehub", "kitehub/cmd/simadapter", "kitehub/internal/gen", "kitehub/internal/layers"}},
 }
 
 // exceptions are imports against the order, and what a pure package has and should not, each with the reason why it stands.
--- a/registry/agent/agent.go
+++ b/internal/registry/agent/agent.go
@@ -20,9 +20,9 @@
 	"github.com/rs/zerolog"
 
 	"kitehub/internal/clock"
-	"kitehub/registry"
-	"kitehub/registry/client"
-	"kitehub/registry/wire"
+	"kitehub/internal/registry"
+	"kitehub/internal/registry/client"
+	"kitehub/internal/registry/wire"
 )
 
 // Config sets up an Agent.
--- a/registry/agent/agent_test.go
+++ b/internal/registry/agent/agent_test.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"kitehub/internal/clock"
-	"kitehub/registry"
-	"kitehub/registry/wire"
+	"kitehub/internal/registry"
+	"kitehub/internal/registry/wire"
 )
 
 // What a response must not hold: it is refused whole.
--- a/registry/client/client.go
+++ b/internal/registry/client/client.go
@@ -15,8 +15,8 @@
 	"time"
 
 	"kitehub/internal/http1"
-	"kitehub/registry/wire"
-	"kitehub/signing"
+	"kitehub/internal/registry/wire"
+	"kitehub/internal/signing"
 )
 
 // A Client has one connection, opened when it is needed. It is safe for concurrent use; questions wait for one another.
--- a/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -11,7 +11,7 @@
 
 	"pgregory.net/rapid"
 
-	"kitehub/choice"
+	"kitehub/scheduler"
 )
 
 // Draws are the same in every run. Seek further with -rapid.seed.
@@ -323,9 +323,9 @@
 }
 
 func TestAfter(t *testing.T) {
-	const safe, keyed, unsafe = choice.Idempotent, choice.IdempotentWithKey, choice.NonIdempotent
+	const safe, keyed, unsafe = scheduler.Idempotent, scheduler.IdempotentWithKey, scheduler.NonIdempotent
 	for _, tt := range []struct {
-		effect      choice.Idempotency
+		effect      scheduler.Idempotency
 		out, ran    bool
 		times       int
 		left, alone Next // where the alias has left, and where the registry is not heard
--- a/registry/service/codec.go
+++ b/internal/registry/service/codec.go
@@ -7,7 +7,7 @@
 	"io"
 	"time"
 
-	"kitehub/registry"
+	"kitehub/internal/registry"
 )
 
 // A record is one line of the log: a command with the time at which it was applied. One command is set.
--- a/registry/service/http.go
+++ b/internal/registry/service/http.go
@@ -12,10 +12,10 @@
 	"time"
 
 	"kitehub/internal/http1"
-	"kitehub/registry"
-	"kitehub/registry/wire"
-	"kitehub/signing"
-	"kitehub/store"
+	"kitehub/internal/registry"
+	"kitehub/internal/registry/wire"
+	"kitehub/internal/signing"
+	"kitehub/internal/store"
 )
 
 // A Caller is who may speak to the registry.
--- a/registry/service/service.go
+++ b/internal/registry/service/service.go
@@ -17,8 +17,8 @@
 	"github.com/rs/zerolog"
 
 	"kitehub/internal/clock"
-	"kitehub/registry"
-	"kitehub/store"
+	"kitehub/internal/registry"
+	"kitehub/internal/store"
 )
 
 // Config sets up a Service.
--- a/registry/service/service_test.go
+++ b/internal/registry/service/service_test.go
@@ -21,13 +21,13 @@
 
 	"kitehub/internal/clock"
 	"kitehub/internal/http1"
-	"kitehub/registry"
-	"kitehub/registry/agent"
-	"kitehub/registry/client"
-	"kitehub/registry/service"
-	"kitehub/registry/wire"
-	"kitehub/signing"
-	"kitehub/store"
+	"kitehub/internal/registry"
+	"kitehub/internal/registry/agent"
+	"kitehub/internal/registry/client"
+	"kitehub/internal/registry/service"
+	"kitehub/internal/registry/wire"
+	"kitehub/internal/signing"
+	"kitehub/internal/store"
 )
 
 const ms = time.Millisecond
--- a/registry/service/snapshot_test.go
+++ b/internal/registry/service/snapshot_test.go
@@ -8,9 +8,9 @@
 	"github.com/rs/zerolog"
 
 	"kitehub/internal/clock"
-	"kitehub/registry"
-	"kitehub/registry/service"
-	"kitehub/store"
+	"kitehub/internal/registry"
+	"kitehub/internal/registry/service"
+	"kitehub/internal/store"
 )
 
 // stuckSnapshots is a folder in which the snapshot that is written first waits to be made durable until it is let go.
--- a/registry/view.go
+++ b/internal/registry/view.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"kitehub/choice"
+	"kitehub/scheduler"
 )
 
 // A Name is what a call asks for.
@@ -185,11 +185,11 @@
 // or unsafe one that may have run is neither repeated nor refused: its key guards it under the version that was left
 // only, and under the new one it would be a second effect. While an attempt of it is out, its outcome is waited for: it
 // may prove that nothing ran.
-func After(e choice.Idempotency, out, mayHaveRun bool, times int) Next {
+func After(e scheduler.Idempotency, out, mayHaveRun bool, times int) Next {
 	switch {
-	case e != choice.Idempotent && out:
+	case e != scheduler.Idempotent && out:
 		return Wait
-	case e != choice.Idempotent && mayHaveRun:
+	case e != scheduler.Idempotent && mayHaveRun:
 		return Fail
 	case times >= MostAnew:
 		return Refuse
@@ -199,7 +199,7 @@
 
 // WithoutLease decides what becomes of a call that may neither go on nor be answered, as the registry was not heard for
 // too long.
-func WithoutLease(e choice.Idempotency, out, mayHaveRun bool) Next {
+func WithoutLease(e scheduler.Idempotency, out, mayHaveRun bool) Next {
 	if n := After(e, out, mayHaveRun, MostAnew); n == Fail || n == Wait {
 		return n
 	}
--- a/registry/wire/wire.go
+++ b/internal/registry/wire/wire.go
@@ -1,4 +1,4 @@
-// Package wire is what goes between the registry, its operators and its controllers: JSON in signed messages (Standard
+// Package simwire is what goes between the registry, its operators and its controllers: JSON in signed messages (Standard
 // Webhooks) over HTTP/1.1. Aliases spread in the form of xDS's REST discovery: a long poll with the version held, a nonce,
 // and an error detail where the last answer was not taken (ACK and NACK).
 package wire
@@ -7,7 +7,7 @@
 	"encoding/json"
 	"time"
 
-	"kitehub/registry"
+	"kitehub/internal/registry"
 )
 
 // Paths, all POSTed.
--- a/relay/belief.go
+++ b/internal/relay/belief.go
@@ -4,9 +4,9 @@
 	"fmt"
 	"time"
 
-	"kitehub/backend/frame"
-	"kitehub/choice"
-	"kitehub/gateway"
+	"kitehub/internal/backend/frame"
+	"kitehub/internal/gateway"
+	"kitehub/scheduler"
 )
 
 // mostTold bounds the workers that one line tells of.
@@ -15,7 +15,7 @@
 // beliefs sets what the module believes of each worker beside what passed on its sockets since the last time, one text a
 // worker, and returns by how many calls out the two differ in all. They are read one after the other, so what is on its way
 // between them counts as a difference for a moment; one that stays is a fault.
-func beliefs(now []frame.Seen, before map[choice.WorkerID]frame.Seen, views []gateway.WorkerView) (lines []string, differ int) {
+func beliefs(now []frame.Seen, before map[scheduler.WorkerID]frame.Seen, views []gateway.WorkerView) (lines []string, differ int) {
 	of := map[string]gateway.WorkerView{}
 	for _, v := range views {
 		of[v.Name] = v
--- a/relay/budget.go
+++ b/internal/relay/budget.go
@@ -4,7 +4,7 @@
 	"math"
 	"time"
 
-	"kitehub/choice"
+	"kitehub/scheduler"
 )
 
 // A budget divides the machine's limits among the parts. All of it is ratios of limits and settings.
@@ -42,12 +42,12 @@
 	lateAnswer = 2.0 // longest deadlines after which no answer to an attempt can come any more
 )
 
-func dials(s choice.Settings, n float64) time.Duration {
+func dials(s scheduler.Settings, n float64) time.Duration {
 	return time.Duration(n * float64(s.Limits.DialTimeout))
 }
 
 // longest is the longest deadline of a class.
-func longest(s choice.Settings) (d time.Duration) {
+func longest(s scheduler.Settings) (d time.Duration) {
 	for _, c := range s.Classes {
 		d = max(d, c.Deadline)
 	}
@@ -67,4 +67,4 @@
 const lastPart = 1.0 / 8
 
 // answerTime is how long after lameDuck requests in hand may still be answered.
-func answerTime(s choice.Settings) time.Duration { return min(longest(s), mostDeadline) }
+func answerTime(s scheduler.Settings) time.Duration { return min(longest(s), mostDeadline) }
--- a/relay/config.go
+++ b/internal/relay/config.go
@@ -11,10 +11,10 @@
 	"strconv"
 	"time"
 
-	"kitehub/choice"
-	"kitehub/discovery/dns"
-	"kitehub/gateway"
-	"kitehub/internal/wire"
+	"kitehub/internal/discovery/dns"
+	"kitehub/internal/gateway"
+	"kitehub/internal/simwire"
+	"kitehub/scheduler"
 )
 
 // Variables of the environment.
@@ -56,7 +56,7 @@
 	Names        string
 	Serial       uint32 // of the last event in Known
 	Known        []gateway.Worker
-	Settings     choice.Settings
+	Settings     scheduler.Settings
 }
 
 // file mirrors the JSON.
@@ -145,7 +145,7 @@
 	if len(f.Settings) == 0 {
 		return nil, problem("settings", "missing")
 	}
-	if c.Settings, err = wire.ParseSettings(f.Settings); err != nil {
+	if c.Settings, err = simwire.ParseSettings(f.Settings); err != nil {
 		return nil, &Problem{"settings", err}
 	}
 	if c.Known, err = replay(f.Known.Cmds); err != nil {
@@ -154,7 +154,7 @@
 	return c, nil
 }
 
-var states = map[string]choice.WorkerState{"ready": choice.Ready, "draining": choice.Draining, "gone": choice.Gone}
+var states = map[string]scheduler.WorkerState{"ready": scheduler.Ready, "draining": scheduler.Draining, "gone": scheduler.Gone}
 
 // replay puts the events of the directory so far together.
 func replay(events []event) ([]gateway.Worker, error) {
@@ -175,7 +175,7 @@
 				return nil, problem(field+".uid", "missing")
 			case !ok:
 				return nil, problem(field+".state", "%.32q is no state", t.State)
-			case state == choice.Gone:
+			case state == scheduler.Gone:
 				delete(held, t.UID)
 				continue
 			}
--- a/relay/relay.go
+++ b/internal/relay/relay.go
@@ -12,13 +12,13 @@
 
 	"github.com/rs/zerolog"
 
-	"kitehub/backend/frame"
-	"kitehub/choice"
-	"kitehub/controller"
-	"kitehub/discovery/dns"
-	"kitehub/front/msgpackrpc"
-	"kitehub/gateway"
+	"kitehub/internal/backend/frame"
 	"kitehub/internal/clock"
+	"kitehub/internal/controller"
+	"kitehub/internal/discovery/dns"
+	"kitehub/internal/gateway"
+	"kitehub/internal/ingress/msgpackrpc"
+	"kitehub/scheduler"
 )
 
 // Bounds of the platform's protocol: its PROTOCOL page.
@@ -72,7 +72,7 @@
 	if r.Gateway, err = gateway.New(gc); err != nil {
 		return nil, &Problem{"settings", err}
 	}
-	if err = r.Gateway.Workers(choice.CachedList, c.Serial, c.Known); err != nil {
+	if err = r.Gateway.Workers(scheduler.CachedList, c.Serial, c.Known); err != nil {
 		return nil, &Problem{"known", err}
 	}
 	r.Front = msgpackrpc.New(msgpackrpc.Config{Gateway: r.Gateway, Clock: o.Clock, Settings: s, Log: o.Log, MostBody: mostBody, MostOpen: mostOpen,
@@ -134,7 +134,7 @@
 func (r *Relay) report() {
 	t := time.NewTicker(reportEvery)
 	defer t.Stop()
-	before := map[choice.WorkerID]frame.Seen{}
+	before := map[scheduler.WorkerID]frame.Seen{}
 	for {
 		select {
 		case <-r.done:
--- a/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -21,10 +21,10 @@
 
 	"github.com/rs/zerolog"
 
-	"kitehub/backend/frame"
-	"kitehub/choice"
-	"kitehub/gateway"
-	"kitehub/standin/platform"
+	"kitehub/internal/backend/frame"
+	"kitehub/internal/gateway"
+	"kitehub/internal/harness/fakeplatform"
+	"kitehub/scheduler"
 )
 
 const settingsText = `{"balancers": 1, "tickMs": 2, "tenants": [{"name": "acme"}], "kinds": ["std"], "localities": ["east"],
@@ -34,9 +34,9 @@
 	"domain": {"onMiss": "load", "idleLifeMs": 8500, "warmNotes": true}, "guarantees": {"drainGraceMs": 200},
 	"limits": {"mostTries": 3, "dialTimeoutMs": 250, "maxOpen": 100, "keepaliveMs": 15000, "streamsPerConn": 100, "cancel": true}}`
 
-func newInvoker(t testing.TB, delay time.Duration, say func(int64) byte) *platform.Echo {
+func newInvoker(t testing.TB, delay time.Duration, say func(int64) byte) *fakeplatform.Echo {
 	t.Helper()
-	v, err := platform.NewEcho(delay, say)
+	v, err := fakeplatform.NewEcho(delay, say)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,9 +44,9 @@
 	return v
 }
 
-func newDirectory(t testing.TB) *platform.Directory {
+func newDirectory(t testing.TB) *fakeplatform.Directory {
 	t.Helper()
-	d, err := platform.NewDirectory()
+	d, err := fakeplatform.NewDirectory()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -106,7 +106,7 @@
 }
 
 // start runs a controller that finds the signals waiting as it starts.
-func start(t testing.TB, v *platform.Echo, names string, stop ...os.Signal) *rig {
+func start(t testing.TB, v *fakeplatform.Echo, names string, stop ...os.Signal) *rig {
 	t.Helper()
 	r := &rig{t: t, file: filepath.Join(t.TempDir(), "config.json"), reload: make(chan os.Signal, 1), stop: make(chan os.Signal, 2), ended: make(chan error, 1), log: &lines{more: make(chan struct{}, 1)}}
 	r.env = map[string]string{EnvName: "n3", EnvListen: "127.0.0.1:0", EnvConfig: r.file}
@@ -156,13 +156,13 @@
 }
 
 type client struct {
-	*platform.Client
+	*fakeplatform.Client
 	t testing.TB
 }
 
 func (r *rig) dial() *client {
 	r.t.Helper()
-	c, err := platform.Dial(r.addr, time.Minute)
+	c, err := fakeplatform.Dial(r.addr, time.Minute)
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -173,7 +173,7 @@
 var txns atomic.Int64
 
 func (c *client) call(id int, method string) {
-	c.Write(platform.Request(id, method, platform.Fields("txn", platform.Txn(int(txns.Add(1))), "limit", "4000"), []byte(fmt.Sprint("body ", id))))
+	c.Write(fakeplatform.Request(id, method, fakeplatform.Fields("txn", fakeplatform.Txn(int(txns.Add(1))), "limit", "4000"), []byte(fmt.Sprint("body ", id))))
 }
 
 // answers reads n answers, by msgid: "served BODY", or the words of errors.
@@ -239,9 +239,9 @@
 
 func TestBeliefs(t *testing.T) {
 	seen := []frame.Seen{{Worker: 1, Name: "a", Open: 3, Answered: 30, Took: 3 * time.Second, Conns: 4}, {Worker: 2, Name: "b", Open: 0, Lost: 2}, {Worker: 3, Name: "c"}}
-	before := map[choice.WorkerID]frame.Seen{1: {Answered: 10, Took: time.Second}}
-	views := []gateway.WorkerView{{Name: "a", WorkerSnapshot: choice.WorkerSnapshot{Snapshot: choice.Snapshot{Busy: 2, Loads: 1, Tokens: 4, LatencyRatio: 1.5}}},
-		{Name: "b", WorkerSnapshot: choice.WorkerSnapshot{Snapshot: choice.Snapshot{Busy: 2, Ejected: true}}}}
+	before := map[scheduler.WorkerID]frame.Seen{1: {Answered: 10, Took: time.Second}}
+	views := []gateway.WorkerView{{Name: "a", WorkerSnapshot: scheduler.WorkerSnapshot{Snapshot: scheduler.Snapshot{Busy: 2, Loads: 1, Tokens: 4, LatencyRatio: 1.5}}},
+		{Name: "b", WorkerSnapshot: scheduler.WorkerSnapshot{Snapshot: scheduler.Snapshot{Busy: 2, Ejected: true}}}}
 	lines, differ := beliefs(seen, before, views)
 	want := []string{"a out 3/3 conns 4 served 20 in 100ms lost 0; well pace 1.50 tokens 4.0", "b out 2/0 conns 0 served 0 in 0ms lost 2; ejected pace 0.00 tokens 0.0",
 		"c out 0/0 conns 0 served 0 in 0ms lost 0; not known pace 0.00 tokens 0.0"}
@@ -265,7 +265,7 @@
 	}
 	r.reload <- syscall.SIGHUP
 	r.log.wait(t, "the old one stays")
-	second.Set(platform.List{Serial: 3, Workers: []string{"s-2"}, Addrs: []netip.AddrPort{w.Addr().(*net.TCPAddr).AddrPort()}})
+	second.Set(fakeplatform.List{Serial: 3, Workers: []string{"s-2"}, Addrs: []netip.AddrPort{w.Addr().(*net.TCPAddr).AddrPort()}})
 	r.fields["names"] = second.LocalAddr().String()
 	r.write()
 	r.reload <- syscall.SIGHUP
@@ -383,7 +383,7 @@
 }
 
 func TestTimes(t *testing.T) {
-	s := choice.Settings{Classes: []choice.Class{{Deadline: 4}, {Deadline: 9}, {Deadline: 5}}, Limits: choice.Limits{DialTimeout: 10}}
+	s := scheduler.Settings{Classes: []scheduler.Class{{Deadline: 4}, {Deadline: 9}, {Deadline: 5}}, Limits: scheduler.Limits{DialTimeout: 10}}
 	if longest(s) != 9 || dials(s, 2.5) != 25 {
 		t.Errorf("%v, %v", longest(s), dials(s, 2.5))
 	}
--- a/relay/stop_test.go
+++ b/internal/relay/stop_test.go
@@ -15,9 +15,9 @@
 
 	"github.com/rs/zerolog"
 
-	"kitehub/choice"
 	"kitehub/internal/clock"
-	"kitehub/standin/platform"
+	"kitehub/internal/harness/fakeplatform"
+	"kitehub/scheduler"
 )
 
 func TestTerm(t *testing.T) {
@@ -51,13 +51,13 @@
 // the connection ends in order after it.
 func TestStopAnswers(t *testing.T) {
 	came := make(chan struct{}, 3)
-	ln, err := platform.Invoke(func(_ int, c *net.TCPConn) {
-		platform.Commands(c, func(cmd platform.Command) bool {
+	ln, err := fakeplatform.Invoke(func(_ int, c *net.TCPConn) {
+		fakeplatform.Commands(c, func(cmd fakeplatform.Command) bool {
 			switch cmd.Code {
-			case platform.Call:
+			case fakeplatform.Call:
 				came <- struct{}{} // and never an answer
-			case platform.Ping:
-				c.Write(platform.Reply(platform.Pong, cmd.ID, "", ""))
+			case fakeplatform.Ping:
+				c.Write(fakeplatform.Reply(fakeplatform.Pong, cmd.ID, "", ""))
 			}
 			return true
 		})
@@ -75,7 +75,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	pc, err := platform.Dial(r.Addr(), time.Minute)
+	pc, err := fakeplatform.Dial(r.Addr(), time.Minute)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -104,7 +104,7 @@
 // TestAnswerTime: the platform waits no longer than its own bound, however long a deadline is.
 func TestAnswerTime(t *testing.T) {
 	for deadline, want := range map[time.Duration]time.Duration{400 * time.Millisecond: 400 * time.Millisecond, 3 * time.Second: 3 * time.Second, 15 * time.Second: 3 * time.Second} {
-		if got := answerTime(choice.Settings{Classes: []choice.Class{{Deadline: 100 * time.Millisecond}, {Deadline: deadline}}}); got != want {
+		if got := answerTime(scheduler.Settings{Classes: []scheduler.Class{{Deadline: 100 * time.Millisecond}, {Deadline: deadline}}}); got != want {
 			t.Errorf("%v for a deadline of %v, want %v", got, deadline, want)
 		}
 	}
@@ -113,7 +113,7 @@
 // TestWhileStopping: with a request in hand, a reload is still carried out and a second SIGTERM costs nothing.
 func TestWhileStopping(t *testing.T) {
 	answer := make(chan struct{})
-	v := newInvoker(t, 0, func(int64) byte { <-answer; return platform.Served })
+	v := newInvoker(t, 0, func(int64) byte { <-answer; return fakeplatform.Served })
 	second := newDirectory(t)
 	r := start(t, v, newDirectory(t).LocalAddr().String())
 	c := r.dial()
@@ -123,7 +123,7 @@
 	}
 	r.stop <- syscall.SIGTERM
 	r.log.wait(t, `"stopping"`)
-	second.Set(platform.List{Serial: 3, Workers: []string{"s-1"}, Prio: 1, Addrs: []netip.AddrPort{v.Addr().(*net.TCPAddr).AddrPort()}})
+	second.Set(fakeplatform.List{Serial: 3, Workers: []string{"s-1"}, Prio: 1, Addrs: []netip.AddrPort{v.Addr().(*net.TCPAddr).AddrPort()}})
 	r.fields["names"] = second.LocalAddr().String()
 	r.write()
 	r.reload <- syscall.SIGHUP
@@ -152,7 +152,7 @@
 // status asks, and returns once what came before on the connection has been taken in.
 func (c *client) status(id int) {
 	c.t.Helper()
-	c.Write(platform.Request(id, "status", map[string]string{}))
+	c.Write(fakeplatform.Request(id, "status", map[string]string{}))
 	if got, what := c.Answer(); got != int64(id) {
 		c.t.Fatalf("answer to %d: %s, want that of %d", got, what, id)
 	}
@@ -164,12 +164,12 @@
 	v := newInvoker(t, 0, nil)
 	d := newDirectory(t)
 	r := start(t, v, d.LocalAddr().String())
-	d.Set(platform.List{Serial: 3})
+	d.Set(fakeplatform.List{Serial: 3})
 	r.log.wait(t, `"version":3`)
 	stays, leaves := r.dial(), r.dial()
 	stays.call(1, "move")
 	stays.call(2, "move")
-	stays.Write(platform.Withdraw(1))
+	stays.Write(fakeplatform.Withdraw(1))
 	stays.status(3)
 	leaves.call(1, "lookup")
 	leaves.status(2)
@@ -179,7 +179,7 @@
 	if n, err := leaves.Read(make([]byte, 1)); n != 0 || err != io.EOF { // the front closes once it has taken the call back
 		t.Errorf("%d bytes, %v to a client that left", n, err)
 	}
-	d.Set(platform.List{Serial: 4, Workers: []string{"s-1"}, Addrs: []netip.AddrPort{v.Addr().(*net.TCPAddr).AddrPort()}})
+	d.Set(fakeplatform.List{Serial: 4, Workers: []string{"s-1"}, Addrs: []netip.AddrPort{v.Addr().(*net.TCPAddr).AddrPort()}})
 	if got := stays.answers(1)["2"]; got != "served body 2" {
 		t.Errorf("the call that waited: %q", got)
 	}
@@ -194,7 +194,7 @@
 func TestInterruptTwice(t *testing.T) {
 	never := make(chan struct{})
 	defer close(never)
-	v := newInvoker(t, 0, func(int64) byte { <-never; return platform.Served })
+	v := newInvoker(t, 0, func(int64) byte { <-never; return fakeplatform.Served })
 	r := start(t, v, newDirectory(t).LocalAddr().String())
 	r.dial().call(1, "move")
 	for v.Calls.Load() == 0 {
--- a/replay/replay.go
+++ b/internal/replayguard/replay.go
@@ -1,4 +1,4 @@
-// Package replay decides whether a verified message is new, a client's retry, or a replay. It is pure: time of
+// Package replayguard decides whether a verified message is new, a client's retry, or a replay. It is pure: time of
 // day comes in with each call, and what must be durable goes out as a mark.
 //
 // The argument. A message carries an id and a timestamp, both signed. The guard takes a message only if its
@@ -13,7 +13,7 @@
 //
 // Controllers share nothing, so a message replayed at a second one is not found there. It must not verify there:
 // each endpoint has a secret of its own (package webhook derives one for each from a common one).
-package replay
+package replayguard
 
 import (
 	"cmp"
--- a/replay/replay_test.go
+++ b/internal/replayguard/replay_test.go
@@ -1,4 +1,4 @@
-package replay
+package replayguard
 
 import (
 	"flag"
--- a/internal/wire/settings.go
+++ b/internal/simwire/settings.go
@@ -1,11 +1,11 @@
-package wire
+package simwire
 
 import (
 	"encoding/json"
 	"fmt"
 	"time"
 
-	"kitehub/choice"
+	"kitehub/scheduler"
 )
 
 type ms float64
@@ -111,60 +111,60 @@
 }
 
 var (
-	effects = map[string]choice.Idempotency{"pure": choice.Idempotent, "token": choice.IdempotentWithKey, "side_effect": choice.NonIdempotent}
-	scopes  = map[string]choice.DedupScope{"all": choice.AllWorkers, "zone": choice.SameZone, "cell": choice.SameGroup}
-	vias    = map[string]choice.ReportSource{"answers": choice.ReportsInAnswers, "probe": choice.ReportsInProbes}
-	sizes   = map[string]choice.SizeMeaning{"nominal": choice.SizeNominal, "rough": choice.SizeRough,
-		"live": choice.SizeLive}
-	fields = map[string]choice.ReportField{"outstanding": choice.FieldInFlight, "backlog": choice.FieldQueue,
-		"utilization": choice.FieldUtil, "recent_ms": choice.FieldLatencyMS, "throughput": choice.FieldRate,
-		"errors_per_s": choice.FieldErrorRate, "x0": choice.FieldX0, "x1": choice.FieldX1}
+	effects = map[string]scheduler.Idempotency{"pure": scheduler.Idempotent, "token": scheduler.IdempotentWithKey, "side_effect": scheduler.NonIdempotent}
+	scopes  = map[string]scheduler.DedupScope{"all": scheduler.AllWorkers, "zone": scheduler.SameZone, "cell": scheduler.SameGroup}
+	vias    = map[string]scheduler.ReportSource{"answers": scheduler.ReportsInAnswers, "probe": scheduler.ReportsInProbes}
+	sizes   = map[string]scheduler.SizeMeaning{"nominal": scheduler.SizeNominal, "rough": scheduler.SizeRough,
+		"live": scheduler.SizeLive}
+	fields = map[string]scheduler.ReportField{"outstanding": scheduler.FieldInFlight, "backlog": scheduler.FieldQueue,
+		"utilization": scheduler.FieldUtil, "recent_ms": scheduler.FieldLatencyMS, "throughput": scheduler.FieldRate,
+		"errors_per_s": scheduler.FieldErrorRate, "x0": scheduler.FieldX0, "x1": scheduler.FieldX1}
 )
 
 // ParseSettings reads the settings of a controller: the text of a Provision on the simulator's wire, or the object
 // "settings" of a platform's configuration. A word it does not know becomes the zero value, which the module rejects where
 // it must know.
-func ParseSettings(text []byte) (choice.Settings, error) {
+func ParseSettings(text []byte) (scheduler.Settings, error) {
 	var e env
 	if err := json.Unmarshal(text, &e); err != nil {
-		return choice.Settings{}, fmt.Errorf("settings: %w", err)
+		return scheduler.Settings{}, fmt.Errorf("settings: %w", err)
 	}
-	s := choice.Settings{
+	s := scheduler.Settings{
 		ControllerIndex: e.Me, Controllers: e.Balancers, Zone: e.Zone, Zones: e.Localities, Tier: e.Tier, Tiers: e.Tiers,
 		Kinds: e.Kinds, OverQuotaWeight: e.OverShareWorth, WeightByWork: e.WorthBy == "work",
 		ClientsMarkRetries: e.Clients.MarksRetry, PollForList: e.MembershipMode == "ask", Tick: e.TickMs.d(),
 		Workload: e.Workload, Sizes: sizes[e.WeightSource], ReportVia: vias[e.Report.Via],
-		Limits: choice.Limits{MaxAttempts: e.Limits.MostTries, MaxOpenRequests: e.Limits.MaxOpen,
+		Limits: scheduler.Limits{MaxAttempts: e.Limits.MostTries, MaxOpenRequests: e.Limits.MaxOpen,
 			HedgedRequests: e.Limits.MayDuplicate, Cancel: e.Limits.Cancel, Probe: e.Limits.Probes,
 			Peers: e.Limits.PeerMessages, RetryAfter: e.Limits.RetryAfter,
 			MaxRetryAfter: e.Limits.MaxRetryAfterMs.d(), DialTimeout: e.Limits.DialTimeoutMs.d(),
 			IdleConnectionTimeout: e.Limits.KeepaliveMs.d(), StreamsPerConnection: e.Limits.StreamsPerConn,
 			CPUPerRequestUS: e.Limits.CPUUsPerRequest, CPUPerSecondUS: e.Limits.CPUUsPerS},
-		Loading: choice.Loading{Orders: e.Domain.MayOrder, LoadsOnMiss: e.Domain.OnMiss == "load",
+		Loading: scheduler.Loading{Orders: e.Domain.MayOrder, LoadsOnMiss: e.Domain.OnMiss == "load",
 			OnMissKnown: e.Domain.OnMiss == "load" || e.Domain.OnMiss == "miss",
 			IdleCopyTTL: e.Domain.IdleLifeMs.d(), OrderTimeout: e.Domain.AnswerWithinMs.d(),
 			BudgetWindow: e.Domain.LoadWindowMs.d(), BudgetFree: e.Domain.LoadsAnyway, BudgetRatio: e.Domain.LoadRatio,
 			IdlePrice: e.Domain.IdleMemoryCost, LoadNotesGiven: e.Domain.WarmNotes,
 			SameFunctionCounted: e.Domain.CountsAlike, MemoryMB: e.Domain.MachineMb, X0: e.Domain.ReportX0,
 			X1: e.Domain.ReportX1},
-		Guarantees: choice.Guarantees{AnswerGrace: e.Guarantees.GraceToAnswerMs.d(),
+		Guarantees: scheduler.Guarantees{AnswerGrace: e.Guarantees.GraceToAnswerMs.d(),
 			DrainGrace: e.Guarantees.DrainGraceMs.d(), PollWithin: e.Guarantees.AskWithinMs.d(),
 			WarmupFraction: e.Guarantees.ColdFrom, WarmupTime: e.Guarantees.ColdMs.d(),
 			CollapseFactor: e.Guarantees.FallMultiple, CollapseWindow: e.Guarantees.OverloadForMs.d()},
-		Goal: choice.Goal{Overall: e.Goal.Whole, WorstWindow: e.Goal.WorstWindow, WorstClass: e.Goal.WorstClass,
+		Goal: scheduler.Goal{Overall: e.Goal.Whole, WorstWindow: e.Goal.WorstWindow, WorstClass: e.Goal.WorstClass,
 			WorstTenant: e.Goal.WorstTenant},
-		Prices: choice.Prices{Connection: e.Costs.Connection, CrossZone: e.Costs.CrossZone,
+		Prices: scheduler.Prices{Connection: e.Costs.Connection, CrossZone: e.Costs.CrossZone,
 			LateFail: e.Costs.LateFail, Discovery: e.Costs.MembershipMode, Handshake: e.Costs.Handshake,
 			Moves: e.Costs.Moves, Origin: e.Costs.Origin, Peer: e.Costs.Peer, Probe: e.Costs.Probe,
 			Waste: e.Costs.Waste},
 	}
 	for _, c := range e.Classes {
-		s.Classes = append(s.Classes, choice.Class{Name: c.Name, Idempotency: effects[c.Effect],
+		s.Classes = append(s.Classes, scheduler.Class{Name: c.Name, Idempotency: effects[c.Effect],
 			DedupScope: scopes[c.KeyScope], DedupWindow: c.WindowMs.d(), LatencyObjective: c.TargetMs.d(), ObjectiveStretch: c.AimStretch,
 			Deadline: c.GiveUpMs.d(), PriorityWeight: c.Worth, LateValue: c.LateShare, Stream: c.Stream})
 	}
 	for _, t := range e.Tenants {
-		s.Tenants = append(s.Tenants, choice.Tenant{Name: t.Name, Quota: t.QuotaPerS, Share: t.Share})
+		s.Tenants = append(s.Tenants, scheduler.Tenant{Name: t.Name, Quota: t.QuotaPerS, Share: t.Share})
 	}
 	for _, f := range e.Report.Fields {
 		s.Report = append(s.Report, fields[f])
--- a/internal/wire/wire.go
+++ b/internal/simwire/wire.go
@@ -1,6 +1,6 @@
-// Package wire is the codec of the simulator's wire: frames of records on standard input and output. It
+// Package simwire is the codec of the simulator's wire: frames of records on standard input and output. It
 // holds the words of the wire and no decision.
-package wire
+package simwire
 
 import (
 	"encoding/binary"
@@ -10,7 +10,7 @@
 	"math"
 	"time"
 
-	"kitehub/choice"
+	"kitehub/scheduler"
 )
 
 // Record codes of events and actions.
@@ -63,7 +63,7 @@
 // Halt ends an instance.
 type Halt struct{}
 
-// A Record is one event for one instance: a choice.Event, a Provision or a Halt.
+// A Record is one event for one instance: a scheduler.Event, a Provision or a Halt.
 type Record struct {
 	Instance uint32
 	Event    any
@@ -98,7 +98,7 @@
 type Decoder struct {
 	r     io.Reader
 	buf   []byte
-	lists [pools][]choice.WorkerInfo
+	lists [pools][]scheduler.WorkerInfo
 	known [pools]bool
 }
 
@@ -185,18 +185,18 @@
 	if c.err != nil {
 		return
 	}
-	list := make([]choice.WorkerInfo, 0, n)
+	list := make([]scheduler.WorkerInfo, 0, n)
 	for ; n > 0; n-- {
-		w := choice.WorkerInfo{Size: float64(c.f32()), StartedAt: ToDuration(c.f64()), Group: int(c.u16())}
+		w := scheduler.WorkerInfo{Size: float64(c.f32()), StartedAt: ToDuration(c.f64()), Group: int(c.u16())}
 		w.ID = c.worker()
 		at := c.at
 		switch s := c.u8(); s {
 		case 3:
-			w.State = choice.Ready
+			w.State = scheduler.Ready
 		case 0:
-			w.State = choice.Draining
+			w.State = scheduler.Draining
 		case 2:
-			w.State = choice.Gone
+			w.State = scheduler.Gone
 		default:
 			c.fail(at, fmt.Sprintf("unknown condition %d", s))
 		}
@@ -213,7 +213,7 @@
 	case codeFleet:
 		at := c.at
 		kind := c.u8()
-		l := choice.ListUpdate{Version: c.u32()}
+		l := scheduler.ListUpdate{Version: c.u32()}
 		id := int(c.u16())
 		switch {
 		case c.err != nil:
@@ -226,37 +226,37 @@
 		default:
 			l.Workers = d.lists[id]
 		}
-		l.Kind = [...]choice.ListKind{choice.ListDelta, choice.FullList, choice.CachedList, choice.ListFailed}[kind&3]
+		l.Kind = [...]scheduler.ListKind{scheduler.ListDelta, scheduler.FullList, scheduler.CachedList, scheduler.ListFailed}[kind&3]
 		return l
 	case codeJobIn:
-		a := choice.Arrival{Request: choice.RequestID(c.u64()), Class: int(c.u16()), Tenant: int(c.u32()),
-			Function: choice.FunctionID(c.u64()), TimeLeft: ToDuration(c.f64()), RunTimeHint: ToDuration(c.f64()),
+		a := scheduler.Arrival{Request: scheduler.RequestID(c.u64()), Class: int(c.u16()), Tenant: int(c.u32()),
+			Function: scheduler.FunctionID(c.u64()), TimeLeft: ToDuration(c.f64()), RunTimeHint: ToDuration(c.f64()),
 			MemoryMB: float64(c.f32()), Lanes: float64(c.f32()), LoadTime: ToDuration(float64(c.f32()))}
 		bits := c.u8()
 		a.HasRunTimeHint, a.ClientRetry, a.Write = bits&1 != 0, bits&2 != 0, bits&4 != 0
 		return a
 	case codeStreaming:
-		e := choice.ResponseStarted{Request: choice.RequestID(c.u64()), Took: ToDuration(c.f64()), Worker: c.worker()}
+		e := scheduler.ResponseStarted{Request: scheduler.RequestID(c.u64()), Took: ToDuration(c.f64()), Worker: c.worker()}
 		e.Attempt = int(c.u8())
 		return e
 	case codeReturned:
-		e := choice.AttemptEnded{Request: choice.RequestID(c.u64()), Attempt: int(c.u8()), Worker: c.worker(),
+		e := scheduler.AttemptEnded{Request: scheduler.RequestID(c.u64()), Attempt: int(c.u8()), Worker: c.worker(),
 			Outcome: c.outcome(), Took: ToDuration(c.f64()), Complete: c.u8() != 0}
 		info := c.u8()
-		e.Note, e.SameFunction, e.Report = choice.LoadNote(info&7), int(info>>3), c.report()
+		e.Note, e.SameFunction, e.Report = scheduler.LoadNote(info&7), int(info>>3), c.report()
 		return e
 	case codeHangup:
-		return choice.ClientGone{Request: choice.RequestID(c.u64())}
+		return scheduler.ClientGone{Request: scheduler.RequestID(c.u64())}
 	case codeElapsed:
-		return choice.Timer{Token: c.u64()}
+		return scheduler.Timer{Token: c.u64()}
 	case codeProbeDone:
-		e := choice.ProbeEnded{Outcome: c.outcome(), Worker: c.worker(), Took: ToDuration(c.f64())}
+		e := scheduler.ProbeEnded{Outcome: c.outcome(), Worker: c.worker(), Took: ToDuration(c.f64())}
 		e.Report = c.report()
 		return e
 	case codeMail:
-		return choice.GossipMessage{From: int(c.u32()), Payload: c.bytes(int64(c.u16()))}
+		return scheduler.GossipMessage{From: int(c.u32()), Payload: c.bytes(int64(c.u16()))}
 	case codeLoadDone:
-		return choice.LoadOrderEnded{Worker: c.worker(), Function: choice.FunctionID(c.u64()), Outcome: c.outcome(),
+		return scheduler.LoadOrderEnded{Worker: c.worker(), Function: scheduler.FunctionID(c.u64()), Outcome: c.outcome(),
 			Took: ToDuration(c.f64()), Copies: int(c.u8())}
 	}
 	return Halt{}
@@ -294,18 +294,18 @@
 func (c *cursor) f32() float32 { return math.Float32frombits(c.u32()) }
 func (c *cursor) f64() float64 { return math.Float64frombits(c.u64()) }
 
-func (c *cursor) worker() choice.WorkerID {
+func (c *cursor) worker() scheduler.WorkerID {
 	addr := c.u32()
-	return choice.WorkerID(addr)<<16 | choice.WorkerID(c.u16())
+	return scheduler.WorkerID(addr)<<16 | scheduler.WorkerID(c.u16())
 }
 
-func (c *cursor) outcome() choice.Outcome {
+func (c *cursor) outcome() scheduler.Outcome {
 	at := c.at
 	o := c.u16()
 	if c.err == nil && (o < 1 || o > 9) {
 		c.fail(at, fmt.Sprintf("unknown outcome %d", o))
 	}
-	return choice.Outcome(o)
+	return scheduler.Outcome(o)
 }
 
 func (c *cursor) bytes(n int64) []byte {
@@ -359,7 +359,7 @@
 func (e *Encoder) u64(v uint64)  { e.b = binary.BigEndian.AppendUint64(e.b, v) }
 func (e *Encoder) f64(v float64) { e.u64(math.Float64bits(v)) }
 
-func (e *Encoder) worker(w choice.WorkerID) {
+func (e *Encoder) worker(w scheduler.WorkerID) {
 	e.u32(uint32(w >> 16))
 	e.u16(uint16(w))
 }
@@ -377,60 +377,60 @@
 }
 
 // Action adds one action of an instance.
-func (e *Encoder) Action(instance uint32, a choice.Action) error {
+func (e *Encoder) Action(instance uint32, a scheduler.Action) error {
 	switch a := a.(type) {
-	case choice.Send:
+	case scheduler.Send:
 		e.head(codeSend, instance)
 		e.u64(uint64(a.Request))
 		e.f64(FromDuration(a.Timeout))
 		e.worker(a.Worker)
-	case choice.Reject:
+	case scheduler.Reject:
 		e.head(codeDeny, instance)
 		e.u64(uint64(a.Request))
 		e.f64(FromDuration(a.RetryAfter))
-	case choice.Fail:
+	case scheduler.Fail:
 		e.head(codeDrop, instance)
 		e.u64(uint64(a.Request))
-	case choice.Cancel:
+	case scheduler.Cancel:
 		e.head(codeStop, instance)
 		e.u64(uint64(a.Request))
 		e.b = append(e.b, byte(a.Attempt))
-	case choice.Wake:
+	case scheduler.Wake:
 		e.head(codeSleep, instance)
 		e.f64(FromDuration(a.At))
 		e.u64(a.Token)
-	case choice.Probe:
+	case scheduler.Probe:
 		e.head(codeTest, instance)
 		e.worker(a.Worker)
-	case choice.Close:
+	case scheduler.Close:
 		e.head(codeFree, instance)
 		e.worker(a.Worker)
-	case choice.Gossip:
+	case scheduler.Gossip:
 		e.head(codeNotify, instance)
-		if a.To == choice.Everyone {
+		if a.To == scheduler.Everyone {
 			e.u16(math.MaxUint16)
 		} else {
 			e.u16(uint16(a.To))
 		}
 		e.text(string(a.Payload))
-	case choice.Log:
+	case scheduler.Log:
 		e.head(codeDebug, instance)
 		e.text(a.Text)
-	case choice.Watch:
+	case scheduler.Watch:
 		e.head(codeTail, instance)
 		on := byte(0)
 		if a.On {
 			on = 1
 		}
 		e.b = append(e.b, on)
-	case choice.Fetch:
+	case scheduler.Fetch:
 		e.head(codeRefresh, instance)
-	case choice.LoadOrder:
+	case scheduler.LoadOrder:
 		e.head(codePreload, instance)
 		e.worker(a.Worker)
 		e.u64(uint64(a.Function))
 		e.b = append(e.b, byte(a.Copies))
-	case choice.Unload:
+	case scheduler.Unload:
 		e.head(codeUnload, instance)
 		e.worker(a.Worker)
 		e.u64(uint64(a.Function))
--- a/internal/wire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"bytes"
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"kitehub/choice"
+	"kitehub/scheduler"
 )
 
 func unhex(t *testing.T, s string) []byte {
@@ -28,7 +28,7 @@
 	return append([]byte{0x40, 0xc0, 0x6e, 0x20, 0, 0, 0, 0, 0, 0, byte(n >> 8), byte(n), 0, 0, 0, count}, records...)
 }
 
-const worker = choice.WorkerID(0x0a124a071f43)
+const worker = scheduler.WorkerID(0x0a124a071f43)
 
 var events = []struct {
 	name string
@@ -37,24 +37,24 @@
 }{
 	{"JOB_IN", `02 00000003 000121185d3a91c4 0000 00000000 0000007c55d20a01 406e000000000000 4028000000000000
 		43c00000 40000000 00000000 01`,
-		choice.Arrival{Request: 0x121185d3a91c4, Function: 0x7c55d20a01, TimeLeft: 240 * time.Millisecond,
+		scheduler.Arrival{Request: 0x121185d3a91c4, Function: 0x7c55d20a01, TimeLeft: 240 * time.Millisecond,
 			RunTimeHint: 12 * time.Millisecond, HasRunTimeHint: true, MemoryMB: 384, Lanes: 2}},
-	{"ELAPSED", `06 00000003 000000000000004d`, choice.Timer{Token: 0x4d}},
-	{"HANGUP", `05 00000003 000dbb200e6f2b19`, choice.ClientGone{Request: 0xdbb200e6f2b19}},
+	{"ELAPSED", `06 00000003 000000000000004d`, scheduler.Timer{Token: 0x4d}},
+	{"HANGUP", `05 00000003 000dbb200e6f2b19`, scheduler.ClientGone{Request: 0xdbb200e6f2b19}},
 	{"STREAMING", `03 00000003 000121185d3a91c4 4022800000000000 0a124a07 1f43 00`,
-		choice.ResponseStarted{Request: 0x121185d3a91c4, Took: 9250 * time.Microsecond, Worker: worker}},
+		scheduler.ResponseStarted{Request: 0x121185d3a91c4, Took: 9250 * time.Microsecond, Worker: worker}},
 	{"RETURNED", `04 00000003 000121185d3a91c4 00 0a124a07 1f43 0001 4032800000000000 01 0a 01 40000000`,
-		choice.AttemptEnded{Request: 0x121185d3a91c4, Worker: worker, Outcome: choice.OK,
-			Took: 18500 * time.Microsecond, Complete: true, Note: choice.StartedLoad, SameFunction: 1, Report: []float64{2}}},
+		scheduler.AttemptEnded{Request: 0x121185d3a91c4, Worker: worker, Outcome: scheduler.OK,
+			Took: 18500 * time.Microsecond, Complete: true, Note: scheduler.StartedLoad, SameFunction: 1, Report: []float64{2}}},
 	{"PROBE_DONE", `07 00000003 0001 0a124a07 1f43 3ff8000000000000 02 4040000040e00000`,
-		choice.ProbeEnded{Worker: worker, Outcome: choice.OK, Took: 1500 * time.Microsecond, Report: []float64{3, 7}}},
-	{"MAIL", `08 00000003 00000002 0004 68692037`, choice.GossipMessage{From: 2, Payload: []byte("hi 7")}},
+		scheduler.ProbeEnded{Worker: worker, Outcome: scheduler.OK, Took: 1500 * time.Microsecond, Report: []float64{3, 7}}},
+	{"MAIL", `08 00000003 00000002 0004 68692037`, scheduler.GossipMessage{From: 2, Payload: []byte("hi 7")}},
 	{"LOAD_DONE", `0a 00000003 0a124a07 1f43 0000007c55d20a01 0001 4084000000000000 01`,
-		choice.LoadOrderEnded{Worker: worker, Function: 0x7c55d20a01, Outcome: choice.OK, Took: 640 * time.Millisecond,
+		scheduler.LoadOrderEnded{Worker: worker, Function: 0x7c55d20a01, Outcome: scheduler.OK, Took: 640 * time.Millisecond,
 			Copies: 1}},
 	{"HALT", `09 00000003`, Halt{}},
 	{"PROVISION", `00 00000003 0000000000000009 00000002 7b7d`, Provision{Seed: 9, Env: []byte("{}")}},
-	{"FLEET failed", `01 00000003 03 00000007 0000`, choice.ListUpdate{Kind: choice.ListFailed, Version: 7}},
+	{"FLEET failed", `01 00000003 03 00000007 0000`, scheduler.ListUpdate{Kind: scheduler.ListFailed, Version: 7}},
 }
 
 func TestEvents(t *testing.T) {
@@ -85,9 +85,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i, id := range []choice.WorkerID{0x0a0000011f43, 0x0a0000021f43} {
-		want := choice.ListUpdate{Kind: choice.FullList, Version: 0x29, Workers: []choice.WorkerInfo{{ID: id, Size: 1, Group: 1,
-			State: choice.Ready, Kind: 1, Zone: 2}}}
+	for i, id := range []scheduler.WorkerID{0x0a0000011f43, 0x0a0000021f43} {
+		want := scheduler.ListUpdate{Kind: scheduler.FullList, Version: 0x29, Workers: []scheduler.WorkerInfo{{ID: id, Size: 1, Group: 1,
+			State: scheduler.Ready, Kind: 1, Zone: 2}}}
 		if got := b.Records[i].Event; !reflect.DeepEqual(got, want) {
 			t.Errorf("list %d: %+v, want %+v", i, got, want)
 		}
@@ -96,24 +96,24 @@
 
 func TestActions(t *testing.T) {
 	tests := []struct {
-		action choice.Action
+		action scheduler.Action
 		hex    string
 	}{
-		{choice.Send{Request: 0x121185d3a91c4, Worker: worker, Timeout: 80 * time.Millisecond},
+		{scheduler.Send{Request: 0x121185d3a91c4, Worker: worker, Timeout: 80 * time.Millisecond},
 			`00 00000003 000121185d3a91c4 4054000000000000 0a124a07 1f43`},
-		{choice.Reject{Request: 0xdbb200e6f2b19, RetryAfter: 250 * time.Millisecond},
+		{scheduler.Reject{Request: 0xdbb200e6f2b19, RetryAfter: 250 * time.Millisecond},
 			`01 00000003 000dbb200e6f2b19 406f400000000000`},
-		{choice.Fail{Request: 0xdbb200e6f2b19}, `02 00000003 000dbb200e6f2b19`},
-		{choice.Cancel{Request: 0x121185d3a91c4, Attempt: 1}, `03 00000003 000121185d3a91c4 01`},
-		{choice.Wake{At: 8964250 * time.Microsecond, Token: 0x4d}, `04 00000003 40c1822000000000 000000000000004d`},
-		{choice.Probe{Worker: worker}, `05 00000003 0a124a07 1f43`},
-		{choice.Close{Worker: worker}, `06 00000003 0a124a07 1f43`},
-		{choice.Gossip{To: choice.Everyone, Payload: []byte("hi 7")}, `07 00000003 ffff 0004 68692037`},
-		{choice.Log{Text: "two servers known"}, `08 00000003 0011 74776f2073657276657273206b6e6f776e`},
-		{choice.Watch{On: true}, `0a 00000003 01`},
-		{choice.Fetch{}, `0b 00000003`},
-		{choice.LoadOrder{Worker: worker, Function: 0x7c55d20a01, Copies: 1}, `0c 00000003 0a124a07 1f43 0000007c55d20a01 01`},
-		{choice.Unload{Worker: worker, Function: 0x7c55d20a01}, `0d 00000003 0a124a07 1f43 0000007c55d20a01`},
+		{scheduler.Fail{Request: 0xdbb200e6f2b19}, `02 00000003 000dbb200e6f2b19`},
+		{scheduler.Cancel{Request: 0x121185d3a91c4, Attempt: 1}, `03 00000003 000121185d3a91c4 01`},
+		{scheduler.Wake{At: 8964250 * time.Microsecond, Token: 0x4d}, `04 00000003 40c1822000000000 000000000000004d`},
+		{scheduler.Probe{Worker: worker}, `05 00000003 0a124a07 1f43`},
+		{scheduler.Close{Worker: worker}, `06 00000003 0a124a07 1f43`},
+		{scheduler.Gossip{To: scheduler.Everyone, Payload: []byte("hi 7")}, `07 00000003 ffff 0004 68692037`},
+		{scheduler.Log{Text: "two servers known"}, `08 00000003 0011 74776f2073657276657273206b6e6f776e`},
+		{scheduler.Watch{On: true}, `0a 00000003 01`},
+		{scheduler.Fetch{}, `0b 00000003`},
+		{scheduler.LoadOrder{Worker: worker, Function: 0x7c55d20a01, Copies: 1}, `0c 00000003 0a124a07 1f43 0000007c55d20a01 01`},
+		{scheduler.Unload{Worker: worker, Function: 0x7c55d20a01}, `0d 00000003 0a124a07 1f43 0000007c55d20a01`},
 	}
 	for _, tt := range tests {
 		var e Encoder
@@ -183,10 +183,10 @@
 		t.Fatal(err)
 	}
 	c := s.Classes[0]
-	if s.Controllers != 3 || s.Tick != 2500*time.Microsecond || !s.PollForList || c.Idempotency != choice.IdempotentWithKey ||
-		c.DedupScope != choice.SameGroup || c.DedupWindow != 5*time.Second || s.Loading.LoadsOnMiss || !s.Loading.OnMissKnown ||
-		s.ReportVia != choice.ReportsInProbes || !reflect.DeepEqual(s.Report,
-		[]choice.ReportField{choice.FieldQueue, choice.FieldX1}) {
+	if s.Controllers != 3 || s.Tick != 2500*time.Microsecond || !s.PollForList || c.Idempotency != scheduler.IdempotentWithKey ||
+		c.DedupScope != scheduler.SameGroup || c.DedupWindow != 5*time.Second || s.Loading.LoadsOnMiss || !s.Loading.OnMissKnown ||
+		s.ReportVia != scheduler.ReportsInProbes || !reflect.DeepEqual(s.Report,
+		[]scheduler.ReportField{scheduler.FieldQueue, scheduler.FieldX1}) {
 		t.Errorf("got %+v", s)
 	}
 	if _, err := ParseSettings([]byte("{")); err == nil {
--- a/choice/choice.go
+++ b/scheduler/choice.go
@@ -1,13 +1,13 @@
-// Package choice decides, for one controller, which worker runs which request of which function, and when.
+// Package scheduler decides, for one controller, which worker runs which request of which function, and when.
 // It is MQFQ-Sticky at a front end: queues by function, released by virtual time, sent to a hashed home.
 // The interface (settings, events, actions, outcomes) is in api.go; docs/design.md tells the reasons.
-package choice
+package scheduler
 
 import (
 	"math/rand/v2"
 	"time"
 
-	"kitehub/choice/ring"
+	"kitehub/scheduler/ring"
 )
 
 // Tuned values. All are ratios of settings or of what is observed, but for the design's own figures.
--- a/choice/cold_test.go
+++ b/scheduler/cold_test.go
@@ -1,4 +1,4 @@
-package choice_test
+package scheduler_test
 
 import (
 	"container/heap"
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"kitehub/choice"
-	"kitehub/fleet"
+	"kitehub/internal/harness/workersim"
+	"kitehub/scheduler"
 )
 
 const ms = time.Millisecond
@@ -41,31 +41,31 @@
 	t.Helper()
 	const tick, functions = 2 * ms, 24
 	rng := rand.New(rand.NewPCG(seed, 5))
-	cfg := fleet.Config{Window: 4 * time.Second, Store: fleet.Store{Pace: 6, Limit: 30},
-		Cold: fleet.Cold{Share: c.share, For: c.coldFor, FallFactor: 100, FallWithin: c.within}}
-	var list []choice.WorkerInfo
+	cfg := workersim.Config{Window: 4 * time.Second, Store: workersim.Store{Pace: 6, Limit: 30},
+		Cold: workersim.Cold{Share: c.share, For: c.coldFor, FallFactor: 100, FallWithin: c.within}}
+	var list []scheduler.WorkerInfo
 	for i := range c.workers {
-		cfg.Workers = append(cfg.Workers, fleet.Spec{Name: fmt.Sprint("w", i), Cores: 2, Speed: []float64{1, 0.7}[i%2], MemoryMB: 4000,
+		cfg.Workers = append(cfg.Workers, workersim.Spec{Name: fmt.Sprint("w", i), Cores: 2, Speed: []float64{1, 0.7}[i%2], MemoryMB: 4000,
 			Queue: 24, LoadSlots: 3, IdleLife: 2 * time.Second, Eager: true})
-		list = append(list, choice.WorkerInfo{ID: choice.WorkerID(i + 1), State: choice.Ready, Group: i / 3})
+		list = append(list, scheduler.WorkerInfo{ID: scheduler.WorkerID(i + 1), State: scheduler.Ready, Group: i / 3})
 	}
-	var fns [functions]fleet.Function
+	var fns [functions]workersim.Function
 	weights := make([]float64, functions)
 	for i := range fns {
-		fns[i] = fleet.Function{Name: fmt.Sprint("f", i), MemoryMB: 500, Lanes: 2, Fetch: c.load, Start: 80 * ms}
+		fns[i] = workersim.Function{Name: fmt.Sprint("f", i), MemoryMB: 500, Lanes: 2, Fetch: c.load, Start: 80 * ms}
 		weights[i] = 1 / math.Pow(float64(i+1), 0.9)
 		if i > 0 {
 			weights[i] += weights[i-1]
 		}
 	}
-	s := choice.Settings{Controllers: c.controllers, Tick: tick,
-		Classes: []choice.Class{{Name: "a", Idempotency: choice.Idempotent, LatencyObjective: 500 * ms, Deadline: 2500 * ms, PriorityWeight: 1}},
-		Limits:  choice.Limits{MaxAttempts: 3, MaxOpenRequests: 20000, DialTimeout: 250 * ms, Cancel: true},
-		Loading: choice.Loading{Orders: true, LoadsOnMiss: true, OnMissKnown: true, IdleCopyTTL: 2 * time.Second, OrderTimeout: 5 * time.Second,
+	s := scheduler.Settings{Controllers: c.controllers, Tick: tick,
+		Classes: []scheduler.Class{{Name: "a", Idempotency: scheduler.Idempotent, LatencyObjective: 500 * ms, Deadline: 2500 * ms, PriorityWeight: 1}},
+		Limits:  scheduler.Limits{MaxAttempts: 3, MaxOpenRequests: 20000, DialTimeout: 250 * ms, Cancel: true},
+		Loading: scheduler.Loading{Orders: true, LoadsOnMiss: true, OnMissKnown: true, IdleCopyTTL: 2 * time.Second, OrderTimeout: 5 * time.Second,
 			BudgetWindow: 5 * time.Second, BudgetFree: 10, BudgetRatio: 0.1, LoadNotesGiven: true},
-		Guarantees: choice.Guarantees{DrainGrace: 500 * ms, WarmupFraction: c.share, WarmupTime: c.coldFor, CollapseFactor: c.factor, CollapseWindow: c.within}}
+		Guarantees: scheduler.Guarantees{DrainGrace: 500 * ms, WarmupFraction: c.share, WarmupTime: c.coldFor, CollapseFactor: c.factor, CollapseWindow: c.within}}
 	now := time.Hour
-	f := fleet.New(cfg, now)
+	f := workersim.New(cfg, now)
 	portions := make([]float64, c.controllers) // of the calls, up to and with each controller
 	for i := range portions {
 		portions[i] = math.Pow(float64(i+1), -c.uneven)
@@ -73,28 +73,28 @@
 			portions[i] += portions[i-1]
 		}
 	}
-	ds, inbox := make([]*choice.Dispatcher, c.controllers), make([][]choice.Event, c.controllers)
+	ds, inbox := make([]*scheduler.Dispatcher, c.controllers), make([][]scheduler.Event, c.controllers)
 	for i := range ds {
 		s.ControllerIndex = i
-		d, err := choice.New(s, seed*1000+uint64(i))
+		d, err := scheduler.New(s, seed*1000+uint64(i))
 		if err != nil {
 			t.Fatal(err)
 		}
 		ds[i] = d
-		inbox[i] = []choice.Event{choice.ListUpdate{Kind: choice.CachedList, Workers: list}}
+		inbox[i] = []scheduler.Event{scheduler.ListUpdate{Kind: scheduler.CachedList, Workers: list}}
 	}
 	type call struct {
 		controller int
-		request    choice.RequestID
+		request    scheduler.RequestID
 		attempt    int
 		worker     int
 		sent       time.Duration
 		hold       int // function and 1 if an order
 	}
 	calls, wakes := map[uint64]call{}, &wakes{}
-	tries, functionOf := map[choice.RequestID]int{}, map[choice.RequestID]int{}
+	tries, functionOf := map[scheduler.RequestID]int{}, map[scheduler.RequestID]int{}
 	sent := make([][]time.Duration, c.workers)
-	next, request, arrive := uint64(1), choice.RequestID(0), now
+	next, request, arrive := uint64(1), scheduler.RequestID(0), now
 	killAt, backAt, end := now+4*time.Second, now+4500*ms, now+4500*ms+c.coldFor
 	for ; now < end; now += tick {
 		for _, e := range f.Advance(now) {
@@ -103,22 +103,22 @@
 				continue
 			}
 			switch e.Kind {
-			case fleet.Answered:
-				o := map[fleet.Outcome]choice.Outcome{fleet.OK: choice.OK, fleet.Full: choice.AtCapacity, fleet.Reset: choice.Reset,
-					fleet.Failed: choice.NotLoaded, fleet.Error: choice.Error}[e.Outcome]
-				if o == choice.OK {
+			case workersim.Answered:
+				o := map[workersim.Outcome]scheduler.Outcome{workersim.OK: scheduler.OK, workersim.Full: scheduler.AtCapacity, workersim.Reset: scheduler.Reset,
+					workersim.Failed: scheduler.NotLoaded, workersim.Error: scheduler.Error}[e.Outcome]
+				if o == scheduler.OK {
 					p.served++
 				}
-				inbox[k.controller] = append(inbox[k.controller], choice.AttemptEnded{Request: k.request, Attempt: k.attempt,
-					Worker: choice.WorkerID(k.worker + 1), Outcome: o, Took: now - k.sent, Note: choice.LoadNote(e.Note), SameFunction: e.Alike})
+				inbox[k.controller] = append(inbox[k.controller], scheduler.AttemptEnded{Request: k.request, Attempt: k.attempt,
+					Worker: scheduler.WorkerID(k.worker + 1), Outcome: o, Took: now - k.sent, Note: scheduler.LoadNote(e.Note), SameFunction: e.Alike})
 				delete(calls, e.ID)
-			case fleet.Stands:
-				o := choice.OK
-				if e.Outcome != fleet.OK {
-					o = choice.AtCapacity
+			case workersim.Stands:
+				o := scheduler.OK
+				if e.Outcome != workersim.OK {
+					o = scheduler.AtCapacity
 				}
-				inbox[k.controller] = append(inbox[k.controller], choice.LoadOrderEnded{Worker: choice.WorkerID(k.worker + 1),
-					Function: choice.FunctionID(k.hold), Outcome: o, Took: now - k.sent, Copies: e.Copies})
+				inbox[k.controller] = append(inbox[k.controller], scheduler.LoadOrderEnded{Worker: scheduler.WorkerID(k.worker + 1),
+					Function: scheduler.FunctionID(k.hold), Outcome: o, Took: now - k.sent, Copies: e.Copies})
 				delete(calls, e.ID)
 			}
 		}
@@ -135,11 +135,11 @@
 			}
 			for i := range inbox {
 				if c.restarted && i%3 == 0 {
-					d, err := choice.New(s, seed*1000+uint64(c.controllers+i))
+					d, err := scheduler.New(s, seed*1000+uint64(c.controllers+i))
 					if err != nil {
 						t.Fatal(err)
 					}
-					ds[i], inbox[i] = d, []choice.Event{choice.ListUpdate{Kind: choice.CachedList, Workers: slices.Clone(list)}}
+					ds[i], inbox[i] = d, []scheduler.Event{scheduler.ListUpdate{Kind: scheduler.CachedList, Workers: slices.Clone(list)}}
 				}
 			}
 		}
@@ -149,7 +149,7 @@
 				told += c.late
 			}
 			if now == told {
-				inbox[i] = append(inbox[i], choice.ListUpdate{Kind: choice.ListDelta, Workers: slices.Clone(list[:dead])})
+				inbox[i] = append(inbox[i], scheduler.ListUpdate{Kind: scheduler.ListDelta, Workers: slices.Clone(list[:dead])})
 			}
 		}
 		rate := c.rate
@@ -161,12 +161,12 @@
 			n, _ := slices.BinarySearch(weights, rng.Float64()*weights[functions-1])
 			i := min(sort.SearchFloat64s(portions, rng.Float64()*portions[c.controllers-1]), c.controllers-1)
 			functionOf[request] = n
-			inbox[i] = append(inbox[i], choice.Arrival{Request: request, Function: choice.FunctionID(n + 1), TimeLeft: 2500 * ms, Lanes: 2,
+			inbox[i] = append(inbox[i], scheduler.Arrival{Request: request, Function: scheduler.FunctionID(n + 1), TimeLeft: 2500 * ms, Lanes: 2,
 				LoadTime: c.load + 80*ms})
 		}
 		for wakes.Len() > 0 && (*wakes)[0].at <= now {
 			k := heap.Pop(wakes).(wake)
-			inbox[k.controller] = append(inbox[k.controller], choice.Timer{Token: k.token})
+			inbox[k.controller] = append(inbox[k.controller], scheduler.Timer{Token: k.token})
 		}
 		for i, d := range ds {
 			if len(inbox[i]) == 0 {
@@ -176,12 +176,12 @@
 			inbox[i] = nil
 			for _, a := range d.Step(now, events) {
 				switch a := a.(type) {
-				case choice.Send:
+				case scheduler.Send:
 					w := int(a.Worker) - 1
 					k := call{controller: i, request: a.Request, attempt: tries[a.Request], worker: w, sent: now}
 					tries[a.Request]++
 					if !f.Up(w) {
-						inbox[i] = append(inbox[i], choice.AttemptEnded{Request: a.Request, Attempt: k.attempt, Worker: a.Worker, Outcome: choice.ConnectFailed})
+						inbox[i] = append(inbox[i], scheduler.AttemptEnded{Request: a.Request, Attempt: k.attempt, Worker: a.Worker, Outcome: scheduler.ConnectFailed})
 						continue
 					}
 					if at := f.Started(w); at > 0 && now < at+c.coldFor {
@@ -194,34 +194,34 @@
 						p.over = max(p.over, float64(len(sent[w]))/(n+2*math.Sqrt(n)+2))
 					}
 					calls[next] = k
-					f.Call(w, fleet.Call{ID: next, Function: &fns[functionOf[a.Request]], Work: c.work.Seconds() * (0.5 + rng.Float64()), Mean: 0})
+					f.Call(w, workersim.Call{ID: next, Function: &fns[functionOf[a.Request]], Work: c.work.Seconds() * (0.5 + rng.Float64()), Mean: 0})
 					next++
-				case choice.LoadOrder:
+				case scheduler.LoadOrder:
 					w := int(a.Worker) - 1
 					if !f.Up(w) {
-						inbox[i] = append(inbox[i], choice.LoadOrderEnded{Worker: a.Worker, Function: a.Function, Outcome: choice.ConnectFailed})
+						inbox[i] = append(inbox[i], scheduler.LoadOrderEnded{Worker: a.Worker, Function: a.Function, Outcome: scheduler.ConnectFailed})
 						continue
 					}
 					calls[next] = call{controller: i, worker: w, sent: now, hold: int(a.Function)}
 					f.Hold(w, next, &fns[a.Function-1], a.Copies)
 					next++
-				case choice.Probe:
-					o := choice.OK
+				case scheduler.Probe:
+					o := scheduler.OK
 					if !f.Up(int(a.Worker) - 1) {
-						o = choice.ConnectFailed
+						o = scheduler.ConnectFailed
 					}
-					inbox[i] = append(inbox[i], choice.ProbeEnded{Worker: a.Worker, Outcome: o})
-				case choice.Cancel:
+					inbox[i] = append(inbox[i], scheduler.ProbeEnded{Worker: a.Worker, Outcome: o})
+				case scheduler.Cancel:
 					for id, k := range calls {
 						if k.hold == 0 && k.request == a.Request && k.attempt == a.Attempt {
 							f.Cancel(k.worker, id)
 							delete(calls, id)
-							inbox[i] = append(inbox[i], choice.AttemptEnded{Request: a.Request, Attempt: a.Attempt,
-								Worker: choice.WorkerID(k.worker + 1), Outcome: choice.Cancelled, Took: now - k.sent})
+							inbox[i] = append(inbox[i], scheduler.AttemptEnded{Request: a.Request, Attempt: a.Attempt,
+								Worker: scheduler.WorkerID(k.worker + 1), Outcome: scheduler.Cancelled, Took: now - k.sent})
 							break
 						}
 					}
-				case choice.Wake:
+				case scheduler.Wake:
 					heap.Push(wakes, wake{a.At, a.Token, i})
 				}
 			}
--- a/choice/index.go
+++ b/scheduler/index.go
@@ -1,4 +1,4 @@
-package choice
+package scheduler
 
 import (
 	"cmp"
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"kitehub/choice/index"
-	"kitehub/choice/ring"
+	"kitehub/scheduler/index"
+	"kitehub/scheduler/ring"
 )
 
 // Indexes are how a step finds the workers and queues that it has to look at, without looking at all. They decide nothing: what
--- a/choice/state.go
+++ b/scheduler/state.go
@@ -1,4 +1,4 @@
-package choice
+package scheduler
 
 import (
 	"cmp"
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"kitehub/choice/index"
-	"kitehub/choice/ring"
+	"kitehub/scheduler/index"
+	"kitehub/scheduler/ring"
 )
 
 // A Dispatcher decides for one controller. It is not safe for concurrent use.
