--- a/cmd/kitehub/serve.go
+++ b/cmd/kitehub/serve.go
@@ -65,7 +65,7 @@
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return fmt.Errorf("state_dir: %w", err)
 	}
-	loop, starts := daemon.Loop{Most: int(b.Daemon.GetStarts()), Within: time.Duration(b.Daemon.GetWithinMs() * 1e6)}, filepath.Join(dir, "starts.json")
+	loop, starts := daemon.CrashLoop{Most: int(b.Daemon.GetStarts()), Within: time.Duration(b.Daemon.GetWithinMs() * 1e6)}, filepath.Join(dir, "starts.json")
 	loop.Load(starts)
 	begun := time.Now().UTC().Round(0)
 	careful := loop.Begin(begun) && !s.TakeOver
@@ -101,7 +101,7 @@
 			return errors.New("--take-over: the configuration has no daemon.handover")
 		}
 		c, err = controller.TakeOver(b.Daemon.Handover, func(after *controller.Succession) (*controller.Controller, error) {
-			o.After = after
+			o.Predecessor = after
 			return controller.Start(b, o)
 		})
 		if err == nil && pidFile != "" {
@@ -141,7 +141,7 @@
 	}
 	for run := true; run; {
 		select {
-		case <-c.Over():
+		case <-c.HandedOver():
 			log.Info().Msg("a successor has taken over")
 			return ended()
 		case done := <-reload:
--- a/config/build.go
+++ b/config/build.go
@@ -302,7 +302,7 @@
 		src = webhook.FromBody
 	}
 	b.Webhook = webhook.Config{Prefix: w.Prefix, Source: src, Field: w.FunctionField,
-		Replay: replayguard.Settings{Past: ms(w.PastMs), Future: ms(w.FutureMs), Ahead: ms(w.AheadMs), Entries: int(w.Remembered), Bytes: int(w.KeptBytes)}}
+		Replay: replayguard.Settings{MaxAge: ms(w.PastMs), MaxClockSkew: ms(w.FutureMs), WatermarkStep: ms(w.AheadMs), MaxEntries: int(w.Remembered), MaxAnswerBytes: int(w.KeptBytes)}}
 	b.Backend = backend.Config{Controller: c.Name, DialTimeout: ms(l.DialMs), IdleTimeout: ms(l.KeepAliveMs), OrderTimeout: ms(c.Loading.AnswerMs),
 		ProbeTimeout: 3 * ms(l.DialMs), Fields: b.Settings.Report}
 	if (d.File == "") == (d.Server == "") {
--- a/internal/backend/frame/conn.go
+++ b/internal/backend/frame/conn.go
@@ -162,7 +162,7 @@
 	}
 	for _, x := range open {
 		x.timer.Stop()
-		x.over(lost(c.out.Whole(x.end)), nil)
+		x.over(lost(c.out.Written(x.end)), nil)
 	}
 }
 
--- a/internal/blobfetch/plan.go
+++ b/internal/blobfetch/plan.go
@@ -133,7 +133,7 @@
 var (
 	// ErrMismatch is a fetch in which every store that answered gave wrong bytes.
 	ErrMismatch = errors.New("fetch: no store has bytes that match the digest")
-	// ErrGivenUp is a fetch whose requests are used up, or for which no store is left.
+	// ErrQuarantined is a fetch whose requests are used up, or for which no store is left.
 	ErrGivenUp = errors.New("fetch: given up")
 )
 
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -48,8 +48,8 @@
 	NoHooks bool
 	// Reload is what the operators' method reload brings about.
 	Reload func() error
-	// After, where set, is what another process hands over: see TakeOver.
-	After *Succession
+	// Predecessor, where set, is what another process hands over: see TakeOver.
+	Predecessor *Succession
 }
 
 // A Controller runs until Stop or Kill.
@@ -157,7 +157,7 @@
 				a.Stop()
 			}
 		}
-		if o.After == nil {
+		if o.Predecessor == nil {
 			ask()
 		} else { // one name asks once: what it confirms would stand for the process before as well
 			c.afterDone = ask
@@ -170,15 +170,15 @@
 	wc.Gateway, wc.Clock, wc.Log, wc.Mark, wc.Functions = c.Gateway, o.Clock, o.Log, webhook.File(b.Mark), functions.Find
 	wc.Deadline = func(class int) time.Duration { return b.Settings.Classes[class].Deadline }
 	wc.Effect = func(class int) scheduler.Idempotency { return b.Settings.Classes[class].Idempotency }
-	if o.After != nil {
-		wc.State = &o.After.s.state.Front
-		c.Gateway.Inherit(o.After.s.state.Spent)
+	if o.Predecessor != nil {
+		wc.State = &o.Predecessor.s.state.Front
+		c.Gateway.Inherit(o.Predecessor.s.state.Spent)
 	}
 	if c.Front, err = webhook.New(wc, b.Clients); err != nil {
 		return fmt.Errorf("replay mark: %w", err)
 	}
-	if o.After != nil {
-		if c.ln, err = o.After.listener(0); err != nil {
+	if o.Predecessor != nil {
+		if c.ln, err = o.Predecessor.listener(0); err != nil {
 			return err
 		}
 	} else if b.Network == "unix" { // a socket that a killed process left behind must not stop this start
@@ -186,7 +186,7 @@
 			return err
 		}
 	}
-	if o.After == nil {
+	if o.Predecessor == nil {
 		if c.ln, err = net.Listen(b.Network, b.Listen); err != nil {
 			return fmt.Errorf("webhook.listen: %w", err)
 		}
@@ -209,8 +209,8 @@
 	if o.Handler != nil {
 		handler = o.Handler(handler)
 	}
-	if o.After != nil {
-		if err := o.After.granted(); err != nil {
+	if o.Predecessor != nil {
+		if err := o.Predecessor.granted(); err != nil {
 			return err
 		}
 	}
@@ -224,9 +224,9 @@
 			o.Log.Error().Err(err).Msg("listener")
 		}
 	}()
-	if o.After != nil {
+	if o.Predecessor != nil {
 		c.following = make(chan struct{})
-		go o.After.follow(c)
+		go o.Predecessor.follow(c)
 	}
 	return c.serveHandover()
 }
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -20,7 +20,7 @@
 func TestHandedOverStateIsAsBefore(t *testing.T) {
 	for name, state := range map[string]legacy{
 		"legacy.json": {
-			Front: webhook.State{Known: []replayguard.Remembered{{Key: replayguard.Key{Client: 1, ID: "msg_a"}, Last: 2, Digest: []byte{3}, Status: 200}}, Barrier: 4, Durable: 5, Highest: 6},
+			Front: webhook.State{Known: []replayguard.EntryState{{Key: replayguard.Key{Client: 1, ID: "msg_a"}, Last: 2, Digest: []byte{3}, Status: 200}}, Barrier: 4, Durable: 5, Highest: 6},
 			Spent: scheduler.BudgetHandover{Orders: []time.Duration{7}, Arrivals: []time.Duration{8, 9}},
 			Open:  10,
 		},
@@ -51,7 +51,7 @@
 		end    ended
 	}{
 		"ended.json":         {replayguard.Answer{Status: 200, Type: "application/json", Body: []byte(`{"a":"<b>"}`)}, ended{Key: key, End: replayguard.Answer{Status: 200, Type: "application/json", Body: []byte(`{"a":"<b>"}`)}}},
-		"ended_refused.json": {replayguard.Answer{Refused: true, Status: 503}, ended{Key: key, End: replayguard.Answer{Refused: true, Status: 503}}},
+		"ended_refused.json": {replayguard.Answer{Rejected: true, Status: 503}, ended{Key: key, End: replayguard.Answer{Rejected: true, Status: 503}}},
 		"ended_version.json": {replayguard.Answer{Status: 200, Tag: gateway.VersionBinding{}, Body: []byte("x")}, ended{Key: key, End: replayguard.Answer{Status: 200}, Unkept: true}},
 		"ended_long.json":    {replayguard.Answer{Status: 200, Body: long}, ended{Key: key, End: replayguard.Answer{Status: 200}, Unkept: true}},
 	} {
--- a/internal/controller/handover.go
+++ b/internal/controller/handover.go
@@ -44,7 +44,7 @@
 			return text
 		}
 	}
-	e.End, e.Unkept = replayguard.Answer{Refused: a.Refused, Status: a.Status}, !a.Refused
+	e.End, e.Unkept = replayguard.Answer{Rejected: a.Rejected, Status: a.Status}, !a.Rejected
 	text, _ := json.Marshal(e) // strings and numbers cannot fail
 	return text
 }
@@ -75,7 +75,7 @@
 // when nothing came of it.
 func (c *Controller) handOver(l *daemon.Link) {
 	defer l.Close()
-	var old daemon.Old
+	var old daemon.OldProcess
 	// As many as may be in hand: whoever answers a call never waits for the link.
 	halted, told := false, make(chan ended, c.b.Settings.Limits.MaxOpenRequests+16)
 	for {
@@ -83,7 +83,7 @@
 		for _, f := range files {
 			f.Close()
 		}
-		var m daemon.Move
+		var m daemon.Step
 		if err != nil {
 			m = old.Lost()
 		} else if m, err = old.Packet(k); err != nil {
@@ -164,7 +164,7 @@
 		return err
 	}
 	c.release()
-	return l.Send(daemon.Whole, nil)
+	return l.Send(daemon.StateComplete, nil)
 }
 
 // goOn takes back what halt gave. The folder may still be the other's for a moment.
@@ -263,24 +263,24 @@
 	close(c.over)
 }
 
-// Over is closed when a successor has taken over and nothing is in hand any more.
-func (c *Controller) Over() <-chan struct{} { return c.over }
+// HandedOver is closed when a successor has taken over and nothing is in hand any more.
+func (c *Controller) HandedOver() <-chan struct{} { return c.over }
 
 // A succession is the new process's part.
 type succession struct {
 	l     *daemon.Link
-	new   daemon.New
+	new   daemon.NewProcess
 	socks []*os.File
 	state legacy
 	alone bool
 }
 
 // receive takes the next packet and says what it leads to.
-func (s *succession) receive() (m daemon.Move, k daemon.Kind, b []byte, files []*os.File, err error) {
+func (s *succession) receive() (m daemon.Step, k daemon.Kind, b []byte, files []*os.File, err error) {
 	k, b, files, err = s.l.Receive(stageTime)
 	switch {
-	case errors.Is(err, daemon.ErrLate):
-		return s.new.Late(), k, b, files, err
+	case errors.Is(err, daemon.ErrTimeout):
+		return s.new.TimedOut(), k, b, files, err
 	case err != nil:
 		return s.new.Lost(), k, b, files, err
 	}
@@ -312,7 +312,7 @@
 		switch m {
 		case daemon.Prepare:
 			s.socks = files
-			if err := l.Send(daemon.Wish, nil); err != nil {
+			if err := l.Send(daemon.TakeoverRequest, nil); err != nil {
 				return fail(err)
 			}
 		case daemon.Note:
@@ -353,7 +353,7 @@
 
 // granted says that all is taken, and waits for the word to serve.
 func (s *Succession) granted() error {
-	if err := s.s.l.Send(daemon.Taken, nil); err != nil && s.s.new.Lost() != daemon.ServeAlone {
+	if err := s.s.l.Send(daemon.StateTaken, nil); err != nil && s.s.new.Lost() != daemon.ServeAlone {
 		return err
 	}
 	for {
@@ -364,7 +364,7 @@
 		case daemon.ServeAlone:
 			s.s.alone = true
 			return nil
-		case daemon.GiveUp:
+		case daemon.Abandon:
 			if err == nil {
 				err = errors.New("the old process goes on")
 			}
--- a/internal/controller/handover_test.go
+++ b/internal/controller/handover_test.go
@@ -42,7 +42,7 @@
 // succeed takes over from whoever runs.
 func (r *rig) succeed(path string, changes []string) (*Controller, error) {
 	return TakeOver(path, func(after *Succession) (*Controller, error) {
-		return Start(r.build("c", changes...), Options{Clock: r.clk, Log: zerolog.Nop(), After: after})
+		return Start(r.build("c", changes...), Options{Clock: r.clk, Log: zerolog.Nop(), Predecessor: after})
 	})
 }
 
@@ -119,7 +119,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(next.Kill)
-		<-c.Over()
+		<-c.HandedOver()
 		c = next
 	}
 	close(stop)
@@ -160,7 +160,7 @@
 	want(t, again(0), "503 refused") // it runs in the other process
 	want(t, exchange(t, c.Addr(), sign(t, common, "c", "new", "safe-1", `{}`, time.Now())), "200 served")
 	want(t, <-first, "200 served")
-	<-old.Over()
+	<-old.HandedOver()
 	for end := time.Now().Add(10 * time.Second); ; {
 		if a := again(1); a.status == 200 || time.Now().After(end) {
 			want(t, a, "200 served")
@@ -206,24 +206,24 @@
 				step(daemon.Hello, daemon.Sockets)
 			case "wish":
 				step(daemon.Hello, daemon.Sockets)
-				step(daemon.Wish, 0)
+				step(daemon.TakeoverRequest, 0)
 			case "whole":
 				step(daemon.Hello, daemon.Sockets)
-				step(daemon.Wish, daemon.Whole)
+				step(daemon.TakeoverRequest, daemon.StateComplete)
 			case "garbage":
 				step(daemon.Hello, daemon.Sockets)
-				step(daemon.Wish, daemon.Whole)
+				step(daemon.TakeoverRequest, daemon.StateComplete)
 				step(daemon.Done, daemon.Abort)
 			case "silent":
 				step(daemon.Hello, daemon.Sockets)
-				step(daemon.Wish, daemon.Whole)
+				step(daemon.TakeoverRequest, daemon.StateComplete)
 				step(0, daemon.Abort) // nothing that it knows
 			case "taken": // from here on the other has the sockets: this one finishes what it has, and ends
 				step(daemon.Hello, daemon.Sockets)
-				step(daemon.Wish, daemon.Whole)
-				step(daemon.Taken, daemon.Go)
+				step(daemon.TakeoverRequest, daemon.StateComplete)
+				step(daemon.StateTaken, daemon.Go)
 				l.Close()
-				<-c.Over()
+				<-c.HandedOver()
 				if _, err := net.DialTimeout("tcp", c.Addr(), time.Second); !errors.Is(err, syscall.ECONNREFUSED) {
 					t.Error(err)
 				}
@@ -239,7 +239,7 @@
 				t.Fatal(err)
 			}
 			t.Cleanup(next.Kill)
-			<-c.Over()
+			<-c.HandedOver()
 			want(t, exchange(t, next.Addr(), sign(t, common, "c", "after", "safe-1", `{}`, time.Now())), "200 served")
 		})
 	}
@@ -274,7 +274,7 @@
 			t.Fatal(err)
 		}
 		m := sign(t, common, "c", "known", "unsafe-1", `{}`, time.Now().Add(-3*time.Second))
-		state := legacy{Front: webhook.State{Highest: time.Now().Unix(), Durable: time.Now().Unix() + 10, Known: []replayguard.Remembered{
+		state := legacy{Front: webhook.State{Highest: time.Now().Unix(), Durable: time.Now().Unix() + 10, Known: []replayguard.EntryState{
 			{Key: replayguard.Key{ID: "known"}, Last: time.Now().Unix() - 3, Running: true, Digest: bodyDigest("unsafe-1", m)}}}}
 		text, _ := json.Marshal(state)
 		go func() {
@@ -287,7 +287,7 @@
 			l.Send(daemon.Sockets, nil, tcp.(syscall.Conn), unix.(syscall.Conn))
 			l.Receive(10 * time.Second)
 			if l.SendAll(text); whole {
-				l.Send(daemon.Whole, nil)
+				l.Send(daemon.StateComplete, nil)
 			}
 			tcp.Close()
 			unix.(*net.UnixListener).SetUnlinkOnClose(false)
@@ -345,8 +345,8 @@
 	for _, f := range files {
 		f.Close()
 	}
-	l.Send(daemon.Wish, nil)
-	for k := daemon.Kind(0); k != daemon.Whole; {
+	l.Send(daemon.TakeoverRequest, nil)
+	for k := daemon.Kind(0); k != daemon.StateComplete; {
 		if k, _, _, err = l.Receive(10 * time.Second); err != nil {
 			t.Fatal(err)
 		}
@@ -357,7 +357,7 @@
 	for !c.ended.Load() {
 		time.Sleep(ms)
 	}
-	l.Send(daemon.Taken, nil)
+	l.Send(daemon.StateTaken, nil)
 	if k, _, _, err := l.Receive(10 * time.Second); err != nil || k != daemon.Abort {
 		t.Errorf("%c %v", k, err)
 	}
@@ -401,10 +401,10 @@
 	}
 	l.Send(daemon.Hello, nil)
 	until(daemon.Sockets)
-	l.Send(daemon.Wish, nil)
-	until(daemon.Whole)
+	l.Send(daemon.TakeoverRequest, nil)
+	until(daemon.StateComplete)
 	want(t, <-first, "200 served") // what is in hand goes on, halted or not
-	l.Send(daemon.Taken, nil)
+	l.Send(daemon.StateTaken, nil)
 	until(daemon.Go) // and not after the answer
 	var e ended
 	if err := json.Unmarshal(until(daemon.Answer), &e); err != nil || e.Key.ID != "once" || e.End.Status != 200 {
@@ -423,18 +423,18 @@
 		{replayguard.Answer{Status: 200, Body: []byte("v1")}, false, "v1"},
 		{replayguard.Answer{Status: 200, Body: []byte("v1"), Tag: 1}, true, ""},
 		{replayguard.Answer{Status: 200, Body: make([]byte, daemon.PartSize)}, true, ""},
-		{replayguard.Answer{Status: 503, Refused: true, Body: []byte("no"), Tag: 1}, false, ""},
+		{replayguard.Answer{Status: 503, Rejected: true, Body: []byte("no"), Tag: 1}, false, ""},
 	} {
 		var e ended
-		if err := json.Unmarshal(toSuccessor(k, c.a), &e); err != nil || e.Unkept != c.unkept || string(e.End.Body) != c.body || e.End.Refused != c.a.Refused {
+		if err := json.Unmarshal(toSuccessor(k, c.a), &e); err != nil || e.Unkept != c.unkept || string(e.End.Body) != c.body || e.End.Rejected != c.a.Rejected {
 			t.Errorf("%v %+v", err, e)
 		}
 	}
 	now := time.Now()
-	g := replayguard.NewGuard(replayguard.Settings{Past: time.Minute, Future: time.Second, Ahead: time.Second, Entries: 9, Bytes: 99}, now, time.Time{})
-	g.Import([]replayguard.Remembered{{Key: k, Last: now.Unix() - 2, Running: true, Digest: make([]byte, 32)}}, 0, now.Unix()+5, 0)
-	g.Unkept(k)
-	if v, _, _ := g.Take(now, replayguard.Message{Key: k, Stamp: now.Add(-time.Second)}); v != replayguard.Lost {
+	g := replayguard.NewGuard(replayguard.Settings{MaxAge: time.Minute, MaxClockSkew: time.Second, WatermarkStep: time.Second, MaxEntries: 9, MaxAnswerBytes: 99}, now, time.Time{})
+	g.Import([]replayguard.EntryState{{Key: k, Last: now.Unix() - 2, Running: true, Digest: make([]byte, 32)}}, 0, now.Unix()+5, 0)
+	g.EndedUncached(k)
+	if v, _, _ := g.Take(now, replayguard.Message{Key: k, Stamp: now.Add(-time.Second)}); v != replayguard.AnswerEvicted {
 		t.Errorf("verdict %v: lost is wanted, neither run again nor given", v)
 	}
 }
@@ -451,7 +451,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(next.Kill)
-	<-c.Over()
+	<-c.HandedOver()
 	l := dial(t, r)
 	if got := l.ask(call("1", "keyed-1", `,"key":"k"`)); !strings.Contains(got, "-32010") || !strings.Contains(got, "the process before") {
 		t.Error(got)
--- a/internal/controller/operate.go
+++ b/internal/controller/operate.go
@@ -68,18 +68,18 @@
 // sink hands advice to the module; a model is kept warm as the version that its alias current names.
 type sink struct{ c *Controller }
 
-func (s sink) Warm(function string, copies int, until time.Duration) {
+func (s sink) KeepWarm(function string, copies int, until time.Duration) {
 	if spec, ok := s.c.functions.Spec(function); ok && spec.Versions { // a model has no star: Find takes no place
 		if v, _, ok := s.c.models.current(s.c.functions.Find(function)); ok {
-			s.c.Gateway.Warm(v.Name, copies, until)
+			s.c.Gateway.KeepWarm(v.Name, copies, until)
 		}
 		return
 	}
-	s.c.Gateway.Warm(function, copies, until)
+	s.c.Gateway.KeepWarm(function, copies, until)
 }
 
-func (s sink) Regard(worker string, rank int, until time.Duration) {
-	s.c.Gateway.Regard(worker, rank, until)
+func (s sink) RankWorker(worker string, rank int, until time.Duration) {
+	s.c.Gateway.RankWorker(worker, rank, until)
 }
 
 // startHooks starts the scripts that were stored and those of the files.
@@ -141,15 +141,15 @@
 	wc := c.wc
 	rc.Gateway, rc.Functions, rc.Clock, rc.Log, rc.Operator = c.Gateway, c.functions.Find, o.Clock, o.Log, operator{c}
 	rc.Deadline, rc.Effect, rc.Models = wc.Deadline, wc.Effect, wc.Models
-	if o.After != nil {
+	if o.Predecessor != nil {
 		rc.After = o.Clock.Now()
 	}
 	c.RPC = jsonrpc.New(rc)
 	c.tap.rpc.Store(c.RPC)
 	var ln net.Listener
 	var err error
-	if o.After != nil {
-		ln, err = o.After.listener(1)
+	if o.Predecessor != nil {
+		ln, err = o.Predecessor.listener(1)
 	} else {
 		ln, err = jsonrpc.Listen(c.b.Socket, c.b.Mode)
 	}
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -14,12 +14,12 @@
 
 // Each side, told each packet at each stage: what it does, and that only one of the two ever serves.
 func TestStages(t *testing.T) {
-	all := []Kind{Hello, Sockets, Wish, Part, Whole, Taken, Go, Conn, Answer, Done, Abort, '?'}
-	old := map[Kind][]Kind{0: nil, Sockets: {Hello}, Whole: {Hello, Wish}, Go: {Hello, Wish, Taken}}
-	good := map[string]Move{"0H": Offer, "LR": Halt, "ET": Yield}
+	all := []Kind{Hello, Sockets, TakeoverRequest, StatePart, StateComplete, StateTaken, Go, Conn, Answer, Done, Abort, '?'}
+	old := map[Kind][]Kind{0: nil, Sockets: {Hello}, StateComplete: {Hello, TakeoverRequest}, Go: {Hello, TakeoverRequest, StateTaken}}
+	good := map[string]Step{"0H": Offer, "LR": Halt, "ET": Yield}
 	for stage, before := range old {
 		for _, k := range all {
-			o := &Old{}
+			o := &OldProcess{}
 			for _, b := range before {
 				o.Packet(b)
 			}
@@ -36,19 +36,19 @@
 			}
 		}
 	}
-	steps := []Kind{Sockets, Part, Whole, Go, Done}
+	steps := []Kind{Sockets, StatePart, StateComplete, Go, Done}
 	for n := range len(steps) + 1 {
 		for _, k := range append(all, 0, 1) { // 0: lost, 1: late
-			s := &New{}
+			s := &NewProcess{}
 			for _, b := range steps[:n] {
 				s.Packet(b)
 			}
-			var m Move
+			var m Step
 			switch k {
 			case 0:
 				m = s.Lost()
 			case 1:
-				m = s.Late()
+				m = s.TimedOut()
 			default:
 				m, _ = s.Packet(k)
 			}
@@ -56,7 +56,7 @@
 			if may := n == 3 && (k == Go || k == 0) || n == 4 && k == 0; serves != may {
 				t.Errorf("new after %d steps, %c: %v", n, k, m)
 			}
-			if n < 3 && m == Take != (n == 2 && k == Whole) {
+			if n < 3 && m == Take != (n == 2 && k == StateComplete) {
 				t.Errorf("new after %d steps, %c: %v", n, k, m)
 			}
 		}
@@ -124,7 +124,7 @@
 }
 
 func TestLoop(t *testing.T) {
-	l := &Loop{Most: 3, Within: time.Minute}
+	l := &CrashLoop{Most: 3, Within: time.Minute}
 	at := time.Unix(1000, 0)
 	for i, want := range []bool{false, false, false, true, true} {
 		if got := l.Begin(at); got != want {
@@ -145,7 +145,7 @@
 	if err := l.Save(name); err != nil {
 		t.Fatal(err)
 	}
-	k := &Loop{}
+	k := &CrashLoop{}
 	if k.Load(name); len(k.Starts) != len(l.Starts) || !k.Starts[0].At.Equal(l.Starts[0].At) {
 		t.Error(k, l)
 	}
@@ -201,7 +201,7 @@
 		if err := a.SendAll(text); err != nil {
 			t.Error(err)
 		}
-		a.Send(Whole, nil)
+		a.Send(StateComplete, nil)
 	}()
 	var got []byte
 	for {
@@ -209,7 +209,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if k == Whole {
+		if k == StateComplete {
 			break
 		}
 		got = append(got, p...)
@@ -217,14 +217,14 @@
 	if !bytes.Equal(got, text) {
 		t.Errorf("%d bytes of %d", len(got), len(text))
 	}
-	if err := a.Send(Part, make([]byte, PartSize+1)); err == nil {
+	if err := a.Send(StatePart, make([]byte, PartSize+1)); err == nil {
 		t.Error("too large a packet is sent")
 	}
-	if _, _, _, err := b.Receive(time.Millisecond); err != ErrLate {
+	if _, _, _, err := b.Receive(time.Millisecond); err != ErrTimeout {
 		t.Error(err)
 	}
 	if a.Close(); true {
-		if _, _, _, err := b.Receive(10 * time.Second); err == nil || err == ErrLate {
+		if _, _, _, err := b.Receive(10 * time.Second); err == nil || err == ErrTimeout {
 			t.Error(err)
 		}
 	}
--- a/internal/daemon/golden_test.go
+++ b/internal/daemon/golden_test.go
@@ -20,7 +20,7 @@
 	}
 	for name, starts := range map[string][]Start{"starts.json": starts, "starts_none.json": nil} {
 		stored := filepath.Join(t.TempDir(), name)
-		loop := Loop{Starts: starts}
+		loop := CrashLoop{Starts: starts}
 		if err := loop.Save(stored); err != nil {
 			t.Fatal(err)
 		}
@@ -30,7 +30,7 @@
 		}
 		goldenfile.Compare(t, name, written)
 
-		read := Loop{Starts: []Start{{Clean: true}}}
+		read := CrashLoop{Starts: []Start{{Clean: true}}}
 		read.Load(filepath.Join("testdata", "golden", name))
 		if len(read.Starts) != len(starts) {
 			t.Fatalf("%s: read %v, want %v", name, read.Starts, starts)
@@ -64,7 +64,7 @@
 	defer receiver.Close()
 	receiver.SetReadDeadline(time.Now().Add(10 * time.Second))
 
-	kinds := []Kind{Hello, Sockets, Wish, Part, Whole, Taken, Go, Conn, Answer, Done, Abort}
+	kinds := []Kind{Hello, Sockets, TakeoverRequest, StatePart, StateComplete, StateTaken, Go, Conn, Answer, Done, Abort}
 	var written []byte
 	take := func(name string) {
 		packet := make([]byte, 2*PartSize)
--- a/internal/daemon/link.go
+++ b/internal/daemon/link.go
@@ -97,7 +97,7 @@
 func (l *Link) SendAll(b []byte) error {
 	for {
 		n := min(len(b), PartSize)
-		if err := l.Send(Part, b[:n]); err != nil {
+		if err := l.Send(StatePart, b[:n]); err != nil {
 			return err
 		}
 		if b = b[n:]; len(b) == 0 {
@@ -106,8 +106,8 @@
 	}
 }
 
-// ErrLate is that nothing came in time.
-var ErrLate = errors.New("daemon: the other process is silent")
+// ErrTimeout is that nothing came in time.
+var ErrTimeout = errors.New("daemon: the other process is silent")
 
 // Receive returns the next packet; within 0 waits for ever. The files are the caller's to close.
 func (l *Link) Receive(within time.Duration) (k Kind, b []byte, files []*os.File, err error) {
@@ -117,7 +117,7 @@
 	}
 	n, on, _, _, err := l.c.ReadMsgUnix(l.b, l.oob)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return 0, nil, nil, ErrLate
+		return 0, nil, nil, ErrTimeout
 	}
 	if err != nil {
 		return 0, nil, nil, err
--- a/internal/daemon/loop.go
+++ b/internal/daemon/loop.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// A Loop tells a crash loop. It is pure: starts go in, and whether to start with care comes out.
-type Loop struct {
+// A CrashLoop tells a crash loop. It is pure: starts go in, and whether to start with care comes out.
+type CrashLoop struct {
 	Most   int           // starts after a bad end, within
 	Within time.Duration // this time, that are a loop
 	Starts []Start       // newest last
@@ -22,7 +22,7 @@
 
 // Begin notes a start and tells whether the process should leave out what may bring it down: when so many in the time ended
 // badly. Clocks that go back count as no time at all.
-func (l *Loop) Begin(now time.Time) (careful bool) {
+func (l *CrashLoop) Begin(now time.Time) (careful bool) {
 	bad := 0
 	kept := l.Starts[:0]
 	for _, s := range l.Starts {
@@ -42,7 +42,7 @@
 }
 
 // End notes that the start of a time ended well.
-func (l *Loop) End(at time.Time) {
+func (l *CrashLoop) End(at time.Time) {
 	for i := range l.Starts {
 		if l.Starts[i].At.Equal(at) {
 			l.Starts[i].Clean = true
@@ -51,14 +51,14 @@
 }
 
 // Load reads the starts of a file; one that cannot be read says nothing, and must not keep the process from starting.
-func (l *Loop) Load(name string) {
+func (l *CrashLoop) Load(name string) {
 	if text, err := os.ReadFile(name); err != nil || json.Unmarshal(text, &l.Starts) != nil {
 		l.Starts = nil
 	}
 }
 
 // Save writes them, whole or not at all.
-func (l *Loop) Save(name string) error {
+func (l *CrashLoop) Save(name string) error {
 	text, err := json.Marshal(l.Starts)
 	if err != nil {
 		return err
--- a/internal/daemon/stage.go
+++ b/internal/daemon/stage.go
@@ -7,25 +7,25 @@
 
 // The packets, in the order in which they come.
 const (
-	Hello   Kind = 'H' // N: who it is
-	Sockets Kind = 'L' // O: the listeners, as file descriptors
-	Wish    Kind = 'R' // N: it could serve, and wants to
-	Part    Kind = 'S' // O: a part of its state
-	Whole   Kind = 'E' // O: that was all; its folder is unlocked
-	Taken   Kind = 'T' // N: it has taken state and folder
-	Go      Kind = 'G' // O: it takes nothing more. From here on N serves
-	Conn    Kind = 'C' // O: a connection, with what was read of it
-	Answer  Kind = 'A' // O: how a call in hand ended
-	Done    Kind = 'D' // O: nothing is in hand any more
-	Abort   Kind = 'X' // either: it is off, and O goes on
+	Hello           Kind = 'H' // N: who it is
+	Sockets         Kind = 'L' // O: the listeners, as file descriptors
+	TakeoverRequest Kind = 'R' // N: it could serve, and wants to
+	StatePart       Kind = 'S' // O: a part of its state
+	StateComplete   Kind = 'E' // O: that was all; its folder is unlocked
+	StateTaken      Kind = 'T' // N: it has taken state and folder
+	Go              Kind = 'G' // O: it takes nothing more. From here on N serves
+	Conn            Kind = 'C' // O: a connection, with what was read of it
+	Answer          Kind = 'A' // O: how a call in hand ended
+	Done            Kind = 'D' // O: nothing is in hand any more
+	Abort           Kind = 'X' // either: it is off, and O goes on
 )
 
-// Move is what a side does next.
-type Move int
+// Step is what a side does next.
+type Step int
 
 // What a side may have to do.
 const (
-	Wait       Move = iota // for the other's next packet
+	Wait       Step = iota // for the other's next packet
 	Offer                  // O: send the listeners
 	Halt                   // O: take nothing for the moment, send all state, unlock
 	Yield                  // O: send Go, give connections, finish what is in hand
@@ -34,29 +34,29 @@
 	Take                   // N: take state and folder, then Taken
 	Serve                  // N: serve
 	ServeAlone             // N: serve; the old process is gone, with all that was in its hand
-	GiveUp                 // N: end
+	Abandon                // N: end
 	Note                   // take in what the packet says
 )
 
-func (m Move) String() string {
+func (m Step) String() string {
 	return [...]string{"wait", "offer", "halt", "yield", "go on", "prepare", "take", "serve", "serve alone", "give up", "note"}[m]
 }
 
-// Old is the old process's side of a handover: a state machine with no I/O.
-type Old struct{ stage Kind }
+// OldProcess is the old process's side of a handover: a state machine with no I/O.
+type OldProcess struct{ stage Kind }
 
 // Packet says what a packet of the new process leads to.
-func (o *Old) Packet(k Kind) (Move, error) {
+func (o *OldProcess) Packet(k Kind) (Step, error) {
 	switch {
 	case k == Abort:
 		return o.off(), nil
 	case o.stage == 0 && k == Hello:
 		o.stage = Sockets
 		return Offer, nil
-	case o.stage == Sockets && k == Wish:
-		o.stage = Whole
+	case o.stage == Sockets && k == TakeoverRequest:
+		o.stage = StateComplete
 		return Halt, nil
-	case o.stage == Whole && k == Taken:
+	case o.stage == StateComplete && k == StateTaken:
 		o.stage = Go
 		return Yield, nil
 	}
@@ -65,9 +65,9 @@
 
 // Lost says that the other end is gone or too slow. Before Go nothing has come of it; afterwards the new process has the
 // sockets, and this one finishes what is in hand.
-func (o *Old) Lost() Move { return o.off() }
+func (o *OldProcess) Lost() Step { return o.off() }
 
-func (o *Old) off() Move {
+func (o *OldProcess) off() Step {
 	if o.stage == Go {
 		return Wait
 	}
@@ -75,24 +75,24 @@
 	return GoOn
 }
 
-// New is the new process's side.
-type New struct{ stage Kind }
+// NewProcess is the new process's side.
+type NewProcess struct{ stage Kind }
 
 // Packet says what a packet of the old process leads to.
-func (n *New) Packet(k Kind) (Move, error) {
+func (n *NewProcess) Packet(k Kind) (Step, error) {
 	switch {
 	case k == Abort:
 		return n.off(), nil
 	case n.stage == 0 && k == Sockets:
 		n.stage = Sockets
 		return Prepare, nil
-	case (n.stage == Sockets || n.stage == Part) && k == Part:
-		n.stage = Part
+	case (n.stage == Sockets || n.stage == StatePart) && k == StatePart:
+		n.stage = StatePart
 		return Note, nil
-	case n.stage == Part && k == Whole:
-		n.stage = Whole
+	case n.stage == StatePart && k == StateComplete:
+		n.stage = StateComplete
 		return Take, nil
-	case n.stage == Whole && k == Go:
+	case n.stage == StateComplete && k == Go:
 		n.stage = Go
 		return Serve, nil
 	case n.stage == Go && (k == Conn || k == Answer):
@@ -106,9 +106,9 @@
 
 // Lost says that the old process is gone. If all its state has come, the new one serves: nobody else would. If some of it is
 // missing, it does not know which messages were taken, and ends; a supervisor starts it as after any crash.
-func (n *New) Lost() Move {
+func (n *NewProcess) Lost() Step {
 	switch n.stage {
-	case Whole:
+	case StateComplete:
 		n.stage = Go
 		return ServeAlone
 	case Go:
@@ -119,18 +119,18 @@
 	return n.off()
 }
 
-// Late says that the old process is silent, but there: before Go it may still go on, and this one must not serve.
-func (n *New) Late() Move {
+// TimedOut says that the old process is silent, but there: before Go it may still go on, and this one must not serve.
+func (n *NewProcess) TimedOut() Step {
 	if n.stage == Go || n.stage == Done {
 		return Wait
 	}
 	return n.off()
 }
 
-func (n *New) off() Move {
+func (n *NewProcess) off() Step {
 	if n.stage == Go || n.stage == Done {
 		return Wait
 	}
 	n.stage = Abort
-	return GiveUp
+	return Abandon
 }
--- a/internal/gateway/closing.go
+++ b/internal/gateway/closing.go
@@ -53,9 +53,9 @@
 	return g.cfg.Settings.Tenants[i].Name
 }
 
-// Warm advises the module to keep copies of a function until a time; 0: no longer. A name that nothing else has made known is
+// KeepWarm advises the module to keep copies of a function until a time; 0: no longer. A name that nothing else has made known is
 // known for as long as it is advised.
-func (g *Gateway) Warm(function string, copies int, until time.Duration) {
+func (g *Gateway) KeepWarm(function string, copies int, until time.Duration) {
 	id := FunctionID(function)
 	g.mu.Lock()
 	old, known := g.names.functions[id]
@@ -73,8 +73,8 @@
 	g.put(scheduler.DesiredCopies{Function: id, Copies: copies, Until: until})
 }
 
-// Regard advises the module to prefer a worker (rank above 0), to avoid it (below), or neither, until a time.
-func (g *Gateway) Regard(worker string, rank int, until time.Duration) {
+// RankWorker advises the module to prefer a worker (rank above 0), to avoid it (below), or neither, until a time.
+func (g *Gateway) RankWorker(worker string, rank int, until time.Duration) {
 	g.put(scheduler.WorkerRank{Worker: WorkerID(worker), Rank: rank, Until: until})
 }
 
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -397,15 +397,15 @@
 		if s, ok := f.Spec(name); !ok || s.MemoryMB != 7 {
 			t.Fatal(name, s, ok)
 		}
-		g.Warm(name, 1, time.Hour)
+		g.KeepWarm(name, 1, time.Hour)
 		if i != 3 {
-			g.Warm(name, 0, 0)
+			g.KeepWarm(name, 0, 0)
 		}
 	}
 	if _, ok := f.Spec("x"); ok || f.Find("q-a") == nil || f.Find("q-3") == nil || f.Find("q-c") != nil {
 		t.Error("the places of the star are not those of two calls")
 	}
-	g.Warm("q-3", 0, 0) // it is called by now, and stays known
+	g.KeepWarm("q-3", 0, 0) // it is called by now, and stays known
 	if n := len(g.names.functions); n != 2 || len(g.names.advised) != 0 {
 		t.Errorf("%d names, %d by advice", n, len(g.names.advised))
 	}
--- a/internal/gateway/path_test.go
+++ b/internal/gateway/path_test.go
@@ -66,7 +66,7 @@
 			}
 			return nil
 		}, Deadline: func(int) time.Duration { return 2 * time.Second }, Effect: func(int) scheduler.Idempotency { return scheduler.Idempotent },
-		Replay: replayguard.Settings{Past: time.Minute, Future: 5 * time.Second, Ahead: 2 * time.Second, Entries: 1000, Bytes: 1 << 20}},
+		Replay: replayguard.Settings{MaxAge: time.Minute, MaxClockSkew: 5 * time.Second, WatermarkStep: 2 * time.Second, MaxEntries: 1000, MaxAnswerBytes: 1 << 20}},
 		[]webhook.Client{{Name: "shop", Keys: []*signing.Key{key}}})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/harness/scenario/controllers.go
+++ b/internal/harness/scenario/controllers.go
@@ -32,7 +32,7 @@
 	if over { // the one before finishes what it has; what it counted goes on
 		old := p.controllers[i]
 		ctl, err := controller.TakeOver(p.socket(i, "h"), func(after *controller.Succession) (*controller.Controller, error) {
-			o.After = after
+			o.Predecessor = after
 			return controller.Start(b, o)
 		})
 		if err != nil {
@@ -42,7 +42,7 @@
 		p.controllers[i] = ctl
 		p.retired = append(p.retired, old)
 		p.mu.Unlock()
-		<-old.Over()
+		<-old.HandedOver()
 		return nil
 	}
 	ctl, err := controller.Start(b, o)
--- a/internal/hookengine/control.go
+++ b/internal/hookengine/control.go
@@ -45,7 +45,7 @@
 // store writes states that have changed, not too often unless all is to be written.
 func (e *Engine) store(all bool) {
 	now := e.cfg.Clock.Now()
-	if !all && now < e.saved+e.cfg.Keep {
+	if !all && now < e.saved+e.cfg.SaveInterval {
 		return
 	}
 	for _, s := range e.life.Scripts {
--- a/internal/hookengine/engine.go
+++ b/internal/hookengine/engine.go
@@ -18,27 +18,27 @@
 
 // A Sink takes what hooks bring about. gateway.Gateway is one.
 type Sink interface {
-	Warm(function string, copies int, until time.Duration)
-	Regard(worker string, rank int, until time.Duration)
+	KeepWarm(function string, copies int, until time.Duration)
+	RankWorker(worker string, rank int, until time.Duration)
 }
 
 // Config sets up an Engine.
 type Config struct {
-	Life   LifeSettings
-	Advice hookadvice.Settings
-	Facts  hookadvice.Facts
-	Sink   Sink
-	Notify func(hookadvice.Notice) // must not block; nil: notices are logged only
-	Open   func() int              // calls in hand, for timers
-	Clock  clock.Clock
-	Log    zerolog.Logger
-	FS     store.FS // for scripts and their state; nil: they end with the process
-	Seed   uint64
-	Queue  int             // events that wait for the hooks; further ones are dropped and counted; 0: 4096
-	Aside  hooklang.Limits // zero: hook.Aside
-	Inline hooklang.Limits // zero: hook.Inline
-	Within time.Duration   // one run aside, as the last net: 250 ms
-	Keep   time.Duration   // state is stored at most so often: 1 s
+	Lifecycle    LifecycleSettings
+	Advice       hookadvice.Settings
+	Facts        hookadvice.Facts
+	Sink         Sink
+	Notify       func(hookadvice.Notice) // must not block; nil: notices are logged only
+	Open         func() int              // calls in hand, for timers
+	Clock        clock.Clock
+	Log          zerolog.Logger
+	FS           store.FS // for scripts and their state; nil: they end with the process
+	Seed         uint64
+	Queue        int             // events that wait for the hooks; further ones are dropped and counted; 0: 4096
+	Aside        hooklang.Limits // zero: hook.Aside
+	Inline       hooklang.Limits // zero: hook.Inline
+	RunTimeout   time.Duration   // one run aside, as the last net: 250 ms
+	SaveInterval time.Duration   // state is stored at most so often: 1 s
 }
 
 // Counts of what was run.
@@ -137,14 +137,14 @@
 	if cfg.Inline.Fuel == 0 {
 		cfg.Inline = hooklang.Inline
 	}
-	if cfg.Within == 0 {
-		cfg.Within = 250 * time.Millisecond
+	if cfg.RunTimeout == 0 {
+		cfg.RunTimeout = 250 * time.Millisecond
 	}
-	if cfg.Keep == 0 {
-		cfg.Keep = time.Second
+	if cfg.SaveInterval == 0 {
+		cfg.SaveInterval = time.Second
 	}
 	e := &Engine{cfg: cfg, queue: make(chan posted, cfg.Queue), calls: make(chan func()), wake: make(chan struct{}, 1), stop: make(chan struct{}), done: make(chan struct{}),
-		life: NewLifecycle(cfg.Life, cfg.Seed), vm: hooklang.NewVM(), ran: map[string]*running{}, shadow: map[string]*running{}, door: hookadvice.NewAdmissionGate(cfg.Advice),
+		life: NewLifecycle(cfg.Lifecycle, cfg.Seed), vm: hooklang.NewVM(), ran: map[string]*running{}, shadow: map[string]*running{}, door: hookadvice.NewAdmissionGate(cfg.Advice),
 		states: map[string]json.RawMessage{}}
 	e.pool.New = func() any { return hooklang.NewVM() }
 	var err error
@@ -319,9 +319,9 @@
 	for _, x := range e.table.Step(e.cfg.Clock.Now(), in) {
 		switch x := x.(type) {
 		case hookadvice.KeepWarm:
-			e.cfg.Sink.Warm(x.Function, x.Copies, x.Until)
+			e.cfg.Sink.KeepWarm(x.Function, x.Copies, x.Until)
 		case hookadvice.RankWorker:
-			e.cfg.Sink.Regard(x.Worker, x.Rank, x.Until)
+			e.cfg.Sink.RankWorker(x.Worker, x.Rank, x.Until)
 		case hookadvice.Tenants:
 			e.dmu.Lock()
 			e.door.Set(x)
--- a/internal/hookengine/golden_test.go
+++ b/internal/hookengine/golden_test.go
@@ -107,7 +107,7 @@
 			t.Fatal(err)
 		}
 		log.Close()
-		engine := &Engine{cfg: Config{FS: store.Dir(folder), Clock: clock.System(), Log: zerolog.Nop()}, life: NewLifecycle(LifeSettings{}, 1),
+		engine := &Engine{cfg: Config{FS: store.Dir(folder), Clock: clock.System(), Log: zerolog.Nop()}, life: NewLifecycle(LifecycleSettings{}, 1),
 			ran: map[string]*running{}, shadow: map[string]*running{}}
 		var err error
 		if engine.table, err = hookadvice.New(hookadvice.Settings{Cap: 1}, nil); err != nil {
--- a/internal/hookengine/hooks_test.go
+++ b/internal/hookengine/hooks_test.go
@@ -22,7 +22,7 @@
 // Faults in a row open the circuit, longer each time and with jitter; then the version before takes over, and at last there
 // is quarantine.
 func TestCircuit(t *testing.T) {
-	l := NewLifecycle(LifeSettings{}, 1)
+	l := NewLifecycle(LifecycleSettings{}, 1)
 	must := func(err error) {
 		t.Helper()
 		if err != nil {
@@ -55,7 +55,7 @@
 	if err := l.Rollback("a"); err == nil {
 		t.Error("back to a version that was given up")
 	}
-	if _, err := l.Load("a", "two", "x", false); !errors.Is(err, ErrGivenUp) || s.Live.Text != "one" {
+	if _, err := l.Load("a", "two", "x", false); !errors.Is(err, ErrQuarantined) || s.Live.Text != "one" {
 		t.Errorf("the text that was given up is taken again: %v", err)
 	}
 	for n := 0; s.Live.Bad == "" && n < 1000; n++ {
@@ -88,7 +88,7 @@
 }
 
 func TestPromotion(t *testing.T) {
-	l := NewLifecycle(LifeSettings{Trial: 3}, 1)
+	l := NewLifecycle(LifecycleSettings{Trial: 3}, 1)
 	l.Load("a", "one", "x", false)
 	v, _ := l.Load("a", "two", "x", true)
 	if again, _ := l.Load("a", "two", "x", true); again != v {
@@ -127,12 +127,12 @@
 	notes []hookadvice.Notice
 }
 
-func (h *host) Warm(f string, n int, until time.Duration) {
+func (h *host) KeepWarm(f string, n int, until time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.said = append(h.said, fmt.Sprintf("warm %s %d", f, n))
 }
-func (h *host) Regard(w string, rank int, until time.Duration) {
+func (h *host) RankWorker(w string, rank int, until time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.said = append(h.said, fmt.Sprintf("regard %s %d", w, rank))
@@ -148,11 +148,11 @@
 
 func engine(t *testing.T, h *host, clk clock.Clock, dir string, rate ...int64) *Engine {
 	t.Helper()
-	life := LifeSettings{Rate: 1 << 40}
+	life := LifecycleSettings{Rate: 1 << 40}
 	if rate != nil {
 		life.Rate = rate[0]
 	}
-	cfg := Config{Life: life, Advice: hookadvice.Settings{Cap: 100}, Facts: h, Sink: h, Clock: clk, Log: zerolog.Nop(), Keep: time.Nanosecond,
+	cfg := Config{Lifecycle: life, Advice: hookadvice.Settings{Cap: 100}, Facts: h, Sink: h, Clock: clk, Log: zerolog.Nop(), SaveInterval: time.Nanosecond,
 		Notify: func(n hookadvice.Notice) { h.mu.Lock(); h.notes = append(h.notes, n); h.mu.Unlock() }}
 	if dir != "" {
 		cfg.FS = store.Dir(dir)
--- a/internal/hookengine/lifecycle.go
+++ b/internal/hookengine/lifecycle.go
@@ -14,19 +14,19 @@
 	"time"
 )
 
-// LifeSettings bound what scripts may go through. A zero field has the default named beside it.
-type LifeSettings struct {
-	Scripts  int           // at once: 32
-	Strikes  int           // faults in a row that open a script's circuit: 3
-	Back     time.Duration // it is open at first, doubled for each further time: 1 s
-	Longest  time.Duration // it is open at most: 5 min
-	Openings int           // of the circuit in a row after which the version is given up: 4
-	Trial    int           // runs of a shadow before it may be promoted without force: 20
-	Rate     int64         // instructions a second that a version may take aside: 1,000,000; some 1% of a core
+// LifecycleSettings bound what scripts may go through. A zero field has the default named beside it.
+type LifecycleSettings struct {
+	Scripts           int           // at once: 32
+	ConsecutiveFaults int           // faults in a row that open a script's circuit: 3
+	Back              time.Duration // it is open at first, doubled for each further time: 1 s
+	Longest           time.Duration // it is open at most: 5 min
+	Openings          int           // of the circuit in a row after which the version is given up: 4
+	Trial             int           // runs of a shadow before it may be promoted without force: 20
+	Rate              int64         // instructions a second that a version may take aside: 1,000,000; some 1% of a core
 }
 
-func (s LifeSettings) filled() LifeSettings {
-	s.Scripts, s.Strikes, s.Openings = cmp.Or(s.Scripts, 32), cmp.Or(s.Strikes, 3), cmp.Or(s.Openings, 4)
+func (s LifecycleSettings) filled() LifecycleSettings {
+	s.Scripts, s.ConsecutiveFaults, s.Openings = cmp.Or(s.Scripts, 32), cmp.Or(s.ConsecutiveFaults, 3), cmp.Or(s.Openings, 4)
 	s.Rate = cmp.Or(s.Rate, 1_000_000)
 	s.Back, s.Longest, s.Trial = cmp.Or(s.Back, time.Second), cmp.Or(s.Longest, 5*time.Minute), cmp.Or(s.Trial, 20)
 	return s
@@ -96,7 +96,7 @@
 
 // A Lifecycle decides which versions of scripts run. It is not safe for concurrent use.
 type Lifecycle struct {
-	s       LifeSettings
+	s       LifecycleSettings
 	rng     *rand.Rand
 	Scripts []*Script // by name
 	Last    uint64    // number of the last version
@@ -105,16 +105,16 @@
 }
 
 // NewLifecycle returns one with no scripts.
-func NewLifecycle(s LifeSettings, seed uint64) *Lifecycle {
+func NewLifecycle(s LifecycleSettings, seed uint64) *Lifecycle {
 	return &Lifecycle{s: s.filled(), rng: rand.New(rand.NewPCG(seed, 15))}
 }
 
 // Errors that operators meet.
 var (
-	ErrUnknown = errors.New("hooks: no such script")
-	ErrTrial   = errors.New("hooks: the shadow has not been tried enough")
-	ErrNothing = errors.New("hooks: nothing to go to")
-	ErrGivenUp = errors.New("hooks: this very text was given up, change it")
+	ErrUnknown       = errors.New("hooks: no such script")
+	ErrTrialTooShort = errors.New("hooks: the shadow has not been tried enough")
+	ErrNothing       = errors.New("hooks: nothing to go to")
+	ErrQuarantined   = errors.New("hooks: this very text was given up, change it")
 )
 
 var scriptName = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,63}$`)
@@ -173,7 +173,7 @@
 	case shadow && same(s.Shadow):
 		return s.Shadow.Number, nil
 	case same(s.Before) && s.Before.Bad != "": // a file that is read again must not bring it back
-		return 0, fmt.Errorf("%w: %s", ErrGivenUp, s.Before.Bad)
+		return 0, fmt.Errorf("%w: %s", ErrQuarantined, s.Before.Bad)
 	}
 	l.Last++
 	v := &Version{Number: l.Last, Digest: digest, Text: text, From: from}
@@ -205,7 +205,7 @@
 		return fmt.Errorf("%w: %s has no shadow", ErrNothing, name)
 	}
 	if !force && (s.Trial.Runs < int64(l.s.Trial) || s.Trial.Faults > 0) {
-		return fmt.Errorf("%w: %d runs of %d, %d faults, %d differ from the live version", ErrTrial, s.Trial.Runs, l.s.Trial, s.Trial.Faults, s.Trial.Differ)
+		return fmt.Errorf("%w: %d runs of %d, %d faults, %d differ from the live version", ErrTrialTooShort, s.Trial.Runs, l.s.Trial, s.Trial.Faults, s.Trial.Differ)
 	}
 	l.replace(s, s.Shadow)
 	s.Shadow = nil
@@ -270,7 +270,7 @@
 		if s.open && s.probing {
 			s.open, s.probing = false, false
 			l.change(s, false, "version %d runs again", version)
-		} else if !s.open && s.opens > 0 && s.Tally.Runs%int64(10*l.s.Strikes) == 0 {
+		} else if !s.open && s.opens > 0 && s.Tally.Runs%int64(10*l.s.ConsecutiveFaults) == 0 {
 			s.opens-- // long good runs make up for it
 		}
 		return
@@ -280,7 +280,7 @@
 	if s.open && !s.probing { // a run that had begun before
 		return
 	}
-	if s.strikes++; s.strikes < l.s.Strikes && !s.probing {
+	if s.strikes++; s.strikes < l.s.ConsecutiveFaults && !s.probing {
 		return
 	}
 	s.strikes, s.probing = 0, false
--- a/internal/hookengine/run.go
+++ b/internal/hookengine/run.go
@@ -57,7 +57,7 @@
 			least(r.next)
 		}
 		if r.changed {
-			least(e.saved + e.cfg.Keep)
+			least(e.saved + e.cfg.SaveInterval)
 		}
 	}
 	return at
@@ -148,7 +148,7 @@
 	if point == "arrive" {
 		lim = e.cfg.Inline
 	}
-	lim.Stop = func() bool { return time.Since(begin) > e.cfg.Within }
+	lim.Stop = func() bool { return time.Since(begin) > e.cfg.RunTimeout }
 	res, err := e.vm.Run(r.p, point, ev, r.state, hooklang.Env{Now: int64(e.cfg.Clock.Now()), Wall: e.cfg.Clock.Wall().Unix()}, lim)
 	e.Counts.Aside.Add(1)
 	e.Counts.AsideNanos.Add(int64(time.Since(begin)))
--- a/internal/ingress/bind.go
+++ b/internal/ingress/bind.go
@@ -26,18 +26,18 @@
 	Models      Models
 	Idempotency func(class int) scheduler.Idempotency
 	Clock       clock.Clock
-	Anew        *atomic.Int64 // counts calls that began anew
+	Restarts    *atomic.Int64 // counts calls that began anew
 }
 
-// A Bound call is what a Binder runs.
-type Bound struct {
+// A BoundCall call is what a Binder runs.
+type BoundCall struct {
 	Call  gateway.Call
 	Model *gateway.Function
 	Alias string
 	Final time.Duration // when its client's time is up
 	// Submit hands it to the gateway; Left tells whether nobody waits for it any more.
-	Submit func(*gateway.Call)
-	Left   func() bool
+	Submit       func(*gateway.Call)
+	ClientClosed func() bool
 	// Deliver is called once with the final answer. Where release is not nil, the answer is of version b, and release is to be
 	// called when it has been written, or never will be: a move of the alias waits for that.
 	Deliver func(a gateway.Answer, b *gateway.VersionBinding, release func())
@@ -45,9 +45,9 @@
 
 // Run resolves a call's alias and submits it; the alias may leave its version before the answer, and the call begin anew then,
 // or end: registry.After says which. It does not block, so it may be called where an answer is delivered.
-func (n *Binder) Run(c *Bound) { n.run(c, 0) }
+func (n *Binder) Run(c *BoundCall) { n.run(c, 0) }
 
-func (n *Binder) run(c *Bound, times int) {
+func (n *Binder) run(c *BoundCall, times int) {
 	fn, b, verdict := n.Models.Bind(c.Model, c.Alias)
 	switch verdict {
 	case registry.May:
@@ -82,8 +82,8 @@
 		switch {
 		case next == registry.Fail:
 			c.Deliver(gateway.Answer{Kind: gateway.Failed, Verdict: a.Verdict}, nil, nil)
-		case next == registry.Anew && !c.Left() && c.Final > n.Clock.Now():
-			n.Anew.Add(1)
+		case next == registry.Anew && !c.ClientClosed() && c.Final > n.Clock.Now():
+			n.Restarts.Add(1)
 			n.run(c, times+1)
 		default:
 			c.Deliver(gateway.Answer{Kind: gateway.Rejected, Verdict: a.Verdict}, nil, nil)
@@ -92,8 +92,8 @@
 	c.Submit(&call)
 }
 
-// Settled says how an answer that its client left stands for the next try: as refused, where trying again does no harm.
-func Settled(a gateway.Answer, e scheduler.Idempotency) gateway.Answer {
+// RetryVerdict says how an answer that its client left stands for the next try: as refused, where trying again does no harm.
+func RetryVerdict(a gateway.Answer, e scheduler.Idempotency) gateway.Answer {
 	if a.Kind == gateway.ClientClosed && (!a.MayHaveRun || e == scheduler.Idempotent) {
 		a.Kind = gateway.Rejected
 	}
--- a/internal/ingress/jsonrpc/call.go
+++ b/internal/ingress/jsonrpc/call.go
@@ -144,8 +144,8 @@
 		submit(&call)
 		return
 	}
-	s.binder.Run(&ingress.Bound{Call: call, Model: fn, Alias: alias, Final: s.cfg.Clock.Now() + call.TimeLeft, Submit: submit,
-		Left: func() bool {
+	s.binder.Run(&ingress.BoundCall{Call: call, Model: fn, Alias: alias, Final: s.cfg.Clock.Now() + call.TimeLeft, Submit: submit,
+		ClientClosed: func() bool {
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			return h.left
@@ -190,7 +190,7 @@
 	s.mu.Unlock()
 	s.run(c, own, call, fn, alias, func(a gateway.Answer, b *gateway.VersionBinding, release func()) {
 		s.mu.Lock()
-		l := s.keys.end(e, ingress.Settled(a, scheduler.IdempotentWithKey), b)
+		l := s.keys.end(e, ingress.RetryVerdict(a, scheduler.IdempotentWithKey), b)
 		s.mu.Unlock()
 		var written func()
 		if release != nil { // when all who wait have been written it
--- a/internal/ingress/jsonrpc/server.go
+++ b/internal/ingress/jsonrpc/server.go
@@ -103,7 +103,7 @@
 		cfg.Half = 10 * time.Second
 	}
 	s := &Server{cfg: cfg, conns: map[*conn]bool{}, keys: keys{most: cfg.Keys, bytes: cfg.KeyBytes, by: map[string]*keyed{}}}
-	s.binder = ingress.Binder{Models: cfg.Models, Idempotency: cfg.Effect, Clock: cfg.Clock, Anew: &s.Counts.Anew}
+	s.binder = ingress.Binder{Models: cfg.Models, Idempotency: cfg.Effect, Clock: cfg.Clock, Restarts: &s.Counts.Anew}
 	return s
 }
 
--- a/internal/ingress/webhook/front.go
+++ b/internal/ingress/webhook/front.go
@@ -121,7 +121,7 @@
 	if s := cfg.State; s != nil {
 		f.guard.Import(s.Known, s.Barrier, s.Durable, s.Highest)
 	}
-	f.binder = ingress.Binder{Models: cfg.Models, Idempotency: cfg.Effect, Clock: cfg.Clock, Anew: &f.Counts.Anew}
+	f.binder = ingress.Binder{Models: cfg.Models, Idempotency: cfg.Effect, Clock: cfg.Clock, Restarts: &f.Counts.Anew}
 	f.clients.Store(&clients)
 	if err := f.extend(); err != nil {
 		return nil, err
@@ -138,7 +138,7 @@
 // extend writes the mark ahead where it is short.
 func (f *Front) extend() error {
 	f.mu.Lock()
-	mark, short := f.guard.Wanted(f.cfg.Clock.Wall())
+	mark, short := f.guard.WatermarkDue(f.cfg.Clock.Wall())
 	if f.passed || f.paused != nil { // the file is another's
 		short = false
 	}
@@ -150,14 +150,14 @@
 		return err
 	}
 	f.mu.Lock()
-	f.guard.Saved(mark)
+	f.guard.WatermarkSaved(mark)
 	f.mu.Unlock()
 	return nil
 }
 
 func (f *Front) keepMark() {
 	defer f.stopped.Done()
-	t := time.NewTicker(max(10*time.Millisecond, f.cfg.Replay.Ahead/8))
+	t := time.NewTicker(max(10*time.Millisecond, f.cfg.Replay.WatermarkStep/8))
 	defer t.Stop()
 	for {
 		select {
@@ -180,7 +180,7 @@
 	close(f.stop)
 	f.stopped.Wait()
 	f.mu.Lock()
-	mark, passed := f.guard.Last(), f.passed
+	mark, passed := f.guard.FinalWatermark(), f.passed
 	f.mu.Unlock()
 	if passed {
 		return nil
@@ -271,7 +271,7 @@
 			l.waiting++
 			l.conns = append(l.conns, c)
 		} else {
-			verdict, after = replayguard.Crowded, time.Second // or in hand of the process before
+			verdict, after = replayguard.AtCapacity, time.Second // or in hand of the process before
 		}
 	}
 	f.mu.Unlock()
@@ -282,11 +282,11 @@
 	case replayguard.Join:
 		f.Counts.Joined.Add(1)
 		return f.wait(c, v, key, l, fn.Class)
-	case replayguard.Kept:
+	case replayguard.Cached:
 		f.Counts.Kept.Add(1)
 		b, _ := kept.Tag.(*gateway.VersionBinding)
 		return f.gated(v, key, b, fn.Class, &http1.Response{Status: kept.Status, Header: http1.Header{{Name: "Content-Type", Value: kept.Type}}, Body: kept.Body}, nil)
-	case replayguard.Lost:
+	case replayguard.AnswerEvicted:
 		return problem(502, "failed", "the call has ended; its answer was too large to keep", nil)
 	case replayguard.Replay:
 		f.Counts.Replayed.Add(1)
@@ -327,9 +327,9 @@
 		call.Key = client.Name + ":" + v.id
 	}
 	if fn.Versions {
-		f.binder.Run(&ingress.Bound{Call: call, Model: fn, Alias: alias, Final: f.cfg.Clock.Now() + call.TimeLeft,
+		f.binder.Run(&ingress.BoundCall{Call: call, Model: fn, Alias: alias, Final: f.cfg.Clock.Now() + call.TimeLeft,
 			Submit: func(c *gateway.Call) { f.submit(c, key, l) },
-			Left: func() bool {
+			ClientClosed: func() bool {
 				f.mu.Lock()
 				defer f.mu.Unlock()
 				return l.waiting == 0
@@ -338,10 +338,10 @@
 				if release != nil { // until it is written: a move waits for that
 					f.hold(l, release)
 				}
-				f.deliver(key, l, ingress.Settled(a, f.cfg.Effect(fn.Class)), b)
+				f.deliver(key, l, ingress.RetryVerdict(a, f.cfg.Effect(fn.Class)), b)
 			}})
 	} else {
-		call.Deliver = func(a gateway.Answer) { f.deliver(key, l, ingress.Settled(a, f.cfg.Effect(fn.Class)), nil) }
+		call.Deliver = func(a gateway.Answer) { f.deliver(key, l, ingress.RetryVerdict(a, f.cfg.Effect(fn.Class)), nil) }
 		f.submit(&call, key, l)
 	}
 	return f.wait(c, v, key, l, fn.Class)
@@ -401,7 +401,7 @@
 		delete(f.live, key)
 	}
 	resp := answered(a)
-	end := replayguard.Answer{Refused: a.Kind == gateway.Rejected, Status: resp.Status, Type: resp.Header.Get("Content-Type"), Body: resp.Body, Tag: tag}
+	end := replayguard.Answer{Rejected: a.Kind == gateway.Rejected, Status: resp.Status, Type: resp.Header.Get("Content-Type"), Body: resp.Body, Tag: tag}
 	f.guard.Ended(key, end)
 	if f.ended != nil {
 		f.ended(key, end)
@@ -458,7 +458,7 @@
 			return f.signed(v, answered(gateway.Answer{Kind: gateway.Failed, Verdict: verdict})), 0, nil
 		}
 		f.mu.Lock()
-		f.guard.Withdrawn(key) // a further try runs anew
+		f.guard.Withdraw(key) // a further try runs anew
 		f.mu.Unlock()
 		return f.signed(v, answered(gateway.Answer{Kind: gateway.Rejected, Verdict: verdict})), 0, nil
 	}
--- a/internal/ingress/webhook/golden_test.go
+++ b/internal/ingress/webhook/golden_test.go
@@ -33,7 +33,7 @@
 // What a front knows of messages goes to the process that takes over.
 func TestHandedOverStateIsAsBefore(t *testing.T) {
 	for name, state := range map[string]State{
-		"state.json": {Known: []replayguard.Remembered{{Key: replayguard.Key{Client: 1, ID: "msg_a"}, Last: 5, Digest: []byte{1, 2}, Running: true}},
+		"state.json": {Known: []replayguard.EntryState{{Key: replayguard.Key{Client: 1, ID: "msg_a"}, Last: 5, Digest: []byte{1, 2}, Running: true}},
 			Barrier: 6, Durable: 7, Highest: 8},
 		"state_empty.json": {},
 	} {
--- a/internal/ingress/webhook/handover.go
+++ b/internal/ingress/webhook/handover.go
@@ -6,7 +6,7 @@
 
 // State is what a process that takes over must know of messages.
 type State struct {
-	Known   []replayguard.Remembered `json:"Known"`
+	Known   []replayguard.EntryState `json:"Known"`
 	Barrier int64                    `json:"Barrier"`
 	Durable int64                    `json:"Durable"`
 	Highest int64                    `json:"Highest"`
@@ -52,7 +52,7 @@
 func (f *Front) Unkept(k replayguard.Key) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.guard.Unkept(k)
+	f.guard.EndedUncached(k)
 }
 
 // Abandoned says that the process before has ended with these in hand: what became of them is not known.
--- a/internal/outbox/outbox.go
+++ b/internal/outbox/outbox.go
@@ -212,10 +212,10 @@
 	return o.flushing
 }
 
-// Whole tells whether the kernel has taken all bytes up to end. If not, and the connection is closed, the message that
+// Written tells whether the kernel has taken all bytes up to end. If not, and the connection is closed, the message that
 // ends there cannot have come whole to the other side. On a closed connection it waits for a write that is under way, which the
 // close ends: the other side may have what was written before the write has returned. On an open one it may lag behind.
-func (o *Outbox) Whole(end uint64) bool {
+func (o *Outbox) Written(end uint64) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for o.closed && o.writing {
--- a/internal/outbox/outbox_test.go
+++ b/internal/outbox/outbox_test.go
@@ -46,8 +46,8 @@
 		}
 		last = end
 	}
-	if !o.Busy() || o.Whole(last) {
-		t.Fatalf("2 MB went out to a reader that reads nothing: busy %v, whole %v", o.Busy(), o.Whole(last))
+	if !o.Busy() || o.Written(last) {
+		t.Fatalf("2 MB went out to a reader that reads nothing: busy %v, whole %v", o.Busy(), o.Written(last))
 	}
 	got := make([]byte, want.Len())
 	if _, err := io.ReadFull(theirs, got); err != nil {
@@ -57,7 +57,7 @@
 		t.Error("the messages came in another order, or torn")
 	}
 	o.Close() // on an open connection what is known lags behind
-	if !o.Whole(last) {
+	if !o.Written(last) {
 		t.Error("all was read, and the last message is not whole")
 	}
 }
@@ -96,7 +96,7 @@
 		}
 		<-c.came
 		o.Close()
-		if !o.Whole(end) {
+		if !o.Written(end) {
 			t.Fatal("it came whole, and is said not to have")
 		}
 	}
@@ -157,7 +157,7 @@
 		if ok {
 			t.Errorf("%s: a reader that never reads is not closed", tt.name)
 		}
-		if o.Whole(end) {
+		if o.Written(end) {
 			t.Errorf("%s: a message that was not taken counts as whole", tt.name)
 		}
 		if _, ok := o.Send(m); ok {
--- a/internal/replayguard/golden_test.go
+++ b/internal/replayguard/golden_test.go
@@ -9,7 +9,7 @@
 )
 
 // remembered is one message in each state that a guard can have it in, in the order in which Export gives them.
-var remembered = []Remembered{
+var remembered = []EntryState{
 	{Key: Key{Client: 1, ID: "msg_kept"}, Last: 1000001, Digest: make([]byte, 32), Status: 200, Type: "application/json", Body: []byte(`{"a":"<b>"}`)},
 	{Key: Key{Client: 2, ID: "msg_running"}, Last: 1000002, Digest: append([]byte{1, 2, 255}, make([]byte, 29)...), Running: true},
 	{Key: Key{Client: 3, ID: "msg_dropped"}, Last: 1000003, Digest: make([]byte, 32), Dropped: true},
@@ -27,7 +27,7 @@
 	}
 	goldenfile.Compare(t, "remembered.json", written)
 
-	var read []Remembered
+	var read []EntryState
 	if err := json.Unmarshal(goldenfile.Read(t, "remembered.json"), &read); err != nil {
 		t.Fatal(err)
 	}
@@ -44,7 +44,7 @@
 	}
 	ends := []end{
 		{Key{1, "msg_a"}, Answer{Status: 200, Type: "application/json", Body: []byte("{}")}},
-		{Key{2, "msg_b"}, Answer{Refused: true, Status: 503}},
+		{Key{2, "msg_b"}, Answer{Rejected: true, Status: 503}},
 		{},
 	}
 	written, err := json.Marshal(ends)
@@ -64,5 +64,5 @@
 
 // Each field that is stored or sent has a key of its own: what it is called in Go may change, the format may not.
 func TestKeysDoNotFollowFieldNames(t *testing.T) {
-	goldenfile.Tagged(t, Key{}, Answer{}, Remembered{})
+	goldenfile.Tagged(t, Key{}, Answer{}, EntryState{})
 }
--- a/internal/replayguard/replay.go
+++ b/internal/replayguard/replay.go
@@ -23,11 +23,11 @@
 
 // Settings bound what a Guard takes and keeps.
 type Settings struct {
-	Past    time.Duration // how old a timestamp may be
-	Future  time.Duration // how far ahead of the clock it may be
-	Ahead   time.Duration // how far the mark is written beyond what is needed now
-	Entries int           // ids remembered; beyond it messages are turned away
-	Bytes   int           // of kept answers, all together
+	MaxAge         time.Duration // how old a timestamp may be
+	MaxClockSkew   time.Duration // how far ahead of the clock it may be
+	WatermarkStep  time.Duration // how far the mark is written beyond what is needed now
+	MaxEntries     int           // ids remembered; beyond it messages are turned away
+	MaxAnswerBytes int           // of kept answers, all together
 }
 
 // A Key names a message: ids are unique within a client.
@@ -47,26 +47,26 @@
 type Verdict int
 
 const (
-	New       Verdict = iota + 1 // run it
-	Retry                        // run it again: the earlier try was refused, which promised that this is harmless
-	Join                         // an earlier try runs: wait for its answer
-	Kept                         // an earlier try has ended: give its answer
-	Lost                         // it has ended in an answer that is no longer kept
-	Replay                       // this very message, or an older one of its id, was taken before
-	Reused                       // the id was used for something else
-	Stale                        // the timestamp is too old
-	Early                        // the timestamp is too far ahead
-	Unsettled                    // it may have been taken before a restart: come again with a newer timestamp
-	Crowded                      // no room to remember it
+	New           Verdict = iota + 1 // run it
+	Retry                            // run it again: the earlier try was refused, which promised that this is harmless
+	Join                             // an earlier try runs: wait for its answer
+	Cached                           // an earlier try has ended: give its answer
+	AnswerEvicted                    // it has ended in an answer that is no longer kept
+	Replay                           // this very message, or an older one of its id, was taken before
+	Reused                           // the id was used for something else
+	Stale                            // the timestamp is too old
+	Early                            // the timestamp is too far ahead
+	Unsettled                        // it may have been taken before a restart: come again with a newer timestamp
+	AtCapacity                       // no room to remember it
 )
 
 // An Answer is what a call ended in.
 type Answer struct {
-	Refused bool   `json:"Refused"` // a client may try again
-	Status  int    `json:"Status"`
-	Type    string `json:"Type"`
-	Body    []byte `json:"Body"`
-	Tag     any    `json:"Tag"` // what the answer depends on, for who gives it; the guard does not look at it
+	Rejected bool   `json:"Refused"` // a client may try again
+	Status   int    `json:"Status"`
+	Type     string `json:"Type"`
+	Body     []byte `json:"Body"`
+	Tag      any    `json:"Tag"` // what the answer depends on, for who gives it; the guard does not look at it
 }
 
 type entry struct {
@@ -98,7 +98,7 @@
 	}
 	g.durable, g.highest = g.barrier, g.barrier
 	g.clock = now.Unix()
-	g.swept = g.clock - ceil(s.Past) - 1
+	g.swept = g.clock - ceil(s.MaxAge) - 1
 	return g
 }
 
@@ -107,19 +107,19 @@
 // Barrier returns the time up to which messages may have been taken before a restart.
 func (g *Guard) Barrier() time.Time { return time.Unix(g.barrier, 0) }
 
-// Wanted returns the mark that should be on disk by now, and whether the present one is too short. Saved must be
+// WatermarkDue returns the mark that should be on disk by now, and whether the present one is too short. Saved must be
 // told when it is there.
-func (g *Guard) Wanted(now time.Time) (mark time.Time, short bool) {
+func (g *Guard) WatermarkDue(now time.Time) (mark time.Time, short bool) {
 	g.clock = max(g.clock, now.Unix())
-	need := g.clock + ceil(g.s.Future)
-	return time.Unix(need+ceil(g.s.Ahead), 0), g.durable < need+ceil(g.s.Ahead)/2
+	need := g.clock + ceil(g.s.MaxClockSkew)
+	return time.Unix(need+ceil(g.s.WatermarkStep), 0), g.durable < need+ceil(g.s.WatermarkStep)/2
 }
 
-// Saved says that a mark is on disk and will survive.
-func (g *Guard) Saved(mark time.Time) { g.durable = max(g.durable, mark.Unix()) }
+// WatermarkSaved says that a mark is on disk and will survive.
+func (g *Guard) WatermarkSaved(mark time.Time) { g.durable = max(g.durable, mark.Unix()) }
 
-// Last returns the mark for a clean stop: nothing above it was taken, and nothing more must be.
-func (g *Guard) Last() time.Time {
+// FinalWatermark returns the mark for a clean stop: nothing above it was taken, and nothing more must be.
+func (g *Guard) FinalWatermark() time.Time {
 	g.durable = min(g.durable, g.highest)
 	return time.Unix(g.highest, 0)
 }
@@ -131,9 +131,9 @@
 	g.forget()
 	stamp := m.Stamp.Unix()
 	switch {
-	case stamp <= g.clock-ceil(g.s.Past):
+	case stamp <= g.clock-ceil(g.s.MaxAge):
 		return Stale, Answer{}, 0
-	case stamp >= g.clock+ceil(g.s.Future):
+	case stamp >= g.clock+ceil(g.s.MaxClockSkew):
 		return Early, Answer{}, 0
 	}
 	e := g.known[m.Key]
@@ -146,8 +146,8 @@
 		return Unsettled, Answer{}, time.Duration(g.barrier-stamp+1) * time.Second
 	case stamp > g.durable:
 		return Unsettled, Answer{}, time.Second // the mark is being written, or cannot be
-	case e == nil && len(g.known) >= g.s.Entries:
-		return Crowded, Answer{}, time.Second
+	case e == nil && len(g.known) >= g.s.MaxEntries:
+		return AtCapacity, Answer{}, time.Second
 	}
 	g.highest = max(g.highest, stamp)
 	if e == nil {
@@ -162,13 +162,13 @@
 	case e.running:
 		return Join, Answer{}, 0
 	case e.dropped:
-		return Lost, Answer{}, 0
-	case e.answer.Refused:
+		return AnswerEvicted, Answer{}, 0
+	case e.answer.Rejected:
 		g.bytes -= len(e.answer.Body)
 		e.running, e.answer = true, Answer{}
 		return Retry, Answer{}, 0
 	}
-	return Kept, e.answer, 0
+	return Cached, e.answer, 0
 }
 
 // Ended says what a call that was New or Retry ended in.
@@ -178,8 +178,8 @@
 		return
 	}
 	e.running = false
-	if g.bytes+len(a.Body) > g.s.Bytes {
-		if !a.Refused {
+	if g.bytes+len(a.Body) > g.s.MaxAnswerBytes {
+		if !a.Rejected {
 			e.dropped = true
 			return
 		}
@@ -189,24 +189,24 @@
 	e.answer = a
 }
 
-// Unkept says that a call has ended, not refused, with an answer that is not kept.
-func (g *Guard) Unkept(k Key) {
+// EndedUncached says that a call has ended, not refused, with an answer that is not kept.
+func (g *Guard) EndedUncached(k Key) {
 	if e := g.known[k]; e != nil && e.running {
 		e.running, e.dropped = false, true
 	}
 }
 
-// Withdrawn says that a kept answer may not be given any more, and was never given; trying again does no harm.
-func (g *Guard) Withdrawn(k Key) {
+// Withdraw says that a kept answer may not be given any more, and was never given; trying again does no harm.
+func (g *Guard) Withdraw(k Key) {
 	if e := g.known[k]; e != nil && !e.running {
 		g.bytes -= len(e.answer.Body)
-		e.answer, e.dropped = Answer{Refused: true}, false
+		e.answer, e.dropped = Answer{Rejected: true}, false
 	}
 }
 
 // forget drops what a message of its timestamp could no longer match, as it would be Stale.
 func (g *Guard) forget() {
-	for edge := g.clock - ceil(g.s.Past); g.swept < edge; {
+	for edge := g.clock - ceil(g.s.MaxAge); g.swept < edge; {
 		if len(g.byLast) == 0 {
 			g.swept = edge
 			return
@@ -231,8 +231,8 @@
 // Len returns how many ids are remembered.
 func (g *Guard) Len() int { return len(g.known) }
 
-// Remembered is one id, for a process that takes over.
-type Remembered struct {
+// EntryState is one id, for a process that takes over.
+type EntryState struct {
 	Key     Key    `json:"Key"`
 	Last    int64  `json:"Last"`
 	Digest  []byte `json:"Digest"`
@@ -245,26 +245,26 @@
 }
 
 // Export returns all that is remembered, by the time it was last taken, and the marks.
-func (g *Guard) Export() (l []Remembered, barrier, durable, highest int64) {
+func (g *Guard) Export() (l []EntryState, barrier, durable, highest int64) {
 	for k, e := range g.known {
-		r := Remembered{Key: k, Last: e.last, Digest: e.digest[:], Running: e.running, Dropped: e.dropped || e.answer.Tag != nil,
-			Refused: e.answer.Refused, Status: e.answer.Status, Type: e.answer.Type, Body: e.answer.Body}
+		r := EntryState{Key: k, Last: e.last, Digest: e.digest[:], Running: e.running, Dropped: e.dropped || e.answer.Tag != nil,
+			Refused: e.answer.Rejected, Status: e.answer.Status, Type: e.answer.Type, Body: e.answer.Body}
 		if r.Dropped { // of a version: it cannot be asked for at the other's door
 			r.Body = nil
 		}
 		l = append(l, r)
 	}
-	slices.SortFunc(l, func(a, b Remembered) int {
+	slices.SortFunc(l, func(a, b EntryState) int {
 		return cmp.Or(cmp.Compare(a.Last, b.Last), cmp.Compare(a.Key.Client, b.Key.Client), cmp.Compare(a.Key.ID, b.Key.ID))
 	})
 	return l, g.barrier, g.durable, g.highest
 }
 
 // Import takes what Export gave. A call that runs elsewhere is joined by nobody; Ended says how it ended.
-func (g *Guard) Import(l []Remembered, barrier, durable, highest int64) {
+func (g *Guard) Import(l []EntryState, barrier, durable, highest int64) {
 	g.barrier, g.durable, g.highest = barrier, max(g.durable, durable), max(g.highest, highest)
 	for _, r := range l {
-		e := &entry{last: r.Last, running: r.Running, dropped: r.Dropped, answer: Answer{Refused: r.Refused, Status: r.Status, Type: r.Type, Body: r.Body}}
+		e := &entry{last: r.Last, running: r.Running, dropped: r.Dropped, answer: Answer{Rejected: r.Refused, Status: r.Status, Type: r.Type, Body: r.Body}}
 		copy(e.digest[:], r.Digest)
 		g.known[r.Key] = e
 		g.byLast[r.Last] = append(g.byLast[r.Last], r.Key)
--- a/internal/replayguard/replay_test.go
+++ b/internal/replayguard/replay_test.go
@@ -12,7 +12,7 @@
 // Draws are the same in every run: CI must not differ from one run to the next. Seek further with -rapid.seed.
 func init() { flag.Set("rapid.seed", "1") }
 
-var settings = Settings{Past: 60 * time.Second, Future: 5 * time.Second, Ahead: 4 * time.Second, Entries: 8, Bytes: 100}
+var settings = Settings{MaxAge: 60 * time.Second, MaxClockSkew: 5 * time.Second, WatermarkStep: 4 * time.Second, MaxEntries: 8, MaxAnswerBytes: 100}
 
 func at(s int64) time.Time { return time.Unix(1000000+s, 0) }
 
@@ -22,8 +22,8 @@
 
 func fresh(now int64) *Guard {
 	g := NewGuard(settings, at(now), time.Time{})
-	mark, _ := g.Wanted(at(now))
-	g.Saved(mark)
+	mark, _ := g.WatermarkDue(at(now))
+	g.WatermarkSaved(mark)
 	return g
 }
 
@@ -31,8 +31,8 @@
 	g := fresh(100)
 	take := func(now int64, m Message, want Verdict) Answer {
 		t.Helper()
-		if mark, short := g.Wanted(at(now)); short {
-			g.Saved(mark)
+		if mark, short := g.WatermarkDue(at(now)); short {
+			g.WatermarkSaved(mark)
 		}
 		v, a, _ := g.Take(at(now), m)
 		if v != want {
@@ -49,11 +49,11 @@
 	other.Digest = [32]byte{2}
 	take(102, other, Reused)
 	g.Ended(Key{0, "a"}, Answer{Status: 200, Body: []byte("served")})
-	if a := take(103, message("a", 103), Kept); string(a.Body) != "served" {
+	if a := take(103, message("a", 103), Cached); string(a.Body) != "served" {
 		t.Errorf("kept %q", a.Body)
 	}
 	take(103, message("b", 103), New)
-	g.Ended(Key{0, "b"}, Answer{Refused: true, Status: 503})
+	g.Ended(Key{0, "b"}, Answer{Rejected: true, Status: 503})
 	take(104, message("b", 104), Retry)
 	take(104, message("b", 104), Replay)
 	take(104, message("b", 105), Join)
@@ -67,10 +67,10 @@
 	big := message("big", 106)
 	take(106, big, New)
 	g.Ended(big.Key, Answer{Status: 200, Body: make([]byte, 95)})
-	take(107, message("big", 107), Lost)
+	take(107, message("big", 107), AnswerEvicted)
 	take(107, message("e", 107), New)
 	take(107, message("f", 107), New)
-	take(107, message("g", 107), Crowded)
+	take(107, message("g", 107), AtCapacity)
 	// a clock set back reopens nothing
 	take(100, message("g", 47), Stale)
 	// in time all are forgotten that could only be stale; what runs is not
@@ -85,24 +85,24 @@
 	g := fresh(100)
 	g.Take(at(100), message("a", 104)) // as far ahead as is taken
 	mark := at(109)                    // 100 + Future + Ahead is on disk
-	if m, short := g.Wanted(at(100)); short || !m.Equal(mark) {
+	if m, short := g.WatermarkDue(at(100)); short || !m.Equal(mark) {
 		t.Errorf("mark %v short %v", m, short)
 	}
 	g = NewGuard(settings, at(101), mark)
-	w, _ := g.Wanted(at(101))
-	g.Saved(w)
+	w, _ := g.WatermarkDue(at(101))
+	g.WatermarkSaved(w)
 	if v, _, after := g.Take(at(101), message("a", 104)); v != Unsettled || after != 6*time.Second {
 		t.Errorf("after a kill: %v, %v", v, after)
 	}
 	if v, _, _ := g.Take(at(105), message("a", 109)); v != Unsettled {
 		t.Errorf("at the mark: %v", v)
 	}
-	w, _ = g.Wanted(at(106))
-	g.Saved(w)
+	w, _ = g.WatermarkDue(at(106))
+	g.WatermarkSaved(w)
 	if v, _, _ := g.Take(at(106), message("a", 110)); v != New {
 		t.Errorf("past the mark: %v", v)
 	}
-	clean := g.Last()
+	clean := g.FinalWatermark()
 	if !clean.Equal(at(110)) {
 		t.Errorf("clean stop at %v", clean)
 	}
@@ -110,8 +110,8 @@
 		t.Errorf("taken after the mark of a clean stop: %v", v)
 	}
 	g = NewGuard(settings, at(50), clean) // the machine's clock was set back by a minute
-	w, _ = g.Wanted(at(50))
-	g.Saved(w)
+	w, _ = g.WatermarkDue(at(50))
+	g.WatermarkSaved(w)
 	if v, _, _ := g.Take(at(50), message("a", 50)); v != Unsettled {
 		t.Errorf("clock set back: %v", v)
 	}
@@ -128,10 +128,10 @@
 		disk := time.Time{}
 		g := NewGuard(settings, at(now), disk)
 		save := func() {
-			if m, short := g.Wanted(at(now)); short {
+			if m, short := g.WatermarkDue(at(now)); short {
 				if rapid.IntRange(0, 5).Draw(t, "disk") > 0 { // else it fails, and the old mark stays
 					disk = m
-					g.Saved(m)
+					g.WatermarkSaved(m)
 				}
 			}
 		}
@@ -147,7 +147,7 @@
 				clear(refused)
 				save()
 			case 1: // stopped and started
-				disk = g.Last()
+				disk = g.FinalWatermark()
 				g = NewGuard(settings, at(now), disk)
 				clear(running)
 				clear(refused)
@@ -160,7 +160,7 @@
 						continue
 					}
 					r := rapid.Bool().Draw(t, "refused")
-					g.Ended(Key{0, id}, Answer{Refused: r})
+					g.Ended(Key{0, id}, Answer{Rejected: r})
 					refused[id] = r
 					delete(running, id)
 					break
