--- a/internal/goldenfile/goldenfile.go
+++ b/internal/goldenfile/goldenfile.go
@@ -75,3 +75,6 @@
 	}
 	return fields
 }
+
+// Updating tells whether golden files are being written anew, for tests whose golden files are whole folders.
+func Updating() bool { return *update }
--- /dev/null
+++ b/internal/registry/service/golden_test.go
@@ -0,0 +1,464 @@
+package service
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"maps"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"kitehub/internal/clock"
+	"kitehub/internal/goldenfile"
+	"kitehub/internal/http1"
+	"kitehub/internal/registry"
+	"kitehub/internal/registry/wire"
+	"kitehub/internal/signing"
+	"kitehub/internal/store"
+)
+
+const goldenFolder = "testdata/golden/folder"
+
+// goldenSettings are long beside any run of the tests, so that only the manual clock brings times about.
+var goldenSettings = registry.Settings{Lease: time.Hour, Drift: 0.01, Settle: time.Minute, Staging: time.Hour, Keep: time.Hour, Watch: 2 * time.Hour, Least: 10, Worse: 0.2,
+	Models: 10, Versions: 20, Aliases: 5, Asking: 5, Remembered: 1000}
+
+// A script is a registry that is led through a life by a test, each step ended before the next begins. Its one
+// controller holds a lease, so that a move waits until the script has it confirm the move's epoch.
+type script struct {
+	t      *testing.T
+	clock  *clock.Manual
+	folder string
+	*Service
+}
+
+func (s *script) open(every int, renamed chan struct{}) *store.Recovered {
+	s.t.Helper()
+	service, recovered, err := Open(Config{Settings: goldenSettings, Clock: s.clock, FS: watchedFolder{store.Dir(s.folder), renamed}, Log: zerolog.Nop(), Every: every, Hold: time.Minute})
+	if err != nil {
+		s.t.Fatal(err)
+	}
+	s.Service = service
+	return recovered
+}
+
+// watchedFolder tells when a snapshot has got its name.
+type watchedFolder struct {
+	store.FS
+	renamed chan struct{}
+}
+
+func (f watchedFolder) Rename(from, to string) error {
+	defer close(f.renamed)
+	return f.FS.Rename(from, to)
+}
+
+// commit gives a command that is carried out.
+func (s *script) commit(c registry.Command) {
+	s.t.Helper()
+	if _, err := s.Commit(c); err != nil {
+		s.t.Fatalf("%#v: %v", c, err)
+	}
+}
+
+// refused gives a command that is refused; it is in the log all the same.
+func (s *script) refused(c registry.Command) {
+	s.t.Helper()
+	var refused *Refused
+	if _, err := s.Commit(c); !errors.As(err, &refused) {
+		s.t.Fatalf("%#v: %v, want it refused", c, err)
+	}
+}
+
+// confirm lets time pass and the controller confirm an epoch, at one moment for the service, which then does by itself
+// what is due.
+func (s *script) confirm(after time.Duration, epoch uint64) {
+	s.t.Helper()
+	s.Do(func(_ time.Duration, state *registry.State, leases *registry.Leases) {
+		s.clock.Advance(after)
+		if err := leases.Renew(s.now(), "c1", epoch, state.Epoch, nil); err != nil {
+			s.t.Fatal(err)
+		}
+	})
+	s.wake()
+}
+
+// ends waits until a move has ended.
+func (s *script) ends(move uint64, want string) {
+	s.t.Helper()
+	if status, why := s.Await(move, time.Minute); status != want {
+		s.t.Fatalf("move %d is %s %s, want %s", move, status, why, want)
+	}
+}
+
+func goldenDigest(digit string) string { return "sha256:" + strings.Repeat(digit, 64) }
+
+func goldenPush(model, version, digit string) registry.Push {
+	return registry.Push{Model: model, Version: registry.Version{Name: version, Digest: goldenDigest(digit), Size: 1000, MemoryMB: 12.5, Lanes: 2, Load: 3 * time.Second}, By: "ann", Why: "to try " + version}
+}
+
+// A text that JSON would write in another way if HTML were not escaped, and one that is not ASCII.
+const awkward = "why: <a> & \"b\" \u00e9"
+
+// beforeSnapshot is the part of the script that the snapshot holds: a move that is acknowledged, one that was rolled
+// back while staging, one that waits for the controller, one that is staging, and a version that is condemned.
+func (s *script) beforeSnapshot() {
+	s.confirm(time.Second, 0)
+	s.commit(registry.Keyed{Key: "ann p1", Sum: "5a1", Do: goldenPush("m", "v1", "1")})
+	s.commit(goldenPush("m", "v2", "2"))
+	s.commit(goldenPush("m", "v3", "3"))
+	s.commit(goldenPush("n", "w1", "4"))
+	s.commit(registry.Keyed{Key: "ann k1", Sum: "5a2", Do: registry.Promote{Model: "m", Alias: "current", To: "v1", By: "ann", Why: awkward}})
+	s.confirm(time.Second, 1)
+	s.ends(1, "acknowledged")
+	s.commit(registry.Stands{Model: "m", Version: "v1", Worker: "worker-1", Copies: 2})
+	s.commit(registry.Ended{Model: "m", Version: "v1", Calls: 20, Errors: 1})
+	s.confirm(time.Second, 1)
+	s.commit(registry.Promote{Model: "m", Alias: "current", To: "v2", IfRevision: 1, Copies: 2, By: "bob", Why: "to be aborted"})
+	s.commit(registry.Rollback{Model: "m", Alias: "current", IfRevision: 1, By: "ann", Why: "not this one"})
+	s.ends(2, "given up")
+	s.commit(registry.Promote{Model: "m", Alias: "current", To: "v2", IfRevision: 1, Copies: 1, By: "bob", Why: "again"})
+	s.commit(registry.Stands{Model: "m", Version: "v2", Worker: "worker-1", Copies: 1})
+	s.commit(registry.Ended{Model: "m", Version: "v2", Calls: 5, Errors: 1})
+	s.commit(registry.Policy{Model: "n", Stale: true, By: "ann", Why: "better than none"})
+	s.commit(goldenPush("m", "bad", "5"))
+	s.commit(registry.Condemn{Model: "m", Version: "bad", By: "ann", Why: "leaks"})
+	s.refused(registry.Promote{Model: "m", Alias: "current", To: "v3", IfRevision: 7, By: "bob", Why: "a revision that is not"})
+	s.commit(registry.Promote{Model: "n", Alias: "current", To: "w1", Copies: 3, By: "ann", Why: "staging still"})
+}
+
+// recordsBeforeSnapshot counts those of beforeSnapshot, with the one that the service commits itself.
+const recordsBeforeSnapshot = 18
+
+// behindSnapshot is the part of the script that the log holds behind the snapshot: every kind of command, keys that were
+// used before, a move that is rolled back while staging, and one that the time ends.
+func (s *script) behindSnapshot() {
+	s.commit(registry.Keyed{Key: "ann k1", Sum: "5a2", Do: registry.Promote{Model: "m", Alias: "current", To: "v1", By: "ann", Why: awkward}})
+	s.refused(registry.Keyed{Key: "ann k1", Sum: "0ther", Do: registry.Policy{Model: "m", Stale: true, By: "ann"}})
+	s.commit(registry.Keyed{Key: "ann p4", Sum: "5a3", Do: goldenPush("m", "v4", "6")})
+	s.commit(registry.Push{Model: "m", Version: registry.Version{Name: "v5", Digest: goldenDigest("7")}}) // all that may be empty is
+	s.commit(registry.Stands{Model: "n", Version: "w1", Worker: "worker-2", Copies: 3})
+	s.commit(registry.Ended{Model: "n", Version: "w1", Calls: 3})
+	s.commit(registry.Policy{Model: "n", By: "bob", Why: "not any more"})
+	s.commit(registry.Promote{Model: "m", Alias: "canary", To: "v4", Copies: 1, By: "bob", Why: "to be aborted"})
+	s.commit(registry.Rollback{Model: "m", Alias: "canary", By: "bob", Why: "changed my mind"})
+	s.ends(5, "given up")
+	s.commit(registry.Promote{Model: "m", Alias: "canary", To: "v3", Copies: 2, By: "ann", Why: "no copies will stand"})
+	s.confirm(time.Hour, 2)
+	s.ends(6, "given up") // by the service's own tick
+	s.confirm(2*time.Minute, 5)
+	s.ends(4, "acknowledged") // by the service's own word of what the controller reached; the quiet time is over
+	s.commit(registry.Condemn{Model: "m", Version: "v4", By: "bob", Why: awkward})
+	s.commit(registry.Collect{Except: []registry.Bytes{{Model: "m", Version: "v3"}, {Model: "m", Version: "gone"}}, By: "ann", Why: "room"})
+	s.commit(registry.Collect{})
+	s.refused(registry.Promote{Model: "m", Alias: "current", To: "v4", IfRevision: 2, By: "bob", Why: "condemned"})
+	s.commit(registry.Keyed{Key: "bob r1", Sum: "5a4", Do: registry.Rollback{Model: "m", Alias: "current", IfRevision: 2, By: "bob", Why: "v2 is slow"}})
+}
+
+// stateOf returns the state of a service in the form in which it is stored, on lines of their own.
+func stateOf(t *testing.T, s *Service) []byte {
+	t.Helper()
+	var text []byte
+	var err error
+	s.Do(func(_ time.Duration, state *registry.State, _ *registry.Leases) { text, err = json.Marshal(state) })
+	if err != nil {
+		t.Fatal(err)
+	}
+	var lines bytes.Buffer
+	if err := json.Indent(&lines, text, "", " "); err != nil {
+		t.Fatal(err)
+	}
+	lines.WriteByte('\n')
+	return lines.Bytes()
+}
+
+// payloads returns what the files of a folder hold, as text: the snapshot on the first line, and then each record. The
+// folder is copied, as opening it may change it.
+func payloads(t *testing.T, folder string) (snapshot []byte, records [][]byte) {
+	t.Helper()
+	log, _, err := store.Open(store.Dir(copyOf(t, folder)), store.Options{}, func(_ uint64, text []byte) error {
+		snapshot = bytes.Clone(text)
+		return nil
+	}, func(_ uint64, text []byte) error {
+		records = append(records, bytes.Clone(text))
+		return nil
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := log.Close(); err != nil {
+		t.Fatal(err)
+	}
+	return snapshot, records
+}
+
+func copyOf(t *testing.T, folder string) string {
+	t.Helper()
+	copied := t.TempDir()
+	if err := os.CopyFS(copied, os.DirFS(folder)); err != nil {
+		t.Fatal(err)
+	}
+	return copied
+}
+
+func filesOf(t *testing.T, folder string) map[string][]byte {
+	t.Helper()
+	entries, err := os.ReadDir(folder)
+	if err != nil {
+		t.Fatal(err)
+	}
+	files := map[string][]byte{}
+	for _, entry := range entries {
+		if files[entry.Name()], err = os.ReadFile(filepath.Join(folder, entry.Name())); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return files
+}
+
+// The same commands at the same times write the same folder, byte for byte, and lead to the same state.
+func TestGoldenBytes(t *testing.T) {
+	s := &script{t: t, clock: clock.NewManual(time.Unix(1_800_000_000, 0)), folder: t.TempDir()}
+	renamed := make(chan struct{})
+	s.open(recordsBeforeSnapshot, renamed)
+	s.beforeSnapshot()
+	select {
+	case <-renamed: // and Close waits for what is left of it
+	case <-time.After(time.Minute):
+		t.Fatalf("no snapshot after %d records", s.log.Seq())
+	}
+	if err := s.Close(); err != nil {
+		t.Fatal(err)
+	}
+	if recovered := s.open(1000, nil); *recovered != (store.Recovered{Snapshot: recordsBeforeSnapshot, Last: recordsBeforeSnapshot}) {
+		t.Fatalf("before the snapshot: %+v", *recovered)
+	}
+	s.behindSnapshot()
+	state := stateOf(t, s.Service)
+	if err := s.Close(); err != nil {
+		t.Fatal(err)
+	}
+	if goldenfile.Updating() {
+		if err := errors.Join(os.RemoveAll(goldenFolder), os.CopyFS(goldenFolder, os.DirFS(s.folder))); err != nil {
+			t.Fatal(err)
+		}
+	}
+	snapshot, records := payloads(t, s.folder)
+	goldenfile.Compare(t, "snapshot.json", append(snapshot, '\n'))
+	goldenfile.Compare(t, "records.jsonl", append(bytes.Join(records, []byte("\n")), '\n'))
+	goldenfile.Compare(t, "state.json", state)
+	got, want := filesOf(t, s.folder), filesOf(t, goldenFolder)
+	for name := range want {
+		if !bytes.Equal(got[name], want[name]) {
+			t.Errorf("%s: other bytes than in %s", name, goldenFolder)
+		}
+	}
+	if names := slices.Sorted(maps.Keys(got)); len(names) != len(want) {
+		t.Errorf("files %v, want as many as in %s", names, goldenFolder)
+	}
+}
+
+// A folder that was written before leads to the state that it led to, and opening it changes nothing in it.
+func TestGoldenOpens(t *testing.T) {
+	s := &script{t: t, clock: clock.NewManual(time.Unix(1_900_000_000, 0)), folder: copyOf(t, goldenFolder)}
+	recovered := s.open(1000, nil)
+	goldenfile.Compare(t, "state.json", stateOf(t, s.Service))
+	if err := s.Close(); err != nil {
+		t.Fatal(err)
+	}
+	_, records := payloads(t, goldenFolder)
+	if recovered.Snapshot != recordsBeforeSnapshot || recovered.Records != len(records) || recovered.Cut != 0 {
+		t.Errorf("recovered: %+v, want %d records behind %d", *recovered, len(records), recordsBeforeSnapshot)
+	}
+	for name, old := range filesOf(t, goldenFolder) {
+		if !bytes.Equal(filesOf(t, s.folder)[name], old) {
+			t.Errorf("%s was changed by opening it", name)
+		}
+	}
+}
+
+// The snapshot alone leads to its own bytes again: nothing of it is passed over, as json.Unmarshal does with keys that it
+// does not know.
+func TestGoldenSnapshotComesBack(t *testing.T) {
+	snapshot, _ := payloads(t, goldenFolder)
+	var state registry.State
+	if err := json.Unmarshal(snapshot, &state); err != nil {
+		t.Fatal(err)
+	}
+	again, err := json.Marshal(&state)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(again, snapshot) {
+		t.Errorf("got\n%s\nwant\n%s", again, snapshot)
+	}
+}
+
+// Every kind of command is in the golden log, each record comes back as its own bytes, and so do its fields one by one:
+// a record that is read leads to the same command.
+func TestGoldenRecords(t *testing.T) {
+	_, records := payloads(t, goldenFolder)
+	kinds := map[string]int{}
+	for _, text := range records {
+		var r record
+		if err := strict(text, &r); err != nil {
+			t.Fatalf("%s: %v", text, err)
+		}
+		c, err := r.command()
+		if err != nil {
+			t.Fatalf("%s: %v", text, err)
+		}
+		again := record{At: r.At}
+		again.set(c)
+		if got, err := json.Marshal(again); err != nil || !bytes.Equal(got, text) {
+			t.Errorf("got  %s\nwant %s (%v)", got, text, err)
+		}
+		var keys map[string]json.RawMessage
+		if err := json.Unmarshal(text, &keys); err != nil {
+			t.Fatal(err)
+		}
+		for key := range keys {
+			kinds[key]++
+		}
+	}
+	for field := range reflect.TypeFor[record]().Fields() {
+		key, _, _ := strings.Cut(field.Tag.Get("json"), ",")
+		if kinds[key] == 0 {
+			t.Errorf("no record of the golden log has %q", key)
+		}
+	}
+}
+
+// A key that is not known stops the start, in a record and in the command that it holds.
+func TestUnknownKeyStopsTheStart(t *testing.T) {
+	for _, text := range []string{
+		`{"at":1,"tick":{},"more":1}`,
+		`{"at":1,"tick":{"More":1}}`,
+		`{"at":1,"promote":{"Model":"m","Alias":"current","To":"v1","IfRevison":1}}`,
+		`{"at":1,"push":{"Model":"m","Name":"v1","Colour":"red"}}`,
+		`{"at":1,"collect":{"Except":[{"Model":"m","Versions":"v1"}]}}`,
+	} {
+		folder := copyOf(t, goldenFolder)
+		log, _, err := store.Open(store.Dir(folder), store.Options{}, func(uint64, []byte) error { return nil }, func(uint64, []byte) error { return nil })
+		if err != nil {
+			t.Fatal(err)
+		}
+		if _, err := log.Append(t.Context(), []byte(text)); err != nil {
+			t.Fatal(err)
+		}
+		if err := log.Close(); err != nil {
+			t.Fatal(err)
+		}
+		s, _, err := Open(Config{Settings: goldenSettings, Clock: clock.NewManual(time.Unix(1_900_000_000, 0)), FS: store.Dir(folder), Log: zerolog.Nop(), Every: 1000, Hold: time.Minute})
+		if err == nil {
+			s.Close()
+		}
+		if err == nil || !strings.Contains(err.Error(), "unknown field") {
+			t.Errorf("%s: %v, want an error of an unknown field", text, err)
+		}
+	}
+}
+
+// goldenQuestion is a question to the front as it is sent, and how it is named in the golden file of the answers.
+type goldenQuestion struct {
+	name, caller, path, id, match, body string
+	method                              string // "": POST
+}
+
+// What operators and controllers send and are answered, each kind of answer and of problem once, on the golden folder.
+func TestGoldenAnswers(t *testing.T) {
+	s := &script{t: t, clock: clock.NewManual(time.Unix(1_900_000_000, 0)), folder: copyOf(t, goldenFolder)}
+	s.open(1000, nil)
+	defer s.Close()
+	keys := map[string]*signing.Key{}
+	for _, name := range []string{"ann", "c1", "eve"} {
+		text, err := signing.Derive("whsec_MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw", name)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if keys[name], err = signing.ParseKey(text); err != nil {
+			t.Fatal(err)
+		}
+	}
+	front := NewFront(s.Service, []Caller{{Name: "ann", Keys: []*signing.Key{keys["ann"]}, Operator: true}, {Name: "c1", Keys: []*signing.Key{keys["c1"]}, Controller: true}}, time.Minute)
+	var out bytes.Buffer
+	ask := func(q goldenQuestion) {
+		t.Helper()
+		message := signing.Message{ID: q.id, Stamp: strconv.FormatInt(s.clock.Wall().Unix(), 10), Body: []byte(q.body)}
+		signature, err := keys[q.caller].Sign(message)
+		if err != nil {
+			t.Fatal(err)
+		}
+		header := http1.Header{{Name: "webhook-id", Value: message.ID}, {Name: "webhook-timestamp", Value: message.Stamp}, {Name: "webhook-signature", Value: signature}}
+		if q.match != "" {
+			header.Add("If-Match", q.match)
+		}
+		if q.method == "" {
+			q.method = "POST"
+		}
+		response := front.Serve(nil, &http1.Request{Method: q.method, Target: q.path, Header: header, Body: message.Body})
+		fmt.Fprintf(&out, "# %s\n%s %s %s %s\n%s\n-> %d\n", q.name, q.caller, q.method, q.path, q.match, q.body, response.Status)
+		for _, field := range response.Header {
+			fmt.Fprintf(&out, "%s: %s\n", field.Name, field.Value)
+		}
+		fmt.Fprintf(&out, "%s\n", response.Body)
+	}
+	query := func(name, body string) {
+		ask(goldenQuestion{name: name, caller: "ann", path: wire.QueryPath, id: "query", body: body})
+	}
+	command := func(name, id, match, body string) {
+		ask(goldenQuestion{name: name, caller: "ann", path: wire.CommandPath, id: id, match: match, body: body})
+	}
+	controller := func(name, body string) {
+		ask(goldenQuestion{name: name, caller: "c1", path: wire.DiscoveryPath, id: "poll", body: body})
+	}
+	command("too early to collect", "c0", "", `{"collect":{"Except":null,"By":"","Why":""}}`)
+	query("list", `{"what":"list"}`)
+	query("list of one model", `{"what":"list","model":"n"}`)
+	query("history", `{"what":"history","model":"n"}`)
+	query("move that was acknowledged", `{"what":"move","move":1}`)
+	query("move that was given up", `{"what":"move","move":2}`)
+	query("move that is forgotten", `{"what":"move","move":99}`)
+	query("watch", `{"what":"watch","since":0}`)
+	query("watch since", `{"what":"watch","since":5}`)
+	query("export", `{"what":"export"}`)
+	query("no such query", `{"what":"all"}`)
+	query("unknown key of a query", `{"what":"list","colour":1}`)
+	controller("first question", `{"version_info":"0","node":{"id":"c1"},"type_url":"type.googleapis.com/kitehub.registry.v1.Alias"}`)
+	controller("question of a refused answer", `{"version_info":"0","node":{"id":"c1"},"type_url":"type.googleapis.com/kitehub.registry.v1.Alias","error_detail":{"code":3,"message":"no"}}`)
+	controller("epoch that is not yet", `{"version_info":"99","node":{"id":"c1"},"type_url":"type.googleapis.com/kitehub.registry.v1.Alias"}`)
+	controller("other type", `{"version_info":"0","node":{"id":"c1"},"type_url":"other"}`)
+	controller("other's name", `{"version_info":"0","node":{"id":"c2"},"type_url":"type.googleapis.com/kitehub.registry.v1.Alias"}`)
+	command("push", "a1", "", `{"push":{"Model":"o","Name":"x1","Digest":"`+goldenDigest("8")+`","Size":9,"MemoryMB":1.5,"Lanes":1,"Load":1000,"Why":"new"}}`)
+	command("push as this program writes it", "a2", "", `{"push":{"Model":"o","Name":"x2","Digest":"`+goldenDigest("9")+`","Size":9,"MemoryMB":0,"Lanes":0,"Load":0,"Phase":0,"Since":0,"Copies":null,"Calls":0,"Errors":0,"Left":0,"By":"","Why":""}}`)
+	command("promote, staging", "a3", `"0"`, `{"promote":{"Model":"o","Alias":"current","To":"x1","IfRevision":0,"Copies":1,"By":"","Why":""}}`)
+	controller("question with all that it may tell", `{"version_info":"1","node":{"id":"c1"},"type_url":"type.googleapis.com/kitehub.registry.v1.Alias","stands":[{"model":"o","version":"x1","worker":"w","copies":0}],"ended":[{"model":"m","version":"v1","calls":2,"errors":1}],"uses":[{"Model":"m","Version":"v1"}],"staging":[],"later":1}`)
+	command("promote, known key", "a3", `"0"`, `{"promote":{"Model":"o","Alias":"current","To":"x1","IfRevision":0,"Copies":1,"By":"","Why":""}}`)
+	command("key of another command", "a3", `"0"`, `{"promote":{"Model":"o","Alias":"current","To":"x2"}}`)
+	command("rollback", "a4", `"0"`, `{"rollback":{"Model":"o","Alias":"current","IfRevision":0,"By":"","Why":"no"}}`)
+	command("promote, another revision", "a5", `"9"`, `{"promote":{"Model":"o","Alias":"current","To":"x1","IfRevision":9}}`)
+	command("promote without If-Match", "a6", "", `{"promote":{"Model":"o","Alias":"current","To":"x1"}}`)
+	command("promote with another If-Match", "a7", `"1"`, `{"promote":{"Model":"o","Alias":"current","To":"x1"}}`)
+	command("policy", "a8", "", `{"policy":{"Model":"o","Stale":true,"By":"","Why":""}}`)
+	command("condemn", "a9", "", `{"condemn":{"Model":"o","Version":"x1","By":"","Why":"bad"}}`)
+	command("refused", "a10", `"0"`, `{"promote":{"Model":"o","Alias":"current","To":"x1"}}`)
+	command("two at once", "a11", "", `{"policy":{"Model":"o"},"condemn":{"Model":"o"}}`)
+	command("unknown key of a command", "a12", "", `{"policy":{"Model":"o","Stail":true}}`)
+	s.confirm(goldenSettings.Lease+2*time.Minute, 0)
+	command("collect", "a13", "", `{"collect":{"Except":null,"By":"","Why":"room"}}`)
+	ask(goldenQuestion{name: "no operator", caller: "c1", path: wire.CommandPath, id: "a", body: `{}`})
+	ask(goldenQuestion{name: "no controller", caller: "ann", path: wire.DiscoveryPath, id: "a", body: `{}`})
+	ask(goldenQuestion{name: "no such path", caller: "ann", path: "/registry/v2/command", id: "a", body: `{}`})
+	ask(goldenQuestion{name: "stranger", caller: "eve", path: wire.QueryPath, id: "a", body: `{}`})
+	ask(goldenQuestion{name: "other method", caller: "ann", path: wire.QueryPath, id: "a", method: "GET"})
+	goldenfile.Compare(t, "answers.txt", out.Bytes())
+}
