--- a/cmd/kitehub/interface_test.go
+++ b/cmd/kitehub/interface_test.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"encoding"
 	"encoding/json"
-	"flag"
 	"fmt"
 	"go/ast"
 	"go/parser"
@@ -27,6 +26,7 @@
 	"kitehub/internal/controller"
 	"kitehub/internal/discovery"
 	"kitehub/internal/gateway"
+	"kitehub/internal/goldenfile"
 	"kitehub/internal/harness/trace"
 	"kitehub/internal/hookengine"
 	"kitehub/internal/ingress/jsonrpc"
@@ -37,13 +37,12 @@
 // The tests of this file hold what operators type and read: a rename of a Go identifier, or a move of a package, must leave
 // the golden files as they are. Where the interface itself is meant to change, run this package's tests with -update and read
 // the difference.
-var update = flag.Bool("update", false, "write the golden files of the interface anew")
 
 // golden compares text with a file of testdata/interface, or writes it.
 func golden(t *testing.T, name, text string) {
 	t.Helper()
 	path := filepath.Join("testdata", "interface", name)
-	if *update {
+	if goldenfile.Updating() {
 		if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
 			t.Fatal(err)
 		}
