--- a/cmd/kitehub/registry.go
+++ b/cmd/kitehub/registry.go
@@ -328,9 +328,9 @@
 
 // An exported registry holds what an empty one needs to name the same bytes under the same names. Revisions begin anew.
 type exported struct {
-	Pushes  []registry.Push
-	Aliases []registry.Promote
-	Stale   []string
+	Pushes  []registry.Push    `json:"Pushes"`
+	Aliases []registry.Promote `json:"Aliases"`
+	Stale   []string           `json:"Stale"`
 }
 
 type registryExportCmd struct{ remote }
--- a/internal/registry/commands.go
+++ b/internal/registry/commands.go
@@ -9,9 +9,10 @@
 
 // Push makes a version known. The same push again is no error; another digest under a known name is.
 type Push struct {
-	Model string
+	Model string `json:"Model"`
 	Version
-	By, Why string
+	By  string `json:"By"`
+	Why string `json:"Why"`
 }
 
 func (p Push) apply(s *State, now time.Duration) ([]Effect, error) {
@@ -63,10 +64,13 @@
 
 // Promote moves an alias, or makes it with IfRevision 0. The move begins with staging, if Copies is above 0.
 type Promote struct {
-	Model, Alias, To string
-	IfRevision       uint64 // the revision that the alias must have
-	Copies           int
-	By, Why          string
+	Model      string `json:"Model"`
+	Alias      string `json:"Alias"`
+	To         string `json:"To"`
+	IfRevision uint64 `json:"IfRevision"` // the revision that the alias must have
+	Copies     int    `json:"Copies"`
+	By         string `json:"By"`
+	Why        string `json:"Why"`
 }
 
 func (p Promote) apply(s *State, now time.Duration) ([]Effect, error) {
@@ -115,9 +119,11 @@
 
 // Rollback gives up a move that is still staging, or moves an alias back to the version before.
 type Rollback struct {
-	Model, Alias string
-	IfRevision   uint64
-	By, Why      string
+	Model      string `json:"Model"`
+	Alias      string `json:"Alias"`
+	IfRevision uint64 `json:"IfRevision"`
+	By         string `json:"By"`
+	Why        string `json:"Why"`
 }
 
 func (r Rollback) apply(s *State, now time.Duration) ([]Effect, error) {
@@ -140,7 +146,12 @@
 }
 
 // Condemn bars bytes for ever, under all names. Aliases that name them are left with none, at once.
-type Condemn struct{ Model, Version, By, Why string }
+type Condemn struct {
+	Model   string `json:"Model"`
+	Version string `json:"Version"`
+	By      string `json:"By"`
+	Why     string `json:"Why"`
+}
 
 func (c Condemn) apply(s *State, now time.Duration) ([]Effect, error) {
 	_, v, err := s.version(c.Model, c.Version)
@@ -181,8 +192,10 @@
 
 // Stands says how many copies of a version stand at a worker, as answers and questions to it tell.
 type Stands struct {
-	Model, Version, Worker string
-	Copies                 int
+	Model   string `json:"Model"`
+	Version string `json:"Version"`
+	Worker  string `json:"Worker"`
+	Copies  int    `json:"Copies"`
 }
 
 func (c Stands) apply(s *State, _ time.Duration) ([]Effect, error) {
@@ -200,8 +213,10 @@
 
 // Ended counts calls of a version, for the watch on a new one.
 type Ended struct {
-	Model, Version string
-	Calls, Errors  int
+	Model   string `json:"Model"`
+	Version string `json:"Version"`
+	Calls   int    `json:"Calls"`
+	Errors  int    `json:"Errors"`
 }
 
 func (c Ended) apply(s *State, _ time.Duration) ([]Effect, error) {
@@ -215,7 +230,9 @@
 
 // Reached says that no controller can act against an epoch any more: see Leases.Least. Moves that it knows are
 // acknowledged.
-type Reached struct{ Epoch uint64 }
+type Reached struct {
+	Epoch uint64 `json:"Epoch"`
+}
 
 func (c Reached) apply(s *State, _ time.Duration) ([]Effect, error) {
 	if c.Epoch > s.Epoch {
@@ -228,9 +245,10 @@
 // Policy says of a model whether an answer under an alias that may have moved is better than none, while a controller
 // has no lease.
 type Policy struct {
-	Model   string
-	Stale   bool
-	By, Why string
+	Model string `json:"Model"`
+	Stale bool   `json:"Stale"`
+	By    string `json:"By"`
+	Why   string `json:"Why"`
 }
 
 func (c Policy) apply(s *State, now time.Duration) ([]Effect, error) {
@@ -250,12 +268,16 @@
 // Collect forgets versions that nothing names any more. Except are those that a running call may still name, as
 // controllers tell.
 type Collect struct {
-	Except  []Bytes
-	By, Why string
+	Except []Bytes `json:"Except"`
+	By     string  `json:"By"`
+	Why    string  `json:"Why"`
 }
 
 // Bytes name a version of a model.
-type Bytes struct{ Model, Version string }
+type Bytes struct {
+	Model   string `json:"Model"`
+	Version string `json:"Version"`
+}
 
 func (c Collect) apply(s *State, now time.Duration) ([]Effect, error) {
 	var out []Effect
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -52,90 +52,94 @@
 
 // A Version is immutable but for its phase.
 type Version struct {
-	Name     string
-	Digest   string // "sha256:" and 64 hexadecimal digits, as the OCI image specification has it
-	Size     int64  // bytes
-	MemoryMB float64
-	Lanes    int
-	Load     time.Duration
-	Phase    Phase
-	Since    time.Duration  // in this phase
-	Copies   map[string]int // that stand, by worker
-	Calls    int            // watched, since it became live
-	Errors   int
-	Left     uint64 // epoch in which the last alias left it
+	Name     string         `json:"Name"`
+	Digest   string         `json:"Digest"` // "sha256:" and 64 hexadecimal digits, as the OCI image specification has it
+	Size     int64          `json:"Size"`   // bytes
+	MemoryMB float64        `json:"MemoryMB"`
+	Lanes    int            `json:"Lanes"`
+	Load     time.Duration  `json:"Load"`
+	Phase    Phase          `json:"Phase"`
+	Since    time.Duration  `json:"Since"`  // in this phase
+	Copies   map[string]int `json:"Copies"` // that stand, by worker
+	Calls    int            `json:"Calls"`  // watched, since it became live
+	Errors   int            `json:"Errors"`
+	Left     uint64         `json:"Left"` // epoch in which the last alias left it
 }
 
 // An Alias names a version of its model. Revision grows with every move, so that A, B, A are three.
 type Alias struct {
-	Name     string
-	Version  string // "": none may be used
-	Revision uint64
-	Before   string // the version before, for a move back; "" for none
-	Epoch    uint64 // in which it last changed
-	Move     *Move  // under way
+	Name     string `json:"Name"`
+	Version  string `json:"Version"` // "": none may be used
+	Revision uint64 `json:"Revision"`
+	Before   string `json:"Before"` // the version before, for a move back; "" for none
+	Epoch    uint64 `json:"Epoch"`  // in which it last changed
+	Move     *Move  `json:"Move"`   // under way
 }
 
 // A Move goes through two steps: copies are made to stand, then the controllers are fenced.
 type Move struct {
-	ID      uint64
-	From    string
-	To      string
-	By, Why string
-	Copies  int // that must stand
-	Asked   time.Duration
-	Fenced  bool   // the alias names the new version; the acknowledgement waits for controllers
-	Epoch   uint64 // that knows the move, once fenced
+	ID     uint64        `json:"ID"`
+	From   string        `json:"From"`
+	To     string        `json:"To"`
+	By     string        `json:"By"`
+	Why    string        `json:"Why"`
+	Copies int           `json:"Copies"` // that must stand
+	Asked  time.Duration `json:"Asked"`
+	Fenced bool          `json:"Fenced"` // the alias names the new version; the acknowledgement waits for controllers
+	Epoch  uint64        `json:"Epoch"`  // that knows the move, once fenced
 }
 
 // A Model has versions and aliases.
 type Model struct {
-	Name     string
-	Stale    bool // an answer without a lease is better than none
-	Versions map[string]*Version
-	Aliases  map[string]*Alias
+	Name     string              `json:"Name"`
+	Stale    bool                `json:"Stale"` // an answer without a lease is better than none
+	Versions map[string]*Version `json:"Versions"`
+	Aliases  map[string]*Alias   `json:"Aliases"`
 }
 
 // A MoveEnd is how a move ended.
 type MoveEnd struct {
-	Move         uint64
-	Acknowledged bool
-	Why          string // it was given up
+	Move         uint64 `json:"Move"`
+	Acknowledged bool   `json:"Acknowledged"`
+	Why          string `json:"Why"` // it was given up
 }
 
 // A Line of the history: who did what, when and why.
 type Line struct {
-	At            time.Duration
-	By, What, Why string
+	At   time.Duration `json:"At"`
+	By   string        `json:"By"`
+	What string        `json:"What"`
+	Why  string        `json:"Why"`
 }
 
 // State is a whole registry.
 type State struct {
-	Settings  Settings `json:"-"`
-	Epoch     uint64
-	NextMove  uint64
-	Models    map[string]*Model
-	Fences    []Fence // moves that wait for controllers, oldest first
-	Confirmed uint64  // epoch that no controller can act against any more
-	Keys      []KeyResult
-	History   []Line
-	Condemned map[string]string // digests, each with why: never collected
-	Moves     []MoveEnd         // that have ended, oldest first
-	Now       time.Duration     // of the last command
+	Settings  Settings          `json:"-"`
+	Epoch     uint64            `json:"Epoch"`
+	NextMove  uint64            `json:"NextMove"`
+	Models    map[string]*Model `json:"Models"`
+	Fences    []Fence           `json:"Fences"`    // moves that wait for controllers, oldest first
+	Confirmed uint64            `json:"Confirmed"` // epoch that no controller can act against any more
+	Keys      []KeyResult       `json:"Keys"`
+	History   []Line            `json:"History"`
+	Condemned map[string]string `json:"Condemned"` // digests, each with why: never collected
+	Moves     []MoveEnd         `json:"Moves"`     // that have ended, oldest first
+	Now       time.Duration     `json:"Now"`       // of the last command
 }
 
 // A Fence is a move whose alias has changed and whose acknowledgement is open.
 type Fence struct {
-	Move         uint64
-	Model, Alias string
-	Epoch        uint64
+	Move  uint64 `json:"Move"`
+	Model string `json:"Model"`
+	Alias string `json:"Alias"`
+	Epoch uint64 `json:"Epoch"`
 }
 
 // A KeyResult is the answer to a command that carried a key: the same command again gets it again.
 type KeyResult struct {
-	Key  string
-	Sum  string // of the command's text
-	Move uint64 // that it began; 0: none
+	Key  string `json:"Key"`
+	Sum  string `json:"Sum"`  // of the command's text
+	Move uint64 `json:"Move"` // that it began; 0: none
 }
 
 // An Effect is one of Stage, Unstage, Published, Acknowledged, GivenUp, Began, Again and Collected.
--- a/internal/registry/service/golden_test.go
+++ b/internal/registry/service/golden_test.go
@@ -462,3 +462,8 @@
 	ask(goldenQuestion{name: "other method", caller: "ann", path: wire.QueryPath, id: "a", method: "GET"})
 	goldenfile.Compare(t, "answers.txt", out.Bytes())
 }
+
+// Every field that is stored or sent has a key of its own, so that renames in Go change no format.
+func TestStoredFieldsAreTagged(t *testing.T) {
+	goldenfile.Tagged(t, record{}, registry.State{}, wire.Command{}, wire.Query{}, wire.Answer{}, wire.Request{}, wire.Response{})
+}
--- a/internal/registry/wire/wire.go
+++ b/internal/registry/wire/wire.go
@@ -57,12 +57,18 @@
 }
 
 // Collected is a version that was forgotten.
-type Collected struct{ Model, Version, Digest string }
+type Collected struct {
+	Model   string `json:"Model"`
+	Version string `json:"Version"`
+	Digest  string `json:"Digest"`
+}
 
 // A Line of the history, by the registry's wall clock as it is now.
 type Line struct {
-	At            time.Time
-	By, What, Why string
+	At   time.Time `json:"At"`
+	By   string    `json:"By"`
+	What string    `json:"What"`
+	Why  string    `json:"Why"`
 }
 
 // Node says who asks.
