--- a/config/registry.go
+++ b/config/registry.go
@@ -26,9 +26,9 @@
 		return nil, err
 	}
 	b := &BuiltRegistry{Listen: c.Listen, Dir: c.StateDir, MaxOpen: int(c.MaxConnections), Past: c.PastMs,
-		Service: service.Config{Every: int(c.SnapshotEvery), Hold: ms(c.HoldMs), Settings: registry.Settings{Lease: ms(c.LeaseMs), Drift: c.Drift, Settle: ms(c.SettleMs),
-			Staging: ms(c.StagingMs), Keep: ms(c.KeepMs), Watch: ms(c.WatchMs), Least: int(c.LeastCalls), Worse: c.Worse, Models: int(c.Models),
-			Versions: int(c.Versions), Aliases: int(c.Aliases), Asking: int(c.Controllers), Remembered: int(c.Remembered)}}}
+		Service: service.Config{Every: int(c.SnapshotEvery), Hold: ms(c.HoldMs), Settings: registry.Settings{LeaseDuration: ms(c.LeaseMs), MaxClockDrift: c.Drift, SettleTimeout: ms(c.SettleMs),
+			StagingTimeout: ms(c.StagingMs), Retention: ms(c.KeepMs), ErrorWatch: ms(c.WatchMs), MinCalls: int(c.LeastCalls), MaxErrorIncrease: c.Worse, MaxModels: int(c.Models),
+			MaxVersions: int(c.Versions), MaxAliases: int(c.Aliases), MaxControllers: int(c.Controllers), MaxRemembered: int(c.Remembered)}}}
 	if 3*c.HoldMs > c.LeaseMs {
 		f.Problem("hold_ms", fmt.Sprintf("%v is over a third of lease_ms %v", c.HoldMs, c.LeaseMs), "one lost question would cost a lease: lower it")
 	}
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -63,8 +63,8 @@
 	})
 	var err error
 	d.s, _, err = service.Open(service.Config{Clock: d.clk, FS: store.Dir(t.TempDir()), Log: zerolog.Nop(), Every: 100, Hold: 100 * ms,
-		Settings: registry.Settings{Lease: 500 * ms, Drift: 0.01, Settle: settle, Staging: 5 * time.Second, Keep: time.Second, Watch: time.Second,
-			Least: 100, Worse: 0.5, Models: 10, Versions: 10, Aliases: 4, Asking: 4, Remembered: 1000}})
+		Settings: registry.Settings{LeaseDuration: 500 * ms, MaxClockDrift: 0.01, SettleTimeout: settle, StagingTimeout: 5 * time.Second, Retention: time.Second, ErrorWatch: time.Second,
+			MinCalls: 100, MaxErrorIncrease: 0.5, MaxModels: 10, MaxVersions: 10, MaxAliases: 4, MaxControllers: 4, MaxRemembered: 1000}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/harness/scalebench/models.go
+++ b/internal/harness/scalebench/models.go
@@ -26,8 +26,8 @@
 // filledRegistry returns a registry's state with so many models of one version and one alias, as their commands would leave it.
 // It is built at once: by commands it takes the square of the models.
 func filledRegistry(models int) (*registry.State, error) {
-	s, err := registry.New(registry.Settings{Lease: time.Minute, Drift: 0.01, Settle: time.Second, Staging: time.Second, Keep: time.Minute, Watch: time.Minute,
-		Least: 100, Worse: 0.2, Models: models, Versions: 20, Aliases: 5, Asking: 1000, Remembered: 1000})
+	s, err := registry.New(registry.Settings{LeaseDuration: time.Minute, MaxClockDrift: 0.01, SettleTimeout: time.Second, StagingTimeout: time.Second, Retention: time.Minute, ErrorWatch: time.Minute,
+		MinCalls: 100, MaxErrorIncrease: 0.2, MaxModels: models, MaxVersions: 20, MaxAliases: 5, MaxControllers: 1000, MaxRemembered: 1000})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/harness/scalebench/registry.go
+++ b/internal/harness/scalebench/registry.go
@@ -122,8 +122,8 @@
 func controllerName(i int) string { return fmt.Sprintf("controller-%d", i) }
 
 func (p *registryPlay) open() error {
-	settings := registry.Settings{Lease: p.load.Lease, Drift: 0.01, Settle: p.load.Lease / 8, Staging: p.load.Lease, Keep: time.Minute, Watch: time.Minute, Least: 100, Worse: 0.2,
-		Models: p.load.Models, Versions: 20, Aliases: 5, Asking: p.load.Controllers, Remembered: 1000}
+	settings := registry.Settings{LeaseDuration: p.load.Lease, MaxClockDrift: 0.01, SettleTimeout: p.load.Lease / 8, StagingTimeout: p.load.Lease, Retention: time.Minute, ErrorWatch: time.Minute, MinCalls: 100, MaxErrorIncrease: 0.2,
+		MaxModels: p.load.Models, MaxVersions: 20, MaxAliases: 5, MaxControllers: p.load.Controllers, MaxRemembered: 1000}
 	s, _, err := service.Open(service.Config{Settings: settings, Clock: clock.System(), FS: store.Dir(p.load.Dir), Log: zerolog.Nop(), Every: snapshotEvery, Hold: p.load.Lease / 4})
 	if err != nil {
 		return err
--- a/internal/harness/scenario/versions.go
+++ b/internal/harness/scenario/versions.go
@@ -126,8 +126,8 @@
 func (v *versions) start() error {
 	lease := ms(v.s.LeaseMs)
 	s, _, err := service.Open(service.Config{Clock: v.p.clk, FS: store.Dir(v.dir), Log: v.p.o.Log, Every: 200, Hold: lease / 4,
-		Settings: registry.Settings{Lease: lease, Drift: 0.01, Settle: ms(v.s.SettleMs), Staging: 2 * time.Second, Keep: 3 * time.Second, Watch: time.Second, Least: 200, Worse: 0.5,
-			Models: 10000, Versions: 100, Aliases: 4, Asking: 100, Remembered: 100000}})
+		Settings: registry.Settings{LeaseDuration: lease, MaxClockDrift: 0.01, SettleTimeout: ms(v.s.SettleMs), StagingTimeout: 2 * time.Second, Retention: 3 * time.Second, ErrorWatch: time.Second, MinCalls: 200, MaxErrorIncrease: 0.5,
+			MaxModels: 10000, MaxVersions: 100, MaxAliases: 4, MaxControllers: 100, MaxRemembered: 100000}})
 	if err != nil {
 		return err
 	}
--- a/internal/registry/commands.go
+++ b/internal/registry/commands.go
@@ -24,7 +24,7 @@
 	}
 	m := s.Models[p.Model]
 	if m == nil {
-		if len(s.Models) >= s.Settings.Models {
+		if len(s.Models) >= s.Settings.MaxModels {
 			return nil, fmt.Errorf("model: %d are held, which is all", len(s.Models))
 		}
 		m = &Model{Name: p.Model, Versions: map[string]*Version{}, Aliases: map[string]*Alias{}}
@@ -35,7 +35,7 @@
 		}
 		return nil, nil
 	}
-	if len(m.Versions) >= s.Settings.Versions {
+	if len(m.Versions) >= s.Settings.MaxVersions {
 		return nil, fmt.Errorf("version: %d of %s are held, which is all: collect some", len(m.Versions), p.Model)
 	}
 	// The same bytes under two names are two versions; bytes that were condemned are condemned under every name.
@@ -91,7 +91,7 @@
 		return nil, fmt.Errorf("%w: %s of %s is at revision %d, not %d", ErrRevision, p.Alias, p.Model, revision(a), p.IfRevision)
 	case a != nil && a.Move != nil && !a.Move.Fenced:
 		return nil, fmt.Errorf("%w: %s of %s is being moved to %s: roll that back first", ErrRevision, p.Alias, p.Model, a.Move.To)
-	case a == nil && len(m.Aliases) >= s.Settings.Aliases:
+	case a == nil && len(m.Aliases) >= s.Settings.MaxAliases:
 		return nil, fmt.Errorf("alias: %d of %s are held, which is all", len(m.Aliases), p.Model)
 	}
 	if a == nil {
@@ -159,7 +159,7 @@
 		return nil, err
 	}
 	bad, out := v.Digest, []Effect(nil)
-	if _, known := s.Condemned[bad]; !known && len(s.Condemned) >= s.Settings.Models*s.Settings.Versions {
+	if _, known := s.Condemned[bad]; !known && len(s.Condemned) >= s.Settings.MaxModels*s.Settings.MaxVersions {
 		return nil, fmt.Errorf("digest: %d are condemned, which is all that are remembered", len(s.Condemned))
 	}
 	s.Condemned[bad] = c.Why
@@ -303,7 +303,7 @@
 			return true
 		}
 	}
-	return v.Phase != Retired && v.Phase != Condemned || now < v.Since+s.Settings.Keep || v.Left > s.Confirmed
+	return v.Phase != Retired && v.Phase != Condemned || now < v.Since+s.Settings.Retention || v.Left > s.Confirmed
 }
 
 // Keyed is a command with a key: the same again is the first's result again, and something else under the key an error.
@@ -332,7 +332,7 @@
 		k.Move = s.NextMove
 	}
 	s.Keys = append(s.Keys, k)
-	if over := len(s.Keys) - s.Settings.Remembered; over > 0 {
+	if over := len(s.Keys) - s.Settings.MaxRemembered; over > 0 {
 		s.Keys = slices.Delete(s.Keys, 0, over)
 	}
 	return append([]Effect{Began{k.Move}}, out...), nil
--- a/internal/registry/lease.go
+++ b/internal/registry/lease.go
@@ -34,7 +34,7 @@
 
 // span is how long the registry waits for a lease to run out by the controller's clock, however slow that runs.
 func (l *Leases) span() time.Duration {
-	return time.Duration(float64(l.s.Lease)*(1+l.s.Drift)/(1-l.s.Drift)) + 1
+	return time.Duration(float64(l.s.LeaseDuration)*(1+l.s.MaxClockDrift)/(1-l.s.MaxClockDrift)) + 1
 }
 
 // Renew is a controller's word that it acts by an epoch, of which last is the newest. It begins a new lease; a controller
@@ -50,7 +50,7 @@
 	h := l.holders[controller]
 	if h == nil {
 		l.expire(now)
-		if len(l.holders) >= l.s.Asking {
+		if len(l.holders) >= l.s.MaxControllers {
 			return fmt.Errorf("controller: %d have a lease, which is all", len(l.holders))
 		}
 		h = &holder{}
--- a/internal/registry/move.go
+++ b/internal/registry/move.go
@@ -18,7 +18,7 @@
 	out = append(out, s.fences()...)
 	for _, m := range sorted(s.Models) {
 		for _, v := range sorted(m.Versions) {
-			if v.Phase == Retired && len(v.Copies) > 0 && now >= v.Since+s.Settings.Keep {
+			if v.Phase == Retired && len(v.Copies) > 0 && now >= v.Since+s.Settings.Retention {
 				clear(v.Copies)
 				out = append(out, Unstage{m.Name, v.Name})
 			}
@@ -41,8 +41,8 @@
 	switch {
 	case n >= mv.Copies:
 		return s.fence(m, a, now)
-	case now >= mv.Asked+s.Settings.Staging:
-		return s.giveUp(m, a, fmt.Sprintf("%d of %d copies stood after %v", n, mv.Copies, s.Settings.Staging), now)
+	case now >= mv.Asked+s.Settings.StagingTimeout:
+		return s.giveUp(m, a, fmt.Sprintf("%d of %d copies stood after %v", n, mv.Copies, s.Settings.StagingTimeout), now)
 	}
 	return nil
 }
@@ -122,12 +122,12 @@
 	for _, m := range s.Models {
 		for _, a := range m.Aliases {
 			if a.Move != nil && !a.Move.Fenced {
-				note(a.Move.Asked + s.Settings.Staging)
+				note(a.Move.Asked + s.Settings.StagingTimeout)
 			}
 		}
 		for _, v := range m.Versions {
 			if v.Phase == Retired && len(v.Copies) > 0 {
-				note(v.Since + s.Settings.Keep)
+				note(v.Since + s.Settings.Retention)
 			}
 		}
 	}
@@ -138,11 +138,11 @@
 // move, within Watch, on at least Least calls; it could hurt where the calls themselves changed with the move.
 func (s *State) watched(m *Model, a *Alias, now time.Duration) []Effect {
 	v, before := m.Versions[a.Version], m.Versions[a.Before]
-	if v == nil || before == nil || before.Phase != Retired || a.Move != nil && !a.Move.Fenced || now >= v.Since+s.Settings.Watch ||
-		v.Calls < s.Settings.Least || before.Calls == 0 {
+	if v == nil || before == nil || before.Phase != Retired || a.Move != nil && !a.Move.Fenced || now >= v.Since+s.Settings.ErrorWatch ||
+		v.Calls < s.Settings.MinCalls || before.Calls == 0 {
 		return nil
 	}
-	if part(v) <= part(before)+s.Settings.Worse {
+	if part(v) <= part(before)+s.Settings.MaxErrorIncrease {
 		return nil
 	}
 	why := fmt.Sprintf("%s fails in %d of %d calls, %s failed in %d of %d", v.Name, v.Errors, v.Calls, before.Name, before.Errors, before.Calls)
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -20,19 +20,19 @@
 
 // Settings bound a registry. All must be above 0, but for Drift.
 type Settings struct {
-	Lease      time.Duration // how long a controller may answer after it asked, by its own clock
-	Drift      float64       // greatest difference between the rates of two clocks, as a part
-	Settle     time.Duration // how long running calls may hold up a move before they are given up
-	Staging    time.Duration // how long copies may take to stand before a move is given up
-	Keep       time.Duration // how long the copies of a version that was left are kept for a move back
-	Watch      time.Duration // how long a move is watched for errors
-	Least      int           // calls of the new version before its errors are judged
-	Worse      float64       // part of calls that may fail beyond the part of the version before
-	Models     int           // bounds on what is held
-	Versions   int           // of one model
-	Aliases    int           // of one model
-	Asking     int           // controllers with a lease at once
-	Remembered int           // keys of commands, and lines of history
+	LeaseDuration    time.Duration // how long a controller may answer after it asked, by its own clock
+	MaxClockDrift    float64       // greatest difference between the rates of two clocks, as a part
+	SettleTimeout    time.Duration // how long running calls may hold up a move before they are given up
+	StagingTimeout   time.Duration // how long copies may take to stand before a move is given up
+	Retention        time.Duration // how long the copies of a version that was left are kept for a move back
+	ErrorWatch       time.Duration // how long a move is watched for errors
+	MinCalls         int           // calls of the new version before its errors are judged
+	MaxErrorIncrease float64       // part of calls that may fail beyond the part of the version before
+	MaxModels        int           // bounds on what is held
+	MaxVersions      int           // of one model
+	MaxAliases       int           // of one model
+	MaxControllers   int           // controllers with a lease at once
+	MaxRemembered    int           // keys of commands, and lines of history
 }
 
 // Phase is how far a version is in its life.
@@ -195,14 +195,14 @@
 	for _, f := range []struct {
 		name string
 		v    float64
-	}{{"Lease", float64(s.Lease)}, {"Settle", float64(s.Settle)}, {"Staging", float64(s.Staging)}, {"Keep", float64(s.Keep)}, {"Watch", float64(s.Watch)}, {"Least", float64(s.Least)},
-		{"Worse", s.Worse}, {"Models", float64(s.Models)}, {"Versions", float64(s.Versions)}, {"Aliases", float64(s.Aliases)}, {"Asking", float64(s.Asking)}, {"Remembered", float64(s.Remembered)}} {
+	}{{"Lease", float64(s.LeaseDuration)}, {"Settle", float64(s.SettleTimeout)}, {"Staging", float64(s.StagingTimeout)}, {"Keep", float64(s.Retention)}, {"Watch", float64(s.ErrorWatch)}, {"Least", float64(s.MinCalls)},
+		{"Worse", s.MaxErrorIncrease}, {"Models", float64(s.MaxModels)}, {"Versions", float64(s.MaxVersions)}, {"Aliases", float64(s.MaxAliases)}, {"Asking", float64(s.MaxControllers)}, {"Remembered", float64(s.MaxRemembered)}} {
 		if !(f.v > 0) {
 			return nil, fmt.Errorf("registry: settings: %s: %v is not above 0", f.name, f.v)
 		}
 	}
-	if !(s.Drift >= 0 && s.Drift < 1) {
-		return nil, fmt.Errorf("registry: settings: Drift: %v is not from 0 to 1", s.Drift)
+	if !(s.MaxClockDrift >= 0 && s.MaxClockDrift < 1) {
+		return nil, fmt.Errorf("registry: settings: Drift: %v is not from 0 to 1", s.MaxClockDrift)
 	}
 	return &State{Settings: s, Models: map[string]*Model{}, Condemned: map[string]string{}}, nil
 }
@@ -228,7 +228,7 @@
 			s.Moves = append(s.Moves, MoveEnd{Move: e.Move, Why: e.Why})
 		}
 	}
-	if over := len(s.Moves) - s.Settings.Remembered; over > 0 {
+	if over := len(s.Moves) - s.Settings.MaxRemembered; over > 0 {
 		s.Moves = slices.Delete(s.Moves, 0, over)
 	}
 	return effects, nil
@@ -261,7 +261,7 @@
 
 func (s *State) note(now time.Duration, by, what, why string) {
 	s.History = append(s.History, Line{now, by, what, why})
-	if over := len(s.History) - s.Settings.Remembered; over > 0 {
+	if over := len(s.History) - s.Settings.MaxRemembered; over > 0 {
 		s.History = slices.Delete(s.History, 0, over)
 	}
 }
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -19,8 +19,8 @@
 
 const sec = time.Second
 
-var settings = Settings{Lease: 5 * sec, Drift: 0.01, Settle: sec, Staging: 10 * sec, Keep: 8 * sec, Watch: 30 * sec, Least: 10, Worse: 0.1,
-	Models: 4, Versions: 4, Aliases: 2, Asking: 4, Remembered: 50}
+var settings = Settings{LeaseDuration: 5 * sec, MaxClockDrift: 0.01, SettleTimeout: sec, StagingTimeout: 10 * sec, Retention: 8 * sec, ErrorWatch: 30 * sec, MinCalls: 10, MaxErrorIncrease: 0.1,
+	MaxModels: 4, MaxVersions: 4, MaxAliases: 2, MaxControllers: 4, MaxRemembered: 50}
 
 func sha(c string) string { return "sha256:" + strings.Repeat(c, 64) }
 
@@ -188,7 +188,7 @@
 func TestGuarantee(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := settings
-		settings.Drift = 0.3 // much, so that forgetting it shows
+		settings.MaxClockDrift = 0.3 // much, so that forgetting it shows
 		d, err := newDesk(settings)
 		if err != nil {
 			t.Fatal(err)
@@ -197,9 +197,9 @@
 		var now time.Duration
 		var peers []*peer
 		for i := range 3 {
-			r := rapid.Float64Range(1-settings.Drift, 1+settings.Drift).Draw(t, "rate")
+			r := rapid.Float64Range(1-settings.MaxClockDrift, 1+settings.MaxClockDrift).Draw(t, "rate")
 			if rapid.IntRange(0, 2).Draw(t, "worst") == 0 {
-				r = 1 - settings.Drift
+				r = 1 - settings.MaxClockDrift
 			}
 			peers = append(peers, &peer{rate: r, offset: time.Duration(i+1) * time.Hour})
 		}
@@ -344,7 +344,7 @@
 // BenchmarkMemory is what a thousand versions hold in memory.
 func BenchmarkMemory(b *testing.B) {
 	set := settings
-	set.Models, set.Versions = 1000, 1000
+	set.MaxModels, set.MaxVersions = 1000, 1000
 	var s *State
 	var before, after runtime.MemStats
 	for b.Loop() {
--- a/internal/registry/service/golden_test.go
+++ b/internal/registry/service/golden_test.go
@@ -29,8 +29,8 @@
 const goldenFolder = "testdata/golden/folder"
 
 // goldenSettings are long beside any run of the tests, so that only the manual clock brings times about.
-var goldenSettings = registry.Settings{Lease: time.Hour, Drift: 0.01, Settle: time.Minute, Staging: time.Hour, Keep: time.Hour, Watch: 2 * time.Hour, Least: 10, Worse: 0.2,
-	Models: 10, Versions: 20, Aliases: 5, Asking: 5, Remembered: 1000}
+var goldenSettings = registry.Settings{LeaseDuration: time.Hour, MaxClockDrift: 0.01, SettleTimeout: time.Minute, StagingTimeout: time.Hour, Retention: time.Hour, ErrorWatch: 2 * time.Hour, MinCalls: 10, MaxErrorIncrease: 0.2,
+	MaxModels: 10, MaxVersions: 20, MaxAliases: 5, MaxControllers: 5, MaxRemembered: 1000}
 
 // A script is a registry that is led through a life by a test, each step ended before the next begins. Its one
 // controller holds a lease, so that a move waits until the script has it confirm the move's epoch.
@@ -453,7 +453,7 @@
 	command("refused", "a10", `"0"`, `{"promote":{"Model":"o","Alias":"current","To":"x1"}}`)
 	command("two at once", "a11", "", `{"policy":{"Model":"o"},"condemn":{"Model":"o"}}`)
 	command("unknown key of a command", "a12", "", `{"policy":{"Model":"o","Stail":true}}`)
-	s.confirm(goldenSettings.Lease+2*time.Minute, 0)
+	s.confirm(goldenSettings.LeaseDuration+2*time.Minute, 0)
 	command("collect", "a13", "", `{"collect":{"Except":null,"By":"","Why":"room"}}`)
 	ask(goldenQuestion{name: "no operator", caller: "c1", path: wire.CommandPath, id: "a", body: `{}`})
 	ask(goldenQuestion{name: "no controller", caller: "ann", path: wire.DiscoveryPath, id: "a", body: `{}`})
--- a/internal/registry/service/http.go
+++ b/internal/registry/service/http.go
@@ -372,7 +372,7 @@
 		f.s.Do(func(now time.Duration, st *registry.State, _ *registry.Leases) {
 			if m := st.Models[x.Model]; m != nil && m.Versions[x.Version] != nil {
 				v := m.Versions[x.Version]
-				watched = v.Phase == registry.Live && (now < v.Since+st.Settings.Watch || v.Calls < st.Settings.Least)
+				watched = v.Phase == registry.Live && (now < v.Since+st.Settings.ErrorWatch || v.Calls < st.Settings.MinCalls)
 			}
 		})
 		if watched {
--- a/internal/registry/service/service.go
+++ b/internal/registry/service/service.go
@@ -62,8 +62,8 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	if cfg.Every < 1 || cfg.Hold <= 0 || 3*cfg.Hold > cfg.Settings.Lease {
-		return nil, nil, fmt.Errorf("service: Every %d is under 1, or Hold %v is not under a third of the lease of %v", cfg.Every, cfg.Hold, cfg.Settings.Lease)
+	if cfg.Every < 1 || cfg.Hold <= 0 || 3*cfg.Hold > cfg.Settings.LeaseDuration {
+		return nil, nil, fmt.Errorf("service: Every %d is under 1, or Hold %v is not under a third of the lease of %v", cfg.Every, cfg.Hold, cfg.Settings.LeaseDuration)
 	}
 	s := &Service{cfg: cfg, state: st, changed: make(chan struct{}), poke: make(chan struct{}, 1), stop: make(chan struct{}), nacks: map[string]string{}}
 	s.turn = sync.NewCond(&s.mu)
--- a/internal/registry/service/service_test.go
+++ b/internal/registry/service/service_test.go
@@ -32,8 +32,8 @@
 
 const ms = time.Millisecond
 
-var settings = registry.Settings{Lease: 400 * ms, Drift: 0.01, Settle: 200 * ms, Staging: 2 * time.Second, Keep: 300 * ms, Watch: time.Second, Least: 100, Worse: 0.2,
-	Models: 10, Versions: 20, Aliases: 5, Asking: 5, Remembered: 1000}
+var settings = registry.Settings{LeaseDuration: 400 * ms, MaxClockDrift: 0.01, SettleTimeout: 200 * ms, StagingTimeout: 2 * time.Second, Retention: 300 * ms, ErrorWatch: time.Second, MinCalls: 100, MaxErrorIncrease: 0.2,
+	MaxModels: 10, MaxVersions: 20, MaxAliases: 5, MaxControllers: 5, MaxRemembered: 1000}
 
 // secret returns the secret of a caller.
 func secret(t testing.TB, name string) *signing.Key {
@@ -280,8 +280,8 @@
 	d.start()
 	begin := time.Now()
 	a := must(t, d.client("ann"), "k2", promote("v2", 1))
-	if took := time.Since(begin); a.Status != "acknowledged" || took < settings.Lease-50*ms {
-		t.Errorf("%+v after %v, before a lease of %v could have run out", a, took, settings.Lease)
+	if took := time.Since(begin); a.Status != "acknowledged" || took < settings.LeaseDuration-50*ms {
+		t.Errorf("%+v after %v, before a lease of %v could have run out", a, took, settings.LeaseDuration)
 	}
 	if err := os.WriteFile(filepath.Join(string(d.fs.(store.Dir)), "junk"), []byte("x"), 0o600); err != nil {
 		t.Fatal(err)
@@ -331,7 +331,7 @@
 	select {
 	case x := <-moved:
 		t.Errorf("acknowledged while an old answer is written: %+v", x)
-	case <-time.After(2 * settings.Lease): // renewed all the while, under the old epoch
+	case <-time.After(2 * settings.LeaseDuration): // renewed all the while, under the old epoch
 	}
 	a.End(ticket)
 	if x := <-moved; x == nil || x.Status != "acknowledged" {
@@ -363,7 +363,7 @@
 		time.Sleep(ms)
 	}
 	d.kill()
-	end := time.Now().Add(settings.Lease)
+	end := time.Now().Add(settings.LeaseDuration)
 	for {
 		at := time.Now()
 		if verdict(n) != registry.May {
--- a/internal/registry/view.go
+++ b/internal/registry/view.go
@@ -36,7 +36,7 @@
 	if since > s.Epoch {
 		since = 0
 	}
-	t := Told{Epoch: s.Epoch, Since: since, Targets: map[Name]Target{}, Lease: s.Settings.Lease, Settle: s.Settings.Settle}
+	t := Told{Epoch: s.Epoch, Since: since, Targets: map[Name]Target{}, Lease: s.Settings.LeaseDuration, Settle: s.Settings.SettleTimeout}
 	t.Barred = slices.Sorted(maps.Keys(s.Condemned))
 	for _, m := range s.Models {
 		if m.Stale {
