--- a/cmd/kitehub/registry.go
+++ b/cmd/kitehub/registry.go
@@ -139,22 +139,22 @@
 		}
 		return err
 	}
-	if a.Again {
+	if a.Replayed {
 		fmt.Println("the key was used for this before: nothing was done anew")
 	}
 	for _, x := range a.Collected {
 		fmt.Println(x.Model, x.Version, x.Digest)
 	}
 	switch {
-	case a.Move == 0:
+	case a.Migration == 0:
 		return nil
 	case a.Status == "acknowledged":
-		fmt.Printf("move %d is acknowledged\n", a.Move)
+		fmt.Printf("move %d is acknowledged\n", a.Migration)
 		return nil
 	case a.Status == "given up":
-		return fmt.Errorf("move %d was given up: %s", a.Move, a.Why)
+		return fmt.Errorf("move %d was given up: %s", a.Migration, a.Why)
 	}
-	return fmt.Errorf("move %d is still %s: kitehub registry move %d asks again", a.Move, a.Status, a.Move)
+	return fmt.Errorf("move %d is still %s: kitehub registry move %d asks again", a.Migration, a.Status, a.Migration)
 }
 
 func (r *remote) query(q wire.Query) (*wire.Answer, error) {
@@ -259,10 +259,10 @@
 		}
 		for _, x := range byName(m.Aliases) {
 			moving := ""
-			if x.Move != nil && x.Move.Fenced {
-				moving = fmt.Sprintf("move %d waits for controllers", x.Move.ID)
-			} else if x.Move != nil {
-				moving = fmt.Sprintf("move %d to %s waits for copies", x.Move.ID, x.Move.To)
+			if x.Migration != nil && x.Migration.Fenced {
+				moving = fmt.Sprintf("move %d waits for controllers", x.Migration.ID)
+			} else if x.Migration != nil {
+				moving = fmt.Sprintf("move %d to %s waits for copies", x.Migration.ID, x.Migration.To)
 			}
 			fmt.Fprintf(w, "alias\t%s\t%s\t%s\trevision %d\t%s\n", m.Name, x.Name, x.Version, x.Revision, moving)
 		}
@@ -298,7 +298,7 @@
 }
 
 func (p *registryMoveCmd) Run() error {
-	a, err := p.query(wire.Query{What: "move", Move: p.Move, WaitMS: p.Wait.Milliseconds()})
+	a, err := p.query(wire.Query{What: "move", Migration: p.Move, WaitMS: p.Wait.Milliseconds()})
 	if err != nil {
 		return err
 	}
--- a/internal/harness/scalebench/models.go
+++ b/internal/harness/scalebench/models.go
@@ -38,7 +38,7 @@
 		s.Models[modelName(i)] = &registry.Model{Name: modelName(i), Versions: map[string]*registry.Version{"v1": &v},
 			Aliases: map[string]*registry.Alias{scaleAlias: {Name: scaleAlias, Version: "v1", Revision: 1, Epoch: s.Epoch}}}
 	}
-	s.Confirmed, s.NextMove = s.Epoch, s.Epoch
+	s.Confirmed, s.LastMigration = s.Epoch, s.Epoch
 	return s, nil
 }
 
--- a/internal/registry/commands.go
+++ b/internal/registry/commands.go
@@ -88,9 +88,9 @@
 	case p.Copies < 0:
 		return nil, fmt.Errorf("copies: %d is below 0", p.Copies)
 	case a == nil && p.IfRevision != 0, a != nil && a.Revision != p.IfRevision:
-		return nil, fmt.Errorf("%w: %s of %s is at revision %d, not %d", ErrRevision, p.Alias, p.Model, revision(a), p.IfRevision)
-	case a != nil && a.Move != nil && !a.Move.Fenced:
-		return nil, fmt.Errorf("%w: %s of %s is being moved to %s: roll that back first", ErrRevision, p.Alias, p.Model, a.Move.To)
+		return nil, fmt.Errorf("%w: %s of %s is at revision %d, not %d", ErrRevisionChanged, p.Alias, p.Model, revision(a), p.IfRevision)
+	case a != nil && a.Migration != nil && !a.Migration.Fenced:
+		return nil, fmt.Errorf("%w: %s of %s is being moved to %s: roll that back first", ErrRevisionChanged, p.Alias, p.Model, a.Migration.To)
 	case a == nil && len(m.Aliases) >= s.Settings.MaxAliases:
 		return nil, fmt.Errorf("alias: %d of %s are held, which is all", len(m.Aliases), p.Model)
 	}
@@ -98,9 +98,9 @@
 		a = &Alias{Name: p.Alias}
 		m.Aliases[p.Alias] = a
 	}
-	s.NextMove++
-	a.Move = &Move{ID: s.NextMove, From: a.Version, To: p.To, By: p.By, Why: p.Why, Copies: p.Copies, Asked: now}
-	s.note(now, p.By, fmt.Sprintf("promote %s %s to %s, move %d", p.Model, p.Alias, p.To, s.NextMove), p.Why)
+	s.LastMigration++
+	a.Migration = &Migration{ID: s.LastMigration, From: a.Version, To: p.To, By: p.By, Why: p.Why, Copies: p.Copies, RequestedAt: now}
+	s.note(now, p.By, fmt.Sprintf("promote %s %s to %s, move %d", p.Model, p.Alias, p.To, s.LastMigration), p.Why)
 	if v.Phase == Proposed || v.Phase == Retired {
 		v.Phase, v.Since = Staged, now
 	}
@@ -133,16 +133,16 @@
 	}
 	a := m.Aliases[r.Alias]
 	if a.Revision != r.IfRevision {
-		return nil, fmt.Errorf("%w: %s of %s is at revision %d, not %d", ErrRevision, r.Alias, r.Model, a.Revision, r.IfRevision)
+		return nil, fmt.Errorf("%w: %s of %s is at revision %d, not %d", ErrRevisionChanged, r.Alias, r.Model, a.Revision, r.IfRevision)
 	}
-	if a.Move != nil && !a.Move.Fenced {
-		s.note(now, r.By, fmt.Sprintf("give up move %d", a.Move.ID), r.Why)
+	if a.Migration != nil && !a.Migration.Fenced {
+		s.note(now, r.By, fmt.Sprintf("give up move %d", a.Migration.ID), r.Why)
 		return s.giveUp(m, a, "rolled back: "+r.Why, now), nil
 	}
-	if a.Before == "" {
+	if a.PreviousVersion == "" {
 		return nil, fmt.Errorf("alias: %s of %s has no version before", r.Alias, r.Model)
 	}
-	return Promote{Model: r.Model, Alias: r.Alias, To: a.Before, IfRevision: r.IfRevision, By: r.By, Why: "rollback: " + r.Why}.apply(s, now)
+	return Promote{Model: r.Model, Alias: r.Alias, To: a.PreviousVersion, IfRevision: r.IfRevision, By: r.By, Why: "rollback: " + r.Why}.apply(s, now)
 }
 
 // Condemn bars bytes for ever, under all names. Aliases that name them are left with none, at once.
@@ -174,16 +174,16 @@
 			}
 		}
 		for _, a := range sorted(m.Aliases) {
-			if a.Move != nil && !a.Move.Fenced && m.Versions[a.Move.To].Digest == bad {
+			if a.Migration != nil && !a.Migration.Fenced && m.Versions[a.Migration.To].Digest == bad {
 				out = append(out, s.giveUp(m, a, "its version was condemned", now)...)
 			}
 			if v := m.Versions[a.Version]; v != nil && v.Digest == bad {
-				s.NextMove++
-				a.Move = &Move{ID: s.NextMove, From: a.Version, By: c.By, Why: c.Why, Asked: now}
+				s.LastMigration++
+				a.Migration = &Migration{ID: s.LastMigration, From: a.Version, By: c.By, Why: c.Why, RequestedAt: now}
 				out = append(out, s.fence(m, a, now)...)
 			}
-			if v := m.Versions[a.Before]; v != nil && v.Digest == bad {
-				a.Before = ""
+			if v := m.Versions[a.PreviousVersion]; v != nil && v.Digest == bad {
+				a.PreviousVersion = ""
 			}
 		}
 	}
@@ -299,7 +299,7 @@
 // is condemned: it may be about to be.
 func (s *State) holds(m *Model, v *Version, now time.Duration) bool {
 	for _, a := range m.Aliases {
-		if a.Version == v.Name || a.Before == v.Name || a.Move != nil && (a.Move.To == v.Name || a.Move.From == v.Name) {
+		if a.Version == v.Name || a.PreviousVersion == v.Name || a.Migration != nil && (a.Migration.To == v.Name || a.Migration.From == v.Name) {
 			return true
 		}
 	}
@@ -318,24 +318,24 @@
 	}
 	if i := slices.IndexFunc(s.Keys, func(k KeyResult) bool { return k.Key == c.Key }); i >= 0 {
 		if s.Keys[i].Sum != c.Sum {
-			return nil, fmt.Errorf("%w: %q", ErrKey, c.Key)
+			return nil, fmt.Errorf("%w: %q", ErrKeyReused, c.Key)
 		}
-		return []Effect{Again{s.Keys[i].Move}}, nil
+		return []Effect{Replayed{s.Keys[i].Migration}}, nil
 	}
-	last := s.NextMove
+	last := s.LastMigration
 	out, err := c.Do.apply(s, now)
 	if err != nil {
 		return nil, err
 	}
 	k := KeyResult{Key: c.Key, Sum: c.Sum}
-	if s.NextMove > last {
-		k.Move = s.NextMove
+	if s.LastMigration > last {
+		k.Migration = s.LastMigration
 	}
 	s.Keys = append(s.Keys, k)
 	if over := len(s.Keys) - s.Settings.MaxRemembered; over > 0 {
 		s.Keys = slices.Delete(s.Keys, 0, over)
 	}
-	return append([]Effect{Began{k.Move}}, out...), nil
+	return append([]Effect{MigrationStarted{k.Migration}}, out...), nil
 }
 
 // Tick lets time pass.
--- a/internal/registry/move.go
+++ b/internal/registry/move.go
@@ -30,7 +30,7 @@
 // staged takes a move to its fence once enough copies stand, or gives it up. While the old and the new version cannot
 // both be held, the copies never stand: the move ends with the alias as it was.
 func (s *State) staged(m *Model, a *Alias, now time.Duration) []Effect {
-	mv := a.Move
+	mv := a.Migration
 	if mv == nil || mv.Fenced {
 		return nil
 	}
@@ -41,7 +41,7 @@
 	switch {
 	case n >= mv.Copies:
 		return s.fence(m, a, now)
-	case now >= mv.Asked+s.Settings.StagingTimeout:
+	case now >= mv.RequestedAt+s.Settings.StagingTimeout:
 		return s.giveUp(m, a, fmt.Sprintf("%d of %d copies stood after %v", n, mv.Copies, s.Settings.StagingTimeout), now)
 	}
 	return nil
@@ -49,9 +49,9 @@
 
 // giveUp ends a move that has not been fenced. The alias was never touched.
 func (s *State) giveUp(m *Model, a *Alias, why string, now time.Duration) []Effect {
-	mv := a.Move
-	a.Move = nil
-	out := []Effect{GivenUp{mv.ID, why}}
+	mv := a.Migration
+	a.Migration = nil
+	out := []Effect{Aborted{mv.ID, why}}
 	if v := m.Versions[mv.To]; v.Phase == Staged && !s.named(m, mv.To) {
 		v.Phase, v.Since = Proposed, now
 		clear(v.Copies)
@@ -66,7 +66,7 @@
 // named tells whether an alias names a version, or a move goes to it.
 func (s *State) named(m *Model, version string) bool {
 	for _, a := range m.Aliases {
-		if a.Version == version || a.Move != nil && a.Move.To == version && !a.Move.Fenced {
+		if a.Version == version || a.Migration != nil && a.Migration.To == version && !a.Migration.Fenced {
 			return true
 		}
 	}
@@ -76,13 +76,13 @@
 // fence makes the alias name its new version in a new epoch. From here on the move takes effect, controller by
 // controller; the operator hears of it when it has done so everywhere.
 func (s *State) fence(m *Model, a *Alias, now time.Duration) []Effect {
-	mv := a.Move
+	mv := a.Migration
 	s.Epoch++
 	mv.Fenced, mv.Epoch = true, s.Epoch
 	old := a.Version
 	a.Version, a.Revision, a.Epoch = mv.To, a.Revision+1, s.Epoch
 	if old != "" && old != mv.To {
-		a.Before = old
+		a.PreviousVersion = old
 	}
 	if v := m.Versions[old]; v != nil && !s.named(m, old) && v.Phase == Live {
 		v.Phase, v.Since = Retired, now
@@ -103,9 +103,9 @@
 		if f.Epoch > s.Confirmed {
 			return false
 		}
-		out = append(out, Acknowledged{f.Move})
-		if a := s.Models[f.Model].Aliases[f.Alias]; a != nil && a.Move != nil && a.Move.ID == f.Move {
-			a.Move = nil
+		out = append(out, Acknowledged{f.Migration})
+		if a := s.Models[f.Model].Aliases[f.Alias]; a != nil && a.Migration != nil && a.Migration.ID == f.Migration {
+			a.Migration = nil
 		}
 		return true
 	})
@@ -121,8 +121,8 @@
 	}
 	for _, m := range s.Models {
 		for _, a := range m.Aliases {
-			if a.Move != nil && !a.Move.Fenced {
-				note(a.Move.Asked + s.Settings.StagingTimeout)
+			if a.Migration != nil && !a.Migration.Fenced {
+				note(a.Migration.RequestedAt + s.Settings.StagingTimeout)
 			}
 		}
 		for _, v := range m.Versions {
@@ -137,8 +137,8 @@
 // watched moves an alias back where its new version fails clearly more often than the one before did. It acts once a
 // move, within Watch, on at least Least calls; it could hurt where the calls themselves changed with the move.
 func (s *State) watched(m *Model, a *Alias, now time.Duration) []Effect {
-	v, before := m.Versions[a.Version], m.Versions[a.Before]
-	if v == nil || before == nil || before.Phase != Retired || a.Move != nil && !a.Move.Fenced || now >= v.Since+s.Settings.ErrorWatch ||
+	v, before := m.Versions[a.Version], m.Versions[a.PreviousVersion]
+	if v == nil || before == nil || before.Phase != Retired || a.Migration != nil && !a.Migration.Fenced || now >= v.Since+s.Settings.ErrorWatch ||
 		v.Calls < s.Settings.MinCalls || before.Calls == 0 {
 		return nil
 	}
@@ -147,10 +147,10 @@
 	}
 	why := fmt.Sprintf("%s fails in %d of %d calls, %s failed in %d of %d", v.Name, v.Errors, v.Calls, before.Name, before.Errors, before.Calls)
 	s.note(now, "registry", fmt.Sprintf("move %s %s back to %s", m.Name, a.Name, before.Name), why)
-	s.NextMove++
-	a.Move = &Move{ID: s.NextMove, From: a.Version, To: a.Before, By: "registry", Why: why, Asked: now}
+	s.LastMigration++
+	a.Migration = &Migration{ID: s.LastMigration, From: a.Version, To: a.PreviousVersion, By: "registry", Why: why, RequestedAt: now}
 	out := s.fence(m, a, now)
-	a.Before = "" // not forth again by itself
+	a.PreviousVersion = "" // not forth again by itself
 	return out
 }
 
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -68,25 +68,25 @@
 
 // An Alias names a version of its model. Revision grows with every move, so that A, B, A are three.
 type Alias struct {
-	Name     string `json:"Name"`
-	Version  string `json:"Version"` // "": none may be used
-	Revision uint64 `json:"Revision"`
-	Before   string `json:"Before"` // the version before, for a move back; "" for none
-	Epoch    uint64 `json:"Epoch"`  // in which it last changed
-	Move     *Move  `json:"Move"`   // under way
+	Name            string     `json:"Name"`
+	Version         string     `json:"Version"` // "": none may be used
+	Revision        uint64     `json:"Revision"`
+	PreviousVersion string     `json:"Before"` // the version before, for a move back; "" for none
+	Epoch           uint64     `json:"Epoch"`  // in which it last changed
+	Migration       *Migration `json:"Move"`   // under way
 }
 
-// A Move goes through two steps: copies are made to stand, then the controllers are fenced.
-type Move struct {
-	ID     uint64        `json:"ID"`
-	From   string        `json:"From"`
-	To     string        `json:"To"`
-	By     string        `json:"By"`
-	Why    string        `json:"Why"`
-	Copies int           `json:"Copies"` // that must stand
-	Asked  time.Duration `json:"Asked"`
-	Fenced bool          `json:"Fenced"` // the alias names the new version; the acknowledgement waits for controllers
-	Epoch  uint64        `json:"Epoch"`  // that knows the move, once fenced
+// A Migration goes through two steps: copies are made to stand, then the controllers are fenced.
+type Migration struct {
+	ID          uint64        `json:"ID"`
+	From        string        `json:"From"`
+	To          string        `json:"To"`
+	By          string        `json:"By"`
+	Why         string        `json:"Why"`
+	Copies      int           `json:"Copies"` // that must stand
+	RequestedAt time.Duration `json:"Asked"`
+	Fenced      bool          `json:"Fenced"` // the alias names the new version; the acknowledgement waits for controllers
+	Epoch       uint64        `json:"Epoch"`  // that knows the move, once fenced
 }
 
 // A Model has versions and aliases.
@@ -97,9 +97,9 @@
 	Aliases  map[string]*Alias   `json:"Aliases"`
 }
 
-// A MoveEnd is how a move ended.
-type MoveEnd struct {
-	Move         uint64 `json:"Move"`
+// A MigrationEnd is how a move ended.
+type MigrationEnd struct {
+	Migration    uint64 `json:"Move"`
 	Acknowledged bool   `json:"Acknowledged"`
 	Why          string `json:"Why"` // it was given up
 }
@@ -114,35 +114,35 @@
 
 // State is a whole registry.
 type State struct {
-	Settings  Settings          `json:"-"`
-	Epoch     uint64            `json:"Epoch"`
-	NextMove  uint64            `json:"NextMove"`
-	Models    map[string]*Model `json:"Models"`
-	Fences    []Fence           `json:"Fences"`    // moves that wait for controllers, oldest first
-	Confirmed uint64            `json:"Confirmed"` // epoch that no controller can act against any more
-	Keys      []KeyResult       `json:"Keys"`
-	History   []Line            `json:"History"`
-	Condemned map[string]string `json:"Condemned"` // digests, each with why: never collected
-	Moves     []MoveEnd         `json:"Moves"`     // that have ended, oldest first
-	Now       time.Duration     `json:"Now"`       // of the last command
+	Settings        Settings          `json:"-"`
+	Epoch           uint64            `json:"Epoch"`
+	LastMigration   uint64            `json:"NextMove"`
+	Models          map[string]*Model `json:"Models"`
+	Fences          []Fence           `json:"Fences"`    // moves that wait for controllers, oldest first
+	Confirmed       uint64            `json:"Confirmed"` // epoch that no controller can act against any more
+	Keys            []KeyResult       `json:"Keys"`
+	History         []Line            `json:"History"`
+	Condemned       map[string]string `json:"Condemned"` // digests, each with why: never collected
+	EndedMigrations []MigrationEnd    `json:"Moves"`     // that have ended, oldest first
+	Now             time.Duration     `json:"Now"`       // of the last command
 }
 
 // A Fence is a move whose alias has changed and whose acknowledgement is open.
 type Fence struct {
-	Move  uint64 `json:"Move"`
-	Model string `json:"Model"`
-	Alias string `json:"Alias"`
-	Epoch uint64 `json:"Epoch"`
+	Migration uint64 `json:"Move"`
+	Model     string `json:"Model"`
+	Alias     string `json:"Alias"`
+	Epoch     uint64 `json:"Epoch"`
 }
 
 // A KeyResult is the answer to a command that carried a key: the same command again gets it again.
 type KeyResult struct {
-	Key  string `json:"Key"`
-	Sum  string `json:"Sum"`  // of the command's text
-	Move uint64 `json:"Move"` // that it began; 0: none
+	Key       string `json:"Key"`
+	Sum       string `json:"Sum"`  // of the command's text
+	Migration uint64 `json:"Move"` // that it began; 0: none
 }
 
-// An Effect is one of Stage, Unstage, Published, Acknowledged, GivenUp, Began, Again and Collected.
+// An Effect is one of Stage, Unstage, Published, Acknowledged, Aborted, Began, Again and Collected.
 type Effect interface{ effect() }
 
 // Stage asks for copies of a version to stand: the module orders them by Hold, within its budget and its bounds.
@@ -158,37 +158,37 @@
 type Published struct{ Epoch uint64 }
 
 // Acknowledged says that a move has taken effect everywhere.
-type Acknowledged struct{ Move uint64 }
+type Acknowledged struct{ Migration uint64 }
 
-// GivenUp ends a move that did not take effect.
-type GivenUp struct {
-	Move uint64
-	Why  string
+// Aborted ends a move that did not take effect.
+type Aborted struct {
+	Migration uint64
+	Why       string
 }
 
 // Began says which move a command began, 0 for none; Again, which one the same command began before.
 type (
-	Began struct{ Move uint64 }
-	Again struct{ Move uint64 }
+	MigrationStarted struct{ Migration uint64 }
+	Replayed         struct{ Migration uint64 }
 )
 
 // Collected says that a version is forgotten. Its bytes may be removed if no other version has them.
 type Collected struct{ Model, Version, Digest string }
 
-func (Began) effect()        {}
-func (Again) effect()        {}
-func (Collected) effect()    {}
-func (Stage) effect()        {}
-func (Unstage) effect()      {}
-func (Published) effect()    {}
-func (Acknowledged) effect() {}
-func (GivenUp) effect()      {}
+func (MigrationStarted) effect() {}
+func (Replayed) effect()         {}
+func (Collected) effect()        {}
+func (Stage) effect()            {}
+func (Unstage) effect()          {}
+func (Published) effect()        {}
+func (Acknowledged) effect()     {}
+func (Aborted) effect()          {}
 
-// ErrRevision is a move that names another revision than the alias has: somebody else moved it.
-var ErrRevision = errors.New("the alias has moved since")
+// ErrRevisionChanged is a move that names another revision than the alias has: somebody else moved it.
+var ErrRevisionChanged = errors.New("the alias has moved since")
 
-// ErrKey is a key that was used for another command.
-var ErrKey = errors.New("key: used for another command")
+// ErrKeyReused is a key that was used for another command.
+var ErrKeyReused = errors.New("key: used for another command")
 
 // New returns an empty registry.
 func New(s Settings) (*State, error) {
@@ -223,21 +223,21 @@
 	for _, e := range effects {
 		switch e := e.(type) {
 		case Acknowledged:
-			s.Moves = append(s.Moves, MoveEnd{Move: e.Move, Acknowledged: true})
-		case GivenUp:
-			s.Moves = append(s.Moves, MoveEnd{Move: e.Move, Why: e.Why})
+			s.EndedMigrations = append(s.EndedMigrations, MigrationEnd{Migration: e.Migration, Acknowledged: true})
+		case Aborted:
+			s.EndedMigrations = append(s.EndedMigrations, MigrationEnd{Migration: e.Migration, Why: e.Why})
 		}
 	}
-	if over := len(s.Moves) - s.Settings.MaxRemembered; over > 0 {
-		s.Moves = slices.Delete(s.Moves, 0, over)
+	if over := len(s.EndedMigrations) - s.Settings.MaxRemembered; over > 0 {
+		s.EndedMigrations = slices.Delete(s.EndedMigrations, 0, over)
 	}
 	return effects, nil
 }
 
 // Status returns how far a move is: staging, fenced, acknowledged, given up (with why), or forgotten.
 func (s *State) Status(move uint64) (status, why string) {
-	for _, e := range s.Moves {
-		if e.Move == move {
+	for _, e := range s.EndedMigrations {
+		if e.Migration == move {
 			if e.Acknowledged {
 				return "acknowledged", ""
 			}
@@ -245,13 +245,13 @@
 		}
 	}
 	for _, f := range s.Fences {
-		if f.Move == move {
+		if f.Migration == move {
 			return "fenced", ""
 		}
 	}
 	for _, m := range s.Models {
 		for _, a := range m.Aliases {
-			if a.Move != nil && a.Move.ID == move {
+			if a.Migration != nil && a.Migration.ID == move {
 				return "staging", ""
 			}
 		}
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -166,7 +166,7 @@
 			}
 		})
 	}
-	if _, err := (&State{Settings: settings, Models: map[string]*Model{}}).Apply(0, to("v", 0, 0)); errors.Is(err, ErrRevision) || err == nil {
+	if _, err := (&State{Settings: settings, Models: map[string]*Model{}}).Apply(0, to("v", 0, 0)); errors.Is(err, ErrRevisionChanged) || err == nil {
 		t.Error(err)
 	}
 }
@@ -226,12 +226,12 @@
 			}
 			after := s.Send(0).Targets[name]
 			if before != after && before.Version != "" {
-				moving[s.NextMove] = append(moving[s.NextMove], before)
+				moving[s.LastMigration] = append(moving[s.LastMigration], before)
 			}
 			for _, e := range effects {
 				if a, ok := e.(Acknowledged); ok {
 					for id, l := range moving {
-						if id <= a.Move {
+						if id <= a.Migration {
 							for _, target := range l {
 								left[target] = true
 							}
--- a/internal/registry/service/http.go
+++ b/internal/registry/service/http.go
@@ -162,9 +162,9 @@
 	effects, err := f.s.Commit(c)
 	var refused *Refused
 	switch {
-	case errors.Is(err, registry.ErrRevision):
+	case errors.Is(err, registry.ErrRevisionChanged):
 		return problem(412, "revision", err.Error())
-	case errors.Is(err, registry.ErrKey):
+	case errors.Is(err, registry.ErrKeyReused):
 		return problem(422, "key", err.Error())
 	case errors.As(err, &refused):
 		return problem(409, "refused", err.Error())
@@ -176,17 +176,17 @@
 	a := wire.Answer{}
 	for _, e := range effects {
 		switch e := e.(type) {
-		case registry.Began:
-			a.Move = e.Move
-		case registry.Again:
-			a.Move, a.Again = e.Move, true
+		case registry.MigrationStarted:
+			a.Migration = e.Migration
+		case registry.Replayed:
+			a.Migration, a.Replayed = e.Migration, true
 		case registry.Collected:
 			a.Collected = append(a.Collected, wire.Collected{Model: e.Model, Version: e.Version, Digest: e.Digest})
 		}
 	}
 	status := 200
-	if a.Move > 0 {
-		a.Status, a.Why = f.s.Await(a.Move, min(time.Duration(q.WaitMS)*time.Millisecond, mostWait))
+	if a.Migration > 0 {
+		a.Status, a.Why = f.s.Await(a.Migration, min(time.Duration(q.WaitMS)*time.Millisecond, mostWait))
 		if a.Status == "staging" || a.Status == "fenced" {
 			status = 202
 		}
@@ -226,8 +226,8 @@
 			}
 		})
 	case "move":
-		a.Move = q.Move
-		a.Status, a.Why = f.s.Await(q.Move, min(time.Duration(q.WaitMS)*time.Millisecond, mostWait))
+		a.Migration = q.Migration
+		a.Status, a.Why = f.s.Await(q.Migration, min(time.Duration(q.WaitMS)*time.Millisecond, mostWait))
 	case "watch":
 		end := time.Now().Add(min(time.Duration(q.WaitMS)*time.Millisecond, mostWait))
 		for {
@@ -344,7 +344,7 @@
 	st, now := f.s.state, f.s.now()
 	for _, m := range st.Models {
 		for _, a := range m.Aliases {
-			if mv := a.Move; mv != nil && !mv.Fenced && f.s.leases.Stager(now, registry.Bytes{Model: m.Name, Version: mv.To}) == controller {
+			if mv := a.Migration; mv != nil && !mv.Fenced && f.s.leases.Stager(now, registry.Bytes{Model: m.Name, Version: mv.To}) == controller {
 				v := m.Versions[mv.To]
 				l = append(l, wire.Stage{Model: m.Name, Version: v.Name, Digest: v.Digest, Copies: mv.Copies, Alias: a.Name})
 			}
--- a/internal/registry/service/service.go
+++ b/internal/registry/service/service.go
@@ -187,9 +187,9 @@
 func (s *Service) note(e registry.Effect) {
 	switch e := e.(type) {
 	case registry.Acknowledged:
-		s.cfg.Log.Info().Uint64("move", e.Move).Msg("acknowledged")
-	case registry.GivenUp:
-		s.cfg.Log.Warn().Uint64("move", e.Move).Str("why", e.Why).Msg("given up")
+		s.cfg.Log.Info().Uint64("move", e.Migration).Msg("acknowledged")
+	case registry.Aborted:
+		s.cfg.Log.Warn().Uint64("move", e.Migration).Str("why", e.Why).Msg("given up")
 	case registry.Published:
 		s.cfg.Log.Info().Uint64("epoch", e.Epoch).Msg("published")
 	case registry.Collected:
--- a/internal/registry/service/service_test.go
+++ b/internal/registry/service/service_test.go
@@ -128,16 +128,16 @@
 	ann, bob := d.client("ann"), d.client("bob")
 	must(t, ann, "p1", push("v1"))
 	must(t, ann, "p2", push("v2"))
-	if a := must(t, ann, "k1", promote("v1", 0)); a.Move != 1 || a.Status != "acknowledged" {
+	if a := must(t, ann, "k1", promote("v1", 0)); a.Migration != 1 || a.Status != "acknowledged" {
 		t.Errorf("%+v", a)
 	}
-	if a := must(t, ann, "k1", promote("v1", 0)); a.Move != 1 || !a.Again {
+	if a := must(t, ann, "k1", promote("v1", 0)); a.Migration != 1 || !a.Replayed {
 		t.Errorf("the same key again: %+v", a)
 	}
 	if _, err := ann.Command("k1", promote("v2", 1)); status(err) != 422 {
 		t.Errorf("the key for something else: %v", err)
 	}
-	if a := must(t, bob, "k1", promote("v2", 1)); a.Move != 2 { // keys are each operator's own
+	if a := must(t, bob, "k1", promote("v2", 1)); a.Migration != 2 { // keys are each operator's own
 		t.Errorf("%+v", a)
 	}
 	if _, err := ann.Command("k2", promote("v2", 1)); status(err) != 412 {
@@ -255,7 +255,7 @@
 		}()
 		for { // until it is in the log
 			n := 0
-			d.s.Do(func(_ time.Duration, st *registry.State, _ *registry.Leases) { n = int(st.NextMove) })
+			d.s.Do(func(_ time.Duration, st *registry.State, _ *registry.Leases) { n = int(st.LastMigration) })
 			if n > i {
 				break
 			}
@@ -264,7 +264,7 @@
 		<-got
 		d.start()
 		a := must(t, d.client("ann"), key, promote("v1", uint64(i)))
-		if a.Move != uint64(i+1) || !a.Again || a.Status != "acknowledged" {
+		if a.Migration != uint64(i+1) || !a.Replayed || a.Status != "acknowledged" {
 			t.Fatalf("round %d: %+v", i, a)
 		}
 	}
@@ -564,7 +564,7 @@
 					rt.Fatal(err)
 				}
 				// A new process may have gone on by itself since: time passes, and nobody holds a lease.
-				if after.Epoch < want.Epoch || after.NextMove < want.NextMove || len(after.History) < len(want.History) || after.Confirmed < want.Confirmed {
+				if after.Epoch < want.Epoch || after.LastMigration < want.LastMigration || len(after.History) < len(want.History) || after.Confirmed < want.Confirmed {
 					rt.Fatalf("before %s\nafter %+v", before, after)
 				}
 				for name, model := range want.Models {
--- a/internal/registry/wire/wire.go
+++ b/internal/registry/wire/wire.go
@@ -33,19 +33,19 @@
 
 // A Query asks without changing anything. What is list, history, move, watch or export.
 type Query struct {
-	What   string `json:"what"`
-	Model  string `json:"model,omitempty"`
-	Move   uint64 `json:"move,omitempty"`
-	Since  uint64 `json:"since,omitempty"`
-	WaitMS int64  `json:"wait_ms,omitempty"`
+	What      string `json:"what"`
+	Model     string `json:"model,omitempty"`
+	Migration uint64 `json:"move,omitempty"`
+	Since     uint64 `json:"since,omitempty"`
+	WaitMS    int64  `json:"wait_ms,omitempty"`
 }
 
 // An Answer to a command or a query.
 type Answer struct {
-	Move      uint64            `json:"move,omitempty"`
+	Migration uint64            `json:"move,omitempty"`
 	Status    string            `json:"status,omitempty"` // staging, fenced, acknowledged, given up, forgotten
 	Why       string            `json:"why,omitempty"`
-	Again     bool              `json:"again,omitempty"` // the key was known: nothing was done anew
+	Replayed  bool              `json:"again,omitempty"` // the key was known: nothing was done anew
 	Collected []Collected       `json:"collected,omitempty"`
 	Epoch     uint64            `json:"epoch,omitempty"`
 	Confirmed uint64            `json:"confirmed,omitempty"`
