--- a/internal/goldenfile/goldenfile.go
+++ b/internal/goldenfile/goldenfile.go
@@ -66,6 +66,9 @@
 	seen[typ] = true
 	for field := range typ.Fields() {
 		key, _, _ := strings.Cut(field.Tag.Get("json"), ",")
+		if key == "-" { // never written
+			continue
+		}
 		if key == "" && field.IsExported() && !field.Anonymous {
 			fields = append(fields, typ.String()+"."+field.Name)
 		}
