--- a/cmd/kitehub/registry.go
+++ b/cmd/kitehub/registry.go
@@ -179,7 +179,7 @@
 
 func (p *registryPushCmd) Run() error {
 	return p.send(wire.Command{Push: &registry.Push{Model: p.Model, Why: p.Why, Version: registry.Version{Name: p.Version, Digest: p.Digest, Size: p.Size,
-		MemoryMB: p.MemoryMB, Lanes: p.Lanes, Load: p.Load}}})
+		MemoryMB: p.MemoryMB, Lanes: p.Lanes, LoadTime: p.Load}}})
 }
 
 type registryPromoteCmd struct {
@@ -361,7 +361,7 @@
 		for _, v := range byName(m.Versions) {
 			if v.Phase != registry.Condemned {
 				e.Pushes = append(e.Pushes, registry.Push{Model: m.Name, Version: registry.Version{Name: v.Name, Digest: v.Digest, Size: v.Size,
-					MemoryMB: v.MemoryMB, Lanes: v.Lanes, Load: v.Load}})
+					MemoryMB: v.MemoryMB, Lanes: v.Lanes, LoadTime: v.LoadTime}})
 			}
 		}
 		for _, x := range byName(m.Aliases) {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -148,7 +148,7 @@
 		ms.gateway, ms.functions = c.Gateway, functions
 		ask := func() {
 			a := agent.Start(agent.Config{Client: &client.Client{Server: b.Registry, Name: b.Name, Key: b.Key, Wall: o.Clock.Wall,
-				Dial: c.tracked((&net.Dialer{}).DialContext)}, Node: b.Name, Clock: o.Clock, Log: o.Log, Moved: c.Gateway.Sweep, Stage: ms.stage, Ready: func(a *agent.Agent) { ms.agent.Store(a) }})
+				Dial: c.tracked((&net.Dialer{}).DialContext)}, Node: b.Name, Clock: o.Clock, Log: o.Log, AliasesChanged: c.Gateway.Sweep, Stage: ms.stage, Ready: func(a *agent.Agent) { ms.agent.Store(a) }})
 			c.mu.Lock()
 			c.agent = a
 			dead := c.dead.Load() || c.ended.Load()
--- a/internal/controller/models.go
+++ b/internal/controller/models.go
@@ -23,15 +23,15 @@
 	tap       *tap
 
 	mu   sync.Mutex
-	seen map[registry.Name]uint64 // revision that an alias was last seen at
+	seen map[registry.AliasName]uint64 // revision that an alias was last seen at
 }
 
 // moved tells hooks of an alias that a call finds at another revision than the one before.
-func (m *models) moved(n registry.Name, t registry.Target) {
+func (m *models) moved(n registry.AliasName, t registry.Target) {
 	m.mu.Lock()
 	old, known := m.seen[n]
 	if m.seen == nil {
-		m.seen = map[registry.Name]uint64{}
+		m.seen = map[registry.AliasName]uint64{}
 	}
 	if known || len(m.seen) < 10_000 {
 		m.seen[n] = max(old, t.Revision)
@@ -44,13 +44,13 @@
 
 // Bind implements front.Models.
 func (m *models) Bind(model *gateway.Function, alias string) (*gateway.Function, gateway.VersionBinding, registry.Verdict) {
-	b := gateway.VersionBinding{Name: registry.Name{Model: model.Name, Alias: alias}}
+	b := gateway.VersionBinding{Name: registry.AliasName{Model: model.Name, Alias: alias}}
 	a := m.agent.Load()
 	if a == nil {
 		return nil, b, registry.NoLease
 	}
 	t, v := a.Resolve(b.Name)
-	if v != registry.May {
+	if v != registry.Allowed {
 		return nil, b, v
 	}
 	fn, err := m.functions.Version(model, t.Version, t.Digest)
@@ -71,8 +71,8 @@
 	if a == nil {
 		return nil, registry.Target{}, false
 	}
-	t, v := a.Resolve(registry.Name{Model: model.Name, Alias: "current"})
-	if v != registry.May {
+	t, v := a.Resolve(registry.AliasName{Model: model.Name, Alias: "current"})
+	if v != registry.Allowed {
 		return nil, t, false
 	}
 	fn, err := m.functions.Version(model, t.Version, t.Digest)
@@ -87,7 +87,7 @@
 // Begin implements front.Models.
 func (m *models) Begin(b gateway.VersionBinding) (func(), time.Duration, registry.Verdict) {
 	t, until, v := m.agent.Load().Begin(b.Name, b.Target)
-	if v != registry.May {
+	if v != registry.Allowed {
 		return nil, 0, v
 	}
 	within := time.Duration(0)
@@ -98,14 +98,14 @@
 }
 
 // MayAnswer implements gateway.Versions.
-func (m *models) MayAnswer(n registry.Name, t registry.Target) registry.Verdict {
+func (m *models) MayAnswer(n registry.AliasName, t registry.Target) registry.Verdict {
 	return m.agent.Load().MayAnswer(n, t)
 }
 
 // CopiesReady implements gateway.Versions.
 func (m *models) CopiesReady(function, worker string, copies int) {
 	if model, version, ok := strings.Cut(function, "@"); ok {
-		m.agent.Load().CopiesReady(registry.Bytes{Model: model, Version: version}, worker, copies)
+		m.agent.Load().CopiesReady(registry.VersionRef{Model: model, Version: version}, worker, copies)
 	}
 }
 
--- a/internal/gateway/carry.go
+++ b/internal/gateway/carry.go
@@ -143,10 +143,10 @@
 		return
 	}
 	v := g.verdict(r.call)
-	if v == registry.Leaving && (r.mayHaveRun() || r.call.Binding.Restarts >= registry.MostAnew) {
-		v = registry.May // it goes on under what it began with
+	if v == registry.BeingSuperseded && (r.mayHaveRun() || r.call.Binding.Restarts >= registry.MaxRestarts) {
+		v = registry.Allowed // it goes on under what it began with
 	}
-	if v != registry.May {
+	if v != registry.Allowed {
 		g.sendNothing(r, a, now)
 		if g.leave(a.Request, r, v, now) {
 			g.put(scheduler.ClientGone{Request: a.Request})
@@ -221,7 +221,7 @@
 
 // deliver gives a worker's answer to the client, or tells it that its version was left; true if it was served.
 func (g *Gateway) deliver(r *entry, call *Call, body []byte) bool {
-	if v := g.verdict(call); v != registry.May && v != registry.Leaving {
+	if v := g.verdict(call); v != registry.Allowed && v != registry.BeingSuperseded {
 		if r.claim(Superseded) {
 			call.Deliver(Answer{Kind: Superseded, Verdict: v, MayHaveRun: true})
 		}
@@ -236,7 +236,7 @@
 
 func (g *Gateway) verdict(c *Call) registry.Verdict {
 	if c.Binding == nil || g.cfg.Versions == nil {
-		return registry.May
+		return registry.Allowed
 	}
 	return g.cfg.Versions.MayAnswer(c.Binding.Name, c.Binding.Target)
 }
@@ -253,7 +253,7 @@
 func (g *Gateway) leave(id scheduler.RequestID, r *entry, v registry.Verdict, now time.Duration) bool {
 	effect, mayHaveRun := g.cfg.Settings.Classes[r.call.Function.Class].Idempotency, r.mayHaveRun()
 	out := slices.ContainsFunc(r.tries, func(t try) bool { return t.run != nil })
-	next := registry.After(effect, out, mayHaveRun, r.call.Binding.Restarts)
+	next := registry.AfterSuperseded(effect, out, mayHaveRun, r.call.Binding.Restarts)
 	if v == registry.NoLease {
 		next = registry.WithoutLease(effect, out, mayHaveRun)
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -68,7 +68,7 @@
 
 // Versions is what the registry says of the versions of models.
 type Versions interface {
-	MayAnswer(registry.Name, registry.Target) registry.Verdict
+	MayAnswer(registry.AliasName, registry.Target) registry.Verdict
 	CopiesReady(function, worker string, copies int)
 }
 
@@ -83,7 +83,7 @@
 
 // VersionBinding is what a call of a model's alias was resolved to.
 type VersionBinding struct {
-	Name     registry.Name
+	Name     registry.AliasName
 	Target   registry.Target
 	Restarts int // that the call began anew before
 }
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -177,7 +177,7 @@
 		}
 		v := g.verdict(r.call)
 		// While the move is not acknowledged, what runs goes on, and what does not run begins anew.
-		leave := v == registry.Left || v == registry.Leaving && !r.mayHaveRun() && r.out == 0 && r.call.Binding.Restarts < registry.MostAnew
+		leave := v == registry.Superseded || v == registry.BeingSuperseded && !r.mayHaveRun() && r.out == 0 && r.call.Binding.Restarts < registry.MaxRestarts
 		if leave && g.leave(id, r, v, now) {
 			events = append(events, scheduler.ClientGone{Request: id})
 		}
--- a/internal/harness/scalebench/models.go
+++ b/internal/harness/scalebench/models.go
@@ -61,7 +61,7 @@
 }
 
 // wireBytes returns the length of what is told, as it goes over the wire.
-func wireBytes(told registry.Told) int {
+func wireBytes(told registry.ViewUpdate) int {
 	var r wire.Response
 	for n, t := range told.Targets {
 		r.Resources = append(r.Resources, wire.Alias{Type: wire.TypeAlias, Model: n.Model, Alias: n.Alias, Version: t.Version, Digest: t.Digest, Revision: t.Revision})
@@ -92,20 +92,20 @@
 		}
 	}
 	c.Command = timed(times, move)
-	var told registry.Told
+	var told registry.ViewUpdate
 	c.TellAll = timed(times, func() { told = s.Send(0) })
 	c.AllBytes = wireBytes(told)
-	told = registry.Told{}
+	told = registry.ViewUpdate{}
 	before := heapInUse()
 	var view registry.View
 	told = s.Send(0)
-	c.LearnAll = timed(1, func() { view.Learn(0, told) })
-	told = registry.Told{}
+	c.LearnAll = timed(1, func() { view.Update(0, told) })
+	told = registry.ViewUpdate{}
 	c.ViewBytes = heapInUse() - before
 	move()
 	news := s.Send(view.Epoch())
-	c.LearnNews = timed(1, func() { view.Learn(0, news) })
-	if _, verdict := view.Resolve(0, registry.Name{Model: modelName(models - 1), Alias: scaleAlias}); err == nil && verdict != registry.May {
+	c.LearnNews = timed(1, func() { view.Update(0, news) })
+	if _, verdict := view.Resolve(0, registry.AliasName{Model: modelName(models - 1), Alias: scaleAlias}); err == nil && verdict != registry.Allowed {
 		err = fmt.Errorf("the view does not resolve its last alias: verdict %d", verdict)
 	}
 	c.TellNews = timed(times, func() { told = s.Send(s.Epoch) })
--- a/internal/harness/scalebench/registry.go
+++ b/internal/harness/scalebench/registry.go
@@ -233,10 +233,10 @@
 		c := &client.Client{Server: p.address, Name: controllerName(i), Key: key, Wall: time.Now, Dial: dial}
 		p.agents = append(p.agents, agent.Start(agent.Config{Client: c, Node: controllerName(i), Clock: clock.System(), Log: zerolog.Nop()}))
 	}
-	last := registry.Name{Model: modelName(p.load.Models - 1), Alias: scaleAlias}
+	last := registry.AliasName{Model: modelName(p.load.Models - 1), Alias: scaleAlias}
 	waiting := p.agents
 	for len(waiting) > 0 && time.Since(began) < p.load.Within {
-		if _, verdict := waiting[0].Resolve(last); verdict == registry.May {
+		if _, verdict := waiting[0].Resolve(last); verdict == registry.Allowed {
 			waiting = waiting[1:]
 			continue
 		}
--- a/internal/harness/scenario/guards_test.go
+++ b/internal/harness/scenario/guards_test.go
@@ -127,10 +127,12 @@
 	gateway.Versions
 }
 
-func (trusting) MayAnswer(registry.Name, registry.Target) registry.Verdict { return registry.May }
+func (trusting) MayAnswer(registry.AliasName, registry.Target) registry.Verdict {
+	return registry.Allowed
+}
 
 func (trusting) Begin(gateway.VersionBinding) (func(), time.Duration, registry.Verdict) {
-	return func() {}, 0, registry.May
+	return func() {}, 0, registry.Allowed
 }
 
 // An answer of a version that was left is found where nothing holds it back, and one of other bytes.
--- a/internal/ingress/bind.go
+++ b/internal/ingress/bind.go
@@ -50,7 +50,7 @@
 func (n *Binder) run(c *BoundCall, times int) {
 	fn, b, verdict := n.Models.Bind(c.Model, c.Alias)
 	switch verdict {
-	case registry.May:
+	case registry.Allowed:
 	case registry.Unknown:
 		c.Deliver(gateway.Answer{Kind: gateway.Rejected, Verdict: verdict}, nil, nil)
 		return
@@ -75,14 +75,14 @@
 			c.Deliver(a, &b, nil)
 			return
 		}
-		next := registry.After(n.Idempotency(fn.Class), false, a.MayHaveRun, times)
+		next := registry.AfterSuperseded(n.Idempotency(fn.Class), false, a.MayHaveRun, times)
 		if a.Verdict == registry.NoLease {
 			next = registry.WithoutLease(n.Idempotency(fn.Class), false, a.MayHaveRun)
 		}
 		switch {
 		case next == registry.Fail:
 			c.Deliver(gateway.Answer{Kind: gateway.Failed, Verdict: a.Verdict}, nil, nil)
-		case next == registry.Anew && !c.ClientClosed() && c.Final > n.Clock.Now():
+		case next == registry.Restart && !c.ClientClosed() && c.Final > n.Clock.Now():
 			n.Restarts.Add(1)
 			n.run(c, times+1)
 		default:
--- a/internal/ingress/jsonrpc/call.go
+++ b/internal/ingress/jsonrpc/call.go
@@ -289,7 +289,7 @@
 		return reply(id, result(a, nil), failure(a)), 0, release
 	}
 	done, within, verdict := s.cfg.Models.Begin(*b)
-	if verdict == registry.May {
+	if verdict == registry.Allowed {
 		return reply(id, result(a, b), nil), within, func() {
 			done()
 			if release != nil {
@@ -332,7 +332,7 @@
 	case a.Kind == gateway.Rejected:
 		why := "no worker takes it now"
 		switch a.Verdict {
-		case registry.Left:
+		case registry.Superseded:
 			why = "its version was replaced"
 		case registry.NoLease:
 			why = "the registry is not heard: which version is to answer is not known"
--- a/internal/ingress/jsonrpc/golden_test.go
+++ b/internal/ingress/jsonrpc/golden_test.go
@@ -30,13 +30,13 @@
 		{"served nothing", gateway.Answer{Kind: gateway.Served}, nil},
 		{"served by a version", gateway.Answer{Kind: gateway.Served, Body: []byte(`1`)}, version},
 		{"refused", gateway.Answer{Kind: gateway.Rejected, RetryAfter: 1500 * time.Millisecond}, nil},
-		{"refused, version replaced", gateway.Answer{Kind: gateway.Rejected, Verdict: registry.Left}, nil},
+		{"refused, version replaced", gateway.Answer{Kind: gateway.Rejected, Verdict: registry.Superseded}, nil},
 		{"refused, no lease", gateway.Answer{Kind: gateway.Rejected, Verdict: registry.NoLease}, nil},
 		{"refused, no version", gateway.Answer{Kind: gateway.Rejected, Verdict: registry.Unknown}, nil},
 		{"gone", gateway.Answer{Kind: gateway.ClientClosed}, nil},
 		{"gone, may have run", gateway.Answer{Kind: gateway.ClientClosed, MayHaveRun: true}, nil},
 		{"late", gateway.Answer{Kind: gateway.Failed, DeadlineExceeded: true}, nil},
-		{"failed, version replaced", gateway.Answer{Kind: gateway.Failed, Verdict: registry.Left}, nil},
+		{"failed, version replaced", gateway.Answer{Kind: gateway.Failed, Verdict: registry.Superseded}, nil},
 		{"failed", gateway.Answer{Kind: gateway.Failed}, nil},
 	} {
 		fmt.Fprintf(&written, "%s\n<- %s\n", ended.what, reply(json.RawMessage("1"), result(ended.answer, ended.bound), failure(ended.answer)))
--- a/internal/ingress/webhook/answer.go
+++ b/internal/ingress/webhook/answer.go
@@ -16,11 +16,11 @@
 
 func answered(a gateway.Answer) *http1.Response {
 	switch {
-	case a.Kind == gateway.Failed && a.Verdict == registry.Left:
+	case a.Kind == gateway.Failed && a.Verdict == registry.Superseded:
 		return problem(502, "failed", "its version was replaced while it ran", nil)
 	case a.Kind == gateway.Failed && a.Verdict == registry.NoLease:
 		return problem(502, "failed", "it ran, and the registry was not heard: its version may have been replaced", nil)
-	case a.Kind == gateway.Rejected && a.Verdict == registry.Left:
+	case a.Kind == gateway.Rejected && a.Verdict == registry.Superseded:
 		return refused("its version was replaced", a.RetryAfter)
 	case a.Kind == gateway.Rejected && a.Verdict == registry.NoLease:
 		return refused("the registry is not heard: which version is to answer is not known", a.RetryAfter)
--- a/internal/ingress/webhook/front.go
+++ b/internal/ingress/webhook/front.go
@@ -442,7 +442,7 @@
 	resp.Header.Add("kitehub-revision", strconv.FormatUint(b.Target.Revision, 10))
 	resp.Gate = func() (*http1.Response, time.Duration, func()) {
 		done, within, verdict := f.cfg.Models.Begin(*b)
-		if verdict == registry.May {
+		if verdict == registry.Allowed {
 			return nil, within, func() {
 				done()
 				if l != nil {
--- a/internal/registry/agent/agent.go
+++ b/internal/registry/agent/agent.go
@@ -31,8 +31,8 @@
 	Node   string // the controller's name
 	Clock  clock.Clock
 	Log    zerolog.Logger
-	// Moved is called, on the agent's goroutine, when a new view holds: calls that it leaves are to be looked for.
-	Moved func()
+	// AliasesChanged is called, on the agent's goroutine, when a new view holds: calls that it leaves are to be looked for.
+	AliasesChanged func()
 	// Stage is told the versions of which copies are to stand, again and again until they do.
 	Stage func([]wire.Stage)
 	// Ready, where set, is called with the agent before it asks.
@@ -88,13 +88,13 @@
 	mu     sync.Mutex
 	uses   map[use]int
 	freed  chan struct{} // a use of a target has ended that was the last
-	ended  map[registry.Bytes]wire.Ended
+	ended  map[registry.VersionRef]wire.CallsEnded
 	staged []wire.Stage
 	stands map[stand]int // told by answers; those that are staged go to the registry
 }
 
 type use struct {
-	registry.Name
+	registry.AliasName
 	registry.Target
 }
 
@@ -108,7 +108,7 @@
 
 // Start begins to ask. Until the first answer nothing resolves.
 func Start(cfg Config) *Agent {
-	a := &Agent{cfg: cfg, stop: make(chan struct{}), uses: map[use]int{}, freed: make(chan struct{}, 1), ended: map[registry.Bytes]wire.Ended{}, stands: map[stand]int{}}
+	a := &Agent{cfg: cfg, stop: make(chan struct{}), uses: map[use]int{}, freed: make(chan struct{}, 1), ended: map[registry.VersionRef]wire.CallsEnded{}, stands: map[stand]int{}}
 	a.now.Store(newGeneration(registry.View{}))
 	if cfg.Ready != nil {
 		cfg.Ready(a)
@@ -126,33 +126,33 @@
 }
 
 // Resolve returns what an alias names now. It costs one look-up.
-func (a *Agent) Resolve(n registry.Name) (registry.Target, registry.Verdict) {
+func (a *Agent) Resolve(n registry.AliasName) (registry.Target, registry.Verdict) {
 	return a.now.Load().view.Resolve(a.cfg.Clock.Now(), n)
 }
 
 // MayAnswer tells whether an answer might go out now. Begin decides.
-func (a *Agent) MayAnswer(n registry.Name, t registry.Target) registry.Verdict {
+func (a *Agent) MayAnswer(n registry.AliasName, t registry.Target) registry.Verdict {
 	return a.now.Load().view.MayAnswer(a.cfg.Clock.Now(), n, t)
 }
 
 // Begin asks for an answer of a target to be let out. Where the verdict is May, its bytes may be written until the time
 // returned (0: no bound), and End is to be called then.
-func (a *Agent) Begin(n registry.Name, t registry.Target) (Ticket, time.Duration, registry.Verdict) {
+func (a *Agent) Begin(n registry.AliasName, t registry.Target) (Ticket, time.Duration, registry.Verdict) {
 	for {
 		g := a.now.Load()
 		if !g.take() {
 			continue // a newer one is there
 		}
 		v := g.view.MayAnswer(a.cfg.Clock.Now(), n, t)
-		if v != registry.May && v != registry.Leaving {
+		if v != registry.Allowed && v != registry.BeingSuperseded {
 			g.release()
 			return Ticket{}, 0, v
 		}
-		until := g.view.Until()
-		if v == registry.May && g.view.Stale(n.Model) {
+		until := g.view.LeaseEnds()
+		if v == registry.Allowed && g.view.Stale(n.Model) {
 			until = 0
 		}
-		return Ticket{g}, until, registry.May
+		return Ticket{g}, until, registry.Allowed
 	}
 }
 
@@ -160,14 +160,14 @@
 func (a *Agent) End(t Ticket) { t.g.release() }
 
 // Use and Unuse count the running calls of a version, so that the registry does not collect it.
-func (a *Agent) Use(n registry.Name, t registry.Target) {
+func (a *Agent) Use(n registry.AliasName, t registry.Target) {
 	a.mu.Lock()
 	a.uses[use{n, t}]++
 	a.mu.Unlock()
 }
 
 // Unuse takes one back; ran and failed say whether the call was answered by a worker, and in an error.
-func (a *Agent) Unuse(n registry.Name, t registry.Target, ran, failed bool) {
+func (a *Agent) Unuse(n registry.AliasName, t registry.Target, ran, failed bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	u := use{n, t}
@@ -179,7 +179,7 @@
 		}
 	}
 	if ran {
-		b := registry.Bytes{Model: n.Model, Version: t.Version}
+		b := registry.VersionRef{Model: n.Model, Version: t.Version}
 		e := a.ended[b]
 		e.Model, e.Version, e.Calls = b.Model, b.Version, e.Calls+1
 		if failed {
@@ -190,7 +190,7 @@
 }
 
 // CopiesReady notes what a worker told of its copies of a version.
-func (a *Agent) CopiesReady(b registry.Bytes, worker string, copies int) {
+func (a *Agent) CopiesReady(b registry.VersionRef, worker string, copies int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if slices.ContainsFunc(a.staged, func(s wire.Stage) bool { return s.Model == b.Model && s.Version == b.Version }) {
@@ -225,7 +225,7 @@
 			nonce = ""
 			continue
 		}
-		var told registry.Told
+		var told registry.ViewUpdate
 		if err == nil {
 			told, err = read(resp)
 			if err != nil { // not taken: say so
@@ -239,7 +239,7 @@
 		}
 		if err != nil {
 			failures++
-			if a.cfg.Clock.Now() >= a.now.Load().view.Until() {
+			if a.cfg.Clock.Now() >= a.now.Load().view.LeaseEnds() {
 				a.Lost.Add(1)
 			}
 			wait := min(mostWait, leastWait<<min(failures, 10), lease/renewPart)
@@ -253,7 +253,7 @@
 		failures, nack, lease = 0, nil, told.Lease
 		old := a.now.Load()
 		next := old.view
-		if !next.Learn(asked, told) {
+		if !next.Update(asked, told) {
 			nonce = ""
 			a.sleep(leastWait)
 			continue
@@ -263,21 +263,21 @@
 		a.now.Store(g)
 		old.release()
 		older = append(older, old)
-		if next.Epoch() != old.view.Epoch() && a.cfg.Moved != nil {
-			a.cfg.Moved()
+		if next.Epoch() != old.view.Epoch() && a.cfg.AliasesChanged != nil {
+			a.cfg.AliasesChanged()
 		}
 		a.stage(resp.Stage)
 		// Calls may go on to their answers under what was left, for a while, and writes under older views. Until all have
 		// ended the lease is renewed under the epoch that they are of.
-		if len(next.Leaving()) == 0 {
+		if len(next.BeingSuperseded()) == 0 {
 			settling = 0
 		} else if settling == 0 {
 			settling = a.cfg.Clock.Now() + next.SettleWithin()
 		}
 		pause := time.NewTimer(lease / renewPart)
 		for late := false; confirmed < next.Epoch() && !late; {
-			if len(next.Leaving()) > 0 {
-				if left := settling - a.cfg.Clock.Now(); a.used(next.Leaving()) && left > 0 {
+			if len(next.BeingSuperseded()) > 0 {
+				if left := settling - a.cfg.Clock.Now(); a.used(next.BeingSuperseded()) && left > 0 {
 					settle := time.NewTimer(left)
 					select {
 					case <-a.freed:
@@ -296,12 +296,12 @@
 				a.now.Store(g)
 				old.release()
 				older = append(older, old)
-				if a.cfg.Moved != nil {
-					a.cfg.Moved() // what is still under way is told now
+				if a.cfg.AliasesChanged != nil {
+					a.cfg.AliasesChanged() // what is still under way is told now
 				}
 			}
 			older = slices.DeleteFunc(older, (*generation).isIdle)
-			i := slices.IndexFunc(older, func(o *generation) bool { return o.view.Epoch() < next.Epoch() || len(o.view.Leaving()) > 0 })
+			i := slices.IndexFunc(older, func(o *generation) bool { return o.view.Epoch() < next.Epoch() || len(o.view.BeingSuperseded()) > 0 })
 			if i < 0 {
 				confirmed = next.Epoch()
 				break
@@ -320,7 +320,7 @@
 }
 
 // used tells whether a call runs under one of the targets.
-func (a *Agent) used(l map[registry.Name][]registry.Target) bool {
+func (a *Agent) used(l map[registry.AliasName][]registry.Target) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for n, targets := range l {
@@ -348,15 +348,15 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for u := range a.uses {
-		if b := (registry.Bytes{Model: u.Model, Version: u.Version}); !slices.Contains(q.Uses, b) && a.now.Load().view.MayAnswer(0, u.Name, u.Target) != registry.May {
+		if b := (registry.VersionRef{Model: u.Model, Version: u.Version}); !slices.Contains(q.Uses, b) && a.now.Load().view.MayAnswer(0, u.AliasName, u.Target) != registry.Allowed {
 			q.Uses = append(q.Uses, b)
 		}
 	}
 	for _, e := range a.ended {
-		q.Ended = append(q.Ended, e)
+		q.CallsEnded = append(q.CallsEnded, e)
 	}
 	for s, n := range a.stands {
-		q.Stands = append(q.Stands, wire.Stands{Model: s.model, Version: s.version, Worker: s.worker, Copies: n})
+		q.CopiesReady = append(q.CopiesReady, wire.CopiesReady{Model: s.model, Version: s.version, Worker: s.worker, Copies: n})
 	}
 	clear(a.ended)
 	clear(a.stands)
@@ -369,13 +369,13 @@
 func (a *Agent) keepUnsent(q *wire.Request) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, e := range q.Ended {
-		b := registry.Bytes{Model: e.Model, Version: e.Version}
+	for _, e := range q.CallsEnded {
+		b := registry.VersionRef{Model: e.Model, Version: e.Version}
 		have := a.ended[b]
 		e.Calls, e.Errors = e.Calls+have.Calls, e.Errors+have.Errors
 		a.ended[b] = e
 	}
-	for _, s := range q.Stands {
+	for _, s := range q.CopiesReady {
 		k := stand{s.Model, s.Version, s.Worker}
 		if _, newer := a.stands[k]; !newer {
 			a.stands[k] = s.Copies
@@ -400,8 +400,8 @@
 }
 
 // read checks a response. An error is one of its content: it is not to be asked again as if it were lost.
-func read(r *wire.Response) (registry.Told, error) {
-	t := registry.Told{Since: r.Since, Barred: r.Barred, Settle: time.Duration(r.SettleMS * float64(time.Millisecond)), Targets: map[registry.Name]registry.Target{}, Lease: time.Duration(r.LeaseMS * float64(time.Millisecond))}
+func read(r *wire.Response) (registry.ViewUpdate, error) {
+	t := registry.ViewUpdate{Since: r.Since, Condemned: r.Condemned, Settle: time.Duration(r.SettleMS * float64(time.Millisecond)), Targets: map[registry.AliasName]registry.Target{}, Lease: time.Duration(r.LeaseMS * float64(time.Millisecond))}
 	var err error
 	if t.Epoch, err = strconv.ParseUint(r.VersionInfo, 10, 64); err != nil {
 		return t, fmt.Errorf("version_info: %q is no epoch", r.VersionInfo)
@@ -410,7 +410,7 @@
 		return t, errors.New("not a response about aliases with a lease")
 	}
 	for i, x := range r.Resources {
-		n := registry.Name{Model: x.Model, Alias: x.Alias}
+		n := registry.AliasName{Model: x.Model, Alias: x.Alias}
 		if _, twice := t.Targets[n]; twice || x.Type != wire.TypeAlias || x.Model == "" || x.Alias == "" || x.Revision == 0 {
 			return t, fmt.Errorf("resources[%d]: %s of %s: twice, or not an alias", i, x.Alias, x.Model)
 		}
--- a/internal/registry/agent/agent_test.go
+++ b/internal/registry/agent/agent_test.go
@@ -36,15 +36,15 @@
 
 // BenchmarkPath is what versions cost a call: bound, checked at send and answer, let out at the door, unbound.
 func BenchmarkPath(b *testing.B) {
-	a := &Agent{cfg: Config{Clock: clock.System()}, uses: map[use]int{}, freed: make(chan struct{}, 1), ended: map[registry.Bytes]wire.Ended{}}
-	told := registry.Told{Epoch: 1, Targets: map[registry.Name]registry.Target{}, Lease: time.Hour}
-	n := registry.Name{Model: "model-500", Alias: "current"}
+	a := &Agent{cfg: Config{Clock: clock.System()}, uses: map[use]int{}, freed: make(chan struct{}, 1), ended: map[registry.VersionRef]wire.CallsEnded{}}
+	told := registry.ViewUpdate{Epoch: 1, Targets: map[registry.AliasName]registry.Target{}, Lease: time.Hour}
+	n := registry.AliasName{Model: "model-500", Alias: "current"}
 	for i := range 1000 {
-		told.Targets[registry.Name{Model: "model-" + string(rune('a'+i%26)) + string(rune('a'+i/26%26)) + string(rune('a'+i/676)), Alias: "current"}] = registry.Target{Version: "v", Revision: 1}
+		told.Targets[registry.AliasName{Model: "model-" + string(rune('a'+i%26)) + string(rune('a'+i/26%26)) + string(rune('a'+i/676)), Alias: "current"}] = registry.Target{Version: "v", Revision: 1}
 	}
 	told.Targets[n] = registry.Target{Version: "v1", Digest: "sha256:1", Revision: 1}
 	var v registry.View
-	v.Learn(a.cfg.Clock.Now(), told)
+	v.Update(a.cfg.Clock.Now(), told)
 	a.now.Store(newGeneration(v))
 	b.ReportAllocs()
 	for b.Loop() {
@@ -53,7 +53,7 @@
 		a.MayAnswer(n, t)
 		a.MayAnswer(n, t)
 		ticket, _, verdict := a.Begin(n, t)
-		if verdict != registry.May {
+		if verdict != registry.Allowed {
 			b.Fatal(verdict)
 		}
 		a.End(ticket)
--- a/internal/registry/commands.go
+++ b/internal/registry/commands.go
@@ -19,7 +19,7 @@
 	if err := cmp.Or(name("model", p.Model), name("version", p.Name), digest(p.Digest)); err != nil {
 		return nil, err
 	}
-	if p.Size < 0 || !(p.MemoryMB >= 0) || p.Lanes < 0 || p.Load < 0 {
+	if p.Size < 0 || !(p.MemoryMB >= 0) || p.Lanes < 0 || p.LoadTime < 0 {
 		return nil, fmt.Errorf("version: %s: a size, memory, lanes or load time below 0", p.Name)
 	}
 	m := s.Models[p.Model]
@@ -40,7 +40,7 @@
 	}
 	// The same bytes under two names are two versions; bytes that were condemned are condemned under every name.
 	v := p.Version
-	v.Phase, v.Since, v.Copies, v.Calls, v.Errors, v.Left = Proposed, now, map[string]int{}, 0, 0, 0
+	v.Phase, v.Since, v.Copies, v.Calls, v.Errors, v.AbandonedInEpoch = Proposed, now, map[string]int{}, 0, 0, 0
 	if _, bad := s.Condemned[v.Digest]; bad {
 		return nil, fmt.Errorf("digest: %s is condemned", v.Digest)
 	}
@@ -190,15 +190,15 @@
 	return out, nil
 }
 
-// Stands says how many copies of a version stand at a worker, as answers and questions to it tell.
-type Stands struct {
+// CopiesReady says how many copies of a version stand at a worker, as answers and questions to it tell.
+type CopiesReady struct {
 	Model   string `json:"Model"`
 	Version string `json:"Version"`
 	Worker  string `json:"Worker"`
 	Copies  int    `json:"Copies"`
 }
 
-func (c Stands) apply(s *State, _ time.Duration) ([]Effect, error) {
+func (c CopiesReady) apply(s *State, _ time.Duration) ([]Effect, error) {
 	_, v, err := s.version(c.Model, c.Version)
 	if err != nil {
 		return nil, err
@@ -211,15 +211,15 @@
 	return nil, nil
 }
 
-// Ended counts calls of a version, for the watch on a new one.
-type Ended struct {
+// CallsEnded counts calls of a version, for the watch on a new one.
+type CallsEnded struct {
 	Model   string `json:"Model"`
 	Version string `json:"Version"`
 	Calls   int    `json:"Calls"`
 	Errors  int    `json:"Errors"`
 }
 
-func (c Ended) apply(s *State, _ time.Duration) ([]Effect, error) {
+func (c CallsEnded) apply(s *State, _ time.Duration) ([]Effect, error) {
 	_, v, err := s.version(c.Model, c.Version)
 	if err != nil || c.Calls < 0 || c.Errors < 0 || c.Errors > c.Calls {
 		return nil, cmp.Or(err, fmt.Errorf("calls: %d with %d errors", c.Calls, c.Errors))
@@ -228,13 +228,13 @@
 	return nil, nil
 }
 
-// Reached says that no controller can act against an epoch any more: see Leases.Least. Moves that it knows are
+// EpochConfirmed says that no controller can act against an epoch any more: see Leases.Least. Moves that it knows are
 // acknowledged.
-type Reached struct {
+type EpochConfirmed struct {
 	Epoch uint64 `json:"Epoch"`
 }
 
-func (c Reached) apply(s *State, _ time.Duration) ([]Effect, error) {
+func (c EpochConfirmed) apply(s *State, _ time.Duration) ([]Effect, error) {
 	if c.Epoch > s.Epoch {
 		return nil, fmt.Errorf("epoch: %d, of which %d is the last", c.Epoch, s.Epoch)
 	}
@@ -268,13 +268,13 @@
 // Collect forgets versions that nothing names any more. Except are those that a running call may still name, as
 // controllers tell.
 type Collect struct {
-	Except []Bytes `json:"Except"`
-	By     string  `json:"By"`
-	Why    string  `json:"Why"`
+	Except []VersionRef `json:"Except"`
+	By     string       `json:"By"`
+	Why    string       `json:"Why"`
 }
 
-// Bytes name a version of a model.
-type Bytes struct {
+// VersionRef name a version of a model.
+type VersionRef struct {
 	Model   string `json:"Model"`
 	Version string `json:"Version"`
 }
@@ -283,7 +283,7 @@
 	var out []Effect
 	for _, m := range sorted(s.Models) {
 		for _, v := range sorted(m.Versions) {
-			if slices.Contains(c.Except, Bytes{m.Name, v.Name}) || s.holds(m, v, now) {
+			if slices.Contains(c.Except, VersionRef{m.Name, v.Name}) || s.holds(m, v, now) {
 				continue
 			}
 			delete(m.Versions, v.Name)
@@ -303,16 +303,16 @@
 			return true
 		}
 	}
-	return v.Phase != Retired && v.Phase != Condemned || now < v.Since+s.Settings.Retention || v.Left > s.Confirmed
+	return v.Phase != Retired && v.Phase != Condemned || now < v.Since+s.Settings.Retention || v.AbandonedInEpoch > s.Confirmed
 }
 
-// Keyed is a command with a key: the same again is the first's result again, and something else under the key an error.
-type Keyed struct {
+// IdempotentCommand is a command with a key: the same again is the first's result again, and something else under the key an error.
+type IdempotentCommand struct {
 	Key, Sum string
-	Do       Command
+	Command  Command
 }
 
-func (c Keyed) apply(s *State, now time.Duration) ([]Effect, error) {
+func (c IdempotentCommand) apply(s *State, now time.Duration) ([]Effect, error) {
 	if c.Key == "" || len(c.Key) > 128 {
 		return nil, fmt.Errorf("key: %d bytes, want 1 to 128", len(c.Key))
 	}
@@ -323,7 +323,7 @@
 		return []Effect{Replayed{s.Keys[i].Migration}}, nil
 	}
 	last := s.LastMigration
-	out, err := c.Do.apply(s, now)
+	out, err := c.Command.apply(s, now)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/registry/lease.go
+++ b/internal/registry/lease.go
@@ -20,7 +20,7 @@
 type holder struct {
 	epoch uint64        // confirmed
 	until time.Duration // by the registry's clock, drift included
-	uses  []Bytes
+	uses  []VersionRef
 }
 
 // NewLeases returns the leases of a process that started now. fresh says that there was none before it.
@@ -40,7 +40,7 @@
 // Renew is a controller's word that it acts by an epoch, of which last is the newest. It begins a new lease; a controller
 // counts it from the moment at which it asked, which is before the registry hears of it. uses are the versions, other
 // than those that aliases name, which its running calls still name.
-func (l *Leases) Renew(now time.Duration, controller string, epoch, last uint64, uses []Bytes) error {
+func (l *Leases) Renew(now time.Duration, controller string, epoch, last uint64, uses []VersionRef) error {
 	if err := name("controller", controller); err != nil {
 		return err
 	}
@@ -69,8 +69,8 @@
 	}
 }
 
-// Least returns the newest epoch that no controller can act against any more.
-func (l *Leases) Least(now time.Duration) uint64 {
+// ConfirmedEpoch returns the newest epoch that no controller can act against any more.
+func (l *Leases) ConfirmedEpoch(now time.Duration) uint64 {
 	l.expire(now)
 	if now < l.quiet {
 		return 0
@@ -82,8 +82,8 @@
 	return least
 }
 
-// Next returns when time alone may raise Least; 0: never.
-func (l *Leases) Next(now time.Duration) (next time.Duration) {
+// NextExpiry returns when time alone may raise Least; 0: never.
+func (l *Leases) NextExpiry(now time.Duration) (next time.Duration) {
 	if now < l.quiet {
 		next = l.quiet
 	}
@@ -96,7 +96,7 @@
 }
 
 // Uses returns the versions that running calls may still name. known is false while a controller may not have told.
-func (l *Leases) Uses(now time.Duration) (uses []Bytes, known bool) {
+func (l *Leases) Uses(now time.Duration) (uses []VersionRef, known bool) {
 	l.expire(now)
 	for _, h := range l.holders {
 		uses = append(uses, h.uses...)
@@ -116,7 +116,7 @@
 
 // Stager returns the controller that is to have copies of a version loaded: one alone, so that a budget is spent once;
 // "" where none has a lease. It is the highest by a hash of both, so that few change when one comes or goes.
-func (l *Leases) Stager(now time.Duration, b Bytes) (best string) {
+func (l *Leases) Stager(now time.Duration, b VersionRef) (best string) {
 	l.expire(now)
 	var most uint64
 	for name := range l.holders {
--- a/internal/registry/move.go
+++ b/internal/registry/move.go
@@ -88,7 +88,7 @@
 		v.Phase, v.Since = Retired, now
 	}
 	if v := m.Versions[old]; v != nil {
-		v.Left = s.Epoch
+		v.AbandonedInEpoch = s.Epoch
 	}
 	if v := m.Versions[mv.To]; v != nil && v.Phase != Condemned {
 		v.Phase, v.Since, v.Calls, v.Errors = Live, now, 0, 0
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -52,18 +52,18 @@
 
 // A Version is immutable but for its phase.
 type Version struct {
-	Name     string         `json:"Name"`
-	Digest   string         `json:"Digest"` // "sha256:" and 64 hexadecimal digits, as the OCI image specification has it
-	Size     int64          `json:"Size"`   // bytes
-	MemoryMB float64        `json:"MemoryMB"`
-	Lanes    int            `json:"Lanes"`
-	Load     time.Duration  `json:"Load"`
-	Phase    Phase          `json:"Phase"`
-	Since    time.Duration  `json:"Since"`  // in this phase
-	Copies   map[string]int `json:"Copies"` // that stand, by worker
-	Calls    int            `json:"Calls"`  // watched, since it became live
-	Errors   int            `json:"Errors"`
-	Left     uint64         `json:"Left"` // epoch in which the last alias left it
+	Name             string         `json:"Name"`
+	Digest           string         `json:"Digest"` // "sha256:" and 64 hexadecimal digits, as the OCI image specification has it
+	Size             int64          `json:"Size"`   // bytes
+	MemoryMB         float64        `json:"MemoryMB"`
+	Lanes            int            `json:"Lanes"`
+	LoadTime         time.Duration  `json:"Load"`
+	Phase            Phase          `json:"Phase"`
+	Since            time.Duration  `json:"Since"`  // in this phase
+	Copies           map[string]int `json:"Copies"` // that stand, by worker
+	Calls            int            `json:"Calls"`  // watched, since it became live
+	Errors           int            `json:"Errors"`
+	AbandonedInEpoch uint64         `json:"Left"` // epoch in which the last alias left it
 }
 
 // An Alias names a version of its model. Revision grows with every move, so that A, B, A are three.
@@ -104,8 +104,8 @@
 	Why          string `json:"Why"` // it was given up
 }
 
-// A Line of the history: who did what, when and why.
-type Line struct {
+// A HistoryEntry of the history: who did what, when and why.
+type HistoryEntry struct {
 	At   time.Duration `json:"At"`
 	By   string        `json:"By"`
 	What string        `json:"What"`
@@ -121,7 +121,7 @@
 	Fences          []Fence           `json:"Fences"`    // moves that wait for controllers, oldest first
 	Confirmed       uint64            `json:"Confirmed"` // epoch that no controller can act against any more
 	Keys            []KeyResult       `json:"Keys"`
-	History         []Line            `json:"History"`
+	History         []HistoryEntry    `json:"History"`
 	Condemned       map[string]string `json:"Condemned"` // digests, each with why: never collected
 	EndedMigrations []MigrationEnd    `json:"Moves"`     // that have ended, oldest first
 	Now             time.Duration     `json:"Now"`       // of the last command
@@ -260,7 +260,7 @@
 }
 
 func (s *State) note(now time.Duration, by, what, why string) {
-	s.History = append(s.History, Line{now, by, what, why})
+	s.History = append(s.History, HistoryEntry{now, by, what, why})
 	if over := len(s.History) - s.Settings.MaxRemembered; over > 0 {
 		s.History = slices.Delete(s.History, 0, over)
 	}
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -56,8 +56,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if least := min(d.l.Least(now), d.s.Epoch); least > d.s.Confirmed {
-		more, err := d.s.Apply(now, Reached{least})
+	if least := min(d.l.ConfirmedEpoch(now), d.s.Epoch); least > d.s.Confirmed {
+		more, err := d.s.Apply(now, EpochConfirmed{least})
 		return append(out, more...), err
 	}
 	return out, nil
@@ -80,7 +80,7 @@
 			{0, to("v1", 0, 0), "[{1} {1}]", "v1@1"}, // nobody to wait for
 			{1, renew{"c1", 1}, "[]", "v1@1"}, {1, renew{"c2", 1}, "[]", "v1@1"},
 			{2, to("v2", 1, 2), "[{m v2 2}]", "v1@1"},
-			{3, Stands{"m", "v2", "w1", 1}, "[]", "v1@1"}, {4, Stands{"m", "v2", "w2", 1}, "[{2}]", "v2@2"},
+			{3, CopiesReady{"m", "v2", "w1", 1}, "[]", "v1@1"}, {4, CopiesReady{"m", "v2", "w2", 1}, "[{2}]", "v2@2"},
 			{4, renew{"c1", 2}, "[]", "v2@2"}, {5, renew{"c2", 2}, "[{2}]", "v2@2"},
 			{11, Tick{}, "[]", "v2@2"}, {13, Tick{}, "[]", "v2@2"},
 		},
@@ -99,9 +99,9 @@
 			{3, to("v2", 1, 0), "the alias has moved since: current of m is at revision 3, not 1", "v1@3"},
 		},
 		"the same key again is the same move": {
-			{0, push("v1", "1"), "[]", ""}, {0, Keyed{"k", "sum", to("v1", 0, 0)}, "[{1} {1} {1}]", "v1@1"},
-			{1, Keyed{"k", "sum", to("v1", 0, 0)}, "[{1}]", "v1@1"}, {1, Keyed{"k", "other", to("v1", 1, 0)}, `key: used for another command: "k"`, "v1@1"},
-			{1, Keyed{"", "sum", to("v1", 1, 0)}, "key: 0 bytes, want 1 to 128", "v1@1"},
+			{0, push("v1", "1"), "[]", ""}, {0, IdempotentCommand{"k", "sum", to("v1", 0, 0)}, "[{1} {1} {1}]", "v1@1"},
+			{1, IdempotentCommand{"k", "sum", to("v1", 0, 0)}, "[{1}]", "v1@1"}, {1, IdempotentCommand{"k", "other", to("v1", 1, 0)}, `key: used for another command: "k"`, "v1@1"},
+			{1, IdempotentCommand{"", "sum", to("v1", 1, 0)}, "key: 0 bytes, want 1 to 128", "v1@1"},
 		},
 		"condemned bytes leave their alias and never come back": {
 			{0, push("v1", "1"), "[]", ""}, {0, to("v1", 0, 0), "[{1} {1}]", "v1@1"}, {0, push("same", "1"), "[]", "v1@1"},
@@ -110,14 +110,14 @@
 		},
 		"a version that fails more than the one before is moved back": {
 			{0, push("v1", "1"), "[]", ""}, {0, push("v2", "2"), "[]", ""}, {0, to("v1", 0, 0), "[{1} {1}]", "v1@1"},
-			{1, Ended{"m", "v1", 100, 5}, "[]", "v1@1"}, {2, to("v2", 1, 0), "[{2} {2}]", "v2@2"},
-			{3, Ended{"m", "v2", 9, 9}, "[]", "v2@2"}, {4, Ended{"m", "v2", 1, 0}, "[{3} {3}]", "v1@3"},
-			{5, Ended{"m", "v1", 100, 100}, "[]", "v1@3"},
+			{1, CallsEnded{"m", "v1", 100, 5}, "[]", "v1@1"}, {2, to("v2", 1, 0), "[{2} {2}]", "v2@2"},
+			{3, CallsEnded{"m", "v2", 9, 9}, "[]", "v2@2"}, {4, CallsEnded{"m", "v2", 1, 0}, "[{3} {3}]", "v1@3"},
+			{5, CallsEnded{"m", "v1", 100, 100}, "[]", "v1@3"},
 		},
 		"collection keeps what an alias names, did before, or a call still does": {
 			{0, push("v1", "1"), "[]", ""}, {0, push("v2", "2"), "[]", ""}, {0, push("v3", "3"), "[]", ""}, {0, to("v1", 0, 0), "[{1} {1}]", "v1@1"},
 			{1, to("v2", 1, 0), "[{2} {2}]", "v2@2"}, {20, Collect{}, "[]", "v2@2"}, {21, renew{"c1", 2}, "[]", "v2@2"}, {21, to("v3", 2, 0), "[{3}]", "v3@3"},
-			{22, Collect{Except: []Bytes{{"m", "v1"}}}, "[]", "v3@3"}, {22, Collect{}, "[{m v1 " + sha("1") + "}]", "v3@3"},
+			{22, Collect{Except: []VersionRef{{"m", "v1"}}}, "[]", "v3@3"}, {22, Collect{}, "[{m v1 " + sha("1") + "}]", "v3@3"},
 			{27, Collect{}, "[{3}]", "v3@3"}, {40, Collect{}, "[]", "v3@3"},
 		},
 		"collection waits for controllers that may still act by what was left": {
@@ -208,14 +208,14 @@
 				t.Fatal(err)
 			}
 		}
-		name := Name{"m", "current"}
+		name := AliasName{"m", "current"}
 		left := map[Target]bool{}       // acknowledged as left
 		moving := map[uint64][]Target{} // left by a move that is not acknowledged
 		type ask struct {
 			p     *peer
 			asked time.Duration // by its clock
 			epoch uint64
-			told  *Told
+			told  *ViewUpdate
 		}
 		var asks []ask
 		apply := func(c Command) {
@@ -261,7 +261,7 @@
 					told := s.Send(a.epoch)
 					a.told = &told
 				} else {
-					a.p.view.Learn(a.asked, *a.told)
+					a.p.view.Update(a.asked, *a.told)
 					if rapid.IntRange(0, 2).Draw(t, "settle") > 0 { // else calls go on under what was left, and it does not confirm
 						a.p.view, a.p.known = a.p.view.Settled(), a.p.view.Epoch()
 					}
@@ -292,7 +292,7 @@
 			}
 			for i, p := range peers {
 				for target := range left {
-					if v := p.view.MayAnswer(p.now(now), name, target); v == May || v == Leaving {
+					if v := p.view.MayAnswer(p.now(now), name, target); v == Allowed || v == BeingSuperseded {
 						t.Fatalf("at %v controller %d hands out %v, acknowledged as left", now, i, target)
 					}
 				}
@@ -301,7 +301,7 @@
 	})
 }
 
-func (s *State) revisionOf(n Name) uint64 {
+func (s *State) revisionOf(n AliasName) uint64 {
 	if m := s.Models[n.Model]; m != nil {
 		return revision(m.Aliases[n.Alias])
 	}
@@ -309,14 +309,14 @@
 }
 
 func BenchmarkResolve(b *testing.B) {
-	v := View{told: Told{Targets: map[Name]Target{}}, until: time.Hour}
+	v := View{told: ViewUpdate{Targets: map[AliasName]Target{}}, until: time.Hour}
 	for i := range 1000 {
-		v.told.Targets[Name{fmt.Sprint("model-", i), "current"}] = Target{Version: "v1", Revision: 1}
+		v.told.Targets[AliasName{fmt.Sprint("model-", i), "current"}] = Target{Version: "v1", Revision: 1}
 	}
-	n := Name{"model-500", "current"}
+	n := AliasName{"model-500", "current"}
 	b.ReportAllocs()
 	for b.Loop() {
-		if t, verdict := v.Resolve(0, n); verdict != May || v.MayAnswer(0, n, t) != May {
+		if t, verdict := v.Resolve(0, n); verdict != Allowed || v.MayAnswer(0, n, t) != Allowed {
 			b.Fatal(verdict)
 		}
 	}
@@ -328,14 +328,14 @@
 		effect      scheduler.Idempotency
 		out, ran    bool
 		times       int
-		left, alone Next // where the alias has left, and where the registry is not heard
+		left, alone NextStep // where the alias has left, and where the registry is not heard
 	}{
-		{safe, false, false, 0, Anew, Refuse}, {safe, true, true, 0, Anew, Refuse}, {safe, false, true, MostAnew, Refuse, Refuse},
-		{keyed, false, false, 0, Anew, Refuse}, {keyed, true, true, 0, Wait, Wait}, {keyed, false, true, 0, Fail, Fail},
-		{unsafe, false, false, 0, Anew, Refuse}, {unsafe, true, true, 0, Wait, Wait}, {unsafe, false, true, 0, Fail, Fail},
-		{unsafe, false, false, MostAnew, Refuse, Refuse},
+		{safe, false, false, 0, Restart, Reject}, {safe, true, true, 0, Restart, Reject}, {safe, false, true, MaxRestarts, Reject, Reject},
+		{keyed, false, false, 0, Restart, Reject}, {keyed, true, true, 0, Wait, Wait}, {keyed, false, true, 0, Fail, Fail},
+		{unsafe, false, false, 0, Restart, Reject}, {unsafe, true, true, 0, Wait, Wait}, {unsafe, false, true, 0, Fail, Fail},
+		{unsafe, false, false, MaxRestarts, Reject, Reject},
 	} {
-		if l, a := After(tt.effect, tt.out, tt.ran, tt.times), WithoutLease(tt.effect, tt.out, tt.ran); l != tt.left || a != tt.alone {
+		if l, a := AfterSuperseded(tt.effect, tt.out, tt.ran, tt.times), WithoutLease(tt.effect, tt.out, tt.ran); l != tt.left || a != tt.alone {
 			t.Errorf("%+v: %d and %d", tt, l, a)
 		}
 	}
@@ -365,40 +365,40 @@
 
 // What is leaving may be answered and not begun, until it is settled, the lease is over, or its bytes are barred.
 func TestLeaving(t *testing.T) {
-	n, gone := Name{"m", "current"}, Name{"m", "gone"}
+	n, gone := AliasName{"m", "current"}, AliasName{"m", "gone"}
 	one, two := Target{"v1", sha("1"), 1}, Target{"v2", sha("2"), 2}
-	told := func(epoch uint64, x Target, barred ...string) Told {
-		return Told{Epoch: epoch, Targets: map[Name]Target{n: x, gone: {"", "", epoch}}, Lease: 10 * sec, Settle: sec, Barred: barred}
+	told := func(epoch uint64, x Target, barred ...string) ViewUpdate {
+		return ViewUpdate{Epoch: epoch, Targets: map[AliasName]Target{n: x, gone: {"", "", epoch}}, Lease: 10 * sec, Settle: sec, Condemned: barred}
 	}
 	begin := func() *View {
 		v := &View{}
 		first := told(1, one)
 		first.Targets[gone] = Target{"v1", sha("1"), 1}
-		if !v.Learn(0, first) || !v.Learn(sec, told(2, two)) {
+		if !v.Update(0, first) || !v.Update(sec, told(2, two)) {
 			t.Fatal("not learnt")
 		}
 		return v
 	}
 	v := begin()
-	if a, b, c := v.MayAnswer(5*sec, n, one), v.MayAnswer(5*sec, n, two), v.MayAnswer(5*sec, gone, Target{"v1", sha("1"), 1}); a != Leaving || b != May || c != Left {
+	if a, b, c := v.MayAnswer(5*sec, n, one), v.MayAnswer(5*sec, n, two), v.MayAnswer(5*sec, gone, Target{"v1", sha("1"), 1}); a != BeingSuperseded || b != Allowed || c != Superseded {
 		t.Errorf("%v for the one that is leaving, %v for the one that is named, %v for one whose alias names nothing", a, b, c)
 	}
-	if a := v.MayAnswer(11*sec, n, one); a != Left {
+	if a := v.MayAnswer(11*sec, n, one); a != Superseded {
 		t.Errorf("after the lease: %v", a)
 	}
 	s := v.Settled()
-	if a := s.MayAnswer(5*sec, n, one); a != Left {
+	if a := s.MayAnswer(5*sec, n, one); a != Superseded {
 		t.Errorf("settled: %v", a)
 	}
 	v = begin()
-	if !v.Learn(2*sec, told(3, two, sha("1"))) || v.MayAnswer(5*sec, n, one) != Left {
+	if !v.Update(2*sec, told(3, two, sha("1"))) || v.MayAnswer(5*sec, n, one) != Superseded {
 		t.Errorf("barred: %v", v.MayAnswer(5*sec, n, one))
 	}
 	v = begin()
-	if v.Learn(3*sec, told(1, one)) || v.MayAnswer(5*sec, n, two) != May {
+	if v.Update(3*sec, told(1, one)) || v.MayAnswer(5*sec, n, two) != Allowed {
 		t.Error("an older epoch was learnt")
 	}
-	if v.Learn(3*sec, Told{Epoch: 9, Since: 7, Targets: map[Name]Target{}, Lease: sec}) {
+	if v.Update(3*sec, ViewUpdate{Epoch: 9, Since: 7, Targets: map[AliasName]Target{}, Lease: sec}) {
 		t.Error("changes since an epoch that it does not hold were learnt")
 	}
 }
--- a/internal/registry/service/codec.go
+++ b/internal/registry/service/codec.go
@@ -12,19 +12,19 @@
 
 // A record is one line of the log: a command with the time at which it was applied. One command is set.
 type record struct {
-	At       time.Duration      `json:"at"`
-	Key      string             `json:"key,omitempty"`
-	Sum      string             `json:"sum,omitempty"`
-	Push     *registry.Push     `json:"push,omitempty"`
-	Promote  *registry.Promote  `json:"promote,omitempty"`
-	Rollback *registry.Rollback `json:"rollback,omitempty"`
-	Condemn  *registry.Condemn  `json:"condemn,omitempty"`
-	Policy   *registry.Policy   `json:"policy,omitempty"`
-	Collect  *registry.Collect  `json:"collect,omitempty"`
-	Stands   *registry.Stands   `json:"stands,omitempty"`
-	Ended    *registry.Ended    `json:"ended,omitempty"`
-	Reached  *registry.Reached  `json:"reached,omitempty"`
-	Tick     *registry.Tick     `json:"tick,omitempty"`
+	At       time.Duration            `json:"at"`
+	Key      string                   `json:"key,omitempty"`
+	Sum      string                   `json:"sum,omitempty"`
+	Push     *registry.Push           `json:"push,omitempty"`
+	Promote  *registry.Promote        `json:"promote,omitempty"`
+	Rollback *registry.Rollback       `json:"rollback,omitempty"`
+	Condemn  *registry.Condemn        `json:"condemn,omitempty"`
+	Policy   *registry.Policy         `json:"policy,omitempty"`
+	Collect  *registry.Collect        `json:"collect,omitempty"`
+	Stands   *registry.CopiesReady    `json:"stands,omitempty"`
+	Ended    *registry.CallsEnded     `json:"ended,omitempty"`
+	Reached  *registry.EpochConfirmed `json:"reached,omitempty"`
+	Tick     *registry.Tick           `json:"tick,omitempty"`
 }
 
 // command returns the one command of a record.
@@ -38,7 +38,7 @@
 	}
 	c := l[0]
 	if r.Key != "" {
-		c = registry.Keyed{Key: r.Key, Sum: r.Sum, Do: c}
+		c = registry.IdempotentCommand{Key: r.Key, Sum: r.Sum, Command: c}
 	}
 	return c, nil
 }
@@ -53,9 +53,9 @@
 
 func (r *record) set(c registry.Command) {
 	switch c := c.(type) {
-	case registry.Keyed:
+	case registry.IdempotentCommand:
 		r.Key, r.Sum = c.Key, c.Sum
-		r.set(c.Do)
+		r.set(c.Command)
 	case registry.Push:
 		r.Push = &c
 	case registry.Promote:
@@ -68,11 +68,11 @@
 		r.Policy = &c
 	case registry.Collect:
 		r.Collect = &c
-	case registry.Stands:
+	case registry.CopiesReady:
 		r.Stands = &c
-	case registry.Ended:
+	case registry.CallsEnded:
 		r.Ended = &c
-	case registry.Reached:
+	case registry.EpochConfirmed:
 		r.Reached = &c
 	case registry.Tick:
 		r.Tick = &c
--- a/internal/registry/service/golden_test.go
+++ b/internal/registry/service/golden_test.go
@@ -103,7 +103,7 @@
 func goldenDigest(digit string) string { return "sha256:" + strings.Repeat(digit, 64) }
 
 func goldenPush(model, version, digit string) registry.Push {
-	return registry.Push{Model: model, Version: registry.Version{Name: version, Digest: goldenDigest(digit), Size: 1000, MemoryMB: 12.5, Lanes: 2, Load: 3 * time.Second}, By: "ann", Why: "to try " + version}
+	return registry.Push{Model: model, Version: registry.Version{Name: version, Digest: goldenDigest(digit), Size: 1000, MemoryMB: 12.5, Lanes: 2, LoadTime: 3 * time.Second}, By: "ann", Why: "to try " + version}
 }
 
 // A text that JSON would write in another way if HTML were not escaped, and one that is not ASCII.
@@ -113,22 +113,22 @@
 // back while staging, one that waits for the controller, one that is staging, and a version that is condemned.
 func (s *script) beforeSnapshot() {
 	s.confirm(time.Second, 0)
-	s.commit(registry.Keyed{Key: "ann p1", Sum: "5a1", Do: goldenPush("m", "v1", "1")})
+	s.commit(registry.IdempotentCommand{Key: "ann p1", Sum: "5a1", Command: goldenPush("m", "v1", "1")})
 	s.commit(goldenPush("m", "v2", "2"))
 	s.commit(goldenPush("m", "v3", "3"))
 	s.commit(goldenPush("n", "w1", "4"))
-	s.commit(registry.Keyed{Key: "ann k1", Sum: "5a2", Do: registry.Promote{Model: "m", Alias: "current", To: "v1", By: "ann", Why: awkward}})
+	s.commit(registry.IdempotentCommand{Key: "ann k1", Sum: "5a2", Command: registry.Promote{Model: "m", Alias: "current", To: "v1", By: "ann", Why: awkward}})
 	s.confirm(time.Second, 1)
 	s.ends(1, "acknowledged")
-	s.commit(registry.Stands{Model: "m", Version: "v1", Worker: "worker-1", Copies: 2})
-	s.commit(registry.Ended{Model: "m", Version: "v1", Calls: 20, Errors: 1})
+	s.commit(registry.CopiesReady{Model: "m", Version: "v1", Worker: "worker-1", Copies: 2})
+	s.commit(registry.CallsEnded{Model: "m", Version: "v1", Calls: 20, Errors: 1})
 	s.confirm(time.Second, 1)
 	s.commit(registry.Promote{Model: "m", Alias: "current", To: "v2", IfRevision: 1, Copies: 2, By: "bob", Why: "to be aborted"})
 	s.commit(registry.Rollback{Model: "m", Alias: "current", IfRevision: 1, By: "ann", Why: "not this one"})
 	s.ends(2, "given up")
 	s.commit(registry.Promote{Model: "m", Alias: "current", To: "v2", IfRevision: 1, Copies: 1, By: "bob", Why: "again"})
-	s.commit(registry.Stands{Model: "m", Version: "v2", Worker: "worker-1", Copies: 1})
-	s.commit(registry.Ended{Model: "m", Version: "v2", Calls: 5, Errors: 1})
+	s.commit(registry.CopiesReady{Model: "m", Version: "v2", Worker: "worker-1", Copies: 1})
+	s.commit(registry.CallsEnded{Model: "m", Version: "v2", Calls: 5, Errors: 1})
 	s.commit(registry.Policy{Model: "n", Stale: true, By: "ann", Why: "better than none"})
 	s.commit(goldenPush("m", "bad", "5"))
 	s.commit(registry.Condemn{Model: "m", Version: "bad", By: "ann", Why: "leaks"})
@@ -142,12 +142,12 @@
 // behindSnapshot is the part of the script that the log holds behind the snapshot: every kind of command, keys that were
 // used before, a move that is rolled back while staging, and one that the time ends.
 func (s *script) behindSnapshot() {
-	s.commit(registry.Keyed{Key: "ann k1", Sum: "5a2", Do: registry.Promote{Model: "m", Alias: "current", To: "v1", By: "ann", Why: awkward}})
-	s.refused(registry.Keyed{Key: "ann k1", Sum: "0ther", Do: registry.Policy{Model: "m", Stale: true, By: "ann"}})
-	s.commit(registry.Keyed{Key: "ann p4", Sum: "5a3", Do: goldenPush("m", "v4", "6")})
+	s.commit(registry.IdempotentCommand{Key: "ann k1", Sum: "5a2", Command: registry.Promote{Model: "m", Alias: "current", To: "v1", By: "ann", Why: awkward}})
+	s.refused(registry.IdempotentCommand{Key: "ann k1", Sum: "0ther", Command: registry.Policy{Model: "m", Stale: true, By: "ann"}})
+	s.commit(registry.IdempotentCommand{Key: "ann p4", Sum: "5a3", Command: goldenPush("m", "v4", "6")})
 	s.commit(registry.Push{Model: "m", Version: registry.Version{Name: "v5", Digest: goldenDigest("7")}}) // all that may be empty is
-	s.commit(registry.Stands{Model: "n", Version: "w1", Worker: "worker-2", Copies: 3})
-	s.commit(registry.Ended{Model: "n", Version: "w1", Calls: 3})
+	s.commit(registry.CopiesReady{Model: "n", Version: "w1", Worker: "worker-2", Copies: 3})
+	s.commit(registry.CallsEnded{Model: "n", Version: "w1", Calls: 3})
 	s.commit(registry.Policy{Model: "n", By: "bob", Why: "not any more"})
 	s.commit(registry.Promote{Model: "m", Alias: "canary", To: "v4", Copies: 1, By: "bob", Why: "to be aborted"})
 	s.commit(registry.Rollback{Model: "m", Alias: "canary", By: "bob", Why: "changed my mind"})
@@ -158,10 +158,10 @@
 	s.confirm(2*time.Minute, 5)
 	s.ends(4, "acknowledged") // by the service's own word of what the controller reached; the quiet time is over
 	s.commit(registry.Condemn{Model: "m", Version: "v4", By: "bob", Why: awkward})
-	s.commit(registry.Collect{Except: []registry.Bytes{{Model: "m", Version: "v3"}, {Model: "m", Version: "gone"}}, By: "ann", Why: "room"})
+	s.commit(registry.Collect{Except: []registry.VersionRef{{Model: "m", Version: "v3"}, {Model: "m", Version: "gone"}}, By: "ann", Why: "room"})
 	s.commit(registry.Collect{})
 	s.refused(registry.Promote{Model: "m", Alias: "current", To: "v4", IfRevision: 2, By: "bob", Why: "condemned"})
-	s.commit(registry.Keyed{Key: "bob r1", Sum: "5a4", Do: registry.Rollback{Model: "m", Alias: "current", IfRevision: 2, By: "bob", Why: "v2 is slow"}})
+	s.commit(registry.IdempotentCommand{Key: "bob r1", Sum: "5a4", Command: registry.Rollback{Model: "m", Alias: "current", IfRevision: 2, By: "bob", Why: "v2 is slow"}})
 }
 
 // stateOf returns the state of a service in the form in which it is stored, on lines of their own.
--- a/internal/registry/service/http.go
+++ b/internal/registry/service/http.go
@@ -221,7 +221,7 @@
 			wall := f.s.cfg.Clock.Wall()
 			for _, h := range st.History {
 				if q.Model == "" || slices.Contains(strings.Fields(h.What), q.Model) {
-					a.History = append(a.History, wire.Line{At: wall.Add(h.At - now), By: h.By, What: h.What, Why: h.Why})
+					a.History = append(a.History, wire.HistoryEntry{At: wall.Add(h.At - now), By: h.By, What: h.What, Why: h.Why})
 				}
 			}
 		})
@@ -270,7 +270,7 @@
 	return false
 }
 
-func targets(t registry.Told) (l []wire.Alias) {
+func targets(t registry.ViewUpdate) (l []wire.Alias) {
 	for n, x := range t.Targets {
 		l = append(l, wire.Alias{Type: wire.TypeAlias, Model: n.Model, Alias: n.Alias, Version: x.Version, Digest: x.Digest, Revision: x.Revision})
 	}
@@ -324,7 +324,7 @@
 		}
 		told := s.state.Send(since)
 		a := wire.Response{VersionInfo: strconv.FormatUint(told.Epoch, 10), TypeURL: wire.TypeAlias, Since: told.Since,
-			LeaseMS: float64(told.Lease) / float64(time.Millisecond), SettleMS: float64(told.Settle) / float64(time.Millisecond), Barred: told.Barred, Stage: f.stage(who.Name)}
+			LeaseMS: float64(told.Lease) / float64(time.Millisecond), SettleMS: float64(told.Settle) / float64(time.Millisecond), Condemned: told.Condemned, Stage: f.stage(who.Name)}
 		for m := range told.Stale {
 			a.Stale = append(a.Stale, m)
 		}
@@ -344,7 +344,7 @@
 	st, now := f.s.state, f.s.now()
 	for _, m := range st.Models {
 		for _, a := range m.Aliases {
-			if mv := a.Migration; mv != nil && !mv.Fenced && f.s.leases.Stager(now, registry.Bytes{Model: m.Name, Version: mv.To}) == controller {
+			if mv := a.Migration; mv != nil && !mv.Fenced && f.s.leases.Stager(now, registry.VersionRef{Model: m.Name, Version: mv.To}) == controller {
 				v := m.Versions[mv.To]
 				l = append(l, wire.Stage{Model: m.Name, Version: v.Name, Digest: v.Digest, Copies: mv.Copies, Alias: a.Name})
 			}
@@ -356,7 +356,7 @@
 
 // heard commits what a controller tells of copies that stand and calls that ended, where it is news to a move.
 func (f *Front) heard(q wire.Request) {
-	for _, x := range q.Stands {
+	for _, x := range q.CopiesReady {
 		news := false
 		f.s.Do(func(_ time.Duration, st *registry.State, _ *registry.Leases) {
 			if m := st.Models[x.Model]; m != nil && m.Versions[x.Version] != nil {
@@ -364,10 +364,10 @@
 			}
 		})
 		if news {
-			f.s.Commit(registry.Stands{Model: x.Model, Version: x.Version, Worker: x.Worker, Copies: x.Copies})
+			f.s.Commit(registry.CopiesReady{Model: x.Model, Version: x.Version, Worker: x.Worker, Copies: x.Copies})
 		}
 	}
-	for _, x := range q.Ended {
+	for _, x := range q.CallsEnded {
 		watched := false
 		f.s.Do(func(now time.Duration, st *registry.State, _ *registry.Leases) {
 			if m := st.Models[x.Model]; m != nil && m.Versions[x.Version] != nil {
@@ -376,7 +376,7 @@
 			}
 		})
 		if watched {
-			f.s.Commit(registry.Ended{Model: x.Model, Version: x.Version, Calls: x.Calls, Errors: x.Errors})
+			f.s.Commit(registry.CallsEnded{Model: x.Model, Version: x.Version, Calls: x.Calls, Errors: x.Errors})
 		}
 	}
 }
--- a/internal/registry/service/service.go
+++ b/internal/registry/service/service.go
@@ -240,12 +240,12 @@
 		}
 		now := s.now()
 		s.mu.Lock()
-		least := min(s.leases.Least(now), s.state.Epoch)
-		confirmed, due, next := s.state.Confirmed, s.state.Due(), s.leases.Next(now)
+		least := min(s.leases.ConfirmedEpoch(now), s.state.Epoch)
+		confirmed, due, next := s.state.Confirmed, s.state.Due(), s.leases.NextExpiry(now)
 		s.mu.Unlock()
 		var err error
 		if least > confirmed {
-			_, err = s.Commit(registry.Reached{Epoch: least})
+			_, err = s.Commit(registry.EpochConfirmed{Epoch: least})
 		}
 		if due > 0 && due <= now {
 			_, err = s.Commit(registry.Tick{})
--- a/internal/registry/service/service_test.go
+++ b/internal/registry/service/service_test.go
@@ -300,7 +300,7 @@
 	clk := clock.System()
 	a := agent.Start(agent.Config{Client: d.client("c1"), Node: "c1", Clock: clk, Log: zerolog.Nop()})
 	defer a.Stop()
-	n := registry.Name{Model: "m", Alias: "current"}
+	n := registry.AliasName{Model: "m", Alias: "current"}
 	until := func(what string, f func() bool) {
 		t.Helper()
 		for end := time.Now().Add(10 * time.Second); !f(); time.Sleep(ms) {
@@ -313,10 +313,10 @@
 	until("resolved", func() bool {
 		var v registry.Verdict
 		target, v = a.Resolve(n)
-		return v == registry.May
+		return v == registry.Allowed
 	})
 	ticket, _, v := a.Begin(n, target)
-	if v != registry.May {
+	if v != registry.Allowed {
 		t.Fatal(v)
 	}
 	moved := make(chan *wire.Answer, 1)
@@ -325,7 +325,7 @@
 		moved <- x
 	}()
 	until("moved here", func() bool { x, _ := a.Resolve(n); return x.Version == "v2" })
-	if v := a.MayAnswer(n, target); v != registry.Left && v != registry.Leaving {
+	if v := a.MayAnswer(n, target); v != registry.Superseded && v != registry.BeingSuperseded {
 		t.Errorf("the old target: %v", v)
 	}
 	select {
@@ -337,7 +337,7 @@
 	if x := <-moved; x == nil || x.Status != "acknowledged" {
 		t.Errorf("%+v", x)
 	}
-	if v := a.MayAnswer(n, target); v != registry.Left {
+	if v := a.MayAnswer(n, target); v != registry.Superseded {
 		t.Errorf("after the acknowledgement: %v", v)
 	}
 }
@@ -357,16 +357,16 @@
 	must(t, ann, "k2", q)
 	a := agent.Start(agent.Config{Client: d.client("c1"), Node: "c1", Clock: clock.System(), Log: zerolog.Nop()})
 	defer a.Stop()
-	n, stale := registry.Name{Model: "m", Alias: "current"}, registry.Name{Model: "s", Alias: "current"}
-	verdict := func(n registry.Name) registry.Verdict { _, v := a.Resolve(n); return v }
-	for verdict(n) != registry.May || verdict(stale) != registry.May {
+	n, stale := registry.AliasName{Model: "m", Alias: "current"}, registry.AliasName{Model: "s", Alias: "current"}
+	verdict := func(n registry.AliasName) registry.Verdict { _, v := a.Resolve(n); return v }
+	for verdict(n) != registry.Allowed || verdict(stale) != registry.Allowed {
 		time.Sleep(ms)
 	}
 	d.kill()
 	end := time.Now().Add(settings.LeaseDuration)
 	for {
 		at := time.Now()
-		if verdict(n) != registry.May {
+		if verdict(n) != registry.Allowed {
 			break
 		}
 		if at.After(end) {
@@ -377,11 +377,11 @@
 	if v := verdict(n); v != registry.NoLease {
 		t.Errorf("%v", v)
 	}
-	if v := verdict(stale); v != registry.May {
+	if v := verdict(stale); v != registry.Allowed {
 		t.Errorf("where stale is fine: %v", v)
 	}
 	d.start()
-	for verdict(n) != registry.May {
+	for verdict(n) != registry.Allowed {
 		time.Sleep(ms)
 	}
 }
@@ -547,13 +547,13 @@
 			case 2, 3:
 				c = registry.Promote{Model: m.Draw(rt, "m"), Alias: "current", To: v.Draw(rt, "v"), IfRevision: uint64(rapid.IntRange(0, 4).Draw(rt, "rev")), Copies: rapid.IntRange(0, 2).Draw(rt, "copies")}
 			case 4:
-				c = registry.Stands{Model: m.Draw(rt, "m"), Version: v.Draw(rt, "v"), Worker: "w", Copies: rapid.IntRange(0, 2).Draw(rt, "copies")}
+				c = registry.CopiesReady{Model: m.Draw(rt, "m"), Version: v.Draw(rt, "v"), Worker: "w", Copies: rapid.IntRange(0, 2).Draw(rt, "copies")}
 			case 5:
 				c = registry.Rollback{Model: m.Draw(rt, "m"), Alias: "current", IfRevision: uint64(rapid.IntRange(0, 4).Draw(rt, "rev"))}
 			case 6:
 				c = rapid.SampledFrom([]registry.Command{registry.Tick{}, registry.Collect{}, registry.Policy{Model: "m", Stale: true}, registry.Condemn{Model: "n", Version: "v3"}}).Draw(rt, "other")
 			case 7:
-				c = registry.Keyed{Key: rapid.SampledFrom([]string{"a", "b"}).Draw(rt, "key"), Sum: "s", Do: registry.Policy{Model: "m", Stale: rapid.Bool().Draw(rt, "stale")}}
+				c = registry.IdempotentCommand{Key: rapid.SampledFrom([]string{"a", "b"}).Draw(rt, "key"), Sum: "s", Command: registry.Policy{Model: "m", Stale: rapid.Bool().Draw(rt, "stale")}}
 			default:
 				s.Close()
 				before := text()
--- a/internal/registry/view.go
+++ b/internal/registry/view.go
@@ -8,8 +8,8 @@
 	"kitehub/scheduler"
 )
 
-// A Name is what a call asks for.
-type Name struct{ Model, Alias string }
+// A AliasName is what a call asks for.
+type AliasName struct{ Model, Alias string }
 
 // A Target is what an alias named at some time. Two targets with the same version may differ in revision: the alias was
 // moved away and back, and the answer of the earlier time is one of a version that was left.
@@ -19,25 +19,25 @@
 	Revision uint64
 }
 
-// Told is what the registry tells a controller: all aliases at an epoch, or those that changed since another.
-type Told struct {
-	Epoch   uint64
-	Since   uint64 // 0: all are told, and what is not told is no alias
-	Targets map[Name]Target
-	Stale   map[string]bool // all models for which an answer without a lease is better than none
-	Barred  []string        // digests that are condemned
-	Lease   time.Duration
-	Settle  time.Duration // how long calls that run under a target that was left may go on to their answer
+// ViewUpdate is what the registry tells a controller: all aliases at an epoch, or those that changed since another.
+type ViewUpdate struct {
+	Epoch     uint64
+	Since     uint64 // 0: all are told, and what is not told is no alias
+	Targets   map[AliasName]Target
+	Stale     map[string]bool // all models for which an answer without a lease is better than none
+	Condemned []string        // digests that are condemned
+	Lease     time.Duration
+	Settle    time.Duration // how long calls that run under a target that was left may go on to their answer
 }
 
 // Send returns what a controller is to know now that holds an epoch; 0: nothing. An alias that names no version is told
 // as an empty target.
-func (s *State) Send(since uint64) Told {
+func (s *State) Send(since uint64) ViewUpdate {
 	if since > s.Epoch {
 		since = 0
 	}
-	t := Told{Epoch: s.Epoch, Since: since, Targets: map[Name]Target{}, Lease: s.Settings.LeaseDuration, Settle: s.Settings.SettleTimeout}
-	t.Barred = slices.Sorted(maps.Keys(s.Condemned))
+	t := ViewUpdate{Epoch: s.Epoch, Since: since, Targets: map[AliasName]Target{}, Lease: s.Settings.LeaseDuration, Settle: s.Settings.SettleTimeout}
+	t.Condemned = slices.Sorted(maps.Keys(s.Condemned))
 	for _, m := range s.Models {
 		if m.Stale {
 			if t.Stale == nil {
@@ -53,7 +53,7 @@
 			if v := m.Versions[a.Version]; v != nil {
 				target.Version, target.Digest = v.Name, v.Digest
 			}
-			t.Targets[Name{m.Name, a.Name}] = target
+			t.Targets[AliasName{m.Name, a.Name}] = target
 		}
 	}
 	return t
@@ -61,17 +61,17 @@
 
 // A View is what one controller knows of the registry. The zero value knows nothing.
 type View struct {
-	told  Told
+	told  ViewUpdate
 	until time.Duration // by the controller's own clock
 	// leaving are targets that were left by moves which this controller has not confirmed: no such move is acknowledged
 	// yet, so calls that run under them may still be answered, but no new ones begin. It is never changed in place.
-	leaving map[Name][]Target
+	leaving map[AliasName][]Target
 }
 
-// Learn takes in what the registry told and tells whether it fits. asked is when the controller asked, by its own clock:
+// Update takes in what the registry told and tells whether it fits. asked is when the controller asked, by its own clock:
 // the lease counts from there, as the registry counts it from when it heard, which is later. An older epoch than the one
 // held is passed over; so are changes since a newer one: all is to be asked for then.
-func (v *View) Learn(asked time.Duration, t Told) bool {
+func (v *View) Update(asked time.Duration, t ViewUpdate) bool {
 	if t.Epoch < v.told.Epoch || t.Since > v.told.Epoch {
 		return false
 	}
@@ -83,7 +83,7 @@
 		}
 		t.Targets = all
 	}
-	leaving := map[Name][]Target{}
+	leaving := map[AliasName][]Target{}
 	for n, l := range v.leaving {
 		leaving[n] = slices.Clone(l)
 	}
@@ -95,7 +95,7 @@
 		}
 	}
 	for n, l := range leaving { // an alias that names nothing, and bytes that are barred, leave at once
-		l = slices.DeleteFunc(l, func(x Target) bool { return t.Targets[n].Version == "" || slices.Contains(t.Barred, x.Digest) })
+		l = slices.DeleteFunc(l, func(x Target) bool { return t.Targets[n].Version == "" || slices.Contains(t.Condemned, x.Digest) })
 		if leaving[n] = l; len(l) == 0 {
 			delete(leaving, n)
 		}
@@ -114,15 +114,15 @@
 type Verdict int
 
 const (
-	May     Verdict = iota + 1
-	Left            // the alias has left that target: the answer is not handed out
-	NoLease         // the registry was not heard for too long: the alias may have moved
-	Unknown         // no such alias
-	Leaving         // the alias has left that target, and no move is acknowledged: answered if it runs, not begun
+	Allowed         Verdict = iota + 1
+	Superseded              // the alias has left that target: the answer is not handed out
+	NoLease                 // the registry was not heard for too long: the alias may have moved
+	Unknown                 // no such alias
+	BeingSuperseded         // the alias has left that target, and no move is acknowledged: answered if it runs, not begun
 )
 
-// Leaving returns the targets that may still be answered and no longer begun.
-func (v *View) Leaving() map[Name][]Target { return v.leaving }
+// BeingSuperseded returns the targets that may still be answered and no longer begun.
+func (v *View) BeingSuperseded() map[AliasName][]Target { return v.leaving }
 
 // Settled returns the view in which nothing is leaving any more. A controller that acts by it may confirm its epoch.
 func (v *View) Settled() View {
@@ -135,7 +135,7 @@
 func (v *View) SettleWithin() time.Duration { return v.told.Settle }
 
 // Resolve returns what an alias names now. A call keeps its target to the end.
-func (v *View) Resolve(now time.Duration, n Name) (Target, Verdict) {
+func (v *View) Resolve(now time.Duration, n AliasName) (Target, Verdict) {
 	t, ok := v.told.Targets[n]
 	switch {
 	case now >= v.until && !v.told.Stale[n.Model]:
@@ -143,65 +143,65 @@
 	case !ok || t.Version == "":
 		return Target{}, Unknown
 	}
-	return t, May
+	return t, Allowed
 }
 
-// Until returns when the lease ends, by the controller's own clock.
-func (v *View) Until() time.Duration { return v.until }
+// LeaseEnds returns when the lease ends, by the controller's own clock.
+func (v *View) LeaseEnds() time.Duration { return v.until }
 
 // Stale tells whether a model's answers are better than none while there is no lease.
 func (v *View) Stale(model string) bool { return v.told.Stale[model] }
 
 // MayAnswer tells whether an answer of a target may be handed out at this very moment. An answer known to be left is
 // never handed out, also where stale is fine.
-func (v *View) MayAnswer(now time.Duration, n Name, t Target) Verdict {
+func (v *View) MayAnswer(now time.Duration, n AliasName, t Target) Verdict {
 	switch held, ok := v.told.Targets[n]; {
 	case (!ok || held != t) && now < v.until && slices.Contains(v.leaving[n], t):
-		return Leaving // also where stale is fine: once the lease is over, the move may be acknowledged
+		return BeingSuperseded // also where stale is fine: once the lease is over, the move may be acknowledged
 	case !ok || held != t:
-		return Left
+		return Superseded
 	case now >= v.until && !v.told.Stale[n.Model]:
 		return NoLease
 	}
-	return May
+	return Allowed
 }
 
-// A Next is what becomes of a call whose target was left, or may have been.
-type Next int
+// A NextStep is what becomes of a call whose target was left, or may have been.
+type NextStep int
 
 const (
-	Wait   Next = iota + 1 // an attempt is out: its outcome decides
-	Anew                   // again from the start, under the alias's new target
-	Refuse                 // trying again does no harm
-	Fail                   // it may have run, and must not twice
+	Wait    NextStep = iota + 1 // an attempt is out: its outcome decides
+	Restart                     // again from the start, under the alias's new target
+	Reject                      // trying again does no harm
+	Fail                        // it may have run, and must not twice
 )
 
-// MostAnew is how often one call may begin anew: an alias that moves faster than calls run would keep it for ever.
-const MostAnew = 3
+// MaxRestarts is how often one call may begin anew: an alias that moves faster than calls run would keep it for ever.
+const MaxRestarts = 3
 
-// After decides what becomes of a call that its alias has left: a question of its effect and of what may have run.
+// AfterSuperseded decides what becomes of a call that its alias has left: a question of its effect and of what may have run.
 //
 // A safe call begins anew at once, and what is out is withdrawn. One that certainly never ran begins anew too. A keyed
 // or unsafe one that may have run is neither repeated nor refused: its key guards it under the version that was left
 // only, and under the new one it would be a second effect. While an attempt of it is out, its outcome is waited for: it
 // may prove that nothing ran.
-func After(e scheduler.Idempotency, out, mayHaveRun bool, times int) Next {
+func AfterSuperseded(e scheduler.Idempotency, out, mayHaveRun bool, times int) NextStep {
 	switch {
 	case e != scheduler.Idempotent && out:
 		return Wait
 	case e != scheduler.Idempotent && mayHaveRun:
 		return Fail
-	case times >= MostAnew:
-		return Refuse
+	case times >= MaxRestarts:
+		return Reject
 	}
-	return Anew
+	return Restart
 }
 
 // WithoutLease decides what becomes of a call that may neither go on nor be answered, as the registry was not heard for
 // too long.
-func WithoutLease(e scheduler.Idempotency, out, mayHaveRun bool) Next {
-	if n := After(e, out, mayHaveRun, MostAnew); n == Fail || n == Wait {
+func WithoutLease(e scheduler.Idempotency, out, mayHaveRun bool) NextStep {
+	if n := AfterSuperseded(e, out, mayHaveRun, MaxRestarts); n == Fail || n == Wait {
 		return n
 	}
-	return Refuse
+	return Reject
 }
--- a/internal/registry/wire/wire.go
+++ b/internal/registry/wire/wire.go
@@ -51,7 +51,7 @@
 	Confirmed uint64            `json:"confirmed,omitempty"`
 	Holders   map[string]uint64 `json:"holders,omitempty"`
 	Models    []json.RawMessage `json:"models,omitempty"`
-	History   []Line            `json:"history,omitempty"`
+	History   []HistoryEntry    `json:"history,omitempty"`
 	Targets   []Alias           `json:"targets,omitempty"`
 	State     json.RawMessage   `json:"state,omitempty"`
 }
@@ -63,8 +63,8 @@
 	Digest  string `json:"Digest"`
 }
 
-// A Line of the history, by the registry's wall clock as it is now.
-type Line struct {
+// A HistoryEntry of the history, by the registry's wall clock as it is now.
+type HistoryEntry struct {
 	At   time.Time `json:"At"`
 	By   string    `json:"By"`
 	What string    `json:"What"`
@@ -85,27 +85,27 @@
 // A Request of a controller. VersionInfo is the epoch that it acts by: with it goes the word that no answer of an older
 // one is being handed out.
 type Request struct {
-	VersionInfo   string           `json:"version_info"`
-	Node          Node             `json:"node"`
-	TypeURL       string           `json:"type_url"`
-	ResponseNonce string           `json:"response_nonce,omitempty"` // "": it has just come, and is to be told all
-	ErrorDetail   *ErrorDetail     `json:"error_detail,omitempty"`
-	Stands        []Stands         `json:"stands,omitempty"`
-	Ended         []Ended          `json:"ended,omitempty"`
-	Uses          []registry.Bytes `json:"uses,omitempty"`
-	Staging       []Stage          `json:"staging,omitempty"` // that it was told
+	VersionInfo   string                `json:"version_info"`
+	Node          Node                  `json:"node"`
+	TypeURL       string                `json:"type_url"`
+	ResponseNonce string                `json:"response_nonce,omitempty"` // "": it has just come, and is to be told all
+	ErrorDetail   *ErrorDetail          `json:"error_detail,omitempty"`
+	CopiesReady   []CopiesReady         `json:"stands,omitempty"`
+	CallsEnded    []CallsEnded          `json:"ended,omitempty"`
+	Uses          []registry.VersionRef `json:"uses,omitempty"`
+	Staging       []Stage               `json:"staging,omitempty"` // that it was told
 }
 
-// Stands is a worker's copies of a version, as it answered.
-type Stands struct {
+// CopiesReady is a worker's copies of a version, as it answered.
+type CopiesReady struct {
 	Model   string `json:"model"`
 	Version string `json:"version"`
 	Worker  string `json:"worker"`
 	Copies  int    `json:"copies"`
 }
 
-// Ended counts calls of a version since the last word.
-type Ended struct {
+// CallsEnded counts calls of a version since the last word.
+type CallsEnded struct {
 	Model   string `json:"model"`
 	Version string `json:"version"`
 	Calls   int    `json:"calls"`
@@ -121,7 +121,7 @@
 	Resources   []Alias  `json:"resources"`
 	LeaseMS     float64  `json:"lease_ms"`
 	SettleMS    float64  `json:"settle_ms"`
-	Barred      []string `json:"barred,omitempty"` // digests that are condemned
+	Condemned   []string `json:"barred,omitempty"` // digests that are condemned
 	Stale       []string `json:"stale,omitempty"`
 	Stage       []Stage  `json:"stage,omitempty"`
 }
