--- a/cmd/kitehub/main_test.go
+++ b/cmd/kitehub/main_test.go
@@ -112,8 +112,8 @@
 	dir = t.TempDir()
 	clk := clock.System()
 	log = trace.NewLog(clk.Now)
-	host, err := fakeworker.Start(fakeworker.Config{Clock: clk, Trace: log, Fleet: workersim.Config{Store: workersim.Store{Pace: 4}, Workers: []workersim.Spec{{Name: "w", Cores: 2, Speed: 1,
-		MemoryMB: 4000, Queue: 9, LoadSlots: 2, IdleLife: time.Minute}}}, Functions: []fakeworker.Kind{{Function: workersim.Function{Name: "trade", MemoryMB: 1, Lanes: 4,
+	host, err := fakeworker.Start(fakeworker.Config{Clock: clk, Trace: log, Fleet: workersim.Config{Store: workersim.Store{FullRateFetches: 4}, Workers: []workersim.Spec{{Name: "w", Cores: 2, Speed: 1,
+		MemoryMB: 4000, Queue: 9, LoadSlots: 2, IdleCopyTTL: time.Minute}}}, Functions: []fakeworker.Kind{{Function: workersim.Function{Name: "trade", MemoryMB: 1, Lanes: 4,
 		Fetch: time.Millisecond}, Class: "trade", Work: time.Millisecond}}})
 	if err != nil {
 		t.Fatal(err)
@@ -176,7 +176,7 @@
 	}
 	ran := map[string]int{}
 	for _, r := range log.Records() {
-		if r.Kind == trace.Began {
+		if r.Kind == trace.RunStarted {
 			ran[r.Request]++
 		}
 	}
@@ -193,7 +193,7 @@
 	began := func() int {
 		n := 0
 		for _, r := range log.Records() {
-			if r.Kind == trace.Began {
+			if r.Kind == trace.RunStarted {
 				n++
 			}
 		}
--- a/cmd/kitehub/standin.go
+++ b/cmd/kitehub/standin.go
@@ -30,10 +30,10 @@
 	if s.Workers < 1 || s.Workers > 80 {
 		return fmt.Errorf("--workers: %d is not from 1 to 80", s.Workers)
 	}
-	cfg := fakeworker.Config{Clock: clock.System(), Fleet: workersim.Config{Store: workersim.Store{Pace: float64(s.Workers)}, Window: 5 * time.Second}}
+	cfg := fakeworker.Config{Clock: clock.System(), Fleet: workersim.Config{Store: workersim.Store{FullRateFetches: float64(s.Workers)}, DedupWindow: 5 * time.Second}}
 	for i := range s.Workers {
 		cfg.Fleet.Workers = append(cfg.Fleet.Workers, workersim.Spec{Name: fmt.Sprintf("worker-%d", i+1), Group: "g", Cores: 2, Speed: 1, MemoryMB: 4000, Queue: 32,
-			LoadSlots: 4, IdleLife: 8 * time.Second})
+			LoadSlots: 4, IdleCopyTTL: 8 * time.Second})
 	}
 	for _, f := range s.Function {
 		name, class, ok := strings.Cut(f, ":")
--- a/cmd/kitehub/tools.go
+++ b/cmd/kitehub/tools.go
@@ -71,7 +71,7 @@
 	if res.Forged > 0 {
 		return fmt.Errorf("%d answers have no valid signature", res.Forged)
 	}
-	if !res.Verdict.Kept() {
+	if !res.Verdict.Holds() {
 		return errors.New("a rule was broken")
 	}
 	return nil
@@ -115,7 +115,7 @@
 		t := res.Total()
 		t.Took = nil
 		if err := json.NewEncoder(os.Stdout).Encode(map[string]any{"total": t, "judged": res.Verdict.Judged, "breaks": res.Verdict.Breaks,
-			"cold_peak": res.Verdict.ColdPeak, "forged": res.Forged}); err != nil {
+			"cold_peak": res.Verdict.SlowStartPeak, "forged": res.Forged}); err != nil {
 			return err
 		}
 	} else {
@@ -144,13 +144,13 @@
 		if err != nil {
 			return fmt.Errorf("%s: %w", name, err)
 		}
-		v, err := invariant.Judge(records)
+		v, err := invariant.Check(records)
 		if err != nil {
 			return fmt.Errorf("%s: %w", name, err)
 		}
 		fmt.Println(name)
 		v.Write(os.Stdout, 20)
-		broken = broken || !v.Kept()
+		broken = broken || !v.Holds()
 	}
 	if broken {
 		return errors.New("a rule was broken")
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -50,10 +50,10 @@
 	r := &rig{t: t, dir: t.TempDir(), clk: clock.System()}
 	r.file = filepath.Join(r.dir, "list.json")
 	r.log = trace.NewLog(r.clk.Now)
-	cfg := fakeworker.Config{Clock: r.clk, Trace: r.log, Fleet: workersim.Config{Store: workersim.Store{Pace: 10}, Window: 4 * time.Second}}
+	cfg := fakeworker.Config{Clock: r.clk, Trace: r.log, Fleet: workersim.Config{Store: workersim.Store{FullRateFetches: 10}, DedupWindow: 4 * time.Second}}
 	for i := range workers {
 		cfg.Fleet.Workers = append(cfg.Fleet.Workers, workersim.Spec{Name: fmt.Sprintf("w%d", i), Group: "g", Cores: 4, Speed: 1, MemoryMB: 4000, Queue: 20,
-			LoadSlots: 4, IdleLife: time.Minute})
+			LoadSlots: 4, IdleCopyTTL: time.Minute})
 	}
 	for _, class := range []string{"safe", "keyed", "unsafe"} {
 		cfg.Functions = append(cfg.Functions, fakeworker.Kind{Function: workersim.Function{Name: class + "-1", MemoryMB: 100, Lanes: 4, Fetch: 5 * ms, Start: ms},
@@ -230,7 +230,7 @@
 // ran counts how often a function's calls began at workers.
 func (r *rig) ran(function string) (n int) {
 	for _, rec := range r.log.Records() {
-		if rec.Kind == trace.Began && rec.Function == function {
+		if rec.Kind == trace.RunStarted && rec.Function == function {
 			n++
 		}
 	}
@@ -324,7 +324,7 @@
 	var wg sync.WaitGroup
 	for i := range 3 {
 		if i > 0 {
-			r.await(kind(trace.Began))
+			r.await(kind(trace.RunStarted))
 		}
 		wg.Add(1)
 		go func() {
@@ -354,9 +354,9 @@
 			t.Fatal(err)
 		}
 		nc.Write(sign(t, common, "c1", "m1", class+"-1", `{"work_ms":200}`, now).bytes())
-		r.await(kind(trace.Began))
+		r.await(kind(trace.RunStarted))
 		nc.Close()
-		r.await(kind(trace.Left))
+		r.await(kind(trace.ClientClosed))
 		for c.Gateway.Open() > 0 {
 			time.Sleep(ms)
 		}
@@ -441,7 +441,7 @@
 	go func() {
 		done <- exchange(t, c.Addr(), sign(t, common, "c1", "m1", "unsafe-1", `{"work_ms":400}`, time.Now()))
 	}()
-	home := r.await(kind(trace.Began)).Worker
+	home := r.await(kind(trace.RunStarted)).Worker
 	var l []gateway.Worker
 	for _, name := range r.host.Names() {
 		st := scheduler.Ready
@@ -459,7 +459,7 @@
 	want(t, <-done, "200 served")
 	n := 0
 	for _, rec := range r.log.Records() {
-		if rec.Kind == trace.Got && rec.Worker == home {
+		if rec.Kind == trace.RequestRead && rec.Worker == home {
 			n++
 		}
 	}
@@ -530,7 +530,7 @@
 	old, renewed := sign(t, common, "c1", "m1", "safe-1", `{"work_ms":300}`, time.Now()), sign(t, other, "c1", "m2", "safe-1", `{}`, time.Now())
 	done := make(chan answer, 1)
 	go func() { done <- exchange(t, c.Addr(), old) }()
-	r.await(kind(trace.Began))
+	r.await(kind(trace.RunStarted))
 	want(t, exchange(t, c.Addr(), renewed), "401 forged")
 	if err := c.SetClients(r.build("c1", "common_keys: \""+common+"\"", "common_keys: [\""+common+"\", \""+other+"\"]")); err != nil {
 		t.Fatal(err)
@@ -554,7 +554,7 @@
 	go func() {
 		done <- exchange(t, c.Addr(), sign(t, common, "c1", "m1", "unsafe-1", `{"work_ms":300}`, time.Now()))
 	}()
-	r.await(kind(trace.Began))
+	r.await(kind(trace.RunStarted))
 	if _, err := Start(r.build("c1"), Options{Clock: r.clk, Log: zerolog.Nop()}); err == nil || !strings.Contains(err.Error(), "another process's") {
 		t.Errorf("a second controller on the same state: %v", err)
 	}
@@ -584,7 +584,7 @@
 	go func() {
 		done <- exchange(t, c.Addr(), sign(t, common, "c1", "m1", "unsafe-1", `{"work_ms":2000}`, time.Now()))
 	}()
-	r.await(kind(trace.Began))
+	r.await(kind(trace.RunStarted))
 	if err := c.Stop(20 * ms); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controller/handover_test.go
+++ b/internal/controller/handover_test.go
@@ -379,7 +379,7 @@
 	go func() {
 		first <- exchange(t, c.Addr(), sign(t, common, "c", "once", "unsafe-1", `{}`, time.Now()))
 	}()
-	r.await(kind(trace.Began))
+	r.await(kind(trace.RunStarted))
 	l, err := daemon.DialLink(path)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -151,7 +151,7 @@
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(ms) {
 		got := 0
 		for _, r := range d.log.Records() {
-			if r.Kind == trace.Got && r.Function == function {
+			if r.Kind == trace.RequestRead && r.Function == function {
 				got++
 			}
 		}
--- a/internal/gateway/path_test.go
+++ b/internal/gateway/path_test.go
@@ -29,8 +29,8 @@
 	clk := clock.System()
 	fn := fakeworker.Kind{Function: workersim.Function{Name: "quote", MemoryMB: 100, Lanes: 2, Fetch: 20 * ms, Start: 10 * ms}, Class: "quote", Work: 5 * ms}
 	host, err := fakeworker.Start(fakeworker.Config{Clock: clk, Functions: []fakeworker.Kind{fn}, Fleet: workersim.Config{
-		Workers: []workersim.Spec{{Name: "w1", Cores: 2, Speed: 1, MemoryMB: 1000, Queue: 10, LoadSlots: 2, IdleLife: 8 * time.Second}},
-		Store:   workersim.Store{Pace: 4}}})
+		Workers: []workersim.Spec{{Name: "w1", Cores: 2, Speed: 1, MemoryMB: 1000, Queue: 10, LoadSlots: 2, IdleCopyTTL: 8 * time.Second}},
+		Store:   workersim.Store{FullRateFetches: 4}}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/harness/fakeworker/list.go
+++ b/internal/harness/fakeworker/list.go
@@ -176,7 +176,7 @@
 		return
 	}
 	l.told[key] = state
-	l.log.Add(trace.Record{At: at, Kind: trace.Told, Controller: controller, Worker: worker, Outcome: state})
+	l.log.Add(trace.Record{At: at, Kind: trace.ListDelivered, Controller: controller, Worker: worker, Outcome: state})
 }
 
 func (l *List) now() time.Duration { return l.log.Now() }
--- a/internal/harness/fakeworker/serve.go
+++ b/internal/harness/fakeworker/serve.go
@@ -113,7 +113,7 @@
 	s := fmt.Sprintf("TEXT cpu_utilization=%.3f, named_metrics.queue=%d, named_metrics.inflight=%d, named_metrics.x0=%.3f, named_metrics.x1=%d",
 		rep.Util, rep.Queue, rep.InFlight, rep.Memory, rep.Loads)
 	if e != nil {
-		s += fmt.Sprintf(", named_metrics.copy=%d, named_metrics.alike=%d", e.Note, e.Alike)
+		s += fmt.Sprintf(", named_metrics.copy=%d, named_metrics.alike=%d", e.Note, e.SameFunction)
 	}
 	if copies > 0 {
 		s += fmt.Sprintf(", named_metrics.copies=%d", copies)
@@ -157,7 +157,7 @@
 		return fault(400, "urn:kitehub:problem:load")
 	}
 	copies := max(1, m.Parameters.Copies)
-	w.h.cfg.Trace.Add(trace.Record{Kind: trace.Order, Worker: w.name, Controller: controller(r), Function: name, Copies: copies})
+	w.h.cfg.Trace.Add(trace.Record{Kind: trace.LoadOrdered, Worker: w.name, Controller: controller(r), Function: name, Copies: copies})
 	if k.Versions && w.proved(k, m.Parameters.Digest) == "" {
 		return w.reported(fault(500, "urn:kitehub:problem:load-failed"), nil, 0)
 	}
@@ -170,7 +170,7 @@
 	switch e.Outcome {
 	case workersim.OK:
 		return w.reported(&http1.Response{Status: 200}, nil, e.Copies)
-	case workersim.Full:
+	case workersim.AtCapacity:
 		return w.reported(fault(503, backend.ProblemFull), nil, e.Copies)
 	}
 	return w.reported(fault(500, "urn:kitehub:problem:load-failed"), nil, e.Copies)
@@ -248,7 +248,7 @@
 	if m.WorkMS > 0 {
 		work = m.WorkMS / 1000
 	}
-	rec := trace.Record{Kind: trace.Got, Worker: w.name, Controller: controller(r), Request: tp[1], Attempt: tp[2],
+	rec := trace.Record{Kind: trace.RequestRead, Worker: w.name, Controller: controller(r), Request: tp[1], Attempt: tp[2],
 		Class: k.Class, Function: name, Key: r.Header.Get(backend.HeaderKey)}
 	w.h.cfg.Trace.Add(rec)
 	if k.Versions {
@@ -276,7 +276,7 @@
 		ok = w.hush(c)
 	}
 	if !ok {
-		rec.Kind, rec.At = trace.Left, 0
+		rec.Kind, rec.At = trace.ClientClosed, 0
 		w.h.cfg.Trace.Add(rec)
 		w.h.Do(func(f *workersim.Fleet) { f.Cancel(w.index, id) })
 		return nil
@@ -297,7 +297,7 @@
 		if rec.Digest != "" {
 			resp.Header.Add(backend.HeaderDigest, rec.Digest)
 		}
-	case workersim.Full:
+	case workersim.AtCapacity:
 		resp = fault(503, backend.ProblemFull)
 	default:
 		resp = fault(500, "urn:kitehub:problem:"+string(e.Outcome))
--- a/internal/harness/fakeworker/standin.go
+++ b/internal/harness/fakeworker/standin.go
@@ -144,15 +144,15 @@
 	for _, e := range effects {
 		w := h.workers[e.Worker]
 		switch e.Kind {
-		case workersim.Fell:
-			h.cfg.Trace.Add(trace.Record{At: e.At, Kind: trace.Fell, Worker: w.name})
+		case workersim.Collapsed:
+			h.cfg.Trace.Add(trace.Record{At: e.At, Kind: trace.Collapsed, Worker: w.name})
 			go w.shut()
 			continue
-		case workersim.Began:
+		case workersim.RunStarted:
 			h.mu.Lock()
 			rec := h.began[e.ID]
 			h.mu.Unlock()
-			rec.Kind, rec.At = trace.Began, e.At
+			rec.Kind, rec.At = trace.RunStarted, e.At
 			h.cfg.Trace.Add(rec)
 			continue
 		}
@@ -163,7 +163,7 @@
 		delete(h.began, e.ID)
 		h.mu.Unlock()
 		if call {
-			rec.Kind, rec.At, rec.Outcome = trace.Ended, e.At, string(e.Outcome)
+			rec.Kind, rec.At, rec.Outcome = trace.RunEnded, e.At, string(e.Outcome)
 			if e.Repeat {
 				rec.Note = "repeat"
 			}
@@ -237,7 +237,7 @@
 	w.lies = false
 	w.mu.Unlock()
 	s := h.cfg.Fleet.Workers[w.index]
-	h.cfg.Trace.Add(trace.Record{Kind: trace.WorkerUp, Worker: name, Capacity: s.Cores * s.Speed, Cold: true})
+	h.cfg.Trace.Add(trace.Record{Kind: trace.WorkerUp, Worker: name, Capacity: s.Cores * s.Speed, WarmingUp: true})
 	if err := w.listen(w.addr); err != nil { // somebody took the port meanwhile
 		return w.listen("127.0.0.1:0")
 	}
--- a/internal/harness/invariant/golden_test.go
+++ b/internal/harness/invariant/golden_test.go
@@ -10,7 +10,7 @@
 
 // "kitehub day play --json" prints the breaks of rules, a rule by its number; scripts read it.
 func TestPrintedBreaksAreAsBefore(t *testing.T) {
-	breaks := []Break{{Rule: OneAnswer}, {Rule: NoRepeat, At: 1}, {Rule: Drains, At: 2}, {Rule: Cold, At: 3}, {Rule: Loads, At: 4, What: "too <many>"}}
+	breaks := []Break{{Rule: OneAnswer}, {Rule: NoRepeat, At: 1}, {Rule: Drains, At: 2}, {Rule: SlowStartBound, At: 3}, {Rule: Loads, At: 4, What: "too <many>"}}
 	written, err := json.Marshal(breaks)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/harness/invariant/versions.go
+++ b/internal/harness/invariant/versions.go
@@ -39,13 +39,13 @@
 	ran := map[string][]string{} // digests, by request
 	for i := range rs {
 		switch r := &rs[i]; r.Kind {
-		case trace.Moved:
+		case trace.AliasMigrated:
 			v.Moves++
 			moves[r.Function] = append(moves[r.Function], move{r.At, r.Revision, r.Digest})
 			names[r.Note] = r.Digest
-		case trace.Asked:
+		case trace.RequestSent:
 			asked[r.Request] = r.At
-		case trace.Began:
+		case trace.RunStarted:
 			if r.Digest != "" {
 				v.Runs++
 				ran[r.Request] = append(ran[r.Request], r.Digest)
@@ -60,7 +60,7 @@
 	}
 	for i := range rs {
 		r := &rs[i]
-		if r.Kind == trace.Began && r.Digest != "" && names[r.Function] != "" && names[r.Function] != r.Digest && r.Note != "lie" {
+		if r.Kind == trace.RunStarted && r.Digest != "" && names[r.Function] != "" && names[r.Function] != r.Digest && r.Note != "lie" {
 			note(r.At, "%s ran %s as %s, which is %s", r.Worker, r.Digest, r.Function, names[r.Function])
 		}
 		if r.Kind != trace.Answered || r.Outcome != "served" || r.Revision == 0 {
--- a/internal/harness/invariant/versions_test.go
+++ b/internal/harness/invariant/versions_test.go
@@ -11,11 +11,11 @@
 func TestVersions(t *testing.T) {
 	const ms = time.Millisecond
 	moved := func(at time.Duration, rev uint64, digest string) trace.Record {
-		return trace.Record{At: at, Kind: trace.Moved, Function: "m@current", Revision: rev, Digest: digest, Note: "m@" + digest}
+		return trace.Record{At: at, Kind: trace.AliasMigrated, Function: "m@current", Revision: rev, Digest: digest, Note: "m@" + digest}
 	}
 	// call is one that was asked for, ran and was served.
 	call := func(asked, answered time.Duration, rev uint64, ran string) []trace.Record {
-		return []trace.Record{{At: asked, Kind: trace.Asked, Request: "r"}, {At: asked + 1, Kind: trace.Began, Request: "r", Function: "m@" + ran, Digest: ran},
+		return []trace.Record{{At: asked, Kind: trace.RequestSent, Request: "r"}, {At: asked + 1, Kind: trace.RunStarted, Request: "r", Function: "m@" + ran, Digest: ran},
 			{At: answered, Kind: trace.Answered, Request: "r", Function: "m@current", Outcome: "served", Revision: rev}}
 	}
 	tests := []struct {
@@ -31,7 +31,7 @@
 		{"asked for after it", call(101*ms, 102*ms, 1, "a"), "asked for 1ms after revision 2", 0},
 		{"A, B, A: the first A's answer after the second's", call(90*ms, 290*ms, 1, "a"), "came 190ms after revision 2", 0},
 		{"other bytes under the revision", call(110*ms, 120*ms, 2, "a"), "none of its runs was of b", 0},
-		{"other bytes under the name", []trace.Record{{At: 5, Kind: trace.Began, Worker: "w", Function: "m@a", Digest: "b"}}, "w ran b as m@a", 0},
+		{"other bytes under the name", []trace.Record{{At: 5, Kind: trace.RunStarted, Worker: "w", Function: "m@a", Digest: "b"}}, "w ran b as m@a", 0},
 	}
 	for _, tt := range tests {
 		rs := append([]trace.Record{moved(0, 1, "a"), moved(100*ms, 2, "b"), moved(200*ms, 3, "a")}, tt.rs...)
--- a/internal/harness/scenario/day_test.go
+++ b/internal/harness/scenario/day_test.go
@@ -47,7 +47,7 @@
 			if v := res.Versions; v != nil && (len(v.Breaks) > 0 || v.Answers == 0 || v.Runs == 0 || res.Moves.Acknowledged < 5) {
 				t.Errorf("versions: %d breaks, %d answers and %d runs judged, %d moves", len(v.Breaks), v.Answers, v.Runs, res.Moves.Acknowledged)
 			}
-			if !res.Verdict.Kept() || res.Forged > 0 {
+			if !res.Verdict.Holds() || res.Forged > 0 {
 				t.Errorf("%d breaks, %d answers forged", len(res.Verdict.Breaks), res.Forged)
 			}
 		})
--- a/internal/harness/scenario/guards_test.go
+++ b/internal/harness/scenario/guards_test.go
@@ -56,7 +56,7 @@
 				t.DrainS = 1.5
 			}
 		}, Options{Sink: func(s discovery.Sink) discovery.Sink { return &deaf{s, map[string]gateway.Worker{}} }}},
-		{"cold bound", "killed", invariant.Cold, func(d *Day) {
+		{"cold bound", "killed", invariant.SlowStartBound, func(d *Day) {
 			d.Rate, d.Rules.ColdShare, d.Rules.FallFactor, d.Rules.FallWithinMs, d.Rules.ColdMs = 700, 0.1, 1.6, 500, 5000
 			d.Troubles[0].Part, d.Troubles[0].ForS = 0.75, 0.5
 		}, Options{Spoil: func(b *config.Built) { b.Settings.Guarantees.WarmupTime = 0 }}},
--- a/internal/harness/scenario/hostile_test.go
+++ b/internal/harness/scenario/hostile_test.go
@@ -47,7 +47,7 @@
 			var b strings.Builder
 			res.Write(&b)
 			t.Log("\n" + b.String())
-			if !res.Verdict.Kept() || res.Forged > 0 {
+			if !res.Verdict.Holds() || res.Forged > 0 {
 				t.Errorf("%d breaks, %d answers forged", len(res.Verdict.Breaks), res.Forged)
 			}
 			var faults int64
--- a/internal/harness/scenario/load.go
+++ b/internal/harness/scenario/load.go
@@ -344,7 +344,7 @@
 		{Name: "x-envoy-upstream-rq-timeout-ms", Value: strconv.FormatInt((end - now).Milliseconds(), 10)}}}
 	rec := trace.Record{Controller: t.name, Request: hex.EncodeToString(id[:]), Class: p.class.Name, Function: p.function, Key: m.ID}
 	asked := rec
-	asked.Kind, asked.At, asked.Until = trace.Asked, now, now+(end-now).Truncate(time.Millisecond)
+	asked.Kind, asked.At, asked.Until = trace.RequestSent, now, now+(end-now).Truncate(time.Millisecond)
 	l.log.Add(asked)
 	w.SetDeadline(time.Now().Add(end - now + time.Second))
 	answer := func(outcome string, after time.Duration) (string, time.Duration) {
@@ -418,7 +418,7 @@
 	now := l.clk.Now()
 	rec := trace.Record{Controller: t.name, Request: hex.EncodeToString(id[:]), Class: p.class.Name, Function: p.function, Key: fmt.Sprintf("call-%06d", p.n)}
 	asked := rec
-	asked.Kind, asked.At, asked.Until = trace.Asked, now, now+(end-now).Truncate(time.Millisecond)
+	asked.Kind, asked.At, asked.Until = trace.RequestSent, now, now+(end-now).Truncate(time.Millisecond)
 	if end-now < leastTime {
 		return "nowhere"
 	}
--- a/internal/harness/scenario/play.go
+++ b/internal/harness/scenario/play.go
@@ -186,19 +186,19 @@
 	s := p.s
 	facts := p.facts()
 	p.log.Add(trace.Record{Kind: trace.Facts, Rules: &facts, Note: s.Name})
-	hc := fakeworker.Config{Clock: p.clk, Trace: p.log, Fleet: workersim.Config{Store: workersim.Store{Pace: s.Store.Pace, Limit: int(s.Store.Limit)},
-		Cold: workersim.Cold{Share: s.Rules.ColdShare, For: ms(s.Rules.ColdMs), FallFactor: s.Rules.FallFactor, FallWithin: ms(s.Rules.FallWithinMs)}}}
+	hc := fakeworker.Config{Clock: p.clk, Trace: p.log, Fleet: workersim.Config{Store: workersim.Store{FullRateFetches: s.Store.Pace, MaxFetches: int(s.Store.Limit)},
+		SlowStart: workersim.SlowStart{WarmupFraction: s.Rules.ColdShare, WarmupTime: ms(s.Rules.ColdMs), CollapseFactor: s.Rules.FallFactor, CollapseWindow: ms(s.Rules.FallWithinMs)}}}
 	n := int(s.Workers.Count)
 	for i := range 2 * n { // as many spares, to replace them in a deploy
 		w := workersim.Spec{Name: fmt.Sprintf("w%02d", i), Zone: s.Zones[i%n%len(s.Zones)], Group: fmt.Sprintf("g%d", i%n/int(s.Workers.GroupSize)),
 			Cores: s.Workers.Cores, Speed: s.Workers.Speeds[i%n%len(s.Workers.Speeds)], MemoryMB: s.Workers.MemoryMb, Queue: int(s.Workers.Queue),
-			LoadSlots: int(s.Workers.LoadSlots), IdleLife: ms(s.Workers.IdleLifeMs), Eager: s.Workers.Eager}
+			LoadSlots: int(s.Workers.LoadSlots), IdleCopyTTL: ms(s.Workers.IdleLifeMs), Eager: s.Workers.Eager}
 		hc.Fleet.Workers = append(hc.Fleet.Workers, w)
 		p.specs[w.Name] = w
 	}
 	var models []string
 	for _, c := range s.Classes {
-		hc.Fleet.Window = max(hc.Fleet.Window, ms(c.WindowMs))
+		hc.Fleet.DedupWindow = max(hc.Fleet.DedupWindow, ms(c.WindowMs))
 		for i := range int(c.Functions) + 3 {
 			hc.Functions = append(hc.Functions, fakeworker.Kind{Function: workersim.Function{Name: functionName(c.Name, i), MemoryMB: c.MemoryMb,
 				Lanes: int(c.Lanes), Fetch: ms(c.FetchMs), Start: ms(c.StartMs)}, Class: c.Name, Work: ms(c.WorkMs), Keyed: c.Effect == "keyed", Versions: s.Versions != nil})
@@ -297,9 +297,9 @@
 
 func (p *player) facts() trace.Rules {
 	r := p.s.Rules
-	f := trace.Rules{AnswerGrace: 50 * time.Millisecond, DrainGrace: ms(r.DrainGraceMs), ColdShare: r.ColdShare, ColdFor: ms(r.ColdMs),
-		FallFactor: r.FallFactor, FallWithin: ms(r.FallWithinMs), LoadWindow: ms(r.LoadWindowMs), LoadFree: r.LoadFree, LoadRatio: r.LoadRatio,
-		Duplicate: r.Duplicate, Slack: 50 * time.Millisecond}
+	f := trace.Rules{AnswerGrace: 50 * time.Millisecond, DrainGrace: ms(r.DrainGraceMs), WarmupFraction: r.ColdShare, WarmupTime: ms(r.ColdMs),
+		CollapseFactor: r.FallFactor, CollapseWindow: ms(r.FallWithinMs), LoadWindow: ms(r.LoadWindowMs), LoadFree: r.LoadFree, LoadRatio: r.LoadRatio,
+		HedgedRequests: r.Duplicate, Slack: 50 * time.Millisecond}
 	for _, c := range p.s.Classes {
 		f.Classes = append(f.Classes, trace.Class{Name: c.Name, Effect: c.Effect, WorkSeconds: c.WorkMs / 1000})
 	}
@@ -380,9 +380,9 @@
 	res.Classes, res.Tallies = p.load.tallies()
 	for _, r := range res.Trace {
 		switch r.Kind {
-		case trace.Got:
+		case trace.RequestRead:
 			res.Attempts++
-		case trace.Order:
+		case trace.LoadOrdered:
 			res.Orders++
 		}
 	}
@@ -418,7 +418,7 @@
 		}
 		p.mu.Unlock()
 	}
-	res.Verdict, err = invariant.Judge(res.Trace)
+	res.Verdict, err = invariant.Check(res.Trace)
 	return res, err
 }
 
--- a/internal/harness/scenario/result.go
+++ b/internal/harness/scenario/result.go
@@ -61,7 +61,7 @@
 		}
 	}
 	fmt.Fprintf(w, "longest that a controller's step came late: %v\n", r.LateStep.Round(100*time.Microsecond))
-	fmt.Fprintf(w, "most sent to a cold worker: %.2f of what pushes it over; answers whose signature does not verify: %d\n", r.Verdict.ColdPeak, r.Forged)
+	fmt.Fprintf(w, "most sent to a cold worker: %.2f of what pushes it over; answers whose signature does not verify: %d\n", r.Verdict.SlowStartPeak, r.Forged)
 	if v := r.Versions; v != nil {
 		m := r.Moves
 		fmt.Fprintf(w, "moves: %d acknowledged, %d given up, %d unknown of %d; longest %v; calls begun anew %d, answers withheld at the door %d, answers of other bytes dropped %d\n",
--- a/internal/harness/scenario/trouble.go
+++ b/internal/harness/scenario/trouble.go
@@ -53,7 +53,7 @@
 		return
 	}
 	length := seconds(t.ForS)
-	p.log.Add(trace.Record{Kind: trace.Trouble, Note: fmt.Sprintf("%v part %v size %v %s", t.What, t.Part, t.Size, t.Target)})
+	p.log.Add(trace.Record{Kind: trace.FaultInjected, Note: fmt.Sprintf("%v part %v size %v %s", t.What, t.Part, t.Size, t.Target)})
 	faults := map[What]fakeworker.Fault{What_CUT_ANSWERS: fakeworker.CutAnswer, What_GARBAGE: fakeworker.Garbage, What_TWO_ANSWERS: fakeworker.TwoAnswers,
 		What_LONG_BODY: fakeworker.LongBody, What_HUGE_BODY: fakeworker.HugeBody, What_DRIP: fakeworker.Drip}
 	if f, ok := faults[t.What]; ok {
--- a/internal/harness/scenario/versions.go
+++ b/internal/harness/scenario/versions.go
@@ -279,7 +279,7 @@
 		for n := range int(v.s.Count) {
 			digests[m+"@"+version(n)] = v.digest(m, n)
 		}
-		v.p.log.Add(trace.Record{Kind: trace.Moved, Function: m + "@current", Revision: 1, Digest: digests[m+"@v0"], Note: m + "@v0"})
+		v.p.log.Add(trace.Record{Kind: trace.AliasMigrated, Function: m + "@current", Revision: 1, Digest: digests[m+"@v0"], Note: m + "@v0"})
 	}
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -306,7 +306,7 @@
 				revision, err := v.promote(c, m, next, t.revision, int(v.s.Copies), true)
 				if err == nil && revision > t.revision {
 					name := m + "@" + version(next)
-					v.p.log.Add(trace.Record{Kind: trace.Moved, Function: m + "@current", Revision: revision, Digest: digests[name], Note: name})
+					v.p.log.Add(trace.Record{Kind: trace.AliasMigrated, Function: m + "@current", Revision: revision, Digest: digests[name], Note: name})
 					t.to, t.revision = next, revision
 				}
 				free <- m
--- a/internal/harness/trace/golden_test.go
+++ b/internal/harness/trace/golden_test.go
@@ -12,9 +12,9 @@
 // records has one in which every field is set, and one in which none is.
 var records = []Record{
 	{At: time.Second, Kind: Facts, Controller: "c1", Worker: "w1", Request: "r", Attempt: "a", Class: "safe", Function: "resize", Tenant: "t", Key: "k",
-		Outcome: "served <1>", Until: 2 * time.Second, Copies: 3, Capacity: 4.5, Cold: true, Digest: "sha256:00", Revision: 5, Note: "n",
+		Outcome: "served <1>", Until: 2 * time.Second, Copies: 3, Capacity: 4.5, WarmingUp: true, Digest: "sha256:00", Revision: 5, Note: "n",
 		Rules: &Rules{Classes: []Class{{Name: "safe", Effect: "safe", AllWorkers: true, WorkSeconds: 0.5}, {}}, AnswerGrace: 1, DrainGrace: 2,
-			ColdShare: 0.25, ColdFor: 3, FallFactor: 4, FallWithin: 5, LoadWindow: 6, LoadFree: 7, LoadRatio: 0.125, Duplicate: true, Slack: 8}},
+			WarmupFraction: 0.25, WarmupTime: 3, CollapseFactor: 4, CollapseWindow: 5, LoadWindow: 6, LoadFree: 7, LoadRatio: 0.125, HedgedRequests: true, Slack: 8}},
 	{Rules: &Rules{}},
 	{},
 }
@@ -39,8 +39,8 @@
 // Kinds are words in a trace.
 func TestKindsAreAsBefore(t *testing.T) {
 	var written bytes.Buffer
-	for _, kind := range []Kind{Facts, Asked, Answered, Got, Began, Ended, Left, Replied, Order, ControllerUp, ControllerDown, WorkerUp, WorkerDown,
-		Fell, Told, Trouble, Moved, Stall} {
+	for _, kind := range []Kind{Facts, RequestSent, Answered, RequestRead, RunStarted, RunEnded, ClientClosed, Replied, LoadOrdered, ControllerUp, ControllerDown, WorkerUp, WorkerDown,
+		Collapsed, ListDelivered, FaultInjected, AliasMigrated, Stall} {
 		written.WriteString(string(kind) + "\n")
 	}
 	goldenfile.Compare(t, "kinds.txt", written.Bytes())
--- a/internal/harness/trace/trace.go
+++ b/internal/harness/trace/trace.go
@@ -20,22 +20,22 @@
 // Fell (a cold worker was pushed over), Told when a list that says so is written to a controller.
 const (
 	Facts          Kind = "facts"
-	Asked          Kind = "asked"
+	RequestSent    Kind = "asked"
 	Answered       Kind = "answered"
-	Got            Kind = "got"
-	Began          Kind = "began"
-	Ended          Kind = "ended"
-	Left           Kind = "left"
+	RequestRead    Kind = "got"
+	RunStarted     Kind = "began"
+	RunEnded       Kind = "ended"
+	ClientClosed   Kind = "left"
 	Replied        Kind = "replied"
-	Order          Kind = "order"
+	LoadOrdered    Kind = "order"
 	ControllerUp   Kind = "controller-up"
 	ControllerDown Kind = "controller-down"
 	WorkerUp       Kind = "worker-up"
 	WorkerDown     Kind = "worker-down"
-	Fell           Kind = "fell"
-	Told           Kind = "told"
-	Trouble        Kind = "trouble"
-	Moved          Kind = "moved" // a move of an alias was acknowledged: Function is it, Revision the new one
+	Collapsed      Kind = "fell"
+	ListDelivered  Kind = "told"
+	FaultInjected  Kind = "trouble"
+	AliasMigrated  Kind = "moved" // a move of an alias was acknowledged: Function is it, Revision the new one
 	Stall          Kind = "stall" // the machine ran nothing of the rig from At to Until
 )
 
@@ -49,18 +49,18 @@
 
 // Rules are the figures that the five rules are judged by.
 type Rules struct {
-	Classes     []Class       `json:"classes"`
-	AnswerGrace time.Duration `json:"answer_grace"`
-	DrainGrace  time.Duration `json:"drain_grace"`
-	ColdShare   float64       `json:"cold_share"`
-	ColdFor     time.Duration `json:"cold_for"`
-	FallFactor  float64       `json:"fall_factor"`
-	FallWithin  time.Duration `json:"fall_within"`
-	LoadWindow  time.Duration `json:"load_window"`
-	LoadFree    float64       `json:"load_free"`
-	LoadRatio   float64       `json:"load_ratio"`
-	Duplicate   bool          `json:"duplicate"`
-	Slack       time.Duration `json:"slack"` // between a decision and its bytes being seen at the other end
+	Classes        []Class       `json:"classes"`
+	AnswerGrace    time.Duration `json:"answer_grace"`
+	DrainGrace     time.Duration `json:"drain_grace"`
+	WarmupFraction float64       `json:"cold_share"`
+	WarmupTime     time.Duration `json:"cold_for"`
+	CollapseFactor float64       `json:"fall_factor"`
+	CollapseWindow time.Duration `json:"fall_within"`
+	LoadWindow     time.Duration `json:"load_window"`
+	LoadFree       float64       `json:"load_free"`
+	LoadRatio      float64       `json:"load_ratio"`
+	HedgedRequests bool          `json:"duplicate"`
+	Slack          time.Duration `json:"slack"` // between a decision and its bytes being seen at the other end
 }
 
 // A Record is one thing that was seen. Fields that a kind does not use are empty.
@@ -79,7 +79,7 @@
 	Until      time.Duration `json:"until,omitempty"` // deadline of a try, on the clock
 	Copies     int           `json:"copies,omitempty"`
 	Capacity   float64       `json:"capacity,omitempty"` // cores times speed, warm
-	Cold       bool          `json:"cold,omitempty"`
+	WarmingUp  bool          `json:"cold,omitempty"`
 	Digest     string        `json:"digest,omitempty"`   // of the bytes that ran
 	Revision   uint64        `json:"revision,omitempty"` // of the alias, as an answer or a move tells
 	Rules      *Rules        `json:"rules,omitempty"`
--- a/internal/harness/workersim/calls.go
+++ b/internal/harness/workersim/calls.go
@@ -8,22 +8,22 @@
 func (f *Fleet) Call(worker int, c Call) {
 	w := f.workers[worker]
 	if !w.up {
-		f.out = append(f.out, Effect{Kind: Answered, At: f.now, Worker: worker, ID: c.ID, Outcome: Reset})
+		f.out = append(f.out, Effect{Kind: CallAnswered, At: f.now, Worker: worker, ID: c.ID, Outcome: Reset})
 		return
 	}
 	if f.pushed(w, c) {
 		return
 	}
 	fn := w.function(c.Function)
-	h := &held{Call: c, left: c.Work}
+	h := &call{Call: c, remainingWork: c.Work}
 	for _, o := range w.calls {
 		if o.Function.Name == c.Function.Name {
-			h.alike++
+			h.sameFunction++
 		}
 	}
-	free := slices.ContainsFunc(fn.copies, func(cp *copyState) bool { return !cp.void && cp.busy < c.Function.Lanes })
-	loading := slices.ContainsFunc(w.loads, func(l *load) bool { return l.fn.Name == c.Function.Name })
-	h.note = FoundWarm
+	free := slices.ContainsFunc(fn.copies, func(cp *copyState) bool { return !cp.released && cp.busy < c.Function.Lanes })
+	loading := slices.ContainsFunc(w.loads, func(l *load) bool { return l.function.Name == c.Function.Name })
+	h.note = CopyWasLoaded
 	if !free {
 		if w.waiting >= w.Queue {
 			f.refuse(w, h)
@@ -33,9 +33,9 @@
 		if none || w.Eager && !loading {
 			switch {
 			case loading:
-				h.note = AwaitedOne
+				h.note = AwaitedLoad
 			case f.startLoad(w, c.Function, false):
-				h.note = BeganLoad
+				h.note = StartedLoad
 			case none: // no room, no slot
 				f.refuse(w, h)
 				return
@@ -49,30 +49,30 @@
 	f.begin(w)
 }
 
-func (f *Fleet) refuse(w *worker, h *held) {
-	f.out = append(f.out, Effect{Kind: Answered, At: f.now, Worker: w.index, ID: h.ID, Outcome: Full, Alike: h.alike})
+func (f *Fleet) refuse(w *worker, h *call) {
+	f.out = append(f.out, Effect{Kind: CallAnswered, At: f.now, Worker: w.index, ID: h.ID, Outcome: AtCapacity, SameFunction: h.sameFunction})
 }
 
 // pushed notes what a cold worker is sent and tells whether that pushes it over.
 func (f *Fleet) pushed(w *worker, c Call) bool {
-	cold := f.cfg.Cold
-	if f.share(w, f.now) >= 1 || cold.FallFactor == 0 {
+	cold := f.cfg.SlowStart
+	if f.warmupFraction(w, f.now) >= 1 || cold.CollapseFactor == 0 {
 		w.sent = nil
 		return false
 	}
-	w.sent = slices.DeleteFunc(w.sent, func(s sent) bool { return s.at <= f.now-cold.FallWithin })
+	w.sent = slices.DeleteFunc(w.sent, func(s sent) bool { return s.at <= f.now-cold.CollapseWindow })
 	w.sent = append(w.sent, sent{f.now, c.Mean})
 	var sum float64
 	for _, s := range w.sent {
 		sum += s.work
 	}
-	can := w.Cores * w.Speed * f.share(w, f.now) * cold.FallWithin.Seconds()
-	if sum <= cold.FallFactor*can {
+	can := w.Cores * w.Speed * f.warmupFraction(w, f.now) * cold.CollapseWindow.Seconds()
+	if sum <= cold.CollapseFactor*can {
 		return false
 	}
 	w.fallen = true
-	f.out = append(f.out, Effect{Kind: Fell, At: f.now, Worker: w.index},
-		Effect{Kind: Answered, At: f.now, Worker: w.index, ID: c.ID, Outcome: Reset})
+	f.out = append(f.out, Effect{Kind: Collapsed, At: f.now, Worker: w.index},
+		Effect{Kind: CallAnswered, At: f.now, Worker: w.index, ID: c.ID, Outcome: Reset})
 	f.Kill(w.index)
 	return true
 }
@@ -80,50 +80,50 @@
 // begin runs what waits and has a lane.
 func (f *Fleet) begin(w *worker) {
 	for _, name := range w.names {
-		fn := w.funcs[name]
+		fn := w.functions[name]
 		for len(fn.queue) > 0 {
-			i := slices.IndexFunc(fn.copies, func(c *copyState) bool { return !c.void && c.busy < fn.fn.Lanes })
+			i := slices.IndexFunc(fn.copies, func(c *copyState) bool { return !c.released && c.busy < fn.spec.Lanes })
 			if i < 0 {
 				break
 			}
 			h := fn.queue[0]
 			fn.queue = fn.queue[1:]
 			w.waiting--
-			h.running, h.cp = true, fn.copies[i]
-			h.cp.busy++
+			h.running, h.copy = true, fn.copies[i]
+			h.copy.busy++
 			w.running = append(w.running, h)
 			if f.repeated(w, h) {
 				f.finishCall(w, h, Effect{Outcome: OK, Repeat: true})
 				continue
 			}
-			f.out = append(f.out, Effect{Kind: Began, At: f.now, Worker: w.index, ID: h.ID})
+			f.out = append(f.out, Effect{Kind: RunStarted, At: f.now, Worker: w.index, ID: h.ID})
 		}
 		// Copies that went void under a queue leave it with none: it waits for room, not for ever.
 		if len(fn.queue) > 0 && f.Copies(w.index, name) == 0 &&
-			!slices.ContainsFunc(w.loads, func(l *load) bool { return l.fn.Name == name }) &&
-			f.startLoad(w, fn.fn, false) {
+			!slices.ContainsFunc(w.loads, func(l *load) bool { return l.function.Name == name }) &&
+			f.startLoad(w, fn.spec, false) {
 			f.slots(w)
 		}
 	}
 }
 
 // repeated tells whether the worker's group has run the key within the window, and notes it.
-func (f *Fleet) repeated(w *worker, h *held) bool {
+func (f *Fleet) repeated(w *worker, h *call) bool {
 	if h.Key == "" {
 		return false
 	}
-	g := f.seen[w.Group]
+	g := f.completedKeys[w.Group]
 	if g == nil {
 		g = map[string]ran{}
-		f.seen[w.Group] = g
+		f.completedKeys[w.Group] = g
 	}
-	if r, ok := g[h.Key]; ok && f.now < r.at+f.cfg.Window {
+	if r, ok := g[h.Key]; ok && f.now < r.at+f.cfg.DedupWindow {
 		return true
 	}
 	g[h.Key] = ran{f.now}
 	if len(g) > 4096 {
 		for k, r := range g { // which are dropped does not depend on the order
-			if f.now >= r.at+f.cfg.Window {
+			if f.now >= r.at+f.cfg.DedupWindow {
 				delete(g, k)
 			}
 		}
@@ -131,15 +131,15 @@
 	return false
 }
 
-func (f *Fleet) end(w *worker, h *held, o Outcome) { f.finishCall(w, h, Effect{Outcome: o}) }
+func (f *Fleet) end(w *worker, h *call, o Outcome) { f.finishCall(w, h, Effect{Outcome: o}) }
 
-func (f *Fleet) finishCall(w *worker, h *held, e Effect) {
-	w.running = slices.DeleteFunc(w.running, func(o *held) bool { return o == h })
-	if h.cp.busy--; h.cp.busy == 0 {
-		h.cp.idle = f.now
+func (f *Fleet) finishCall(w *worker, h *call, e Effect) {
+	w.running = slices.DeleteFunc(w.running, func(o *call) bool { return o == h })
+	if h.copy.busy--; h.copy.busy == 0 {
+		h.copy.idle = f.now
 	}
 	delete(w.calls, h.ID)
-	e.Kind, e.At, e.Worker, e.ID, e.Note, e.Alike = Answered, f.now, w.index, h.ID, h.note, h.alike
+	e.Kind, e.At, e.Worker, e.ID, e.Note, e.SameFunction = CallAnswered, f.now, w.index, h.ID, h.note, h.sameFunction
 	f.out = append(f.out, e)
 }
 
@@ -150,8 +150,8 @@
 	if h == nil || h.running {
 		return
 	}
-	fn := w.funcs[h.Function.Name]
-	fn.queue = slices.DeleteFunc(fn.queue, func(o *held) bool { return o == h })
+	fn := w.functions[h.Function.Name]
+	fn.queue = slices.DeleteFunc(fn.queue, func(o *call) bool { return o == h })
 	w.waiting--
 	delete(w.calls, id)
 }
--- a/internal/harness/workersim/fleet.go
+++ b/internal/harness/workersim/fleet.go
@@ -29,30 +29,30 @@
 	MemoryMB          float64
 	Queue             int // calls that may wait
 	LoadSlots         int // loads at a time; twice as many may wait
-	IdleLife          time.Duration
+	IdleCopyTTL       time.Duration
 	Eager             bool // starts a further copy by itself when all lanes are taken
 }
 
 // Store describes the shared store.
 type Store struct {
-	Pace  float64 // fetches that it serves at full pace; more share it
-	Limit int     // fetches in hand beyond which it turns away
+	FullRateFetches float64 // fetches that it serves at full pace; more share it
+	MaxFetches      int     // fetches in hand beyond which it turns away
 }
 
-// Cold are the figures of a cold start.
-type Cold struct {
-	Share      float64
-	For        time.Duration
-	FallFactor float64
-	FallWithin time.Duration
+// SlowStart are the figures of a cold start.
+type SlowStart struct {
+	WarmupFraction float64
+	WarmupTime     time.Duration
+	CollapseFactor float64
+	CollapseWindow time.Duration
 }
 
 // A Config describes a fleet. Window is how long a group drops repeats of a key.
 type Config struct {
-	Workers []Spec
-	Store   Store
-	Cold    Cold
-	Window  time.Duration
+	Workers     []Spec
+	Store       Store
+	SlowStart   SlowStart
+	DedupWindow time.Duration
 }
 
 // A Call is one attempt that a worker is given.
@@ -69,98 +69,98 @@
 type Outcome string
 
 const (
-	OK     Outcome = "ok"
-	Full   Outcome = "full"
-	Error  Outcome = "error"
-	Failed Outcome = "load-failed" // the load it waited for
-	Reset  Outcome = "reset"       // the worker died
+	OK         Outcome = "ok"
+	AtCapacity Outcome = "full"
+	Error      Outcome = "error"
+	Failed     Outcome = "load-failed" // the load it waited for
+	Reset      Outcome = "reset"       // the worker died
 )
 
 // Copy states that an answer tells of.
 const (
-	FoundWarm  = 1
-	BeganLoad  = 2
-	AwaitedOne = 3
+	CopyWasLoaded = 1
+	StartedLoad   = 2
+	AwaitedLoad   = 3
 )
 
 // An Effect is something that happened at a worker.
 type Effect struct {
-	Kind    EffectKind
-	At      time.Duration
-	Worker  int
-	ID      uint64
-	Outcome Outcome
-	Note    int
-	Alike   int // calls of the same function that the worker held when this one came
-	Copies  int
-	Repeat  bool // its key had run: nothing ran
+	Kind         EffectKind
+	At           time.Duration
+	Worker       int
+	ID           uint64
+	Outcome      Outcome
+	Note         int
+	SameFunction int // calls of the same function that the worker held when this one came
+	Copies       int
+	Repeat       bool // its key had run: nothing ran
 }
 
 // An EffectKind says what an Effect tells.
 type EffectKind int
 
 const (
-	Began    EffectKind = iota + 1 // the call runs
-	Answered                       // the call has ended
-	Stands                         // the order has ended
-	Fell                           // the worker fell over
+	RunStarted   EffectKind = iota + 1 // the call runs
+	CallAnswered                       // the call has ended
+	OrderEnded                         // the order has ended
+	Collapsed                          // the worker fell over
 )
 
 type copyState struct {
-	busy int
-	idle time.Duration // since
-	void bool          // released anew: goes when idle
+	busy     int
+	idle     time.Duration // since
+	released bool          // released anew: goes when idle
 }
 
-type held struct {
+type call struct {
 	Call
-	note    int
-	alike   int
-	running bool
-	left    float64 // work still to do
-	cp      *copyState
+	note          int
+	sameFunction  int
+	running       bool
+	remainingWork float64 // work still to do
+	copy          *copyState
 }
 
 type load struct {
-	fn       *Function
-	fetching bool
-	left     float64       // seconds of fetch
-	ready    time.Duration // end of the start
-	slot     bool
-	order    bool // wanted by an order, not just by calls
+	function       *Function
+	fetching       bool
+	remainingFetch float64       // seconds of fetch
+	ready          time.Duration // end of the start
+	slot           bool
+	order          bool // wanted by an order, not just by calls
 }
 
 type order struct {
-	id     uint64
-	fn     *Function
-	copies int
+	id       uint64
+	function *Function
+	copies   int
 }
 
 type function struct {
-	fn     *Function
+	spec   *Function
 	copies []*copyState
-	queue  []*held
+	queue  []*call
 }
 
 type worker struct {
 	Spec
-	index    int
-	up       bool
-	fallen   bool
-	draining bool
-	started  time.Duration // 0: warm
-	slow     float64       // factor on speed
-	taken    float64       // share taken by a neighbour
-	at       time.Duration // settled up to here
-	used     float64       // MB
-	funcs    map[string]*function
-	names    []string // of funcs, sorted: no order of a map
-	calls    map[uint64]*held
-	running  []*held
-	waiting  int
-	loads    []*load
-	orders   []*order
-	sent     []sent
+	index          int
+	up             bool
+	fallen         bool
+	draining       bool
+	started        time.Duration // 0: warm
+	speedFactor    float64       // factor on speed
+	stolenFraction float64       // share taken by a neighbour
+	at             time.Duration // settled up to here
+	usedMemoryMB   float64       // MB
+	functions      map[string]*function
+	names          []string // of funcs, sorted: no order of a map
+	calls          map[uint64]*call
+	running        []*call
+	waiting        int
+	loads          []*load
+	orders         []*order
+	sent           []sent
 }
 
 type sent struct {
@@ -172,21 +172,21 @@
 
 // A Fleet is the model. It is not safe for concurrent use.
 type Fleet struct {
-	cfg     Config
-	now     time.Duration
-	workers []*worker
-	out     []Effect
-	seen    map[string]map[string]ran // by group, by key
-	slow    float64                   // factor on the store
-	refuses bool                      // the store turns all away
-	fetches int
+	cfg              Config
+	now              time.Duration
+	workers          []*worker
+	out              []Effect
+	completedKeys    map[string]map[string]ran // by group, by key
+	storeSpeedFactor float64                   // factor on the store
+	storeRejects     bool                      // the store turns all away
+	fetches          int
 	// Fetches, Refusals and Faults count what the store did.
 	Fetches, Refusals int
 }
 
 // New returns a fleet in which all workers are up and warm, at the time given.
 func New(cfg Config, now time.Duration) *Fleet {
-	f := &Fleet{cfg: cfg, now: now, seen: map[string]map[string]ran{}, slow: 1}
+	f := &Fleet{cfg: cfg, now: now, completedKeys: map[string]map[string]ran{}, storeSpeedFactor: 1}
 	for i, s := range cfg.Workers {
 		w := &worker{Spec: s, index: i}
 		w.reset(now)
@@ -197,37 +197,37 @@
 }
 
 func (w *worker) reset(now time.Duration) {
-	w.slow, w.taken, w.at, w.used, w.waiting = 1, 0, now, 0, 0
-	w.funcs, w.calls, w.names = map[string]*function{}, map[uint64]*held{}, nil
+	w.speedFactor, w.stolenFraction, w.at, w.usedMemoryMB, w.waiting = 1, 0, now, 0, 0
+	w.functions, w.calls, w.names = map[string]*function{}, map[uint64]*call{}, nil
 	w.running, w.loads, w.orders, w.sent = nil, nil, nil, nil
 }
 
-// share is the part of its capacity that a worker has.
-func (f *Fleet) share(w *worker, now time.Duration) float64 {
-	c := f.cfg.Cold
-	if w.started == 0 || now >= w.started+c.For || c.For == 0 {
+// warmupFraction is the part of its capacity that a worker has.
+func (f *Fleet) warmupFraction(w *worker, now time.Duration) float64 {
+	c := f.cfg.SlowStart
+	if w.started == 0 || now >= w.started+c.WarmupTime || c.WarmupTime == 0 {
 		return 1
 	}
-	return c.Share + (1-c.Share)*float64(max(0, now-w.started))/float64(c.For)
+	return c.WarmupFraction + (1-c.WarmupFraction)*float64(max(0, now-w.started))/float64(c.WarmupTime)
 }
 
 // capacity is what a worker can do now, in seconds of work a second.
 func (f *Fleet) capacity(w *worker, now time.Duration) float64 {
-	return w.Cores * w.Speed * w.slow * (1 - w.taken) * f.share(w, now)
+	return w.Cores * w.Speed * w.speedFactor * (1 - w.stolenFraction) * f.warmupFraction(w, now)
 }
 
-// pace is how fast each running call goes on.
-func (f *Fleet) pace(w *worker, now time.Duration) float64 {
+// runRate is how fast each running call goes on.
+func (f *Fleet) runRate(w *worker, now time.Duration) float64 {
 	n := float64(max(1, len(w.running)))
 	return f.capacity(w, now) / w.Cores * min(1, w.Cores/n)
 }
 
-// fetchPace is how fast each fetch goes on.
-func (f *Fleet) fetchPace() float64 {
-	return f.slow * min(1, f.cfg.Store.Pace/float64(max(1, f.fetches)))
+// fetchRate is how fast each fetch goes on.
+func (f *Fleet) fetchRate() float64 {
+	return f.storeSpeedFactor * min(1, f.cfg.Store.FullRateFetches/float64(max(1, f.fetches)))
 }
 
-const coldStep = 20 * time.Millisecond // a rising capacity is taken as even for so long
+const rampStep = 20 * time.Millisecond // a rising capacity is taken as even for so long
 
 // Next returns when something will happen by itself next; false if nothing will.
 func (f *Fleet) Next() (time.Duration, bool) {
@@ -237,31 +237,31 @@
 			next = min(next, f.now+max(time.Duration(left/pace*1e9), time.Microsecond))
 		}
 	}
-	fp := f.fetchPace()
+	fp := f.fetchRate()
 	for _, w := range f.workers {
 		if !w.up {
 			continue
 		}
-		p := f.pace(w, f.now)
+		p := f.runRate(w, f.now)
 		for _, c := range w.running {
-			after(c.left, p)
+			after(c.remainingWork, p)
 		}
-		if len(w.running) > 0 && f.share(w, f.now) < 1 {
-			next = min(next, f.now+coldStep)
+		if len(w.running) > 0 && f.warmupFraction(w, f.now) < 1 {
+			next = min(next, f.now+rampStep)
 		}
 		for _, l := range w.loads {
 			switch {
 			case !l.slot:
 			case l.fetching:
-				after(l.left, fp)
+				after(l.remainingFetch, fp)
 			default:
 				next = min(next, max(l.ready, f.now+time.Microsecond))
 			}
 		}
 		for _, name := range w.names {
-			for _, c := range w.funcs[name].copies {
+			for _, c := range w.functions[name].copies {
 				if c.busy == 0 {
-					next = min(next, max(c.idle+w.IdleLife, f.now+time.Microsecond))
+					next = min(next, max(c.idle+w.IdleCopyTTL, f.now+time.Microsecond))
 				}
 			}
 		}
@@ -286,18 +286,18 @@
 
 // settle carries all that is under way on to a time before which no rate changes.
 func (f *Fleet) settle(to time.Duration) {
-	dt, fp := (to - f.now).Seconds(), f.fetchPace()
+	dt, fp := (to - f.now).Seconds(), f.fetchRate()
 	for _, w := range f.workers {
 		if !w.up {
 			continue
 		}
-		p := f.pace(w, f.now)
+		p := f.runRate(w, f.now)
 		for _, c := range w.running {
-			c.left -= dt * p
+			c.remainingWork -= dt * p
 		}
 		for _, l := range w.loads {
 			if l.slot && l.fetching {
-				l.left -= dt * fp
+				l.remainingFetch -= dt * fp
 			}
 		}
 	}
@@ -314,7 +314,7 @@
 // finish ends what is done at a worker, and starts what can start.
 func (f *Fleet) finish(w *worker) {
 	for _, c := range slices.Clone(w.running) {
-		if c.left <= almost {
+		if c.remainingWork <= almost {
 			o := OK
 			if c.Fails {
 				o = Error
@@ -325,17 +325,17 @@
 	for _, l := range slices.Clone(w.loads) {
 		switch {
 		case !l.slot:
-		case l.fetching && l.left <= almost:
-			l.fetching, l.ready = false, f.now+l.fn.Start
+		case l.fetching && l.remainingFetch <= almost:
+			l.fetching, l.ready = false, f.now+l.function.Start
 			f.fetches--
 		case !l.fetching && f.now >= l.ready:
 			f.loaded(w, l)
 		}
 	}
 	for _, name := range slices.Clone(w.names) {
-		fn := w.funcs[name]
+		fn := w.functions[name]
 		for _, c := range slices.Clone(fn.copies) {
-			if c.busy == 0 && (c.void || f.now >= c.idle+w.IdleLife) {
+			if c.busy == 0 && (c.released || f.now >= c.idle+w.IdleCopyTTL) {
 				w.drop(fn, c)
 			}
 		}
@@ -344,10 +344,10 @@
 }
 
 func (w *worker) function(fn *Function) *function {
-	s := w.funcs[fn.Name]
+	s := w.functions[fn.Name]
 	if s == nil {
-		s = &function{fn: fn}
-		w.funcs[fn.Name] = s
+		s = &function{spec: fn}
+		w.functions[fn.Name] = s
 		i, _ := slices.BinarySearch(w.names, fn.Name)
 		w.names = slices.Insert(w.names, i, fn.Name)
 	}
@@ -356,7 +356,7 @@
 
 func (w *worker) drop(fn *function, c *copyState) {
 	fn.copies = slices.DeleteFunc(fn.copies, func(o *copyState) bool { return o == c })
-	w.used -= fn.fn.MemoryMB
+	w.usedMemoryMB -= fn.spec.MemoryMB
 }
 
 // Report is what a worker would tell of its load.
@@ -372,14 +372,14 @@
 	w := f.workers[worker]
 	var pinned float64
 	for _, name := range w.names {
-		for _, c := range w.funcs[name].copies {
+		for _, c := range w.functions[name].copies {
 			if c.busy > 0 {
-				pinned += w.funcs[name].fn.MemoryMB
+				pinned += w.functions[name].spec.MemoryMB
 			}
 		}
 	}
 	for _, l := range w.loads {
-		pinned += l.fn.MemoryMB
+		pinned += l.function.MemoryMB
 	}
 	return Report{InFlight: len(w.calls), Queue: w.waiting, Util: min(1, float64(len(w.running))/w.Cores),
 		Memory: pinned / w.MemoryMB, Loads: len(w.loads)}
@@ -391,9 +391,9 @@
 // Copies returns how many copies of a function stand at a worker.
 func (f *Fleet) Copies(worker int, name string) int {
 	n := 0
-	if fn := f.workers[worker].funcs[name]; fn != nil {
+	if fn := f.workers[worker].functions[name]; fn != nil {
 		for _, c := range fn.copies {
-			if !c.void {
+			if !c.released {
 				n++
 			}
 		}
@@ -405,9 +405,9 @@
 func (f *Fleet) Idle(worker int) (mb float64) {
 	w := f.workers[worker]
 	for _, name := range w.names {
-		for _, c := range w.funcs[name].copies {
-			if c.busy == 0 && !c.void {
-				mb += w.funcs[name].fn.MemoryMB
+		for _, c := range w.functions[name].copies {
+			if c.busy == 0 && !c.released {
+				mb += w.functions[name].spec.MemoryMB
 			}
 		}
 	}
@@ -420,12 +420,12 @@
 	c  *copyState
 }) {
 	for _, name := range w.names {
-		for _, c := range w.funcs[name].copies {
+		for _, c := range w.functions[name].copies {
 			if c.busy == 0 {
 				l = append(l, struct {
 					fn *function
 					c  *copyState
-				}{w.funcs[name], c})
+				}{w.functions[name], c})
 			}
 		}
 	}
--- a/internal/harness/workersim/fleet_test.go
+++ b/internal/harness/workersim/fleet_test.go
@@ -15,7 +15,7 @@
 const ms = time.Millisecond
 
 func spec(name, group string) Spec {
-	return Spec{Name: name, Group: group, Cores: 2, Speed: 1, MemoryMB: 1000, Queue: 4, LoadSlots: 2, IdleLife: 5 * time.Second}
+	return Spec{Name: name, Group: group, Cores: 2, Speed: 1, MemoryMB: 1000, Queue: 4, LoadSlots: 2, IdleCopyTTL: 5 * time.Second}
 }
 
 func quote(name string) *Function {
@@ -23,21 +23,21 @@
 }
 
 func two() Config {
-	return Config{Workers: []Spec{spec("a", "g"), spec("b", "g")}, Store: Store{Pace: 1, Limit: 3},
-		Cold: Cold{Share: 0.25, For: 10 * time.Second, FallFactor: 2, FallWithin: time.Second}, Window: 2 * time.Second}
+	return Config{Workers: []Spec{spec("a", "g"), spec("b", "g")}, Store: Store{FullRateFetches: 1, MaxFetches: 3},
+		SlowStart: SlowStart{WarmupFraction: 0.25, WarmupTime: 10 * time.Second, CollapseFactor: 2, CollapseWindow: time.Second}, DedupWindow: 2 * time.Second}
 }
 
 // run collects what happens up to a time.
 func run(f *Fleet, to time.Duration) (l []string) {
 	for _, e := range f.Advance(to) {
 		switch e.Kind {
-		case Began:
+		case RunStarted:
 			l = append(l, fmt.Sprintf("%v %d began", e.At.Round(ms), e.ID))
-		case Answered:
-			l = append(l, fmt.Sprintf("%v %d %s note %d alike %d repeat %v", e.At.Round(ms), e.ID, e.Outcome, e.Note, e.Alike, e.Repeat))
-		case Stands:
+		case CallAnswered:
+			l = append(l, fmt.Sprintf("%v %d %s note %d alike %d repeat %v", e.At.Round(ms), e.ID, e.Outcome, e.Note, e.SameFunction, e.Repeat))
+		case OrderEnded:
 			l = append(l, fmt.Sprintf("%v order %d %s %d", e.At.Round(ms), e.ID, e.Outcome, e.Copies))
-		case Fell:
+		case Collapsed:
 			l = append(l, fmt.Sprintf("%v fell", e.At.Round(ms)))
 		}
 	}
@@ -173,7 +173,7 @@
 		out := map[uint64]int{}
 		note := func(l []Effect) {
 			for _, e := range l {
-				if e.Kind == Answered {
+				if e.Kind == CallAnswered {
 					out[e.ID]++
 				}
 			}
@@ -202,8 +202,8 @@
 				f.Call(w, Call{ID: id, Function: fn, Work: 0.05, Mean: 0.05})
 			}
 			for _, w := range f.workers {
-				if w.used > w.MemoryMB+1e-6 || w.used < -1e-6 || w.waiting < 0 {
-					t.Fatalf("%s uses %v MB, %d wait", w.Name, w.used, w.waiting)
+				if w.usedMemoryMB > w.MemoryMB+1e-6 || w.usedMemoryMB < -1e-6 || w.waiting < 0 {
+					t.Fatalf("%s uses %v MB, %d wait", w.Name, w.usedMemoryMB, w.waiting)
 				}
 			}
 			if f.fetches < 0 {
--- a/internal/harness/workersim/load.go
+++ b/internal/harness/workersim/load.go
@@ -10,11 +10,11 @@
 	if len(w.loads) >= 3*w.LoadSlots {
 		return false
 	}
-	need := w.used + fn.MemoryMB - w.MemoryMB
+	need := w.usedMemoryMB + fn.MemoryMB - w.MemoryMB
 	idle := w.evictable()
 	n := 0
 	for ; need > 0 && n < len(idle); n++ {
-		need -= idle[n].fn.fn.MemoryMB
+		need -= idle[n].fn.spec.MemoryMB
 	}
 	if need > 0 {
 		return false
@@ -22,8 +22,8 @@
 	for _, e := range idle[:n] {
 		w.drop(e.fn, e.c)
 	}
-	w.used += fn.MemoryMB
-	w.loads = append(w.loads, &load{fn: fn, order: byOrder})
+	w.usedMemoryMB += fn.MemoryMB
+	w.loads = append(w.loads, &load{function: fn, order: byOrder})
 	return true
 }
 
@@ -39,17 +39,17 @@
 		if l.slot || busy >= w.LoadSlots {
 			continue
 		}
-		if fn := w.funcs[l.fn.Name]; !l.order && (fn == nil || len(fn.queue) == 0) {
+		if fn := w.functions[l.function.Name]; !l.order && (fn == nil || len(fn.queue) == 0) {
 			w.unload(l)
 			continue
 		}
-		if f.refuses || f.cfg.Store.Limit > 0 && f.fetches >= f.cfg.Store.Limit {
+		if f.storeRejects || f.cfg.Store.MaxFetches > 0 && f.fetches >= f.cfg.Store.MaxFetches {
 			f.Refusals++
 			f.loadFailed(w, l)
 			continue
 		}
 		busy++
-		l.slot, l.fetching, l.left = true, true, l.fn.Fetch.Seconds()
+		l.slot, l.fetching, l.remainingFetch = true, true, l.function.Fetch.Seconds()
 		f.fetches++
 		f.Fetches++
 	}
@@ -57,12 +57,12 @@
 
 func (w *worker) unload(l *load) {
 	w.loads = slices.DeleteFunc(w.loads, func(o *load) bool { return o == l })
-	w.used -= l.fn.MemoryMB
+	w.usedMemoryMB -= l.function.MemoryMB
 }
 
 func (f *Fleet) loaded(w *worker, l *load) {
 	w.loads = slices.DeleteFunc(w.loads, func(o *load) bool { return o == l })
-	fn := w.function(l.fn)
+	fn := w.function(l.function)
 	fn.copies = append(fn.copies, &copyState{idle: f.now})
 	f.tell(w)
 	f.slots(w)
@@ -70,32 +70,32 @@
 
 func (f *Fleet) loadFailed(w *worker, l *load) {
 	w.unload(l)
-	if fn := w.funcs[l.fn.Name]; fn != nil && len(fn.copies) == 0 &&
-		!slices.ContainsFunc(w.loads, func(o *load) bool { return o.fn.Name == l.fn.Name }) {
+	if fn := w.functions[l.function.Name]; fn != nil && len(fn.copies) == 0 &&
+		!slices.ContainsFunc(w.loads, func(o *load) bool { return o.function.Name == l.function.Name }) {
 		for _, h := range fn.queue {
 			delete(w.calls, h.ID)
 			w.waiting--
-			f.out = append(f.out, Effect{Kind: Answered, At: f.now, Worker: w.index, ID: h.ID, Outcome: Failed, Alike: h.alike})
+			f.out = append(f.out, Effect{Kind: CallAnswered, At: f.now, Worker: w.index, ID: h.ID, Outcome: Failed, SameFunction: h.sameFunction})
 		}
 		fn.queue = nil
 	}
 	w.orders = slices.DeleteFunc(w.orders, func(o *order) bool {
-		if o.fn.Name != l.fn.Name {
+		if o.function.Name != l.function.Name {
 			return false
 		}
-		f.stands(w, o.id, Error, f.Copies(w.index, o.fn.Name))
+		f.stands(w, o.id, Error, f.Copies(w.index, o.function.Name))
 		return true
 	})
 }
 
 func (f *Fleet) stands(w *worker, id uint64, o Outcome, copies int) {
-	f.out = append(f.out, Effect{Kind: Stands, At: f.now, Worker: w.index, ID: id, Outcome: o, Copies: copies})
+	f.out = append(f.out, Effect{Kind: OrderEnded, At: f.now, Worker: w.index, ID: id, Outcome: o, Copies: copies})
 }
 
 // tell answers the orders whose copies stand.
 func (f *Fleet) tell(w *worker) {
 	w.orders = slices.DeleteFunc(w.orders, func(o *order) bool {
-		n := f.Copies(w.index, o.fn.Name)
+		n := f.Copies(w.index, o.function.Name)
 		if n < o.copies {
 			return false
 		}
@@ -123,11 +123,11 @@
 		return
 	}
 	if w.draining {
-		f.stands(w, id, Full, have)
+		f.stands(w, id, AtCapacity, have)
 		return
 	}
 	for _, l := range w.loads {
-		if l.fn.Name == fn.Name {
+		if l.function.Name == fn.Name {
 			have++
 			l.order = true
 		}
@@ -136,7 +136,7 @@
 	for ; have < copies; have++ {
 		if !f.startLoad(w, fn, true) {
 			w.orders = slices.DeleteFunc(w.orders, func(o *order) bool { return o.id == id })
-			f.stands(w, id, Full, f.Copies(worker, fn.Name))
+			f.stands(w, id, AtCapacity, f.Copies(worker, fn.Name))
 			break
 		}
 	}
@@ -146,7 +146,7 @@
 // Unload drops the idle copies of a function.
 func (f *Fleet) Unload(worker int, name string) {
 	w := f.workers[worker]
-	if fn := w.funcs[name]; fn != nil {
+	if fn := w.functions[name]; fn != nil {
 		for _, c := range slices.Clone(fn.copies) {
 			if c.busy == 0 {
 				w.drop(fn, c)
@@ -168,7 +168,7 @@
 		}
 	}
 	for _, id := range sortedIDs(w.calls) {
-		f.out = append(f.out, Effect{Kind: Answered, At: f.now, Worker: worker, ID: id, Outcome: Reset})
+		f.out = append(f.out, Effect{Kind: CallAnswered, At: f.now, Worker: worker, ID: id, Outcome: Reset})
 	}
 	for _, o := range w.orders {
 		f.stands(w, o.id, Reset, 0)
@@ -176,7 +176,7 @@
 	w.reset(f.now)
 }
 
-func sortedIDs(m map[uint64]*held) []uint64 {
+func sortedIDs(m map[uint64]*call) []uint64 {
 	l := make([]uint64, 0, len(m))
 	for id := range m {
 		l = append(l, id)
@@ -203,25 +203,25 @@
 func (f *Fleet) Drain(worker int) { f.workers[worker].draining = true }
 
 // Slow sets the factor on a worker's speed (1: none), Crowd the share of its cores that a neighbour takes.
-func (f *Fleet) Slow(worker int, factor float64) { f.workers[worker].slow = factor }
-func (f *Fleet) Crowd(worker int, taken float64) { f.workers[worker].taken = taken }
+func (f *Fleet) Slow(worker int, factor float64) { f.workers[worker].speedFactor = factor }
+func (f *Fleet) Crowd(worker int, taken float64) { f.workers[worker].stolenFraction = taken }
 
 // SlowStore sets the factor on the store's pace (1: none); RefuseStore makes it turn all fetches away.
-func (f *Fleet) SlowStore(factor float64) { f.slow = factor }
-func (f *Fleet) RefuseStore(refuses bool) { f.refuses = refuses }
+func (f *Fleet) SlowStore(factor float64) { f.storeSpeedFactor = factor }
+func (f *Fleet) RefuseStore(refuses bool) { f.storeRejects = refuses }
 
 // Flush voids all copies: idle ones go at once, busy ones when they are done.
 func (f *Fleet) Flush() {
 	for _, w := range f.workers {
 		for _, name := range w.names {
-			fn := w.funcs[name]
+			fn := w.functions[name]
 			for _, c := range slices.Clone(fn.copies) {
-				if c.void = true; c.busy == 0 {
+				if c.released = true; c.busy == 0 {
 					w.drop(fn, c)
 				}
 			}
-			if w.up && len(fn.queue) > 0 && !slices.ContainsFunc(w.loads, func(l *load) bool { return l.fn.Name == name }) {
-				f.startLoad(w, fn.fn, false)
+			if w.up && len(fn.queue) > 0 && !slices.ContainsFunc(w.loads, func(l *load) bool { return l.function.Name == name }) {
+				f.startLoad(w, fn.spec, false)
 				f.slots(w)
 			}
 		}
--- a/scheduler/cold_test.go
+++ b/scheduler/cold_test.go
@@ -41,12 +41,12 @@
 	t.Helper()
 	const tick, functions = 2 * ms, 24
 	rng := rand.New(rand.NewPCG(seed, 5))
-	cfg := workersim.Config{Window: 4 * time.Second, Store: workersim.Store{Pace: 6, Limit: 30},
-		Cold: workersim.Cold{Share: c.share, For: c.coldFor, FallFactor: 100, FallWithin: c.within}}
+	cfg := workersim.Config{DedupWindow: 4 * time.Second, Store: workersim.Store{FullRateFetches: 6, MaxFetches: 30},
+		SlowStart: workersim.SlowStart{WarmupFraction: c.share, WarmupTime: c.coldFor, CollapseFactor: 100, CollapseWindow: c.within}}
 	var list []scheduler.WorkerInfo
 	for i := range c.workers {
 		cfg.Workers = append(cfg.Workers, workersim.Spec{Name: fmt.Sprint("w", i), Cores: 2, Speed: []float64{1, 0.7}[i%2], MemoryMB: 4000,
-			Queue: 24, LoadSlots: 3, IdleLife: 2 * time.Second, Eager: true})
+			Queue: 24, LoadSlots: 3, IdleCopyTTL: 2 * time.Second, Eager: true})
 		list = append(list, scheduler.WorkerInfo{ID: scheduler.WorkerID(i + 1), State: scheduler.Ready, Group: i / 3})
 	}
 	var fns [functions]workersim.Function
@@ -103,16 +103,16 @@
 				continue
 			}
 			switch e.Kind {
-			case workersim.Answered:
-				o := map[workersim.Outcome]scheduler.Outcome{workersim.OK: scheduler.OK, workersim.Full: scheduler.AtCapacity, workersim.Reset: scheduler.Reset,
+			case workersim.CallAnswered:
+				o := map[workersim.Outcome]scheduler.Outcome{workersim.OK: scheduler.OK, workersim.AtCapacity: scheduler.AtCapacity, workersim.Reset: scheduler.Reset,
 					workersim.Failed: scheduler.NotLoaded, workersim.Error: scheduler.Error}[e.Outcome]
 				if o == scheduler.OK {
 					p.served++
 				}
 				inbox[k.controller] = append(inbox[k.controller], scheduler.AttemptEnded{Request: k.request, Attempt: k.attempt,
-					Worker: scheduler.WorkerID(k.worker + 1), Outcome: o, Took: now - k.sent, Note: scheduler.LoadNote(e.Note), SameFunction: e.Alike})
+					Worker: scheduler.WorkerID(k.worker + 1), Outcome: o, Took: now - k.sent, Note: scheduler.LoadNote(e.Note), SameFunction: e.SameFunction})
 				delete(calls, e.ID)
-			case workersim.Stands:
+			case workersim.OrderEnded:
 				o := scheduler.OK
 				if e.Outcome != workersim.OK {
 					o = scheduler.AtCapacity
