--- a/internal/harness/fakeplatform/invoker.go
+++ b/internal/harness/fakeplatform/invoker.go
@@ -16,8 +16,19 @@
 
 // Codes of frames.
 const (
-	Call, GiveUp, Ping, Hold, Unload                 = 48, 49, 50, 52, 54
-	Served, Missed, Full, Failed, Over, Pong, Orphan = 64, 66, 67, 68, 69, 70, 71 // Orphan answers nothing
+	Call   = 48
+	GiveUp = 49
+	Ping   = 50
+	Hold   = 52
+	Unload = 54
+
+	Served = 64
+	Missed = 66
+	Full   = 67
+	Failed = 68
+	Over   = 69
+	Pong   = 70
+	Orphan = 71 // answers nothing
 )
 
 const (
--- a/internal/harness/fakeworker/blobs.go
+++ b/internal/harness/fakeworker/blobs.go
@@ -13,6 +13,7 @@
 // A BlobFault is a way in which a stand-in store gives wrong bytes, or too few or many.
 type BlobFault int
 
+// The faults of a store.
 const (
 	GoodBlobs BlobFault = iota
 	Truncated           // its answer ends half way, every time at another byte
@@ -31,7 +32,6 @@
 	fault  BlobFault
 	server *http1.Server
 	ln     net.Listener
-	served int
 	asked  int
 }
 
--- a/internal/harness/fakeworker/list.go
+++ b/internal/harness/fakeworker/list.go
@@ -193,7 +193,7 @@
 }
 
 // serve answers long polls: a whole list at first, a delta to one who holds a version that is still known.
-func (l *List) serve(c *http1.Conn, r *http1.Request) *http1.Response {
+func (l *List) serve(_ *http1.Conn, r *http1.Request) *http1.Response {
 	var req discovery.Request
 	if r.Path() != discovery.Path || json.Unmarshal(r.Body, &req) != nil {
 		return &http1.Response{Status: 400}
--- a/internal/harness/fakeworker/standin.go
+++ b/internal/harness/fakeworker/standin.go
@@ -39,6 +39,7 @@
 // A Fault is a way of answering wrongly. The call runs all the same.
 type Fault int
 
+// The faults of a worker's answers.
 const (
 	NoFault    Fault = iota
 	CutAnswer        // reset in mid-answer
--- a/internal/harness/invariant/invariant.go
+++ b/internal/harness/invariant/invariant.go
@@ -18,11 +18,12 @@
 // A Rule is one of the five.
 type Rule int
 
+// The five rules, in the order of their numbers.
 const (
 	OneAnswer      Rule = iota // each request taken has one final answer in time, and nothing is sent for it afterwards
 	NoRepeat                   // no effect twice
-	Drains                     // nothing new to a draining or gone worker after the grace
-	SlowStartBound             // no cold worker pushed over
+	Drains                     // nothing new to a draining or removed worker after the grace
+	SlowStartBound             // no warming worker is overloaded
 	Loads                      // orders to load within their budget
 )
 
--- a/internal/harness/proxybench/bench_test.go
+++ b/internal/harness/proxybench/bench_test.go
@@ -46,7 +46,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s := &http1.Server{Limits: http1.Limits{Idle: time.Hour, FirstByte: time.Hour}, Handler: http1.HandlerFunc(func(_ *http1.Conn, r *http1.Request) *http1.Response {
+		s := &http1.Server{Limits: http1.Limits{Idle: time.Hour, FirstByte: time.Hour}, Handler: http1.HandlerFunc(func(*http1.Conn, *http1.Request) *http1.Response {
 			return &http1.Response{Status: 200, Body: body, Header: http1.Header{{Name: "Content-Type", Value: "application/octet-stream"},
 				{Name: "Inference-Header-Content-Length", Value: strconv.Itoa(len(head))},
 				{Name: "endpoint-load-metrics", Value: "TEXT cpu_utilization=0.1, named_metrics.queue=0, named_metrics.inflight=1, named_metrics.copy=1"}}}
--- a/internal/harness/scenario/guards_test.go
+++ b/internal/harness/scenario/guards_test.go
@@ -21,7 +21,7 @@
 	known map[string]gateway.Worker
 }
 
-func (d *deaf) Workers(kind scheduler.ListKind, version uint32, l []gateway.Worker) error {
+func (d *deaf) Workers(_ scheduler.ListKind, version uint32, l []gateway.Worker) error {
 	for _, w := range l {
 		if w.State == scheduler.Gone {
 			continue
--- a/internal/harness/scenario/play.go
+++ b/internal/harness/scenario/play.go
@@ -5,12 +5,10 @@
 
 import (
 	"embed"
-	"encoding/base64"
 	"fmt"
 	"io"
 	"math/rand/v2"
 	"os"
-	"path/filepath"
 	"slices"
 	"strings"
 	"sync"
@@ -28,9 +26,9 @@
 	"kitehub/internal/harness/invariant"
 	"kitehub/internal/harness/trace"
 	"kitehub/internal/harness/workersim"
+	"kitehub/internal/hookengine"
 	"kitehub/internal/http1"
 	"kitehub/internal/ingress"
-	"kitehub/internal/signing"
 	"kitehub/scheduler"
 )
 
@@ -182,106 +180,6 @@
 	return p.play()
 }
 
-func (p *player) setUp() error {
-	s := p.s
-	facts := p.facts()
-	p.log.Add(trace.Record{Kind: trace.Facts, Rules: &facts, Note: s.Name})
-	hc := fakeworker.Config{Clock: p.clk, Trace: p.log, Fleet: workersim.Config{Store: workersim.Store{FullRateFetches: s.Store.Pace, MaxFetches: int(s.Store.Limit)},
-		SlowStart: workersim.SlowStart{WarmupFraction: s.Rules.ColdShare, WarmupTime: ms(s.Rules.ColdMs), CollapseFactor: s.Rules.FallFactor, CollapseWindow: ms(s.Rules.FallWithinMs)}}}
-	n := int(s.Workers.Count)
-	for i := range 2 * n { // as many spares, to replace them in a deploy
-		w := workersim.Spec{Name: fmt.Sprintf("w%02d", i), Zone: s.Zones[i%n%len(s.Zones)], Group: fmt.Sprintf("g%d", i%n/int(s.Workers.GroupSize)),
-			Cores: s.Workers.Cores, Speed: s.Workers.Speeds[i%n%len(s.Workers.Speeds)], MemoryMB: s.Workers.MemoryMb, Queue: int(s.Workers.Queue),
-			LoadSlots: int(s.Workers.LoadSlots), IdleCopyTTL: ms(s.Workers.IdleLifeMs), Eager: s.Workers.Eager}
-		hc.Fleet.Workers = append(hc.Fleet.Workers, w)
-		p.specs[w.Name] = w
-	}
-	var models []string
-	for _, c := range s.Classes {
-		hc.Fleet.DedupWindow = max(hc.Fleet.DedupWindow, ms(c.WindowMs))
-		for i := range int(c.Functions) + 3 {
-			hc.Functions = append(hc.Functions, fakeworker.Kind{Function: workersim.Function{Name: functionName(c.Name, i), MemoryMB: c.MemoryMb,
-				Lanes: int(c.Lanes), Fetch: ms(c.FetchMs), Start: ms(c.StartMs)}, Class: c.Name, Work: ms(c.WorkMs), Keyed: c.Effect == "keyed", Versions: s.Versions != nil})
-			models = append(models, functionName(c.Name, i))
-		}
-	}
-	if len(s.Tenants) == 0 {
-		s.Tenants = []*Tenant{{Name: "all", Share: 1}}
-	}
-	var err error
-	if s.Versions != nil {
-		if p.versions, err = newVersions(p, models); err != nil {
-			return err
-		}
-		hc.Fetch = p.versions.get
-	}
-	if p.host, err = fakeworker.Start(hc); err != nil {
-		return err
-	}
-	for _, name := range p.host.Names()[n:] {
-		p.host.Kill(name)
-		p.spares = append(p.spares, name)
-	}
-	for _, name := range p.host.Names()[:n] {
-		p.listed[name] = scheduler.Ready
-	}
-	p.net = newNetwork(p.zoneOf)
-	if p.list, err = fakeworker.NewList(cluster, p.log); err != nil {
-		return err
-	}
-	p.list.Delay(ms(s.ListDelayMs))
-	if !s.Stream {
-		var names []string
-		for i := range int(s.Controllers) {
-			names = append(names, controllerName(i))
-		}
-		p.list.ToFile(filepath.Join(p.dir, "list.json"), listPoll, names)
-	}
-	p.publish()
-	for range s.Tenants {
-		var b [32]byte
-		for i := range b {
-			b[i] = byte(p.rng.Uint32())
-		}
-		p.secrets = append(p.secrets, "whsec_"+base64.StdEncoding.EncodeToString(b[:]))
-	}
-	p.controllers = make([]*controller.Controller, s.Controllers)
-	var targets []*target
-	for i := range p.controllers {
-		t := &target{name: controllerName(i)}
-		for _, secret := range p.secrets {
-			own, err := signing.Derive(secret, t.name)
-			if err != nil {
-				return err
-			}
-			k, err := signing.ParseKey(own)
-			if err != nil {
-				return err
-			}
-			t.keys = append(t.keys, k)
-		}
-		targets = append(targets, t)
-	}
-	for i, t := range targets {
-		t.hooked = p.hooked(i) > 0
-		if s.SecondFront {
-			t.socket = p.socket(i, "s")
-		}
-	}
-	p.load = newLoad(s, p.clk, p.log, targets)
-	// All start in the same moment, as after a power cut.
-	errs := make(chan error, len(p.controllers))
-	for i := range p.controllers {
-		go func() { errs <- p.startController(i) }()
-	}
-	for range p.controllers {
-		if e := <-errs; e != nil {
-			err = e
-		}
-	}
-	return err
-}
-
 const listPoll = 50 * time.Millisecond
 
 func controllerName(i int) string { return fmt.Sprintf("c%02d", i) }
@@ -345,15 +243,12 @@
 	}
 }
 
+// play injects the faults into the running day, with the load under way, and gathers what came of it.
 func (p *player) play() (*Result, error) {
 	p.begin = p.clk.Now() + seconds(p.s.LeadS)
 	p.load.from = p.begin
 	for _, t := range p.s.Troubles {
-		p.wg.Add(1)
-		go func() {
-			defer p.wg.Done()
-			p.trouble(t)
-		}()
+		p.wg.Go(func() { p.inject(t) })
 	}
 	p.wg.Add(2)
 	go p.watchMachine()
@@ -376,7 +271,15 @@
 	if err != nil {
 		return nil, err
 	}
-	res := &Result{Forged: p.load.forged, Trace: p.log.Records(), Idle: idle, Took: p.load.took, Handovers: len(p.retired)}
+	return p.result(idle)
+}
+
+// versionSlack is how long an answer may have been on its way when a migration was acknowledged.
+const versionSlack = 50 * time.Millisecond
+
+// result checks the trace, and adds what the parties counted.
+func (p *player) result(idle float64) (res *Result, err error) {
+	res = &Result{Forged: p.load.forged, Trace: p.log.Records(), Idle: idle, Took: p.load.took, Handovers: len(p.retired)}
 	res.Classes, res.Tallies = p.load.tallies()
 	for _, r := range res.Trace {
 		switch r.Kind {
@@ -387,39 +290,47 @@
 		}
 	}
 	p.host.Do(func(f *workersim.Fleet) { res.Fetches, res.Refusals = f.Fetches, f.Refusals })
+	p.addControllers(res)
+	if p.versions != nil {
+		res.Moves = p.versions.counts
+		res.Versions = invariant.Versions(res.Trace, versionSlack)
+	}
+	res.Verdict, err = invariant.Check(res.Trace)
+	return res, err
+}
+
+// addControllers adds what the controllers counted that are up at the end.
+func (p *player) addControllers(res *Result) {
 	p.mu.Lock()
+	defer p.mu.Unlock()
 	for _, c := range p.controllers {
-		if c != nil {
-			res.LateStep = max(res.LateStep, time.Duration(c.Gateway.Counts.MaxStepDelayNanos.Load()))
-			if e := c.Hooks(); e != nil {
-				n := &e.Counts
-				h := HookResult{Controller: c.Name(), Inline: n.Inline.Load(), Aside: n.Aside.Load(), Faults: n.Faults.Load(), Refused: n.Refusals.Load(), Dropped: n.Dropped.Load(),
-					InlineMean: time.Duration(n.InlineNanos.Load() / max(1, n.Inline.Load())), AsideMean: time.Duration(n.AsideNanos.Load() / max(1, n.Aside.Load()))}
-				if o, err := e.Overview(); err == nil {
-					for _, s := range o.Scripts {
-						h.Statuses = append(h.Statuses, s.Name+" "+s.Status)
-					}
-				}
-				res.Hooks = append(res.Hooks, h)
-			}
+		if c == nil {
+			continue
+		}
+		res.LateStep = max(res.LateStep, time.Duration(c.Gateway.Counts.MaxStepDelayNanos.Load()))
+		if e := c.Hooks(); e != nil {
+			res.Hooks = append(res.Hooks, hookResult(c.Name(), e))
+		}
+		if p.versions != nil {
+			res.Anew += c.Front.Counts.Anew.Load()
+			res.Withheld += c.Front.Counts.Withheld.Load()
+			res.Mismatched += c.Gateway.Counts.Mismatched.Load()
 		}
 	}
-	p.mu.Unlock()
-	if p.versions != nil {
-		res.Moves = p.versions.counts
-		res.Versions = invariant.Versions(res.Trace, 50*time.Millisecond)
-		p.mu.Lock()
-		for _, c := range p.controllers {
-			if c != nil {
-				res.Anew += c.Front.Counts.Anew.Load()
-				res.Withheld += c.Front.Counts.Withheld.Load()
-				res.Mismatched += c.Gateway.Counts.Mismatched.Load()
-			}
+}
+
+func hookResult(controller string, e *hookengine.Engine) HookResult {
+	n := &e.Counts
+	h := HookResult{Controller: controller, Inline: n.Inline.Load(), Aside: n.Aside.Load(), Faults: n.Faults.Load(), Refused: n.Refusals.Load(),
+		Dropped:    n.Dropped.Load(),
+		InlineMean: time.Duration(n.InlineNanos.Load() / max(1, n.Inline.Load())),
+		AsideMean:  time.Duration(n.AsideNanos.Load() / max(1, n.Aside.Load()))}
+	if o, err := e.Overview(); err == nil {
+		for _, s := range o.Scripts {
+			h.Statuses = append(h.Statuses, s.Name+" "+s.Status)
 		}
-		p.mu.Unlock()
 	}
-	res.Verdict, err = invariant.Check(res.Trace)
-	return res, err
+	return h
 }
 
 const (
--- a/internal/harness/workersim/fleet.go
+++ b/internal/harness/workersim/fleet.go
@@ -68,6 +68,7 @@
 // Outcome is how a call or an order ended.
 type Outcome string
 
+// How a call or an order ends.
 const (
 	OK         Outcome = "ok"
 	AtCapacity Outcome = "full"
@@ -99,6 +100,7 @@
 // An EffectKind says what an Effect tells.
 type EffectKind int
 
+// What may happen at a worker.
 const (
 	RunStarted   EffectKind = iota + 1 // the call runs
 	CallAnswered                       // the call has ended
--- a/internal/harness/workersim/fleet_test.go
+++ b/internal/harness/workersim/fleet_test.go
@@ -196,7 +196,7 @@
 			case 4:
 				f.Unload(w, fn.Name)
 			case 5:
-				f.RefuseStore(rapid.Bool().Draw(t, "refuse"))
+				f.RejectFetches(rapid.Bool().Draw(t, "refuse"))
 			default:
 				out[id] = 0
 				f.Call(w, Call{ID: id, Function: fn, Work: 0.05, Mean: 0.05})
@@ -210,7 +210,7 @@
 				t.Fatalf("%d fetches", f.fetches)
 			}
 		}
-		f.RefuseStore(false)
+		f.RejectFetches(false)
 		note(f.Advance(now + time.Minute))
 		for id, n := range out {
 			if n != 1 {
--- a/internal/harness/workersim/load.go
+++ b/internal/harness/workersim/load.go
@@ -202,13 +202,17 @@
 // Drain marks a worker: it takes no further orders to load, but still serves.
 func (f *Fleet) Drain(worker int) { f.workers[worker].draining = true }
 
-// Slow sets the factor on a worker's speed (1: none), Crowd the share of its cores that a neighbour takes.
+// Slow sets the factor on a worker's speed; 1 is full speed.
 func (f *Fleet) Slow(worker int, factor float64) { f.workers[worker].speedFactor = factor }
-func (f *Fleet) Crowd(worker int, taken float64) { f.workers[worker].stolenFraction = taken }
 
-// SlowStore sets the factor on the store's pace (1: none); RefuseStore makes it turn all fetches away.
+// StealCPU sets the fraction of a worker's cores that a neighbour takes, from 0 to below 1.
+func (f *Fleet) StealCPU(worker int, fraction float64) { f.workers[worker].stolenFraction = fraction }
+
+// SlowStore sets the factor on the speed of the store; 1 is full speed.
 func (f *Fleet) SlowStore(factor float64) { f.storeSpeedFactor = factor }
-func (f *Fleet) RefuseStore(refuses bool) { f.storeRejects = refuses }
+
+// RejectFetches makes the store reject all fetches, or serve them again.
+func (f *Fleet) RejectFetches(rejects bool) { f.storeRejects = rejects }
 
 // Flush voids all copies: idle ones go at once, busy ones when they are done.
 func (f *Fleet) Flush() {
