--- a/scheduler/advice_test.go
+++ b/scheduler/advice_test.go
@@ -89,7 +89,7 @@
 	if l := walk(d, q); l[3].ID != home {
 		t.Errorf("an avoided worker is not the last of the walk")
 	}
-	points := func(id WorkerID) int { return d.workers[id].place.Points() }
+	points := func(id WorkerID) int { return d.workers[id].member.Points() }
 	before := points(home)
 	d.Step(5*time.Second, []Event{WorkerRank{Worker: home, Rank: 1, Until: 8 * time.Second}})
 	if walk(d, q)[0].ID != home || points(home) <= before {
@@ -115,11 +115,11 @@
 	if r, s := pickOut[Reject](l), pickOut[Send](l); len(r) != 1 || r[0].Request != 1 || len(s) != 1 || s[0].Request != 2 {
 		t.Errorf("%v", l)
 	}
-	d.pass = 0.25
+	d.admittedFraction = 0.25
 	pass := [3]int{}
 	for i := range 4000 {
 		for k, w := range []float64{0.5, 0, 2} {
-			if d.passes(&request{Arrival: Arrival{Request: RequestID(i), Weight: w}}) {
+			if d.admits(&request{Arrival: Arrival{Request: RequestID(i), Weight: w}}) {
 				pass[k]++
 			}
 		}
@@ -167,13 +167,13 @@
 		t.Error("one that goes on has no budget")
 	}
 	w := old.order[0]
-	w.coldFrom, w.StartedAt = 4*time.Second, 4*time.Second
+	w.warmingSince, w.StartedAt = 4*time.Second, 4*time.Second
 	old.Step(5*time.Second, []Event{Superseded{On: true}})
 	w.credit = 100
-	if old.share(w) < 1 && old.coldRoom(w, 0.001) {
+	if old.warmupFraction(w) < 1 && old.coldRoom(w, 0.001) {
 		t.Error("a retired one sends to a cold worker")
 	}
-	if old.share(w) >= 1 {
+	if old.warmupFraction(w) >= 1 {
 		t.Error("the worker is not cold: nothing is shown")
 	}
 }
--- a/scheduler/choice.go
+++ b/scheduler/choice.go
@@ -61,20 +61,21 @@
 	if err := check(&s); err != nil {
 		return nil, err
 	}
-	d := &Dispatcher{s: s, workers: map[WorkerID]*worker{}, queues: map[FunctionID]*queue{},
-		requests: map[RequestID]*request{}, pass: 1, rng: rand.New(rand.NewPCG(seed, seed)),
+	d := &Dispatcher{settings: s, workers: map[WorkerID]*worker{}, queues: map[FunctionID]*queue{},
+		requests: map[RequestID]*request{}, admittedFraction: 1, random: rand.New(rand.NewPCG(seed, seed)),
 		ring: ring.Ring[*worker]{Hash: func(id uint64, i int) uint64 { return mix(mix(id) + uint64(i)) }}}
 	for _, c := range s.Classes {
-		d.classRun = append(d.classRun, guessRun*c.LatencyObjective.Seconds())
+		d.classRunTime = append(d.classRunTime, guessRun*c.LatencyObjective.Seconds())
 	}
 	return d, nil
 }
 
 // Step takes the events of one tick and returns what to do, in order. Between steps nothing happens.
 func (d *Dispatcher) Step(now time.Duration, events []Event) []Action {
-	d.pass = min(1, d.pass+max(0, now-d.now).Seconds()/(passForget*d.s.Classes[0].Deadline.Seconds()))
+	d.admittedFraction = min(1, d.admittedFraction+max(0,
+		now-d.now).Seconds()/(passForget*d.settings.Classes[0].Deadline.Seconds()))
 	d.now = max(now, d.now)
-	d.out = nil
+	d.actions = nil
 	for _, e := range events {
 		switch e := e.(type) {
 		case ListUpdate:
@@ -82,13 +83,13 @@
 		case Arrival:
 			d.arrive(e)
 		case AttemptEnded:
-			d.returned(e)
+			d.attemptEnded(e)
 		case ClientGone:
 			if r := d.requests[e.Request]; r != nil {
 				d.end(r)
 			}
 		case LoadOrderEnded:
-			d.held(e)
+			d.loadOrderEnded(e)
 		case ProbeEnded:
 			d.answered(d.workers[e.Worker], e.Outcome)
 		case StagedCopies:
@@ -97,35 +98,36 @@
 			d.orders.Add(e.Orders...)
 			d.arrivals.Add(e.Arrivals...)
 		case Superseded:
-			d.retired = e.On
+			d.superseded = e.On
 		case DesiredCopies:
-			d.wanted = replace(d.wanted, e, func(o DesiredCopies) uint64 { return uint64(o.Function) },
+			d.desiredCopies = replace(d.desiredCopies, e,
+				func(o DesiredCopies) uint64 { return uint64(o.Function) },
 				e.Copies > 0)
 		case WorkerRank:
 			d.ranksStale = true
-			d.regarded = replace(d.regarded, e, func(o WorkerRank) uint64 { return uint64(o.Worker) },
+			d.advisedRanks = replace(d.advisedRanks, e, func(o WorkerRank) uint64 { return uint64(o.Worker) },
 				e.Rank != 0)
 		}
 	}
-	d.regard()
+	d.applyRanks()
 	d.sweep()
 	d.health()
 	d.dispatch()
 	d.renew()
-	d.warmUp()
+	d.loadDesiredCopies()
 	d.wake()
-	return d.out
+	return d.actions
 }
 
 // wake asks for the next step: each tick or so while something is open, else when a queue may want renewal.
 func (d *Dispatcher) wake() {
-	at := d.now + max(d.s.Tick, d.s.Limits.DialTimeout/10)
-	for _, r := range d.open {
+	at := d.now + max(d.settings.Tick, d.settings.Limits.DialTimeout/10)
+	for _, r := range d.openRequests {
 		if !r.ended {
-			at = min(at, max(r.final, d.now+1))
+			at = min(at, max(r.answerBy, d.now+1))
 		}
 	}
-	if d.wakeAt > d.now && d.wakeAt <= at || len(d.open) == 0 && len(d.queues) == 0 {
+	if d.wakeAt > d.now && d.wakeAt <= at || len(d.openRequests) == 0 && len(d.queues) == 0 {
 		return
 	}
 	d.wakeAt = at
--- a/scheduler/choice_test.go
+++ b/scheduler/choice_test.go
@@ -175,7 +175,7 @@
 		if answers != 1 {
 			t.Errorf("class %d: %d answers, want 1", class, answers)
 		}
-		if len(d.requests) != 0 || len(d.open) != 0 {
+		if len(d.requests) != 0 || len(d.openRequests) != 0 {
 			t.Errorf("class %d: request kept after its answer", class)
 		}
 	}
@@ -381,10 +381,10 @@
 		a, b queue
 		want bool
 	}{
-		{"within T first", queue{vt: 1, length: 1}, queue{vt: overrun + 1, length: 9}, true},
-		{"longest first", queue{length: 1}, queue{length: 2}, false},
-		{"fewest in flight", queue{length: 2, inFlight: 1}, queue{length: 2, inFlight: 2}, true},
-		{"beyond T the lowest VT", queue{vt: 30, length: 9}, queue{vt: 20, length: 1}, false},
+		{"within T first", queue{virtualTime: 1, eligible: 1}, queue{virtualTime: overrun + 1, eligible: 9}, true},
+		{"longest first", queue{eligible: 1}, queue{eligible: 2}, false},
+		{"fewest in flight", queue{eligible: 2, inFlight: 1}, queue{eligible: 2, inFlight: 2}, true},
+		{"beyond T the lowest VT", queue{virtualTime: 30, eligible: 9}, queue{virtualTime: 20, eligible: 1}, false},
 	}
 	for _, tt := range tests {
 		if got := d.before(&tt.a, &tt.b); got != tt.want {
--- a/scheduler/coldstart.go
+++ b/scheduler/coldstart.go
@@ -2,13 +2,13 @@
 
 import "math"
 
-// share is the part of its capacity that a worker has now at least.
-func (d *Dispatcher) share(w *worker) float64 {
-	g := d.s.Guarantees
-	if w.coldFrom <= 0 || d.now-w.coldFrom >= g.WarmupTime {
+// warmupFraction is the part of its capacity that a worker has now at least.
+func (d *Dispatcher) warmupFraction(w *worker) float64 {
+	g := d.settings.Guarantees
+	if w.warmingSince <= 0 || d.now-w.warmingSince >= g.WarmupTime {
 		return 1
 	}
-	return g.WarmupFraction + (1-g.WarmupFraction)*float64(max(0, d.now-w.coldFrom))/float64(g.WarmupTime)
+	return g.WarmupFraction + (1-g.WarmupFraction)*float64(max(0, d.now-w.warmingSince))/float64(g.WarmupTime)
 }
 
 // coldRoom keeps a cold worker from being pushed over by all controllers together, with no word between them.
@@ -20,32 +20,34 @@
 // average is kept coldDraws standard deviations below what it holds, judged by what this controller sees
 // answered; a window of fewer than coldDraws calls gets none.
 func (d *Dispatcher) coldRoom(w *worker, work float64) bool {
-	share, g, n := d.share(w), d.s.Guarantees, float64(d.s.Controllers)
-	if share >= 1 || d.retired {
+	share, g, n := d.warmupFraction(w), d.settings.Guarantees, float64(d.settings.Controllers)
+	if share >= 1 || d.superseded {
 		return share >= 1
 	}
-	window, dt := creditKeep*g.CollapseWindow.Seconds(), max(0, (d.now-max(w.creditAt, w.coldFrom)).Seconds())
+	window, dt := creditKeep*g.CollapseWindow.Seconds(), max(0, (d.now-max(w.creditAt,
+		w.warmingSince)).Seconds())
 	kept, gain := math.Exp(-dt/window), 0.0
 	if dt > 0 {
-		gain = max((d.served-w.served)/max(d.readyShares(), 1)/dt, coldCores/n)
-		w.even += (gain - w.even) * (1 - kept)
+		gain = max((d.answeredRunTime-w.answeredAtCredit)/max(d.readyShares(), 1)/dt, coldCores/n)
+		w.fairRate += (gain - w.fairRate) * (1 - kept)
 	}
 	// Calls in a window, by all controllers.
-	holds := g.CollapseFactor * share * w.even * n * g.CollapseWindow.Seconds() / work
+	holds := g.CollapseFactor * share * w.fairRate * n * g.CollapseWindow.Seconds() / work
 	mean := math.Pow(math.Sqrt(holds+coldDraws*coldDraws/4)-coldDraws/2, 2) / holds
 	multiple := min(1+coldPart*(g.CollapseFactor-1), g.CollapseFactor*mean)
 	w.credit = w.credit*kept + multiple*share*gain*window*(1-kept)
-	w.creditAt, w.served = d.now, d.served
+	w.creditAt, w.answeredAtCredit = d.now, d.answeredRunTime
 	if holds < coldDraws {
 		w.credit = min(0, w.credit)
 		return false
 	}
-	free := (g.CollapseFactor-1)*share*coldCores*g.CollapseWindow.Seconds()/n - w.work + min(0, w.credit)
+	free := (g.CollapseFactor-1)*share*coldCores*g.CollapseWindow.Seconds()/n -
+		w.outstandingWork + min(0, w.credit)
 	if w.credit >= work || free >= work {
 		w.credit = max(w.credit-work, min(0, w.credit))
 		return true
 	}
 	stake := max(0, w.credit)
 	w.credit -= stake
-	return d.rng.Float64()*work < stake
+	return d.random.Float64()*work < stake
 }
--- a/scheduler/health.go
+++ b/scheduler/health.go
@@ -17,65 +17,67 @@
 // peers fail as much. Safe calls go on, and show when it is over.
 func (d *Dispatcher) failed(w *worker, e AttemptEnded) {
 	if e.Outcome == Error && e.Note != LoadFailed {
-		d.setFailing(w, w.failing+meanWeight*(1-w.failing))
+		d.setErrorRate(w, w.errorRate+meanWeight*(1-w.errorRate))
 	}
-	if d.now >= w.failTo && w.failing > errorOver+d.failings.Median(0) {
-		w.failTo = d.now + d.offFor(w.ejections)
+	if d.now >= w.avoidUntil && w.errorRate > errorOver+d.failings.Median(0) {
+		w.avoidUntil = d.now + d.ejectionDuration(w.ejections)
 		w.ejections++
 	}
 }
 
-// offFor is a time off the ring, longer with each before it.
-func (d *Dispatcher) offFor(before int) time.Duration {
-	span := ejectDials * float64(d.s.Limits.DialTimeout) * math.Pow(2, float64(min(before, 10)))
-	span = min(span, ejectCold*float64(d.s.Guarantees.WarmupTime))
-	return time.Duration(span * (1 + jitter*(d.rng.Float64()-0.5)))
+// ejectionDuration is a time off the ring, longer with each before it.
+func (d *Dispatcher) ejectionDuration(before int) time.Duration {
+	span := ejectDials * float64(d.settings.Limits.DialTimeout) * math.Pow(2, float64(min(before, 10)))
+	span = min(span, ejectCold*float64(d.settings.Guarantees.WarmupTime))
+	return time.Duration(span * (1 + jitter*(d.random.Float64()-0.5)))
 }
 
-// slower is how much slower than usual answers are where a worker has too much in hand, or is slow.
-func (d *Dispatcher) slower(lanes float64) float64 {
+// slowThreshold is how much slower than usual answers are where a worker has too much in hand, or is slow.
+func (d *Dispatcher) slowThreshold(lanes float64) float64 {
 	if d.many(lanes) {
 		return paceOver
 	}
 	return paceFew
 }
 
-// usualPace is the median pace of the workers that answered: a slow answer of one worker among its peers is
+// usualLatencyRatio is the median pace of the workers that answered: a slow answer of one worker among
+// its peers is
 // that worker's load or trouble, of all of them the function's or the day's.
-func (d *Dispatcher) usualPace() float64 { return d.paces.Median(1) }
+func (d *Dispatcher) usualLatencyRatio() float64 { return d.paces.Median(1) }
 
 // answered notes any sign of life of a worker.
 func (d *Dispatcher) answered(w *worker, o Outcome) {
 	if w == nil || o == Cancelled || o == NotStarted {
 		return
 	}
-	w.asked = 0
+	w.probedAt = 0
 	if o == ConnectFailed || o == Reset || o == TimedOut {
-		if w.strikes++; w.strikes >= strikeOut && (!w.ejected || d.now >= w.backAt) {
+		if w.consecutiveFailures++; w.consecutiveFailures >= strikeOut && (!w.ejected ||
+			d.now >= w.ejectedUntil) {
 			d.eject(w)
 		}
 		return
 	}
-	w.heard = d.now
+	w.lastHeardAt = d.now
 	if w.ejected { // it may have started anew before the list says so: begin low
 		d.setEjected(w, false)
-		w.strikes, w.tokens = 0, 1
+		w.consecutiveFailures, w.tokens = 0, 1
 	}
 }
 
 // eject takes a worker off the ring for a growing, bounded time and finds another for what it holds.
 func (d *Dispatcher) eject(w *worker) {
 	d.setEjected(w, true)
-	w.asked, w.backAt = 0, d.now+d.offFor(w.ejections)
+	w.probedAt, w.ejectedUntil = 0, d.now+d.ejectionDuration(w.ejections)
 	w.ejections++
-	d.rescue(w)
+	d.reassign(w)
 }
 
 // health asks workers that are quiet with something out, ejects those that stay so, and tries the ejected.
 func (d *Dispatcher) health() {
-	quiet := max(d.s.Limits.DialTimeout, seconds(quietRuns*slices.Max(d.classRun)))
+	quiet := max(d.settings.Limits.DialTimeout, seconds(quietRuns*slices.Max(d.classRunTime)))
 	// A busy worker answers questions late as well.
-	patience := seconds(askDials * d.s.Limits.DialTimeout.Seconds())
+	patience := seconds(askDials * d.settings.Limits.DialTimeout.Seconds())
 	for w := range d.watched() {
 		d.examine(w, quiet, patience)
 	}
@@ -84,16 +86,16 @@
 // examine asks or ejects one worker, if its silence or its time off the ring is over.
 func (d *Dispatcher) examine(w *worker, quiet, patience time.Duration) {
 	switch {
-	case w.ejected && d.now >= w.backAt && w.asked == 0:
+	case w.ejected && d.now >= w.ejectedUntil && w.probedAt == 0:
 		if !d.ask(w) {
 			d.answered(w, OK)
 		}
-	case w.ejected && w.asked > 0 && d.now-w.asked > patience:
+	case w.ejected && w.probedAt > 0 && d.now-w.probedAt > patience:
 		d.eject(w)
-	case w.ejected || w.out == 0 || d.now-max(w.since, w.heard) <= quiet:
-	case w.asked == 0:
+	case w.ejected || w.outstanding == 0 || d.now-max(w.waitingSince, w.lastHeardAt) <= quiet:
+	case w.probedAt == 0:
 		d.ask(w)
-	case d.now-w.asked > patience && w.heard < w.asked:
+	case d.now-w.probedAt > patience && w.lastHeardAt < w.probedAt:
 		d.eject(w)
 	}
 }
@@ -101,13 +103,13 @@
 // ask puts a question to a worker that costs it little: how many copies stand, or a probe.
 func (d *Dispatcher) ask(w *worker) bool {
 	switch {
-	case d.s.Loading.Orders && w.fn != 0:
-		d.do(LoadOrder{Worker: w.ID, Function: w.fn})
-	case d.s.Limits.Probe:
+	case d.settings.Loading.Orders && w.lastFunction != 0:
+		d.do(LoadOrder{Worker: w.ID, Function: w.lastFunction})
+	case d.settings.Limits.Probe:
 		d.do(Probe{Worker: w.ID})
 	default:
 		return false
 	}
-	w.asked = d.now
+	w.probedAt = d.now
 	return true
 }
--- a/scheduler/health_test.go
+++ b/scheduler/health_test.go
@@ -17,7 +17,7 @@
 		actions := d.Step(now, events)
 		events = nil
 		for _, a := range pickOut[Send](actions) {
-			events = append(events, AttemptEnded{Request: a.Request, Attempt: len(d.requests[a.Request].tries) - 1,
+			events = append(events, AttemptEnded{Request: a.Request, Attempt: len(d.requests[a.Request].attempts) - 1,
 				Worker: a.Worker, Outcome: ConnectFailed})
 		}
 		for _, a := range pickOut[LoadOrder](actions) {
--- a/scheduler/index.go
+++ b/scheduler/index.go
@@ -35,14 +35,14 @@
 
 // queueEntries are a queue's places in the indexes.
 type queueEntries struct {
-	walk        ring.Walk[*worker]
-	isTouched   bool
-	isPending   bool
-	isForgotten bool
-	virtualTime index.Entry[float64, *queue]
-	expiry      index.Entry[time.Duration, *queue]
-	renewal     index.Entry[time.Duration, *queue]
-	due         index.Entry[FunctionID, *queue]
+	walk             ring.Walk[*worker]
+	isTouched        bool
+	isPending        bool
+	isForgotten      bool
+	virtualTimeEntry index.Entry[float64, *queue]
+	expiryEntry      index.Entry[time.Duration, *queue]
+	renewalEntry     index.Entry[time.Duration, *queue]
+	dueEntry         index.Entry[FunctionID, *queue]
 }
 
 // Effort counts what steps have looked at: a measure of their cost that depends on no clock.
@@ -66,9 +66,9 @@
 func (d *Dispatcher) queue(fn FunctionID) *queue {
 	q := d.queues[fn]
 	if q == nil {
-		q = &queue{fn: fn, hash: mix(uint64(fn)), spread: 1, placements: map[*worker]*placement{}}
+		q = &queue{function: fn, hash: mix(uint64(fn)), spread: 1, placements: map[*worker]*placement{}}
 		q.walk = ring.Walk[*worker]{Ring: &d.ring, From: q.hash}
-		q.virtualTime.Value, q.expiry.Value, q.renewal.Value, q.due.Value = q, q, q, q
+		q.virtualTimeEntry.Value, q.expiryEntry.Value, q.renewalEntry.Value, q.dueEntry.Value = q, q, q, q
 		d.queues[fn] = q
 		d.touch(q)
 	}
@@ -78,14 +78,14 @@
 // forget drops a queue that is idle.
 func (d *Dispatcher) forget(q *queue) {
 	q.isForgotten = true
-	d.virtualTimes.Remove(&q.virtualTime)
-	d.expiries.Remove(&q.expiry)
-	d.renewals.Remove(&q.renewal)
-	d.renewable.Remove(&q.due)
+	d.virtualTimes.Remove(&q.virtualTimeEntry)
+	d.expiries.Remove(&q.expiryEntry)
+	d.renewals.Remove(&q.renewalEntry)
+	d.renewable.Remove(&q.dueEntry)
 	for w := range q.placements {
 		delete(w.placements, q)
 	}
-	delete(d.queues, q.fn)
+	delete(d.queues, q.function)
 }
 
 // touch notes that something of a queue changes on which its places in the indexes depend.
@@ -97,7 +97,7 @@
 }
 
 // idleSince is when a queue was last called or served.
-func (q *queue) idleSince() time.Duration { return max(q.last, q.lastExec) }
+func (q *queue) idleSince() time.Duration { return max(q.lastArrivalAt, q.lastActiveAt) }
 
 // reindex puts the queues that were touched where they belong.
 func (d *Dispatcher) reindex() {
@@ -110,22 +110,22 @@
 			d.pending = append(d.pending, q)
 		}
 		if q.active {
-			d.virtualTimes.Set(&q.virtualTime, q.vt)
+			d.virtualTimes.Set(&q.virtualTimeEntry, q.virtualTime)
 		} else {
-			d.virtualTimes.Remove(&q.virtualTime)
+			d.virtualTimes.Remove(&q.virtualTimeEntry)
 		}
-		d.renewable.Remove(&q.due)
+		d.renewable.Remove(&q.dueEntry)
 		idle := len(q.pending) == 0 && q.inFlight == 0
 		switch {
 		case idle && q.active:
-			d.expiries.Set(&q.expiry, q.idleSince()+d.ttl(q))
-			d.renewals.Set(&q.renewal, d.renewAt(q))
+			d.expiries.Set(&q.expiryEntry, q.idleSince()+d.ttl(q))
+			d.renewals.Set(&q.renewalEntry, d.renewAt(q))
 		case idle:
-			d.expiries.Set(&q.expiry, d.forgetAt(q))
-			d.renewals.Remove(&q.renewal)
+			d.expiries.Set(&q.expiryEntry, d.forgetAt(q))
+			d.renewals.Remove(&q.renewalEntry)
 		default:
-			d.expiries.Remove(&q.expiry)
-			d.renewals.Remove(&q.renewal)
+			d.expiries.Remove(&q.expiryEntry)
+			d.renewals.Remove(&q.renewalEntry)
 		}
 	}
 	d.touched = d.touched[:0]
@@ -146,7 +146,7 @@
 	d.reindex()
 	for e := d.renewals.Min(); e != nil && e.Key() <= d.now; e = d.renewals.Min() {
 		d.renewals.Remove(e)
-		d.renewable.Set(&e.Value.due, e.Value.fn)
+		d.renewable.Set(&e.Value.dueEntry, e.Value.function)
 	}
 	return d.renewable.Min()
 }
@@ -191,9 +191,9 @@
 // knownAfter returns the listed workers of which something is known of the function and that come after one in the walk that
 // begins at a place and goes once around.
 func (d *Dispatcher) knownAfter(q *queue, from int, last *worker) (known []*worker) {
-	start := q.worker(from).place.Position(q.hash)
+	start := q.worker(from).member.Position(q.hash)
 	compare := func(a, b *worker) int {
-		x, y := a.place.Position(q.hash), b.place.Position(q.hash)
+		x, y := a.member.Position(q.hash), b.member.Position(q.hash)
 		if aroundA, aroundB := x.Compare(start) < 0, y.Compare(start) < 0; aroundA != aroundB {
 			if aroundA {
 				return 1
@@ -216,27 +216,27 @@
 // join adds a worker that is listed for the first time.
 func (d *Dispatcher) join(id WorkerID) *worker {
 	w := &worker{tokens: startTokens, placements: map[*queue]*placement{}}
-	w.place = ring.Member[*worker]{ID: uint64(id), Value: w}
+	w.member = ring.Member[*worker]{ID: uint64(id), Value: w}
 	d.workers[id] = w
 	d.order = append(d.order, w)
-	d.failings.Add(w.failing)
+	d.failings.Add(w.errorRate)
 	return w
 }
 
 // leave takes a worker that is gone out of all indexes, but for what is still out there; listed drops it from the order.
 func (d *Dispatcher) leave(w *worker) {
 	delete(d.workers, w.ID)
-	d.ring.Place(&w.place, 0, 0)
+	d.ring.Place(&w.member, 0, 0)
 	d.watch(w)
 	if w.ejected {
 		d.ejected--
 	}
-	d.failings.Remove(w.failing)
-	if w.pace > 0 {
-		d.paces.Remove(w.pace)
+	d.failings.Remove(w.errorRate)
+	if w.latencyRatio > 0 {
+		d.paces.Remove(w.latencyRatio)
 	}
 	for q, placed := range w.placements { // each by itself: their order does not matter
-		if placed.out == 0 {
+		if placed.outstanding == 0 {
 			delete(q.placements, w)
 			delete(w.placements, q)
 		}
@@ -268,7 +268,7 @@
 
 // watch puts a worker on the watch list, or takes it off. Of those that are gone none is on it.
 func (d *Dispatcher) watch(w *worker) {
-	wanted := w.State != Gone && (w.ejected || w.out > 0)
+	wanted := w.State != Gone && (w.ejected || w.outstanding > 0)
 	i, found := slices.BinarySearchFunc(d.watchList, w.ID, func(o *worker, id WorkerID) int { return cmp.Compare(o.ID, id) })
 	found = found && d.watchList[i] == w
 	switch {
@@ -295,7 +295,7 @@
 		}
 		d.effort.Summed++
 		if d.ready(w) {
-			d.shares += d.share(w)
+			d.shares += d.warmupFraction(w)
 		}
 	}
 }
@@ -318,24 +318,24 @@
 	d.watch(w)
 }
 
-func (d *Dispatcher) setPace(w *worker, pace float64) {
+func (d *Dispatcher) setLatencyRatio(w *worker, pace float64) {
 	if w.State != Gone {
-		if w.pace > 0 {
-			d.paces.Remove(w.pace)
+		if w.latencyRatio > 0 {
+			d.paces.Remove(w.latencyRatio)
 		}
 		if pace > 0 {
 			d.paces.Add(pace)
 		}
 	}
-	w.pace = pace
+	w.latencyRatio = pace
 }
 
-func (d *Dispatcher) setFailing(w *worker, failing float64) {
-	if w.State != Gone && failing != w.failing {
-		d.failings.Remove(w.failing)
+func (d *Dispatcher) setErrorRate(w *worker, failing float64) {
+	if w.State != Gone && failing != w.errorRate {
+		d.failings.Remove(w.errorRate)
 		d.failings.Add(failing)
 	}
-	w.failing = failing
+	w.errorRate = failing
 }
 
 // replace puts e in a list that is sorted by id in place of the element with its id; without keep it only takes that one out.
--- a/scheduler/index_test.go
+++ b/scheduler/index_test.go
@@ -16,12 +16,12 @@
 	var lowest float64
 	active := 0
 	for fn, q := range d.queues {
-		if q.fn != fn || q.isForgotten {
-			t.Fatalf("function %d: its queue is of %d, forgotten %v", fn, q.fn, q.isForgotten)
+		if q.function != fn || q.isForgotten {
+			t.Fatalf("function %d: its queue is of %d, forgotten %v", fn, q.function, q.isForgotten)
 		}
 		if q.active {
-			if active++; active == 1 || q.vt < lowest {
-				lowest = q.vt
+			if active++; active == 1 || q.virtualTime < lowest {
+				lowest = q.virtualTime
 			}
 		}
 		if len(q.pending) > 0 && !slices.Contains(d.pending, q) {
@@ -48,16 +48,16 @@
 		if d.workers[w.ID] != w || w.State == Gone {
 			t.Fatalf("worker %d is in the order and not known by its id, or gone", w.ID)
 		}
-		if w.out > 0 || w.ejected {
+		if w.outstanding > 0 || w.ejected {
 			watchList = append(watchList, w)
 		}
 		if w.ejected {
 			ejected++
 		}
-		if w.pace > 0 {
-			paces = append(paces, w.pace)
+		if w.latencyRatio > 0 {
+			paces = append(paces, w.latencyRatio)
 		}
-		failings = append(failings, w.failing)
+		failings = append(failings, w.errorRate)
 	}
 	if !slices.Equal(watchList, d.watchList) || ejected != d.ejected || d.ring.Len() != len(d.order) {
 		t.Fatalf("%d to be watched, %d ejected, %d listed; found %d, %d, %d", len(watchList), ejected, len(d.order), len(d.watchList), d.ejected, d.ring.Len())
@@ -216,8 +216,8 @@
 	// While advice keeps the copy, by orders of its own, it is not renewed.
 	d.Step(11850*ms, []Event{DesiredCopies{Function: 7, Copies: 1, Until: 12500 * ms}})
 	d.reindex()
-	if q := d.queues[7]; q.renewal.Key() != 12500*ms {
-		t.Errorf("its renewal is due at %v while advice keeps it until 12.5s", q.renewal.Key())
+	if q := d.queues[7]; q.renewalEntry.Key() != 12500*ms {
+		t.Errorf("its renewal is due at %v while advice keeps it until 12.5s", q.renewalEntry.Key())
 	}
 	d.Step(11900*ms, []Event{DesiredCopies{Function: 7}})
 	if got := renewals(d, 12500*ms-1); got != nil {
@@ -234,7 +234,7 @@
 	d := called(t, base(), 7)
 	q := d.queue(7)
 	d.reindex()
-	before := q.expiry.Key()
+	before := q.expiryEntry.Key()
 	for i := range 10 {
 		now := 1200*ms + time.Duration(i)*10*ms
 		for _, a := range pickOut[Send](d.Step(now, []Event{arrival(RequestID(60+i), 0, 7)})) {
@@ -242,14 +242,14 @@
 		}
 	}
 	d.reindex()
-	if q.expiry.Key() >= before || q.expiry.Key() != q.idleSince()+d.ttl(q) {
-		t.Errorf("it stays active until %v, was %v, want %v", q.expiry.Key(), before, q.idleSince()+d.ttl(q))
+	if q.expiryEntry.Key() >= before || q.expiryEntry.Key() != q.idleSince()+d.ttl(q) {
+		t.Errorf("it stays active until %v, was %v, want %v", q.expiryEntry.Key(), before, q.idleSince()+d.ttl(q))
 	}
-	d.Step(q.expiry.Key()-1, nil)
+	d.Step(q.expiryEntry.Key()-1, nil)
 	if !q.active {
 		t.Error("inactive before its time")
 	}
-	d.Step(q.expiry.Key(), nil)
+	d.Step(q.expiryEntry.Key(), nil)
 	if q.active || d.virtualTimes.Len() != 0 {
 		t.Error("active past its time")
 	}
@@ -307,8 +307,8 @@
 		}
 		checkIndexes(t, d)
 		d.Step(2100*ms, []Event{AttemptEnded{Request: 90, Worker: old.ID, Outcome: OK, Complete: true, Note: FoundWarm, Took: 100 * ms}})
-		if now.out != 0 && !slices.Contains(d.watchList, now) || old.out != 0 {
-			t.Errorf("in one list %v: %d out at the new one, %d at the old", one, now.out, old.out)
+		if now.outstanding != 0 && !slices.Contains(d.watchList, now) || old.outstanding != 0 {
+			t.Errorf("in one list %v: %d out at the new one, %d at the old", one, now.outstanding, old.outstanding)
 		}
 		checkIndexes(t, d)
 	}
@@ -418,8 +418,8 @@
 		}
 	}
 	d.Step(1010*ms, nil)
-	if len(d.queues) != 500 || len(d.open) != 0 {
-		t.Fatalf("%d functions, %d calls open", len(d.queues), len(d.open))
+	if len(d.queues) != 500 || len(d.openRequests) != 0 {
+		t.Fatalf("%d functions, %d calls open", len(d.queues), len(d.openRequests))
 	}
 	before := d.Effort()
 	for now := 1020 * ms; now < 2*time.Second; now += 10 * ms {
@@ -451,7 +451,7 @@
 	first, second := d.order[0], d.order[1]
 	d.setEjected(first, true)
 	d.setEjected(second, true)
-	first.backAt, second.backAt = time.Hour, 0
+	first.ejectedUntil, second.ejectedUntil = time.Hour, 0
 	d.now = time.Minute
 	d.health()
 	if !first.ejected || second.ejected || d.effort.Summed > 2 {
--- a/scheduler/look.go
+++ b/scheduler/look.go
@@ -26,7 +26,7 @@
 
 // Snapshot returns how a worker and a function look now.
 func (d *Dispatcher) Snapshot(fn FunctionID, id WorkerID) Snapshot {
-	l := Snapshot{RingPosition: -1, RingSize: len(d.order), AdmittedFraction: d.pass}
+	l := Snapshot{RingPosition: -1, RingSize: len(d.order), AdmittedFraction: d.admittedFraction}
 	w, q := d.workers[id], d.queues[fn]
 	if q != nil {
 		l.Queued, l.InFlight = len(q.pending), q.inFlight
@@ -41,8 +41,8 @@
 		return l
 	}
 	l.Ready, l.Ejected, l.Rank = d.ready(w), w.ejected, w.rank
-	l.WarmingUp = w.coldFrom > 0 && d.now < w.coldFrom+d.s.Guarantees.WarmupTime
-	l.Tokens, l.Busy, l.Loads, l.LatencyRatio = w.tokens, w.busy, w.loads, w.pace
+	l.WarmingUp = w.warmingSince > 0 && d.now < w.warmingSince+d.settings.Guarantees.WarmupTime
+	l.Tokens, l.Busy, l.Loads, l.LatencyRatio = w.tokens, w.tokensInUse, w.awaitingLoad, w.latencyRatio
 	if q != nil {
 		l.HasCopy = d.warm(q.placements[w], w)
 	}
@@ -62,8 +62,8 @@
 func (d *Dispatcher) Workers() (l []WorkerSnapshot) {
 	for _, w := range d.order {
 		x := WorkerSnapshot{ID: w.ID, State: w.State, Snapshot: d.Snapshot(0, w.ID), SinceLastAnswer: -1}
-		if w.heard > 0 {
-			x.SinceLastAnswer = d.now - w.heard
+		if w.lastHeardAt > 0 {
+			x.SinceLastAnswer = d.now - w.lastHeardAt
 		}
 		for _, placed := range w.placements {
 			if d.warm(placed, w) {
@@ -91,7 +91,7 @@
 func (d *Dispatcher) Functions() (l []FunctionSnapshot) {
 	for _, fn := range slices.Sorted(maps.Keys(d.queues)) {
 		q := d.queues[fn]
-		x := FunctionSnapshot{ID: q.fn, Queued: len(q.pending), InFlight: q.inFlight, MeanRunTime: seconds(q.run), MeanInterarrival: seconds(q.gap), Desired: q.wanted > d.now}
+		x := FunctionSnapshot{ID: q.function, Queued: len(q.pending), InFlight: q.inFlight, MeanRunTime: seconds(q.meanRunTime), MeanInterarrival: seconds(q.meanInterarrival), Desired: q.desiredUntil > d.now}
 		for i := 0; i < len(d.order) && x.Home == 0; i++ {
 			if w := q.worker(i); d.ready(w) {
 				x.Home = w.ID
--- a/scheduler/mechanism_test.go
+++ b/scheduler/mechanism_test.go
@@ -9,19 +9,19 @@
 func TestVirtualTime(t *testing.T) {
 	d := start(t, base(), ready(1, 2)...)
 	q := d.queue(7)
-	q.run = 0.2
+	q.meanRunTime = 0.2
 	d.Step(time.Second, []Event{arrival(1, 0, 7)})
-	if q.vt != 0.2 {
-		t.Errorf("VT %v after one dispatch of 0.2 s", q.vt)
+	if q.virtualTime != 0.2 {
+		t.Errorf("VT %v after one dispatch of 0.2 s", q.virtualTime)
 	}
 	d.Step(1001*ms, nil)
-	if d.globalVT != 0.2 {
-		t.Errorf("Global_VT %v, want the lowest active VT 0.2", d.globalVT)
+	if d.globalVirtualTime != 0.2 {
+		t.Errorf("Global_VT %v, want the lowest active VT 0.2", d.globalVirtualTime)
 	}
 	fresh := d.queue(8)
 	d.activate(fresh)
-	if fresh.vt != d.globalVT {
-		t.Errorf("new queue at %v, want Global_VT %v", fresh.vt, d.globalVT)
+	if fresh.virtualTime != d.globalVirtualTime {
+		t.Errorf("new queue at %v, want Global_VT %v", fresh.virtualTime, d.globalVirtualTime)
 	}
 }
 
@@ -32,7 +32,7 @@
 	if got := d.ttl(q); got != 8*time.Second {
 		t.Errorf("before a second call: %v, want the keep-alive", got)
 	}
-	q.gap = 3
+	q.meanInterarrival = 3
 	if got := d.ttl(q); got != 6*time.Second {
 		t.Errorf("at a gap of 3 s: %v, want 6 s", got)
 	}
@@ -97,19 +97,19 @@
 		s.Controllers = tt.controllers
 		d := start(t, s, ready(1, 2, 3)...)
 		for _, w := range d.order {
-			d.setPace(w, 1)
+			d.setLatencyRatio(w, 1)
 		}
 		w := d.workers[2]
-		d.setPace(w, 1.4)
+		d.setLatencyRatio(w, 1.4)
 		w.tokens = 8
 		d.Step(time.Second, []Event{arrival(1, 0, 7)})
 		r := d.requests[1]
-		if len(r.tries) == 0 {
+		if len(r.attempts) == 0 {
 			t.Fatal("not sent")
 		}
-		r.tries[0].w = w // wherever its home is
-		w.out, w.busy, w.loads = 1, 1, 0
-		r.tries[0].load = false
+		r.attempts[0].worker = w // wherever its home is
+		w.outstanding, w.tokensInUse, w.awaitingLoad = 1, 1, 0
+		r.attempts[0].awaitsLoad = false
 		d.Step(1150*ms, []Event{AttemptEnded{Request: 1, Worker: w.ID, Outcome: OK, Complete: true, Note: FoundWarm, Took: 175 * ms}})
 		if (w.tokens < 8) != tt.falls {
 			t.Errorf("%d controllers: D %v after an answer at 1.4 of the usual pace, was 8", tt.controllers, w.tokens)
@@ -231,23 +231,23 @@
 	w := d.workers[1]
 	var spans []time.Duration
 	for len(spans) < 3 {
-		d.now = max(d.now, w.failTo)
-		before := w.failTo
-		for w.failTo == before {
+		d.now = max(d.now, w.avoidUntil)
+		before := w.avoidUntil
+		for w.avoidUntil == before {
 			d.failed(w, AttemptEnded{Outcome: Error})
 		}
-		spans = append(spans, w.failTo-d.now)
+		spans = append(spans, w.avoidUntil-d.now)
 	}
 	if spans[1] <= spans[0] || spans[2] <= spans[1] {
 		t.Errorf("%v, want each longer than the one before", spans)
 	}
 	r := arrival(1, 2, 7)
-	d.Step(w.failTo+time.Second, []Event{r})
+	d.Step(w.avoidUntil+time.Second, []Event{r})
 	for range 10 {
-		w.failing *= 1 - meanWeight // as ten answers do
+		w.errorRate *= 1 - meanWeight // as ten answers do
 	}
 	d.failed(w, AttemptEnded{Outcome: Error})
-	if d.now < w.failTo {
+	if d.now < w.avoidUntil {
 		t.Error("one error after ten answers is enough")
 	}
 }
--- a/scheduler/overload_test.go
+++ b/scheduler/overload_test.go
@@ -25,7 +25,7 @@
 		next := RequestID(seed * 1000)
 		for now := begin + 6*time.Second; now < begin+15*time.Second; now += 4 * time.Second {
 			next++
-			d.served += 0.1 // seconds of work that the others answered
+			d.answeredRunTime += 0.1 // seconds of work that the others answered
 			for _, a := range pickOut[Send](d.Step(now, []Event{arrival(next, 0, 7)})) {
 				if total++; a.Worker == home {
 					sent++
@@ -60,7 +60,7 @@
 		}
 		for _, a := range pickOut[Send](d.Step(now, events)) {
 			pending = append(pending, out{AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: o, Took: took,
-				Complete: o == OK, Attempt: len(d.requests[a.Request].tries) - 1}, now + took})
+				Complete: o == OK, Attempt: len(d.requests[a.Request].attempts) - 1}, now + took})
 		}
 	}
 	return now
@@ -73,8 +73,8 @@
 	s.Limits.RetryAfter, s.Limits.MaxRetryAfter = true, time.Second
 	d := start(t, s, ready(1, 2, 3, 4, 5, 6)...)
 	now := slowDays(t, d, 2*time.Second, 60, 2*time.Second, OK)
-	if d.pass > 0.6 {
-		t.Fatalf("share let pass %v after 60 late answers, want under 0.6", d.pass)
+	if d.admittedFraction > 0.6 {
+		t.Fatalf("share let pass %v after 60 late answers, want under 0.6", d.admittedFraction)
 	}
 	count := func(retry bool) (refused int, afters map[time.Duration]bool) {
 		afters = map[time.Duration]bool{}
@@ -100,8 +100,8 @@
 		t.Errorf("refused %d of 200, repeats %d, %d different times to come back", first, again, len(afters))
 	}
 	slowDays(t, d, now+10*time.Second, 400, 50*ms, OK)
-	if d.pass != 1 {
-		t.Errorf("share let pass %v after answers in time, want 1", d.pass)
+	if d.admittedFraction != 1 {
+		t.Errorf("share let pass %v after answers in time, want 1", d.admittedFraction)
 	}
 }
 
@@ -112,8 +112,8 @@
 		d.Step(2*time.Second+time.Duration(i)*10*ms, []Event{arrival(RequestID(i+1), 0, FunctionID(i))})
 	}
 	d.Step(3900*ms, nil)
-	if d.pass > 0.8 {
-		t.Errorf("share %v with sent requests past aim and load unanswered, want under 0.8", d.pass)
+	if d.admittedFraction > 0.8 {
+		t.Errorf("share %v with sent requests past aim and load unanswered, want under 0.8", d.admittedFraction)
 	}
 }
 
@@ -121,12 +121,12 @@
 func TestLoadsAndErrorsDoNotLowerTheShare(t *testing.T) {
 	d := start(t, base(), ready(1, 2, 3, 4, 5, 6)...)
 	slowDays(t, d, 2*time.Second, 1, 900*ms, OK) // its first call waits for the load: aim 500 ms, load 750
-	if d.pass != 1 {
-		t.Errorf("share %v after a load, want 1", d.pass)
+	if d.admittedFraction != 1 {
+		t.Errorf("share %v after a load, want 1", d.admittedFraction)
 	}
 	slowDays(t, d, 10*time.Second, 60, 20*ms, Error)
-	if d.pass != 1 {
-		t.Errorf("share %v after errors, want 1", d.pass)
+	if d.admittedFraction != 1 {
+		t.Errorf("share %v after errors, want 1", d.admittedFraction)
 	}
 }
 
@@ -141,7 +141,7 @@
 		for _, w := range d.order {
 			if w.ID != home {
 				d.setEjected(w, true)
-				w.Group, w.backAt = int(home), time.Hour
+				w.Group, w.ejectedUntil = int(home), time.Hour
 				break
 			}
 		}
@@ -172,8 +172,8 @@
 		{"queued beside an attempt that fails after the window", func(t *testing.T) (*Dispatcher, time.Duration,
 			time.Duration, []Event) {
 			d, home, sent := keyed(t, true)
-			d.rescue(d.workers[home])
-			if !d.requests[1].waiting {
+			d.reassign(d.workers[home])
+			if !d.requests[1].queued {
 				t.Fatal("not queued for a second copy")
 			}
 			return d, sent + 2100*ms, sent + 2200*ms, []Event{AttemptEnded{Request: 1, Worker: home, Outcome: Reset}}
@@ -181,9 +181,9 @@
 		{"too late for any answer", func(t *testing.T) (*Dispatcher, time.Duration, time.Duration, []Event) {
 			d := start(t, base(), ready(1, 2)...)
 			for _, w := range d.order {
-				w.tokens, w.busy, w.loads = 1, 1, 9
+				w.tokens, w.tokensInUse, w.awaitingLoad = 1, 1, 9
 			}
-			d.queue(7).run = 0.4
+			d.queue(7).meanRunTime = 0.4
 			d.Step(time.Second, []Event{arrival(1, 0, 7)})
 			return d, 3580 * ms, 3600 * ms, nil
 		}, false},
@@ -191,14 +191,14 @@
 			time.Duration, []Event) {
 			d := start(t, base(), ready(1, 2)...)
 			for _, w := range d.order {
-				w.loadTo = 8 * time.Second
+				w.loadBackoffUntil = 8 * time.Second
 			}
 			d.Step(time.Second, []Event{arrival(1, 0, 7)})
 			return d, 1300 * ms, 1500 * ms, []Event{Timer{}}
 		}, false},
 		{"does not pass", func(t *testing.T) (*Dispatcher, time.Duration, time.Duration, []Event) {
 			d := start(t, base(), ready(1, 2)...)
-			d.pass = 0
+			d.admittedFraction = 0
 			return d, time.Second, time.Second, []Event{arrival(1, 0, 7)}
 		}, false},
 	}
@@ -219,7 +219,7 @@
 // A mean run time longer than any patience must not shut a function out for good.
 func TestLongRunTimeIsTriedAgain(t *testing.T) {
 	d := start(t, base(), ready(1, 2)...)
-	d.queue(7).run = 60
+	d.queue(7).meanRunTime = 60
 	for i := 1; i <= 100; i++ {
 		got := d.Step(time.Second+time.Duration(i)*10*ms, []Event{arrival(RequestID(i), 0, 7)})
 		if n := len(pickOut[Send](got)); i == 1 && n > 0 {
@@ -234,10 +234,10 @@
 // A controller with hardly a call lets all pass again after a while, with no answer to tell it.
 func TestShareIsForgotten(t *testing.T) {
 	d := start(t, base(), ready(1, 2)...)
-	d.pass = passLow
+	d.admittedFraction = passLow
 	d.Step(241*time.Second, nil)
-	if d.pass != 1 {
-		t.Errorf("share %v after 60 deadlines of quiet, want 1", d.pass)
+	if d.admittedFraction != 1 {
+		t.Errorf("share %v after 60 deadlines of quiet, want 1", d.admittedFraction)
 	}
 }
 
@@ -247,11 +247,11 @@
 	s.Limits.HedgedRequests = true
 	d := start(t, s, ready(1, 2)...)
 	home := pickOut[Send](d.Step(time.Second, []Event{arrival(1, 0, 7)}))[0].Worker
-	d.rescue(d.workers[home])
+	d.reassign(d.workers[home])
 	for _, w := range d.order {
-		w.loadTo = time.Hour
+		w.loadBackoffUntil = time.Hour
 	}
-	d.pass = 0
+	d.admittedFraction = 0
 	for now := 1010 * ms; now < 3900*ms; now += 10 * ms {
 		if got := d.Step(now, nil); len(pickOut[Reject](got))+len(pickOut[Fail](got)) > 0 {
 			t.Fatalf("%v: %v, want the outcome awaited", now, got)
--- a/scheduler/queues.go
+++ b/scheduler/queues.go
@@ -6,22 +6,24 @@
 )
 
 func (d *Dispatcher) arrive(a Arrival) {
-	if _, known := d.requests[a.Request]; known || a.Class < 0 || a.Class >= len(d.s.Classes) {
+	if _, known := d.requests[a.Request]; known || a.Class < 0 || a.Class >= len(d.settings.Classes) {
 		return
 	}
-	if d.s.Loading.BudgetWindow > 0 && !a.Resubmitted {
+	if d.settings.Loading.BudgetWindow > 0 && !a.Resubmitted {
 		d.arrivals.Add(d.now)
 	}
 	q := d.queue(a.Function)
-	if q.last > 0 {
-		q.gap = mean(q.gap, max((d.now-q.last).Seconds(), d.s.Tick.Seconds()))
+	if q.lastArrivalAt > 0 {
+		q.meanInterarrival = mean(q.meanInterarrival, max((d.now-q.lastArrivalAt).Seconds(),
+			d.settings.Tick.Seconds()))
 	}
-	q.last = max(d.now, 1)
+	q.lastArrivalAt = max(d.now, 1)
 	d.touch(q)
 	d.activate(q)
-	r := &request{Arrival: a, q: q, at: d.now, final: d.now + a.TimeLeft - graceTicks*d.s.Tick}
+	r := &request{Arrival: a, queue: q, arrivedAt: d.now, answerBy: d.now + a.TimeLeft -
+		graceTicks*d.settings.Tick}
 	d.requests[a.Request] = r
-	d.open = append(d.open, r)
+	d.openRequests = append(d.openRequests, r)
 	d.enqueue(r)
 }
 
@@ -29,13 +31,13 @@
 	if !q.active {
 		d.touch(q)
 		q.active = true
-		q.vt = max(q.vt, d.globalVT)
+		q.virtualTime = max(q.virtualTime, d.globalVirtualTime)
 	}
 }
 
 // ttl is how long an empty queue stays active.
 func (d *Dispatcher) ttl(q *queue) time.Duration {
-	return cmp.Or(seconds(alpha*q.gap), d.s.Loading.IdleCopyTTL)
+	return cmp.Or(seconds(alpha*q.meanInterarrival), d.settings.Loading.IdleCopyTTL)
 }
 
 // age expires queues that nobody calls and moves Global_VT to the lowest VT of an active queue.
@@ -52,14 +54,14 @@
 		}
 	}
 	if lowest := d.virtualTimes.Min(); lowest != nil {
-		d.globalVT = max(d.globalVT, lowest.Key())
+		d.globalVirtualTime = max(d.globalVirtualTime, lowest.Key())
 	}
 }
 
 // forgetAt is when nothing that is known of an idle queue is of use any more.
 func (d *Dispatcher) forgetAt(q *queue) time.Duration {
-	kept := d.ttl(q) + d.s.Loading.IdleCopyTTL + d.s.Guarantees.WarmupTime
-	return max(q.idleSince()+kept+1, q.wanted)
+	kept := d.ttl(q) + d.settings.Loading.IdleCopyTTL + d.settings.Guarantees.WarmupTime
+	return max(q.idleSince()+kept+1, q.desiredUntil)
 }
 
 func (d *Dispatcher) dispatch() {
@@ -67,20 +69,20 @@
 	for _, late := range []bool{false, true} {
 		var wait []*queue
 		for _, q := range d.withPending() {
-			q.length = 0
+			q.eligible = 0
 			for _, r := range q.pending {
 				if d.fresh(r) != late {
-					q.length++
+					q.eligible++
 				}
 			}
-			if q.length > 0 {
+			if q.eligible > 0 {
 				wait = append(wait, q)
 			}
 		}
 		for {
 			var best *queue
 			for _, q := range wait {
-				if q.length > 0 && (best == nil || d.before(q, best)) {
+				if q.eligible > 0 && (best == nil || d.before(q, best)) {
 					best = q
 				}
 			}
@@ -88,9 +90,9 @@
 				break
 			}
 			if d.place(best, late) {
-				best.length--
+				best.eligible--
 			} else {
-				best.length = 0
+				best.eligible = 0
 			}
 		}
 	}
@@ -99,19 +101,20 @@
 // before orders queues: those within T of Global_VT first, longest first, then fewest in flight. Beyond T
 // the lowest VT goes first, so that free tokens are used.
 func (d *Dispatcher) before(a, b *queue) bool {
-	okA, okB, byVT := a.vt < d.globalVT+overrun, b.vt < d.globalVT+overrun, 0
+	okA, okB, byVT := a.virtualTime < d.globalVirtualTime+overrun,
+		b.virtualTime < d.globalVirtualTime+overrun, 0
 	if !okA {
-		byVT = cmp.Compare(a.vt, b.vt)
+		byVT = cmp.Compare(a.virtualTime, b.virtualTime)
 	}
-	return okA && !okB || okA == okB && cmp.Or(byVT, cmp.Compare(b.length, a.length),
-		cmp.Compare(a.inFlight, b.inFlight), cmp.Compare(a.fn, b.fn)) < 0
+	return okA && !okB || okA == okB && cmp.Or(byVT, cmp.Compare(b.eligible, a.eligible),
+		cmp.Compare(a.inFlight, b.inFlight), cmp.Compare(a.function, b.function)) < 0
 }
 
 // fresh tells whether a waiting request can still be answered within its aim.
 func (d *Dispatcher) fresh(r *request) bool {
-	c := d.s.Classes[r.Class]
+	c := d.settings.Classes[r.Class]
 	aim := min(c.LatencyObjective+time.Duration(c.ObjectiveStretch*float64(r.RunTimeHint)), c.Deadline)
-	return d.now+seconds(d.runOf(r.q, r)) < r.at+aim
+	return d.now+seconds(d.runOf(r.queue, r)) < r.arrivedAt+aim
 }
 
 // place sends the first request of the queue that some worker can take. With late set it takes those whose
@@ -123,7 +126,7 @@
 		}
 		if w := d.pick(q, r); w != nil {
 			d.send(r, w)
-		} else if r.barred {
+		} else if r.unplaceable {
 			d.finish(r)
 		} else {
 			continue
--- a/scheduler/ring.go
+++ b/scheduler/ring.go
@@ -13,7 +13,7 @@
 	}
 	for _, w := range d.order {
 		n := max(1, int(math.Round(ringPoints*d.weight(w)*float64(len(d.order))/sum)))
-		d.ring.Place(&w.place, n, max(0, -w.rank)) // those avoided come after all others
+		d.ring.Place(&w.member, n, max(0, -w.rank)) // those avoided come after all others
 	}
 	d.ring.Commit()
 }
@@ -28,20 +28,22 @@
 
 // Advice. It chooses among what may be done anyway: never a drained worker, nor an order over the budget.
 
-// regard has the ranks that are advised now: a preferred worker has a longer arc of the ring, an avoided one
+// applyRanks has the ranks that are advised now: a preferred worker has a longer arc of the ring, an
+// avoided one
 // comes last in every walk.
-func (d *Dispatcher) regard() {
-	before := len(d.regarded)
-	d.regarded = slices.DeleteFunc(d.regarded, func(r WorkerRank) bool { return r.Until <= d.now })
-	if !d.ranksStale && len(d.regarded) == before {
+func (d *Dispatcher) applyRanks() {
+	before := len(d.advisedRanks)
+	d.advisedRanks = slices.DeleteFunc(d.advisedRanks, func(r WorkerRank) bool { return r.Until <= d.now })
+	if !d.ranksStale && len(d.advisedRanks) == before {
 		return
 	}
 	changed := false
 	d.ranksStale = false
 	for _, w := range d.order {
 		rank := 0
-		if i := slices.IndexFunc(d.regarded, func(r WorkerRank) bool { return r.Worker == w.ID }); i >= 0 {
-			rank = d.regarded[i].Rank
+		if i := slices.IndexFunc(d.advisedRanks,
+			func(r WorkerRank) bool { return r.Worker == w.ID }); i >= 0 {
+			rank = d.advisedRanks[i].Rank
 		}
 		changed = changed || rank != w.rank
 		w.rank = rank
@@ -55,7 +57,7 @@
 	if l.Kind == ListFailed {
 		return
 	}
-	d.lists++
+	d.listGeneration++
 	for _, i := range l.Workers {
 		w := d.workers[i.ID]
 		if i.State == Gone {
@@ -68,15 +70,16 @@
 				w.tokens = 1 // it may be stale: little trust until it answers
 			}
 		}
-		if i.StartedAt > w.StartedAt && i.StartedAt > w.coldFrom {
-			w.coldFrom, w.credit, w.creditAt, w.served = i.StartedAt, 0, i.StartedAt, d.served
-			w.even = coldCores / float64(d.s.Controllers) // the least: it is not told
+		if i.StartedAt > w.StartedAt && i.StartedAt > w.warmingSince {
+			w.warmingSince, w.credit, w.creditAt, w.answeredAtCredit = i.StartedAt, 0, i.StartedAt,
+				d.answeredRunTime
+			w.fairRate = coldCores / float64(d.settings.Controllers) // the least: it is not told
 			w.tokens = min(w.tokens, startTokens)
 		}
-		w.WorkerInfo, w.listed = i, d.lists
+		w.WorkerInfo, w.listGeneration = i, d.listGeneration
 	}
 	for _, w := range d.order {
-		if l.Kind != ListDelta && w.listed != d.lists && w.State != Gone {
+		if l.Kind != ListDelta && w.listGeneration != d.listGeneration && w.State != Gone {
 			d.depart(w)
 		}
 	}
@@ -90,7 +93,7 @@
 		return
 	}
 	w.State = Gone
-	d.rescue(w)
+	d.reassign(w)
 	d.leave(w)
 }
 
@@ -117,10 +120,10 @@
 		s.settled = s.home != nil && s.spare != nil
 	}
 	s.chance = s.chance || d.ejected > 0
-	r.barred = !s.chance && !s.loading && !d.fresh(r) && !r.out()
+	r.unplaceable = !s.chance && !s.loading && !d.fresh(r) && !r.hasOutstanding()
 	// A home without a token is waited for, longer where copies prove pushed out: memory is short then.
-	wait := min(1, spillAfter+spillCrowd*d.crowded)
-	due := d.now >= r.at+seconds(wait*d.s.Classes[r.Class].LatencyObjective.Seconds())
+	wait := min(1, spillAfter+spillCrowd*d.evictedFraction)
+	due := d.now >= r.arrivedAt+seconds(wait*d.settings.Classes[r.Class].LatencyObjective.Seconds())
 	if s.spare == s.home && !s.loading ||
 		s.spare != nil && due && !s.loading && d.fresh(r) && !d.prepare(q, s.spare) {
 		return s.spare
@@ -132,25 +135,26 @@
 func (d *Dispatcher) consider(s *search, w *worker) bool {
 	r, placed := s.request, s.queue.placements[w]
 	warm := d.warm(placed, w)
-	s.chance = s.chance || warm || w.ejected || s.home == nil && w.loadTo < r.final
-	if !d.ready(w) || !d.maySend(r, w) || d.now < w.failTo && d.s.Classes[r.Class].Idempotency != Idempotent {
+	s.chance = s.chance || warm || w.ejected || s.home == nil && w.loadBackoffUntil < r.answerBy
+	if !d.ready(w) || !d.maySend(r, w) || d.now < w.avoidUntil &&
+		d.settings.Classes[r.Class].Idempotency != Idempotent {
 		return false
 	}
 	switch {
 	case warm:
-		if d.hasRoom(r, w, placed) && d.coldRoom(w, d.classRun[r.Class]) {
+		if d.hasRoom(r, w, placed) && d.coldRoom(w, d.classRunTime[r.Class]) {
 			if s.home != nil {
 				d.prepare(s.queue, s.home)
 			}
 			return true
 		}
-	case d.share(w) < 1:
+	case d.warmupFraction(w) < 1:
 		return d.considerCold(s, w)
 	case d.coming(r, placed):
 		s.loading = true
 	case !d.takes(r, w):
 		return false
-	case s.spare == nil && w.loads < ownLoads && d.now >= w.loadTo:
+	case s.spare == nil && w.awaitingLoad < ownLoads && d.now >= w.loadBackoffUntil:
 		s.spare = w
 	}
 	s.home = cmp.Or(s.home, w)
@@ -163,8 +167,8 @@
 func (d *Dispatcher) considerCold(s *search, w *worker) bool {
 	switch {
 	case s.home != nil:
-	case w.loads < ownLoads && d.now >= w.loadTo && d.takes(s.request, w) &&
-		d.coldRoom(w, d.classRun[s.request.Class]):
+	case w.awaitingLoad < ownLoads && d.now >= w.loadBackoffUntil && d.takes(s.request, w) &&
+		d.coldRoom(w, d.classRunTime[s.request.Class]):
 		return true
 	case d.prepare(s.queue, w):
 		s.home, s.loading = w, true
@@ -176,14 +180,14 @@
 // lanes of the copies it starts another by itself, which pushes others out.
 func (d *Dispatcher) hasRoom(r *request, w *worker, placed *placement) bool {
 	lanes := max(1, r.Lanes*float64(max(1, placed.copies)))
-	token := float64(w.busy) < max(1, math.Floor(w.tokens)) && d.takes(r, w)
-	return float64(placed.out) < lanes && token
+	token := float64(w.tokensInUse) < max(1, math.Floor(w.tokens)) && d.takes(r, w)
+	return float64(placed.outstanding) < lanes && token
 }
 
 // coming tells whether a copy is being loaded, for a while that a load may take.
 func (d *Dispatcher) coming(r *request, placed *placement) bool {
-	begun := placed != nil && (placed.lead > 0 || placed.ordered > 0)
-	return begun && d.now < placed.since+d.loadTime(r)*leadLoads
+	begun := placed != nil && (placed.leaders > 0 || placed.pendingOrders > 0)
+	return begun && d.now < placed.loadStartedAt+d.loadTime(r)*leadLoads
 }
 
 // takes tells whether a worker takes a request: with less than one token only a part of them, as whole tokens
@@ -191,17 +195,19 @@
 // be taken. One that failed there is the last to be taken.
 func (d *Dispatcher) takes(r *request, w *worker) bool {
 	place := unit(mix(uint64(r.Request) ^ uint64(w.ID)))
-	if slices.ContainsFunc(r.tries, func(t attempt) bool { return t.w == w }) {
+	if slices.ContainsFunc(r.attempts, func(t attempt) bool { return t.worker == w }) {
 		place = 1
 	}
-	return place*(1-(d.now-r.at).Seconds()/d.s.Classes[r.Class].LatencyObjective.Seconds()) < min(1, w.tokens)
+	waited := (d.now - r.arrivedAt).Seconds() / d.settings.Classes[r.Class].LatencyObjective.Seconds()
+	return place*(1-waited) < min(1, w.tokens)
 }
 
-// crowd follows how many workers a function needs. Its calls meet at home from all controllers, so one called
+// observeCrowding follows how many workers a function needs. Its calls meet at home from all
+// controllers, so one called
 // more than a worker can do fills it, whatever each holds out. An answer tells how many it met: where these
 // were more than its lanes and it was slow, the next calls spread over more of the ring; else over fewer.
 // Where few controllers share the lanes of a copy, their own tokens do this.
-func (d *Dispatcher) crowd(q *queue, alike int, lanes float64, slow bool) {
+func (d *Dispatcher) observeCrowding(q *queue, alike int, lanes float64, slow bool) {
 	if over := float64(alike+1) / max(1, lanes); over > 1 && slow && d.many(lanes) {
 		q.spread = min(q.spread*min(over, spreadRise), float64(len(d.order)))
 	} else if !slow {
@@ -210,4 +216,6 @@
 }
 
 // many tells whether so many controllers share the lanes of a copy that tokens of each do not bound the sum.
-func (d *Dispatcher) many(lanes float64) bool { return float64(d.s.Controllers) > manyLanes*lanes }
+func (d *Dispatcher) many(lanes float64) bool {
+	return float64(d.settings.Controllers) > manyLanes*lanes
+}
