--- a/scheduler/advice_test.go
+++ b/scheduler/advice_test.go
@@ -115,7 +115,7 @@
 	if r, s := pickOut[Reject](l), pickOut[Send](l); len(r) != 1 || r[0].Request != 1 || len(s) != 1 || s[0].Request != 2 {
 		t.Errorf("%v", l)
 	}
-	d.admittedFraction = 0.25
+	d.admission.fraction = 0.25
 	pass := [3]int{}
 	for i := range 4000 {
 		for k, w := range []float64{0.5, 0, 2} {
--- a/scheduler/api.go
+++ b/scheduler/api.go
@@ -209,8 +209,8 @@
 	LoadFailed           // with Miss or Error: a load failed
 )
 
-// An Event is one of List, Arrival, Started, Returned, ClientGone, Timer, Probed, Message, Held, Staged, Wanted and
-// Regarded.
+// An Event is one of List, Arrival, Started, Returned, ClientGone, Timer, Probed, Message, Held, Staged,
+// Wanted and Regarded.
 type Event interface{ event() }
 
 // ListKind says what a List is.
@@ -305,7 +305,8 @@
 	Copies   int
 }
 
-// DesiredCopies advises that copies of a function stand until a time, called or not. It replaces what was said before.
+// DesiredCopies advises that copies of a function stand until a time, called or not. It replaces what was
+// said before.
 type DesiredCopies struct {
 	Function FunctionID
 	Copies   int // 0: no longer
@@ -319,14 +320,15 @@
 	Until  time.Duration
 }
 
-// BudgetHandover begins with what another process has used up for this controller: when it ordered loads, and when requests came.
+// BudgetHandover begins with what another process has used up for this controller: when it ordered loads,
+// and when requests came.
 type BudgetHandover struct {
 	Orders   []time.Duration `json:"Orders"`
 	Arrivals []time.Duration `json:"Arrivals"`
 }
 
-// Superseded says that another process takes over: what is in hand is finished, with no order to load and nothing more to a
-// cold worker, as the other one now has both budgets. On false it is so no longer.
+// Superseded says that another process takes over: what is in hand is finished, with no order to load and
+// nothing more to a cold worker, as the other one now has both budgets. On false it is so no longer.
 type Superseded struct{ On bool }
 
 func (BudgetHandover) event()  {}
--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -53,33 +53,19 @@
 	return !r.hasOutstanding() && (over || !d.admits(r) || len(r.attempts) > 0 && !d.mayRetry(r))
 }
 
-// admits tells whether a request may be sent at all. Where some three in ten of those sent are late, sending
-// on makes the rest late too, whatever the cause: overload, workers lost, cold or slow, a network or store
-// that stalls. No worker's tokens show it where each controller has few answers of each; all its answers
-// do. By hash of the request, so that it is told at once; repeats of clients, whose aim has mostly passed, go
-// last. It could hurt where sending less mends nothing: a load is allowed for, an error does not count.
-func (d *Dispatcher) admits(r *request) bool {
-	share := d.admittedFraction
-	if r.Weight > 0 {
-		share = math.Pow(share, 1/r.Weight)
-	}
-	if r.ClientRetry {
-		share = math.Pow(share, passRepeat)
-	}
-	return len(r.attempts) > 0 || !r.ShedAdvised && unit(mix(^uint64(r.Request))) < share
+// admits tells whether a request may be sent at all. What was sent once is past admission.
+func (d *Dispatcher) admits(request *request) bool {
+	return len(request.attempts) > 0 ||
+		!request.ShedAdvised && d.admission.admits(request.Request, request.Weight, request.ClientRetry)
 }
 
-// observe follows the share let pass, by each request that was sent: once, when it is answered or late.
-func (d *Dispatcher) observe(r *request, inTime bool) {
-	switch {
-	case r.observed || len(r.attempts) == 0:
+// observe reports each request that was sent to the admission once: when it is answered, or overdue.
+func (d *Dispatcher) observe(request *request, onTime bool) {
+	if request.observed || len(request.attempts) == 0 {
 		return
-	case inTime:
-		d.admittedFraction = min(1, d.admittedFraction+passRise)
-	default:
-		d.admittedFraction = max(passLow, d.admittedFraction*passCut)
 	}
-	r.observed = true
+	d.admission.observe(onTime)
+	request.observed = true
 }
 
 // overdue tells whether a request is past its aim and the load that it may have waited for.
@@ -90,12 +76,11 @@
 // finish gives our own final answer and calls off what is out. The fewer pass, the later one may come back.
 func (d *Dispatcher) finish(r *request) {
 	if d.mayReject(r) {
-		a := Reject{Request: r.Request}
-		if l := d.settings.Limits; l.RetryAfter && d.admittedFraction < 1 {
-			a.RetryAfter = seconds(l.MaxRetryAfter.Seconds() * (1 - d.admittedFraction) * (1 -
-				jitter*d.random.Float64()))
+		reject := Reject{Request: r.Request}
+		if limits := d.settings.Limits; limits.RetryAfter && d.admission.shedding() {
+			reject.RetryAfter = d.admission.retryAfter(limits.MaxRetryAfter, d.random)
 		}
-		d.do(a)
+		d.do(reject)
 	} else {
 		d.do(Fail{Request: r.Request})
 	}
--- a/scheduler/choice.go
+++ b/scheduler/choice.go
@@ -45,11 +45,6 @@
 	jitter      = 0.5  // of a time off the ring or to come back: who saw the same does not return in step
 	coldDraws   = 4.0  // standard deviations from what a cold worker is sent to its bound
 	creditKeep  = 3.0  // windows in which unused credit for a cold worker fades
-	passRise    = 0.02 // of the requests let pass, for one that was answered in time
-	passCut     = 0.95 // of that share, for one that was not: steady where some three in ten are late
-	passRepeat  = 3.0  // power of the share for a client's repeat: served last where few pass
-	passForget  = 60.0 // deadlines after which a controller with no answers lets all pass again
-	passLow     = 0.05 // the least: enough to see that it is over
 	wantPart    = 0.5  // of the load budget that advice may use: calls need the rest
 	wantCrowded = 0.1  // share of copies pushed out above which nothing more is loaded on advice alone
 	preferArc   = 1.5  // of its arc, for a worker that is advised rather than others
@@ -62,8 +57,9 @@
 		return nil, err
 	}
 	d := &Dispatcher{settings: s, workers: map[WorkerID]*worker{}, queues: map[FunctionID]*queue{},
-		requests: map[RequestID]*request{}, admittedFraction: 1, random: rand.New(rand.NewPCG(seed, seed)),
-		ring: ring.Ring[*worker]{Hash: func(id uint64, i int) uint64 { return mix(mix(id) + uint64(i)) }}}
+		requests: map[RequestID]*request{}, admission: newAdmission(),
+		random: rand.New(rand.NewPCG(seed, seed)),
+		ring:   ring.Ring[*worker]{Hash: func(id uint64, i int) uint64 { return mix(mix(id) + uint64(i)) }}}
 	for _, c := range s.Classes {
 		d.classRunTime = append(d.classRunTime, guessRun*c.LatencyObjective.Seconds())
 	}
@@ -72,8 +68,7 @@
 
 // Step takes the events of one tick and returns what to do, in order. Between steps nothing happens.
 func (d *Dispatcher) Step(now time.Duration, events []Event) []Action {
-	d.admittedFraction = min(1, d.admittedFraction+max(0,
-		now-d.now).Seconds()/(passForget*d.settings.Classes[0].Deadline.Seconds()))
+	d.admission.recover(now-d.now, d.settings.Classes[0].Deadline)
 	d.now = max(now, d.now)
 	d.actions = nil
 	for _, e := range events {
--- a/scheduler/index.go
+++ b/scheduler/index.go
@@ -10,8 +10,8 @@
 	"kitehub/scheduler/ring"
 )
 
-// Indexes are how a step finds the workers and queues that it has to look at, without looking at all. They decide nothing: what
-// they find is what looking at all would find, in the same order.
+// Indexes are how a step finds the workers and queues that it has to look at, without looking at all. They
+// decide nothing: what they find is what looking at all would find, in the same order.
 type indexes struct {
 	touched      []*queue                          // changed since the last reindex
 	pending      []*queue                          // all queues with requests waiting, and some that had
@@ -164,8 +164,8 @@
 	return placed
 }
 
-// candidates yields the listed workers from a place of the queue's walk on, once around; once narrow is set, only those of them of
-// which something is known of the function.
+// candidates yields the listed workers from a place of the queue's walk on, once around; once narrow is
+// set, only those of them of which something is known of the function.
 func (d *Dispatcher) candidates(q *queue, from int, narrow *bool) iter.Seq[*worker] {
 	return func(yield func(*worker) bool) {
 		var last *worker
@@ -188,8 +188,8 @@
 	}
 }
 
-// knownAfter returns the listed workers of which something is known of the function and that come after one in the walk that
-// begins at a place and goes once around.
+// knownAfter returns the listed workers of which something is known of the function and that come after one
+// in the walk that begins at a place and goes once around.
 func (d *Dispatcher) knownAfter(q *queue, from int, last *worker) (known []*worker) {
 	start := q.worker(from).member.Position(q.hash)
 	compare := func(a, b *worker) int {
@@ -223,7 +223,8 @@
 	return w
 }
 
-// leave takes a worker that is gone out of all indexes, but for what is still out there; listed drops it from the order.
+// leave takes a worker that is gone out of all indexes, but for what is still out there; listed drops it
+// from the order.
 func (d *Dispatcher) leave(w *worker) {
 	delete(d.workers, w.ID)
 	d.ring.Place(&w.member, 0, 0)
@@ -249,7 +250,8 @@
 	slices.SortFunc(d.order, func(a, b *worker) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// watched yields the listed workers that may have to be asked how they are, by id: those ejected, and those with an attempt out.
+// watched yields the listed workers that may have to be asked how they are, by id: those ejected, and those
+// with an attempt out.
 func (d *Dispatcher) watched() iter.Seq[*worker] {
 	return func(yield func(*worker) bool) {
 		d.shares, d.summed = 0, 0
@@ -279,14 +281,15 @@
 	}
 }
 
-// readyShares returns how many workers are ready, the cold ones by their share, each as it was when health came to it in this step.
+// readyShares returns how many workers are ready, the cold ones by their share, each as it was when health
+// came to it in this step.
 func (d *Dispatcher) readyShares() float64 {
 	d.sumShares(nil)
 	return d.shares
 }
 
-// sumShares goes on adding up the shares of workers that are ready, up to and with the last one, or all. They are added in order,
-// as the sum of fractions depends on it.
+// sumShares goes on adding up the shares of workers that are ready, up to and with the last one, or all.
+// They are added in order, as the sum of fractions depends on it.
 func (d *Dispatcher) sumShares(last *worker) {
 	for ; d.summed < len(d.order); d.summed++ {
 		w := d.order[d.summed]
@@ -338,7 +341,8 @@
 	w.errorRate = failing
 }
 
-// replace puts e in a list that is sorted by id in place of the element with its id; without keep it only takes that one out.
+// replace puts e in a list that is sorted by id in place of the element with its id; without keep it only
+// takes that one out.
 func replace[T any](l []T, e T, id func(T) uint64, keep bool) []T {
 	i, found := slices.BinarySearchFunc(l, id(e), func(o T, k uint64) int { return cmp.Compare(id(o), k) })
 	if found {
--- a/scheduler/look.go
+++ b/scheduler/look.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Snapshot is how a worker and a function look to the dispatcher, for people to read. Nothing is decided by it.
+// Snapshot is how a worker and a function look to the dispatcher, for people to read. Nothing is decided by
+// it.
 type Snapshot struct {
 	RingPosition     int     `json:"Place"`    // of the worker in the function's walk: 0 is its home; -1: not on the ring
 	RingSize         int     `json:"Ring"`     // workers on the ring
@@ -26,7 +27,7 @@
 
 // Snapshot returns how a worker and a function look now.
 func (d *Dispatcher) Snapshot(fn FunctionID, id WorkerID) Snapshot {
-	l := Snapshot{RingPosition: -1, RingSize: len(d.order), AdmittedFraction: d.admittedFraction}
+	l := Snapshot{RingPosition: -1, RingSize: len(d.order), AdmittedFraction: d.admission.fraction}
 	w, q := d.workers[id], d.queues[fn]
 	if q != nil {
 		l.Queued, l.InFlight = len(q.pending), q.inFlight
--- a/scheduler/overload_test.go
+++ b/scheduler/overload_test.go
@@ -73,8 +73,8 @@
 	s.Limits.RetryAfter, s.Limits.MaxRetryAfter = true, time.Second
 	d := start(t, s, ready(1, 2, 3, 4, 5, 6)...)
 	now := slowDays(t, d, 2*time.Second, 60, 2*time.Second, OK)
-	if d.admittedFraction > 0.6 {
-		t.Fatalf("share let pass %v after 60 late answers, want under 0.6", d.admittedFraction)
+	if d.admission.fraction > 0.6 {
+		t.Fatalf("share let pass %v after 60 late answers, want under 0.6", d.admission.fraction)
 	}
 	count := func(retry bool) (refused int, afters map[time.Duration]bool) {
 		afters = map[time.Duration]bool{}
@@ -100,8 +100,8 @@
 		t.Errorf("refused %d of 200, repeats %d, %d different times to come back", first, again, len(afters))
 	}
 	slowDays(t, d, now+10*time.Second, 400, 50*ms, OK)
-	if d.admittedFraction != 1 {
-		t.Errorf("share let pass %v after answers in time, want 1", d.admittedFraction)
+	if d.admission.fraction != 1 {
+		t.Errorf("share let pass %v after answers in time, want 1", d.admission.fraction)
 	}
 }
 
@@ -112,8 +112,8 @@
 		d.Step(2*time.Second+time.Duration(i)*10*ms, []Event{arrival(RequestID(i+1), 0, FunctionID(i))})
 	}
 	d.Step(3900*ms, nil)
-	if d.admittedFraction > 0.8 {
-		t.Errorf("share %v with sent requests past aim and load unanswered, want under 0.8", d.admittedFraction)
+	if d.admission.fraction > 0.8 {
+		t.Errorf("share %v with sent requests past aim and load unanswered, want under 0.8", d.admission.fraction)
 	}
 }
 
@@ -121,12 +121,12 @@
 func TestLoadsAndErrorsDoNotLowerTheShare(t *testing.T) {
 	d := start(t, base(), ready(1, 2, 3, 4, 5, 6)...)
 	slowDays(t, d, 2*time.Second, 1, 900*ms, OK) // its first call waits for the load: aim 500 ms, load 750
-	if d.admittedFraction != 1 {
-		t.Errorf("share %v after a load, want 1", d.admittedFraction)
+	if d.admission.fraction != 1 {
+		t.Errorf("share %v after a load, want 1", d.admission.fraction)
 	}
 	slowDays(t, d, 10*time.Second, 60, 20*ms, Error)
-	if d.admittedFraction != 1 {
-		t.Errorf("share %v after errors, want 1", d.admittedFraction)
+	if d.admission.fraction != 1 {
+		t.Errorf("share %v after errors, want 1", d.admission.fraction)
 	}
 }
 
@@ -198,7 +198,7 @@
 		}, false},
 		{"does not pass", func(t *testing.T) (*Dispatcher, time.Duration, time.Duration, []Event) {
 			d := start(t, base(), ready(1, 2)...)
-			d.admittedFraction = 0
+			d.admission.fraction = 0
 			return d, time.Second, time.Second, []Event{arrival(1, 0, 7)}
 		}, false},
 	}
@@ -234,10 +234,10 @@
 // A controller with hardly a call lets all pass again after a while, with no answer to tell it.
 func TestShareIsForgotten(t *testing.T) {
 	d := start(t, base(), ready(1, 2)...)
-	d.admittedFraction = passLow
+	d.admission.fraction = minAdmittedFraction
 	d.Step(241*time.Second, nil)
-	if d.admittedFraction != 1 {
-		t.Errorf("share %v after 60 deadlines of quiet, want 1", d.admittedFraction)
+	if d.admission.fraction != 1 {
+		t.Errorf("share %v after 60 deadlines of quiet, want 1", d.admission.fraction)
 	}
 }
 
@@ -251,7 +251,7 @@
 	for _, w := range d.order {
 		w.loadBackoffUntil = time.Hour
 	}
-	d.admittedFraction = 0
+	d.admission.fraction = 0
 	for now := 1010 * ms; now < 3900*ms; now += 10 * ms {
 		if got := d.Step(now, nil); len(pickOut[Reject](got))+len(pickOut[Fail](got)) > 0 {
 			t.Fatalf("%v: %v, want the outcome awaited", now, got)
--- a/scheduler/state.go
+++ b/scheduler/state.go
@@ -25,7 +25,7 @@
 	classRunTime      []float64 // mean run time of a class, seconds
 	answeredRunTime   float64   // run time of all that was answered, seconds
 	random            *rand.Rand
-	admittedFraction  float64 // share of requests let pass: under 1 where many are late
+	admission         admission
 	wakeAt            time.Duration
 	evictedFraction   float64     // share of copies believed to stand that had been pushed out
 	arrivals          index.Times // within the load window
