--- /dev/null
+++ b/scheduler/doc.go
@@ -0,0 +1,32 @@
+// Package scheduler decides, for one controller, which worker runs which request of which function, and when.
+//
+// The mechanism is MQFQ-Sticky at a front end: one queue per function, released in the order of virtual time
+// (fairness), each sent to a home on a consistent-hash ring (locality, so that loaded copies are used again).
+// docs/design.md gives the reasons and the figures.
+//
+// # Use
+//
+// A Dispatcher is a state machine without I/O. Its caller owns the connections and the clock: it collects
+// what happened as events, calls Step, and carries out the actions that Step returns. Between steps nothing
+// happens. The same settings, seed, times and events give the same actions: there are no goroutines, no
+// clock, no global state, and no order of a map shows. A Dispatcher is not safe for concurrent use.
+//
+// # Where to find what
+//
+// The interface is in settings.go, events.go and actions.go; snapshot.go has views for people. Step, in
+// step.go, is the entry point. Each mechanism has a type and a file of its own:
+//
+//   - queues.go: queues by function, virtual time, activation and expiry
+//   - admission.go: the fraction of new requests that is admitted, so that overload is shed early
+//   - placement.go: the choice of a worker for a request, along the ring from its home
+//   - spread.go: how many workers of the ring a function starts at
+//   - concurrency.go: the concurrency limit of a worker, by additive increase and multiplicative decrease
+//   - outlier.go: health checks, ejection, and avoidance of workers that answer with errors
+//   - slowstart.go: the bound on what a warming worker is sent by all controllers together
+//   - copies.go, loadbudget.go: which copies are believed loaded, and the budget of orders to load more
+//   - ranks.go: advice on workers
+//   - retry.go: which further attempt keeps the rules on idempotency
+//   - attempts.go: the life of a request and its attempts
+//
+// The rest is plumbing that decides nothing: index.go finds what a step has to examine without examining all.
+package scheduler
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -1,55 +1,165 @@
 package scheduler
 
-import (
-	"fmt"
-	"math"
+import "time"
+
+// Settings are what a dispatcher is given once, at its start. New rejects settings that contradict
+// themselves. Fields that today's decisions do not read are part of the interface all the same: callers
+// fill them in, so that a decision may come to depend on them.
+type Settings struct {
+	ControllerIndex    int           // of this controller, from 0
+	Controllers        int           // all that share the workers, this one included; at least 1
+	Zone               int           // of this controller: an index into Zones
+	Zones              []string      // names, for people only
+	Tier               int           // an index into Tiers
+	Tiers              []string      // names, for people only
+	Kinds              []string      // of workers: names, for people only
+	Classes            []Class       // at least one; Arrival.Class is an index into them
+	Tenants            []Tenant      // Arrival.Tenant is an index into them
+	OverQuotaWeight    float64       // priority weight of a request beyond its tenant's quota
+	WeightByWork       bool          // an answer's value grows with its run time
+	ClientsMarkRetries bool          // Arrival.ClientRetry is given
+	PollForList        bool          // the list of workers comes only when it is asked for
+	Tick               time.Duration // longest time between two steps while a request is open
+	Workload           string        // name, for people only
+	Sizes              SizeMeaning   // of WorkerInfo.Size
+	Report             []ReportField // meaning of the values of a load report, in order
+	ReportVia          ReportSource
+	Limits             Limits
+	Loading            Loading
+	Guarantees         Guarantees
+	Goal               Goal
+	Prices             Prices
+}
+
+// A Class is a kind of request: what it is worth, how long it may take and whether it may be sent twice.
+type Class struct {
+	Name             string // for people only: nothing is decided by it
+	Idempotency      Idempotency
+	DedupScope       DedupScope    // with IdempotentWithKey
+	DedupWindow      time.Duration // with IdempotentWithKey: repeats are dropped this long after the first send that may have run
+	LatencyObjective time.Duration // an answer within this has its full value; above 0
+	ObjectiveStretch float64       // added to the objective, as a multiple of the request's run time
+	Deadline         time.Duration // longest that a client waits, over all its retries; above 0
+	PriorityWeight   float64       // value of an answer within the objective
+	LateValue        float64       // part of the value that an answer after the objective still has
+	Stream           bool          // answers are streamed
+}
+
+// Idempotency says what running a request twice would do. The zero value is not valid.
+type Idempotency int
+
+const (
+	Idempotent        Idempotency = iota + 1 // may run any number of times
+	IdempotentWithKey                        // a group of workers drops repeats for a while
+	NonIdempotent                            // must never run twice
+)
+
+// DedupScope says which workers drop the repeats of a request with an idempotency key. The zero value is not
+// valid where it applies.
+type DedupScope int
+
+const (
+	AllWorkers DedupScope = iota + 1 // any worker
+	SameZone                         // the workers of one zone
+	SameGroup                        // the workers of one group
 )
 
-// check returns an error that names the first field that contradicts itself.
-func check(s *Settings) error {
-	if len(s.Classes) == 0 {
-		return fmt.Errorf("settings: Classes: none given")
-	}
-	if s.Controllers < 1 {
-		return fmt.Errorf("settings: Controllers: %d is under 1", s.Controllers)
-	}
-	if s.Limits.MaxAttempts < 1 {
-		return fmt.Errorf("settings: Limits.Attempts: %d is under 1", s.Limits.MaxAttempts)
-	}
-	if !s.Loading.OnMissKnown {
-		return fmt.Errorf("settings: Loading.LoadsOnMiss: unknown what a worker does on a miss")
-	}
-	l, g := s.Loading, s.Guarantees
-	numbers := []struct {
-		name string
-		v    float64
-	}{{"OverShareWorth", s.OverQuotaWeight}, {"Tick", float64(s.Tick)}, {"Loading.Free", l.BudgetFree},
-		{"Loading.Ratio", l.BudgetRatio}, {"Loading.Window", float64(l.BudgetWindow)}, {"Loading.IdlePrice", l.IdlePrice},
-		{"Loading.IdleLife", float64(l.IdleCopyTTL)}, {"Loading.Answer", float64(l.OrderTimeout)},
-		{"Limits.Dial", float64(s.Limits.DialTimeout)}, {"Guarantees.ColdShare", g.WarmupFraction},
-		{"Guarantees.FallFactor", g.CollapseFactor}, {"Guarantees.ColdFor", float64(g.WarmupTime)},
-		{"Guarantees.DrainGrace", float64(g.DrainGrace)}, {"Guarantees.FallWithin", float64(g.CollapseWindow)},
-		{"Guarantees.AnswerGrace", float64(g.AnswerGrace)}, {"Prices.Waste", s.Prices.Waste},
-		{"Prices.LateFail", s.Prices.LateFail}, {"Prices.Origin", s.Prices.Origin}}
-	for _, n := range numbers {
-		if !(n.v >= 0) || math.IsInf(n.v, 0) {
-			return fmt.Errorf("settings: %s: %v is negative or not finite", n.name, n.v)
-		}
-	}
-	for i, c := range s.Classes {
-		switch {
-		case c.Idempotency < Idempotent || c.Idempotency > NonIdempotent:
-			return fmt.Errorf("settings: Classes[%d].Effect: unknown effect %d", i, c.Idempotency)
-		case c.Idempotency == IdempotentWithKey && (c.DedupScope < AllWorkers || c.DedupScope > SameGroup):
-			return fmt.Errorf("settings: Classes[%d].Scope: unknown group %d", i, c.DedupScope)
-		case c.LatencyObjective <= 0 || c.Deadline <= 0:
-			return fmt.Errorf("settings: Classes[%d]: aim %v and deadline %v must be above 0", i, c.LatencyObjective, c.Deadline)
-		case c.DedupWindow < 0:
-			return fmt.Errorf("settings: Classes[%d].Window: %v is negative", i, c.DedupWindow)
-		case !(c.PriorityWeight >= 0) || math.IsInf(c.PriorityWeight, 0) || !(c.LateValue >= 0) || math.IsInf(c.LateValue, 0):
-			return fmt.Errorf("settings: Classes[%d]: worth %v or late share %v is negative or not finite", i,
-				c.PriorityWeight, c.LateValue)
-		}
-	}
-	return nil
+// A Tenant is a customer with a share of the fleet.
+type Tenant struct {
+	Name  string  // for people only
+	Quota float64 // requests a second, over all controllers
+	Share float64 // of the fleet, 0 to 1
+}
+
+// Limits are what the deployment permits, and what its connections cost.
+type Limits struct {
+	MaxAttempts           int           // for one request; at least 1
+	MaxOpenRequests       int           // requests that one controller can hold
+	HedgedRequests        bool          // a second attempt may be outstanding beside the first
+	Cancel                bool          // the Cancel action is allowed
+	Probe                 bool          // the Probe action is allowed
+	Peers                 bool          // the Gossip action is allowed
+	RetryAfter            bool          // Reject.RetryAfter reaches the client
+	MaxRetryAfter         time.Duration // longest that clients follow
+	DialTimeout           time.Duration // a connection that is not up by then has failed
+	IdleConnectionTimeout time.Duration // an idle connection is closed after this
+	StreamsPerConnection  int           // attempts that one connection carries at a time
+	CPUPerRequestUS       float64       // of the controller, in microseconds for each request
+	CPUPerSecondUS        float64       // of the controller, in microseconds for each second
+}
+
+// Loading says how workers load and keep copies of functions, and how many loads may be ordered.
+type Loading struct {
+	Orders              bool          // the LoadOrder and Unload actions are allowed
+	LoadsOnMiss         bool          // a worker without the function loads it; otherwise it answers NotLoaded
+	OnMissKnown         bool          // LoadsOnMiss is stated; New requires it
+	IdleCopyTTL         time.Duration // an idle copy stays loaded at least this long
+	OrderTimeout        time.Duration // longest that a LoadOrderEnded takes
+	BudgetWindow        time.Duration // of the load budget; 0: there is none
+	BudgetFree          float64       // orders that are always allowed within the window
+	BudgetRatio         float64       // further orders for each request that came within the window
+	IdlePrice           float64       // for the mean part of memory that idle and loading copies hold
+	LoadNotesGiven      bool          // AttemptEnded.Note is given
+	SameFunctionCounted bool          // AttemptEnded.SameFunction is given
+	MemoryMB            []float64     // of a worker, by kind
+	X0                  string        // what FieldX0 means, for people only
+	X1                  string        // what FieldX1 means, for people only
+}
+
+// Guarantees are the figures of the rules between controllers, workers and clients.
+type Guarantees struct {
+	AnswerGrace    time.Duration // a final answer this long after the deadline still counts
+	DrainGrace     time.Duration // sends to a draining or gone worker end within this
+	PollWithin     time.Duration // with PollForList: the list is asked for at least this often
+	WarmupFraction float64       // part of its capacity that a worker has at its start
+	WarmupTime     time.Duration // its capacity has grown to the whole by then
+	CollapseFactor float64       // a warming worker collapses if sent more than this multiple of its capacity
+	CollapseWindow time.Duration // for this long
+}
+
+// Goal weighs the parts of the result that a deployment is judged by.
+type Goal struct {
+	Overall     float64 // value of all answers
+	WorstWindow float64 // the worst stretch of time
+	WorstClass  float64 // the worst served class
+	WorstTenant float64 // the worst served tenant
 }
+
+// Prices are taken off the result, each for one unit of what it names in the terms of the deployment.
+type Prices struct {
+	Connection, CrossZone, LateFail, Discovery, Handshake, Moves, Origin, Peer, Probe, Waste float64
+}
+
+// SizeMeaning says what WorkerInfo.Size is.
+type SizeMeaning int
+
+const (
+	SizeNone    SizeMeaning = iota // not given
+	SizeNominal                    // as configured
+	SizeRough                      // an estimate
+	SizeLive                       // as measured now
+)
+
+// ReportSource says where load reports come from.
+type ReportSource int
+
+const (
+	NoReports        ReportSource = iota
+	ReportsInAnswers              // with AttemptEnded
+	ReportsInProbes               // with ProbeEnded
+)
+
+// A ReportField is the meaning of one value of a load report.
+type ReportField int
+
+const (
+	FieldUnknown   ReportField = iota
+	FieldInFlight              // requests at the worker
+	FieldQueue                 // of them, those that wait
+	FieldUtil                  // utilization, 0 to 1
+	FieldLatencyMS             // recent latency, milliseconds
+	FieldRate                  // answers a second
+	FieldErrorRate             // errors a second
+	FieldX0                    // see Loading.X0
+	FieldX1                    // see Loading.X1
+)
--- /dev/null
+++ b/scheduler/settings_check.go
@@ -0,0 +1,88 @@
+package scheduler
+
+import (
+	"fmt"
+	"math"
+)
+
+// check returns an error that names the first setting that is missing, out of range or contradicts another.
+func (s *Settings) check() error {
+	switch {
+	case len(s.Classes) == 0:
+		return fmt.Errorf("settings: Classes: none given")
+	case s.Controllers < 1:
+		return fmt.Errorf("settings: Controllers: %d is under 1", s.Controllers)
+	case s.Limits.MaxAttempts < 1:
+		return fmt.Errorf("settings: Limits.MaxAttempts: %d is under 1", s.Limits.MaxAttempts)
+	case !s.Loading.OnMissKnown:
+		return fmt.Errorf("settings: Loading.LoadsOnMiss: unknown what a worker does on a miss")
+	}
+	if err := s.checkNumbers(); err != nil {
+		return err
+	}
+	for i := range s.Classes {
+		if err := s.Classes[i].check(); err != nil {
+			return fmt.Errorf("settings: Classes[%d]%w", i, err)
+		}
+	}
+	return nil
+}
+
+// checkNumbers returns an error that names the first number that is negative or not finite. The names are
+// those under which the settings are documented to users, which are older than some of the fields' names.
+func (s *Settings) checkNumbers() error {
+	loading, guarantees := s.Loading, s.Guarantees
+	numbers := []struct {
+		name  string
+		value float64
+	}{
+		{"OverShareWorth", s.OverQuotaWeight},
+		{"Tick", float64(s.Tick)},
+		{"Loading.Free", loading.BudgetFree},
+		{"Loading.Ratio", loading.BudgetRatio},
+		{"Loading.Window", float64(loading.BudgetWindow)},
+		{"Loading.IdlePrice", loading.IdlePrice},
+		{"Loading.IdleLife", float64(loading.IdleCopyTTL)},
+		{"Loading.Answer", float64(loading.OrderTimeout)},
+		{"Limits.Dial", float64(s.Limits.DialTimeout)},
+		{"Guarantees.ColdShare", guarantees.WarmupFraction},
+		{"Guarantees.FallFactor", guarantees.CollapseFactor},
+		{"Guarantees.ColdFor", float64(guarantees.WarmupTime)},
+		{"Guarantees.DrainGrace", float64(guarantees.DrainGrace)},
+		{"Guarantees.FallWithin", float64(guarantees.CollapseWindow)},
+		{"Guarantees.AnswerGrace", float64(guarantees.AnswerGrace)},
+		{"Prices.Waste", s.Prices.Waste},
+		{"Prices.LateFail", s.Prices.LateFail},
+		{"Prices.Origin", s.Prices.Origin},
+	}
+	for _, number := range numbers {
+		if !finite(number.value) {
+			return fmt.Errorf("settings: %s: %v is negative or not finite", number.name, number.value)
+		}
+	}
+	return nil
+}
+
+// check returns an error that begins with the path below the class of the first field that is wrong.
+func (c *Class) check() error {
+	switch {
+	case c.Idempotency < Idempotent || c.Idempotency > NonIdempotent:
+		return fmt.Errorf(".Idempotency: unknown value %d", c.Idempotency)
+	case c.Idempotency == IdempotentWithKey && (c.DedupScope < AllWorkers || c.DedupScope > SameGroup):
+		return fmt.Errorf(".DedupScope: unknown value %d", c.DedupScope)
+	case c.LatencyObjective <= 0:
+		return fmt.Errorf(".LatencyObjective: %v must be above 0", c.LatencyObjective)
+	case c.Deadline <= 0:
+		return fmt.Errorf(".Deadline: %v must be above 0", c.Deadline)
+	case c.DedupWindow < 0:
+		return fmt.Errorf(".DedupWindow: %v is negative", c.DedupWindow)
+	case !finite(c.PriorityWeight):
+		return fmt.Errorf(".PriorityWeight: %v is negative or not finite", c.PriorityWeight)
+	case !finite(c.LateValue):
+		return fmt.Errorf(".LateValue: %v is negative or not finite", c.LateValue)
+	}
+	return nil
+}
+
+// finite tells whether a number is 0 or above, and neither infinite nor NaN.
+func finite(x float64) bool { return x >= 0 && !math.IsInf(x, 0) }
--- a/scheduler/choice.go
+++ b/scheduler/step.go
@@ -1,6 +1,3 @@
-// Package scheduler decides, for one controller, which worker runs which request of which function, and when.
-// It is MQFQ-Sticky at a front end: queues by function, released by virtual time, sent to a hashed home.
-// The interface (settings, events, actions, outcomes) is in api.go; docs/design.md tells the reasons.
 package scheduler
 
 import (
@@ -53,7 +50,7 @@
 
 // New returns a dispatcher for one controller, or an error that names the wrong field. Draws use the seed.
 func New(s Settings, seed uint64) (*Dispatcher, error) {
-	if err := check(&s); err != nil {
+	if err := s.check(); err != nil {
 		return nil, err
 	}
 	d := &Dispatcher{settings: s, workers: map[WorkerID]*worker{}, queues: map[FunctionID]*queue{},
