--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"math"
 	"slices"
 )
 
@@ -126,7 +125,7 @@
 		placed.loadStartedAt = d.now
 		r.loadAllowance = d.loadTime(r)
 	} else {
-		w.tokensInUse++
+		w.limit.acquire()
 	}
 	w.outstanding++
 	d.watch(w)
@@ -153,7 +152,7 @@
 	case AtCapacity:
 		d.afterRejection(r, t, e)
 	case TimedOut:
-		t.worker.tokens = max(d.tokenStep(), t.worker.tokens/2)
+		t.worker.limit.onTimeout(tokenStep(d.settings.Controllers))
 		d.answered(t.worker, TimedOut)
 		d.observeCrowding(r.queue, int(2*r.Lanes), r.Lanes, d.warmupFraction(t.worker) >= 1)
 	default:
@@ -186,39 +185,23 @@
 	}
 	took := e.Took.Seconds()
 	slow := e.Took > d.settings.Classes[r.Class].LatencyObjective ||
-		took > d.slowThreshold(r.Lanes)*d.usualLatencyRatio()*d.classRunTime[r.Class]
+		took > slowFrom(d.settings.Controllers, r.Lanes)*d.usualLatencyRatio()*d.classRunTime[r.Class]
 	d.observeCrowding(r.queue, e.SameFunction, r.Lanes, slow && d.warmupFraction(w) >= 1)
 	waited := e.Note == StartedLoad || e.Note == AwaitedLoad
 	if !waited && (e.Note == FoundWarm || !t.awaitsLoad) {
 		r.queue.meanRunTime = mean(r.queue.meanRunTime, took)
 		d.classRunTime[r.Class] = mean(d.classRunTime[r.Class], took)
-		d.setLatencyRatio(w, mean(w.latencyRatio, took/d.classRunTime[r.Class]))
-		d.adjustTokens(r, w, e.Took > d.settings.Classes[r.Class].LatencyObjective)
+		d.setLatencyRatio(w, mean(w.limit.latencyRatio, took/d.classRunTime[r.Class]))
+		headroom := slowFrom(d.settings.Controllers, r.Lanes) * d.usualLatencyRatio() / w.limit.latencyRatio
+		late := e.Took > d.settings.Classes[r.Class].LatencyObjective
+		w.limit.onAnswer(headroom, late, tokenStep(d.settings.Controllers))
 	}
 }
 
-// adjustTokens has a worker's tokens follow its pace, and an answer that was past its aim or not.
-func (d *Dispatcher) adjustTokens(r *request, w *worker, pastAim bool) {
-	over, step := d.slowThreshold(r.Lanes)*d.usualLatencyRatio()/w.latencyRatio, d.tokenStep()
-	switch {
-	case (pastAim || over < 1) && w.tokens > startTokens:
-		w.tokens *= paceCut
-	case pastAim || over < 1: // even one at a time is too much
-		w.tokens = max(step, min(1, w.tokens)*max(paceLow, min(paceCut, over)))
-	case w.tokens < 1:
-		w.tokens = min(1, w.tokens+step)
-	case float64(w.tokensInUse+1) >= math.Floor(w.tokens):
-		w.tokens++
-	}
-}
-
-// tokenStep is the least part of a token, and the step below one.
-func (d *Dispatcher) tokenStep() float64 { return max(partRise, 1/float64(d.settings.Controllers)) }
-
 func (d *Dispatcher) afterRejection(r *request, t *attempt, e AttemptEnded) {
 	w := t.worker
 	d.answered(w, OK)
-	w.tokens = max(min(1, w.tokens), w.tokens/2)
+	w.limit.onRejection()
 	d.observeCrowding(r.queue, e.SameFunction, r.Lanes, d.warmupFraction(w) >= 1)
 	if len(r.attempts) >= d.settings.Limits.MaxAttempts {
 		d.observe(r, false)
@@ -249,7 +232,7 @@
 		t.worker.awaitingLoad--
 		placed.leaders--
 	} else {
-		t.worker.tokensInUse--
+		t.worker.limit.release()
 	}
 	if placed.outstanding == 0 && t.worker.State == Gone { // else a hot function gathers those of all workers
 		delete(r.queue.placements, t.worker)
--- a/scheduler/index.go
+++ b/scheduler/index.go
@@ -215,7 +215,7 @@
 
 // join adds a worker that is listed for the first time.
 func (d *Dispatcher) join(id WorkerID) *worker {
-	w := &worker{tokens: startTokens, placements: map[*queue]*placement{}}
+	w := &worker{limit: newConcurrencyLimit(), placements: map[*queue]*placement{}}
 	w.member = ring.Member[*worker]{ID: uint64(id), Value: w}
 	d.workers[id] = w
 	d.order = append(d.order, w)
@@ -233,8 +233,8 @@
 		d.ejected--
 	}
 	d.failings.Remove(w.errorRate)
-	if w.latencyRatio > 0 {
-		d.paces.Remove(w.latencyRatio)
+	if w.limit.latencyRatio > 0 {
+		d.paces.Remove(w.limit.latencyRatio)
 	}
 	for q, placed := range w.placements { // each by itself: their order does not matter
 		if placed.outstanding == 0 {
@@ -323,14 +323,14 @@
 
 func (d *Dispatcher) setLatencyRatio(w *worker, pace float64) {
 	if w.State != Gone {
-		if w.latencyRatio > 0 {
-			d.paces.Remove(w.latencyRatio)
+		if w.limit.latencyRatio > 0 {
+			d.paces.Remove(w.limit.latencyRatio)
 		}
 		if pace > 0 {
 			d.paces.Add(pace)
 		}
 	}
-	w.latencyRatio = pace
+	w.limit.latencyRatio = pace
 }
 
 func (d *Dispatcher) setErrorRate(w *worker, failing float64) {
--- a/scheduler/index_test.go
+++ b/scheduler/index_test.go
@@ -54,8 +54,8 @@
 		if w.ejected {
 			ejected++
 		}
-		if w.latencyRatio > 0 {
-			paces = append(paces, w.latencyRatio)
+		if w.limit.latencyRatio > 0 {
+			paces = append(paces, w.limit.latencyRatio)
 		}
 		failings = append(failings, w.errorRate)
 	}
--- a/scheduler/mechanism_test.go
+++ b/scheduler/mechanism_test.go
@@ -78,11 +78,11 @@
 func TestTokensHalve(t *testing.T) {
 	d := start(t, base(), ready(1)...)
 	w := d.workers[1]
-	w.tokens = 8
+	w.limit.tokens = 8
 	d.Step(time.Second, []Event{arrival(1, 0, 7)})
 	d.Step(1010*ms, []Event{AttemptEnded{Request: 1, Worker: 1, Outcome: AtCapacity}})
-	if w.tokens != 4 {
-		t.Errorf("D %v after a refusal at 8, want 4", w.tokens)
+	if w.limit.tokens != 4 {
+		t.Errorf("D %v after a refusal at 8, want 4", w.limit.tokens)
 	}
 }
 
@@ -101,18 +101,18 @@
 		}
 		w := d.workers[2]
 		d.setLatencyRatio(w, 1.4)
-		w.tokens = 8
+		w.limit.tokens = 8
 		d.Step(time.Second, []Event{arrival(1, 0, 7)})
 		r := d.requests[1]
 		if len(r.attempts) == 0 {
 			t.Fatal("not sent")
 		}
 		r.attempts[0].worker = w // wherever its home is
-		w.outstanding, w.tokensInUse, w.awaitingLoad = 1, 1, 0
+		w.outstanding, w.limit.inUse, w.awaitingLoad = 1, 1, 0
 		r.attempts[0].awaitsLoad = false
 		d.Step(1150*ms, []Event{AttemptEnded{Request: 1, Worker: w.ID, Outcome: OK, Complete: true, Note: FoundWarm, Took: 175 * ms}})
-		if (w.tokens < 8) != tt.falls {
-			t.Errorf("%d controllers: D %v after an answer at 1.4 of the usual pace, was 8", tt.controllers, w.tokens)
+		if (w.limit.tokens < 8) != tt.falls {
+			t.Errorf("%d controllers: D %v after an answer at 1.4 of the usual pace, was 8", tt.controllers, w.limit.tokens)
 		}
 	}
 }
--- a/scheduler/outlier.go
+++ b/scheduler/outlier.go
@@ -32,14 +32,6 @@
 	return time.Duration(span * (1 + jitter*(d.random.Float64()-0.5)))
 }
 
-// slowThreshold is how much slower than usual answers are where a worker has too much in hand, or is slow.
-func (d *Dispatcher) slowThreshold(lanes float64) float64 {
-	if d.many(lanes) {
-		return paceOver
-	}
-	return paceFew
-}
-
 // usualLatencyRatio is the median pace of the workers that answered: a slow answer of one worker among
 // its peers is
 // that worker's load or trouble, of all of them the function's or the day's.
@@ -61,7 +53,8 @@
 	w.lastHeardAt = d.now
 	if w.ejected { // it may have started anew before the list says so: begin low
 		d.setEjected(w, false)
-		w.consecutiveFailures, w.tokens = 0, 1
+		w.consecutiveFailures = 0
+		w.limit.distrust()
 	}
 }
 
--- a/scheduler/outlier_test.go
+++ b/scheduler/outlier_test.go
@@ -93,8 +93,8 @@
 	if share[1] == 0 {
 		t.Fatal("worker 1 is no function's home: nothing was tested")
 	}
-	if slow.tokens >= 0.5 {
-		t.Errorf("slow worker: %v tokens, want it to take a small part of its calls", slow.tokens)
+	if slow.limit.tokens >= 0.5 {
+		t.Errorf("slow worker: %v tokens, want it to take a small part of its calls", slow.limit.tokens)
 	}
 }
 
--- a/scheduler/overload_test.go
+++ b/scheduler/overload_test.go
@@ -181,7 +181,7 @@
 		{"too late for any answer", func(t *testing.T) (*Dispatcher, time.Duration, time.Duration, []Event) {
 			d := start(t, base(), ready(1, 2)...)
 			for _, w := range d.order {
-				w.tokens, w.tokensInUse, w.awaitingLoad = 1, 1, 9
+				w.limit.tokens, w.limit.inUse, w.awaitingLoad = 1, 1, 9
 			}
 			d.queue(7).meanRunTime = 0.4
 			d.Step(time.Second, []Event{arrival(1, 0, 7)})
--- a/scheduler/ring.go
+++ b/scheduler/ring.go
@@ -67,14 +67,14 @@
 		if w == nil {
 			w = d.join(i.ID)
 			if l.Kind == CachedList {
-				w.tokens = 1 // it may be stale: little trust until it answers
+				w.limit.distrust() // it may be stale: little trust until it answers
 			}
 		}
 		if i.StartedAt > w.StartedAt && i.StartedAt > w.warmingSince {
 			w.warmingSince, w.credit, w.creditAt, w.answeredAtCredit = i.StartedAt, 0, i.StartedAt,
 				d.answeredRunTime
 			w.fairRate = coldCores / float64(d.settings.Controllers) // the least: it is not told
-			w.tokens = min(w.tokens, startTokens)
+			w.limit.onRestart()
 		}
 		w.WorkerInfo, w.listGeneration = i, d.listGeneration
 	}
@@ -180,7 +180,7 @@
 // lanes of the copies it starts another by itself, which pushes others out.
 func (d *Dispatcher) hasRoom(r *request, w *worker, placed *placement) bool {
 	lanes := max(1, r.Lanes*float64(max(1, placed.copies)))
-	token := float64(w.tokensInUse) < max(1, math.Floor(w.tokens)) && d.takes(r, w)
+	token := w.limit.available() && d.takes(r, w)
 	return float64(placed.outstanding) < lanes && token
 }
 
@@ -199,7 +199,7 @@
 		place = 1
 	}
 	waited := (d.now - r.arrivedAt).Seconds() / d.settings.Classes[r.Class].LatencyObjective.Seconds()
-	return place*(1-waited) < min(1, w.tokens)
+	return w.limit.accepts(place * (1 - waited))
 }
 
 // observeCrowding follows how many workers a function needs. Its calls meet at home from all
@@ -208,14 +208,10 @@
 // were more than its lanes and it was slow, the next calls spread over more of the ring; else over fewer.
 // Where few controllers share the lanes of a copy, their own tokens do this.
 func (d *Dispatcher) observeCrowding(q *queue, alike int, lanes float64, slow bool) {
-	if over := float64(alike+1) / max(1, lanes); over > 1 && slow && d.many(lanes) {
+	many := manyControllers(d.settings.Controllers, lanes)
+	if over := float64(alike+1) / max(1, lanes); over > 1 && slow && many {
 		q.spread = min(q.spread*min(over, spreadRise), float64(len(d.order)))
 	} else if !slow {
 		q.spread = max(1, q.spread*spreadFall)
 	}
 }
-
-// many tells whether so many controllers share the lanes of a copy that tokens of each do not bound the sum.
-func (d *Dispatcher) many(lanes float64) bool {
-	return float64(d.settings.Controllers) > manyLanes*lanes
-}
--- a/scheduler/snapshot.go
+++ b/scheduler/snapshot.go
@@ -43,7 +43,7 @@
 	}
 	l.Ready, l.Ejected, l.Rank = d.ready(w), w.ejected, w.rank
 	l.WarmingUp = w.warmingSince > 0 && d.now < w.warmingSince+d.settings.Guarantees.WarmupTime
-	l.Tokens, l.Busy, l.Loads, l.LatencyRatio = w.tokens, w.tokensInUse, w.awaitingLoad, w.latencyRatio
+	l.Tokens, l.Busy, l.Loads, l.LatencyRatio = w.limit.tokens, w.limit.inUse, w.awaitingLoad, w.limit.latencyRatio
 	if q != nil {
 		l.HasCopy = d.warm(q.placements[w], w)
 	}
--- a/scheduler/state.go
+++ b/scheduler/state.go
@@ -40,9 +40,8 @@
 
 type worker struct {
 	WorkerInfo
-	tokens              float64
+	limit               concurrencyLimit
 	outstanding         int // attempts out
-	tokensInUse         int // of them, those that hold a token
 	awaitingLoad        int // of them, those that may wait for a load
 	lastHeardAt         time.Duration
 	waitingSince        time.Duration // since when something is out without an answer
@@ -53,7 +52,6 @@
 	errorRate           float64       // mean share of errors among its answers
 	avoidUntil          time.Duration // nothing that is not safe goes there until then, as it failed what others served
 	probedAt            time.Duration // when a question went out that has no answer; 0: none
-	latencyRatio        float64       // mean of run time over the class's mean; 0: not known
 	loadBackoffUntil    time.Duration // no load there before
 	loadRejections      int           // loads in a row that it had no room for
 	warmingSince        time.Duration // start as told or as seen
--- a/scheduler/step.go
+++ b/scheduler/step.go
@@ -11,17 +11,12 @@
 const (
 	alpha       = 2.0  // queue TTL in inter-arrival times: keeps a function's home while calls are likely
 	overrun     = 10.0 // T, seconds of run time a queue may lead Global_VT: batches, yet no monopoly
-	startTokens = 2.0  // D at first: little harm at a worker nobody has measured yet
 	meanWeight  = 0.2  // of a new run time or gap in its mean: follows a change in some five calls
 	meanClip    = 4.0  // a sample counts as at most so many means: one rare long call is not the rule
 	guessRun    = 0.25 // run time before the first answer, of the aim
 	renewAfter  = 0.6  // idle share of the keep-alive before a hold renews a copy (5 s at 8.4 s)
 	ringPoints  = 48   // of an average worker: even arcs, and a lost home's functions go to many others
 	quietRuns   = 3.0  // no answer for so many mean runs: ask the worker whether it lives
-	paceOver    = 1.5  // answers slower than usual by this: the worker has too much in hand, or is slow
-	paceFew     = 1.25 // the same where few controllers share a copy: what each holds back is then felt there
-	paceCut     = 0.9  // of the tokens, then; ten such answers weigh more than the halving after a refusal
-	paceLow     = 0.5  // of the last token at the least, for an answer far slower
 	ejectDials  = 4.0  // first time off the ring, in dial time-outs; doubles for each further failure
 	ejectCold   = 0.5  // longest time off the ring, of the warm-up time
 	errorOver   = 0.5  // share of errors over its peers' at which it is the worker that fails, not the calls
@@ -35,9 +30,7 @@
 	spillCrowd  = 10.0 // added to it for each share of believed copies that had been pushed out
 	crowdWeight = 0.02 // of one answer in that share
 	spreadRise  = 4.0  // of the workers that serve a function, at most, after an answer that met too many
-	manyLanes   = 4.0  // controllers to a lane of a copy above which tokens of each do not bound the sum
 	spreadFall  = 0.95 // of them after one that did not
-	partRise    = 0.05 // of a token, or an equal part of one: the least, and the step below one
 	leadLoads   = 2    // load times that others wait for the request that began a load
 	jitter      = 0.5  // of a time off the ring or to come back: who saw the same does not return in step
 	coldDraws   = 4.0  // standard deviations from what a cold worker is sent to its bound
