--- a/scheduler/index.go
+++ b/scheduler/index.go
@@ -66,7 +66,7 @@
 func (d *Dispatcher) queue(fn FunctionID) *queue {
 	q := d.queues[fn]
 	if q == nil {
-		q = &queue{function: fn, hash: mix(uint64(fn)), spread: 1, placements: map[*worker]*placement{}}
+		q = &queue{function: fn, hash: mix(uint64(fn)), spread: spread{workers: 1}, placements: map[*worker]*placement{}}
 		q.walk = ring.Walk[*worker]{Ring: &d.ring, From: q.hash}
 		q.virtualTimeEntry.Value, q.expiryEntry.Value, q.renewalEntry.Value, q.dueEntry.Value = q, q, q, q
 		d.queues[fn] = q
--- a/scheduler/ring.go
+++ b/scheduler/ring.go
@@ -112,7 +112,7 @@
 // ordered to load it and sent to once the copy stands; one known to hold it serves meanwhile.
 func (d *Dispatcher) pick(q *queue, r *request) *worker {
 	s := search{queue: q, request: r, chance: len(d.order) == 0}
-	from := min(int(unit(mix(uint64(r.Request)))*q.spread), max(0, len(d.order)-1))
+	from := q.spread.start(r.Request, len(d.order))
 	for w := range d.candidates(q, from, &s.settled) {
 		if d.consider(&s, w) {
 			return w
@@ -202,16 +202,7 @@
 	return w.limit.accepts(place * (1 - waited))
 }
 
-// observeCrowding follows how many workers a function needs. Its calls meet at home from all
-// controllers, so one called
-// more than a worker can do fills it, whatever each holds out. An answer tells how many it met: where these
-// were more than its lanes and it was slow, the next calls spread over more of the ring; else over fewer.
-// Where few controllers share the lanes of a copy, their own tokens do this.
-func (d *Dispatcher) observeCrowding(q *queue, alike int, lanes float64, slow bool) {
-	many := manyControllers(d.settings.Controllers, lanes)
-	if over := float64(alike+1) / max(1, lanes); over > 1 && slow && many {
-		q.spread = min(q.spread*min(over, spreadRise), float64(len(d.order)))
-	} else if !slow {
-		q.spread = max(1, q.spread*spreadFall)
-	}
+// observeCrowding follows how many workers a function needs, by what a request met at one.
+func (d *Dispatcher) observeCrowding(q *queue, met int, lanes float64, slow bool) {
+	q.spread.observe(met, lanes, slow, manyControllers(d.settings.Controllers, lanes), len(d.order))
 }
--- a/scheduler/state.go
+++ b/scheduler/state.go
@@ -81,8 +81,8 @@
 	lastRenewalAt    time.Duration
 	desiredUntil     time.Duration // copies are advised until then
 	active           bool
-	eligible         int     // requests that compete in this round
-	spread           float64 // workers of the ring that its calls spread over; 1: home alone
+	eligible         int // requests that compete in this round
+	spread           spread
 	placements       map[*worker]*placement
 
 	queueEntries
--- a/scheduler/step.go
+++ b/scheduler/step.go
@@ -29,8 +29,6 @@
 	spillAfter  = 0.25 // wait at a busy home, of the aim, before a further copy is worth its load
 	spillCrowd  = 10.0 // added to it for each share of believed copies that had been pushed out
 	crowdWeight = 0.02 // of one answer in that share
-	spreadRise  = 4.0  // of the workers that serve a function, at most, after an answer that met too many
-	spreadFall  = 0.95 // of them after one that did not
 	leadLoads   = 2    // load times that others wait for the request that began a load
 	jitter      = 0.5  // of a time off the ring or to come back: who saw the same does not return in step
 	coldDraws   = 4.0  // standard deviations from what a cold worker is sent to its bound
