--- a/scheduler/advice_test.go
+++ b/scheduler/advice_test.go
@@ -62,7 +62,7 @@
 	if first != 4 || n != 4 {
 		t.Errorf("%d orders at once, %d in a window of 8: four are for advice", first, n)
 	}
-	if !d.mayOrder() {
+	if !d.loadBudget.allows(d.now) {
 		t.Error("calls have none left")
 	}
 }
@@ -143,7 +143,7 @@
 	first := len(pickOut[LoadOrder](old.Step(2*time.Second, want(1))))
 	old.Step(3*time.Second, []Event{Superseded{On: true}})
 	for f := range 10 { // prepared for calls beyond home, which advice does not limit
-		if old.prepare(old.queue(FunctionID(100+f)), old.order[0]) {
+		if old.ensureCopy(old.queue(FunctionID(100+f)), old.order[0]) {
 			t.Fatal("a retired one orders a load")
 		}
 	}
@@ -151,7 +151,7 @@
 	n := 0
 	for f := range 20 {
 		for _, w := range next.order {
-			if next.prepare(next.queue(FunctionID(200+f)), w) {
+			if next.ensureCopy(next.queue(FunctionID(200+f)), w) {
 				n++
 			}
 		}
@@ -159,11 +159,11 @@
 	if first != 4 || n != 4 {
 		t.Errorf("%d orders of the old one, %d of the new one: 8 in a window are allowed", first, n)
 	}
-	if next.Step(12*time.Second+1, nil); !next.mayOrder() {
+	if next.Step(12*time.Second+1, nil); !next.loadBudget.allows(next.now) {
 		t.Error("what was inherited does not expire")
 	}
 	old.Step(4*time.Second, []Event{Superseded{}})
-	if !old.mayOrder() {
+	if !old.loadBudget.allows(old.now) {
 		t.Error("one that goes on has no budget")
 	}
 	w := old.order[0]
--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -117,7 +117,7 @@
 	}
 	placed := d.placement(q, w)
 	t := attempt{worker: w, group: w.Group, zone: w.Zone, sentAt: d.now, work: work,
-		awaitsLoad: !d.warm(placed, w)}
+		awaitsLoad: !d.hasCopy(placed, w)}
 	placed.outstanding++
 	if t.awaitsLoad {
 		w.awaitingLoad++
@@ -153,10 +153,10 @@
 		d.afterRejection(r, t, e)
 	case TimedOut:
 		t.worker.limit.onTimeout(tokenStep(d.settings.Controllers))
-		d.answered(t.worker, TimedOut)
+		d.workerAnswered(t.worker, TimedOut)
 		d.observeCrowding(r.queue, int(2*r.Lanes), r.Lanes, d.warmupFraction(t.worker) >= 1)
 	default:
-		d.answered(t.worker, e.Outcome)
+		d.workerAnswered(t.worker, e.Outcome)
 		d.failed(t.worker, e)
 	}
 	if e.Complete || e.Outcome == OK {
@@ -168,20 +168,17 @@
 
 func (d *Dispatcher) afterSuccess(r *request, t *attempt, placed *placement, e AttemptEnded) {
 	w := t.worker
-	d.answered(w, OK)
+	d.workerAnswered(w, OK)
 	w.consecutiveFailures = 0
 	d.observe(r, !d.overdue(r))
 	if e.Note == StartedLoad {
-		w.loadRejections = 0
+		w.loadBackoff.loaded()
 	}
 	w.ejections = 0
 	d.setErrorRate(w, w.errorRate*(1-meanWeight))
 	placed.lastSeenAt = d.now
 	if !t.awaitsLoad {
-		d.evictedFraction *= 1 - crowdWeight
-		if e.Note == StartedLoad && e.SameFunction == 0 {
-			d.evictedFraction += crowdWeight
-		}
+		d.evictions.observe(e.Note == StartedLoad && e.SameFunction == 0)
 	}
 	took := e.Took.Seconds()
 	slow := e.Took > d.settings.Classes[r.Class].LatencyObjective ||
@@ -200,14 +197,14 @@
 
 func (d *Dispatcher) afterRejection(r *request, t *attempt, e AttemptEnded) {
 	w := t.worker
-	d.answered(w, OK)
+	d.workerAnswered(w, OK)
 	w.limit.onRejection()
 	d.observeCrowding(r.queue, e.SameFunction, r.Lanes, d.warmupFraction(w) >= 1)
 	if len(r.attempts) >= d.settings.Limits.MaxAttempts {
 		d.observe(r, false)
 	}
 	if t.awaitsLoad {
-		d.deny(w)
+		d.loadRejected(w)
 	}
 }
 
--- /dev/null
+++ b/scheduler/copies.go
@@ -0,0 +1,193 @@
+package scheduler
+
+import (
+	"cmp"
+	"time"
+)
+
+const (
+	// renewAfter is the idle part of an idle copy's time to live after which an order of one copy renews
+	// it: 5 s of 8.4 s, which leaves time for an order that is late.
+	renewAfter = 0.6
+	// guessLoad is the load time of a function that states none, in latency objectives.
+	guessLoad = 1.5
+	// maxLeaderLoads is how many load times other requests wait for the request that began a load.
+	maxLeaderLoads = 2
+	// evictionWeight is the weight of one answer in the evicted fraction.
+	evictionWeight = 0.02
+	// maxAdviceEvictions is the evicted fraction from which nothing more is loaded on advice alone.
+	maxAdviceEvictions = 0.1
+)
+
+// A placement is what is known of a function at one worker. Copies are never reported: they are concluded
+// from answers, which prove one, and from the time that an idle copy stays loaded.
+type placement struct {
+	lastSeenAt    time.Duration // when a copy last proved to be loaded; 0: never
+	outstanding   int           // attempts without an outcome
+	leaders       int           // of them, those that may wait for a load: the leaders of a load
+	copies        int           // loaded, as an order last told; 0: not told
+	pendingOrders int           // orders without an answer
+	loadStartedAt time.Duration // of the last such attempt or order
+}
+
+// loading tells whether a load is under way, for a while that loads of this time may take.
+func (p *placement) loading(now, loadTime time.Duration) bool {
+	begun := p != nil && (p.leaders > 0 || p.pendingOrders > 0)
+	return begun && now < p.loadStartedAt+loadTime*maxLeaderLoads
+}
+
+// evictions estimates how short of memory the workers are.
+type evictions struct {
+	fraction float64 // of copies believed to be loaded that proved to be evicted
+}
+
+// observe follows an answer of a worker at which a copy was believed to be loaded.
+func (e *evictions) observe(evicted bool) {
+	e.fraction *= 1 - evictionWeight
+	if evicted {
+		e.fraction += evictionWeight
+	}
+}
+
+// loadTime is how long a load for the request is likely to take.
+func (d *Dispatcher) loadTime(r *request) time.Duration {
+	return cmp.Or(r.LoadTime, seconds(guessLoad*d.settings.Classes[r.Class].LatencyObjective.Seconds()))
+}
+
+// hasCopy tells whether a copy is believed to be loaded: one was seen, not longer ago than an idle copy
+// stays, and the worker has not started since.
+func (d *Dispatcher) hasCopy(placed *placement, w *worker) bool {
+	return placed != nil && placed.lastSeenAt > 0 && placed.lastSeenAt >= w.warmingSince &&
+		(placed.outstanding > 0 || d.now-placed.lastSeenAt < d.settings.Loading.IdleCopyTTL)
+}
+
+// ensureCopy orders a copy where one will be needed soon, and tells whether one is loaded or on its way.
+func (d *Dispatcher) ensureCopy(q *queue, w *worker) bool {
+	placed := d.placement(q, w)
+	return placed.pendingOrders > 0 || d.hasCopy(placed, w) ||
+		w.loadBackoff.allows(d.now) && d.orderLoad(w, q.function)
+}
+
+// orderLoad orders one copy, if the budget allows it. The caller has seen that the worker is ready.
+func (d *Dispatcher) orderLoad(w *worker, function FunctionID) bool {
+	if !d.loadBudget.take(d.now) {
+		return false
+	}
+	placed := d.placement(d.queue(function), w)
+	placed.pendingOrders++
+	placed.loadStartedAt = d.now
+	d.do(LoadOrder{Worker: w.ID, Function: function, Copies: 1})
+	return true
+}
+
+// loadOrderEnded notes which copies are loaded. An order that failed says nothing of the worker's health,
+// but for its silence.
+func (d *Dispatcher) loadOrderEnded(ended LoadOrderEnded) {
+	w, q := d.workers[ended.Worker], d.queues[ended.Function]
+	d.workerAnswered(w, ended.Outcome)
+	if w == nil || q == nil {
+		return
+	}
+	placed := d.placement(q, w)
+	placed.pendingOrders = max(0, placed.pendingOrders-1)
+	switch {
+	case ended.Copies > 0:
+		placed.lastSeenAt = d.now
+		placed.copies = ended.Copies
+		w.loadBackoff.loaded()
+	case ended.Outcome == AtCapacity || ended.Outcome == Error:
+		d.loadRejected(w)
+	case ended.Outcome == OK && placed.outstanding == 0:
+		placed.lastSeenAt = 0
+	}
+}
+
+// loadRejected begins a backoff at a worker that had no room for a copy, or failed to load it.
+func (d *Dispatcher) loadRejected(w *worker) {
+	first := guessLoad * d.settings.Classes[0].LatencyObjective.Seconds()
+	w.loadBackoff.rejected(d.now, first, d.settings.Loading.IdleCopyTTL)
+}
+
+// stageCopies orders the copies of a function that is about to be called, at the first workers of its walk.
+func (d *Dispatcher) stageCopies(staged StagedCopies) {
+	q := d.queue(staged.Function)
+	missing := staged.Copies
+	for i := 0; missing > 0 && i < len(d.order); i++ {
+		if w := q.worker(i); d.ready(w) && d.ensureCopy(q, w) {
+			missing--
+		}
+	}
+}
+
+// renewCopies renews the home copies of functions that are likely to be called again, in the order of the
+// functions, as far as the budget goes.
+func (d *Dispatcher) renewCopies() {
+	for e := d.dueRenewal(); e != nil; e = d.dueRenewal() {
+		q := e.Value
+		i := 0
+		for i < len(d.order) && !d.ready(q.worker(i)) {
+			i++
+		}
+		if i == len(d.order) || !d.orderLoad(q.worker(i), q.function) {
+			return // no worker is ready, or there is no budget: for no function
+		}
+		q.lastRenewalAt = d.now
+		d.touch(q)
+	}
+}
+
+// renewalInterval is how long a copy may be idle before it is renewed.
+func (d *Dispatcher) renewalInterval() time.Duration {
+	return time.Duration(renewAfter * float64(d.settings.Loading.IdleCopyTTL))
+}
+
+// renewAt is when an active, idle queue needs its copy renewed.
+func (d *Dispatcher) renewAt(q *queue) time.Duration {
+	return max(max(q.lastActiveAt, q.lastRenewalAt)+d.renewalInterval(), q.desiredUntil)
+}
+
+// loadDesiredCopies orders the copies that are advised: one order at a worker at a time, within advice's
+// part of the budget, and none while copies are evicted already. A copy that is loaded is renewed like one
+// that requests keep. The first pass only notes the workers that have an order, whatever function it is
+// for.
+func (d *Dispatcher) loadDesiredCopies() {
+	d.desiredCopies.expire(d.now)
+	for _, mayOrder := range []bool{false, true} {
+		for _, desired := range d.desiredCopies.entries {
+			d.loadDesired(desired, mayOrder)
+		}
+	}
+}
+
+// loadDesired goes along the walk of one function, until as many workers as copies are desired have been
+// found.
+func (d *Dispatcher) loadDesired(desired DesiredCopies, mayOrder bool) {
+	q := d.queue(desired.Function)
+	q.desiredUntil = desired.Until
+	d.touch(q)
+	thisStep := max(d.now, 1)
+	missing := desired.Copies
+	for i := 0; missing > 0 && i < len(d.order); i++ {
+		w := q.worker(i)
+		if !d.ready(w) {
+			continue
+		}
+		placed := d.placement(q, w)
+		lastUse := max(placed.lastSeenAt, placed.loadStartedAt)
+		switch {
+		case placed.pendingOrders > 0:
+			w.advisedLoadAt = thisStep
+		case d.hasCopy(placed, w) && (placed.outstanding > 0 || d.now-lastUse < d.renewalInterval()):
+		case !w.loadBackoff.allows(d.now):
+			continue // the next of the walk may have room
+		case mayOrder && w.advisedLoadAt != thisStep && d.adviceMayLoad() && d.orderLoad(w, q.function):
+			w.advisedLoadAt = thisStep
+		}
+		missing--
+	}
+}
+
+// adviceMayLoad tells whether a copy may be loaded on advice alone.
+func (d *Dispatcher) adviceMayLoad() bool {
+	return d.evictions.fraction < maxAdviceEvictions && d.loadBudget.allowsAdvice(d.now)
+}
--- a/scheduler/loadorders_test.go
+++ b/scheduler/copies_test.go
@@ -93,3 +93,36 @@
 		}
 	}
 }
+
+func TestEvictionsFollowAnswersOfLoadedCopies(t *testing.T) {
+	var e evictions
+	for range 500 {
+		e.observe(true)
+	}
+	if e.fraction < 0.99 || e.fraction > 1 {
+		t.Errorf("%v where every copy was evicted, want nearly 1", e.fraction)
+	}
+	for range 500 {
+		e.observe(false)
+	}
+	if e.fraction > 0.01 {
+		t.Errorf("%v where no copy was evicted, want nearly 0", e.fraction)
+	}
+}
+
+func TestLoadIsUnderWayForTwoLoadTimesAtMost(t *testing.T) {
+	for _, tt := range []struct {
+		placed *placement
+		want   bool
+	}{
+		{nil, false},
+		{&placement{loadStartedAt: 9 * time.Second}, false},
+		{&placement{leaders: 1, loadStartedAt: 9 * time.Second}, true},
+		{&placement{pendingOrders: 1, loadStartedAt: 9 * time.Second}, true},
+		{&placement{leaders: 1, loadStartedAt: 8 * time.Second}, false},
+	} {
+		if got := tt.placed.loading(10*time.Second, time.Second); got != tt.want {
+			t.Errorf("%+v: under way %v, want %v", tt.placed, got, tt.want)
+		}
+	}
+}
--- a/scheduler/index.go
+++ b/scheduler/index.go
@@ -340,16 +340,3 @@
 	}
 	w.errorRate = failing
 }
-
-// replace puts e in a list that is sorted by id in place of the element with its id; without keep it only
-// takes that one out.
-func replace[T any](l []T, e T, id func(T) uint64, keep bool) []T {
-	i, found := slices.BinarySearchFunc(l, id(e), func(o T, k uint64) int { return cmp.Compare(id(o), k) })
-	if found {
-		l = slices.Delete(l, i, i+1)
-	}
-	if keep {
-		l = slices.Insert(l, i, e)
-	}
-	return l
-}
--- a/scheduler/outlier.go
+++ b/scheduler/outlier.go
@@ -37,8 +37,8 @@
 // that worker's load or trouble, of all of them the function's or the day's.
 func (d *Dispatcher) usualLatencyRatio() float64 { return d.paces.Median(1) }
 
-// answered notes any sign of life of a worker.
-func (d *Dispatcher) answered(w *worker, o Outcome) {
+// workerAnswered notes any sign of life of a worker.
+func (d *Dispatcher) workerAnswered(w *worker, o Outcome) {
 	if w == nil || o == Cancelled || o == NotStarted {
 		return
 	}
@@ -81,7 +81,7 @@
 	switch {
 	case w.ejected && d.now >= w.ejectedUntil && w.probedAt == 0:
 		if !d.ask(w) {
-			d.answered(w, OK)
+			d.workerAnswered(w, OK)
 		}
 	case w.ejected && w.probedAt > 0 && d.now-w.probedAt > patience:
 		d.eject(w)
--- a/scheduler/overload_test.go
+++ b/scheduler/overload_test.go
@@ -191,7 +191,7 @@
 			time.Duration, []Event) {
 			d := start(t, base(), ready(1, 2)...)
 			for _, w := range d.order {
-				w.loadBackoffUntil = 8 * time.Second
+				w.loadBackoff.until = 8 * time.Second
 			}
 			d.Step(time.Second, []Event{arrival(1, 0, 7)})
 			return d, 1300 * ms, 1500 * ms, []Event{Timer{}}
@@ -249,7 +249,7 @@
 	home := pickOut[Send](d.Step(time.Second, []Event{arrival(1, 0, 7)}))[0].Worker
 	d.reassign(d.workers[home])
 	for _, w := range d.order {
-		w.loadBackoffUntil = time.Hour
+		w.loadBackoff.until = time.Hour
 	}
 	d.admission.fraction = 0
 	for now := 1010 * ms; now < 3900*ms; now += 10 * ms {
--- a/scheduler/queues.go
+++ b/scheduler/queues.go
@@ -9,8 +9,8 @@
 	if _, known := d.requests[a.Request]; known || a.Class < 0 || a.Class >= len(d.settings.Classes) {
 		return
 	}
-	if d.settings.Loading.BudgetWindow > 0 && !a.Resubmitted {
-		d.arrivals.Add(d.now)
+	if !a.Resubmitted {
+		d.loadBudget.recordArrival(d.now)
 	}
 	q := d.queue(a.Function)
 	if q.lastArrivalAt > 0 {
--- a/scheduler/ring.go
+++ b/scheduler/ring.go
@@ -32,21 +32,15 @@
 // avoided one
 // comes last in every walk.
 func (d *Dispatcher) applyRanks() {
-	before := len(d.advisedRanks)
-	d.advisedRanks = slices.DeleteFunc(d.advisedRanks, func(r WorkerRank) bool { return r.Until <= d.now })
-	if !d.ranksStale && len(d.advisedRanks) == before {
+	if expired := d.advisedRanks.expire(d.now); !d.ranksStale && !expired {
 		return
 	}
 	changed := false
 	d.ranksStale = false
 	for _, w := range d.order {
-		rank := 0
-		if i := slices.IndexFunc(d.advisedRanks,
-			func(r WorkerRank) bool { return r.Worker == w.ID }); i >= 0 {
-			rank = d.advisedRanks[i].Rank
-		}
-		changed = changed || rank != w.rank
-		w.rank = rank
+		advised, _ := d.advisedRanks.find(uint64(w.ID))
+		changed = changed || advised.Rank != w.rank
+		w.rank = advised.Rank
 	}
 	if changed {
 		d.buildRing()
@@ -122,10 +116,10 @@
 	s.chance = s.chance || d.ejected > 0
 	r.unplaceable = !s.chance && !s.loading && !d.fresh(r) && !r.hasOutstanding()
 	// A home without a token is waited for, longer where copies prove pushed out: memory is short then.
-	wait := min(1, spillAfter+spillCrowd*d.evictedFraction)
+	wait := min(1, spillAfter+spillCrowd*d.evictions.fraction)
 	due := d.now >= r.arrivedAt+seconds(wait*d.settings.Classes[r.Class].LatencyObjective.Seconds())
 	if s.spare == s.home && !s.loading ||
-		s.spare != nil && due && !s.loading && d.fresh(r) && !d.prepare(q, s.spare) {
+		s.spare != nil && due && !s.loading && d.fresh(r) && !d.ensureCopy(q, s.spare) {
 		return s.spare
 	}
 	return nil
@@ -134,8 +128,8 @@
 // consider tells whether the request goes to this worker of the walk, and notes what else it is good for.
 func (d *Dispatcher) consider(s *search, w *worker) bool {
 	r, placed := s.request, s.queue.placements[w]
-	warm := d.warm(placed, w)
-	s.chance = s.chance || warm || w.ejected || s.home == nil && w.loadBackoffUntil < r.answerBy
+	warm := d.hasCopy(placed, w)
+	s.chance = s.chance || warm || w.ejected || s.home == nil && w.loadBackoff.until < r.answerBy
 	if !d.ready(w) || !d.maySend(r, w) || d.now < w.avoidUntil &&
 		d.settings.Classes[r.Class].Idempotency != Idempotent {
 		return false
@@ -144,17 +138,17 @@
 	case warm:
 		if d.hasRoom(r, w, placed) && d.coldRoom(w, d.classRunTime[r.Class]) {
 			if s.home != nil {
-				d.prepare(s.queue, s.home)
+				d.ensureCopy(s.queue, s.home)
 			}
 			return true
 		}
 	case d.warmupFraction(w) < 1:
 		return d.considerCold(s, w)
-	case d.coming(r, placed):
+	case placed.loading(d.now, d.loadTime(r)):
 		s.loading = true
 	case !d.takes(r, w):
 		return false
-	case s.spare == nil && w.awaitingLoad < ownLoads && d.now >= w.loadBackoffUntil:
+	case s.spare == nil && w.awaitingLoad < ownLoads && w.loadBackoff.allows(d.now):
 		s.spare = w
 	}
 	s.home = cmp.Or(s.home, w)
@@ -167,10 +161,10 @@
 func (d *Dispatcher) considerCold(s *search, w *worker) bool {
 	switch {
 	case s.home != nil:
-	case w.awaitingLoad < ownLoads && d.now >= w.loadBackoffUntil && d.takes(s.request, w) &&
+	case w.awaitingLoad < ownLoads && w.loadBackoff.allows(d.now) && d.takes(s.request, w) &&
 		d.coldRoom(w, d.classRunTime[s.request.Class]):
 		return true
-	case d.prepare(s.queue, w):
+	case d.ensureCopy(s.queue, w):
 		s.home, s.loading = w, true
 	}
 	return false
@@ -184,12 +178,6 @@
 	return float64(placed.outstanding) < lanes && token
 }
 
-// coming tells whether a copy is being loaded, for a while that a load may take.
-func (d *Dispatcher) coming(r *request, placed *placement) bool {
-	begun := placed != nil && (placed.leaders > 0 || placed.pendingOrders > 0)
-	return begun && d.now < placed.loadStartedAt+d.loadTime(r)*leadLoads
-}
-
 // takes tells whether a worker takes a request: with less than one token only a part of them, as whole tokens
 // bound nothing where many controllers send little each. A request's place is a hash; as it waits it comes to
 // be taken. One that failed there is the last to be taken.
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -21,7 +21,7 @@
 // answered; a window of fewer than coldDraws calls gets none.
 func (d *Dispatcher) coldRoom(w *worker, work float64) bool {
 	share, g, n := d.warmupFraction(w), d.settings.Guarantees, float64(d.settings.Controllers)
-	if share >= 1 || d.superseded {
+	if share >= 1 || d.loadBudget.superseded {
 		return share >= 1
 	}
 	window, dt := creditKeep*g.CollapseWindow.Seconds(), max(0, (d.now-max(w.creditAt,
--- a/scheduler/snapshot.go
+++ b/scheduler/snapshot.go
@@ -45,7 +45,7 @@
 	l.WarmingUp = w.warmingSince > 0 && d.now < w.warmingSince+d.settings.Guarantees.WarmupTime
 	l.Tokens, l.Busy, l.Loads, l.LatencyRatio = w.limit.tokens, w.limit.inUse, w.awaitingLoad, w.limit.latencyRatio
 	if q != nil {
-		l.HasCopy = d.warm(q.placements[w], w)
+		l.HasCopy = d.hasCopy(q.placements[w], w)
 	}
 	return l
 }
@@ -67,7 +67,7 @@
 			x.SinceLastAnswer = d.now - w.lastHeardAt
 		}
 		for _, placed := range w.placements {
-			if d.warm(placed, w) {
+			if d.hasCopy(placed, w) {
 				x.Copies++
 			}
 		}
@@ -99,7 +99,7 @@
 			}
 		}
 		for w, placed := range q.placements {
-			if w.State != Gone && d.warm(placed, w) {
+			if w.State != Gone && d.hasCopy(placed, w) {
 				x.Copies++
 			}
 		}
--- a/scheduler/state.go
+++ b/scheduler/state.go
@@ -6,7 +6,6 @@
 	"slices"
 	"time"
 
-	"kitehub/scheduler/index"
 	"kitehub/scheduler/ring"
 )
 
@@ -27,13 +26,11 @@
 	random            *rand.Rand
 	admission         admission
 	wakeAt            time.Duration
-	evictedFraction   float64     // share of copies believed to stand that had been pushed out
-	arrivals          index.Times // within the load window
-	orders            index.Times
-	superseded        bool            // another process has the budgets
-	desiredCopies     []DesiredCopies // by function
-	advisedRanks      []WorkerRank    // by worker
-	listGeneration    int             // taken in
+	evictions         evictions
+	loadBudget        loadBudget
+	desiredCopies     adviceList[DesiredCopies]
+	advisedRanks      adviceList[WorkerRank]
+	listGeneration    int // taken in
 
 	indexes // of workers and queues: index.go
 }
@@ -52,8 +49,7 @@
 	errorRate           float64       // mean share of errors among its answers
 	avoidUntil          time.Duration // nothing that is not safe goes there until then, as it failed what others served
 	probedAt            time.Duration // when a question went out that has no answer; 0: none
-	loadBackoffUntil    time.Duration // no load there before
-	loadRejections      int           // loads in a row that it had no room for
+	loadBackoff         loadBackoff
 	warmingSince        time.Duration // start as told or as seen
 	outstandingWork     float64       // outstanding, seconds of run time
 	credit              float64       // seconds of run time that may go to it while it is cold
@@ -88,16 +84,6 @@
 	queueEntries
 }
 
-// A placement is what is known of a function at one worker.
-type placement struct {
-	lastSeenAt    time.Duration // when a copy was last seen there; 0: never
-	outstanding   int           // attempts out
-	leaders       int           // of them, those that may wait for a load
-	copies        int           // that stood when last told; 0: not told
-	pendingOrders int           // holds without an answer
-	loadStartedAt time.Duration // of the last such attempt or order
-}
-
 type request struct {
 	Arrival
 	queue         *queue
@@ -146,7 +132,7 @@
 
 // BudgetHandover returns what a process that takes over begins with.
 func (d *Dispatcher) BudgetHandover() BudgetHandover {
-	return BudgetHandover{d.orders.All(), d.arrivals.All()}
+	return d.loadBudget.handover()
 }
 
 // mayHaveRun returns the first attempt that may have run, or may yet.
--- a/scheduler/step.go
+++ b/scheduler/step.go
@@ -9,34 +9,28 @@
 
 // Tuned values. All are ratios of settings or of what is observed, but for the design's own figures.
 const (
-	alpha       = 2.0  // queue TTL in inter-arrival times: keeps a function's home while calls are likely
-	overrun     = 10.0 // T, seconds of run time a queue may lead Global_VT: batches, yet no monopoly
-	meanWeight  = 0.2  // of a new run time or gap in its mean: follows a change in some five calls
-	meanClip    = 4.0  // a sample counts as at most so many means: one rare long call is not the rule
-	guessRun    = 0.25 // run time before the first answer, of the aim
-	renewAfter  = 0.6  // idle share of the keep-alive before a hold renews a copy (5 s at 8.4 s)
-	ringPoints  = 48   // of an average worker: even arcs, and a lost home's functions go to many others
-	quietRuns   = 3.0  // no answer for so many mean runs: ask the worker whether it lives
-	ejectDials  = 4.0  // first time off the ring, in dial time-outs; doubles for each further failure
-	ejectCold   = 0.5  // longest time off the ring, of the warm-up time
-	errorOver   = 0.5  // share of errors over its peers' at which it is the worker that fails, not the calls
-	askDials    = 3.0  // dial time-outs that a question may go without an answer
-	strikeOut   = 2    // failures in a row that take a worker off the ring
-	coldPart    = 0.5  // of what a cold worker may be sent beyond its share: calls differ, workers too
-	coldCores   = 1.0  // cores a cold worker is taken to have where little is answered: it is never told
-	ownLoads    = 2    // sends at once to one worker where a load is likely: the store is shared by all
-	guessLoad   = 1.5  // load time before one was seen, of the aim
-	spillAfter  = 0.25 // wait at a busy home, of the aim, before a further copy is worth its load
-	spillCrowd  = 10.0 // added to it for each share of believed copies that had been pushed out
-	crowdWeight = 0.02 // of one answer in that share
-	leadLoads   = 2    // load times that others wait for the request that began a load
-	jitter      = 0.5  // of a time off the ring or to come back: who saw the same does not return in step
-	coldDraws   = 4.0  // standard deviations from what a cold worker is sent to its bound
-	creditKeep  = 3.0  // windows in which unused credit for a cold worker fades
-	wantPart    = 0.5  // of the load budget that advice may use: calls need the rest
-	wantCrowded = 0.1  // share of copies pushed out above which nothing more is loaded on advice alone
-	preferArc   = 1.5  // of its arc, for a worker that is advised rather than others
-	graceTicks  = 2    // ticks kept for our own answer before the deadline
+	alpha      = 2.0  // queue TTL in inter-arrival times: keeps a function's home while calls are likely
+	overrun    = 10.0 // T, seconds of run time a queue may lead Global_VT: batches, yet no monopoly
+	meanWeight = 0.2  // of a new run time or gap in its mean: follows a change in some five calls
+	meanClip   = 4.0  // a sample counts as at most so many means: one rare long call is not the rule
+	guessRun   = 0.25 // run time before the first answer, of the aim
+	ringPoints = 48   // of an average worker: even arcs, and a lost home's functions go to many others
+	quietRuns  = 3.0  // no answer for so many mean runs: ask the worker whether it lives
+	ejectDials = 4.0  // first time off the ring, in dial time-outs; doubles for each further failure
+	ejectCold  = 0.5  // longest time off the ring, of the warm-up time
+	errorOver  = 0.5  // share of errors over its peers' at which it is the worker that fails, not the calls
+	askDials   = 3.0  // dial time-outs that a question may go without an answer
+	strikeOut  = 2    // failures in a row that take a worker off the ring
+	coldPart   = 0.5  // of what a cold worker may be sent beyond its share: calls differ, workers too
+	coldCores  = 1.0  // cores a cold worker is taken to have where little is answered: it is never told
+	ownLoads   = 2    // sends at once to one worker where a load is likely: the store is shared by all
+	spillAfter = 0.25 // wait at a busy home, of the aim, before a further copy is worth its load
+	spillCrowd = 10.0 // added to it for each share of believed copies that had been pushed out
+	jitter     = 0.5  // of a time off the ring or to come back: who saw the same does not return in step
+	coldDraws  = 4.0  // standard deviations from what a cold worker is sent to its bound
+	creditKeep = 3.0  // windows in which unused credit for a cold worker fades
+	preferArc  = 1.5  // of its arc, for a worker that is advised rather than others
+	graceTicks = 2    // ticks kept for our own answer before the deadline
 )
 
 // New returns a dispatcher for one controller, or an error that names the wrong field. Draws use the seed.
@@ -45,7 +39,8 @@
 		return nil, err
 	}
 	d := &Dispatcher{settings: s, workers: map[WorkerID]*worker{}, queues: map[FunctionID]*queue{},
-		requests: map[RequestID]*request{}, admission: newAdmission(),
+		requests: map[RequestID]*request{}, admission: newAdmission(), loadBudget: newLoadBudget(s.Loading),
+		desiredCopies: newDesiredCopies(), advisedRanks: newWorkerRanks(),
 		random: rand.New(rand.NewPCG(seed, seed)),
 		ring:   ring.Ring[*worker]{Hash: func(id uint64, i int) uint64 { return mix(mix(id) + uint64(i)) }}}
 	for _, c := range s.Classes {
@@ -74,29 +69,25 @@
 		case LoadOrderEnded:
 			d.loadOrderEnded(e)
 		case ProbeEnded:
-			d.answered(d.workers[e.Worker], e.Outcome)
+			d.workerAnswered(d.workers[e.Worker], e.Outcome)
 		case StagedCopies:
-			d.stage(e)
+			d.stageCopies(e)
 		case BudgetHandover:
-			d.orders.Add(e.Orders...)
-			d.arrivals.Add(e.Arrivals...)
+			d.loadBudget.inherit(e)
 		case Superseded:
-			d.superseded = e.On
+			d.loadBudget.superseded = e.On
 		case DesiredCopies:
-			d.desiredCopies = replace(d.desiredCopies, e,
-				func(o DesiredCopies) uint64 { return uint64(o.Function) },
-				e.Copies > 0)
+			d.desiredCopies.set(e, e.Copies > 0)
 		case WorkerRank:
 			d.ranksStale = true
-			d.advisedRanks = replace(d.advisedRanks, e, func(o WorkerRank) uint64 { return uint64(o.Worker) },
-				e.Rank != 0)
+			d.advisedRanks.set(e, e.Rank != 0)
 		}
 	}
 	d.applyRanks()
 	d.sweep()
 	d.health()
 	d.dispatch()
-	d.renew()
+	d.renewCopies()
 	d.loadDesiredCopies()
 	d.wake()
 	return d.actions
