--- a/scheduler/advice_test.go
+++ b/scheduler/advice_test.go
@@ -170,7 +170,7 @@
 	w.warmingSince, w.StartedAt = 4*time.Second, 4*time.Second
 	old.Step(5*time.Second, []Event{Superseded{On: true}})
 	w.credit = 100
-	if old.warmupFraction(w) < 1 && old.coldRoom(w, 0.001) {
+	if old.warmupFraction(w) < 1 && old.admitWarming(w, 0.001) {
 		t.Error("a retired one sends to a cold worker")
 	}
 	if old.warmupFraction(w) >= 1 {
--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -129,7 +129,7 @@
 	}
 	w.outstanding++
 	d.watch(w)
-	w.outstandingWork += work
+	d.slowStart.sent(&w.warmup, work)
 	w.lastFunction = q.function
 	r.attempts = append(r.attempts, t)
 	d.do(Send{Request: r.Request, Worker: w.ID, Timeout: max(r.answerBy-d.now, d.settings.Tick)})
@@ -154,7 +154,7 @@
 	case TimedOut:
 		t.worker.limit.onTimeout(tokenStep(d.settings.Controllers))
 		d.workerAnswered(t.worker, TimedOut)
-		d.observeCrowding(r.queue, int(2*r.Lanes), r.Lanes, d.warmupFraction(t.worker) >= 1)
+		d.observeCrowding(r.queue, int(2*r.Lanes), r.Lanes, d.isWarm(t.worker))
 	default:
 		d.workerAnswered(t.worker, e.Outcome)
 		d.failed(t.worker, e)
@@ -183,7 +183,7 @@
 	took := e.Took.Seconds()
 	slow := e.Took > d.settings.Classes[r.Class].LatencyObjective ||
 		took > slowFrom(d.settings.Controllers, r.Lanes)*d.usualLatencyRatio()*d.classRunTime[r.Class]
-	d.observeCrowding(r.queue, e.SameFunction, r.Lanes, slow && d.warmupFraction(w) >= 1)
+	d.observeCrowding(r.queue, e.SameFunction, r.Lanes, slow && d.isWarm(w))
 	waited := e.Note == StartedLoad || e.Note == AwaitedLoad
 	if !waited && (e.Note == FoundWarm || !t.awaitsLoad) {
 		r.queue.meanRunTime = mean(r.queue.meanRunTime, took)
@@ -199,7 +199,7 @@
 	w := t.worker
 	d.workerAnswered(w, OK)
 	w.limit.onRejection()
-	d.observeCrowding(r.queue, e.SameFunction, r.Lanes, d.warmupFraction(w) >= 1)
+	d.observeCrowding(r.queue, e.SameFunction, r.Lanes, d.isWarm(w))
 	if len(r.attempts) >= d.settings.Limits.MaxAttempts {
 		d.observe(r, false)
 	}
@@ -238,14 +238,7 @@
 	d.touch(r.queue)
 	r.queue.inFlight--
 	r.queue.lastActiveAt = d.now
-	t.worker.outstandingWork = max(0, t.worker.outstandingWork-t.work)
-	switch o {
-	case OK:
-		d.answeredRunTime += t.work
-	case ConnectFailed, NotStarted:
-	default: // it has weighed on the worker, and may still
-		t.worker.credit -= t.work
-	}
+	d.slowStart.ended(&t.worker.warmup, t.work, o)
 }
 
 // mayReject: a refusal tells the client that another try does no harm.
--- a/scheduler/index.go
+++ b/scheduler/index.go
@@ -25,7 +25,7 @@
 	examining  bool      // it is under way
 	ejected    int       // listed and ejected
 	ranksStale bool      // the list or the advice on workers has changed
-	shares     float64   // of the ready workers, in order, up to summed: see readyShares
+	capacity   float64   // of the ready workers, in order, up to summed: see readyCapacity
 	summed     int
 	paces      index.Numbers // of listed workers that have one
 	failings   index.Numbers // of listed workers
@@ -254,7 +254,7 @@
 // with an attempt out.
 func (d *Dispatcher) watched() iter.Seq[*worker] {
 	return func(yield func(*worker) bool) {
-		d.shares, d.summed = 0, 0
+		d.capacity, d.summed = 0, 0
 		d.examined = append(d.examined[:0], d.watchList...) // what is yielded may leave the list
 		d.examining = true
 		defer func() { d.examining = false }()
@@ -281,16 +281,16 @@
 	}
 }
 
-// readyShares returns how many workers are ready, the cold ones by their share, each as it was when health
+// readyCapacity returns how many workers are ready, the cold ones by their share, each as it was when health
 // came to it in this step.
-func (d *Dispatcher) readyShares() float64 {
-	d.sumShares(nil)
-	return d.shares
+func (d *Dispatcher) readyCapacity() float64 {
+	d.sumCapacity(nil)
+	return d.capacity
 }
 
-// sumShares goes on adding up the shares of workers that are ready, up to and with the last one, or all.
+// sumCapacity goes on adding up the shares of workers that are ready, up to and with the last one, or all.
 // They are added in order, as the sum of fractions depends on it.
-func (d *Dispatcher) sumShares(last *worker) {
+func (d *Dispatcher) sumCapacity(last *worker) {
 	for ; d.summed < len(d.order); d.summed++ {
 		w := d.order[d.summed]
 		if last != nil && w.ID > last.ID {
@@ -298,7 +298,7 @@
 		}
 		d.effort.Summed++
 		if d.ready(w) {
-			d.shares += d.warmupFraction(w)
+			d.capacity += d.warmupFraction(w)
 		}
 	}
 }
@@ -308,7 +308,7 @@
 		return
 	}
 	if d.examining { // it counts as it was so far; those after it count with one more ejected, or one less
-		d.sumShares(w)
+		d.sumCapacity(w)
 	}
 	w.ejected = ejected
 	switch {
--- a/scheduler/index_test.go
+++ b/scheduler/index_test.go
@@ -457,11 +457,11 @@
 	if !first.ejected || second.ejected || d.effort.Summed > 2 {
 		t.Fatalf("ejected %v and %v, want the first only; %d shares added up on the way, want 2 at the most", first.ejected, second.ejected, d.effort.Summed)
 	}
-	if got := d.readyShares(); got != 3 {
+	if got := d.readyCapacity(); got != 3 {
 		t.Errorf("%v ready, want all 3: two of three were under suspicion when health came to the first two", got)
 	}
 	d.health()
-	if got := d.readyShares(); got != 2 {
+	if got := d.readyCapacity(); got != 2 {
 		t.Errorf("%v ready in the next step, want 2", got)
 	}
 	checkWorkers(t, d)
--- a/scheduler/ring.go
+++ b/scheduler/ring.go
@@ -6,6 +6,9 @@
 	"slices"
 )
 
+// ringPoint is the place of a worker's i-th point on the ring.
+func ringPoint(id uint64, i int) uint64 { return mix(mix(id) + uint64(i)) }
+
 func (d *Dispatcher) buildRing() {
 	var sum float64
 	for _, w := range d.order {
@@ -65,9 +68,7 @@
 			}
 		}
 		if i.StartedAt > w.StartedAt && i.StartedAt > w.warmingSince {
-			w.warmingSince, w.credit, w.creditAt, w.answeredAtCredit = i.StartedAt, 0, i.StartedAt,
-				d.answeredRunTime
-			w.fairRate = coldCores / float64(d.settings.Controllers) // the least: it is not told
+			d.slowStart.begin(&w.warmup, i.StartedAt)
 			w.limit.onRestart()
 		}
 		w.WorkerInfo, w.listGeneration = i, d.listGeneration
@@ -136,13 +137,13 @@
 	}
 	switch {
 	case warm:
-		if d.hasRoom(r, w, placed) && d.coldRoom(w, d.classRunTime[r.Class]) {
+		if d.hasRoom(r, w, placed) && d.admitWarming(w, d.classRunTime[r.Class]) {
 			if s.home != nil {
 				d.ensureCopy(s.queue, s.home)
 			}
 			return true
 		}
-	case d.warmupFraction(w) < 1:
+	case !d.isWarm(w):
 		return d.considerCold(s, w)
 	case placed.loading(d.now, d.loadTime(r)):
 		s.loading = true
@@ -162,7 +163,7 @@
 	switch {
 	case s.home != nil:
 	case w.awaitingLoad < ownLoads && w.loadBackoff.allows(d.now) && d.takes(s.request, w) &&
-		d.coldRoom(w, d.classRunTime[s.request.Class]):
+		d.admitWarming(w, d.classRunTime[s.request.Class]):
 		return true
 	case d.ensureCopy(s.queue, w):
 		s.home, s.loading = w, true
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -1,53 +1,174 @@
 package scheduler
 
-import "math"
+import (
+	"math"
+	"math/rand/v2"
+	"time"
+)
 
-// warmupFraction is the part of its capacity that a worker has now at least.
-func (d *Dispatcher) warmupFraction(w *worker) float64 {
-	g := d.settings.Guarantees
-	if w.warmingSince <= 0 || d.now-w.warmingSince >= g.WarmupTime {
+const (
+	// marginPart is the part of the collapse factor beyond 1 that is used. The rest is a margin, as run times
+	// differ and a worker may be far smaller than its peers.
+	marginPart = 0.5
+	// assumedCores is the capacity of a worker that is assumed where little is answered: it is never
+	// reported.
+	assumedCores = 1.0
+	// marginDeviations is the distance in standard deviations between the average that is sent in a window
+	// and the bound, as what independent controllers send in a window varies by chance.
+	marginDeviations = 4.0
+	// creditWindows is the time constant in collapse windows with which unused credit fades. A quiet spell
+	// cannot be saved up, yet a controller with a request in several windows can use its credit.
+	creditWindows = 3.0
+)
+
+// slowStart keeps workers that have started recently from being pushed over.
+//
+// A warming worker has only a part of its capacity, which grows with time. If within some window it is sent
+// more than a multiple of that, it collapses. All controllers send to it, without a word between them, so
+// each keeps to a part of the bound that is its own, by two measures:
+//
+//   - What is outstanding. Work sent in a window is what the worker finishes in it plus what is outstanding,
+//     so that an equal part of (factor-1) x fraction x one core x window may be outstanding for each
+//     controller.
+//   - Credit, as with many controllers that part is less than a single request. Each request that is answered
+//     anywhere earns every warming worker a fraction of an even part of its run time. What is answered cannot
+//     exceed what all workers can do, so that the credits of all controllers stay within one worker's part,
+//     however the traffic is spread over controllers.
+//
+// Where credit covers a part of a request only, it is wagered: a draw with that probability decides, which
+// keeps the sum on the average. Windows that hold few requests would exceed the bound by chance. So the
+// average is kept marginDeviations below it, and a window of fewer than marginDeviations requests gets
+// none.
+//
+// All work and credit is in seconds of run time.
+type slowStart struct {
+	guarantees  Guarantees
+	controllers float64
+	answered    float64 // work of all that this controller's workers have answered
+	random      *rand.Rand
+}
+
+func newSlowStart(settings *Settings, random *rand.Rand) slowStart {
+	return slowStart{guarantees: settings.Guarantees, controllers: float64(settings.Controllers),
+		random: random}
+}
+
+// A warmup is the state of one worker in slow start.
+type warmup struct {
+	warmingSince     time.Duration // when it started, as the list said; 0: long ago
+	outstandingWork  float64       // of this controller
+	credit           float64       // that may be sent to it; below 0 for work that was sent and not answered
+	creditAt         time.Duration // when credit was last added
+	answeredAtCredit float64       // slowStart.answered then
+	fairRate         float64       // mean work a second that this controller sees answered for one worker
+}
+
+// begin notes that a worker has started.
+func (s *slowStart) begin(w *warmup, startedAt time.Duration) {
+	w.warmingSince = startedAt
+	w.credit = 0
+	w.creditAt = startedAt
+	w.answeredAtCredit = s.answered
+	w.fairRate = assumedCores / s.controllers // the least, as its capacity is not known
+}
+
+// fraction is the part of its capacity that a worker has now at least: 1 once it is warm.
+func (s *slowStart) fraction(w *warmup, now time.Duration) float64 {
+	g := s.guarantees
+	if w.warmingSince <= 0 || now-w.warmingSince >= g.WarmupTime {
 		return 1
 	}
-	return g.WarmupFraction + (1-g.WarmupFraction)*float64(max(0, d.now-w.warmingSince))/float64(g.WarmupTime)
-}
-
-// coldRoom keeps a cold worker from being pushed over by all controllers together, with no word between them.
-// Work sent in a window is what the worker finishes plus what is outstanding: an equal part of (factor-1) x
-// share x one core x window may be. Where that is under a call, each call answered anywhere gives credit for
-// its share of a worker's even part: what is answered cannot pass what the fleet can do, however traffic is
-// spread. Unused credit fades; part of a call is staked on a draw, which keeps the sum on the average.
-// Exception where a window holds few calls: draws then pass it by chance, and one call may by itself. The
-// average is kept coldDraws standard deviations below what it holds, judged by what this controller sees
-// answered; a window of fewer than coldDraws calls gets none.
-func (d *Dispatcher) coldRoom(w *worker, work float64) bool {
-	share, g, n := d.warmupFraction(w), d.settings.Guarantees, float64(d.settings.Controllers)
-	if share >= 1 || d.loadBudget.superseded {
-		return share >= 1
-	}
-	window, dt := creditKeep*g.CollapseWindow.Seconds(), max(0, (d.now-max(w.creditAt,
-		w.warmingSince)).Seconds())
-	kept, gain := math.Exp(-dt/window), 0.0
-	if dt > 0 {
-		gain = max((d.answeredRunTime-w.answeredAtCredit)/max(d.readyShares(), 1)/dt, coldCores/n)
-		w.fairRate += (gain - w.fairRate) * (1 - kept)
+	return g.WarmupFraction + (1-g.WarmupFraction)*float64(max(0, now-w.warmingSince))/float64(g.WarmupTime)
+}
+
+// sent notes work that was sent to a worker.
+func (s *slowStart) sent(w *warmup, work float64) { w.outstandingWork += work }
+
+// ended notes the outcome of work that was sent to a worker, whether it is warming or not.
+func (s *slowStart) ended(w *warmup, work float64, outcome Outcome) {
+	w.outstandingWork = max(0, w.outstandingWork-work)
+	switch outcome {
+	case OK:
+		s.answered += work
+	case ConnectFailed, NotStarted:
+	default: // it has weighed on the worker, and may still
+		w.credit -= work
 	}
-	// Calls in a window, by all controllers.
-	holds := g.CollapseFactor * share * w.fairRate * n * g.CollapseWindow.Seconds() / work
-	mean := math.Pow(math.Sqrt(holds+coldDraws*coldDraws/4)-coldDraws/2, 2) / holds
-	multiple := min(1+coldPart*(g.CollapseFactor-1), g.CollapseFactor*mean)
-	w.credit = w.credit*kept + multiple*share*gain*window*(1-kept)
-	w.creditAt, w.answeredAtCredit = d.now, d.answeredRunTime
-	if holds < coldDraws {
+}
+
+// admit tells whether a warming worker may be sent work now, and charges its credit. Ready returns the
+// number of ready workers, warming ones by their fraction; it is called only if credit is added. One draw
+// is made where credit is wagered.
+func (s *slowStart) admit(w *warmup, now time.Duration, work float64, ready func() float64) bool {
+	fraction := s.fraction(w, now)
+	perWindow := s.accrue(w, now, work, fraction, ready)
+	if perWindow < marginDeviations {
 		w.credit = min(0, w.credit)
 		return false
 	}
-	free := (g.CollapseFactor-1)*share*coldCores*g.CollapseWindow.Seconds()/n -
-		w.outstandingWork + min(0, w.credit)
-	if w.credit >= work || free >= work {
+	if w.credit >= work || s.maySendNow(w, fraction) >= work {
 		w.credit = max(w.credit-work, min(0, w.credit))
 		return true
 	}
-	stake := max(0, w.credit)
-	w.credit -= stake
-	return d.random.Float64()*work < stake
+	wager := max(0, w.credit)
+	w.credit -= wager
+	return s.random.Float64()*work < wager
+}
+
+// accrue adds the credit earned since it was last added, and returns how many requests of this much work the
+// bound lets all controllers together send in a window.
+func (s *slowStart) accrue(
+	w *warmup, now time.Duration, work, fraction float64, ready func() float64,
+) float64 {
+	g := s.guarantees
+	elapsed := max(0, (now - max(w.creditAt, w.warmingSince)).Seconds())
+	fade := creditWindows * g.CollapseWindow.Seconds()
+	kept := math.Exp(-elapsed / fade)
+	rate := 0.0
+	if elapsed > 0 {
+		rate = max((s.answered-w.answeredAtCredit)/max(ready(), 1)/elapsed, assumedCores/s.controllers)
+		w.fairRate += (rate - w.fairRate) * (1 - kept)
+	}
+	bound := g.CollapseFactor * fraction * w.fairRate * s.controllers * g.CollapseWindow.Seconds()
+	perWindow := bound / work
+	w.credit = w.credit*kept + s.multiple(perWindow)*fraction*rate*fade*(1-kept)
+	w.creditAt = now
+	w.answeredAtCredit = s.answered
+	return perWindow
+}
+
+// multiple is how many times its capacity a warming worker may be sent on the average, if the bound is so
+// many requests in a window: their number varies by its square root.
+func (s *slowStart) multiple(perWindow float64) float64 {
+	factor := s.guarantees.CollapseFactor
+	deviation := math.Sqrt(perWindow + marginDeviations*marginDeviations/4)
+	average := math.Pow(deviation-marginDeviations/2, 2)
+	return min(1+marginPart*(factor-1), factor*(average/perWindow))
+}
+
+// maySendNow is how much more work may be outstanding at a worker, whatever its credit.
+func (s *slowStart) maySendNow(w *warmup, fraction float64) float64 {
+	g := s.guarantees
+	beyondCapacity := (g.CollapseFactor - 1) * fraction * assumedCores * g.CollapseWindow.Seconds()
+	return beyondCapacity/s.controllers - w.outstandingWork + min(0, w.credit)
+}
+
+// warmupFraction is the part of its capacity that a worker has now at least.
+func (d *Dispatcher) warmupFraction(w *worker) float64 {
+	return d.slowStart.fraction(&w.warmup, d.now)
+}
+
+// isWarm tells whether a worker has all of its capacity.
+func (d *Dispatcher) isWarm(w *worker) bool { return d.warmupFraction(w) >= 1 }
+
+// admitWarming tells whether a worker's slow start, if it is in one, lets a request through. A controller
+// that another process has taken over sends a warming worker nothing: its successor has the credit.
+func (d *Dispatcher) admitWarming(w *worker, work float64) bool {
+	switch {
+	case d.isWarm(w):
+		return true
+	case d.loadBudget.superseded:
+		return false
+	}
+	return d.slowStart.admit(&w.warmup, d.now, work, d.readyCapacity)
 }
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -1,314 +1,108 @@
-package scheduler_test
+package scheduler
 
 import (
-	"container/heap"
-	"fmt"
 	"math"
 	"math/rand/v2"
-	"slices"
-	"sort"
 	"testing"
 	"time"
-
-	"kitehub/internal/harness/workersim"
-	"kitehub/scheduler"
 )
 
-const ms = time.Millisecond
-
-// A coldCase is an installation in overload after most of its workers were killed at once.
-type coldCase struct {
-	controllers, workers int
-	rate, share, factor  float64
-	within, coldFor      time.Duration
-	killed               float64
-	work, load           time.Duration
-	burst                float64       // times the rate, once the first copies may stand
-	uneven               float64       // exponent of the Zipf law by which calls come to controllers; 0: evenly
-	late                 time.Duration // half of the controllers hear so much later that the workers are back
-	restarted            bool          // every third controller starts anew as they come back, and knows nothing else
+// warmingUp returns the slow start of one of so many controllers, with a worker that started at a minute. Warming
+// up takes ten seconds from a fifth of the capacity; a worker collapses at twice its capacity for two seconds.
+func warmingUp(controllers float64) (*slowStart, *warmup) {
+	s := &slowStart{controllers: controllers, random: rand.New(rand.NewPCG(3, 3)), guarantees: Guarantees{WarmupFraction: 0.2, WarmupTime: 10 * time.Second,
+		CollapseFactor: 2, CollapseWindow: 2 * time.Second}}
+	w := &warmup{}
+	s.begin(w, time.Minute)
+	return s, w
 }
 
-// A coldPlay is what came of a coldCase.
-type coldPlay struct {
-	peak         float64 // most that a cold worker was sent in a window, as a part of what the settings allow
-	over         float64 // the same as a part of the N + 2 x root of N + 2 calls of mean work that it stands, N being what they allow
-	cold, served int     // calls that cold workers were sent, and that were answered by any
-}
-
-// coldPeak plays it in virtual time against the model of workers.
-func coldPeak(t *testing.T, c coldCase, seed uint64) (p coldPlay) {
-	t.Helper()
-	const tick, functions = 2 * ms, 24
-	rng := rand.New(rand.NewPCG(seed, 5))
-	cfg := workersim.Config{Window: 4 * time.Second, Store: workersim.Store{Pace: 6, Limit: 30},
-		Cold: workersim.Cold{Share: c.share, For: c.coldFor, FallFactor: 100, FallWithin: c.within}}
-	var list []scheduler.WorkerInfo
-	for i := range c.workers {
-		cfg.Workers = append(cfg.Workers, workersim.Spec{Name: fmt.Sprint("w", i), Cores: 2, Speed: []float64{1, 0.7}[i%2], MemoryMB: 4000,
-			Queue: 24, LoadSlots: 3, IdleLife: 2 * time.Second, Eager: true})
-		list = append(list, scheduler.WorkerInfo{ID: scheduler.WorkerID(i + 1), State: scheduler.Ready, Group: i / 3})
-	}
-	var fns [functions]workersim.Function
-	weights := make([]float64, functions)
-	for i := range fns {
-		fns[i] = workersim.Function{Name: fmt.Sprint("f", i), MemoryMB: 500, Lanes: 2, Fetch: c.load, Start: 80 * ms}
-		weights[i] = 1 / math.Pow(float64(i+1), 0.9)
-		if i > 0 {
-			weights[i] += weights[i-1]
+func TestSlowStartFractionGrowsEvenly(t *testing.T) {
+	s, w := warmingUp(1)
+	for after, want := range map[time.Duration]float64{-time.Second: 0.2, 0: 0.2, 5 * time.Second: 0.6, 10 * time.Second: 1, time.Hour: 1} {
+		if got := s.fraction(w, time.Minute+after); math.Abs(got-want) > 1e-12 {
+			t.Errorf("%v after the start: fraction %v, want %v", after, got, want)
 		}
 	}
-	s := scheduler.Settings{Controllers: c.controllers, Tick: tick,
-		Classes: []scheduler.Class{{Name: "a", Idempotency: scheduler.Idempotent, LatencyObjective: 500 * ms, Deadline: 2500 * ms, PriorityWeight: 1}},
-		Limits:  scheduler.Limits{MaxAttempts: 3, MaxOpenRequests: 20000, DialTimeout: 250 * ms, Cancel: true},
-		Loading: scheduler.Loading{Orders: true, LoadsOnMiss: true, OnMissKnown: true, IdleCopyTTL: 2 * time.Second, OrderTimeout: 5 * time.Second,
-			BudgetWindow: 5 * time.Second, BudgetFree: 10, BudgetRatio: 0.1, LoadNotesGiven: true},
-		Guarantees: scheduler.Guarantees{DrainGrace: 500 * ms, WarmupFraction: c.share, WarmupTime: c.coldFor, CollapseFactor: c.factor, CollapseWindow: c.within}}
-	now := time.Hour
-	f := workersim.New(cfg, now)
-	portions := make([]float64, c.controllers) // of the calls, up to and with each controller
-	for i := range portions {
-		portions[i] = math.Pow(float64(i+1), -c.uneven)
-		if i > 0 {
-			portions[i] += portions[i-1]
-		}
-	}
-	ds, inbox := make([]*scheduler.Dispatcher, c.controllers), make([][]scheduler.Event, c.controllers)
-	for i := range ds {
-		s.ControllerIndex = i
-		d, err := scheduler.New(s, seed*1000+uint64(i))
-		if err != nil {
-			t.Fatal(err)
-		}
-		ds[i] = d
-		inbox[i] = []scheduler.Event{scheduler.ListUpdate{Kind: scheduler.CachedList, Workers: list}}
+	if got := s.fraction(&warmup{}, time.Second); got != 1 {
+		t.Errorf("worker that started long ago: fraction %v, want 1", got)
 	}
-	type call struct {
-		controller int
-		request    scheduler.RequestID
-		attempt    int
-		worker     int
-		sent       time.Duration
-		hold       int // function and 1 if an order
-	}
-	calls, wakes := map[uint64]call{}, &wakes{}
-	tries, functionOf := map[scheduler.RequestID]int{}, map[scheduler.RequestID]int{}
-	sent := make([][]time.Duration, c.workers)
-	next, request, arrive := uint64(1), scheduler.RequestID(0), now
-	killAt, backAt, end := now+4*time.Second, now+4500*ms, now+4500*ms+c.coldFor
-	for ; now < end; now += tick {
-		for _, e := range f.Advance(now) {
-			k, known := calls[e.ID]
-			if !known {
-				continue
-			}
-			switch e.Kind {
-			case workersim.Answered:
-				o := map[workersim.Outcome]scheduler.Outcome{workersim.OK: scheduler.OK, workersim.Full: scheduler.AtCapacity, workersim.Reset: scheduler.Reset,
-					workersim.Failed: scheduler.NotLoaded, workersim.Error: scheduler.Error}[e.Outcome]
-				if o == scheduler.OK {
-					p.served++
-				}
-				inbox[k.controller] = append(inbox[k.controller], scheduler.AttemptEnded{Request: k.request, Attempt: k.attempt,
-					Worker: scheduler.WorkerID(k.worker + 1), Outcome: o, Took: now - k.sent, Note: scheduler.LoadNote(e.Note), SameFunction: e.Alike})
-				delete(calls, e.ID)
-			case workersim.Stands:
-				o := scheduler.OK
-				if e.Outcome != workersim.OK {
-					o = scheduler.AtCapacity
-				}
-				inbox[k.controller] = append(inbox[k.controller], scheduler.LoadOrderEnded{Worker: scheduler.WorkerID(k.worker + 1),
-					Function: scheduler.FunctionID(k.hold), Outcome: o, Took: now - k.sent, Copies: e.Copies})
-				delete(calls, e.ID)
-			}
-		}
-		dead := int(c.killed * float64(c.workers))
-		if now == killAt {
-			for w := range dead {
-				f.Kill(w)
-			}
-		}
-		if now == backAt {
-			for w := range dead {
-				f.Start(w)
-				list[w].StartedAt = now
-			}
-			for i := range inbox {
-				if c.restarted && i%3 == 0 {
-					d, err := scheduler.New(s, seed*1000+uint64(c.controllers+i))
-					if err != nil {
-						t.Fatal(err)
-					}
-					ds[i], inbox[i] = d, []scheduler.Event{scheduler.ListUpdate{Kind: scheduler.CachedList, Workers: slices.Clone(list)}}
-				}
-			}
-		}
-		for i := range inbox {
-			told := backAt
-			if i%2 == 1 {
-				told += c.late
-			}
-			if now == told {
-				inbox[i] = append(inbox[i], scheduler.ListUpdate{Kind: scheduler.ListDelta, Workers: slices.Clone(list[:dead])})
+}
+
+func one() float64 { return 1 }
+
+// Without credit a controller may have outstanding at a worker what it may be sent beyond its capacity in a window:
+// 0.2 of a core for two seconds here, in equal parts for each controller.
+func TestSlowStartBoundsWhatIsOutstanding(t *testing.T) {
+	for controllers, want := range map[float64]int{1: 6, 2: 3, 8: 0} { // of 0.4 s, 0.2 s, 0.05 s
+		s, w := warmingUp(controllers)
+		const work = 0.0625
+		sent := 0
+		for range 20 {
+			if s.admit(w, time.Minute, work, one) {
+				s.sent(w, work)
+				sent++
 			}
 		}
-		rate := c.rate
-		if c.burst > 0 && now > backAt+c.load {
-			rate *= c.burst
-		}
-		for ; arrive <= now; arrive += time.Duration(rng.ExpFloat64() / rate * float64(time.Second)) {
-			request++
-			n, _ := slices.BinarySearch(weights, rng.Float64()*weights[functions-1])
-			i := min(sort.SearchFloat64s(portions, rng.Float64()*portions[c.controllers-1]), c.controllers-1)
-			functionOf[request] = n
-			inbox[i] = append(inbox[i], scheduler.Arrival{Request: request, Function: scheduler.FunctionID(n + 1), TimeLeft: 2500 * ms, Lanes: 2,
-				LoadTime: c.load + 80*ms})
-		}
-		for wakes.Len() > 0 && (*wakes)[0].at <= now {
-			k := heap.Pop(wakes).(wake)
-			inbox[k.controller] = append(inbox[k.controller], scheduler.Timer{Token: k.token})
-		}
-		for i, d := range ds {
-			if len(inbox[i]) == 0 {
-				continue
-			}
-			events := inbox[i]
-			inbox[i] = nil
-			for _, a := range d.Step(now, events) {
-				switch a := a.(type) {
-				case scheduler.Send:
-					w := int(a.Worker) - 1
-					k := call{controller: i, request: a.Request, attempt: tries[a.Request], worker: w, sent: now}
-					tries[a.Request]++
-					if !f.Up(w) {
-						inbox[i] = append(inbox[i], scheduler.AttemptEnded{Request: a.Request, Attempt: k.attempt, Worker: a.Worker, Outcome: scheduler.ConnectFailed})
-						continue
-					}
-					if at := f.Started(w); at > 0 && now < at+c.coldFor {
-						p.cold++
-						sent[w] = append(slices.DeleteFunc(sent[w], func(at time.Duration) bool { return at <= now-c.within }), now)
-						share := c.share + (1-c.share)*float64(now-at)/float64(c.coldFor)
-						can := cfg.Workers[w].Cores * cfg.Workers[w].Speed * share * c.within.Seconds()
-						n := c.factor * can / c.work.Seconds()
-						p.peak = max(p.peak, float64(len(sent[w]))/n)
-						p.over = max(p.over, float64(len(sent[w]))/(n+2*math.Sqrt(n)+2))
-					}
-					calls[next] = k
-					f.Call(w, workersim.Call{ID: next, Function: &fns[functionOf[a.Request]], Work: c.work.Seconds() * (0.5 + rng.Float64()), Mean: 0})
-					next++
-				case scheduler.LoadOrder:
-					w := int(a.Worker) - 1
-					if !f.Up(w) {
-						inbox[i] = append(inbox[i], scheduler.LoadOrderEnded{Worker: a.Worker, Function: a.Function, Outcome: scheduler.ConnectFailed})
-						continue
-					}
-					calls[next] = call{controller: i, worker: w, sent: now, hold: int(a.Function)}
-					f.Hold(w, next, &fns[a.Function-1], a.Copies)
-					next++
-				case scheduler.Probe:
-					o := scheduler.OK
-					if !f.Up(int(a.Worker) - 1) {
-						o = scheduler.ConnectFailed
-					}
-					inbox[i] = append(inbox[i], scheduler.ProbeEnded{Worker: a.Worker, Outcome: o})
-				case scheduler.Cancel:
-					for id, k := range calls {
-						if k.hold == 0 && k.request == a.Request && k.attempt == a.Attempt {
-							f.Cancel(k.worker, id)
-							delete(calls, id)
-							inbox[i] = append(inbox[i], scheduler.AttemptEnded{Request: a.Request, Attempt: a.Attempt,
-								Worker: scheduler.WorkerID(k.worker + 1), Outcome: scheduler.Cancelled, Took: now - k.sent})
-							break
-						}
-					}
-				case scheduler.Wake:
-					heap.Push(wakes, wake{a.At, a.Token, i})
-				}
-			}
+		if sent != want {
+			t.Errorf("%v controllers: %d requests of %v s outstanding, want %d", controllers, sent, work, want)
 		}
 	}
-	return p
 }
 
-// Wakes asked for, in the order of their times.
-type wake struct {
-	at         time.Duration
-	token      uint64
-	controller int
+// Work that failed at the worker counts against its credit, as it has weighed on it; work that never reached it
+// does not. Only answered work earns credit anywhere.
+func TestSlowStartChargesWorkThatMayHaveRun(t *testing.T) {
+	for outcome, want := range map[Outcome]struct{ credit, answered float64 }{
+		OK: {0, 0.5}, ConnectFailed: {}, NotStarted: {},
+		TimedOut: {-0.5, 0}, Reset: {-0.5, 0}, Error: {-0.5, 0}, Cancelled: {-0.5, 0}, AtCapacity: {-0.5, 0},
+	} {
+		s, w := warmingUp(3)
+		s.sent(w, 0.5)
+		s.ended(w, 0.5, outcome)
+		if w.outstandingWork != 0 || w.credit != want.credit || s.answered != want.answered {
+			t.Errorf("outcome %d: credit %v, answered %v, want %+v", outcome, w.credit, s.answered, want)
+		}
+	}
 }
 
-type wakes []wake
-
-func (w wakes) Len() int           { return len(w) }
-func (w wakes) Less(i, j int) bool { return w[i].at < w[j].at }
-func (w wakes) Swap(i, j int)      { w[i], w[j] = w[j], w[i] }
-func (w *wakes) Push(x any)        { *w = append(*w, x.(wake)) }
-func (w *wakes) Pop() any          { l := *w; x := l[len(l)-1]; *w = l[:len(l)-1]; return x }
-
-// Together the controllers keep the bound of a cold worker in overload, also where a window holds few calls or one.
-func TestColdBoundInOverload(t *testing.T) {
-	for _, c := range []coldCase{
-		{controllers: 3, workers: 12, rate: 600, share: 0.05, factor: 1.2, within: 300 * ms, coldFor: 4 * time.Second, killed: 0.6, work: 37 * ms, load: 150 * ms},
-		{controllers: 3, workers: 12, rate: 700, share: 0.1, factor: 1.6, within: 500 * ms, coldFor: 5 * time.Second, killed: 0.75, work: 37 * ms, load: 150 * ms},
-		{controllers: 16, workers: 12, rate: 600, share: 0.1, factor: 1.8, within: 500 * ms, coldFor: 5 * time.Second, killed: 0.75, work: 37 * ms, load: 150 * ms},
-		{controllers: 16, workers: 12, rate: 600, share: 0.2, factor: 2, within: time.Second, coldFor: 5 * time.Second, killed: 0.75, work: 37 * ms, load: 150 * ms},
-		{controllers: 16, workers: 12, rate: 600, share: 0.2, factor: 2, within: 500 * ms, coldFor: 10 * time.Second, killed: 0.75, work: 37 * ms, load: 2 * time.Second},
-		{controllers: 3, workers: 12, rate: 200, share: 0.2, factor: 2, within: 500 * ms, coldFor: 10 * time.Second, killed: 0.3, work: 37 * ms, load: 1 * time.Second, burst: 4},
-		{controllers: 3, workers: 12, rate: 100, share: 0.2, factor: 2, within: 500 * ms, coldFor: 10 * time.Second, killed: 0.3, work: 10 * ms, load: 1 * time.Second, burst: 20},
-	} {
-		t.Run(fmt.Sprintf("%d controllers, bound %v x %v x %v", c.controllers, c.share, c.factor, c.within), func(t *testing.T) {
-			t.Parallel()
-			var most float64
-			var over, sent, served int
-			const seeds = 4
-			for seed := range uint64(seeds) {
-				p := coldPeak(t, c, seed+1)
-				most, sent, served = max(most, p.peak), sent+p.cold, served+p.served
-				if p.peak > 1 {
-					over++
-				}
-			}
-			t.Logf("most sent %.2f of the bound; %d calls to cold workers, %d served in all", most, sent, served)
-			if over > 0 {
-				t.Errorf("passed in %d days of %d", over, seeds)
-			}
-			if sent < 20*seeds {
-				t.Errorf("%d calls to cold workers, want them used", sent)
-			}
-		})
+// Where a window holds fewer requests than the margin, nothing is sent, and credit is not saved up for it.
+func TestSlowStartSendsNothingWhereAWindowHoldsTooFewRequests(t *testing.T) {
+	s, w := warmingUp(1)
+	w.credit = 100
+	if s.admit(w, time.Minute, 1, one) { // the window holds 0.8 requests of a second
+		t.Error("a request is sent")
+	}
+	if w.credit != 0 {
+		t.Errorf("credit %v is kept", w.credit)
 	}
 }
 
-// The sum of many controllers that share no word stays under what a cold worker stands, N + 2 x root of N + 2 calls, however
-// unevenly calls come to them, though some hear of the start late or have just started themselves; and cold workers are used.
-func TestColdBoundOfManyControllers(t *testing.T) {
-	for _, n := range []int{20, 30, 300} {
-		for _, c := range []coldCase{
-			{rate: 60, share: 0.2, factor: 3, within: 3 * time.Second, coldFor: 9 * time.Second, killed: 0.5, work: 150 * ms, load: time.Second},
-			{rate: 110, share: 0.3, factor: 3, within: 3 * time.Second, coldFor: 9 * time.Second, killed: 0.5, work: 150 * ms, load: time.Second, burst: 2},
-			{rate: 200, share: 0.25, factor: 2, within: time.Second, coldFor: 6 * time.Second, killed: 0.6, work: 60 * ms, load: 300 * ms, burst: 2},
-		} {
-			c.controllers, c.workers = n, 12
-			for _, uneven := range []float64{0, 1} {
-				c.uneven, c.late, c.restarted = uneven, 1500*ms, uneven > 0
-				t.Run(fmt.Sprintf("%d controllers, %v calls a second, uneven %v", n, c.rate, uneven), func(t *testing.T) {
-					t.Parallel()
-					var over float64
-					sent := 0
-					const seeds = 3
-					for seed := range uint64(seeds) {
-						p := coldPeak(t, c, seed+1)
-						over, sent = max(over, p.over), sent+p.cold
-					}
-					t.Logf("most %.2f of what it stands; %d calls to cold workers", over, sent)
-					if over > 1 {
-						t.Errorf("a cold worker was sent %.2f of what it stands", over)
-					}
-					if sent < 20*seeds {
-						t.Errorf("%d calls to cold workers, want them used", sent)
-					}
-				})
+// Over a long time the work that is admitted follows the credit: here nothing may be outstanding beyond it, as
+// there are so many controllers, and what one of them sees answered is small.
+func TestSlowStartWagersCreditForParts(t *testing.T) {
+	const controllers, work = 100, 0.02
+	admitted, wagered := 0.0, false
+	random := rand.New(rand.NewPCG(3, 3))
+	for range 200 {
+		s, w := warmingUp(controllers)
+		s.random = random
+		s.sent(w, 1) // more than may be outstanding
+		for now := time.Minute; now < time.Minute+5*time.Second; now += 100 * ms {
+			s.answered += 0.001 // a hundredth of a core, as all hundred controllers see it: one core in all
+			before := w.credit
+			if s.admit(w, now, work, one) {
+				admitted += work
+				wagered = wagered || before < work
 			}
 		}
 	}
+	// One core's even part for 5 s, at an average fraction of 0.4 and 1 to 1.5 times it, over the controllers.
+	rate := admitted / 200 * controllers / 5
+	if rate < 0.2 || rate > 0.6 {
+		t.Errorf("%v s of work a second by all controllers, want about 0.4", rate)
+	}
+	if !wagered {
+		t.Error("no part of a request was wagered: nothing was tested")
+	}
 }
--- a/scheduler/state.go
+++ b/scheduler/state.go
@@ -22,7 +22,7 @@
 	openRequests      []*request // in order of arrival
 	globalVirtualTime float64
 	classRunTime      []float64 // mean run time of a class, seconds
-	answeredRunTime   float64   // run time of all that was answered, seconds
+	slowStart         slowStart
 	random            *rand.Rand
 	admission         admission
 	wakeAt            time.Duration
@@ -50,18 +50,13 @@
 	avoidUntil          time.Duration // nothing that is not safe goes there until then, as it failed what others served
 	probedAt            time.Duration // when a question went out that has no answer; 0: none
 	loadBackoff         loadBackoff
-	warmingSince        time.Duration // start as told or as seen
-	outstandingWork     float64       // outstanding, seconds of run time
-	credit              float64       // seconds of run time that may go to it while it is cold
-	creditAt            time.Duration // when credit was last added
-	answeredAtCredit    float64       // Dispatcher.served then
-	rank                int           // as advised
-	advisedLoadAt       time.Duration // the step in which an advised order was seen to be out there
-	fairRate            float64       // run time a second that this controller has answered for a worker, while it is cold
-	lastFunction        FunctionID
-	listGeneration      int // the last list that named it
-	member              ring.Member[*worker]
-	placements          map[*queue]*placement // the same as the queues'
+	warmup
+	rank           int           // as advised
+	advisedLoadAt  time.Duration // the step in which an advised order was seen to be out there
+	lastFunction   FunctionID
+	listGeneration int // the last list that named it
+	member         ring.Member[*worker]
+	placements     map[*queue]*placement // the same as the queues'
 }
 
 type queue struct {
--- a/scheduler/step.go
+++ b/scheduler/step.go
@@ -21,14 +21,10 @@
 	errorOver  = 0.5  // share of errors over its peers' at which it is the worker that fails, not the calls
 	askDials   = 3.0  // dial time-outs that a question may go without an answer
 	strikeOut  = 2    // failures in a row that take a worker off the ring
-	coldPart   = 0.5  // of what a cold worker may be sent beyond its share: calls differ, workers too
-	coldCores  = 1.0  // cores a cold worker is taken to have where little is answered: it is never told
 	ownLoads   = 2    // sends at once to one worker where a load is likely: the store is shared by all
 	spillAfter = 0.25 // wait at a busy home, of the aim, before a further copy is worth its load
 	spillCrowd = 10.0 // added to it for each share of believed copies that had been pushed out
 	jitter     = 0.5  // of a time off the ring or to come back: who saw the same does not return in step
-	coldDraws  = 4.0  // standard deviations from what a cold worker is sent to its bound
-	creditKeep = 3.0  // windows in which unused credit for a cold worker fades
 	preferArc  = 1.5  // of its arc, for a worker that is advised rather than others
 	graceTicks = 2    // ticks kept for our own answer before the deadline
 )
@@ -38,11 +34,20 @@
 	if err := s.check(); err != nil {
 		return nil, err
 	}
-	d := &Dispatcher{settings: s, workers: map[WorkerID]*worker{}, queues: map[FunctionID]*queue{},
-		requests: map[RequestID]*request{}, admission: newAdmission(), loadBudget: newLoadBudget(s.Loading),
-		desiredCopies: newDesiredCopies(), advisedRanks: newWorkerRanks(),
-		random: rand.New(rand.NewPCG(seed, seed)),
-		ring:   ring.Ring[*worker]{Hash: func(id uint64, i int) uint64 { return mix(mix(id) + uint64(i)) }}}
+	random := rand.New(rand.NewPCG(seed, seed))
+	d := &Dispatcher{
+		settings:      s,
+		random:        random,
+		workers:       map[WorkerID]*worker{},
+		ring:          ring.Ring[*worker]{Hash: ringPoint},
+		queues:        map[FunctionID]*queue{},
+		requests:      map[RequestID]*request{},
+		admission:     newAdmission(),
+		loadBudget:    newLoadBudget(s.Loading),
+		slowStart:     newSlowStart(&s, random),
+		desiredCopies: newDesiredCopies(),
+		advisedRanks:  newWorkerRanks(),
+	}
 	for _, c := range s.Classes {
 		d.classRunTime = append(d.classRunTime, guessRun*c.LatencyObjective.Seconds())
 	}
