--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -157,7 +157,8 @@
 		d.observeCrowding(r.queue, int(2*r.Lanes), r.Lanes, d.isWarm(t.worker))
 	default:
 		d.workerAnswered(t.worker, e.Outcome)
-		d.failed(t.worker, e)
+		ownError := e.Outcome == Error && e.Note != LoadFailed
+		d.outliers.onError(&t.worker.workerHealth, ownError, d.now)
 	}
 	if e.Complete || e.Outcome == OK {
 		d.end(r)
@@ -169,27 +170,26 @@
 func (d *Dispatcher) afterSuccess(r *request, t *attempt, placed *placement, e AttemptEnded) {
 	w := t.worker
 	d.workerAnswered(w, OK)
-	w.consecutiveFailures = 0
 	d.observe(r, !d.overdue(r))
 	if e.Note == StartedLoad {
 		w.loadBackoff.loaded()
 	}
-	w.ejections = 0
-	d.setErrorRate(w, w.errorRate*(1-meanWeight))
+	d.outliers.onSuccess(&w.workerHealth)
 	placed.lastSeenAt = d.now
 	if !t.awaitsLoad {
 		d.evictions.observe(e.Note == StartedLoad && e.SameFunction == 0)
 	}
 	took := e.Took.Seconds()
 	slow := e.Took > d.settings.Classes[r.Class].LatencyObjective ||
-		took > slowFrom(d.settings.Controllers, r.Lanes)*d.usualLatencyRatio()*d.classRunTime[r.Class]
+		took > slowFrom(d.settings.Controllers, r.Lanes)*d.peerLatency.median()*d.classRunTime[r.Class]
 	d.observeCrowding(r.queue, e.SameFunction, r.Lanes, slow && d.isWarm(w))
 	waited := e.Note == StartedLoad || e.Note == AwaitedLoad
 	if !waited && (e.Note == FoundWarm || !t.awaitsLoad) {
 		r.queue.meanRunTime = mean(r.queue.meanRunTime, took)
 		d.classRunTime[r.Class] = mean(d.classRunTime[r.Class], took)
-		d.setLatencyRatio(w, mean(w.limit.latencyRatio, took/d.classRunTime[r.Class]))
-		headroom := slowFrom(d.settings.Controllers, r.Lanes) * d.usualLatencyRatio() / w.limit.latencyRatio
+		ratio := mean(w.limit.latencyRatio, took/d.classRunTime[r.Class])
+		d.peerLatency.set(&w.limit, ratio, w.State != Gone)
+		headroom := slowFrom(d.settings.Controllers, r.Lanes) * d.peerLatency.median() / w.limit.latencyRatio
 		late := e.Took > d.settings.Classes[r.Class].LatencyObjective
 		w.limit.onAnswer(headroom, late, tokenStep(d.settings.Controllers))
 	}
--- a/scheduler/concurrency.go
+++ b/scheduler/concurrency.go
@@ -1,6 +1,10 @@
 package scheduler
 
-import "math"
+import (
+	"math"
+
+	"kitehub/scheduler/index"
+)
 
 const (
 	// startTokens is the limit at a worker that nobody has measured yet: it does little harm there.
@@ -96,3 +100,29 @@
 	}
 	return slowThresholdFew
 }
+
+// peerLatency compares a worker with its peers, by the latency ratios of all workers that are listed and
+// have answered. A slow answer of one worker among its peers is that worker's load or trouble; of all of
+// them it is the functions' or the day's.
+type peerLatency struct{ ratios index.Numbers }
+
+// median is the usual latency ratio: 1 where none is known.
+func (p *peerLatency) median() float64 { return p.ratios.Median(1) }
+
+// set changes the latency ratio of a worker, which counts for its peers only while it is listed.
+func (p *peerLatency) set(l *concurrencyLimit, ratio float64, listed bool) {
+	if listed {
+		p.forget(l)
+		if ratio > 0 {
+			p.ratios.Add(ratio)
+		}
+	}
+	l.latencyRatio = ratio
+}
+
+// forget takes out a worker that leaves the list.
+func (p *peerLatency) forget(l *concurrencyLimit) {
+	if l.latencyRatio > 0 {
+		p.ratios.Remove(l.latencyRatio)
+	}
+}
--- a/scheduler/index.go
+++ b/scheduler/index.go
@@ -23,12 +23,9 @@
 	watchList  []*worker // listed, and ejected or with an attempt out, by id
 	examined   []*worker // of them, those that health looks at in this step
 	examining  bool      // it is under way
-	ejected    int       // listed and ejected
 	ranksStale bool      // the list or the advice on workers has changed
 	capacity   float64   // of the ready workers, in order, up to summed: see readyCapacity
 	summed     int
-	paces      index.Numbers // of listed workers that have one
-	failings   index.Numbers // of listed workers
 
 	effort Effort
 }
@@ -219,7 +216,7 @@
 	w.member = ring.Member[*worker]{ID: uint64(id), Value: w}
 	d.workers[id] = w
 	d.order = append(d.order, w)
-	d.failings.Add(w.errorRate)
+	d.outliers.track(&w.workerHealth)
 	return w
 }
 
@@ -229,13 +226,8 @@
 	delete(d.workers, w.ID)
 	d.ring.Place(&w.member, 0, 0)
 	d.watch(w)
-	if w.ejected {
-		d.ejected--
-	}
-	d.failings.Remove(w.errorRate)
-	if w.limit.latencyRatio > 0 {
-		d.paces.Remove(w.limit.latencyRatio)
-	}
+	d.outliers.untrack(&w.workerHealth)
+	d.peerLatency.forget(&w.limit)
 	for q, placed := range w.placements { // each by itself: their order does not matter
 		if placed.outstanding == 0 {
 			delete(q.placements, w)
@@ -303,6 +295,7 @@
 	}
 }
 
+// setEjected begins or ends the ejection of a worker.
 func (d *Dispatcher) setEjected(w *worker, ejected bool) {
 	if w.ejected == ejected {
 		return
@@ -310,33 +303,6 @@
 	if d.examining { // it counts as it was so far; those after it count with one more ejected, or one less
 		d.sumCapacity(w)
 	}
-	w.ejected = ejected
-	switch {
-	case w.State == Gone:
-	case ejected:
-		d.ejected++
-	default:
-		d.ejected--
-	}
+	d.outliers.setEjected(&w.workerHealth, ejected)
 	d.watch(w)
 }
-
-func (d *Dispatcher) setLatencyRatio(w *worker, pace float64) {
-	if w.State != Gone {
-		if w.limit.latencyRatio > 0 {
-			d.paces.Remove(w.limit.latencyRatio)
-		}
-		if pace > 0 {
-			d.paces.Add(pace)
-		}
-	}
-	w.limit.latencyRatio = pace
-}
-
-func (d *Dispatcher) setErrorRate(w *worker, failing float64) {
-	if w.State != Gone && failing != w.errorRate {
-		d.failings.Remove(w.errorRate)
-		d.failings.Add(failing)
-	}
-	w.errorRate = failing
-}
--- a/scheduler/index_test.go
+++ b/scheduler/index_test.go
@@ -59,15 +59,15 @@
 		}
 		failings = append(failings, w.errorRate)
 	}
-	if !slices.Equal(watchList, d.watchList) || ejected != d.ejected || d.ring.Len() != len(d.order) {
-		t.Fatalf("%d to be watched, %d ejected, %d listed; found %d, %d, %d", len(watchList), ejected, len(d.order), len(d.watchList), d.ejected, d.ring.Len())
+	if !slices.Equal(watchList, d.watchList) || ejected != d.outliers.ejected || d.ring.Len() != len(d.order) {
+		t.Fatalf("%d to be watched, %d ejected, %d listed; found %d, %d, %d", len(watchList), ejected, len(d.order), len(d.watchList), d.outliers.ejected, d.ring.Len())
 	}
 	slices.Sort(paces)
 	slices.Sort(failings)
 	for _, x := range []struct {
 		all   []float64
 		found float64
-	}{{paces, d.paces.Median(-1)}, {failings, d.failings.Median(-1)}} {
+	}{{paces, d.peerLatency.ratios.Median(-1)}, {failings, d.outliers.errorRates.Median(-1)}} {
 		want := -1.0
 		if len(x.all) > 0 {
 			want = x.all[len(x.all)/2]
@@ -453,14 +453,14 @@
 	d.setEjected(second, true)
 	first.ejectedUntil, second.ejectedUntil = time.Hour, 0
 	d.now = time.Minute
-	d.health()
+	d.checkHealth()
 	if !first.ejected || second.ejected || d.effort.Summed > 2 {
 		t.Fatalf("ejected %v and %v, want the first only; %d shares added up on the way, want 2 at the most", first.ejected, second.ejected, d.effort.Summed)
 	}
 	if got := d.readyCapacity(); got != 3 {
 		t.Errorf("%v ready, want all 3: two of three were under suspicion when health came to the first two", got)
 	}
-	d.health()
+	d.checkHealth()
 	if got := d.readyCapacity(); got != 2 {
 		t.Errorf("%v ready in the next step, want 2", got)
 	}
--- a/scheduler/mechanism_test.go
+++ b/scheduler/mechanism_test.go
@@ -97,10 +97,10 @@
 		s.Controllers = tt.controllers
 		d := start(t, s, ready(1, 2, 3)...)
 		for _, w := range d.order {
-			d.setLatencyRatio(w, 1)
+			d.peerLatency.set(&w.limit, 1, true)
 		}
 		w := d.workers[2]
-		d.setLatencyRatio(w, 1.4)
+		d.peerLatency.set(&w.limit, 1.4, true)
 		w.limit.tokens = 8
 		d.Step(time.Second, []Event{arrival(1, 0, 7)})
 		r := d.requests[1]
@@ -234,7 +234,7 @@
 		d.now = max(d.now, w.avoidUntil)
 		before := w.avoidUntil
 		for w.avoidUntil == before {
-			d.failed(w, AttemptEnded{Outcome: Error})
+			d.outliers.onError(&w.workerHealth, true, d.now)
 		}
 		spans = append(spans, w.avoidUntil-d.now)
 	}
@@ -246,7 +246,7 @@
 	for range 10 {
 		w.errorRate *= 1 - meanWeight // as ten answers do
 	}
-	d.failed(w, AttemptEnded{Outcome: Error})
+	d.outliers.onError(&w.workerHealth, true, d.now)
 	if d.now < w.avoidUntil {
 		t.Error("one error after ten answers is enough")
 	}
--- a/scheduler/outlier.go
+++ b/scheduler/outlier.go
@@ -2,99 +2,203 @@
 
 import (
 	"math"
+	"math/rand/v2"
 	"slices"
 	"time"
+
+	"kitehub/scheduler/index"
 )
 
-// ready tells whether a worker may be sent anything new. Suspicion never takes more than half of the ring:
-// when most workers look bad, the fault is more likely ours or the network's.
-func (d *Dispatcher) ready(w *worker) bool {
-	return w.State == Ready && (!w.ejected || 2*d.ejected > len(d.order))
+const (
+	// maxConsecutiveFailures is the number of failures in a row that ejects a worker.
+	maxConsecutiveFailures = 2
+	// ejectDialTimeouts is the time of a first ejection, in dial timeouts. It doubles for each further one.
+	ejectDialTimeouts = 4.0
+	// maxEjectWarmups is the longest time of an ejection, in warmup times.
+	maxEjectWarmups = 0.5
+	// maxEjectDoublings bounds the exponent of the time of an ejection.
+	maxEjectDoublings = 10
+	// errorRateExcess is how far a worker's error rate is above its peers' median when it is the worker that
+	// fails, and not the requests.
+	errorRateExcess = 0.5
+	// quietRunTimes is the silence of a worker with requests, in mean run times, after which it is probed.
+	quietRunTimes = 3.0
+	// probeDialTimeouts is how long a probe may go without an answer, in dial timeouts: a busy worker is
+	// slow to answer probes as well.
+	probeDialTimeouts = 3.0
+)
+
+// outlierDetector finds workers that are dead, silent or broken before the list of workers says so.
+//
+// Ejection: a worker that fails twice in a row without an answer, or leaves a probe unanswered, gets
+// nothing new for a time that doubles, and what waits there is sent elsewhere where the rules allow it. Any
+// answer, at the latest that of the probe at the end of that time, ends the ejection. While more than half
+// of the workers are ejected all ejections are ignored: the fault is then more likely the controller's own
+// or the network's.
+//
+// Avoidance: a worker that answers with errors has tokens to spare, and so draws in more. What cannot be
+// repeated freely would be lost there. It passes the worker by for a growing time, unless its peers fail as
+// much, which makes it the requests' fault. Idempotent requests go on, and show when it is over.
+//
+// Times are drawn with jitter, so that controllers that saw the same do not return in step.
+type outlierDetector struct {
+	dialTimeout time.Duration
+	warmupTime  time.Duration
+	random      *rand.Rand
+	ejected     int           // workers that are tracked and ejected
+	errorRates  index.Numbers // of those tracked
 }
 
-// failed follows a worker's share of errors. One that fails most calls at once has tokens to spare, and draws
-// in more. What may not be repeated freely is lost there and goes elsewhere for a growing time, unless its
-// peers fail as much. Safe calls go on, and show when it is over.
-func (d *Dispatcher) failed(w *worker, e AttemptEnded) {
-	if e.Outcome == Error && e.Note != LoadFailed {
-		d.setErrorRate(w, w.errorRate+meanWeight*(1-w.errorRate))
-	}
-	if d.now >= w.avoidUntil && w.errorRate > errorOver+d.failings.Median(0) {
-		w.avoidUntil = d.now + d.ejectionDuration(w.ejections)
-		w.ejections++
+func newOutlierDetector(settings *Settings, random *rand.Rand) outlierDetector {
+	return outlierDetector{
+		dialTimeout: settings.Limits.DialTimeout,
+		warmupTime:  settings.Guarantees.WarmupTime,
+		random:      random,
 	}
 }
 
-// ejectionDuration is a time off the ring, longer with each before it.
-func (d *Dispatcher) ejectionDuration(before int) time.Duration {
-	span := ejectDials * float64(d.settings.Limits.DialTimeout) * math.Pow(2, float64(min(before, 10)))
-	span = min(span, ejectCold*float64(d.settings.Guarantees.WarmupTime))
-	return time.Duration(span * (1 + jitter*(d.random.Float64()-0.5)))
+// A workerHealth is what the outlier detector knows of one worker.
+type workerHealth struct {
+	tracked             bool          // the list has it
+	lastHeardAt         time.Duration // its last answer
+	waitingSince        time.Duration // since when something is outstanding without an answer
+	probedAt            time.Duration // of a probe that has no answer; 0: none
+	consecutiveFailures int           // without an answer
+	ejected             bool
+	ejectedUntil        time.Duration
+	ejections           int           // in a row, avoidances included
+	errorRate           float64       // mean part of errors among its answers
+	avoidUntil          time.Duration // requests that are not idempotent pass it by until then
 }
 
-// usualLatencyRatio is the median pace of the workers that answered: a slow answer of one worker among
-// its peers is
-// that worker's load or trouble, of all of them the function's or the day's.
-func (d *Dispatcher) usualLatencyRatio() float64 { return d.paces.Median(1) }
+// track begins to count a worker that the list has.
+func (o *outlierDetector) track(h *workerHealth) {
+	h.tracked = true
+	o.errorRates.Add(h.errorRate)
+}
 
-// workerAnswered notes any sign of life of a worker.
-func (d *Dispatcher) workerAnswered(w *worker, o Outcome) {
-	if w == nil || o == Cancelled || o == NotStarted {
-		return
+// untrack ends that. What is still outstanding there may change its health, but counts no more.
+func (o *outlierDetector) untrack(h *workerHealth) {
+	h.tracked = false
+	o.errorRates.Remove(h.errorRate)
+	if h.ejected {
+		o.ejected--
 	}
-	w.probedAt = 0
-	if o == ConnectFailed || o == Reset || o == TimedOut {
-		if w.consecutiveFailures++; w.consecutiveFailures >= strikeOut && (!w.ejected ||
-			d.now >= w.ejectedUntil) {
-			d.eject(w)
-		}
-		return
+}
+
+// suspicious tells whether ejections are to be ignored, of so many workers that are listed.
+func (o *outlierDetector) suspicious(listed int) bool { return 2*o.ejected > listed }
+
+// onFailure notes that a worker gave no answer, and tells whether it is to be ejected for it.
+func (o *outlierDetector) onFailure(h *workerHealth, now time.Duration) bool {
+	h.consecutiveFailures++
+	return h.consecutiveFailures >= maxConsecutiveFailures && (!h.ejected || now >= h.ejectedUntil)
+}
+
+// onSuccess notes an answer without error.
+func (o *outlierDetector) onSuccess(h *workerHealth) {
+	h.consecutiveFailures = 0
+	h.ejections = 0
+	o.setErrorRate(h, h.errorRate*(1-meanWeight))
+}
+
+// onError notes that an attempt ended otherwise. It counts as an error if it was one of the worker's own.
+func (o *outlierDetector) onError(h *workerHealth, counts bool, now time.Duration) {
+	if counts {
+		o.setErrorRate(h, h.errorRate+meanWeight*(1-h.errorRate))
 	}
-	w.lastHeardAt = d.now
-	if w.ejected { // it may have started anew before the list says so: begin low
-		d.setEjected(w, false)
-		w.consecutiveFailures = 0
-		w.limit.distrust()
+	if now >= h.avoidUntil && h.errorRate > errorRateExcess+o.errorRates.Median(0) {
+		h.avoidUntil = now + o.ejectionDuration(h.ejections)
+		h.ejections++
 	}
 }
 
-// eject takes a worker off the ring for a growing, bounded time and finds another for what it holds.
-func (d *Dispatcher) eject(w *worker) {
-	d.setEjected(w, true)
-	w.probedAt, w.ejectedUntil = 0, d.now+d.ejectionDuration(w.ejections)
-	w.ejections++
-	d.reassign(w)
+// eject begins an ejection, or the next one.
+func (o *outlierDetector) eject(h *workerHealth, now time.Duration) {
+	o.setEjected(h, true)
+	h.probedAt = 0
+	h.ejectedUntil = now + o.ejectionDuration(h.ejections)
+	h.ejections++
 }
 
-// health asks workers that are quiet with something out, ejects those that stay so, and tries the ejected.
-func (d *Dispatcher) health() {
-	quiet := max(d.settings.Limits.DialTimeout, seconds(quietRuns*slices.Max(d.classRunTime)))
-	// A busy worker answers questions late as well.
-	patience := seconds(askDials * d.settings.Limits.DialTimeout.Seconds())
-	for w := range d.watched() {
-		d.examine(w, quiet, patience)
+// ejectionDuration is the time of an ejection after so many others, with jitter.
+func (o *outlierDetector) ejectionDuration(before int) time.Duration {
+	doublings := float64(min(before, maxEjectDoublings))
+	span := ejectDialTimeouts * float64(o.dialTimeout) * math.Pow(2, doublings)
+	span = min(span, maxEjectWarmups*float64(o.warmupTime))
+	return time.Duration(span * (1 + jitter*(o.random.Float64()-0.5)))
+}
+
+func (o *outlierDetector) setEjected(h *workerHealth, ejected bool) {
+	switch {
+	case h.ejected == ejected || !h.tracked:
+	case ejected:
+		o.ejected++
+	default:
+		o.ejected--
 	}
+	h.ejected = ejected
 }
 
-// examine asks or ejects one worker, if its silence or its time off the ring is over.
-func (d *Dispatcher) examine(w *worker, quiet, patience time.Duration) {
+func (o *outlierDetector) setErrorRate(h *workerHealth, rate float64) {
+	if h.tracked && rate != h.errorRate {
+		o.errorRates.Remove(h.errorRate)
+		o.errorRates.Add(rate)
+	}
+	h.errorRate = rate
+}
+
+// A healthCheck is what the silence of a worker, or the end of its ejection, calls for.
+type healthCheck int
+
+const (
+	noCheck      healthCheck = iota
+	probeQuiet               // probe it
+	probeEjected             // probe it, or end the ejection where probes are not possible
+	ejectSilent              // eject it
+)
+
+// check returns what is due at a worker with so many attempts outstanding. Quiet is the silence after which a
+// worker is probed, patience the time that a probe may take.
+func (h *workerHealth) check(now time.Duration, outstanding int, quiet, patience time.Duration) healthCheck {
+	overdue := h.probedAt > 0 && now-h.probedAt > patience
 	switch {
-	case w.ejected && d.now >= w.ejectedUntil && w.probedAt == 0:
-		if !d.ask(w) {
-			d.workerAnswered(w, OK)
+	case h.ejected && now >= h.ejectedUntil && h.probedAt == 0:
+		return probeEjected
+	case h.ejected && overdue:
+		return ejectSilent
+	case h.ejected || outstanding == 0 || now-max(h.waitingSince, h.lastHeardAt) <= quiet:
+		return noCheck
+	case h.probedAt == 0:
+		return probeQuiet
+	case overdue && h.lastHeardAt < h.probedAt:
+		return ejectSilent
+	}
+	return noCheck
+}
+
+// checkHealth probes workers that are quiet with something outstanding, ejects those that stay so, and probes
+// ejected workers at the end of their time.
+func (d *Dispatcher) checkHealth() {
+	quiet := max(d.settings.Limits.DialTimeout, seconds(quietRunTimes*slices.Max(d.classRunTime)))
+	patience := seconds(probeDialTimeouts * d.settings.Limits.DialTimeout.Seconds())
+	for w := range d.watched() {
+		switch w.check(d.now, w.outstanding, quiet, patience) {
+		case probeQuiet:
+			d.probe(w)
+		case probeEjected:
+			if !d.probe(w) {
+				d.workerAnswered(w, OK)
+			}
+		case ejectSilent:
+			d.eject(w)
 		}
-	case w.ejected && w.probedAt > 0 && d.now-w.probedAt > patience:
-		d.eject(w)
-	case w.ejected || w.outstanding == 0 || d.now-max(w.waitingSince, w.lastHeardAt) <= quiet:
-	case w.probedAt == 0:
-		d.ask(w)
-	case d.now-w.probedAt > patience && w.lastHeardAt < w.probedAt:
-		d.eject(w)
 	}
 }
 
-// ask puts a question to a worker that costs it little: how many copies stand, or a probe.
-func (d *Dispatcher) ask(w *worker) bool {
+// probe asks a worker something that costs it little, how many copies it has or a probe, and tells whether it
+// could.
+func (d *Dispatcher) probe(w *worker) bool {
 	switch {
 	case d.settings.Loading.Orders && w.lastFunction != 0:
 		d.do(LoadOrder{Worker: w.ID, Function: w.lastFunction})
@@ -106,3 +210,35 @@
 	w.probedAt = d.now
 	return true
 }
+
+// ready tells whether a worker may be sent anything new.
+func (d *Dispatcher) ready(w *worker) bool {
+	return w.State == Ready && (!w.ejected || d.outliers.suspicious(len(d.order)))
+}
+
+// workerAnswered notes the outcome of anything that was asked of a worker: any answer is a sign of life.
+func (d *Dispatcher) workerAnswered(w *worker, outcome Outcome) {
+	if w == nil || outcome == Cancelled || outcome == NotStarted {
+		return
+	}
+	w.probedAt = 0
+	if outcome == ConnectFailed || outcome == Reset || outcome == TimedOut {
+		if d.outliers.onFailure(&w.workerHealth, d.now) {
+			d.eject(w)
+		}
+		return
+	}
+	w.lastHeardAt = d.now
+	if w.ejected { // it may have started anew before the list says so
+		d.setEjected(w, false)
+		w.consecutiveFailures = 0
+		w.limit.distrust()
+	}
+}
+
+// eject ejects a worker and reassigns what waits there.
+func (d *Dispatcher) eject(w *worker) {
+	d.setEjected(w, true)
+	d.outliers.eject(&w.workerHealth, d.now)
+	d.reassign(w)
+}
--- /dev/null
+++ b/scheduler/outlier_fleet_test.go
@@ -0,0 +1,148 @@
+package scheduler
+
+import (
+	"testing"
+	"time"
+)
+
+// A worker off the ring that fails the question at its return is not asked again in every step.
+func TestEjectedStaysOff(t *testing.T) {
+	d := start(t, base(), ready(1, 2, 3)...)
+	for i := RequestID(1); i <= 8; i++ {
+		d.Step(time.Second, []Event{arrival(i, 0, FunctionID(i))})
+	}
+	asked := 0
+	var events []Event
+	for now := time.Second; now < 10*time.Second; now += 10 * ms {
+		actions := d.Step(now, events)
+		events = nil
+		for _, a := range pickOut[Send](actions) {
+			events = append(events, AttemptEnded{Request: a.Request, Attempt: len(d.requests[a.Request].attempts) - 1,
+				Worker: a.Worker, Outcome: ConnectFailed})
+		}
+		for _, a := range pickOut[LoadOrder](actions) {
+			asked++
+			events = append(events, LoadOrderEnded{Worker: a.Worker, Function: a.Function, Outcome: ConnectFailed})
+		}
+	}
+	if asked > 40 {
+		t.Errorf("%d orders in 9 s to three dead workers", asked)
+	}
+}
+
+// Suspicion never empties the ring.
+func TestSuspicionKeepsRing(t *testing.T) {
+	d := start(t, base(), ready(1, 2, 3)...)
+	for i := RequestID(1); i < 30; i++ {
+		now := time.Second + time.Duration(i)*50*ms
+		for _, a := range pickOut[Send](d.Step(now, []Event{arrival(i, 0, FunctionID(i))})) {
+			d.Step(now, []Event{AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: ConnectFailed}})
+		}
+	}
+	up := 0
+	for _, w := range d.order {
+		if d.ready(w) {
+			up++
+		}
+	}
+	if up == 0 {
+		t.Error("no worker is left on the ring")
+	}
+}
+
+// From buchung-main: with few controllers to a lane their own tokens bound what meets at a home, and spreading a
+// function on top scatters its copies.
+func TestFewControllersDoNotSpread(t *testing.T) {
+	for _, n := range []int{3, 100} {
+		s := base()
+		s.Controllers = n
+		d := start(t, s, ready(1, 2, 3, 4)...)
+		now := time.Second
+		for id := RequestID(1); id <= 5; id++ {
+			now += time.Second
+			for _, a := range pickOut[Send](d.Step(now, []Event{arrival(id, 0, 7)})) {
+				d.Step(now, []Event{AttemptEnded{Request: id, Worker: a.Worker, Outcome: OK, Took: 800 * ms, Complete: true,
+					Note: FoundWarm, SameFunction: 9}})
+			}
+		}
+		if spread := d.queues[7].spread.workers; (spread > 1) != (n == 100) {
+			t.Errorf("%d controllers: the function spreads over %v workers", n, spread)
+		}
+	}
+}
+
+// From i9cf6b9 and slow days: a worker far slower than its peers gets less than one token where many send to it.
+func TestSlowWorkerSheds(t *testing.T) {
+	s := base()
+	s.Controllers = 20
+	d := start(t, s, ready(1, 2, 3)...)
+	now, share := time.Second, map[WorkerID]int{}
+	for i := RequestID(1); i <= 300; i++ {
+		now += 30 * ms
+		for _, a := range pickOut[Send](d.Step(now, []Event{arrival(i, 0, FunctionID(i%6))})) {
+			took := 20 * ms
+			if a.Worker == 1 {
+				took = 300 * ms
+			}
+			share[a.Worker]++
+			d.Step(now, []Event{AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: OK, Complete: true, Took: took,
+				Note: FoundWarm}})
+		}
+	}
+	slow := d.workers[1]
+	if share[1] == 0 {
+		t.Fatal("worker 1 is no function's home: nothing was tested")
+	}
+	if slow.limit.tokens >= 0.5 {
+		t.Errorf("slow worker: %v tokens, want it to take a small part of its calls", slow.limit.tokens)
+	}
+}
+
+// From the full-size quiet days: a hot function's home is filled by many controllers, each with little out, so
+// whole tokens bind none. Answers that met all lanes taken move a part of the calls to the next copy, and
+// answers that did not bring them back.
+func TestCrowdedHomeSheds(t *testing.T) {
+	s := base()
+	s.Controllers, s.Loading.SameFunctionCounted = 100, true
+	d := start(t, s, ready(1, 2, 3, 4, 5, 6)...)
+	now, id, home := time.Second, RequestID(1), WorkerID(0)
+	run := func(calls, alike int) (away int) {
+		for range calls {
+			now += 200 * ms
+			actions := d.Step(now, []Event{arrival(id, 0, 7)})
+			for i := 0; i < 5 && len(pickOut[Send](actions)) == 0; i++ {
+				var held []Event
+				for _, a := range pickOut[LoadOrder](actions) {
+					held = append(held, LoadOrderEnded{Worker: a.Worker, Function: a.Function, Outcome: OK, Copies: 1})
+				}
+				now += 100 * ms
+				actions = d.Step(now, held)
+			}
+			sent := pickOut[Send](actions)
+			if len(sent) != 1 {
+				t.Fatalf("request %d: %d sends, want 1", id, len(sent))
+			}
+			home = max(home, sent[0].Worker*WorkerID(1-min(1, int(home))))
+			e := AttemptEnded{Request: id, Worker: sent[0].Worker, Outcome: OK, Took: 20 * ms, Complete: true,
+				Note: FoundWarm}
+			if id++; sent[0].Worker != home {
+				away++
+			} else if alike > 0 {
+				e.SameFunction, e.Took = alike, 600*ms
+			}
+			now += 20 * ms
+			d.Step(now, []Event{e})
+		}
+		return away
+	}
+	if away := run(20, 0); away != 0 {
+		t.Errorf("%d of 20 calls left an empty home", away)
+	}
+	if away := run(40, 5); away < 15 {
+		t.Errorf("%d of 40 calls left a crowded home, want most", away)
+	}
+	run(60, 0)
+	if away := run(20, 0); away > 2 {
+		t.Errorf("%d of 20 calls still away from a home with room", away)
+	}
+}
--- a/scheduler/outlier_test.go
+++ b/scheduler/outlier_test.go
@@ -1,148 +1,142 @@
 package scheduler
 
 import (
+	"math/rand/v2"
 	"testing"
 	"time"
 )
 
-// A worker off the ring that fails the question at its return is not asked again in every step.
-func TestEjectedStaysOff(t *testing.T) {
-	d := start(t, base(), ready(1, 2, 3)...)
-	for i := RequestID(1); i <= 8; i++ {
-		d.Step(time.Second, []Event{arrival(i, 0, FunctionID(i))})
-	}
-	asked := 0
-	var events []Event
-	for now := time.Second; now < 10*time.Second; now += 10 * ms {
-		actions := d.Step(now, events)
-		events = nil
-		for _, a := range pickOut[Send](actions) {
-			events = append(events, AttemptEnded{Request: a.Request, Attempt: len(d.requests[a.Request].attempts) - 1,
-				Worker: a.Worker, Outcome: ConnectFailed})
-		}
-		for _, a := range pickOut[LoadOrder](actions) {
-			asked++
-			events = append(events, LoadOrderEnded{Worker: a.Worker, Function: a.Function, Outcome: ConnectFailed})
-		}
-	}
-	if asked > 40 {
-		t.Errorf("%d orders in 9 s to three dead workers", asked)
+// tracking returns a detector with a dial timeout of a second and a warmup time of a minute, and workers that it
+// tracks.
+func tracking(workers int) (*outlierDetector, []*workerHealth) {
+	o := &outlierDetector{dialTimeout: time.Second, warmupTime: time.Minute, random: rand.New(rand.NewPCG(1, 1))}
+	var l []*workerHealth
+	for range workers {
+		h := &workerHealth{}
+		o.track(h)
+		l = append(l, h)
 	}
+	return o, l
 }
 
-// Suspicion never empties the ring.
-func TestSuspicionKeepsRing(t *testing.T) {
-	d := start(t, base(), ready(1, 2, 3)...)
-	for i := RequestID(1); i < 30; i++ {
-		now := time.Second + time.Duration(i)*50*ms
-		for _, a := range pickOut[Send](d.Step(now, []Event{arrival(i, 0, FunctionID(i))})) {
-			d.Step(now, []Event{AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: ConnectFailed}})
-		}
+func TestTwoConsecutiveFailuresEject(t *testing.T) {
+	o, workers := tracking(1)
+	h := workers[0]
+	if o.onFailure(h, time.Minute) {
+		t.Error("one failure ejects")
 	}
-	up := 0
-	for _, w := range d.order {
-		if d.ready(w) {
-			up++
-		}
+	o.onSuccess(h)
+	if o.onFailure(h, time.Minute) || !o.onFailure(h, time.Minute) {
+		t.Error("want two failures after a success to eject, and one not to")
+	}
+	o.eject(h, time.Minute)
+	if o.onFailure(h, h.ejectedUntil-1) {
+		t.Error("a failure during an ejection begins another")
 	}
-	if up == 0 {
-		t.Error("no worker is left on the ring")
+	if !o.onFailure(h, h.ejectedUntil) {
+		t.Error("a failure at the end of an ejection does not begin another")
 	}
 }
 
-// From buchung-main: with few controllers to a lane their own tokens bound what meets at a home, and spreading a
-// function on top scatters its copies.
-func TestFewControllersDoNotSpread(t *testing.T) {
-	for _, n := range []int{3, 100} {
-		s := base()
-		s.Controllers = n
-		d := start(t, s, ready(1, 2, 3, 4)...)
-		now := time.Second
-		for id := RequestID(1); id <= 5; id++ {
-			now += time.Second
-			for _, a := range pickOut[Send](d.Step(now, []Event{arrival(id, 0, 7)})) {
-				d.Step(now, []Event{AttemptEnded{Request: id, Worker: a.Worker, Outcome: OK, Took: 800 * ms, Complete: true,
-					Note: FoundWarm, SameFunction: 9}})
+func TestEjectionsDoubleUpToTheLongest(t *testing.T) {
+	o, _ := tracking(0)
+	for before, span := range []time.Duration{4 * time.Second, 8 * time.Second, 16 * time.Second, 30 * time.Second, 30 * time.Second} {
+		for range 100 {
+			if got := o.ejectionDuration(before); got < span*3/4 || got > span*5/4 {
+				t.Fatalf("ejection after %d others for %v, want %v by a quarter more or less", before, got, span)
 			}
 		}
-		if spread := d.queues[7].spread.workers; (spread > 1) != (n == 100) {
-			t.Errorf("%d controllers: the function spreads over %v workers", n, spread)
-		}
+	}
+	if got := o.ejectionDuration(1 << 40); got > time.Minute {
+		t.Errorf("ejected for %v after very many others", got)
 	}
 }
 
-// From i9cf6b9 and slow days: a worker far slower than its peers gets less than one token where many send to it.
-func TestSlowWorkerSheds(t *testing.T) {
-	s := base()
-	s.Controllers = 20
-	d := start(t, s, ready(1, 2, 3)...)
-	now, share := time.Second, map[WorkerID]int{}
-	for i := RequestID(1); i <= 300; i++ {
-		now += 30 * ms
-		for _, a := range pickOut[Send](d.Step(now, []Event{arrival(i, 0, FunctionID(i%6))})) {
-			took := 20 * ms
-			if a.Worker == 1 {
-				took = 300 * ms
-			}
-			share[a.Worker]++
-			d.Step(now, []Event{AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: OK, Complete: true, Took: took,
-				Note: FoundWarm}})
+func TestEjectionsAreIgnoredAboveHalf(t *testing.T) {
+	o, workers := tracking(4)
+	for i, want := range []bool{false, false, true} {
+		o.eject(workers[i], time.Minute)
+		o.eject(workers[i], time.Minute) // again: it counts once
+		if got := o.suspicious(4); got != want {
+			t.Errorf("%d of 4 ejected: suspicious %v, want %v", i+1, got, want)
 		}
 	}
-	slow := d.workers[1]
-	if share[1] == 0 {
-		t.Fatal("worker 1 is no function's home: nothing was tested")
-	}
-	if slow.limit.tokens >= 0.5 {
-		t.Errorf("slow worker: %v tokens, want it to take a small part of its calls", slow.limit.tokens)
+	o.untrack(workers[0])
+	o.setEjected(workers[0], false)
+	if o.ejected != 2 || o.suspicious(4) {
+		t.Errorf("%d ejected after one of three left, want two", o.ejected)
 	}
 }
 
-// From the full-size quiet days: a hot function's home is filled by many controllers, each with little out, so
-// whole tokens bind none. Answers that met all lanes taken move a part of the calls to the next copy, and
-// answers that did not bring them back.
-func TestCrowdedHomeSheds(t *testing.T) {
-	s := base()
-	s.Controllers, s.Loading.SameFunctionCounted = 100, true
-	d := start(t, s, ready(1, 2, 3, 4, 5, 6)...)
-	now, id, home := time.Second, RequestID(1), WorkerID(0)
-	run := func(calls, alike int) (away int) {
-		for range calls {
-			now += 200 * ms
-			actions := d.Step(now, []Event{arrival(id, 0, 7)})
-			for i := 0; i < 5 && len(pickOut[Send](actions)) == 0; i++ {
-				var held []Event
-				for _, a := range pickOut[LoadOrder](actions) {
-					held = append(held, LoadOrderEnded{Worker: a.Worker, Function: a.Function, Outcome: OK, Copies: 1})
+func TestErrorsOverPeersAreAvoided(t *testing.T) {
+	for _, tt := range []struct {
+		name          string
+		peersFailAlso bool
+		counts        bool
+		want          bool
+	}{
+		{"one worker fails", false, true, true},
+		{"all workers fail", true, true, false},
+		{"loads fail, or no answer comes", false, false, false},
+	} {
+		o, workers := tracking(3)
+		for range 20 {
+			for i, h := range workers {
+				if i == 0 || tt.peersFailAlso {
+					o.onError(h, tt.counts, time.Minute)
+				} else {
+					o.onSuccess(h)
 				}
-				now += 100 * ms
-				actions = d.Step(now, held)
-			}
-			sent := pickOut[Send](actions)
-			if len(sent) != 1 {
-				t.Fatalf("request %d: %d sends, want 1", id, len(sent))
-			}
-			home = max(home, sent[0].Worker*WorkerID(1-min(1, int(home))))
-			e := AttemptEnded{Request: id, Worker: sent[0].Worker, Outcome: OK, Took: 20 * ms, Complete: true,
-				Note: FoundWarm}
-			if id++; sent[0].Worker != home {
-				away++
-			} else if alike > 0 {
-				e.SameFunction, e.Took = alike, 600*ms
 			}
-			now += 20 * ms
-			d.Step(now, []Event{e})
 		}
-		return away
+		if got := workers[0].avoidUntil > time.Minute; got != tt.want {
+			t.Errorf("%s: avoided %v, want %v", tt.name, got, tt.want)
+		}
+	}
+}
+
+func TestHealthCheckOfSilence(t *testing.T) {
+	const quiet, patience = time.Second, 3 * time.Second
+	now := time.Minute
+	for _, tt := range []struct {
+		name        string
+		health      workerHealth
+		outstanding int
+		want        healthCheck
+	}{
+		{"nothing outstanding", workerHealth{}, 0, noCheck},
+		{"answered not long ago", workerHealth{lastHeardAt: now - quiet}, 1, noCheck},
+		{"waiting not long", workerHealth{waitingSince: now - quiet}, 1, noCheck},
+		{"quiet", workerHealth{lastHeardAt: now - quiet - 1}, 1, probeQuiet},
+		{"probed not long ago", workerHealth{probedAt: now - patience}, 1, noCheck},
+		{"probe unanswered", workerHealth{probedAt: now - patience - 1}, 1, ejectSilent},
+		{"heard since the probe, then quiet", workerHealth{probedAt: now - 10*time.Second, lastHeardAt: now - 9*time.Second}, 1, noCheck},
+		{"ejected", workerHealth{ejected: true, ejectedUntil: now + 1}, 1, noCheck},
+		{"ejection over", workerHealth{ejected: true, ejectedUntil: now}, 0, probeEjected},
+		{"ejection over, probed", workerHealth{ejected: true, ejectedUntil: now - 1, probedAt: now - patience}, 0, noCheck},
+		{"ejection over, probe unanswered", workerHealth{ejected: true, ejectedUntil: now - 9, probedAt: now - patience - 1}, 0, ejectSilent},
+	} {
+		if got := tt.health.check(now, tt.outstanding, quiet, patience); got != tt.want {
+			t.Errorf("%s: check %d, want %d", tt.name, got, tt.want)
+		}
 	}
-	if away := run(20, 0); away != 0 {
-		t.Errorf("%d of 20 calls left an empty home", away)
+}
+
+func TestPeerLatencyCountsListedWorkers(t *testing.T) {
+	var p peerLatency
+	if p.median() != 1 {
+		t.Errorf("median %v of none, want 1", p.median())
 	}
-	if away := run(40, 5); away < 15 {
-		t.Errorf("%d of 40 calls left a crowded home, want most", away)
+	var a, b, gone concurrencyLimit
+	p.set(&a, 2, true)
+	p.set(&b, 3, true)
+	p.set(&gone, 9, false)
+	if p.median() != 3 || gone.latencyRatio != 9 {
+		t.Errorf("median %v of 2 and 3, want the higher", p.median())
 	}
-	run(60, 0)
-	if away := run(20, 0); away > 2 {
-		t.Errorf("%d of 20 calls still away from a home with room", away)
+	p.set(&b, 1, true)
+	p.forget(&a)
+	if p.median() != 1 {
+		t.Errorf("median %v of 1 alone", p.median())
 	}
 }
--- a/scheduler/ring.go
+++ b/scheduler/ring.go
@@ -114,7 +114,7 @@
 		}
 		s.settled = s.home != nil && s.spare != nil
 	}
-	s.chance = s.chance || d.ejected > 0
+	s.chance = s.chance || d.outliers.ejected > 0
 	r.unplaceable = !s.chance && !s.loading && !d.fresh(r) && !r.hasOutstanding()
 	// A home without a token is waited for, longer where copies prove pushed out: memory is short then.
 	wait := min(1, spillAfter+spillCrowd*d.evictions.fraction)
--- a/scheduler/state.go
+++ b/scheduler/state.go
@@ -23,6 +23,8 @@
 	globalVirtualTime float64
 	classRunTime      []float64 // mean run time of a class, seconds
 	slowStart         slowStart
+	outliers          outlierDetector
+	peerLatency       peerLatency
 	random            *rand.Rand
 	admission         admission
 	wakeAt            time.Duration
@@ -37,19 +39,11 @@
 
 type worker struct {
 	WorkerInfo
-	limit               concurrencyLimit
-	outstanding         int // attempts out
-	awaitingLoad        int // of them, those that may wait for a load
-	lastHeardAt         time.Duration
-	waitingSince        time.Duration // since when something is out without an answer
-	consecutiveFailures int
-	ejections           int           // in a row, and times that avoidUntil was set
-	ejectedUntil        time.Duration // off the ring until then, if ejected
-	ejected             bool
-	errorRate           float64       // mean share of errors among its answers
-	avoidUntil          time.Duration // nothing that is not safe goes there until then, as it failed what others served
-	probedAt            time.Duration // when a question went out that has no answer; 0: none
-	loadBackoff         loadBackoff
+	limit        concurrencyLimit
+	outstanding  int // attempts out
+	awaitingLoad int // of them, those that may wait for a load
+	workerHealth
+	loadBackoff loadBackoff
 	warmup
 	rank           int           // as advised
 	advisedLoadAt  time.Duration // the step in which an advised order was seen to be out there
--- a/scheduler/step.go
+++ b/scheduler/step.go
@@ -15,12 +15,6 @@
 	meanClip   = 4.0  // a sample counts as at most so many means: one rare long call is not the rule
 	guessRun   = 0.25 // run time before the first answer, of the aim
 	ringPoints = 48   // of an average worker: even arcs, and a lost home's functions go to many others
-	quietRuns  = 3.0  // no answer for so many mean runs: ask the worker whether it lives
-	ejectDials = 4.0  // first time off the ring, in dial time-outs; doubles for each further failure
-	ejectCold  = 0.5  // longest time off the ring, of the warm-up time
-	errorOver  = 0.5  // share of errors over its peers' at which it is the worker that fails, not the calls
-	askDials   = 3.0  // dial time-outs that a question may go without an answer
-	strikeOut  = 2    // failures in a row that take a worker off the ring
 	ownLoads   = 2    // sends at once to one worker where a load is likely: the store is shared by all
 	spillAfter = 0.25 // wait at a busy home, of the aim, before a further copy is worth its load
 	spillCrowd = 10.0 // added to it for each share of believed copies that had been pushed out
@@ -45,6 +39,7 @@
 		admission:     newAdmission(),
 		loadBudget:    newLoadBudget(s.Loading),
 		slowStart:     newSlowStart(&s, random),
+		outliers:      newOutlierDetector(&s, random),
 		desiredCopies: newDesiredCopies(),
 		advisedRanks:  newWorkerRanks(),
 	}
@@ -90,7 +85,7 @@
 	}
 	d.applyRanks()
 	d.sweep()
-	d.health()
+	d.checkHealth()
 	d.dispatch()
 	d.renewCopies()
 	d.loadDesiredCopies()
