--- a/scheduler/advice_test.go
+++ b/scheduler/advice_test.go
@@ -83,7 +83,7 @@
 
 func TestRegardedWorkers(t *testing.T) {
 	d := start(t, base(), ready(1, 2, 3, 4)...)
-	q := d.queue(7)
+	q := d.queues.get(7)
 	home := walk(d, q)[0].ID
 	d.Step(2*time.Second, []Event{WorkerRank{Worker: home, Rank: -1, Until: 5 * time.Second}})
 	if l := walk(d, q); l[3].ID != home {
@@ -143,7 +143,7 @@
 	first := len(pickOut[LoadOrder](old.Step(2*time.Second, want(1))))
 	old.Step(3*time.Second, []Event{Superseded{On: true}})
 	for f := range 10 { // prepared for calls beyond home, which advice does not limit
-		if old.ensureCopy(old.queue(FunctionID(100+f)), old.order[0]) {
+		if old.ensureCopy(old.queues.get(FunctionID(100+f)), old.order[0]) {
 			t.Fatal("a retired one orders a load")
 		}
 	}
@@ -151,7 +151,7 @@
 	n := 0
 	for f := range 20 {
 		for _, w := range next.order {
-			if next.ensureCopy(next.queue(FunctionID(200+f)), w) {
+			if next.ensureCopy(next.queues.get(FunctionID(200+f)), w) {
 				n++
 			}
 		}
--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -2,11 +2,65 @@
 
 import (
 	"cmp"
-	"slices"
+	"time"
 )
 
-// sweep answers what is due and forgets requests that are over.
-func (d *Dispatcher) sweep() {
+const (
+	// guessRun is the run time that is expected before the first answer, in latency objectives of the
+	// class. The same part of a request's time is the most that is expected of a function that was never
+	// served.
+	guessRun = 0.25
+	// answerTicks is how many ticks before its client leaves a request gets our own answer.
+	answerTicks = 2
+)
+
+// arrive queues a request that has come in.
+func (d *Dispatcher) arrive(arrival Arrival) {
+	_, known := d.requests[arrival.Request]
+	if known || arrival.Class < 0 || arrival.Class >= len(d.settings.Classes) {
+		return
+	}
+	if !arrival.Resubmitted {
+		d.loadBudget.recordArrival(d.now)
+	}
+	q := d.queues.get(arrival.Function)
+	d.queues.arrive(q, d.now)
+	r := &request{
+		Arrival:   arrival,
+		queue:     q,
+		arrivedAt: d.now,
+		answerBy:  d.now + arrival.TimeLeft - answerTicks*d.settings.Tick,
+	}
+	d.requests[arrival.Request] = r
+	d.openRequests = append(d.openRequests, r)
+	d.queues.enqueue(r)
+}
+
+// class returns the class of a request.
+func (d *Dispatcher) class(r *request) *Class { return &d.settings.Classes[r.Class] }
+
+// runTime is how long a request is likely to run, in seconds.
+func (d *Dispatcher) runTime(r *request) float64 {
+	return cmp.Or(r.queue.meanRunTime, max(0, r.RunTimeHint.Seconds()), d.classRunTime[r.Class])
+}
+
+// meetsObjective tells whether a waiting request can still be answered within its latency objective.
+func (d *Dispatcher) meetsObjective(r *request) bool {
+	class := d.class(r)
+	stretch := time.Duration(class.ObjectiveStretch * float64(r.RunTimeHint))
+	objective := min(class.LatencyObjective+stretch, class.Deadline)
+	return d.now+seconds(d.runTime(r)) < r.arrivedAt+objective
+}
+
+// overdue tells whether a request is past its objective and the load that it may have waited for.
+func (d *Dispatcher) overdue(r *request) bool {
+	return d.now > r.arrivedAt+d.class(r).LatencyObjective+r.loadAllowance
+}
+
+// advanceRequests decides what follows the events of the step: retries, answers of our own, and the end of
+// requests that need nothing more. It waits for all events, as the one after an outcome may be that the
+// client has left.
+func (d *Dispatcher) advanceRequests() {
 	kept := d.openRequests[:0]
 	for _, r := range d.openRequests {
 		if r.undecided && !r.ended {
@@ -16,21 +70,10 @@
 		if d.overdue(r) {
 			d.observe(r, false)
 		}
-		if !r.ended && (d.now >= r.answerBy || r.queued && d.cannotMeetDeadline(r)) {
-			d.finish(r)
-		}
-		out := false
-		for i := range r.attempts {
-			if t := &r.attempts[i]; !t.done {
-				// An outcome that never comes must not hold memory or a token for ever.
-				if r.ended && d.now > r.answerBy+r.TimeLeft+d.settings.Classes[r.Class].Deadline {
-					d.release(r, t, TimedOut)
-					continue
-				}
-				out = true
-			}
+		if !r.ended && (d.now >= r.answerBy || r.queued && d.isHopeless(r)) {
+			d.answer(r)
 		}
-		if r.ended && !out {
+		if outstanding := d.releaseLost(r); r.ended && !outstanding {
 			delete(d.requests, r.Request)
 			continue
 		}
@@ -40,43 +83,60 @@
 	d.openRequests = kept
 }
 
-// cannotMeetDeadline tells whether a queued request is given up, and answered at once: it does not
-// pass, no worker may
-// have it again, or no run fits its time (a mean too long for a new one is lowered; with none, its class's).
-func (d *Dispatcher) cannotMeetDeadline(r *request) bool {
-	run := cmp.Or(r.queue.meanRunTime, min(d.classRunTime[r.Class], guessRun*r.TimeLeft.Seconds()))
-	over := d.now+seconds(run) >= r.answerBy
-	if over && d.now == r.arrivedAt {
+// releaseLost releases the attempts whose outcome is long overdue, as it must not hold memory or a token
+// for ever, and tells whether others are outstanding.
+func (d *Dispatcher) releaseLost(r *request) (outstanding bool) {
+	for i := range r.attempts {
+		switch {
+		case r.attempts[i].done:
+		case r.ended && d.now > r.answerBy+r.TimeLeft+d.class(r).Deadline:
+			d.release(r, &r.attempts[i], TimedOut)
+		default:
+			outstanding = true
+		}
+	}
+	return outstanding
+}
+
+// isHopeless tells whether a queued request is to be answered at once: nothing is outstanding, and it is not
+// admitted, or no worker may have it again, or no run fits its time.
+func (d *Dispatcher) isHopeless(r *request) bool {
+	noTime := d.cannotMeetDeadline(r)
+	if noTime && d.now == r.arrivedAt {
+		// The mean run time rejects even a new request. Lower it, or a wrong one would never be corrected.
 		r.queue.meanRunTime = mean(r.queue.meanRunTime, 0)
 	}
-	return !r.hasOutstanding() && (over || !d.admits(r) || len(r.attempts) > 0 && !d.mayRetry(r))
+	return !r.hasOutstanding() && (noTime || !d.admits(r) || len(r.attempts) > 0 && !d.mayRetry(r))
+}
+
+// cannotMeetDeadline tells whether a run that begins now ends after the request's time. For a function that
+// was never served its class's mean counts.
+func (d *Dispatcher) cannotMeetDeadline(r *request) bool {
+	guess := min(d.classRunTime[r.Class], guessRun*r.TimeLeft.Seconds())
+	run := cmp.Or(r.queue.meanRunTime, guess)
+	return d.now+seconds(run) >= r.answerBy
 }
 
 // admits tells whether a request may be sent at all. What was sent once is past admission.
-func (d *Dispatcher) admits(request *request) bool {
-	return len(request.attempts) > 0 ||
-		!request.ShedAdvised && d.admission.admits(request.Request, request.Weight, request.ClientRetry)
+func (d *Dispatcher) admits(r *request) bool {
+	return len(r.attempts) > 0 ||
+		!r.ShedAdvised && d.admission.admits(r.Request, r.Weight, r.ClientRetry)
 }
 
 // observe reports each request that was sent to the admission once: when it is answered, or overdue.
-func (d *Dispatcher) observe(request *request, onTime bool) {
-	if request.observed || len(request.attempts) == 0 {
+func (d *Dispatcher) observe(r *request, onTime bool) {
+	if r.observed || len(r.attempts) == 0 {
 		return
 	}
 	d.admission.observe(onTime)
-	request.observed = true
+	r.observed = true
 }
 
-// overdue tells whether a request is past its aim and the load that it may have waited for.
-func (d *Dispatcher) overdue(r *request) bool {
-	return d.now > r.arrivedAt+d.settings.Classes[r.Class].LatencyObjective+r.loadAllowance
-}
-
-// finish gives our own final answer and calls off what is out. The fewer pass, the later one may come back.
-func (d *Dispatcher) finish(r *request) {
-	if d.mayReject(r) {
+// answer gives our own final answer, and cancels what is outstanding.
+func (d *Dispatcher) answer(r *request) {
+	if d.retryRules.mayReject(r) {
 		reject := Reject{Request: r.Request}
-		if limits := d.settings.Limits; limits.RetryAfter && d.admission.shedding() {
+		if limits := &d.settings.Limits; limits.RetryAfter && d.admission.shedding() {
 			reject.RetryAfter = d.admission.retryAfter(limits.MaxRetryAfter, d.random)
 		}
 		d.do(reject)
@@ -86,40 +146,40 @@
 	d.end(r)
 }
 
+// end notes that a request needs nothing more, and cancels what is outstanding.
 func (d *Dispatcher) end(r *request) {
 	if r.ended {
 		return
 	}
 	r.ended = true
-	d.unqueue(r)
+	d.queues.dequeue(r)
 	for i := range r.attempts {
 		d.cancel(r, i)
 	}
 }
 
+// cancel gives up an attempt, where that is allowed.
 func (d *Dispatcher) cancel(r *request, i int) {
-	if t := &r.attempts[i]; d.settings.Limits.Cancel && !t.done && !t.abandoned {
-		t.abandoned = true
+	if a := &r.attempts[i]; d.settings.Limits.Cancel && !a.done && !a.abandoned {
+		a.abandoned = true
 		d.do(Cancel{Request: r.Request, Attempt: i})
 	}
 }
 
+// send sends a request to a worker: a new attempt.
 func (d *Dispatcher) send(r *request, w *worker) {
-	q, work := r.queue, d.classRunTime[r.Class]
-	d.unqueue(r)
+	q := r.queue
+	work := d.classRunTime[r.Class]
+	d.queues.dequeue(r)
 	r.mayHedge = false
-	q.virtualTime += d.runOf(q, r)
-	d.touch(q)
-	q.inFlight++
-	q.lastActiveAt = d.now
+	d.queues.sent(q, d.runTime(r), d.now)
 	if w.outstanding == 0 {
 		w.waitingSince = d.now
 	}
-	placed := d.placement(q, w)
-	t := attempt{worker: w, group: w.Group, zone: w.Zone, sentAt: d.now, work: work,
-		awaitsLoad: !d.hasCopy(placed, w)}
+	placed := q.placement(w)
+	awaitsLoad := !d.hasCopy(placed, w)
 	placed.outstanding++
-	if t.awaitsLoad {
+	if awaitsLoad {
 		w.awaitingLoad++
 		placed.leaders++
 		placed.loadStartedAt = d.now
@@ -128,174 +188,126 @@
 		w.limit.acquire()
 	}
 	w.outstanding++
-	d.watch(w)
+	d.watchList.update(w)
 	d.slowStart.sent(&w.warmup, work)
 	w.lastFunction = q.function
-	r.attempts = append(r.attempts, t)
+	r.attempts = append(r.attempts, attempt{
+		worker:     w,
+		group:      w.Group,
+		zone:       w.Zone,
+		sentAt:     d.now,
+		work:       work,
+		awaitsLoad: awaitsLoad,
+	})
 	d.do(Send{Request: r.Request, Worker: w.ID, Timeout: max(r.answerBy-d.now, d.settings.Tick)})
 }
 
-// attemptEnded ends an attempt and learns from it. What follows is decided after the events of the
-// step: the next
-// may be the client leaving.
-func (d *Dispatcher) attemptEnded(e AttemptEnded) {
-	r := d.requests[e.Request]
-	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || r.attempts[e.Attempt].done {
+// release ends an attempt's hold on its worker and notes whether it may have run.
+func (d *Dispatcher) release(r *request, a *attempt, outcome Outcome) {
+	w := a.worker
+	a.done = true
+	a.mayHaveRun = outcome.mayHaveRun()
+	w.outstanding--
+	d.watchList.update(w)
+	placed := r.queue.placement(w)
+	placed.outstanding--
+	if a.awaitsLoad {
+		w.awaitingLoad--
+		placed.leaders--
+	} else {
+		w.limit.release()
+	}
+	if placed.outstanding == 0 && w.State == Gone { // else a hot function gathers those of all workers
+		delete(r.queue.placements, w)
+	}
+	w.waitingSince = d.now
+	d.queues.ended(r.queue, d.now)
+	d.slowStart.ended(&w.warmup, a.work, outcome)
+}
+
+// attemptEnded ends an attempt and learns from its outcome.
+func (d *Dispatcher) attemptEnded(ended AttemptEnded) {
+	r := d.requests[ended.Request]
+	if r == nil || ended.Attempt < 0 || ended.Attempt >= len(r.attempts) || r.attempts[ended.Attempt].done {
 		return
 	}
-	t := &r.attempts[e.Attempt]
-	placed := d.placement(r.queue, t.worker)
-	d.release(r, t, e.Outcome)
-	switch e.Outcome {
+	a := &r.attempts[ended.Attempt]
+	w := a.worker
+	placed := r.queue.placement(w)
+	d.release(r, a, ended.Outcome)
+	switch ended.Outcome {
 	case OK:
-		d.afterSuccess(r, t, placed, e)
+		d.afterSuccess(r, a, placed, ended)
 	case AtCapacity:
-		d.afterRejection(r, t, e)
+		d.afterRejection(r, a, ended)
 	case TimedOut:
-		t.worker.limit.onTimeout(tokenStep(d.settings.Controllers))
-		d.workerAnswered(t.worker, TimedOut)
-		d.observeCrowding(r.queue, int(2*r.Lanes), r.Lanes, d.isWarm(t.worker))
+		w.limit.onTimeout(tokenStep(d.settings.Controllers))
+		d.workerAnswered(w, TimedOut)
+		d.observeCrowding(r.queue, int(2*r.Lanes), r.Lanes, d.isWarm(w))
 	default:
-		d.workerAnswered(t.worker, e.Outcome)
-		ownError := e.Outcome == Error && e.Note != LoadFailed
-		d.outliers.onError(&t.worker.workerHealth, ownError, d.now)
+		d.workerAnswered(w, ended.Outcome)
+		ownError := ended.Outcome == Error && ended.Note != LoadFailed
+		d.outliers.onError(&w.workerHealth, ownError, d.now)
 	}
-	if e.Complete || e.Outcome == OK {
+	if ended.Complete || ended.Outcome == OK {
 		d.end(r)
 		return
 	}
 	r.undecided = true
 }
 
-func (d *Dispatcher) afterSuccess(r *request, t *attempt, placed *placement, e AttemptEnded) {
-	w := t.worker
+// afterSuccess learns from an answer. Only a run that met a loaded copy says something about run times.
+func (d *Dispatcher) afterSuccess(r *request, a *attempt, placed *placement, ended AttemptEnded) {
+	w := a.worker
+	late := ended.Took > d.class(r).LatencyObjective
 	d.workerAnswered(w, OK)
 	d.observe(r, !d.overdue(r))
-	if e.Note == StartedLoad {
+	if ended.Note == StartedLoad {
 		w.loadBackoff.loaded()
 	}
 	d.outliers.onSuccess(&w.workerHealth)
 	placed.lastSeenAt = d.now
-	if !t.awaitsLoad {
-		d.evictions.observe(e.Note == StartedLoad && e.SameFunction == 0)
+	if !a.awaitsLoad {
+		d.evictions.observe(ended.Note == StartedLoad && ended.SameFunction == 0)
 	}
-	took := e.Took.Seconds()
-	slow := e.Took > d.settings.Classes[r.Class].LatencyObjective ||
-		took > slowFrom(d.settings.Controllers, r.Lanes)*d.peerLatency.median()*d.classRunTime[r.Class]
-	d.observeCrowding(r.queue, e.SameFunction, r.Lanes, slow && d.isWarm(w))
-	waited := e.Note == StartedLoad || e.Note == AwaitedLoad
-	if !waited && (e.Note == FoundWarm || !t.awaitsLoad) {
-		r.queue.meanRunTime = mean(r.queue.meanRunTime, took)
-		d.classRunTime[r.Class] = mean(d.classRunTime[r.Class], took)
-		ratio := mean(w.limit.latencyRatio, took/d.classRunTime[r.Class])
-		d.peerLatency.set(&w.limit, ratio, w.State != Gone)
-		headroom := slowFrom(d.settings.Controllers, r.Lanes) * d.peerLatency.median() / w.limit.latencyRatio
-		late := e.Took > d.settings.Classes[r.Class].LatencyObjective
-		w.limit.onAnswer(headroom, late, tokenStep(d.settings.Controllers))
+	slow := late || ended.Took.Seconds() > d.slowRatio(r)*d.classRunTime[r.Class]
+	d.observeCrowding(r.queue, ended.SameFunction, r.Lanes, slow && d.isWarm(w))
+	waited := ended.Note == StartedLoad || ended.Note == AwaitedLoad
+	if !waited && (ended.Note == FoundWarm || !a.awaitsLoad) {
+		d.learnRunTime(r, w, ended.Took.Seconds(), late)
 	}
 }
 
-func (d *Dispatcher) afterRejection(r *request, t *attempt, e AttemptEnded) {
-	w := t.worker
+// learnRunTime follows the run times of the function, its class and the worker, in seconds, and with them the
+// worker's concurrency limit.
+func (d *Dispatcher) learnRunTime(r *request, w *worker, took float64, late bool) {
+	r.queue.meanRunTime = mean(r.queue.meanRunTime, took)
+	d.classRunTime[r.Class] = mean(d.classRunTime[r.Class], took)
+	ratio := mean(w.limit.latencyRatio, took/d.classRunTime[r.Class])
+	d.peerLatency.set(&w.limit, ratio, w.State != Gone)
+	w.limit.onAnswer(d.slowRatio(r)/w.limit.latencyRatio, late, tokenStep(d.settings.Controllers))
+}
+
+// slowRatio is the latency ratio from which a worker counts as slow.
+func (d *Dispatcher) slowRatio(r *request) float64 {
+	return slowFrom(d.settings.Controllers, r.Lanes) * d.peerLatency.median()
+}
+
+// afterRejection learns from a worker that was at its capacity.
+func (d *Dispatcher) afterRejection(r *request, a *attempt, ended AttemptEnded) {
+	w := a.worker
 	d.workerAnswered(w, OK)
 	w.limit.onRejection()
-	d.observeCrowding(r.queue, e.SameFunction, r.Lanes, d.isWarm(w))
+	d.observeCrowding(r.queue, ended.SameFunction, r.Lanes, d.isWarm(w))
 	if len(r.attempts) >= d.settings.Limits.MaxAttempts {
 		d.observe(r, false)
 	}
-	if t.awaitsLoad {
+	if a.awaitsLoad {
 		d.loadRejected(w)
 	}
 }
 
-// retry queues a request for another attempt, waits for one that is out, or answers.
-func (d *Dispatcher) retry(r *request) {
-	if d.mayRetry(r) && (!r.hasOutstanding() || r.mayHedge) {
-		d.enqueue(r)
-	} else if !r.hasOutstanding() {
-		d.finish(r)
-	}
-}
-
-// release ends an attempt's hold on its worker and records whether it may have run.
-func (d *Dispatcher) release(r *request, t *attempt, o Outcome) {
-	t.done = true
-	t.mayRun = o != AtCapacity && o != ConnectFailed && o != NotStarted && o != NotLoaded
-	t.worker.outstanding--
-	d.watch(t.worker)
-	placed := d.placement(r.queue, t.worker)
-	placed.outstanding--
-	if t.awaitsLoad {
-		t.worker.awaitingLoad--
-		placed.leaders--
-	} else {
-		t.worker.limit.release()
-	}
-	if placed.outstanding == 0 && t.worker.State == Gone { // else a hot function gathers those of all workers
-		delete(r.queue.placements, t.worker)
-	}
-	t.worker.waitingSince = d.now
-	d.touch(r.queue)
-	r.queue.inFlight--
-	r.queue.lastActiveAt = d.now
-	d.slowStart.ended(&t.worker.warmup, t.work, o)
-}
-
-// mayReject: a refusal tells the client that another try does no harm.
-func (d *Dispatcher) mayReject(r *request) bool {
-	c := d.settings.Classes[r.Class]
-	return c.Idempotency == Idempotent || r.mayHaveRun() == nil ||
-		c.Idempotency == IdempotentWithKey && c.DedupScope == AllWorkers
-}
-
-// mayRetry tells whether the rules leave room for another attempt at all.
-func (d *Dispatcher) mayRetry(r *request) bool {
-	return slices.ContainsFunc(d.order, func(w *worker) bool { return d.maySend(r, w) })
-}
-
-// maySend keeps the rules on effects for one more attempt at a worker.
-func (d *Dispatcher) maySend(r *request, w *worker) bool {
-	if r.ended || w.State != Ready || len(r.attempts) >= d.settings.Limits.MaxAttempts ||
-		d.now >= r.answerBy {
-		return false
-	}
-	for i := range r.attempts {
-		t := &r.attempts[i]
-		if !t.done && (!d.settings.Limits.HedgedRequests || !t.abandoned && !r.mayHedge || t.worker == w) {
-			return false
-		}
-	}
-	first := r.mayHaveRun()
-	c := d.settings.Classes[r.Class]
-	switch {
-	case first == nil || c.Idempotency == Idempotent:
-		return true
-	case c.Idempotency == NonIdempotent:
-		return false
-	}
-	return d.now < first.sentAt+c.DedupWindow-d.settings.Tick && (c.DedupScope == AllWorkers ||
-		c.DedupScope == SameZone && w.Zone == first.zone ||
-		c.DedupScope == SameGroup && w.Group == first.group)
-}
-
-// reassign finds another worker for what waits on one that no longer answers.
-func (d *Dispatcher) reassign(w *worker) {
-	if w.outstanding == 0 {
-		return
-	}
-	for _, r := range d.openRequests {
-		for i := range r.attempts {
-			t := &r.attempts[i]
-			if r.ended || r.queued || t.worker != w || t.done ||
-				d.settings.Classes[r.Class].Idempotency == NonIdempotent {
-				continue
-			}
-			if r.mayHedge = d.settings.Limits.HedgedRequests; !r.mayHedge &&
-				len(r.attempts) < d.settings.Limits.MaxAttempts {
-				d.cancel(r, i)
-			} else if r.mayHedge && d.mayRetry(r) {
-				d.enqueue(r)
-			}
-		}
-	}
+// observeCrowding follows how many workers a function needs, by what a request met at one.
+func (d *Dispatcher) observeCrowding(q *queue, met int, lanes float64, slow bool) {
+	q.spread.observe(met, lanes, slow, manyControllers(d.settings.Controllers, lanes), len(d.order))
 }
--- a/scheduler/copies.go
+++ b/scheduler/copies.go
@@ -51,7 +51,7 @@
 
 // loadTime is how long a load for the request is likely to take.
 func (d *Dispatcher) loadTime(r *request) time.Duration {
-	return cmp.Or(r.LoadTime, seconds(guessLoad*d.settings.Classes[r.Class].LatencyObjective.Seconds()))
+	return cmp.Or(r.LoadTime, seconds(guessLoad*d.class(r).LatencyObjective.Seconds()))
 }
 
 // hasCopy tells whether a copy is believed to be loaded: one was seen, not longer ago than an idle copy
@@ -63,7 +63,7 @@
 
 // ensureCopy orders a copy where one will be needed soon, and tells whether one is loaded or on its way.
 func (d *Dispatcher) ensureCopy(q *queue, w *worker) bool {
-	placed := d.placement(q, w)
+	placed := q.placement(w)
 	return placed.pendingOrders > 0 || d.hasCopy(placed, w) ||
 		w.loadBackoff.allows(d.now) && d.orderLoad(w, q.function)
 }
@@ -73,7 +73,7 @@
 	if !d.loadBudget.take(d.now) {
 		return false
 	}
-	placed := d.placement(d.queue(function), w)
+	placed := d.queues.get(function).placement(w)
 	placed.pendingOrders++
 	placed.loadStartedAt = d.now
 	d.do(LoadOrder{Worker: w.ID, Function: function, Copies: 1})
@@ -83,12 +83,12 @@
 // loadOrderEnded notes which copies are loaded. An order that failed says nothing of the worker's health,
 // but for its silence.
 func (d *Dispatcher) loadOrderEnded(ended LoadOrderEnded) {
-	w, q := d.workers[ended.Worker], d.queues[ended.Function]
+	w, q := d.workers[ended.Worker], d.queues.byFunction[ended.Function]
 	d.workerAnswered(w, ended.Outcome)
 	if w == nil || q == nil {
 		return
 	}
-	placed := d.placement(q, w)
+	placed := q.placement(w)
 	placed.pendingOrders = max(0, placed.pendingOrders-1)
 	switch {
 	case ended.Copies > 0:
@@ -110,7 +110,7 @@
 
 // stageCopies orders the copies of a function that is about to be called, at the first workers of its walk.
 func (d *Dispatcher) stageCopies(staged StagedCopies) {
-	q := d.queue(staged.Function)
+	q := d.queues.get(staged.Function)
 	missing := staged.Copies
 	for i := 0; missing > 0 && i < len(d.order); i++ {
 		if w := q.worker(i); d.ready(w) && d.ensureCopy(q, w) {
@@ -122,8 +122,7 @@
 // renewCopies renews the home copies of functions that are likely to be called again, in the order of the
 // functions, as far as the budget goes.
 func (d *Dispatcher) renewCopies() {
-	for e := d.dueRenewal(); e != nil; e = d.dueRenewal() {
-		q := e.Value
+	for q := d.queues.nextRenewal(d.now); q != nil; q = d.queues.nextRenewal(d.now) {
 		i := 0
 		for i < len(d.order) && !d.ready(q.worker(i)) {
 			i++
@@ -132,18 +131,13 @@
 			return // no worker is ready, or there is no budget: for no function
 		}
 		q.lastRenewalAt = d.now
-		d.touch(q)
+		d.queues.touch(q)
 	}
 }
 
 // renewalInterval is how long a copy may be idle before it is renewed.
-func (d *Dispatcher) renewalInterval() time.Duration {
-	return time.Duration(renewAfter * float64(d.settings.Loading.IdleCopyTTL))
-}
-
-// renewAt is when an active, idle queue needs its copy renewed.
-func (d *Dispatcher) renewAt(q *queue) time.Duration {
-	return max(max(q.lastActiveAt, q.lastRenewalAt)+d.renewalInterval(), q.desiredUntil)
+func renewalInterval(idleCopyTTL time.Duration) time.Duration {
+	return time.Duration(renewAfter * float64(idleCopyTTL))
 }
 
 // loadDesiredCopies orders the copies that are advised: one order at a worker at a time, within advice's
@@ -162,22 +156,23 @@
 // loadDesired goes along the walk of one function, until as many workers as copies are desired have been
 // found.
 func (d *Dispatcher) loadDesired(desired DesiredCopies, mayOrder bool) {
-	q := d.queue(desired.Function)
+	q := d.queues.get(desired.Function)
 	q.desiredUntil = desired.Until
-	d.touch(q)
+	d.queues.touch(q)
 	thisStep := max(d.now, 1)
+	interval := renewalInterval(d.settings.Loading.IdleCopyTTL)
 	missing := desired.Copies
 	for i := 0; missing > 0 && i < len(d.order); i++ {
 		w := q.worker(i)
 		if !d.ready(w) {
 			continue
 		}
-		placed := d.placement(q, w)
+		placed := q.placement(w)
 		lastUse := max(placed.lastSeenAt, placed.loadStartedAt)
 		switch {
 		case placed.pendingOrders > 0:
 			w.advisedLoadAt = thisStep
-		case d.hasCopy(placed, w) && (placed.outstanding > 0 || d.now-lastUse < d.renewalInterval()):
+		case d.hasCopy(placed, w) && (placed.outstanding > 0 || d.now-lastUse < interval):
 		case !w.loadBackoff.allows(d.now):
 			continue // the next of the walk may have room
 		case mayOrder && w.advisedLoadAt != thisStep && d.adviceMayLoad() && d.orderLoad(w, q.function):
--- a/scheduler/index_test.go
+++ b/scheduler/index_test.go
@@ -12,10 +12,10 @@
 // checkIndexes compares what the indexes hold, as it is between steps, with what looking at everything finds.
 func checkIndexes(t *testing.T, d *Dispatcher) {
 	t.Helper()
-	d.reindex()
+	d.queues.reindex()
 	var lowest float64
 	active := 0
-	for fn, q := range d.queues {
+	for fn, q := range d.queues.byFunction {
 		if q.function != fn || q.isForgotten {
 			t.Fatalf("function %d: its queue is of %d, forgotten %v", fn, q.function, q.isForgotten)
 		}
@@ -24,7 +24,7 @@
 				lowest = q.virtualTime
 			}
 		}
-		if len(q.pending) > 0 && !slices.Contains(d.pending, q) {
+		if len(q.pending) > 0 && !slices.Contains(d.queues.waiting, q) {
 			t.Fatalf("function %d waits and is not found", fn)
 		}
 		for w, placed := range q.placements {
@@ -33,8 +33,8 @@
 			}
 		}
 	}
-	if m := d.virtualTimes.Min(); d.virtualTimes.Len() != active || active > 0 && m.Key() != lowest {
-		t.Fatalf("%d active queues, the lowest at %v; the heap has %d", active, lowest, d.virtualTimes.Len())
+	if m := d.queues.virtualTimes.Min(); d.queues.virtualTimes.Len() != active || active > 0 && m.Key() != lowest {
+		t.Fatalf("%d active queues, the lowest at %v; the heap has %d", active, lowest, d.queues.virtualTimes.Len())
 	}
 	checkWorkers(t, d)
 }
@@ -59,8 +59,8 @@
 		}
 		failings = append(failings, w.errorRate)
 	}
-	if !slices.Equal(watchList, d.watchList) || ejected != d.outliers.ejected || d.ring.Len() != len(d.order) {
-		t.Fatalf("%d to be watched, %d ejected, %d listed; found %d, %d, %d", len(watchList), ejected, len(d.order), len(d.watchList), d.outliers.ejected, d.ring.Len())
+	if !slices.Equal(watchList, d.watchList.workers) || ejected != d.outliers.ejected || d.ring.Len() != len(d.order) {
+		t.Fatalf("%d to be watched, %d ejected, %d listed; found %d, %d, %d", len(watchList), ejected, len(d.order), len(d.watchList.workers), d.outliers.ejected, d.ring.Len())
 	}
 	slices.Sort(paces)
 	slices.Sort(failings)
@@ -92,7 +92,7 @@
 // A walk finds what sorting all points finds, in any order of ranks.
 func TestWalkInRankOrder(t *testing.T) {
 	d := start(t, base(), ready(1, 2, 3, 4, 5, 6, 7, 8)...)
-	q := d.queue(7)
+	q := d.queues.get(7)
 	if q.worker(0) == nil || q.worker(1) == nil { // half of a walk
 		t.Fatal("no walk")
 	}
@@ -122,10 +122,10 @@
 			ids = append(ids, id)
 		}
 		d := start(t, base(), ready(ids...)...)
-		q := d.queue(FunctionID(1 + random.IntN(1000)))
+		q := d.queues.get(FunctionID(1 + random.IntN(1000)))
 		for _, w := range d.order {
 			if random.IntN(3) == 0 {
-				d.placement(q, w)
+				q.placement(w)
 			}
 		}
 		from, looked := random.IntN(len(d.order)), 1+random.IntN(len(d.order))
@@ -215,8 +215,8 @@
 	}
 	// While advice keeps the copy, by orders of its own, it is not renewed.
 	d.Step(11850*ms, []Event{DesiredCopies{Function: 7, Copies: 1, Until: 12500 * ms}})
-	d.reindex()
-	if q := d.queues[7]; q.renewalEntry.Key() != 12500*ms {
+	d.queues.reindex()
+	if q := d.queues.byFunction[7]; q.renewalEntry.Key() != 12500*ms {
 		t.Errorf("its renewal is due at %v while advice keeps it until 12.5s", q.renewalEntry.Key())
 	}
 	d.Step(11900*ms, []Event{DesiredCopies{Function: 7}})
@@ -232,8 +232,8 @@
 // A shorter gap between calls makes a queue's time to live end earlier than it was due.
 func TestDueTimeMovesEarlier(t *testing.T) {
 	d := called(t, base(), 7)
-	q := d.queue(7)
-	d.reindex()
+	q := d.queues.get(7)
+	d.queues.reindex()
 	before := q.expiryEntry.Key()
 	for i := range 10 {
 		now := 1200*ms + time.Duration(i)*10*ms
@@ -241,16 +241,16 @@
 			d.Step(now, []Event{AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: OK, Complete: true, Note: FoundWarm, Took: ms}})
 		}
 	}
-	d.reindex()
-	if q.expiryEntry.Key() >= before || q.expiryEntry.Key() != q.idleSince()+d.ttl(q) {
-		t.Errorf("it stays active until %v, was %v, want %v", q.expiryEntry.Key(), before, q.idleSince()+d.ttl(q))
+	d.queues.reindex()
+	if q.expiryEntry.Key() >= before || q.expiryEntry.Key() != q.idleSince()+d.queues.timeToLive(q) {
+		t.Errorf("it stays active until %v, was %v, want %v", q.expiryEntry.Key(), before, q.idleSince()+d.queues.timeToLive(q))
 	}
 	d.Step(q.expiryEntry.Key()-1, nil)
 	if !q.active {
 		t.Error("inactive before its time")
 	}
 	d.Step(q.expiryEntry.Key(), nil)
-	if q.active || d.virtualTimes.Len() != 0 {
+	if q.active || d.queues.virtualTimes.Len() != 0 {
 		t.Error("active past its time")
 	}
 }
@@ -258,15 +258,15 @@
 // A function that is forgotten in the step in which it is called is kept, with what is known of it; one not called is not.
 func TestForgottenAndCalled(t *testing.T) {
 	d := called(t, base(), 7, 8)
-	q := d.queue(7)
+	q := d.queues.get(7)
 	past := 1100*ms + (8+8+16)*time.Second + 1 // time to live, idle life, cold time
 	d.Step(past-1, nil)
-	if d.queues[7] != q || d.queues[8] == nil {
+	if d.queues.byFunction[7] != q || d.queues.byFunction[8] == nil {
 		t.Fatal("forgotten before the time")
 	}
 	d.Step(past, []Event{arrival(70, 0, 7)})
-	if d.queues[7] != q || d.queues[8] != nil {
-		t.Errorf("the called function is kept %v, the other one %v", d.queues[7] == q, d.queues[8] != nil)
+	if d.queues.byFunction[7] != q || d.queues.byFunction[8] != nil {
+		t.Errorf("the called function is kept %v, the other one %v", d.queues.byFunction[7] == q, d.queues.byFunction[8] != nil)
 	}
 	checkIndexes(t, d)
 }
@@ -277,8 +277,8 @@
 	if got := renewals(d, time.Hour); got != nil {
 		t.Errorf("renewed %v, of functions nobody calls any more", got)
 	}
-	if len(d.queues) != 0 || indexed(d) != 0 {
-		t.Errorf("%d queues kept, %d places", len(d.queues), indexed(d))
+	if len(d.queues.byFunction) != 0 || indexed(d) != 0 {
+		t.Errorf("%d queues kept, %d places", len(d.queues.byFunction), indexed(d))
 	}
 	d.Step(time.Second, []Event{arrival(80, 0, 1)}) // the clock goes back: the dispatcher's does not
 	if d.now != time.Hour || len(d.requests) != 1 {
@@ -307,7 +307,7 @@
 		}
 		checkIndexes(t, d)
 		d.Step(2100*ms, []Event{AttemptEnded{Request: 90, Worker: old.ID, Outcome: OK, Complete: true, Note: FoundWarm, Took: 100 * ms}})
-		if now.outstanding != 0 && !slices.Contains(d.watchList, now) || old.outstanding != 0 {
+		if now.outstanding != 0 && !slices.Contains(d.watchList.workers, now) || old.outstanding != 0 {
 			t.Errorf("in one list %v: %d out at the new one, %d at the old", one, now.outstanding, old.outstanding)
 		}
 		checkIndexes(t, d)
@@ -340,7 +340,7 @@
 		answers = append(answers, AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: OK, Complete: true, Note: StartedLoad, Took: time.Second})
 	}
 	d.Step(4*time.Second, answers)
-	for fn, q := range d.queues {
+	for fn, q := range d.queues.byFunction {
 		for w := range q.placements {
 			if w.State == Gone {
 				t.Fatalf("function %d: worker %d is still known", fn, w.ID)
@@ -382,16 +382,16 @@
 			}
 		}
 	}
-	if len(d.queues) < 90000 {
-		t.Fatalf("%d functions remembered of 100,000: the test tests too little", len(d.queues))
+	if len(d.queues.byFunction) < 90000 {
+		t.Fatalf("%d functions remembered of 100,000: the test tests too little", len(d.queues.byFunction))
 	}
 	most := heapNow()
 	for range 400 {
 		now += 100 * ms
 		d.Step(now, nil)
 	}
-	if len(d.queues) != 0 || indexed(d) != 0 || len(d.requests) != 0 {
-		t.Errorf("%d functions, %d places and %d requests are kept", len(d.queues), indexed(d), len(d.requests))
+	if len(d.queues.byFunction) != 0 || indexed(d) != 0 || len(d.requests) != 0 {
+		t.Errorf("%d functions, %d places and %d requests are kept", len(d.queues.byFunction), indexed(d), len(d.requests))
 	}
 	for _, w := range d.order {
 		if len(w.placements) != 0 {
@@ -418,8 +418,8 @@
 		}
 	}
 	d.Step(1010*ms, nil)
-	if len(d.queues) != 500 || len(d.openRequests) != 0 {
-		t.Fatalf("%d functions, %d calls open", len(d.queues), len(d.openRequests))
+	if len(d.queues.byFunction) != 500 || len(d.openRequests) != 0 {
+		t.Fatalf("%d functions, %d calls open", len(d.queues.byFunction), len(d.openRequests))
 	}
 	before := d.Effort()
 	for now := 1020 * ms; now < 2*time.Second; now += 10 * ms {
@@ -454,8 +454,8 @@
 	first.ejectedUntil, second.ejectedUntil = time.Hour, 0
 	d.now = time.Minute
 	d.checkHealth()
-	if !first.ejected || second.ejected || d.effort.Summed > 2 {
-		t.Fatalf("ejected %v and %v, want the first only; %d shares added up on the way, want 2 at the most", first.ejected, second.ejected, d.effort.Summed)
+	if !first.ejected || second.ejected || d.Effort().Summed > 2 {
+		t.Fatalf("ejected %v and %v, want the first only; %d shares added up on the way, want 2 at the most", first.ejected, second.ejected, d.Effort().Summed)
 	}
 	if got := d.readyCapacity(); got != 3 {
 		t.Errorf("%v ready, want all 3: two of three were under suspicion when health came to the first two", got)
--- a/scheduler/mechanism_test.go
+++ b/scheduler/mechanism_test.go
@@ -8,32 +8,32 @@
 // A dispatch charges the queue with the function's mean run time; a newly active queue starts at Global_VT.
 func TestVirtualTime(t *testing.T) {
 	d := start(t, base(), ready(1, 2)...)
-	q := d.queue(7)
+	q := d.queues.get(7)
 	q.meanRunTime = 0.2
 	d.Step(time.Second, []Event{arrival(1, 0, 7)})
 	if q.virtualTime != 0.2 {
 		t.Errorf("VT %v after one dispatch of 0.2 s", q.virtualTime)
 	}
 	d.Step(1001*ms, nil)
-	if d.globalVirtualTime != 0.2 {
-		t.Errorf("Global_VT %v, want the lowest active VT 0.2", d.globalVirtualTime)
+	if d.queues.globalVirtualTime != 0.2 {
+		t.Errorf("Global_VT %v, want the lowest active VT 0.2", d.queues.globalVirtualTime)
 	}
-	fresh := d.queue(8)
-	d.activate(fresh)
-	if fresh.virtualTime != d.globalVirtualTime {
-		t.Errorf("new queue at %v, want Global_VT %v", fresh.virtualTime, d.globalVirtualTime)
+	fresh := d.queues.get(8)
+	d.queues.activate(fresh)
+	if fresh.virtualTime != d.queues.globalVirtualTime {
+		t.Errorf("new queue at %v, want Global_VT %v", fresh.virtualTime, d.queues.globalVirtualTime)
 	}
 }
 
 // An empty queue stays active for alpha x its gap, and for the keep-alive before a second call.
 func TestTTL(t *testing.T) {
 	d := start(t, base(), ready(1)...)
-	q := d.queue(7)
-	if got := d.ttl(q); got != 8*time.Second {
+	q := d.queues.get(7)
+	if got := d.queues.timeToLive(q); got != 8*time.Second {
 		t.Errorf("before a second call: %v, want the keep-alive", got)
 	}
 	q.meanInterarrival = 3
-	if got := d.ttl(q); got != 6*time.Second {
+	if got := d.queues.timeToLive(q); got != 6*time.Second {
 		t.Errorf("at a gap of 3 s: %v, want 6 s", got)
 	}
 }
@@ -42,13 +42,13 @@
 func TestHome(t *testing.T) {
 	a, b := start(t, base(), ready(1, 2, 3, 4)...), start(t, base(), ready(4, 3, 2, 1)...)
 	for fn := FunctionID(1); fn < 50; fn++ {
-		home := walk(a, a.queue(fn))[0]
-		if got := walk(b, b.queue(fn))[0]; got.ID != home.ID {
+		home := walk(a, a.queues.get(fn))[0]
+		if got := walk(b, b.queues.get(fn))[0]; got.ID != home.ID {
 			t.Errorf("function %d: homes %d and %d", fn, home.ID, got.ID)
 		}
 		if home.ID != 4 {
 			c := start(t, base(), ready(1, 2, 3)...)
-			if got := walk(c, c.queue(fn))[0]; got.ID != home.ID {
+			if got := walk(c, c.queues.get(fn))[0]; got.ID != home.ID {
 				t.Errorf("function %d moved from %d to %d as worker 4 left", fn, home.ID, got.ID)
 			}
 		}
@@ -130,7 +130,7 @@
 		d.Step(time.Second, []Event{ListUpdate{Kind: FullList, Workers: ready(id + 1)}})
 		d.Step(time.Second, []Event{AttemptEnded{Request: i, Worker: id, Outcome: OK, Complete: true, Note: FoundWarm}})
 	}
-	if n := len(d.queues[7].placements); n > 1 {
+	if n := len(d.queues.byFunction[7].placements); n > 1 {
 		t.Errorf("%d workers remembered, one is there", n)
 	}
 }
--- a/scheduler/outlier.go
+++ b/scheduler/outlier.go
@@ -182,7 +182,8 @@
 func (d *Dispatcher) checkHealth() {
 	quiet := max(d.settings.Limits.DialTimeout, seconds(quietRunTimes*slices.Max(d.classRunTime)))
 	patience := seconds(probeDialTimeouts * d.settings.Limits.DialTimeout.Seconds())
-	for w := range d.watched() {
+	d.capacity.reset()
+	for w := range d.watchList.all() {
 		switch w.check(d.now, w.outstanding, quiet, patience) {
 		case probeQuiet:
 			d.probe(w)
--- a/scheduler/outlier_fleet_test.go
+++ b/scheduler/outlier_fleet_test.go
@@ -65,7 +65,7 @@
 					Note: FoundWarm, SameFunction: 9}})
 			}
 		}
-		if spread := d.queues[7].spread.workers; (spread > 1) != (n == 100) {
+		if spread := d.queues.byFunction[7].spread.workers; (spread > 1) != (n == 100) {
 			t.Errorf("%d controllers: the function spreads over %v workers", n, spread)
 		}
 	}
--- a/scheduler/overload_test.go
+++ b/scheduler/overload_test.go
@@ -19,7 +19,7 @@
 			t.Fatal(err)
 		}
 		d.Step(time.Hour, []Event{ListUpdate{Kind: CachedList, Workers: ready(1, 2, 3, 4)}})
-		home := walk(d, d.queue(7))[0].ID
+		home := walk(d, d.queues.get(7))[0].ID
 		begin := time.Hour + time.Second
 		d.Step(begin, []Event{ListUpdate{Kind: ListDelta, Workers: []WorkerInfo{{ID: home, State: Ready, StartedAt: begin}}}})
 		next := RequestID(seed * 1000)
@@ -183,7 +183,7 @@
 			for _, w := range d.order {
 				w.limit.tokens, w.limit.inUse, w.awaitingLoad = 1, 1, 9
 			}
-			d.queue(7).meanRunTime = 0.4
+			d.queues.get(7).meanRunTime = 0.4
 			d.Step(time.Second, []Event{arrival(1, 0, 7)})
 			return d, 3580 * ms, 3600 * ms, nil
 		}, false},
@@ -219,7 +219,7 @@
 // A mean run time longer than any patience must not shut a function out for good.
 func TestLongRunTimeIsTriedAgain(t *testing.T) {
 	d := start(t, base(), ready(1, 2)...)
-	d.queue(7).meanRunTime = 60
+	d.queues.get(7).meanRunTime = 60
 	for i := 1; i <= 100; i++ {
 		got := d.Step(time.Second+time.Duration(i)*10*ms, []Event{arrival(RequestID(i), 0, 7)})
 		if n := len(pickOut[Send](got)); i == 1 && n > 0 {
--- /dev/null
+++ b/scheduler/retry.go
@@ -0,0 +1,131 @@
+package scheduler
+
+import (
+	"slices"
+	"time"
+)
+
+// retryRules say which further attempt of a request keeps the promises on idempotency. They depend on what
+// is known of its attempts alone, never on load.
+//
+// An attempt that was rejected, or never reached its worker, changes nothing: any request may be sent
+// again. After one that may have run, an idempotent request may still go anywhere, and one that is not
+// idempotent nowhere. A request with an idempotency key may go to the workers that share its first
+// attempt's store of keys, while that store remembers.
+type retryRules struct {
+	classes []Class
+	limits  Limits
+	tick    time.Duration
+}
+
+func newRetryRules(settings *Settings) retryRules {
+	return retryRules{classes: settings.Classes, limits: settings.Limits, tick: settings.Tick}
+}
+
+// mayReject tells whether a Reject may answer a request, which tells the client that sending it again does
+// no harm.
+func (p *retryRules) mayReject(r *request) bool {
+	class := &p.classes[r.Class]
+	return class.Idempotency == Idempotent || r.firstThatMayHaveRun() == nil ||
+		class.Idempotency == IdempotentWithKey && class.DedupScope == AllWorkers
+}
+
+// maySend tells whether one more attempt of a request may go to a worker.
+func (p *retryRules) maySend(r *request, w *worker, now time.Duration) bool {
+	if r.ended || w.State != Ready || len(r.attempts) >= p.limits.MaxAttempts || now >= r.answerBy {
+		return false
+	}
+	return p.mayJoinOutstanding(r, w) && p.keepsIdempotency(r, w, now)
+}
+
+// mayJoinOutstanding tells whether an attempt may go out beside those that have no outcome yet: only where
+// hedged requests are allowed, beside one that is given up on, and at another worker.
+func (p *retryRules) mayJoinOutstanding(r *request, w *worker) bool {
+	for i := range r.attempts {
+		a := &r.attempts[i]
+		if a.done {
+			continue
+		}
+		givenUp := a.abandoned || r.mayHedge
+		if !p.limits.HedgedRequests || !givenUp || a.worker == w {
+			return false
+		}
+	}
+	return true
+}
+
+// keepsIdempotency tells whether a request may run at a worker, considering that an earlier attempt may
+// have run.
+func (p *retryRules) keepsIdempotency(r *request, w *worker, now time.Duration) bool {
+	first := r.firstThatMayHaveRun()
+	class := &p.classes[r.Class]
+	switch {
+	case first == nil || class.Idempotency == Idempotent:
+		return true
+	case class.Idempotency == NonIdempotent:
+		return false
+	case now >= first.sentAt+class.DedupWindow-p.tick:
+		return false
+	}
+	return class.DedupScope == AllWorkers ||
+		class.DedupScope == SameZone && w.Zone == first.zone ||
+		class.DedupScope == SameGroup && w.Group == first.group
+}
+
+// firstThatMayHaveRun returns the first attempt that may have run, or may yet; nil if there is none.
+func (r *request) firstThatMayHaveRun() *attempt {
+	for i := range r.attempts {
+		if a := &r.attempts[i]; !a.done || a.mayHaveRun {
+			return a
+		}
+	}
+	return nil
+}
+
+// mayHaveRun tells whether an attempt with this outcome may have run.
+func (o Outcome) mayHaveRun() bool {
+	return o != AtCapacity && o != ConnectFailed && o != NotStarted && o != NotLoaded
+}
+
+// mayRetry tells whether the rules leave any worker for another attempt.
+func (d *Dispatcher) mayRetry(r *request) bool {
+	return slices.ContainsFunc(d.order, func(w *worker) bool { return d.retryRules.maySend(r, w, d.now) })
+}
+
+// retry queues a request for another attempt, waits for one that is outstanding, or answers.
+func (d *Dispatcher) retry(r *request) {
+	if d.mayRetry(r) && (!r.hasOutstanding() || r.mayHedge) {
+		d.queues.enqueue(r)
+	} else if !r.hasOutstanding() {
+		d.answer(r)
+	}
+}
+
+// reassign finds another worker for what waits at one that no longer answers. Where hedged requests are
+// allowed another attempt goes out beside it; otherwise it is cancelled first.
+func (d *Dispatcher) reassign(w *worker) {
+	if w.outstanding == 0 {
+		return
+	}
+	for _, r := range d.openRequests {
+		for i := range r.attempts {
+			if r.attempts[i].worker == w && !r.attempts[i].done {
+				d.reassignAttempt(r, i)
+			}
+		}
+	}
+}
+
+func (d *Dispatcher) reassignAttempt(r *request, i int) {
+	limits := &d.settings.Limits
+	if r.ended || r.queued || d.class(r).Idempotency == NonIdempotent {
+		return
+	}
+	r.mayHedge = limits.HedgedRequests
+	switch {
+	case !r.mayHedge && len(r.attempts) < limits.MaxAttempts:
+		d.cancel(r, i)
+	case r.mayHedge && d.mayRetry(r):
+		d.queues.enqueue(r)
+	}
+}
--- a/scheduler/snapshot.go
+++ b/scheduler/snapshot.go
@@ -28,7 +28,7 @@
 // Snapshot returns how a worker and a function look now.
 func (d *Dispatcher) Snapshot(fn FunctionID, id WorkerID) Snapshot {
 	l := Snapshot{RingPosition: -1, RingSize: len(d.order), AdmittedFraction: d.admission.fraction}
-	w, q := d.workers[id], d.queues[fn]
+	w, q := d.workers[id], d.queues.byFunction[fn]
 	if q != nil {
 		l.Queued, l.InFlight = len(q.pending), q.inFlight
 		for i := range d.order {
@@ -90,8 +90,8 @@
 
 // Functions returns the functions that are remembered, by id.
 func (d *Dispatcher) Functions() (l []FunctionSnapshot) {
-	for _, fn := range slices.Sorted(maps.Keys(d.queues)) {
-		q := d.queues[fn]
+	for _, fn := range slices.Sorted(maps.Keys(d.queues.byFunction)) {
+		q := d.queues.byFunction[fn]
 		x := FunctionSnapshot{ID: q.function, Queued: len(q.pending), InFlight: q.inFlight, MeanRunTime: seconds(q.meanRunTime), MeanInterarrival: seconds(q.meanInterarrival), Desired: q.desiredUntil > d.now}
 		for i := 0; i < len(d.order) && x.Home == 0; i++ {
 			if w := q.worker(i); d.ready(w) {
--- a/scheduler/step.go
+++ b/scheduler/step.go
@@ -7,23 +7,43 @@
 	"kitehub/scheduler/ring"
 )
 
-// Tuned values. All are ratios of settings or of what is observed, but for the design's own figures.
-const (
-	alpha      = 2.0  // queue TTL in inter-arrival times: keeps a function's home while calls are likely
-	overrun    = 10.0 // T, seconds of run time a queue may lead Global_VT: batches, yet no monopoly
-	meanWeight = 0.2  // of a new run time or gap in its mean: follows a change in some five calls
-	meanClip   = 4.0  // a sample counts as at most so many means: one rare long call is not the rule
-	guessRun   = 0.25 // run time before the first answer, of the aim
-	ringPoints = 48   // of an average worker: even arcs, and a lost home's functions go to many others
-	ownLoads   = 2    // sends at once to one worker where a load is likely: the store is shared by all
-	spillAfter = 0.25 // wait at a busy home, of the aim, before a further copy is worth its load
-	spillCrowd = 10.0 // added to it for each share of believed copies that had been pushed out
-	jitter     = 0.5  // of a time off the ring or to come back: who saw the same does not return in step
-	preferArc  = 1.5  // of its arc, for a worker that is advised rather than others
-	graceTicks = 2    // ticks kept for our own answer before the deadline
-)
+// A Dispatcher decides for one controller. It is not safe for concurrent use.
+type Dispatcher struct {
+	settings   Settings
+	retryRules retryRules
+	random     *rand.Rand // all draws, in the order in which decisions need them
+
+	now     time.Duration // of the step
+	actions []Action      // of the step
+	wakeAt  time.Duration // last asked for
+
+	workers        map[WorkerID]*worker
+	order          []*worker // listed, by id
+	ring           ring.Ring[*worker]
+	listGeneration int  // lists that came
+	ranksStale     bool // the list or the advice on workers has changed
+
+	queues       fairQueues
+	requests     map[RequestID]*request
+	openRequests []*request // in order of arrival
+	classRunTime []float64  // mean run time by class, seconds
+
+	admission     admission
+	slowStart     slowStart
+	outliers      outlierDetector
+	peerLatency   peerLatency
+	evictions     evictions
+	loadBudget    loadBudget
+	desiredCopies adviceList[DesiredCopies]
+	advisedRanks  adviceList[WorkerRank]
+
+	watchList          watchList
+	capacity           capacitySum
+	candidatesExamined uint64 // see Effort
+}
 
-// New returns a dispatcher for one controller, or an error that names the wrong field. Draws use the seed.
+// New returns a dispatcher for one controller, or an error that names the setting that is wrong. All its
+// draws come from the seed.
 func New(s Settings, seed uint64) (*Dispatcher, error) {
 	if err := s.check(); err != nil {
 		return nil, err
@@ -31,10 +51,10 @@
 	random := rand.New(rand.NewPCG(seed, seed))
 	d := &Dispatcher{
 		settings:      s,
+		retryRules:    newRetryRules(&s),
 		random:        random,
 		workers:       map[WorkerID]*worker{},
 		ring:          ring.Ring[*worker]{Hash: ringPoint},
-		queues:        map[FunctionID]*queue{},
 		requests:      map[RequestID]*request{},
 		admission:     newAdmission(),
 		loadBudget:    newLoadBudget(s.Loading),
@@ -43,74 +63,106 @@
 		desiredCopies: newDesiredCopies(),
 		advisedRanks:  newWorkerRanks(),
 	}
-	for _, c := range s.Classes {
-		d.classRunTime = append(d.classRunTime, guessRun*c.LatencyObjective.Seconds())
+	d.queues = newFairQueues(&s, &d.ring)
+	for _, class := range s.Classes {
+		d.classRunTime = append(d.classRunTime, guessRun*class.LatencyObjective.Seconds())
 	}
 	return d, nil
 }
 
-// Step takes the events of one tick and returns what to do, in order. Between steps nothing happens.
+// Step takes the events since the last step, in their order, and returns what to do, in order. The time is
+// one of the caller's clock; one before the last step's counts as that. Between steps nothing happens.
 func (d *Dispatcher) Step(now time.Duration, events []Event) []Action {
-	d.admission.recover(now-d.now, d.settings.Classes[0].Deadline)
-	d.now = max(now, d.now)
-	d.actions = nil
-	for _, e := range events {
-		switch e := e.(type) {
-		case ListUpdate:
-			d.list(e)
-		case Arrival:
-			d.arrive(e)
-		case AttemptEnded:
-			d.attemptEnded(e)
-		case ClientGone:
-			if r := d.requests[e.Request]; r != nil {
-				d.end(r)
-			}
-		case LoadOrderEnded:
-			d.loadOrderEnded(e)
-		case ProbeEnded:
-			d.workerAnswered(d.workers[e.Worker], e.Outcome)
-		case StagedCopies:
-			d.stageCopies(e)
-		case BudgetHandover:
-			d.loadBudget.inherit(e)
-		case Superseded:
-			d.loadBudget.superseded = e.On
-		case DesiredCopies:
-			d.desiredCopies.set(e, e.Copies > 0)
-		case WorkerRank:
-			d.ranksStale = true
-			d.advisedRanks.set(e, e.Rank != 0)
-		}
+	d.begin(now)
+	for _, event := range events {
+		d.apply(event)
 	}
 	d.applyRanks()
-	d.sweep()
+	d.advanceRequests()
 	d.checkHealth()
 	d.dispatch()
 	d.renewCopies()
 	d.loadDesiredCopies()
-	d.wake()
+	d.requestWake()
 	return d.actions
 }
 
-// wake asks for the next step: each tick or so while something is open, else when a queue may want renewal.
-func (d *Dispatcher) wake() {
+// begin moves the clock.
+func (d *Dispatcher) begin(now time.Duration) {
+	d.admission.recover(now-d.now, d.settings.Classes[0].Deadline)
+	d.now = max(now, d.now)
+	d.actions = nil
+}
+
+// apply takes in one event. Most of what follows from it is decided after all events of the step.
+func (d *Dispatcher) apply(event Event) {
+	switch event := event.(type) {
+	case ListUpdate:
+		d.updateList(event)
+	case Arrival:
+		d.arrive(event)
+	case AttemptEnded:
+		d.attemptEnded(event)
+	case ClientGone:
+		if r := d.requests[event.Request]; r != nil {
+			d.end(r)
+		}
+	case LoadOrderEnded:
+		d.loadOrderEnded(event)
+	case ProbeEnded:
+		d.workerAnswered(d.workers[event.Worker], event.Outcome)
+	case StagedCopies:
+		d.stageCopies(event)
+	case BudgetHandover:
+		d.loadBudget.inherit(event)
+	case Superseded:
+		d.loadBudget.superseded = event.On
+	case DesiredCopies:
+		d.desiredCopies.set(event, event.Copies > 0)
+	case WorkerRank:
+		d.advisedRanks.set(event, event.Rank != 0)
+		d.ranksStale = true
+	}
+}
+
+// do adds an action to those of the step.
+func (d *Dispatcher) do(a Action) { d.actions = append(d.actions, a) }
+
+// requestWake asks for the next step: after a tick or so, by the time of the next answer of our own. It
+// asks for none where nothing is open or remembered, or an earlier one is still to come.
+func (d *Dispatcher) requestWake() {
 	at := d.now + max(d.settings.Tick, d.settings.Limits.DialTimeout/10)
 	for _, r := range d.openRequests {
 		if !r.ended {
 			at = min(at, max(r.answerBy, d.now+1))
 		}
 	}
-	if d.wakeAt > d.now && d.wakeAt <= at || len(d.openRequests) == 0 && len(d.queues) == 0 {
+	asked := d.wakeAt > d.now && d.wakeAt <= at
+	idle := len(d.openRequests) == 0 && len(d.queues.byFunction) == 0
+	if asked || idle {
 		return
 	}
 	d.wakeAt = at
 	d.do(Wake{At: at})
 }
 
-func mean(old, sample float64) float64 {
-	if old == 0 {
-		return sample
+// BudgetHandover returns what a process that takes over this controller begins with.
+func (d *Dispatcher) BudgetHandover() BudgetHandover { return d.loadBudget.handover() }
+
+// Effort counts what steps have examined: a measure of their cost that depends on no clock.
+type Effort struct {
+	Points  uint64 // of the ring
+	Workers uint64 // as candidates for a request, or for their health
+	Queues  uint64
+	Summed  uint64 // workers whose capacity was added up, in the steps in which a warming one is considered
+}
+
+// Effort returns the sums since the start.
+func (d *Dispatcher) Effort() Effort {
+	return Effort{
+		Points:  d.ring.Visited,
+		Workers: d.candidatesExamined + d.watchList.examined,
+		Queues:  d.queues.examined,
+		Summed:  d.capacity.added,
 	}
-	return old + meanWeight*(min(sample, meanClip*old)-old)
 }
--- a/scheduler/step_test.go
+++ b/scheduler/step_test.go
@@ -57,7 +57,7 @@
 
 // indexed counts the places of queues in the indexes.
 func indexed(d *Dispatcher) int {
-	return len(d.touched) + len(d.pending) + d.virtualTimes.Len() + d.expiries.Len() + d.renewals.Len() + d.renewable.Len()
+	return len(d.queues.touched) + len(d.queues.waiting) + d.queues.virtualTimes.Len() + d.queues.expiries.Len() + d.queues.renewals.Len() + d.queues.renewable.Len()
 }
 
 // pickOut returns the actions of one type.
@@ -361,8 +361,8 @@
 			}
 		}
 	}
-	if len(d.queues) > 0 || len(d.requests) > 0 || indexed(d) > 0 || len(d.workers) != 2 || len(d.order) != 2 {
-		t.Errorf("kept %d queues, %d requests, %d workers", len(d.queues), len(d.requests), len(d.workers))
+	if len(d.queues.byFunction) > 0 || len(d.requests) > 0 || indexed(d) > 0 || len(d.workers) != 2 || len(d.order) != 2 {
+		t.Errorf("kept %d queues, %d requests, %d workers", len(d.queues.byFunction), len(d.requests), len(d.workers))
 	}
 }
 
@@ -386,13 +386,13 @@
 		a, b queue
 		want bool
 	}{
-		{"within T first", queue{virtualTime: 1, eligible: 1}, queue{virtualTime: overrun + 1, eligible: 9}, true},
+		{"within T first", queue{virtualTime: 1, eligible: 1}, queue{virtualTime: maxLead + 1, eligible: 9}, true},
 		{"longest first", queue{eligible: 1}, queue{eligible: 2}, false},
 		{"fewest in flight", queue{eligible: 2, inFlight: 1}, queue{eligible: 2, inFlight: 2}, true},
 		{"beyond T the lowest VT", queue{virtualTime: 30, eligible: 9}, queue{virtualTime: 20, eligible: 1}, false},
 	}
 	for _, tt := range tests {
-		if got := d.before(&tt.a, &tt.b); got != tt.want {
+		if got := d.queues.precedes(&tt.a, &tt.b); got != tt.want {
 			t.Errorf("%s: %v, want %v", tt.name, got, tt.want)
 		}
 	}
