--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -70,7 +70,7 @@
 		if d.overdue(r) {
 			d.observe(r, false)
 		}
-		if !r.ended && (d.now >= r.answerBy || r.queued && d.isHopeless(r)) {
+		if !r.ended && (d.now >= r.answerBy || r.queued && d.mustAnswerNow(r)) {
 			d.answer(r)
 		}
 		if outstanding := d.releaseLost(r); r.ended && !outstanding {
@@ -98,9 +98,9 @@
 	return outstanding
 }
 
-// isHopeless tells whether a queued request is to be answered at once: nothing is outstanding, and it is not
-// admitted, or no worker may have it again, or no run fits its time.
-func (d *Dispatcher) isHopeless(r *request) bool {
+// mustAnswerNow tells whether a queued request is to be answered at once: nothing is outstanding, and it is
+// not admitted, or no worker may have it again, or no run fits its time.
+func (d *Dispatcher) mustAnswerNow(r *request) bool {
 	noTime := d.cannotMeetDeadline(r)
 	if noTime && d.now == r.arrivedAt {
 		// The mean run time rejects even a new request. Lower it, or a wrong one would never be corrected.
--- a/scheduler/doc.go
+++ b/scheduler/doc.go
@@ -23,10 +23,13 @@
 //   - concurrency.go: the concurrency limit of a worker, by additive increase and multiplicative decrease
 //   - outlier.go: health checks, ejection, and avoidance of workers that answer with errors
 //   - slowstart.go: the bound on what a warming worker is sent by all controllers together
-//   - copies.go, loadbudget.go: which copies are believed loaded, and the budget of orders to load more
-//   - ranks.go: advice on workers
+//   - copies.go, loadbudget.go: which copies are believed to be loaded, and the budget of orders for more
+//   - advice.go, ranks.go: advice on copies and workers
 //   - retry.go: which further attempt keeps the rules on idempotency
-//   - attempts.go: the life of a request and its attempts
+//   - attempts.go: the life of a request and its attempts, and what is learnt from outcomes
+//   - fleet.go: the list of workers, and what health checks and slow start need of all of them
+//   - numbers.go: means, hashes, and the tuned constants that several mechanisms share
 //
-// The rest is plumbing that decides nothing: index.go finds what a step has to examine without examining all.
+// Any other tuned constant stands with the type that uses it. The rest decides nothing: request.go has the
+// state of a request, and queueindex.go and walk.go find what a step has to examine without examining all.
 package scheduler
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -25,6 +25,7 @@
 // ListKind says how complete a ListUpdate is, and how far it can be trusted.
 type ListKind int
 
+// Kinds of ListUpdate.
 const (
 	ListDelta  ListKind = iota + 1 // only the workers that changed
 	FullList                       // all workers: those missing are gone
@@ -46,10 +47,11 @@
 // WorkerState is what the list says of a worker.
 type WorkerState int
 
+// States of a worker. One that is missing from a full list is Gone as well.
 const (
-	Ready    WorkerState = iota + 1
-	Draining             // finishes what it has and takes nothing new
-	Gone
+	Ready    WorkerState = iota + 1 // takes requests
+	Draining                        // finishes what it has and takes nothing new
+	Gone                            // it is no longer there
 )
 
 // Arrival is a request that the controller has accepted from a client.
@@ -65,7 +67,7 @@
 	Lanes          float64       // requests that one copy runs at a time
 	LoadTime       time.Duration // of one copy; 0: not known
 	ClientRetry    bool          // the client has sent it before
-	Resubmitted    bool          // the controller has accepted it before, under another function: it earns no load budget
+	Resubmitted    bool          // accepted before, under another function: it earns no load budget
 	Write          bool
 	ShedAdvised    bool    // advice is to reject it
 	Weight         float64 // of its tenant while load is shed: above 1 is admitted more often; 0 counts as 1
@@ -87,27 +89,29 @@
 // Outcome is how an attempt, a probe or an order ended.
 type Outcome int
 
+// Outcomes. Those that say never ran leave any request free to be sent again.
 const (
-	OK            Outcome = iota + 1
-	Error                 // answered, with an error
-	AtCapacity            // rejected by the worker: never ran
-	TimedOut              // no answer in time: it may have run
-	ConnectFailed         // never ran
-	Reset                 // the connection broke: it may have run
-	Cancelled             // by us: it may have run
-	NotStarted            // never sent
-	NotLoaded             // the worker has no copy and loads none: never ran
+	OK            Outcome = iota + 1 // answered
+	Error                            // answered, with an error
+	AtCapacity                       // rejected by the worker: never ran
+	TimedOut                         // no answer in time: it may have run
+	ConnectFailed                    // never ran
+	Reset                            // the connection broke: it may have run
+	Cancelled                        // by us: it may have run
+	NotStarted                       // never sent
+	NotLoaded                        // the worker has no copy and loads none: never ran
 )
 
 // LoadNote says whether an answered attempt met a loaded copy.
 type LoadNote int
 
+// Notes on loads. They are given only with Loading.LoadNotesGiven.
 const (
-	NoLoadNote  LoadNote = iota
-	FoundWarm            // a copy was loaded
-	StartedLoad          // this request began a load
-	AwaitedLoad          // it waited for a load that was under way
-	LoadFailed           // with NotLoaded or Error: a load failed
+	NoLoadNote  LoadNote = iota // nothing is known
+	FoundWarm                   // a copy was loaded
+	StartedLoad                 // this request began a load
+	AwaitedLoad                 // it waited for a load that was under way
+	LoadFailed                  // with NotLoaded or Error: a load failed
 )
 
 // ResponseStarted says that the answer of an attempt has begun to stream.
--- a/scheduler/outlier.go
+++ b/scheduler/outlier.go
@@ -21,8 +21,8 @@
 	// errorRateExcess is how far a worker's error rate is above its peers' median when it is the worker that
 	// fails, and not the requests.
 	errorRateExcess = 0.5
-	// quietRunTimes is the silence of a worker with requests, in mean run times, after which it is probed.
-	quietRunTimes = 3.0
+	// silentRunTimes is the silence of a worker with requests, in mean run times, after which it is probed.
+	silentRunTimes = 3.0
 	// probeDialTimeouts is how long a probe may go without an answer, in dial timeouts: a busy worker is
 	// slow to answer probes as well.
 	probeDialTimeouts = 3.0
@@ -153,39 +153,41 @@
 
 const (
 	noCheck      healthCheck = iota
-	probeQuiet               // probe it
+	probeSilent              // probe it
 	probeEjected             // probe it, or end the ejection where probes are not possible
 	ejectSilent              // eject it
 )
 
-// check returns what is due at a worker with so many attempts outstanding. Quiet is the silence after which a
-// worker is probed, patience the time that a probe may take.
-func (h *workerHealth) check(now time.Duration, outstanding int, quiet, patience time.Duration) healthCheck {
+// check returns what is due at a worker with so many attempts outstanding. Silence is the time without an
+// answer after which a worker is probed, patience the time that a probe may take.
+func (h *workerHealth) check(
+	now time.Duration, outstanding int, silence, patience time.Duration,
+) healthCheck {
 	overdue := h.probedAt > 0 && now-h.probedAt > patience
 	switch {
 	case h.ejected && now >= h.ejectedUntil && h.probedAt == 0:
 		return probeEjected
 	case h.ejected && overdue:
 		return ejectSilent
-	case h.ejected || outstanding == 0 || now-max(h.waitingSince, h.lastHeardAt) <= quiet:
+	case h.ejected || outstanding == 0 || now-max(h.waitingSince, h.lastHeardAt) <= silence:
 		return noCheck
 	case h.probedAt == 0:
-		return probeQuiet
+		return probeSilent
 	case overdue && h.lastHeardAt < h.probedAt:
 		return ejectSilent
 	}
 	return noCheck
 }
 
-// checkHealth probes workers that are quiet with something outstanding, ejects those that stay so, and probes
-// ejected workers at the end of their time.
+// checkHealth probes workers that are silent with something outstanding, ejects those that stay so, and
+// probes ejected workers at the end of their time.
 func (d *Dispatcher) checkHealth() {
-	quiet := max(d.settings.Limits.DialTimeout, seconds(quietRunTimes*slices.Max(d.classRunTime)))
+	silence := max(d.settings.Limits.DialTimeout, seconds(silentRunTimes*slices.Max(d.classRunTime)))
 	patience := seconds(probeDialTimeouts * d.settings.Limits.DialTimeout.Seconds())
 	d.capacity.reset()
 	for w := range d.watchList.all() {
-		switch w.check(d.now, w.outstanding, quiet, patience) {
-		case probeQuiet:
+		switch w.check(d.now, w.outstanding, silence, patience) {
+		case probeSilent:
 			d.probe(w)
 		case probeEjected:
 			if !d.probe(w) {
--- a/scheduler/outlier_test.go
+++ b/scheduler/outlier_test.go
@@ -96,7 +96,7 @@
 }
 
 func TestHealthCheckOfSilence(t *testing.T) {
-	const quiet, patience = time.Second, 3 * time.Second
+	const silence, patience = time.Second, 3 * time.Second
 	now := time.Minute
 	for _, tt := range []struct {
 		name        string
@@ -105,18 +105,18 @@
 		want        healthCheck
 	}{
 		{"nothing outstanding", workerHealth{}, 0, noCheck},
-		{"answered not long ago", workerHealth{lastHeardAt: now - quiet}, 1, noCheck},
-		{"waiting not long", workerHealth{waitingSince: now - quiet}, 1, noCheck},
-		{"quiet", workerHealth{lastHeardAt: now - quiet - 1}, 1, probeQuiet},
+		{"answered not long ago", workerHealth{lastHeardAt: now - silence}, 1, noCheck},
+		{"waiting not long", workerHealth{waitingSince: now - silence}, 1, noCheck},
+		{"silent", workerHealth{lastHeardAt: now - silence - 1}, 1, probeSilent},
 		{"probed not long ago", workerHealth{probedAt: now - patience}, 1, noCheck},
 		{"probe unanswered", workerHealth{probedAt: now - patience - 1}, 1, ejectSilent},
-		{"heard since the probe, then quiet", workerHealth{probedAt: now - 10*time.Second, lastHeardAt: now - 9*time.Second}, 1, noCheck},
+		{"heard since the probe, then silent", workerHealth{probedAt: now - 10*time.Second, lastHeardAt: now - 9*time.Second}, 1, noCheck},
 		{"ejected", workerHealth{ejected: true, ejectedUntil: now + 1}, 1, noCheck},
 		{"ejection over", workerHealth{ejected: true, ejectedUntil: now}, 0, probeEjected},
 		{"ejection over, probed", workerHealth{ejected: true, ejectedUntil: now - 1, probedAt: now - patience}, 0, noCheck},
 		{"ejection over, probe unanswered", workerHealth{ejected: true, ejectedUntil: now - 9, probedAt: now - patience - 1}, 0, ejectSilent},
 	} {
-		if got := tt.health.check(now, tt.outstanding, quiet, patience); got != tt.want {
+		if got := tt.health.check(now, tt.outstanding, silence, patience); got != tt.want {
 			t.Errorf("%s: check %d, want %d", tt.name, got, tt.want)
 		}
 	}
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -126,7 +126,7 @@
 	}
 	switch {
 	case hasCopy:
-		if d.hasRoom(r, w, placed) && d.admitWarming(w, d.classRunTime[r.Class]) {
+		if d.hasCapacity(r, w, placed) && d.admitWarming(w, d.classRunTime[r.Class]) {
 			if s.home != nil {
 				d.ensureCopy(s.queue, s.home)
 			}
@@ -170,9 +170,9 @@
 	return w.awaitingLoad < maxLoadsAtWorker && w.loadBackoff.allows(d.now)
 }
 
-// hasRoom tells whether a worker has a token for a request of a function that it has loaded, and a lane.
+// hasCapacity tells whether a worker has a token for a request of a function that it has loaded, and a lane.
 // Past the lanes of its copies it starts another by itself, which evicts others.
-func (d *Dispatcher) hasRoom(r *request, w *worker, placed *placement) bool {
+func (d *Dispatcher) hasCapacity(r *request, w *worker, placed *placement) bool {
 	lanes := max(1, r.Lanes*float64(max(1, placed.copies)))
 	return float64(placed.outstanding) < lanes && w.limit.available() && d.accepts(r, w)
 }
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -31,12 +31,13 @@
 	Prices             Prices
 }
 
-// A Class is a kind of request: what it is worth, how long it may take and whether it may be sent twice.
+// A Class is a kind of request: what it is worth, how long it may take and whether it may be sent twice. A
+// DedupWindow begins with the first send that may have run.
 type Class struct {
 	Name             string // for people only: nothing is decided by it
 	Idempotency      Idempotency
 	DedupScope       DedupScope    // with IdempotentWithKey
-	DedupWindow      time.Duration // with IdempotentWithKey: repeats are dropped this long after the first send that may have run
+	DedupWindow      time.Duration // with IdempotentWithKey: repeats are dropped so long
 	LatencyObjective time.Duration // an answer within this has its full value; above 0
 	ObjectiveStretch float64       // added to the objective, as a multiple of the request's run time
 	Deadline         time.Duration // longest that a client waits, over all its retries; above 0
@@ -48,6 +49,7 @@
 // Idempotency says what running a request twice would do. The zero value is not valid.
 type Idempotency int
 
+// Values of Class.Idempotency.
 const (
 	Idempotent        Idempotency = iota + 1 // may run any number of times
 	IdempotentWithKey                        // a group of workers drops repeats for a while
@@ -58,6 +60,7 @@
 // valid where it applies.
 type DedupScope int
 
+// Values of Class.DedupScope.
 const (
 	AllWorkers DedupScope = iota + 1 // any worker
 	SameZone                         // the workers of one zone
@@ -133,6 +136,7 @@
 // SizeMeaning says what WorkerInfo.Size is.
 type SizeMeaning int
 
+// Values of Settings.Sizes.
 const (
 	SizeNone    SizeMeaning = iota // not given
 	SizeNominal                    // as configured
@@ -143,23 +147,25 @@
 // ReportSource says where load reports come from.
 type ReportSource int
 
+// Values of Settings.ReportVia.
 const (
-	NoReports        ReportSource = iota
-	ReportsInAnswers              // with AttemptEnded
-	ReportsInProbes               // with ProbeEnded
+	NoReports        ReportSource = iota // there are none
+	ReportsInAnswers                     // with AttemptEnded
+	ReportsInProbes                      // with ProbeEnded
 )
 
 // A ReportField is the meaning of one value of a load report.
 type ReportField int
 
+// Values of Settings.Report.
 const (
-	FieldUnknown   ReportField = iota
-	FieldInFlight              // requests at the worker
-	FieldQueue                 // of them, those that wait
-	FieldUtil                  // utilization, 0 to 1
-	FieldLatencyMS             // recent latency, milliseconds
-	FieldRate                  // answers a second
-	FieldErrorRate             // errors a second
-	FieldX0                    // see Loading.X0
-	FieldX1                    // see Loading.X1
+	FieldUnknown   ReportField = iota // it is to be ignored
+	FieldInFlight                     // requests at the worker
+	FieldQueue                        // of them, those that wait
+	FieldUtil                         // utilization, 0 to 1
+	FieldLatencyMS                    // recent latency, milliseconds
+	FieldRate                         // answers a second
+	FieldErrorRate                    // errors a second
+	FieldX0                           // see Loading.X0
+	FieldX1                           // see Loading.X1
 )
