--- a/scheduler/index/index.go
+++ b/scheduler/index/index.go
@@ -1,5 +1,6 @@
-// Package index has the containers by which a step finds what it has to look at without looking at all: a heap whose entries can
-// move, a sorted list of numbers with its median, and the times within a window. None has a lock or a clock.
+// Package index has the containers by which a step finds what it has to examine without examining all: a heap whose
+// entries can move, a sorted list of numbers with its median, and the times within a window. They are kept as things
+// change, so that a step costs by what changed. None has a lock or a clock.
 package index
 
 import (
@@ -9,17 +10,18 @@
 	"time"
 )
 
-// An Entry is a value's place in one heap. The zero value is in none.
+// An Entry is a value's place in one heap. The zero value is in none. An entry is never in two heaps.
 type Entry[K cmp.Ordered, V any] struct {
-	Value V
+	Value V // of the caller
 	key   K
-	place int // in the heap, from 1; 0: not in it
+	slot  int // index in the heap plus 1; 0: not in it
 }
 
-// Key returns the key under which the entry stands, or stood last.
+// Key returns the key under which the entry is in its heap, or was last.
 func (e *Entry[K, V]) Key() K { return e.key }
 
-// A Heap finds the entry with the lowest key. Which of several with one key comes first is not defined. The zero value is empty.
+// A Heap finds the entry with the lowest key. Which of several with one key comes first is not defined. The zero
+// value is empty.
 type Heap[K cmp.Ordered, V any] struct{ entries entries[K, V] }
 
 // Len returns the number of entries.
@@ -36,55 +38,56 @@
 // Set puts an entry in, or moves the one that is in, under a key.
 func (h *Heap[K, V]) Set(e *Entry[K, V], key K) {
 	switch {
-	case e.place == 0:
+	case e.slot == 0:
 		e.key = key
 		heap.Push(&h.entries, e)
 	case e.key != key:
 		e.key = key
-		heap.Fix(&h.entries, e.place-1)
+		heap.Fix(&h.entries, e.slot-1)
 	}
 }
 
 // Remove takes an entry out, if it is in.
 func (h *Heap[K, V]) Remove(e *Entry[K, V]) {
-	if e.place > 0 {
-		heap.Remove(&h.entries, e.place-1)
+	if e.slot > 0 {
+		heap.Remove(&h.entries, e.slot-1)
 	}
 }
 
-// leastKept is the capacity below which a heap that has shrunk keeps its memory.
-const leastKept = 64
+// minShrinkCapacity is the capacity up to which a heap that has shrunk keeps its memory.
+const minShrinkCapacity = 64
 
-// entries implements heap.Interface.
+// entries implements heap.Interface, and keeps each entry's slot.
 type entries[K cmp.Ordered, V any] []*Entry[K, V]
 
-func (s entries[K, V]) Len() int           { return len(s) }
-func (s entries[K, V]) Less(i, j int) bool { return cmp.Less(s[i].key, s[j].key) }
+func (all entries[K, V]) Len() int           { return len(all) }
+func (all entries[K, V]) Less(i, j int) bool { return cmp.Less(all[i].key, all[j].key) }
 
-func (s entries[K, V]) Swap(i, j int) {
-	s[i], s[j] = s[j], s[i]
-	s[i].place, s[j].place = i+1, j+1
+func (all entries[K, V]) Swap(i, j int) {
+	all[i], all[j] = all[j], all[i]
+	all[i].slot = i + 1
+	all[j].slot = j + 1
 }
 
-func (s *entries[K, V]) Push(x any) {
+func (all *entries[K, V]) Push(x any) {
 	e := x.(*Entry[K, V])
-	*s = append(*s, e)
-	e.place = len(*s)
+	*all = append(*all, e)
+	e.slot = len(*all)
 }
 
-func (s *entries[K, V]) Pop() any {
-	last := len(*s) - 1
-	e := (*s)[last]
-	(*s)[last] = nil
-	*s = (*s)[:last]
-	if cap(*s) > leastKept && last < cap(*s)/4 {
-		*s = slices.Clip(slices.Clone(*s))
+func (all *entries[K, V]) Pop() any {
+	last := len(*all) - 1
+	e := (*all)[last]
+	(*all)[last] = nil
+	*all = (*all)[:last]
+	if cap(*all) > minShrinkCapacity && last < cap(*all)/4 {
+		*all = slices.Clip(slices.Clone(*all))
 	}
-	e.place = 0
+	e.slot = 0
 	return e
 }
 
-// Numbers are a sorted list, some of them equal. The zero value is empty.
+// Numbers are a sorted list of numbers, of which some may be equal. The zero value is empty.
 type Numbers struct{ sorted []float64 }
 
 // Len returns how many there are.
@@ -103,7 +106,7 @@
 	}
 }
 
-// Median returns the middle one, of an even number the higher of both, or otherwise where there is none.
+// Median returns the middle one, of an even count the higher of both, or otherwise if there are none.
 func (n *Numbers) Median(otherwise float64) float64 {
 	if len(n.sorted) == 0 {
 		return otherwise
@@ -111,25 +114,26 @@
 	return n.sorted[len(n.sorted)/2]
 }
 
-// Times are a sorted list of times that grows at its end, mostly, and is forgotten from its begin. The zero value is empty.
+// Times are a sorted list of times that mostly grows at its end and is forgotten from its beginning. The zero value
+// is empty.
 type Times struct {
 	sorted []time.Duration
-	first  int // of them that is not forgotten
+	start  int // the first that is not forgotten
 }
 
 // Len returns how many there are.
-func (t *Times) Len() int { return len(t.sorted) - t.first }
+func (t *Times) Len() int { return len(t.sorted) - t.start }
 
 // All returns a copy of them, the earliest first.
-func (t *Times) All() []time.Duration { return slices.Clone(t.sorted[t.first:]) }
+func (t *Times) All() []time.Duration { return slices.Clone(t.sorted[t.start:]) }
 
 // Add puts times in.
 func (t *Times) Add(times ...time.Duration) {
 	for _, at := range times {
 		i := len(t.sorted)
-		if i > t.first && t.sorted[i-1] > at {
-			i, _ = slices.BinarySearch(t.sorted[t.first:], at)
-			i += t.first
+		if i > t.start && t.sorted[i-1] > at {
+			i, _ = slices.BinarySearch(t.sorted[t.start:], at)
+			i += t.start
 		}
 		t.sorted = slices.Insert(t.sorted, i, at)
 	}
@@ -137,11 +141,11 @@
 
 // ForgetBefore takes all out that are earlier.
 func (t *Times) ForgetBefore(at time.Duration) {
-	for t.first < len(t.sorted) && t.sorted[t.first] < at {
-		t.first++
+	for t.start < len(t.sorted) && t.sorted[t.start] < at {
+		t.start++
 	}
-	if t.first > len(t.sorted)/2 {
-		t.sorted = slices.Delete(t.sorted, 0, t.first)
-		t.first = 0
+	if t.start > len(t.sorted)/2 {
+		t.sorted = slices.Delete(t.sorted, 0, t.start)
+		t.start = 0
 	}
 }
--- a/scheduler/index/index_test.go
+++ b/scheduler/index/index_test.go
@@ -64,7 +64,7 @@
 	for i := range all {
 		h.Remove(&all[i])
 	}
-	if c := cap(h.entries); h.Len() != 0 || c > leastKept {
+	if c := cap(h.entries); h.Len() != 0 || c > minShrinkCapacity {
 		t.Errorf("an empty heap keeps room for %d of 100,000 entries", c)
 	}
 }
--- a/scheduler/ring/ring_test.go
+++ b/scheduler/ring/ring_test.go
@@ -39,7 +39,7 @@
 		}
 	}
 	slices.SortFunc(all, func(a, b point[int]) int {
-		return cmp.Or(cmp.Compare(a.at-from, b.at-from), cmp.Compare(a.member.ID, b.member.ID))
+		return cmp.Or(cmp.Compare(a.position-from, b.position-from), cmp.Compare(a.member.ID, b.member.ID))
 	})
 	var found []*Member[int]
 	for _, p := range all {
@@ -82,7 +82,7 @@
 	}
 	r.Place(m, 0, 0)
 	r.Commit()
-	if w.At(0) != nil || r.Len() != 0 || r.points != 0 {
+	if w.At(0) != nil || r.Len() != 0 || r.pointCount != 0 {
 		t.Fatal("a member that left is found")
 	}
 }
@@ -118,14 +118,14 @@
 					r.Place(members[i], 1+random.IntN(9), 0)
 				case k == 4:
 					m := members[random.IntN(len(members))]
-					r.Place(m, 1+random.IntN(9), m.wantedTier)
+					r.Place(m, 1+random.IntN(9), m.stagedTier)
 				case k == 5: // placed twice before the commit
 					m := members[random.IntN(len(members))]
-					r.Place(m, 20, m.wantedTier)
-					r.Place(m, 1+random.IntN(9), m.wantedTier)
+					r.Place(m, 20, m.stagedTier)
+					r.Place(m, 1+random.IntN(9), m.stagedTier)
 				default:
 					m := members[random.IntN(len(members))]
-					r.Place(m, max(1, m.wanted), random.IntN(3))
+					r.Place(m, max(1, m.stagedPoints), random.IntN(3))
 				}
 			}
 			r.Commit()
@@ -189,7 +189,9 @@
 }
 
 // touchedBy tells whether a member has a point within what a walk has passed.
-func (r *Ring[T]) touchedBy(m *Member[T], w *Walk[T]) bool { return m.first(w.From)-w.From <= w.reach }
+func (r *Ring[T]) touchedBy(m *Member[T], w *Walk[T]) bool {
+	return m.firstPoint(w.From)-w.From <= w.reach
+}
 
 // A ring that shrinks gives its buckets back.
 func TestShrinks(t *testing.T) {
@@ -199,8 +201,8 @@
 		r.Place(m, 0, 0)
 		r.Commit()
 	}
-	if r.points != 2*48 || len(r.buckets) > 96/leastInBucket || len(r.buckets) >= large {
-		t.Errorf("%d points in %d buckets, %d at first", r.points, len(r.buckets), large)
+	if r.pointCount != 2*48 || len(r.buckets) > 96/minPerBucket || len(r.buckets) >= large {
+		t.Errorf("%d points in %d buckets, %d at first", r.pointCount, len(r.buckets), large)
 	}
 	w := Walk[int]{Ring: r, From: 12345}
 	if got, want := taken(&w, -1), plainWalk(members[:2], w.From); !slices.Equal(got, want) {
@@ -227,8 +229,8 @@
 		for _, b := range r.buckets {
 			room += cap(b)
 		}
-		if r.points != 2000*48 || room > 4*2000*48 || r.Len() != 2000 {
-			t.Fatalf("round %d: %d points, room for %d, %d members", round, r.points, room, r.Len())
+		if r.pointCount != 2000*48 || room > 4*2000*48 || r.Len() != 2000 {
+			t.Fatalf("round %d: %d points, room for %d, %d members", round, r.pointCount, room, r.Len())
 		}
 	}
 	w := Walk[int]{Ring: r, From: 12345}
