--- /dev/null
+++ b/scheduler/attempts_test.go
@@ -0,0 +1,187 @@
+package scheduler
+
+import (
+	"testing"
+	"time"
+)
+
+// A request gets one answer before its time is over, also when nobody can take it; a late word changes nothing.
+func TestEveryRequestGetsOneAnswerInTime(t *testing.T) {
+	for _, class := range []int{0, 1, 2} {
+		d := start(t, base())
+		answers := 0
+		for now := time.Second; now < 6*time.Second; now += 2 * ms {
+			var events []Event
+			if now == time.Second {
+				events = []Event{arrival(1, class, 7)}
+			}
+			actions := d.Step(now, events)
+			n := len(pickOut[Reject](actions)) + len(pickOut[Fail](actions))
+			if n > 0 && now >= 4*time.Second {
+				t.Errorf("class %d: answered at %v, the client left at 4s", class, now)
+			}
+			answers += n
+		}
+		if answers != 1 {
+			t.Errorf("class %d: %d answers, want 1", class, answers)
+		}
+		if len(d.requests) != 0 || len(d.openRequests) != 0 {
+			t.Errorf("class %d: request kept after its answer", class)
+		}
+	}
+}
+
+func TestRequestWithoutTimeIsRejectedAtOnce(t *testing.T) {
+	d := start(t, base(), ready(1)...)
+	a := arrival(1, 2, 7)
+	a.TimeLeft = 0
+	got := d.Step(time.Second, []Event{a})
+	if len(pickOut[Reject](got)) != 1 || len(pickOut[Send](got)) != 0 {
+		t.Errorf("got %v, want one Refuse and no Send", got)
+	}
+}
+
+// TestUnservedRequestIsRejectedARunTimeBeforeItsEnd: a call of a function that was never served is given up a run of its class before its time is over, not at
+// the last moment that an answer can still arrive in; and one with little time is not given up as it comes.
+func TestUnservedRequestIsRejectedARunTimeBeforeItsEnd(t *testing.T) {
+	d := start(t, base()) // no worker is known
+	now := 2 * time.Second
+	if l := d.Step(now, []Event{arrival(1, 0, 7), Arrival{Request: 2, Function: 8, TimeLeft: 100 * ms, Lanes: 2}}); len(pickOut[Reject](l)) > 0 {
+		t.Fatal("given up as they came")
+	}
+	run := seconds(guessRun * 0.5) // of the aim
+	at := map[RequestID]time.Duration{}
+	for end := now + 4*time.Second; now < end; now += 2 * ms {
+		for _, r := range pickOut[Reject](d.Step(now, nil)) {
+			at[r.Request] = now - 2*time.Second
+		}
+	}
+	if got, latest := at[1], 3*time.Second-run; got == 0 || got > latest || got < latest-10*ms {
+		t.Errorf("given up after %v of 3s, want a run of %v before its end", got, run)
+	}
+	if got := at[2]; got < 60*ms || got > 75*ms {
+		t.Errorf("given up after %v of 100ms, want a quarter of it before its end", got)
+	}
+}
+
+// A request that the module gives up on has its answer in that step, long before its time is over.
+func TestRequestThatCannotBeServedIsAnsweredAtOnce(t *testing.T) {
+	// keyed starts a keyed request that may have run and is queued for its only mate, which is off the ring.
+	keyed := func(t *testing.T, duplicate bool) (d *Dispatcher, home WorkerID, sent time.Duration) {
+		s := base()
+		s.Limits.HedgedRequests = duplicate
+		d = start(t, s, ready(1, 2, 3, 4)...)
+		home = pickOut[Send](d.Step(time.Second, []Event{arrival(1, 1, 7)}))[0].Worker
+		for _, w := range d.order {
+			if w.ID != home {
+				d.setEjected(w, true)
+				w.Group, w.ejectedUntil = int(home), time.Hour
+				break
+			}
+		}
+		d.Step(1010*ms, []Event{ListUpdate{Kind: ListDelta, Workers: []WorkerInfo{{ID: home, State: Draining, Group: int(home)}}}})
+		return d, home, time.Second
+	}
+	tests := []struct {
+		name string
+		run  func(t *testing.T) (d *Dispatcher, before, at time.Duration, events []Event)
+		fail bool // else a refusal
+	}{
+		{"window closes in the queue", func(t *testing.T) (*Dispatcher, time.Duration, time.Duration, []Event) {
+			d, home, sent := keyed(t, false)
+			d.Step(1020*ms, []Event{AttemptEnded{Request: 1, Worker: home, Outcome: Error}})
+			return d, sent + 1990*ms, sent + 2*time.Second, nil
+		}, true},
+		{"group leaves the list", func(t *testing.T) (*Dispatcher, time.Duration, time.Duration, []Event) {
+			d, home, _ := keyed(t, false)
+			d.Step(1020*ms, []Event{AttemptEnded{Request: 1, Worker: home, Outcome: Error}})
+			var gone []WorkerInfo
+			for _, w := range d.order {
+				if w.Group == int(home) {
+					gone = append(gone, WorkerInfo{ID: w.ID, State: Gone})
+				}
+			}
+			return d, 1030 * ms, 1040 * ms, []Event{ListUpdate{Kind: ListDelta, Workers: gone}}
+		}, true},
+		{"queued beside an attempt that fails after the window", func(t *testing.T) (*Dispatcher, time.Duration,
+			time.Duration, []Event) {
+			d, home, sent := keyed(t, true)
+			d.reassign(d.workers[home])
+			if !d.requests[1].queued {
+				t.Fatal("not queued for a second copy")
+			}
+			return d, sent + 2100*ms, sent + 2200*ms, []Event{AttemptEnded{Request: 1, Worker: home, Outcome: Reset}}
+		}, true},
+		{"too late for any answer", func(t *testing.T) (*Dispatcher, time.Duration, time.Duration, []Event) {
+			d := start(t, base(), ready(1, 2)...)
+			for _, w := range d.order {
+				w.limit.tokens, w.limit.inUse, w.awaitingLoad = 1, 1, 9
+			}
+			d.queues.get(7).meanRunTime = 0.4
+			d.Step(time.Second, []Event{arrival(1, 0, 7)})
+			return d, 3580 * ms, 3600 * ms, nil
+		}, false},
+		{"past its aim, home barred for loads beyond its time", func(t *testing.T) (*Dispatcher, time.Duration,
+			time.Duration, []Event) {
+			d := start(t, base(), ready(1, 2)...)
+			for _, w := range d.order {
+				w.loadBackoff.until = 8 * time.Second
+			}
+			d.Step(time.Second, []Event{arrival(1, 0, 7)})
+			return d, 1300 * ms, 1500 * ms, []Event{Timer{}}
+		}, false},
+		{"does not pass", func(t *testing.T) (*Dispatcher, time.Duration, time.Duration, []Event) {
+			d := start(t, base(), ready(1, 2)...)
+			d.admission.fraction = 0
+			return d, time.Second, time.Second, []Event{arrival(1, 0, 7)}
+		}, false},
+	}
+	for _, tt := range tests {
+		d, before, at, events := tt.run(t)
+		got := d.Step(before, nil)
+		if n := len(pickOut[Fail](got)) + len(pickOut[Reject](got)); n > 0 {
+			t.Errorf("%s: answered before: %v", tt.name, got)
+		}
+		got = d.Step(at, events)
+		fails, refusals := len(pickOut[Fail](got)), len(pickOut[Reject](got))
+		if tt.fail && (fails != 1 || refusals != 0) || !tt.fail && (fails != 0 || refusals != 1) {
+			t.Errorf("%s: %d failures, %d refusals in that step", tt.name, fails, refusals)
+		}
+	}
+}
+
+// A mean run time longer than any patience must not shut a function out for good.
+func TestTooLongMeanRunTimeIsCorrected(t *testing.T) {
+	d := start(t, base(), ready(1, 2)...)
+	d.queues.get(7).meanRunTime = 60
+	for i := 1; i <= 100; i++ {
+		got := d.Step(time.Second+time.Duration(i)*10*ms, []Event{arrival(RequestID(i), 0, 7)})
+		if n := len(pickOut[Send](got)); i == 1 && n > 0 {
+			t.Error("the first is sent, want it refused: it cannot be answered in its time")
+		} else if n > 0 {
+			return
+		}
+	}
+	t.Error("no send in 100 requests")
+}
+
+// A request that waits for a second copy is not given up while its first attempt is out.
+func TestRequestThatMayYetBeServedWaits(t *testing.T) {
+	s := base()
+	s.Limits.HedgedRequests = true
+	d := start(t, s, ready(1, 2)...)
+	home := pickOut[Send](d.Step(time.Second, []Event{arrival(1, 0, 7)}))[0].Worker
+	d.reassign(d.workers[home])
+	for _, w := range d.order {
+		w.loadBackoff.until = time.Hour
+	}
+	d.admission.fraction = 0
+	for now := 1010 * ms; now < 3900*ms; now += 10 * ms {
+		if got := d.Step(now, nil); len(pickOut[Reject](got))+len(pickOut[Fail](got)) > 0 {
+			t.Fatalf("%v: %v, want the outcome awaited", now, got)
+		}
+	}
+	if got := d.Step(4*time.Second, nil); len(pickOut[Reject](got)) != 1 {
+		t.Errorf("at its end: %v, want a refusal", got)
+	}
+}
--- a/scheduler/copies_test.go
+++ b/scheduler/copies_test.go
@@ -5,49 +5,54 @@
 	"time"
 )
 
-// Holds stay within the load budget at each order.
-func TestLoadBudget(t *testing.T) {
-	s := base()
-	s.Loading.BudgetWindow, s.Loading.BudgetFree, s.Loading.BudgetRatio = 5*time.Second, 2, 0.1
-	d := start(t, s, ready(1, 2, 3)...)
-	var taken, orders []time.Duration
-	for i := 0; i < 6000; i++ {
-		now := time.Second + time.Duration(i)*10*ms
-		var events []Event
-		if i%37 == 0 {
-			events = append(events, arrival(RequestID(i+1), 0, FunctionID(i%11)))
-			taken = append(taken, now)
-		}
-		for _, a := range d.Step(now, events) {
-			switch a := a.(type) {
-			case LoadOrder:
-				if a.Copies > 0 {
-					orders = append(orders, now)
-					n, m := 0, 0
-					for _, o := range orders {
-						if o >= now-5*time.Second {
-							n++
-						}
-					}
-					for _, o := range taken {
-						if o > now-5*time.Second {
-							m++
-						}
-					}
-					if float64(n) > 2+0.1*float64(m) {
-						t.Fatalf("%v: order %d with %d requests taken", now, n, m)
-					}
-				}
+// An idle active queue renews its home copy by a hold of one.
+func TestIdleCopyAtHomeIsRenewedOnce(t *testing.T) {
+	d := start(t, base(), ready(1, 2)...)
+	home := pickOut[Send](d.Step(time.Second, []Event{arrival(1, 0, 7)}))[0].Worker
+	d.Step(1100*ms, []Event{AttemptEnded{Request: 1, Worker: home, Outcome: OK, Complete: true, Note: FoundWarm}})
+	holds := 0
+	for now := 1200 * ms; now < 8*time.Second; now += 20 * ms {
+		for _, h := range pickOut[LoadOrder](d.Step(now, nil)) {
+			if h != (LoadOrder{Worker: home, Function: 7, Copies: 1}) || now < 1100*ms+4800*ms {
+				t.Errorf("%v: %+v", now, h)
 			}
+			holds++
 		}
 	}
-	if len(orders) == 0 {
-		t.Error("no order at all: nothing was tested")
+	if holds != 1 {
+		t.Errorf("%d holds, want 1", holds)
+	}
+}
+
+// Copies that are asked for ahead of calls come by orders within the limit, to ready workers only, and once.
+func TestStagedCopiesAreOrderedOnceWithinTheBudget(t *testing.T) {
+	s := base()
+	s.Loading.BudgetWindow, s.Loading.BudgetFree, s.Loading.BudgetRatio = 5*time.Second, 3, 0
+	d := start(t, s, ready(1, 2, 3, 4)...)
+	l := ready(1)
+	l[0].State = Draining
+	d.Step(time.Second, []Event{ListUpdate{Kind: ListDelta, Workers: l}})
+	first := pickOut[LoadOrder](d.Step(time.Second, []Event{StagedCopies{Function: 7, Copies: 2}}))
+	if len(first) != 2 || first[0].Worker == 1 || first[1].Worker == 1 || first[0].Worker == first[1].Worker || first[0].Function != 7 {
+		t.Fatalf("%+v, want two orders at two ready workers", first)
+	}
+	if l := pickOut[LoadOrder](d.Step(time.Second, []Event{StagedCopies{Function: 7, Copies: 2}})); len(l) != 0 {
+		t.Errorf("told again while they load: %+v", l)
+	}
+	var held []Event
+	for _, h := range first {
+		held = append(held, LoadOrderEnded{Worker: h.Worker, Function: 7, Outcome: OK, Copies: 1})
+	}
+	if l := pickOut[LoadOrder](d.Step(2*time.Second, append(held, StagedCopies{Function: 7, Copies: 2}))); len(l) != 0 {
+		t.Errorf("told again while they stand: %+v", l)
+	}
+	if l := pickOut[LoadOrder](d.Step(2*time.Second, []Event{StagedCopies{Function: 8, Copies: 3}})); len(l) != 1 {
+		t.Errorf("%d orders, want the one that the limit leaves", len(l))
 	}
 }
 
 // From incident i45c260: a hold that is turned away at once must not be repeated at once.
-func TestDeniedHoldWaits(t *testing.T) {
+func TestRejectedLoadOrderBacksOff(t *testing.T) {
 	d := start(t, base(), ready(1, 2)...)
 	var events []Event
 	for i := 0; i < 8; i++ {
@@ -69,31 +74,6 @@
 	}
 }
 
-// From i45c260: where copies turn out pushed out, a further copy waits longer.
-func TestSpillWaitsWhereMemoryIsShort(t *testing.T) {
-	for _, note := range []LoadNote{FoundWarm, StartedLoad} {
-		d := start(t, base(), ready(1, 2)...)
-		now, id := time.Second, RequestID(0)
-		for range 40 {
-			id, now = id+1, now+100*ms
-			for _, a := range pickOut[Send](d.Step(now, []Event{arrival(id, 0, 7)})) {
-				d.Step(now, []Event{AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: OK, Complete: true,
-					Took: 50 * ms, Note: note}})
-			}
-		}
-		var events []Event
-		for range 30 { // more than home has tokens for
-			id++
-			events = append(events, arrival(id, 0, 7))
-		}
-		d.Step(now, events)
-		orders := len(pickOut[LoadOrder](d.Step(now+150*ms, []Event{Timer{}}))) // a quarter of the aim is over
-		if want := note == FoundWarm; (orders > 0) != want {
-			t.Errorf("note %d: %d orders for a further copy, want some: %v", note, orders, want)
-		}
-	}
-}
-
 func TestEvictionsFollowAnswersOfLoadedCopies(t *testing.T) {
 	var e evictions
 	for range 500 {
--- /dev/null
+++ b/scheduler/fleet_test.go
@@ -0,0 +1,151 @@
+package scheduler
+
+import (
+	"slices"
+	"testing"
+	"time"
+)
+
+// Nothing new, call or order, goes to a worker that drains.
+func TestDrainingWorkerGetsNothingNew(t *testing.T) {
+	d := start(t, base(), ready(1, 2)...)
+	home := pickOut[Send](d.Step(time.Second, []Event{arrival(1, 0, 7)}))[0].Worker
+	d.Step(1100*ms, []Event{AttemptEnded{Request: 1, Worker: home, Outcome: OK, Complete: true, Took: 100 * ms,
+		Note: FoundWarm}})
+	d.Step(1200*ms, []Event{ListUpdate{Kind: ListDelta, Workers: []WorkerInfo{{ID: home, State: Draining}}}})
+	for i := 1; i < 3000; i++ {
+		now := 1200*ms + time.Duration(i)*10*ms
+		var events []Event
+		if i%600 == 0 { // far enough apart for renewals between
+
+			events = append(events, arrival(RequestID(100+i), 0, 7))
+		}
+		actions := d.Step(now, events)
+		for _, a := range pickOut[Send](actions) {
+			if a.Worker == home {
+				t.Fatalf("%v: send to a draining worker", now)
+			}
+		}
+		for _, a := range pickOut[LoadOrder](actions) {
+			if a.Worker == home && a.Copies > 0 {
+				t.Fatalf("%v: order to a draining worker", now)
+			}
+		}
+	}
+}
+
+// A function that is always called keeps nothing of workers that have gone, also of those that went with its calls out.
+func TestRemovedWorkersAreForgotten(t *testing.T) {
+	d := start(t, base(), ready(1)...)
+	for i := RequestID(1); i <= 50; i++ {
+		id := WorkerID(i)
+		d.Step(time.Second, []Event{ListUpdate{Kind: FullList, Workers: ready(id)}})
+		sends := pickOut[Send](d.Step(time.Second, []Event{arrival(i, 0, 7)}))
+		if len(sends) != 1 || sends[0].Worker != id {
+			t.Fatalf("%+v", sends)
+		}
+		d.Step(time.Second, []Event{ListUpdate{Kind: FullList, Workers: ready(id + 1)}})
+		d.Step(time.Second, []Event{AttemptEnded{Request: i, Worker: id, Outcome: OK, Complete: true, Note: FoundWarm}})
+	}
+	if n := len(d.queues.byFunction[7].placements); n > 1 {
+		t.Errorf("%d workers remembered, one is there", n)
+	}
+}
+
+// A worker that goes and returns under one id within one step is another: nothing is known of it, and what was out at the first
+// is not counted as the second's.
+func TestWorkerThatReturnsUnderItsIDIsAnother(t *testing.T) {
+	for _, one := range []bool{true, false} {
+		d := called(t, base(), 7)
+		sent := pickOut[Send](d.Step(2*time.Second, []Event{arrival(90, 0, 7)}))
+		old := d.workers[sent[0].Worker]
+		gone, back := old.WorkerInfo, old.WorkerInfo
+		gone.State = Gone
+		events := []Event{ListUpdate{Kind: ListDelta, Workers: []WorkerInfo{gone, back}}}
+		if !one {
+			events = []Event{ListUpdate{Kind: ListDelta, Workers: []WorkerInfo{gone}}, ListUpdate{Kind: ListDelta, Workers: []WorkerInfo{back}}}
+		}
+		d.Step(2010*ms, events)
+		now := d.workers[old.ID]
+		if now == old || now == nil || len(now.placements) != 0 || len(d.order) != 3 {
+			t.Fatalf("in one list %v: the same worker %v, of which %d functions are known", one, now == old, len(now.placements))
+		}
+		checkIndexes(t, d)
+		d.Step(2100*ms, []Event{AttemptEnded{Request: 90, Worker: old.ID, Outcome: OK, Complete: true, Note: FoundWarm, Took: 100 * ms}})
+		if now.outstanding != 0 && !slices.Contains(d.watchList.workers, now) || old.outstanding != 0 {
+			t.Errorf("in one list %v: %d out at the new one, %d at the old", one, now.outstanding, old.outstanding)
+		}
+		checkIndexes(t, d)
+	}
+}
+
+// A list of 2,000 that is wholly replaced leaves nothing of the old one.
+func TestReplacedListLeavesNothingOfTheOldOne(t *testing.T) {
+	many := func(from WorkerID) (l []WorkerInfo) {
+		for id := from; id < from+2000; id++ {
+			l = append(l, WorkerInfo{ID: id, State: Ready, Group: int(id) / 8})
+		}
+		return l
+	}
+	d := start(t, base(), many(1)...)
+	var sent []Send
+	for i := range RequestID(300) {
+		sent = append(sent, pickOut[Send](d.Step(2*time.Second, []Event{arrival(i+1, 0, FunctionID(i+1))}))...)
+	}
+	if len(sent) < 290 {
+		t.Fatalf("%d of 300 sent: the test tests too little", len(sent))
+	}
+	d.Step(3*time.Second, []Event{ListUpdate{Kind: FullList, Workers: many(5000)}})
+	if len(d.order) != 2000 || d.order[0].ID != 5000 || d.ring.Len() != 2000 {
+		t.Errorf("%d listed from %d on, %d on the ring", len(d.order), d.order[0].ID, d.ring.Len())
+	}
+	checkIndexes(t, d)
+	var answers []Event
+	for _, a := range sent {
+		answers = append(answers, AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: OK, Complete: true, Note: StartedLoad, Took: time.Second})
+	}
+	d.Step(4*time.Second, answers)
+	for fn, q := range d.queues.byFunction {
+		for w := range q.placements {
+			if w.State == Gone {
+				t.Fatalf("function %d: worker %d is still known", fn, w.ID)
+			}
+		}
+	}
+	checkIndexes(t, d)
+}
+
+// The order by id is that of the list, whatever order workers came in.
+func TestWorkersAreOrderedByID(t *testing.T) {
+	d := start(t, base(), ready(5, 2, 9)...)
+	d.Step(2*time.Second, []Event{ListUpdate{Kind: ListDelta, Workers: ready(1, 7, 3)}})
+	if !slices.IsSortedFunc(d.order, byID) || len(d.order) != 6 {
+		t.Errorf("%d workers, sorted %v", len(d.order), slices.IsSortedFunc(d.order, byID))
+	}
+	checkIndexes(t, d)
+}
+
+// The shares of ready workers are those that health found as it came to each, though they are added up later: it may take a worker
+// back on the way, and with it the others are no longer past the half up to which suspicion counts.
+func TestCapacityCountsWorkersAsHealthChecksFoundThem(t *testing.T) {
+	s := base()
+	s.Loading.Orders, s.Limits.Probe = false, false // a worker that cannot be asked is taken back when its time is over
+	d := called(t, s, 7)
+	first, second := d.order[0], d.order[1]
+	d.setEjected(first, true)
+	d.setEjected(second, true)
+	first.ejectedUntil, second.ejectedUntil = time.Hour, 0
+	d.now = time.Minute
+	d.checkHealth()
+	if !first.ejected || second.ejected || d.Effort().Summed > 2 {
+		t.Fatalf("ejected %v and %v, want the first only; %d shares added up on the way, want 2 at the most", first.ejected, second.ejected, d.Effort().Summed)
+	}
+	if got := d.readyCapacity(); got != 3 {
+		t.Errorf("%v ready, want all 3: two of three were under suspicion when health came to the first two", got)
+	}
+	d.checkHealth()
+	if got := d.readyCapacity(); got != 2 {
+		t.Errorf("%v ready in the next step, want 2", got)
+	}
+	checkWorkers(t, d)
+}
--- /dev/null
+++ b/scheduler/helpers_test.go
@@ -0,0 +1,91 @@
+package scheduler
+
+import (
+	"cmp"
+	"testing"
+	"time"
+)
+
+const ms = time.Millisecond
+
+// base returns settings of a small deployment with one class of each effect.
+func base() Settings {
+	return Settings{Controllers: 1, Tick: 2 * ms,
+		Classes: []Class{
+			{Name: "safe", Idempotency: Idempotent, LatencyObjective: 500 * ms, Deadline: 4 * time.Second, PriorityWeight: 1},
+			{Name: "keyed", Idempotency: IdempotentWithKey, DedupScope: SameGroup, DedupWindow: 2 * time.Second, LatencyObjective: 500 * ms,
+				Deadline: 4 * time.Second, PriorityWeight: 1},
+			{Name: "unsafe", Idempotency: NonIdempotent, LatencyObjective: 500 * ms, Deadline: 4 * time.Second, PriorityWeight: 1}},
+		Limits: Limits{MaxAttempts: 3, MaxOpenRequests: 100, DialTimeout: 250 * ms, Cancel: true},
+		Loading: Loading{Orders: true, LoadsOnMiss: true, OnMissKnown: true, IdleCopyTTL: 8 * time.Second,
+			OrderTimeout: 10 * time.Second, LoadNotesGiven: true},
+		Guarantees: Guarantees{DrainGrace: 500 * ms, WarmupFraction: 0.2, WarmupTime: 16 * time.Second, CollapseFactor: 3,
+			CollapseWindow: 2 * time.Second}}
+}
+
+func start(t *testing.T, s Settings, workers ...WorkerInfo) *Dispatcher {
+	t.Helper()
+	d, err := New(s, 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	d.Step(time.Second, []Event{ListUpdate{Kind: CachedList, Workers: workers}})
+	return d
+}
+
+func ready(ids ...WorkerID) (l []WorkerInfo) {
+	for _, id := range ids {
+		l = append(l, WorkerInfo{ID: id, State: Ready, Group: int(id)})
+	}
+	return l
+}
+
+func arrival(id RequestID, class int, fn FunctionID) Arrival {
+	return Arrival{Request: id, Class: class, Function: fn, TimeLeft: 3 * time.Second, Lanes: 2}
+}
+
+// walk returns the listed workers in the order of the queue's walk.
+func walk(d *Dispatcher, q *queue) (l []*worker) {
+	for i := range d.order {
+		l = append(l, q.worker(i))
+	}
+	return l
+}
+
+// pickOut returns the actions of one type.
+func pickOut[T Action](actions []Action) (l []T) {
+	for _, a := range actions {
+		if a, ok := a.(T); ok {
+			l = append(l, a)
+		}
+	}
+	return l
+}
+
+// playAnswersAfter steps a dispatcher through n requests, one each 100 ms, each sent one answered after took.
+func playAnswersAfter(t *testing.T, d *Dispatcher, from time.Duration, n int, took time.Duration, o Outcome) (now time.Duration) {
+	t.Helper()
+	type out struct {
+		r AttemptEnded
+		t time.Duration
+	}
+	var pending []out
+	for i := 0; i < n || len(pending) > 0; i++ {
+		now = from + time.Duration(i)*100*ms
+		var events []Event
+		for len(pending) > 0 && pending[0].t <= now {
+			events = append(events, pending[0].r)
+			pending = pending[1:]
+		}
+		if i < n {
+			events = append(events, arrival(RequestID(from)+RequestID(i), 0, FunctionID(i%3)))
+		}
+		for _, a := range pickOut[Send](d.Step(now, events)) {
+			pending = append(pending, out{AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: o, Took: took,
+				Complete: o == OK, Attempt: len(d.requests[a.Request].attempts) - 1}, now + took})
+		}
+	}
+	return now
+}
+
+func byID(a, b *worker) int { return cmp.Compare(a.ID, b.ID) }
--- /dev/null
+++ b/scheduler/outlier_step_test.go
@@ -0,0 +1,125 @@
+package scheduler
+
+import (
+	"testing"
+	"time"
+)
+
+// From r6f1dac: a worker that answers most calls with errors at once gets none that may not be repeated freely, for a growing
+// time; safe ones go on, and show when it is over. Where its peers fail as much it is the calls, and nothing changes.
+func TestNonIdempotentRequestsAvoidAWorkerWithErrors(t *testing.T) {
+	for _, tt := range []struct {
+		name  string
+		fails func(WorkerID, RequestID) bool
+		stays bool // unsafe calls go on to worker 1
+	}{
+		{"one worker, most calls", func(w WorkerID, i RequestID) bool { return w == 1 && i%5 > 0 }, false},
+		{"all workers", func(_ WorkerID, i RequestID) bool { return i%5 > 0 }, true},
+		{"none", func(WorkerID, RequestID) bool { return false }, true},
+	} {
+		d := start(t, base(), ready(1, 2, 3)...)
+		now, sent, tries := time.Second, map[bool]int{}, map[RequestID]int{} // at worker 1 in the second half, by whether the call was safe
+		for i := RequestID(1); i <= 400; i++ {
+			now += 10 * ms
+			class := int(i%2) * 2
+			todo := d.Step(now, []Event{arrival(i, class, FunctionID(class*100)+FunctionID(i%24))})
+			for ; len(todo) > 0; todo = todo[1:] {
+				if h, ok := todo[0].(LoadOrder); ok {
+					todo = append(todo, d.Step(now, []Event{LoadOrderEnded{Worker: h.Worker, Function: h.Function, Outcome: OK, Copies: 1}})...)
+				}
+				a, ok := todo[0].(Send)
+				if !ok {
+					continue
+				}
+				if a.Worker == 1 && i > 100 {
+					sent[a.Request%2 == 0]++
+				}
+				o := OK
+				if tt.fails(a.Worker, a.Request) {
+					o = Error
+				}
+				todo = append(todo, d.Step(now, []Event{AttemptEnded{Request: a.Request, Attempt: tries[a.Request], Worker: a.Worker, Outcome: o,
+					Complete: o == OK, Took: 5 * ms, Note: FoundWarm}})...)
+				tries[a.Request]++
+			}
+		}
+		if sent[true] == 0 {
+			t.Errorf("%s: no safe call goes to worker 1", tt.name)
+		}
+		if (sent[false] > 0) != tt.stays {
+			t.Errorf("%s: %d unsafe calls went to worker 1", tt.name, sent[false])
+		}
+	}
+}
+
+// The time grows while every answer is an error, and is over with it.
+func TestAvoidanceGrowsAndEnds(t *testing.T) {
+	d := start(t, base(), ready(1, 2, 3)...)
+	w := d.workers[1]
+	var spans []time.Duration
+	for len(spans) < 3 {
+		d.now = max(d.now, w.avoidUntil)
+		before := w.avoidUntil
+		for w.avoidUntil == before {
+			d.outliers.onError(&w.workerHealth, true, d.now)
+		}
+		spans = append(spans, w.avoidUntil-d.now)
+	}
+	if spans[1] <= spans[0] || spans[2] <= spans[1] {
+		t.Errorf("%v, want each longer than the one before", spans)
+	}
+	r := arrival(1, 2, 7)
+	d.Step(w.avoidUntil+time.Second, []Event{r})
+	for range 10 {
+		w.errorRate *= 1 - meanWeight // as ten answers do
+	}
+	d.outliers.onError(&w.workerHealth, true, d.now)
+	if d.now < w.avoidUntil {
+		t.Error("one error after ten answers is enough")
+	}
+}
+
+// A worker off the ring that fails the question at its return is not asked again in every step.
+func TestEjectedWorkerIsNotProbedInEveryStep(t *testing.T) {
+	d := start(t, base(), ready(1, 2, 3)...)
+	for i := RequestID(1); i <= 8; i++ {
+		d.Step(time.Second, []Event{arrival(i, 0, FunctionID(i))})
+	}
+	asked := 0
+	var events []Event
+	for now := time.Second; now < 10*time.Second; now += 10 * ms {
+		actions := d.Step(now, events)
+		events = nil
+		for _, a := range pickOut[Send](actions) {
+			events = append(events, AttemptEnded{Request: a.Request, Attempt: len(d.requests[a.Request].attempts) - 1,
+				Worker: a.Worker, Outcome: ConnectFailed})
+		}
+		for _, a := range pickOut[LoadOrder](actions) {
+			asked++
+			events = append(events, LoadOrderEnded{Worker: a.Worker, Function: a.Function, Outcome: ConnectFailed})
+		}
+	}
+	if asked > 40 {
+		t.Errorf("%d orders in 9 s to three dead workers", asked)
+	}
+}
+
+// Suspicion never empties the ring.
+func TestEjectionsLeaveWorkersReady(t *testing.T) {
+	d := start(t, base(), ready(1, 2, 3)...)
+	for i := RequestID(1); i < 30; i++ {
+		now := time.Second + time.Duration(i)*50*ms
+		for _, a := range pickOut[Send](d.Step(now, []Event{arrival(i, 0, FunctionID(i))})) {
+			d.Step(now, []Event{AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: ConnectFailed}})
+		}
+	}
+	up := 0
+	for _, w := range d.order {
+		if d.ready(w) {
+			up++
+		}
+	}
+	if up == 0 {
+		t.Error("no worker is left on the ring")
+	}
+}
--- /dev/null
+++ b/scheduler/placement_test.go
@@ -0,0 +1,42 @@
+package scheduler
+
+import (
+	"testing"
+	"time"
+)
+
+// From buchung big-1: a request past its aim goes behind those that can still meet theirs.
+func TestRequestsPastTheirObjectiveGoLast(t *testing.T) {
+	d := start(t, base())
+	d.Step(time.Second, []Event{arrival(1, 0, 7)})
+	d.Step(2*time.Second, []Event{arrival(2, 0, 7)})
+	sent := pickOut[Send](d.Step(2002*ms, []Event{ListUpdate{Kind: FullList, Workers: ready(1)}}))
+	if len(sent) != 1 || sent[0].Request != 2 {
+		t.Errorf("sent %v, want request 2 first: 1 is past its aim", sent)
+	}
+}
+
+// From i45c260: where copies turn out pushed out, a further copy waits longer.
+func TestFurtherCopyWaitsLongerWhereCopiesAreEvicted(t *testing.T) {
+	for _, note := range []LoadNote{FoundWarm, StartedLoad} {
+		d := start(t, base(), ready(1, 2)...)
+		now, id := time.Second, RequestID(0)
+		for range 40 {
+			id, now = id+1, now+100*ms
+			for _, a := range pickOut[Send](d.Step(now, []Event{arrival(id, 0, 7)})) {
+				d.Step(now, []Event{AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: OK, Complete: true,
+					Took: 50 * ms, Note: note}})
+			}
+		}
+		var events []Event
+		for range 30 { // more than home has tokens for
+			id++
+			events = append(events, arrival(id, 0, 7))
+		}
+		d.Step(now, events)
+		orders := len(pickOut[LoadOrder](d.Step(now+150*ms, []Event{Timer{}}))) // a quarter of the aim is over
+		if want := note == FoundWarm; (orders > 0) != want {
+			t.Errorf("note %d: %d orders for a further copy, want some: %v", note, orders, want)
+		}
+	}
+}
--- /dev/null
+++ b/scheduler/ranks_test.go
@@ -0,0 +1,58 @@
+package scheduler
+
+import (
+	"testing"
+	"time"
+)
+
+// Advice on workers is weighed when it comes, when it ends, and for workers that come meanwhile, not at each step.
+func TestRanksFollowAdviceAndTheList(t *testing.T) {
+	d := called(t, base(), 7)
+	rank := func(id WorkerID, want int) {
+		t.Helper()
+		if w := d.workers[id]; w.rank != want {
+			t.Errorf("worker %d has rank %d, want %d", id, w.rank, want)
+		}
+	}
+	listed := append([]WorkerInfo(nil), WorkerInfo{ID: 9, State: Ready})
+	for _, w := range d.order {
+		listed = append(listed, w.WorkerInfo)
+	}
+	known := d.order[0].ID
+	d.Step(2*time.Second, []Event{WorkerRank{Worker: known, Rank: -1, Until: 4 * time.Second}, WorkerRank{Worker: 9, Rank: 1, Until: 5 * time.Second}})
+	rank(known, -1)
+	d.Step(3*time.Second, []Event{ListUpdate{Kind: FullList, Workers: listed}})
+	rank(9, 1)
+	d.Step(4*time.Second, nil)
+	rank(known, 0)
+	rank(9, 1)
+	d.Step(4500*ms, []Event{WorkerRank{Worker: 9, Rank: 0, Until: 5 * time.Second}})
+	rank(9, 0)
+	checkIndexes(t, d)
+}
+
+func TestRankedWorkersMoveOnTheRing(t *testing.T) {
+	d := start(t, base(), ready(1, 2, 3, 4)...)
+	q := d.queues.get(7)
+	home := walk(d, q)[0].ID
+	d.Step(2*time.Second, []Event{WorkerRank{Worker: home, Rank: -1, Until: 5 * time.Second}})
+	if l := walk(d, q); l[3].ID != home {
+		t.Errorf("an avoided worker is not the last of the walk")
+	}
+	points := func(id WorkerID) int { return d.workers[id].member.Points() }
+	before := points(home)
+	d.Step(5*time.Second, []Event{WorkerRank{Worker: home, Rank: 1, Until: 8 * time.Second}})
+	if walk(d, q)[0].ID != home || points(home) <= before {
+		t.Error("a preferred worker has no longer arc")
+	}
+	d.Step(8*time.Second, nil)
+	if points(home) != before || walk(d, q)[0].ID != home {
+		t.Error("advice outlives its time")
+	}
+	for _, w := range []WorkerID{1, 2, 3, 4} { // of all alike: no worker is better than another
+		d.Step(9*time.Second, []Event{WorkerRank{Worker: w, Rank: -1, Until: time.Hour}})
+	}
+	if walk(d, q)[0].ID != home || len(pickOut[Send](d.Step(10*time.Second, []Event{arrival(1, 0, 7)}))) != 1 {
+		t.Error("a call is not sent where all workers are to be avoided")
+	}
+}
--- a/scheduler/outlier_fleet_test.go
+++ b/scheduler/spread_step_test.go
@@ -5,54 +5,9 @@
 	"time"
 )
 
-// A worker off the ring that fails the question at its return is not asked again in every step.
-func TestEjectedStaysOff(t *testing.T) {
-	d := start(t, base(), ready(1, 2, 3)...)
-	for i := RequestID(1); i <= 8; i++ {
-		d.Step(time.Second, []Event{arrival(i, 0, FunctionID(i))})
-	}
-	asked := 0
-	var events []Event
-	for now := time.Second; now < 10*time.Second; now += 10 * ms {
-		actions := d.Step(now, events)
-		events = nil
-		for _, a := range pickOut[Send](actions) {
-			events = append(events, AttemptEnded{Request: a.Request, Attempt: len(d.requests[a.Request].attempts) - 1,
-				Worker: a.Worker, Outcome: ConnectFailed})
-		}
-		for _, a := range pickOut[LoadOrder](actions) {
-			asked++
-			events = append(events, LoadOrderEnded{Worker: a.Worker, Function: a.Function, Outcome: ConnectFailed})
-		}
-	}
-	if asked > 40 {
-		t.Errorf("%d orders in 9 s to three dead workers", asked)
-	}
-}
-
-// Suspicion never empties the ring.
-func TestSuspicionKeepsRing(t *testing.T) {
-	d := start(t, base(), ready(1, 2, 3)...)
-	for i := RequestID(1); i < 30; i++ {
-		now := time.Second + time.Duration(i)*50*ms
-		for _, a := range pickOut[Send](d.Step(now, []Event{arrival(i, 0, FunctionID(i))})) {
-			d.Step(now, []Event{AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: ConnectFailed}})
-		}
-	}
-	up := 0
-	for _, w := range d.order {
-		if d.ready(w) {
-			up++
-		}
-	}
-	if up == 0 {
-		t.Error("no worker is left on the ring")
-	}
-}
-
 // From buchung-main: with few controllers to a lane their own tokens bound what meets at a home, and spreading a
 // function on top scatters its copies.
-func TestFewControllersDoNotSpread(t *testing.T) {
+func TestFewControllersDoNotSpreadAFunction(t *testing.T) {
 	for _, n := range []int{3, 100} {
 		s := base()
 		s.Controllers = n
@@ -71,37 +26,10 @@
 	}
 }
 
-// From i9cf6b9 and slow days: a worker far slower than its peers gets less than one token where many send to it.
-func TestSlowWorkerSheds(t *testing.T) {
-	s := base()
-	s.Controllers = 20
-	d := start(t, s, ready(1, 2, 3)...)
-	now, share := time.Second, map[WorkerID]int{}
-	for i := RequestID(1); i <= 300; i++ {
-		now += 30 * ms
-		for _, a := range pickOut[Send](d.Step(now, []Event{arrival(i, 0, FunctionID(i%6))})) {
-			took := 20 * ms
-			if a.Worker == 1 {
-				took = 300 * ms
-			}
-			share[a.Worker]++
-			d.Step(now, []Event{AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: OK, Complete: true, Took: took,
-				Note: FoundWarm}})
-		}
-	}
-	slow := d.workers[1]
-	if share[1] == 0 {
-		t.Fatal("worker 1 is no function's home: nothing was tested")
-	}
-	if slow.limit.tokens >= 0.5 {
-		t.Errorf("slow worker: %v tokens, want it to take a small part of its calls", slow.limit.tokens)
-	}
-}
-
 // From the full-size quiet days: a hot function's home is filled by many controllers, each with little out, so
 // whole tokens bind none. Answers that met all lanes taken move a part of the calls to the next copy, and
 // answers that did not bring them back.
-func TestCrowdedHomeSheds(t *testing.T) {
+func TestCrowdedHomeSharesItsRequests(t *testing.T) {
 	s := base()
 	s.Controllers, s.Loading.SameFunctionCounted = 100, true
 	d := start(t, s, ready(1, 2, 3, 4, 5, 6)...)
