--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -23,17 +23,17 @@
 	if !arrival.Resubmitted {
 		d.loadBudget.recordArrival(d.now)
 	}
-	q := d.queues.get(arrival.Function)
-	d.queues.arrive(q, d.now)
-	r := &request{
+	queue := d.queues.get(arrival.Function)
+	d.queues.arrive(queue, d.now)
+	request := &request{
 		Arrival:   arrival,
-		queue:     q,
+		queue:     queue,
 		arrivedAt: d.now,
 		answerBy:  d.now + arrival.TimeLeft - answerTicks*d.settings.Tick,
 	}
-	d.requests[arrival.Request] = r
-	d.openRequests = append(d.openRequests, r)
-	d.queues.enqueue(r)
+	d.requests[arrival.Request] = request
+	d.openRequests = append(d.openRequests, request)
+	d.queues.enqueue(request)
 }
 
 // class returns the class of a request.
@@ -45,11 +45,11 @@
 }
 
 // meetsObjective tells whether a waiting request can still be answered within its latency objective.
-func (d *Dispatcher) meetsObjective(r *request) bool {
-	class := d.class(r)
-	stretch := time.Duration(class.ObjectiveStretch * float64(r.RunTimeHint))
+func (d *Dispatcher) meetsObjective(request *request) bool {
+	class := d.class(request)
+	stretch := time.Duration(class.ObjectiveStretch * float64(request.RunTimeHint))
 	objective := min(class.LatencyObjective+stretch, class.Deadline)
-	return d.now+seconds(d.runTime(r)) < r.arrivedAt+objective
+	return d.now+seconds(d.runTime(request)) < request.arrivedAt+objective
 }
 
 // overdue tells whether a request is past its objective and the load that it may have waited for.
@@ -62,22 +62,22 @@
 // client has left.
 func (d *Dispatcher) advanceRequests() {
 	kept := d.openRequests[:0]
-	for _, r := range d.openRequests {
-		if r.undecided && !r.ended {
-			d.retry(r)
+	for _, request := range d.openRequests {
+		if request.undecided && !request.ended {
+			d.retry(request)
 		}
-		r.undecided = false
-		if d.overdue(r) {
-			d.observe(r, false)
+		request.undecided = false
+		if d.overdue(request) {
+			d.observe(request, false)
 		}
-		if !r.ended && (d.now >= r.answerBy || r.queued && d.mustAnswerNow(r)) {
-			d.answer(r)
+		if !request.ended && (d.now >= request.answerBy || request.queued && d.mustAnswerNow(request)) {
+			d.answer(request)
 		}
-		if outstanding := d.releaseLost(r); r.ended && !outstanding {
-			delete(d.requests, r.Request)
+		if outstanding := d.releaseLost(request); request.ended && !outstanding {
+			delete(d.requests, request.Request)
 			continue
 		}
-		kept = append(kept, r)
+		kept = append(kept, request)
 	}
 	clear(d.openRequests[len(kept):])
 	d.openRequests = kept
@@ -85,12 +85,12 @@
 
 // releaseLost releases the attempts whose outcome is long overdue, as it must not hold memory or a token
 // for ever, and tells whether others are outstanding.
-func (d *Dispatcher) releaseLost(r *request) (outstanding bool) {
-	for i := range r.attempts {
+func (d *Dispatcher) releaseLost(request *request) (outstanding bool) {
+	for i := range request.attempts {
 		switch {
-		case r.attempts[i].done:
-		case r.ended && d.now > r.answerBy+r.TimeLeft+d.class(r).Deadline:
-			d.release(r, &r.attempts[i], TimedOut)
+		case request.attempts[i].done:
+		case request.ended && d.now > request.answerBy+request.TimeLeft+d.class(request).Deadline:
+			d.release(request, &request.attempts[i], TimedOut)
 		default:
 			outstanding = true
 		}
@@ -100,21 +100,27 @@
 
 // mustAnswerNow tells whether a queued request is to be answered at once: nothing is outstanding, and it is
 // not admitted, or no worker may have it again, or no run fits its time.
-func (d *Dispatcher) mustAnswerNow(r *request) bool {
-	noTime := d.cannotMeetDeadline(r)
-	if noTime && d.now == r.arrivedAt {
+func (d *Dispatcher) mustAnswerNow(request *request) bool {
+	noTime := d.cannotMeetDeadline(request)
+	if noTime && d.now == request.arrivedAt {
 		// The mean run time rejects even a new request. Lower it, or a wrong one would never be corrected.
-		r.queue.meanRunTime = mean(r.queue.meanRunTime, 0)
+		request.queue.meanRunTime = mean(request.queue.meanRunTime, 0)
 	}
-	return !r.hasOutstanding() && (noTime || !d.admits(r) || len(r.attempts) > 0 && !d.mayRetry(r))
+	switch {
+	case request.hasOutstanding():
+		return false
+	case noTime || !d.admits(request):
+		return true
+	}
+	return len(request.attempts) > 0 && !d.mayRetry(request)
 }
 
 // cannotMeetDeadline tells whether a run that begins now ends after the request's time. For a function that
 // was never served its class's mean counts.
-func (d *Dispatcher) cannotMeetDeadline(r *request) bool {
-	guess := min(d.classRunTime[r.Class], guessRun*r.TimeLeft.Seconds())
-	run := cmp.Or(r.queue.meanRunTime, guess)
-	return d.now+seconds(run) >= r.answerBy
+func (d *Dispatcher) cannotMeetDeadline(request *request) bool {
+	guess := min(d.classRunTime[request.Class], guessRun*request.TimeLeft.Seconds())
+	run := cmp.Or(request.queue.meanRunTime, guess)
+	return d.now+seconds(run) >= request.answerBy
 }
 
 // admits tells whether a request may be sent at all. What was sent once is past admission.
@@ -124,168 +130,173 @@
 }
 
 // observe reports each request that was sent to the admission once: when it is answered, or overdue.
-func (d *Dispatcher) observe(r *request, onTime bool) {
-	if r.observed || len(r.attempts) == 0 {
+func (d *Dispatcher) observe(request *request, onTime bool) {
+	if request.observed || len(request.attempts) == 0 {
 		return
 	}
 	d.admission.observe(onTime)
-	r.observed = true
+	request.observed = true
 }
 
 // answer gives our own final answer, and cancels what is outstanding.
-func (d *Dispatcher) answer(r *request) {
-	if d.retryRules.mayReject(r) {
-		reject := Reject{Request: r.Request}
+func (d *Dispatcher) answer(request *request) {
+	if d.retryRules.mayReject(request) {
+		reject := Reject{Request: request.Request}
 		if limits := &d.settings.Limits; limits.RetryAfter && d.admission.shedding() {
 			reject.RetryAfter = d.admission.retryAfter(limits.MaxRetryAfter, d.random)
 		}
 		d.do(reject)
 	} else {
-		d.do(Fail{Request: r.Request})
+		d.do(Fail{Request: request.Request})
 	}
-	d.end(r)
+	d.end(request)
 }
 
 // end notes that a request needs nothing more, and cancels what is outstanding.
-func (d *Dispatcher) end(r *request) {
-	if r.ended {
+func (d *Dispatcher) end(request *request) {
+	if request.ended {
 		return
 	}
-	r.ended = true
-	d.queues.dequeue(r)
-	for i := range r.attempts {
-		d.cancel(r, i)
+	request.ended = true
+	d.queues.dequeue(request)
+	for i := range request.attempts {
+		d.cancel(request, i)
 	}
 }
 
 // cancel gives up an attempt, where that is allowed.
-func (d *Dispatcher) cancel(r *request, i int) {
-	if a := &r.attempts[i]; d.settings.Limits.Cancel && !a.done && !a.abandoned {
+func (d *Dispatcher) cancel(request *request, i int) {
+	if a := &request.attempts[i]; d.settings.Limits.Cancel && !a.done && !a.abandoned {
 		a.abandoned = true
-		d.do(Cancel{Request: r.Request, Attempt: i})
+		d.do(Cancel{Request: request.Request, Attempt: i})
 	}
 }
 
 // send sends a request to a worker: a new attempt.
-func (d *Dispatcher) send(r *request, w *worker) {
-	q := r.queue
-	work := d.classRunTime[r.Class]
-	d.queues.dequeue(r)
-	r.mayHedge = false
-	d.queues.sent(q, d.runTime(r), d.now)
-	if w.outstanding == 0 {
-		w.waitingSince = d.now
+func (d *Dispatcher) send(request *request, worker *worker) {
+	queue := request.queue
+	work := d.classRunTime[request.Class]
+	d.queues.dequeue(request)
+	request.mayHedge = false
+	d.queues.sent(queue, d.runTime(request), d.now)
+	if worker.outstanding == 0 {
+		worker.waitingSince = d.now
 	}
-	placed := q.placement(w)
-	awaitsLoad := !d.hasCopy(placed, w)
+	placed := queue.placement(worker)
+	awaitsLoad := !d.hasCopy(placed, worker)
 	placed.outstanding++
 	if awaitsLoad {
-		w.awaitingLoad++
+		worker.awaitingLoad++
 		placed.leaders++
 		placed.loadStartedAt = d.now
-		r.loadAllowance = d.loadTime(r)
+		request.loadAllowance = d.loadTime(request)
 	} else {
-		w.limit.acquire()
+		worker.limit.acquire()
 	}
-	w.outstanding++
-	d.watchList.update(w)
-	d.slowStart.sent(&w.warmup, work)
-	w.lastFunction = q.function
-	r.attempts = append(r.attempts, attempt{
-		worker:     w,
-		group:      w.Group,
-		zone:       w.Zone,
+	worker.outstanding++
+	d.watchList.update(worker)
+	d.slowStart.sent(&worker.warmup, work)
+	worker.lastFunction = queue.function
+	request.attempts = append(request.attempts, attempt{
+		worker:     worker,
+		group:      worker.Group,
+		zone:       worker.Zone,
 		sentAt:     d.now,
 		work:       work,
 		awaitsLoad: awaitsLoad,
 	})
-	d.do(Send{Request: r.Request, Worker: w.ID, Timeout: max(r.answerBy-d.now, d.settings.Tick)})
+	timeout := max(request.answerBy-d.now, d.settings.Tick)
+	d.do(Send{Request: request.Request, Worker: worker.ID, Timeout: timeout})
 }
 
 // release ends an attempt's hold on its worker and notes whether it may have run.
-func (d *Dispatcher) release(r *request, a *attempt, outcome Outcome) {
-	w := a.worker
-	a.done = true
-	a.mayHaveRun = outcome.mayHaveRun()
-	w.outstanding--
-	d.watchList.update(w)
-	placed := r.queue.placement(w)
+func (d *Dispatcher) release(request *request, attempt *attempt, outcome Outcome) {
+	worker := attempt.worker
+	attempt.done = true
+	attempt.mayHaveRun = outcome.mayHaveRun()
+	worker.outstanding--
+	d.watchList.update(worker)
+	placed := request.queue.placement(worker)
 	placed.outstanding--
-	if a.awaitsLoad {
-		w.awaitingLoad--
+	if attempt.awaitsLoad {
+		worker.awaitingLoad--
 		placed.leaders--
 	} else {
-		w.limit.release()
+		worker.limit.release()
 	}
-	if placed.outstanding == 0 && w.State == Gone { // else a hot function gathers those of all workers
-		delete(r.queue.placements, w)
+	if placed.outstanding == 0 && worker.State == Gone { // else a hot function gathers those of all workers
+		delete(request.queue.placements, worker)
 	}
-	w.waitingSince = d.now
-	d.queues.ended(r.queue, d.now)
-	d.slowStart.ended(&w.warmup, a.work, outcome)
+	worker.waitingSince = d.now
+	d.queues.ended(request.queue, d.now)
+	d.slowStart.ended(&worker.warmup, attempt.work, outcome)
 }
 
 // attemptEnded ends an attempt and learns from its outcome.
 func (d *Dispatcher) attemptEnded(ended AttemptEnded) {
-	r := d.requests[ended.Request]
-	if r == nil || ended.Attempt < 0 || ended.Attempt >= len(r.attempts) || r.attempts[ended.Attempt].done {
+	request := d.requests[ended.Request]
+	if request == nil || ended.Attempt < 0 || ended.Attempt >= len(request.attempts) {
+		return
+	}
+	attempt := &request.attempts[ended.Attempt]
+	if attempt.done {
 		return
 	}
-	a := &r.attempts[ended.Attempt]
-	w := a.worker
-	placed := r.queue.placement(w)
-	d.release(r, a, ended.Outcome)
+	worker := attempt.worker
+	placed := request.queue.placement(worker)
+	d.release(request, attempt, ended.Outcome)
 	switch ended.Outcome {
 	case OK:
-		d.afterSuccess(r, a, placed, ended)
+		d.afterSuccess(request, attempt, placed, ended)
 	case AtCapacity:
-		d.afterRejection(r, a, ended)
+		d.afterRejection(request, attempt, ended)
 	case TimedOut:
-		w.limit.onTimeout(tokenStep(d.settings.Controllers))
-		d.workerAnswered(w, TimedOut)
-		d.observeCrowding(r.queue, int(2*r.Lanes), r.Lanes, d.isWarm(w))
+		worker.limit.onTimeout(tokenStep(d.settings.Controllers))
+		d.workerAnswered(worker, TimedOut)
+		d.observeCrowding(request.queue, int(2*request.Lanes), request.Lanes, d.isWarm(worker))
 	default:
-		d.workerAnswered(w, ended.Outcome)
+		d.workerAnswered(worker, ended.Outcome)
 		ownError := ended.Outcome == Error && ended.Note != LoadFailed
-		d.outliers.onError(&w.workerHealth, ownError, d.now)
+		d.outliers.onError(&worker.workerHealth, ownError, d.now)
 	}
 	if ended.Complete || ended.Outcome == OK {
-		d.end(r)
+		d.end(request)
 		return
 	}
-	r.undecided = true
+	request.undecided = true
 }
 
 // afterSuccess learns from an answer. Only a run that met a loaded copy says something about run times.
-func (d *Dispatcher) afterSuccess(r *request, a *attempt, placed *placement, ended AttemptEnded) {
-	w := a.worker
-	late := ended.Took > d.class(r).LatencyObjective
-	d.workerAnswered(w, OK)
-	d.observe(r, !d.overdue(r))
+func (d *Dispatcher) afterSuccess(request *request, attempt *attempt, placed *placement, ended AttemptEnded) {
+	worker := attempt.worker
+	late := ended.Took > d.class(request).LatencyObjective
+	d.workerAnswered(worker, OK)
+	d.observe(request, !d.overdue(request))
 	if ended.Note == StartedLoad {
-		w.loadBackoff.loaded()
+		worker.loadBackoff.loaded()
 	}
-	d.outliers.onSuccess(&w.workerHealth)
+	d.outliers.onSuccess(&worker.workerHealth)
 	placed.lastSeenAt = d.now
-	if !a.awaitsLoad {
+	if !attempt.awaitsLoad {
 		d.evictions.observe(ended.Note == StartedLoad && ended.SameFunction == 0)
 	}
-	slow := late || ended.Took.Seconds() > d.slowRatio(r)*d.classRunTime[r.Class]
-	d.observeCrowding(r.queue, ended.SameFunction, r.Lanes, slow && d.isWarm(w))
+	slow := late || ended.Took.Seconds() > d.slowRatio(request)*d.classRunTime[request.Class]
+	d.observeCrowding(request.queue, ended.SameFunction, request.Lanes, slow && d.isWarm(worker))
 	waited := ended.Note == StartedLoad || ended.Note == AwaitedLoad
-	if !waited && (ended.Note == FoundWarm || !a.awaitsLoad) {
-		d.learnRunTime(r, w, ended.Took.Seconds(), late)
+	if !waited && (ended.Note == FoundWarm || !attempt.awaitsLoad) {
+		d.learnRunTime(request, worker, ended.Took.Seconds(), late)
 	}
 }
 
 // learnRunTime follows the run times of the function, its class and the worker, in seconds, and with them the
 // worker's concurrency limit.
-func (d *Dispatcher) learnRunTime(r *request, w *worker, took float64, late bool) {
-	r.queue.meanRunTime = mean(r.queue.meanRunTime, took)
-	d.classRunTime[r.Class] = mean(d.classRunTime[r.Class], took)
-	ratio := mean(w.limit.latencyRatio, took/d.classRunTime[r.Class])
-	d.peerLatency.set(&w.limit, ratio, w.State != Gone)
-	w.limit.onAnswer(d.slowRatio(r)/w.limit.latencyRatio, late, tokenStep(d.settings.Controllers))
+func (d *Dispatcher) learnRunTime(request *request, worker *worker, took float64, late bool) {
+	request.queue.meanRunTime = mean(request.queue.meanRunTime, took)
+	d.classRunTime[request.Class] = mean(d.classRunTime[request.Class], took)
+	ratio := mean(worker.limit.latencyRatio, took/d.classRunTime[request.Class])
+	d.peerLatency.set(&worker.limit, ratio, worker.State != Gone)
+	headroom := d.slowRatio(request) / worker.limit.latencyRatio
+	worker.limit.onAnswer(headroom, late, tokenStep(d.settings.Controllers))
 }
 
 // slowRatio is the latency ratio from which a worker counts as slow.
@@ -294,16 +305,16 @@
 }
 
 // afterRejection learns from a worker that was at its capacity.
-func (d *Dispatcher) afterRejection(r *request, a *attempt, ended AttemptEnded) {
-	w := a.worker
-	d.workerAnswered(w, OK)
-	w.limit.onRejection()
-	d.observeCrowding(r.queue, ended.SameFunction, r.Lanes, d.isWarm(w))
-	if len(r.attempts) >= d.settings.Limits.MaxAttempts {
-		d.observe(r, false)
+func (d *Dispatcher) afterRejection(request *request, attempt *attempt, ended AttemptEnded) {
+	worker := attempt.worker
+	d.workerAnswered(worker, OK)
+	worker.limit.onRejection()
+	d.observeCrowding(request.queue, ended.SameFunction, request.Lanes, d.isWarm(worker))
+	if len(request.attempts) >= d.settings.Limits.MaxAttempts {
+		d.observe(request, false)
 	}
-	if a.awaitsLoad {
-		d.loadRejected(w)
+	if attempt.awaitsLoad {
+		d.loadRejected(worker)
 	}
 }
 
--- a/scheduler/concurrency.go
+++ b/scheduler/concurrency.go
@@ -110,19 +110,19 @@
 func (p *peerLatency) median() float64 { return p.ratios.Median(1) }
 
 // set changes the latency ratio of a worker, which counts for its peers only while it is listed.
-func (p *peerLatency) set(l *concurrencyLimit, ratio float64, listed bool) {
+func (p *peerLatency) set(limit *concurrencyLimit, ratio float64, listed bool) {
 	if listed {
-		p.forget(l)
+		p.forget(limit)
 		if ratio > 0 {
 			p.ratios.Add(ratio)
 		}
 	}
-	l.latencyRatio = ratio
+	limit.latencyRatio = ratio
 }
 
 // forget takes out a worker that leaves the list.
-func (p *peerLatency) forget(l *concurrencyLimit) {
-	if l.latencyRatio > 0 {
-		p.ratios.Remove(l.latencyRatio)
+func (p *peerLatency) forget(limit *concurrencyLimit) {
+	if limit.latencyRatio > 0 {
+		p.ratios.Remove(limit.latencyRatio)
 	}
 }
--- a/scheduler/copies.go
+++ b/scheduler/copies.go
@@ -62,41 +62,41 @@
 }
 
 // ensureCopy orders a copy where one will be needed soon, and tells whether one is loaded or on its way.
-func (d *Dispatcher) ensureCopy(q *queue, w *worker) bool {
-	placed := q.placement(w)
-	return placed.pendingOrders > 0 || d.hasCopy(placed, w) ||
-		w.loadBackoff.allows(d.now) && d.orderLoad(w, q.function)
+func (d *Dispatcher) ensureCopy(queue *queue, worker *worker) bool {
+	placed := queue.placement(worker)
+	return placed.pendingOrders > 0 || d.hasCopy(placed, worker) ||
+		worker.loadBackoff.allows(d.now) && d.orderLoad(worker, queue.function)
 }
 
 // orderLoad orders one copy, if the budget allows it. The caller has seen that the worker is ready.
-func (d *Dispatcher) orderLoad(w *worker, function FunctionID) bool {
+func (d *Dispatcher) orderLoad(worker *worker, function FunctionID) bool {
 	if !d.loadBudget.take(d.now) {
 		return false
 	}
-	placed := d.queues.get(function).placement(w)
+	placed := d.queues.get(function).placement(worker)
 	placed.pendingOrders++
 	placed.loadStartedAt = d.now
-	d.do(LoadOrder{Worker: w.ID, Function: function, Copies: 1})
+	d.do(LoadOrder{Worker: worker.ID, Function: function, Copies: 1})
 	return true
 }
 
 // loadOrderEnded notes which copies are loaded. An order that failed says nothing of the worker's health,
 // but for its silence.
 func (d *Dispatcher) loadOrderEnded(ended LoadOrderEnded) {
-	w, q := d.workers[ended.Worker], d.queues.byFunction[ended.Function]
-	d.workerAnswered(w, ended.Outcome)
-	if w == nil || q == nil {
+	worker, queue := d.workers[ended.Worker], d.queues.byFunction[ended.Function]
+	d.workerAnswered(worker, ended.Outcome)
+	if worker == nil || queue == nil {
 		return
 	}
-	placed := q.placement(w)
+	placed := queue.placement(worker)
 	placed.pendingOrders = max(0, placed.pendingOrders-1)
 	switch {
 	case ended.Copies > 0:
 		placed.lastSeenAt = d.now
 		placed.copies = ended.Copies
-		w.loadBackoff.loaded()
+		worker.loadBackoff.loaded()
 	case ended.Outcome == AtCapacity || ended.Outcome == Error:
-		d.loadRejected(w)
+		d.loadRejected(worker)
 	case ended.Outcome == OK && placed.outstanding == 0:
 		placed.lastSeenAt = 0
 	}
@@ -110,10 +110,10 @@
 
 // stageCopies orders the copies of a function that is about to be called, at the first workers of its walk.
 func (d *Dispatcher) stageCopies(staged StagedCopies) {
-	q := d.queues.get(staged.Function)
+	queue := d.queues.get(staged.Function)
 	missing := staged.Copies
 	for i := 0; missing > 0 && i < len(d.order); i++ {
-		if w := q.worker(i); d.ready(w) && d.ensureCopy(q, w) {
+		if w := queue.worker(i); d.ready(w) && d.ensureCopy(queue, w) {
 			missing--
 		}
 	}
@@ -122,16 +122,16 @@
 // renewCopies renews the home copies of functions that are likely to be called again, in the order of the
 // functions, as far as the budget goes.
 func (d *Dispatcher) renewCopies() {
-	for q := d.queues.nextRenewal(d.now); q != nil; q = d.queues.nextRenewal(d.now) {
+	for queue := d.queues.nextRenewal(d.now); queue != nil; queue = d.queues.nextRenewal(d.now) {
 		i := 0
-		for i < len(d.order) && !d.ready(q.worker(i)) {
+		for i < len(d.order) && !d.ready(queue.worker(i)) {
 			i++
 		}
-		if i == len(d.order) || !d.orderLoad(q.worker(i), q.function) {
+		if i == len(d.order) || !d.orderLoad(queue.worker(i), queue.function) {
 			return // no worker is ready, or there is no budget: for no function
 		}
-		q.lastRenewalAt = d.now
-		d.queues.touch(q)
+		queue.lastRenewalAt = d.now
+		d.queues.touch(queue)
 	}
 }
 
@@ -156,27 +156,28 @@
 // loadDesired goes along the walk of one function, until as many workers as copies are desired have been
 // found.
 func (d *Dispatcher) loadDesired(desired DesiredCopies, mayOrder bool) {
-	q := d.queues.get(desired.Function)
-	q.desiredUntil = desired.Until
-	d.queues.touch(q)
+	queue := d.queues.get(desired.Function)
+	queue.desiredUntil = desired.Until
+	d.queues.touch(queue)
 	thisStep := max(d.now, 1)
 	interval := renewalInterval(d.settings.Loading.IdleCopyTTL)
 	missing := desired.Copies
 	for i := 0; missing > 0 && i < len(d.order); i++ {
-		w := q.worker(i)
-		if !d.ready(w) {
+		worker := queue.worker(i)
+		if !d.ready(worker) {
 			continue
 		}
-		placed := q.placement(w)
+		placed := queue.placement(worker)
 		lastUse := max(placed.lastSeenAt, placed.loadStartedAt)
 		switch {
 		case placed.pendingOrders > 0:
-			w.advisedLoadAt = thisStep
-		case d.hasCopy(placed, w) && (placed.outstanding > 0 || d.now-lastUse < interval):
-		case !w.loadBackoff.allows(d.now):
+			worker.advisedLoadAt = thisStep
+		case d.hasCopy(placed, worker) && (placed.outstanding > 0 || d.now-lastUse < interval):
+		case !worker.loadBackoff.allows(d.now):
 			continue // the next of the walk may have room
-		case mayOrder && w.advisedLoadAt != thisStep && d.adviceMayLoad() && d.orderLoad(w, q.function):
-			w.advisedLoadAt = thisStep
+		case mayOrder && worker.advisedLoadAt != thisStep && d.adviceMayLoad() &&
+			d.orderLoad(worker, queue.function):
+			worker.advisedLoadAt = thisStep
 		}
 		missing--
 	}
--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -39,9 +39,9 @@
 			d.updateWorker(info, update.Kind)
 		}
 	}
-	for _, w := range d.order {
-		if update.Kind != ListDelta && w.listGeneration != d.listGeneration && w.State != Gone {
-			d.depart(w)
+	for _, worker := range d.order {
+		if update.Kind != ListDelta && worker.listGeneration != d.listGeneration && worker.State != Gone {
+			d.depart(worker)
 		}
 	}
 	d.sortWorkers()
@@ -51,48 +51,48 @@
 
 // updateWorker follows one line of the list.
 func (d *Dispatcher) updateWorker(info WorkerInfo, kind ListKind) {
-	w := d.workers[info.ID]
-	if w == nil {
-		w = d.join(info.ID)
+	worker := d.workers[info.ID]
+	if worker == nil {
+		worker = d.join(info.ID)
 		if kind == CachedList {
-			w.limit.distrust() // the list may be out of date
+			worker.limit.distrust() // the list may be out of date
 		}
 	}
-	if info.StartedAt > w.StartedAt && info.StartedAt > w.warmingSince {
-		d.slowStart.begin(&w.warmup, info.StartedAt)
-		w.limit.onRestart()
+	if info.StartedAt > worker.StartedAt && info.StartedAt > worker.warmingSince {
+		d.slowStart.begin(&worker.warmup, info.StartedAt)
+		worker.limit.onRestart()
 	}
-	w.WorkerInfo = info
-	w.listGeneration = d.listGeneration
+	worker.WorkerInfo = info
+	worker.listGeneration = d.listGeneration
 }
 
 // join adds a worker that is listed for the first time.
 func (d *Dispatcher) join(id WorkerID) *worker {
-	w := &worker{limit: newConcurrencyLimit(), placements: map[*queue]*placement{}}
-	w.member = ring.Member[*worker]{ID: uint64(id), Value: w}
-	d.workers[id] = w
-	d.order = append(d.order, w)
-	d.outliers.track(&w.workerHealth)
-	return w
+	joined := &worker{limit: newConcurrencyLimit(), placements: map[*queue]*placement{}}
+	joined.member = ring.Member[*worker]{ID: uint64(id), Value: joined}
+	d.workers[id] = joined
+	d.order = append(d.order, joined)
+	d.outliers.track(&joined.workerHealth)
+	return joined
 }
 
 // depart takes a worker out that is gone, but for what is outstanding there. SortWorkers drops it from the
 // order.
-func (d *Dispatcher) depart(w *worker) {
-	if w == nil {
+func (d *Dispatcher) depart(worker *worker) {
+	if worker == nil {
 		return
 	}
-	w.State = Gone
-	d.reassign(w)
-	delete(d.workers, w.ID)
-	d.ring.Place(&w.member, 0, 0)
-	d.watchList.update(w)
-	d.outliers.untrack(&w.workerHealth)
-	d.peerLatency.forget(&w.limit)
-	for q, placed := range w.placements { // each by itself: their order does not matter
+	worker.State = Gone
+	d.reassign(worker)
+	delete(d.workers, worker.ID)
+	d.ring.Place(&worker.member, 0, 0)
+	d.watchList.update(worker)
+	d.outliers.untrack(&worker.workerHealth)
+	d.peerLatency.forget(&worker.limit)
+	for queue, placed := range worker.placements { // each by itself: their order does not matter
 		if placed.outstanding == 0 {
-			delete(q.placements, w)
-			delete(w.placements, q)
+			delete(queue.placements, worker)
+			delete(worker.placements, queue)
 		}
 	}
 }
@@ -104,16 +104,16 @@
 }
 
 // setEjected begins or ends the ejection of a worker.
-func (d *Dispatcher) setEjected(w *worker, ejected bool) {
-	if w.ejected == ejected {
+func (d *Dispatcher) setEjected(worker *worker, ejected bool) {
+	if worker.ejected == ejected {
 		return
 	}
 	if d.watchList.active {
 		// It counts as it was so far; those after it count with one more that is ejected, or one less.
-		d.sumCapacity(w)
+		d.sumCapacity(worker)
 	}
-	d.outliers.setEjected(&w.workerHealth, ejected)
-	d.watchList.update(w)
+	d.outliers.setEjected(&worker.workerHealth, ejected)
+	d.watchList.update(worker)
 }
 
 // A watchList has the listed workers whose health has to be examined, by id: those that are ejected, and
@@ -126,20 +126,21 @@
 }
 
 // update puts a worker on the list, or takes it off.
-func (l *watchList) update(w *worker) {
-	watched := w.State != Gone && (w.ejected || w.outstanding > 0)
-	i, found := slices.BinarySearchFunc(l.workers, w.ID, func(o *worker, id WorkerID) int {
-		return cmp.Compare(o.ID, id)
-	})
-	found = found && l.workers[i] == w
+func (l *watchList) update(worker *worker) {
+	watched := worker.State != Gone && (worker.ejected || worker.outstanding > 0)
+	i, found := slices.BinarySearchFunc(l.workers, worker.ID, compareID)
+	found = found && l.workers[i] == worker
 	switch {
 	case watched && !found:
-		l.workers = slices.Insert(l.workers, i, w)
+		l.workers = slices.Insert(l.workers, i, worker)
 	case !watched && found:
 		l.workers = slices.Delete(l.workers, i, i+1)
 	}
 }
 
+// compareID compares a worker with an ID.
+func compareID(w *worker, id WorkerID) int { return cmp.Compare(w.ID, id) }
+
 // all yields the workers that are on the list as it begins: what is yielded may leave it.
 func (l *watchList) all() iter.Seq[*worker] {
 	return func(yield func(*worker) bool) {
@@ -147,8 +148,8 @@
 		l.active = true
 		defer func() { l.active = false }()
 		l.examined += uint64(len(l.round))
-		for _, w := range l.round {
-			if !yield(w) {
+		for _, worker := range l.round {
+			if !yield(worker) {
 				return
 			}
 		}
@@ -180,13 +181,13 @@
 // sumCapacity goes on adding up, to the last one given and including it, or to the end.
 func (d *Dispatcher) sumCapacity(last *worker) {
 	for ; d.capacity.next < len(d.order); d.capacity.next++ {
-		w := d.order[d.capacity.next]
-		if last != nil && w.ID > last.ID {
+		worker := d.order[d.capacity.next]
+		if last != nil && worker.ID > last.ID {
 			return
 		}
 		d.capacity.added++
-		if d.ready(w) {
-			d.capacity.total += d.warmupFraction(w)
+		if d.ready(worker) {
+			d.capacity.total += d.warmupFraction(worker)
 		}
 	}
 }
--- a/scheduler/outlier.go
+++ b/scheduler/outlier.go
@@ -78,10 +78,10 @@
 }
 
 // untrack ends that. What is still outstanding there may change its health, but counts no more.
-func (o *outlierDetector) untrack(h *workerHealth) {
-	h.tracked = false
-	o.errorRates.Remove(h.errorRate)
-	if h.ejected {
+func (o *outlierDetector) untrack(health *workerHealth) {
+	health.tracked = false
+	o.errorRates.Remove(health.errorRate)
+	if health.ejected {
 		o.ejected--
 	}
 }
@@ -96,29 +96,29 @@
 }
 
 // onSuccess notes an answer without error.
-func (o *outlierDetector) onSuccess(h *workerHealth) {
-	h.consecutiveFailures = 0
-	h.ejections = 0
-	o.setErrorRate(h, h.errorRate*(1-meanWeight))
+func (o *outlierDetector) onSuccess(health *workerHealth) {
+	health.consecutiveFailures = 0
+	health.ejections = 0
+	o.setErrorRate(health, health.errorRate*(1-meanWeight))
 }
 
 // onError notes that an attempt ended otherwise. It counts as an error if it was one of the worker's own.
-func (o *outlierDetector) onError(h *workerHealth, counts bool, now time.Duration) {
+func (o *outlierDetector) onError(health *workerHealth, counts bool, now time.Duration) {
 	if counts {
-		o.setErrorRate(h, h.errorRate+meanWeight*(1-h.errorRate))
+		o.setErrorRate(health, health.errorRate+meanWeight*(1-health.errorRate))
 	}
-	if now >= h.avoidUntil && h.errorRate > errorRateExcess+o.errorRates.Median(0) {
-		h.avoidUntil = now + o.ejectionDuration(h.ejections)
-		h.ejections++
+	if now >= health.avoidUntil && health.errorRate > errorRateExcess+o.errorRates.Median(0) {
+		health.avoidUntil = now + o.ejectionDuration(health.ejections)
+		health.ejections++
 	}
 }
 
 // eject begins an ejection, or the next one.
-func (o *outlierDetector) eject(h *workerHealth, now time.Duration) {
-	o.setEjected(h, true)
-	h.probedAt = 0
-	h.ejectedUntil = now + o.ejectionDuration(h.ejections)
-	h.ejections++
+func (o *outlierDetector) eject(health *workerHealth, now time.Duration) {
+	o.setEjected(health, true)
+	health.probedAt = 0
+	health.ejectedUntil = now + o.ejectionDuration(health.ejections)
+	health.ejections++
 }
 
 // ejectionDuration is the time of an ejection after so many others, with jitter.
@@ -129,23 +129,23 @@
 	return time.Duration(span * (1 + jitter*(o.random.Float64()-0.5)))
 }
 
-func (o *outlierDetector) setEjected(h *workerHealth, ejected bool) {
+func (o *outlierDetector) setEjected(health *workerHealth, ejected bool) {
 	switch {
-	case h.ejected == ejected || !h.tracked:
+	case health.ejected == ejected || !health.tracked:
 	case ejected:
 		o.ejected++
 	default:
 		o.ejected--
 	}
-	h.ejected = ejected
+	health.ejected = ejected
 }
 
-func (o *outlierDetector) setErrorRate(h *workerHealth, rate float64) {
-	if h.tracked && rate != h.errorRate {
-		o.errorRates.Remove(h.errorRate)
+func (o *outlierDetector) setErrorRate(health *workerHealth, rate float64) {
+	if health.tracked && rate != health.errorRate {
+		o.errorRates.Remove(health.errorRate)
 		o.errorRates.Add(rate)
 	}
-	h.errorRate = rate
+	health.errorRate = rate
 }
 
 // A healthCheck is what the silence of a worker, or the end of its ejection, calls for.
@@ -185,32 +185,32 @@
 	silence := max(d.settings.Limits.DialTimeout, seconds(silentRunTimes*slices.Max(d.classRunTime)))
 	patience := seconds(probeDialTimeouts * d.settings.Limits.DialTimeout.Seconds())
 	d.capacity.reset()
-	for w := range d.watchList.all() {
-		switch w.check(d.now, w.outstanding, silence, patience) {
+	for worker := range d.watchList.all() {
+		switch worker.check(d.now, worker.outstanding, silence, patience) {
 		case probeSilent:
-			d.probe(w)
+			d.probe(worker)
 		case probeEjected:
-			if !d.probe(w) {
-				d.workerAnswered(w, OK)
+			if !d.probe(worker) {
+				d.workerAnswered(worker, OK)
 			}
 		case ejectSilent:
-			d.eject(w)
+			d.eject(worker)
 		}
 	}
 }
 
 // probe asks a worker something that costs it little, how many copies it has or a probe, and tells whether it
 // could.
-func (d *Dispatcher) probe(w *worker) bool {
+func (d *Dispatcher) probe(worker *worker) bool {
 	switch {
-	case d.settings.Loading.Orders && w.lastFunction != 0:
-		d.do(LoadOrder{Worker: w.ID, Function: w.lastFunction})
+	case d.settings.Loading.Orders && worker.lastFunction != 0:
+		d.do(LoadOrder{Worker: worker.ID, Function: worker.lastFunction})
 	case d.settings.Limits.Probe:
-		d.do(Probe{Worker: w.ID})
+		d.do(Probe{Worker: worker.ID})
 	default:
 		return false
 	}
-	w.probedAt = d.now
+	worker.probedAt = d.now
 	return true
 }
 
@@ -220,28 +220,28 @@
 }
 
 // workerAnswered notes the outcome of anything that was asked of a worker: any answer is a sign of life.
-func (d *Dispatcher) workerAnswered(w *worker, outcome Outcome) {
-	if w == nil || outcome == Cancelled || outcome == NotStarted {
+func (d *Dispatcher) workerAnswered(worker *worker, outcome Outcome) {
+	if worker == nil || outcome == Cancelled || outcome == NotStarted {
 		return
 	}
-	w.probedAt = 0
+	worker.probedAt = 0
 	if outcome == ConnectFailed || outcome == Reset || outcome == TimedOut {
-		if d.outliers.onFailure(&w.workerHealth, d.now) {
-			d.eject(w)
+		if d.outliers.onFailure(&worker.workerHealth, d.now) {
+			d.eject(worker)
 		}
 		return
 	}
-	w.lastHeardAt = d.now
-	if w.ejected { // it may have started anew before the list says so
-		d.setEjected(w, false)
-		w.consecutiveFailures = 0
-		w.limit.distrust()
+	worker.lastHeardAt = d.now
+	if worker.ejected { // it may have started anew before the list says so
+		d.setEjected(worker, false)
+		worker.consecutiveFailures = 0
+		worker.limit.distrust()
 	}
 }
 
 // eject ejects a worker and reassigns what waits there.
-func (d *Dispatcher) eject(w *worker) {
-	d.setEjected(w, true)
-	d.outliers.eject(&w.workerHealth, d.now)
-	d.reassign(w)
+func (d *Dispatcher) eject(worker *worker) {
+	d.setEjected(worker, true)
+	d.outliers.eject(&worker.workerHealth, d.now)
+	d.reassign(worker)
 }
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -28,39 +28,39 @@
 // queues.
 func (d *Dispatcher) dispatchRound(meetObjective bool) {
 	var waiting []*queue
-	for _, q := range d.queues.withPending() {
-		q.eligible = 0
-		for _, r := range q.pending {
-			if d.meetsObjective(r) == meetObjective {
-				q.eligible++
+	for _, queue := range d.queues.withPending() {
+		queue.eligible = 0
+		for _, request := range queue.pending {
+			if d.meetsObjective(request) == meetObjective {
+				queue.eligible++
 			}
 		}
-		if q.eligible > 0 {
-			waiting = append(waiting, q)
+		if queue.eligible > 0 {
+			waiting = append(waiting, queue)
 		}
 	}
-	for q := d.queues.next(waiting); q != nil; q = d.queues.next(waiting) {
-		if d.dispatchOne(q, meetObjective) {
-			q.eligible--
+	for queue := d.queues.next(waiting); queue != nil; queue = d.queues.next(waiting) {
+		if d.dispatchOne(queue, meetObjective) {
+			queue.eligible--
 		} else {
-			q.eligible = 0
+			queue.eligible = 0
 		}
 	}
 }
 
 // dispatchOne sends the first eligible request of a queue that some worker can take, or answers one that
 // none can take in its time, and tells whether there was one.
-func (d *Dispatcher) dispatchOne(q *queue, meetObjective bool) bool {
-	for _, r := range q.pending {
-		if d.meetsObjective(r) != meetObjective {
+func (d *Dispatcher) dispatchOne(queue *queue, meetObjective bool) bool {
+	for _, request := range queue.pending {
+		if d.meetsObjective(request) != meetObjective {
 			continue
 		}
-		if w := d.pick(q, r); w != nil {
-			d.send(r, w)
+		if w := d.pick(queue, request); w != nil {
+			d.send(request, w)
 			return true
 		}
-		if r.unplaceable {
-			d.answer(r)
+		if request.unplaceable {
+			d.answer(request)
 			return true
 		}
 	}
@@ -84,78 +84,81 @@
 // first worker that is believed to have a copy, and has a token. A worker beyond home without a copy is
 // ordered to load one and sent to once it is loaded. A home without a token is waited for, before a further
 // copy is loaded.
-func (d *Dispatcher) pick(q *queue, r *request) *worker {
-	s := search{queue: q, request: r, placeable: len(d.order) == 0}
-	from := q.spread.start(r.Request, len(d.order))
-	for w := range d.candidates(q, from, &s.narrow) {
-		if d.consider(&s, w) {
-			return w
+func (d *Dispatcher) pick(queue *queue, request *request) *worker {
+	found := search{queue: queue, request: request, placeable: len(d.order) == 0}
+	from := queue.spread.start(request.Request, len(d.order))
+	for worker := range d.candidates(queue, from, &found.narrow) {
+		if d.consider(&found, worker) {
+			return worker
 		}
-		s.narrow = s.home != nil && s.spare != nil
+		found.narrow = found.home != nil && found.spare != nil
 	}
-	placeable := s.placeable || d.outliers.ejected > 0
-	r.unplaceable = !placeable && !s.loading && !d.meetsObjective(r) && !r.hasOutstanding()
-	if s.loading {
+	placeable := found.placeable || d.outliers.ejected > 0
+	request.unplaceable = !placeable && !found.loading && !d.meetsObjective(request) &&
+		!request.hasOutstanding()
+	if found.loading {
 		return nil
 	}
-	if s.spare == s.home {
-		return s.spare
+	if found.spare == found.home {
+		return found.spare
 	}
-	if s.spare != nil && d.maySpill(r) && !d.ensureCopy(q, s.spare) {
-		return s.spare
+	if found.spare != nil && d.maySpill(request) && !d.ensureCopy(queue, found.spare) {
+		return found.spare
 	}
 	return nil
 }
 
 // maySpill tells whether a request has waited long enough for its home to be worth a further copy.
-func (d *Dispatcher) maySpill(r *request) bool {
+func (d *Dispatcher) maySpill(request *request) bool {
 	wait := min(1, spillAfter+spillEvictions*d.evictions.fraction)
-	due := r.arrivedAt + seconds(wait*d.class(r).LatencyObjective.Seconds())
-	return d.now >= due && d.meetsObjective(r)
+	due := request.arrivedAt + seconds(wait*d.class(request).LatencyObjective.Seconds())
+	return d.now >= due && d.meetsObjective(request)
 }
 
 // consider tells whether the request goes to this worker of the walk, and notes what else the worker is
 // good for.
-func (d *Dispatcher) consider(s *search, w *worker) bool {
-	r := s.request
-	placed := s.queue.placements[w]
-	hasCopy := d.hasCopy(placed, w)
-	s.placeable = s.placeable || hasCopy || w.ejected || s.home == nil && w.loadBackoff.until < r.answerBy
-	if !d.ready(w) || !d.retryRules.maySend(r, w, d.now) || d.avoids(r, w) {
+func (d *Dispatcher) consider(found *search, worker *worker) bool {
+	request := found.request
+	placed := found.queue.placements[worker]
+	hasCopy := d.hasCopy(placed, worker)
+	mayLoadInTime := found.home == nil && worker.loadBackoff.until < request.answerBy
+	found.placeable = found.placeable || hasCopy || worker.ejected || mayLoadInTime
+	if !d.ready(worker) || !d.retryRules.maySend(request, worker, d.now) || d.avoids(request, worker) {
 		return false
 	}
 	switch {
 	case hasCopy:
-		if d.hasCapacity(r, w, placed) && d.admitWarming(w, d.classRunTime[r.Class]) {
-			if s.home != nil {
-				d.ensureCopy(s.queue, s.home)
+		if d.hasCapacity(request, worker, placed) && d.admitWarming(worker, d.classRunTime[request.Class]) {
+			if found.home != nil {
+				d.ensureCopy(found.queue, found.home)
 			}
 			return true
 		}
-	case !d.isWarm(w):
-		return d.considerWarming(s, w)
-	case placed.loading(d.now, d.loadTime(r)):
-		s.loading = true
-	case !d.accepts(r, w):
+	case !d.isWarm(worker):
+		return d.considerWarming(found, worker)
+	case placed.loading(d.now, d.loadTime(request)):
+		found.loading = true
+	case !d.accepts(request, worker):
 		return false
-	case s.spare == nil && d.mayWaitForLoad(w):
-		s.spare = w
+	case found.spare == nil && d.mayWaitForLoad(worker):
+		found.spare = worker
 	}
-	s.home = cmp.Or(s.home, w)
+	found.home = cmp.Or(found.home, worker)
 	return false
 }
 
 // considerWarming is consider for a warming worker that is not believed to have a copy. A warming home is
 // sent what its slow start admits: other controllers may have had the copy loaded. The rest waits for a
 // copy that is ordered there, or goes on: waiting for loads of all functions would fill its small capacity.
-func (d *Dispatcher) considerWarming(s *search, w *worker) bool {
+func (d *Dispatcher) considerWarming(found *search, worker *worker) bool {
 	switch {
-	case s.home != nil:
-	case d.mayWaitForLoad(w) && d.accepts(s.request, w) && d.admitWarming(w, d.classRunTime[s.request.Class]):
+	case found.home != nil:
+	case d.mayWaitForLoad(worker) && d.accepts(found.request, worker) &&
+		d.admitWarming(worker, d.classRunTime[found.request.Class]):
 		return true
-	case d.ensureCopy(s.queue, w):
-		s.home = w
-		s.loading = true
+	case d.ensureCopy(found.queue, worker):
+		found.home = worker
+		found.loading = true
 	}
 	return false
 }
@@ -180,11 +183,11 @@
 // accepts tells whether a worker's concurrency limit accepts a request: below one token it accepts a part
 // of them. The position of a request is a hash, which falls as it waits, so that it comes to be accepted.
 // One that the worker had before is the last to be accepted.
-func (d *Dispatcher) accepts(r *request, w *worker) bool {
-	position := unit(mix(uint64(r.Request) ^ uint64(w.ID)))
-	if slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.worker == w }) {
+func (d *Dispatcher) accepts(request *request, worker *worker) bool {
+	position := unit(mix(uint64(request.Request) ^ uint64(worker.ID)))
+	if slices.ContainsFunc(request.attempts, func(a attempt) bool { return a.worker == worker }) {
 		position = 1
 	}
-	waited := (d.now - r.arrivedAt).Seconds() / d.class(r).LatencyObjective.Seconds()
-	return w.limit.accepts(position * (1 - waited))
+	waited := (d.now - request.arrivedAt).Seconds() / d.class(request).LatencyObjective.Seconds()
+	return worker.limit.accepts(position * (1 - waited))
 }
--- a/scheduler/queueindex.go
+++ b/scheduler/queueindex.go
@@ -43,55 +43,55 @@
 }
 
 // touch notes that something of a queue changes on which its places depend.
-func (x *queueIndex) touch(q *queue) {
-	if !q.isTouched && !q.isForgotten {
-		q.isTouched = true
-		x.touched = append(x.touched, q)
+func (x *queueIndex) touch(queue *queue) {
+	if !queue.isTouched && !queue.isForgotten {
+		queue.isTouched = true
+		x.touched = append(x.touched, queue)
 	}
 }
 
 // remove takes a queue out for good.
-func (x *queueIndex) remove(q *queue) {
-	q.isForgotten = true
-	x.virtualTimes.Remove(&q.virtualTimeEntry)
-	x.expiries.Remove(&q.expiryEntry)
-	x.renewals.Remove(&q.renewalEntry)
-	x.renewable.Remove(&q.renewableEntry)
+func (x *queueIndex) remove(queue *queue) {
+	queue.isForgotten = true
+	x.virtualTimes.Remove(&queue.virtualTimeEntry)
+	x.expiries.Remove(&queue.expiryEntry)
+	x.renewals.Remove(&queue.renewalEntry)
+	x.renewable.Remove(&queue.renewableEntry)
 }
 
 // reindex puts the queues that were touched where they belong.
 func (f *fairQueues) reindex() {
-	for i, q := range f.touched {
+	for i, queue := range f.touched {
 		f.touched[i] = nil
-		q.isTouched = false
+		queue.isTouched = false
 		f.examined++
-		f.place(q)
+		f.place(queue)
 	}
 	f.touched = f.touched[:0]
 }
 
-func (f *fairQueues) place(q *queue) {
-	if len(q.pending) > 0 && !q.isWaiting {
-		q.isWaiting = true
-		f.waiting = append(f.waiting, q)
+func (f *fairQueues) place(queue *queue) {
+	if len(queue.pending) > 0 && !queue.isWaiting {
+		queue.isWaiting = true
+		f.waiting = append(f.waiting, queue)
 	}
-	if q.active {
-		f.virtualTimes.Set(&q.virtualTimeEntry, q.virtualTime)
+	if queue.active {
+		f.virtualTimes.Set(&queue.virtualTimeEntry, queue.virtualTime)
 	} else {
-		f.virtualTimes.Remove(&q.virtualTimeEntry)
+		f.virtualTimes.Remove(&queue.virtualTimeEntry)
 	}
-	f.renewable.Remove(&q.renewableEntry)
-	idle := len(q.pending) == 0 && q.inFlight == 0
+	f.renewable.Remove(&queue.renewableEntry)
+	idle := len(queue.pending) == 0 && queue.inFlight == 0
 	switch {
-	case idle && q.active:
-		f.expiries.Set(&q.expiryEntry, q.idleSince()+f.timeToLive(q))
-		f.renewals.Set(&q.renewalEntry, f.renewAt(q))
+	case idle && queue.active:
+		f.expiries.Set(&queue.expiryEntry, queue.idleSince()+f.timeToLive(queue))
+		f.renewals.Set(&queue.renewalEntry, f.renewAt(queue))
 	case idle:
-		f.expiries.Set(&q.expiryEntry, f.forgetAt(q))
-		f.renewals.Remove(&q.renewalEntry)
+		f.expiries.Set(&queue.expiryEntry, f.forgetAt(queue))
+		f.renewals.Remove(&queue.renewalEntry)
 	default:
-		f.expiries.Remove(&q.expiryEntry)
-		f.renewals.Remove(&q.renewalEntry)
+		f.expiries.Remove(&queue.expiryEntry)
+		f.renewals.Remove(&queue.renewalEntry)
 	}
 }
 
--- a/scheduler/queues.go
+++ b/scheduler/queues.go
@@ -72,86 +72,90 @@
 
 // get returns the queue of a function, a new one where none is kept.
 func (f *fairQueues) get(function FunctionID) *queue {
-	q := f.byFunction[function]
-	if q == nil {
-		q = &queue{
-			function:   function,
-			hash:       mix(uint64(function)),
-			spread:     spread{workers: 1},
-			placements: map[*worker]*placement{},
-		}
-		q.walk = ring.Walk[*worker]{Ring: f.ring, From: q.hash}
-		q.setEntries()
-		f.byFunction[function] = q
-		f.touch(q)
+	if known := f.byFunction[function]; known != nil {
+		return known
+	}
+	added := &queue{
+		function:   function,
+		hash:       mix(uint64(function)),
+		spread:     spread{workers: 1},
+		placements: map[*worker]*placement{},
 	}
-	return q
+	added.walk = ring.Walk[*worker]{Ring: f.ring, From: added.hash}
+	added.setEntries()
+	f.byFunction[function] = added
+	f.touch(added)
+	return added
 }
 
 // forget drops a queue that is idle.
-func (f *fairQueues) forget(q *queue) {
-	f.remove(q)
-	for w := range q.placements {
-		delete(w.placements, q)
+func (f *fairQueues) forget(queue *queue) {
+	f.remove(queue)
+	for w := range queue.placements {
+		delete(w.placements, queue)
 	}
-	delete(f.byFunction, q.function)
+	delete(f.byFunction, queue.function)
 }
 
 // arrive notes a request of a function.
-func (f *fairQueues) arrive(q *queue, now time.Duration) {
-	if q.lastArrivalAt > 0 {
-		since := max((now - q.lastArrivalAt).Seconds(), f.tick.Seconds())
-		q.meanInterarrival = mean(q.meanInterarrival, since)
+func (f *fairQueues) arrive(queue *queue, now time.Duration) {
+	if queue.lastArrivalAt > 0 {
+		since := max((now - queue.lastArrivalAt).Seconds(), f.tick.Seconds())
+		queue.meanInterarrival = mean(queue.meanInterarrival, since)
 	}
-	q.lastArrivalAt = max(now, 1)
-	f.touch(q)
-	f.activate(q)
+	queue.lastArrivalAt = max(now, 1)
+	f.touch(queue)
+	f.activate(queue)
 }
 
 // activate has a queue compete, from the global virtual time on.
-func (f *fairQueues) activate(q *queue) {
-	if !q.active {
-		f.touch(q)
-		q.active = true
-		q.virtualTime = max(q.virtualTime, f.globalVirtualTime)
+func (f *fairQueues) activate(queue *queue) {
+	if !queue.active {
+		f.touch(queue)
+		queue.active = true
+		queue.virtualTime = max(queue.virtualTime, f.globalVirtualTime)
 	}
 }
 
 // enqueue puts a request in its queue, in order of arrival.
-func (f *fairQueues) enqueue(r *request) {
-	if r.queued || r.ended {
+func (f *fairQueues) enqueue(request *request) {
+	if request.queued || request.ended {
 		return
 	}
-	r.queued = true
-	f.activate(r.queue)
-	f.touch(r.queue)
-	byArrival := func(o *request, after time.Duration) int { return cmp.Compare(o.arrivedAt, after) }
-	i, _ := slices.BinarySearchFunc(r.queue.pending, r.arrivedAt+1, byArrival)
-	r.queue.pending = slices.Insert(r.queue.pending, i, r)
+	request.queued = true
+	f.activate(request.queue)
+	f.touch(request.queue)
+	pending := request.queue.pending
+	i, _ := slices.BinarySearchFunc(pending, request.arrivedAt+1, compareArrival)
+	request.queue.pending = slices.Insert(pending, i, request)
 }
 
+// compareArrival compares the arrival of a request with a time.
+func compareArrival(r *request, at time.Duration) int { return cmp.Compare(r.arrivedAt, at) }
+
 // dequeue takes a request out of its queue, if it is in.
-func (f *fairQueues) dequeue(r *request) {
-	if r.queued {
-		r.queued = false
-		f.touch(r.queue)
-		r.queue.pending = slices.DeleteFunc(r.queue.pending, func(o *request) bool { return o == r })
+func (f *fairQueues) dequeue(request *request) {
+	if request.queued {
+		request.queued = false
+		f.touch(request.queue)
+		i := slices.Index(request.queue.pending, request)
+		request.queue.pending = slices.Delete(request.queue.pending, i, i+1)
 	}
 }
 
 // sent charges a queue for a request that is sent, by its expected run time in seconds.
-func (f *fairQueues) sent(q *queue, runTime float64, now time.Duration) {
-	q.virtualTime += runTime
-	f.touch(q)
-	q.inFlight++
-	q.lastActiveAt = now
+func (f *fairQueues) sent(queue *queue, runTime float64, now time.Duration) {
+	queue.virtualTime += runTime
+	f.touch(queue)
+	queue.inFlight++
+	queue.lastActiveAt = now
 }
 
 // ended notes the outcome of an attempt.
-func (f *fairQueues) ended(q *queue, now time.Duration) {
-	f.touch(q)
-	q.inFlight--
-	q.lastActiveAt = now
+func (f *fairQueues) ended(queue *queue, now time.Duration) {
+	f.touch(queue)
+	queue.inFlight--
+	queue.lastActiveAt = now
 }
 
 // expire ends the activity of queues that nobody calls, forgets those of which nothing is of use any more,
@@ -159,13 +163,13 @@
 func (f *fairQueues) expire(now time.Duration) {
 	f.reindex()
 	for e := f.expiries.Min(); e != nil && e.Key() <= now; e = f.expiries.Min() {
-		q := e.Value
-		q.active = false
-		if now < f.forgetAt(q) {
-			f.touch(q)
+		queue := e.Value
+		queue.active = false
+		if now < f.forgetAt(queue) {
+			f.touch(queue)
 			f.reindex()
 		} else {
-			f.forget(q)
+			f.forget(queue)
 		}
 	}
 	if lowest := f.virtualTimes.Min(); lowest != nil {
@@ -211,9 +215,9 @@
 // next returns the queue that sends first of those with eligible requests, or nil.
 func (f *fairQueues) next(waiting []*queue) *queue {
 	var best *queue
-	for _, q := range waiting {
-		if q.eligible > 0 && (best == nil || f.precedes(q, best)) {
-			best = q
+	for _, queue := range waiting {
+		if queue.eligible > 0 && (best == nil || f.precedes(queue, best)) {
+			best = queue
 		}
 	}
 	return best
@@ -224,12 +228,12 @@
 func (q *queue) worker(i int) *worker { return q.walk.At(i).Value }
 
 // placement returns what is known of the function at a worker, which is nothing at first.
-func (q *queue) placement(w *worker) *placement {
-	placed := q.placements[w]
+func (q *queue) placement(worker *worker) *placement {
+	placed := q.placements[worker]
 	if placed == nil {
 		placed = &placement{}
-		q.placements[w] = placed
-		w.placements[q] = placed
+		q.placements[worker] = placed
+		worker.placements[q] = placed
 	}
 	return placed
 }
--- a/scheduler/ranks.go
+++ b/scheduler/ranks.go
@@ -21,10 +21,10 @@
 	}
 	d.ranksStale = false
 	changed := false
-	for _, w := range d.order {
-		advised, _ := d.advisedRanks.find(uint64(w.ID))
-		changed = changed || advised.Rank != w.rank
-		w.rank = advised.Rank
+	for _, worker := range d.order {
+		advised, _ := d.advisedRanks.find(uint64(worker.ID))
+		changed = changed || advised.Rank != worker.rank
+		worker.rank = advised.Rank
 	}
 	if changed {
 		d.buildRing()
@@ -37,22 +37,23 @@
 	for _, w := range d.order {
 		sum += d.ringWeight(w)
 	}
-	for _, w := range d.order {
-		points := ringPoints * d.ringWeight(w) * float64(len(d.order)) / sum
-		tier := max(0, -w.rank) // those avoided come after all others
-		d.ring.Place(&w.member, max(1, int(math.Round(points))), tier)
+	for _, worker := range d.order {
+		points := ringPoints * d.ringWeight(worker) * float64(len(d.order)) / sum
+		tier := max(0, -worker.rank) // those avoided come after all others
+		d.ring.Place(&worker.member, max(1, int(math.Round(points))), tier)
 	}
 	d.ring.Commit()
 }
 
 // ringWeight is a worker's weight on the ring: the memory of its kind, as that bounds its copies; 1 where
 // it is not known.
-func (d *Dispatcher) ringWeight(w *worker) float64 {
+func (d *Dispatcher) ringWeight(worker *worker) float64 {
 	weight := 1.0
-	if memory := d.settings.Loading.MemoryMB; w.Kind >= 0 && w.Kind < len(memory) && memory[w.Kind] > 0 {
-		weight = memory[w.Kind]
+	kind := worker.Kind
+	if memory := d.settings.Loading.MemoryMB; kind >= 0 && kind < len(memory) && memory[kind] > 0 {
+		weight = memory[kind]
 	}
-	if w.rank > 0 {
+	if worker.rank > 0 {
 		return preferredArc * weight
 	}
 	return weight
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -24,30 +24,33 @@
 
 // mayReject tells whether a Reject may answer a request, which tells the client that sending it again does
 // no harm.
-func (p *retryRules) mayReject(r *request) bool {
-	class := &p.classes[r.Class]
-	return class.Idempotency == Idempotent || r.firstThatMayHaveRun() == nil ||
+func (p *retryRules) mayReject(request *request) bool {
+	class := &p.classes[request.Class]
+	return class.Idempotency == Idempotent || request.firstThatMayHaveRun() == nil ||
 		class.Idempotency == IdempotentWithKey && class.DedupScope == AllWorkers
 }
 
 // maySend tells whether one more attempt of a request may go to a worker.
-func (p *retryRules) maySend(r *request, w *worker, now time.Duration) bool {
-	if r.ended || w.State != Ready || len(r.attempts) >= p.limits.MaxAttempts || now >= r.answerBy {
+func (p *retryRules) maySend(request *request, worker *worker, now time.Duration) bool {
+	if request.ended || worker.State != Ready || now >= request.answerBy {
 		return false
 	}
-	return p.mayJoinOutstanding(r, w) && p.keepsIdempotency(r, w, now)
+	if len(request.attempts) >= p.limits.MaxAttempts {
+		return false
+	}
+	return p.mayJoinOutstanding(request, worker) && p.keepsIdempotency(request, worker, now)
 }
 
 // mayJoinOutstanding tells whether an attempt may go out beside those that have no outcome yet: only where
 // hedged requests are allowed, beside one that is given up on, and at another worker.
-func (p *retryRules) mayJoinOutstanding(r *request, w *worker) bool {
-	for i := range r.attempts {
-		a := &r.attempts[i]
-		if a.done {
+func (p *retryRules) mayJoinOutstanding(request *request, worker *worker) bool {
+	for i := range request.attempts {
+		attempt := &request.attempts[i]
+		if attempt.done {
 			continue
 		}
-		givenUp := a.abandoned || r.mayHedge
-		if !p.limits.HedgedRequests || !givenUp || a.worker == w {
+		givenUp := attempt.abandoned || request.mayHedge
+		if !p.limits.HedgedRequests || !givenUp || attempt.worker == worker {
 			return false
 		}
 	}
@@ -56,9 +59,9 @@
 
 // keepsIdempotency tells whether a request may run at a worker, considering that an earlier attempt may
 // have run.
-func (p *retryRules) keepsIdempotency(r *request, w *worker, now time.Duration) bool {
-	first := r.firstThatMayHaveRun()
-	class := &p.classes[r.Class]
+func (p *retryRules) keepsIdempotency(request *request, worker *worker, now time.Duration) bool {
+	first := request.firstThatMayHaveRun()
+	class := &p.classes[request.Class]
 	switch {
 	case first == nil || class.Idempotency == Idempotent:
 		return true
@@ -68,8 +71,8 @@
 		return false
 	}
 	return class.DedupScope == AllWorkers ||
-		class.DedupScope == SameZone && w.Zone == first.zone ||
-		class.DedupScope == SameGroup && w.Group == first.group
+		class.DedupScope == SameZone && worker.Zone == first.zone ||
+		class.DedupScope == SameGroup && worker.Group == first.group
 }
 
 // firstThatMayHaveRun returns the first attempt that may have run, or may yet; nil if there is none.
@@ -93,39 +96,39 @@
 }
 
 // retry queues a request for another attempt, waits for one that is outstanding, or answers.
-func (d *Dispatcher) retry(r *request) {
-	if d.mayRetry(r) && (!r.hasOutstanding() || r.mayHedge) {
-		d.queues.enqueue(r)
-	} else if !r.hasOutstanding() {
-		d.answer(r)
+func (d *Dispatcher) retry(request *request) {
+	if d.mayRetry(request) && (!request.hasOutstanding() || request.mayHedge) {
+		d.queues.enqueue(request)
+	} else if !request.hasOutstanding() {
+		d.answer(request)
 	}
 }
 
 // reassign finds another worker for what waits at one that no longer answers. Where hedged requests are
 // allowed another attempt goes out beside it; otherwise it is cancelled first.
-func (d *Dispatcher) reassign(w *worker) {
-	if w.outstanding == 0 {
+func (d *Dispatcher) reassign(worker *worker) {
+	if worker.outstanding == 0 {
 		return
 	}
-	for _, r := range d.openRequests {
-		for i := range r.attempts {
-			if r.attempts[i].worker == w && !r.attempts[i].done {
-				d.reassignAttempt(r, i)
+	for _, request := range d.openRequests {
+		for i := range request.attempts {
+			if request.attempts[i].worker == worker && !request.attempts[i].done {
+				d.reassignAttempt(request, i)
 			}
 		}
 	}
 }
 
-func (d *Dispatcher) reassignAttempt(r *request, i int) {
+func (d *Dispatcher) reassignAttempt(request *request, i int) {
 	limits := &d.settings.Limits
-	if r.ended || r.queued || d.class(r).Idempotency == NonIdempotent {
+	if request.ended || request.queued || d.class(request).Idempotency == NonIdempotent {
 		return
 	}
-	r.mayHedge = limits.HedgedRequests
+	request.mayHedge = limits.HedgedRequests
 	switch {
-	case !r.mayHedge && len(r.attempts) < limits.MaxAttempts:
-		d.cancel(r, i)
-	case r.mayHedge && d.mayRetry(r):
-		d.queues.enqueue(r)
+	case !request.mayHedge && len(request.attempts) < limits.MaxAttempts:
+		d.cancel(request, i)
+	case request.mayHedge && d.mayRetry(request):
+		d.queues.enqueue(request)
 	}
 }
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -94,7 +94,7 @@
 // Loading says how workers load and keep copies of functions, and how many loads may be ordered.
 type Loading struct {
 	Orders              bool          // the LoadOrder and Unload actions are allowed
-	LoadsOnMiss         bool          // a worker without the function loads it; otherwise it answers NotLoaded
+	LoadsOnMiss         bool          // a worker without the function loads it; else NotLoaded
 	OnMissKnown         bool          // LoadsOnMiss is stated; New requires it
 	IdleCopyTTL         time.Duration // an idle copy stays loaded at least this long
 	OrderTimeout        time.Duration // longest that a LoadOrderEnded takes
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -64,76 +64,79 @@
 }
 
 // begin notes that a worker has started.
-func (s *slowStart) begin(w *warmup, startedAt time.Duration) {
-	w.warmingSince = startedAt
-	w.credit = 0
-	w.creditAt = startedAt
-	w.answeredAtCredit = s.answered
-	w.fairRate = assumedCores / s.controllers // the least, as its capacity is not known
+func (s *slowStart) begin(warmup *warmup, startedAt time.Duration) {
+	warmup.warmingSince = startedAt
+	warmup.credit = 0
+	warmup.creditAt = startedAt
+	warmup.answeredAtCredit = s.answered
+	warmup.fairRate = assumedCores / s.controllers // the least, as its capacity is not known
 }
 
 // fraction is the part of its capacity that a worker has now at least: 1 once it is warm.
-func (s *slowStart) fraction(w *warmup, now time.Duration) float64 {
-	g := s.guarantees
-	if w.warmingSince <= 0 || now-w.warmingSince >= g.WarmupTime {
+func (s *slowStart) fraction(warmup *warmup, now time.Duration) float64 {
+	guarantees := s.guarantees
+	if warmup.warmingSince <= 0 || now-warmup.warmingSince >= guarantees.WarmupTime {
 		return 1
 	}
-	return g.WarmupFraction + (1-g.WarmupFraction)*float64(max(0, now-w.warmingSince))/float64(g.WarmupTime)
+	warmFor := float64(max(0, now-warmup.warmingSince))
+	first := guarantees.WarmupFraction
+	return first + (1-first)*warmFor/float64(guarantees.WarmupTime)
 }
 
 // sent notes work that was sent to a worker.
 func (s *slowStart) sent(w *warmup, work float64) { w.outstandingWork += work }
 
 // ended notes the outcome of work that was sent to a worker, whether it is warming or not.
-func (s *slowStart) ended(w *warmup, work float64, outcome Outcome) {
-	w.outstandingWork = max(0, w.outstandingWork-work)
+func (s *slowStart) ended(warmup *warmup, work float64, outcome Outcome) {
+	warmup.outstandingWork = max(0, warmup.outstandingWork-work)
 	switch outcome {
 	case OK:
 		s.answered += work
 	case ConnectFailed, NotStarted:
 	default: // it has weighed on the worker, and may still
-		w.credit -= work
+		warmup.credit -= work
 	}
 }
 
 // admit tells whether a warming worker may be sent work now, and charges its credit. Ready returns the
 // number of ready workers, warming ones by their fraction; it is called only if credit is added. One draw
 // is made where credit is wagered.
-func (s *slowStart) admit(w *warmup, now time.Duration, work float64, ready func() float64) bool {
-	fraction := s.fraction(w, now)
-	perWindow := s.accrue(w, now, work, fraction, ready)
+func (s *slowStart) admit(warmup *warmup, now time.Duration, work float64, ready func() float64) bool {
+	fraction := s.fraction(warmup, now)
+	perWindow := s.accrue(warmup, now, work, fraction, ready)
 	if perWindow < marginDeviations {
-		w.credit = min(0, w.credit)
+		warmup.credit = min(0, warmup.credit)
 		return false
 	}
-	if w.credit >= work || s.maySendNow(w, fraction) >= work {
-		w.credit = max(w.credit-work, min(0, w.credit))
+	if warmup.credit >= work || s.maySendNow(warmup, fraction) >= work {
+		warmup.credit = max(warmup.credit-work, min(0, warmup.credit))
 		return true
 	}
-	wager := max(0, w.credit)
-	w.credit -= wager
+	wager := max(0, warmup.credit)
+	warmup.credit -= wager
 	return s.random.Float64()*work < wager
 }
 
 // accrue adds the credit earned since it was last added, and returns how many requests of this much work the
 // bound lets all controllers together send in a window.
 func (s *slowStart) accrue(
-	w *warmup, now time.Duration, work, fraction float64, ready func() float64,
+	warmup *warmup, now time.Duration, work, fraction float64, ready func() float64,
 ) float64 {
-	g := s.guarantees
-	elapsed := max(0, (now - max(w.creditAt, w.warmingSince)).Seconds())
-	fade := creditWindows * g.CollapseWindow.Seconds()
+	guarantees := s.guarantees
+	elapsed := max(0, (now - max(warmup.creditAt, warmup.warmingSince)).Seconds())
+	fade := creditWindows * guarantees.CollapseWindow.Seconds()
 	kept := math.Exp(-elapsed / fade)
 	rate := 0.0
 	if elapsed > 0 {
-		rate = max((s.answered-w.answeredAtCredit)/max(ready(), 1)/elapsed, assumedCores/s.controllers)
-		w.fairRate += (rate - w.fairRate) * (1 - kept)
+		rate = max((s.answered-warmup.answeredAtCredit)/max(ready(), 1)/elapsed, assumedCores/s.controllers)
+		warmup.fairRate += (rate - warmup.fairRate) * (1 - kept)
 	}
-	bound := g.CollapseFactor * fraction * w.fairRate * s.controllers * g.CollapseWindow.Seconds()
+	window := guarantees.CollapseWindow.Seconds()
+	bound := guarantees.CollapseFactor * fraction * warmup.fairRate * s.controllers * window
 	perWindow := bound / work
-	w.credit = w.credit*kept + s.multiple(perWindow)*fraction*rate*fade*(1-kept)
-	w.creditAt = now
-	w.answeredAtCredit = s.answered
+	warmup.credit = warmup.credit*kept + s.multiple(perWindow)*fraction*rate*fade*(1-kept)
+	warmup.creditAt = now
+	warmup.answeredAtCredit = s.answered
 	return perWindow
 }
 
@@ -147,10 +150,11 @@
 }
 
 // maySendNow is how much more work may be outstanding at a worker, whatever its credit.
-func (s *slowStart) maySendNow(w *warmup, fraction float64) float64 {
-	g := s.guarantees
-	beyondCapacity := (g.CollapseFactor - 1) * fraction * assumedCores * g.CollapseWindow.Seconds()
-	return beyondCapacity/s.controllers - w.outstandingWork + min(0, w.credit)
+func (s *slowStart) maySendNow(warmup *warmup, fraction float64) float64 {
+	guarantees := s.guarantees
+	window := guarantees.CollapseWindow.Seconds()
+	beyondCapacity := (guarantees.CollapseFactor - 1) * fraction * assumedCores * window
+	return beyondCapacity/s.controllers - warmup.outstandingWork + min(0, warmup.credit)
 }
 
 // warmupFraction is the part of its capacity that a worker has now at least.
@@ -163,12 +167,12 @@
 
 // admitWarming tells whether a worker's slow start, if it is in one, lets a request through. A controller
 // that another process has taken over sends a warming worker nothing: its successor has the credit.
-func (d *Dispatcher) admitWarming(w *worker, work float64) bool {
+func (d *Dispatcher) admitWarming(worker *worker, work float64) bool {
 	switch {
-	case d.isWarm(w):
+	case d.isWarm(worker):
 		return true
 	case d.loadBudget.superseded:
 		return false
 	}
-	return d.slowStart.admit(&w.warmup, d.now, work, d.readyCapacity)
+	return d.slowStart.admit(&worker.warmup, d.now, work, d.readyCapacity)
 }
--- a/scheduler/snapshot.go
+++ b/scheduler/snapshot.go
@@ -9,7 +9,7 @@
 // Snapshot is how a worker and a function look to the dispatcher, for people to read. Nothing is decided by
 // it.
 type Snapshot struct {
-	RingPosition     int     `json:"Place"`    // of the worker in the function's walk: 0 is its home; -1: not on the ring
+	RingPosition     int     `json:"Place"`    // of the worker in the function's walk; -1: not on it
 	RingSize         int     `json:"Ring"`     // workers on the ring
 	Ready            bool    `json:"Ready"`    // may be sent something new
 	Ejected          bool    `json:"Ejected"`  // for failures
@@ -28,33 +28,34 @@
 // Snapshot returns how a worker and a function look now. Either may be unknown.
 func (d *Dispatcher) Snapshot(function FunctionID, id WorkerID) Snapshot {
 	snapshot := Snapshot{RingPosition: -1, RingSize: len(d.order), AdmittedFraction: d.admission.fraction}
-	w, q := d.workers[id], d.queues.byFunction[function]
-	if q != nil {
-		snapshot.Queued = len(q.pending)
-		snapshot.InFlight = q.inFlight
-		snapshot.RingPosition = d.ringPosition(q, id)
+	worker, queue := d.workers[id], d.queues.byFunction[function]
+	if queue != nil {
+		snapshot.Queued = len(queue.pending)
+		snapshot.InFlight = queue.inFlight
+		snapshot.RingPosition = d.ringPosition(queue, id)
 	}
-	if w == nil {
+	if worker == nil {
 		return snapshot
 	}
-	snapshot.Ready = d.ready(w)
-	snapshot.Ejected = w.ejected
-	snapshot.Rank = w.rank
-	snapshot.WarmingUp = w.warmingSince > 0 && d.now < w.warmingSince+d.settings.Guarantees.WarmupTime
-	snapshot.Tokens = w.limit.tokens
-	snapshot.Busy = w.limit.inUse
-	snapshot.Loads = w.awaitingLoad
-	snapshot.LatencyRatio = w.limit.latencyRatio
-	if q != nil {
-		snapshot.HasCopy = d.hasCopy(q.placements[w], w)
+	snapshot.Ready = d.ready(worker)
+	snapshot.Ejected = worker.ejected
+	snapshot.Rank = worker.rank
+	warmAt := worker.warmingSince + d.settings.Guarantees.WarmupTime
+	snapshot.WarmingUp = worker.warmingSince > 0 && d.now < warmAt
+	snapshot.Tokens = worker.limit.tokens
+	snapshot.Busy = worker.limit.inUse
+	snapshot.Loads = worker.awaitingLoad
+	snapshot.LatencyRatio = worker.limit.latencyRatio
+	if queue != nil {
+		snapshot.HasCopy = d.hasCopy(queue.placements[worker], worker)
 	}
 	return snapshot
 }
 
 // ringPosition is the place of a worker in a function's walk, or -1.
-func (d *Dispatcher) ringPosition(q *queue, id WorkerID) int {
+func (d *Dispatcher) ringPosition(queue *queue, id WorkerID) int {
 	for i := range d.order {
-		if q.worker(i).ID == id {
+		if queue.worker(i).ID == id {
 			return i
 		}
 	}
@@ -72,13 +73,18 @@
 
 // Workers returns all workers that are listed, by id.
 func (d *Dispatcher) Workers() (snapshots []WorkerSnapshot) {
-	for _, w := range d.order {
-		snapshot := WorkerSnapshot{ID: w.ID, State: w.State, Snapshot: d.Snapshot(0, w.ID), SinceLastAnswer: -1}
-		if w.lastHeardAt > 0 {
-			snapshot.SinceLastAnswer = d.now - w.lastHeardAt
+	for _, worker := range d.order {
+		snapshot := WorkerSnapshot{
+			ID:              worker.ID,
+			State:           worker.State,
+			Snapshot:        d.Snapshot(0, worker.ID),
+			SinceLastAnswer: -1,
 		}
-		for _, placed := range w.placements {
-			if d.hasCopy(placed, w) {
+		if worker.lastHeardAt > 0 {
+			snapshot.SinceLastAnswer = d.now - worker.lastHeardAt
+		}
+		for _, placed := range worker.placements {
+			if d.hasCopy(placed, worker) {
 				snapshot.Copies++
 			}
 		}
@@ -102,22 +108,22 @@
 // Functions returns the functions that are remembered, by id.
 func (d *Dispatcher) Functions() (snapshots []FunctionSnapshot) {
 	for _, function := range slices.Sorted(maps.Keys(d.queues.byFunction)) {
-		q := d.queues.byFunction[function]
+		queue := d.queues.byFunction[function]
 		snapshot := FunctionSnapshot{
-			ID:               q.function,
-			Queued:           len(q.pending),
-			InFlight:         q.inFlight,
-			MeanRunTime:      seconds(q.meanRunTime),
-			MeanInterarrival: seconds(q.meanInterarrival),
-			Desired:          q.desiredUntil > d.now,
+			ID:               queue.function,
+			Queued:           len(queue.pending),
+			InFlight:         queue.inFlight,
+			MeanRunTime:      seconds(queue.meanRunTime),
+			MeanInterarrival: seconds(queue.meanInterarrival),
+			Desired:          queue.desiredUntil > d.now,
 		}
 		for i := 0; i < len(d.order) && snapshot.Home == 0; i++ {
-			if w := q.worker(i); d.ready(w) {
+			if w := queue.worker(i); d.ready(w) {
 				snapshot.Home = w.ID
 			}
 		}
-		for w, placed := range q.placements {
-			if w.State != Gone && d.hasCopy(placed, w) {
+		for worker, placed := range queue.placements {
+			if worker.State != Gone && d.hasCopy(placed, worker) {
 				snapshot.Copies++
 			}
 		}
--- a/scheduler/step.go
+++ b/scheduler/step.go
@@ -44,27 +44,27 @@
 
 // New returns a dispatcher for one controller, or an error that names the setting that is wrong. All its
 // draws come from the seed.
-func New(s Settings, seed uint64) (*Dispatcher, error) {
-	if err := s.check(); err != nil {
+func New(settings Settings, seed uint64) (*Dispatcher, error) {
+	if err := settings.check(); err != nil {
 		return nil, err
 	}
 	random := rand.New(rand.NewPCG(seed, seed))
 	d := &Dispatcher{
-		settings:      s,
-		retryRules:    newRetryRules(&s),
+		settings:      settings,
+		retryRules:    newRetryRules(&settings),
 		random:        random,
 		workers:       map[WorkerID]*worker{},
 		ring:          ring.Ring[*worker]{Hash: ringPoint},
 		requests:      map[RequestID]*request{},
 		admission:     newAdmission(),
-		loadBudget:    newLoadBudget(s.Loading),
-		slowStart:     newSlowStart(&s, random),
-		outliers:      newOutlierDetector(&s, random),
+		loadBudget:    newLoadBudget(settings.Loading),
+		slowStart:     newSlowStart(&settings, random),
+		outliers:      newOutlierDetector(&settings, random),
 		desiredCopies: newDesiredCopies(),
 		advisedRanks:  newWorkerRanks(),
 	}
-	d.queues = newFairQueues(&s, &d.ring)
-	for _, class := range s.Classes {
+	d.queues = newFairQueues(&settings, &d.ring)
+	for _, class := range settings.Classes {
 		d.classRunTime = append(d.classRunTime, guessRun*class.LatencyObjective.Seconds())
 	}
 	return d, nil
@@ -132,9 +132,9 @@
 // asks for none where nothing is open or remembered, or an earlier one is still to come.
 func (d *Dispatcher) requestWake() {
 	at := d.now + max(d.settings.Tick, d.settings.Limits.DialTimeout/10)
-	for _, r := range d.openRequests {
-		if !r.ended {
-			at = min(at, max(r.answerBy, d.now+1))
+	for _, request := range d.openRequests {
+		if !request.ended {
+			at = min(at, max(request.answerBy, d.now+1))
 		}
 	}
 	asked := d.wakeAt > d.now && d.wakeAt <= at
--- a/scheduler/walk.go
+++ b/scheduler/walk.go
@@ -7,11 +7,11 @@
 
 // candidates yields the listed workers from a place of the queue's walk on, once around. Once narrow is set
 // it yields of the rest only those of which something is known of the function: no other can still matter.
-func (d *Dispatcher) candidates(q *queue, from int, narrow *bool) iter.Seq[*worker] {
+func (d *Dispatcher) candidates(queue *queue, from int, narrow *bool) iter.Seq[*worker] {
 	return func(yield func(*worker) bool) {
 		var last *worker
 		for i := 0; i < len(d.order) && !*narrow; i++ {
-			last = q.worker((from + i) % len(d.order))
+			last = queue.worker((from + i) % len(d.order))
 			d.candidatesExamined++
 			if !yield(last) {
 				return
@@ -20,9 +20,9 @@
 		if last == nil {
 			return
 		}
-		for _, w := range q.knownAfter(from, last) {
+		for _, worker := range queue.knownAfter(from, last) {
 			d.candidatesExamined++
-			if !yield(w) {
+			if !yield(worker) {
 				return
 			}
 		}
@@ -44,9 +44,9 @@
 		}
 		return positionA.Compare(positionB)
 	}
-	for w := range q.placements { // sorted below: the map's order does not show
-		if w.State != Gone && compare(last, w) < 0 {
-			known = append(known, w)
+	for worker := range q.placements { // sorted below: the map's order does not show
+		if worker.State != Gone && compare(last, worker) < 0 {
+			known = append(known, worker)
 		}
 	}
 	slices.SortFunc(known, compare)
