--- a/scheduler/admission_step_test.go
+++ b/scheduler/admission_step_test.go
@@ -84,7 +84,8 @@
 	a := arrival(1, 0, 7)
 	a.ShedAdvised = true
 	l := d.Step(2*time.Second, []Event{a, arrival(2, 0, 7)})
-	if r, s := pickOut[Reject](l), pickOut[Send](l); len(r) != 1 || r[0].Request != 1 || len(s) != 1 || s[0].Request != 2 {
+	if r, s := pickOut[Reject](l), pickOut[Send](l); len(r) != 1 || r[0].Request != 1 || len(s) != 1 ||
+		s[0].Request != 2 {
 		t.Errorf("%v", l)
 	}
 	d.admission.fraction = 0.25
--- a/scheduler/advice_test.go
+++ b/scheduler/advice_test.go
@@ -70,11 +70,14 @@
 
 func TestAdviceLoadsNothingAtADrainingWorker(t *testing.T) {
 	d := start(t, base(), ready(1, 2)...)
-	d.Step(2*time.Second, []Event{WorkerRank{Worker: 1, Rank: 1, Until: time.Hour}, DesiredCopies{Function: 7, Copies: 2, Until: time.Hour}})
+	d.Step(2*time.Second, []Event{WorkerRank{Worker: 1, Rank: 1, Until: time.Hour},
+		DesiredCopies{Function: 7, Copies: 2, Until: time.Hour}})
 	drained := ready(1, 2)
 	drained[0].State = Draining
 	for now := 2 * time.Second; now < 30*time.Second; now += 100 * ms {
-		for _, h := range pickOut[LoadOrder](d.Step(now, []Event{ListUpdate{Kind: FullList, Workers: drained}, Arrival{Request: RequestID(now), Function: 7, TimeLeft: time.Second, Lanes: 2}})) {
+		for _, h := range pickOut[LoadOrder](d.Step(now,
+			[]Event{ListUpdate{Kind: FullList, Workers: drained},
+				Arrival{Request: RequestID(now), Function: 7, TimeLeft: time.Second, Lanes: 2}})) {
 			if h.Worker == 1 {
 				t.Fatal("an order to a drained worker")
 			}
@@ -87,7 +90,8 @@
 	for _, rank := range []WorkerRank{{5, 1, time.Minute}, {2, 1, time.Minute}, {9, 1, time.Hour}, {5, -1, time.Hour}} {
 		l.set(rank, true)
 	}
-	if want := []WorkerRank{{2, 1, time.Minute}, {5, -1, time.Hour}, {9, 1, time.Hour}}; !slices.Equal(l.entries, want) {
+	if want := []WorkerRank{{2, 1, time.Minute}, {5, -1, time.Hour}, {9, 1, time.Hour}}; !slices.Equal(l.entries,
+		want) {
 		t.Fatalf("%v, want %v", l.entries, want)
 	}
 	l.set(WorkerRank{Worker: 9}, false)
--- a/scheduler/attempts_test.go
+++ b/scheduler/attempts_test.go
@@ -41,12 +41,14 @@
 	}
 }
 
-// TestUnservedRequestIsRejectedARunTimeBeforeItsEnd: a call of a function that was never served is given up a run of its class before its time is over, not at
+// TestUnservedRequestIsRejectedARunTimeBeforeItsEnd: a call of a function that was never served is given up a run
+// of its class before its time is over, not at
 // the last moment that an answer can still arrive in; and one with little time is not given up as it comes.
 func TestUnservedRequestIsRejectedARunTimeBeforeItsEnd(t *testing.T) {
 	d := start(t, base()) // no worker is known
 	now := 2 * time.Second
-	if l := d.Step(now, []Event{arrival(1, 0, 7), Arrival{Request: 2, Function: 8, TimeLeft: 100 * ms, Lanes: 2}}); len(pickOut[Reject](l)) > 0 {
+	if l := d.Step(now, []Event{arrival(1, 0, 7), Arrival{Request: 2, Function: 8, TimeLeft: 100 * ms,
+		Lanes: 2}}); len(pickOut[Reject](l)) > 0 {
 		t.Fatal("given up as they came")
 	}
 	run := seconds(guessRun * 0.5) // of the aim
@@ -79,7 +81,8 @@
 				break
 			}
 		}
-		d.Step(1010*ms, []Event{ListUpdate{Kind: ListDelta, Workers: []WorkerInfo{{ID: home, State: Draining, Group: int(home)}}}})
+		d.Step(1010*ms, []Event{ListUpdate{Kind: ListDelta,
+			Workers: []WorkerInfo{{ID: home, State: Draining, Group: int(home)}}}})
 		return d, home, time.Second
 	}
 	tests := []struct {
--- a/scheduler/concurrency.go
+++ b/scheduler/concurrency.go
@@ -10,7 +10,7 @@
 	// startTokens is the limit at a worker that nobody has measured yet: it does little harm there.
 	startTokens = 2.0
 	// slowThreshold and slowThresholdFew are the multiples of the peers' median latency ratio from which a
-	// worker counts as slow: it has too much in flight, or is in trouble. Where few controllers share a copy,
+	// worker counts as slow: it has too much in flight, or a fault. Where few controllers share a copy,
 	// what each of them holds back is soon felt, so that less is enough.
 	slowThreshold    = 1.5
 	slowThresholdFew = 1.25
@@ -72,7 +72,7 @@
 	}
 }
 
-// onRejection halves the limit, to one token at the least: a worker at its capacity is not one in trouble.
+// onRejection halves the limit, to one token at the least: a worker at its capacity is not faulty.
 func (l *concurrencyLimit) onRejection() { l.tokens = max(min(1, l.tokens), l.tokens/2) }
 
 // onTimeout halves the limit.
@@ -102,8 +102,8 @@
 }
 
 // peerLatency compares a worker with its peers, by the latency ratios of all workers that are listed and
-// have answered. A slow answer of one worker among its peers is that worker's load or trouble; of all of
-// them it is the functions' or the day's.
+// have answered. A slow answer of one worker among its peers is that worker's load or fault; of all of
+// them it is due to the functions or to the whole system.
 type peerLatency struct{ ratios index.Numbers }
 
 // median is the usual latency ratio: 1 where none is known.
--- a/scheduler/concurrency_step_test.go
+++ b/scheduler/concurrency_step_test.go
@@ -17,7 +17,8 @@
 	}
 }
 
-// Where few controllers share a copy, a worker four tenths slower than its peers loses tokens: what each holds back is felt there.
+// Where few controllers share a copy, a worker four tenths slower than its peers loses tokens: what each holds
+// back is felt there.
 // Where many do, the same answers take none away.
 func TestSlowerWorkerLosesTokensWhereControllersAreFew(t *testing.T) {
 	for _, tt := range []struct {
@@ -41,9 +42,11 @@
 		r.attempts[0].worker = w // wherever its home is
 		w.outstanding, w.limit.inUse, w.awaitingLoad = 1, 1, 0
 		r.attempts[0].awaitsLoad = false
-		d.Step(1150*ms, []Event{AttemptEnded{Request: 1, Worker: w.ID, Outcome: OK, Complete: true, Note: FoundWarm, Took: 175 * ms}})
+		d.Step(1150*ms, []Event{AttemptEnded{Request: 1, Worker: w.ID, Outcome: OK, Complete: true,
+			Note: FoundWarm, Took: 175 * ms}})
 		if (w.limit.tokens < 8) != tt.falls {
-			t.Errorf("%d controllers: D %v after an answer at 1.4 of the usual pace, was 8", tt.controllers, w.limit.tokens)
+			t.Errorf("%d controllers: D %v after an answer at 1.4 of the usual pace, was 8", tt.controllers,
+				w.limit.tokens)
 		}
 	}
 }
@@ -62,7 +65,8 @@
 				took = 300 * ms
 			}
 			share[a.Worker]++
-			d.Step(now, []Event{AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: OK, Complete: true, Took: took,
+			d.Step(now, []Event{AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: OK, Complete: true,
+				Took: took,
 				Note: FoundWarm}})
 		}
 	}
--- a/scheduler/copies.go
+++ b/scheduler/copies.go
@@ -25,7 +25,7 @@
 	lastSeenAt    time.Duration // when a copy last proved to be loaded; 0: never
 	outstanding   int           // attempts without an outcome
 	leaders       int           // of them, those that may wait for a load: the leaders of a load
-	copies        int           // loaded, as an order last told; 0: not told
+	copies        int           // loaded, as the last order reported; 0: not known
 	pendingOrders int           // orders without an answer
 	loadStartedAt time.Duration // of the last such attempt or order
 }
@@ -102,7 +102,7 @@
 	}
 }
 
-// loadRejected begins a backoff at a worker that had no room for a copy, or failed to load it.
+// loadRejected begins a backoff at a worker that had no capacity for a copy, or failed to load it.
 func (d *Dispatcher) loadRejected(w *worker) {
 	first := guessLoad * d.settings.Classes[0].LatencyObjective.Seconds()
 	w.loadBackoff.rejected(d.now, first, d.settings.Loading.IdleCopyTTL)
@@ -174,7 +174,7 @@
 			worker.advisedLoadAt = thisStep
 		case d.hasCopy(placed, worker) && (placed.outstanding > 0 || d.now-lastUse < interval):
 		case !worker.loadBackoff.allows(d.now):
-			continue // the next of the walk may have room
+			continue // the next of the walk may have capacity
 		case mayOrder && worker.advisedLoadAt != thisStep && d.adviceMayLoad() &&
 			d.orderLoad(worker, queue.function):
 			worker.advisedLoadAt = thisStep
--- a/scheduler/copies_test.go
+++ b/scheduler/copies_test.go
@@ -33,7 +33,8 @@
 	l[0].State = Draining
 	d.Step(time.Second, []Event{ListUpdate{Kind: ListDelta, Workers: l}})
 	first := pickOut[LoadOrder](d.Step(time.Second, []Event{StagedCopies{Function: 7, Copies: 2}}))
-	if len(first) != 2 || first[0].Worker == 1 || first[1].Worker == 1 || first[0].Worker == first[1].Worker || first[0].Function != 7 {
+	if len(first) != 2 || first[0].Worker == 1 || first[1].Worker == 1 || first[0].Worker == first[1].Worker ||
+		first[0].Function != 7 {
 		t.Fatalf("%+v, want two orders at two ready workers", first)
 	}
 	if l := pickOut[LoadOrder](d.Step(time.Second, []Event{StagedCopies{Function: 7, Copies: 2}})); len(l) != 0 {
--- a/scheduler/doc.go
+++ b/scheduler/doc.go
@@ -30,6 +30,6 @@
 //   - fleet.go: the list of workers, and what health checks and slow start need of all of them
 //   - numbers.go: means, hashes, and the tuned constants that several mechanisms share
 //
-// Any other tuned constant stands with the type that uses it. The rest decides nothing: request.go has the
+// Any other tuned constant is next to the type that uses it. The rest decides nothing: request.go has the
 // state of a request, and queueindex.go and walk.go find what a step has to examine without examining all.
 package scheduler
--- a/scheduler/encoding_test.go
+++ b/scheduler/encoding_test.go
@@ -10,12 +10,14 @@
 )
 
 // encodeAction writes an action as one line of text that names no Go identifier, so that the record of decisions in
-// testdata/actions.txt outlives renames. Every field of every action stands in it, exactly: whole numbers and durations in
+// testdata/actions.txt outlives renames. Every field of every action stands in it, exactly: whole numbers and
+// durations in
 // decimal (durations in nanoseconds), bytes and texts in hexadecimal. A type that is not listed is an error.
 func encodeAction(a Action) (string, error) {
 	switch a := a.(type) {
 	case Send:
-		return fmt.Sprintf("send request=%d worker=%d timeout=%d", uint64(a.Request), uint64(a.Worker), int64(a.Timeout)), nil
+		return fmt.Sprintf("send request=%d worker=%d timeout=%d", uint64(a.Request), uint64(a.Worker),
+			int64(a.Timeout)), nil
 	case Reject:
 		return fmt.Sprintf("reject request=%d retry-after=%d", uint64(a.Request), int64(a.RetryAfter)), nil
 	case Fail:
@@ -48,18 +50,21 @@
 func exactFloat(x float64) string { return strconv.FormatFloat(x, 'x', -1, 64) }
 
 func encodeSnapshot(l Snapshot) string {
-	return fmt.Sprintf("place=%d ring=%d ready=%t ejected=%t warming=%t copy=%t rank=%d tokens=%s busy=%d pace=%s loads=%d admitted=%s waiting=%d out=%d",
-		l.RingPosition, l.RingSize, l.Ready, l.Ejected, l.WarmingUp, l.HasCopy, l.Rank, exactFloat(l.Tokens), l.Busy, exactFloat(l.LatencyRatio), l.Loads,
-		exactFloat(l.AdmittedFraction), l.Queued, l.InFlight)
+	const format = "place=%d ring=%d ready=%t ejected=%t warming=%t copy=%t rank=%d tokens=%s busy=%d pace=%s " +
+		"loads=%d admitted=%s waiting=%d out=%d"
+	return fmt.Sprintf(format, l.RingPosition, l.RingSize, l.Ready, l.Ejected, l.WarmingUp, l.HasCopy, l.Rank,
+		exactFloat(l.Tokens), l.Busy, exactFloat(l.LatencyRatio), l.Loads, exactFloat(l.AdmittedFraction), l.Queued,
+		l.InFlight)
 }
 
 func encodeWorkerSnapshot(l WorkerSnapshot) string {
-	return fmt.Sprintf("worker=%d state=%d heard=%d copies=%d %s", uint64(l.ID), int(l.State), int64(l.SinceLastAnswer), l.Copies, encodeSnapshot(l.Snapshot))
+	return fmt.Sprintf("worker=%d state=%d heard=%d copies=%d %s", uint64(l.ID), int(l.State),
+		int64(l.SinceLastAnswer), l.Copies, encodeSnapshot(l.Snapshot))
 }
 
 func encodeFunctionSnapshot(l FunctionSnapshot) string {
-	return fmt.Sprintf("function=%d home=%d waiting=%d out=%d run=%d gap=%d copies=%d advised=%t", uint64(l.ID), uint64(l.Home), l.Queued,
-		l.InFlight, int64(l.MeanRunTime), int64(l.MeanInterarrival), l.Copies, l.Desired)
+	return fmt.Sprintf("function=%d home=%d waiting=%d out=%d run=%d gap=%d copies=%d advised=%t", uint64(l.ID),
+		uint64(l.Home), l.Queued, l.InFlight, int64(l.MeanRunTime), int64(l.MeanInterarrival), l.Copies, l.Desired)
 }
 
 // Every type of action has an encoding of its own, in which each field shows.
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -11,8 +11,8 @@
 // A FunctionID names a function (a model, a handler): that of which workers load copies.
 type FunctionID uint64
 
-// An Event is what a dispatcher is told in a step: one of the types of this file. Events about requests,
-// attempts, workers and functions that it does not know are ignored.
+// An Event reports something to a dispatcher in a step: it is one of the types of this file. Events about
+// requests, attempts, workers and functions that it does not know are ignored.
 type Event interface{ event() }
 
 // ListUpdate brings the list of workers, or changes of it.
--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -52,7 +52,8 @@
 	}
 }
 
-// A worker that goes and returns under one id within one step is another: nothing is known of it, and what was out at the first
+// A worker that goes and returns under one id within one step is another: nothing is known of it, and what was out
+// at the first
 // is not counted as the second's.
 func TestWorkerThatReturnsUnderItsIDIsAnother(t *testing.T) {
 	for _, one := range []bool{true, false} {
@@ -63,15 +64,18 @@
 		gone.State = Gone
 		events := []Event{ListUpdate{Kind: ListDelta, Workers: []WorkerInfo{gone, back}}}
 		if !one {
-			events = []Event{ListUpdate{Kind: ListDelta, Workers: []WorkerInfo{gone}}, ListUpdate{Kind: ListDelta, Workers: []WorkerInfo{back}}}
+			events = []Event{ListUpdate{Kind: ListDelta, Workers: []WorkerInfo{gone}},
+				ListUpdate{Kind: ListDelta, Workers: []WorkerInfo{back}}}
 		}
 		d.Step(2010*ms, events)
 		now := d.workers[old.ID]
 		if now == old || now == nil || len(now.placements) != 0 || len(d.order) != 3 {
-			t.Fatalf("in one list %v: the same worker %v, of which %d functions are known", one, now == old, len(now.placements))
+			t.Fatalf("in one list %v: the same worker %v, of which %d functions are known", one, now == old,
+				len(now.placements))
 		}
 		checkIndexes(t, d)
-		d.Step(2100*ms, []Event{AttemptEnded{Request: 90, Worker: old.ID, Outcome: OK, Complete: true, Note: FoundWarm, Took: 100 * ms}})
+		d.Step(2100*ms, []Event{AttemptEnded{Request: 90, Worker: old.ID, Outcome: OK, Complete: true,
+			Note: FoundWarm, Took: 100 * ms}})
 		if now.outstanding != 0 && !slices.Contains(d.watchList.workers, now) || old.outstanding != 0 {
 			t.Errorf("in one list %v: %d out at the new one, %d at the old", one, now.outstanding, old.outstanding)
 		}
@@ -102,7 +106,8 @@
 	checkIndexes(t, d)
 	var answers []Event
 	for _, a := range sent {
-		answers = append(answers, AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: OK, Complete: true, Note: StartedLoad, Took: time.Second})
+		answers = append(answers, AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: OK, Complete: true,
+			Note: StartedLoad, Took: time.Second})
 	}
 	d.Step(4*time.Second, answers)
 	for fn, q := range d.queues.byFunction {
@@ -125,7 +130,8 @@
 	checkIndexes(t, d)
 }
 
-// The shares of ready workers are those that health found as it came to each, though they are added up later: it may take a worker
+// The shares of ready workers are those that health found as it came to each, though they are added up later: it
+// may take a worker
 // back on the way, and with it the others are no longer past the half up to which suspicion counts.
 func TestCapacityCountsWorkersAsHealthChecksFoundThem(t *testing.T) {
 	s := base()
@@ -138,7 +144,8 @@
 	d.now = time.Minute
 	d.checkHealth()
 	if !first.ejected || second.ejected || d.Effort().Summed > 2 {
-		t.Fatalf("ejected %v and %v, want the first only; %d shares added up on the way, want 2 at the most", first.ejected, second.ejected, d.Effort().Summed)
+		t.Fatalf("ejected %v and %v, want the first only; %d shares added up on the way, want 2 at the most",
+			first.ejected, second.ejected, d.Effort().Summed)
 	}
 	if got := d.readyCapacity(); got != 3 {
 		t.Errorf("%v ready, want all 3: two of three were under suspicion when health came to the first two", got)
--- a/scheduler/helpers_test.go
+++ b/scheduler/helpers_test.go
@@ -12,14 +12,18 @@
 func base() Settings {
 	return Settings{Controllers: 1, Tick: 2 * ms,
 		Classes: []Class{
-			{Name: "safe", Idempotency: Idempotent, LatencyObjective: 500 * ms, Deadline: 4 * time.Second, PriorityWeight: 1},
-			{Name: "keyed", Idempotency: IdempotentWithKey, DedupScope: SameGroup, DedupWindow: 2 * time.Second, LatencyObjective: 500 * ms,
-				Deadline: 4 * time.Second, PriorityWeight: 1},
-			{Name: "unsafe", Idempotency: NonIdempotent, LatencyObjective: 500 * ms, Deadline: 4 * time.Second, PriorityWeight: 1}},
+			{Name: "safe", Idempotency: Idempotent, LatencyObjective: 500 * ms, Deadline: 4 * time.Second,
+				PriorityWeight: 1},
+			{Name: "keyed", Idempotency: IdempotentWithKey, DedupScope: SameGroup, DedupWindow: 2 * time.Second,
+				LatencyObjective: 500 * ms,
+				Deadline:         4 * time.Second, PriorityWeight: 1},
+			{Name: "unsafe", Idempotency: NonIdempotent, LatencyObjective: 500 * ms, Deadline: 4 * time.Second,
+				PriorityWeight: 1}},
 		Limits: Limits{MaxAttempts: 3, MaxOpenRequests: 100, DialTimeout: 250 * ms, Cancel: true},
 		Loading: Loading{Orders: true, LoadsOnMiss: true, OnMissKnown: true, IdleCopyTTL: 8 * time.Second,
 			OrderTimeout: 10 * time.Second, LoadNotesGiven: true},
-		Guarantees: Guarantees{DrainGrace: 500 * ms, WarmupFraction: 0.2, WarmupTime: 16 * time.Second, CollapseFactor: 3,
+		Guarantees: Guarantees{DrainGrace: 500 * ms, WarmupFraction: 0.2, WarmupTime: 16 * time.Second,
+			CollapseFactor: 3,
 			CollapseWindow: 2 * time.Second}}
 }
 
@@ -63,7 +67,8 @@
 }
 
 // playAnswersAfter steps a dispatcher through n requests, one each 100 ms, each sent one answered after took.
-func playAnswersAfter(t *testing.T, d *Dispatcher, from time.Duration, n int, took time.Duration, o Outcome) (now time.Duration) {
+func playAnswersAfter(t *testing.T, d *Dispatcher, from time.Duration, n int, took time.Duration,
+	o Outcome) (now time.Duration) {
 	t.Helper()
 	type out struct {
 		r AttemptEnded
--- a/scheduler/index/index_test.go
+++ b/scheduler/index/index_test.go
@@ -35,7 +35,8 @@
 			for _, k := range in {
 				least = min(least, k)
 			}
-			if m := h.Min(); h.Len() != len(in) || len(in) == 0 != (m == nil) || m != nil && (m.Key() != least || in[m.Value] != least) {
+			if m := h.Min(); h.Len() != len(in) || len(in) == 0 != (m == nil) || m != nil &&
+				(m.Key() != least || in[m.Value] != least) {
 				t.Fatalf("seed %d: the least of %d is %+v, want key %d", seed, len(in), m, least)
 			}
 		}
--- a/scheduler/loadbudget_step_test.go
+++ b/scheduler/loadbudget_step_test.go
@@ -21,7 +21,8 @@
 	}
 }
 
-// Two processes of one controller, one after the other, keep one load budget; the one that retires sends nothing to the cold.
+// Two processes of one controller, one after the other, keep one load budget; the one that retires sends nothing
+// to the cold.
 func TestTwoProcessesShareOneLoadBudget(t *testing.T) {
 	s := base()
 	s.Loading.BudgetWindow, s.Loading.BudgetFree, s.Loading.BudgetRatio = 10*time.Second, 8, 0
--- a/scheduler/outlier_step_test.go
+++ b/scheduler/outlier_step_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// From r6f1dac: a worker that answers most calls with errors at once gets none that may not be repeated freely, for a growing
+// From r6f1dac: a worker that answers most calls with errors at once gets none that may not be repeated freely,
+// for a growing
 // time; safe ones go on, and show when it is over. Where its peers fail as much it is the calls, and nothing changes.
 func TestNonIdempotentRequestsAvoidAWorkerWithErrors(t *testing.T) {
 	for _, tt := range []struct {
@@ -18,14 +19,16 @@
 		{"none", func(WorkerID, RequestID) bool { return false }, true},
 	} {
 		d := start(t, base(), ready(1, 2, 3)...)
-		now, sent, tries := time.Second, map[bool]int{}, map[RequestID]int{} // at worker 1 in the second half, by whether the call was safe
+		now, tries := time.Second, map[RequestID]int{}
+		sent := map[bool]int{} // at worker 1 from request 101 on, by whether the request was idempotent
 		for i := RequestID(1); i <= 400; i++ {
 			now += 10 * ms
 			class := int(i%2) * 2
 			todo := d.Step(now, []Event{arrival(i, class, FunctionID(class*100)+FunctionID(i%24))})
 			for ; len(todo) > 0; todo = todo[1:] {
 				if h, ok := todo[0].(LoadOrder); ok {
-					todo = append(todo, d.Step(now, []Event{LoadOrderEnded{Worker: h.Worker, Function: h.Function, Outcome: OK, Copies: 1}})...)
+					todo = append(todo, d.Step(now,
+						[]Event{LoadOrderEnded{Worker: h.Worker, Function: h.Function, Outcome: OK, Copies: 1}})...)
 				}
 				a, ok := todo[0].(Send)
 				if !ok {
@@ -38,7 +41,8 @@
 				if tt.fails(a.Worker, a.Request) {
 					o = Error
 				}
-				todo = append(todo, d.Step(now, []Event{AttemptEnded{Request: a.Request, Attempt: tries[a.Request], Worker: a.Worker, Outcome: o,
+				todo = append(todo, d.Step(now, []Event{AttemptEnded{Request: a.Request,
+					Attempt: tries[a.Request], Worker: a.Worker, Outcome: o,
 					Complete: o == OK, Took: 5 * ms, Note: FoundWarm}})...)
 				tries[a.Request]++
 			}
--- a/scheduler/outlier_test.go
+++ b/scheduler/outlier_test.go
@@ -40,7 +40,8 @@
 
 func TestEjectionsDoubleUpToTheLongest(t *testing.T) {
 	o, _ := tracking(0)
-	for before, span := range []time.Duration{4 * time.Second, 8 * time.Second, 16 * time.Second, 30 * time.Second, 30 * time.Second} {
+	for before, span := range []time.Duration{4 * time.Second, 8 * time.Second, 16 * time.Second,
+		30 * time.Second, 30 * time.Second} {
 		for range 100 {
 			if got := o.ejectionDuration(before); got < span*3/4 || got > span*5/4 {
 				t.Fatalf("ejection after %d others for %v, want %v by a quarter more or less", before, got, span)
@@ -110,11 +111,14 @@
 		{"silent", workerHealth{lastHeardAt: now - silence - 1}, 1, probeSilent},
 		{"probed not long ago", workerHealth{probedAt: now - patience}, 1, noCheck},
 		{"probe unanswered", workerHealth{probedAt: now - patience - 1}, 1, ejectSilent},
-		{"heard since the probe, then silent", workerHealth{probedAt: now - 10*time.Second, lastHeardAt: now - 9*time.Second}, 1, noCheck},
+		{"heard since the probe, then silent", workerHealth{probedAt: now - 10*time.Second,
+			lastHeardAt: now - 9*time.Second}, 1, noCheck},
 		{"ejected", workerHealth{ejected: true, ejectedUntil: now + 1}, 1, noCheck},
 		{"ejection over", workerHealth{ejected: true, ejectedUntil: now}, 0, probeEjected},
-		{"ejection over, probed", workerHealth{ejected: true, ejectedUntil: now - 1, probedAt: now - patience}, 0, noCheck},
-		{"ejection over, probe unanswered", workerHealth{ejected: true, ejectedUntil: now - 9, probedAt: now - patience - 1}, 0, ejectSilent},
+		{"ejection over, probed", workerHealth{ejected: true, ejectedUntil: now - 1, probedAt: now - patience},
+			0, noCheck},
+		{"ejection over, probe unanswered", workerHealth{ejected: true, ejectedUntil: now - 9,
+			probedAt: now - patience - 1}, 0, ejectSilent},
 	} {
 		if got := tt.health.check(now, tt.outstanding, silence, patience); got != tt.want {
 			t.Errorf("%s: check %d, want %d", tt.name, got, tt.want)
--- a/scheduler/property_test.go
+++ b/scheduler/property_test.go
@@ -128,8 +128,9 @@
 		for len(holds) > 0 && rnd.IntN(2) == 0 {
 			h := holds[0]
 			holds = holds[1:]
-			events = append(events, LoadOrderEnded{Worker: h.Worker, Function: h.Function, Outcome: Outcome(1 + rnd.IntN(6)),
-				Copies: rnd.IntN(2)})
+			events = append(events, LoadOrderEnded{Worker: h.Worker, Function: h.Function,
+				Outcome: Outcome(1 + rnd.IntN(6)),
+				Copies:  rnd.IntN(2)})
 		}
 		for _, a := range d.Step(now, events) {
 			switch a := a.(type) {
@@ -151,7 +152,8 @@
 					t.Fatalf("seed %d: unsafe request sent again", seed)
 				case first >= 0 && c.Idempotency == IdempotentWithKey && now >= q.sent[first]+c.DedupWindow:
 					t.Fatalf("seed %d: keyed request sent after its window", seed)
-				case first >= 0 && c.Idempotency == IdempotentWithKey && group(c.DedupScope, list[a.Worker]) != q.groups[first]:
+				case first >= 0 && c.Idempotency == IdempotentWithKey &&
+					group(c.DedupScope, list[a.Worker]) != q.groups[first]:
 					t.Fatalf("seed %d: keyed request left its group", seed)
 				}
 				if since, is := barred[a.Worker]; is && now > since+s.Guarantees.DrainGrace {
@@ -163,7 +165,8 @@
 			case Reject:
 				q, c := requests[a.Request], s.Classes[requests[a.Request].a.Class]
 				seen["refusals"]++
-				if c.Idempotency != Idempotent && q.mayHaveRun() >= 0 && !(c.Idempotency == IdempotentWithKey && c.DedupScope == AllWorkers) {
+				if c.Idempotency != Idempotent && q.mayHaveRun() >= 0 &&
+					!(c.Idempotency == IdempotentWithKey && c.DedupScope == AllWorkers) {
 					t.Fatalf("seed %d: refused a request that may have run", seed)
 				}
 				answer(t, seed, q, now)
--- a/scheduler/queueindex_test.go
+++ b/scheduler/queueindex_test.go
@@ -9,7 +9,8 @@
 
 // indexed counts the places of queues in the indexes.
 func indexed(d *Dispatcher) int {
-	return len(d.queues.touched) + len(d.queues.waiting) + d.queues.virtualTimes.Len() + d.queues.expiries.Len() + d.queues.renewals.Len() + d.queues.renewable.Len()
+	f := &d.queues
+	return len(f.touched) + len(f.waiting) + f.virtualTimes.Len() + f.expiries.Len() + f.renewals.Len() + f.renewable.Len()
 }
 
 // checkIndexes compares what the indexes hold, as it is between steps, with what looking at everything finds.
@@ -63,7 +64,8 @@
 		failings = append(failings, w.errorRate)
 	}
 	if !slices.Equal(watchList, d.watchList.workers) || ejected != d.outliers.ejected || d.ring.Len() != len(d.order) {
-		t.Fatalf("%d to be watched, %d ejected, %d listed; found %d, %d, %d", len(watchList), ejected, len(d.order), len(d.watchList.workers), d.outliers.ejected, d.ring.Len())
+		t.Fatalf("%d to be watched, %d ejected, %d listed; found %d, %d, %d", len(watchList), ejected,
+			len(d.order), len(d.watchList.workers), d.outliers.ejected, d.ring.Len())
 	}
 	slices.Sort(paces)
 	slices.Sort(failings)
@@ -111,7 +113,8 @@
 		arrivals = append(arrivals, arrival(RequestID(i+1), 0, fn))
 	}
 	for _, a := range pickOut[Send](d.Step(time.Second, arrivals)) {
-		answers = append(answers, AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: OK, Complete: true, Note: StartedLoad, Took: 100 * ms})
+		answers = append(answers, AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: OK, Complete: true,
+			Note: StartedLoad, Took: 100 * ms})
 	}
 	if len(answers) != len(fns) {
 		t.Fatalf("%d of %d calls sent", len(answers), len(fns))
@@ -120,7 +123,8 @@
 	return d
 }
 
-// Several renewals due at one instant come in one step, in the order of the functions, as far as the budget goes; the rest wait
+// Several renewals due at one instant come in one step, in the order of the functions, as far as the budget goes;
+// the rest wait
 // for it in that order.
 func TestRenewalsDueAtOnceGoByFunction(t *testing.T) {
 	s := base()
@@ -142,7 +146,8 @@
 	checkIndexes(t, d)
 }
 
-// A renewal that is due moves later with a call, to never while one is out, and comes at all only while its queue is active.
+// A renewal that is due moves later with a call, to never while one is out, and comes at all only while its queue
+// is active.
 func TestRenewalMovesWithUseAndAdvice(t *testing.T) {
 	d := called(t, base(), 7)
 	sent := pickOut[Send](d.Step(5*time.Second, []Event{arrival(50, 0, 7)}))
@@ -152,7 +157,8 @@
 	if got := renewals(d, 7*time.Second); got != nil { // was due at 5.9 s, and a call is out
 		t.Errorf("renewed %v while a call was out", got)
 	}
-	d.Step(7100*ms, []Event{AttemptEnded{Request: 50, Worker: sent[0].Worker, Outcome: OK, Complete: true, Note: FoundWarm, Took: 100 * ms}})
+	d.Step(7100*ms, []Event{AttemptEnded{Request: 50, Worker: sent[0].Worker, Outcome: OK, Complete: true,
+		Note: FoundWarm, Took: 100 * ms}})
 	if got := renewals(d, 11800*ms); got != nil {
 		t.Errorf("renewed %v less than its time after the last call", got)
 	}
@@ -181,12 +187,14 @@
 	for i := range 10 {
 		now := 1200*ms + time.Duration(i)*10*ms
 		for _, a := range pickOut[Send](d.Step(now, []Event{arrival(RequestID(60+i), 0, 7)})) {
-			d.Step(now, []Event{AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: OK, Complete: true, Note: FoundWarm, Took: ms}})
+			d.Step(now, []Event{AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: OK, Complete: true,
+				Note: FoundWarm, Took: ms}})
 		}
 	}
 	d.queues.reindex()
 	if q.expiryEntry.Key() >= before || q.expiryEntry.Key() != q.idleSince()+d.queues.timeToLive(q) {
-		t.Errorf("it stays active until %v, was %v, want %v", q.expiryEntry.Key(), before, q.idleSince()+d.queues.timeToLive(q))
+		t.Errorf("it stays active until %v, was %v, want %v", q.expiryEntry.Key(), before,
+			q.idleSince()+d.queues.timeToLive(q))
 	}
 	d.Step(q.expiryEntry.Key()-1, nil)
 	if !q.active {
@@ -198,7 +206,8 @@
 	}
 }
 
-// A function that is forgotten in the step in which it is called is kept, with what is known of it; one not called is not.
+// A function that is forgotten in the step in which it is called is kept, with what is known of it; one not called
+// is not.
 func TestFunctionCalledAsItExpiresIsKept(t *testing.T) {
 	d := called(t, base(), 7, 8)
 	q := d.queues.get(7)
@@ -209,7 +218,8 @@
 	}
 	d.Step(past, []Event{arrival(70, 0, 7)})
 	if d.queues.byFunction[7] != q || d.queues.byFunction[8] != nil {
-		t.Errorf("the called function is kept %v, the other one %v", d.queues.byFunction[7] == q, d.queues.byFunction[8] != nil)
+		t.Errorf("the called function is kept %v, the other one %v", d.queues.byFunction[7] == q,
+			d.queues.byFunction[8] != nil)
 	}
 	checkIndexes(t, d)
 }
@@ -252,13 +262,15 @@
 		}
 		answers := []Event{}
 		for _, a := range pickOut[Send](d.Step(now, events)) {
-			answers = append(answers, AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: OK, Complete: true, Note: FoundWarm, Took: ms})
+			answers = append(answers, AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: OK,
+				Complete: true, Note: FoundWarm, Took: ms})
 		}
 		for len(answers) > 0 { // what waited goes out as tokens come back
 			actions := d.Step(now, answers)
 			answers = answers[:0]
 			for _, a := range pickOut[Send](actions) {
-				answers = append(answers, AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: OK, Complete: true, Note: FoundWarm, Took: ms})
+				answers = append(answers, AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: OK,
+					Complete: true, Note: FoundWarm, Took: ms})
 			}
 		}
 	}
@@ -271,7 +283,8 @@
 		d.Step(now, nil)
 	}
 	if len(d.queues.byFunction) != 0 || indexed(d) != 0 || len(d.requests) != 0 {
-		t.Errorf("%d functions, %d places and %d requests are kept", len(d.queues.byFunction), indexed(d), len(d.requests))
+		t.Errorf("%d functions, %d places and %d requests are kept", len(d.queues.byFunction), indexed(d),
+			len(d.requests))
 	}
 	for _, w := range d.order {
 		if len(w.placements) != 0 {
@@ -285,7 +298,8 @@
 	runtime.KeepAlive(d)
 }
 
-// What a step looks at grows with what happens in it, not with the workers and functions there are: none of them at rest.
+// What a step looks at grows with what happens in it, not with the workers and functions there are: none of them
+// at rest.
 func TestIdleStepExaminesNothing(t *testing.T) {
 	var infos []WorkerInfo
 	for id := WorkerID(1); id <= 500; id++ {
@@ -294,7 +308,8 @@
 	d := start(t, base(), infos...)
 	for i := range RequestID(500) {
 		for _, a := range pickOut[Send](d.Step(time.Second, []Event{arrival(i+1, 0, FunctionID(i+1))})) {
-			d.Step(time.Second, []Event{AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: OK, Complete: true, Note: FoundWarm, Took: ms}})
+			d.Step(time.Second, []Event{AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: OK,
+				Complete: true, Note: FoundWarm, Took: ms}})
 		}
 	}
 	d.Step(1010*ms, nil)
--- a/scheduler/queues_test.go
+++ b/scheduler/queues_test.go
@@ -80,7 +80,8 @@
 
 // queuesOf returns fair queues without workers, with a tick of 10 ms and idle copies that stay for eight seconds.
 func queuesOf() *fairQueues {
-	f := newFairQueues(&Settings{Tick: 10 * ms, Loading: Loading{IdleCopyTTL: 8 * time.Second}}, &ring.Ring[*worker]{Hash: ringPoint})
+	f := newFairQueues(&Settings{Tick: 10 * ms, Loading: Loading{IdleCopyTTL: 8 * time.Second}},
+		&ring.Ring[*worker]{Hash: ringPoint})
 	return &f
 }
 
--- a/scheduler/ranks_test.go
+++ b/scheduler/ranks_test.go
@@ -19,7 +19,8 @@
 		listed = append(listed, w.WorkerInfo)
 	}
 	known := d.order[0].ID
-	d.Step(2*time.Second, []Event{WorkerRank{Worker: known, Rank: -1, Until: 4 * time.Second}, WorkerRank{Worker: 9, Rank: 1, Until: 5 * time.Second}})
+	d.Step(2*time.Second, []Event{WorkerRank{Worker: known, Rank: -1, Until: 4 * time.Second},
+		WorkerRank{Worker: 9, Rank: 1, Until: 5 * time.Second}})
 	rank(known, -1)
 	d.Step(3*time.Second, []Event{ListUpdate{Kind: FullList, Workers: listed}})
 	rank(9, 1)
--- a/scheduler/retry_test.go
+++ b/scheduler/retry_test.go
@@ -55,7 +55,8 @@
 				news = append(news, w)
 			}
 		}
-		d.Step(1001*ms, []Event{ListUpdate{Kind: ListDelta, Workers: append(news, WorkerInfo{ID: home, State: Draining})}})
+		d.Step(1001*ms, []Event{ListUpdate{Kind: ListDelta,
+			Workers: append(news, WorkerInfo{ID: home, State: Draining})}})
 		actions := d.Step(1020*ms, []Event{AttemptEnded{Request: 1, Worker: home, Outcome: Reset, Took: 20 * ms}})
 		again, fails := pickOut[Send](actions), pickOut[Fail](actions)
 		if mate && (len(again) != 1 || again[0].Worker != news[0].ID) {
@@ -144,7 +145,8 @@
 		s.Classes[1].DedupScope = tt.scope
 		rules := newRetryRules(&s)
 		if got := rules.mayReject(&request{Arrival: Arrival{Class: tt.class}, attempts: tt.before}); got != tt.want {
-			t.Errorf("class %d, scope %d, attempts %+v: may reject %v, want %v", tt.class, tt.scope, tt.before, got, tt.want)
+			t.Errorf("class %d, scope %d, attempts %+v: may reject %v, want %v", tt.class, tt.scope, tt.before,
+				got, tt.want)
 		}
 	}
 }
--- a/scheduler/ring/ring_test.go
+++ b/scheduler/ring/ring_test.go
@@ -87,7 +87,8 @@
 	}
 }
 
-// Whatever changes, walks that are kept find what a walk laid out anew finds; also those that were half done, and where members
+// Whatever changes, walks that are kept find what a walk laid out anew finds; also those that were half done, and
+// where members
 // go and come under one ID, or change their tier.
 func TestWalksFollowChanges(t *testing.T) {
 	for seed := uint64(1); seed <= 30; seed++ {
--- a/scheduler/slowstart_fleet_test.go
+++ b/scheduler/slowstart_fleet_test.go
@@ -31,9 +31,10 @@
 
 // A coldPlay is what came of a coldCase.
 type coldPlay struct {
-	peak         float64 // most that a cold worker was sent in a window, as a part of what the settings allow
-	over         float64 // the same as a part of the N + 2 x root of N + 2 calls of mean work that it stands, N being what they allow
-	cold, served int     // calls that cold workers were sent, and that were answered by any
+	peak float64 // most that a cold worker was sent in a window, as a part of what the settings allow
+	// the same as a part of the N + 2 x root of N + 2 calls of mean work that it stands, N being what they allow
+	over         float64
+	cold, served int // calls that cold workers were sent, and that were answered by any
 }
 
 // coldPeak plays it in virtual time against the model of workers.
@@ -45,7 +46,8 @@
 		Cold: workersim.Cold{Share: c.share, For: c.coldFor, FallFactor: 100, FallWithin: c.within}}
 	var list []scheduler.WorkerInfo
 	for i := range c.workers {
-		cfg.Workers = append(cfg.Workers, workersim.Spec{Name: fmt.Sprint("w", i), Cores: 2, Speed: []float64{1, 0.7}[i%2], MemoryMB: 4000,
+		cfg.Workers = append(cfg.Workers, workersim.Spec{Name: fmt.Sprint("w", i), Cores: 2,
+			Speed: []float64{1, 0.7}[i%2], MemoryMB: 4000,
 			Queue: 24, LoadSlots: 3, IdleLife: 2 * time.Second, Eager: true})
 		list = append(list, scheduler.WorkerInfo{ID: scheduler.WorkerID(i + 1), State: scheduler.Ready, Group: i / 3})
 	}
@@ -59,11 +61,14 @@
 		}
 	}
 	s := scheduler.Settings{Controllers: c.controllers, Tick: tick,
-		Classes: []scheduler.Class{{Name: "a", Idempotency: scheduler.Idempotent, LatencyObjective: 500 * ms, Deadline: 2500 * ms, PriorityWeight: 1}},
-		Limits:  scheduler.Limits{MaxAttempts: 3, MaxOpenRequests: 20000, DialTimeout: 250 * ms, Cancel: true},
-		Loading: scheduler.Loading{Orders: true, LoadsOnMiss: true, OnMissKnown: true, IdleCopyTTL: 2 * time.Second, OrderTimeout: 5 * time.Second,
+		Classes: []scheduler.Class{{Name: "a", Idempotency: scheduler.Idempotent, LatencyObjective: 500 * ms,
+			Deadline: 2500 * ms, PriorityWeight: 1}},
+		Limits: scheduler.Limits{MaxAttempts: 3, MaxOpenRequests: 20000, DialTimeout: 250 * ms, Cancel: true},
+		Loading: scheduler.Loading{Orders: true, LoadsOnMiss: true, OnMissKnown: true,
+			IdleCopyTTL: 2 * time.Second, OrderTimeout: 5 * time.Second,
 			BudgetWindow: 5 * time.Second, BudgetFree: 10, BudgetRatio: 0.1, LoadNotesGiven: true},
-		Guarantees: scheduler.Guarantees{DrainGrace: 500 * ms, WarmupFraction: c.share, WarmupTime: c.coldFor, CollapseFactor: c.factor, CollapseWindow: c.within}}
+		Guarantees: scheduler.Guarantees{DrainGrace: 500 * ms, WarmupFraction: c.share, WarmupTime: c.coldFor,
+			CollapseFactor: c.factor, CollapseWindow: c.within}}
 	now := time.Hour
 	f := workersim.New(cfg, now)
 	portions := make([]float64, c.controllers) // of the calls, up to and with each controller
@@ -104,21 +109,24 @@
 			}
 			switch e.Kind {
 			case workersim.Answered:
-				o := map[workersim.Outcome]scheduler.Outcome{workersim.OK: scheduler.OK, workersim.Full: scheduler.AtCapacity, workersim.Reset: scheduler.Reset,
+				o := map[workersim.Outcome]scheduler.Outcome{workersim.OK: scheduler.OK,
+					workersim.Full: scheduler.AtCapacity, workersim.Reset: scheduler.Reset,
 					workersim.Failed: scheduler.NotLoaded, workersim.Error: scheduler.Error}[e.Outcome]
 				if o == scheduler.OK {
 					p.served++
 				}
-				inbox[k.controller] = append(inbox[k.controller], scheduler.AttemptEnded{Request: k.request, Attempt: k.attempt,
-					Worker: scheduler.WorkerID(k.worker + 1), Outcome: o, Took: now - k.sent, Note: scheduler.LoadNote(e.Note), SameFunction: e.Alike})
+				inbox[k.controller] = append(inbox[k.controller],
+					scheduler.AttemptEnded{Request: k.request, Attempt: k.attempt,
+						Worker: scheduler.WorkerID(k.worker + 1), Outcome: o, Took: now - k.sent, Note: scheduler.LoadNote(e.Note), SameFunction: e.Alike})
 				delete(calls, e.ID)
 			case workersim.Stands:
 				o := scheduler.OK
 				if e.Outcome != workersim.OK {
 					o = scheduler.AtCapacity
 				}
-				inbox[k.controller] = append(inbox[k.controller], scheduler.LoadOrderEnded{Worker: scheduler.WorkerID(k.worker + 1),
-					Function: scheduler.FunctionID(k.hold), Outcome: o, Took: now - k.sent, Copies: e.Copies})
+				inbox[k.controller] = append(inbox[k.controller],
+					scheduler.LoadOrderEnded{Worker: scheduler.WorkerID(k.worker + 1),
+						Function: scheduler.FunctionID(k.hold), Outcome: o, Took: now - k.sent, Copies: e.Copies})
 				delete(calls, e.ID)
 			}
 		}
@@ -139,7 +147,8 @@
 					if err != nil {
 						t.Fatal(err)
 					}
-					ds[i], inbox[i] = d, []scheduler.Event{scheduler.ListUpdate{Kind: scheduler.CachedList, Workers: slices.Clone(list)}}
+					ds[i], inbox[i] = d, []scheduler.Event{scheduler.ListUpdate{Kind: scheduler.CachedList,
+						Workers: slices.Clone(list)}}
 				}
 			}
 		}
@@ -149,7 +158,8 @@
 				told += c.late
 			}
 			if now == told {
-				inbox[i] = append(inbox[i], scheduler.ListUpdate{Kind: scheduler.ListDelta, Workers: slices.Clone(list[:dead])})
+				inbox[i] = append(inbox[i], scheduler.ListUpdate{Kind: scheduler.ListDelta,
+					Workers: slices.Clone(list[:dead])})
 			}
 		}
 		rate := c.rate
@@ -161,7 +171,8 @@
 			n, _ := slices.BinarySearch(weights, rng.Float64()*weights[functions-1])
 			i := min(sort.SearchFloat64s(portions, rng.Float64()*portions[c.controllers-1]), c.controllers-1)
 			functionOf[request] = n
-			inbox[i] = append(inbox[i], scheduler.Arrival{Request: request, Function: scheduler.FunctionID(n + 1), TimeLeft: 2500 * ms, Lanes: 2,
+			inbox[i] = append(inbox[i], scheduler.Arrival{Request: request,
+				Function: scheduler.FunctionID(n + 1), TimeLeft: 2500 * ms, Lanes: 2,
 				LoadTime: c.load + 80*ms})
 		}
 		for wakes.Len() > 0 && (*wakes)[0].at <= now {
@@ -181,12 +192,15 @@
 					k := call{controller: i, request: a.Request, attempt: tries[a.Request], worker: w, sent: now}
 					tries[a.Request]++
 					if !f.Up(w) {
-						inbox[i] = append(inbox[i], scheduler.AttemptEnded{Request: a.Request, Attempt: k.attempt, Worker: a.Worker, Outcome: scheduler.ConnectFailed})
+						inbox[i] = append(inbox[i],
+							scheduler.AttemptEnded{Request: a.Request, Attempt: k.attempt, Worker: a.Worker,
+								Outcome: scheduler.ConnectFailed})
 						continue
 					}
 					if at := f.Started(w); at > 0 && now < at+c.coldFor {
 						p.cold++
-						sent[w] = append(slices.DeleteFunc(sent[w], func(at time.Duration) bool { return at <= now-c.within }), now)
+						sent[w] = append(slices.DeleteFunc(sent[w],
+							func(at time.Duration) bool { return at <= now-c.within }), now)
 						share := c.share + (1-c.share)*float64(now-at)/float64(c.coldFor)
 						can := cfg.Workers[w].Cores * cfg.Workers[w].Speed * share * c.within.Seconds()
 						n := c.factor * can / c.work.Seconds()
@@ -194,12 +208,15 @@
 						p.over = max(p.over, float64(len(sent[w]))/(n+2*math.Sqrt(n)+2))
 					}
 					calls[next] = k
-					f.Call(w, workersim.Call{ID: next, Function: &fns[functionOf[a.Request]], Work: c.work.Seconds() * (0.5 + rng.Float64()), Mean: 0})
+					f.Call(w, workersim.Call{ID: next, Function: &fns[functionOf[a.Request]],
+						Work: c.work.Seconds() * (0.5 + rng.Float64()), Mean: 0})
 					next++
 				case scheduler.LoadOrder:
 					w := int(a.Worker) - 1
 					if !f.Up(w) {
-						inbox[i] = append(inbox[i], scheduler.LoadOrderEnded{Worker: a.Worker, Function: a.Function, Outcome: scheduler.ConnectFailed})
+						inbox[i] = append(inbox[i],
+							scheduler.LoadOrderEnded{Worker: a.Worker, Function: a.Function,
+								Outcome: scheduler.ConnectFailed})
 						continue
 					}
 					calls[next] = call{controller: i, worker: w, sent: now, hold: int(a.Function)}
@@ -248,66 +265,80 @@
 // Together the controllers keep the bound of a cold worker in overload, also where a window holds few calls or one.
 func TestColdBoundInOverload(t *testing.T) {
 	for _, c := range []coldCase{
-		{controllers: 3, workers: 12, rate: 600, share: 0.05, factor: 1.2, within: 300 * ms, coldFor: 4 * time.Second, killed: 0.6, work: 37 * ms, load: 150 * ms},
-		{controllers: 3, workers: 12, rate: 700, share: 0.1, factor: 1.6, within: 500 * ms, coldFor: 5 * time.Second, killed: 0.75, work: 37 * ms, load: 150 * ms},
-		{controllers: 16, workers: 12, rate: 600, share: 0.1, factor: 1.8, within: 500 * ms, coldFor: 5 * time.Second, killed: 0.75, work: 37 * ms, load: 150 * ms},
-		{controllers: 16, workers: 12, rate: 600, share: 0.2, factor: 2, within: time.Second, coldFor: 5 * time.Second, killed: 0.75, work: 37 * ms, load: 150 * ms},
-		{controllers: 16, workers: 12, rate: 600, share: 0.2, factor: 2, within: 500 * ms, coldFor: 10 * time.Second, killed: 0.75, work: 37 * ms, load: 2 * time.Second},
-		{controllers: 3, workers: 12, rate: 200, share: 0.2, factor: 2, within: 500 * ms, coldFor: 10 * time.Second, killed: 0.3, work: 37 * ms, load: 1 * time.Second, burst: 4},
-		{controllers: 3, workers: 12, rate: 100, share: 0.2, factor: 2, within: 500 * ms, coldFor: 10 * time.Second, killed: 0.3, work: 10 * ms, load: 1 * time.Second, burst: 20},
+		{controllers: 3, workers: 12, rate: 600, share: 0.05, factor: 1.2, within: 300 * ms,
+			coldFor: 4 * time.Second, killed: 0.6, work: 37 * ms, load: 150 * ms},
+		{controllers: 3, workers: 12, rate: 700, share: 0.1, factor: 1.6, within: 500 * ms,
+			coldFor: 5 * time.Second, killed: 0.75, work: 37 * ms, load: 150 * ms},
+		{controllers: 16, workers: 12, rate: 600, share: 0.1, factor: 1.8, within: 500 * ms,
+			coldFor: 5 * time.Second, killed: 0.75, work: 37 * ms, load: 150 * ms},
+		{controllers: 16, workers: 12, rate: 600, share: 0.2, factor: 2, within: time.Second,
+			coldFor: 5 * time.Second, killed: 0.75, work: 37 * ms, load: 150 * ms},
+		{controllers: 16, workers: 12, rate: 600, share: 0.2, factor: 2, within: 500 * ms,
+			coldFor: 10 * time.Second, killed: 0.75, work: 37 * ms, load: 2 * time.Second},
+		{controllers: 3, workers: 12, rate: 200, share: 0.2, factor: 2, within: 500 * ms,
+			coldFor: 10 * time.Second, killed: 0.3, work: 37 * ms, load: 1 * time.Second, burst: 4},
+		{controllers: 3, workers: 12, rate: 100, share: 0.2, factor: 2, within: 500 * ms,
+			coldFor: 10 * time.Second, killed: 0.3, work: 10 * ms, load: 1 * time.Second, burst: 20},
 	} {
-		t.Run(fmt.Sprintf("%d controllers, bound %v x %v x %v", c.controllers, c.share, c.factor, c.within), func(t *testing.T) {
-			t.Parallel()
-			var most float64
-			var over, sent, served int
-			const seeds = 4
-			for seed := range uint64(seeds) {
-				p := coldPeak(t, c, seed+1)
-				most, sent, served = max(most, p.peak), sent+p.cold, served+p.served
-				if p.peak > 1 {
-					over++
+		t.Run(fmt.Sprintf("%d controllers, bound %v x %v x %v", c.controllers, c.share, c.factor, c.within),
+			func(t *testing.T) {
+				t.Parallel()
+				var most float64
+				var over, sent, served int
+				const seeds = 4
+				for seed := range uint64(seeds) {
+					p := coldPeak(t, c, seed+1)
+					most, sent, served = max(most, p.peak), sent+p.cold, served+p.served
+					if p.peak > 1 {
+						over++
+					}
 				}
-			}
-			t.Logf("most sent %.2f of the bound; %d calls to cold workers, %d served in all", most, sent, served)
-			if over > 0 {
-				t.Errorf("passed in %d days of %d", over, seeds)
-			}
-			if sent < 20*seeds {
-				t.Errorf("%d calls to cold workers, want them used", sent)
-			}
-		})
+				t.Logf("most sent %.2f of the bound; %d calls to cold workers, %d served in all", most, sent, served)
+				if over > 0 {
+					t.Errorf("passed in %d days of %d", over, seeds)
+				}
+				if sent < 20*seeds {
+					t.Errorf("%d calls to cold workers, want them used", sent)
+				}
+			})
 	}
 }
 
-// The sum of many controllers that share no word stays under what a cold worker stands, N + 2 x root of N + 2 calls, however
-// unevenly calls come to them, though some hear of the start late or have just started themselves; and cold workers are used.
+// The sum of many controllers that share no word stays under what a cold worker stands, N + 2 x root of N + 2
+// calls, however
+// unevenly calls come to them, though some hear of the start late or have just started themselves; and cold
+// workers are used.
 func TestColdBoundOfManyControllers(t *testing.T) {
 	for _, n := range []int{20, 30, 300} {
 		for _, c := range []coldCase{
-			{rate: 60, share: 0.2, factor: 3, within: 3 * time.Second, coldFor: 9 * time.Second, killed: 0.5, work: 150 * ms, load: time.Second},
-			{rate: 110, share: 0.3, factor: 3, within: 3 * time.Second, coldFor: 9 * time.Second, killed: 0.5, work: 150 * ms, load: time.Second, burst: 2},
-			{rate: 200, share: 0.25, factor: 2, within: time.Second, coldFor: 6 * time.Second, killed: 0.6, work: 60 * ms, load: 300 * ms, burst: 2},
+			{rate: 60, share: 0.2, factor: 3, within: 3 * time.Second, coldFor: 9 * time.Second, killed: 0.5,
+				work: 150 * ms, load: time.Second},
+			{rate: 110, share: 0.3, factor: 3, within: 3 * time.Second, coldFor: 9 * time.Second, killed: 0.5,
+				work: 150 * ms, load: time.Second, burst: 2},
+			{rate: 200, share: 0.25, factor: 2, within: time.Second, coldFor: 6 * time.Second, killed: 0.6,
+				work: 60 * ms, load: 300 * ms, burst: 2},
 		} {
 			c.controllers, c.workers = n, 12
 			for _, uneven := range []float64{0, 1} {
 				c.uneven, c.late, c.restarted = uneven, 1500*ms, uneven > 0
-				t.Run(fmt.Sprintf("%d controllers, %v calls a second, uneven %v", n, c.rate, uneven), func(t *testing.T) {
-					t.Parallel()
-					var over float64
-					sent := 0
-					const seeds = 3
-					for seed := range uint64(seeds) {
-						p := coldPeak(t, c, seed+1)
-						over, sent = max(over, p.over), sent+p.cold
-					}
-					t.Logf("most %.2f of what it stands; %d calls to cold workers", over, sent)
-					if over > 1 {
-						t.Errorf("a cold worker was sent %.2f of what it stands", over)
-					}
-					if sent < 20*seeds {
-						t.Errorf("%d calls to cold workers, want them used", sent)
-					}
-				})
+				t.Run(fmt.Sprintf("%d controllers, %v calls a second, uneven %v", n, c.rate, uneven),
+					func(t *testing.T) {
+						t.Parallel()
+						var over float64
+						sent := 0
+						const seeds = 3
+						for seed := range uint64(seeds) {
+							p := coldPeak(t, c, seed+1)
+							over, sent = max(over, p.over), sent+p.cold
+						}
+						t.Logf("most %.2f of what it stands; %d calls to cold workers", over, sent)
+						if over > 1 {
+							t.Errorf("a cold worker was sent %.2f of what it stands", over)
+						}
+						if sent < 20*seeds {
+							t.Errorf("%d calls to cold workers, want them used", sent)
+						}
+					})
 			}
 		}
 	}
--- a/scheduler/slowstart_step_test.go
+++ b/scheduler/slowstart_step_test.go
@@ -47,7 +47,8 @@
 					pending[i] = append(pending[i], AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: OK,
 						Took: run, Complete: true, Note: FoundWarm})
 				case LoadOrder:
-					pending[i] = append(pending[i], LoadOrderEnded{Worker: a.Worker, Function: a.Function, Outcome: OK, Copies: 1})
+					pending[i] = append(pending[i],
+						LoadOrderEnded{Worker: a.Worker, Function: a.Function, Outcome: OK, Copies: 1})
 				}
 			}
 		}
@@ -88,7 +89,8 @@
 		d.Step(time.Hour, []Event{ListUpdate{Kind: CachedList, Workers: ready(1, 2, 3, 4)}})
 		home := walk(d, d.queues.get(7))[0].ID
 		begin := time.Hour + time.Second
-		d.Step(begin, []Event{ListUpdate{Kind: ListDelta, Workers: []WorkerInfo{{ID: home, State: Ready, StartedAt: begin}}}})
+		d.Step(begin, []Event{ListUpdate{Kind: ListDelta,
+			Workers: []WorkerInfo{{ID: home, State: Ready, StartedAt: begin}}}})
 		next := RequestID(seed * 1000)
 		for now := begin + 6*time.Second; now < begin+15*time.Second; now += 4 * time.Second {
 			next++
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -10,8 +10,9 @@
 // warmingUp returns the slow start of one of so many controllers, with a worker that started at a minute. Warming
 // up takes ten seconds from a fifth of the capacity; a worker collapses at twice its capacity for two seconds.
 func warmingUp(controllers float64) (*slowStart, *warmup) {
-	s := &slowStart{controllers: controllers, random: rand.New(rand.NewPCG(3, 3)), guarantees: Guarantees{WarmupFraction: 0.2, WarmupTime: 10 * time.Second,
-		CollapseFactor: 2, CollapseWindow: 2 * time.Second}}
+	s := &slowStart{controllers: controllers, random: rand.New(rand.NewPCG(3, 3)),
+		guarantees: Guarantees{WarmupFraction: 0.2, WarmupTime: 10 * time.Second,
+			CollapseFactor: 2, CollapseWindow: 2 * time.Second}}
 	w := &warmup{}
 	s.begin(w, time.Minute)
 	return s, w
@@ -19,7 +20,8 @@
 
 func TestSlowStartFractionGrowsEvenly(t *testing.T) {
 	s, w := warmingUp(1)
-	for after, want := range map[time.Duration]float64{-time.Second: 0.2, 0: 0.2, 5 * time.Second: 0.6, 10 * time.Second: 1, time.Hour: 1} {
+	for after, want := range map[time.Duration]float64{-time.Second: 0.2, 0: 0.2, 5 * time.Second: 0.6,
+		10 * time.Second: 1, time.Hour: 1} {
 		if got := s.fraction(w, time.Minute+after); math.Abs(got-want) > 1e-12 {
 			t.Errorf("%v after the start: fraction %v, want %v", after, got, want)
 		}
--- a/scheduler/snapshot.go
+++ b/scheduler/snapshot.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Snapshot is how a worker and a function look to the dispatcher, for people to read. Nothing is decided by
-// it.
+// Snapshot is the state of a worker and a function as the dispatcher sees it, for people to read. Nothing
+// is decided by it.
 type Snapshot struct {
 	RingPosition     int     `json:"Place"`    // of the worker in the function's walk; -1: not on it
 	RingSize         int     `json:"Ring"`     // workers on the ring
@@ -25,7 +25,7 @@
 	InFlight         int     `json:"InFlight"` // attempts of the function without an outcome
 }
 
-// Snapshot returns how a worker and a function look now. Either may be unknown.
+// Snapshot returns the state of a worker and a function now. Either may be unknown.
 func (d *Dispatcher) Snapshot(function FunctionID, id WorkerID) Snapshot {
 	snapshot := Snapshot{RingPosition: -1, RingSize: len(d.order), AdmittedFraction: d.admission.fraction}
 	worker, queue := d.workers[id], d.queues.byFunction[function]
--- a/scheduler/spread_step_test.go
+++ b/scheduler/spread_step_test.go
@@ -16,8 +16,9 @@
 		for id := RequestID(1); id <= 5; id++ {
 			now += time.Second
 			for _, a := range pickOut[Send](d.Step(now, []Event{arrival(id, 0, 7)})) {
-				d.Step(now, []Event{AttemptEnded{Request: id, Worker: a.Worker, Outcome: OK, Took: 800 * ms, Complete: true,
-					Note: FoundWarm, SameFunction: 9}})
+				d.Step(now, []Event{AttemptEnded{Request: id, Worker: a.Worker, Outcome: OK, Took: 800 * ms,
+					Complete: true,
+					Note:     FoundWarm, SameFunction: 9}})
 			}
 		}
 		if spread := d.queues.byFunction[7].spread.workers; (spread > 1) != (n == 100) {
--- a/scheduler/step_test.go
+++ b/scheduler/step_test.go
@@ -48,11 +48,13 @@
 				events = append(events, AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: OK, Complete: true})
 			}
 			for _, h := range pickOut[LoadOrder](actions) {
-				events = append(events, LoadOrderEnded{Worker: h.Worker, Function: h.Function, Outcome: OK, Copies: h.Copies})
+				events = append(events, LoadOrderEnded{Worker: h.Worker, Function: h.Function, Outcome: OK,
+					Copies: h.Copies})
 			}
 		}
 	}
-	if len(d.queues.byFunction) > 0 || len(d.requests) > 0 || indexed(d) > 0 || len(d.workers) != 2 || len(d.order) != 2 {
+	if len(d.queues.byFunction) > 0 || len(d.requests) > 0 || indexed(d) > 0 || len(d.workers) != 2 ||
+		len(d.order) != 2 {
 		t.Errorf("kept %d queues, %d requests, %d workers", len(d.queues.byFunction), len(d.requests), len(d.workers))
 	}
 }
@@ -60,8 +62,9 @@
 // Words about what is not known are ignored.
 func TestEventsAboutUnknownThingsAreIgnored(t *testing.T) {
 	d := start(t, base(), ready(1)...)
-	got := d.Step(time.Second, []Event{AttemptEnded{Request: 9}, ClientGone{9}, Timer{4}, LoadOrderEnded{Worker: 8, Function: 3},
-		ProbeEnded{Worker: 8}, ResponseStarted{Request: 9}, GossipMessage{}, ListUpdate{Kind: ListFailed}, Arrival{Request: 1, Class: 99}})
+	got := d.Step(time.Second, []Event{AttemptEnded{Request: 9}, ClientGone{9}, Timer{4},
+		LoadOrderEnded{Worker: 8, Function: 3}, ProbeEnded{Worker: 8}, ResponseStarted{Request: 9}, GossipMessage{},
+		ListUpdate{Kind: ListFailed}, Arrival{Request: 1, Class: 99}})
 	for _, a := range got {
 		if _, ok := a.(Wake); !ok {
 			t.Errorf("acted on unknown things: %#v", a)
@@ -71,7 +74,8 @@
 
 func Example() {
 	d, err := New(Settings{Controllers: 1, Tick: 2 * ms,
-		Classes: []Class{{Name: "quote", Idempotency: Idempotent, LatencyObjective: 600 * ms, Deadline: 4 * time.Second, PriorityWeight: 1}},
+		Classes: []Class{{Name: "quote", Idempotency: Idempotent, LatencyObjective: 600 * ms,
+			Deadline: 4 * time.Second, PriorityWeight: 1}},
 		Limits:  Limits{MaxAttempts: 3, DialTimeout: 250 * ms},
 		Loading: Loading{Orders: true, LoadsOnMiss: true, OnMissKnown: true, IdleCopyTTL: 8 * time.Second}}, 1)
 	if err != nil {
--- a/scheduler/walk_test.go
+++ b/scheduler/walk_test.go
@@ -15,7 +15,8 @@
 		t.Fatal("no walk")
 	}
 	plain := walk(d, q)
-	d.Step(2*time.Second, []Event{WorkerRank{Worker: plain[0].ID, Rank: -2, Until: 4 * time.Second}, WorkerRank{Worker: plain[2].ID, Rank: -1, Until: 5 * time.Second}})
+	d.Step(2*time.Second, []Event{WorkerRank{Worker: plain[0].ID, Rank: -2, Until: 4 * time.Second},
+		WorkerRank{Worker: plain[2].ID, Rank: -1, Until: 5 * time.Second}})
 	want := append(slices.Clone(plain[1:2]), plain[3:]...)
 	want = append(want, plain[2], plain[0])
 	if got := walk(d, q); !slices.Equal(got, want) {
@@ -31,7 +32,8 @@
 	}
 }
 
-// Candidates are, once narrowed, the workers of which something is known, in the order of the whole walk from the same place on.
+// Candidates are, once narrowed, the workers of which something is known, in the order of the whole walk from the
+// same place on.
 func TestNarrowedCandidatesAreThoseWithAPlacement(t *testing.T) {
 	random := rand.New(rand.NewPCG(5, 5))
 	for range 200 {
@@ -62,7 +64,8 @@
 			narrow = len(got) >= looked
 		}
 		if !slices.Equal(got, want) {
-			t.Fatalf("%d workers from %d, narrowed after %d: %d candidates, want %d", len(ids), from, looked, len(got), len(want))
+			t.Fatalf("%d workers from %d, narrowed after %d: %d candidates, want %d", len(ids), from, looked,
+				len(got), len(want))
 		}
 	}
 }
