--- a/scheduler/admission_step_test.go
+++ b/scheduler/admission_step_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// From issue 10: where what is sent comes back late, whatever the cause, less is sent and the rest is refused in
-// the step of its arrival, with a time to come back; where it is in time again, all is sent again.
+// From issue 10: where answers are overdue, whatever the cause, less is admitted. The rest is rejected in the step of
+// its arrival, with a time to retry after. Once answers are on time again, everything is admitted again.
 func TestOverdueAnswersReduceAdmission(t *testing.T) {
 	s := base()
 	s.Limits.RetryAfter, s.Limits.MaxRetryAfter = true, time.Second
@@ -44,7 +44,7 @@
 	}
 }
 
-// Silence counts as soon as an answer is late, not at the time-out.
+// A missing answer counts as soon as it is overdue, not at the timeout.
 func TestUnansweredRequestsReduceAdmission(t *testing.T) {
 	d := start(t, base(), ready(1, 2, 3, 4, 5, 6)...)
 	for i := 0; i < 60; i++ {
@@ -56,10 +56,10 @@
 	}
 }
 
-// What sending less does not mend does not lower the share: loads within their time, errors.
+// What sending less does not help does not reduce admission: loads within their time, and errors.
 func TestLoadsAndErrorsDoNotReduceAdmission(t *testing.T) {
 	d := start(t, base(), ready(1, 2, 3, 4, 5, 6)...)
-	playAnswersAfter(t, d, 2*time.Second, 1, 900*ms, OK) // its first call waits for the load: aim 500 ms, load 750
+	playAnswersAfter(t, d, 2*time.Second, 1, 900*ms, OK) // its first call waits for the load: objective 500 ms, load 750
 	if d.admission.fraction != 1 {
 		t.Errorf("share %v after a load, want 1", d.admission.fraction)
 	}
@@ -69,7 +69,7 @@
 	}
 }
 
-// A controller with hardly a call lets all pass again after a while, with no answer to tell it.
+// A controller with hardly any requests admits all again after a while, although no answer shows that it may.
 func TestAdmissionRecoversWithoutAnswers(t *testing.T) {
 	d := start(t, base(), ready(1, 2)...)
 	d.admission.fraction = minAdmittedFraction
--- a/scheduler/attempts_test.go
+++ b/scheduler/attempts_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A request gets one answer before its time is over, also when nobody can take it; a late word changes nothing.
+// A request gets one answer before its time is over, also when no worker can take it.
 func TestEveryRequestGetsOneAnswerInTime(t *testing.T) {
 	for _, class := range []int{0, 1, 2} {
 		d := start(t, base())
@@ -41,9 +41,8 @@
 	}
 }
 
-// TestUnservedRequestIsRejectedARunTimeBeforeItsEnd: a call of a function that was never served is given up a run
-// of its class before its time is over, not at
-// the last moment that an answer can still arrive in; and one with little time is not given up as it comes.
+// A request of a function that was never served is rejected a run time of its class before its time is over, not at
+// the last moment at which an answer can still arrive. One with little time is not rejected as it arrives.
 func TestUnservedRequestIsRejectedARunTimeBeforeItsEnd(t *testing.T) {
 	d := start(t, base()) // no worker is known
 	now := 2 * time.Second
@@ -51,7 +50,7 @@
 		Lanes: 2}}); len(pickOut[Reject](l)) > 0 {
 		t.Fatal("given up as they came")
 	}
-	run := seconds(guessRun * 0.5) // of the aim
+	run := seconds(guessRun * 0.5) // of the objective
 	at := map[RequestID]time.Duration{}
 	for end := now + 4*time.Second; now < end; now += 2 * ms {
 		for _, r := range pickOut[Reject](d.Step(now, nil)) {
@@ -66,7 +65,7 @@
 	}
 }
 
-// A request that the module gives up on has its answer in that step, long before its time is over.
+// A request that cannot be served has its answer in that step, long before its time is over.
 func TestRequestThatCannotBeServedIsAnsweredAtOnce(t *testing.T) {
 	// keyed starts a keyed request that may have run and is queued for its only mate, which is off the ring.
 	keyed := func(t *testing.T, duplicate bool) (d *Dispatcher, home WorkerID, sent time.Duration) {
@@ -153,7 +152,7 @@
 	}
 }
 
-// A mean run time longer than any patience must not shut a function out for good.
+// A mean run time that is longer than any client waits must not exclude a function for good.
 func TestTooLongMeanRunTimeIsCorrected(t *testing.T) {
 	d := start(t, base(), ready(1, 2)...)
 	d.queues.get(7).meanRunTime = 60
@@ -168,7 +167,7 @@
 	t.Error("no send in 100 requests")
 }
 
-// A request that waits for a second copy is not given up while its first attempt is out.
+// A request that waits for a second copy is not answered while its first attempt is outstanding.
 func TestRequestThatMayYetBeServedWaits(t *testing.T) {
 	s := base()
 	s.Limits.HedgedRequests = true
--- a/scheduler/concurrency_step_test.go
+++ b/scheduler/concurrency_step_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// D halves after a full refusal.
+// The concurrency limit halves after a rejection.
 func TestRejectionHalvesTokens(t *testing.T) {
 	d := start(t, base(), ready(1)...)
 	w := d.workers[1]
@@ -17,9 +17,8 @@
 	}
 }
 
-// Where few controllers share a copy, a worker four tenths slower than its peers loses tokens: what each holds
-// back is felt there.
-// Where many do, the same answers take none away.
+// Where few controllers share a copy, a worker that is four tenths slower than its peers loses tokens, as what each
+// controller holds back has an effect there. Where many do, the same answers take none away.
 func TestSlowerWorkerLosesTokensWhereControllersAreFew(t *testing.T) {
 	for _, tt := range []struct {
 		controllers int
@@ -51,7 +50,8 @@
 	}
 }
 
-// From i9cf6b9 and slow days: a worker far slower than its peers gets less than one token where many send to it.
+// From i9cf6b9 and days with slow workers: a worker far slower than its peers gets less than one token where many
+// controllers send to it.
 func TestSlowWorkerHasLessThanOneToken(t *testing.T) {
 	s := base()
 	s.Controllers = 20
--- a/scheduler/copies_test.go
+++ b/scheduler/copies_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// An idle active queue renews its home copy by a hold of one.
+// An idle active queue renews the copy at its home by an order of one copy.
 func TestIdleCopyAtHomeIsRenewedOnce(t *testing.T) {
 	d := start(t, base(), ready(1, 2)...)
 	home := pickOut[Send](d.Step(time.Second, []Event{arrival(1, 0, 7)}))[0].Worker
@@ -24,7 +24,7 @@
 	}
 }
 
-// Copies that are asked for ahead of calls come by orders within the limit, to ready workers only, and once.
+// Staged copies are ordered within the budget, at ready workers only, and once.
 func TestStagedCopiesAreOrderedOnceWithinTheBudget(t *testing.T) {
 	s := base()
 	s.Loading.BudgetWindow, s.Loading.BudgetFree, s.Loading.BudgetRatio = 5*time.Second, 3, 0
@@ -52,7 +52,7 @@
 	}
 }
 
-// From incident i45c260: a hold that is turned away at once must not be repeated at once.
+// From incident i45c260: an order that is rejected at once must not be repeated at once.
 func TestRejectedLoadOrderBacksOff(t *testing.T) {
 	d := start(t, base(), ready(1, 2)...)
 	var events []Event
--- a/scheduler/encoding_test.go
+++ b/scheduler/encoding_test.go
@@ -10,8 +10,7 @@
 )
 
 // encodeAction writes an action as one line of text that names no Go identifier, so that the record of decisions in
-// testdata/actions.txt outlives renames. Every field of every action stands in it, exactly: whole numbers and
-// durations in
+// testdata/actions.txt outlives renames. It has every field of every action, exactly: whole numbers and durations in
 // decimal (durations in nanoseconds), bytes and texts in hexadecimal. A type that is not listed is an error.
 func encodeAction(a Action) (string, error) {
 	switch a := a.(type) {
--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Nothing new, call or order, goes to a worker that drains.
+// Nothing new, request or order, goes to a draining worker.
 func TestDrainingWorkerGetsNothingNew(t *testing.T) {
 	d := start(t, base(), ready(1, 2)...)
 	home := pickOut[Send](d.Step(time.Second, []Event{arrival(1, 0, 7)}))[0].Worker
@@ -34,7 +34,8 @@
 	}
 }
 
-// A function that is always called keeps nothing of workers that have gone, also of those that went with its calls out.
+// A function that is always called keeps nothing of workers that are gone, also of those that went with its requests
+// outstanding.
 func TestRemovedWorkersAreForgotten(t *testing.T) {
 	d := start(t, base(), ready(1)...)
 	for i := RequestID(1); i <= 50; i++ {
@@ -52,9 +53,8 @@
 	}
 }
 
-// A worker that goes and returns under one id within one step is another: nothing is known of it, and what was out
-// at the first
-// is not counted as the second's.
+// A worker that goes and returns under one ID within one step is another one: nothing is known of it, and what was
+// outstanding at the first does not count for the second.
 func TestWorkerThatReturnsUnderItsIDIsAnother(t *testing.T) {
 	for _, one := range []bool{true, false} {
 		d := called(t, base(), 7)
@@ -83,7 +83,7 @@
 	}
 }
 
-// A list of 2,000 that is wholly replaced leaves nothing of the old one.
+// A list of 2,000 workers that is replaced completely leaves nothing of the old one.
 func TestReplacedListLeavesNothingOfTheOldOne(t *testing.T) {
 	many := func(from WorkerID) (l []WorkerInfo) {
 		for id := from; id < from+2000; id++ {
@@ -120,7 +120,7 @@
 	checkIndexes(t, d)
 }
 
-// The order by id is that of the list, whatever order workers came in.
+// Workers are in the order of their IDs, whatever order they came in.
 func TestWorkersAreOrderedByID(t *testing.T) {
 	d := start(t, base(), ready(5, 2, 9)...)
 	d.Step(2*time.Second, []Event{ListUpdate{Kind: ListDelta, Workers: ready(1, 7, 3)}})
@@ -130,9 +130,9 @@
 	checkIndexes(t, d)
 }
 
-// The shares of ready workers are those that health found as it came to each, though they are added up later: it
-// may take a worker
-// back on the way, and with it the others are no longer past the half up to which suspicion counts.
+// The capacity of ready workers is that which the health checks found as they came to each, though it is added up
+// later: a check may end an ejection on the way, and with it the others are no longer more than the half from which
+// ejections are ignored.
 func TestCapacityCountsWorkersAsHealthChecksFoundThem(t *testing.T) {
 	s := base()
 	s.Loading.Orders, s.Limits.Probe = false, false // a worker that cannot be asked is taken back when its time is over
--- a/scheduler/helpers_test.go
+++ b/scheduler/helpers_test.go
@@ -8,7 +8,7 @@
 
 const ms = time.Millisecond
 
-// base returns settings of a small deployment with one class of each effect.
+// base returns settings of a small deployment with one class of each idempotency.
 func base() Settings {
 	return Settings{Controllers: 1, Tick: 2 * ms,
 		Classes: []Class{
@@ -66,7 +66,7 @@
 	return l
 }
 
-// playAnswersAfter steps a dispatcher through n requests, one each 100 ms, each sent one answered after took.
+// playAnswersAfter steps a dispatcher through n requests, one each 100 ms, and answers each attempt after a time.
 func playAnswersAfter(t *testing.T, d *Dispatcher, from time.Duration, n int, took time.Duration,
 	o Outcome) (now time.Duration) {
 	t.Helper()
--- a/scheduler/loadbudget_step_test.go
+++ b/scheduler/loadbudget_step_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A call that the instance has taken before earns no load anew.
+// A request that the controller has accepted before earns no load budget again.
 func TestResubmittedRequestEarnsNoLoad(t *testing.T) {
 	s := base()
 	s.Loading.BudgetWindow, s.Loading.BudgetFree, s.Loading.BudgetRatio = 5*time.Second, 0, 1
@@ -21,8 +21,8 @@
 	}
 }
 
-// Two processes of one controller, one after the other, keep one load budget; the one that retires sends nothing
-// to the cold.
+// Two processes of one controller, one after the other, keep one load budget, and the one that is superseded sends
+// nothing to warming workers.
 func TestTwoProcessesShareOneLoadBudget(t *testing.T) {
 	s := base()
 	s.Loading.BudgetWindow, s.Loading.BudgetFree, s.Loading.BudgetRatio = 10*time.Second, 8, 0
@@ -71,7 +71,7 @@
 	}
 }
 
-// Holds stay within the load budget at each order.
+// Each order is within the load budget.
 func TestOrdersKeepTheLoadBudget(t *testing.T) {
 	s := base()
 	s.Loading.BudgetWindow, s.Loading.BudgetFree, s.Loading.BudgetRatio = 5*time.Second, 2, 0.1
--- a/scheduler/outlier_step_test.go
+++ b/scheduler/outlier_step_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// From r6f1dac: a worker that answers most calls with errors at once gets none that may not be repeated freely,
-// for a growing
-// time; safe ones go on, and show when it is over. Where its peers fail as much it is the calls, and nothing changes.
+// From r6f1dac: a worker that answers most requests with errors at once gets none that cannot be repeated freely, for
+// a growing time. Idempotent ones go on, and show when it is over. Where its peers fail as much the requests are the
+// cause, and nothing changes.
 func TestNonIdempotentRequestsAvoidAWorkerWithErrors(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
@@ -56,7 +56,7 @@
 	}
 }
 
-// The time grows while every answer is an error, and is over with it.
+// The time of avoidance grows while every answer is an error, and ends with the errors.
 func TestAvoidanceGrowsAndEnds(t *testing.T) {
 	d := start(t, base(), ready(1, 2, 3)...)
 	w := d.workers[1]
@@ -83,7 +83,7 @@
 	}
 }
 
-// A worker off the ring that fails the question at its return is not asked again in every step.
+// An ejected worker that fails the probe at the end of its time is not probed again in every step.
 func TestEjectedWorkerIsNotProbedInEveryStep(t *testing.T) {
 	d := start(t, base(), ready(1, 2, 3)...)
 	for i := RequestID(1); i <= 8; i++ {
@@ -108,7 +108,7 @@
 	}
 }
 
-// Suspicion never empties the ring.
+// Ejections never leave no worker ready.
 func TestEjectionsLeaveWorkersReady(t *testing.T) {
 	d := start(t, base(), ready(1, 2, 3)...)
 	for i := RequestID(1); i < 30; i++ {
--- a/scheduler/placement_test.go
+++ b/scheduler/placement_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// From buchung big-1: a request past its aim goes behind those that can still meet theirs.
+// From buchung big-1: a request past its objective goes behind those that can still meet theirs.
 func TestRequestsPastTheirObjectiveGoLast(t *testing.T) {
 	d := start(t, base())
 	d.Step(time.Second, []Event{arrival(1, 0, 7)})
@@ -16,7 +16,7 @@
 	}
 }
 
-// From i45c260: where copies turn out pushed out, a further copy waits longer.
+// From i45c260: where copies prove to be evicted, a further copy waits longer.
 func TestFurtherCopyWaitsLongerWhereCopiesAreEvicted(t *testing.T) {
 	for _, note := range []LoadNote{FoundWarm, StartedLoad} {
 		d := start(t, base(), ready(1, 2)...)
@@ -34,7 +34,7 @@
 			events = append(events, arrival(id, 0, 7))
 		}
 		d.Step(now, events)
-		orders := len(pickOut[LoadOrder](d.Step(now+150*ms, []Event{Timer{}}))) // a quarter of the aim is over
+		orders := len(pickOut[LoadOrder](d.Step(now+150*ms, []Event{Timer{}}))) // a quarter of the objective is over
 		if want := note == FoundWarm; (orders > 0) != want {
 			t.Errorf("note %d: %d orders for a further copy, want some: %v", note, orders, want)
 		}
--- a/scheduler/property_test.go
+++ b/scheduler/property_test.go
@@ -37,8 +37,8 @@
 	return -1
 }
 
-// Whatever happens, in any order that is legal, the rules hold: one answer in time, no effect twice, drains
-// kept, loads within the budget. The events follow no model of timing or load.
+// Whatever happens, in any legal order, the rules hold: one answer in time, nothing run twice that must not be,
+// nothing sent to draining workers, loads within the budget. The events follow no model of timing or load.
 func TestRulesUnderAnyEvents(t *testing.T) {
 	seen := map[string]int{}
 	for seed := uint64(1); seed <= 40; seed++ {
--- a/scheduler/queueindex_test.go
+++ b/scheduler/queueindex_test.go
@@ -13,7 +13,7 @@
 	return len(f.touched) + len(f.waiting) + f.virtualTimes.Len() + f.expiries.Len() + f.renewals.Len() + f.renewable.Len()
 }
 
-// checkIndexes compares what the indexes hold, as it is between steps, with what looking at everything finds.
+// checkIndexes compares what the indexes hold, as it is between steps, with what examining everything finds.
 func checkIndexes(t *testing.T, d *Dispatcher) {
 	t.Helper()
 	d.queues.reindex()
@@ -83,7 +83,7 @@
 	}
 }
 
-// After each step of days with every kind of trouble, the indexes hold what looking at everything finds.
+// After each step of days with every kind of fault, the indexes hold what examining everything finds.
 func TestIndexesHoldWhatExaminingAllFinds(t *testing.T) {
 	for i, c := range streamCases() {
 		if c.workers > 60 || c.functions > 300 {
@@ -94,7 +94,7 @@
 	}
 }
 
-// renewals returns the functions renewed at a step, in order. A hold of no copies is a question.
+// renewals returns the functions renewed at a step, in order. An order of no copies is a probe.
 func renewals(d *Dispatcher, now time.Duration) (fns []FunctionID) {
 	for _, h := range pickOut[LoadOrder](d.Step(now, nil)) {
 		if h.Copies > 0 {
@@ -123,9 +123,8 @@
 	return d
 }
 
-// Several renewals due at one instant come in one step, in the order of the functions, as far as the budget goes;
-// the rest wait
-// for it in that order.
+// Several renewals that are due at one instant come in one step, in the order of the functions, as far as the budget
+// goes. The rest waits for it in that order.
 func TestRenewalsDueAtOnceGoByFunction(t *testing.T) {
 	s := base()
 	s.Loading.BudgetWindow, s.Loading.BudgetFree, s.Loading.BudgetRatio = 2*time.Second, 2, 0
@@ -146,8 +145,8 @@
 	checkIndexes(t, d)
 }
 
-// A renewal that is due moves later with a call, to never while one is out, and comes at all only while its queue
-// is active.
+// A renewal moves later with each request, is not due while one is in flight, and comes only while its queue is
+// active.
 func TestRenewalMovesWithUseAndAdvice(t *testing.T) {
 	d := called(t, base(), 7)
 	sent := pickOut[Send](d.Step(5*time.Second, []Event{arrival(50, 0, 7)}))
@@ -178,7 +177,7 @@
 	checkIndexes(t, d)
 }
 
-// A shorter gap between calls makes a queue's time to live end earlier than it was due.
+// A shorter time between arrivals makes a queue's time to live end earlier than it was due.
 func TestShorterInterarrivalEndsActivityEarlier(t *testing.T) {
 	d := called(t, base(), 7)
 	q := d.queues.get(7)
@@ -211,7 +210,7 @@
 func TestFunctionCalledAsItExpiresIsKept(t *testing.T) {
 	d := called(t, base(), 7, 8)
 	q := d.queues.get(7)
-	past := 1100*ms + (8+8+16)*time.Second + 1 // time to live, idle life, cold time
+	past := 1100*ms + (8+8+16)*time.Second + 1 // time to live, idle copy's time to live, warmup time
 	d.Step(past-1, nil)
 	if d.queues.byFunction[7] != q || d.queues.byFunction[8] == nil {
 		t.Fatal("forgotten before the time")
@@ -224,7 +223,8 @@
 	checkIndexes(t, d)
 }
 
-// An hour in one step: what came due meanwhile is due once, inactive and forgotten at once where both are past.
+// An hour in one step: what came due meanwhile is due once, and becomes inactive and forgotten at once where both
+// times are past.
 func TestHourInOneStepExpiresOnce(t *testing.T) {
 	d := called(t, base(), 1, 2, 3)
 	if got := renewals(d, time.Hour); got != nil {
@@ -298,8 +298,8 @@
 	runtime.KeepAlive(d)
 }
 
-// What a step looks at grows with what happens in it, not with the workers and functions there are: none of them
-// at rest.
+// What a step examines grows with what happens in it, not with the number of workers and functions: when idle it
+// examines none.
 func TestIdleStepExaminesNothing(t *testing.T) {
 	var infos []WorkerInfo
 	for id := WorkerID(1); id <= 500; id++ {
--- a/scheduler/queues_test.go
+++ b/scheduler/queues_test.go
@@ -8,7 +8,8 @@
 	"kitehub/scheduler/ring"
 )
 
-// A queue within T of Global_VT goes before one beyond it; the longest first; then the fewest in flight.
+// A queue within the lead goes before one beyond it, then the longest, then the one with the fewest requests in
+// flight.
 func TestQueuesGoByLeadLengthAndRequestsInFlight(t *testing.T) {
 	d := start(t, base(), ready(1)...)
 	tests := []struct {
@@ -28,7 +29,8 @@
 	}
 }
 
-// A dispatch charges the queue with the function's mean run time; a newly active queue starts at Global_VT.
+// A dispatch charges the queue with the function's mean run time. A newly active queue starts at the global virtual
+// time.
 func TestDispatchChargesVirtualTime(t *testing.T) {
 	d := start(t, base(), ready(1, 2)...)
 	q := d.queues.get(7)
@@ -48,7 +50,8 @@
 	}
 }
 
-// An empty queue stays active for alpha x its gap, and for the keep-alive before a second call.
+// An empty queue stays active for two of its mean interarrival times, and before a second request for as long as an
+// idle copy stays loaded.
 func TestEmptyQueueStaysActiveForTwoInterarrivals(t *testing.T) {
 	d := start(t, base(), ready(1)...)
 	q := d.queues.get(7)
--- a/scheduler/ranks_test.go
+++ b/scheduler/ranks_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Advice on workers is weighed when it comes, when it ends, and for workers that come meanwhile, not at each step.
+// Ranks are applied when advice comes, when it ends, and for workers that join meanwhile, not at each step.
 func TestRanksFollowAdviceAndTheList(t *testing.T) {
 	d := called(t, base(), 7)
 	rank := func(id WorkerID, want int) {
--- a/scheduler/retry_test.go
+++ b/scheduler/retry_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// What may follow an outcome: for each effect, another attempt, a refusal or a failure.
+// What may follow an outcome, for each idempotency: another attempt, a Reject or a Fail.
 func TestOutcomeDecidesBetweenRetryRejectAndFail(t *testing.T) {
 	type want struct{ sends, refuses, fails int }
 	tests := []struct {
@@ -42,7 +42,8 @@
 	}
 }
 
-// A keyed request that may have run goes only to the group of its worker, and only within the window.
+// A request with an idempotency key that may have run goes only to the group of its worker, and only within the
+// window.
 func TestKeyedRequestIsRetriedInItsGroupOnly(t *testing.T) {
 	for _, mate := range []bool{true, false} {
 		d := start(t, base(), ready(1, 2, 3, 4)...)
@@ -68,7 +69,7 @@
 	}
 }
 
-// A keyed request that may have run is not sent again after its window, counted from that send.
+// A request with an idempotency key that may have run is not sent again after its window, counted from that send.
 func TestKeyedRequestIsNotRetriedAfterItsWindow(t *testing.T) {
 	for _, at := range []time.Duration{2900 * ms, 3100 * ms} { // sent at 1 s, window 2 s
 		s := base()
--- a/scheduler/slowstart_fleet_test.go
+++ b/scheduler/slowstart_fleet_test.go
@@ -23,7 +23,7 @@
 	within, coldFor      time.Duration
 	killed               float64
 	work, load           time.Duration
-	burst                float64       // times the rate, once the first copies may stand
+	burst                float64       // times the rate, once the first copies may be loaded
 	uneven               float64       // exponent of the Zipf law by which calls come to controllers; 0: evenly
 	late                 time.Duration // half of the controllers hear so much later that the workers are back
 	restarted            bool          // every third controller starts anew as they come back, and knows nothing else
@@ -31,10 +31,10 @@
 
 // A coldPlay is what came of a coldCase.
 type coldPlay struct {
-	peak float64 // most that a cold worker was sent in a window, as a part of what the settings allow
-	// the same as a part of the N + 2 x root of N + 2 calls of mean work that it stands, N being what they allow
+	peak float64 // most that a warming worker was sent in a window, as a part of what the settings allow
+	// the same as a part of the N + 2 x root of N + 2 calls of mean work that it can take, N being what they allow
 	over         float64
-	cold, served int // calls that cold workers were sent, and that were answered by any
+	cold, served int // calls that warming workers were sent, and that were answered by any
 }
 
 // coldPeak plays it in virtual time against the model of workers.
@@ -262,7 +262,8 @@
 func (w *wakes) Push(x any)        { *w = append(*w, x.(wake)) }
 func (w *wakes) Pop() any          { l := *w; x := l[len(l)-1]; *w = l[:len(l)-1]; return x }
 
-// Together the controllers keep the bound of a cold worker in overload, also where a window holds few calls or one.
+// Together the controllers keep the bound of a warming worker in overload, also where a window holds few requests or
+// one.
 func TestColdBoundInOverload(t *testing.T) {
 	for _, c := range []coldCase{
 		{controllers: 3, workers: 12, rate: 600, share: 0.05, factor: 1.2, within: 300 * ms,
@@ -304,10 +305,9 @@
 	}
 }
 
-// The sum of many controllers that share no word stays under what a cold worker stands, N + 2 x root of N + 2
-// calls, however
-// unevenly calls come to them, though some hear of the start late or have just started themselves; and cold
-// workers are used.
+// The sum of many controllers that exchange nothing stays within what a warming worker can take, N + 2 x root of N +
+// 2 requests, however unevenly requests come to them, and though some hear of the start late or have just started
+// themselves; and warming workers are used.
 func TestColdBoundOfManyControllers(t *testing.T) {
 	for _, n := range []int{20, 30, 300} {
 		for _, c := range []coldCase{
--- a/scheduler/slowstart_step_test.go
+++ b/scheduler/slowstart_step_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// From the first full-size days: 100 controllers, each with little traffic, push a cold worker over by one call
-// each. All together they keep to the budget in every window, and still use the worker.
+// From the first full-size days: 100 controllers, each with little traffic, push a warming worker over by one request
+// each. All together they keep to the bound in every window, and still use the worker.
 func TestControllersTogetherKeepTheBoundOfAWarmingWorker(t *testing.T) {
 	const n, workers, run = 100, 10, 100 * ms
 	s := base()
@@ -23,7 +23,7 @@
 		d.Step(begin-20*time.Second, []Event{ListUpdate{Kind: CachedList, Workers: list}})
 		ds[i] = d
 	}
-	var cold []time.Duration // sends to the cold worker
+	var cold []time.Duration // sends to the warming worker
 	answered, next := 0, RequestID(1)
 	for now := begin - 10*time.Second; now < begin+10*time.Second; now += run {
 		for i, d := range ds {
@@ -69,13 +69,13 @@
 		}
 	}
 	if len(cold) < 40 {
-		t.Errorf("%d sends to the cold worker in 10 s, want it used", len(cold))
+		t.Errorf("%d sends to the warming worker in 10 s, want it used", len(cold))
 	}
 }
 
-// From issue 10: with many controllers few may order the copy at a home that has just started; calls that its
-// bound lets pass go there all the same, also where each controller has one in several windows, or workers that a
-// release brings stand idle until they are warm.
+// From issue 10: with many controllers few may order the copy at a home that has just started. Requests that its slow
+// start admits go there all the same, also where each controller has one in several windows; or workers that a
+// release brings would be idle until they are warm.
 func TestWarmingHomeIsUsedWithoutOrders(t *testing.T) {
 	s := base()
 	s.Controllers = 50
--- a/scheduler/spread_step_test.go
+++ b/scheduler/spread_step_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// From buchung-main: with few controllers to a lane their own tokens bound what meets at a home, and spreading a
+// From buchung-main: with few controllers to a lane their own limits bound what meets at a home, and spreading a
 // function on top scatters its copies.
 func TestFewControllersDoNotSpreadAFunction(t *testing.T) {
 	for _, n := range []int{3, 100} {
@@ -27,9 +27,9 @@
 	}
 }
 
-// From the full-size quiet days: a hot function's home is filled by many controllers, each with little out, so
-// whole tokens bind none. Answers that met all lanes taken move a part of the calls to the next copy, and
-// answers that did not bring them back.
+// From the full-size quiet days: a hot function's home is filled by many controllers, each with little outstanding,
+// so that whole tokens limit none of them. Answers that met all lanes taken move a part of the requests to the next
+// copy, and answers that did not bring them back.
 func TestCrowdedHomeSharesItsRequests(t *testing.T) {
 	s := base()
 	s.Controllers, s.Loading.SameFunctionCounted = 100, true
--- a/scheduler/step_test.go
+++ b/scheduler/step_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// The same events give the same actions, and an instance beside it changes nothing.
+// The same events give the same actions, and another instance beside it changes nothing.
 func TestEqualEventsGiveEqualActions(t *testing.T) {
 	run := func(beside bool) (all [][]Action) {
 		d := start(t, base(), ready(5, 3, 9, 1)...)
@@ -28,7 +28,7 @@
 	}
 }
 
-// Functions, requests and workers that have gone leave nothing behind.
+// Functions, requests and workers that are gone leave nothing behind.
 func TestNothingIsKeptOfWhatIsOver(t *testing.T) {
 	d := start(t, base(), ready(1, 2, 3)...)
 	id := RequestID(0)
@@ -59,7 +59,7 @@
 	}
 }
 
-// Words about what is not known are ignored.
+// Events about what is not known are ignored.
 func TestEventsAboutUnknownThingsAreIgnored(t *testing.T) {
 	d := start(t, base(), ready(1)...)
 	got := d.Step(time.Second, []Event{AttemptEnded{Request: 9}, ClientGone{9}, Timer{4},
--- a/scheduler/streams_play_test.go
+++ b/scheduler/streams_play_test.go
@@ -268,7 +268,7 @@
 	heap.Push(&p.due, dueEvent{p.now + max(after, 1), p.seq, e})
 }
 
-// answer models a worker: faults by its id, loads where no copy stands, copies that go after an idle life.
+// answer models a worker: faults by its id, loads where no copy is loaded, copies that go after their idle time to live.
 func (p *streamPlay) answer(a Action) {
 	switch a := a.(type) {
 	case Send:
--- a/scheduler/streams_test.go
+++ b/scheduler/streams_test.go
@@ -15,7 +15,7 @@
 // actionsFile has the hash of each day's encoded actions.
 const actionsFile = "testdata/actions.txt"
 
-// A streamCase is one seeded day: an installation and the trouble it has.
+// A streamCase is one seeded day: an installation and its faults.
 type streamCase struct {
 	name               string
 	workers, functions int
@@ -25,7 +25,7 @@
 	idleLife           time.Duration
 	change             float64 // list changes a second
 	fault              float64 // share of workers with a fault
-	started            float64 // share of new workers that say when they started: they are cold
+	started            float64 // part of new workers that say when they started: they are warming up
 	advice             float64 // advice and staging events a second
 	jumps              bool    // the clock stands still, and jumps
 	replaced           bool    // the whole list is replaced now and then
