--- a/scheduler/advice_test.go
+++ b/scheduler/advice_test.go
@@ -43,7 +43,7 @@
 
 func TestAdviceLeavesLoadBudgetToRequests(t *testing.T) {
 	s := base()
-	s.Loading.BudgetWindow, s.Loading.BudgetFree, s.Loading.BudgetRatio = 10*time.Second, 8, 0
+	setBudget(&s, 10*time.Second, 8, 0)
 	d := start(t, s, ready(1, 2, 3, 4)...)
 	var in []Event
 	for f := range 100 {
--- a/scheduler/copies_test.go
+++ b/scheduler/copies_test.go
@@ -27,7 +27,7 @@
 // Staged copies are ordered within the budget, at ready workers only, and once.
 func TestStagedCopiesAreOrderedOnceWithinTheBudget(t *testing.T) {
 	s := base()
-	s.Loading.BudgetWindow, s.Loading.BudgetFree, s.Loading.BudgetRatio = 5*time.Second, 3, 0
+	setBudget(&s, 5*time.Second, 3, 0)
 	d := start(t, s, ready(1, 2, 3, 4)...)
 	l := ready(1)
 	l[0].State = Draining
--- a/scheduler/helpers_test.go
+++ b/scheduler/helpers_test.go
@@ -27,6 +27,14 @@
 			CollapseWindow: 2 * time.Second}}
 }
 
+// setBudget sets the load budget: its window, the orders that are always allowed, and those for each request.
+func setBudget(s *Settings, window time.Duration, free, ratio float64) {
+	s.Loading.BudgetWindow = window
+	s.Loading.BudgetFree = free
+	s.Loading.BudgetRatio = ratio
+}
+
+// start returns a dispatcher that got a cached list of these workers at one second.
 func start(t *testing.T, s Settings, workers ...WorkerInfo) *Dispatcher {
 	t.Helper()
 	d, err := New(s, 1)
@@ -37,6 +45,7 @@
 	return d
 }
 
+// ready returns lines of the list for ready workers, each in a group of its own.
 func ready(ids ...WorkerID) (l []WorkerInfo) {
 	for _, id := range ids {
 		l = append(l, WorkerInfo{ID: id, State: Ready, Group: int(id)})
@@ -44,6 +53,7 @@
 	return l
 }
 
+// arrival returns a request with three seconds left, of a function whose copies have two lanes.
 func arrival(id RequestID, class int, fn FunctionID) Arrival {
 	return Arrival{Request: id, Class: class, Function: fn, TimeLeft: 3 * time.Second, Lanes: 2}
 }
--- a/scheduler/loadbudget_step_test.go
+++ b/scheduler/loadbudget_step_test.go
@@ -8,7 +8,7 @@
 // A request that the controller has accepted before earns no load budget again.
 func TestResubmittedRequestEarnsNoLoad(t *testing.T) {
 	s := base()
-	s.Loading.BudgetWindow, s.Loading.BudgetFree, s.Loading.BudgetRatio = 5*time.Second, 0, 1
+	setBudget(&s, 5*time.Second, 0, 1)
 	for _, again := range []bool{false, true} {
 		d := start(t, s, ready(1, 2)...)
 		a := arrival(1, 0, 5)
@@ -25,7 +25,7 @@
 // nothing to warming workers.
 func TestTwoProcessesShareOneLoadBudget(t *testing.T) {
 	s := base()
-	s.Loading.BudgetWindow, s.Loading.BudgetFree, s.Loading.BudgetRatio = 10*time.Second, 8, 0
+	setBudget(&s, 10*time.Second, 8, 0)
 	old, next := start(t, s, ready(1, 2, 3, 4)...), start(t, s, ready(1, 2, 3, 4)...)
 	want := func(n int) (in []Event) {
 		for f := range n {
@@ -74,7 +74,7 @@
 // Each order is within the load budget.
 func TestOrdersKeepTheLoadBudget(t *testing.T) {
 	s := base()
-	s.Loading.BudgetWindow, s.Loading.BudgetFree, s.Loading.BudgetRatio = 5*time.Second, 2, 0.1
+	setBudget(&s, 5*time.Second, 2, 0.1)
 	d := start(t, s, ready(1, 2, 3)...)
 	var taken, orders []time.Duration
 	for i := 0; i < 6000; i++ {
--- a/scheduler/property_test.go
+++ b/scheduler/property_test.go
@@ -8,14 +8,14 @@
 
 // sender is what an independent checker remembers of one request.
 type sender struct {
-	a        Arrival
-	at       time.Duration
-	sent     []time.Duration
-	groups   []int
-	workers  []WorkerID
-	outcome  []Outcome // 0: out
-	answers  int
-	finished bool // by an answer of ours, an outcome or a hang-up
+	arrival   Arrival
+	arrivedAt time.Duration
+	sentAt    []time.Duration
+	groups    []int
+	workers   []WorkerID
+	outcome   []Outcome // 0: out
+	answers   int
+	finished  bool // by an answer of ours, an outcome or a hang-up
 }
 
 func (s *sender) out() (n int) {
@@ -56,7 +56,7 @@
 	s := base()
 	s.Limits.HedgedRequests = seed%2 == 0
 	s.Limits.Cancel = seed%3 != 0
-	s.Loading.BudgetWindow, s.Loading.BudgetFree, s.Loading.BudgetRatio = 5*time.Second, 3, 0.2
+	setBudget(&s, 5*time.Second, 3, 0.2)
 	s.Classes[1].DedupScope = DedupScope(seed%3 + 1)
 	d, err := New(s, seed)
 	if err != nil {
@@ -102,7 +102,7 @@
 		for n := rnd.IntN(3); n > 0; n-- {
 			a := Arrival{Request: next, Class: rnd.IntN(3), Function: FunctionID(rnd.IntN(12)), Lanes: 2,
 				TimeLeft: time.Duration(rnd.IntN(3000)) * ms}
-			requests[next] = &sender{a: a, at: now}
+			requests[next] = &sender{arrival: a, arrivedAt: now}
 			open = append(open, next)
 			taken = append(taken, now)
 			events = append(events, a)
@@ -113,7 +113,7 @@
 			for i, o := range q.outcome {
 				if o == 0 && rnd.IntN(40) == 0 {
 					r := AttemptEnded{Request: id, Attempt: i, Worker: q.workers[i], Outcome: Outcome(1 + rnd.IntN(9)),
-						Took: now - q.sent[i], Note: LoadNote(rnd.IntN(4))}
+						Took: now - q.sentAt[i], Note: LoadNote(rnd.IntN(4))}
 					q.outcome[i] = r.Outcome
 					q.finished = q.finished || r.Outcome == OK
 					r.Complete = q.finished
@@ -135,22 +135,22 @@
 		for _, a := range d.Step(now, events) {
 			switch a := a.(type) {
 			case Send:
-				q, c := requests[a.Request], s.Classes[requests[a.Request].a.Class]
+				q, c := requests[a.Request], s.Classes[requests[a.Request].arrival.Class]
 				seen["sends"]++
-				if len(q.sent) > 0 {
+				if len(q.sentAt) > 0 {
 					seen["second attempts"]++
 				}
 				first := q.mayHaveRun()
 				switch {
 				case q.finished:
 					t.Fatalf("seed %d: request %d sent after its end", seed, a.Request)
-				case len(q.sent) >= s.Limits.MaxAttempts:
-					t.Fatalf("seed %d: attempt %d", seed, len(q.sent)+1)
+				case len(q.sentAt) >= s.Limits.MaxAttempts:
+					t.Fatalf("seed %d: attempt %d", seed, len(q.sentAt)+1)
 				case q.out() > 0 && !s.Limits.HedgedRequests:
 					t.Fatalf("seed %d: two attempts out", seed)
 				case first >= 0 && c.Idempotency == NonIdempotent:
 					t.Fatalf("seed %d: unsafe request sent again", seed)
-				case first >= 0 && c.Idempotency == IdempotentWithKey && now >= q.sent[first]+c.DedupWindow:
+				case first >= 0 && c.Idempotency == IdempotentWithKey && now >= q.sentAt[first]+c.DedupWindow:
 					t.Fatalf("seed %d: keyed request sent after its window", seed)
 				case first >= 0 && c.Idempotency == IdempotentWithKey &&
 					group(c.DedupScope, list[a.Worker]) != q.groups[first]:
@@ -159,20 +159,20 @@
 				if since, is := barred[a.Worker]; is && now > since+s.Guarantees.DrainGrace {
 					t.Fatalf("seed %d: send to a worker that drains", seed)
 				}
-				q.sent, q.outcome = append(q.sent, now), append(q.outcome, 0)
+				q.sentAt, q.outcome = append(q.sentAt, now), append(q.outcome, 0)
 				q.workers = append(q.workers, a.Worker)
 				q.groups = append(q.groups, group(c.DedupScope, list[a.Worker]))
 			case Reject:
-				q, c := requests[a.Request], s.Classes[requests[a.Request].a.Class]
+				q, c := requests[a.Request], s.Classes[requests[a.Request].arrival.Class]
 				seen["refusals"]++
 				if c.Idempotency != Idempotent && q.mayHaveRun() >= 0 &&
 					!(c.Idempotency == IdempotentWithKey && c.DedupScope == AllWorkers) {
 					t.Fatalf("seed %d: refused a request that may have run", seed)
 				}
-				answer(t, seed, q, now)
+				answer(t, seed, q)
 			case Fail:
 				seen["failures"]++
-				answer(t, seed, requests[a.Request], now)
+				answer(t, seed, requests[a.Request])
 			case LoadOrder:
 				holds = append(holds, a)
 				if a.Copies == 0 {
@@ -191,8 +191,8 @@
 		kept := open[:0]
 		for _, id := range open {
 			q := requests[id]
-			if !q.finished && now > q.at+q.a.TimeLeft+6*s.Tick {
-				t.Fatalf("seed %d: request %d has no answer %v after its time", seed, id, now-q.at-q.a.TimeLeft)
+			if !q.finished && now > q.arrivedAt+q.arrival.TimeLeft+6*s.Tick {
+				t.Fatalf("seed %d: request %d has no answer %v after its time", seed, id, now-q.arrivedAt-q.arrival.TimeLeft)
 			}
 			if !q.finished || q.out() > 0 {
 				kept = append(kept, id)
@@ -202,9 +202,10 @@
 	}
 }
 
-func answer(t *testing.T, seed uint64, q *sender, now time.Duration) {
+// answer notes our own answer to a request, which must be the only one.
+func answer(t *testing.T, seed uint64, q *sender) {
 	if q.finished {
-		t.Fatalf("seed %d: request %d answered after its end", seed, q.a.Request)
+		t.Fatalf("seed %d: request %d answered after its end", seed, q.arrival.Request)
 	}
 	q.finished = true
 	q.answers++
--- a/scheduler/queueindex_test.go
+++ b/scheduler/queueindex_test.go
@@ -127,7 +127,7 @@
 // goes. The rest waits for it in that order.
 func TestRenewalsDueAtOnceGoByFunction(t *testing.T) {
 	s := base()
-	s.Loading.BudgetWindow, s.Loading.BudgetFree, s.Loading.BudgetRatio = 2*time.Second, 2, 0
+	setBudget(&s, 2*time.Second, 2, 0)
 	d := called(t, s, 5, 3, 9, 4)
 	due := 1100*ms + 4800*ms // 0.6 of an idle life of 8 s
 	if got := renewals(d, due-1); got != nil {
--- a/scheduler/slowstart_fleet_test.go
+++ b/scheduler/slowstart_fleet_test.go
@@ -16,34 +16,34 @@
 
 const ms = time.Millisecond
 
-// A coldCase is an installation in overload after most of its workers were killed at once.
-type coldCase struct {
-	controllers, workers int
-	rate, share, factor  float64
-	within, coldFor      time.Duration
-	killed               float64
-	work, load           time.Duration
-	burst                float64       // times the rate, once the first copies may be loaded
-	uneven               float64       // exponent of the Zipf law by which calls come to controllers; 0: evenly
-	late                 time.Duration // half of the controllers hear so much later that the workers are back
-	restarted            bool          // every third controller starts anew as they come back, and knows nothing else
+// A warmupCase is an installation in overload after most of its workers were killed at once.
+type warmupCase struct {
+	controllers, workers   int
+	rate, fraction, factor float64
+	window, warmupTime     time.Duration
+	killed                 float64
+	work, load             time.Duration
+	burst                  float64       // times the rate, once the first copies may be loaded
+	uneven                 float64       // exponent of the Zipf law by which calls come to controllers; 0: evenly
+	lateBy                 time.Duration // half of the controllers hear so much later that the workers are back
+	restarted              bool          // every third controller starts anew as they come back, and knows nothing else
 }
 
-// A coldPlay is what came of a coldCase.
-type coldPlay struct {
+// A warmupResult is what came of a warmupCase.
+type warmupResult struct {
 	peak float64 // most that a warming worker was sent in a window, as a part of what the settings allow
 	// the same as a part of the N + 2 x root of N + 2 calls of mean work that it can take, N being what they allow
-	over         float64
-	cold, served int // calls that warming workers were sent, and that were answered by any
+	overCapacity      float64
+	toWarming, served int // calls that warming workers were sent, and that were answered by any
 }
 
-// coldPeak plays it in virtual time against the model of workers.
-func coldPeak(t *testing.T, c coldCase, seed uint64) (p coldPlay) {
+// playWarmup plays it in virtual time against the model of workers.
+func playWarmup(t *testing.T, c warmupCase, seed uint64) (p warmupResult) {
 	t.Helper()
 	const tick, functions = 2 * ms, 24
 	rng := rand.New(rand.NewPCG(seed, 5))
 	cfg := workersim.Config{Window: 4 * time.Second, Store: workersim.Store{Pace: 6, Limit: 30},
-		Cold: workersim.Cold{Share: c.share, For: c.coldFor, FallFactor: 100, FallWithin: c.within}}
+		Cold: workersim.Cold{Share: c.fraction, For: c.warmupTime, FallFactor: 100, FallWithin: c.window}}
 	var list []scheduler.WorkerInfo
 	for i := range c.workers {
 		cfg.Workers = append(cfg.Workers, workersim.Spec{Name: fmt.Sprint("w", i), Cores: 2,
@@ -67,8 +67,8 @@
 		Loading: scheduler.Loading{Orders: true, LoadsOnMiss: true, OnMissKnown: true,
 			IdleCopyTTL: 2 * time.Second, OrderTimeout: 5 * time.Second,
 			BudgetWindow: 5 * time.Second, BudgetFree: 10, BudgetRatio: 0.1, LoadNotesGiven: true},
-		Guarantees: scheduler.Guarantees{DrainGrace: 500 * ms, WarmupFraction: c.share, WarmupTime: c.coldFor,
-			CollapseFactor: c.factor, CollapseWindow: c.within}}
+		Guarantees: scheduler.Guarantees{DrainGrace: 500 * ms, WarmupFraction: c.fraction, WarmupTime: c.warmupTime,
+			CollapseFactor: c.factor, CollapseWindow: c.window}}
 	now := time.Hour
 	f := workersim.New(cfg, now)
 	portions := make([]float64, c.controllers) // of the calls, up to and with each controller
@@ -100,7 +100,7 @@
 	tries, functionOf := map[scheduler.RequestID]int{}, map[scheduler.RequestID]int{}
 	sent := make([][]time.Duration, c.workers)
 	next, request, arrive := uint64(1), scheduler.RequestID(0), now
-	killAt, backAt, end := now+4*time.Second, now+4500*ms, now+4500*ms+c.coldFor
+	killAt, backAt, end := now+4*time.Second, now+4500*ms, now+4500*ms+c.warmupTime
 	for ; now < end; now += tick {
 		for _, e := range f.Advance(now) {
 			k, known := calls[e.ID]
@@ -155,7 +155,7 @@
 		for i := range inbox {
 			told := backAt
 			if i%2 == 1 {
-				told += c.late
+				told += c.lateBy
 			}
 			if now == told {
 				inbox[i] = append(inbox[i], scheduler.ListUpdate{Kind: scheduler.ListDelta,
@@ -175,7 +175,7 @@
 				Function: scheduler.FunctionID(n + 1), TimeLeft: 2500 * ms, Lanes: 2,
 				LoadTime: c.load + 80*ms})
 		}
-		for wakes.Len() > 0 && (*wakes)[0].at <= now {
+		for wakes.Len() > 0 && (*wakes)[0].due <= now {
 			k := heap.Pop(wakes).(wake)
 			inbox[k.controller] = append(inbox[k.controller], scheduler.Timer{Token: k.token})
 		}
@@ -197,15 +197,15 @@
 								Outcome: scheduler.ConnectFailed})
 						continue
 					}
-					if at := f.Started(w); at > 0 && now < at+c.coldFor {
-						p.cold++
+					if at := f.Started(w); at > 0 && now < at+c.warmupTime {
+						p.toWarming++
 						sent[w] = append(slices.DeleteFunc(sent[w],
-							func(at time.Duration) bool { return at <= now-c.within }), now)
-						share := c.share + (1-c.share)*float64(now-at)/float64(c.coldFor)
-						can := cfg.Workers[w].Cores * cfg.Workers[w].Speed * share * c.within.Seconds()
+							func(at time.Duration) bool { return at <= now-c.window }), now)
+						share := c.fraction + (1-c.fraction)*float64(now-at)/float64(c.warmupTime)
+						can := cfg.Workers[w].Cores * cfg.Workers[w].Speed * share * c.window.Seconds()
 						n := c.factor * can / c.work.Seconds()
 						p.peak = max(p.peak, float64(len(sent[w]))/n)
-						p.over = max(p.over, float64(len(sent[w]))/(n+2*math.Sqrt(n)+2))
+						p.overCapacity = max(p.overCapacity, float64(len(sent[w]))/(n+2*math.Sqrt(n)+2))
 					}
 					calls[next] = k
 					f.Call(w, workersim.Call{ID: next, Function: &fns[functionOf[a.Request]],
@@ -249,7 +249,7 @@
 
 // Wakes asked for, in the order of their times.
 type wake struct {
-	at         time.Duration
+	due        time.Duration
 	token      uint64
 	controller int
 }
@@ -257,7 +257,7 @@
 type wakes []wake
 
 func (w wakes) Len() int           { return len(w) }
-func (w wakes) Less(i, j int) bool { return w[i].at < w[j].at }
+func (w wakes) Less(i, j int) bool { return w[i].due < w[j].due }
 func (w wakes) Swap(i, j int)      { w[i], w[j] = w[j], w[i] }
 func (w *wakes) Push(x any)        { *w = append(*w, x.(wake)) }
 func (w *wakes) Pop() any          { l := *w; x := l[len(l)-1]; *w = l[:len(l)-1]; return x }
@@ -265,31 +265,31 @@
 // Together the controllers keep the bound of a warming worker in overload, also where a window holds few requests or
 // one.
 func TestColdBoundInOverload(t *testing.T) {
-	for _, c := range []coldCase{
-		{controllers: 3, workers: 12, rate: 600, share: 0.05, factor: 1.2, within: 300 * ms,
-			coldFor: 4 * time.Second, killed: 0.6, work: 37 * ms, load: 150 * ms},
-		{controllers: 3, workers: 12, rate: 700, share: 0.1, factor: 1.6, within: 500 * ms,
-			coldFor: 5 * time.Second, killed: 0.75, work: 37 * ms, load: 150 * ms},
-		{controllers: 16, workers: 12, rate: 600, share: 0.1, factor: 1.8, within: 500 * ms,
-			coldFor: 5 * time.Second, killed: 0.75, work: 37 * ms, load: 150 * ms},
-		{controllers: 16, workers: 12, rate: 600, share: 0.2, factor: 2, within: time.Second,
-			coldFor: 5 * time.Second, killed: 0.75, work: 37 * ms, load: 150 * ms},
-		{controllers: 16, workers: 12, rate: 600, share: 0.2, factor: 2, within: 500 * ms,
-			coldFor: 10 * time.Second, killed: 0.75, work: 37 * ms, load: 2 * time.Second},
-		{controllers: 3, workers: 12, rate: 200, share: 0.2, factor: 2, within: 500 * ms,
-			coldFor: 10 * time.Second, killed: 0.3, work: 37 * ms, load: 1 * time.Second, burst: 4},
-		{controllers: 3, workers: 12, rate: 100, share: 0.2, factor: 2, within: 500 * ms,
-			coldFor: 10 * time.Second, killed: 0.3, work: 10 * ms, load: 1 * time.Second, burst: 20},
+	for _, c := range []warmupCase{
+		{controllers: 3, workers: 12, rate: 600, fraction: 0.05, factor: 1.2, window: 300 * ms,
+			warmupTime: 4 * time.Second, killed: 0.6, work: 37 * ms, load: 150 * ms},
+		{controllers: 3, workers: 12, rate: 700, fraction: 0.1, factor: 1.6, window: 500 * ms,
+			warmupTime: 5 * time.Second, killed: 0.75, work: 37 * ms, load: 150 * ms},
+		{controllers: 16, workers: 12, rate: 600, fraction: 0.1, factor: 1.8, window: 500 * ms,
+			warmupTime: 5 * time.Second, killed: 0.75, work: 37 * ms, load: 150 * ms},
+		{controllers: 16, workers: 12, rate: 600, fraction: 0.2, factor: 2, window: time.Second,
+			warmupTime: 5 * time.Second, killed: 0.75, work: 37 * ms, load: 150 * ms},
+		{controllers: 16, workers: 12, rate: 600, fraction: 0.2, factor: 2, window: 500 * ms,
+			warmupTime: 10 * time.Second, killed: 0.75, work: 37 * ms, load: 2 * time.Second},
+		{controllers: 3, workers: 12, rate: 200, fraction: 0.2, factor: 2, window: 500 * ms,
+			warmupTime: 10 * time.Second, killed: 0.3, work: 37 * ms, load: 1 * time.Second, burst: 4},
+		{controllers: 3, workers: 12, rate: 100, fraction: 0.2, factor: 2, window: 500 * ms,
+			warmupTime: 10 * time.Second, killed: 0.3, work: 10 * ms, load: 1 * time.Second, burst: 20},
 	} {
-		t.Run(fmt.Sprintf("%d controllers, bound %v x %v x %v", c.controllers, c.share, c.factor, c.within),
+		t.Run(fmt.Sprintf("%d controllers, bound %v x %v x %v", c.controllers, c.fraction, c.factor, c.window),
 			func(t *testing.T) {
 				t.Parallel()
 				var most float64
 				var over, sent, served int
 				const seeds = 4
 				for seed := range uint64(seeds) {
-					p := coldPeak(t, c, seed+1)
-					most, sent, served = max(most, p.peak), sent+p.cold, served+p.served
+					p := playWarmup(t, c, seed+1)
+					most, sent, served = max(most, p.peak), sent+p.toWarming, served+p.served
 					if p.peak > 1 {
 						over++
 					}
@@ -310,17 +310,17 @@
 // themselves; and warming workers are used.
 func TestColdBoundOfManyControllers(t *testing.T) {
 	for _, n := range []int{20, 30, 300} {
-		for _, c := range []coldCase{
-			{rate: 60, share: 0.2, factor: 3, within: 3 * time.Second, coldFor: 9 * time.Second, killed: 0.5,
+		for _, c := range []warmupCase{
+			{rate: 60, fraction: 0.2, factor: 3, window: 3 * time.Second, warmupTime: 9 * time.Second, killed: 0.5,
 				work: 150 * ms, load: time.Second},
-			{rate: 110, share: 0.3, factor: 3, within: 3 * time.Second, coldFor: 9 * time.Second, killed: 0.5,
+			{rate: 110, fraction: 0.3, factor: 3, window: 3 * time.Second, warmupTime: 9 * time.Second, killed: 0.5,
 				work: 150 * ms, load: time.Second, burst: 2},
-			{rate: 200, share: 0.25, factor: 2, within: time.Second, coldFor: 6 * time.Second, killed: 0.6,
+			{rate: 200, fraction: 0.25, factor: 2, window: time.Second, warmupTime: 6 * time.Second, killed: 0.6,
 				work: 60 * ms, load: 300 * ms, burst: 2},
 		} {
 			c.controllers, c.workers = n, 12
 			for _, uneven := range []float64{0, 1} {
-				c.uneven, c.late, c.restarted = uneven, 1500*ms, uneven > 0
+				c.uneven, c.lateBy, c.restarted = uneven, 1500*ms, uneven > 0
 				t.Run(fmt.Sprintf("%d controllers, %v calls a second, uneven %v", n, c.rate, uneven),
 					func(t *testing.T) {
 						t.Parallel()
@@ -328,8 +328,8 @@
 						sent := 0
 						const seeds = 3
 						for seed := range uint64(seeds) {
-							p := coldPeak(t, c, seed+1)
-							over, sent = max(over, p.over), sent+p.cold
+							p := playWarmup(t, c, seed+1)
+							over, sent = max(over, p.overCapacity), sent+p.toWarming
 						}
 						t.Logf("most %.2f of what it stands; %d calls to cold workers", over, sent)
 						if over > 1 {
--- a/scheduler/streams_play_test.go
+++ b/scheduler/streams_play_test.go
@@ -14,9 +14,9 @@
 
 // A due event comes to the dispatcher at a time of its clock.
 type dueEvent struct {
-	at  time.Duration
-	seq int
-	e   Event
+	at    time.Duration
+	seq   int
+	event Event
 }
 
 type dueEvents []dueEvent
@@ -41,24 +41,24 @@
 
 // A streamPlay is one day under way: the dispatcher and a plain model of what answers it.
 type streamPlay struct {
-	t        *testing.T
-	c        streamCase
-	s        Settings
-	d        *Dispatcher
-	rnd      *rand.Rand
-	now      time.Duration
-	due      dueEvents
-	seq      int
-	list     []WorkerInfo
-	nextID   WorkerID
-	nextCall RequestID
-	function map[RequestID]FunctionID
-	attempts map[RequestID]int
-	sent     map[RequestID][]WorkerID
-	copies   map[workerFunction]time.Duration // when a copy was last used; it may be loading
-	encoded  hash.Hash                        // of the actions and the state at the end, encoded
-	actions  int
-	counts   map[string]int // of actions, by the first word of their encoding
+	test       *testing.T
+	day        streamCase
+	settings   Settings
+	dispatcher *Dispatcher
+	rnd        *rand.Rand
+	now        time.Duration
+	due        dueEvents
+	seq        int
+	list       []WorkerInfo
+	nextID     WorkerID
+	nextCall   RequestID
+	function   map[RequestID]FunctionID
+	attempts   map[RequestID]int
+	sent       map[RequestID][]WorkerID
+	copies     map[workerFunction]time.Duration // when a copy was last used; it may be loading
+	encoded    hash.Hash                        // of the actions and the state at the end, encoded
+	actions    int
+	counts     map[string]int // of actions, by the first word of their encoding
 }
 
 func playStream(t *testing.T, c streamCase, seed uint64) *streamPlay {
@@ -68,7 +68,7 @@
 // playStreamWith plays a day, calls after each step what is to be looked at, and returns the play.
 func playStreamWith(t *testing.T, c streamCase, seed uint64, after func(*Dispatcher)) *streamPlay {
 	s := base()
-	s.Tick, s.Loading.IdleCopyTTL = c.tick, c.idleLife
+	s.Tick, s.Loading.IdleCopyTTL = c.tick, c.idleCopyTTL
 	if c.adjust != nil {
 		c.adjust(&s)
 	}
@@ -76,7 +76,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &streamPlay{t: t, c: c, s: s, d: d, rnd: rand.New(rand.NewPCG(seed, 11)), now: time.Hour, nextCall: 1,
+	p := &streamPlay{test: t, day: c, settings: s, dispatcher: d, rnd: rand.New(rand.NewPCG(seed, 11)), now: time.Hour, nextCall: 1,
 		nextID:   1,
 		function: map[RequestID]FunctionID{}, attempts: map[RequestID]int{}, sent: map[RequestID][]WorkerID{},
 		copies: map[workerFunction]time.Duration{}, encoded: sha256.New(), counts: map[string]int{}}
@@ -89,9 +89,9 @@
 		p.tick()
 		var events []Event
 		for len(p.due) > 0 && p.due[0].at <= p.now {
-			events = append(events, heap.Pop(&p.due).(dueEvent).e)
+			events = append(events, heap.Pop(&p.due).(dueEvent).event)
 		}
-		events = append(events, p.news()...)
+		events = append(events, p.events()...)
 		p.step(events)
 		after(d)
 	}
@@ -101,13 +101,13 @@
 
 // addState adds what the dispatcher shows of its workers and functions to the sum.
 func (p *streamPlay) addState() {
-	for _, l := range p.d.Workers() {
+	for _, l := range p.dispatcher.Workers() {
 		fmt.Fprintln(p.encoded, encodeWorkerSnapshot(l))
 	}
-	for _, l := range p.d.Functions() {
+	for _, l := range p.dispatcher.Functions() {
 		fmt.Fprintln(p.encoded, encodeFunctionSnapshot(l))
 		if len(p.list) > 0 {
-			shown := p.d.Snapshot(l.ID, p.list[p.rnd.IntN(len(p.list))].ID)
+			shown := p.dispatcher.Snapshot(l.ID, p.list[p.rnd.IntN(len(p.list))].ID)
 			fmt.Fprintln(p.encoded, encodeSnapshot(shown))
 		}
 	}
@@ -116,21 +116,21 @@
 // encodedLine describes the play by the hash of its encoded actions, and counts of them.
 func (p *streamPlay) encodedLine() string {
 	return fmt.Sprintf("%s %x actions %d sends %d loads %d probes %d rejected %d failed %d cancelled %d",
-		p.c.name, p.encoded.Sum(nil)[:16],
+		p.day.name, p.encoded.Sum(nil)[:16],
 		p.actions, p.counts["send"], p.counts["load"], p.counts["probe"], p.counts["reject"], p.counts["fail"], p.counts["cancel"])
 }
 
 func (p *streamPlay) chance(perSecond float64) bool {
-	return p.rnd.Float64() < perSecond*p.c.tick.Seconds()
+	return p.rnd.Float64() < perSecond*p.day.tick.Seconds()
 }
 
 func (p *streamPlay) tick() {
 	switch {
-	case p.c.jumps && p.rnd.IntN(200) == 0: // the clock does not move
-	case p.c.jumps && p.rnd.IntN(1500) == 0:
+	case p.day.jumps && p.rnd.IntN(200) == 0: // the clock does not move
+	case p.day.jumps && p.rnd.IntN(1500) == 0:
 		p.now += time.Hour
 	default:
-		p.now += p.c.tick
+		p.now += p.day.tick
 	}
 }
 
@@ -138,26 +138,26 @@
 	w := WorkerInfo{ID: p.nextID, State: Ready, Group: int(p.nextID) / 3, Zone: int(p.nextID) % 3,
 		Kind: int(p.nextID) % 3}
 	p.nextID++
-	if later && p.rnd.Float64() < p.c.started {
+	if later && p.rnd.Float64() < p.day.started {
 		w.StartedAt = p.now - time.Duration(p.rnd.IntN(3000))*ms
 	}
 	return w
 }
 
-// news returns what comes from outside: calls, clients that leave, lists, advice.
-func (p *streamPlay) news() (events []Event) {
-	for n := p.c.rate * p.c.tick.Seconds(); n > 0; n-- {
+// events returns what comes from outside: calls, clients that leave, lists, advice.
+func (p *streamPlay) events() (events []Event) {
+	for n := p.day.rate * p.day.tick.Seconds(); n > 0; n-- {
 		if p.rnd.Float64() < n {
 			events = append(events, p.call())
 		}
 	}
-	if p.nextCall > 1 && p.chance(p.c.rate/40) {
+	if p.nextCall > 1 && p.chance(p.day.rate/40) {
 		events = append(events, ClientGone{Request: p.nextCall - RequestID(1+p.rnd.IntN(min(20, int(p.nextCall)-1)))})
 	}
-	if p.c.change > 0 && p.chance(p.c.change) {
+	if p.day.change > 0 && p.chance(p.day.change) {
 		events = append(events, p.listChange()...)
 	}
-	if p.c.advice > 0 && p.chance(p.c.advice) {
+	if p.day.advice > 0 && p.chance(p.day.advice) {
 		events = append(events, p.advise())
 	}
 	return events
@@ -165,15 +165,15 @@
 
 // call draws a function by a Zipf law.
 func (p *streamPlay) call() Event {
-	x := math.Pow(float64(p.c.functions), p.rnd.Float64())
-	fn := FunctionID(min(int(x), p.c.functions))
+	x := math.Pow(float64(p.day.functions), p.rnd.Float64())
+	fn := FunctionID(min(int(x), p.day.functions))
 	a := Arrival{Request: p.nextCall, Class: p.rnd.IntN(3), Function: fn, Lanes: float64(1 + fn%3),
 		ClientRetry: p.rnd.IntN(20) == 0,
 		TimeLeft:    time.Duration(200+p.rnd.IntN(3800)) * ms}
 	if p.rnd.IntN(10) == 0 {
 		a.LoadTime = time.Duration(100+p.rnd.IntN(900)) * ms
 	}
-	if p.c.advice > 0 {
+	if p.day.advice > 0 {
 		a.ShedAdvised = p.rnd.IntN(50) == 0
 		a.Weight = float64(p.rnd.IntN(3))
 	}
@@ -183,7 +183,7 @@
 }
 
 func (p *streamPlay) listChange() []Event {
-	if p.c.replaced && p.rnd.IntN(6) == 0 {
+	if p.day.replaced && p.rnd.IntN(6) == 0 {
 		for i := range p.list {
 			p.list[i] = p.newWorker(true)
 		}
@@ -212,12 +212,12 @@
 		p.list[i].State = Ready
 		return []Event{ListUpdate{Kind: ListDelta, Workers: p.list[i : i+1]}}
 	case 5: // one is left out
-		if len(p.list) > max(1, p.c.workers/2) {
+		if len(p.list) > max(1, p.day.workers/2) {
 			p.list = append(p.list[:i:i], p.list[i+1:]...)
 		}
 		return []Event{ListUpdate{Kind: FullList, Workers: p.list}}
 	case 6: // one more
-		if len(p.list) < 2*p.c.workers {
+		if len(p.list) < 2*p.day.workers {
 			p.list = append(p.list, p.newWorker(true))
 		}
 		return []Event{ListUpdate{Kind: ListDelta, Workers: p.list[len(p.list)-1:]}}
@@ -228,7 +228,7 @@
 }
 
 func (p *streamPlay) advise() Event {
-	fn := FunctionID(1 + p.rnd.IntN(p.c.functions))
+	fn := FunctionID(1 + p.rnd.IntN(p.day.functions))
 	until := p.now + time.Duration(p.rnd.IntN(8000))*ms
 	switch p.rnd.IntN(8) {
 	case 0, 1:
@@ -249,12 +249,12 @@
 
 // step plays one step, adds its actions to the sum, and has the model answer them.
 func (p *streamPlay) step(events []Event) {
-	actions := p.d.Step(p.now, events)
+	actions := p.dispatcher.Step(p.now, events)
 	for _, a := range actions {
 		p.actions++
 		line, err := encodeAction(a)
 		if err != nil {
-			p.t.Fatal(err)
+			p.test.Fatal(err)
 		}
 		kind, _, _ := strings.Cut(line, " ")
 		p.counts[kind]++
@@ -278,7 +278,7 @@
 		h := LoadOrderEnded{Worker: a.Worker, Function: a.Function, Outcome: OK, Copies: a.Copies}
 		after := 150 * ms
 		switch {
-		case a.Copies == 0 && p.now-p.copies[key] < p.c.idleLife:
+		case a.Copies == 0 && p.now-p.copies[key] < p.day.idleCopyTTL:
 			h.Copies, after = 1, 2*ms
 		case p.faulty(a.Worker):
 			h.Copies, h.Outcome = 0, []Outcome{AtCapacity, TimedOut, Error, ConnectFailed}[p.rnd.IntN(4)]
@@ -298,7 +298,7 @@
 }
 
 func (p *streamPlay) faulty(w WorkerID) bool {
-	return unit(mix(uint64(w)*7+uint64(p.now/(7*time.Second)))) < p.c.fault
+	return unit(mix(uint64(w)*7+uint64(p.now/(7*time.Second)))) < p.day.fault
 }
 
 func (p *streamPlay) answerSend(a Send) {
@@ -308,7 +308,7 @@
 	took := time.Duration(20+p.rnd.ExpFloat64()*80) * ms
 	r := AttemptEnded{Request: a.Request, Attempt: attempt, Worker: a.Worker, Outcome: OK, Note: FoundWarm,
 		SameFunction: p.rnd.IntN(3), Complete: true}
-	if p.now-p.copies[key] >= p.c.idleLife {
+	if p.now-p.copies[key] >= p.day.idleCopyTTL {
 		r.Note, took = StartedLoad, took+time.Duration(200+p.rnd.IntN(600))*ms
 	}
 	p.copies[key] = p.now
--- a/scheduler/streams_test.go
+++ b/scheduler/streams_test.go
@@ -22,7 +22,7 @@
 	rate               float64 // calls a second
 	span               time.Duration
 	tick               time.Duration
-	idleLife           time.Duration
+	idleCopyTTL        time.Duration
 	change             float64 // list changes a second
 	fault              float64 // share of workers with a fault
 	started            float64 // part of new workers that say when they started: they are warming up
@@ -34,7 +34,7 @@
 
 func streamCases() []streamCase {
 	budget := func(s *Settings) {
-		s.Loading.BudgetWindow, s.Loading.BudgetFree, s.Loading.BudgetRatio = 5*time.Second, 4, 0.3
+		setBudget(s, 5*time.Second, 4, 0.3)
 	}
 	many := func(s *Settings) {
 		budget(s)
@@ -53,50 +53,50 @@
 	}
 	large := func(s *Settings) {
 		s.Controllers = 800
-		s.Loading.BudgetWindow, s.Loading.BudgetFree, s.Loading.BudgetRatio = 5*time.Second, 20, 1
+		setBudget(s, 5*time.Second, 20, 1)
 		s.Loading.MemoryMB = []float64{4000, 8000}
 	}
 	return []streamCase{
 		{name: "none", workers: 0, functions: 5, rate: 20, span: 20 * time.Second, tick: 10 * ms,
-			idleLife: 4 * time.Second},
+			idleCopyTTL: 4 * time.Second},
 		{name: "one", workers: 1, functions: 5, rate: 30, span: 20 * time.Second, tick: 10 * ms,
-			idleLife: 4 * time.Second, change: 0.5},
+			idleCopyTTL: 4 * time.Second, change: 0.5},
 		{name: "three", workers: 3, functions: 12, rate: 60, span: 30 * time.Second, tick: 2 * ms,
-			idleLife: 4 * time.Second, change: 1, fault: 0.2},
+			idleCopyTTL: 4 * time.Second, change: 1, fault: 0.2},
 		{name: "calm", workers: 12, functions: 40, rate: 120, span: 40 * time.Second, tick: 10 * ms,
-			idleLife: 8 * time.Second},
+			idleCopyTTL: 8 * time.Second},
 		{name: "budget", workers: 12, functions: 80, rate: 100, span: 40 * time.Second, tick: 10 * ms,
-			idleLife: 3 * time.Second, change: 0.5, adjust: budget},
+			idleCopyTTL: 3 * time.Second, change: 0.5, adjust: budget},
 		{name: "ejections", workers: 20, functions: 60, rate: 150, span: 40 * time.Second, tick: 5 * ms,
-			idleLife: 8 * time.Second, fault: 0.4, adjust: kinds},
+			idleCopyTTL: 8 * time.Second, fault: 0.4, adjust: kinds},
 		{name: "mostly-ejected", workers: 9, functions: 30, rate: 100, span: 30 * time.Second, tick: 5 * ms,
-			idleLife: 8 * time.Second, fault: 0.9, change: 0.3},
+			idleCopyTTL: 8 * time.Second, fault: 0.9, change: 0.3},
 		{name: "cold", workers: 16, functions: 50, rate: 200, span: 40 * time.Second, tick: 10 * ms,
-			idleLife: 5 * time.Second, change: 3, started: 1, adjust: many},
+			idleCopyTTL: 5 * time.Second, change: 3, started: 1, adjust: many},
 		{name: "all-cold", workers: 16, functions: 30, rate: 150, span: 30 * time.Second, tick: 10 * ms,
-			idleLife: 5 * time.Second, change: 1, started: 1, replaced: true, adjust: kinds},
+			idleCopyTTL: 5 * time.Second, change: 1, started: 1, replaced: true, adjust: kinds},
 		{name: "advice", workers: 14, functions: 40, rate: 80, span: 40 * time.Second, tick: 10 * ms,
-			idleLife: 4 * time.Second, change: 1, advice: 6, adjust: kinds},
+			idleCopyTTL: 4 * time.Second, change: 1, advice: 6, adjust: kinds},
 		{name: "ranks", workers: 30, functions: 60, rate: 150, span: 40 * time.Second, tick: 10 * ms,
-			idleLife: 4 * time.Second, change: 2, advice: 15, fault: 0.2, adjust: budget},
+			idleCopyTTL: 4 * time.Second, change: 2, advice: 15, fault: 0.2, adjust: budget},
 		{name: "no-orders", workers: 10, functions: 30, rate: 100, span: 30 * time.Second, tick: 5 * ms,
-			idleLife: 4 * time.Second, change: 1, fault: 0.3, adjust: noOrders},
+			idleCopyTTL: 4 * time.Second, change: 1, fault: 0.3, adjust: noOrders},
 		{name: "overload", workers: 4, functions: 30, rate: 600, span: 15 * time.Second, tick: 10 * ms,
-			idleLife: 4 * time.Second, fault: 0.3, adjust: kinds},
+			idleCopyTTL: 4 * time.Second, fault: 0.3, adjust: kinds},
 		{name: "jumps", workers: 12, functions: 60, rate: 80, span: 60 * time.Second, tick: 10 * ms,
-			idleLife: 2 * time.Second, change: 1, fault: 0.2, advice: 2, jumps: true, adjust: budget},
+			idleCopyTTL: 2 * time.Second, change: 1, fault: 0.2, advice: 2, jumps: true, adjust: budget},
 		{name: "forgotten", workers: 10, functions: 2000, rate: 150, span: 60 * time.Second, tick: 20 * ms,
-			idleLife: time.Second, change: 0.5, adjust: budget},
+			idleCopyTTL: time.Second, change: 0.5, adjust: budget},
 		{name: "replaced", workers: 60, functions: 200, rate: 150, span: 30 * time.Second, tick: 10 * ms,
-			idleLife: 4 * time.Second, change: 2, replaced: true, adjust: many},
+			idleCopyTTL: 4 * time.Second, change: 2, replaced: true, adjust: many},
 		{name: "spread", workers: 40, functions: 3, rate: 400, span: 20 * time.Second, tick: 10 * ms,
-			idleLife: 8 * time.Second, change: 1, fault: 0.1, adjust: many},
+			idleCopyTTL: 8 * time.Second, change: 1, fault: 0.1, adjust: many},
 		{name: "fleet-36", workers: 36, functions: 400, rate: 190, span: 40 * time.Second, tick: 10 * ms,
-			idleLife: 8 * time.Second, change: 1, fault: 0.05, started: 0.5, adjust: large},
+			idleCopyTTL: 8 * time.Second, change: 1, fault: 0.05, started: 0.5, adjust: large},
 		{name: "fleet-300", workers: 300, functions: 3000, rate: 190, span: 20 * time.Second, tick: 10 * ms,
-			idleLife: 8 * time.Second, change: 1, fault: 0.05, started: 0.5, advice: 1, adjust: large},
+			idleCopyTTL: 8 * time.Second, change: 1, fault: 0.05, started: 0.5, advice: 1, adjust: large},
 		{name: "fleet-1000", workers: 1000, functions: 3000, rate: 190, span: 8 * time.Second, tick: 10 * ms,
-			idleLife: 3 * time.Second, change: 1, fault: 0.02, started: 0.5, adjust: large},
+			idleCopyTTL: 3 * time.Second, change: 1, fault: 0.02, started: 0.5, adjust: large},
 	}
 }
 
