--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -2,336 +2,323 @@
 
 import (
 	"cmp"
-	"math"
-	"slices"
+	"time"
 )
 
-// sweep answers what is due and forgets requests that are over.
-func (d *Dispatcher) sweep() {
-	kept := d.open[:0]
-	for _, r := range d.open {
-		if r.due && !r.ended {
-			d.again(r)
-		}
-		r.due = false
-		if d.late(r) {
-			d.judge(r, false)
+const (
+	// guessRun is the run time that is expected before the first answer, in latency objectives of the
+	// class. The same part of a request's time is the most that is expected of a function that was never
+	// served.
+	guessRun = 0.25
+	// answerTicks is how many ticks before its client leaves a request gets our own answer.
+	answerTicks = 2
+)
+
+// arrive queues a request that has come in.
+func (d *Dispatcher) arrive(arrival Arrival) {
+	_, known := d.requests[arrival.Request]
+	if known || arrival.Class < 0 || arrival.Class >= len(d.settings.Classes) {
+		return
+	}
+	if !arrival.Resubmitted {
+		d.loadBudget.recordArrival(d.now)
+	}
+	queue := d.queues.get(arrival.Function)
+	d.queues.arrive(queue, d.now)
+	request := &request{
+		Arrival:   arrival,
+		queue:     queue,
+		arrivedAt: d.now,
+		answerBy:  d.now + arrival.TimeLeft - answerTicks*d.settings.Tick,
+	}
+	d.requests[arrival.Request] = request
+	d.openRequests = append(d.openRequests, request)
+	d.queues.enqueue(request)
+}
+
+// class returns the class of a request.
+func (d *Dispatcher) class(r *request) *Class { return &d.settings.Classes[r.Class] }
+
+// runTime is how long a request is likely to run, in seconds.
+func (d *Dispatcher) runTime(r *request) float64 {
+	return cmp.Or(r.queue.meanRunTime, max(0, r.RunTimeHint.Seconds()), d.classRunTime[r.Class])
+}
+
+// meetsObjective tells whether a waiting request can still be answered within its latency objective.
+func (d *Dispatcher) meetsObjective(request *request) bool {
+	class := d.class(request)
+	stretch := time.Duration(class.ObjectiveStretch * float64(request.RunTimeHint))
+	objective := min(class.LatencyObjective+stretch, class.Deadline)
+	return d.now+seconds(d.runTime(request)) < request.arrivedAt+objective
+}
+
+// overdue tells whether a request is past its objective and the load that it may have waited for.
+func (d *Dispatcher) overdue(r *request) bool {
+	return d.now > r.arrivedAt+d.class(r).LatencyObjective+r.loadAllowance
+}
+
+// advanceRequests decides what follows the events of the step: retries, answers of our own, and the end of
+// requests that need nothing more. It waits for all events, as the one after an outcome may be that the
+// client has left.
+func (d *Dispatcher) advanceRequests() {
+	kept := d.openRequests[:0]
+	for _, request := range d.openRequests {
+		if request.undecided && !request.ended {
+			d.retry(request)
 		}
-		if !r.ended && (d.now >= r.final || r.waiting && d.hopeless(r)) {
-			d.finish(r)
+		request.undecided = false
+		if d.overdue(request) {
+			d.observe(request, false)
 		}
-		out := false
-		for i := range r.tries {
-			if t := &r.tries[i]; !t.done {
-				// An outcome that never comes must not hold memory or a token for ever.
-				if r.ended && d.now > r.final+r.TimeLeft+d.s.Classes[r.Class].Deadline {
-					d.release(r, t, TimedOut)
-					continue
-				}
-				out = true
-			}
+		if !request.ended && (d.now >= request.answerBy || request.queued && d.mustAnswerNow(request)) {
+			d.answer(request)
 		}
-		if r.ended && !out {
-			delete(d.requests, r.Request)
+		if outstanding := d.releaseLost(request); request.ended && !outstanding {
+			delete(d.requests, request.Request)
 			continue
 		}
-		kept = append(kept, r)
+		kept = append(kept, request)
 	}
-	clear(d.open[len(kept):])
-	d.open = kept
+	clear(d.openRequests[len(kept):])
+	d.openRequests = kept
 }
 
-// hopeless tells whether a queued request is given up, and answered at once: it does not pass, no worker may
-// have it again, or no run fits its time (a mean too long for a new one is lowered; with none, its class's).
-func (d *Dispatcher) hopeless(r *request) bool {
-	run := cmp.Or(r.q.run, min(d.classRun[r.Class], guessRun*r.TimeLeft.Seconds()))
-	over := d.now+seconds(run) >= r.final
-	if over && d.now == r.at {
-		r.q.run = mean(r.q.run, 0)
+// releaseLost releases the attempts whose outcome is long overdue, as it must not hold memory or a token
+// for ever, and tells whether others are outstanding.
+func (d *Dispatcher) releaseLost(request *request) (outstanding bool) {
+	for i := range request.attempts {
+		switch {
+		case request.attempts[i].done:
+		case request.ended && d.now > request.answerBy+request.TimeLeft+d.class(request).Deadline:
+			d.release(request, &request.attempts[i], TimedOut)
+		default:
+			outstanding = true
+		}
 	}
-	return !r.out() && (over || !d.passes(r) || len(r.tries) > 0 && !d.mayTry(r))
+	return outstanding
 }
 
-// passes tells whether a request may be sent at all. Where some three in ten of those sent are late, sending
-// on makes the rest late too, whatever the cause: overload, workers lost, cold or slow, a network or store
-// that stalls. No worker's tokens show it where each controller has few answers of each; all its answers
-// do. By hash of the request, so that it is told at once; repeats of clients, whose aim has mostly passed, go
-// last. It could hurt where sending less mends nothing: a load is allowed for, an error does not count.
-func (d *Dispatcher) passes(r *request) bool {
-	share := d.pass
-	if r.Weight > 0 {
-		share = math.Pow(share, 1/r.Weight)
+// mustAnswerNow tells whether a queued request is to be answered at once: nothing is outstanding, and it is
+// not admitted, or no worker may have it again, or no run fits its time.
+func (d *Dispatcher) mustAnswerNow(request *request) bool {
+	noTime := d.cannotMeetDeadline(request)
+	if noTime && d.now == request.arrivedAt {
+		// The mean run time rejects even a new request. Lower it, or a wrong one would never be corrected.
+		request.queue.meanRunTime = mean(request.queue.meanRunTime, 0)
 	}
-	if r.ClientRetry {
-		share = math.Pow(share, passRepeat)
+	switch {
+	case request.hasOutstanding():
+		return false
+	case noTime || !d.admits(request):
+		return true
 	}
-	return len(r.tries) > 0 || !r.ShedAdvised && unit(mix(^uint64(r.Request))) < share
+	return len(request.attempts) > 0 && !d.mayRetry(request)
 }
 
-// judge follows the share let pass, by each request that was sent: once, when it is answered or late.
-func (d *Dispatcher) judge(r *request, inTime bool) {
-	switch {
-	case r.judged || len(r.tries) == 0:
-		return
-	case inTime:
-		d.pass = min(1, d.pass+passRise)
-	default:
-		d.pass = max(passLow, d.pass*passCut)
-	}
-	r.judged = true
+// cannotMeetDeadline tells whether a run that begins now ends after the request's time. For a function that
+// was never served its class's mean counts.
+func (d *Dispatcher) cannotMeetDeadline(request *request) bool {
+	guess := min(d.classRunTime[request.Class], guessRun*request.TimeLeft.Seconds())
+	run := cmp.Or(request.queue.meanRunTime, guess)
+	return d.now+seconds(run) >= request.answerBy
+}
+
+// admits tells whether a request may be sent at all. What was sent once is past admission.
+func (d *Dispatcher) admits(r *request) bool {
+	return len(r.attempts) > 0 ||
+		!r.ShedAdvised && d.admission.admits(r.Request, r.Weight, r.ClientRetry)
 }
 
-// late tells whether a request is past its aim and the load that it may have waited for.
-func (d *Dispatcher) late(r *request) bool {
-	return d.now > r.at+d.s.Classes[r.Class].LatencyObjective+r.loading
+// observe reports each request that was sent to the admission once: when it is answered, or overdue.
+func (d *Dispatcher) observe(request *request, onTime bool) {
+	if request.observed || len(request.attempts) == 0 {
+		return
+	}
+	d.admission.observe(onTime)
+	request.observed = true
 }
 
-// finish gives our own final answer and calls off what is out. The fewer pass, the later one may come back.
-func (d *Dispatcher) finish(r *request) {
-	if d.mayRefuse(r) {
-		a := Reject{Request: r.Request}
-		if l := d.s.Limits; l.RetryAfter && d.pass < 1 {
-			a.RetryAfter = seconds(l.MaxRetryAfter.Seconds() * (1 - d.pass) * (1 - jitter*d.rng.Float64()))
+// answer gives our own final answer, and cancels what is outstanding.
+func (d *Dispatcher) answer(request *request) {
+	if d.retryRules.mayReject(request) {
+		reject := Reject{Request: request.Request}
+		if limits := &d.settings.Limits; limits.RetryAfter && d.admission.shedding() {
+			reject.RetryAfter = d.admission.retryAfter(limits.MaxRetryAfter, d.random)
 		}
-		d.do(a)
+		d.do(reject)
 	} else {
-		d.do(Fail{Request: r.Request})
+		d.do(Fail{Request: request.Request})
 	}
-	d.end(r)
+	d.end(request)
 }
 
-func (d *Dispatcher) end(r *request) {
-	if r.ended {
+// end notes that a request needs nothing more, and cancels what is outstanding.
+func (d *Dispatcher) end(request *request) {
+	if request.ended {
 		return
 	}
-	r.ended = true
-	d.unqueue(r)
-	for i := range r.tries {
-		d.cancel(r, i)
+	request.ended = true
+	d.queues.dequeue(request)
+	for i := range request.attempts {
+		d.cancel(request, i)
 	}
 }
 
-func (d *Dispatcher) cancel(r *request, i int) {
-	if t := &r.tries[i]; d.s.Limits.Cancel && !t.done && !t.left {
-		t.left = true
-		d.do(Cancel{Request: r.Request, Attempt: i})
+// cancel gives up an attempt, where that is allowed.
+func (d *Dispatcher) cancel(request *request, i int) {
+	if a := &request.attempts[i]; d.settings.Limits.Cancel && !a.done && !a.abandoned {
+		a.abandoned = true
+		d.do(Cancel{Request: request.Request, Attempt: i})
 	}
 }
 
-func (d *Dispatcher) send(r *request, w *worker) {
-	q, work := r.q, d.classRun[r.Class]
-	d.unqueue(r)
-	r.cover = false
-	q.vt += d.runOf(q, r)
-	d.touch(q)
-	q.inFlight++
-	q.lastExec = d.now
-	if w.out == 0 {
-		w.since = d.now
+// send sends a request to a worker: a new attempt.
+func (d *Dispatcher) send(request *request, worker *worker) {
+	queue := request.queue
+	work := d.classRunTime[request.Class]
+	d.queues.dequeue(request)
+	request.mayHedge = false
+	d.queues.sent(queue, d.runTime(request), d.now)
+	if worker.outstanding == 0 {
+		worker.waitingSince = d.now
+	}
+	placed := queue.placement(worker)
+	awaitsLoad := !d.hasCopy(placed, worker)
+	placed.outstanding++
+	if awaitsLoad {
+		worker.awaitingLoad++
+		placed.leaders++
+		placed.loadStartedAt = d.now
+		request.loadAllowance = d.loadTime(request)
+	} else {
+		worker.limit.acquire()
 	}
-	placed := d.placement(q, w)
-	t := attempt{w: w, group: w.Group, zone: w.Zone, sent: d.now, work: work, load: !d.warm(placed, w)}
-	placed.out++
-	if t.load {
-		w.loads++
-		placed.lead++
-		placed.since = d.now
-		r.loading = d.loadTime(r)
+	worker.outstanding++
+	d.watchList.update(worker)
+	d.slowStart.sent(&worker.warmup, work)
+	worker.lastFunction = queue.function
+	request.attempts = append(request.attempts, attempt{
+		worker:     worker,
+		group:      worker.Group,
+		zone:       worker.Zone,
+		sentAt:     d.now,
+		work:       work,
+		awaitsLoad: awaitsLoad,
+	})
+	timeout := max(request.answerBy-d.now, d.settings.Tick)
+	d.do(Send{Request: request.Request, Worker: worker.ID, Timeout: timeout})
+}
+
+// release ends an attempt's hold on its worker and notes whether it may have run.
+func (d *Dispatcher) release(request *request, attempt *attempt, outcome Outcome) {
+	worker := attempt.worker
+	attempt.done = true
+	attempt.mayHaveRun = outcome.mayHaveRun()
+	worker.outstanding--
+	d.watchList.update(worker)
+	placed := request.queue.placement(worker)
+	placed.outstanding--
+	if attempt.awaitsLoad {
+		worker.awaitingLoad--
+		placed.leaders--
 	} else {
-		w.busy++
+		worker.limit.release()
+	}
+	if placed.outstanding == 0 && worker.State == Gone { // else a hot function gathers those of all workers
+		delete(request.queue.placements, worker)
 	}
-	w.out++
-	d.watch(w)
-	w.work += work
-	w.fn = q.fn
-	r.tries = append(r.tries, t)
-	d.do(Send{Request: r.Request, Worker: w.ID, Timeout: max(r.final-d.now, d.s.Tick)})
+	worker.waitingSince = d.now
+	d.queues.ended(request.queue, d.now)
+	d.slowStart.ended(&worker.warmup, attempt.work, outcome)
 }
 
-// returned ends an attempt and learns from it. What follows is decided after the events of the step: the next
-// may be the client leaving.
-func (d *Dispatcher) returned(e AttemptEnded) {
-	r := d.requests[e.Request]
-	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.tries) || r.tries[e.Attempt].done {
+// attemptEnded ends an attempt and learns from its outcome.
+func (d *Dispatcher) attemptEnded(ended AttemptEnded) {
+	request := d.requests[ended.Request]
+	if request == nil || ended.Attempt < 0 || ended.Attempt >= len(request.attempts) {
 		return
 	}
-	t := &r.tries[e.Attempt]
-	placed := d.placement(r.q, t.w)
-	d.release(r, t, e.Outcome)
-	switch e.Outcome {
+	attempt := &request.attempts[ended.Attempt]
+	if attempt.done {
+		return
+	}
+	worker := attempt.worker
+	placed := request.queue.placement(worker)
+	d.release(request, attempt, ended.Outcome)
+	switch ended.Outcome {
 	case OK:
-		d.afterSuccess(r, t, placed, e)
+		d.afterSuccess(request, attempt, placed, ended)
 	case AtCapacity:
-		d.afterRefusal(r, t, e)
+		d.afterRejection(request, attempt, ended)
 	case TimedOut:
-		t.w.tokens = max(d.tokenStep(), t.w.tokens/2)
-		d.answered(t.w, TimedOut)
-		d.crowd(r.q, int(2*r.Lanes), r.Lanes, d.share(t.w) >= 1)
+		worker.limit.onTimeout(tokenStep(d.settings.Controllers))
+		d.workerAnswered(worker, TimedOut)
+		d.observeCrowding(request.queue, int(2*request.Lanes), request.Lanes, d.isWarm(worker))
 	default:
-		d.answered(t.w, e.Outcome)
-		d.failed(t.w, e)
+		d.workerAnswered(worker, ended.Outcome)
+		ownError := ended.Outcome == Error && ended.Note != LoadFailed
+		d.outliers.onError(&worker.workerHealth, ownError, d.now)
 	}
-	if e.Complete || e.Outcome == OK {
-		d.end(r)
+	if ended.Complete || ended.Outcome == OK {
+		d.end(request)
 		return
 	}
-	r.due = true
-}
-
-func (d *Dispatcher) afterSuccess(r *request, t *attempt, placed *placement, e AttemptEnded) {
-	w := t.w
-	d.answered(w, OK)
-	w.strikes = 0
-	d.judge(r, !d.late(r))
-	if e.Note == StartedLoad {
-		w.denied = 0
-	}
-	w.ejections = 0
-	d.setFailing(w, w.failing*(1-meanWeight))
-	placed.seen = d.now
-	if !t.load {
-		d.crowded *= 1 - crowdWeight
-		if e.Note == StartedLoad && e.SameFunction == 0 {
-			d.crowded += crowdWeight
-		}
-	}
-	took := e.Took.Seconds()
-	slow := e.Took > d.s.Classes[r.Class].LatencyObjective ||
-		took > d.slower(r.Lanes)*d.usualPace()*d.classRun[r.Class]
-	d.crowd(r.q, e.SameFunction, r.Lanes, slow && d.share(w) >= 1)
-	waited := e.Note == StartedLoad || e.Note == AwaitedLoad
-	if !waited && (e.Note == FoundWarm || !t.load) {
-		r.q.run = mean(r.q.run, took)
-		d.classRun[r.Class] = mean(d.classRun[r.Class], took)
-		d.setPace(w, mean(w.pace, took/d.classRun[r.Class]))
-		d.adjustTokens(r, w, e.Took > d.s.Classes[r.Class].LatencyObjective)
-	}
-}
-
-// adjustTokens has a worker's tokens follow its pace, and an answer that was past its aim or not.
-func (d *Dispatcher) adjustTokens(r *request, w *worker, pastAim bool) {
-	over, step := d.slower(r.Lanes)*d.usualPace()/w.pace, d.tokenStep()
-	switch {
-	case (pastAim || over < 1) && w.tokens > startTokens:
-		w.tokens *= paceCut
-	case pastAim || over < 1: // even one at a time is too much
-		w.tokens = max(step, min(1, w.tokens)*max(paceLow, min(paceCut, over)))
-	case w.tokens < 1:
-		w.tokens = min(1, w.tokens+step)
-	case float64(w.busy+1) >= math.Floor(w.tokens):
-		w.tokens++
-	}
-}
-
-// tokenStep is the least part of a token, and the step below one.
-func (d *Dispatcher) tokenStep() float64 { return max(partRise, 1/float64(d.s.Controllers)) }
-
-func (d *Dispatcher) afterRefusal(r *request, t *attempt, e AttemptEnded) {
-	w := t.w
-	d.answered(w, OK)
-	w.tokens = max(min(1, w.tokens), w.tokens/2)
-	d.crowd(r.q, e.SameFunction, r.Lanes, d.share(w) >= 1)
-	if len(r.tries) >= d.s.Limits.MaxAttempts {
-		d.judge(r, false)
-	}
-	if t.load {
-		d.deny(w)
-	}
-}
-
-// again queues a request for another attempt, waits for one that is out, or answers.
-func (d *Dispatcher) again(r *request) {
-	if d.mayTry(r) && (!r.out() || r.cover) {
-		d.enqueue(r)
-	} else if !r.out() {
-		d.finish(r)
-	}
+	request.undecided = true
 }
 
-// release ends an attempt's hold on its worker and records whether it may have run.
-func (d *Dispatcher) release(r *request, t *attempt, o Outcome) {
-	t.done = true
-	t.mayRun = o != AtCapacity && o != ConnectFailed && o != NotStarted && o != NotLoaded
-	t.w.out--
-	d.watch(t.w)
-	placed := d.placement(r.q, t.w)
-	placed.out--
-	if t.load {
-		t.w.loads--
-		placed.lead--
-	} else {
-		t.w.busy--
+// afterSuccess learns from an answer. Only a run that met a loaded copy says something about run times.
+func (d *Dispatcher) afterSuccess(request *request, attempt *attempt, placed *placement, ended AttemptEnded) {
+	worker := attempt.worker
+	late := ended.Took > d.class(request).LatencyObjective
+	d.workerAnswered(worker, OK)
+	d.observe(request, !d.overdue(request))
+	if ended.Note == StartedLoad {
+		worker.loadBackoff.loaded()
 	}
-	if placed.out == 0 && t.w.State == Gone { // else a hot function gathers those of all workers
-		delete(r.q.placements, t.w)
+	d.outliers.onSuccess(&worker.workerHealth)
+	placed.lastSeenAt = d.now
+	if !attempt.awaitsLoad {
+		d.evictions.observe(ended.Note == StartedLoad && ended.SameFunction == 0)
 	}
-	t.w.since = d.now
-	d.touch(r.q)
-	r.q.inFlight--
-	r.q.lastExec = d.now
-	t.w.work = max(0, t.w.work-t.work)
-	switch o {
-	case OK:
-		d.served += t.work
-	case ConnectFailed, NotStarted:
-	default: // it has weighed on the worker, and may still
-		t.w.credit -= t.work
+	slow := late || ended.Took.Seconds() > d.slowRatio(request)*d.classRunTime[request.Class]
+	d.observeCrowding(request.queue, ended.SameFunction, request.Lanes, slow && d.isWarm(worker))
+	waited := ended.Note == StartedLoad || ended.Note == AwaitedLoad
+	if !waited && (ended.Note == FoundWarm || !attempt.awaitsLoad) {
+		d.learnRunTime(request, worker, ended.Took.Seconds(), late)
 	}
 }
 
-// mayRefuse: a refusal tells the client that another try does no harm.
-func (d *Dispatcher) mayRefuse(r *request) bool {
-	c := d.s.Classes[r.Class]
-	return c.Idempotency == Idempotent || r.mayHaveRun() == nil ||
-		c.Idempotency == IdempotentWithKey && c.DedupScope == AllWorkers
+// learnRunTime follows the run times of the function, its class and the worker, in seconds, and with them the
+// worker's concurrency limit.
+func (d *Dispatcher) learnRunTime(request *request, worker *worker, took float64, late bool) {
+	request.queue.meanRunTime = mean(request.queue.meanRunTime, took)
+	d.classRunTime[request.Class] = mean(d.classRunTime[request.Class], took)
+	ratio := mean(worker.limit.latencyRatio, took/d.classRunTime[request.Class])
+	d.peerLatency.set(&worker.limit, ratio, worker.State != Gone)
+	headroom := d.slowRatio(request) / worker.limit.latencyRatio
+	worker.limit.onAnswer(headroom, late, tokenStep(d.settings.Controllers))
 }
 
-// mayTry tells whether the rules leave room for another attempt at all.
-func (d *Dispatcher) mayTry(r *request) bool {
-	return slices.ContainsFunc(d.order, func(w *worker) bool { return d.maySend(r, w) })
+// slowRatio is the latency ratio from which a worker counts as slow.
+func (d *Dispatcher) slowRatio(r *request) float64 {
+	return slowFrom(d.settings.Controllers, r.Lanes) * d.peerLatency.median()
 }
 
-// maySend keeps the rules on effects for one more attempt at a worker.
-func (d *Dispatcher) maySend(r *request, w *worker) bool {
-	if r.ended || w.State != Ready || len(r.tries) >= d.s.Limits.MaxAttempts || d.now >= r.final {
-		return false
-	}
-	for i := range r.tries {
-		t := &r.tries[i]
-		if !t.done && (!d.s.Limits.HedgedRequests || !t.left && !r.cover || t.w == w) {
-			return false
-		}
+// afterRejection learns from a worker that was at its capacity.
+func (d *Dispatcher) afterRejection(request *request, attempt *attempt, ended AttemptEnded) {
+	worker := attempt.worker
+	d.workerAnswered(worker, OK)
+	worker.limit.onRejection()
+	d.observeCrowding(request.queue, ended.SameFunction, request.Lanes, d.isWarm(worker))
+	if len(request.attempts) >= d.settings.Limits.MaxAttempts {
+		d.observe(request, false)
 	}
-	first := r.mayHaveRun()
-	c := d.s.Classes[r.Class]
-	switch {
-	case first == nil || c.Idempotency == Idempotent:
-		return true
-	case c.Idempotency == NonIdempotent:
-		return false
+	if attempt.awaitsLoad {
+		d.loadRejected(worker)
 	}
-	return d.now < first.sent+c.DedupWindow-d.s.Tick && (c.DedupScope == AllWorkers ||
-		c.DedupScope == SameZone && w.Zone == first.zone ||
-		c.DedupScope == SameGroup && w.Group == first.group)
 }
 
-// rescue finds another worker for what waits on one that no longer answers.
-func (d *Dispatcher) rescue(w *worker) {
-	if w.out == 0 {
-		return
-	}
-	for _, r := range d.open {
-		for i := range r.tries {
-			t := &r.tries[i]
-			if r.ended || r.waiting || t.w != w || t.done ||
-				d.s.Classes[r.Class].Idempotency == NonIdempotent {
-				continue
-			}
-			if r.cover = d.s.Limits.HedgedRequests; !r.cover && len(r.tries) < d.s.Limits.MaxAttempts {
-				d.cancel(r, i)
-			} else if r.cover && d.mayTry(r) {
-				d.enqueue(r)
-			}
-		}
-	}
+// observeCrowding follows how many workers a function needs, by what a request met at one.
+func (d *Dispatcher) observeCrowding(q *queue, met int, lanes float64, slow bool) {
+	q.spread.observe(met, lanes, slow, manyControllers(d.settings.Controllers, lanes), len(d.order))
 }
--- a/scheduler/index/index_test.go
+++ b/scheduler/index/index_test.go
@@ -35,7 +35,8 @@
 			for _, k := range in {
 				least = min(least, k)
 			}
-			if m := h.Min(); h.Len() != len(in) || len(in) == 0 != (m == nil) || m != nil && (m.Key() != least || in[m.Value] != least) {
+			if m := h.Min(); h.Len() != len(in) || len(in) == 0 != (m == nil) || m != nil &&
+				(m.Key() != least || in[m.Value] != least) {
 				t.Fatalf("seed %d: the least of %d is %+v, want key %d", seed, len(in), m, least)
 			}
 		}
@@ -64,7 +65,7 @@
 	for i := range all {
 		h.Remove(&all[i])
 	}
-	if c := cap(h.entries); h.Len() != 0 || c > leastKept {
+	if c := cap(h.entries); h.Len() != 0 || c > minShrinkCapacity {
 		t.Errorf("an empty heap keeps room for %d of 100,000 entries", c)
 	}
 }
--- /dev/null
+++ b/scheduler/outlier_test.go
@@ -0,0 +1,146 @@
+package scheduler
+
+import (
+	"math/rand/v2"
+	"testing"
+	"time"
+)
+
+// tracking returns a detector with a dial timeout of a second and a warmup time of a minute, and workers that it
+// tracks.
+func tracking(workers int) (*outlierDetector, []*workerHealth) {
+	o := &outlierDetector{dialTimeout: time.Second, warmupTime: time.Minute, random: rand.New(rand.NewPCG(1, 1))}
+	var l []*workerHealth
+	for range workers {
+		h := &workerHealth{}
+		o.track(h)
+		l = append(l, h)
+	}
+	return o, l
+}
+
+func TestTwoConsecutiveFailuresEject(t *testing.T) {
+	o, workers := tracking(1)
+	h := workers[0]
+	if o.onFailure(h, time.Minute) {
+		t.Error("one failure ejects")
+	}
+	o.onSuccess(h)
+	if o.onFailure(h, time.Minute) || !o.onFailure(h, time.Minute) {
+		t.Error("want two failures after a success to eject, and one not to")
+	}
+	o.eject(h, time.Minute)
+	if o.onFailure(h, h.ejectedUntil-1) {
+		t.Error("a failure during an ejection begins another")
+	}
+	if !o.onFailure(h, h.ejectedUntil) {
+		t.Error("a failure at the end of an ejection does not begin another")
+	}
+}
+
+func TestEjectionsDoubleUpToTheLongest(t *testing.T) {
+	o, _ := tracking(0)
+	for before, span := range []time.Duration{4 * time.Second, 8 * time.Second, 16 * time.Second,
+		30 * time.Second, 30 * time.Second} {
+		for range 100 {
+			if got := o.ejectionDuration(before); got < span*3/4 || got > span*5/4 {
+				t.Fatalf("ejection after %d others for %v, want %v by a quarter more or less", before, got, span)
+			}
+		}
+	}
+	if got := o.ejectionDuration(1 << 40); got > time.Minute {
+		t.Errorf("ejected for %v after very many others", got)
+	}
+}
+
+func TestEjectionsAreIgnoredAboveHalf(t *testing.T) {
+	o, workers := tracking(4)
+	for i, want := range []bool{false, false, true} {
+		o.eject(workers[i], time.Minute)
+		o.eject(workers[i], time.Minute) // again: it counts once
+		if got := o.suspicious(4); got != want {
+			t.Errorf("%d of 4 ejected: suspicious %v, want %v", i+1, got, want)
+		}
+	}
+	o.untrack(workers[0])
+	o.setEjected(workers[0], false)
+	if o.ejected != 2 || o.suspicious(4) {
+		t.Errorf("%d ejected after one of three left, want two", o.ejected)
+	}
+}
+
+func TestErrorsOverPeersAreAvoided(t *testing.T) {
+	for _, tt := range []struct {
+		name          string
+		peersFailAlso bool
+		counts        bool
+		want          bool
+	}{
+		{"one worker fails", false, true, true},
+		{"all workers fail", true, true, false},
+		{"loads fail, or no answer comes", false, false, false},
+	} {
+		o, workers := tracking(3)
+		for range 20 {
+			for i, h := range workers {
+				if i == 0 || tt.peersFailAlso {
+					o.onError(h, tt.counts, time.Minute)
+				} else {
+					o.onSuccess(h)
+				}
+			}
+		}
+		if got := workers[0].avoidUntil > time.Minute; got != tt.want {
+			t.Errorf("%s: avoided %v, want %v", tt.name, got, tt.want)
+		}
+	}
+}
+
+func TestHealthCheckOfSilence(t *testing.T) {
+	const silence, patience = time.Second, 3 * time.Second
+	now := time.Minute
+	for _, tt := range []struct {
+		name        string
+		health      workerHealth
+		outstanding int
+		want        healthCheck
+	}{
+		{"nothing outstanding", workerHealth{}, 0, noCheck},
+		{"answered not long ago", workerHealth{lastHeardAt: now - silence}, 1, noCheck},
+		{"waiting not long", workerHealth{waitingSince: now - silence}, 1, noCheck},
+		{"silent", workerHealth{lastHeardAt: now - silence - 1}, 1, probeSilent},
+		{"probed not long ago", workerHealth{probedAt: now - patience}, 1, noCheck},
+		{"probe unanswered", workerHealth{probedAt: now - patience - 1}, 1, ejectSilent},
+		{"heard since the probe, then silent", workerHealth{probedAt: now - 10*time.Second,
+			lastHeardAt: now - 9*time.Second}, 1, noCheck},
+		{"ejected", workerHealth{ejected: true, ejectedUntil: now + 1}, 1, noCheck},
+		{"ejection over", workerHealth{ejected: true, ejectedUntil: now}, 0, probeEjected},
+		{"ejection over, probed", workerHealth{ejected: true, ejectedUntil: now - 1, probedAt: now - patience},
+			0, noCheck},
+		{"ejection over, probe unanswered", workerHealth{ejected: true, ejectedUntil: now - 9,
+			probedAt: now - patience - 1}, 0, ejectSilent},
+	} {
+		if got := tt.health.check(now, tt.outstanding, silence, patience); got != tt.want {
+			t.Errorf("%s: check %d, want %d", tt.name, got, tt.want)
+		}
+	}
+}
+
+func TestPeerLatencyCountsListedWorkers(t *testing.T) {
+	var p peerLatency
+	if p.median() != 1 {
+		t.Errorf("median %v of none, want 1", p.median())
+	}
+	var a, b, gone concurrencyLimit
+	p.set(&a, 2, true)
+	p.set(&b, 3, true)
+	p.set(&gone, 9, false)
+	if p.median() != 3 || gone.latencyRatio != 9 {
+		t.Errorf("median %v of 2 and 3, want the higher", p.median())
+	}
+	p.set(&b, 1, true)
+	p.forget(&a)
+	if p.median() != 1 {
+		t.Errorf("median %v of 1 alone", p.median())
+	}
+}
--- /dev/null
+++ b/scheduler/slowstart_test.go
@@ -0,0 +1,110 @@
+package scheduler
+
+import (
+	"math"
+	"math/rand/v2"
+	"testing"
+	"time"
+)
+
+// warmingUp returns the slow start of one of so many controllers, with a worker that started at a minute. Warming
+// up takes ten seconds from a fifth of the capacity; a worker collapses at twice its capacity for two seconds.
+func warmingUp(controllers float64) (*slowStart, *warmup) {
+	s := &slowStart{controllers: controllers, random: rand.New(rand.NewPCG(3, 3)),
+		guarantees: Guarantees{WarmupFraction: 0.2, WarmupTime: 10 * time.Second,
+			CollapseFactor: 2, CollapseWindow: 2 * time.Second}}
+	w := &warmup{}
+	s.begin(w, time.Minute)
+	return s, w
+}
+
+func TestSlowStartFractionGrowsEvenly(t *testing.T) {
+	s, w := warmingUp(1)
+	for after, want := range map[time.Duration]float64{-time.Second: 0.2, 0: 0.2, 5 * time.Second: 0.6,
+		10 * time.Second: 1, time.Hour: 1} {
+		if got := s.fraction(w, time.Minute+after); math.Abs(got-want) > 1e-12 {
+			t.Errorf("%v after the start: fraction %v, want %v", after, got, want)
+		}
+	}
+	if got := s.fraction(&warmup{}, time.Second); got != 1 {
+		t.Errorf("worker that started long ago: fraction %v, want 1", got)
+	}
+}
+
+func one() float64 { return 1 }
+
+// Without credit a controller may have outstanding at a worker what it may be sent beyond its capacity in a window:
+// 0.2 of a core for two seconds here, in equal parts for each controller.
+func TestSlowStartBoundsWhatIsOutstanding(t *testing.T) {
+	for controllers, want := range map[float64]int{1: 6, 2: 3, 8: 0} { // of 0.4 s, 0.2 s, 0.05 s
+		s, w := warmingUp(controllers)
+		const work = 0.0625
+		sent := 0
+		for range 20 {
+			if s.admit(w, time.Minute, work, one) {
+				s.sent(w, work)
+				sent++
+			}
+		}
+		if sent != want {
+			t.Errorf("%v controllers: %d requests of %v s outstanding, want %d", controllers, sent, work, want)
+		}
+	}
+}
+
+// Work that failed at the worker counts against its credit, as it has weighed on it; work that never reached it
+// does not. Only answered work earns credit anywhere.
+func TestSlowStartChargesWorkThatMayHaveRun(t *testing.T) {
+	for outcome, want := range map[Outcome]struct{ credit, answered float64 }{
+		OK: {0, 0.5}, ConnectFailed: {}, NotStarted: {},
+		TimedOut: {-0.5, 0}, Reset: {-0.5, 0}, Error: {-0.5, 0}, Cancelled: {-0.5, 0}, AtCapacity: {-0.5, 0},
+	} {
+		s, w := warmingUp(3)
+		s.sent(w, 0.5)
+		s.ended(w, 0.5, outcome)
+		if w.outstandingWork != 0 || w.credit != want.credit || s.answered != want.answered {
+			t.Errorf("outcome %d: credit %v, answered %v, want %+v", outcome, w.credit, s.answered, want)
+		}
+	}
+}
+
+// Where a window holds fewer requests than the margin, nothing is sent, and credit is not saved up for it.
+func TestSlowStartSendsNothingWhereAWindowHoldsTooFewRequests(t *testing.T) {
+	s, w := warmingUp(1)
+	w.credit = 100
+	if s.admit(w, time.Minute, 1, one) { // the window holds 0.8 requests of a second
+		t.Error("a request is sent")
+	}
+	if w.credit != 0 {
+		t.Errorf("credit %v is kept", w.credit)
+	}
+}
+
+// Over a long time the work that is admitted follows the credit: here nothing may be outstanding beyond it, as
+// there are so many controllers, and what one of them sees answered is small.
+func TestSlowStartWagersCreditForParts(t *testing.T) {
+	const controllers, work = 100, 0.02
+	admitted, wagered := 0.0, false
+	random := rand.New(rand.NewPCG(3, 3))
+	for range 200 {
+		s, w := warmingUp(controllers)
+		s.random = random
+		s.sent(w, 1) // more than may be outstanding
+		for now := time.Minute; now < time.Minute+5*time.Second; now += 100 * ms {
+			s.answered += 0.001 // a hundredth of a core, as all hundred controllers see it: one core in all
+			before := w.credit
+			if s.admit(w, now, work, one) {
+				admitted += work
+				wagered = wagered || before < work
+			}
+		}
+	}
+	// One core's even part for 5 s, at an average fraction of 0.4 and 1 to 1.5 times it, over the controllers.
+	rate := admitted / 200 * controllers / 5
+	if rate < 0.2 || rate > 0.6 {
+		t.Errorf("%v s of work a second by all controllers, want about 0.4", rate)
+	}
+	if !wagered {
+		t.Error("no part of a request was wagered: nothing was tested")
+	}
+}
--- /dev/null
+++ b/scheduler/snapshot.go
@@ -0,0 +1,133 @@
+package scheduler
+
+import (
+	"maps"
+	"slices"
+	"time"
+)
+
+// Snapshot is the state of a worker and a function as the dispatcher sees it, for people to read. Nothing
+// is decided by it.
+type Snapshot struct {
+	RingPosition     int     `json:"Place"`    // of the worker in the function's walk; -1: not on it
+	RingSize         int     `json:"Ring"`     // workers on the ring
+	Ready            bool    `json:"Ready"`    // may be sent something new
+	Ejected          bool    `json:"Ejected"`  // for failures
+	WarmingUp        bool    `json:"Cold"`     // started not long ago: in slow start
+	HasCopy          bool    `json:"Warm"`     // a copy is believed to be loaded
+	Rank             int     `json:"Rank"`     // as advised
+	Tokens           float64 `json:"Tokens"`   // concurrency limit at the worker
+	Busy             int     `json:"Busy"`     // tokens in use
+	LatencyRatio     float64 `json:"Pace"`     // mean of its run times over its classes' means; 0: not known
+	Loads            int     `json:"Loads"`    // attempts there that may wait for a load
+	AdmittedFraction float64 `json:"Pass"`     // of new requests
+	Queued           int     `json:"Waiting"`  // requests of the function in its queue
+	InFlight         int     `json:"InFlight"` // attempts of the function without an outcome
+}
+
+// Snapshot returns the state of a worker and a function now. Either may be unknown.
+func (d *Dispatcher) Snapshot(function FunctionID, id WorkerID) Snapshot {
+	snapshot := Snapshot{RingPosition: -1, RingSize: len(d.order), AdmittedFraction: d.admission.fraction}
+	worker, queue := d.workers[id], d.queues.byFunction[function]
+	if queue != nil {
+		snapshot.Queued = len(queue.pending)
+		snapshot.InFlight = queue.inFlight
+		snapshot.RingPosition = d.ringPosition(queue, id)
+	}
+	if worker == nil {
+		return snapshot
+	}
+	snapshot.Ready = d.ready(worker)
+	snapshot.Ejected = worker.ejected
+	snapshot.Rank = worker.rank
+	warmAt := worker.warmingSince + d.settings.Guarantees.WarmupTime
+	snapshot.WarmingUp = worker.warmingSince > 0 && d.now < warmAt
+	snapshot.Tokens = worker.limit.tokens
+	snapshot.Busy = worker.limit.inUse
+	snapshot.Loads = worker.awaitingLoad
+	snapshot.LatencyRatio = worker.limit.latencyRatio
+	if queue != nil {
+		snapshot.HasCopy = d.hasCopy(queue.placements[worker], worker)
+	}
+	return snapshot
+}
+
+// ringPosition is the place of a worker in a function's walk, or -1.
+func (d *Dispatcher) ringPosition(queue *queue, id WorkerID) int {
+	for i := range d.order {
+		if queue.worker(i).ID == id {
+			return i
+		}
+	}
+	return -1
+}
+
+// WorkerSnapshot is a worker as the dispatcher sees it.
+type WorkerSnapshot struct {
+	ID              WorkerID      `json:"ID"`
+	State           WorkerState   `json:"State"`
+	Snapshot        Snapshot      `json:"Look"`   // of no function
+	SinceLastAnswer time.Duration `json:"Heard"`  // -1: none yet
+	Copies          int           `json:"Copies"` // functions believed to be loaded there
+}
+
+// Workers returns all workers that are listed, by id.
+func (d *Dispatcher) Workers() (snapshots []WorkerSnapshot) {
+	for _, worker := range d.order {
+		snapshot := WorkerSnapshot{
+			ID:              worker.ID,
+			State:           worker.State,
+			Snapshot:        d.Snapshot(0, worker.ID),
+			SinceLastAnswer: -1,
+		}
+		if worker.lastHeardAt > 0 {
+			snapshot.SinceLastAnswer = d.now - worker.lastHeardAt
+		}
+		for _, placed := range worker.placements {
+			if d.hasCopy(placed, worker) {
+				snapshot.Copies++
+			}
+		}
+		snapshots = append(snapshots, snapshot)
+	}
+	return snapshots
+}
+
+// FunctionSnapshot is a function as the dispatcher sees it.
+type FunctionSnapshot struct {
+	ID               FunctionID    `json:"ID"`
+	Home             WorkerID      `json:"Home"`     // the first of its walk that is ready; 0: none is
+	Queued           int           `json:"Waiting"`  // requests in its queue
+	InFlight         int           `json:"InFlight"` // attempts without an outcome
+	MeanRunTime      time.Duration `json:"Run"`      // 0: not known
+	MeanInterarrival time.Duration `json:"Gap"`      // 0: not known
+	Copies           int           `json:"Copies"`   // workers where one is believed to be loaded
+	Desired          bool          `json:"Wanted"`   // advice wants copies
+}
+
+// Functions returns the functions that are remembered, by id.
+func (d *Dispatcher) Functions() (snapshots []FunctionSnapshot) {
+	for _, function := range slices.Sorted(maps.Keys(d.queues.byFunction)) {
+		queue := d.queues.byFunction[function]
+		snapshot := FunctionSnapshot{
+			ID:               queue.function,
+			Queued:           len(queue.pending),
+			InFlight:         queue.inFlight,
+			MeanRunTime:      seconds(queue.meanRunTime),
+			MeanInterarrival: seconds(queue.meanInterarrival),
+			Desired:          queue.desiredUntil > d.now,
+		}
+		for i := 0; i < len(d.order) && snapshot.Home == 0; i++ {
+			if w := queue.worker(i); d.ready(w) {
+				snapshot.Home = w.ID
+			}
+		}
+		for worker, placed := range queue.placements {
+			if worker.State != Gone && d.hasCopy(placed, worker) {
+				snapshot.Copies++
+			}
+		}
+		snapshots = append(snapshots, snapshot)
+	}
+	return snapshots
+}
