--- a/internal/replayguard/golden_test.go
+++ b/internal/replayguard/handover_test.go
@@ -10,15 +10,34 @@
 
 // remembered is one message in each state that a guard can have it in, in the order in which Export gives them.
 var remembered = []EntryState{
-	{Key: Key{Client: 1, ID: "msg_kept"}, Last: 1000001, Digest: make([]byte, 32), Status: 200, Type: "application/json", Body: []byte(`{"a":"<b>"}`)},
-	{Key: Key{Client: 2, ID: "msg_running"}, Last: 1000002, Digest: append([]byte{1, 2, 255}, make([]byte, 29)...), Running: true},
+	{
+		Key:    Key{Client: 1, ID: "msg_kept"},
+		Last:   1000001,
+		Digest: make([]byte, 32),
+		Status: 200,
+		Type:   "application/json",
+		Body:   []byte(`{"a":"<b>"}`),
+	},
+	{
+		Key:     Key{Client: 2, ID: "msg_running"},
+		Last:    1000002,
+		Digest:  append([]byte{1, 2, 255}, make([]byte, 29)...),
+		Running: true,
+	},
 	{Key: Key{Client: 3, ID: "msg_dropped"}, Last: 1000003, Digest: make([]byte, 32), Dropped: true},
-	{Key: Key{Client: 4, ID: "msg_refused"}, Last: 1000004, Digest: make([]byte, 32), Refused: true, Status: 503, Type: "application/problem+json"},
+	{
+		Key:     Key{Client: 4, ID: "msg_refused"},
+		Last:    1000004,
+		Digest:  make([]byte, 32),
+		Refused: true,
+		Status:  503,
+		Type:    "application/problem+json",
+	},
 }
 
 // What a guard remembers goes to the process that takes over, which may be of another version.
 func TestExportedMessagesAreAsBefore(t *testing.T) {
-	guard := fresh(0)
+	guard := newGuard(0)
 	guard.Import(remembered, 1, 2, 3)
 	exported, _, _, _ := guard.Export()
 	written, err := json.Marshal(exported)
