--- /dev/null
+++ b/internal/discovery/encode.go
@@ -0,0 +1,112 @@
+package discovery
+
+import (
+	"encoding/json"
+	"net"
+	"slices"
+	"strconv"
+	"time"
+
+	"kitehub/internal/gateway"
+	"kitehub/scheduler"
+)
+
+// Render writes workers as a complete list, an Assignment. Those that are Gone are left out.
+func Render(cluster string, workers []gateway.Worker) ([]byte, error) {
+	assignment := Assignment{Type: TypeAssignment, ClusterName: cluster, Endpoints: []Locality{}}
+	for _, w := range workers {
+		if w.State == scheduler.Gone {
+			continue
+		}
+		endpoint, err := newEndpoint(w)
+		if err != nil {
+			return nil, err
+		}
+		locality := assignment.locality(w.Zone)
+		locality.LbEndpoints = append(locality.LbEndpoints, endpoint)
+	}
+	return json.MarshalIndent(assignment, "", " ")
+}
+
+// locality returns the locality of a zone, which it adds if there is none.
+func (a *Assignment) locality(zone string) *Locality {
+	i := slices.IndexFunc(a.Endpoints, func(l Locality) bool { return l.Locality.Zone == zone })
+	if i < 0 {
+		i = len(a.Endpoints)
+		a.Endpoints = append(a.Endpoints, Locality{Locality: Place{zone}})
+	}
+	return &a.Endpoints[i]
+}
+
+func newEndpoint(w gateway.Worker) (e Endpoint, err error) {
+	e.Endpoint.Hostname = w.Name
+	e.LoadBalancingWeight = uint32(w.Size)
+	if w.Network == "unix" {
+		e.Endpoint.Address.Pipe = &Pipe{w.Addr}
+	} else if e.Endpoint.Address.SocketAddress, err = newSocketAddress(w.Addr); err != nil {
+		return e, err
+	}
+	e.HealthStatus = "HEALTHY"
+	if w.State == scheduler.Draining {
+		e.HealthStatus = "DRAINING"
+	}
+	meta := &e.Metadata.FilterMetadata.Kitehub
+	meta.Group = w.Group
+	meta.Kind = w.Kind
+	meta.Zone = w.Zone
+	if !w.Started.IsZero() {
+		meta.Started = w.Started.UTC().Format(time.RFC3339Nano)
+	}
+	return e, nil
+}
+
+func newSocketAddress(addr string) (*SocketAddress, error) {
+	host, portText, err := net.SplitHostPort(addr)
+	if err != nil {
+		return nil, err
+	}
+	port, err := strconv.Atoi(portText)
+	if err != nil {
+		return nil, err
+	}
+	return &SocketAddress{host, uint32(port)}, nil
+}
+
+// Difference returns the changed and removed resources of a delta with the given version from one list to another.
+func Difference(from, to []gateway.Worker, version string) (changed []json.RawMessage, removed []string, err error) {
+	missing := map[string]gateway.Worker{} // in from, and not yet found in to
+	for _, w := range from {
+		missing[w.Name] = w
+	}
+	for _, w := range to {
+		before, known := missing[w.Name]
+		delete(missing, w.Name)
+		if known && before == w {
+			continue
+		}
+		resource, err := newResource(w, version)
+		if err != nil {
+			return nil, nil, err
+		}
+		changed = append(changed, resource)
+	}
+	for _, w := range from {
+		if _, ok := missing[w.Name]; ok {
+			removed = append(removed, w.Name)
+		}
+	}
+	return changed, removed, nil
+}
+
+func newResource(w gateway.Worker, version string) (json.RawMessage, error) {
+	endpoint, err := newEndpoint(w)
+	if err != nil {
+		return nil, err
+	}
+	endpoint.Type = TypeEndpoint
+	text, err := json.Marshal(endpoint)
+	if err != nil {
+		return nil, err
+	}
+	return json.Marshal(Resource{Name: w.Name, Version: version, Resource: text})
+}
--- /dev/null
+++ b/internal/discovery/file.go
@@ -0,0 +1,38 @@
+package discovery
+
+import (
+	"bytes"
+	"encoding/json"
+	"os"
+	"strconv"
+)
+
+// watchFile reads the file every poll period, and applies it when its text has changed. The time of change is not
+// relied on: a file that is copied or restored may have an old one.
+//
+// An error is logged once, not every period.
+func (w *Watcher) watchFile() {
+	defer w.wg.Done()
+	var lastText []byte
+	lastError := ""
+	for reads := uint64(1); ; reads++ {
+		text, err := os.ReadFile(w.cfg.File)
+		if err == nil && !bytes.Equal(text, lastText) {
+			lastText = text
+			err = w.apply(Update{
+				VersionInfo: strconv.FormatUint(reads, 10), // a file has no version: any that grows will do
+				TypeURL:     TypeAssignment,
+				Resources:   []json.RawMessage{text},
+			})
+		} else if err == nil {
+			lastError = ""
+		}
+		if err != nil && err.Error() != lastError {
+			lastError = err.Error()
+			w.cfg.Log.Warn().Err(err).Str("file", w.cfg.File).Msg(logRejected)
+		}
+		if !w.sleep(w.cfg.Poll) {
+			return
+		}
+	}
+}
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -13,65 +13,86 @@
 	"kitehub/scheduler"
 )
 
-// listed has workers of each kind that a list can tell of.
+// listed has workers of each kind that a list can contain.
 var listed = []gateway.Worker{
 	worker("a", "127.0.0.1:1", scheduler.Ready),
 	worker("b", "[::1]:2", scheduler.Draining),
 	{Name: "bare", Network: "tcp", Addr: "127.0.0.1:3", State: scheduler.Ready},
-	{Name: "u", Network: "unix", Addr: "/run/u", Zone: "b", State: scheduler.Ready, Size: 1, Started: time.Unix(1700000001, 0).UTC()},
+	{
+		Name:    "u",
+		Network: "unix",
+		Addr:    "/run/u",
+		Zone:    "b",
+		State:   scheduler.Ready,
+		Size:    1,
+		Started: time.Unix(1700000001, 0).UTC(),
+	},
 }
 
-// The list is kept in a file for the next start of the process.
+// The list is cached in a file for the next start of the process.
 func TestCachedListIsAsBefore(t *testing.T) {
 	for name, workers := range map[string][]gateway.Worker{"cache.json": listed, "cache_empty.json": nil} {
 		file := filepath.Join(t.TempDir(), name)
-		known := map[string]gateway.Worker{}
+		inForce := map[string]gateway.Worker{}
 		for _, w := range workers {
-			known[w.Name] = w
+			inForce[w.Name] = w
 		}
-		watcher := &Watcher{cfg: Config{Cluster: "c", Cache: file}, state: State{Cluster: "c", known: known}}
-		watcher.save()
+		watcher := &Watcher{cfg: Config{Cluster: "c", Cache: file}, state: State{Cluster: "c", workers: inForce}}
+		watcher.saveCache()
 		written, err := os.ReadFile(file)
 		if err != nil {
 			t.Fatal(err)
 		}
 		goldenfile.Compare(t, name, written)
 
-		told := &toldSink{}
-		(&Watcher{cfg: Config{Cluster: "c", Cache: filepath.Join("testdata", "golden", name), Sink: told}}).cached()
+		sink := &lastListSink{}
+		golden := filepath.Join("testdata", "golden", name)
+		(&Watcher{cfg: Config{Cluster: "c", Cache: golden, Sink: sink}}).loadCache()
 		byName := map[string]gateway.Worker{}
-		for _, w := range told.workers {
+		for _, w := range sink.workers {
 			byName[w.Name] = w
 		}
-		if told.kind != scheduler.CachedList || !reflect.DeepEqual(byName, known) {
-			t.Errorf("%s: read %v as kind %v, want %v", name, byName, told.kind, known)
+		if sink.kind != scheduler.CachedList || !reflect.DeepEqual(byName, inForce) {
+			t.Errorf("%s: read %v as kind %v, want %v", name, byName, sink.kind, inForce)
 		}
 	}
 }
 
-// toldSink keeps the last list that it was told.
-type toldSink struct {
+// A lastListSink keeps the last list that it was notified of.
+type lastListSink struct {
 	kind    scheduler.ListKind
 	workers []gateway.Worker
 }
 
-func (s *toldSink) Workers(kind scheduler.ListKind, _ uint32, workers []gateway.Worker) error {
+func (s *lastListSink) Workers(kind scheduler.ListKind, _ uint32, workers []gateway.Worker) error {
 	s.kind, s.workers = kind, workers
 	return nil
 }
 
-// A server of lists is asked, and answers, in Envoy's messages.
+// Requests and updates are Envoy's messages.
 func TestDiscoveryMessagesAreAsBefore(t *testing.T) {
 	changed, removed, err := Difference([]gateway.Worker{listed[0], listed[3]}, listed[:3], "7")
 	if err != nil {
 		t.Fatal(err)
 	}
 	for name, message := range map[string]any{
-		"request.json": &Request{VersionInfo: "6", Node: Node{"c1"}, ResourceNames: []string{"c"}, TypeURL: TypeAssignment, ResponseNonce: "n",
-			ErrorDetail: &ErrorDetail{Code: 3, Message: "clusterName: empty"}},
+		"request.json": &Request{
+			VersionInfo:   "6",
+			Node:          Node{"c1"},
+			ResourceNames: []string{"c"},
+			TypeURL:       TypeAssignment,
+			ResponseNonce: "n",
+			ErrorDetail:   &ErrorDetail{Code: 3, Message: "clusterName: empty"},
+		},
 		"request_first.json": &Request{TypeURL: TypeEndpoint},
-		"update.json": &Update{VersionInfo: "7", SystemVersionInfo: "8", TypeURL: TypeEndpoint, Nonce: "n", Resources: changed,
-			RemovedResources: removed},
+		"update.json": &Update{
+			VersionInfo:       "7",
+			SystemVersionInfo: "8",
+			TypeURL:           TypeEndpoint,
+			Nonce:             "n",
+			Resources:         changed,
+			RemovedResources:  removed,
+		},
 		"update_empty.json": &Update{},
 	} {
 		written, err := json.Marshal(message)
--- /dev/null
+++ b/internal/discovery/watcher_test.go
@@ -0,0 +1,279 @@
+package discovery
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net"
+	"os"
+	"path/filepath"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"kitehub/internal/gateway"
+	"kitehub/internal/http1"
+	"kitehub/scheduler"
+)
+
+func TestBackoffDoublesUpToItsMaximumWithJitter(t *testing.T) {
+	for failures, want := range map[int]time.Duration{
+		1:  100 * time.Millisecond,
+		2:  200 * time.Millisecond,
+		5:  1600 * time.Millisecond,
+		60: 5 * time.Second,
+	} {
+		if got := backoff(failures, minBackoff, maxBackoff, 1); got != want {
+			t.Errorf("%d failures: %v, want %v", failures, got, want)
+		}
+		if got := backoff(failures, minBackoff, maxBackoff, 0); got != want/2 {
+			t.Errorf("%d failures, lowest draw: %v, want %v", failures, got, want/2)
+		}
+	}
+}
+
+// A recordingSink records what it is notified of, or rejects it.
+type recordingSink struct {
+	notified chan string // kind, and workers with their states
+
+	mu     sync.Mutex
+	reject error
+}
+
+func newRecordingSink() *recordingSink { return &recordingSink{notified: make(chan string, 10)} }
+
+func (s *recordingSink) Workers(kind scheduler.ListKind, _ uint32, workers []gateway.Worker) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.reject != nil {
+		return s.reject
+	}
+	s.notified <- strings.TrimSpace(fmt.Sprint(int(kind), " ", summary(workers)))
+	return nil
+}
+
+func (s *recordingSink) rejectWith(err error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.reject = err
+}
+
+func (s *recordingSink) expect(t *testing.T, want string) {
+	t.Helper()
+	select {
+	case got := <-s.notified:
+		if got != want {
+			t.Errorf("notified of %q, want %q", got, want)
+		}
+	case <-time.After(20 * time.Second):
+		t.Fatalf("not notified of %q", want)
+	}
+}
+
+// A logBuffer takes log lines from another goroutine.
+type logBuffer struct {
+	written chan struct{} // receives after a write
+
+	mu   sync.Mutex
+	text strings.Builder
+}
+
+func newLogBuffer() *logBuffer { return &logBuffer{written: make(chan struct{}, 1)} }
+
+func (l *logBuffer) Write(p []byte) (int, error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.text.Write(p)
+	select {
+	case l.written <- struct{}{}:
+	default:
+	}
+	return len(p), nil
+}
+
+func (l *logBuffer) contains(text string) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return strings.Contains(l.text.String(), text)
+}
+
+func (l *logBuffer) waitFor(t *testing.T, text string) {
+	t.Helper()
+	timeout := time.After(20 * time.Second)
+	for !l.contains(text) {
+		select {
+		case <-l.written:
+		case <-timeout:
+			t.Fatalf("not logged: %q", text)
+		}
+	}
+}
+
+func writeTestFile(t *testing.T, file, text string) {
+	t.Helper()
+	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// The sink follows the file; a truncated one changes nothing and is logged. The next start begins with the cached
+// list, unless the cache is broken.
+func TestWatchFile(t *testing.T) {
+	dir := t.TempDir()
+	file := filepath.Join(dir, "list.json")
+	cache := filepath.Join(dir, "cache.json")
+	a := worker("a", "127.0.0.1:1", scheduler.Ready)
+	b := worker("b", "127.0.0.1:2", scheduler.Ready)
+	sink := newRecordingSink()
+	log := newLogBuffer()
+	cfg := Config{
+		Node:    "n",
+		Cluster: "c",
+		File:    file,
+		Cache:   cache,
+		Poll:    time.Millisecond,
+		Sink:    sink,
+		Log:     zerolog.New(log),
+	}
+
+	watcher := Start(cfg)
+	log.waitFor(t, "no such file")
+	writeTestFile(t, file, list(t, a))
+	sink.expect(t, "2 a1")
+	writeTestFile(t, file, list(t, a, b)[:99])
+	log.waitFor(t, "not a ClusterLoadAssignment")
+	writeTestFile(t, file, list(t, a, b))
+	sink.expect(t, "2 a1 b1")
+	watcher.Stop()
+
+	os.Remove(file)
+	watcher = Start(cfg)
+	sink.expect(t, "3 a1 b1")
+	watcher.Stop()
+
+	writeTestFile(t, cache, "{")
+	watcher = Start(cfg)
+	log.waitFor(t, "cached endpoint list rejected")
+	writeTestFile(t, file, list(t, b))
+	sink.expect(t, "2 b1")
+	watcher.Stop()
+	if len(sink.notified) > 0 {
+		t.Errorf("also notified of %q", <-sink.notified)
+	}
+}
+
+// A scriptedServer passes each poll to the test, and answers it as the test says.
+type scriptedServer struct {
+	addr     string
+	requests chan Request
+	answers  chan func(*http1.Conn) *http1.Response
+}
+
+func newScriptedServer(t *testing.T) *scriptedServer {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	s := &scriptedServer{
+		addr:     ln.Addr().String(),
+		requests: make(chan Request, 100),
+		answers:  make(chan func(*http1.Conn) *http1.Response, 100),
+	}
+	server := &http1.Server{Handler: http1.HandlerFunc(func(c *http1.Conn, r *http1.Request) *http1.Response {
+		var request Request
+		if err := json.Unmarshal(r.Body, &request); err != nil {
+			t.Error(err)
+		}
+		s.requests <- request
+		answer, ok := <-s.answers
+		if !ok {
+			return nil
+		}
+		return answer(c)
+	})}
+	go server.Serve(ln)
+	t.Cleanup(func() {
+		close(s.answers)
+		ln.Close()
+		server.Cut()
+	})
+	return s
+}
+
+// update answers the present poll, or the next, with an update.
+func (s *scriptedServer) update(t *testing.T, nonce string, u Update) {
+	t.Helper()
+	u.Nonce = nonce
+	body, err := json.Marshal(u)
+	if err != nil {
+		t.Fatal(err)
+	}
+	s.answers <- func(*http1.Conn) *http1.Response { return &http1.Response{Status: 200, Body: body} }
+}
+
+func (s *scriptedServer) notModified() {
+	s.answers <- func(*http1.Conn) *http1.Response { return &http1.Response{Status: 304} }
+}
+
+func (s *scriptedServer) resetConnection() {
+	s.answers <- func(c *http1.Conn) *http1.Response {
+		c.Reset()
+		return nil
+	}
+}
+
+// expectPoll waits for the next poll and checks what it says of the last update: the version in force, the nonce
+// answered, and, if the update was rejected, a part of the reason.
+func (s *scriptedServer) expectPoll(t *testing.T, version, nonce, rejection string) {
+	t.Helper()
+	r := <-s.requests
+	if r.VersionInfo != version || r.ResponseNonce != nonce {
+		t.Errorf("poll from version %q with nonce %q, want %q and %q", r.VersionInfo, r.ResponseNonce, version, nonce)
+	}
+	if (r.ErrorDetail != nil) != (rejection != "") {
+		t.Errorf("poll with error detail %+v, want %q", r.ErrorDetail, rejection)
+	} else if r.ErrorDetail != nil && !strings.Contains(r.ErrorDetail.Message, rejection) {
+		t.Errorf("poll with reason %q, want %q", r.ErrorDetail.Message, rejection)
+	}
+}
+
+// The server is polled again and again: each poll accepts or rejects the last update by its nonce, a connection that
+// breaks is replaced, and the version in force goes along.
+func TestWatchServer(t *testing.T) {
+	a := worker("a", "127.0.0.1:1", scheduler.Ready)
+	b := worker("b", "127.0.0.1:2", scheduler.Ready)
+	server := newScriptedServer(t)
+	sink := newRecordingSink()
+	watcher := Start(Config{Node: "n", Cluster: "c", Server: server.addr, Sink: sink, Log: zerolog.Nop()})
+	t.Cleanup(watcher.Stop)
+
+	first := <-server.requests
+	if first.Node.ID != "n" || first.VersionInfo != "" || first.TypeURL != TypeAssignment || first.ResourceNames[0] != "c" {
+		t.Errorf("first request %+v", first)
+	}
+	server.update(t, "n1", fullUpdate(t, "1", a))
+	sink.expect(t, "2 a1")
+	server.expectPoll(t, "1", "n1", "")
+
+	noHostname := fullUpdate(t, "2")
+	noHostname.Resources[0] = json.RawMessage(`{"clusterName":"c","endpoints":[{"lbEndpoints":[{}]}]}`)
+	server.update(t, "n2", noHostname)
+	server.expectPoll(t, "1", "n2", "hostname")
+
+	server.notModified()
+	server.expectPoll(t, "1", "n2", "hostname")
+	server.resetConnection()
+	server.expectPoll(t, "1", "n2", "hostname")
+
+	server.update(t, "n3", deltaUpdate(t, "3", []gateway.Worker{a}, []gateway.Worker{b}))
+	sink.expect(t, "1 b1 a3")
+	server.expectPoll(t, "3", "n3", "")
+
+	sink.rejectWith(errors.New("two names with one hash"))
+	server.update(t, "n4", fullUpdate(t, "4", a, b))
+	server.expectPoll(t, "3", "n4", "two names with one hash")
+}
--- /dev/null
+++ b/internal/discovery/xds.go
@@ -0,0 +1,111 @@
+package discovery
+
+import "encoding/json"
+
+// Type URLs of the resources understood.
+const (
+	TypeAssignment = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
+	TypeEndpoint   = "type.googleapis.com/envoy.config.endpoint.v3.LbEndpoint"
+)
+
+// Path is where a server answers long polls for endpoints: the REST form of xDS. The body of the answer is an Update.
+const Path = "/v3/discovery:endpoints"
+
+// An Assignment is a ClusterLoadAssignment, as far as it is read. Unknown fields are ignored, as xDS asks.
+type Assignment struct {
+	Type        string     `json:"@type,omitempty"`
+	ClusterName string     `json:"clusterName"`
+	Endpoints   []Locality `json:"endpoints"`
+}
+
+// A Locality is a LocalityLbEndpoints: the endpoints of one zone.
+type Locality struct {
+	Locality    Place      `json:"locality"`
+	LbEndpoints []Endpoint `json:"lbEndpoints"`
+}
+
+// A Place is a core.v3.Locality.
+type Place struct {
+	Zone string `json:"zone,omitempty"`
+}
+
+// An Endpoint is an LbEndpoint. Hostname is the worker's stable name, and LoadBalancingWeight its size.
+type Endpoint struct {
+	Type     string `json:"@type,omitempty"`
+	Endpoint struct {
+		Hostname string `json:"hostname"`
+		Address  struct {
+			SocketAddress *SocketAddress `json:"socketAddress,omitempty"`
+			Pipe          *Pipe          `json:"pipe,omitempty"`
+		} `json:"address"`
+	} `json:"endpoint"`
+	HealthStatus        string `json:"healthStatus,omitempty"`
+	LoadBalancingWeight uint32 `json:"loadBalancingWeight,omitempty"`
+	Metadata            struct {
+		FilterMetadata struct {
+			Kitehub Meta `json:"kitehub"`
+		} `json:"filterMetadata"`
+	} `json:"metadata"`
+}
+
+// A SocketAddress is a core.v3.SocketAddress.
+type SocketAddress struct {
+	Address   string `json:"address"` // an IP address
+	PortValue uint32 `json:"portValue"`
+}
+
+// A Pipe is a core.v3.Pipe: a Unix socket.
+type Pipe struct {
+	Path string `json:"path"`
+}
+
+// Meta is the metadata that kitehub adds to an endpoint, under "kitehub".
+type Meta struct {
+	Group   string `json:"group,omitempty"`
+	Kind    string `json:"kind,omitempty"`
+	Zone    string `json:"zone,omitempty"`    // for deltas, whose endpoints come without a locality
+	Started string `json:"started,omitempty"` // when the worker's process started, RFC 3339
+}
+
+// An Update is a DiscoveryResponse, with a complete list, or a DeltaDiscoveryResponse.
+type Update struct {
+	VersionInfo       string            `json:"versionInfo,omitempty"`       // of a complete list
+	SystemVersionInfo string            `json:"systemVersionInfo,omitempty"` // of a delta
+	TypeURL           string            `json:"typeUrl"`                     // TypeAssignment or, for a delta, TypeEndpoint
+	Nonce             string            `json:"nonce"`
+	Resources         []json.RawMessage `json:"resources,omitempty"`        // one Assignment, or the delta's Resources
+	RemovedResources  []string          `json:"removedResources,omitempty"` // names of workers
+}
+
+// A Resource is one changed endpoint of a delta.
+type Resource struct {
+	Name     string          `json:"name"`
+	Version  string          `json:"version"`
+	Resource json.RawMessage `json:"resource"` // an Endpoint
+}
+
+// A Request is a DiscoveryRequest or a DeltaDiscoveryRequest. It asks for what comes after VersionInfo, and answers
+// the update with the nonce ResponseNonce: it accepts it (VersionInfo is the update's) or rejects it (VersionInfo is
+// the previous one, and ErrorDetail says why).
+type Request struct {
+	VersionInfo   string       `json:"versionInfo,omitempty"`
+	Node          Node         `json:"node"`
+	ResourceNames []string     `json:"resourceNames,omitempty"`
+	TypeURL       string       `json:"typeUrl"`
+	ResponseNonce string       `json:"responseNonce,omitempty"`
+	ErrorDetail   *ErrorDetail `json:"errorDetail,omitempty"`
+}
+
+// A Node identifies the sender of a request.
+type Node struct {
+	ID string `json:"id"`
+}
+
+// An ErrorDetail is a google.rpc.Status.
+type ErrorDetail struct {
+	Code    int    `json:"code"` // a google.rpc.Code
+	Message string `json:"message"`
+}
+
+// codeInvalidArgument is google.rpc.Code INVALID_ARGUMENT.
+const codeInvalidArgument = 3
