--- a/internal/discovery/server.go
+++ b/internal/discovery/server.go
@@ -46,7 +46,7 @@
 		if err != nil {
 			stream.close()
 			failures++
-			w.backOff(err, failures)
+			w.sleepAfterFailure(err, failures)
 			continue
 		}
 		failures = 0
@@ -68,8 +68,8 @@
 	request.VersionInfo = w.state.Version
 }
 
-// backOff logs a failure and waits before the next attempt.
-func (w *Watcher) backOff(err error, failures int) {
+// sleepAfterFailure logs a failure and waits before the next attempt.
+func (w *Watcher) sleepAfterFailure(err error, failures int) {
 	if w.ctx.Err() != nil {
 		return
 	}
--- a/internal/discovery/state_test.go
+++ b/internal/discovery/state_test.go
@@ -96,7 +96,7 @@
 	}
 }
 
-func TestServerThatCountsAnewIsHeardAfterReconnect(t *testing.T) {
+func TestVersionsAreComparedWithinOneConnectionOnly(t *testing.T) {
 	a := worker("a", "127.0.0.1:1", scheduler.Ready)
 	state := State{Cluster: "c"}
 	if event, err := state.Apply(fullUpdate(t, "6", a)); err != nil || event == nil {
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -252,7 +252,8 @@
 	t.Cleanup(watcher.Stop)
 
 	first := <-server.requests
-	if first.Node.ID != "n" || first.VersionInfo != "" || first.TypeURL != TypeAssignment || first.ResourceNames[0] != "c" {
+	if first.Node.ID != "n" || first.VersionInfo != "" ||
+		first.TypeURL != TypeAssignment || first.ResourceNames[0] != "c" {
 		t.Errorf("first request %+v", first)
 	}
 	server.update(t, "n1", fullUpdate(t, "1", a))
--- a/internal/discovery/xds.go
+++ b/internal/discovery/xds.go
@@ -69,12 +69,16 @@
 
 // An Update is a DiscoveryResponse, with a complete list, or a DeltaDiscoveryResponse.
 type Update struct {
-	VersionInfo       string            `json:"versionInfo,omitempty"`       // of a complete list
-	SystemVersionInfo string            `json:"systemVersionInfo,omitempty"` // of a delta
-	TypeURL           string            `json:"typeUrl"`                     // TypeAssignment or, for a delta, TypeEndpoint
-	Nonce             string            `json:"nonce"`
-	Resources         []json.RawMessage `json:"resources,omitempty"`        // one Assignment, or the delta's Resources
-	RemovedResources  []string          `json:"removedResources,omitempty"` // names of workers
+	// VersionInfo is the version of a complete list, SystemVersionInfo that of a delta.
+	VersionInfo       string `json:"versionInfo,omitempty"`
+	SystemVersionInfo string `json:"systemVersionInfo,omitempty"`
+	// TypeURL is TypeAssignment for a complete list and TypeEndpoint for a delta.
+	TypeURL string `json:"typeUrl"`
+	Nonce   string `json:"nonce"`
+	// Resources are the one Assignment of a complete list, or the Resources that a delta changes.
+	Resources []json.RawMessage `json:"resources,omitempty"`
+	// RemovedResources are the names of the workers that a delta removes.
+	RemovedResources []string `json:"removedResources,omitempty"`
 }
 
 // A Resource is one changed endpoint of a delta.
