--- /dev/null
+++ b/internal/backend/load.go
@@ -0,0 +1,142 @@
+package backend
+
+import (
+	"bytes"
+	"encoding/json"
+	"net/http"
+	"strconv"
+	"time"
+
+	"kitehub/internal/http1"
+	"kitehub/scheduler"
+)
+
+// A LoadOrder has a worker load copies of a function, or, if Copies is 0, asks how many it has loaded.
+type LoadOrder struct {
+	Worker   scheduler.WorkerID
+	Function string
+	Digest   string // of the bytes to load; "" if the worker knows
+	Copies   int
+}
+
+// LoadCopies sends a load order. done is called once, on a goroutine of its own, with the number of copies that the
+// worker has loaded.
+func (b *Backend) LoadCopies(o LoadOrder, done func(outcome scheduler.Outcome, copies int, took time.Duration)) {
+	go func() {
+		start := b.cfg.Clock.Now()
+		outcome, copies := b.loadCopies(o)
+		done(outcome, copies, b.cfg.Clock.Now()-start)
+	}()
+}
+
+func (b *Backend) loadCopies(o LoadOrder) (outcome scheduler.Outcome, copies int) {
+	w := b.worker(o.Worker)
+	if w == nil {
+		return scheduler.NotStarted, 0
+	}
+	if o.Copies == 0 {
+		return b.countCopies(w, o.Function)
+	}
+	digest := ""
+	if o.Digest != "" {
+		digest = `,"digest":` + strconv.Quote(o.Digest)
+	}
+	body := `{"parameters":{"copies":` + strconv.Itoa(o.Copies) + digest + `}}`
+	req := b.postJSON(w, pathLoad(o.Function), body)
+	resp, outcome := b.exchange(&exchange{}, w, req, b.cfg.OrderTimeout)
+	if outcome != scheduler.OK {
+		return outcome, 0
+	}
+	if resp.Status != http.StatusOK {
+		return loadProblem(resp)
+	}
+	return scheduler.OK, max(o.Copies, reportedCopies(resp))
+}
+
+// countCopies asks a worker how many copies of a function it has loaded; a draining worker is asked too.
+func (b *Backend) countCopies(w *worker, function string) (outcome scheduler.Outcome, copies int) {
+	req := b.postJSON(w, pathIndex, `{"ready":true}`)
+	resp, outcome := b.exchange(&exchange{toWithdrawn: true}, w, req, b.cfg.ProbeTimeout)
+	if outcome != scheduler.OK {
+		return outcome, 0
+	}
+	if resp.Status != http.StatusOK {
+		return loadProblem(resp)
+	}
+	copies, ok := copiesInIndex(resp.Body, function)
+	if !ok {
+		return scheduler.Error, 0
+	}
+	return scheduler.OK, copies
+}
+
+// loadProblem returns what an answer other than 200 says of a load order.
+func loadProblem(resp *http1.Response) (outcome scheduler.Outcome, copies int) {
+	outcome = problemOutcome(resp)
+	if outcome != scheduler.AtCapacity {
+		outcome = scheduler.Error
+	}
+	return outcome, reportedCopies(resp)
+}
+
+// reportedCopies returns how many copies the load report of an answer says are loaded; 0 if it does not say.
+func reportedCopies(resp *http1.Response) int {
+	return int(parseLoadReport(resp.Header.Get(HeaderLoad)).named["copies"])
+}
+
+// copiesInIndex returns how many copies of a function a repository index lists as ready: its "copies" (kitehub's
+// extension), or one if it has none. It returns false if the index is malformed.
+func copiesInIndex(body []byte, function string) (copies int, ok bool) {
+	if !bytes.Contains(body, []byte(function)) { // most of a long index need not be decoded
+		return 0, json.Valid(body)
+	}
+	var index []struct {
+		Name   string `json:"name"`
+		State  string `json:"state"`
+		Copies *int   `json:"copies"`
+	}
+	if json.Unmarshal(body, &index) != nil {
+		return 0, false
+	}
+	for _, model := range index {
+		if model.Name != function || model.State != "READY" {
+			continue
+		}
+		if model.Copies == nil {
+			return 1, true
+		}
+		return max(0, *model.Copies), true
+	}
+	return 0, true
+}
+
+// Unload has a worker drop the idle copies of a function. How that ends is not reported.
+func (b *Backend) Unload(id scheduler.WorkerID, function string) {
+	if w := b.worker(id); w != nil {
+		req := b.postJSON(w, pathUnload(function), `{}`)
+		go b.exchange(&exchange{}, w, req, b.cfg.ProbeTimeout)
+	}
+}
+
+// Probe checks a worker's health; a draining worker is checked too. done is called once, on a goroutine of its own,
+// with the worker's load report, nil if there was none.
+func (b *Backend) Probe(id scheduler.WorkerID, done func(o scheduler.Outcome, took time.Duration, report []float64)) {
+	go func() {
+		w := b.worker(id)
+		if w == nil {
+			done(scheduler.NotStarted, 0, nil)
+			return
+		}
+		start := b.cfg.Clock.Now()
+		req := &http1.Request{Method: http.MethodGet, Target: pathReady, Header: b.header(w)}
+		resp, outcome := b.exchange(&exchange{toWithdrawn: true}, w, req, b.cfg.ProbeTimeout)
+		var report []float64
+		if outcome == scheduler.OK {
+			report = parseLoadReport(resp.Header.Get(HeaderLoad)).values(b.cfg.Fields)
+			if resp.Status != http.StatusOK {
+				outcome = scheduler.Error
+			}
+		}
+		done(outcome, b.cfg.Clock.Now()-start, report)
+	}()
+}
