--- /dev/null
+++ b/internal/backend/frame/worker.go
@@ -0,0 +1,111 @@
+package frame
+
+import (
+	"cmp"
+	"slices"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"kitehub/scheduler"
+)
+
+// A worker is one endpoint of the list, with its connections.
+type worker struct {
+	backend   *Backend
+	name      string
+	network   string
+	addr      string
+	withdrawn atomic.Bool // it is draining or gone: nothing new is sent to it
+	traffic   traffic
+
+	mu      sync.Mutex
+	conns   []*conn
+	dialing int  // connections being opened
+	closed  bool // by Backend.Close: no connection is added any more
+}
+
+// connections returns the present connections.
+func (w *worker) connections() []*conn {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return slices.Clone(w.conns)
+}
+
+// connected reports whether there are connections, or some are being opened.
+func (w *worker) connected() bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return len(w.conns)+w.dialing > 0
+}
+
+// remove removes a connection, once.
+func (w *worker) remove(c *conn) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if i := slices.Index(w.conns, c); i >= 0 {
+		w.conns = slices.Delete(w.conns, i, i+1)
+		w.backend.conns.Add(-1)
+	}
+}
+
+func (w *worker) close() {
+	w.withdrawn.Store(true)
+	w.mu.Lock()
+	w.closed = true
+	w.mu.Unlock()
+	for _, c := range w.connections() {
+		c.out.Close()
+	}
+}
+
+// traffic is what passed between this controller and a worker, as its sockets saw it.
+type traffic struct {
+	open     atomic.Int64 // calls in flight
+	answered atomic.Int64
+	lost     atomic.Int64
+	took     atomic.Int64 // nanoseconds, over the calls answered
+}
+
+// callEnded counts the end of a call that was sent.
+func (tr *traffic) callEnded(o scheduler.Outcome, took time.Duration) {
+	tr.open.Add(-1)
+	switch o {
+	case scheduler.OK:
+		tr.answered.Add(1)
+		tr.took.Add(int64(took))
+	case scheduler.Reset, scheduler.ConnectFailed, scheduler.TimedOut:
+		tr.lost.Add(1)
+	}
+}
+
+// Seen is what passed between this controller and a worker: the facts to compare the scheduler's estimates with.
+type Seen struct {
+	Worker   scheduler.WorkerID
+	Name     string
+	Conns    int           // connections open
+	Open     int           // calls in flight
+	Answered int64         // calls served
+	Lost     int64         // calls whose connection ended, or that timed out, without an answer
+	Took     time.Duration // sum over the calls served, from the first byte sent to the answer
+}
+
+// Seen returns what passed, of the workers now listed, by number.
+func (b *Backend) Seen() []Seen {
+	b.mu.RLock()
+	defer b.mu.RUnlock()
+	var seen []Seen
+	for id, w := range b.workers {
+		seen = append(seen, Seen{
+			Worker:   id,
+			Name:     w.name,
+			Conns:    len(w.connections()),
+			Open:     int(w.traffic.open.Load()),
+			Answered: w.traffic.answered.Load(),
+			Lost:     w.traffic.lost.Load(),
+			Took:     time.Duration(w.traffic.took.Load()),
+		})
+	}
+	slices.SortFunc(seen, func(a, b Seen) int { return cmp.Compare(a.Worker, b.Worker) })
+	return seen
+}
