--- a/internal/ingress/bind.go
+++ b/internal/ingress/bind.go
@@ -1,4 +1,5 @@
-// Package ingress holds what all fronts share: the binding of calls to versions of models.
+// Package ingress holds what the protocols by which calls come in have in common: the binding of calls to versions of
+// models. The protocols are in the packages below it.
 package ingress
 
 import (
@@ -11,17 +12,17 @@
 	"kitehub/scheduler"
 )
 
-// Models is the registry as this controller knows it. agent.Agent with gateway.Functions is one.
+// Models is the registry, as far as this controller knows it. agent.Agent with gateway.Functions is one.
 type Models interface {
 	// Bind resolves a model's alias to a version, as a function of its own.
 	Bind(model *gateway.Function, alias string) (*gateway.Function, gateway.VersionBinding, registry.Verdict)
-	// Unbind ends a call's hold on its version; ran and failed say whether a worker answered it, and in an error.
+	// Unbind ends a call's binding to its version; ran and failed say whether a worker answered it, and with an error.
 	Unbind(b gateway.VersionBinding, ran, failed bool)
-	// Begin asks, just before the first byte, for an answer to be let out; see agent.Begin.
+	// Begin asks, just before the first byte is written, whether an answer may be written; see agent.Begin.
 	Begin(gateway.VersionBinding) (done func(), within time.Duration, v registry.Verdict)
 }
 
-// A Binder has calls of models run under the version that their alias names.
+// A Binder runs calls of models under the version that their alias names. It is safe for concurrent use.
 type Binder struct {
 	Models      Models
 	Idempotency func(class int) scheduler.Idempotency
@@ -29,72 +30,88 @@
 	Restarts    *atomic.Int64 // counts calls that began anew
 }
 
-// A BoundCall call is what a Binder runs.
+// A BoundCall is a call of a model, for a Binder to run.
 type BoundCall struct {
 	Call  gateway.Call
 	Model *gateway.Function
 	Alias string
-	Final time.Duration // when its client's time is up
-	// Submit hands it to the gateway; Left tells whether nobody waits for it any more.
+	Final time.Duration // when the client's time is up, by the Binder's clock
+	// Submit hands a call to the gateway. ClientClosed reports whether no client waits for the answer any more.
 	Submit       func(*gateway.Call)
 	ClientClosed func() bool
-	// Deliver is called once with the final answer. Where release is not nil, the answer is of version b, and release is to be
-	// called when it has been written, or never will be: a move of the alias waits for that.
+	// Deliver is called once with the final answer. If release is not nil, the answer is of version b, and release
+	// must be called when it has been written, or never will be: a move of the alias waits for that.
 	Deliver func(a gateway.Answer, b *gateway.VersionBinding, release func())
 }
 
-// Run resolves a call's alias and submits it; the alias may leave its version before the answer, and the call begin anew then,
-// or end: registry.After says which. It does not block, so it may be called where an answer is delivered.
+// Run resolves a call's alias and submits the call. If the alias leaves its version before the answer, the call begins
+// anew or ends: registry.After says which. Run does not block, so it may be called where an answer is delivered.
 func (n *Binder) Run(c *BoundCall) { n.run(c, 0) }
 
-func (n *Binder) run(c *BoundCall, times int) {
-	fn, b, verdict := n.Models.Bind(c.Model, c.Alias)
-	switch verdict {
-	case registry.May:
-	case registry.Unknown:
-		c.Deliver(gateway.Answer{Kind: gateway.Rejected, Verdict: verdict}, nil, nil)
-		return
-	default:
-		c.Deliver(gateway.Answer{Kind: gateway.Rejected, Verdict: registry.NoLease, RetryAfter: time.Second}, nil, nil)
+// run runs a call that has begun anew so many times.
+func (n *Binder) run(c *BoundCall, restarts int) {
+	function, binding, verdict := n.Models.Bind(c.Model, c.Alias)
+	if verdict != registry.May {
+		c.Deliver(notBound(verdict), nil, nil)
 		return
 	}
-	b.Restarts = times
+	binding.Restarts = restarts
 	call := c.Call
-	call.Function, call.Binding, call.TimeLeft = fn, &b, c.Final-n.Clock.Now()
-	call.Retry = call.Retry && times == 0
-	call.Deliver = func(a gateway.Answer) {
-		unbind := func() {
-			n.Models.Unbind(b, a.Kind == gateway.Served || a.Kind == gateway.Failed, a.Kind == gateway.Failed)
-		}
-		if a.Kind == gateway.Served {
-			c.Deliver(a, &b, unbind)
-			return
-		}
-		defer unbind()
-		if a.Kind != gateway.Superseded {
-			c.Deliver(a, &b, nil)
-			return
-		}
-		next := registry.After(n.Idempotency(fn.Class), false, a.MayHaveRun, times)
-		if a.Verdict == registry.NoLease {
-			next = registry.WithoutLease(n.Idempotency(fn.Class), false, a.MayHaveRun)
-		}
-		switch {
-		case next == registry.Fail:
-			c.Deliver(gateway.Answer{Kind: gateway.Failed, Verdict: a.Verdict}, nil, nil)
-		case next == registry.Anew && !c.ClientClosed() && c.Final > n.Clock.Now():
-			n.Restarts.Add(1)
-			n.run(c, times+1)
-		default:
-			c.Deliver(gateway.Answer{Kind: gateway.Rejected, Verdict: a.Verdict}, nil, nil)
-		}
-	}
+	call.Function = function
+	call.Binding = &binding
+	call.TimeLeft = c.Final - n.Clock.Now()
+	call.Retry = call.Retry && restarts == 0
+	call.Deliver = func(a gateway.Answer) { n.deliver(c, function.Class, &binding, a) }
 	c.Submit(&call)
 }
 
-// RetryVerdict says how an answer that its client left stands for the next try: as refused, where trying again does no harm.
-func RetryVerdict(a gateway.Answer, e scheduler.Idempotency) gateway.Answer {
-	if a.Kind == gateway.ClientClosed && (!a.MayHaveRun || e == scheduler.Idempotent) {
+// notBound returns the answer to a call whose alias names no version, or of which it is not known whether it does.
+func notBound(verdict registry.Verdict) gateway.Answer {
+	if verdict == registry.Unknown {
+		return gateway.Answer{Kind: gateway.Rejected, Verdict: verdict}
+	}
+	return gateway.Answer{Kind: gateway.Rejected, Verdict: registry.NoLease, RetryAfter: time.Second}
+}
+
+// deliver delivers the answer of a call, unless the call begins anew. The binding ends when a served answer has been
+// written, and otherwise at once.
+func (n *Binder) deliver(c *BoundCall, class int, binding *gateway.VersionBinding, a gateway.Answer) {
+	unbind := func() {
+		n.Models.Unbind(*binding, a.Kind == gateway.Served || a.Kind == gateway.Failed, a.Kind == gateway.Failed)
+	}
+	if a.Kind == gateway.Served {
+		c.Deliver(a, binding, unbind)
+		return
+	}
+	defer unbind()
+	if a.Kind != gateway.Superseded {
+		c.Deliver(a, binding, nil)
+		return
+	}
+	switch next := n.afterMove(class, binding.Restarts, a); {
+	case next == registry.Fail:
+		c.Deliver(gateway.Answer{Kind: gateway.Failed, Verdict: a.Verdict}, nil, nil)
+	case next == registry.Anew && !c.ClientClosed() && c.Final > n.Clock.Now():
+		n.Restarts.Add(1)
+		n.run(c, binding.Restarts+1)
+	default:
+		c.Deliver(gateway.Answer{Kind: gateway.Rejected, Verdict: a.Verdict}, nil, nil)
+	}
+}
+
+// afterMove decides what becomes of a call whose alias has left its version, or may have.
+func (n *Binder) afterMove(class, restarts int, a gateway.Answer) registry.Next {
+	idempotency := n.Idempotency(class)
+	if a.Verdict == registry.NoLease {
+		return registry.WithoutLease(idempotency, false, a.MayHaveRun)
+	}
+	return registry.After(idempotency, false, a.MayHaveRun, restarts)
+}
+
+// RetryVerdict returns the answer that a retry gets of a call that its client left: a rejection, if to execute the
+// call again does no harm.
+func RetryVerdict(a gateway.Answer, idempotency scheduler.Idempotency) gateway.Answer {
+	if a.Kind == gateway.ClientClosed && (!a.MayHaveRun || idempotency == scheduler.Idempotent) {
 		a.Kind = gateway.Rejected
 	}
 	return a
--- a/internal/ingress/webhook/golden_test.go
+++ b/internal/ingress/webhook/golden_test.go
@@ -12,7 +12,7 @@
 	"kitehub/internal/replayguard"
 )
 
-// The replay mark is stored by one process and read by a later one: misread, it would open replays.
+// The watermark is stored by one process and read by a later one: misread, it would allow replays.
 func TestStoredMarkIsAsBefore(t *testing.T) {
 	file := File(filepath.Join(t.TempDir(), "mark"))
 	mark := time.Unix(1700000009, 0)
@@ -33,8 +33,17 @@
 // What a front knows of messages goes to the process that takes over.
 func TestHandedOverStateIsAsBefore(t *testing.T) {
 	for name, state := range map[string]State{
-		"state.json": {Known: []replayguard.EntryState{{Key: replayguard.Key{Client: 1, ID: "msg_a"}, Last: 5, Digest: []byte{1, 2}, Running: true}},
-			Barrier: 6, Durable: 7, Highest: 8},
+		"state.json": {
+			Known: []replayguard.EntryState{{
+				Key:     replayguard.Key{Client: 1, ID: "msg_a"},
+				Last:    5,
+				Digest:  []byte{1, 2},
+				Running: true,
+			}},
+			Barrier: 6,
+			Durable: 7,
+			Highest: 8,
+		},
 		"state_empty.json": {},
 	} {
 		written, err := json.Marshal(state)
--- a/internal/ingress/webhook/handover.go
+++ b/internal/ingress/webhook/handover.go
@@ -1,10 +1,9 @@
 package webhook
 
-import (
-	"kitehub/internal/replayguard"
-)
+import "kitehub/internal/replayguard"
 
-// State is what a process that takes over must know of messages.
+// State is what a process that takes over must know of messages: what replayguard.Guard.Export returns. It may be of
+// another version, so the JSON keys are fixed.
 type State struct {
 	Known   []replayguard.EntryState `json:"Known"`
 	Barrier int64                    `json:"Barrier"`
@@ -12,53 +11,54 @@
 	Highest int64                    `json:"Highest"`
 }
 
-// Pause has all further messages wait, and returns what is known of those before; ended is told how those in hand end from then
-// on, and must not block. Resume or Pass ends it.
-func (f *Front) Pause(ended func(replayguard.Key, replayguard.Answer)) State {
+// Pause makes all further messages wait, and returns what is known of those before. From then on onEnd is notified of
+// how those in flight end; it must not block. Resume or Pass ends the pause.
+func (f *Front) Pause(onEnd func(replayguard.Key, replayguard.Answer)) State {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.ended = ended
-	f.paused = make(chan struct{})
+	f.onEnd = onEnd
+	f.resumed = make(chan struct{})
 	var s State
 	s.Known, s.Barrier, s.Durable, s.Highest = f.guard.Export()
 	return s
 }
 
-// Resume goes on as before a pause.
+// Resume ends a pause: the messages that wait are served here.
 func (f *Front) Resume() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	close(f.paused)
-	f.paused, f.ended = nil, nil
+	close(f.resumed)
+	f.resumed = nil
+	f.onEnd = nil
 }
 
-// Pass has all further messages passed on with their connections.
+// Pass ends a pause: the messages that wait, and all further ones, are passed to the successor with their connections.
 func (f *Front) Pass() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.passed = true
-	close(f.paused)
-	f.paused = nil
+	close(f.resumed)
+	f.resumed = nil
 }
 
-// Ended says how a message ended that was in hand of the process before.
-func (f *Front) Ended(k replayguard.Key, a replayguard.Answer) {
+// Ended reports how a call ended that was in flight in the previous process.
+func (f *Front) Ended(key replayguard.Key, answer replayguard.Answer) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.guard.Ended(k, a)
+	f.guard.Ended(key, answer)
 }
 
-// Unkept says the same where the answer did not come with it.
-func (f *Front) Unkept(k replayguard.Key) {
+// Unkept reports the end of such a call whose answer is not handed over.
+func (f *Front) Unkept(key replayguard.Key) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.guard.EndedUncached(k)
+	f.guard.EndedUncached(key)
 }
 
-// Abandoned says that the process before has ended with these in hand: what became of them is not known.
-func (f *Front) Abandoned(l []replayguard.Key) {
+// Abandoned reports that the previous process has ended with these calls in flight: what became of them is not known.
+func (f *Front) Abandoned(keys []replayguard.Key) {
 	resp := problem(502, "failed", "the process that had it has ended, and it may have run", nil)
-	for _, k := range l {
-		f.Ended(k, replayguard.Answer{Status: resp.Status, Type: problemType, Body: resp.Body})
+	for _, key := range keys {
+		f.Ended(key, replayguard.Answer{Status: resp.Status, Type: problemType, Body: resp.Body})
 	}
 }
--- a/internal/ingress/webhook/verify.go
+++ b/internal/ingress/webhook/verify.go
@@ -8,44 +8,52 @@
 	"kitehub/internal/signing"
 )
 
-// A verified message.
-type verified struct {
-	client int
-	sign   *signing.Key
-	id     string
-	stamp  time.Time
+// A sender is what the signature of a request proves.
+type sender struct {
+	client  int          // its place in the list of clients
+	signKey *signing.Key // for the answer; nil: it is not signed
+	id      string       // of the message
+	stamp   time.Time
 }
 
-const (
-	mostID = 128 // bytes of a webhook-id
-)
+const maxIDBytes = 128 // of a webhook-id
 
-// verify checks the three headers and the signature; "" where all is well, else what is wrong.
-func (f *Front) verify(r *http1.Request) (v verified, wrong string) {
+// verify checks the three headers and the signature. fault says what is wrong with them, "" if they are valid.
+func (f *Front) verify(r *http1.Request) (from sender, fault string) {
 	h := r.Header
 	if h.Count("webhook-id") != 1 || h.Count("webhook-timestamp") != 1 || h.Count("webhook-signature") != 1 {
-		return v, "not exactly one webhook-id, webhook-timestamp and webhook-signature"
+		return from, "not exactly one webhook-id, webhook-timestamp and webhook-signature"
 	}
-	v.id = h.Get("webhook-id")
-	if v.id == "" || len(v.id) > mostID || strings.ContainsAny(v.id, ". \t") || strings.HasPrefix(v.id, signing.AnswerPrefix) {
-		return v, "webhook-id is empty, too long, or has a form that is not taken"
+	from.id = h.Get("webhook-id")
+	if !validID(from.id) {
+		return from, "webhook-id is empty, too long, or has a form that is not taken"
 	}
 	stamp := h.Get("webhook-timestamp")
 	var ok bool
-	if v.stamp, ok = signing.ParseStamp(stamp); !ok {
-		return v, "webhook-timestamp is not a time in seconds"
+	if from.stamp, ok = signing.ParseStamp(stamp); !ok {
+		return from, "webhook-timestamp is not a time in seconds"
 	}
-	m, signatures := signing.Message{ID: v.id, Stamp: stamp, Body: r.Body}, h.Get("webhook-signature")
-	for i, c := range *f.clients.Load() {
-		for _, k := range c.Keys {
-			if k.Verify(m, signatures) {
-				v.client, v.sign = i, k
-				if !k.CanSign() {
-					v.sign = c.Sign
-				}
-				return v, ""
+	m := signing.Message{ID: from.id, Stamp: stamp, Body: r.Body}
+	signatures := h.Get("webhook-signature")
+	for i, client := range *f.clients.Load() {
+		for _, key := range client.Keys {
+			if !key.Verify(m, signatures) {
+				continue
+			}
+			from.client = i
+			from.signKey = key
+			if !key.CanSign() {
+				from.signKey = client.Sign
 			}
+			return from, ""
 		}
 	}
-	return v, "no signature is valid"
+	return from, "no signature is valid"
+}
+
+// validID rejects ids that could be taken for another's in what is signed, which joins its parts with dots, and those
+// of answers.
+func validID(id string) bool {
+	return id != "" && len(id) <= maxIDBytes && !strings.ContainsAny(id, ". \t") &&
+		!strings.HasPrefix(id, signing.AnswerPrefix)
 }
