--- /dev/null
+++ b/internal/ingress/jsonrpc/answer.go
@@ -0,0 +1,129 @@
+package jsonrpc
+
+import (
+	"encoding/json"
+	"time"
+
+	"kitehub/internal/gateway"
+	"kitehub/internal/registry"
+)
+
+// deliver queues the answer to a call request for writing. It does not block; a second answer is dropped.
+func (r *callRequest) deliver(a gateway.Answer, b *gateway.VersionBinding, written func()) {
+	c := r.conn
+	queued := response{calls: 1, render: func() ([]byte, time.Duration, func()) { return r.render(a, b, written) }}
+	c.mu.Lock()
+	repeated := r.pending.answered
+	r.pending.answered = true
+	if c.calls[string(r.id)] == r.pending {
+		delete(c.calls, string(r.id))
+	}
+	if repeated || c.ended { // nobody reads it
+		c.mu.Unlock()
+		if written != nil {
+			written()
+		}
+		return
+	}
+	if r.batch == nil {
+		c.queue(queued)
+	}
+	c.mu.Unlock()
+	if r.batch != nil {
+		r.batch.add(&queued)
+	}
+}
+
+// render renders an answer as it is written. Whether that of a version may still be written is checked then, as the
+// alias may have moved meanwhile; if it may not, a rejection or a failure is written instead.
+func (r *callRequest) render(a gateway.Answer, b *gateway.VersionBinding, written func()) (
+	text []byte, timeout time.Duration, done func(),
+) {
+	if a.Kind != gateway.Served || b == nil {
+		return reply(r.id, result(a, nil), failure(a)), 0, written
+	}
+	s := r.conn.server
+	ended, timeout, verdict := s.cfg.Models.Begin(*b)
+	if verdict != registry.May {
+		return reply(r.id, nil, failure(s.withheld(r, verdict))), 0, written
+	}
+	return reply(r.id, result(a, b), nil), timeout, func() {
+		ended()
+		if written != nil {
+			written()
+		}
+	}
+}
+
+// withheld returns the answer in place of one whose version may no longer answer.
+func (s *Server) withheld(r *callRequest, verdict registry.Verdict) gateway.Answer {
+	s.Counts.Withheld.Add(1)
+	if registry.WithoutLease(s.cfg.Effect(r.class), false, true) == registry.Fail {
+		return gateway.Answer{Kind: gateway.Failed, Verdict: verdict}
+	}
+	if r.key != "" {
+		s.mu.Lock()
+		s.keys.withdraw(r.key)
+		s.mu.Unlock()
+	}
+	return gateway.Answer{Kind: gateway.Rejected, Verdict: verdict}
+}
+
+// result returns the result of a call that was served, else nil.
+func result(a gateway.Answer, b *gateway.VersionBinding) any {
+	if a.Kind != gateway.Served {
+		return nil
+	}
+	members := map[string]any{"outcome": "served"}
+	if json.Valid(a.Body) {
+		members["body"] = json.RawMessage(a.Body)
+	} else {
+		members["base64"] = a.Body
+	}
+	if b != nil {
+		members["version"] = b.Target.Version
+		members["revision"] = b.Target.Revision
+	}
+	return members
+}
+
+// failure returns the error of a call that was not served, else nil.
+func failure(a gateway.Answer) *Error {
+	switch {
+	case a.Kind == gateway.Served:
+		return nil
+	case a.Kind == gateway.Rejected:
+		return refusal(CodeRejected, rejectionReason(a.Verdict), a.RetryAfter)
+	case a.Kind == gateway.ClientClosed:
+		data := map[string]any{"outcome": "gone", "may_have_run": a.MayHaveRun}
+		return &Error{Code: CodeCancelled, Message: "cancelled", Data: data}
+	case a.DeadlineExceeded:
+		return outcomeError(CodeDeadline, "no answer came in the client's time", "failed")
+	case a.Verdict != 0:
+		return outcomeError(CodeFailed, "its version may have been replaced while it ran", "failed")
+	}
+	return outcomeError(CodeFailed, "the attempts that the call allows are over", "failed")
+}
+
+func rejectionReason(v registry.Verdict) string {
+	switch v {
+	case registry.Left:
+		return "its version was replaced"
+	case registry.NoLease:
+		return "the registry is not heard: which version is to answer is not known"
+	case registry.Unknown:
+		return "the alias names no version"
+	}
+	return "no worker takes it now"
+}
+
+// refusal returns the error of a call that had no effect: a retry does no harm.
+func refusal(code int, message string, retryAfter time.Duration) *Error {
+	data := map[string]any{"outcome": "refused", "retry_after_ms": retryAfter.Milliseconds()}
+	return &Error{Code: code, Message: message, Data: data}
+}
+
+// outcomeError returns an error with an outcome.
+func outcomeError(code int, message, outcome string) *Error {
+	return &Error{Code: code, Message: message, Data: map[string]any{"outcome": outcome}}
+}
--- a/internal/ingress/jsonrpc/client.go
+++ b/internal/ingress/jsonrpc/client.go
@@ -10,40 +10,43 @@
 	"time"
 )
 
-// A Client asks one thing after the other over one connection. It is not safe for concurrent use.
+// A Client sends one request after the other over one connection. It is not safe for concurrent use.
 type Client struct {
-	nc   net.Conn
-	br   *bufio.Reader
-	last int
-	// Notice, where set, is given what the server sends unasked.
+	conn   net.Conn
+	reader *bufio.Reader
+	lastID int
+	// Notice, if set, is called with each notification from the server, on the goroutine that calls Do or Listen.
 	Notice func(method string, params json.RawMessage)
 }
 
-// Dial connects to a socket.
-func Dial(path string, within time.Duration) (*Client, error) {
-	nc, err := net.DialTimeout("unix", path, within)
+const clientReadBuffer = 64 << 10 // bytes
+
+// Dial connects to a server's socket.
+func Dial(path string, timeout time.Duration) (*Client, error) {
+	conn, err := net.DialTimeout("unix", path, timeout)
 	if err != nil {
 		return nil, err
 	}
-	return &Client{nc: nc, br: bufio.NewReaderSize(nc, 64<<10)}, nil
+	return &Client{conn: conn, reader: bufio.NewReaderSize(conn, clientReadBuffer)}, nil
 }
 
-// Close ends the connection.
-func (c *Client) Close() error { return c.nc.Close() }
+// Close closes the connection.
+func (c *Client) Close() error { return c.conn.Close() }
 
-// Do asks and decodes the result. An error of the server is an *Error.
-func (c *Client) Do(method string, params, result any, within time.Duration) error {
-	c.last++
-	text, err := json.Marshal(map[string]any{"jsonrpc": "2.0", "id": c.last, "method": method, "params": params})
+// Do sends a request, waits for the response and decodes its result, unless result is nil. An error response is
+// returned as an *Error.
+func (c *Client) Do(method string, params, result any, timeout time.Duration) error {
+	c.lastID++
+	text, err := json.Marshal(map[string]any{"jsonrpc": "2.0", "id": c.lastID, "method": method, "params": params})
 	if err != nil {
 		return err
 	}
-	c.nc.SetDeadline(time.Now().Add(within))
-	if _, err := c.nc.Write(append(text, '\n')); err != nil {
+	c.conn.SetDeadline(time.Now().Add(timeout))
+	if _, err := c.conn.Write(append(text, '\n')); err != nil {
 		return err
 	}
 	for {
-		line, err := c.br.ReadBytes('\n')
+		line, err := c.reader.ReadBytes('\n')
 		if err != nil {
 			return err
 		}
@@ -64,7 +67,7 @@
 			}
 		case m.Error != nil:
 			return m.Error
-		case m.ID != nil && *m.ID == c.last:
+		case m.ID != nil && *m.ID == c.lastID:
 			if result == nil {
 				return nil
 			}
@@ -73,14 +76,14 @@
 	}
 }
 
-// Listen hands on what the server sends unasked, until the time is up (0: until the connection ends).
-func (c *Client) Listen(within time.Duration) error {
-	c.nc.SetDeadline(time.Time{})
-	if within > 0 {
-		c.nc.SetDeadline(time.Now().Add(within))
+// Listen reads notifications until the time is up, and then returns nil; 0 stands for until the connection ends.
+func (c *Client) Listen(timeout time.Duration) error {
+	c.conn.SetDeadline(time.Time{})
+	if timeout > 0 {
+		c.conn.SetDeadline(time.Now().Add(timeout))
 	}
 	for {
-		line, err := c.br.ReadBytes('\n')
+		line, err := c.reader.ReadBytes('\n')
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			return nil
 		} else if err != nil {
--- a/internal/ingress/jsonrpc/golden_test.go
+++ b/internal/ingress/jsonrpc/golden_test.go
@@ -16,7 +16,8 @@
 	"kitehub/internal/registry"
 )
 
-// How a call ended is told in a result or an error; clients act upon code, outcome and what stands beside them.
+// How a call ended is reported as a result or an error; clients act upon the code, the outcome and their other
+// members.
 func TestAnswersOfCallsAreAsBefore(t *testing.T) {
 	version := &gateway.VersionBinding{Target: registry.Target{Version: "m-2", Revision: 3}}
 	var written strings.Builder
@@ -39,34 +40,44 @@
 		{"failed, version replaced", gateway.Answer{Kind: gateway.Failed, Verdict: registry.Left}, nil},
 		{"failed", gateway.Answer{Kind: gateway.Failed}, nil},
 	} {
-		fmt.Fprintf(&written, "%s\n<- %s\n", ended.what, reply(json.RawMessage("1"), result(ended.answer, ended.bound), failure(ended.answer)))
+		response := reply(json.RawMessage("1"), result(ended.answer, ended.bound), failure(ended.answer))
+		fmt.Fprintf(&written, "%s\n<- %s\n", ended.what, response)
 	}
 	goldenfile.Compare(t, "answers.txt", []byte(written.String()))
 }
 
-// The frames that all messages stand in, and the codes of errors.
+// The envelopes of all messages, and the codes of errors.
 func TestFramesAreAsBefore(t *testing.T) {
 	var written strings.Builder
 	for _, frame := range [][]byte{
 		reply(json.RawMessage(`"a"`), map[string]int{"topics": 1}, nil),
 		reply(json.RawMessage("1"), nil, nil),
 		reply(nil, nil, problem(CodeParse, "not <JSON>")),
-		reply(json.RawMessage("1"), nil, &Error{Code: CodeFailed, Message: "m", Data: map[string]any{"outcome": "failed"}}),
+		reply(json.RawMessage("1"), nil, outcomeError(CodeFailed, "m", "failed")),
 		reply(json.RawMessage("1"), func() {}, nil),
 		notification("event", map[string]any{"topic": "level", "event": map[string]int{"a": 1}}),
 		notification("lost", map[string]int{"events": 2}),
 	} {
 		fmt.Fprintf(&written, "%s\n", frame)
 	}
-	fmt.Fprintln(&written, "codes:", CodeParse, CodeRequest, CodeMethod, CodeParams, CodeInternal, CodeDenied, CodeUnknown, CodeBusy, CodeRefused, CodeFailed,
-		CodeLate, CodeGone, CodeReused, CodeState)
+	fmt.Fprintln(&written, "codes:", CodeParse, CodeRequest, CodeMethod, CodeParams, CodeInternal,
+		CodeDenied, CodeUnknown, CodeBusy, CodeRejected, CodeFailed,
+		CodeDeadline, CodeCancelled, CodeReused, CodeState)
 	fmt.Fprintln(&written, "topics:", topics)
 	goldenfile.Compare(t, "frames.txt", []byte(written.String()))
 }
 
-// Params are read by their names of before, each into its field.
+// Params are read by the same names, each into its field.
 func TestParamsOfCallsAreReadAsBefore(t *testing.T) {
-	want := callParams{Function: "m@current", Body: json.RawMessage(`{"a":1}`), WaitMS: 2, Key: "k", Retry: true, Progress: true, Trace: "00"}
+	want := callParams{
+		Function: "m@current",
+		Body:     json.RawMessage(`{"a":1}`),
+		WaitMS:   2,
+		Key:      "k",
+		Retry:    true,
+		Progress: true,
+		Trace:    "00",
+	}
 	written, err := json.Marshal(want)
 	if err != nil {
 		t.Fatal(err)
@@ -82,7 +93,7 @@
 	}
 }
 
-// The program's own client asks as before, and takes the errors, results and notifications of before.
+// The program's own client sends the same requests, and reads the same errors, results and notifications.
 func TestClientIsAsBefore(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	listener, err := net.Listen("unix", path)
@@ -120,11 +131,13 @@
 	var result struct {
 		Open int `json:"open"`
 	}
-	if err := client.Do("drain", map[string]any{}, &result, 10*time.Second); err != nil || result.Open != 3 || noticed != `lost{"events":2}` {
+	err = client.Do("drain", map[string]any{}, &result, 10*time.Second)
+	if err != nil || result.Open != 3 || noticed != `lost{"events":2}` {
 		t.Error(err, result, noticed)
 	}
 	err = client.Do("explain", map[string]string{"id": "a"}, nil, 10*time.Second)
-	if want := (&Error{Code: CodeRefused, Message: "m", Data: map[string]any{"outcome": "refused"}}); !reflect.DeepEqual(err, want) {
+	want := &Error{Code: CodeRejected, Message: "m", Data: map[string]any{"outcome": "refused"}}
+	if !reflect.DeepEqual(err, want) {
 		t.Errorf("%#v, want %#v", err, want)
 	}
 	goldenfile.Compare(t, "client.jsonl", []byte(<-asked+<-asked))
--- a/internal/ingress/jsonrpc/keys.go
+++ b/internal/ingress/jsonrpc/keys.go
@@ -7,118 +7,128 @@
 	"kitehub/internal/gateway"
 )
 
-// keys remembers keyed calls, so that a client's repeat joins the one that runs, or gets its answer, for as long as the class's
-// workers drop repeats. It is pure but for its callers' lock: the time is given. It does not outlive the process: a repeat
-// after a restart is a new call, which the workers drop if it goes to the same group.
-type keys struct {
-	most  int // remembered at once
-	bytes int // of kept answers
-	by    map[string]*keyed
-	order []string // by when they began
-	kept  int
+// A keyTable remembers calls with idempotency keys, so that a client's repeat waits for the one in flight, or gets
+// its answer, for as long as the class's workers drop repeats. It does not outlive the process: a repeat after a
+// restart is a new call, which the workers drop if it goes to the same group.
+//
+// It reads no clock, and is guarded by the server's mutex.
+type keyTable struct {
+	maxCalls  int // remembered at once
+	maxBytes  int // of all cached answers
+	calls     map[string]*keyedCall
+	order     []string // keys, in the order in which their calls began
+	bodyBytes int      // of all cached answers
 }
 
-type keyed struct {
-	digest  [32]byte
-	id      string
-	waiting []reader
-	left    int // of them, those that were given up
+// A keyedCall is a call with an idempotency key.
+type keyedCall struct {
+	key     string
+	digest  [32]byte      // of the function's name and the body
+	until   time.Duration // forgotten then, if it has ended
+	waiting []deliverFunc // of all requests that have waited for it
+	left    int           // of them, those that wait no more
+	cancel  func()        // set once it is being started
+
 	ended   bool
 	answer  gateway.Answer
-	bound   *gateway.VersionBinding // of the answer; asked for anew each time that it goes out
-	lost    bool                    // its answer was too large to keep
-	until   time.Duration
-	hangUp  func()
+	binding *gateway.VersionBinding // of the answer, which is checked each time that it is written
+	evicted bool                    // the answer was too large to cache
 }
 
-// A reader takes the answer of a keyed call; written is called when it has written it, or never will.
-type reader func(a gateway.Answer, b *gateway.VersionBinding, written func())
-
-type take int
+// A keyVerdict is what to do with a call by its key.
+type keyVerdict int
 
 const (
-	takeNew take = iota
-	takeJoin
-	takeKept
-	takeReused
-	takeFull
-	takeLost
+	keyNew        keyVerdict = iota // start it
+	keyJoin                         // wait for the one in flight
+	keyCached                       // send the cached answer
+	keyReused                       // reject it: the key was used for another call
+	keyAtCapacity                   // reject it for now
+	keyEvicted                      // the call has ended, and its answer is not cached
 )
 
-const mostJoin = 16
+const maxJoin = 16 // requests that wait for one call
 
-// take looks a key up, and begins it if it is new. within is how long it is remembered from now.
-func (k *keys) take(now time.Duration, key string, body []byte, within time.Duration, deliver reader) (take, *keyed) {
-	digest := sha256.Sum256(body)
-	k.expire(now)
-	if e := k.by[key]; e != nil {
+// take looks a key up, and remembers a new call for the given time from now. A call that is new or joins is answered
+// by deliver, which end returns.
+func (t *keyTable) take(now time.Duration, key string, content []byte, remember time.Duration, deliver deliverFunc) (
+	keyVerdict, *keyedCall,
+) {
+	t.expire(now)
+	digest := sha256.Sum256(content)
+	if call := t.calls[key]; call != nil {
 		switch {
-		case e.digest != digest:
-			return takeReused, e
-		case e.ended && e.lost:
-			return takeLost, e
-		case e.ended:
-			return takeKept, e
-		case len(e.waiting)-e.left >= mostJoin:
-			return takeFull, e
+		case call.digest != digest:
+			return keyReused, call
+		case call.ended && call.evicted:
+			return keyEvicted, call
+		case call.ended:
+			return keyCached, call
+		case len(call.waiting)-call.left >= maxJoin:
+			return keyAtCapacity, call
 		}
-		e.waiting = append(e.waiting, deliver)
-		return takeJoin, e
+		call.waiting = append(call.waiting, deliver)
+		return keyJoin, call
 	}
-	if len(k.by) >= k.most {
-		return takeFull, nil
+	if len(t.calls) >= t.maxCalls {
+		return keyAtCapacity, nil
 	}
-	e := &keyed{digest: digest, id: key, until: now + within, waiting: []reader{deliver}}
-	k.by[key] = e
-	k.order = append(k.order, key)
-	return takeNew, e
+	call := &keyedCall{key: key, digest: digest, until: now + remember, waiting: []deliverFunc{deliver}}
+	t.calls[key] = call
+	t.order = append(t.order, key)
+	return keyNew, call
 }
 
-func (k *keys) expire(now time.Duration) {
-	for len(k.order) > 0 {
-		e := k.by[k.order[0]]
-		if e != nil && (!e.ended || e.until > now) {
+// expire forgets the oldest calls whose time is up. One that is in flight holds back those that began after it.
+func (t *keyTable) expire(now time.Duration) {
+	for len(t.order) > 0 {
+		call := t.calls[t.order[0]]
+		if call != nil && (!call.ended || call.until > now) {
 			return
 		}
-		if e != nil {
-			k.forget(e)
+		if call != nil {
+			t.forget(call)
 		}
-		k.order = k.order[1:]
+		t.order = t.order[1:]
 	}
 }
 
-func (k *keys) forget(e *keyed) {
-	k.kept -= len(e.answer.Body)
-	delete(k.by, e.id)
+func (t *keyTable) forget(call *keyedCall) {
+	t.bodyBytes -= len(call.answer.Body)
+	delete(t.calls, call.key)
 }
 
-// end gives a call its answer and returns who waits for it. A refused one is forgotten: the next try runs anew.
-func (k *keys) end(e *keyed, a gateway.Answer, b *gateway.VersionBinding) []reader {
-	e.ended, e.answer, e.bound = true, a, b
-	l := e.waiting
-	e.waiting, e.hangUp = nil, nil
-	if a.Kind == gateway.Rejected {
-		e.answer.Body = nil
-		k.forget(e)
-		return l
-	}
-	if k.kept+len(a.Body) > k.bytes {
-		e.answer.Body, e.lost = nil, true
-		return l
+// end gives a call its answer and returns the functions that deliver it. A rejected call is forgotten: a retry is
+// executed.
+func (t *keyTable) end(call *keyedCall, a gateway.Answer, b *gateway.VersionBinding) []deliverFunc {
+	call.ended = true
+	call.answer = a
+	call.binding = b
+	waiting := call.waiting
+	call.waiting = nil
+	call.cancel = nil
+	switch {
+	case a.Kind == gateway.Rejected:
+		call.answer.Body = nil
+		t.forget(call)
+	case t.bodyBytes+len(a.Body) > t.maxBytes:
+		call.answer.Body = nil
+		call.evicted = true
+	default:
+		t.bodyBytes += len(a.Body)
 	}
-	k.kept += len(a.Body)
-	return l
+	return waiting
 }
 
-// withdraw forgets a call whose answer was stopped at the door, and may be had by another run.
-func (k *keys) withdraw(key string) {
-	if e := k.by[key]; e != nil && e.ended {
-		k.forget(e)
+// withdraw forgets a call whose answer may not be written any more: a retry is executed.
+func (t *keyTable) withdraw(key string) {
+	if call := t.calls[key]; call != nil && call.ended {
+		t.forget(call)
 	}
 }
 
-// leave says that one who waits has left; true if none is left to wait.
-func (e *keyed) leave() bool {
-	e.left++
-	return !e.ended && e.left == len(e.waiting)
+// leave notes that one request waits no more; true if none is left and the call has not ended.
+func (call *keyedCall) leave() bool {
+	call.left++
+	return !call.ended && call.left == len(call.waiting)
 }
--- a/internal/ingress/jsonrpc/message.go
+++ b/internal/ingress/jsonrpc/message.go
@@ -1,6 +1,3 @@
-// Package jsonrpc is the second front: JSON-RPC 2.0 over Unix sockets, one message a line. Calls of functions come in by it, and
-// the requests of operators; who may do what is told by the peer's user, as the kernel gives it (SO_PEERCRED). Calls go the way
-// that those of the first front go: same gateway, same module, same rules. docs/jsonrpc.md is its reference.
 package jsonrpc
 
 import (
@@ -12,53 +9,57 @@
 	"unicode/utf8"
 )
 
-// Codes of errors: those of the specification, and this front's own.
+// Codes of errors: those of the specification, and kitehub's own.
 const (
-	CodeParse    = -32700
-	CodeRequest  = -32600
-	CodeMethod   = -32601
-	CodeParams   = -32602
-	CodeInternal = -32603
-	CodeDenied   = -32001 // the user may not do this
-	CodeUnknown  = -32002 // no such function, script or call
-	CodeBusy     = -32003 // too much in hand
-	CodeRefused  = -32010 // trying again does no harm
-	CodeFailed   = -32011 // promises nothing
-	CodeLate     = -32012 // the time was up: promises nothing
-	CodeGone     = -32013 // cancelled
-	CodeReused   = -32014 // the key was used for another call
-	CodeState    = -32020 // not as things stand
+	CodeParse     = -32700
+	CodeRequest   = -32600
+	CodeMethod    = -32601
+	CodeParams    = -32602
+	CodeInternal  = -32603
+	CodeDenied    = -32001 // the user may not do this
+	CodeUnknown   = -32002 // no such function, script or call
+	CodeBusy      = -32003 // too much is in flight
+	CodeRejected  = -32010 // the call had no effect: a retry does no harm
+	CodeFailed    = -32011 // the call may have run
+	CodeDeadline  = -32012 // the time was up: the call may have run
+	CodeCancelled = -32013
+	CodeReused    = -32014 // the key was used for another call
+	CodeState     = -32020 // not possible in the present state
 )
 
-// An Error is one of the protocol.
+// An Error is an error response of the protocol.
 type Error struct {
 	Code    int    `json:"code"`
 	Message string `json:"message"`
 	Data    any    `json:"data,omitempty"`
 }
 
+// Error implements error.
 func (e *Error) Error() string { return fmt.Sprintf("%s (%d)", e.Message, e.Code) }
 
+// problem returns an error without data.
 func problem(code int, format string, args ...any) *Error {
 	return &Error{Code: code, Message: fmt.Sprintf(format, args...)}
 }
 
+// Bounds of messages.
 const (
-	maxDepth = 64
-	maxID    = 128 // bytes
-	maxSafe  = 1 << 53
-	maxBatch = 64
+	maxDepth  = 64      // of nesting
+	maxID     = 128     // bytes
+	maxMethod = 64      // bytes
+	maxSafe   = 1 << 53 // the greatest integer that every JSON reader keeps exactly
+	maxBatch  = 64      // requests
 )
 
-// request is one message of a client. ID nil: a notification.
+// A request is one message of a client.
 type request struct {
-	ID     json.RawMessage
+	ID     json.RawMessage // nil: it is a notification
 	Method string
 	Params json.RawMessage
 }
 
-// vet looks at a line before it is decoded: that it is UTF-8, and not nested deeper than a reader's stack allows.
-func vet(line []byte) *Error {
+// precheck examines a line before it is decoded: it must be UTF-8, and not nested deeper than a reader's stack allows.
+func precheck(line []byte) *Error {
 	if !utf8.Valid(line) {
 		return problem(CodeParse, "not UTF-8")
 	}
@@ -81,7 +82,7 @@
 	return nil
 }
 
-// decode reads one request. Where it is wrong, the id is given if it could be read.
+// decode reads one request. With an error it returns the request's id, if that could be read.
 func decode(raw json.RawMessage) (r request, e *Error) {
 	var m struct {
 		Version *string         `json:"jsonrpc"`
@@ -97,25 +98,26 @@
 		return r, problem(CodeRequest, "%v", err)
 	}
 	if m.ID != nil {
-		if r.ID, e = id(m.ID); e != nil {
+		if r.ID, e = checkID(m.ID); e != nil {
 			return r, e
 		}
 	}
 	switch {
 	case m.Version == nil || *m.Version != "2.0":
 		return r, problem(CodeRequest, `jsonrpc is not "2.0"`)
-	case m.Method == nil || *m.Method == "" || len(*m.Method) > 64:
+	case m.Method == nil || *m.Method == "" || len(*m.Method) > maxMethod:
 		return r, problem(CodeRequest, "no method")
 	case m.Params != nil && m.Params[0] != '{':
 		return r, problem(CodeParams, "params are given by name, as an object")
 	}
-	r.Method, r.Params = *m.Method, m.Params
+	r.Method = *m.Method
+	r.Params = m.Params
 	return r, nil
 }
 
-// id checks an id: a string, or an integer that every reader keeps. null is taken for a missing one by the specification's own
-// advice against it.
-func id(raw json.RawMessage) (json.RawMessage, *Error) {
+// checkID checks an id: a string, or an integer that every JSON reader keeps exactly. The specification advises
+// against null.
+func checkID(raw json.RawMessage) (json.RawMessage, *Error) {
 	if len(raw) > maxID {
 		return nil, problem(CodeRequest, "an id of more than %d bytes", maxID)
 	}
@@ -132,23 +134,24 @@
 	return raw, nil
 }
 
-// params decodes params strictly: a member that is not known is an error, as it may have been meant to matter.
+// params decodes params strictly: an unknown member is an error, as the client may rely on it.
 func params(raw json.RawMessage, into any) *Error {
 	if raw == nil {
 		raw = json.RawMessage("{}")
 	}
-	d := json.NewDecoder(bytes.NewReader(raw))
-	d.DisallowUnknownFields()
-	if err := d.Decode(into); err != nil {
-		var t *json.UnmarshalTypeError
-		if errors.As(err, &t) {
-			return problem(CodeParams, "%s: a %s is no %s", t.Field, t.Value, t.Type)
+	decoder := json.NewDecoder(bytes.NewReader(raw))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(into); err != nil {
+		var mismatch *json.UnmarshalTypeError
+		if errors.As(err, &mismatch) {
+			return problem(CodeParams, "%s: a %s is no %s", mismatch.Field, mismatch.Value, mismatch.Type)
 		}
 		return problem(CodeParams, "%v", err)
 	}
 	return nil
 }
 
+// reply returns the response to a request, a result or an error. The id is nil if it could not be read.
 func reply(id json.RawMessage, result any, e *Error) []byte {
 	if id == nil {
 		id = json.RawMessage("null")
@@ -162,7 +165,7 @@
 			Result  any             `json:"result"`
 		}{"2.0", id, result})
 	}
-	if err != nil {
+	if err != nil { // the result cannot be encoded
 		e = problem(CodeInternal, "%v", err)
 	}
 	if e != nil {
@@ -175,6 +178,7 @@
 	return b
 }
 
+// notification returns a message that has no response; nil if the params cannot be encoded.
 func notification(method string, params any) []byte {
 	b, err := json.Marshal(struct {
 		Version string `json:"jsonrpc"`
--- a/internal/ingress/jsonrpc/server.go
+++ b/internal/ingress/jsonrpc/server.go
@@ -2,9 +2,7 @@
 
 import (
 	"errors"
-	"fmt"
 	"net"
-	"os"
 	"sync"
 	"sync/atomic"
 	"syscall"
@@ -18,266 +16,252 @@
 	"kitehub/scheduler"
 )
 
-// A User is who may connect, and what for.
+// A User is one that may connect, and what for.
 type User struct {
 	UID     uint32
 	Name    string
 	Tenant  int
-	Call    bool
-	Operate bool
+	Call    bool // may call functions
+	Operate bool // may send operators' requests and subscribe to events
 }
 
 // Config sets up a Server. Zero bounds have the default named beside them.
 type Config struct {
 	Users     []User
 	Gateway   *gateway.Gateway
-	Functions func(name string) *gateway.Function
-	Deadline  func(class int) time.Duration
+	Functions func(name string) *gateway.Function // nil: no such function
+	Deadline  func(class int) time.Duration       // longest time that a client of the class waits
 	Effect    func(class int) scheduler.Idempotency
-	Window    func(class int) time.Duration // in which workers drop repeats of a keyed call
+	Window    func(class int) time.Duration // in which workers drop repeats of an idempotency key
 	Models    ingress.Models                // nil: no function has versions
 	Clock     clock.Clock
 	Log       zerolog.Logger
 	Operator  Operator
 	MaxOpen   int           // connections: 64
 	MaxLine   int           // bytes of a message: 1 MiB
-	MaxCalls  int           // in hand of a connection, not written yet: 256
-	Events    int           // that wait for a connection: 256
-	Write     time.Duration // a write may take: 5 s
-	Half      time.Duration // a line may take to arrive, once it has begun: 10 s
-	// After is when this process took over from another, whose keys it does not know: a key is not taken until the other's calls
-	// of its class have ended and their window is over. 0: it took over from none.
+	MaxCalls  int           // calls of a connection that are in flight, or whose answer is not written yet: 256
+	Events    int           // events that wait to be written to a connection: 256
+	Write     time.Duration // longest time for a write: 5 s
+	Half      time.Duration // longest time for a line to arrive, once it has begun: 10 s
+	// After is when this process took over from another, whose keys it does not know: calls with a key are rejected
+	// until the other's calls of their class have ended and their window is over. 0: it took over from none.
 	After    time.Duration
-	Keys     int // keyed calls remembered: 10000
-	KeyBytes int // of their answers: 16 MiB
+	Keys     int // calls with a key that are remembered: 10000
+	KeyBytes int // total size of their answers: 16 MiB
 }
 
-// An Operator carries out what operators ask for beside calls. A result is rendered as JSON.
+// setDefaults replaces zero bounds.
+func (cfg *Config) setDefaults() {
+	setDefault(&cfg.MaxOpen, 64)
+	setDefault(&cfg.MaxLine, 1<<20)
+	setDefault(&cfg.MaxCalls, 256)
+	setDefault(&cfg.Events, 256)
+	setDefault(&cfg.Keys, 10_000)
+	setDefault(&cfg.KeyBytes, 16<<20)
+	setDefault(&cfg.Write, 5*time.Second)
+	setDefault(&cfg.Half, 10*time.Second)
+}
+
+func setDefault[T comparable](setting *T, value T) {
+	var zero T
+	if *setting == zero {
+		*setting = value
+	}
+}
+
+// An Operator carries out operators' requests: all methods but those of calls and events.
 type Operator interface {
-	// Do returns ErrMethod for a method that it does not know. params decodes strictly.
+	// Do returns the result, which is encoded as JSON. params decodes the request's params strictly. Do returns
+	// ErrMethod for an unknown method, an error that wraps ErrUnknown for an unknown object, an *Error to choose the
+	// response, and any other error if the request is not possible in the present state.
 	Do(method string, user User, params func(into any) error) (any, error)
 }
 
-// Errors that an Operator returns to be told by code.
+// Errors of an Operator that have codes of their own.
 var (
 	ErrMethod  = errors.New("no such method")
 	ErrUnknown = errors.New("unknown")
 )
 
-// Counts of what came in.
+// Counts are for the log and for tests.
 type Counts struct {
-	Connections, Denied, Messages, Bad, Calls, Cancelled, Joined, Kept, Events, EventsLost, Cut, Anew, Withheld atomic.Int64
+	Connections atomic.Int64
+	Denied      atomic.Int64 // connections of users that are not configured
+	Messages    atomic.Int64
+	Bad         atomic.Int64 // malformed messages
+	Calls       atomic.Int64 // accepted
+	Cancelled   atomic.Int64 // by the method cancel
+	Joined      atomic.Int64 // calls with a key that waited for one in flight
+	Kept        atomic.Int64 // calls with a key answered with a cached answer
+	Events      atomic.Int64 // queued for a connection
+	EventsLost  atomic.Int64 // dropped because too many waited
+	Cut         atomic.Int64 // connections closed because a write failed
+	Anew        atomic.Int64 // calls that began anew because their alias had moved
+	Withheld    atomic.Int64 // answers not written because their version no longer may answer
 }
 
-// A Server serves one socket.
+// A Server serves one socket. It is safe for concurrent use. Each connection has a goroutine that reads and carries
+// out requests, and one that writes.
+//
+// Locks are taken in the order server, connection.
 type Server struct {
+	Counts Counts
+
 	cfg     Config
-	Counts  Counts
 	binder  ingress.Binder
-	mu      sync.Mutex
-	conns   map[*conn]bool
-	keys    keys
-	ln      net.Listener
-	closing atomic.Bool
-	paused  chan struct{}
+	closing atomic.Bool // no further call is accepted
 	wg      sync.WaitGroup
+
+	mu       sync.Mutex
+	listener net.Listener
+	conns    map[*conn]bool
+	keys     keyTable
+	resumed  chan struct{} // closed when the present pause ends; nil: there is none
 }
 
 // New returns a server that does not serve yet.
 func New(cfg Config) *Server {
-	def := func(p *int, v int) {
-		if *p == 0 {
-			*p = v
-		}
-	}
-	def(&cfg.MaxOpen, 64)
-	def(&cfg.MaxLine, 1<<20)
-	def(&cfg.MaxCalls, 256)
-	def(&cfg.Events, 256)
-	def(&cfg.Keys, 10_000)
-	def(&cfg.KeyBytes, 16<<20)
-	if cfg.Write == 0 {
-		cfg.Write = 5 * time.Second
+	cfg.setDefaults()
+	s := &Server{
+		cfg:   cfg,
+		conns: map[*conn]bool{},
+		keys:  keyTable{maxCalls: cfg.Keys, maxBytes: cfg.KeyBytes, calls: map[string]*keyedCall{}},
 	}
-	if cfg.Half == 0 {
-		cfg.Half = 10 * time.Second
+	s.binder = ingress.Binder{
+		Models:      cfg.Models,
+		Idempotency: cfg.Effect,
+		Clock:       cfg.Clock,
+		Restarts:    &s.Counts.Anew,
 	}
-	s := &Server{cfg: cfg, conns: map[*conn]bool{}, keys: keys{most: cfg.Keys, bytes: cfg.KeyBytes, by: map[string]*keyed{}}}
-	s.binder = ingress.Binder{Models: cfg.Models, Idempotency: cfg.Effect, Clock: cfg.Clock, Restarts: &s.Counts.Anew}
 	return s
 }
 
-// Listen opens a socket with a mode. One that a process left behind is replaced; one that is served is an error.
-func Listen(path string, mode os.FileMode) (*net.UnixListener, error) {
-	if info, err := os.Lstat(path); err == nil {
-		if info.Mode()&os.ModeSocket == 0 {
-			return nil, fmt.Errorf("%s is there and is no socket", path)
-		}
-		if c, err := net.DialTimeout("unix", path, time.Second); err == nil {
-			c.Close()
-			return nil, fmt.Errorf("%s is in use", path)
-		}
-		if err := os.Remove(path); err != nil {
-			return nil, err
-		}
-	}
-	old := syscall.Umask(0o177) // nobody else may connect before the mode is set
-	ln, err := net.Listen("unix", path)
-	syscall.Umask(old)
-	if err != nil {
-		return nil, err
-	}
-	if err := os.Chmod(path, mode); err != nil {
-		ln.Close()
-		return nil, err
-	}
-	return ln.(*net.UnixListener), nil
-}
+// acceptRetryDelay is the wait after an accept that failed for want of a descriptor.
+const acceptRetryDelay = 10 * time.Millisecond
 
-// Serve accepts until the listener is closed.
-func (s *Server) Serve(ln net.Listener) error {
+// Serve accepts connections until the listener is closed, and then returns nil.
+func (s *Server) Serve(listener net.Listener) error {
 	s.mu.Lock()
-	s.ln = ln
+	s.listener = listener
 	s.mu.Unlock()
 	for {
-		nc, err := ln.Accept()
-		if err != nil {
-			if s.closing.Load() || errors.Is(err, net.ErrClosed) {
-				return nil
-			}
-			if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) || errors.Is(err, syscall.ECONNABORTED) {
-				time.Sleep(10 * time.Millisecond)
-				continue
-			}
+		socket, err := listener.Accept()
+		switch {
+		case err == nil:
+			s.accept(socket)
+		case s.closing.Load() || errors.Is(err, net.ErrClosed):
+			return nil
+		case errors.Is(err, syscall.EMFILE), errors.Is(err, syscall.ENFILE), errors.Is(err, syscall.ECONNABORTED):
+			time.Sleep(acceptRetryDelay)
+		default:
 			return err
 		}
-		s.Counts.Connections.Add(1)
-		user, err := s.user(nc)
-		if err != nil {
-			s.Counts.Denied.Add(1)
-			s.cfg.Log.Warn().Err(err).Msg("rpc: connection refused")
-			s.refuse(nc, problem(CodeDenied, "%v", err))
-			continue
-		}
-		s.mu.Lock()
-		full := len(s.conns) >= s.cfg.MaxOpen
-		c := &conn{s: s, nc: nc, user: user, hand: map[string]*inHand{}, topics: map[string]bool{}}
-		c.more = sync.NewCond(&c.mu)
-		if !full {
-			s.conns[c] = true
-			s.wg.Add(1)
-		}
-		s.mu.Unlock()
-		if full {
-			s.refuse(nc, problem(CodeBusy, "%d connections are open, and no more may be", s.cfg.MaxOpen))
-			continue
-		}
-		go c.serve()
 	}
 }
 
-func (s *Server) refuse(nc net.Conn, e *Error) {
-	nc.SetWriteDeadline(time.Now().Add(time.Second))
-	nc.Write(append(reply(nil, nil, e), '\n'))
-	nc.Close()
-}
-
-// user tells who is at the other end, as the kernel noted when it connected.
-func (s *Server) user(nc net.Conn) (User, error) {
-	uc, ok := nc.(*net.UnixConn)
-	if !ok {
-		return User{}, errors.New("not a Unix socket")
-	}
-	raw, err := uc.SyscallConn()
+// accept serves a connection, or rejects it.
+func (s *Server) accept(socket net.Conn) {
+	s.Counts.Connections.Add(1)
+	user, err := s.user(socket)
 	if err != nil {
-		return User{}, err
+		s.Counts.Denied.Add(1)
+		s.cfg.Log.Warn().Err(err).Msg("rpc connection rejected")
+		rejectConn(socket, problem(CodeDenied, "%v", err))
+		return
 	}
-	var cred *syscall.Ucred
-	var cerr error
-	if err := raw.Control(func(fd uintptr) {
-		cred, cerr = syscall.GetsockoptUcred(int(fd), syscall.SOL_SOCKET, syscall.SO_PEERCRED)
-	}); err != nil {
-		return User{}, err
-	}
-	if cerr != nil {
-		return User{}, cerr
+	c := newConn(s, socket, user)
+	s.mu.Lock()
+	full := len(s.conns) >= s.cfg.MaxOpen
+	if !full {
+		s.conns[c] = true
+		s.wg.Add(1)
 	}
-	for _, u := range s.cfg.Users {
-		if u.UID == cred.Uid {
-			return u, nil
-		}
+	s.mu.Unlock()
+	if full {
+		rejectConn(socket, problem(CodeBusy, "%d connections are open, and no more may be", s.cfg.MaxOpen))
+		return
 	}
-	return User{}, fmt.Errorf("user %d (process %d) is not among rpc.users", cred.Uid, cred.Pid)
+	go c.serve()
+}
+
+func rejectConn(socket net.Conn, e *Error) {
+	socket.SetWriteDeadline(time.Now().Add(time.Second))
+	socket.Write(append(reply(nil, nil, e), '\n'))
+	socket.Close()
 }
 
-// Pause has all calls that come from now on wait for Resume.
+// Pause makes all further calls wait until Resume.
 func (s *Server) Pause() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.paused = make(chan struct{})
+	s.resumed = make(chan struct{})
 }
 
 // Resume ends a pause.
 func (s *Server) Resume() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.paused != nil {
-		close(s.paused)
-		s.paused = nil
+	if s.resumed != nil {
+		close(s.resumed)
+		s.resumed = nil
 	}
 }
 
-// wait waits while there is a pause.
-func (s *Server) wait() {
+// waitWhilePaused blocks until there is no pause.
+func (s *Server) waitWhilePaused() {
 	for {
 		s.mu.Lock()
-		p := s.paused
+		resumed := s.resumed
 		s.mu.Unlock()
-		if p == nil {
+		if resumed == nil {
 			return
 		}
-		<-p
+		<-resumed
 	}
 }
 
-// BeginStop has every further call refused; operators are still served.
+// BeginStop rejects all further calls; operators are still served.
 func (s *Server) BeginStop() { s.closing.Store(true) }
 
-// Drain closes the listener, waits until what is in hand is written or the time is up, and cuts the rest.
-func (s *Server) Drain(within time.Duration) {
+// Drain closes the listener, waits until the answers to all calls in flight are written or the time is up, and closes
+// the connections that are left.
+func (s *Server) Drain(timeout time.Duration) {
 	s.closing.Store(true)
 	s.mu.Lock()
-	if s.ln != nil {
-		s.ln.Close()
+	if s.listener != nil {
+		s.listener.Close()
 	}
 	for c := range s.conns {
-		c.finish()
+		c.drain()
 	}
 	s.mu.Unlock()
-	done := make(chan struct{})
-	go func() { s.wg.Wait(); close(done) }()
+	drained := make(chan struct{})
+	go func() {
+		s.wg.Wait()
+		close(drained)
+	}()
 	select {
-	case <-done:
-	case <-time.After(within):
+	case <-drained:
+	case <-time.After(timeout):
 		s.Cut()
-		<-done
+		<-drained
 	}
 }
 
-// Cut closes all connections at once.
+// Cut closes the listener and all connections at once.
 func (s *Server) Cut() {
 	s.closing.Store(true)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.ln != nil {
-		s.ln.Close()
+	if s.listener != nil {
+		s.listener.Close()
 	}
 	for c := range s.conns {
-		c.nc.Close()
+		c.socket.Close()
 	}
 }
 
-// Publish hands an event to the connections that have subscribed to its topic. It never blocks.
+// Publish queues an event for the connections that have subscribed to its topic. It never blocks.
 func (s *Server) Publish(topic string, event any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -288,7 +272,7 @@
 			if text == nil {
 				text = notification("event", map[string]any{"topic": topic, "event": event})
 			}
-			c.event(text)
+			c.queueEvent(text)
 		}
 		c.mu.Unlock()
 	}
--- /dev/null
+++ b/internal/ingress/jsonrpc/write.go
@@ -0,0 +1,127 @@
+package jsonrpc
+
+import "time"
+
+// A response is rendered just before it is written, as what it says may depend on that moment.
+type response struct {
+	// render returns the text, how long the write may take (0: the configured time) and what to call when it has
+	// ended, in success or not (nil: nothing).
+	render func() (text []byte, timeout time.Duration, done func())
+	calls  int // that it answers
+}
+
+// textResponse returns a response whose text is known.
+func textResponse(text []byte) response {
+	return response{render: func() ([]byte, time.Duration, func()) { return text, 0, nil }}
+}
+
+// respond queues a response for writing. While the client does not read, it blocks, so that its requests are not read
+// either.
+func (c *conn) respond(text []byte) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for len(c.responses) >= c.server.cfg.MaxCalls && !c.ended {
+		c.changed.Wait()
+	}
+	c.queue(textResponse(text))
+}
+
+// queue queues a response for writing. It does not block: calls in flight are bounded, and so are their responses. The
+// caller holds mu.
+func (c *conn) queue(r response) {
+	c.responses = append(c.responses, r)
+	c.changed.Broadcast()
+}
+
+// queueEvent queues an event for writing. If too many wait it is dropped, and before the next one that is queued the
+// client is notified how many were. The caller holds mu.
+func (c *conn) queueEvent(text []byte) {
+	counts := &c.server.Counts
+	if len(c.events) >= c.server.cfg.Events {
+		c.lostEvents++
+		counts.EventsLost.Add(1)
+		return
+	}
+	if c.lostEvents > 0 {
+		c.events = append(c.events, notification("lost", map[string]int{"events": c.lostEvents}))
+		c.lostEvents = 0
+	}
+	c.events = append(c.events, text)
+	counts.Events.Add(1)
+	c.changed.Broadcast()
+}
+
+// write writes what is queued until the connection ends. A client that reads nothing for too long is disconnected.
+func (c *conn) write() {
+	defer c.socket.Close()
+	for {
+		r, ok := c.next()
+		if !ok {
+			return
+		}
+		if err := c.writeOne(r); err != nil {
+			c.abort(r)
+			return
+		}
+		c.mu.Lock()
+		c.unwritten -= r.calls
+		c.mu.Unlock()
+	}
+}
+
+// next waits for something to write, responses before events; false if nothing more is to be written.
+func (c *conn) next() (response, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for len(c.responses) == 0 && len(c.events) == 0 && !c.complete() {
+		c.changed.Wait()
+	}
+	if len(c.responses) > 0 {
+		r := c.responses[0]
+		c.responses = c.responses[1:]
+		c.changed.Broadcast()
+		return r, true
+	}
+	if c.complete() {
+		return response{}, false
+	}
+	text := c.events[0]
+	c.events = c.events[1:]
+	return textResponse(text), true
+}
+
+// complete reports whether no further response will be queued. The caller holds mu.
+func (c *conn) complete() bool { return c.ended || c.draining && c.unwritten == 0 }
+
+func (c *conn) writeOne(r response) error {
+	text, timeout, done := r.render()
+	if timeout == 0 || timeout > c.server.cfg.Write {
+		timeout = c.server.cfg.Write
+	}
+	c.socket.SetWriteDeadline(time.Now().Add(timeout))
+	_, err := c.socket.Write(append(text, '\n'))
+	if done != nil {
+		done()
+	}
+	return err
+}
+
+// abort ends the connection after a write that failed. The responses that are left are rendered all the same: others
+// wait for the calls of their done functions.
+func (c *conn) abort(failed response) {
+	c.mu.Lock()
+	c.unwritten -= failed.calls
+	if !c.ended {
+		c.server.Counts.Cut.Add(1)
+	}
+	c.ended = true
+	rest := c.responses
+	c.responses = nil
+	c.changed.Broadcast()
+	c.mu.Unlock()
+	for _, r := range rest {
+		if _, _, done := r.render(); done != nil {
+			done()
+		}
+	}
+}
--- a/internal/ingress/webhook/message.go
+++ b/internal/ingress/webhook/message.go
@@ -8,6 +8,7 @@
 
 	"kitehub/internal/gateway"
 	"kitehub/internal/http1"
+	"kitehub/internal/ingress"
 	"kitehub/internal/replayguard"
 )
 
@@ -23,7 +24,12 @@
 
 // serveVerified answers a request that its client has signed.
 func (f *Front) serveVerified(c *http1.Conn, r *http1.Request, from sender) *http1.Response {
-	function, alias := f.resolve(r)
+	name, ok := f.functionName(r.Path(), r.Body)
+	var function *gateway.Function
+	var alias string
+	if ok {
+		function, alias = ingress.Resolve(f.cfg.Functions, f.cfg.Models, name)
+	}
 	if function == nil {
 		f.Counts.Unknown.Add(1)
 		return problem(404, "unknown", "no such function", nil)
@@ -77,30 +83,7 @@
 	return refused("too many messages are remembered", t.retryAfter)
 }
 
-// defaultAlias is the alias of a model's versions for calls that name none.
-const defaultAlias = "current"
-
-// resolve finds the function that a request names, and the alias if the function has versions; nil if there is none.
-// The name is that of a function, or model@alias.
-func (f *Front) resolve(r *http1.Request) (function *gateway.Function, alias string) {
-	name, ok := f.functionName(r.Path(), r.Body)
-	if !ok {
-		return nil, ""
-	}
-	if function = f.cfg.Functions(name); function != nil && !function.Versions {
-		return function, ""
-	}
-	model, alias, ok := strings.Cut(name, "@")
-	if !ok {
-		alias = defaultAlias
-	}
-	function = f.cfg.Functions(model)
-	if function == nil || !function.Versions || alias == "" || f.cfg.Models == nil {
-		return nil, ""
-	}
-	return function, alias
-}
-
+// functionName returns the name that a request gives; false if there is none.
 func (f *Front) functionName(path string, body []byte) (string, bool) {
 	if f.cfg.Source == FromPath {
 		name := strings.TrimPrefix(path, f.cfg.Prefix)
