--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -148,7 +148,7 @@
 		ms.gateway, ms.functions = c.Gateway, functions
 		ask := func() {
 			a := agent.Start(agent.Config{Client: &client.Client{Server: b.Registry, Name: b.Name, Key: b.Key, Wall: o.Clock.Wall,
-				Dial: c.tracked((&net.Dialer{}).DialContext)}, Node: b.Name, Clock: o.Clock, Log: o.Log, Moved: c.Gateway.Sweep, Stage: ms.stage, Ready: func(a *agent.Agent) { ms.agent.Store(a) }})
+				Dial: c.tracked((&net.Dialer{}).DialContext)}, Node: b.Name, Clock: o.Clock, Log: o.Log, Moved: c.Gateway.RecheckVersions, Stage: ms.stage, Ready: func(a *agent.Agent) { ms.agent.Store(a) }})
 			c.mu.Lock()
 			c.agent = a
 			dead := c.dead.Load() || c.ended.Load()
@@ -172,7 +172,7 @@
 	wc.Effect = func(class int) scheduler.Idempotency { return b.Settings.Classes[class].Idempotency }
 	if o.Predecessor != nil {
 		wc.State = &o.Predecessor.s.state.Front
-		c.Gateway.Inherit(o.Predecessor.s.state.Spent)
+		c.Gateway.InheritBudget(o.Predecessor.s.state.Spent)
 	}
 	if c.Front, err = webhook.New(wc, b.Clients); err != nil {
 		return fmt.Errorf("replay mark: %w", err)
--- a/internal/controller/handover.go
+++ b/internal/controller/handover.go
@@ -145,9 +145,9 @@
 	if c.RPC != nil {
 		c.RPC.Pause()
 	}
-	c.Gateway.Retire(true) // before its budgets are told: what it would still order would be counted by nobody
+	c.Gateway.SetSuperseded(true) // before its budgets are told: what it would still order would be counted by nobody
 	var err error
-	if s.Spent, err = c.Gateway.Spent(); err != nil {
+	if s.Spent, err = c.Gateway.BudgetHandover(); err != nil {
 		return err
 	}
 	if c.hooks.Load() != nil {
@@ -182,7 +182,7 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	c.Gateway.Retire(false)
+	c.Gateway.SetSuperseded(false)
 	if c.hooks.Load() != nil && !c.ended.Load() {
 		c.hooks.Store(nil)
 		if err := c.startHooks(c.o); err != nil {
--- a/internal/controller/models.go
+++ b/internal/controller/models.go
@@ -117,7 +117,7 @@
 			continue // this controller serves no such model
 		}
 		if fn, err := m.functions.Version(model, s.Version, s.Digest); err == nil {
-			m.gateway.Stage(fn, s.Copies)
+			m.gateway.StageCopies(fn, s.Copies)
 		}
 	}
 }
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -78,7 +78,7 @@
 			continue
 		}
 		if who, ok := p.sender(buf, from); ok {
-			g.Message(who, append([]byte(nil), buf[p.number:n]...))
+			g.ReceiveGossip(who, append([]byte(nil), buf[p.number:n]...))
 		}
 	}
 }
--- a/internal/gateway/carry.go
+++ b/internal/gateway/carry.go
@@ -12,34 +12,34 @@
 	"kitehub/scheduler"
 )
 
-// returned notes how an attempt ended. If it served the request, the answer is out already: see send.
-func (g *Gateway) returned(e scheduler.AttemptEnded, res backend.Result, now time.Duration) {
-	r := g.table[e.Request]
-	if r == nil || e.Attempt >= len(r.tries) {
+// recordAttemptEnd notes how an attempt ended. If it served the request, the answer is out already: see send.
+func (g *Gateway) recordAttemptEnd(e scheduler.AttemptEnded, res backend.Result, now time.Duration) {
+	r := g.inFlight[e.Request]
+	if r == nil || e.Attempt >= len(r.attempts) {
 		return
 	}
-	t := &r.tries[e.Attempt]
-	t.outcome, t.took, t.status, t.note, t.run = e.Outcome, e.Took, res.Status, e.Note, nil
-	r.out--
-	if k := AnswerKind(r.claimed.Load()); e.Outcome == scheduler.OK && (k == Served || k == Superseded) && !r.noted {
-		g.note(e.Request, r, Answer{Kind: k}, now)
+	t := &r.attempts[e.Attempt]
+	t.outcome, t.took, t.status, t.loadNote, t.running = e.Outcome, e.Took, res.Status, e.Note, nil
+	r.outstanding--
+	if k := AnswerKind(r.claimed.Load()); e.Outcome == scheduler.OK && (k == Served || k == Superseded) && !r.recorded {
+		g.recordAnswer(e.Request, r, Answer{Kind: k}, now)
 	}
-	if r.noted && r.out == 0 {
-		delete(g.table, e.Request)
+	if r.recorded && r.outstanding == 0 {
+		delete(g.inFlight, e.Request)
 	}
 }
 
 // answer gives the final answer of a request that the loop has claimed.
-func (g *Gateway) answer(id scheduler.RequestID, r *entry, a Answer, now time.Duration) {
+func (g *Gateway) answer(id scheduler.RequestID, r *request, a Answer, now time.Duration) {
 	a.MayHaveRun = r.mayHaveRun()
 	r.call.Deliver(a)
-	g.note(id, r, a, now)
+	g.recordAnswer(id, r, a, now)
 }
 
-// note counts and logs an answer that was given.
-func (g *Gateway) note(id scheduler.RequestID, r *entry, a Answer, now time.Duration) {
-	r.noted = true
-	g.open.Add(-1)
+// recordAnswer counts and logs an answer that was given.
+func (g *Gateway) recordAnswer(id scheduler.RequestID, r *request, a Answer, now time.Duration) {
+	r.recorded = true
+	g.openCount.Add(-1)
 	switch a.Kind {
 	case Served:
 		g.Counts.Served.Add(1)
@@ -52,51 +52,51 @@
 	case Superseded:
 		g.Counts.Superseded.Add(1)
 	}
-	g.closing(id, r, a, now)
+	g.logRequest(id, r, a, now)
 	if h := g.cfg.Hooks; h != nil {
-		tenant := g.tenant(r.call.Tenant)
+		tenant := g.tenantName(r.call.Tenant)
 		h.CallEnded(tenant)
 		e := hooklang.Ended{Function: r.call.Function.Name, Tenant: tenant, Class: g.cfg.Settings.Classes[r.call.Function.Class].Name, Answer: a.Kind.String(),
-			Took: now - r.at, Attempts: len(r.tries), Late: now > r.at+r.call.TimeLeft}
-		if len(r.tries) > 0 {
-			e.Worker = r.tries[len(r.tries)-1].worker
+			Took: now - r.submittedAt, Attempts: len(r.attempts), Late: now > r.submittedAt+r.call.TimeLeft}
+		if len(r.attempts) > 0 {
+			e.Worker = r.attempts[len(r.attempts)-1].worker
 		}
 		h.Post("ended", e)
 	}
-	g.told.keep(id, r, a, now)
+	g.answered.add(id, r, a, now)
 	r.call = nil // the body goes; attempts out may stay a while
-	if r.out == 0 {
-		delete(g.table, id)
+	if r.outstanding == 0 {
+		delete(g.inFlight, id)
 	}
 }
 
-var errNoRequest = errors.New("the module acts on a request that is not open")
+var errUnknownRequest = errors.New("the module acts on a request that is not open")
 
-// carry carries one action out.
-func (g *Gateway) carry(a scheduler.Action, now time.Duration) {
+// execute carries one action out.
+func (g *Gateway) execute(a scheduler.Action, now time.Duration) {
 	switch a := a.(type) {
 	case scheduler.Send:
-		g.send(a, now)
+		g.dispatch(a, now)
 	case scheduler.Reject:
-		g.final(a.Request, Answer{Kind: Rejected, RetryAfter: a.RetryAfter}, now)
+		g.conclude(a.Request, Answer{Kind: Rejected, RetryAfter: a.RetryAfter}, now)
 	case scheduler.Fail:
-		r := g.table[a.Request]
-		g.final(a.Request, Answer{Kind: Failed, DeadlineExceeded: r != nil && r.out > 0}, now)
+		r := g.inFlight[a.Request]
+		g.conclude(a.Request, Answer{Kind: Failed, DeadlineExceeded: r != nil && r.outstanding > 0}, now)
 	case scheduler.Cancel:
-		if r := g.table[a.Request]; r != nil && a.Attempt < len(r.tries) && r.tries[a.Attempt].run != nil {
-			r.tries[a.Attempt].run.Cancel()
+		if r := g.inFlight[a.Request]; r != nil && a.Attempt < len(r.attempts) && r.attempts[a.Attempt].running != nil {
+			r.attempts[a.Attempt].running.Cancel()
 		}
 	case scheduler.Wake:
-		g.tokens = append(g.tokens, a)
+		g.wakeups = append(g.wakeups, a)
 	case scheduler.LoadOrder:
-		g.hold(a)
+		g.orderLoad(a)
 	case scheduler.Unload:
 		if name, _, ok := g.functionName(a.Function); ok {
 			g.cfg.Transport.Unload(a.Worker, name)
 		}
 	case scheduler.Probe:
 		g.cfg.Transport.Probe(a.Worker, func(o scheduler.Outcome, took time.Duration, report []float64) {
-			g.put(scheduler.ProbeEnded{Worker: a.Worker, Outcome: o, Took: took, Report: report})
+			g.enqueue(scheduler.ProbeEnded{Worker: a.Worker, Outcome: o, Took: took, Report: report})
 		})
 	case scheduler.Close:
 		g.cfg.Transport.CloseIdle(a.Worker)
@@ -119,10 +119,10 @@
 	}
 }
 
-func (g *Gateway) final(id scheduler.RequestID, a Answer, now time.Duration) {
-	r := g.table[id]
-	if r == nil || r.noted {
-		g.cfg.Log.Error().Uint64("request", uint64(id)).Err(errNoRequest).Msg("final")
+func (g *Gateway) conclude(id scheduler.RequestID, a Answer, now time.Duration) {
+	r := g.inFlight[id]
+	if r == nil || r.recorded {
+		g.cfg.Log.Error().Uint64("request", uint64(id)).Err(errUnknownRequest).Msg("final")
 		return
 	}
 	if r.claim(a.Kind) { // else it was served while the module decided: its event comes next
@@ -130,16 +130,16 @@
 	}
 }
 
-// send gives a request to a worker, unless it has been answered meanwhile or its version was left: then the module is told that
+// dispatch gives a request to a worker, unless it has been answered meanwhile or its version was left: then the module is told that
 // nothing went out.
-func (g *Gateway) send(a scheduler.Send, now time.Duration) {
-	r := g.table[a.Request]
-	if r == nil || r.noted {
-		g.cfg.Log.Error().Uint64("request", uint64(a.Request)).Err(errNoRequest).Msg("send")
+func (g *Gateway) dispatch(a scheduler.Send, now time.Duration) {
+	r := g.inFlight[a.Request]
+	if r == nil || r.recorded {
+		g.cfg.Log.Error().Uint64("request", uint64(a.Request)).Err(errUnknownRequest).Msg("send")
 		return
 	}
 	if r.claimed.Load() != 0 { // served while the module decided
-		g.sendNothing(r, a, now)
+		g.recordNotStarted(r, a, now)
 		return
 	}
 	v := g.verdict(r.call)
@@ -147,46 +147,46 @@
 		v = registry.May // it goes on under what it began with
 	}
 	if v != registry.May {
-		g.sendNothing(r, a, now)
-		if g.leave(a.Request, r, v, now) {
-			g.put(scheduler.ClientGone{Request: a.Request})
+		g.recordNotStarted(r, a, now)
+		if g.supersede(a.Request, r, v, now) {
+			g.enqueue(scheduler.ClientGone{Request: a.Request})
 		}
 		return
 	}
-	g.begin(r, a, now)
+	g.startAttempt(r, a, now)
 }
 
-// sendNothing counts an attempt of which nothing goes out, and ends it.
-func (g *Gateway) sendNothing(r *entry, a scheduler.Send, now time.Duration) {
-	g.put(scheduler.AttemptEnded{Request: a.Request, Attempt: len(r.tries), Worker: a.Worker, Outcome: scheduler.NotStarted})
-	r.tries = append(r.tries, try{worker: g.workerName(a.Worker), sent: now, outcome: scheduler.NotStarted})
-	r.out++
+// recordNotStarted counts an attempt of which nothing goes out, and ends it.
+func (g *Gateway) recordNotStarted(r *request, a scheduler.Send, now time.Duration) {
+	g.enqueue(scheduler.AttemptEnded{Request: a.Request, Attempt: len(r.attempts), Worker: a.Worker, Outcome: scheduler.NotStarted})
+	r.attempts = append(r.attempts, attempt{worker: g.workerName(a.Worker), sentAt: now, outcome: scheduler.NotStarted})
+	r.outstanding++
 }
 
-// begin has the carrier make an attempt.
-func (g *Gateway) begin(r *entry, a scheduler.Send, now time.Duration) {
-	n, call := len(r.tries), r.call
-	t := try{worker: g.workerName(a.Worker), sent: now}
-	if g.told.most > 0 || call.Progress != nil {
-		t.look = g.d.Snapshot(call.Function.ID, a.Worker)
+// startAttempt has the carrier make an attempt.
+func (g *Gateway) startAttempt(r *request, a scheduler.Send, now time.Duration) {
+	n, call := len(r.attempts), r.call
+	t := attempt{worker: g.workerName(a.Worker), sentAt: now}
+	if g.answered.capacity > 0 || call.Progress != nil {
+		t.snapshot = g.dispatcher.Snapshot(call.Function.ID, a.Worker)
 	}
 	if call.Progress != nil {
-		call.Progress(n, t.worker, !t.look.HasCopy)
+		call.Progress(n, t.worker, !t.snapshot.HasCopy)
 	}
-	r.out++
+	r.outstanding++
 	attempt := backend.Attempt{Worker: a.Worker, Call: call.ID, Class: g.cfg.Settings.Classes[call.Function.Class].Name,
 		Function: call.Function.Name, Trace: traceparent(call.Trace, g.rng.Uint64()), Key: call.Key, Digest: call.Function.Digest,
 		Body: call.Body, Timeout: a.Timeout, Wanted: func() bool { return r.claimed.Load() == 0 }}
-	t.run = g.cfg.Transport.Send(attempt, func(res backend.Result) { g.ended(r, call, a, n, res) })
-	r.tries = append(r.tries, t)
+	t.running = g.cfg.Transport.Send(attempt, func(res backend.Result) { g.attemptEnded(r, call, a, n, res) })
+	r.attempts = append(r.attempts, t)
 }
 
-// ended takes an attempt's result, on any goroutine. A served answer goes out here, not a tick later: by this very event the module
+// attemptEnded takes an attempt's result, on any goroutine. A served answer goes out here, not a tick later: by this very event the module
 // ends the request, and whoever claims it first, this or the loop, gives the one answer. With no other request in hand there is
 // nothing to decide by it: it is taken in with the next step, which the module's Wake brings at the latest. The entry's call is the
 // loop's, which lets go of it with the answer, so it is given here.
-func (g *Gateway) ended(r *entry, call *Call, a scheduler.Send, attempt int, res backend.Result) {
-	if g.ranOtherBytes(r, call, res) {
+func (g *Gateway) attemptEnded(r *request, call *Call, a scheduler.Send, attempt int, res backend.Result) {
+	if g.hasDigestMismatch(r, call, res) {
 		g.Counts.Mismatched.Add(1)
 		g.cfg.Log.Error().Str("worker", g.workerName(a.Worker)).Str("function", call.Function.Name).Str("wanted", call.Function.Digest).
 			Str("ran", res.Digest).Msg("other bytes ran: the answer is dropped")
@@ -194,33 +194,33 @@
 	}
 	alone := false
 	if res.Outcome == scheduler.OK {
-		alone = g.deliver(r, call, res.Body) && g.open.Load() == 1
+		alone = g.deliver(r, call, res.Body) && g.openCount.Load() == 1
 	}
 	res.Body = nil
 	e := scheduler.AttemptEnded{Request: a.Request, Attempt: attempt, Worker: a.Worker, Outcome: res.Outcome, Took: res.Took,
 		Complete: res.Outcome == scheduler.OK, Note: res.Note, SameFunction: res.Alike, Report: res.Report}
 	g.mu.Lock()
-	g.results[result{a.Request, attempt}] = res
-	g.in = append(g.in, e)
+	g.pendingResults[attemptKey{a.Request, attempt}] = res
+	g.pendingEvents = append(g.pendingEvents, e)
 	idle := alone && !g.stopped
 	g.mu.Unlock()
 	if !idle {
-		g.poke()
+		g.wakeLoop()
 	}
 }
 
-// ranOtherBytes tells whether an answer is of other bytes than were asked for, or under a key of which other bytes ran.
-func (g *Gateway) ranOtherBytes(r *entry, call *Call, res backend.Result) bool {
+// hasDigestMismatch tells whether an answer is of other bytes than were asked for, or under a key of which other bytes ran.
+func (g *Gateway) hasDigestMismatch(r *request, call *Call, res backend.Result) bool {
 	want := call.Function.Digest
-	if want == "" || res.Outcome != scheduler.OK || res.Digest == want && !r.wrong.Load() {
+	if want == "" || res.Outcome != scheduler.OK || res.Digest == want && !r.digestMismatch.Load() {
 		return false
 	}
-	r.wrong.Store(g.cfg.Settings.Classes[call.Function.Class].Idempotency == scheduler.IdempotentWithKey)
+	r.digestMismatch.Store(g.cfg.Settings.Classes[call.Function.Class].Idempotency == scheduler.IdempotentWithKey)
 	return true
 }
 
 // deliver gives a worker's answer to the client, or tells it that its version was left; true if it was served.
-func (g *Gateway) deliver(r *entry, call *Call, body []byte) bool {
+func (g *Gateway) deliver(r *request, call *Call, body []byte) bool {
 	if v := g.verdict(call); v != registry.May && v != registry.Leaving {
 		if r.claim(Superseded) {
 			call.Deliver(Answer{Kind: Superseded, Verdict: v, MayHaveRun: true})
@@ -242,17 +242,17 @@
 }
 
 // mayHaveRun tells whether an attempt of a request may have run, or may yet.
-func (r *entry) mayHaveRun() bool {
-	return slices.ContainsFunc(r.tries, func(t try) bool {
+func (r *request) mayHaveRun() bool {
+	return slices.ContainsFunc(r.attempts, func(t attempt) bool {
 		return t.outcome != scheduler.AtCapacity && t.outcome != scheduler.ConnectFailed && t.outcome != scheduler.NotStarted && t.outcome != scheduler.NotLoaded
 	})
 }
 
-// leave takes a request whose version was left, or may have been, from the module and hands it back to its front, if what
+// supersede takes a request whose version was left, or may have been, from the module and hands it back to its front, if what
 // is out needs not be waited for. What is out is withdrawn.
-func (g *Gateway) leave(id scheduler.RequestID, r *entry, v registry.Verdict, now time.Duration) bool {
+func (g *Gateway) supersede(id scheduler.RequestID, r *request, v registry.Verdict, now time.Duration) bool {
 	effect, mayHaveRun := g.cfg.Settings.Classes[r.call.Function.Class].Idempotency, r.mayHaveRun()
-	out := slices.ContainsFunc(r.tries, func(t try) bool { return t.run != nil })
+	out := slices.ContainsFunc(r.attempts, func(t attempt) bool { return t.running != nil })
 	next := registry.After(effect, out, mayHaveRun, r.call.Binding.Restarts)
 	if v == registry.NoLease {
 		next = registry.WithoutLease(effect, out, mayHaveRun)
@@ -260,8 +260,8 @@
 	if next == registry.Wait || !r.claim(Superseded) {
 		return false
 	}
-	for i := range r.tries {
-		if run := r.tries[i].run; run != nil {
+	for i := range r.attempts {
+		if run := r.attempts[i].running; run != nil {
 			run.Cancel()
 		}
 	}
@@ -269,10 +269,10 @@
 	return true
 }
 
-func (g *Gateway) hold(a scheduler.LoadOrder) {
+func (g *Gateway) orderLoad(a scheduler.LoadOrder) {
 	name, digest, ok := g.functionName(a.Function)
 	if !ok {
-		g.put(scheduler.LoadOrderEnded{Worker: a.Worker, Function: a.Function, Outcome: scheduler.NotStarted})
+		g.enqueue(scheduler.LoadOrderEnded{Worker: a.Worker, Function: a.Function, Outcome: scheduler.NotStarted})
 		return
 	}
 	g.cfg.Transport.LoadCopies(backend.LoadOrder{Worker: a.Worker, Function: name, Digest: digest, Copies: a.Copies},
@@ -281,8 +281,8 @@
 				g.cfg.Versions.CopiesReady(name, g.workerName(a.Worker), copies)
 			}
 			if h := g.cfg.Hooks; h != nil && (o == scheduler.AtCapacity || o == scheduler.Error) {
-				h.Post("load_refused", hooklang.Load{Function: name, Worker: g.workerName(a.Worker), Outcome: outcomes[o], Took: took})
+				h.Post("load_refused", hooklang.Load{Function: name, Worker: g.workerName(a.Worker), Outcome: outcomeNames[o], Took: took})
 			}
-			g.put(scheduler.LoadOrderEnded{Worker: a.Worker, Function: a.Function, Outcome: o, Took: took, Copies: copies})
+			g.enqueue(scheduler.LoadOrderEnded{Worker: a.Worker, Function: a.Function, Outcome: o, Took: took, Copies: copies})
 		})
 }
--- a/internal/gateway/explain.go
+++ b/internal/gateway/explain.go
@@ -9,11 +9,11 @@
 	"kitehub/scheduler"
 )
 
-// told keeps the last calls that were answered, for Explain. It is the loop's.
-type told struct {
-	most int
-	ring []Explanation
-	next int
+// explanationRing keeps the last calls that were answered, for Explain. It is the loop's.
+type explanationRing struct {
+	capacity int
+	entries  []Explanation
+	next     int
 }
 
 // Explanation is why a call went where it went, from what the module saw as it sent, and what came of it.
@@ -29,22 +29,22 @@
 	Lines    []string `json:"lines"`
 }
 
-func (t *told) keep(id scheduler.RequestID, r *entry, a Answer, now time.Duration) {
-	if t.most == 0 {
+func (t *explanationRing) add(id scheduler.RequestID, r *request, a Answer, now time.Duration) {
+	if t.capacity == 0 {
 		return
 	}
 	x := explain(id, r, a.Kind.String(), now)
 	x.Function = r.call.Function.Name
-	if len(t.ring) < t.most {
-		t.ring = append(t.ring, x)
+	if len(t.entries) < t.capacity {
+		t.entries = append(t.entries, x)
 		return
 	}
-	t.ring[t.next] = x
-	t.next = (t.next + 1) % t.most
+	t.entries[t.next] = x
+	t.next = (t.next + 1) % t.capacity
 }
 
-func explain(id scheduler.RequestID, r *entry, answer string, now time.Duration) Explanation {
-	x := Explanation{ID: r.call.ID, Request: uint64(id), Function: r.call.Function.Name, Answer: answer, TookMS: float64(now-r.at) / 1e6, Why: r.call.verdict.Why, Lines: []string{}}
+func explain(id scheduler.RequestID, r *request, answer string, now time.Duration) Explanation {
+	x := Explanation{ID: r.call.ID, Request: uint64(id), Function: r.call.Function.Name, Answer: answer, TookMS: float64(now-r.submittedAt) / 1e6, Why: r.call.verdict.Why, Lines: []string{}}
 	if r.call.Retry {
 		x.Lines = append(x.Lines, "its client marks it as a repeat: it is served last where few pass")
 	}
@@ -54,16 +54,16 @@
 	if w := r.call.verdict.Weight; w > 0 && w != 1 {
 		x.Lines = append(x.Lines, fmt.Sprintf("a hook weighs its tenant by %g", w))
 	}
-	for i := range r.tries {
-		t := &r.tries[i]
-		x.Lines = append(x.Lines, fmt.Sprintf("attempt %d, after %v: %s, %s", i+1, (t.sent-r.at).Round(100*time.Microsecond), t.worker, seen(t.look)))
+	for i := range r.attempts {
+		t := &r.attempts[i]
+		x.Lines = append(x.Lines, fmt.Sprintf("attempt %d, after %v: %s, %s", i+1, (t.sentAt-r.submittedAt).Round(100*time.Microsecond), t.worker, describeSnapshot(t.snapshot)))
 		if t.outcome == 0 {
 			x.Lines = append(x.Lines, "  no outcome yet")
 			continue
 		}
-		x.Lines = append(x.Lines, fmt.Sprintf("  %s after %v%s", outcomes[t.outcome], t.took.Round(100*time.Microsecond), met[t.note]))
+		x.Lines = append(x.Lines, fmt.Sprintf("  %s after %v%s", outcomeNames[t.outcome], t.took.Round(100*time.Microsecond), loadNoteTexts[t.loadNote]))
 	}
-	if len(r.tries) == 0 {
+	if len(r.attempts) == 0 {
 		switch {
 		case x.Why != "":
 			x.Lines = append(x.Lines, "never sent: "+x.Why)
@@ -74,9 +74,9 @@
 	return x
 }
 
-var met = map[scheduler.LoadNote]string{scheduler.FoundWarm: ", a copy stood", scheduler.StartedLoad: ", it began a load", scheduler.AwaitedLoad: ", it waited for a load that had begun", scheduler.LoadFailed: ", a load failed"}
+var loadNoteTexts = map[scheduler.LoadNote]string{scheduler.FoundWarm: ", a copy stood", scheduler.StartedLoad: ", it began a load", scheduler.AwaitedLoad: ", it waited for a load that had begun", scheduler.LoadFailed: ", a load failed"}
 
-func seen(l scheduler.Snapshot) string {
+func describeSnapshot(l scheduler.Snapshot) string {
 	var s []string
 	switch {
 	case l.RingPosition == 0:
@@ -104,11 +104,11 @@
 
 var errStopped = errors.New("gateway: stopped")
 
-// ask has f run by the loop, between two steps, and waits for it.
-func (g *Gateway) ask(f func()) error {
+// runOnLoop has f run by the loop, between two steps, and waits for it.
+func (g *Gateway) runOnLoop(f func()) error {
 	ready := make(chan struct{})
 	select {
-	case g.asked <- func() { f(); close(ready) }:
+	case g.loopTasks <- func() { f(); close(ready) }:
 	case <-g.done:
 		return errStopped
 	}
@@ -122,14 +122,14 @@
 
 // Explain returns why a call went where it went: one that runs, or one of the last that were answered; the newest of its id.
 func (g *Gateway) Explain(id string) (x Explanation, ok bool, err error) {
-	err = g.ask(func() {
-		for _, k := range sortedKeys(g.table) {
-			if r := g.table[k]; r.call != nil && r.call.ID == id {
+	err = g.runOnLoop(func() {
+		for _, k := range sortedKeys(g.inFlight) {
+			if r := g.inFlight[k]; r.call != nil && r.call.ID == id {
 				x, ok = explain(k, r, AnswerKind(r.claimed.Load()).String(), g.cfg.Clock.Now()), true // answered, perhaps, and not taken in
 			}
 		}
-		for i := range g.told.ring {
-			if e := &g.told.ring[(g.told.next+i)%len(g.told.ring)]; e.ID == id && (!ok || e.Request > x.Request) {
+		for i := range g.answered.entries {
+			if e := &g.answered.entries[(g.answered.next+i)%len(g.answered.entries)]; e.ID == id && (!ok || e.Request > x.Request) {
 				x, ok = *e, true
 			}
 		}
@@ -152,11 +152,11 @@
 
 // View returns workers and functions as the module sees them, by name, and the share of requests that it lets pass.
 func (g *Gateway) View() (workers []WorkerView, functions []FunctionView, err error) {
-	err = g.ask(func() {
-		for _, w := range g.d.Workers() {
+	err = g.runOnLoop(func() {
+		for _, w := range g.dispatcher.Workers() {
 			workers = append(workers, WorkerView{g.workerName(w.ID), w})
 		}
-		for _, f := range g.d.Functions() {
+		for _, f := range g.dispatcher.Functions() {
 			name, _, _ := g.functionName(f.ID)
 			functions = append(functions, FunctionView{name, g.workerName(f.Home), f})
 		}
@@ -165,4 +165,4 @@
 }
 
 // Alive returns once the loop has taken a turn, or an error if it has ended.
-func (g *Gateway) Alive() error { return g.ask(func() {}) }
+func (g *Gateway) Alive() error { return g.runOnLoop(func() {}) }
--- a/internal/gateway/functions.go
+++ b/internal/gateway/functions.go
@@ -22,37 +22,37 @@
 // Functions finds functions by name. Names under a star become known when they are first called, up to a bound:
 // an unbounded set of names would let a client fill the module's memory. It is safe for concurrent use.
 type Functions struct {
-	g     *Gateway
-	mu    sync.RWMutex
-	known map[string]*Function
-	stars []star
+	gateway  *Gateway
+	mu       sync.RWMutex
+	known    map[string]*Function
+	patterns []namePattern
 	// Versions of models in use, and how many are kept: beyond it the one used longest ago is forgotten.
-	versions map[versionKey]*version
-	most     int
-	uses     int64
+	versions    map[versionKey]*version
+	maxVersions int
+	useCount    int64
 }
 
 type versionKey struct{ model, version string }
 
 type version struct {
 	Function
-	used atomic.Int64
+	lastUse atomic.Int64
 }
 
-const versionsKept = 1000
+const maxVersions = 1000
 
-type star struct {
+type namePattern struct {
 	Spec
 	taken int
 }
 
 // NewFunctions makes the functions named by the specs known to the gateway.
 func NewFunctions(g *Gateway, specs []Spec) (*Functions, error) {
-	f := &Functions{g: g, known: map[string]*Function{}, versions: map[versionKey]*version{}, most: versionsKept}
+	f := &Functions{gateway: g, known: map[string]*Function{}, versions: map[versionKey]*version{}, maxVersions: maxVersions}
 	for _, s := range specs {
 		if begin, ok := strings.CutSuffix(s.Name, "*"); ok {
 			s.Name = begin
-			f.stars = append(f.stars, star{Spec: s})
+			f.patterns = append(f.patterns, namePattern{Spec: s})
 			continue
 		}
 		if _, err := f.add(s.Name, s); err != nil {
@@ -66,7 +66,7 @@
 	fn := &Function{Name: name, Class: s.Class, MemoryMB: s.MemoryMB, Lanes: s.Lanes, LoadTime: s.LoadTime, Versions: s.Versions}
 	if !s.Versions {
 		var err error
-		if fn.ID, err = f.g.AddFunction(name); err != nil {
+		if fn.ID, err = f.gateway.AddFunction(name); err != nil {
 			return nil, err
 		}
 	}
@@ -82,29 +82,29 @@
 	v := f.versions[k]
 	f.mu.RUnlock()
 	if v != nil && v.Digest == digest {
-		v.used.Store(atomic.AddInt64(&f.uses, 1))
+		v.lastUse.Store(atomic.AddInt64(&f.useCount, 1))
 		return &v.Function, nil
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for len(f.versions) >= f.most {
+	for len(f.versions) >= f.maxVersions {
 		var oldest versionKey
 		var at int64 = math.MaxInt64
 		for k, v := range f.versions {
-			if u := v.used.Load(); u < at {
+			if u := v.lastUse.Load(); u < at {
 				oldest, at = k, u
 			}
 		}
-		f.g.dropVersion(f.versions[oldest].ID)
+		f.gateway.dropVersion(f.versions[oldest].ID)
 		delete(f.versions, oldest)
 	}
 	v = &version{Function: *model}
 	v.Name, v.Digest, v.Versions = model.Name+"@"+name, digest, false
 	var err error
-	if v.ID, err = f.g.addVersion(v.Name, digest); err != nil {
+	if v.ID, err = f.gateway.addVersion(v.Name, digest); err != nil {
 		return nil, err
 	}
-	v.used.Store(atomic.AddInt64(&f.uses, 1))
+	v.lastUse.Store(atomic.AddInt64(&f.useCount, 1))
 	f.versions[k] = v
 	return &v.Function, nil
 }
@@ -117,8 +117,8 @@
 	if fn := f.known[name]; fn != nil {
 		return Spec{Name: name, Class: fn.Class, MemoryMB: fn.MemoryMB, Lanes: fn.Lanes, LoadTime: fn.LoadTime, Versions: fn.Versions}, true
 	}
-	for i := range f.stars {
-		if s := &f.stars[i]; len(name) <= 128 && strings.HasPrefix(name, s.Name) {
+	for i := range f.patterns {
+		if s := &f.patterns[i]; len(name) <= 128 && strings.HasPrefix(name, s.Name) {
 			return s.Spec, true
 		}
 	}
@@ -130,7 +130,7 @@
 	f.mu.RLock()
 	fn := f.known[name]
 	f.mu.RUnlock()
-	if fn != nil || len(f.stars) == 0 || len(name) > 128 {
+	if fn != nil || len(f.patterns) == 0 || len(name) > 128 {
 		return fn
 	}
 	f.mu.Lock()
@@ -138,12 +138,12 @@
 	if fn := f.known[name]; fn != nil {
 		return fn
 	}
-	for i := range f.stars {
-		s := &f.stars[i]
+	for i := range f.patterns {
+		s := &f.patterns[i]
 		if strings.HasPrefix(name, s.Name) && s.taken < s.Most {
 			fn, err := f.add(name, s.Spec)
 			if err != nil {
-				f.g.cfg.Log.Error().Err(err).Msg("function not taken")
+				f.gateway.cfg.Log.Error().Err(err).Msg("function not taken")
 				return nil
 			}
 			s.taken++
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -130,9 +130,9 @@
 	// Deliver is called once, on any goroutine; with Gone after a Cancel. It must not block.
 	Deliver func(Answer)
 	// Progress, where set, is told of each attempt that goes out, and whether it may wait for a load. It must not block.
-	Progress func(attempt int, worker string, load bool)
-	verdict  hookadvice.Verdict
-	at       time.Duration // when it was submitted
+	Progress    func(attempt int, worker string, load bool)
+	verdict     hookadvice.Verdict
+	submittedAt time.Duration // when it was submitted
 }
 
 // Counts of what was answered, and of the loop.
@@ -146,65 +146,65 @@
 
 // A Gateway is one controller. It is safe for concurrent use.
 type Gateway struct {
-	cfg    Config
-	Counts Counts
-	open   atomic.Int64
-	nextID atomic.Uint64
-	killed atomic.Bool
+	cfg       Config
+	Counts    Counts
+	openCount atomic.Int64
+	nextID    atomic.Uint64
+	killed    atomic.Bool
 
-	mu      sync.Mutex // guards what is below
-	in      []scheduler.Event
-	calls   map[scheduler.RequestID]*Call // arrivals in in
-	results map[result]backend.Result     // of the Returned in in
-	list    *scheduler.ListUpdate
-	points  []backend.Endpoint
-	names   names
-	stopped bool
-	moved   bool // aliases have moved: see Sweep
+	mu             sync.Mutex // guards what is below
+	pendingEvents  []scheduler.Event
+	pendingCalls   map[scheduler.RequestID]*Call // arrivals in in
+	pendingResults map[attemptKey]backend.Result // of the Returned in in
+	pendingList    *scheduler.ListUpdate
+	endpoints      []backend.Endpoint
+	directory      directory
+	stopped        bool
+	recheckPending bool // aliases have moved: see Sweep
 
-	wake  chan struct{}
-	halt  chan struct{}
-	done  chan struct{}
-	asked chan func()
+	wake      chan struct{}
+	stop      chan struct{}
+	done      chan struct{}
+	loopTasks chan func()
 
 	// Owned by the loop.
-	d      *scheduler.Dispatcher
-	table  map[scheduler.RequestID]*entry
-	timer  time.Duration // next Wake; 0: none
-	tokens []scheduler.Wake
-	rng    *rand.Rand
-	crash  uint64
-	told   told
+	dispatcher *scheduler.Dispatcher
+	inFlight   map[scheduler.RequestID]*request
+	nextWake   time.Duration // next Wake; 0: none
+	wakeups    []scheduler.Wake
+	rng        *rand.Rand
+	restarts   uint64
+	answered   explanationRing
 }
 
-type result struct {
-	id      scheduler.RequestID
+type attemptKey struct {
+	request scheduler.RequestID
 	attempt int
 }
 
-// An entry is a request until it is answered and all its attempts have ended. It is the loop's, but for claimed.
-type entry struct {
-	call    *Call
-	at      time.Duration
-	claimed atomic.Int32 // the Kind of its one final answer: whoever sets it from 0 gives it
-	noted   bool         // the answer is counted and logged
-	wrong   atomic.Bool  // other bytes ran under its key: the group that drops its repeats would give their answer
-	tries   []try
-	out     int
+// An request is a request until it is answered and all its attempts have ended. It is the loop's, but for claimed.
+type request struct {
+	call           *Call
+	submittedAt    time.Duration
+	claimed        atomic.Int32 // the Kind of its one final answer: whoever sets it from 0 gives it
+	recorded       bool         // the answer is counted and logged
+	digestMismatch atomic.Bool  // other bytes ran under its key: the group that drops its repeats would give their answer
+	attempts       []attempt
+	outstanding    int
 }
 
 // claim takes the right to give the one final answer.
-func (r *entry) claim(k AnswerKind) bool { return r.claimed.CompareAndSwap(0, int32(k)) }
+func (r *request) claim(k AnswerKind) bool { return r.claimed.CompareAndSwap(0, int32(k)) }
 
-type try struct {
-	worker  string
-	run     backend.Running
-	sent    time.Duration
-	outcome scheduler.Outcome
-	took    time.Duration
-	status  int
-	note    scheduler.LoadNote
-	look    scheduler.Snapshot // the worker and function as the module saw them, where calls are explained
+type attempt struct {
+	worker   string
+	running  backend.Running
+	sentAt   time.Duration
+	outcome  scheduler.Outcome
+	took     time.Duration
+	status   int
+	loadNote scheduler.LoadNote
+	snapshot scheduler.Snapshot // the worker and function as the module saw them, where calls are explained
 }
 
 // New returns a gateway that does not run yet.
@@ -219,10 +219,10 @@
 	if err != nil {
 		return nil, err
 	}
-	g := &Gateway{cfg: cfg, d: d, table: map[scheduler.RequestID]*entry{}, rng: rand.New(rand.NewPCG(cfg.Seed, 1)),
-		calls: map[scheduler.RequestID]*Call{}, results: map[result]backend.Result{}, wake: make(chan struct{}, 1), asked: make(chan func()),
-		halt: make(chan struct{}), done: make(chan struct{}), names: newNames(cfg.Settings)}
-	g.told.most = cfg.MaxExplanations
+	g := &Gateway{cfg: cfg, dispatcher: d, inFlight: map[scheduler.RequestID]*request{}, rng: rand.New(rand.NewPCG(cfg.Seed, 1)),
+		pendingCalls: map[scheduler.RequestID]*Call{}, pendingResults: map[attemptKey]backend.Result{}, wake: make(chan struct{}, 1), loopTasks: make(chan func()),
+		stop: make(chan struct{}), done: make(chan struct{}), directory: newDirectory(cfg.Settings)}
+	g.answered.capacity = cfg.MaxExplanations
 	// The module draws by hash of the request's number: two controllers must not count alike.
 	g.nextID.Store(g.rng.Uint64() >> 24 << 8)
 	return g, nil
@@ -230,55 +230,55 @@
 
 // Submit hands a call over; false if the gateway holds all that it may, or stops: a refusal then harms nobody.
 func (g *Gateway) Submit(c *Call) (scheduler.RequestID, bool) {
-	if g.open.Add(1) > int64(g.cfg.Settings.Limits.MaxOpenRequests) {
-		g.open.Add(-1)
+	if g.openCount.Add(1) > int64(g.cfg.Settings.Limits.MaxOpenRequests) {
+		g.openCount.Add(-1)
 		g.Counts.OverCapacity.Add(1)
 		return 0, false
 	}
 	id := scheduler.RequestID(g.nextID.Add(1))
 	f := c.Function
 	if h := g.cfg.Hooks; h != nil {
-		c.verdict = h.Arrive(hooklang.Call{Function: f.Name, Tenant: g.tenant(c.Tenant), Client: c.Client, Class: g.cfg.Settings.Classes[f.Class].Name,
+		c.verdict = h.Arrive(hooklang.Call{Function: f.Name, Tenant: g.tenantName(c.Tenant), Client: c.Client, Class: g.cfg.Settings.Classes[f.Class].Name,
 			Retry: c.Retry, Wait: c.TimeLeft, Size: len(c.Body), Open: g.Open()})
 	}
 	g.mu.Lock()
 	if g.stopped {
 		g.mu.Unlock()
 		if h := g.cfg.Hooks; h != nil {
-			h.CallEnded(g.tenant(c.Tenant))
+			h.CallEnded(g.tenantName(c.Tenant))
 		}
-		g.open.Add(-1)
+		g.openCount.Add(-1)
 		g.Counts.OverCapacity.Add(1)
 		return 0, false
 	}
-	c.at = g.cfg.Clock.Now()
-	g.calls[id] = c
-	g.in = append(g.in, scheduler.Arrival{Request: id, Class: f.Class, Tenant: c.Tenant, Function: f.ID, TimeLeft: c.TimeLeft,
+	c.submittedAt = g.cfg.Clock.Now()
+	g.pendingCalls[id] = c
+	g.pendingEvents = append(g.pendingEvents, scheduler.Arrival{Request: id, Class: f.Class, Tenant: c.Tenant, Function: f.ID, TimeLeft: c.TimeLeft,
 		RunTimeHint: c.RunTimeHint, HasRunTimeHint: c.RunTimeHint > 0, MemoryMB: f.MemoryMB, Lanes: f.Lanes, LoadTime: f.LoadTime, ClientRetry: c.Retry,
 		Resubmitted: c.Binding != nil && c.Binding.Restarts > 0, ShedAdvised: c.verdict.ShedAdvised, Weight: c.verdict.Weight})
 	g.mu.Unlock()
-	g.poke()
+	g.wakeLoop()
 	return id, true
 }
 
 // Cancel says that the client of a call has left.
-func (g *Gateway) Cancel(id scheduler.RequestID) { g.put(scheduler.ClientGone{Request: id}) }
+func (g *Gateway) Cancel(id scheduler.RequestID) { g.enqueue(scheduler.ClientGone{Request: id}) }
 
-// Message hands over the word of another controller.
-func (g *Gateway) Message(from int, payload []byte) {
+// ReceiveGossip hands over the word of another controller.
+func (g *Gateway) ReceiveGossip(from int, payload []byte) {
 	if g.cfg.Settings.Limits.Peers {
-		g.put(scheduler.GossipMessage{From: from, Payload: payload})
+		g.enqueue(scheduler.GossipMessage{From: from, Payload: payload})
 	}
 }
 
-func (g *Gateway) put(e scheduler.Event) {
+func (g *Gateway) enqueue(e scheduler.Event) {
 	g.mu.Lock()
-	g.in = append(g.in, e)
+	g.pendingEvents = append(g.pendingEvents, e)
 	g.mu.Unlock()
-	g.poke()
+	g.wakeLoop()
 }
 
-func (g *Gateway) poke() {
+func (g *Gateway) wakeLoop() {
 	select {
 	case g.wake <- struct{}{}:
 	default:
@@ -286,4 +286,4 @@
 }
 
 // Open returns how many requests are in hand.
-func (g *Gateway) Open() int { return int(g.open.Load()) }
+func (g *Gateway) Open() int { return int(g.openCount.Load()) }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -125,8 +125,8 @@
 	clk.Advance(30 * ms)
 	c.send(0)(backend.Result{Outcome: scheduler.OK, Took: 30 * ms, Body: []byte("yes")})
 	g.step(clk.Now())
-	if len(got) != 1 || got[0].Kind != Served || string(got[0].Body) != "yes" || g.Open() != 0 || len(g.table) != 0 {
-		t.Errorf("%+v, %d open, table %d", got, g.Open(), len(g.table))
+	if len(got) != 1 || got[0].Kind != Served || string(got[0].Body) != "yes" || g.Open() != 0 || len(g.inFlight) != 0 {
+		t.Errorf("%+v, %d open, table %d", got, g.Open(), len(g.inFlight))
 	}
 	if !strings.Contains(log.String(), `"answer":"served"`) || !strings.Contains(log.String(), `ok 30ms"]`) {
 		t.Errorf("closing line: %s", log)
@@ -167,8 +167,8 @@
 	}
 	c.send(0)(backend.Result{Outcome: scheduler.OK, Took: 3 * time.Second, Body: []byte("late")})
 	g.step(clk.Now())
-	if len(got) != 1 || len(g.table) != 0 {
-		t.Errorf("%+v, table %d", got, len(g.table))
+	if len(got) != 1 || len(g.inFlight) != 0 {
+		t.Errorf("%+v, table %d", got, len(g.inFlight))
 	}
 }
 
@@ -191,8 +191,8 @@
 			g.Cancel(id)
 		}
 		g.step(clk.Now())
-		if len(got) != 1 || got[0].Kind != want || g.Open() != 0 || len(g.table) != 0 {
-			t.Errorf("%+v, want one %v; %d open, table %d", got, want, g.Open(), len(g.table))
+		if len(got) != 1 || got[0].Kind != want || g.Open() != 0 || len(g.inFlight) != 0 {
+			t.Errorf("%+v, want one %v; %d open, table %d", got, want, g.Open(), len(g.inFlight))
 		}
 		if want == ClientClosed && !got[0].MayHaveRun {
 			t.Error("an attempt that was out did not count as one that may have run")
@@ -208,7 +208,7 @@
 	call(t, g, 1, &sent)
 	g.step(clk.Now())
 	call(t, g, 1, &queued)
-	g.d = nil // the next step is a crash
+	g.dispatcher = nil // the next step is a crash
 	g.step(clk.Now())
 	if len(sent) != 1 || sent[0].Kind != Failed || len(queued) != 1 || queued[0].Kind != Rejected {
 		t.Errorf("sent %+v, queued %+v", sent, queued)
@@ -241,7 +241,7 @@
 	for _, a := range []scheduler.Action{scheduler.Unload{Worker: w, Function: fn}, scheduler.Probe{Worker: w}, scheduler.Close{Worker: w},
 		scheduler.Gossip{To: 2, Payload: []byte("hi")}, scheduler.Watch{On: true}, scheduler.Fetch{}, scheduler.Log{Text: "note"}, scheduler.LoadOrder{Worker: w, Function: fn, Copies: 2},
 		scheduler.LoadOrder{Worker: w, Function: 99}, scheduler.Wake{At: clk.Now() + ms, Token: 7}, scheduler.Reject{Request: 12345}, scheduler.Cancel{Request: 12345}} {
-		g.carry(a, clk.Now())
+		g.execute(a, clk.Now())
 	}
 	if s := strings.Join(c.log, ", "); s != "unload f, probe, close, hold f 2" {
 		t.Errorf("carried %q", s)
@@ -249,24 +249,24 @@
 	if s := fmt.Sprint(g.cfg.Peers.(*words).told, g.cfg.Lister.(*lister).asked); s != "[2 hi] [watch true fetch]" {
 		t.Errorf("told %s", s)
 	}
-	if !strings.Contains(log.String(), `"text":"note"`) || !strings.Contains(log.String(), errNoRequest.Error()) {
+	if !strings.Contains(log.String(), `"text":"note"`) || !strings.Contains(log.String(), errUnknownRequest.Error()) {
 		t.Errorf("logged %s", log)
 	}
-	if len(g.tokens) != 1 || g.tokens[0].Token != 7 {
-		t.Errorf("tokens %v", g.tokens)
+	if len(g.wakeups) != 1 || g.wakeups[0].Token != 7 {
+		t.Errorf("tokens %v", g.wakeups)
 	}
 }
 
 // Two names with one hash are an error, and the list stays as it was.
 func TestCollisions(t *testing.T) {
 	g, c, _, _ := fixed(t)
-	g.names.functions[FunctionID("a")] = "b"
+	g.directory.functions[FunctionID("a")] = "b"
 	if _, err := g.AddFunction("a"); err == nil {
 		t.Error("two functions with one hash")
 	}
 	before := len(c.list)
 	twice := []Worker{{Name: "w1", Network: "tcp", Addr: "x:1", State: scheduler.Ready}, {Name: "w9", Network: "tcp", Addr: "x:2", State: scheduler.Ready}}
-	g.names.workers[WorkerID("w9")] = Worker{Name: "another"}
+	g.directory.workers[WorkerID("w9")] = Worker{Name: "another"}
 	if err := g.Workers(scheduler.ListDelta, 2, twice); err == nil || len(c.list) != before {
 		t.Errorf("err %v, list of %d", err, len(c.list))
 	}
@@ -298,7 +298,7 @@
 	if err := g.Workers(scheduler.FullList, 2, []Worker{{Name: "w1", Network: "tcp", Addr: "a:1", State: scheduler.Ready, Started: started}}); err != nil {
 		t.Fatal(err)
 	}
-	if got := clk.Now() - g.list.Workers[0].StartedAt; got != 3*time.Second {
+	if got := clk.Now() - g.pendingList.Workers[0].StartedAt; got != 3*time.Second {
 		t.Errorf("started %v ago, want 3 s", got)
 	}
 }
@@ -370,15 +370,15 @@
 	id := call(t, g, 0, &got)
 	g.step(clk.Now())
 	c.send(0)(backend.Result{Outcome: scheduler.OK, Took: ms, Body: []byte("x")})
-	g.carry(scheduler.Reject{Request: id}, clk.Now())
-	g.carry(scheduler.Send{Request: id, Worker: WorkerID("w2"), Timeout: time.Second}, clk.Now())
+	g.execute(scheduler.Reject{Request: id}, clk.Now())
+	g.execute(scheduler.Send{Request: id, Worker: WorkerID("w2"), Timeout: time.Second}, clk.Now())
 	if c.send(1) != nil {
 		t.Error("sent after it was served")
 	}
 	g.step(clk.Now()) // its event
 	g.step(clk.Now()) // the moot one's
-	if len(got) != 1 || got[0].Kind != Served || g.Open() != 0 || len(g.table) != 0 {
-		t.Errorf("%+v, %d open, table %d", got, g.Open(), len(g.table))
+	if len(got) != 1 || got[0].Kind != Served || g.Open() != 0 || len(g.inFlight) != 0 {
+		t.Errorf("%+v, %d open, table %d", got, g.Open(), len(g.inFlight))
 	}
 }
 
@@ -406,8 +406,8 @@
 		t.Error("the places of the star are not those of two calls")
 	}
 	g.KeepWarm("q-3", 0, 0) // it is called by now, and stays known
-	if n := len(g.names.functions); n != 2 || len(g.names.advised) != 0 {
-		t.Errorf("%d names, %d by advice", n, len(g.names.advised))
+	if n := len(g.directory.functions); n != 2 || len(g.directory.adviceOnly) != 0 {
+		t.Errorf("%d names, %d by advice", n, len(g.directory.adviceOnly))
 	}
 }
 
@@ -421,7 +421,7 @@
 		g, c, clk, _ := fixed(t)
 		g.cfg.Settings.Classes[0].Idempotency, g.cfg.Settings.Classes[0].DedupScope, g.cfg.Settings.Classes[0].DedupWindow = tt.effect, scheduler.AllWorkers, time.Second
 		var err error
-		if g.d, err = scheduler.New(g.cfg.Settings, 1); err != nil {
+		if g.dispatcher, err = scheduler.New(g.cfg.Settings, 1); err != nil {
 			t.Fatal(err)
 		}
 		id, err := g.AddFunction("m@1")
@@ -491,10 +491,10 @@
 		call(t, g, class, &full)
 		g.step(clk.Now())
 		c.send(0)(backend.Result{Outcome: scheduler.AtCapacity, Took: ms})
-		events, _, results := g.take()
+		events, _, results := g.takePending()
 		for _, e := range events {
 			if e, ok := e.(scheduler.AttemptEnded); ok {
-				g.returned(e, results[result{e.Request, e.Attempt}], clk.Now())
+				g.recordAttemptEnd(e, results[attemptKey{e.Request, e.Attempt}], clk.Now())
 			}
 		}
 		g.answerAll(clk.Now())
@@ -513,7 +513,7 @@
 	look := func() uint64 {
 		steps := make(chan uint64)
 		select {
-		case g.asked <- func() { steps <- uint64(g.Counts.Steps.Load()) }:
+		case g.loopTasks <- func() { steps <- uint64(g.Counts.Steps.Load()) }:
 			return <-steps
 		case <-time.After(20 * time.Second):
 			t.Fatal("the loop stands still")
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -26,17 +26,17 @@
 		switch {
 		case waiting:
 			wait, wake = last+tick-now, nil
-		case g.timer > 0:
-			wait = max(g.timer, last+tick) - now
+		case g.nextWake > 0:
+			wait = max(g.nextWake, last+tick) - now
 		}
 		timer.Reset(max(0, wait))
 		select {
-		case <-g.halt:
+		case <-g.stop:
 			if !g.killed.Load() {
-				g.rest()
+				g.shutDown()
 			}
 			return
-		case f := <-g.asked:
+		case f := <-g.loopTasks:
 			f()
 			continue
 		case <-wake:
@@ -47,7 +47,7 @@
 		}
 		waiting = false
 		last = g.cfg.Clock.Now()
-		if late := int64(last - g.timer); g.timer > 0 && late > g.Counts.MaxStepDelayNanos.Load() {
+		if late := int64(last - g.nextWake); g.nextWake > 0 && late > g.Counts.MaxStepDelayNanos.Load() {
 			g.Counts.MaxStepDelayNanos.Store(late)
 		}
 		g.step(last)
@@ -56,12 +56,12 @@
 
 // step is one turn: events in, actions out.
 func (g *Gateway) step(now time.Duration) {
-	events, calls, results := g.take()
+	events, calls, results := g.takePending()
 	for i := range events {
 		events[i] = g.receive(events[i], calls, results, now)
 	}
-	if g.takeMoved() {
-		events = append(events, g.sweep(now)...)
+	if g.takeRecheckPending() {
+		events = append(events, g.supersedeStale(now)...)
 	}
 	events = append(events, g.dueTimers(now)...)
 	start := g.cfg.Clock.Now()
@@ -69,61 +69,61 @@
 	g.Counts.StepNanos.Add(int64(g.cfg.Clock.Now() - start))
 	g.Counts.Steps.Add(1)
 	if err != nil {
-		g.crashed(err, now)
+		g.restartDispatcher(err, now)
 		return
 	}
 	for _, a := range actions {
-		g.carry(a, now)
+		g.execute(a, now)
 	}
-	for _, w := range g.tokens {
-		if g.timer == 0 || w.At < g.timer {
-			g.timer = w.At
+	for _, w := range g.wakeups {
+		if g.nextWake == 0 || w.At < g.nextWake {
+			g.nextWake = w.At
 		}
 	}
 }
 
 // receive notes an event that has come, and returns it as the module is to have it.
-func (g *Gateway) receive(e scheduler.Event, calls map[scheduler.RequestID]*Call, results map[result]backend.Result, now time.Duration) scheduler.Event {
+func (g *Gateway) receive(e scheduler.Event, calls map[scheduler.RequestID]*Call, results map[attemptKey]backend.Result, now time.Duration) scheduler.Event {
 	switch e := e.(type) {
 	case scheduler.Arrival:
 		c := calls[e.Request]
-		g.table[e.Request] = &entry{call: c, at: c.at}
-		e.TimeLeft -= now - c.at // it has waited for the loop
+		g.inFlight[e.Request] = &request{call: c, submittedAt: c.submittedAt}
+		e.TimeLeft -= now - c.submittedAt // it has waited for the loop
 		return e
 	case scheduler.ClientGone:
-		if r := g.table[e.Request]; r != nil && r.claim(ClientClosed) {
+		if r := g.inFlight[e.Request]; r != nil && r.claim(ClientClosed) {
 			g.answer(e.Request, r, Answer{Kind: ClientClosed}, now)
 		}
 	case scheduler.AttemptEnded:
-		g.returned(e, results[result{e.Request, e.Attempt}], now)
+		g.recordAttemptEnd(e, results[attemptKey{e.Request, e.Attempt}], now)
 	case scheduler.ListUpdate:
 		g.cfg.Log.Info().Int("workers", len(e.Workers)).Uint32("version", e.Version).Int("kind", int(e.Kind)).Msg("list")
 	}
 	return e
 }
 
-// takeMoved tells whether aliases have moved since it was asked last.
-func (g *Gateway) takeMoved() bool {
+// takeRecheckPending tells whether aliases have moved since it was asked last.
+func (g *Gateway) takeRecheckPending() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	moved := g.moved
-	g.moved = false
+	moved := g.recheckPending
+	g.recheckPending = false
 	return moved
 }
 
 // dueTimers returns the timers that have come due, and forgets them.
 func (g *Gateway) dueTimers(now time.Duration) (due []scheduler.Event) {
-	g.timer = 0
-	for _, w := range g.tokens {
+	g.nextWake = 0
+	for _, w := range g.wakeups {
 		if w.At <= now {
 			due = append(due, scheduler.Timer{Token: w.Token})
 		}
 	}
-	g.tokens = keep(g.tokens, func(w scheduler.Wake) bool { return w.At > now })
+	g.wakeups = filterInPlace(g.wakeups, func(w scheduler.Wake) bool { return w.At > now })
 	return due
 }
 
-func keep[T any](l []T, f func(T) bool) []T {
+func filterInPlace[T any](l []T, f func(T) bool) []T {
 	kept := l[:0]
 	for _, v := range l {
 		if f(v) {
@@ -133,20 +133,20 @@
 	return kept
 }
 
-func (g *Gateway) take() ([]scheduler.Event, map[scheduler.RequestID]*Call, map[result]backend.Result) {
+func (g *Gateway) takePending() ([]scheduler.Event, map[scheduler.RequestID]*Call, map[attemptKey]backend.Result) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	events, calls, results := g.in, g.calls, g.results
-	g.in = nil
+	events, calls, results := g.pendingEvents, g.pendingCalls, g.pendingResults
+	g.pendingEvents = nil
 	if len(calls) > 0 {
-		g.calls = make(map[scheduler.RequestID]*Call, len(calls))
+		g.pendingCalls = make(map[scheduler.RequestID]*Call, len(calls))
 	}
 	if len(results) > 0 {
-		g.results = make(map[result]backend.Result, len(results))
+		g.pendingResults = make(map[attemptKey]backend.Result, len(results))
 	}
-	if g.list != nil { // first, as the events that follow may be of its workers
-		events = append([]scheduler.Event{*g.list}, events...)
-		g.list = nil
+	if g.pendingList != nil { // first, as the events that follow may be of its workers
+		events = append([]scheduler.Event{*g.pendingList}, events...)
+		g.pendingList = nil
 	}
 	return events, calls, results
 }
@@ -157,62 +157,62 @@
 			err = fmt.Errorf("module crashed: %v", p)
 		}
 	}()
-	return g.d.Step(now, events), nil
+	return g.dispatcher.Step(now, events), nil
 }
 
-// Sweep looks for calls whose version was left while they wait. It is called when aliases have moved.
-func (g *Gateway) Sweep() {
+// RecheckVersions looks for calls whose version was left while they wait. It is called when aliases have moved.
+func (g *Gateway) RecheckVersions() {
 	g.mu.Lock()
-	g.moved = true
+	g.recheckPending = true
 	g.mu.Unlock()
-	g.poke()
+	g.wakeLoop()
 }
 
-// sweep hands back the calls that have been left, and returns what the module is to be told.
-func (g *Gateway) sweep(now time.Duration) (events []scheduler.Event) {
-	for _, id := range sortedKeys(g.table) {
-		r := g.table[id]
-		if r.noted || r.claimed.Load() != 0 {
+// supersedeStale hands back the calls that have been left, and returns what the module is to be told.
+func (g *Gateway) supersedeStale(now time.Duration) (events []scheduler.Event) {
+	for _, id := range sortedKeys(g.inFlight) {
+		r := g.inFlight[id]
+		if r.recorded || r.claimed.Load() != 0 {
 			continue
 		}
 		v := g.verdict(r.call)
 		// While the move is not acknowledged, what runs goes on, and what does not run begins anew.
-		leave := v == registry.Left || v == registry.Leaving && !r.mayHaveRun() && r.out == 0 && r.call.Binding.Restarts < registry.MostAnew
-		if leave && g.leave(id, r, v, now) {
+		leave := v == registry.Left || v == registry.Leaving && !r.mayHaveRun() && r.outstanding == 0 && r.call.Binding.Restarts < registry.MostAnew
+		if leave && g.supersede(id, r, v, now) {
 			events = append(events, scheduler.ClientGone{Request: id})
 		}
 	}
 	return events
 }
 
-// crashed answers all that is open and begins anew: a fault in the module costs what it knew, not the process.
-func (g *Gateway) crashed(err error, now time.Duration) {
+// restartDispatcher answers all that is open and begins anew: a fault in the module costs what it knew, not the process.
+func (g *Gateway) restartDispatcher(err error, now time.Duration) {
 	g.Counts.Crashes.Add(1)
 	g.cfg.Log.Error().Err(err).Int("open", g.Open()).Msg("all open requests are answered, the module starts anew")
 	g.answerAll(now)
-	g.crash++
-	d, err := scheduler.New(g.cfg.Settings, g.cfg.Seed+g.crash)
+	g.restarts++
+	d, err := scheduler.New(g.cfg.Settings, g.cfg.Seed+g.restarts)
 	if err != nil {
 		panic(err) // it took these settings before
 	}
-	g.d, g.tokens = d, nil
+	g.dispatcher, g.wakeups = d, nil
 	g.mu.Lock()
-	l := g.names.whole(scheduler.CachedList)
-	g.list = &l
+	l := g.directory.fullUpdate(scheduler.CachedList)
+	g.pendingList = &l
 	g.mu.Unlock()
-	g.poke()
+	g.wakeLoop()
 }
 
 // answerAll answers all that is open: refused where another try does no harm, as it is known never to have run or may run twice.
 func (g *Gateway) answerAll(now time.Duration) {
-	for _, id := range sortedKeys(g.table) {
-		r := g.table[id]
-		for i := range r.tries {
-			if run := r.tries[i].run; run != nil {
+	for _, id := range sortedKeys(g.inFlight) {
+		r := g.inFlight[id]
+		for i := range r.attempts {
+			if run := r.attempts[i].running; run != nil {
 				run.Cancel()
 			}
 		}
-		if r.noted {
+		if r.recorded {
 			continue
 		}
 		k := Failed
@@ -222,7 +222,7 @@
 		if r.claim(k) {
 			g.answer(id, r, Answer{Kind: k}, now)
 		} else { // answered, and its event was not taken in
-			g.note(id, r, Answer{Kind: AnswerKind(r.claimed.Load())}, now)
+			g.recordAnswer(id, r, Answer{Kind: AnswerKind(r.claimed.Load())}, now)
 		}
 	}
 }
@@ -234,10 +234,10 @@
 	g.stopped = true
 	g.mu.Unlock()
 	end := time.Now().Add(within)
-	for g.open.Load() > 0 && time.Now().Before(end) {
+	for g.openCount.Load() > 0 && time.Now().Before(end) {
 		time.Sleep(g.cfg.Settings.Tick)
 	}
-	close(g.halt)
+	close(g.stop)
 	<-g.done
 }
 
@@ -247,19 +247,19 @@
 	g.stopped = true
 	g.mu.Unlock()
 	g.killed.Store(true)
-	close(g.halt)
+	close(g.stop)
 }
 
-// rest ends the loop: what arrived last is taken in and answered too.
-func (g *Gateway) rest() {
+// shutDown ends the loop: what arrived last is taken in and answered too.
+func (g *Gateway) shutDown() {
 	now := g.cfg.Clock.Now()
-	events, calls, results := g.take()
+	events, calls, results := g.takePending()
 	for _, e := range events {
 		switch e := e.(type) {
 		case scheduler.Arrival:
-			g.table[e.Request] = &entry{call: calls[e.Request], at: calls[e.Request].at}
+			g.inFlight[e.Request] = &request{call: calls[e.Request], submittedAt: calls[e.Request].submittedAt}
 		case scheduler.AttemptEnded:
-			g.returned(e, results[result{e.Request, e.Attempt}], now)
+			g.recordAttemptEnd(e, results[attemptKey{e.Request, e.Attempt}], now)
 		}
 	}
 	g.answerAll(now)
--- a/internal/gateway/names.go
+++ b/internal/gateway/names.go
@@ -47,36 +47,36 @@
 	Started             time.Time // zero: long ago
 }
 
-// names maps what the list and the configuration name to the module's numbers. It is guarded by Gateway.mu.
-type names struct {
-	functions map[scheduler.FunctionID]string
-	digests   map[scheduler.FunctionID]string // of those that the registry names
-	advised   map[scheduler.FunctionID]bool   // known by advice alone: forgotten with it
-	workers   map[scheduler.WorkerID]Worker
-	ids       map[string]int // zones, groups and kinds seen, each with its kind of name in front
-	settings  scheduler.Settings
-	offset    time.Duration // of the clock over the time of day
-	version   uint32
-}
-
-func newNames(s scheduler.Settings) names {
-	n := names{functions: map[scheduler.FunctionID]string{}, digests: map[scheduler.FunctionID]string{}, advised: map[scheduler.FunctionID]bool{}, workers: map[scheduler.WorkerID]Worker{}, ids: map[string]int{}, settings: s}
+// directory maps what the list and the configuration name to the module's numbers. It is guarded by Gateway.mu.
+type directory struct {
+	functions    map[scheduler.FunctionID]string
+	digests      map[scheduler.FunctionID]string // of those that the registry names
+	adviceOnly   map[scheduler.FunctionID]bool   // known by advice alone: forgotten with it
+	workers      map[scheduler.WorkerID]Worker
+	labelIndexes map[string]int // zones, groups and kinds seen, each with its kind of name in front
+	settings     scheduler.Settings
+	clockOffset  time.Duration // of the clock over the time of day
+	listVersion  uint32
+}
+
+func newDirectory(s scheduler.Settings) directory {
+	n := directory{functions: map[scheduler.FunctionID]string{}, digests: map[scheduler.FunctionID]string{}, adviceOnly: map[scheduler.FunctionID]bool{}, workers: map[scheduler.WorkerID]Worker{}, labelIndexes: map[string]int{}, settings: s}
 	for i, z := range s.Zones {
-		n.ids["zone "+z] = i
+		n.labelIndexes["zone "+z] = i
 	}
 	for i, k := range s.Kinds {
-		n.ids["kind "+k] = i
+		n.labelIndexes["kind "+k] = i
 	}
 	return n
 }
 
-// id numbers a name that the settings do not know past all that they do: it equals itself and nothing else.
-func (n *names) id(kind, name string) int {
+// labelIndex numbers a name that the settings do not know past all that they do: it equals itself and nothing else.
+func (n *directory) labelIndex(kind, name string) int {
 	key := kind + " " + name
-	i, ok := n.ids[key]
+	i, ok := n.labelIndexes[key]
 	if !ok {
-		i = 1<<20 + len(n.ids)
-		n.ids[key] = i
+		i = 1<<20 + len(n.labelIndexes)
+		n.labelIndexes[key] = i
 	}
 	return i
 }
@@ -86,11 +86,11 @@
 	id := FunctionID(name)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if old, ok := g.names.functions[id]; ok && old != name {
+	if old, ok := g.directory.functions[id]; ok && old != name {
 		return 0, fmt.Errorf("functions %q and %q have the same hash: rename one", old, name)
 	}
-	g.names.functions[id] = name
-	delete(g.names.advised, id)
+	g.directory.functions[id] = name
+	delete(g.directory.adviceOnly, id)
 	return id, nil
 }
 
@@ -100,8 +100,8 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	name, ok = g.names.functions[id]
-	return name, g.names.digests[id], ok
+	name, ok = g.directory.functions[id]
+	return name, g.directory.digests[id], ok
 }
 
 // addVersion makes a version of a model known.
@@ -109,7 +109,7 @@
 	id, err := g.AddFunction(name)
 	if err == nil {
 		g.mu.Lock()
-		g.names.digests[id] = digest
+		g.directory.digests[id] = digest
 		g.mu.Unlock()
 	}
 	return id, err
@@ -118,20 +118,20 @@
 // dropVersion forgets one. Orders that the module still makes for it are not sent.
 func (g *Gateway) dropVersion(id scheduler.FunctionID) {
 	g.mu.Lock()
-	delete(g.names.functions, id)
-	delete(g.names.digests, id)
+	delete(g.directory.functions, id)
+	delete(g.directory.digests, id)
 	g.mu.Unlock()
 }
 
-// Stage says that copies of a function are wanted before it is called.
-func (g *Gateway) Stage(f *Function, copies int) {
-	g.put(scheduler.StagedCopies{Function: f.ID, Copies: copies})
+// StageCopies says that copies of a function are wanted before it is called.
+func (g *Gateway) StageCopies(f *Function, copies int) {
+	g.enqueue(scheduler.StagedCopies{Function: f.ID, Copies: copies})
 }
 
 func (g *Gateway) workerName(id scheduler.WorkerID) string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.names.workers[id].Name
+	return g.directory.workers[id].Name
 }
 
 // Workers takes news of the list: Whole or Cached replaces it, Delta changes the workers that it names. The back
@@ -142,7 +142,7 @@
 	defer g.mu.Unlock()
 	next := map[scheduler.WorkerID]Worker{}
 	if kind == scheduler.ListDelta {
-		next = maps.Clone(g.names.workers)
+		next = maps.Clone(g.directory.workers)
 	}
 	var gone []scheduler.WorkerInfo
 	for _, w := range news {
@@ -157,45 +157,45 @@
 		}
 		next[id] = w
 	}
-	was := g.names.workers
-	g.names.workers, g.names.version = next, version
-	g.names.offset = g.cfg.Clock.Now() - time.Duration(g.cfg.Clock.Wall().UnixNano())
-	g.points = g.points[:0]
+	was := g.directory.workers
+	g.directory.workers, g.directory.listVersion = next, version
+	g.directory.clockOffset = g.cfg.Clock.Now() - time.Duration(g.cfg.Clock.Wall().UnixNano())
+	g.endpoints = g.endpoints[:0]
 	for _, id := range sortedKeys(next) {
 		w := next[id]
-		g.points = append(g.points, backend.Endpoint{ID: id, Name: w.Name, Network: w.Network, Addr: w.Addr, Ready: w.State == scheduler.Ready})
+		g.endpoints = append(g.endpoints, backend.Endpoint{ID: id, Name: w.Name, Network: w.Network, Addr: w.Addr, Ready: w.State == scheduler.Ready})
 	}
-	g.cfg.Transport.Update(g.points)
+	g.cfg.Transport.Update(g.endpoints)
 	if g.cfg.Hooks != nil {
-		g.tellHooks(was, next)
+		g.notifyHooks(was, next)
 	}
 	// A list that waits and this one become one whole list: the module is told what holds, not how it came.
 	if kind == scheduler.ListDelta {
 		kind = scheduler.FullList
 	}
-	if g.list != nil && g.list.Kind == scheduler.FullList {
+	if g.pendingList != nil && g.pendingList.Kind == scheduler.FullList {
 		kind = scheduler.FullList
 	}
-	l := g.names.whole(kind)
+	l := g.directory.fullUpdate(kind)
 	l.Workers = append(l.Workers, gone...)
-	g.list = &l
-	g.poke()
+	g.pendingList = &l
+	g.wakeLoop()
 	return nil
 }
 
-var states = map[scheduler.WorkerState]string{scheduler.Ready: "ready", scheduler.Draining: "draining", scheduler.Gone: "gone"}
+var stateNames = map[scheduler.WorkerState]string{scheduler.Ready: "ready", scheduler.Draining: "draining", scheduler.Gone: "gone"}
 
-// tellHooks tells who joined and who left.
-func (g *Gateway) tellHooks(was, is map[scheduler.WorkerID]Worker) {
+// notifyHooks tells who joined and who left.
+func (g *Gateway) notifyHooks(was, is map[scheduler.WorkerID]Worker) {
 	var l []hookadvice.Worker
 	tell := func(point string, w Worker, state scheduler.WorkerState) {
-		g.cfg.Hooks.Post(point, hooklang.Worker{Name: w.Name, Group: w.Group, Zone: w.Zone, State: states[state]})
+		g.cfg.Hooks.Post(point, hooklang.Worker{Name: w.Name, Group: w.Group, Zone: w.Zone, State: stateNames[state]})
 	}
 	for _, id := range sortedKeys(is) {
 		w, old := is[id], was[id]
 		ready := w.State == scheduler.Ready
 		a := hookadvice.Worker{Name: w.Name, Ready: ready}
-		if k, ok := g.names.ids["kind "+w.Kind]; ok && k < len(g.cfg.Settings.Loading.MemoryMB) {
+		if k, ok := g.directory.labelIndexes["kind "+w.Kind]; ok && k < len(g.cfg.Settings.Loading.MemoryMB) {
 			a.MemoryMB = g.cfg.Settings.Loading.MemoryMB[k]
 		}
 		l = append(l, a)
@@ -214,15 +214,15 @@
 	g.cfg.Hooks.Workers(l)
 }
 
-// whole returns the list as it stands, sorted by id.
-func (n *names) whole(kind scheduler.ListKind) scheduler.ListUpdate {
-	l := scheduler.ListUpdate{Kind: kind, Version: n.version}
+// fullUpdate returns the list as it stands, sorted by id.
+func (n *directory) fullUpdate(kind scheduler.ListKind) scheduler.ListUpdate {
+	l := scheduler.ListUpdate{Kind: kind, Version: n.listVersion}
 	for _, id := range sortedKeys(n.workers) {
 		w := n.workers[id]
-		i := scheduler.WorkerInfo{ID: id, Size: cmp.Or(w.Size, 1), State: w.State, Zone: n.id("zone", w.Zone),
-			Group: n.id("group", w.Group), Kind: n.id("kind", w.Kind)}
+		i := scheduler.WorkerInfo{ID: id, Size: cmp.Or(w.Size, 1), State: w.State, Zone: n.labelIndex("zone", w.Zone),
+			Group: n.labelIndex("group", w.Group), Kind: n.labelIndex("kind", w.Kind)}
 		if !w.Started.IsZero() {
-			i.StartedAt = max(1, time.Duration(w.Started.UnixNano())+n.offset)
+			i.StartedAt = max(1, time.Duration(w.Started.UnixNano())+n.clockOffset)
 		}
 		l.Workers = append(l.Workers, i)
 	}
