--- /dev/null
+++ b/internal/gateway/attempt.go
@@ -0,0 +1,155 @@
+package gateway
+
+import (
+	"encoding/hex"
+	"time"
+
+	"kitehub/internal/backend"
+	"kitehub/internal/registry"
+	"kitehub/scheduler"
+)
+
+// dispatch sends a request to a worker, unless it has been answered meanwhile or its version was superseded: then the
+// dispatcher is notified that the attempt was not started.
+func (g *Gateway) dispatch(a scheduler.Send, now time.Duration) {
+	r := g.inFlight[a.Request]
+	if r == nil || r.recorded {
+		g.cfg.Log.Error().Uint64("request", uint64(a.Request)).Err(errUnknownRequest).Msg("attempt dropped")
+		return
+	}
+	if r.claimed.Load() != 0 { // served while the dispatcher decided
+		g.recordNotStarted(r, a, now)
+		return
+	}
+	v := g.verdict(r.call)
+	if v == registry.Leaving && (r.mayHaveRun() || r.call.Binding.Restarts >= registry.MostAnew) {
+		v = registry.May // it goes on under what it began with
+	}
+	if v != registry.May {
+		g.recordNotStarted(r, a, now)
+		if g.supersede(a.Request, r, v, now) {
+			g.enqueue(scheduler.ClientGone{Request: a.Request})
+		}
+		return
+	}
+	g.startAttempt(r, a, now)
+}
+
+// recordNotStarted counts an attempt of which nothing is sent, and ends it.
+func (g *Gateway) recordNotStarted(r *request, a scheduler.Send, now time.Duration) {
+	g.enqueue(scheduler.AttemptEnded{
+		Request: a.Request, Attempt: len(r.attempts), Worker: a.Worker, Outcome: scheduler.NotStarted,
+	})
+	r.attempts = append(r.attempts, attempt{
+		worker: g.workerName(a.Worker), sentAt: now, outcome: scheduler.NotStarted,
+	})
+	r.outstanding++
+}
+
+// startAttempt hands an attempt to the transport.
+func (g *Gateway) startAttempt(r *request, a scheduler.Send, now time.Duration) {
+	number := len(r.attempts)
+	call := r.call
+	t := attempt{worker: g.workerName(a.Worker), sentAt: now}
+	if g.answered.capacity > 0 || call.Progress != nil {
+		t.snapshot = g.dispatcher.Snapshot(call.Function.ID, a.Worker)
+	}
+	if call.Progress != nil {
+		call.Progress(number, t.worker, !t.snapshot.HasCopy)
+	}
+	r.outstanding++
+	out := backend.Attempt{
+		Worker:   a.Worker,
+		Call:     call.ID,
+		Class:    g.class(call).Name,
+		Function: call.Function.Name,
+		Trace:    traceparent(call.Trace, g.rng.Uint64()),
+		Key:      call.Key,
+		Digest:   call.Function.Digest,
+		Body:     call.Body,
+		Timeout:  a.Timeout,
+		Wanted:   func() bool { return r.claimed.Load() == 0 },
+	}
+	t.running = g.cfg.Transport.Send(out, func(res backend.Result) { g.attemptEnded(r, call, a, number, res) })
+	r.attempts = append(r.attempts, t)
+}
+
+// attemptEnded takes an attempt's result, on a goroutine of the back end or, after a cancel, on the loop's.
+//
+// A served answer is delivered here, not a tick later: by this very event the dispatcher ends the request, and whoever
+// claims it first, this goroutine or the loop, gives the one answer. If no other request is open there is nothing to
+// decide by the event: it is taken in with the next step, which the dispatcher's Wake brings at the latest. The call is
+// a parameter because request.call is the loop's, which clears it with the answer.
+func (g *Gateway) attemptEnded(r *request, call *Call, a scheduler.Send, number int, res backend.Result) {
+	if g.hasDigestMismatch(r, call, res) {
+		g.Counts.Mismatched.Add(1)
+		g.cfg.Log.Error().Str("worker", g.workerName(a.Worker)).Str("function", call.Function.Name).
+			Str("wanted", call.Function.Digest).Str("ran", res.Digest).Msg("digest mismatch, answer dropped")
+		res.Outcome = scheduler.Error
+	}
+	wasLast := false
+	if res.Outcome == scheduler.OK {
+		wasLast = g.deliver(r, call, res.Body) && g.openCount.Load() == 1
+	}
+	res.Body = nil
+	e := scheduler.AttemptEnded{
+		Request:      a.Request,
+		Attempt:      number,
+		Worker:       a.Worker,
+		Outcome:      res.Outcome,
+		Took:         res.Took,
+		Complete:     res.Outcome == scheduler.OK,
+		Note:         res.Note,
+		SameFunction: res.Alike,
+		Report:       res.Report,
+	}
+	g.mu.Lock()
+	g.pendingResults[attemptKey{a.Request, number}] = res
+	g.pendingEvents = append(g.pendingEvents, e)
+	canWait := wasLast && !g.stopped
+	g.mu.Unlock()
+	if !canWait {
+		g.wakeLoop()
+	}
+}
+
+// hasDigestMismatch tells whether an answer is of other bytes than the registry names for the version, or of an
+// idempotency key under which other bytes have run: a worker that drops duplicates may answer with the result of those.
+func (g *Gateway) hasDigestMismatch(r *request, call *Call, res backend.Result) bool {
+	want := call.Function.Digest
+	if want == "" || res.Outcome != scheduler.OK || res.Digest == want && !r.digestMismatch.Load() {
+		return false
+	}
+	r.digestMismatch.Store(g.class(call).Idempotency == scheduler.IdempotentWithKey)
+	return true
+}
+
+// deliver gives a worker's answer to the client, or notifies it that its version was superseded; true if it was served.
+func (g *Gateway) deliver(r *request, call *Call, body []byte) bool {
+	if v := g.verdict(call); v != registry.May && v != registry.Leaving {
+		if r.claim(Superseded) {
+			call.Deliver(Answer{Kind: Superseded, Verdict: v, MayHaveRun: true})
+		}
+		return false
+	}
+	if !r.claim(Served) {
+		return false
+	}
+	call.Deliver(Answer{Kind: Served, Body: body})
+	return true
+}
+
+// traceparent returns a W3C Trace Context header: the request's trace id with a span id of the attempt.
+func traceparent(trace [16]byte, span uint64) string {
+	var b [55]byte
+	copy(b[:], "00-")
+	hex.Encode(b[3:], trace[:])
+	b[35] = '-'
+	var s [8]byte
+	for i := range s {
+		s[i] = byte(max(1, span) >> (56 - 8*i))
+	}
+	hex.Encode(b[36:], s[:])
+	copy(b[52:], "-01")
+	return string(b[:])
+}
--- /dev/null
+++ b/internal/gateway/directory.go
@@ -0,0 +1,139 @@
+package gateway
+
+import (
+	"cmp"
+	"fmt"
+	"maps"
+	"slices"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+
+	"kitehub/scheduler"
+)
+
+// FunctionID returns the id of a function's name. It is a hash, so that all controllers place a function alike.
+func FunctionID(name string) scheduler.FunctionID {
+	return scheduler.FunctionID(max(1, xxhash.Sum64String("function "+name)))
+}
+
+// WorkerID returns the id of a worker's name, a hash likewise.
+func WorkerID(name string) scheduler.WorkerID {
+	return scheduler.WorkerID(max(1, xxhash.Sum64String("worker "+name)))
+}
+
+// A directory maps between the names of the endpoint list and the configuration and the numbers of the dispatcher. It
+// is guarded by Gateway.mu.
+type directory struct {
+	functions    map[scheduler.FunctionID]string
+	digests      map[scheduler.FunctionID]string // of the versions of models
+	adviceOnly   map[scheduler.FunctionID]bool   // known by advice alone: forgotten with it
+	workers      map[scheduler.WorkerID]Worker   // the endpoint list
+	listVersion  uint32
+	labelIndexes map[string]int // of zones, groups and kinds, by "zone name", "group name" and "kind name"
+	// clockOffset is the gateway's clock minus the time of day, as it was with the last list.
+	clockOffset time.Duration
+}
+
+func newDirectory(s scheduler.Settings) directory {
+	d := directory{
+		functions:    map[scheduler.FunctionID]string{},
+		digests:      map[scheduler.FunctionID]string{},
+		adviceOnly:   map[scheduler.FunctionID]bool{},
+		workers:      map[scheduler.WorkerID]Worker{},
+		labelIndexes: map[string]int{},
+	}
+	for i, zone := range s.Zones {
+		d.labelIndexes["zone "+zone] = i
+	}
+	for i, kind := range s.Kinds {
+		d.labelIndexes["kind "+kind] = i
+	}
+	return d
+}
+
+// firstUnknownLabel is the lowest index of a label that the settings do not name: past all that they do.
+const firstUnknownLabel = 1 << 20
+
+// labelIndex returns the index of a zone, group or kind. A name that the settings do not know gets an index that equals
+// itself and nothing else.
+func (d *directory) labelIndex(label, name string) int {
+	key := label + " " + name
+	i, ok := d.labelIndexes[key]
+	if !ok {
+		i = firstUnknownLabel + len(d.labelIndexes)
+		d.labelIndexes[key] = i
+	}
+	return i
+}
+
+// fullUpdate returns the endpoint list as the dispatcher takes it, sorted by id.
+func (d *directory) fullUpdate(kind scheduler.ListKind) scheduler.ListUpdate {
+	update := scheduler.ListUpdate{Kind: kind, Version: d.listVersion}
+	for _, id := range sortedKeys(d.workers) {
+		w := d.workers[id]
+		info := scheduler.WorkerInfo{
+			ID:    id,
+			Size:  cmp.Or(w.Size, 1),
+			State: w.State,
+			Zone:  d.labelIndex("zone", w.Zone),
+			Group: d.labelIndex("group", w.Group),
+			Kind:  d.labelIndex("kind", w.Kind),
+		}
+		if !w.Started.IsZero() {
+			info.StartedAt = max(1, time.Duration(w.Started.UnixNano())+d.clockOffset)
+		}
+		update.Workers = append(update.Workers, info)
+	}
+	return update
+}
+
+// AddFunction makes a function known, so that load orders can name it. Two names with one hash are an error.
+func (g *Gateway) AddFunction(name string) (scheduler.FunctionID, error) {
+	id := FunctionID(name)
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if old, ok := g.directory.functions[id]; ok && old != name {
+		return 0, fmt.Errorf("functions %q and %q have the same hash: rename one", old, name)
+	}
+	g.directory.functions[id] = name
+	delete(g.directory.adviceOnly, id)
+	return id, nil
+}
+
+// addVersion makes a version of a model known.
+func (g *Gateway) addVersion(name, digest string) (scheduler.FunctionID, error) {
+	id, err := g.AddFunction(name)
+	if err == nil {
+		g.mu.Lock()
+		g.directory.digests[id] = digest
+		g.mu.Unlock()
+	}
+	return id, err
+}
+
+// dropVersion forgets one. Load orders that the dispatcher still makes for it are not sent.
+func (g *Gateway) dropVersion(id scheduler.FunctionID) {
+	g.mu.Lock()
+	delete(g.directory.functions, id)
+	delete(g.directory.digests, id)
+	g.mu.Unlock()
+}
+
+func (g *Gateway) functionName(id scheduler.FunctionID) (name, digest string, ok bool) {
+	if g.cfg.NameOf != nil {
+		return g.cfg.NameOf(id), "", true
+	}
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	name, ok = g.directory.functions[id]
+	return name, g.directory.digests[id], ok
+}
+
+func (g *Gateway) workerName(id scheduler.WorkerID) string {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.directory.workers[id].Name
+}
+
+func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,12 +1,21 @@
-// Package gateway runs the decision module on real time and real sockets. One goroutine owns the Dispatcher; fronts,
-// back ends and discovery hand it events by bounded queues; it steps at most once a tick with all that came, and
-// carries each action out. It decides nothing itself: which worker, which retry, which refusal is the module's.
-// Only a served answer does not wait for the loop: it goes out as it comes in, and is claimed first.
+// Package gateway runs the scheduler's Dispatcher, a pure state machine, on real time and real sockets. It exists so
+// that everything about goroutines, locks and clocks is here, and everything about decisions is in the scheduler:
+// which worker, which retry and which rejection is never decided in this package.
 //
-// Bounds. Requests in hand: Settings.Limits.Open, beyond which Submit says no at once. Outcomes: one for each
-// attempt, order or question out, so the module's own limits bound them; they are never dropped. Lists: one
-// waiting; a newer whole list replaces it, deltas are merged into it. So no sender ever waits for the loop, and the
-// loop waits for nobody: answers are handed over without blocking, and the back end has goroutines of its own.
+// # Goroutines and locks
+//
+// One goroutine, the loop (Run), owns the Dispatcher and the requests in flight. Ingresses, back ends and discovery
+// enqueue events under Gateway.mu from goroutines of their own; the loop takes all of them at most once a tick, steps
+// the Dispatcher and executes the actions that it returns. Operators' questions run on the loop between two steps.
+// Only a served answer does not wait for the loop: it is delivered on the goroutine of the back end that received it.
+// An atomic claim on the request decides who gives the one final answer.
+//
+// # Bounds
+//
+// Requests in flight: Settings.Limits.MaxOpenRequests, beyond which Submit rejects at once. Outcomes: one for each
+// attempt, load order or health check in flight, so the Dispatcher's own limits bound them; they are never dropped.
+// Endpoint lists: one pending; a newer complete list replaces it, deltas are merged into it. So no sender ever waits
+// for the loop, and the loop waits for nobody.
 package gateway
 
 import (
@@ -16,198 +25,60 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/rs/zerolog"
-
 	"kitehub/internal/backend"
-	"kitehub/internal/clock"
-	"kitehub/internal/hookadvice"
 	"kitehub/internal/hooklang"
-	"kitehub/internal/registry"
 	"kitehub/scheduler"
 )
 
-// A Transport sends attempts, orders and questions to workers. backend.Backend and frame.Backend are. Send and Hold must
-// not wait for the network, and call back once, on another goroutine; Cancel of what they
-// began may call back itself.
-type Transport interface {
-	Send(backend.Attempt, func(backend.Result)) backend.Running
-	LoadCopies(backend.LoadOrder, func(scheduler.Outcome, int, time.Duration))
-	Unload(scheduler.WorkerID, string)
-	Probe(scheduler.WorkerID, func(scheduler.Outcome, time.Duration, []float64))
-	CloseIdle(scheduler.WorkerID)
-	Update([]backend.Endpoint)
-}
-
-// A Lister gets the list of workers where it must be asked for.
-type Lister interface {
-	Watch(on bool)
-	Fetch()
-}
-
-// Peers carries the module's words to other controllers.
-type Peers interface{ Send(to int, payload []byte) }
-
-// Config sets up a Gateway. Lister and Peers may be nil.
-type Config struct {
-	Name      string
-	Settings  scheduler.Settings
-	Seed      uint64
-	Clock     clock.Clock
-	Transport Transport
-	Lister    Lister
-	Peers     Peers
-	Versions  Versions // nil: no call is Bound
-	Hooks     Hooks    // nil: none
-	// NameOf, where set, gives the name of a function by its number, which then needs not be made known: no table grows
-	// with the names that clients come up with.
-	NameOf          func(scheduler.FunctionID) string
-	MaxExplanations int // calls that are kept for Explain once they are answered; 0: none
-	Log             zerolog.Logger
-	OmitRequestLog  bool // no closing line for each request
-}
-
-// Versions is what the registry says of the versions of models.
-type Versions interface {
-	MayAnswer(registry.Name, registry.Target) registry.Verdict
-	CopiesReady(function, worker string, copies int)
-}
-
-// Hooks are what operators' scripts see of the gateway, and say of calls. hookengine.Engine is one. None may block.
-type Hooks interface {
-	// Arrive judges a call that is being taken; Left is told when it is answered.
-	Arrive(hooklang.Call) hookadvice.Verdict
-	CallEnded(tenant string)
-	Post(point string, e hooklang.Event)
-	Workers([]hookadvice.Worker)
-}
-
-// VersionBinding is what a call of a model's alias was resolved to.
-type VersionBinding struct {
-	Name     registry.Name
-	Target   registry.Target
-	Restarts int // that the call began anew before
-}
-
-// AnswerKind is how a request ended.
-type AnswerKind int
-
-const (
-	Served       AnswerKind = iota + 1
-	Rejected                // trying again does no harm
-	Failed                  // promises nothing
-	ClientClosed            // the client left first
-	Superseded              // no answer: the alias has left the call's version, or may have; see Answer.Verdict
-)
-
-func (k AnswerKind) String() string {
-	return [...]string{"", "served", "refused", "failed", "gone", "left"}[k]
-}
-
-// An Answer is the final one of a request.
-type Answer struct {
-	Kind             AnswerKind
-	Body             []byte        // where served
-	RetryAfter       time.Duration // where refused: advice for the next try, 0 for none
-	DeadlineExceeded bool          // where failed: the time was up, not the attempts
-	// MayHaveRun tells, where the client is gone or the version left, that an attempt may have run.
-	MayHaveRun bool
-	Verdict    registry.Verdict // where left: Left or NoLease
-}
-
-// A Call is what a front submits.
-type Call struct {
-	ID          string // for the log
-	Function    *Function
-	Binding     *VersionBinding // nil: the function has no versions
-	Tenant      int
-	Client      string
-	Body        []byte
-	TimeLeft    time.Duration // how long the client still waits
-	Key         string        // "" where the class has none
-	Trace       [16]byte      // trace id
-	Retry       bool
-	RunTimeHint time.Duration
-	// Deliver is called once, on any goroutine; with Gone after a Cancel. It must not block.
-	Deliver func(Answer)
-	// Progress, where set, is told of each attempt that goes out, and whether it may wait for a load. It must not block.
-	Progress    func(attempt int, worker string, load bool)
-	verdict     hookadvice.Verdict
-	submittedAt time.Duration // when it was submitted
-}
-
-// Counts of what was answered, and of the loop.
+// Counts of what was answered, and of the loop, since the start.
 type Counts struct {
-	Served, Rejected, Failed, ClientClosed, Superseded, OverCapacity, Steps, Crashes atomic.Int64
-	// Mismatched counts answers of workers that ran other bytes than they were asked to: none is handed out.
+	// Served, Rejected, Failed, ClientClosed and Superseded count final answers by AnswerKind.
+	Served, Rejected, Failed, ClientClosed, Superseded atomic.Int64
+	// OverCapacity counts calls that Submit did not take.
+	OverCapacity atomic.Int64
+	// Steps counts steps of the Dispatcher, Crashes those that panicked.
+	Steps, Crashes atomic.Int64
+	// Mismatched counts answers of workers that ran another digest than they were asked to: none is delivered.
 	Mismatched atomic.Int64
-	// StepNanos is the time spent in the module, MaxStepDelayNanos the longest that a step came after its time.
+	// StepNanos is the time spent in the Dispatcher, MaxStepDelayNanos the longest that a step was late.
 	StepNanos, MaxStepDelayNanos atomic.Int64
 }
 
-// A Gateway is one controller. It is safe for concurrent use.
+// A Gateway is the core of one controller: it takes calls and has them run on workers. It is safe for concurrent use.
 type Gateway struct {
-	cfg       Config
-	Counts    Counts
-	openCount atomic.Int64
-	nextID    atomic.Uint64
+	cfg    Config
+	Counts Counts
+
+	openCount atomic.Int64  // requests without a final answer
+	nextID    atomic.Uint64 // of the last RequestID
 	killed    atomic.Bool
 
-	mu             sync.Mutex // guards what is below
+	mu             sync.Mutex // guards the fields up to the empty line
 	pendingEvents  []scheduler.Event
-	pendingCalls   map[scheduler.RequestID]*Call // arrivals in in
-	pendingResults map[attemptKey]backend.Result // of the Returned in in
+	pendingCalls   map[scheduler.RequestID]*Call // of each Arrival in pendingEvents
+	pendingResults map[attemptKey]backend.Result // of each AttemptEnded in pendingEvents
 	pendingList    *scheduler.ListUpdate
-	endpoints      []backend.Endpoint
+	endpoints      []backend.Endpoint // reused from update to update
 	directory      directory
 	stopped        bool
-	recheckPending bool // aliases have moved: see Sweep
+	recheckPending bool // aliases have migrated: see RecheckVersions
 
-	wake      chan struct{}
-	stop      chan struct{}
-	done      chan struct{}
-	loopTasks chan func()
+	wake      chan struct{} // holds one token while something is pending
+	stop      chan struct{} // closed to end the loop
+	done      chan struct{} // closed when the loop has ended
+	loopTasks chan func()   // run by the loop between two steps
 
-	// Owned by the loop.
+	// The loop's own: no other goroutine reads or writes these while Run runs.
 	dispatcher *scheduler.Dispatcher
 	inFlight   map[scheduler.RequestID]*request
-	nextWake   time.Duration // next Wake; 0: none
+	nextWake   time.Duration // the earliest of wakeups; 0: none
 	wakeups    []scheduler.Wake
-	rng        *rand.Rand
-	restarts   uint64
+	rng        *rand.Rand // of span ids
+	restarts   uint64     // of the dispatcher, after crashes
 	answered   explanationRing
 }
 
-type attemptKey struct {
-	request scheduler.RequestID
-	attempt int
-}
-
-// An request is a request until it is answered and all its attempts have ended. It is the loop's, but for claimed.
-type request struct {
-	call           *Call
-	submittedAt    time.Duration
-	claimed        atomic.Int32 // the Kind of its one final answer: whoever sets it from 0 gives it
-	recorded       bool         // the answer is counted and logged
-	digestMismatch atomic.Bool  // other bytes ran under its key: the group that drops its repeats would give their answer
-	attempts       []attempt
-	outstanding    int
-}
-
-// claim takes the right to give the one final answer.
-func (r *request) claim(k AnswerKind) bool { return r.claimed.CompareAndSwap(0, int32(k)) }
-
-type attempt struct {
-	worker   string
-	running  backend.Running
-	sentAt   time.Duration
-	outcome  scheduler.Outcome
-	took     time.Duration
-	status   int
-	loadNote scheduler.LoadNote
-	snapshot scheduler.Snapshot // the worker and function as the module saw them, where calls are explained
-}
-
-// New returns a gateway that does not run yet.
+// New returns a gateway that does not run yet. It returns an error if the settings cannot be worked with.
 func New(cfg Config) (*Gateway, error) {
 	if cfg.Settings.Limits.MaxOpenRequests < 1 {
 		return nil, fmt.Errorf("gateway: Limits.Open: %d is under 1", cfg.Settings.Limits.MaxOpenRequests)
@@ -215,62 +86,114 @@
 	if cfg.Settings.Tick <= 0 {
 		return nil, fmt.Errorf("gateway: Tick: %v is not above 0", cfg.Settings.Tick)
 	}
-	d, err := scheduler.New(cfg.Settings, cfg.Seed)
+	dispatcher, err := scheduler.New(cfg.Settings, cfg.Seed)
 	if err != nil {
 		return nil, err
 	}
-	g := &Gateway{cfg: cfg, dispatcher: d, inFlight: map[scheduler.RequestID]*request{}, rng: rand.New(rand.NewPCG(cfg.Seed, 1)),
-		pendingCalls: map[scheduler.RequestID]*Call{}, pendingResults: map[attemptKey]backend.Result{}, wake: make(chan struct{}, 1), loopTasks: make(chan func()),
-		stop: make(chan struct{}), done: make(chan struct{}), directory: newDirectory(cfg.Settings)}
-	g.answered.capacity = cfg.MaxExplanations
-	// The module draws by hash of the request's number: two controllers must not count alike.
+	g := &Gateway{
+		cfg:            cfg,
+		pendingCalls:   map[scheduler.RequestID]*Call{},
+		pendingResults: map[attemptKey]backend.Result{},
+		directory:      newDirectory(cfg.Settings),
+		wake:           make(chan struct{}, 1),
+		stop:           make(chan struct{}),
+		done:           make(chan struct{}),
+		loopTasks:      make(chan func()),
+		dispatcher:     dispatcher,
+		inFlight:       map[scheduler.RequestID]*request{},
+		rng:            rand.New(rand.NewPCG(cfg.Seed, 1)),
+		answered:       explanationRing{capacity: cfg.MaxExplanations},
+	}
+	// The dispatcher draws by hash of the request's number: two controllers must not count alike.
 	g.nextID.Store(g.rng.Uint64() >> 24 << 8)
 	return g, nil
 }
 
-// Submit hands a call over; false if the gateway holds all that it may, or stops: a refusal then harms nobody.
+// Submit hands a call over. It returns false if the gateway is at capacity or stops: nothing has run then, and
+// Deliver is not called.
 func (g *Gateway) Submit(c *Call) (scheduler.RequestID, bool) {
 	if g.openCount.Add(1) > int64(g.cfg.Settings.Limits.MaxOpenRequests) {
-		g.openCount.Add(-1)
-		g.Counts.OverCapacity.Add(1)
+		g.releaseSlot()
 		return 0, false
 	}
 	id := scheduler.RequestID(g.nextID.Add(1))
-	f := c.Function
 	if h := g.cfg.Hooks; h != nil {
-		c.verdict = h.Arrive(hooklang.Call{Function: f.Name, Tenant: g.tenantName(c.Tenant), Client: c.Client, Class: g.cfg.Settings.Classes[f.Class].Name,
-			Retry: c.Retry, Wait: c.TimeLeft, Size: len(c.Body), Open: g.Open()})
+		c.verdict = h.Arrive(g.hookCall(c))
 	}
-	g.mu.Lock()
-	if g.stopped {
-		g.mu.Unlock()
+	if !g.enqueueArrival(id, c) {
 		if h := g.cfg.Hooks; h != nil {
 			h.CallEnded(g.tenantName(c.Tenant))
 		}
-		g.openCount.Add(-1)
-		g.Counts.OverCapacity.Add(1)
+		g.releaseSlot()
 		return 0, false
 	}
-	c.submittedAt = g.cfg.Clock.Now()
-	g.pendingCalls[id] = c
-	g.pendingEvents = append(g.pendingEvents, scheduler.Arrival{Request: id, Class: f.Class, Tenant: c.Tenant, Function: f.ID, TimeLeft: c.TimeLeft,
-		RunTimeHint: c.RunTimeHint, HasRunTimeHint: c.RunTimeHint > 0, MemoryMB: f.MemoryMB, Lanes: f.Lanes, LoadTime: f.LoadTime, ClientRetry: c.Retry,
-		Resubmitted: c.Binding != nil && c.Binding.Restarts > 0, ShedAdvised: c.verdict.ShedAdvised, Weight: c.verdict.Weight})
-	g.mu.Unlock()
 	g.wakeLoop()
 	return id, true
 }
 
-// Cancel says that the client of a call has left.
+// releaseSlot gives back the slot of a call that is not admitted.
+func (g *Gateway) releaseSlot() {
+	g.openCount.Add(-1)
+	g.Counts.OverCapacity.Add(1)
+}
+
+func (g *Gateway) hookCall(c *Call) hooklang.Call {
+	return hooklang.Call{
+		Function: c.Function.Name,
+		Tenant:   g.tenantName(c.Tenant),
+		Client:   c.Client,
+		Class:    g.class(c).Name,
+		Retry:    c.Retry,
+		Wait:     c.TimeLeft,
+		Size:     len(c.Body),
+		Open:     g.Open(),
+	}
+}
+
+// enqueueArrival returns false if the gateway stops.
+func (g *Gateway) enqueueArrival(id scheduler.RequestID, c *Call) bool {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if g.stopped {
+		return false
+	}
+	c.submittedAt = g.cfg.Clock.Now()
+	g.pendingCalls[id] = c
+	g.pendingEvents = append(g.pendingEvents, arrival(id, c))
+	return true
+}
+
+func arrival(id scheduler.RequestID, c *Call) scheduler.Arrival {
+	f := c.Function
+	return scheduler.Arrival{
+		Request:        id,
+		Class:          f.Class,
+		Tenant:         c.Tenant,
+		Function:       f.ID,
+		TimeLeft:       c.TimeLeft,
+		RunTimeHint:    c.RunTimeHint,
+		HasRunTimeHint: c.RunTimeHint > 0,
+		MemoryMB:       f.MemoryMB,
+		Lanes:          f.Lanes,
+		LoadTime:       f.LoadTime,
+		ClientRetry:    c.Retry,
+		Resubmitted:    c.Binding != nil && c.Binding.Restarts > 0,
+		ShedAdvised:    c.verdict.ShedAdvised,
+		Weight:         c.verdict.Weight,
+	}
+}
+
+// Cancel reports that the client of a call has closed. Deliver is still called, unless it was already.
 func (g *Gateway) Cancel(id scheduler.RequestID) { g.enqueue(scheduler.ClientGone{Request: id}) }
 
-// ReceiveGossip hands over the word of another controller.
+// ReceiveGossip hands over a message of the controller with index from. It is dropped where Limits.Peers is not set.
 func (g *Gateway) ReceiveGossip(from int, payload []byte) {
 	if g.cfg.Settings.Limits.Peers {
 		g.enqueue(scheduler.GossipMessage{From: from, Payload: payload})
 	}
 }
 
+// enqueue leaves an event to the loop's next step.
 func (g *Gateway) enqueue(e scheduler.Event) {
 	g.mu.Lock()
 	g.pendingEvents = append(g.pendingEvents, e)
@@ -281,9 +204,20 @@
 func (g *Gateway) wakeLoop() {
 	select {
 	case g.wake <- struct{}{}:
-	default:
+	default: // it is to wake already
 	}
 }
 
-// Open returns how many requests are in hand.
+// Open returns how many requests have no final answer yet.
 func (g *Gateway) Open() int { return int(g.openCount.Load()) }
+
+// class returns the class of a call's function.
+func (g *Gateway) class(c *Call) *scheduler.Class { return &g.cfg.Settings.Classes[c.Function.Class] }
+
+// tenantName returns the name of a tenant, "" for none.
+func (g *Gateway) tenantName(i int) string {
+	if i < 0 || i >= len(g.cfg.Settings.Tenants) {
+		return ""
+	}
+	return g.cfg.Settings.Tenants[i].Name
+}
--- a/internal/gateway/golden_test.go
+++ b/internal/gateway/golden_test.go
@@ -11,20 +11,30 @@
 )
 
 // Operators and their tools read what the gateway shows of workers, functions and calls.
-func TestViewsAreAsBefore(t *testing.T) {
-	look := scheduler.Snapshot{RingPosition: 1, RingSize: 2, Ready: true, Ejected: true, WarmingUp: true, HasCopy: true, Rank: -1, Tokens: 2.5, Busy: 3, LatencyRatio: 0.5, Loads: 4,
-		AdmittedFraction: 0.25, Queued: 5, InFlight: 6}
+func TestViewsKeepTheirFormat(t *testing.T) {
+	snapshot := scheduler.Snapshot{
+		RingPosition: 1, RingSize: 2, Ready: true, Ejected: true, WarmingUp: true, HasCopy: true, Rank: -1,
+		Tokens: 2.5, Busy: 3, LatencyRatio: 0.5, Loads: 4, AdmittedFraction: 0.25, Queued: 5, InFlight: 6,
+	}
 	for name, shown := range map[string]any{
 		"workers.json": &[]WorkerView{
-			{"w1", scheduler.WorkerSnapshot{ID: 1, State: scheduler.Draining, Snapshot: look, SinceLastAnswer: 2 * time.Second, Copies: 3}},
+			{"w1", scheduler.WorkerSnapshot{
+				ID: 1, State: scheduler.Draining, Snapshot: snapshot, SinceLastAnswer: 2 * time.Second, Copies: 3,
+			}},
 			{},
 		},
 		"functions.json": &[]FunctionView{
-			{"resize", "w1", scheduler.FunctionSnapshot{ID: 1, Home: 2, Queued: 3, InFlight: 4, MeanRunTime: 5 * time.Second, MeanInterarrival: 6, Copies: 7, Desired: true}},
+			{"resize", "w1", scheduler.FunctionSnapshot{
+				ID: 1, Home: 2, Queued: 3, InFlight: 4, MeanRunTime: 5 * time.Second, MeanInterarrival: 6,
+				Copies: 7, Desired: true,
+			}},
 			{},
 		},
 		"explained.json": &[]Explanation{
-			{ID: "me:1", Request: 2, Function: "resize", Tenant: "t", Class: "safe", Answer: "served", TookMS: 3.5, Why: "closed", Lines: []string{"a", "b"}},
+			{
+				ID: "me:1", Request: 2, Function: "resize", Tenant: "t", Class: "safe", Answer: "served",
+				TookMS: 3.5, Why: "closed", Lines: []string{"a", "b"},
+			},
 			{Lines: []string{}},
 		},
 	} {
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -1,60 +1,77 @@
 package gateway
 
 import (
+	"errors"
 	"fmt"
 	"time"
 
 	"kitehub/internal/backend"
-	"kitehub/internal/registry"
 	"kitehub/scheduler"
 )
 
-// Run steps the module until Stop. It is to be called once.
+// Run steps the dispatcher until Stop or Kill. It is the loop: it must be called once, on a goroutine of its own.
 //
-// At most one step a tick: what comes meanwhile is decided together. The rest of a tick is waited for by the runtime's timer, which
-// may come up to a millisecond late. A thread that sleeps by itself would be on time, but where there is one processor it holds that
-// processor, until the runtime takes it away some milliseconds later: readers and answers then stand still between all steps.
+// It makes at most one step a tick: what comes meanwhile is decided together. The rest of a tick is waited for by the
+// runtime's timer, which may come up to a millisecond late. A thread that sleeps by itself would be on time, but where
+// there is one processor it holds that processor until the runtime takes it away some milliseconds later: readers and
+// answers would then wait between all steps.
 func (g *Gateway) Run() {
 	defer close(g.done)
-	tick := g.cfg.Settings.Tick
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
-	last := g.cfg.Clock.Now() - tick
-	waiting := false // something has come, and waits for the tick to be over
+	tick := g.cfg.Settings.Tick
+	lastStep := g.cfg.Clock.Now() - tick
+	awaitingTick := false // events have come, and wait for the tick to be over
 	for {
-		now, wait, wake := g.cfg.Clock.Now(), time.Hour, g.wake
-		switch {
-		case waiting:
-			wait, wake = last+tick-now, nil
-		case g.nextWake > 0:
-			wait = max(g.nextWake, last+tick) - now
+		wake := g.wake
+		if awaitingTick {
+			wake = nil
 		}
-		timer.Reset(max(0, wait))
+		timer.Reset(g.untilNextStep(lastStep, awaitingTick))
 		select {
 		case <-g.stop:
 			if !g.killed.Load() {
 				g.shutDown()
 			}
 			return
-		case f := <-g.loopTasks:
-			f()
+		case task := <-g.loopTasks:
+			task()
 			continue
 		case <-wake:
-			if waiting = g.cfg.Clock.Now() < last+tick; waiting {
+			awaitingTick = g.cfg.Clock.Now() < lastStep+tick
+			if awaitingTick {
 				continue
 			}
 		case <-timer.C:
 		}
-		waiting = false
-		last = g.cfg.Clock.Now()
-		if late := int64(last - g.nextWake); g.nextWake > 0 && late > g.Counts.MaxStepDelayNanos.Load() {
-			g.Counts.MaxStepDelayNanos.Store(late)
-		}
-		g.step(last)
+		awaitingTick = false
+		lastStep = g.cfg.Clock.Now()
+		g.recordStepDelay(lastStep)
+		g.step(lastStep)
 	}
 }
 
-// step is one turn: events in, actions out.
+// untilNextStep returns how long the loop waits for something to come before it steps anyway.
+func (g *Gateway) untilNextStep(lastStep time.Duration, awaitingTick bool) time.Duration {
+	now := g.cfg.Clock.Now()
+	tickOver := lastStep + g.cfg.Settings.Tick
+	switch {
+	case awaitingTick:
+		return max(0, tickOver-now)
+	case g.nextWake > 0:
+		return max(0, max(g.nextWake, tickOver)-now)
+	}
+	return time.Hour
+}
+
+// recordStepDelay notes how much later than the dispatcher asked for a step comes.
+func (g *Gateway) recordStepDelay(now time.Duration) {
+	if delay := int64(now - g.nextWake); g.nextWake > 0 && delay > g.Counts.MaxStepDelayNanos.Load() {
+		g.Counts.MaxStepDelayNanos.Store(delay)
+	}
+}
+
+// step is one turn of the loop: events in, actions out.
 func (g *Gateway) step(now time.Duration) {
 	events, calls, results := g.takePending()
 	for i := range events {
@@ -82,8 +99,30 @@
 	}
 }
 
-// receive notes an event that has come, and returns it as the module is to have it.
-func (g *Gateway) receive(e scheduler.Event, calls map[scheduler.RequestID]*Call, results map[attemptKey]backend.Result, now time.Duration) scheduler.Event {
+// takePending empties the queue of events.
+func (g *Gateway) takePending() ([]scheduler.Event, map[scheduler.RequestID]*Call, map[attemptKey]backend.Result) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	events := g.pendingEvents
+	calls := g.pendingCalls
+	results := g.pendingResults
+	g.pendingEvents = nil
+	if len(calls) > 0 {
+		g.pendingCalls = make(map[scheduler.RequestID]*Call, len(calls))
+	}
+	if len(results) > 0 {
+		g.pendingResults = make(map[attemptKey]backend.Result, len(results))
+	}
+	if g.pendingList != nil { // first, as the events that follow may be of its workers
+		events = append([]scheduler.Event{*g.pendingList}, events...)
+		g.pendingList = nil
+	}
+	return events, calls, results
+}
+
+// receive notes an event that has come, and returns it as the dispatcher is to have it.
+func (g *Gateway) receive(e scheduler.Event, calls map[scheduler.RequestID]*Call,
+	results map[attemptKey]backend.Result, now time.Duration) scheduler.Event {
 	switch e := e.(type) {
 	case scheduler.Arrival:
 		c := calls[e.Request]
@@ -97,170 +136,56 @@
 	case scheduler.AttemptEnded:
 		g.recordAttemptEnd(e, results[attemptKey{e.Request, e.Attempt}], now)
 	case scheduler.ListUpdate:
-		g.cfg.Log.Info().Int("workers", len(e.Workers)).Uint32("version", e.Version).Int("kind", int(e.Kind)).Msg("list")
+		g.cfg.Log.Info().Int("workers", len(e.Workers)).Uint32("version", e.Version).Int("kind", int(e.Kind)).
+			Msg("endpoint list applied")
 	}
 	return e
 }
 
-// takeRecheckPending tells whether aliases have moved since it was asked last.
-func (g *Gateway) takeRecheckPending() bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	moved := g.recheckPending
-	g.recheckPending = false
-	return moved
-}
-
 // dueTimers returns the timers that have come due, and forgets them.
 func (g *Gateway) dueTimers(now time.Duration) (due []scheduler.Event) {
 	g.nextWake = 0
+	later := g.wakeups[:0]
 	for _, w := range g.wakeups {
 		if w.At <= now {
 			due = append(due, scheduler.Timer{Token: w.Token})
+		} else {
+			later = append(later, w)
 		}
 	}
-	g.wakeups = filterInPlace(g.wakeups, func(w scheduler.Wake) bool { return w.At > now })
+	g.wakeups = later
 	return due
 }
 
-func filterInPlace[T any](l []T, f func(T) bool) []T {
-	kept := l[:0]
-	for _, v := range l {
-		if f(v) {
-			kept = append(kept, v)
-		}
-	}
-	return kept
-}
-
-func (g *Gateway) takePending() ([]scheduler.Event, map[scheduler.RequestID]*Call, map[attemptKey]backend.Result) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	events, calls, results := g.pendingEvents, g.pendingCalls, g.pendingResults
-	g.pendingEvents = nil
-	if len(calls) > 0 {
-		g.pendingCalls = make(map[scheduler.RequestID]*Call, len(calls))
-	}
-	if len(results) > 0 {
-		g.pendingResults = make(map[attemptKey]backend.Result, len(results))
-	}
-	if g.pendingList != nil { // first, as the events that follow may be of its workers
-		events = append([]scheduler.Event{*g.pendingList}, events...)
-		g.pendingList = nil
-	}
-	return events, calls, results
-}
-
-func (g *Gateway) decide(now time.Duration, events []scheduler.Event) (a []scheduler.Action, err error) {
+// decide steps the dispatcher. A panic of it is an error.
+func (g *Gateway) decide(now time.Duration, events []scheduler.Event) (actions []scheduler.Action, err error) {
 	defer func() {
 		if p := recover(); p != nil {
-			err = fmt.Errorf("module crashed: %v", p)
+			err = fmt.Errorf("dispatcher crashed: %v", p)
 		}
 	}()
 	return g.dispatcher.Step(now, events), nil
 }
 
-// RecheckVersions looks for calls whose version was left while they wait. It is called when aliases have moved.
-func (g *Gateway) RecheckVersions() {
-	g.mu.Lock()
-	g.recheckPending = true
-	g.mu.Unlock()
-	g.wakeLoop()
-}
-
-// supersedeStale hands back the calls that have been left, and returns what the module is to be told.
-func (g *Gateway) supersedeStale(now time.Duration) (events []scheduler.Event) {
-	for _, id := range sortedKeys(g.inFlight) {
-		r := g.inFlight[id]
-		if r.recorded || r.claimed.Load() != 0 {
-			continue
-		}
-		v := g.verdict(r.call)
-		// While the move is not acknowledged, what runs goes on, and what does not run begins anew.
-		leave := v == registry.Left || v == registry.Leaving && !r.mayHaveRun() && r.outstanding == 0 && r.call.Binding.Restarts < registry.MostAnew
-		if leave && g.supersede(id, r, v, now) {
-			events = append(events, scheduler.ClientGone{Request: id})
-		}
-	}
-	return events
-}
-
-// restartDispatcher answers all that is open and begins anew: a fault in the module costs what it knew, not the process.
-func (g *Gateway) restartDispatcher(err error, now time.Duration) {
-	g.Counts.Crashes.Add(1)
-	g.cfg.Log.Error().Err(err).Int("open", g.Open()).Msg("all open requests are answered, the module starts anew")
-	g.answerAll(now)
-	g.restarts++
-	d, err := scheduler.New(g.cfg.Settings, g.cfg.Seed+g.restarts)
-	if err != nil {
-		panic(err) // it took these settings before
-	}
-	g.dispatcher, g.wakeups = d, nil
-	g.mu.Lock()
-	l := g.directory.fullUpdate(scheduler.CachedList)
-	g.pendingList = &l
-	g.mu.Unlock()
-	g.wakeLoop()
-}
+// errStopped is that the loop has ended.
+var errStopped = errors.New("gateway: stopped")
 
-// answerAll answers all that is open: refused where another try does no harm, as it is known never to have run or may run twice.
-func (g *Gateway) answerAll(now time.Duration) {
-	for _, id := range sortedKeys(g.inFlight) {
-		r := g.inFlight[id]
-		for i := range r.attempts {
-			if run := r.attempts[i].running; run != nil {
-				run.Cancel()
-			}
-		}
-		if r.recorded {
-			continue
-		}
-		k := Failed
-		if !r.mayHaveRun() || g.cfg.Settings.Classes[r.call.Function.Class].Idempotency == scheduler.Idempotent {
-			k = Rejected
-		}
-		if r.claim(k) {
-			g.answer(id, r, Answer{Kind: k}, now)
-		} else { // answered, and its event was not taken in
-			g.recordAnswer(id, r, Answer{Kind: AnswerKind(r.claimed.Load())}, now)
-		}
+// runOnLoop has the loop run a task between two steps, and waits for its end. It returns errStopped if the loop ends
+// first.
+func (g *Gateway) runOnLoop(task func()) error {
+	finished := make(chan struct{})
+	select {
+	case g.loopTasks <- func() { task(); close(finished) }:
+	case <-g.done:
+		return errStopped
 	}
-}
-
-// Stop takes nothing more, waits until all that is in hand is answered or the time is up, answers the rest, and
-// ends Run.
-func (g *Gateway) Stop(within time.Duration) {
-	g.mu.Lock()
-	g.stopped = true
-	g.mu.Unlock()
-	end := time.Now().Add(within)
-	for g.openCount.Load() > 0 && time.Now().Before(end) {
-		time.Sleep(g.cfg.Settings.Tick)
+	select {
+	case <-finished:
+		return nil
+	case <-g.done:
+		return errStopped
 	}
-	close(g.stop)
-	<-g.done
-}
-
-// Kill ends Run with nobody answered, as the end of the process would.
-func (g *Gateway) Kill() {
-	g.mu.Lock()
-	g.stopped = true
-	g.mu.Unlock()
-	g.killed.Store(true)
-	close(g.stop)
 }
 
-// shutDown ends the loop: what arrived last is taken in and answered too.
-func (g *Gateway) shutDown() {
-	now := g.cfg.Clock.Now()
-	events, calls, results := g.takePending()
-	for _, e := range events {
-		switch e := e.(type) {
-		case scheduler.Arrival:
-			g.inFlight[e.Request] = &request{call: calls[e.Request], submittedAt: calls[e.Request].submittedAt}
-		case scheduler.AttemptEnded:
-			g.recordAttemptEnd(e, results[attemptKey{e.Request, e.Attempt}], now)
-		}
-	}
-	g.answerAll(now)
-}
+// Alive returns once the loop has taken a turn, or an error if it has ended.
+func (g *Gateway) Alive() error { return g.runOnLoop(func() {}) }
--- a/internal/gateway/path_test.go
+++ b/internal/gateway/path_test.go
@@ -24,62 +24,120 @@
 
 const ms = time.Millisecond
 
-// One signed call through real sockets to a stand-in worker and back.
-func TestOneCall(t *testing.T) {
-	clk := clock.System()
-	fn := fakeworker.Kind{Function: workersim.Function{Name: "quote", MemoryMB: 100, Lanes: 2, Fetch: 20 * ms, Start: 10 * ms}, Class: "quote", Work: 5 * ms}
-	host, err := fakeworker.Start(fakeworker.Config{Clock: clk, Functions: []fakeworker.Kind{fn}, Fleet: workersim.Config{
-		Workers: []workersim.Spec{{Name: "w1", Cores: 2, Speed: 1, MemoryMB: 1000, Queue: 10, LoadSlots: 2, IdleLife: 8 * time.Second}},
-		Store:   workersim.Store{Pace: 4}}})
+// startWorker starts a fake worker w1 on a socket, which can load the function quote.
+func startWorker(t *testing.T, clk clock.Clock) *fakeworker.Host {
+	t.Helper()
+	host, err := fakeworker.Start(fakeworker.Config{
+		Clock: clk,
+		Functions: []fakeworker.Kind{{
+			Function: workersim.Function{Name: "quote", MemoryMB: 100, Lanes: 2, Fetch: 20 * ms, Start: 10 * ms},
+			Class:    "quote",
+			Work:     5 * ms,
+		}},
+		Fleet: workersim.Config{
+			Workers: []workersim.Spec{{
+				Name: "w1", Cores: 2, Speed: 1, MemoryMB: 1000, Queue: 10, LoadSlots: 2, IdleLife: 8 * time.Second,
+			}},
+			Store: workersim.Store{Pace: 4},
+		},
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer host.Close()
-	s := scheduler.Settings{Controllers: 1, Tick: ms, Classes: []scheduler.Class{{Name: "quote", Idempotency: scheduler.Idempotent, LatencyObjective: 500 * ms, Deadline: 2 * time.Second, PriorityWeight: 1}},
-		Limits:     scheduler.Limits{MaxAttempts: 3, MaxOpenRequests: 100, DialTimeout: 250 * ms, Cancel: true, IdleConnectionTimeout: 5 * time.Second},
-		Loading:    scheduler.Loading{Orders: true, LoadsOnMiss: true, OnMissKnown: true, IdleCopyTTL: 8 * time.Second, OrderTimeout: 5 * time.Second, LoadNotesGiven: true},
-		Guarantees: scheduler.Guarantees{DrainGrace: 500 * ms, WarmupFraction: 0.2, WarmupTime: 10 * time.Second, CollapseFactor: 2, CollapseWindow: 2 * time.Second}}
-	be := backend.New(backend.Config{Controller: "c1", Clock: clk, DialTimeout: 250 * ms, IdleTimeout: 5 * time.Second, OrderTimeout: 5 * time.Second, ProbeTimeout: time.Second})
-	defer be.Close()
-	g, err := gateway.New(gateway.Config{Name: "c1", Settings: s, Seed: 1, Clock: clk, Transport: be, Log: zerolog.New(zerolog.NewTestWriter(t))})
+	t.Cleanup(host.Close)
+	return host
+}
+
+func pathSettings() scheduler.Settings {
+	return scheduler.Settings{
+		Controllers: 1,
+		Tick:        ms,
+		Classes: []scheduler.Class{{
+			Name: "quote", Idempotency: scheduler.Idempotent, PriorityWeight: 1,
+			LatencyObjective: 500 * ms, Deadline: 2 * time.Second,
+		}},
+		Limits: scheduler.Limits{
+			MaxAttempts: 3, MaxOpenRequests: 100, Cancel: true,
+			DialTimeout: 250 * ms, IdleConnectionTimeout: 5 * time.Second,
+		},
+		Loading: scheduler.Loading{
+			Orders: true, LoadsOnMiss: true, OnMissKnown: true, LoadNotesGiven: true,
+			IdleCopyTTL: 8 * time.Second, OrderTimeout: 5 * time.Second,
+		},
+		Guarantees: scheduler.Guarantees{
+			DrainGrace: 500 * ms, WarmupFraction: 0.2, WarmupTime: 10 * time.Second,
+			CollapseFactor: 2, CollapseWindow: 2 * time.Second,
+		},
+	}
+}
+
+// startIngress serves the function by signed webhooks on a socket, and returns its address.
+func startIngress(t *testing.T, g *gateway.Gateway, clk clock.Clock, quote *gateway.Function, key *signing.Key) string {
+	t.Helper()
+	front, err := webhook.New(webhook.Config{
+		Prefix: "/call/", Gateway: g, Clock: clk, Mark: webhook.File(t.TempDir() + "/mark"),
+		Functions: func(name string) *gateway.Function {
+			if name == "quote" {
+				return quote
+			}
+			return nil
+		},
+		Deadline: func(int) time.Duration { return 2 * time.Second },
+		Effect:   func(int) scheduler.Idempotency { return scheduler.Idempotent },
+		Replay: replayguard.Settings{
+			MaxAge: time.Minute, MaxClockSkew: 5 * time.Second, WatermarkStep: 2 * time.Second,
+			MaxEntries: 1000, MaxAnswerBytes: 1 << 20,
+		},
+	}, []webhook.Client{{Name: "shop", Keys: []*signing.Key{key}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	id, err := g.AddFunction("quote")
+	t.Cleanup(func() { front.Close() })
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	go g.Run()
-	defer g.Stop(time.Second)
-	if err := g.Workers(scheduler.FullList, 1, []gateway.Worker{{Name: "w1", Network: "tcp", Addr: host.Addr("w1"), State: scheduler.Ready}}); err != nil {
+	srv := &http1.Server{Handler: front}
+	go srv.Serve(ln)
+	t.Cleanup(func() {
+		ln.Close()
+		srv.Cut()
+	})
+	return ln.Addr().String()
+}
+
+// A signed call passes real sockets to a fake worker and back: the answer is signed, and the same message is a replay.
+func TestSignedCallThroughSockets(t *testing.T) {
+	clk := clock.System()
+	host := startWorker(t, clk)
+	be := backend.New(backend.Config{
+		Controller: "c1", Clock: clk, DialTimeout: 250 * ms, IdleTimeout: 5 * time.Second,
+		OrderTimeout: 5 * time.Second, ProbeTimeout: time.Second,
+	})
+	t.Cleanup(func() { be.Close() })
+	g, err := gateway.New(gateway.Config{
+		Name: "c1", Settings: pathSettings(), Seed: 1, Clock: clk, Transport: be,
+		Log: zerolog.New(zerolog.NewTestWriter(t)),
+	})
+	if err != nil {
 		t.Fatal(err)
 	}
-	key, err := signing.ParseKey("whsec_MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw")
+	id, err := g.AddFunction("quote")
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &gateway.Function{Name: "quote", ID: id, MemoryMB: 100, Lanes: 2}
-	front, err := webhook.New(webhook.Config{Prefix: "/call/", Gateway: g, Clock: clk, Mark: webhook.File(t.TempDir() + "/mark"),
-		Functions: func(n string) *gateway.Function {
-			if n == "quote" {
-				return f
-			}
-			return nil
-		}, Deadline: func(int) time.Duration { return 2 * time.Second }, Effect: func(int) scheduler.Idempotency { return scheduler.Idempotent },
-		Replay: replayguard.Settings{MaxAge: time.Minute, MaxClockSkew: 5 * time.Second, WatermarkStep: 2 * time.Second, MaxEntries: 1000, MaxAnswerBytes: 1 << 20}},
-		[]webhook.Client{{Name: "shop", Keys: []*signing.Key{key}}})
-	if err != nil {
+	go g.Run()
+	t.Cleanup(func() { g.Stop(time.Second) })
+	workers := []gateway.Worker{{Name: "w1", Network: "tcp", Addr: host.Addr("w1"), State: scheduler.Ready}}
+	if err := g.Workers(scheduler.FullList, 1, workers); err != nil {
 		t.Fatal(err)
 	}
-	defer front.Close()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	key, err := signing.ParseKey("whsec_MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw")
 	if err != nil {
 		t.Fatal(err)
 	}
-	srv := &http1.Server{Handler: front}
-	go srv.Serve(ln)
-	defer srv.Cut()
-	defer ln.Close()
+	quote := &gateway.Function{Name: "quote", ID: id, MemoryMB: 100, Lanes: 2}
+	addr := startIngress(t, g, clk, quote, key)
 	body := `{"nights":3}`
 	m := signing.Message{ID: "msg_1", Stamp: strconv.FormatInt(time.Now().Unix(), 10), Body: []byte(body)}
 	sig, err := key.Sign(m)
@@ -87,7 +145,7 @@
 		t.Fatal(err)
 	}
 	post := func() *http.Response {
-		req, _ := http.NewRequest("POST", "http://"+ln.Addr().String()+"/call/quote", strings.NewReader(body))
+		req, _ := http.NewRequest("POST", "http://"+addr+"/call/quote", strings.NewReader(body))
 		req.Header.Set("webhook-id", m.ID)
 		req.Header.Set("webhook-timestamp", m.Stamp)
 		req.Header.Set("webhook-signature", sig)
--- /dev/null
+++ b/internal/gateway/views.go
@@ -0,0 +1,32 @@
+package gateway
+
+import "kitehub/scheduler"
+
+// A WorkerView is a worker as this controller sees it. Its JSON has the keys of the snapshot beside the name, as that
+// is embedded.
+type WorkerView struct {
+	Name string `json:"name"`
+	scheduler.WorkerSnapshot
+}
+
+// A FunctionView is a function as this controller sees it. Its JSON is made like WorkerView's.
+type FunctionView struct {
+	Name string `json:"name"`
+	Home string `json:"home"` // the worker that is first to run it
+	scheduler.FunctionSnapshot
+}
+
+// View returns workers and functions as the dispatcher sees them, in the order of their ids. It returns an error if
+// the loop has ended.
+func (g *Gateway) View() (workers []WorkerView, functions []FunctionView, err error) {
+	err = g.runOnLoop(func() {
+		for _, w := range g.dispatcher.Workers() {
+			workers = append(workers, WorkerView{g.workerName(w.ID), w})
+		}
+		for _, f := range g.dispatcher.Functions() {
+			name, _, _ := g.functionName(f.ID)
+			functions = append(functions, FunctionView{name, g.workerName(f.Home), f})
+		}
+	})
+	return workers, functions, err
+}
