--- a/cmd/kitehub/serve.go
+++ b/cmd/kitehub/serve.go
@@ -65,7 +65,7 @@
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return fmt.Errorf("state_dir: %w", err)
 	}
-	loop, starts := daemon.CrashLoop{Most: int(b.Daemon.GetStarts()), Within: time.Duration(b.Daemon.GetWithinMs() * 1e6)}, filepath.Join(dir, "starts.json")
+	loop, starts := daemon.CrashLoop{MaxStarts: int(b.Daemon.GetStarts()), Window: time.Duration(b.Daemon.GetWithinMs() * 1e6)}, filepath.Join(dir, "starts.json")
 	loop.Load(starts)
 	begun := time.Now().UTC().Round(0)
 	careful := loop.Begin(begun) && !s.TakeOver
@@ -78,7 +78,7 @@
 		return fmt.Errorf("state_dir: %w", err)
 	}
 	if careful {
-		log.Error().Int("starts", loop.Most).Dur("within", loop.Within).Msg("crash loop: started without hooks")
+		log.Error().Int("starts", loop.MaxStarts).Dur("within", loop.Window).Msg("crash loop: started without hooks")
 	}
 	pidFile := b.Daemon.GetPidFile()
 	if pidFile != "" {
@@ -108,7 +108,7 @@
 			err = os.WriteFile(pidFile, []byte(strconv.Itoa(os.Getpid())+"\n"), 0o644)
 		}
 		if err == nil {
-			tell(sup.Main(os.Getpid()))
+			tell(sup.MainPID(os.Getpid()))
 		}
 	} else {
 		c, err = controller.Start(b, o)
@@ -117,7 +117,7 @@
 		return err
 	}
 	tell(sup.Ready("serving on " + c.Addr()))
-	if every := sup.Every(); every > 0 {
+	if every := sup.WatchdogInterval(); every > 0 {
 		go func() {
 			for c.Gateway.Alive() == nil { // a loop that hangs is not told of
 				tell(sup.Alive())
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -54,45 +54,45 @@
 
 // A Controller runs until Stop or Kill.
 type Controller struct {
-	Gateway *gateway.Gateway
-	Front   *webhook.Front
-	Backend *backend.Backend
-	HTTP    *http1.Server
-	b       *config.Built
-	log     zerolog.Logger
-	ln      net.Listener
-	watch   *discovery.Watcher
-	peers   *Peers
-	agent   *agent.Agent
-	unlock  func() error
+	Gateway  *gateway.Gateway
+	Front    *webhook.Front
+	Backend  *backend.Backend
+	HTTP     *http1.Server
+	built    *config.Built
+	log      zerolog.Logger
+	listener net.Listener
+	watcher  *discovery.Watcher
+	peers    *Peers
+	agent    *agent.Agent
+	unlock   func() error
 	// Reload, where set, is what operators bring about by the method reload. It is set before the first is served.
 	Reload func() error
 	RPC    *jsonrpc.Server // nil: none
 
-	wc          webhook.Config
-	functions   *gateway.Functions
-	models      *models
-	hooks       atomic.Pointer[hookengine.Engine]
-	notifier    *hookengine.Notifier
-	tap         tap
-	rpcListener net.Listener
-	draining    atomic.Bool
-	successors  *net.UnixListener
-	o           Options
-	over        chan struct{}
-	afterDone   func()
-	served      chan struct{} // closed when nothing more is accepted
-	following   chan struct{} // closed when the process before is done; nil: there was none
+	frontConfig       webhook.Config
+	functions         *gateway.Functions
+	models            *modelVersions
+	hooks             atomic.Pointer[hookengine.Engine]
+	notifier          *hookengine.Notifier
+	tap               eventTap
+	rpcListener       net.Listener
+	draining          atomic.Bool
+	successorListener *net.UnixListener
+	options           Options
+	handedOver        chan struct{}
+	afterPredecessor  func()
+	acceptDone        chan struct{} // closed when nothing more is accepted
+	predecessorDone   chan struct{} // closed when the process before is done; nil: there was none
 
-	mu    sync.Mutex
-	conns map[net.Conn]struct{} // to workers, for Kill
-	dead  atomic.Bool           // killed: nothing may be dialled
-	ended atomic.Bool
+	mu       sync.Mutex
+	conns    map[net.Conn]struct{} // to workers, for Kill
+	killed   atomic.Bool           // killed: nothing may be dialled
+	stopping atomic.Bool
 }
 
 // Start runs a controller. Its state folder is made if it is not there, and locked against a second controller.
 func Start(b *config.Built, o Options) (*Controller, error) {
-	c := &Controller{b: b, log: o.Log, conns: map[net.Conn]struct{}{}, o: o, over: make(chan struct{}), served: make(chan struct{})}
+	c := &Controller{built: b, log: o.Log, conns: map[net.Conn]struct{}{}, options: o, handedOver: make(chan struct{}), acceptDone: make(chan struct{})}
 	if err := c.start(o); err != nil {
 		c.Kill()
 		return nil, err
@@ -101,7 +101,7 @@
 }
 
 func (c *Controller) start(o Options) (err error) {
-	b := c.b
+	b := c.built
 	dir := filepath.Dir(b.Mark)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return fmt.Errorf("state_dir: %w", err)
@@ -114,7 +114,7 @@
 		dial = (&net.Dialer{}).DialContext
 	}
 	bc := b.Backend
-	bc.Clock, bc.Dial = o.Clock, c.tracked(dial)
+	bc.Clock, bc.Dial = o.Clock, c.trackConns(dial)
 	c.Backend = backend.New(bc)
 	gc := gateway.Config{Name: b.Name, Settings: b.Settings, Seed: b.Seed, Clock: o.Clock, Transport: c.Backend, Log: o.Log, OmitRequestLog: b.NoLines}
 	if b.Settings.Limits.Peers && len(b.Peers) > 0 {
@@ -127,7 +127,7 @@
 		gc.Hooks, gc.MaxExplanations = &c.tap, b.Explain
 	}
 	c.Reload = o.Reload
-	ms := &models{clock: o.Clock, tap: &c.tap}
+	ms := &modelVersions{clock: o.Clock, tap: &c.tap}
 	c.models = ms
 	if b.Registry != "" {
 		gc.Versions = ms
@@ -148,10 +148,10 @@
 		ms.gateway, ms.functions = c.Gateway, functions
 		ask := func() {
 			a := agent.Start(agent.Config{Client: &client.Client{Server: b.Registry, Name: b.Name, Key: b.Key, Wall: o.Clock.Wall,
-				Dial: c.tracked((&net.Dialer{}).DialContext)}, Node: b.Name, Clock: o.Clock, Log: o.Log, Moved: c.Gateway.RecheckVersions, Stage: ms.stage, Ready: func(a *agent.Agent) { ms.agent.Store(a) }})
+				Dial: c.trackConns((&net.Dialer{}).DialContext)}, Node: b.Name, Clock: o.Clock, Log: o.Log, Moved: c.Gateway.RecheckVersions, Stage: ms.stageCopies, Ready: func(a *agent.Agent) { ms.agent.Store(a) }})
 			c.mu.Lock()
 			c.agent = a
-			dead := c.dead.Load() || c.ended.Load()
+			dead := c.killed.Load() || c.stopping.Load()
 			c.mu.Unlock()
 			if dead {
 				a.Stop()
@@ -160,7 +160,7 @@
 		if o.Predecessor == nil {
 			ask()
 		} else { // one name asks once: what it confirms would stand for the process before as well
-			c.afterDone = ask
+			c.afterPredecessor = ask
 		}
 		wc.Models = ms
 		if o.Models != nil {
@@ -172,13 +172,13 @@
 	wc.Effect = func(class int) scheduler.Idempotency { return b.Settings.Classes[class].Idempotency }
 	if o.Predecessor != nil {
 		wc.State = &o.Predecessor.s.state.Front
-		c.Gateway.InheritBudget(o.Predecessor.s.state.Spent)
+		c.Gateway.InheritBudget(o.Predecessor.s.state.Budget)
 	}
 	if c.Front, err = webhook.New(wc, b.Clients); err != nil {
 		return fmt.Errorf("replay mark: %w", err)
 	}
 	if o.Predecessor != nil {
-		if c.ln, err = o.Predecessor.listener(0); err != nil {
+		if c.listener, err = o.Predecessor.listener(0); err != nil {
 			return err
 		}
 	} else if b.Network == "unix" { // a socket that a killed process left behind must not stop this start
@@ -187,21 +187,21 @@
 		}
 	}
 	if o.Predecessor == nil {
-		if c.ln, err = net.Listen(b.Network, b.Listen); err != nil {
+		if c.listener, err = net.Listen(b.Network, b.Listen); err != nil {
 			return fmt.Errorf("webhook.listen: %w", err)
 		}
 	}
-	c.wc = wc
+	c.frontConfig = wc
 	if err := c.startHooks(o); err != nil {
 		return err
 	}
 	go c.Gateway.Run()
 	dc := b.Discovery
-	dc.Sink, dc.Log, dc.Dial = c.Gateway, o.Log, c.tracked((&net.Dialer{}).DialContext)
+	dc.Sink, dc.Log, dc.Dial = c.Gateway, o.Log, c.trackConns((&net.Dialer{}).DialContext)
 	if o.Sink != nil {
 		dc.Sink = o.Sink(c.Gateway)
 	}
-	c.watch = discovery.Start(dc)
+	c.watcher = discovery.Start(dc)
 	if c.peers != nil {
 		go c.peers.Receive(c.Gateway)
 	}
@@ -219,13 +219,13 @@
 	}
 	c.HTTP = &http1.Server{Handler: handler, Limits: b.HTTP, MaxOpen: b.MaxOpen}
 	go func() {
-		defer close(c.served)
-		if err := c.HTTP.Serve(c.ln); err != nil {
+		defer close(c.acceptDone)
+		if err := c.HTTP.Serve(c.listener); err != nil {
 			o.Log.Error().Err(err).Msg("listener")
 		}
 	}()
 	if o.Predecessor != nil {
-		c.following = make(chan struct{})
+		c.predecessorDone = make(chan struct{})
 		go o.Predecessor.follow(c)
 	}
 	return c.serveHandover()
@@ -250,14 +250,14 @@
 }
 
 // Addr returns where the controller listens.
-func (c *Controller) Addr() string { return c.ln.Addr().String() }
+func (c *Controller) Addr() string { return c.listener.Addr().String() }
 
 // Name returns the controller's name.
-func (c *Controller) Name() string { return c.b.Name }
+func (c *Controller) Name() string { return c.built.Name }
 
 // SetClients replaces clients and their keys by those of a configuration read anew.
 func (c *Controller) SetClients(b *config.Built) error {
-	old := c.b.Clients
+	old := c.built.Clients
 	if len(b.Clients) < len(old) {
 		return fmt.Errorf("clients: %d, fewer than the %d that run: take their keys away instead", len(b.Clients), len(old))
 	}
@@ -267,12 +267,12 @@
 		}
 	}
 	c.Front.SetClients(b.Clients)
-	c.b.Clients = b.Clients
+	c.built.Clients = b.Clients
 	return nil
 }
 
-// tracked notes connections, so that Kill can cut them as the end of a process would.
-func (c *Controller) tracked(dial backend.DialFunc) backend.DialFunc {
+// trackConns notes connections, so that Kill can cut them as the end of a process would.
+func (c *Controller) trackConns(dial backend.DialFunc) backend.DialFunc {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		nc, err := dial(ctx, network, addr)
 		if err != nil {
@@ -282,12 +282,12 @@
 		c.mu.Lock()
 		c.conns[t] = struct{}{}
 		c.mu.Unlock()
-		if c.dead.Load() {
+		if c.killed.Load() {
 			t.Close()
 			return nil, net.ErrClosed
 		}
 		if sc, ok := nc.(syscall.Conn); ok {
-			return &openTracked{t, sc}, nil
+			return &trackedSyscallConn{t, sc}, nil
 		}
 		return t, nil
 	}
@@ -295,50 +295,50 @@
 
 type trackedConn struct {
 	net.Conn
-	c *Controller
+	controller *Controller
 }
 
 func (t *trackedConn) Close() error {
-	t.c.mu.Lock()
-	delete(t.c.conns, t)
-	t.c.mu.Unlock()
+	t.controller.mu.Lock()
+	delete(t.controller.conns, t)
+	t.controller.mu.Unlock()
 	return t.Conn.Close()
 }
 
-// openTracked keeps the view of the file descriptor, by which the back end tells a closed idle connection.
-type openTracked struct {
+// trackedSyscallConn keeps the view of the file descriptor, by which the back end tells a closed idle connection.
+type trackedSyscallConn struct {
 	*trackedConn
 	sc syscall.Conn
 }
 
-func (t *openTracked) SyscallConn() (syscall.RawConn, error) { return t.sc.SyscallConn() }
+func (t *trackedSyscallConn) SyscallConn() (syscall.RawConn, error) { return t.sc.SyscallConn() }
 
 // Stop takes nothing more, finishes what is in hand within the time, answers the rest, and returns when all is
 // closed. A second controller can start on the same state folder then.
 func (c *Controller) Stop(within time.Duration) error {
-	if c.ended.Swap(true) {
+	if c.stopping.Swap(true) {
 		return nil
 	}
 	c.Drain()
-	c.ln.Close()
-	c.watchless()
+	c.listener.Close()
+	c.stopWatchWhenIdle()
 	c.Gateway.Stop(within)
 	c.HTTP.Drain(time.Second)
 	if c.RPC != nil {
 		c.RPC.Drain(time.Second)
 	}
-	c.watch.Stop()
-	if c.successors != nil {
-		c.successors.Close()
+	c.watcher.Stop()
+	if c.successorListener != nil {
+		c.successorListener.Close()
 	}
 	err := c.Front.Close()
-	c.endHooks()
+	c.closeHooks()
 	c.Backend.Close()
 	c.stopAgent()
 	if c.peers != nil {
 		c.peers.Close()
 	}
-	c.release()
+	c.unlockStateDir()
 	return err
 }
 
@@ -351,7 +351,7 @@
 	}
 }
 
-func (c *Controller) endHooks() {
+func (c *Controller) closeHooks() {
 	if c.hooks.Load() != nil {
 		c.hooks.Load().Close()
 	}
@@ -360,30 +360,30 @@
 	}
 }
 
-// watchless is called first on the way down: the list still matters while calls are out, so it is watched to the end
+// stopWatchWhenIdle is called first on the way down: the list still matters while calls are out, so it is watched to the end
 // of Stop unless nothing is in hand.
-func (c *Controller) watchless() {
+func (c *Controller) stopWatchWhenIdle() {
 	if c.Gateway.Open() == 0 {
-		c.watch.Stop()
+		c.watcher.Stop()
 		return
 	}
 	go func() {
-		for c.Gateway.Open() > 0 && !c.dead.Load() {
-			time.Sleep(c.b.Settings.Tick)
+		for c.Gateway.Open() > 0 && !c.killed.Load() {
+			time.Sleep(c.built.Settings.Tick)
 		}
-		c.watch.Stop()
+		c.watcher.Stop()
 	}()
 }
 
 // Kill ends the controller as the end of its process would: nobody is answered, connections are cut, nothing is
 // written.
 func (c *Controller) Kill() {
-	if c.ended.Swap(true) {
+	if c.stopping.Swap(true) {
 		return
 	}
-	c.dead.Store(true)
-	if c.ln != nil {
-		c.ln.Close()
+	c.killed.Store(true)
+	if c.listener != nil {
+		c.listener.Close()
 	}
 	if c.HTTP != nil {
 		c.HTTP.Cut()
@@ -394,8 +394,8 @@
 	if c.rpcListener != nil {
 		c.rpcListener.Close()
 	}
-	if c.successors != nil {
-		c.successors.Close()
+	if c.successorListener != nil {
+		c.successorListener.Close()
 	}
 	if c.Gateway != nil {
 		c.Gateway.Kill()
@@ -410,13 +410,13 @@
 	for nc := range conns {
 		nc.(*trackedConn).Conn.Close()
 	}
-	if c.watch != nil {
-		c.watch.Stop()
+	if c.watcher != nil {
+		c.watcher.Stop()
 	}
 	if c.hooks.Load() != nil {
 		c.hooks.Load().Kill()
 	}
-	c.endHooks()
+	c.closeHooks()
 	if c.Backend != nil {
 		c.Backend.Close()
 	}
@@ -424,11 +424,11 @@
 	if c.peers != nil {
 		c.peers.Close()
 	}
-	c.release()
+	c.unlockStateDir()
 }
 
-// release unlocks the folder, if it is this controller's.
-func (c *Controller) release() {
+// unlockStateDir unlocks the folder, if it is this controller's.
+func (c *Controller) unlockStateDir() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.unlock != nil {
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -34,8 +34,8 @@
 const common = "whsec_MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw"
 const other = "whsec_AAECAwQFBgcICQoLDA0ODxAREhMUFRYXGBkaGxwdHh8="
 
-// A rig is a host of stand-in workers, a list of them and controllers in front.
-type rig struct {
+// A harness is a host of stand-in workers, a list of them and controllers in front.
+type harness struct {
 	t    *testing.T
 	host *fakeworker.Host
 	log  *trace.Log
@@ -45,9 +45,9 @@
 	mu   sync.Mutex
 }
 
-func newRig(t *testing.T, workers int, change func(*fakeworker.Config)) *rig {
+func newHarness(t *testing.T, workers int, change func(*fakeworker.Config)) *harness {
 	t.Helper()
-	r := &rig{t: t, dir: t.TempDir(), clk: clock.System()}
+	r := &harness{t: t, dir: t.TempDir(), clk: clock.System()}
 	r.file = filepath.Join(r.dir, "list.json")
 	r.log = trace.NewLog(r.clk.Now)
 	cfg := fakeworker.Config{Clock: r.clk, Trace: r.log, Fleet: workersim.Config{Store: workersim.Store{Pace: 10}, Window: 4 * time.Second}}
@@ -72,7 +72,7 @@
 }
 
 // list writes the list, with the first worker in a state (Gone leaves all out).
-func (r *rig) list(first scheduler.WorkerState) {
+func (r *harness) list(first scheduler.WorkerState) {
 	r.t.Helper()
 	var l []gateway.Worker
 	for i, name := range r.host.Names() {
@@ -94,7 +94,7 @@
 }
 
 // build is a controller's configuration; changes are pairs of old and new text.
-func (r *rig) build(name string, changes ...string) *config.Built {
+func (r *harness) build(name string, changes ...string) *config.Built {
 	r.t.Helper()
 	text := fmt.Sprintf(`name: %q controllers: 1 tick_ms: 1 state_dir: %q stop_ms: 5000
 webhook { listen: "127.0.0.1:0" prefix: "/call/" past_ms: 60000 future_ms: 2000 ahead_ms: 1000 remembered: 1000 kept_bytes: 1000000
@@ -124,7 +124,7 @@
 	return b
 }
 
-func (r *rig) start(b *config.Built) *Controller {
+func (r *harness) start(b *config.Built) *Controller {
 	r.t.Helper()
 	c, err := Start(b, Options{Clock: r.clk, Log: zerolog.Nop()})
 	if err != nil {
@@ -228,7 +228,7 @@
 }
 
 // ran counts how often a function's calls began at workers.
-func (r *rig) ran(function string) (n int) {
+func (r *harness) ran(function string) (n int) {
 	for _, rec := range r.log.Records() {
 		if rec.Kind == trace.Began && rec.Function == function {
 			n++
@@ -238,7 +238,7 @@
 }
 
 // await waits until the trace holds a record.
-func (r *rig) await(what func(trace.Record) bool) trace.Record {
+func (r *harness) await(what func(trace.Record) bool) trace.Record {
 	r.t.Helper()
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(ms) {
 		l := r.log.Records()
@@ -256,7 +256,7 @@
 
 // Each way in which a call can be told apart, with its status.
 func TestAnswers(t *testing.T) {
-	r := newRig(t, 2, nil)
+	r := newHarness(t, 2, nil)
 	c := r.start(r.build("c1"))
 	now := time.Now()
 	one := sign(t, common, "c1", "m1", "safe-1", `{"x":1}`, now)
@@ -294,7 +294,7 @@
 // A valid signature replayed after the controller was killed and started again does not run; nor at a second controller,
 // which shares nothing with the first.
 func TestReplayElsewhere(t *testing.T) {
-	r := newRig(t, 2, nil)
+	r := newHarness(t, 2, nil)
 	c := r.start(r.build("c1"))
 	m := sign(t, common, "c1", "m1", "unsafe-1", `{}`, time.Now().Add(time.Second)) // from the future, as far as is taken
 	want(t, exchange(t, c.Addr(), m), "200 served")
@@ -318,7 +318,7 @@
 
 // A client's retry joins the call that still runs: both tries get the one answer, and the function runs once.
 func TestRetryJoins(t *testing.T) {
-	r := newRig(t, 1, nil)
+	r := newHarness(t, 1, nil)
 	c := r.start(r.build("c1"))
 	now := time.Now()
 	var wg sync.WaitGroup
@@ -346,7 +346,7 @@
 // A client that leaves has its attempt given up. Its retry runs again where that does no harm, and else is told.
 func TestClientLeaves(t *testing.T) {
 	for class, then := range map[string]string{"safe": "200 served", "unsafe": "502 failed"} {
-		r := newRig(t, 1, nil)
+		r := newHarness(t, 1, nil)
 		c := r.start(r.build("c1"))
 		now := time.Now()
 		nc, err := net.Dial("tcp", c.Addr())
@@ -369,7 +369,7 @@
 
 // The client leaves at every moment around that of the answer: no request stays open, and the next calls are served.
 func TestClientLeavesAsTheAnswerComes(t *testing.T) {
-	r := newRig(t, 1, nil)
+	r := newHarness(t, 1, nil)
 	c := r.start(r.build("c1"))
 	want(t, exchange(t, c.Addr(), sign(t, common, "c1", "first", "safe-1", `{}`, time.Now())), "200 served")
 	for i := range 60 {
@@ -393,7 +393,7 @@
 
 // Answers that come just as the deadline does: each call has one, by its time and a tick or so.
 func TestAnswerAtTheDeadline(t *testing.T) {
-	r := newRig(t, 1, nil)
+	r := newHarness(t, 1, nil)
 	c := r.start(r.build("c1"))
 	want(t, exchange(t, c.Addr(), sign(t, common, "c1", "first", "safe-1", `{}`, time.Now())), "200 served")
 	outcomes := map[string]int{}
@@ -435,7 +435,7 @@
 
 // A worker that drains in mid-call finishes it; what follows goes elsewhere.
 func TestDrainInMidCall(t *testing.T) {
-	r := newRig(t, 2, nil)
+	r := newHarness(t, 2, nil)
 	c := r.start(r.build("c1"))
 	done := make(chan answer, 1)
 	go func() {
@@ -470,7 +470,7 @@
 
 // A list that takes all workers away: what waits is answered, and served again when they are back.
 func TestNoWorkers(t *testing.T) {
-	r := newRig(t, 2, nil)
+	r := newHarness(t, 2, nil)
 	c := r.start(r.build("c1"))
 	want(t, exchange(t, c.Addr(), sign(t, common, "c1", "m1", "unsafe-1", `{}`, time.Now())), "200 served")
 	if err := c.Gateway.Workers(scheduler.FullList, 9, nil); err != nil {
@@ -496,7 +496,7 @@
 		for _, class := range []string{"safe", "keyed", "unsafe"} {
 			t.Run(name+" "+class, func(t *testing.T) {
 				t.Parallel()
-				r := newRig(t, 2, nil)
+				r := newHarness(t, 2, nil)
 				for _, w := range r.host.Names() {
 					r.host.Fault(w, f)
 				}
@@ -525,7 +525,7 @@
 // A secret is replaced while calls run: the old one verifies until it is taken out, and calls under way are answered,
 // signed by the key that came with them.
 func TestSecretReplaced(t *testing.T) {
-	r := newRig(t, 1, nil)
+	r := newHarness(t, 1, nil)
 	c := r.start(r.build("c1"))
 	old, renewed := sign(t, common, "c1", "m1", "safe-1", `{"work_ms":300}`, time.Now()), sign(t, other, "c1", "m2", "safe-1", `{}`, time.Now())
 	done := make(chan answer, 1)
@@ -548,7 +548,7 @@
 
 // Stop serves what is out, answers the rest, and refuses what comes; the state folder is free for the next.
 func TestStop(t *testing.T) {
-	r := newRig(t, 1, nil)
+	r := newHarness(t, 1, nil)
 	c := r.start(r.build("c1"))
 	done := make(chan answer, 1)
 	go func() {
@@ -578,7 +578,7 @@
 
 // Stop with too little time answers what is out as well: it may have run, so it has failed.
 func TestStopTooShort(t *testing.T) {
-	r := newRig(t, 1, nil)
+	r := newHarness(t, 1, nil)
 	c := r.start(r.build("c1"))
 	done := make(chan answer, 1)
 	go func() {
@@ -593,7 +593,7 @@
 
 // Past Limits.Open a call is refused at once; the others are served.
 func TestOpenIsBounded(t *testing.T) {
-	r := newRig(t, 1, nil)
+	r := newHarness(t, 1, nil)
 	c := r.start(r.build("c1", "open: 100", "open: 4"))
 	got := make(chan answer, 20)
 	for i := range 20 {
@@ -612,7 +612,7 @@
 
 // More body than its length tells is a second request to the parser, and no call.
 func TestBodyLongerThanStated(t *testing.T) {
-	r := newRig(t, 1, nil)
+	r := newHarness(t, 1, nil)
 	c := r.start(r.build("c1"))
 	nc, err := net.Dial("tcp", c.Addr())
 	if err != nil {
@@ -634,7 +634,7 @@
 
 // Calls go on beside a thousand connections that never finish their heads.
 func TestSlowHeadsBesideCalls(t *testing.T) {
-	r := newRig(t, 2, nil)
+	r := newHarness(t, 2, nil)
 	c := r.start(r.build("c1"))
 	for range 1000 {
 		nc, err := net.Dial("tcp", c.Addr())
@@ -651,7 +651,7 @@
 
 // A socket that a killed process left is no obstacle; a file that is no socket, or one in use, is.
 func TestUnixSocketLeftBehind(t *testing.T) {
-	r := newRig(t, 1, nil)
+	r := newHarness(t, 1, nil)
 	path := filepath.Join(r.dir, "s")
 	ln, err := net.Listen("unix", path)
 	if err != nil {
@@ -678,7 +678,7 @@
 
 // A field of the body can name the function instead of the path.
 func TestFunctionFromBody(t *testing.T) {
-	r := newRig(t, 1, nil)
+	r := newHarness(t, 1, nil)
 	c := r.start(r.build("c1", `prefix: "/call/"`, `prefix: "/hooks/" function_field: "type"`))
 	now := time.Now()
 	for body, then := range map[string]string{`{"type":"safe-1","x":1}`: "200 served", `{"type":"none"}`: "404 unknown", `{"type":7}`: "404 unknown",
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -17,12 +17,12 @@
 )
 
 // The state that goes over in a handover is written by one version of the program and read by another.
-func TestHandedOverStateIsAsBefore(t *testing.T) {
-	for name, state := range map[string]legacy{
+func TestHandoverStateKeepsItsFormat(t *testing.T) {
+	for name, state := range map[string]handoverState{
 		"legacy.json": {
-			Front: webhook.State{Known: []replayguard.EntryState{{Key: replayguard.Key{Client: 1, ID: "msg_a"}, Last: 2, Digest: []byte{3}, Status: 200}}, Barrier: 4, Durable: 5, Highest: 6},
-			Spent: scheduler.BudgetHandover{Orders: []time.Duration{7}, Arrivals: []time.Duration{8, 9}},
-			Open:  10,
+			Front:  webhook.State{Known: []replayguard.EntryState{{Key: replayguard.Key{Client: 1, ID: "msg_a"}, Last: 2, Digest: []byte{3}, Status: 200}}, Barrier: 4, Durable: 5, Highest: 6},
+			Budget: scheduler.BudgetHandover{Orders: []time.Duration{7}, Arrivals: []time.Duration{8, 9}},
+			Open:   10,
 		},
 		"legacy_empty.json": {},
 	} {
@@ -32,7 +32,7 @@
 		}
 		goldenfile.Compare(t, name, written)
 
-		var read legacy
+		var read handoverState
 		if err := json.Unmarshal(goldenfile.Read(t, name), &read); err != nil {
 			t.Fatal(err)
 		}
@@ -43,21 +43,21 @@
 }
 
 // What a successor is told of an end: with its answer, without one that must stay or is too long, and refused.
-func TestToldEndsAreAsBefore(t *testing.T) {
+func TestEndedCallsKeepTheirFormat(t *testing.T) {
 	key := replayguard.Key{Client: 1, ID: "msg_a"}
 	long := make([]byte, daemon.PartSize)
 	for name, told := range map[string]struct {
 		answer replayguard.Answer
-		end    ended
+		end    endedCall
 	}{
-		"ended.json":         {replayguard.Answer{Status: 200, Type: "application/json", Body: []byte(`{"a":"<b>"}`)}, ended{Key: key, End: replayguard.Answer{Status: 200, Type: "application/json", Body: []byte(`{"a":"<b>"}`)}}},
-		"ended_refused.json": {replayguard.Answer{Rejected: true, Status: 503}, ended{Key: key, End: replayguard.Answer{Rejected: true, Status: 503}}},
-		"ended_version.json": {replayguard.Answer{Status: 200, Tag: gateway.VersionBinding{}, Body: []byte("x")}, ended{Key: key, End: replayguard.Answer{Status: 200}, Unkept: true}},
-		"ended_long.json":    {replayguard.Answer{Status: 200, Body: long}, ended{Key: key, End: replayguard.Answer{Status: 200}, Unkept: true}},
+		"ended.json":         {replayguard.Answer{Status: 200, Type: "application/json", Body: []byte(`{"a":"<b>"}`)}, endedCall{Key: key, Answer: replayguard.Answer{Status: 200, Type: "application/json", Body: []byte(`{"a":"<b>"}`)}}},
+		"ended_refused.json": {replayguard.Answer{Rejected: true, Status: 503}, endedCall{Key: key, Answer: replayguard.Answer{Rejected: true, Status: 503}}},
+		"ended_version.json": {replayguard.Answer{Status: 200, Tag: gateway.VersionBinding{}, Body: []byte("x")}, endedCall{Key: key, Answer: replayguard.Answer{Status: 200}, NotCached: true}},
+		"ended_long.json":    {replayguard.Answer{Status: 200, Body: long}, endedCall{Key: key, Answer: replayguard.Answer{Status: 200}, NotCached: true}},
 	} {
-		goldenfile.Compare(t, name, toSuccessor(key, told.answer))
+		goldenfile.Compare(t, name, encodeEndedCall(key, told.answer))
 
-		var read ended
+		var read endedCall
 		if err := json.Unmarshal(goldenfile.Read(t, name), &read); err != nil {
 			t.Fatal(err)
 		}
@@ -68,7 +68,7 @@
 }
 
 // Words between controllers go as datagrams, behind the sender's number where that is agreed.
-func TestPeersDatagramIsAsBefore(t *testing.T) {
+func TestPeerDatagramsKeepTheirFormat(t *testing.T) {
 	heard, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
@@ -95,5 +95,5 @@
 
 // Each field that is stored or sent has a key of its own: what it is called in Go may change, the format may not.
 func TestKeysDoNotFollowFieldNames(t *testing.T) {
-	goldenfile.Tagged(t, legacy{}, ended{}, Status{})
+	goldenfile.Tagged(t, handoverState{}, endedCall{}, Status{})
 }
--- a/internal/controller/handover.go
+++ b/internal/controller/handover.go
@@ -19,46 +19,46 @@
 )
 
 // Each stage of a handover must be over in this time; until it is, calls wait.
-const stageTime = 2 * time.Second
+const stageTimeout = 2 * time.Second
 
-// legacy is the state that goes over.
-type legacy struct {
-	Front webhook.State            `json:"Front"`
-	Spent scheduler.BudgetHandover `json:"Spent"`
-	Open  int                      `json:"Open"` // calls in hand
+// handoverState is the state that goes over.
+type handoverState struct {
+	Front  webhook.State            `json:"Front"`
+	Budget scheduler.BudgetHandover `json:"Spent"`
+	Open   int                      `json:"Open"` // calls in hand
 }
 
-// ended is how a call in hand of the old process ended.
-type ended struct {
-	Key    replayguard.Key    `json:"Key"`
-	End    replayguard.Answer `json:"End"`
-	Unkept bool               `json:"Unkept"` // its answer is not given again
+// endedCall is how a call in hand of the old process ended.
+type endedCall struct {
+	Key       replayguard.Key    `json:"Key"`
+	Answer    replayguard.Answer `json:"End"`
+	NotCached bool               `json:"Unkept"` // its answer is not given again
 }
 
-// toSuccessor is what the other process is told of an end. An answer of a model's version does not go over: it must be asked for at the
+// encodeEndedCall is what the other process is told of an end. An answer of a model's version does not go over: it must be asked for at the
 // door each time, and the other could not; nor does one that fits no packet.
-func toSuccessor(k replayguard.Key, a replayguard.Answer) []byte {
-	e := ended{Key: k, End: a}
+func encodeEndedCall(k replayguard.Key, a replayguard.Answer) []byte {
+	e := endedCall{Key: k, Answer: a}
 	if a.Tag == nil {
 		if text, err := json.Marshal(e); err == nil && len(text) <= daemon.PartSize {
 			return text
 		}
 	}
-	e.End, e.Unkept = replayguard.Answer{Rejected: a.Rejected, Status: a.Status}, !a.Rejected
+	e.Answer, e.NotCached = replayguard.Answer{Rejected: a.Rejected, Status: a.Status}, !a.Rejected
 	text, _ := json.Marshal(e) // strings and numbers cannot fail
 	return text
 }
 
 // serveHandover lets successors come.
 func (c *Controller) serveHandover() error {
-	if c.b.Daemon.GetHandover() == "" {
+	if c.built.Daemon.GetHandover() == "" {
 		return nil
 	}
-	ln, err := daemon.ListenLinks(c.b.Daemon.Handover)
+	ln, err := daemon.ListenLinks(c.built.Daemon.Handover)
 	if err != nil {
 		return fmt.Errorf("daemon.handover: %w", err)
 	}
-	c.successors = ln
+	c.successorListener = ln
 	go func() {
 		for {
 			uc, err := ln.AcceptUnix()
@@ -77,9 +77,9 @@
 	defer l.Close()
 	var old daemon.OldProcess
 	// As many as may be in hand: whoever answers a call never waits for the link.
-	halted, told := false, make(chan ended, c.b.Settings.Limits.MaxOpenRequests+16)
+	halted, told := false, make(chan endedCall, c.built.Settings.Limits.MaxOpenRequests+16)
 	for {
-		k, _, files, err := l.Receive(stageTime)
+		k, _, files, err := l.Receive(stageTimeout)
 		for _, f := range files {
 			f.Close()
 		}
@@ -90,28 +90,28 @@
 			l.Send(daemon.Abort, nil)
 		}
 		switch m {
-		case daemon.Offer:
-			if c.following != nil { // what the process before still gives must not come after this one has given all
+		case daemon.OfferSockets:
+			if c.predecessorDone != nil { // what the process before still gives must not come after this one has given all
 				select {
-				case <-c.following:
-				case <-time.After(stageTime):
+				case <-c.predecessorDone:
+				case <-time.After(stageTimeout):
 					err = errors.New("the process before is not done yet")
 				}
 			}
 			if err == nil {
 				err = l.Send(daemon.Sockets, nil, c.sockets()...)
 			}
-		case daemon.Halt:
+		case daemon.Pause:
 			halted = true
 			err = c.halt(l, told)
-		case daemon.Yield:
+		case daemon.HandOff:
 			c.yield(l, told)
 			return
-		case daemon.GoOn:
+		case daemon.Resume:
 			c.log.Warn().Err(err).Msg("handover: nothing came of it")
 			l.Send(daemon.Abort, nil)
 			if halted {
-				c.goOn()
+				c.resume()
 			}
 			return
 		}
@@ -119,7 +119,7 @@
 			old.Lost()
 			l.Send(daemon.Abort, nil)
 			if halted {
-				c.goOn()
+				c.resume()
 			}
 			c.log.Warn().Err(err).Msg("handover: nothing came of it")
 			return
@@ -129,7 +129,7 @@
 
 // sockets are the listeners, in the order of inherit.
 func (c *Controller) sockets() (l []syscall.Conn) {
-	l = append(l, c.ln.(syscall.Conn))
+	l = append(l, c.listener.(syscall.Conn))
 	if c.rpcListener != nil {
 		l = append(l, c.rpcListener.(syscall.Conn))
 	}
@@ -137,17 +137,17 @@
 }
 
 // halt has everything new wait, and sends what the other must know. What is in hand goes on.
-func (c *Controller) halt(l *daemon.Link, told chan ended) error {
+func (c *Controller) halt(l *daemon.Link, told chan endedCall) error {
 	c.log.Info().Int("open", c.Gateway.Open()).Msg("handover: halted")
-	s := legacy{Front: c.Front.Pause(func(k replayguard.Key, a replayguard.Answer) {
-		told <- ended{Key: k, End: a}
+	s := handoverState{Front: c.Front.Pause(func(k replayguard.Key, a replayguard.Answer) {
+		told <- endedCall{Key: k, Answer: a}
 	}), Open: c.Gateway.Open()}
 	if c.RPC != nil {
 		c.RPC.Pause()
 	}
 	c.Gateway.SetSuperseded(true) // before its budgets are told: what it would still order would be counted by nobody
 	var err error
-	if s.Spent, err = c.Gateway.BudgetHandover(); err != nil {
+	if s.Budget, err = c.Gateway.BudgetHandover(); err != nil {
 		return err
 	}
 	if c.hooks.Load() != nil {
@@ -163,17 +163,17 @@
 	if err := l.SendAll(text); err != nil {
 		return err
 	}
-	c.release()
+	c.unlockStateDir()
 	return l.Send(daemon.StateComplete, nil)
 }
 
-// goOn takes back what halt gave. The folder may still be the other's for a moment.
-func (c *Controller) goOn() {
+// resume takes back what halt gave. The folder may still be the other's for a moment.
+func (c *Controller) resume() {
 	c.mu.Lock()
 	locked := c.unlock != nil
 	c.mu.Unlock()
-	for !locked && !c.ended.Load() { // unless it stops meanwhile: then nobody needs it
-		unlock, err := store.Lock(filepath.Dir(c.b.Mark))
+	for !locked && !c.stopping.Load() { // unless it stops meanwhile: then nobody needs it
+		unlock, err := store.Lock(filepath.Dir(c.built.Mark))
 		if err == nil {
 			c.mu.Lock()
 			c.unlock = unlock
@@ -183,9 +183,9 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	c.Gateway.SetSuperseded(false)
-	if c.hooks.Load() != nil && !c.ended.Load() {
+	if c.hooks.Load() != nil && !c.stopping.Load() {
 		c.hooks.Store(nil)
-		if err := c.startHooks(c.o); err != nil {
+		if err := c.startHooks(c.options); err != nil {
 			c.log.Error().Err(err).Msg("hooks do not go on")
 		}
 	}
@@ -196,10 +196,10 @@
 }
 
 // yield gives the connections away and finishes what is in hand.
-func (c *Controller) yield(l *daemon.Link, told chan ended) {
-	if c.ended.Swap(true) { // it stops already, with all that it has; from here on Stop is this
+func (c *Controller) yield(l *daemon.Link, told chan endedCall) {
+	if c.stopping.Swap(true) { // it stops already, with all that it has; from here on Stop is this
 		l.Send(daemon.Abort, nil)
-		c.goOn()
+		c.resume()
 		return
 	}
 	c.log.Info().Int("open", c.Gateway.Open()).Msg("handover: the successor takes over")
@@ -209,7 +209,7 @@
 	go func() {
 		defer close(sent)
 		for e := range told {
-			l.Send(daemon.Answer, toSuccessor(e.Key, e.End))
+			l.Send(daemon.Answer, encodeEndedCall(e.Key, e.Answer))
 		}
 	}()
 	var mu sync.Mutex
@@ -225,20 +225,20 @@
 		}
 	})
 	c.Front.Pass()
-	if u, ok := c.ln.(*net.UnixListener); ok {
+	if u, ok := c.listener.(*net.UnixListener); ok {
 		u.SetUnlinkOnClose(false)
 	}
-	c.ln.Close()
-	<-c.served // what was accepted is among the connections
+	c.listener.Close()
+	<-c.acceptDone // what was accepted is among the connections
 	if c.rpcListener != nil {
 		c.rpcListener.(*net.UnixListener).SetUnlinkOnClose(false)
 		c.RPC.BeginStop()
 		c.RPC.Resume()
 		c.rpcListener.Close()
 	}
-	c.successors.Close()
-	c.watchless()
-	c.Gateway.Stop(c.b.Stop)
+	c.successorListener.Close()
+	c.stopWatchWhenIdle()
+	c.Gateway.Stop(c.built.Stop)
 	c.HTTP.Drain(time.Second)
 	mu.Lock()
 	open = false
@@ -250,7 +250,7 @@
 	close(told)
 	<-sent
 	l.Send(daemon.Done, nil)
-	c.watch.Stop()
+	c.watcher.Stop()
 	if c.notifier != nil {
 		c.notifier.Close()
 	}
@@ -260,24 +260,24 @@
 		c.peers.Close()
 	}
 	c.log.Info().Msg("handover: done")
-	close(c.over)
+	close(c.handedOver)
 }
 
 // HandedOver is closed when a successor has taken over and nothing is in hand any more.
-func (c *Controller) HandedOver() <-chan struct{} { return c.over }
+func (c *Controller) HandedOver() <-chan struct{} { return c.handedOver }
 
 // A succession is the new process's part.
 type succession struct {
 	l     *daemon.Link
 	new   daemon.NewProcess
 	socks []*os.File
-	state legacy
+	state handoverState
 	alone bool
 }
 
 // receive takes the next packet and says what it leads to.
 func (s *succession) receive() (m daemon.Step, k daemon.Kind, b []byte, files []*os.File, err error) {
-	k, b, files, err = s.l.Receive(stageTime)
+	k, b, files, err = s.l.Receive(stageTimeout)
 	switch {
 	case errors.Is(err, daemon.ErrTimeout):
 		return s.new.TimedOut(), k, b, files, err
@@ -315,9 +315,9 @@
 			if err := l.Send(daemon.TakeoverRequest, nil); err != nil {
 				return fail(err)
 			}
-		case daemon.Note:
+		case daemon.Record:
 			text = append(text, b...)
-		case daemon.Take:
+		case daemon.TakeState:
 			if err := json.Unmarshal(text, &s.state); err != nil {
 				return fail(err)
 			}
@@ -375,7 +375,7 @@
 
 // follow takes connections and answers from the old process until it is done.
 func (s *Succession) follow(c *Controller) {
-	defer close(c.following)
+	defer close(c.predecessorDone)
 	defer s.s.l.Close()
 	running := map[replayguard.Key]bool{}
 	for _, r := range s.s.state.Front.Known {
@@ -404,13 +404,13 @@
 				c.HTTP.Adopt(nc, b)
 			}
 		case daemon.Answer:
-			var e ended
+			var e endedCall
 			if err := json.Unmarshal(b, &e); err == nil {
 				delete(running, e.Key)
-				if e.Unkept {
+				if e.NotCached {
 					c.Front.Unkept(e.Key)
 				} else {
-					c.Front.Ended(e.Key, e.End)
+					c.Front.Ended(e.Key, e.Answer)
 				}
 			}
 		}
@@ -426,7 +426,7 @@
 		c.Front.Abandoned(l)
 	}
 	c.log.Info().Bool("alone", s.s.alone).Int("abandoned", len(running)).Msg("take over: done")
-	if c.afterDone != nil {
-		c.afterDone()
+	if c.afterPredecessor != nil {
+		c.afterPredecessor()
 	}
 }
--- a/internal/controller/handover_test.go
+++ b/internal/controller/handover_test.go
@@ -28,9 +28,9 @@
 	"kitehub/internal/replayguard"
 )
 
-// handing is a rig whose controller can be taken over.
-func handing(t *testing.T, work time.Duration) (*rig, []string, string) {
-	r := newRig(t, 3, func(c *fakeworker.Config) {
+// newHandoverHarness is a rig whose controller can be taken over.
+func newHandoverHarness(t *testing.T, work time.Duration) (*harness, []string, string) {
+	r := newHarness(t, 3, func(c *fakeworker.Config) {
 		for i := range c.Functions {
 			c.Functions[i].Work = work
 		}
@@ -39,15 +39,15 @@
 	return r, append(withRPC(r, fmt.Sprintf("hooks {} daemon { handover: %q }", path)), "remembered: 1000", "remembered: 100000"), path
 }
 
-// succeed takes over from whoever runs.
-func (r *rig) succeed(path string, changes []string) (*Controller, error) {
+// takeOver takes over from whoever runs.
+func (r *harness) takeOver(path string, changes []string) (*Controller, error) {
 	return TakeOver(path, func(after *Succession) (*Controller, error) {
 		return Start(r.build("c", changes...), Options{Clock: r.clk, Log: zerolog.Nop(), Predecessor: after})
 	})
 }
 
 // load sends signed calls until stop is closed: on one kept connection, or on a new one for each. The ids tell its calls apart.
-func (r *rig) load(t *testing.T, addr, who, function string, fresh bool, stop chan struct{}, sent *atomic.Int64, got func(answer, time.Duration)) {
+func (r *harness) load(t *testing.T, addr, who, function string, fresh bool, stop chan struct{}, sent *atomic.Int64, got func(answer, time.Duration)) {
 	var nc net.Conn
 	var br *bufio.Reader
 	for i := 0; ; i++ {
@@ -88,7 +88,7 @@
 	if testing.Short() || racing {
 		times = 8
 	}
-	r, changes, path := handing(t, 5*ms)
+	r, changes, path := newHandoverHarness(t, 5*ms)
 	c := r.start(r.build("c", changes...))
 	addr := c.Addr()
 	var sent atomic.Int64
@@ -114,7 +114,7 @@
 		for sent.Load() < int64(20*(i+1)) && !t.Failed() {
 			time.Sleep(ms)
 		}
-		next, err := r.succeed(path, changes)
+		next, err := r.takeOver(path, changes)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -140,7 +140,7 @@
 
 // A message in hand of the old process is not taken anew by its successor; the answer is kept there once it has come.
 func TestHandoverMidCall(t *testing.T) {
-	r, changes, path := handing(t, 600*ms)
+	r, changes, path := newHandoverHarness(t, 600*ms)
 	old := r.start(r.build("c", changes...))
 	m := sign(t, common, "c", "once", "unsafe-1", `{"x":1}`, time.Now().Add(-5*time.Second))
 	first := make(chan answer)
@@ -148,7 +148,7 @@
 	for old.Gateway.Open() == 0 {
 		time.Sleep(ms)
 	}
-	c, err := r.succeed(path, changes)
+	c, err := r.takeOver(path, changes)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -176,7 +176,7 @@
 func TestHandoverKilled(t *testing.T) {
 	for _, stage := range []string{"hello", "sockets", "wish", "whole", "taken", "garbage", "silent"} {
 		t.Run(stage, func(t *testing.T) {
-			r, changes, path := handing(t, ms)
+			r, changes, path := newHandoverHarness(t, ms)
 			c := r.start(r.build("c", changes...))
 			l, err := daemon.DialLink(path)
 			if err != nil {
@@ -234,7 +234,7 @@
 			for i := range 3 {
 				want(t, exchange(t, c.Addr(), sign(t, common, "c", fmt.Sprint("m", i), "safe-1", `{}`, time.Now())), "200 served")
 			}
-			next, err := r.succeed(path, changes) // and a further one is not held up
+			next, err := r.takeOver(path, changes) // and a further one is not held up
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -247,7 +247,7 @@
 
 // A successor whose configuration does not start leaves the old one as it was.
 func TestHandoverToBadSuccessor(t *testing.T) {
-	r, changes, path := handing(t, ms)
+	r, changes, path := newHandoverHarness(t, ms)
 	c := r.start(r.build("c", changes...))
 	_, err := TakeOver(path, func(after *Succession) (*Controller, error) { return nil, errors.New("it does not start") })
 	if err == nil || !strings.Contains(err.Error(), "it does not start") {
@@ -260,7 +260,7 @@
 // and answers for those that were in hand that they may have run. One that dies before all has come leaves the new one to end.
 func TestHandoverFromDying(t *testing.T) {
 	for _, whole := range []bool{true, false} {
-		r, changes, path := handing(t, ms)
+		r, changes, path := newHandoverHarness(t, ms)
 		tcp, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -274,7 +274,7 @@
 			t.Fatal(err)
 		}
 		m := sign(t, common, "c", "known", "unsafe-1", `{}`, time.Now().Add(-3*time.Second))
-		state := legacy{Front: webhook.State{Highest: time.Now().Unix(), Durable: time.Now().Unix() + 10, Known: []replayguard.EntryState{
+		state := handoverState{Front: webhook.State{Highest: time.Now().Unix(), Durable: time.Now().Unix() + 10, Known: []replayguard.EntryState{
 			{Key: replayguard.Key{ID: "known"}, Last: time.Now().Unix() - 3, Running: true, Digest: bodyDigest("unsafe-1", m)}}}}
 		text, _ := json.Marshal(state)
 		go func() {
@@ -295,7 +295,7 @@
 			links.Close()
 			l.Close() // as the end of its process would
 		}()
-		c, err := r.succeed(path, changes)
+		c, err := r.takeOver(path, changes)
 		if !whole {
 			if err == nil {
 				t.Error("it serves with a part of the state")
@@ -307,7 +307,7 @@
 		}
 		t.Cleanup(c.Kill)
 		want(t, exchange(t, c.Addr(), m), "409 replayed")
-		<-c.following
+		<-c.predecessorDone
 		want(t, exchange(t, c.Addr(), sign(t, common, "c", "known", "unsafe-1", `{}`, time.Now())), "502 failed")
 		want(t, exchange(t, c.Addr(), sign(t, common, "c", "new", "unsafe-1", `{}`, time.Now())), "200 served")
 		if n := r.ran("unsafe-1"); n != 1 {
@@ -324,7 +324,7 @@
 
 // A controller that is told to stop while a successor has it halted stops, with all that waited answered, and does not yield.
 func TestStopInHandover(t *testing.T) {
-	r, changes, path := handing(t, ms)
+	r, changes, path := newHandoverHarness(t, ms)
 	c := r.start(r.build("c", changes...))
 	nc, err := net.Dial("tcp", c.Addr())
 	if err != nil {
@@ -354,7 +354,7 @@
 	nc.Write(sign(t, common, "c", "waits", "safe-1", `{}`, time.Now()).bytes())
 	stopped := make(chan error)
 	go func() { stopped <- c.Stop(time.Second) }()
-	for !c.ended.Load() {
+	for !c.stopping.Load() {
 		time.Sleep(ms)
 	}
 	l.Send(daemon.StateTaken, nil)
@@ -373,7 +373,7 @@
 
 // A call that ends while its process is halted is told to the successor like any other in hand.
 func TestEndedWhileHalted(t *testing.T) {
-	r, changes, path := handing(t, 300*ms)
+	r, changes, path := newHandoverHarness(t, 300*ms)
 	c := r.start(r.build("c", changes...))
 	first := make(chan answer, 1)
 	go func() {
@@ -406,8 +406,8 @@
 	want(t, <-first, "200 served") // what is in hand goes on, halted or not
 	l.Send(daemon.StateTaken, nil)
 	until(daemon.Go) // and not after the answer
-	var e ended
-	if err := json.Unmarshal(until(daemon.Answer), &e); err != nil || e.Key.ID != "once" || e.End.Status != 200 {
+	var e endedCall
+	if err := json.Unmarshal(until(daemon.Answer), &e); err != nil || e.Key.ID != "once" || e.Answer.Status != 200 {
 		t.Errorf("%v %+v", err, e)
 	}
 }
@@ -425,8 +425,8 @@
 		{replayguard.Answer{Status: 200, Body: make([]byte, daemon.PartSize)}, true, ""},
 		{replayguard.Answer{Status: 503, Rejected: true, Body: []byte("no"), Tag: 1}, false, ""},
 	} {
-		var e ended
-		if err := json.Unmarshal(toSuccessor(k, c.a), &e); err != nil || e.Unkept != c.unkept || string(e.End.Body) != c.body || e.End.Rejected != c.a.Rejected {
+		var e endedCall
+		if err := json.Unmarshal(encodeEndedCall(k, c.a), &e); err != nil || e.NotCached != c.unkept || string(e.Answer.Body) != c.body || e.Answer.Rejected != c.a.Rejected {
 			t.Errorf("%v %+v", err, e)
 		}
 	}
@@ -441,22 +441,22 @@
 
 // A key of the second front that the old process may have run is not taken by its successor; calls without one are.
 func TestHandoverRefusesKeys(t *testing.T) {
-	r, changes, path := handing(t, ms)
+	r, changes, path := newHandoverHarness(t, ms)
 	c := r.start(r.build("c", changes...))
-	if got := dial(t, r).ask(call("1", "keyed-1", `,"key":"k"`)); !strings.Contains(got, "result") {
+	if got := dial(t, r).request(call("1", "keyed-1", `,"key":"k"`)); !strings.Contains(got, "result") {
 		t.Error(got)
 	}
-	next, err := r.succeed(path, changes)
+	next, err := r.takeOver(path, changes)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(next.Kill)
 	<-c.HandedOver()
 	l := dial(t, r)
-	if got := l.ask(call("1", "keyed-1", `,"key":"k"`)); !strings.Contains(got, "-32010") || !strings.Contains(got, "the process before") {
+	if got := l.request(call("1", "keyed-1", `,"key":"k"`)); !strings.Contains(got, "-32010") || !strings.Contains(got, "the process before") {
 		t.Error(got)
 	}
-	if got := l.ask(call("2", "safe-1", "")); !strings.Contains(got, "result") {
+	if got := l.request(call("2", "safe-1", "")); !strings.Contains(got, "result") {
 		t.Error(got)
 	}
 	if n := r.ran("keyed-1"); n != 1 {
--- a/internal/controller/models.go
+++ b/internal/controller/models.go
@@ -14,27 +14,27 @@
 	"kitehub/internal/registry/wire"
 )
 
-// models joins the registry's agent with the gateway's functions: what the front and the gateway ask of versions.
-type models struct {
+// modelVersions joins the registry's agent with the gateway's functions: what the front and the gateway ask of versions.
+type modelVersions struct {
 	agent     atomic.Pointer[agent.Agent] // nil until it asks: with a handover, when the process before is done
 	functions *gateway.Functions
 	gateway   *gateway.Gateway
 	clock     clock.Clock
-	tap       *tap
+	tap       *eventTap
 
-	mu   sync.Mutex
-	seen map[registry.Name]uint64 // revision that an alias was last seen at
+	mu        sync.Mutex
+	revisions map[registry.Name]uint64 // revision that an alias was last seen at
 }
 
-// moved tells hooks of an alias that a call finds at another revision than the one before.
-func (m *models) moved(n registry.Name, t registry.Target) {
+// postMigration tells hooks of an alias that a call finds at another revision than the one before.
+func (m *modelVersions) postMigration(n registry.Name, t registry.Target) {
 	m.mu.Lock()
-	old, known := m.seen[n]
-	if m.seen == nil {
-		m.seen = map[registry.Name]uint64{}
+	old, known := m.revisions[n]
+	if m.revisions == nil {
+		m.revisions = map[registry.Name]uint64{}
 	}
-	if known || len(m.seen) < 10_000 {
-		m.seen[n] = max(old, t.Revision)
+	if known || len(m.revisions) < 10_000 {
+		m.revisions[n] = max(old, t.Revision)
 	}
 	m.mu.Unlock()
 	if known && t.Revision > old {
@@ -43,7 +43,7 @@
 }
 
 // Bind implements front.Models.
-func (m *models) Bind(model *gateway.Function, alias string) (*gateway.Function, gateway.VersionBinding, registry.Verdict) {
+func (m *modelVersions) Bind(model *gateway.Function, alias string) (*gateway.Function, gateway.VersionBinding, registry.Verdict) {
 	b := gateway.VersionBinding{Name: registry.Name{Model: model.Name, Alias: alias}}
 	a := m.agent.Load()
 	if a == nil {
@@ -60,13 +60,13 @@
 	b.Target = t
 	a.Use(b.Name, t)
 	if m.tap != nil {
-		m.moved(b.Name, t)
+		m.postMigration(b.Name, t)
 	}
 	return fn, b, v
 }
 
 // current returns the version that a model's alias current names, as a function.
-func (m *models) current(model *gateway.Function) (*gateway.Function, registry.Target, bool) {
+func (m *modelVersions) current(model *gateway.Function) (*gateway.Function, registry.Target, bool) {
 	a := m.agent.Load()
 	if a == nil {
 		return nil, registry.Target{}, false
@@ -80,12 +80,12 @@
 }
 
 // Unbind implements front.Models.
-func (m *models) Unbind(b gateway.VersionBinding, ran, failed bool) {
+func (m *modelVersions) Unbind(b gateway.VersionBinding, ran, failed bool) {
 	m.agent.Load().Unuse(b.Name, b.Target, ran, failed)
 }
 
 // Begin implements front.Models.
-func (m *models) Begin(b gateway.VersionBinding) (func(), time.Duration, registry.Verdict) {
+func (m *modelVersions) Begin(b gateway.VersionBinding) (func(), time.Duration, registry.Verdict) {
 	t, until, v := m.agent.Load().Begin(b.Name, b.Target)
 	if v != registry.May {
 		return nil, 0, v
@@ -98,19 +98,19 @@
 }
 
 // MayAnswer implements gateway.Versions.
-func (m *models) MayAnswer(n registry.Name, t registry.Target) registry.Verdict {
+func (m *modelVersions) MayAnswer(n registry.Name, t registry.Target) registry.Verdict {
 	return m.agent.Load().MayAnswer(n, t)
 }
 
 // CopiesReady implements gateway.Versions.
-func (m *models) CopiesReady(function, worker string, copies int) {
+func (m *modelVersions) CopiesReady(function, worker string, copies int) {
 	if model, version, ok := strings.Cut(function, "@"); ok {
 		m.agent.Load().CopiesReady(registry.Bytes{Model: model, Version: version}, worker, copies)
 	}
 }
 
-// stage hands the registry's wish for copies to the module, which orders them within its budget.
-func (m *models) stage(l []wire.Stage) {
+// stageCopies hands the registry's wish for copies to the module, which orders them within its budget.
+func (m *modelVersions) stageCopies(l []wire.Stage) {
 	for _, s := range l {
 		model := m.functions.Find(s.Model)
 		if model == nil || !model.Versions {
--- a/internal/controller/operate.go
+++ b/internal/controller/operate.go
@@ -18,26 +18,26 @@
 	"kitehub/internal/store"
 )
 
-// tap stands between the gateway, the hooks and those who watch: all see the same events.
-type tap struct {
+// eventTap stands between the gateway, the hooks and those who watch: all see the same events.
+type eventTap struct {
 	engine atomic.Pointer[hookengine.Engine]
 	rpc    atomic.Pointer[jsonrpc.Server]
 }
 
-func (t *tap) Arrive(c hooklang.Call) hookadvice.Verdict {
+func (t *eventTap) Arrive(c hooklang.Call) hookadvice.Verdict {
 	if e := t.engine.Load(); e != nil {
 		return e.Arrive(c)
 	}
 	return hookadvice.Verdict{}
 }
 
-func (t *tap) CallEnded(tenant string) {
+func (t *eventTap) CallEnded(tenant string) {
 	if e := t.engine.Load(); e != nil {
 		e.CallEnded(tenant)
 	}
 }
 
-func (t *tap) Post(point string, ev hooklang.Event) {
+func (t *eventTap) Post(point string, ev hooklang.Event) {
 	if e := t.engine.Load(); e != nil {
 		e.Post(point, ev)
 	}
@@ -46,29 +46,29 @@
 	}
 }
 
-func (t *tap) Workers(l []hookadvice.Worker) {
+func (t *eventTap) Workers(l []hookadvice.Worker) {
 	if e := t.engine.Load(); e != nil {
 		e.Workers(l)
 	}
 }
 
-// facts is what advice is checked against.
-type facts struct {
+// adviceFacts is what advice is checked against.
+type adviceFacts struct {
 	c       *Controller
 	tenants map[string]bool
 }
 
-func (f facts) Function(name string) (float64, bool) {
+func (f adviceFacts) Function(name string) (float64, bool) {
 	s, ok := f.c.functions.Spec(name)
 	return s.MemoryMB, ok
 }
 
-func (f facts) Tenant(name string) bool { return f.tenants[name] }
+func (f adviceFacts) Tenant(name string) bool { return f.tenants[name] }
 
-// sink hands advice to the module; a model is kept warm as the version that its alias current names.
-type sink struct{ c *Controller }
+// adviceSink hands advice to the module; a model is kept warm as the version that its alias current names.
+type adviceSink struct{ c *Controller }
 
-func (s sink) KeepWarm(function string, copies int, until time.Duration) {
+func (s adviceSink) KeepWarm(function string, copies int, until time.Duration) {
 	if spec, ok := s.c.functions.Spec(function); ok && spec.Versions { // a model has no star: Find takes no place
 		if v, _, ok := s.c.models.current(s.c.functions.Find(function)); ok {
 			s.c.Gateway.KeepWarm(v.Name, copies, until)
@@ -78,27 +78,27 @@
 	s.c.Gateway.KeepWarm(function, copies, until)
 }
 
-func (s sink) RankWorker(worker string, rank int, until time.Duration) {
+func (s adviceSink) RankWorker(worker string, rank int, until time.Duration) {
 	s.c.Gateway.RankWorker(worker, rank, until)
 }
 
 // startHooks starts the scripts that were stored and those of the files.
 func (c *Controller) startHooks(o Options) error {
-	if c.b.Hooks == nil || o.NoHooks {
+	if c.built.Hooks == nil || o.NoHooks {
 		return nil
 	}
-	dir := filepath.Join(filepath.Dir(c.b.Mark), "hooks")
+	dir := filepath.Join(filepath.Dir(c.built.Mark), "hooks")
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return fmt.Errorf("state_dir: %w", err)
 	}
-	f := facts{c, map[string]bool{}}
-	for _, t := range c.b.Settings.Tenants {
+	f := adviceFacts{c, map[string]bool{}}
+	for _, t := range c.built.Settings.Tenants {
 		f.tenants[t.Name] = true
 	}
-	hc := *c.b.Hooks
-	hc.Facts, hc.Sink, hc.Clock, hc.Log, hc.FS, hc.Open = f, sink{c}, o.Clock, o.Log, store.Dir(dir), c.Gateway.Open
-	if len(c.b.Targets) > 0 {
-		c.notifier = hookengine.NewNotifier(c.b.Name, c.b.Targets, o.Clock, o.Log)
+	hc := *c.built.Hooks
+	hc.Facts, hc.Sink, hc.Clock, hc.Log, hc.FS, hc.Open = f, adviceSink{c}, o.Clock, o.Log, store.Dir(dir), c.Gateway.Open
+	if len(c.built.Targets) > 0 {
+		c.notifier = hookengine.NewNotifier(c.built.Name, c.built.Targets, o.Clock, o.Log)
 		hc.Notify = c.notifier.Notify
 	}
 	e, err := hookengine.Start(hc)
@@ -107,7 +107,7 @@
 	}
 	c.hooks.Store(e)
 	c.tap.engine.Store(e)
-	if err := c.loadScripts(c.b); err != nil { // a wrong script must not keep calls from being served
+	if err := c.loadScripts(c.built); err != nil { // a wrong script must not keep calls from being served
 		o.Log.Error().Err(err).Msg("hooks: what ran before goes on")
 	}
 	return nil
@@ -134,11 +134,11 @@
 
 // startRPC serves the second front.
 func (c *Controller) startRPC(o Options) error {
-	if c.b.RPC == nil {
+	if c.built.RPC == nil {
 		return nil
 	}
-	rc := *c.b.RPC
-	wc := c.wc
+	rc := *c.built.RPC
+	wc := c.frontConfig
 	rc.Gateway, rc.Functions, rc.Clock, rc.Log, rc.Operator = c.Gateway, c.functions.Find, o.Clock, o.Log, operator{c}
 	rc.Deadline, rc.Effect, rc.Models = wc.Deadline, wc.Effect, wc.Models
 	if o.Predecessor != nil {
@@ -151,7 +151,7 @@
 	if o.Predecessor != nil {
 		ln, err = o.Predecessor.listener(1)
 	} else {
-		ln, err = jsonrpc.Listen(c.b.Socket, c.b.Mode)
+		ln, err = jsonrpc.Listen(c.built.Socket, c.built.Mode)
 	}
 	if err != nil {
 		return fmt.Errorf("rpc.socket: %w", err)
@@ -175,7 +175,7 @@
 	Open     int              `json:"open"`
 	Draining bool             `json:"draining"`
 	Answers  map[string]int64 `json:"answers"`
-	Rpc      map[string]int64 `json:"rpc"`
+	RPC      map[string]int64 `json:"rpc"`
 	Hooks    map[string]int64 `json:"hooks,omitempty"`
 	StepUS   float64          `json:"mean_step_us"`
 	Crashes  int64            `json:"module_crashes"`
@@ -186,12 +186,12 @@
 	switch method {
 	case "status":
 		n := &c.Gateway.Counts
-		s := Status{Name: c.b.Name, PID: os.Getpid(), Open: c.Gateway.Open(), Draining: c.draining.Load(), Crashes: n.Crashes.Load(),
+		s := Status{Name: c.built.Name, PID: os.Getpid(), Open: c.Gateway.Open(), Draining: c.draining.Load(), Crashes: n.Crashes.Load(),
 			StepUS:  float64(n.StepNanos.Load()) / 1e3 / float64(max(1, n.Steps.Load())),
 			Answers: map[string]int64{"served": n.Served.Load(), "refused": n.Rejected.Load(), "failed": n.Failed.Load(), "gone": n.ClientClosed.Load(), "left": n.Superseded.Load(), "turned": n.OverCapacity.Load()}}
 		if r := c.RPC; r != nil {
 			k := &r.Counts
-			s.Rpc = map[string]int64{"connections": k.Connections.Load(), "denied": k.Denied.Load(), "messages": k.Messages.Load(), "bad": k.Bad.Load(), "calls": k.Calls.Load(),
+			s.RPC = map[string]int64{"connections": k.Connections.Load(), "denied": k.Denied.Load(), "messages": k.Messages.Load(), "bad": k.Bad.Load(), "calls": k.Calls.Load(),
 				"cancelled": k.Cancelled.Load(), "joined": k.Joined.Load(), "kept": k.Kept.Load(), "events": k.Events.Load(), "events_lost": k.EventsLost.Load(), "cut": k.Cut.Load()}
 		}
 		if e := c.hooks.Load(); e != nil {
@@ -312,4 +312,4 @@
 	return c.loadScripts(b)
 }
 
-var _ gateway.Hooks = (*tap)(nil)
+var _ gateway.Hooks = (*eventTap)(nil)
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -15,12 +15,12 @@
 // configuration names.
 type Peers struct {
 	conn   *net.UDPConn
-	me     int
-	to     map[int]*net.UDPAddr
-	number int // bytes of the sender's number in front: 4 or 0, where the address alone tells who it is
+	self   int
+	addrs  map[int]*net.UDPAddr
+	header int // bytes of the sender's number in front: 4 or 0, where the address alone tells who it is
 }
 
-const mostWord = 256
+const maxMessage = 256
 
 func newPeers(b *config.Built) (*Peers, error) {
 	return ListenPeers(b.Settings.ControllerIndex, b.Listen, b.Peers, true)
@@ -28,16 +28,16 @@
 
 // ListenPeers sends and takes words at the address listen. numbered puts the sender's number in front of each.
 func ListenPeers(me int, listen string, addrs map[int]string, numbered bool) (*Peers, error) {
-	p := &Peers{me: me, to: map[int]*net.UDPAddr{}}
+	p := &Peers{self: me, addrs: map[int]*net.UDPAddr{}}
 	if numbered {
-		p.number = 4
+		p.header = 4
 	}
 	for n, addr := range addrs {
 		a, err := net.ResolveUDPAddr("udp", addr)
 		if err != nil {
 			return nil, fmt.Errorf("peers: %w", err)
 		}
-		p.to[n] = a
+		p.addrs[n] = a
 	}
 	own, err := net.ResolveUDPAddr("udp", listen)
 	if err != nil {
@@ -51,16 +51,16 @@
 
 // Send implements gateway.Peers.
 func (p *Peers) Send(to int, payload []byte) {
-	if len(payload) > mostWord {
+	if len(payload) > maxMessage {
 		return
 	}
 	var b []byte
-	if p.number > 0 {
-		b = binary.BigEndian.AppendUint32(nil, uint32(p.me))
+	if p.header > 0 {
+		b = binary.BigEndian.AppendUint32(nil, uint32(p.self))
 	}
 	b = append(b, payload...)
-	for n, a := range p.to {
-		if n == to || to == scheduler.Everyone && n != p.me {
+	for n, a := range p.addrs {
+		if n == to || to == scheduler.Everyone && n != p.self {
 			p.conn.WriteToUDP(b, a)
 		}
 	}
@@ -68,17 +68,17 @@
 
 // Receive hands what comes to the gateway, until Close.
 func (p *Peers) Receive(g *gateway.Gateway) {
-	buf := make([]byte, p.number+mostWord+1)
+	buf := make([]byte, p.header+maxMessage+1)
 	for {
 		n, from, err := p.conn.ReadFromUDP(buf)
 		if err != nil {
 			return
 		}
-		if n < p.number || n > p.number+mostWord {
+		if n < p.header || n > p.header+maxMessage {
 			continue
 		}
 		if who, ok := p.sender(buf, from); ok {
-			g.ReceiveGossip(who, append([]byte(nil), buf[p.number:n]...))
+			g.ReceiveGossip(who, append([]byte(nil), buf[p.header:n]...))
 		}
 	}
 }
@@ -86,11 +86,11 @@
 // sender tells whose datagram it is.
 func (p *Peers) sender(b []byte, from *net.UDPAddr) (who int, ok bool) {
 	is := func(a *net.UDPAddr) bool { return a != nil && a.IP.Equal(from.IP) && a.Port == from.Port }
-	if p.number > 0 {
+	if p.header > 0 {
 		who = int(binary.BigEndian.Uint32(b))
-		return who, is(p.to[who])
+		return who, is(p.addrs[who])
 	}
-	for n, a := range p.to {
+	for n, a := range p.addrs {
 		if is(a) {
 			return n, true
 		}
--- a/internal/controller/peers_test.go
+++ b/internal/controller/peers_test.go
@@ -10,7 +10,7 @@
 
 // Words go as they are where the address alone tells who sends, behind the sender's number elsewhere; one that is too long
 // does not go at all.
-func TestWords(t *testing.T) {
+func TestPeersPrefixTheIndexAndRejectStrangers(t *testing.T) {
 	for _, numbered := range []bool{false, true} {
 		other, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		if err != nil {
@@ -22,7 +22,7 @@
 			t.Fatal(err)
 		}
 		defer p.Close()
-		p.Send(0, make([]byte, mostWord+1))
+		p.Send(0, make([]byte, maxMessage+1))
 		p.Send(scheduler.Everyone, []byte("word"))
 		want := "word"
 		if numbered {
--- a/internal/controller/rpc_golden_test.go
+++ b/internal/controller/rpc_golden_test.go
@@ -66,8 +66,8 @@
 }
 
 // Every method of the second front, with all its params; the keys of its results and notifications, and its errors word by word.
-func TestSecondFrontIsAsBefore(t *testing.T) {
-	r := newRig(t, 2, nil)
+func TestOperatorMethodsKeepTheirFormat(t *testing.T) {
+	r := newHarness(t, 2, nil)
 	r.start(r.build("c", withRPC(r, "hooks {}")...))
 	l := dial(t, r)
 	var written strings.Builder
--- a/internal/controller/rpc_test.go
+++ b/internal/controller/rpc_test.go
@@ -18,7 +18,7 @@
 )
 
 // withRPC adds the second front, for the user of the test.
-func withRPC(r *rig, more string) []string {
+func withRPC(r *harness, more string) []string {
 	return []string{"stop_ms: 5000", fmt.Sprintf(`stop_ms: 5000 tenants { name: "t" } tenants { name: "u" }
 rpc { socket: %q explain: 100 users { self: true name: "me" tenant: "t" call: true operate: true } } %s`, filepath.Join(r.dir, "s"), more)}
 }
@@ -28,14 +28,14 @@
 	return l
 }
 
-// A line is one connection of a client that writes what it likes.
-type line struct {
+// A operatorConn is one connection of a client that writes what it likes.
+type operatorConn struct {
 	t  *testing.T
 	nc net.Conn
 	br *bufio.Reader
 }
 
-func dial(t *testing.T, r *rig) *line {
+func dial(t *testing.T, r *harness) *operatorConn {
 	t.Helper()
 	nc, err := net.Dial("unix", filepath.Join(r.dir, "s"))
 	if err != nil {
@@ -43,12 +43,12 @@
 	}
 	t.Cleanup(func() { nc.Close() })
 	nc.SetDeadline(time.Now().Add(20 * time.Second))
-	return &line{t, nc, bufio.NewReaderSize(nc, 1<<20)}
+	return &operatorConn{t, nc, bufio.NewReaderSize(nc, 1<<20)}
 }
 
-func (l *line) send(text string) { l.nc.Write([]byte(text + "\n")) }
+func (l *operatorConn) send(text string) { l.nc.Write([]byte(text + "\n")) }
 
-func (l *line) next() string {
+func (l *operatorConn) next() string {
 	s, err := l.br.ReadString('\n')
 	if err != nil {
 		return "end"
@@ -56,7 +56,7 @@
 	return strings.TrimSpace(s)
 }
 
-func (l *line) ask(text string) string {
+func (l *operatorConn) request(text string) string {
 	l.send(text)
 	return l.next()
 }
@@ -70,7 +70,7 @@
 }
 
 func TestRPCMessages(t *testing.T) {
-	r := newRig(t, 2, nil)
+	r := newHarness(t, 2, nil)
 	r.start(r.build("c", withRPC(r, "")...))
 	l := dial(t, r)
 	deep := strings.Repeat("[", 1_000_000)
@@ -104,11 +104,11 @@
 		{request("1", "cancel", `{"id":77}`), `"in_hand":false`},
 		{request("1", "hooks", `{}`), `no hooks are configured`},
 	} {
-		if got := l.ask(c.in); !strings.Contains(got, c.want) {
+		if got := l.request(c.in); !strings.Contains(got, c.want) {
 			t.Errorf("%.100s: %s: %q is wanted", c.in, got, c.want)
 		}
 	}
-	if got := l.ask(deep + deep); !strings.Contains(got, "more than 1048576 bytes") || l.next() != "end" {
+	if got := l.request(deep + deep); !strings.Contains(got, "more than 1048576 bytes") || l.next() != "end" {
 		t.Error(got)
 	}
 	var x struct {
@@ -118,21 +118,21 @@
 		}
 	}
 	l = dial(t, r)
-	json.Unmarshal([]byte(l.ask(request("1", "explain", `{"id":"me:a"}`))), &x)
+	json.Unmarshal([]byte(l.request(request("1", "explain", `{"id":"me:a"}`))), &x)
 	if text := strings.Join(x.Result.Lines, "\n"); x.Result.Answer != "served" || !strings.Contains(text, "attempt 1") || !strings.Contains(text, "ok after") {
 		t.Errorf("%+v", x)
 	}
-	if got := l.ask(request("1", "workers", "{}")); strings.Count(got, `"name":"w`) != 2 {
+	if got := l.request(request("1", "workers", "{}")); strings.Count(got, `"name":"w`) != 2 {
 		t.Error(got)
 	}
-	if got := l.ask(request("1", "functions", "{}")); !strings.Contains(got, `"name":"safe-1","home":"w`) {
+	if got := l.request(request("1", "functions", "{}")); !strings.Contains(got, `"name":"safe-1","home":"w`) {
 		t.Error(got)
 	}
 }
 
 // What is in hand is given up when its client cancels or leaves; a keyed call goes on while another try waits for it.
 func TestRPCCancel(t *testing.T) {
-	r := newRig(t, 1, func(c *fakeworker.Config) {
+	r := newHarness(t, 1, func(c *fakeworker.Config) {
 		for i := range c.Functions {
 			c.Functions[i].Work = 400 * ms
 		}
@@ -143,7 +143,7 @@
 	if got := l.next(); !strings.Contains(got, `"method":"progress"`) || !strings.Contains(got, `"attempt":1`) {
 		t.Fatal(got)
 	}
-	if got := l.ask(call("1", "safe-1", "")); !strings.Contains(got, "in hand") {
+	if got := l.request(call("1", "safe-1", "")); !strings.Contains(got, "in hand") {
 		t.Error(got)
 	}
 	l.send(request("2", "cancel", `{"id":1}`))
@@ -154,7 +154,7 @@
 	l.send(call("3", "keyed-1", `,"key":"k"`))
 	m.send(call("3", "keyed-1", `,"key":"k"`))
 	m.send(request("4", "status", "{}"))
-	for got := m.next(); !strings.Contains(got, `"joined":1`); got = m.ask(request("4", "status", "{}")) {
+	for got := m.next(); !strings.Contains(got, `"joined":1`); got = m.request(request("4", "status", "{}")) {
 		if strings.Contains(got, `"id":3`) {
 			t.Fatal(got)
 		}
@@ -166,7 +166,7 @@
 	if got := m.next(); !strings.Contains(got, `"id":3,"result"`) {
 		t.Error(got)
 	}
-	if got := l.ask(call("6", "safe-1", `,"progress":true`)); !strings.Contains(got, "progress") {
+	if got := l.request(call("6", "safe-1", `,"progress":true`)); !strings.Contains(got, "progress") {
 		t.Error(got)
 	}
 	l.nc.Close()
@@ -178,14 +178,14 @@
 // A client that subscribes and reads nothing loses events, is told how many, and holds nothing up; one that reads nothing at all
 // while it asks is not read from.
 func TestRPCSlowReader(t *testing.T) {
-	r := newRig(t, 2, nil)
+	r := newHarness(t, 2, nil)
 	c := r.start(r.build("c", withRPC(r, "")...))
 	slow, l := dial(t, r), dial(t, r)
-	slow.ask(request("1", "subscribe", `{"topics":["ended"]}`))
+	slow.request(request("1", "subscribe", `{"topics":["ended"]}`))
 	for range 3000 {
 		c.RPC.Publish("ended", strings.Repeat("x", 1000))
 	}
-	if got := l.ask(call("1", "safe-1", "")); !strings.Contains(got, "result") {
+	if got := l.request(call("1", "safe-1", "")); !strings.Contains(got, "result") {
 		t.Fatal(got)
 	}
 	if lost := c.RPC.Counts.EventsLost.Load(); lost == 0 {
@@ -197,28 +197,28 @@
 		} else if got == "end" {
 			t.Fatal("cut")
 		} else if i == 256 {
-			l.ask(call("1", "safe-1", "")) // the next event says what was lost
+			l.request(call("1", "safe-1", "")) // the next event says what was lost
 		}
 	}
 }
 
 func TestRPCDenied(t *testing.T) {
-	r := newRig(t, 1, nil)
+	r := newHarness(t, 1, nil)
 	r.start(r.build("c", changed(withRPC(r, ""), "self: true", "uid: 4294967295")...))
 	if got := dial(t, r).next(); !strings.Contains(got, "-32001") {
 		t.Error(got)
 	}
-	r = newRig(t, 1, nil)
+	r = newHarness(t, 1, nil)
 	c := r.start(r.build("c", changed(withRPC(r, ""), "call: true operate: true", "call: true")...))
 	l := dial(t, r)
-	if got := l.ask(request("1", "status", "{}")) + l.ask(request("1", "subscribe", `{"topics":["ended"]}`)); strings.Count(got, "-32001") != 2 {
+	if got := l.request(request("1", "status", "{}")) + l.request(request("1", "subscribe", `{"topics":["ended"]}`)); strings.Count(got, "-32001") != 2 {
 		t.Error(got)
 	}
 	if info, err := os.Stat(filepath.Join(r.dir, "s")); err != nil || info.Mode().Perm() != 0o600 {
 		t.Error(info, err)
 	}
 	c.Drain()
-	if got := l.ask(call("1", "safe-1", "")); !strings.Contains(got, `"outcome":"refused"`) {
+	if got := l.request(call("1", "safe-1", "")); !strings.Contains(got, `"outcome":"refused"`) {
 		t.Error(got)
 	}
 }
@@ -236,7 +236,7 @@
 
 // A script comes by the second front, keeps copies warm before the first call, and what it refuses is refused with its reason.
 func TestHooksInController(t *testing.T) {
-	r := newRig(t, 3, func(c *fakeworker.Config) {
+	r := newHarness(t, 3, func(c *fakeworker.Config) {
 		for i := range c.Functions {
 			c.Functions[i].Function.Fetch = 50 * ms
 		}
@@ -273,7 +273,7 @@
 
 // Half a message does nothing: neither when its client leaves, nor when its time is up.
 func TestRPCHalfFrame(t *testing.T) {
-	r := newRig(t, 1, nil)
+	r := newHarness(t, 1, nil)
 	b := r.build("c", withRPC(r, "")...)
 	b.RPC.Half = 30 * ms
 	c := r.start(b)
@@ -295,7 +295,7 @@
 
 // A script's file is taken anew on reload while calls go on; a wrong one leaves the old one, and others are taken.
 func TestScriptsReload(t *testing.T) {
-	r := newRig(t, 1, nil)
+	r := newHarness(t, 1, nil)
 	write := func(name, text string) string {
 		f := filepath.Join(r.dir, name)
 		if err := os.WriteFile(f, []byte(text), 0o600); err != nil {
@@ -307,7 +307,7 @@
 	cfg := r.build("c", withRPC(r, fmt.Sprintf("hooks { scripts { name: \"a\" file: %q } scripts { name: \"b\" file: %q } }", a, b))...)
 	c := r.start(cfg)
 	l := dial(t, r)
-	if got := l.ask(call("1", "safe-1", "")); !strings.Contains(got, "-32010") {
+	if got := l.request(call("1", "safe-1", "")); !strings.Contains(got, "-32010") {
 		t.Error(got)
 	}
 	write("a", "on arrive(c) {")
@@ -323,7 +323,7 @@
 	if err := c.SetScripts(cfg); err != nil {
 		t.Error(err)
 	}
-	if got := l.ask(call("1", "safe-1", "")); !strings.Contains(got, "result") {
+	if got := l.request(call("1", "safe-1", "")); !strings.Contains(got, "result") {
 		t.Error(got)
 	}
 }
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -25,9 +25,9 @@
 const operatorSecret = "whsec_b3BlcmF0b3Itb3BlcmF0b3Itb3BlcmF0b3I="
 const controllerSecret = "whsec_Y29udHJvbGxlci1jb250cm9sbGVyLWNvbnRyb2w="
 
-// A desk is a rig with a registry, whose models' bytes come when the test lets them.
-type desk struct {
-	*rig
+// A registryServer is a rig with a registry, whose models' bytes come when the test lets them.
+type registryServer struct {
+	*harness
 	s      *service.Service
 	server *http1.Server
 	ln     net.Listener
@@ -41,10 +41,10 @@
 
 func digestOf(v string) string { return "sha256:" + strings.Repeat(v[1:], 64) }
 
-func newDesk(t *testing.T, settle time.Duration) *desk {
+func newRegistryServer(t *testing.T, settle time.Duration) *registryServer {
 	t.Helper()
-	d := &desk{hold: map[string]chan struct{}{}}
-	d.rig = newRig(t, 3, func(c *fakeworker.Config) {
+	d := &registryServer{hold: map[string]chan struct{}{}}
+	d.harness = newHarness(t, 3, func(c *fakeworker.Config) {
 		for i := range c.Functions {
 			c.Functions[i].Versions = true
 		}
@@ -87,12 +87,12 @@
 		for _, v := range []string{"v1", "v2"} {
 			d.command(wire.Command{Push: &registry.Push{Model: m, Version: registry.Version{Name: v, Digest: digestOf(v), Size: 1}}})
 		}
-		d.move(m, "v1", 0)
+		d.migrate(m, "v1", 0)
 	}
 	return d
 }
 
-func (d *desk) command(c wire.Command) *wire.Answer {
+func (d *registryServer) command(c wire.Command) *wire.Answer {
 	d.t.Helper()
 	d.mu.Lock()
 	d.keys++
@@ -107,13 +107,13 @@
 	return a
 }
 
-func (d *desk) move(model, to string, rev uint64) *wire.Answer {
+func (d *registryServer) migrate(model, to string, rev uint64) *wire.Answer {
 	d.t.Helper()
 	return d.command(wire.Command{Promote: &registry.Promote{Model: model, Alias: "current", To: to, IfRevision: rev}, WaitMS: 10000})
 }
 
-// keep has a version's bytes come only when the function returned is called.
-func (d *desk) keep(v string) (release func()) {
+// delayBytes has a version's bytes come only when the function returned is called.
+func (d *registryServer) delayBytes(v string) (release func()) {
 	ch := make(chan struct{})
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -121,7 +121,7 @@
 	return func() { close(ch) }
 }
 
-func (d *desk) controller(name string) *Controller {
+func (d *registryServer) controller(name string) *Controller {
 	d.t.Helper()
 	c := d.start(d.build(name, `functions { name: "safe-1"`, fmt.Sprintf("registry { server: %q key: %q }\nfunctions { versions: true name: \"safe-1\"", d.ln.Addr(), controllerSecret),
 		`functions { name: "keyed-1"`, `functions { versions: true name: "keyed-1"`, `functions { name: "unsafe-1"`, `functions { versions: true name: "unsafe-1"`))
@@ -135,7 +135,7 @@
 }
 
 // calls sends one call of each class and returns where their answers come.
-func (d *desk) calls(c *Controller, id string) map[string]chan answer {
+func (d *registryServer) calls(c *Controller, id string) map[string]chan answer {
 	out := map[string]chan answer{}
 	for _, class := range []string{"safe", "keyed", "unsafe"} {
 		ch := make(chan answer, 1)
@@ -146,7 +146,7 @@
 	return out
 }
 
-func (d *desk) reached(function string, n int) {
+func (d *registryServer) awaitAttempts(function string, n int) {
 	d.t.Helper()
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(ms) {
 		got := 0
@@ -165,13 +165,13 @@
 // An alias that moves while a worker still loads the old version, with no time for what runs: a safe call begins anew, one
 // that may run and must not twice is failed, though its answer comes.
 func TestMovedDuringLoad(t *testing.T) {
-	d := newDesk(t, ms)
-	release := d.keep("v1")
+	d := newRegistryServer(t, ms)
+	release := d.delayBytes("v1")
 	c := d.controller("c1")
 	got := d.calls(c, "a")
 	for _, class := range []string{"safe", "keyed", "unsafe"} {
-		d.reached(class+"-1@v1", 1)
-		if a := d.move(class+"-1", "v2", 1); a.Status != "acknowledged" {
+		d.awaitAttempts(class+"-1@v1", 1)
+		if a := d.migrate(class+"-1", "v2", 1); a.Status != "acknowledged" {
 			t.Fatalf("%+v", a)
 		}
 	}
@@ -192,14 +192,14 @@
 
 // With time for what runs the old version answers, and the acknowledgement comes after it.
 func TestMoveWaitsForCalls(t *testing.T) {
-	d := newDesk(t, 8*time.Second)
-	release := d.keep("v1")
+	d := newRegistryServer(t, 8*time.Second)
+	release := d.delayBytes("v1")
 	c := d.controller("c1")
 	got := d.calls(c, "a")
 	acks := make(chan string, 3)
 	for _, class := range []string{"safe", "keyed", "unsafe"} {
-		d.reached(class+"-1@v1", 1)
-		go func() { acks <- d.move(class+"-1", "v2", 1).Status }()
+		d.awaitAttempts(class+"-1@v1", 1)
+		go func() { acks <- d.migrate(class+"-1", "v2", 1).Status }()
 	}
 	for d.epoch() < 6 { // until all three are fenced
 		time.Sleep(ms)
@@ -222,23 +222,23 @@
 }
 
 // epoch returns the registry's epoch.
-func (d *desk) epoch() (epoch uint64) {
+func (d *registryServer) epoch() (epoch uint64) {
 	d.s.Do(func(_ time.Duration, st *registry.State, _ *registry.Leases) { epoch = st.Epoch })
 	return epoch
 }
 
 // Moved twice during one load, and back: A, B, A. The call that began under the first A is not one of the second.
 func TestMovedTwiceAndBack(t *testing.T) {
-	d := newDesk(t, ms)
-	release := d.keep("v1")
+	d := newRegistryServer(t, ms)
+	release := d.delayBytes("v1")
 	c := d.controller("c1")
 	got := d.calls(c, "a")
 	for _, class := range []string{"safe", "keyed", "unsafe"} {
-		d.reached(class+"-1@v1", 1)
+		d.awaitAttempts(class+"-1@v1", 1)
 	}
 	for _, m := range []string{"safe-1", "unsafe-1", "keyed-1"} {
-		d.move(m, "v2", 1)
-		d.move(m, "v1", 2)
+		d.migrate(m, "v2", 1)
+		d.migrate(m, "v1", 2)
 	}
 	release()
 	want(t, <-got["safe"], "200 served") // under v2 if it ran before the move back, else under the second v1
@@ -248,8 +248,8 @@
 
 // A controller that is restarted between resolve and send, a mismatch at all stores, and a registry that is gone.
 func TestVersionsAndFailures(t *testing.T) {
-	d := newDesk(t, 100*ms)
-	release := d.keep("v1")
+	d := newRegistryServer(t, 100*ms)
+	release := d.delayBytes("v1")
 	c := d.controller("c1")
 	m := sign(t, common, "c1", "cut", "unsafe-1", "{}", time.Now())
 	nc, err := net.Dial("tcp", c.Addr())
@@ -258,9 +258,9 @@
 	}
 	defer nc.Close()
 	nc.Write(m.bytes())
-	d.reached("unsafe-1@v1", 1)
+	d.awaitAttempts("unsafe-1@v1", 1)
 	c.Kill()
-	d.move("unsafe-1", "v2", 1) // its lease runs out first
+	d.migrate("unsafe-1", "v2", 1) // its lease runs out first
 	release()
 	c = d.controller("c1")
 	call := func(id, function string) answer {
@@ -280,7 +280,7 @@
 	d.mu.Lock()
 	d.bad = true
 	d.mu.Unlock()
-	d.move("safe-1", "v2", 1)
+	d.migrate("safe-1", "v2", 1)
 	if a := call("bad", "safe-1"); a.status == 200 || d.ran("safe-1@v2") > 0 {
 		t.Errorf("with no bytes that match: %v, ran %d times", a, d.ran("safe-1@v2"))
 	}
@@ -316,7 +316,7 @@
 
 // A kept answer is not given again once its version was left: a safe call runs anew with its next try, others are failed.
 func TestKeptAnswerOfLeftVersion(t *testing.T) {
-	d := newDesk(t, ms)
+	d := newRegistryServer(t, ms)
 	c := d.controller("c1")
 	at := time.Now().Add(-10 * time.Second)
 	try := func(class string, n int) answer { // the same call again, signed later
@@ -328,7 +328,7 @@
 		if n := d.ran(class + "-1@v1"); n != 1 {
 			t.Errorf("%s ran %d times", class, n)
 		}
-		if a := d.move(class+"-1", "v2", 1); a.Status != "acknowledged" {
+		if a := d.migrate(class+"-1", "v2", 1); a.Status != "acknowledged" {
 			t.Fatalf("%+v", a)
 		}
 	}
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -16,7 +16,7 @@
 func TestStages(t *testing.T) {
 	all := []Kind{Hello, Sockets, TakeoverRequest, StatePart, StateComplete, StateTaken, Go, Conn, Answer, Done, Abort, '?'}
 	old := map[Kind][]Kind{0: nil, Sockets: {Hello}, StateComplete: {Hello, TakeoverRequest}, Go: {Hello, TakeoverRequest, StateTaken}}
-	good := map[string]Step{"0H": Offer, "LR": Halt, "ET": Yield}
+	good := map[string]Step{"0H": OfferSockets, "LR": Pause, "ET": HandOff}
 	for stage, before := range old {
 		for _, k := range all {
 			o := &OldProcess{}
@@ -31,7 +31,7 @@
 				t.Errorf("old %s: %v, %v", name, m, err)
 			case !ok && stage == Go && m != Wait:
 				t.Errorf("old %s: %v after the last word", name, m)
-			case !ok && stage != Go && m != GoOn:
+			case !ok && stage != Go && m != Resume:
 				t.Errorf("old %s: %v", name, m)
 			}
 		}
@@ -56,7 +56,7 @@
 			if may := n == 3 && (k == Go || k == 0) || n == 4 && k == 0; serves != may {
 				t.Errorf("new after %d steps, %c: %v", n, k, m)
 			}
-			if n < 3 && m == Take != (n == 2 && k == StateComplete) {
+			if n < 3 && m == TakeState != (n == 2 && k == StateComplete) {
 				t.Errorf("new after %d steps, %c: %v", n, k, m)
 			}
 		}
@@ -72,16 +72,16 @@
 	defer c.Close()
 	env := map[string]string{"NOTIFY_SOCKET": name, "WATCHDOG_USEC": "3000000", "WATCHDOG_PID": "7"}
 	s, err := FromEnv(func(k string) string { return env[k] }, 7)
-	if err != nil || s.Every() != 1500*time.Millisecond {
+	if err != nil || s.WatchdogInterval() != 1500*time.Millisecond {
 		t.Fatal(err, s)
 	}
-	if s, _ := FromEnv(func(k string) string { return env[k] }, 8); s.Every() != 0 {
+	if s, _ := FromEnv(func(k string) string { return env[k] }, 8); s.WatchdogInterval() != 0 {
 		t.Error("another's watchdog")
 	}
 	for _, x := range []struct {
 		err  error
 		want string
-	}{{s.Ready("ok"), "READY=1\nSTATUS=ok"}, {s.Reloading(5), "RELOADING=1\nMONOTONIC_USEC=5"}, {s.Stopping(), "STOPPING=1"}, {s.Alive(), "WATCHDOG=1"}, {s.Main(9), "MAINPID=9\nREADY=1"}} {
+	}{{s.Ready("ok"), "READY=1\nSTATUS=ok"}, {s.Reloading(5), "RELOADING=1\nMONOTONIC_USEC=5"}, {s.Stopping(), "STOPPING=1"}, {s.Alive(), "WATCHDOG=1"}, {s.MainPID(9), "MAINPID=9\nREADY=1"}} {
 		b := make([]byte, 100)
 		c.SetReadDeadline(time.Now().Add(10 * time.Second))
 		if n, err := c.Read(b); x.err != nil || err != nil || string(b[:n]) != x.want {
@@ -124,7 +124,7 @@
 }
 
 func TestLoop(t *testing.T) {
-	l := &CrashLoop{Most: 3, Within: time.Minute}
+	l := &CrashLoop{MaxStarts: 3, Window: time.Minute}
 	at := time.Unix(1000, 0)
 	for i, want := range []bool{false, false, false, true, true} {
 		if got := l.Begin(at); got != want {
--- a/internal/daemon/link.go
+++ b/internal/daemon/link.go
@@ -23,13 +23,13 @@
 const (
 	// PartSize is the most that one packet carries.
 	PartSize = 64 << 10
-	mostFDs  = 8
+	maxFDs   = 8
 )
 
 // NewLink returns a link over a connection.
 func NewLink(c *net.UnixConn) *Link {
 	c.SetWriteBuffer(4 * PartSize)
-	return &Link{c: c, b: make([]byte, PartSize+1), oob: make([]byte, syscall.CmsgSpace(4*mostFDs))}
+	return &Link{c: c, b: make([]byte, PartSize+1), oob: make([]byte, syscall.CmsgSpace(4*maxFDs))}
 }
 
 // DialLink connects to the old process.
@@ -63,7 +63,7 @@
 
 // Send sends a packet, with the descriptors of sockets.
 func (l *Link) Send(k Kind, b []byte, socks ...syscall.Conn) error {
-	if len(b) > PartSize || len(socks) > mostFDs {
+	if len(b) > PartSize || len(socks) > maxFDs {
 		return fmt.Errorf("daemon: a packet of %d bytes and %d sockets", len(b), len(socks))
 	}
 	var fds []int
--- a/internal/daemon/loop.go
+++ b/internal/daemon/loop.go
@@ -9,9 +9,9 @@
 
 // A CrashLoop tells a crash loop. It is pure: starts go in, and whether to start with care comes out.
 type CrashLoop struct {
-	Most   int           // starts after a bad end, within
-	Within time.Duration // this time, that are a loop
-	Starts []Start       // newest last
+	MaxStarts int           // starts after a bad end, within
+	Window    time.Duration // this time, that are a loop
+	Starts    []Start       // newest last
 }
 
 // A Start of the process.
@@ -26,7 +26,7 @@
 	bad := 0
 	kept := l.Starts[:0]
 	for _, s := range l.Starts {
-		if age := now.Sub(s.At); age > l.Within {
+		if age := now.Sub(s.At); age > l.Window {
 			continue
 		}
 		kept = append(kept, s)
@@ -35,10 +35,10 @@
 		}
 	}
 	l.Starts = append(kept, Start{At: now})
-	if n := len(l.Starts) - 4*(l.Most+1); n > 0 {
+	if n := len(l.Starts) - 4*(l.MaxStarts+1); n > 0 {
 		l.Starts = l.Starts[n:]
 	}
-	return l.Most > 0 && bad >= l.Most
+	return l.MaxStarts > 0 && bad >= l.MaxStarts
 }
 
 // End notes that the start of a time ended well.
--- a/internal/daemon/notify.go
+++ b/internal/daemon/notify.go
@@ -44,8 +44,8 @@
 	return s, nil
 }
 
-// Every returns how often the supervisor wants to hear of a healthy process; 0: never.
-func (s *Supervisor) Every() time.Duration {
+// WatchdogInterval returns how often the supervisor wants to hear of a healthy process; 0: never.
+func (s *Supervisor) WatchdogInterval() time.Duration {
 	if s == nil {
 		return 0
 	}
@@ -86,8 +86,8 @@
 // Alive answers the watchdog.
 func (s *Supervisor) Alive() error { return s.Send("WATCHDOG=1") }
 
-// Main says that another process is the service now, and ready.
-func (s *Supervisor) Main(pid int) error {
+// MainPID says that another process is the service now, and ready.
+func (s *Supervisor) MainPID(pid int) error {
 	return s.Send("MAINPID="+strconv.Itoa(pid), "READY=1")
 }
 
--- a/internal/daemon/stage.go
+++ b/internal/daemon/stage.go
@@ -25,17 +25,17 @@
 
 // What a side may have to do.
 const (
-	Wait       Step = iota // for the other's next packet
-	Offer                  // O: send the listeners
-	Halt                   // O: take nothing for the moment, send all state, unlock
-	Yield                  // O: send Go, give connections, finish what is in hand
-	GoOn                   // O: as if nothing had been
-	Prepare                // N: check that it could serve, then Wish
-	Take                   // N: take state and folder, then Taken
-	Serve                  // N: serve
-	ServeAlone             // N: serve; the old process is gone, with all that was in its hand
-	Abandon                // N: end
-	Note                   // take in what the packet says
+	Wait         Step = iota // for the other's next packet
+	OfferSockets             // O: send the listeners
+	Pause                    // O: take nothing for the moment, send all state, unlock
+	HandOff                  // O: send Go, give connections, finish what is in hand
+	Resume                   // O: as if nothing had been
+	Prepare                  // N: check that it could serve, then Wish
+	TakeState                // N: take state and folder, then Taken
+	Serve                    // N: serve
+	ServeAlone               // N: serve; the old process is gone, with all that was in its hand
+	Abandon                  // N: end
+	Record                   // take in what the packet says
 )
 
 func (m Step) String() string {
@@ -49,30 +49,30 @@
 func (o *OldProcess) Packet(k Kind) (Step, error) {
 	switch {
 	case k == Abort:
-		return o.off(), nil
+		return o.abort(), nil
 	case o.stage == 0 && k == Hello:
 		o.stage = Sockets
-		return Offer, nil
+		return OfferSockets, nil
 	case o.stage == Sockets && k == TakeoverRequest:
 		o.stage = StateComplete
-		return Halt, nil
+		return Pause, nil
 	case o.stage == StateComplete && k == StateTaken:
 		o.stage = Go
-		return Yield, nil
+		return HandOff, nil
 	}
-	return o.off(), fmt.Errorf("daemon: packet %c at stage %c", k, o.stage)
+	return o.abort(), fmt.Errorf("daemon: packet %c at stage %c", k, o.stage)
 }
 
 // Lost says that the other end is gone or too slow. Before Go nothing has come of it; afterwards the new process has the
 // sockets, and this one finishes what is in hand.
-func (o *OldProcess) Lost() Step { return o.off() }
+func (o *OldProcess) Lost() Step { return o.abort() }
 
-func (o *OldProcess) off() Step {
+func (o *OldProcess) abort() Step {
 	if o.stage == Go {
 		return Wait
 	}
 	o.stage = Abort
-	return GoOn
+	return Resume
 }
 
 // NewProcess is the new process's side.
@@ -82,26 +82,26 @@
 func (n *NewProcess) Packet(k Kind) (Step, error) {
 	switch {
 	case k == Abort:
-		return n.off(), nil
+		return n.abort(), nil
 	case n.stage == 0 && k == Sockets:
 		n.stage = Sockets
 		return Prepare, nil
 	case (n.stage == Sockets || n.stage == StatePart) && k == StatePart:
 		n.stage = StatePart
-		return Note, nil
+		return Record, nil
 	case n.stage == StatePart && k == StateComplete:
 		n.stage = StateComplete
-		return Take, nil
+		return TakeState, nil
 	case n.stage == StateComplete && k == Go:
 		n.stage = Go
 		return Serve, nil
 	case n.stage == Go && (k == Conn || k == Answer):
-		return Note, nil
+		return Record, nil
 	case n.stage == Go && k == Done:
 		n.stage = Done
-		return Note, nil
+		return Record, nil
 	}
-	return n.off(), fmt.Errorf("daemon: packet %c at stage %c", k, n.stage)
+	return n.abort(), fmt.Errorf("daemon: packet %c at stage %c", k, n.stage)
 }
 
 // Lost says that the old process is gone. If all its state has come, the new one serves: nobody else would. If some of it is
@@ -116,7 +116,7 @@
 	case Done:
 		return Wait
 	}
-	return n.off()
+	return n.abort()
 }
 
 // TimedOut says that the old process is silent, but there: before Go it may still go on, and this one must not serve.
@@ -124,10 +124,10 @@
 	if n.stage == Go || n.stage == Done {
 		return Wait
 	}
-	return n.off()
+	return n.abort()
 }
 
-func (n *NewProcess) off() Step {
+func (n *NewProcess) abort() Step {
 	if n.stage == Go || n.stage == Done {
 		return Wait
 	}
