--- a/cmd/kitehub/interface_test.go
+++ b/cmd/kitehub/interface_test.go
@@ -291,7 +291,7 @@
 // word is the form of what may be a word of the interface, and is no sentence.
 var word = regexp.MustCompile(`^[A-Za-z0-9_.-]{1,40}$`)
 
-// TestPeersPrefixTheIndexAndRejectStrangers holds the words of the interface that stand in the program's text, as there is no table to reach: names on the
+// TestWords holds the words of the interface that stand in the program's text, as there is no table to reach: names on the
 // wire by their form; words that are compared with (methods, commands, kinds of question), keys of map literals, words that are
 // constants, elements of lists or returned (statuses, outcomes, kinds of record), statuses with the kind of problem, and the
 // keys of each struct with JSON tags, also of those without a name. Sets over the whole module: so neither names in Go nor the
--- /dev/null
+++ b/internal/controller/conns.go
@@ -0,0 +1,55 @@
+package controller
+
+import (
+	"context"
+	"net"
+	"syscall"
+
+	"kitehub/internal/backend"
+)
+
+// trackConns notes the connections that are dialled, so that Kill can cut them as the end of a process would.
+func (c *Controller) trackConns(dial backend.DialFunc) backend.DialFunc {
+	return func(ctx context.Context, network, addr string) (net.Conn, error) {
+		conn, err := dial(ctx, network, addr)
+		if err != nil {
+			return nil, err
+		}
+		tracked := &trackedConn{conn, c}
+		c.mu.Lock()
+		c.conns[tracked] = struct{}{}
+		c.mu.Unlock()
+		if c.killed.Load() { // Kill may not have seen it
+			tracked.Close()
+			return nil, net.ErrClosed
+		}
+		if raw, ok := conn.(syscall.Conn); ok {
+			return &trackedSyscallConn{tracked, raw}, nil
+		}
+		return tracked, nil
+	}
+}
+
+// A trackedConn is forgotten by its controller when it is closed.
+type trackedConn struct {
+	net.Conn
+	controller *Controller
+}
+
+// Close closes the connection and forgets it.
+func (t *trackedConn) Close() error {
+	t.controller.mu.Lock()
+	delete(t.controller.conns, t)
+	t.controller.mu.Unlock()
+	return t.Conn.Close()
+}
+
+// A trackedSyscallConn gives access to the file descriptor as well, by which the back end notices that an idle
+// connection was closed by the worker.
+type trackedSyscallConn struct {
+	*trackedConn
+	raw syscall.Conn
+}
+
+// SyscallConn implements syscall.Conn.
+func (t *trackedSyscallConn) SyscallConn() (syscall.RawConn, error) { return t.raw.SyscallConn() }
--- a/internal/controller/handover_test.go
+++ b/internal/controller/handover_test.go
@@ -249,7 +249,7 @@
 func TestHandoverToBadSuccessor(t *testing.T) {
 	r, changes, path := newHandoverHarness(t, ms)
 	c := r.start(r.build("c", changes...))
-	_, err := TakeOver(path, func(after *Succession) (*Controller, error) { return nil, errors.New("it does not start") })
+	_, err := TakeOver(path, func(_ *Succession) (*Controller, error) { return nil, errors.New("it does not start") })
 	if err == nil || !strings.Contains(err.Error(), "it does not start") {
 		t.Error(err)
 	}
--- a/internal/controller/models.go
+++ b/internal/controller/models.go
@@ -14,35 +14,41 @@
 	"kitehub/internal/registry/wire"
 )
 
-// modelVersions joins the registry's agent with the gateway's functions: what the front and the gateway ask of versions.
+// maxRevisions bounds the aliases whose migrations are posted: clients may name aliases as they like.
+const maxRevisions = 10_000
+
+// modelVersions joins the registry's agent with the gateway's functions: it answers what the ingresses and the gateway
+// ask of the versions of models. It implements ingress.Models and gateway.Versions, and is safe for concurrent use.
 type modelVersions struct {
-	agent     atomic.Pointer[agent.Agent] // nil until it asks: with a handover, when the process before is done
+	agent     atomic.Pointer[agent.Agent] // nil until it has started: after a handover, once the predecessor is done
 	functions *gateway.Functions
 	gateway   *gateway.Gateway
 	clock     clock.Clock
-	tap       *eventTap
+	events    *eventTap
 
-	mu        sync.Mutex
-	revisions map[registry.Name]uint64 // revision that an alias was last seen at
+	mu        sync.Mutex               // guards revisions
+	revisions map[registry.Name]uint64 // the revision at which calls last found an alias
 }
 
-// postMigration tells hooks of an alias that a call finds at another revision than the one before.
+// postMigration posts that a call finds an alias at a later revision than the calls before.
 func (m *modelVersions) postMigration(n registry.Name, t registry.Target) {
 	m.mu.Lock()
 	old, known := m.revisions[n]
 	if m.revisions == nil {
 		m.revisions = map[registry.Name]uint64{}
 	}
-	if known || len(m.revisions) < 10_000 {
+	if known || len(m.revisions) < maxRevisions {
 		m.revisions[n] = max(old, t.Revision)
 	}
 	m.mu.Unlock()
 	if known && t.Revision > old {
-		m.tap.Post("moved", hooklang.Move{Model: n.Model, Alias: n.Alias, Version: t.Version, Revision: int64(t.Revision)})
+		m.events.Post("moved", hooklang.Move{
+			Model: n.Model, Alias: n.Alias, Version: t.Version, Revision: int64(t.Revision),
+		})
 	}
 }
 
-// Bind implements front.Models.
+// Bind implements ingress.Models: it resolves an alias to a version, and counts a call of it.
 func (m *modelVersions) Bind(model *gateway.Function, alias string) (*gateway.Function, gateway.VersionBinding, registry.Verdict) {
 	b := gateway.VersionBinding{Name: registry.Name{Model: model.Name, Alias: alias}}
 	a := m.agent.Load()
@@ -59,13 +65,13 @@
 	}
 	b.Target = t
 	a.Use(b.Name, t)
-	if m.tap != nil {
+	if m.events != nil {
 		m.postMigration(b.Name, t)
 	}
 	return fn, b, v
 }
 
-// current returns the version that a model's alias current names, as a function.
+// current returns the version that a model's alias "current" names, as a function; false if none may be used now.
 func (m *modelVersions) current(model *gateway.Function) (*gateway.Function, registry.Target, bool) {
 	a := m.agent.Load()
 	if a == nil {
@@ -79,12 +85,13 @@
 	return fn, t, err == nil
 }
 
-// Unbind implements front.Models.
+// Unbind implements ingress.Models: it ends what Bind began.
 func (m *modelVersions) Unbind(b gateway.VersionBinding, ran, failed bool) {
 	m.agent.Load().Unuse(b.Name, b.Target, ran, failed)
 }
 
-// Begin implements front.Models.
+// Begin implements ingress.Models: it asks for an answer to be let out. The duration is how long that may take; 0: no
+// bound.
 func (m *modelVersions) Begin(b gateway.VersionBinding) (func(), time.Duration, registry.Verdict) {
 	t, until, v := m.agent.Load().Begin(b.Name, b.Target)
 	if v != registry.May {
@@ -109,7 +116,8 @@
 	}
 }
 
-// stageCopies hands the registry's wish for copies to the module, which orders them within its budget.
+// stageCopies hands the copies that the registry wants ahead of calls to the dispatcher, which orders them within its
+// budget.
 func (m *modelVersions) stageCopies(l []wire.Stage) {
 	for _, s := range l {
 		model := m.functions.Find(s.Model)
--- /dev/null
+++ b/internal/controller/operator.go
@@ -0,0 +1,236 @@
+package controller
+
+import (
+	"errors"
+	"fmt"
+	"net"
+	"os"
+
+	"kitehub/internal/hookengine"
+	"kitehub/internal/ingress/jsonrpc"
+)
+
+// startRPC serves operators, and callers on the same machine.
+func (c *Controller) startRPC() error {
+	if c.built.RPC == nil {
+		return nil
+	}
+	rc := *c.built.RPC
+	rc.Gateway = c.Gateway
+	rc.Functions = c.functions.Find
+	rc.Clock = c.options.Clock
+	rc.Log = c.log
+	rc.Operator = operator{c}
+	rc.Deadline = c.frontConfig.Deadline
+	rc.Effect = c.frontConfig.Effect
+	rc.Models = c.frontConfig.Models
+	if c.options.Predecessor != nil {
+		rc.After = c.options.Clock.Now()
+	}
+	c.RPC = jsonrpc.New(rc)
+	c.events.rpc.Store(c.RPC)
+	ln, err := c.listenRPC()
+	if err != nil {
+		return fmt.Errorf("rpc.socket: %w", err)
+	}
+	c.rpcListener = ln
+	go func() {
+		if err := c.RPC.Serve(ln); err != nil {
+			c.log.Error().Err(err).Msg("rpc listener failed")
+		}
+	}()
+	return nil
+}
+
+// listenRPC opens the socket, or takes that of the predecessor.
+func (c *Controller) listenRPC() (net.Listener, error) {
+	if p := c.options.Predecessor; p != nil {
+		return p.listener(rpcListener)
+	}
+	return jsonrpc.Listen(c.built.Socket, c.built.Mode)
+}
+
+// Status is the result of the operators' method status.
+type Status struct {
+	Name     string           `json:"name"`
+	PID      int              `json:"pid"`
+	Open     int              `json:"open"` // calls in flight
+	Draining bool             `json:"draining"`
+	Answers  map[string]int64 `json:"answers"` // by kind, since the start
+	RPC      map[string]int64 `json:"rpc"`
+	Hooks    map[string]int64 `json:"hooks,omitempty"`
+	StepUS   float64          `json:"mean_step_us"` // mean time of a step of the dispatcher, in microseconds
+	Crashes  int64            `json:"module_crashes"`
+}
+
+// operator carries out the operators' methods. It implements jsonrpc's Operator, and is safe for concurrent use.
+type operator struct{ controller *Controller }
+
+// Do carries out a method. params reads its parameters. An unknown method is jsonrpc.ErrMethod, an unknown call or
+// script jsonrpc.ErrUnknown.
+func (op operator) Do(method string, user jsonrpc.User, params func(any) error) (any, error) {
+	c := op.controller
+	switch method {
+	case "status":
+		return c.status(), nil
+	case "workers":
+		l, _, err := c.Gateway.View()
+		return l, err
+	case "functions":
+		_, l, err := c.Gateway.View()
+		return l, err
+	case "explain":
+		return op.explain(params)
+	case "drain":
+		c.Drain()
+		return map[string]int{"open": c.Gateway.Open()}, nil
+	case "reload":
+		if c.options.Reload == nil {
+			return nil, errors.New("this program does not read its configuration anew")
+		}
+		return "ok", c.options.Reload()
+	}
+	engine := c.hooks.Load()
+	if engine == nil {
+		return nil, withoutHooks(method)
+	}
+	if method == "hooks" {
+		return engine.Overview()
+	}
+	return doHook(engine, method, user, params)
+}
+
+// withoutHooks returns the error of a method that is left where no hooks run.
+func withoutHooks(method string) error {
+	switch method {
+	case "hooks", "hook.load", "hook.promote", "hook.rollback", "hook.release", "hook.remove":
+		return errNoHooks
+	}
+	return jsonrpc.ErrMethod
+}
+
+func (op operator) explain(params func(any) error) (any, error) {
+	var p struct {
+		ID string `json:"id"`
+	}
+	if err := params(&p); err != nil {
+		return nil, err
+	}
+	x, ok, err := op.controller.Gateway.Explain(p.ID)
+	if err == nil && !ok {
+		err = fmt.Errorf("%w: no call %q in hand or among the last", jsonrpc.ErrUnknown, p.ID)
+	}
+	return x, err
+}
+
+func (c *Controller) status() Status {
+	counts := &c.Gateway.Counts
+	s := Status{
+		Name:     c.built.Name,
+		PID:      os.Getpid(),
+		Open:     c.Gateway.Open(),
+		Draining: c.draining.Load(),
+		Answers: map[string]int64{
+			"served":  counts.Served.Load(),
+			"refused": counts.Rejected.Load(),
+			"failed":  counts.Failed.Load(),
+			"gone":    counts.ClientClosed.Load(),
+			"left":    counts.Superseded.Load(),
+			"turned":  counts.OverCapacity.Load(),
+		},
+		StepUS:  float64(counts.StepNanos.Load()) / 1e3 / float64(max(1, counts.Steps.Load())),
+		Crashes: counts.Crashes.Load(),
+	}
+	if c.RPC != nil {
+		s.RPC = rpcStatus(c.RPC)
+	}
+	if engine := c.hooks.Load(); engine != nil {
+		s.Hooks = c.hookStatus(engine)
+	}
+	return s
+}
+
+func rpcStatus(server *jsonrpc.Server) map[string]int64 {
+	counts := &server.Counts
+	return map[string]int64{
+		"connections": counts.Connections.Load(),
+		"denied":      counts.Denied.Load(),
+		"messages":    counts.Messages.Load(),
+		"bad":         counts.Bad.Load(),
+		"calls":       counts.Calls.Load(),
+		"cancelled":   counts.Cancelled.Load(),
+		"joined":      counts.Joined.Load(),
+		"kept":        counts.Kept.Load(),
+		"events":      counts.Events.Load(),
+		"events_lost": counts.EventsLost.Load(),
+		"cut":         counts.Cut.Load(),
+	}
+}
+
+func (c *Controller) hookStatus(engine *hookengine.Engine) map[string]int64 {
+	counts := &engine.Counts
+	status := map[string]int64{
+		"posted":    counts.Posted.Load(),
+		"dropped":   counts.Dropped.Load(),
+		"inline":    counts.Inline.Load(),
+		"inline_ns": counts.InlineNanos.Load() / max(1, counts.Inline.Load()),
+		"aside":     counts.Aside.Load(),
+		"aside_ns":  counts.AsideNanos.Load() / max(1, counts.Aside.Load()),
+		"faults":    counts.Faults.Load(),
+		"refusals":  counts.Refusals.Load(),
+		"over":      counts.Over.Load(),
+	}
+	if c.notifier != nil {
+		status["notices"] = c.notifier.Sent.Load()
+		status["notices_failed"] = c.notifier.Failed.Load()
+		status["notices_lost"] = c.notifier.Lost.Load()
+	}
+	return status
+}
+
+// hookParams are those of all methods on one script.
+type hookParams struct {
+	Name   string `json:"name"`
+	Text   string `json:"text"`
+	Shadow bool   `json:"shadow"`
+	Force  bool   `json:"force"`
+}
+
+// doHook carries out a method on one script.
+func doHook(engine *hookengine.Engine, method string, user jsonrpc.User, params func(any) error) (any, error) {
+	var p hookParams
+	if err := params(&p); err != nil {
+		return nil, err
+	}
+	var err error
+	switch method {
+	case "hook.load":
+		return loadHook(engine, p, user)
+	case "hook.promote":
+		err = engine.Promote(p.Name, p.Force)
+	case "hook.rollback":
+		err = engine.Rollback(p.Name)
+	case "hook.release":
+		err = engine.Release(p.Name)
+	case "hook.remove":
+		err = engine.Remove(p.Name)
+	default:
+		return nil, jsonrpc.ErrMethod
+	}
+	if errors.Is(err, hookengine.ErrUnknown) {
+		err = fmt.Errorf("%w: %s", jsonrpc.ErrUnknown, p.Name)
+	}
+	return "ok", err
+}
+
+func loadHook(engine *hookengine.Engine, p hookParams, user jsonrpc.User) (any, error) {
+	version, warnings, err := engine.Load(p.Name, p.Text, "user "+user.Name, p.Shadow)
+	if err != nil {
+		return nil, err
+	}
+	texts := []string{}
+	for _, w := range warnings {
+		texts = append(texts, w.Error())
+	}
+	return map[string]any{"version": version, "warnings": texts}, nil
+}
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -5,39 +5,40 @@
 	"fmt"
 	"net"
 
-	"kitehub/config"
 	"kitehub/internal/gateway"
 	"kitehub/scheduler"
 )
 
-// Peers carries the module's words between controllers as datagrams of up to 256 bytes, behind the sender's number where
-// there is room for it. They may be lost, as the module knows, and are taken only from the addresses that the
-// configuration names.
-type Peers struct {
-	conn   *net.UDPConn
-	self   int
-	addrs  map[int]*net.UDPAddr
-	header int // bytes of the sender's number in front: 4 or 0, where the address alone tells who it is
-}
-
-const maxMessage = 256
+const (
+	// maxMessage is the length in bytes of the longest message.
+	maxMessage = 256
+	// indexBytes is the length of the sender's index before a message.
+	indexBytes = 4
+)
 
-func newPeers(b *config.Built) (*Peers, error) {
-	return ListenPeers(b.Settings.ControllerIndex, b.Listen, b.Peers, true)
+// Peers carries the dispatchers' gossip between controllers, as one UDP datagram a message. Messages may be lost, as
+// the dispatcher knows. They are accepted only from the addresses that the configuration names. Peers is safe for
+// concurrent use.
+type Peers struct {
+	conn        *net.UDPConn
+	self        int                  // index of this controller
+	addrs       map[int]*net.UDPAddr // by index
+	headerBytes int                  // indexBytes, or 0 where the address alone tells who the sender is
 }
 
-// ListenPeers sends and takes words at the address listen. numbered puts the sender's number in front of each.
-func ListenPeers(me int, listen string, addrs map[int]string, numbered bool) (*Peers, error) {
-	p := &Peers{self: me, addrs: map[int]*net.UDPAddr{}}
-	if numbered {
-		p.header = 4
+// ListenPeers sends and receives at the address listen. addrs are the controllers' by index; self is the index of this
+// one. indexed puts the sender's index before each message.
+func ListenPeers(self int, listen string, addrs map[int]string, indexed bool) (*Peers, error) {
+	p := &Peers{self: self, addrs: map[int]*net.UDPAddr{}}
+	if indexed {
+		p.headerBytes = indexBytes
 	}
-	for n, addr := range addrs {
+	for index, addr := range addrs {
 		a, err := net.ResolveUDPAddr("udp", addr)
 		if err != nil {
 			return nil, fmt.Errorf("peers: %w", err)
 		}
-		p.addrs[n] = a
+		p.addrs[index] = a
 	}
 	own, err := net.ResolveUDPAddr("udp", listen)
 	if err != nil {
@@ -49,50 +50,50 @@
 	return p, nil
 }
 
-// Send implements gateway.Peers.
+// Send implements gateway.Peers. A message of more than 256 bytes is dropped.
 func (p *Peers) Send(to int, payload []byte) {
 	if len(payload) > maxMessage {
 		return
 	}
-	var b []byte
-	if p.header > 0 {
-		b = binary.BigEndian.AppendUint32(nil, uint32(p.self))
+	var datagram []byte
+	if p.headerBytes > 0 {
+		datagram = binary.BigEndian.AppendUint32(nil, uint32(p.self))
 	}
-	b = append(b, payload...)
-	for n, a := range p.addrs {
-		if n == to || to == scheduler.Everyone && n != p.self {
-			p.conn.WriteToUDP(b, a)
+	datagram = append(datagram, payload...)
+	for index, addr := range p.addrs {
+		if index == to || to == scheduler.Everyone && index != p.self {
+			p.conn.WriteToUDP(datagram, addr)
 		}
 	}
 }
 
 // Receive hands what comes to the gateway, until Close.
 func (p *Peers) Receive(g *gateway.Gateway) {
-	buf := make([]byte, p.header+maxMessage+1)
+	buf := make([]byte, p.headerBytes+maxMessage+1)
 	for {
 		n, from, err := p.conn.ReadFromUDP(buf)
 		if err != nil {
 			return
 		}
-		if n < p.header || n > p.header+maxMessage {
+		if n < p.headerBytes || n > p.headerBytes+maxMessage {
 			continue
 		}
-		if who, ok := p.sender(buf, from); ok {
-			g.ReceiveGossip(who, append([]byte(nil), buf[p.header:n]...))
+		if index, ok := p.sender(buf, from); ok {
+			g.ReceiveGossip(index, append([]byte(nil), buf[p.headerBytes:n]...))
 		}
 	}
 }
 
-// sender tells whose datagram it is.
-func (p *Peers) sender(b []byte, from *net.UDPAddr) (who int, ok bool) {
-	is := func(a *net.UDPAddr) bool { return a != nil && a.IP.Equal(from.IP) && a.Port == from.Port }
-	if p.header > 0 {
-		who = int(binary.BigEndian.Uint32(b))
-		return who, is(p.addrs[who])
+// sender returns the index of the controller that sent a datagram; false if its address is not that of a controller.
+func (p *Peers) sender(datagram []byte, from *net.UDPAddr) (index int, ok bool) {
+	matches := func(a *net.UDPAddr) bool { return a != nil && a.IP.Equal(from.IP) && a.Port == from.Port }
+	if p.headerBytes > 0 {
+		index = int(binary.BigEndian.Uint32(datagram))
+		return index, matches(p.addrs[index])
 	}
-	for n, a := range p.addrs {
-		if is(a) {
-			return n, true
+	for index, addr := range p.addrs {
+		if matches(addr) {
+			return index, true
 		}
 	}
 	return 0, false
