--- a/cmd/kitehub/main.go
+++ b/cmd/kitehub/main.go
@@ -50,7 +50,7 @@
 	if err := ctx.Run(); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		var p config.Problems
-		if errors.As(err, &p) || relay.IsProblem(err) {
+		if errors.As(err, &p) || relay.IsConfigError(err) {
 			os.Exit(2)
 		}
 		os.Exit(1)
--- a/internal/controller/handover_old.go
+++ b/internal/controller/handover_old.go
@@ -45,10 +45,10 @@
 // An outgoingHandover is the old process's side of one handover. It is used by the goroutine of acceptSuccessors
 // alone, but for endedCalls.
 type outgoingHandover struct {
-	controller        *Controller
-	link     *daemon.Link
-	protocol daemon.OldProcess
-	paused   bool
+	controller *Controller
+	link       *daemon.Link
+	protocol   daemon.OldProcess
+	paused     bool
 	// endedCalls gets the calls that end while paused and afterwards. It has capacity for all that may be in flight:
 	// whoever answers a call must never wait for the link.
 	endedCalls chan endedCall
@@ -59,7 +59,7 @@
 func (c *Controller) handOver(l *daemon.Link) {
 	defer l.Close()
 	h := &outgoingHandover{
-		controller:          c,
+		controller: c,
 		link:       l,
 		endedCalls: make(chan endedCall, c.built.Settings.Limits.MaxOpenRequests+16),
 	}
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -24,19 +24,19 @@
 	EnvConfig = "RELAY_CONFIG"
 )
 
-// A Problem is a wrong or missing setting: its field, and what is wrong.
-type Problem struct {
+// A ConfigError is a wrong or missing setting: its field, and what is wrong.
+type ConfigError struct {
 	Field string
 	Err   error
 }
 
-func (p *Problem) Error() string { return fmt.Sprintf("relay: %s: %v", p.Field, p.Err) }
+func (p *ConfigError) Error() string { return fmt.Sprintf("relay: %s: %v", p.Field, p.Err) }
 
 // Unwrap returns what is wrong.
-func (p *Problem) Unwrap() error { return p.Err }
+func (p *ConfigError) Unwrap() error { return p.Err }
 
-func problem(field, format string, a ...any) error {
-	return &Problem{field, fmt.Errorf(format, a...)}
+func configError(field, format string, a ...any) error {
+	return &ConfigError{field, fmt.Errorf(format, a...)}
 }
 
 // Limits of a controller's machine.
@@ -48,19 +48,19 @@
 
 // A Config is the platform's configuration.
 type Config struct {
-	Name, Listen string
-	Seed         uint64
-	Limits       Limits
-	PeerListen   string
-	Peers        map[int]string
-	Names        string
-	Serial       uint32 // of the last event in Known
-	Known        []gateway.Worker
-	Settings     scheduler.Settings
+	Name, Listen  string
+	Seed          uint64
+	Limits        Limits
+	PeerListen    string
+	Peers         map[int]string
+	DirectoryAddr string
+	Serial        uint32 // of the last event in Known
+	KnownWorkers  []gateway.Worker
+	Settings      scheduler.Settings
 }
 
-// file mirrors the JSON.
-type file struct {
+// configFile mirrors the JSON.
+type configFile struct {
 	Name       string   `json:"name"`
 	Listen     string   `json:"listen"`
 	Seed       string   `json:"seed"`
@@ -69,14 +69,14 @@
 	Peers      []string `json:"peers"`
 	Names      string   `json:"names"`
 	Known      struct {
-		Cursor uint32  `json:"cursor"`
-		Cmds   []event `json:"cmds"`
+		Cursor uint32           `json:"cursor"`
+		Cmds   []directoryEvent `json:"cmds"`
 	} `json:"known"`
 	Settings json.RawMessage `json:"settings"`
 }
 
-// An event of the directory.
-type event struct {
+// An directoryEvent of the directory.
+type directoryEvent struct {
 	Cursor uint32 `json:"cursor"`
 	Nodes  *struct {
 		All     bool     `json:"all"`
@@ -96,24 +96,24 @@
 	BootMS   int64   `json:"boot_ms"`
 }
 
-const mostConfig = 16 << 20 // bytes
+const maxConfigBytes = 16 << 20 // bytes
 
 // Load reads what the environment names.
 func Load(env func(string) string) (*Config, error) {
 	path := env(EnvConfig)
 	if path == "" {
-		return nil, problem(EnvConfig, "not set")
+		return nil, configError(EnvConfig, "not set")
 	}
 	info, err := os.Stat(path)
-	if err == nil && info.Size() > mostConfig {
-		err = fmt.Errorf("%s has %d bytes, at most %d", path, info.Size(), mostConfig)
+	if err == nil && info.Size() > maxConfigBytes {
+		err = fmt.Errorf("%s has %d bytes, at most %d", path, info.Size(), maxConfigBytes)
 	}
 	if err != nil {
-		return nil, &Problem{EnvConfig, err}
+		return nil, &ConfigError{EnvConfig, err}
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, &Problem{EnvConfig, err}
+		return nil, &ConfigError{EnvConfig, err}
 	}
 	c, err := Parse(text)
 	if err != nil {
@@ -130,34 +130,34 @@
 
 // Parse reads a configuration. Fields that it does not know are passed over.
 func Parse(text []byte) (*Config, error) {
-	var f file
+	var f configFile
 	if err := json.Unmarshal(text, &f); err != nil {
-		return nil, &Problem{EnvConfig, err}
+		return nil, &ConfigError{EnvConfig, err}
 	}
-	c := &Config{Name: f.Name, Listen: f.Listen, Limits: f.Limits, PeerListen: f.PeerListen, Peers: map[int]string{}, Names: f.Names, Serial: f.Known.Cursor}
+	c := &Config{Name: f.Name, Listen: f.Listen, Limits: f.Limits, PeerListen: f.PeerListen, Peers: map[int]string{}, DirectoryAddr: f.Names, Serial: f.Known.Cursor}
 	for i, a := range f.Peers {
 		c.Peers[i] = a
 	}
 	var err error
 	if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
-		return nil, problem("seed", "%.32q is no number in hex", f.Seed)
+		return nil, configError("seed", "%.32q is no number in hex", f.Seed)
 	}
 	if len(f.Settings) == 0 {
-		return nil, problem("settings", "missing")
+		return nil, configError("settings", "missing")
 	}
 	if c.Settings, err = simwire.ParseSettings(f.Settings); err != nil {
-		return nil, &Problem{"settings", err}
+		return nil, &ConfigError{"settings", err}
 	}
-	if c.Known, err = replay(f.Known.Cmds); err != nil {
+	if c.KnownWorkers, err = replayEvents(f.Known.Cmds); err != nil {
 		return nil, err
 	}
 	return c, nil
 }
 
-var states = map[string]scheduler.WorkerState{"ready": scheduler.Ready, "draining": scheduler.Draining, "gone": scheduler.Gone}
+var statesByName = map[string]scheduler.WorkerState{"ready": scheduler.Ready, "draining": scheduler.Draining, "gone": scheduler.Gone}
 
-// replay puts the events of the directory so far together.
-func replay(events []event) ([]gateway.Worker, error) {
+// replayEvents puts the events of the directory so far together.
+func replayEvents(events []directoryEvent) ([]gateway.Worker, error) {
 	held := map[string]gateway.Worker{}
 	var order []string
 	for i, e := range events {
@@ -169,18 +169,18 @@
 		}
 		for j, t := range e.Nodes.Targets {
 			field := fmt.Sprintf("known.cmds[%d].nodes.targets[%d]", i, j)
-			state, ok := states[t.State]
+			state, ok := statesByName[t.State]
 			switch {
 			case t.UID == "":
-				return nil, problem(field+".uid", "missing")
+				return nil, configError(field+".uid", "missing")
 			case !ok:
-				return nil, problem(field+".state", "%.32q is no state", t.State)
+				return nil, configError(field+".state", "%.32q is no state", t.State)
 			case state == scheduler.Gone:
 				delete(held, t.UID)
 				continue
 			}
 			if _, _, err := net.SplitHostPort(t.Endpoint); err != nil {
-				return nil, &Problem{field + ".endpoint", err}
+				return nil, &ConfigError{field + ".endpoint", err}
 			}
 			w := gateway.Worker{Name: t.UID, Network: "tcp", Addr: t.Endpoint, Zone: t.Zone, Kind: t.Model, State: state, Size: t.Size}
 			if t.Group != nil {
@@ -208,33 +208,33 @@
 // check returns the first field that cannot be worked with.
 func (c *Config) check() error {
 	if c.Name == "" {
-		return problem(EnvName, "not set")
+		return configError(EnvName, "not set")
 	}
 	if _, _, err := net.SplitHostPort(c.Listen); err != nil {
-		return &Problem{EnvListen, err}
+		return &ConfigError{EnvListen, err}
 	}
-	if _, err := dns.Address(c.Names); err != nil {
-		return &Problem{"names", err}
+	if _, err := dns.Address(c.DirectoryAddr); err != nil {
+		return &ConfigError{"names", err}
 	}
 	l := c.Limits
 	switch {
 	case !(l.Cores > 0):
-		return problem("limits.cores", "%v is not above 0", l.Cores)
+		return configError("limits.cores", "%v is not above 0", l.Cores)
 	case !(l.MemoryMB > 0):
-		return problem("limits.memory_mb", "%v is not above 0", l.MemoryMB)
-	case l.Sockets < leastSockets:
-		return problem("limits.sockets", "%d is under %d", l.Sockets, leastSockets)
+		return configError("limits.memory_mb", "%v is not above 0", l.MemoryMB)
+	case l.Sockets < minSockets:
+		return configError("limits.sockets", "%d is under %d", l.Sockets, minSockets)
 	case c.Settings.Limits.MaxOpenRequests < 1:
-		return problem("settings.limits.maxOpen", "%d is under 1", c.Settings.Limits.MaxOpenRequests)
+		return configError("settings.limits.maxOpen", "%d is under 1", c.Settings.Limits.MaxOpenRequests)
 	case c.Settings.Limits.DialTimeout <= 0:
-		return problem("settings.limits.dialTimeoutMs", "not above 0")
+		return configError("settings.limits.dialTimeoutMs", "not above 0")
 	case c.Settings.Limits.IdleConnectionTimeout <= 0:
-		return problem("settings.limits.keepaliveMs", "not above 0")
+		return configError("settings.limits.keepaliveMs", "not above 0")
 	case c.Settings.Guarantees.DrainGrace <= 0:
-		return problem("settings.guarantees.drainGraceMs", "not above 0")
+		return configError("settings.guarantees.drainGraceMs", "not above 0")
 	}
 	if c.Settings.Limits.Peers && c.PeerListen == "" {
-		return problem("peer_listen", "missing, though the settings allow words between controllers")
+		return configError("peer_listen", "missing, though the settings allow words between controllers")
 	}
 	return nil
 }
--- a/internal/relay/belief.go
+++ b/internal/relay/estimates.go
@@ -9,13 +9,13 @@
 	"kitehub/scheduler"
 )
 
-// mostTold bounds the workers that one line tells of.
-const mostTold = 32
+// maxReportedWorkers bounds the workers that one line tells of.
+const maxReportedWorkers = 32
 
-// beliefs sets what the module believes of each worker beside what passed on its sockets since the last time, one text a
+// compareEstimates sets what the module believes of each worker beside what passed on its sockets since the last time, one text a
 // worker, and returns by how many calls out the two differ in all. They are read one after the other, so what is on its way
 // between them counts as a difference for a moment; one that stays is a fault.
-func beliefs(now []frame.Seen, before map[scheduler.WorkerID]frame.Seen, views []gateway.WorkerView) (lines []string, differ int) {
+func compareEstimates(now []frame.Seen, before map[scheduler.WorkerID]frame.Seen, views []gateway.WorkerView) (lines []string, differ int) {
 	of := map[string]gateway.WorkerView{}
 	for _, v := range views {
 		of[v.Name] = v
@@ -24,7 +24,7 @@
 		v, known := of[s.Name]
 		out := v.Snapshot.Busy + v.Snapshot.Loads
 		differ += max(out-s.Open, s.Open-out)
-		if len(lines) == mostTold {
+		if len(lines) == maxReportedWorkers {
 			continue
 		}
 		was := before[s.Worker]
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -23,9 +23,9 @@
 
 // Bounds of the platform's protocol: its PROTOCOL page.
 const (
-	mostBody = 16 << 10 // bytes of a client's body
-	mostOpen = 32       // requests open on one connection
-	service  = "_app._tcp.cluster.lan"
+	maxBodyBytes     = 16 << 10 // bytes of a client's body
+	maxOpenPerConn   = 32       // requests open on one connection
+	directoryService = "_app._tcp.cluster.lan"
 )
 
 // Options are what a configuration does not say.
@@ -36,23 +36,23 @@
 
 // A Relay runs until Stop.
 type Relay struct {
-	Gateway *gateway.Gateway
-	Front   *msgpackrpc.Front
-	Backend *frame.Backend
-	Watch   *dns.Watcher
-	cfg     *Config
-	log     zerolog.Logger
-	ln      net.Listener
-	peers   *controller.Peers
-	done    chan struct{}
+	Gateway  *gateway.Gateway
+	Front    *msgpackrpc.Front
+	Backend  *frame.Backend
+	Watcher  *dns.Watcher
+	cfg      *Config
+	log      zerolog.Logger
+	listener net.Listener
+	peers    *controller.Peers
+	done     chan struct{}
 }
 
 // Start runs a controller. Its listener is open and its list known when it returns.
 func Start(c *Config, o Options) (r *Relay, err error) {
-	s, b := c.Settings, divide(c.Limits)
+	s, b := c.Settings, divideLimits(c.Limits)
 	r = &Relay{cfg: c, log: o.Log, done: make(chan struct{})}
 	r.Backend = frame.New(frame.Config{Clock: o.Clock, Within: s.Limits.DialTimeout, Idle: s.Limits.IdleConnectionTimeout, Streams: s.Limits.StreamsPerConnection,
-		Conns: b.workers, MostBody: b.mostBody, Patience: s.Limits.DialTimeout, Forget: time.Duration(lateAnswer * float64(longest(s))),
+		Conns: b.workerConns, MostBody: b.answerBytes, Patience: s.Limits.DialTimeout, Forget: time.Duration(lateAnswerDeadlines * float64(longestDeadline(s))),
 		Order: s.Loading.OrderTimeout, Report: s.Report, Log: o.Log})
 	defer func() {
 		if err != nil {
@@ -65,49 +65,49 @@
 	gc := gateway.Config{Name: c.Name, Settings: s, Seed: c.Seed, Clock: o.Clock, Transport: r.Backend, NameOf: msgpackrpc.Item, Log: o.Log, OmitRequestLog: true}
 	if s.Limits.Peers && len(c.Peers) > 0 {
 		if r.peers, err = controller.ListenPeers(s.ControllerIndex, c.PeerListen, c.Peers, false); err != nil {
-			return nil, &Problem{"peer_listen", err}
+			return nil, &ConfigError{"peer_listen", err}
 		}
 		gc.Peers = r.peers
 	}
 	if r.Gateway, err = gateway.New(gc); err != nil {
-		return nil, &Problem{"settings", err}
+		return nil, &ConfigError{"settings", err}
 	}
-	if err = r.Gateway.Workers(scheduler.CachedList, c.Serial, c.Known); err != nil {
-		return nil, &Problem{"known", err}
+	if err = r.Gateway.Workers(scheduler.CachedList, c.Serial, c.KnownWorkers); err != nil {
+		return nil, &ConfigError{"known", err}
 	}
-	r.Front = msgpackrpc.New(msgpackrpc.Config{Gateway: r.Gateway, Clock: o.Clock, Settings: s, Log: o.Log, MostBody: mostBody, MostOpen: mostOpen,
-		Conns: b.clients, Within: dials(s, speakDials), Stall: dials(s, stallDials)})
-	if r.ln, err = net.Listen("tcp", c.Listen); err != nil {
-		return nil, &Problem{EnvListen, err}
+	r.Front = msgpackrpc.New(msgpackrpc.Config{Gateway: r.Gateway, Clock: o.Clock, Settings: s, Log: o.Log, MostBody: maxBodyBytes, MostOpen: maxOpenPerConn,
+		Conns: b.clientConns, Within: dialTimeouts(s, firstMessageDials), Stall: dialTimeouts(s, stalledReaderDials)})
+	if r.listener, err = net.Listen("tcp", c.Listen); err != nil {
+		return nil, &ConfigError{EnvListen, err}
 	}
-	if r.Watch, err = dns.Start(dns.Config{Service: service, Server: c.Names, Serial: c.Serial, Sink: r.Gateway, Log: o.Log,
-		Period: time.Duration(pollPart * float64(s.Guarantees.DrainGrace))}); err != nil {
-		r.ln.Close()
-		return nil, &Problem{"names", err}
+	if r.Watcher, err = dns.Start(dns.Config{Service: directoryService, Server: c.DirectoryAddr, Serial: c.Serial, Sink: r.Gateway, Log: o.Log,
+		Period: time.Duration(pollFraction * float64(s.Guarantees.DrainGrace))}); err != nil {
+		r.listener.Close()
+		return nil, &ConfigError{"names", err}
 	}
 	go r.Gateway.Run()
 	if r.peers != nil {
 		go r.peers.Receive(r.Gateway)
 	}
 	go func() {
-		if err := r.Front.Serve(r.ln); err != nil {
+		if err := r.Front.Serve(r.listener); err != nil {
 			r.log.Error().Err(err).Msg("listener")
 		}
 	}()
-	go r.report()
+	go r.reportLoop()
 	return r, nil
 }
 
 // Addr returns where clients connect.
-func (r *Relay) Addr() string { return r.ln.Addr().String() }
+func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
 // Reload takes from a configuration read anew what may change in service: where the directory is.
 func (r *Relay) Reload(c *Config) {
-	if err := r.Watch.SetServer(c.Names); err != nil {
+	if err := r.Watcher.SetServer(c.DirectoryAddr); err != nil {
 		r.log.Error().Err(err).Msg("the new configuration is not taken, the old one stays")
 		return
 	}
-	r.log.Info().Str("names", c.Names).Msg("configuration read anew")
+	r.log.Info().Str("names", c.DirectoryAddr).Msg("configuration read anew")
 }
 
 // Stop goes on taking requests for lameDuck, as long as the platform may still send any, then takes no more and answers what is in
@@ -115,12 +115,12 @@
 func (r *Relay) Stop(lameDuck, within time.Duration) {
 	r.Front.Drain()
 	time.Sleep(lameDuck)
-	last := time.Duration(lastPart * float64(within))
+	last := time.Duration(deliveryFraction * float64(within))
 	r.Gateway.Stop(within - last)
 	r.Front.Finish(last)
-	r.ln.Close()
+	r.listener.Close()
 	r.Front.Close()
-	r.Watch.Stop()
+	r.Watcher.Stop()
 	r.Backend.Close()
 	if r.peers != nil {
 		r.peers.Close()
@@ -128,11 +128,11 @@
 	close(r.done)
 }
 
-const reportEvery = 5 * time.Second
+const reportInterval = 5 * time.Second
 
-// report logs what was done, now and then.
-func (r *Relay) report() {
-	t := time.NewTicker(reportEvery)
+// reportLoop logs what was done, now and then.
+func (r *Relay) reportLoop() {
+	t := time.NewTicker(reportInterval)
 	defer t.Stop()
 	before := map[scheduler.WorkerID]frame.Seen{}
 	for {
@@ -143,7 +143,7 @@
 		}
 		if views, _, err := r.Gateway.View(); err == nil {
 			seen := r.Backend.Seen()
-			lines, differ := beliefs(seen, before, views)
+			lines, differ := compareEstimates(seen, before, views)
 			clear(before)
 			for _, s := range seen {
 				before[s.Worker] = s
@@ -152,7 +152,7 @@
 		}
 		var m runtime.MemStats
 		runtime.ReadMemStats(&m)
-		g, f, b, w := &r.Gateway.Counts, &r.Front.Counts, &r.Backend.Counts, &r.Watch.Counts
+		g, f, b, w := &r.Gateway.Counts, &r.Front.Counts, &r.Backend.Counts, &r.Watcher.Counts
 		r.log.Info().Int64("served", g.Served.Load()).Int64("refused", g.Rejected.Load()).Int64("failed", g.Failed.Load()).
 			Int64("gone", g.ClientClosed.Load()).Int64("turned", g.OverCapacity.Load()).Int("open", r.Gateway.Open()).Int64("crashes", g.Crashes.Load()).
 			Int64("steps", g.Steps.Load()).Int64("step_us", g.StepNanos.Load()/1000).Int64("late_us", g.MaxStepDelayNanos.Load()/1000).
@@ -166,11 +166,11 @@
 	}
 }
 
-// apply enforces the limits on this process.
-func apply(l Limits) {
-	b := divide(l)
-	runtime.GOMAXPROCS(b.procs)
-	debug.SetMemoryLimit(b.heap)
+// applyLimits enforces the limits on this process.
+func applyLimits(l Limits) {
+	b := divideLimits(l)
+	runtime.GOMAXPROCS(b.maxProcs)
+	debug.SetMemoryLimit(b.heapBytes)
 	var cur syscall.Rlimit
 	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &cur) == nil && cur.Cur != uint64(l.Sockets) && uint64(l.Sockets) <= cur.Max {
 		cur.Cur = uint64(l.Sockets)
@@ -192,13 +192,13 @@
 	if err != nil {
 		return err
 	}
-	apply(c.Limits)
+	applyLimits(c.Limits)
 	log = log.With().Str("controller", c.Name).Logger()
 	r, err := Start(c, Options{Clock: clock.System(), Log: log})
 	if err != nil {
 		return err
 	}
-	log.Info().Str("listen", r.Addr()).Int("workers", len(c.Known)).Float64("cores", c.Limits.Cores).Float64("memory_mb", c.Limits.MemoryMB).
+	log.Info().Str("listen", r.Addr()).Int("workers", len(c.KnownWorkers)).Float64("cores", c.Limits.Cores).Float64("memory_mb", c.Limits.MemoryMB).
 		Int("sockets", c.Limits.Sockets).Msg("serving")
 	var ended chan struct{} // nil until it is told to stop
 	for {
@@ -219,7 +219,7 @@
 				log.Info().Str("signal", sig.String()).Msg("stopping")
 				ended = make(chan struct{})
 				go func() {
-					r.Stop(lameDuck, answerTime(c.Settings))
+					r.Stop(lameDuck, answerTimeout(c.Settings))
 					close(ended)
 				}()
 			case sig == os.Interrupt: // somebody at a terminal who will not wait
@@ -231,8 +231,8 @@
 	}
 }
 
-// IsProblem tells whether an error is one of configuration.
-func IsProblem(err error) bool {
-	var p *Problem
+// IsConfigError tells whether an error is one of configuration.
+func IsConfigError(err error) bool {
+	var p *ConfigError
 	return errors.As(err, &p)
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -54,7 +54,7 @@
 	return d
 }
 
-type rig struct {
+type harness struct {
 	t      testing.TB
 	file   string
 	fields map[string]any
@@ -62,18 +62,18 @@
 	reload chan os.Signal
 	stop   chan os.Signal
 	ended  chan error
-	log    *lines
+	log    *logBuffer
 	addr   string
 }
 
-// lines is a log that can be waited for.
-type lines struct {
+// logBuffer is a log that can be waited for.
+type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
 	more chan struct{}
 }
 
-func (l *lines) Write(b []byte) (int, error) {
+func (l *logBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	l.text.Write(b)
 	l.mu.Unlock()
@@ -85,7 +85,7 @@
 }
 
 // wait returns the first line that holds a text.
-func (l *lines) wait(t testing.TB, text string) string {
+func (l *logBuffer) wait(t testing.TB, text string) string {
 	t.Helper()
 	end := time.After(20 * time.Second)
 	for {
@@ -106,9 +106,9 @@
 }
 
 // start runs a controller that finds the signals waiting as it starts.
-func start(t testing.TB, v *fakeplatform.Echo, names string, stop ...os.Signal) *rig {
+func start(t testing.TB, v *fakeplatform.Echo, names string, stop ...os.Signal) *harness {
 	t.Helper()
-	r := &rig{t: t, file: filepath.Join(t.TempDir(), "config.json"), reload: make(chan os.Signal, 1), stop: make(chan os.Signal, 2), ended: make(chan error, 1), log: &lines{more: make(chan struct{}, 1)}}
+	r := &harness{t: t, file: filepath.Join(t.TempDir(), "config.json"), reload: make(chan os.Signal, 1), stop: make(chan os.Signal, 2), ended: make(chan error, 1), log: &logBuffer{more: make(chan struct{}, 1)}}
 	r.env = map[string]string{EnvName: "n3", EnvListen: "127.0.0.1:0", EnvConfig: r.file}
 	r.fields = map[string]any{"name": "n3", "listen": "127.0.0.1:0", "seed": "8c1f30d27a5be964", "names": names,
 		"limits":   map[string]any{"cores": 1, "memory_mb": 512, "sockets": 256},
@@ -145,7 +145,7 @@
 		{"uid": "s-1", "endpoint": %q, "az": "east", "model": "std", "pod_group": 0, "state": "ready", "capacity_hint": 1, "boot_ms": 0}]}}]}`, addr))
 }
 
-func (r *rig) write() {
+func (r *harness) write() {
 	b, err := json.Marshal(r.fields)
 	if err == nil {
 		err = os.WriteFile(r.file, b, 0o600)
@@ -155,29 +155,29 @@
 	}
 }
 
-type client struct {
+type testClient struct {
 	*fakeplatform.Client
 	t testing.TB
 }
 
-func (r *rig) dial() *client {
+func (r *harness) dial() *testClient {
 	r.t.Helper()
 	c, err := fakeplatform.Dial(r.addr, time.Minute)
 	if err != nil {
 		r.t.Fatal(err)
 	}
 	r.t.Cleanup(func() { c.Close() })
-	return &client{c, r.t}
+	return &testClient{c, r.t}
 }
 
 var txns atomic.Int64
 
-func (c *client) call(id int, method string) {
+func (c *testClient) call(id int, method string) {
 	c.Write(fakeplatform.Request(id, method, fakeplatform.Fields("txn", fakeplatform.Txn(int(txns.Add(1))), "limit", "4000"), []byte(fmt.Sprint("body ", id))))
 }
 
 // answers reads n answers, by msgid: "served BODY", or the words of errors.
-func (c *client) answers(n int) map[string]string {
+func (c *testClient) answers(n int) map[string]string {
 	c.t.Helper()
 	got := map[string]string{}
 	for range n {
@@ -237,12 +237,12 @@
 	}
 }
 
-func TestBeliefs(t *testing.T) {
+func TestEstimatesAreComparedWithTheSockets(t *testing.T) {
 	seen := []frame.Seen{{Worker: 1, Name: "a", Open: 3, Answered: 30, Took: 3 * time.Second, Conns: 4}, {Worker: 2, Name: "b", Open: 0, Lost: 2}, {Worker: 3, Name: "c"}}
 	before := map[scheduler.WorkerID]frame.Seen{1: {Answered: 10, Took: time.Second}}
 	views := []gateway.WorkerView{{Name: "a", WorkerSnapshot: scheduler.WorkerSnapshot{Snapshot: scheduler.Snapshot{Busy: 2, Loads: 1, Tokens: 4, LatencyRatio: 1.5}}},
 		{Name: "b", WorkerSnapshot: scheduler.WorkerSnapshot{Snapshot: scheduler.Snapshot{Busy: 2, Ejected: true}}}}
-	lines, differ := beliefs(seen, before, views)
+	lines, differ := compareEstimates(seen, before, views)
 	want := []string{"a out 3/3 conns 4 served 20 in 100ms lost 0; well pace 1.50 tokens 4.0", "b out 2/0 conns 0 served 0 in 0ms lost 2; ejected pace 0.00 tokens 0.0",
 		"c out 0/0 conns 0 served 0 in 0ms lost 0; not known pace 0.00 tokens 0.0"}
 	if differ != 2 || !slices.Equal(lines, want) {
@@ -281,7 +281,7 @@
 }
 
 // load calls until it is stopped; an error if any call is not served.
-func load(c *client, stop chan struct{}) error {
+func load(c *testClient, stop chan struct{}) error {
 	for {
 		select {
 		case <-stop:
@@ -295,8 +295,8 @@
 	}
 }
 
-// TestLimits: what the configuration says of the machine holds for the process.
-func TestLimits(t *testing.T) {
+// TestLimitsHoldForTheProcess: what the configuration says of the machine holds for the process.
+func TestLimitsHoldForTheProcess(t *testing.T) {
 	procs, memory := runtime.GOMAXPROCS(0), debug.SetMemoryLimit(-1)
 	var files syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files); err != nil {
@@ -307,7 +307,7 @@
 		debug.SetMemoryLimit(memory)
 		syscall.Setrlimit(syscall.RLIMIT_NOFILE, &files)
 	}()
-	apply(Limits{Cores: 1.5, MemoryMB: 64, Sockets: 300})
+	applyLimits(Limits{Cores: 1.5, MemoryMB: 64, Sockets: 300})
 	var now syscall.Rlimit
 	syscall.Getrlimit(syscall.RLIMIT_NOFILE, &now)
 	if p, m := runtime.GOMAXPROCS(0), debug.SetMemoryLimit(-1); p != 2 || m != 32<<20 || now.Cur != 300 {
@@ -351,41 +351,41 @@
 		b, _ := json.Marshal(m)
 		os.WriteFile(file, b, 0o600)
 		c, err := Load(env)
-		var p *Problem
+		var p *ConfigError
 		if errors.As(err, &p); tt.field == "" && err != nil || tt.field != "" && (p == nil || p.Field != tt.field) {
 			t.Errorf("%s: %v, want field %q", tt.name, err, tt.field)
 		}
-		if err == nil && (len(c.Known) != 1 || c.Known[0].Name != "s-1" || c.Known[0].Group != "0" || c.Serial != 2 || c.Seed != 0x8c) {
+		if err == nil && (len(c.KnownWorkers) != 1 || c.KnownWorkers[0].Name != "s-1" || c.KnownWorkers[0].Group != "0" || c.Serial != 2 || c.Seed != 0x8c) {
 			t.Errorf("%s: %+v", tt.name, c)
 		}
 	}
 	for name, env := range map[string]func(string) string{"not set": func(string) string { return "" }, "no file": func(string) string { return "/nonesuch" }} {
-		if _, err := Load(env); !IsProblem(err) || !strings.Contains(err.Error(), EnvConfig) {
+		if _, err := Load(env); !IsConfigError(err) || !strings.Contains(err.Error(), EnvConfig) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 	os.WriteFile(file, bytes.Repeat([]byte("["), 100), 0o600)
-	if _, err := Load(env); !IsProblem(err) {
+	if _, err := Load(env); !IsConfigError(err) {
 		t.Errorf("no JSON: %v", err)
 	}
 }
 
-func TestDivide(t *testing.T) {
-	for _, l := range []Limits{{0.25, 32, leastSockets}, {0.25, 48, 256}, {1, 192, 1024}, {2.5, 2048, 4096}} {
-		b := divide(l)
-		if b.clients < 1 || b.workers < 1 || b.clients+b.workers > l.Sockets-16 || 3*b.clients < l.Sockets-48 {
+func TestLimitsAreDividedWithinTheirBounds(t *testing.T) {
+	for _, l := range []Limits{{0.25, 32, minSockets}, {0.25, 48, 256}, {1, 192, 1024}, {2.5, 2048, 4096}} {
+		b := divideLimits(l)
+		if b.clientConns < 1 || b.workerConns < 1 || b.clientConns+b.workerConns > l.Sockets-16 || 3*b.clientConns < l.Sockets-48 {
 			t.Errorf("%+v: %+v", l, b)
 		}
-		if b.procs < 1 || float64(b.procs) < l.Cores || b.heap <= 0 || float64(b.heap) > l.MemoryMB*(1<<20) {
+		if b.maxProcs < 1 || float64(b.maxProcs) < l.Cores || b.heapBytes <= 0 || float64(b.heapBytes) > l.MemoryMB*(1<<20) {
 			t.Errorf("%+v: %+v", l, b)
 		}
 	}
 }
 
-func TestTimes(t *testing.T) {
+func TestTimesFollowTheSettings(t *testing.T) {
 	s := scheduler.Settings{Classes: []scheduler.Class{{Deadline: 4}, {Deadline: 9}, {Deadline: 5}}, Limits: scheduler.Limits{DialTimeout: 10}}
-	if longest(s) != 9 || dials(s, 2.5) != 25 {
-		t.Errorf("%v, %v", longest(s), dials(s, 2.5))
+	if longestDeadline(s) != 9 || dialTimeouts(s, 2.5) != 25 {
+		t.Errorf("%v, %v", longestDeadline(s), dialTimeouts(s, 2.5))
 	}
 }
 
--- a/internal/relay/stop_test.go
+++ b/internal/relay/stop_test.go
@@ -20,7 +20,7 @@
 	"kitehub/scheduler"
 )
 
-func TestTerm(t *testing.T) {
+func TestSigtermAnswersWhatIsInFlight(t *testing.T) {
 	v := newInvoker(t, 300*time.Millisecond, nil)
 	r := start(t, v, newDirectory(t).LocalAddr().String())
 	c := r.dial()
@@ -47,9 +47,9 @@
 	}
 }
 
-// TestStopAnswers: what is in hand when the time for answers is over is answered, by a refusal where another try does no harm, and
+// TestStopAnswersWhatIsStillOpen: what is in hand when the time for answers is over is answered, by a refusal where another try does no harm, and
 // the connection ends in order after it.
-func TestStopAnswers(t *testing.T) {
+func TestStopAnswersWhatIsStillOpen(t *testing.T) {
 	came := make(chan struct{}, 3)
 	ln, err := fakeplatform.Invoke(func(_ int, c *net.TCPConn) {
 		fakeplatform.Commands(c, func(cmd fakeplatform.Command) bool {
@@ -80,7 +80,7 @@
 		t.Fatal(err)
 	}
 	defer pc.Close()
-	c := &client{pc, t}
+	c := &testClient{pc, t}
 	for i, method := range []string{"lookup", "update", "move"} {
 		c.call(i, method)
 		<-came
@@ -101,17 +101,17 @@
 	<-stopped
 }
 
-// TestAnswerTime: the platform waits no longer than its own bound, however long a deadline is.
-func TestAnswerTime(t *testing.T) {
+// TestAnswerTimeoutIsBounded: the platform waits no longer than its own bound, however long a deadline is.
+func TestAnswerTimeoutIsBounded(t *testing.T) {
 	for deadline, want := range map[time.Duration]time.Duration{400 * time.Millisecond: 400 * time.Millisecond, 3 * time.Second: 3 * time.Second, 15 * time.Second: 3 * time.Second} {
-		if got := answerTime(scheduler.Settings{Classes: []scheduler.Class{{Deadline: 100 * time.Millisecond}, {Deadline: deadline}}}); got != want {
+		if got := answerTimeout(scheduler.Settings{Classes: []scheduler.Class{{Deadline: 100 * time.Millisecond}, {Deadline: deadline}}}); got != want {
 			t.Errorf("%v for a deadline of %v, want %v", got, deadline, want)
 		}
 	}
 }
 
-// TestWhileStopping: with a request in hand, a reload is still carried out and a second SIGTERM costs nothing.
-func TestWhileStopping(t *testing.T) {
+// TestReloadAndSecondSigtermWhileStopping: with a request in hand, a reload is still carried out and a second SIGTERM costs nothing.
+func TestReloadAndSecondSigtermWhileStopping(t *testing.T) {
 	answer := make(chan struct{})
 	v := newInvoker(t, 0, func(int64) byte { <-answer; return fakeplatform.Served })
 	second := newDirectory(t)
@@ -139,8 +139,8 @@
 	}
 }
 
-// TestStopDuringStart: a SIGTERM that comes while the controller starts is carried out once it has.
-func TestStopDuringStart(t *testing.T) {
+// TestSigtermDuringStartIsCarriedOut: a SIGTERM that comes while the controller starts is carried out once it has.
+func TestSigtermDuringStartIsCarriedOut(t *testing.T) {
 	v := newInvoker(t, 0, nil)
 	r := start(t, v, newDirectory(t).LocalAddr().String(), syscall.SIGTERM)
 	r.log.wait(t, `"stopping"`)
@@ -150,7 +150,7 @@
 }
 
 // status asks, and returns once what came before on the connection has been taken in.
-func (c *client) status(id int) {
+func (c *testClient) status(id int) {
 	c.t.Helper()
 	c.Write(fakeplatform.Request(id, "status", map[string]string{}))
 	if got, what := c.Answer(); got != int64(id) {
@@ -158,9 +158,9 @@
 	}
 }
 
-// TestLeavesWhileWaiting: a call whose client took it back, or left, while no worker was there is never sent; nor is a list that
+// TestCancelledWhileQueuedIsNeverSent: a call whose client took it back, or left, while no worker was there is never sent; nor is a list that
 // names no worker the end of the watch.
-func TestLeavesWhileWaiting(t *testing.T) {
+func TestCancelledWhileQueuedIsNeverSent(t *testing.T) {
 	v := newInvoker(t, 0, nil)
 	d := newDirectory(t)
 	r := start(t, v, d.LocalAddr().String())
@@ -190,8 +190,8 @@
 	}
 }
 
-// TestInterruptTwice: somebody at a terminal need not wait.
-func TestInterruptTwice(t *testing.T) {
+// TestSecondInterruptEndsAtOnce: somebody at a terminal need not wait.
+func TestSecondInterruptEndsAtOnce(t *testing.T) {
 	never := make(chan struct{})
 	defer close(never)
 	v := newInvoker(t, 0, func(int64) byte { <-never; return fakeplatform.Served })
