--- a/internal/relay/budget.go
+++ b/internal/relay/budget.go
@@ -7,46 +7,58 @@
 	"kitehub/scheduler"
 )
 
-// A budget divides the machine's limits among the parts. All of it is ratios of limits and settings.
+// A budget divides the machine's limits among the parts.
 type budget struct {
-	maxProcs    int
-	heapBytes   int64 // bytes that the collector keeps the program within
+	maxProcs    int   // threads that run Go code
+	heapBytes   int64 // the garbage collector's soft limit
 	clientConns int   // connections of clients
 	workerConns int   // connections to workers
-	answerBytes int   // bytes of a worker's answer
+	answerBytes int   // of the body of a worker's answer
 }
 
+// Ratios of the machine's limits.
 const (
-	minSockets             = 64
-	heapFraction           = 0.5 // of the memory: the rest is for the program's text, stacks of the kernel and what is not counted
-	reservedSocketsDivisor = 16  // part of the descriptors for the log, the listener, the directory, words and the runtime
-	clientConnFraction     = 0.5 // of the rest: the platform's clients hold a third of all, others come beside them
-	answerBytesDivisor     = 256 // part of the memory that the body of one answer may take
-	minAnswerBytes         = 64 << 10
-	maxAnswerBytes         = 16 << 20
+	heapFraction           = 0.5 // of the memory; the rest: program text, kernel stacks, what is not counted
+	reservedSocketsDivisor = 16  // part of the descriptors for the log, listener, directory, gossip and runtime
+	clientConnFraction     = 0.5 // of the other descriptors; the platform's clients hold a third of all
+	answerBytesDivisor     = 256 // part of the memory for the body of one answer
+)
+
+// Bounds on what the ratios give.
+const (
+	minSockets         = 64
+	minReservedSockets = 16
+	minAnswerBytes     = 64 << 10
+	maxAnswerBytes     = 16 << 20
 )
 
 func divideLimits(l Limits) budget {
-	rest := l.Sockets - max(16, l.Sockets/reservedSocketsDivisor)
-	clients := int(clientConnFraction * float64(rest))
-	bytes := l.MemoryMB * (1 << 20)
-	return budget{maxProcs: max(1, int(math.Ceil(l.Cores))), heapBytes: int64(heapFraction * bytes), clientConns: clients, workerConns: rest - clients,
-		answerBytes: int(min(max(bytes/answerBytesDivisor, minAnswerBytes), maxAnswerBytes))}
+	sockets := l.Sockets - max(minReservedSockets, l.Sockets/reservedSocketsDivisor)
+	clientConns := int(clientConnFraction * float64(sockets))
+	memoryBytes := l.MemoryMB * (1 << 20)
+	return budget{
+		maxProcs:    max(1, int(math.Ceil(l.Cores))),
+		heapBytes:   int64(heapFraction * memoryBytes),
+		clientConns: clientConns,
+		workerConns: sockets - clientConns,
+		answerBytes: int(min(max(memoryBytes/answerBytesDivisor, minAnswerBytes), maxAnswerBytes)),
+	}
 }
 
 // Times of the relay, as ratios of the settings.
 const (
-	firstMessageDials   = 6.0 // dial time-outs within which a client that connects must have sent a whole message
-	stalledReaderDials  = 4.0 // dial time-outs without progress until a reader is given up
-	pollFraction        = 0.5 // of the drain grace: how often the directory is asked, so that a drain is known within the grace
+	firstMessageDials   = 6.0 // dial time-outs within which a new client must have sent a whole message
+	stalledReaderDials  = 4.0 // dial time-outs without progress after which a reader is disconnected
+	pollFraction        = 0.5 // poll interval of the directory, of the drain grace: a drain is known within it
 	lateAnswerDeadlines = 2.0 // longest deadlines after which no answer to an attempt can come any more
 )
 
+// dialTimeouts returns n times the dial time-out.
 func dialTimeouts(s scheduler.Settings, n float64) time.Duration {
 	return time.Duration(n * float64(s.Limits.DialTimeout))
 }
 
-// longestDeadline is the longest deadline of a class.
+// longestDeadline returns the longest deadline of a class.
 func longestDeadline(s scheduler.Settings) (d time.Duration) {
 	for _, c := range s.Classes {
 		d = max(d, c.Deadline)
@@ -55,18 +67,18 @@
 }
 
 // lameDuck is how long after SIGTERM requests may still come, by the platform's PROTOCOL page: new connections for up to
-// 0.4 s, requests on open ones for 0.2 s more, and 0.1 s for the way. What comes later than that is not owed an answer.
+// 0.4 s, requests on open ones for 0.2 s more, and 0.1 s for the way. No answer is owed to what comes later.
 const lameDuck = 700 * time.Millisecond
 
-// The platform kills a controller that stops once lameDuck and its longest deadline are over, and counts no more than this for
-// the deadline (PROTOCOL): whatever is unanswered then is answered by nobody.
+// maxCountedDeadline is the most that the platform counts of the longest deadline (PROTOCOL): it kills a controller that
+// stops once lameDuck and that time are over, and what is not answered by then is answered by nobody.
 const maxCountedDeadline = 3 * time.Second
 
-// deliveryFraction of the time for answers after lameDuck is kept for those given at its end to be written and read, and for the process to
-// end by itself before it is killed.
+// deliveryFraction is the part of the time for answers that is kept for those given at its end to be written and read,
+// and for the process to end by itself before it is killed.
 const deliveryFraction = 1.0 / 8
 
-// answerTimeout is how long after lameDuck requests in hand may still be answered.
+// answerTimeout returns how long after lameDuck open requests may still be answered.
 func answerTimeout(s scheduler.Settings) time.Duration {
 	return min(longestDeadline(s), maxCountedDeadline)
 }
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -1,15 +1,12 @@
-// Package relay is a controller on a platform that configures by environment and JSON: the MessagePack-RPC front, the
-// gateway loop with the module, the invokers' frames and the directory over DNS, within the platform's limits. It puts
-// them together and decides nothing.
 package relay
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"net"
 	"os"
 	"strconv"
-	"time"
 
 	"kitehub/internal/discovery/dns"
 	"kitehub/internal/gateway"
@@ -17,19 +14,20 @@
 	"kitehub/scheduler"
 )
 
-// Variables of the environment.
+// Variables of the environment. A name or address there goes before that of the file.
 const (
-	EnvName   = "RELAY_NAME"
-	EnvListen = "RELAY_LISTEN"
-	EnvConfig = "RELAY_CONFIG"
+	EnvName   = "RELAY_NAME"   // the controller's name
+	EnvListen = "RELAY_LISTEN" // host and port for clients
+	EnvConfig = "RELAY_CONFIG" // path of the JSON file
 )
 
-// A ConfigError is a wrong or missing setting: its field, and what is wrong.
+// A ConfigError is a wrong or missing setting. Its text is the one line by which the platform finds the field.
 type ConfigError struct {
-	Field string
-	Err   error
+	Field string // a path in the JSON file, or a variable of the environment
+	Err   error  // what is wrong
 }
 
+// Error names the field and what is wrong.
 func (p *ConfigError) Error() string { return fmt.Sprintf("relay: %s: %v", p.Field, p.Err) }
 
 // Unwrap returns what is wrong.
@@ -39,22 +37,29 @@
 	return &ConfigError{field, fmt.Errorf(format, a...)}
 }
 
+// IsConfigError tells whether an error is one of configuration.
+func IsConfigError(err error) bool {
+	var p *ConfigError
+	return errors.As(err, &p)
+}
+
 // Limits of a controller's machine.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB float64 `json:"memory_mb"`
-	Sockets  int     `json:"sockets"`
+	Sockets  int     `json:"sockets"` // file descriptors
 }
 
-// A Config is the platform's configuration.
+// A Config is the platform's configuration of one controller.
 type Config struct {
-	Name, Listen  string
+	Name          string
+	Listen        string // host and port for clients
 	Seed          uint64
 	Limits        Limits
-	PeerListen    string
-	Peers         map[int]string
-	DirectoryAddr string
-	Serial        uint32 // of the last event in Known
+	PeerListen    string         // host and port for messages of other controllers
+	Peers         map[int]string // addresses of all controllers by index
+	DirectoryAddr string         // of the DNS server that names the workers
+	Serial        uint32         // of the last event that KnownWorkers holds
 	KnownWorkers  []gateway.Worker
 	Settings      scheduler.Settings
 }
@@ -75,30 +80,9 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
-// An directoryEvent of the directory.
-type directoryEvent struct {
-	Cursor uint32 `json:"cursor"`
-	Nodes  *struct {
-		All     bool     `json:"all"`
-		Targets []target `json:"targets"`
-	} `json:"nodes"`
-}
-
-// A target is an invoker.
-type target struct {
-	UID      string  `json:"uid"`
-	Endpoint string  `json:"endpoint"`
-	Zone     string  `json:"az"`
-	Model    string  `json:"model"`
-	Group    any     `json:"pod_group"`
-	State    string  `json:"state"`
-	Size     float64 `json:"capacity_hint"`
-	BootMS   int64   `json:"boot_ms"`
-}
-
-const maxConfigBytes = 16 << 20 // bytes
+const maxConfigBytes = 16 << 20
 
-// Load reads what the environment names.
+// Load reads the configuration that the environment names. Its error is a *ConfigError.
 func Load(env func(string) string) (*Config, error) {
 	path := env(EnvConfig)
 	if path == "" {
@@ -128,15 +112,23 @@
 	return c, c.check()
 }
 
-// Parse reads a configuration. Fields that it does not know are passed over.
+// Parse reads a configuration from JSON. Unknown fields are ignored. Its error is a *ConfigError.
 func Parse(text []byte) (*Config, error) {
 	var f configFile
 	if err := json.Unmarshal(text, &f); err != nil {
 		return nil, &ConfigError{EnvConfig, err}
 	}
-	c := &Config{Name: f.Name, Listen: f.Listen, Limits: f.Limits, PeerListen: f.PeerListen, Peers: map[int]string{}, DirectoryAddr: f.Names, Serial: f.Known.Cursor}
-	for i, a := range f.Peers {
-		c.Peers[i] = a
+	c := &Config{
+		Name:          f.Name,
+		Listen:        f.Listen,
+		Limits:        f.Limits,
+		PeerListen:    f.PeerListen,
+		Peers:         map[int]string{},
+		DirectoryAddr: f.Names,
+		Serial:        f.Known.Cursor,
+	}
+	for i, addr := range f.Peers {
+		c.Peers[i] = addr
 	}
 	var err error
 	if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
@@ -154,58 +146,7 @@
 	return c, nil
 }
 
-var statesByName = map[string]scheduler.WorkerState{"ready": scheduler.Ready, "draining": scheduler.Draining, "gone": scheduler.Gone}
-
-// replayEvents puts the events of the directory so far together.
-func replayEvents(events []directoryEvent) ([]gateway.Worker, error) {
-	held := map[string]gateway.Worker{}
-	var order []string
-	for i, e := range events {
-		if e.Nodes == nil {
-			continue
-		}
-		if e.Nodes.All {
-			clear(held)
-		}
-		for j, t := range e.Nodes.Targets {
-			field := fmt.Sprintf("known.cmds[%d].nodes.targets[%d]", i, j)
-			state, ok := statesByName[t.State]
-			switch {
-			case t.UID == "":
-				return nil, configError(field+".uid", "missing")
-			case !ok:
-				return nil, configError(field+".state", "%.32q is no state", t.State)
-			case state == scheduler.Gone:
-				delete(held, t.UID)
-				continue
-			}
-			if _, _, err := net.SplitHostPort(t.Endpoint); err != nil {
-				return nil, &ConfigError{field + ".endpoint", err}
-			}
-			w := gateway.Worker{Name: t.UID, Network: "tcp", Addr: t.Endpoint, Zone: t.Zone, Kind: t.Model, State: state, Size: t.Size}
-			if t.Group != nil {
-				w.Group = fmt.Sprint(t.Group)
-			}
-			if t.BootMS > 0 {
-				w.Started = time.UnixMilli(t.BootMS)
-			}
-			if _, ok := held[t.UID]; !ok {
-				order = append(order, t.UID)
-			}
-			held[t.UID] = w
-		}
-	}
-	var l []gateway.Worker
-	for _, uid := range order {
-		if w, ok := held[uid]; ok {
-			l = append(l, w)
-			delete(held, uid)
-		}
-	}
-	return l, nil
-}
-
-// check returns the first field that cannot be worked with.
+// check returns the first field that cannot be worked with, as a *ConfigError.
 func (c *Config) check() error {
 	if c.Name == "" {
 		return configError(EnvName, "not set")
--- a/internal/relay/estimates.go
+++ b/internal/relay/estimates.go
@@ -9,40 +9,46 @@
 	"kitehub/scheduler"
 )
 
-// maxReportedWorkers bounds the workers that one line tells of.
+// maxReportedWorkers bounds the workers of one log line.
 const maxReportedWorkers = 32
 
-// compareEstimates sets what the module believes of each worker beside what passed on its sockets since the last time, one text a
-// worker, and returns by how many calls out the two differ in all. They are read one after the other, so what is on its way
-// between them counts as a difference for a moment; one that stays is a fault.
-func compareEstimates(now []frame.Seen, before map[scheduler.WorkerID]frame.Seen, views []gateway.WorkerView) (lines []string, differ int) {
-	of := map[string]gateway.WorkerView{}
+// compareEstimates sets what the dispatcher estimates of each worker beside what passed on its sockets since before. It
+// returns a text for each worker, and by how many calls in flight the two differ in all. They are read one after the
+// other, so what is on its way between them counts as a difference for a moment; one that stays is a fault.
+func compareEstimates(now []frame.Seen, before map[scheduler.WorkerID]frame.Seen, views []gateway.WorkerView) (
+	lines []string, differ int) {
+	viewOf := map[string]gateway.WorkerView{}
 	for _, v := range views {
-		of[v.Name] = v
+		viewOf[v.Name] = v
 	}
-	for _, s := range now {
-		v, known := of[s.Name]
-		out := v.Snapshot.Busy + v.Snapshot.Loads
-		differ += max(out-s.Open, s.Open-out)
-		if len(lines) == maxReportedWorkers {
-			continue
+	for _, seen := range now {
+		view, known := viewOf[seen.Name]
+		estimated := view.Snapshot.Busy + view.Snapshot.Loads
+		differ += max(estimated-seen.Open, seen.Open-estimated)
+		if len(lines) < maxReportedWorkers {
+			lines = append(lines, describeWorker(seen, before[seen.Worker], view, known))
 		}
-		was := before[s.Worker]
-		mean := time.Duration(0)
-		if n := s.Answered - was.Answered; n > 0 {
-			mean = (s.Took - was.Took) / time.Duration(n)
-		}
-		state := "not known"
-		switch {
-		case v.Snapshot.Ejected:
-			state = "ejected"
-		case v.Snapshot.WarmingUp:
-			state = "cold"
-		case known:
-			state = "well"
-		}
-		lines = append(lines, fmt.Sprintf("%s out %d/%d conns %d served %d in %dms lost %d; %s pace %.2f tokens %.1f", s.Name, out, s.Open, s.Conns,
-			s.Answered-was.Answered, mean.Milliseconds(), s.Lost-was.Lost, state, v.Snapshot.LatencyRatio, v.Snapshot.Tokens))
 	}
 	return lines, differ
 }
+
+func describeWorker(now, before frame.Seen, view gateway.WorkerView, known bool) string {
+	snapshot := view.Snapshot
+	served := now.Answered - before.Answered
+	meanRunTime := time.Duration(0)
+	if served > 0 {
+		meanRunTime = (now.Took - before.Took) / time.Duration(served)
+	}
+	state := "not known"
+	switch {
+	case snapshot.Ejected:
+		state = "ejected"
+	case snapshot.WarmingUp:
+		state = "cold"
+	case known:
+		state = "well"
+	}
+	return fmt.Sprintf("%s out %d/%d conns %d served %d in %dms lost %d; %s pace %.2f tokens %.1f",
+		now.Name, snapshot.Busy+snapshot.Loads, now.Open, now.Conns, served, meanRunTime.Milliseconds(),
+		now.Lost-before.Lost, state, snapshot.LatencyRatio, snapshot.Tokens)
+}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,13 +1,16 @@
+// Package relay is a controller for a platform that configures by environment and JSON: the MessagePack-RPC ingress,
+// the gateway, the framed back end and the directory over DNS, within the limits that the platform sets to the machine.
+// It exists beside package controller because that platform fixes the protocols and the way a process starts and ends;
+// it makes no decision about calls.
+//
+// # Goroutines
+//
+// Run, on the goroutine of the command, reads the signals. Start adds one goroutine each for the gateway's loop, the
+// ingress, the reports and, if there are other controllers, their messages; the parts have their own besides.
 package relay
 
 import (
-	"errors"
-	"fmt"
 	"net"
-	"os"
-	"runtime"
-	"runtime/debug"
-	"syscall"
 	"time"
 
 	"github.com/rs/zerolog"
@@ -23,101 +26,193 @@
 
 // Bounds of the platform's protocol: its PROTOCOL page.
 const (
-	maxBodyBytes     = 16 << 10 // bytes of a client's body
+	maxBodyBytes     = 16 << 10 // of a client's body
 	maxOpenPerConn   = 32       // requests open on one connection
 	directoryService = "_app._tcp.cluster.lan"
 )
 
-// Options are what a configuration does not say.
+// Options are what a configuration does not say. Both fields are required.
 type Options struct {
 	Clock clock.Clock
 	Log   zerolog.Logger
 }
 
-// A Relay runs until Stop.
+// A Relay is a running controller, until Stop. Its fields are set by Start and must not be changed.
 type Relay struct {
-	Gateway  *gateway.Gateway
-	Front    *msgpackrpc.Front
-	Backend  *frame.Backend
-	Watcher  *dns.Watcher
+	Gateway *gateway.Gateway
+	Front   *msgpackrpc.Front
+	Backend *frame.Backend
+	Watcher *dns.Watcher
+
 	cfg      *Config
-	log      zerolog.Logger
+	options  Options
+	budget   budget
 	listener net.Listener
-	peers    *controller.Peers
-	done     chan struct{}
+	peers    *controller.Peers // nil: there are no other controllers
+	undo     []func()          // of the start, in the order of its steps
+	done     chan struct{}     // closed to end the reports
 }
 
-// Start runs a controller. Its listener is open and its list known when it returns.
-func Start(c *Config, o Options) (r *Relay, err error) {
-	s, b := c.Settings, divideLimits(c.Limits)
-	r = &Relay{cfg: c, log: o.Log, done: make(chan struct{})}
-	r.Backend = frame.New(frame.Config{Clock: o.Clock, Within: s.Limits.DialTimeout, Idle: s.Limits.IdleConnectionTimeout, Streams: s.Limits.StreamsPerConnection,
-		Conns: b.workerConns, MostBody: b.answerBytes, Patience: s.Limits.DialTimeout, Forget: time.Duration(lateAnswerDeadlines * float64(longestDeadline(s))),
-		Order: s.Loading.OrderTimeout, Report: s.Report, Log: o.Log})
-	defer func() {
-		if err != nil {
-			r.Backend.Close()
-			if r.peers != nil {
-				r.peers.Close()
-			}
-		}
-	}()
-	gc := gateway.Config{Name: c.Name, Settings: s, Seed: c.Seed, Clock: o.Clock, Transport: r.Backend, NameOf: msgpackrpc.Item, Log: o.Log, OmitRequestLog: true}
-	if s.Limits.Peers && len(c.Peers) > 0 {
-		if r.peers, err = controller.ListenPeers(s.ControllerIndex, c.PeerListen, c.Peers, false); err != nil {
-			return nil, &ConfigError{"peer_listen", err}
+// Start runs a controller. Its listener is open and its endpoint list known when it returns. A setting that cannot be
+// worked with is a *ConfigError; nothing is left running then.
+func Start(c *Config, o Options) (*Relay, error) {
+	r := &Relay{cfg: c, options: o, budget: divideLimits(c.Limits), done: make(chan struct{})}
+	steps := []func() error{
+		r.startBackend,
+		r.listenPeers,
+		r.newGateway,
+		r.listen,
+		r.watchDirectory,
+	}
+	for _, step := range steps {
+		if err := step(); err != nil {
+			r.undoStart()
+			return nil, err
 		}
+	}
+	r.serve()
+	return r, nil
+}
+
+// undoStart undoes the steps that have run, the last one first.
+func (r *Relay) undoStart() {
+	for i := len(r.undo) - 1; i >= 0; i-- {
+		r.undo[i]()
+	}
+}
+
+func (r *Relay) startBackend() error {
+	s := r.cfg.Settings
+	r.Backend = frame.New(frame.Config{
+		Clock:    r.options.Clock,
+		Within:   s.Limits.DialTimeout,
+		Idle:     s.Limits.IdleConnectionTimeout,
+		Streams:  s.Limits.StreamsPerConnection,
+		Conns:    r.budget.workerConns,
+		MostBody: r.budget.answerBytes,
+		Patience: s.Limits.DialTimeout,
+		Forget:   time.Duration(lateAnswerDeadlines * float64(longestDeadline(s))),
+		Order:    s.Loading.OrderTimeout,
+		Report:   s.Report,
+		Log:      r.options.Log,
+	})
+	r.undo = append(r.undo, func() { r.Backend.Close() })
+	return nil
+}
+
+func (r *Relay) listenPeers() error {
+	s := r.cfg.Settings
+	if !s.Limits.Peers || len(r.cfg.Peers) == 0 {
+		return nil
+	}
+	peers, err := controller.ListenPeers(s.ControllerIndex, r.cfg.PeerListen, r.cfg.Peers, false)
+	if err != nil {
+		return &ConfigError{"peer_listen", err}
+	}
+	r.peers = peers
+	r.undo = append(r.undo, peers.Close)
+	return nil
+}
+
+// newGateway makes the gateway with the endpoint list that the configuration holds, and the ingress. Neither runs yet.
+func (r *Relay) newGateway() (err error) {
+	c := r.cfg
+	gc := gateway.Config{
+		Name:           c.Name,
+		Settings:       c.Settings,
+		Seed:           c.Seed,
+		Clock:          r.options.Clock,
+		Transport:      r.Backend,
+		NameOf:         msgpackrpc.Item,
+		Log:            r.options.Log,
+		OmitRequestLog: true,
+	}
+	if r.peers != nil {
 		gc.Peers = r.peers
 	}
 	if r.Gateway, err = gateway.New(gc); err != nil {
-		return nil, &ConfigError{"settings", err}
+		return &ConfigError{"settings", err}
 	}
 	if err = r.Gateway.Workers(scheduler.CachedList, c.Serial, c.KnownWorkers); err != nil {
-		return nil, &ConfigError{"known", err}
+		return &ConfigError{"known", err}
 	}
-	r.Front = msgpackrpc.New(msgpackrpc.Config{Gateway: r.Gateway, Clock: o.Clock, Settings: s, Log: o.Log, MostBody: maxBodyBytes, MostOpen: maxOpenPerConn,
-		Conns: b.clientConns, Within: dialTimeouts(s, firstMessageDials), Stall: dialTimeouts(s, stalledReaderDials)})
-	if r.listener, err = net.Listen("tcp", c.Listen); err != nil {
-		return nil, &ConfigError{EnvListen, err}
+	r.Front = msgpackrpc.New(msgpackrpc.Config{
+		Gateway:  r.Gateway,
+		Clock:    r.options.Clock,
+		Settings: c.Settings,
+		Log:      r.options.Log,
+		MostBody: maxBodyBytes,
+		MostOpen: maxOpenPerConn,
+		Conns:    r.budget.clientConns,
+		Within:   dialTimeouts(c.Settings, firstMessageDials),
+		Stall:    dialTimeouts(c.Settings, stalledReaderDials),
+	})
+	return nil
+}
+
+func (r *Relay) listen() error {
+	ln, err := net.Listen("tcp", r.cfg.Listen)
+	if err != nil {
+		return &ConfigError{EnvListen, err}
 	}
-	if r.Watcher, err = dns.Start(dns.Config{Service: directoryService, Server: c.DirectoryAddr, Serial: c.Serial, Sink: r.Gateway, Log: o.Log,
-		Period: time.Duration(pollFraction * float64(s.Guarantees.DrainGrace))}); err != nil {
-		r.listener.Close()
-		return nil, &ConfigError{"names", err}
+	r.listener = ln
+	r.undo = append(r.undo, func() { ln.Close() })
+	return nil
+}
+
+// watchDirectory keeps the endpoint list up to date. It is the last step that may fail: nothing undoes it.
+func (r *Relay) watchDirectory() error {
+	watcher, err := dns.Start(dns.Config{
+		Service: directoryService,
+		Server:  r.cfg.DirectoryAddr,
+		Serial:  r.cfg.Serial,
+		Sink:    r.Gateway,
+		Log:     r.options.Log,
+		Period:  time.Duration(pollFraction * float64(r.cfg.Settings.Guarantees.DrainGrace)),
+	})
+	if err != nil {
+		return &ConfigError{"names", err}
 	}
+	r.Watcher = watcher
+	return nil
+}
+
+// serve starts what cannot fail.
+func (r *Relay) serve() {
 	go r.Gateway.Run()
 	if r.peers != nil {
 		go r.peers.Receive(r.Gateway)
 	}
 	go func() {
 		if err := r.Front.Serve(r.listener); err != nil {
-			r.log.Error().Err(err).Msg("listener")
+			r.options.Log.Error().Err(err).Msg("listener")
 		}
 	}()
 	go r.reportLoop()
-	return r, nil
 }
 
 // Addr returns where clients connect.
 func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
-// Reload takes from a configuration read anew what may change in service: where the directory is.
+// Reload takes from a configuration that was reloaded what may change in service: where the directory is. It is safe
+// while Stop runs.
 func (r *Relay) Reload(c *Config) {
 	if err := r.Watcher.SetServer(c.DirectoryAddr); err != nil {
-		r.log.Error().Err(err).Msg("the new configuration is not taken, the old one stays")
+		r.options.Log.Error().Err(err).Msg(configKept)
 		return
 	}
-	r.log.Info().Str("names", c.DirectoryAddr).Msg("configuration read anew")
+	r.options.Log.Info().Str("names", c.DirectoryAddr).Msg("configuration read anew")
 }
 
-// Stop goes on taking requests for lameDuck, as long as the platform may still send any, then takes no more and answers what is in
-// hand within the time. What is left of that time's last part is for answers to reach their clients.
+// Stop shuts down gracefully. It goes on admitting requests for lameDuck, as long as the platform may still send any,
+// then admits no more and answers what is open within the time. The last part of that time is for answers to reach
+// their clients. It must be called once.
 func (r *Relay) Stop(lameDuck, within time.Duration) {
 	r.Front.Drain()
 	time.Sleep(lameDuck)
-	last := time.Duration(deliveryFraction * float64(within))
-	r.Gateway.Stop(within - last)
-	r.Front.Finish(last)
+	delivery := time.Duration(deliveryFraction * float64(within))
+	r.Gateway.Stop(within - delivery)
+	r.Front.Finish(delivery)
 	r.listener.Close()
 	r.Front.Close()
 	r.Watcher.Stop()
@@ -127,112 +222,3 @@
 	}
 	close(r.done)
 }
-
-const reportInterval = 5 * time.Second
-
-// reportLoop logs what was done, now and then.
-func (r *Relay) reportLoop() {
-	t := time.NewTicker(reportInterval)
-	defer t.Stop()
-	before := map[scheduler.WorkerID]frame.Seen{}
-	for {
-		select {
-		case <-r.done:
-			return
-		case <-t.C:
-		}
-		if views, _, err := r.Gateway.View(); err == nil {
-			seen := r.Backend.Seen()
-			lines, differ := compareEstimates(seen, before, views)
-			clear(before)
-			for _, s := range seen {
-				before[s.Worker] = s
-			}
-			r.log.Info().Int("differ", differ).Strs("workers", lines).Msg("beliefs")
-		}
-		var m runtime.MemStats
-		runtime.ReadMemStats(&m)
-		g, f, b, w := &r.Gateway.Counts, &r.Front.Counts, &r.Backend.Counts, &r.Watcher.Counts
-		r.log.Info().Int64("served", g.Served.Load()).Int64("refused", g.Rejected.Load()).Int64("failed", g.Failed.Load()).
-			Int64("gone", g.ClientClosed.Load()).Int64("turned", g.OverCapacity.Load()).Int("open", r.Gateway.Open()).Int64("crashes", g.Crashes.Load()).
-			Int64("steps", g.Steps.Load()).Int64("step_us", g.StepNanos.Load()/1000).Int64("late_us", g.MaxStepDelayNanos.Load()/1000).
-			Int("clients", r.Front.Conns()).Int64("accepted", f.Accepted.Load()).Int64("evicted", f.Evicted.Load()).Int64("shut", f.Shut.Load()).
-			Int64("requests", f.Requests.Load()).Int64("invalid", f.Invalid.Load()).Int64("over", f.Over.Load()).Int64("broken", f.Broken.Load()).
-			Int64("withdrawn", f.Withdrawn.Load()).
-			Int64("opened", b.Opened.Load()).Int64("dial_failed", b.DialFailed.Load()).Int64("lost_new", b.LostNew.Load()).Int64("lost_used", b.LostUsed.Load()).Int64("noise", b.Broken.Load()).Int64("strays", b.Strays.Load()).
-			Int64("pings", b.Pings.Load()).Int64("dead", b.Dead.Load()).Int64("no_place", b.NoPlace.Load()).
-			Int64("asked", w.Asked.Load()).Int64("lists", w.Changed.Load()).Int64("unfit", w.Unfit.Load()).Int64("silent", w.Silent.Load()).
-			Uint64("heap_kb", m.HeapInuse>>10).Uint64("sys_kb", m.Sys>>10).Uint32("gc", m.NumGC).Int("goroutines", runtime.NumGoroutine()).Msg("so far")
-	}
-}
-
-// applyLimits enforces the limits on this process.
-func applyLimits(l Limits) {
-	b := divideLimits(l)
-	runtime.GOMAXPROCS(b.maxProcs)
-	debug.SetMemoryLimit(b.heapBytes)
-	var cur syscall.Rlimit
-	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &cur) == nil && cur.Cur != uint64(l.Sockets) && uint64(l.Sockets) <= cur.Max {
-		cur.Cur = uint64(l.Sockets)
-		syscall.Setrlimit(syscall.RLIMIT_NOFILE, &cur) // the descriptors are budgeted anyway
-	}
-}
-
-// Signals are what a controller is told by its platform. They come on two channels: one that is full of reloads must not cost
-// the request to stop.
-type Signals struct {
-	Reload <-chan os.Signal // read the configuration again
-	Stop   <-chan os.Signal
-}
-
-// Run is the whole life of a controller, until it is told to stop and has answered what it took. It reads the configuration anew
-// when told so, also while it stops: drains must still be learned while requests are in hand.
-func Run(env func(string) string, log zerolog.Logger, signals Signals) error {
-	c, err := Load(env)
-	if err != nil {
-		return err
-	}
-	applyLimits(c.Limits)
-	log = log.With().Str("controller", c.Name).Logger()
-	r, err := Start(c, Options{Clock: clock.System(), Log: log})
-	if err != nil {
-		return err
-	}
-	log.Info().Str("listen", r.Addr()).Int("workers", len(c.KnownWorkers)).Float64("cores", c.Limits.Cores).Float64("memory_mb", c.Limits.MemoryMB).
-		Int("sockets", c.Limits.Sockets).Msg("serving")
-	var ended chan struct{} // nil until it is told to stop
-	for {
-		select {
-		case <-ended:
-			log.Info().Msg("stopped")
-			return nil
-		case <-signals.Reload:
-			next, err := Load(env)
-			if err != nil {
-				log.Error().Err(err).Msg("the new configuration is not taken, the old one stays")
-				continue
-			}
-			r.Reload(next)
-		case sig := <-signals.Stop:
-			switch {
-			case ended == nil:
-				log.Info().Str("signal", sig.String()).Msg("stopping")
-				ended = make(chan struct{})
-				go func() {
-					r.Stop(lameDuck, answerTimeout(c.Settings))
-					close(ended)
-				}()
-			case sig == os.Interrupt: // somebody at a terminal who will not wait
-				return fmt.Errorf("relay: ended by a second %s with %d requests open", sig, r.Gateway.Open())
-			default: // it is said twice: the requests in hand are worth no less for it
-				log.Info().Str("signal", sig.String()).Int("open", r.Gateway.Open()).Msg("stopping already")
-			}
-		}
-	}
-}
-
-// IsConfigError tells whether an error is one of configuration.
-func IsConfigError(err error) bool {
-	var p *ConfigError
-	return errors.As(err, &p)
-}
--- /dev/null
+++ b/internal/relay/report.go
@@ -0,0 +1,95 @@
+package relay
+
+import (
+	"runtime"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"kitehub/internal/backend/frame"
+	"kitehub/scheduler"
+)
+
+const reportInterval = 5 * time.Second
+
+// reportLoop logs at intervals what was done, until Stop.
+func (r *Relay) reportLoop() {
+	ticker := time.NewTicker(reportInterval)
+	defer ticker.Stop()
+	before := map[scheduler.WorkerID]frame.Seen{}
+	for {
+		select {
+		case <-r.done:
+			return
+		case <-ticker.C:
+		}
+		r.reportEstimates(before)
+		r.reportCounts()
+	}
+}
+
+// reportEstimates logs the dispatcher's estimates beside what passed on the sockets since before, and updates before.
+func (r *Relay) reportEstimates(before map[scheduler.WorkerID]frame.Seen) {
+	views, _, err := r.Gateway.View()
+	if err != nil {
+		return // the gateway has stopped
+	}
+	seen := r.Backend.Seen()
+	lines, differ := compareEstimates(seen, before, views)
+	clear(before)
+	for _, s := range seen {
+		before[s.Worker] = s
+	}
+	r.options.Log.Info().Int("differ", differ).Strs("workers", lines).Msg("beliefs")
+}
+
+// reportCounts logs the counts since the start. What each field means is in docs/relay.md.
+func (r *Relay) reportCounts() {
+	e := r.options.Log.Info()
+	r.addGatewayCounts(e)
+	r.addFrontCounts(e)
+	r.addBackendCounts(e)
+	r.addDirectoryCounts(e)
+	addProcessCounts(e)
+	e.Msg("so far")
+}
+
+func (r *Relay) addGatewayCounts(e *zerolog.Event) {
+	counts := &r.Gateway.Counts
+	e.Int64("served", counts.Served.Load()).Int64("refused", counts.Rejected.Load()).
+		Int64("failed", counts.Failed.Load()).Int64("gone", counts.ClientClosed.Load()).
+		Int64("turned", counts.OverCapacity.Load()).Int("open", r.Gateway.Open()).
+		Int64("crashes", counts.Crashes.Load()).Int64("steps", counts.Steps.Load()).
+		Int64("step_us", counts.StepNanos.Load()/1000).Int64("late_us", counts.MaxStepDelayNanos.Load()/1000)
+}
+
+func (r *Relay) addFrontCounts(e *zerolog.Event) {
+	counts := &r.Front.Counts
+	e.Int("clients", r.Front.Conns()).Int64("accepted", counts.Accepted.Load()).
+		Int64("evicted", counts.Evicted.Load()).Int64("shut", counts.Shut.Load()).
+		Int64("requests", counts.Requests.Load()).Int64("invalid", counts.Invalid.Load()).
+		Int64("over", counts.Over.Load()).Int64("broken", counts.Broken.Load()).
+		Int64("withdrawn", counts.Withdrawn.Load())
+}
+
+func (r *Relay) addBackendCounts(e *zerolog.Event) {
+	counts := &r.Backend.Counts
+	e.Int64("opened", counts.Opened.Load()).Int64("dial_failed", counts.DialFailed.Load()).
+		Int64("lost_new", counts.LostNew.Load()).Int64("lost_used", counts.LostUsed.Load()).
+		Int64("noise", counts.Broken.Load()).Int64("strays", counts.Strays.Load()).
+		Int64("pings", counts.Pings.Load()).Int64("dead", counts.Dead.Load()).
+		Int64("no_place", counts.NoPlace.Load())
+}
+
+func (r *Relay) addDirectoryCounts(e *zerolog.Event) {
+	counts := &r.Watcher.Counts
+	e.Int64("asked", counts.Asked.Load()).Int64("lists", counts.Changed.Load()).
+		Int64("unfit", counts.Unfit.Load()).Int64("silent", counts.Silent.Load())
+}
+
+func addProcessCounts(e *zerolog.Event) {
+	var m runtime.MemStats
+	runtime.ReadMemStats(&m)
+	e.Uint64("heap_kb", m.HeapInuse>>10).Uint64("sys_kb", m.Sys>>10).Uint32("gc", m.NumGC).
+		Int("goroutines", runtime.NumGoroutine())
+}
--- a/internal/relay/stop_test.go
+++ b/internal/relay/stop_test.go
@@ -1,7 +1,6 @@
 package relay
 
 import (
-	"fmt"
 	"io"
 	"maps"
 	"net"
@@ -20,6 +19,7 @@
 	"kitehub/scheduler"
 )
 
+// After SIGTERM requests are still admitted for a while, all are answered, and the process ends without an error.
 func TestSigtermAnswersWhatIsInFlight(t *testing.T) {
 	v := newInvoker(t, 300*time.Millisecond, nil)
 	r := start(t, v, newDirectory(t).LocalAddr().String())
@@ -47,8 +47,8 @@
 	}
 }
 
-// TestStopAnswersWhatIsStillOpen: what is in hand when the time for answers is over is answered, by a refusal where another try does no harm, and
-// the connection ends in order after it.
+// What is open when the time for answers is over is answered, by a rejection where another attempt does no harm, and the
+// connection ends in order after it.
 func TestStopAnswersWhatIsStillOpen(t *testing.T) {
 	came := make(chan struct{}, 3)
 	ln, err := fakeplatform.Invoke(func(_ int, c *net.TCPConn) {
@@ -66,11 +66,7 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	cfg, err := Parse(fmt.Appendf(nil, `{"name": "n3", "listen": "127.0.0.1:0", "seed": "8c", "names": %q, "limits": {"cores": 1, "memory_mb": 512, "sockets": 256},
-		"known": %s, "settings": %s}`, newDirectory(t).LocalAddr(), known(ln.Addr().String()), settingsText))
-	if err != nil {
-		t.Fatal(err)
-	}
+	cfg := parse(t, newDirectory(t).LocalAddr().String(), ln.Addr().String())
 	r, err := Start(cfg, Options{Clock: clock.System(), Log: zerolog.Nop()})
 	if err != nil {
 		t.Fatal(err)
@@ -101,16 +97,21 @@
 	<-stopped
 }
 
-// TestAnswerTimeoutIsBounded: the platform waits no longer than its own bound, however long a deadline is.
+// The platform waits no longer than its own bound, however long a deadline is.
 func TestAnswerTimeoutIsBounded(t *testing.T) {
-	for deadline, want := range map[time.Duration]time.Duration{400 * time.Millisecond: 400 * time.Millisecond, 3 * time.Second: 3 * time.Second, 15 * time.Second: 3 * time.Second} {
-		if got := answerTimeout(scheduler.Settings{Classes: []scheduler.Class{{Deadline: 100 * time.Millisecond}, {Deadline: deadline}}}); got != want {
+	for deadline, want := range map[time.Duration]time.Duration{
+		400 * time.Millisecond: 400 * time.Millisecond,
+		3 * time.Second:        3 * time.Second,
+		15 * time.Second:       3 * time.Second,
+	} {
+		classes := []scheduler.Class{{Deadline: 100 * time.Millisecond}, {Deadline: deadline}}
+		if got := answerTimeout(scheduler.Settings{Classes: classes}); got != want {
 			t.Errorf("%v for a deadline of %v, want %v", got, deadline, want)
 		}
 	}
 }
 
-// TestReloadAndSecondSigtermWhileStopping: with a request in hand, a reload is still carried out and a second SIGTERM costs nothing.
+// While a request is open, a reload is still carried out and a second SIGTERM costs nothing.
 func TestReloadAndSecondSigtermWhileStopping(t *testing.T) {
 	answer := make(chan struct{})
 	v := newInvoker(t, 0, func(int64) byte { <-answer; return fakeplatform.Served })
@@ -123,7 +124,9 @@
 	}
 	r.stop <- syscall.SIGTERM
 	r.log.wait(t, `"stopping"`)
-	second.Set(fakeplatform.List{Serial: 3, Workers: []string{"s-1"}, Prio: 1, Addrs: []netip.AddrPort{v.Addr().(*net.TCPAddr).AddrPort()}})
+	second.Set(fakeplatform.List{
+		Serial: 3, Workers: []string{"s-1"}, Prio: 1, Addrs: []netip.AddrPort{addrPort(v.Addr())},
+	})
 	r.fields["names"] = second.LocalAddr().String()
 	r.write()
 	r.reload <- syscall.SIGHUP
@@ -139,7 +142,7 @@
 	}
 }
 
-// TestSigtermDuringStartIsCarriedOut: a SIGTERM that comes while the controller starts is carried out once it has.
+// A SIGTERM that comes while the controller starts is carried out once it has.
 func TestSigtermDuringStartIsCarriedOut(t *testing.T) {
 	v := newInvoker(t, 0, nil)
 	r := start(t, v, newDirectory(t).LocalAddr().String(), syscall.SIGTERM)
@@ -158,8 +161,8 @@
 	}
 }
 
-// TestCancelledWhileQueuedIsNeverSent: a call whose client took it back, or left, while no worker was there is never sent; nor is a list that
-// names no worker the end of the watch.
+// A call whose client withdrew it or closed while no worker was there is never sent; nor does a list that names no worker
+// end the watch.
 func TestCancelledWhileQueuedIsNeverSent(t *testing.T) {
 	v := newInvoker(t, 0, nil)
 	d := newDirectory(t)
@@ -176,10 +179,10 @@
 	if err := leaves.Conn.(*net.TCPConn).CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
-	if n, err := leaves.Read(make([]byte, 1)); n != 0 || err != io.EOF { // the front closes once it has taken the call back
+	if n, err := leaves.Read(make([]byte, 1)); n != 0 || err != io.EOF { // the ingress closes once it has withdrawn the call
 		t.Errorf("%d bytes, %v to a client that left", n, err)
 	}
-	d.Set(fakeplatform.List{Serial: 4, Workers: []string{"s-1"}, Addrs: []netip.AddrPort{v.Addr().(*net.TCPAddr).AddrPort()}})
+	d.Set(fakeplatform.List{Serial: 4, Workers: []string{"s-1"}, Addrs: []netip.AddrPort{addrPort(v.Addr())}})
 	if got := stays.answers(1)["2"]; got != "served body 2" {
 		t.Errorf("the call that waited: %q", got)
 	}
@@ -190,7 +193,7 @@
 	}
 }
 
-// TestSecondInterruptEndsAtOnce: somebody at a terminal need not wait.
+// Somebody at a terminal need not wait.
 func TestSecondInterruptEndsAtOnce(t *testing.T) {
 	never := make(chan struct{})
 	defer close(never)
