--- a/cmd/kitehub/hook.go
+++ b/cmd/kitehub/hook.go
@@ -172,7 +172,7 @@
 }
 
 type hookLoadCmd struct {
-	socket
+	operatorClient
 	File   string `arg:"" type:"existingfile"`
 	Name   string `help:"Name of the script; without it, that of the file."`
 	Shadow bool   `help:"Run it beside the live version until it is promoted."`
@@ -190,21 +190,21 @@
 	if name == "" {
 		name = strings.TrimSuffix(filepath.Base(h.File), filepath.Ext(h.File))
 	}
-	return h.ask("hook.load", map[string]any{"name": name, "text": string(text), "shadow": h.Shadow}, nil, nil)
+	return h.request("hook.load", map[string]any{"name": name, "text": string(text), "shadow": h.Shadow}, nil, nil)
 }
 
 type hookActCmd struct {
-	socket
+	operatorClient
 	Name  string `arg:""`
 	Force bool   `help:"Though it has not been tried enough, or made faults."`
 }
 
 func (h *hookActCmd) Run() error {
-	return h.ask("hook.promote", map[string]any{"name": h.Name, "force": h.Force}, nil, nil)
+	return h.request("hook.promote", map[string]any{"name": h.Name, "force": h.Force}, nil, nil)
 }
 
 type hookNamed struct {
-	socket
+	operatorClient
 	Name string `arg:""`
 }
 
@@ -212,7 +212,7 @@
 	if h.Name == "" {
 		return errors.New("no name")
 	}
-	return h.ask(method, map[string]any{"name": h.Name}, nil, nil)
+	return h.request(method, map[string]any{"name": h.Name}, nil, nil)
 }
 
 type hookRollbackCmd struct{ hookNamed }
--- a/cmd/kitehub/main_test.go
+++ b/cmd/kitehub/main_test.go
@@ -213,7 +213,9 @@
 		t.Error(err)
 	}
 	c, addr = serve(t, config) // after a clean stop no timestamp but older ones is refused
-	for s := 0; s != 200; s = status(t, addr, fmt.Sprint("b", time.Now().UnixNano()), `{}`) {
+	served := false
+	for !served {
+		served = status(t, addr, fmt.Sprint("b", time.Now().UnixNano()), `{}`) == 200
 	}
 	n := began()
 	go post(addr, "c", "trade", `{"work_ms":3000}`)
--- a/cmd/kitehub/operate.go
+++ b/cmd/kitehub/operate.go
@@ -14,17 +14,18 @@
 	"kitehub/internal/gateway"
 	"kitehub/internal/hookengine"
 	"kitehub/internal/ingress/jsonrpc"
+	"kitehub/scheduler"
 )
 
-// A socket is where a running controller listens for operators.
-type socket struct {
+// A operatorClient is where a running controller listens for operators.
+type operatorClient struct {
 	Socket string        `required:"" type:"path" env:"KITEHUB_SOCKET" help:"The controller's rpc.socket."`
 	Within time.Duration `default:"5s" help:"How long an answer may take."`
 	JSON   bool          `help:"Print the answer as it came."`
 }
 
-// ask asks one thing and prints it, by show unless --json is given.
-func (s *socket) ask(method string, params, result any, show func()) error {
+// request asks one thing and prints it, by show unless --json is given.
+func (s *operatorClient) request(method string, params, result any, show func()) error {
 	c, err := jsonrpc.Dial(s.Socket, s.Within)
 	if err != nil {
 		return err
@@ -52,110 +53,127 @@
 	return nil
 }
 
-func table(head string, f func(w *tabwriter.Writer)) {
+func printTable(head string, f func(w *tabwriter.Writer)) {
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, head)
 	f(w)
 	w.Flush()
 }
 
-type statusCmd struct{ socket }
+type statusCmd struct{ operatorClient }
 
 func (s *statusCmd) Run() error {
 	var x controller.Status
-	return s.ask("status", nil, &x, func() {
+	return s.request("status", nil, &x, func() {
 		state := "serving"
 		if x.Draining {
 			state = "draining"
 		}
 		fmt.Printf("%s (process %d): %s, %d calls in hand\n", x.Name, x.PID, state, x.Open)
 		a := x.Answers
-		fmt.Printf("served %d, refused %d, failed %d, gone %d, left %d, turned away %d\n", a["served"], a["refused"], a["failed"], a["gone"], a["left"], a["turned"])
+		fmt.Printf("served %d, refused %d, failed %d, gone %d, left %d, turned away %d\n",
+			a["served"], a["refused"], a["failed"], a["gone"], a["left"], a["turned"])
 		fmt.Printf("a step takes %.1f us, the module crashed %d times\n", x.StepUS, x.Crashes)
 		if h := x.Hooks; h != nil {
-			fmt.Printf("hooks: %d inline of %d ns, %d aside of %d ns, %d faults; events: %d, dropped %d; calls refused %d, let pass over the bound %d\n",
-				h["inline"], h["inline_ns"], h["aside"], h["aside_ns"], h["faults"], h["posted"], h["dropped"], h["refusals"], h["over"])
+			fmt.Printf("hooks: %d inline of %d ns, %d aside of %d ns, %d faults; events: %d, dropped %d; "+
+				"calls refused %d, let pass over the bound %d\n",
+				h["inline"], h["inline_ns"], h["aside"], h["aside_ns"], h["faults"], h["posted"], h["dropped"],
+				h["refusals"], h["over"])
 		}
 	})
 }
 
-type workersCmd struct{ socket }
+type workersCmd struct{ operatorClient }
 
 func (s *workersCmd) Run() error {
 	var l []gateway.WorkerView
-	return s.ask("workers", nil, &l, func() {
-		table("WORKER\tSTATE\tTOKENS\tIN USE\tLOADS\tFUNCTIONS\tHEARD\tNOTES", func(w *tabwriter.Writer) {
+	return s.request("workers", nil, &l, func() {
+		printTable("WORKER\tSTATE\tTOKENS\tIN USE\tLOADS\tFUNCTIONS\tHEARD\tNOTES", func(w *tabwriter.Writer) {
 			for _, x := range l {
-				var notes []string
-				for _, n := range []struct {
-					on   bool
-					text string
-				}{{x.Snapshot.WarmingUp, "cold"}, {x.Snapshot.Ejected, "ejected"}, {x.Snapshot.Rank > 0, "preferred"}, {x.Snapshot.Rank < 0, "avoided"}} {
-					if n.on {
-						notes = append(notes, n.text)
-					}
-				}
 				heard := "never"
 				if x.SinceLastAnswer >= 0 {
 					heard = x.SinceLastAnswer.Round(time.Millisecond).String() + " ago"
 				}
 				state := map[bool]string{true: "ready", false: "draining"}[x.State == 1]
-				fmt.Fprintf(w, "%s\t%s\t%.1f\t%d\t%d\t%d\t%s\t%s\n", x.Name, state, x.Snapshot.Tokens, x.Snapshot.Busy, x.Snapshot.Loads, x.Copies, heard, strings.Join(notes, ", "))
+				fmt.Fprintf(w, "%s\t%s\t%.1f\t%d\t%d\t%d\t%s\t%s\n", x.Name, state, x.Snapshot.Tokens, x.Snapshot.Busy,
+					x.Snapshot.Loads, x.Copies, heard, strings.Join(workerNotes(x.Snapshot), ", "))
 			}
 		})
 	})
 }
 
-type functionsCmd struct{ socket }
+func workerNotes(s scheduler.Snapshot) (notes []string) {
+	for _, note := range []struct {
+		applies bool
+		text    string
+	}{
+		{s.WarmingUp, "cold"},
+		{s.Ejected, "ejected"},
+		{s.Rank > 0, "preferred"},
+		{s.Rank < 0, "avoided"},
+	} {
+		if note.applies {
+			notes = append(notes, note.text)
+		}
+	}
+	return notes
+}
+
+type functionsCmd struct{ operatorClient }
 
 func (s *functionsCmd) Run() error {
 	var l []gateway.FunctionView
-	return s.ask("functions", nil, &l, func() {
-		table("FUNCTION\tHOME\tWAITING\tOUT\tRUN\tGAP\tCOPIES\tNOTES", func(w *tabwriter.Writer) {
+	return s.request("functions", nil, &l, func() {
+		printTable("FUNCTION\tHOME\tWAITING\tOUT\tRUN\tGAP\tCOPIES\tNOTES", func(w *tabwriter.Writer) {
 			for _, x := range l {
 				note := ""
 				if x.Desired {
 					note = "kept warm by advice"
 				}
-				fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%v\t%v\t%d\t%s\n", x.Name, x.Home, x.Queued, x.InFlight, x.MeanRunTime.Round(time.Millisecond), x.MeanInterarrival.Round(time.Millisecond), x.Copies, note)
+				fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%v\t%v\t%d\t%s\n", x.Name, x.Home, x.Queued, x.InFlight,
+					x.MeanRunTime.Round(time.Millisecond), x.MeanInterarrival.Round(time.Millisecond), x.Copies, note)
 			}
 		})
 	})
 }
 
-type hooksCmd struct{ socket }
+type hooksCmd struct{ operatorClient }
 
 func (s *hooksCmd) Run() error {
 	var o hookengine.Overview
-	return s.ask("hooks", nil, &o, func() {
-		table("SCRIPT\tSTATUS\tVERSION\tSHADOW\tRUNS\tFAULTS\tLAST FAULT", func(w *tabwriter.Writer) {
+	return s.request("hooks", nil, &o, func() {
+		printTable("SCRIPT\tSTATUS\tVERSION\tSHADOW\tRUNS\tFAULTS\tLAST FAULT", func(w *tabwriter.Writer) {
 			for _, x := range o.Scripts {
 				shadow := "-"
 				if x.Trial != nil {
-					shadow = fmt.Sprintf("%d: %d runs, %d differ, %d faults", x.Shadow, x.Trial.Runs, x.Trial.Differ, x.Trial.Faults)
+					shadow = fmt.Sprintf("%d: %d runs, %d differ, %d faults",
+						x.Shadow, x.Trial.Runs, x.Trial.Differ, x.Trial.Faults)
 				}
-				fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%d\t%d\t%s\n", x.Name, x.Status, x.Live, shadow, x.Tally.Runs, x.Tally.Faults, x.Fault)
+				fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%d\t%d\t%s\n",
+					x.Name, x.Status, x.Live, shadow, x.Tally.Runs, x.Tally.Faults, x.Fault)
 			}
 		})
 		for _, t := range o.Standing {
 			fmt.Println("stands:", t)
 		}
-		fmt.Printf("events: %d, dropped %d, waiting %d; advice taken %d, set aside %d; calls refused %d, let pass over the bound %d\n", o.Posted, o.Dropped, o.Waiting, o.Taken, o.Aside, o.Refused, o.Over)
+		fmt.Printf("events: %d, dropped %d, waiting %d; advice taken %d, set aside %d; "+
+			"calls refused %d, let pass over the bound %d\n",
+			o.Posted, o.Dropped, o.Waiting, o.Taken, o.Aside, o.Refused, o.Over)
 	})
 }
 
-type drainCmd struct{ socket }
+type drainCmd struct{ operatorClient }
 
-func (s *drainCmd) Run() error { return s.ask("drain", nil, nil, nil) }
+func (s *drainCmd) Run() error { return s.request("drain", nil, nil, nil) }
 
 type explainCmd struct {
-	socket
+	operatorClient
 	ID string `arg:"" help:"The call's id: its webhook-id, or name:id of the second front."`
 }
 
 func (s *explainCmd) Run() error {
 	var x gateway.Explanation
-	return s.ask("explain", map[string]string{"id": s.ID}, &x, func() {
+	return s.request("explain", map[string]string{"id": s.ID}, &x, func() {
 		how := "in hand"
 		if x.Answer != "" {
 			how = x.Answer
@@ -168,7 +186,7 @@
 }
 
 type callCmd struct {
-	socket
+	operatorClient
 	Function string `arg:"" help:"Name of a function, or model@alias."`
 	Body     string `default:"{}" help:"The body, as JSON."`
 	Key      string `help:"Of a keyed class: a repeat with the same key does not run twice."`
@@ -183,11 +201,11 @@
 	if s.Key != "" {
 		p["key"] = s.Key
 	}
-	return s.ask("call", p, nil, nil)
+	return s.request("call", p, nil, nil)
 }
 
 type watchCmd struct {
-	socket
+	operatorClient
 	Topics []string `arg:"" optional:"" help:"ended, joined, left, load_refused, moved, level; all if none is named."`
 	For    time.Duration
 }
--- a/cmd/kitehub/registry.go
+++ b/cmd/kitehub/registry.go
@@ -5,26 +5,16 @@
 	"errors"
 	"fmt"
 	"maps"
-	"net"
 	"os"
-	"os/signal"
 	"slices"
 	"strings"
-	"syscall"
 	"text/tabwriter"
 	"time"
 
-	"github.com/rs/zerolog"
-
-	"kitehub/config"
-	"kitehub/internal/clock"
-	"kitehub/internal/http1"
 	"kitehub/internal/registry"
 	"kitehub/internal/registry/client"
-	"kitehub/internal/registry/service"
 	"kitehub/internal/registry/wire"
 	"kitehub/internal/signing"
-	"kitehub/internal/store"
 )
 
 type registryCmd struct {
@@ -44,62 +34,8 @@
 	Import   registryImportCmd   `cmd:"" help:"Read from standard input what export printed, into an empty registry."`
 }
 
-type registryServeCmd struct {
-	Config string `required:"" type:"path" help:"Configuration, in protobuf text format."`
-}
-
-// Run serves until SIGTERM or SIGINT, or until the store is broken: then it ends with an error, to be started anew.
-func (s *registryServeCmd) Run() error {
-	b, err := config.LoadRegistry(s.Config)
-	if err != nil {
-		return err
-	}
-	log := zerolog.New(os.Stderr).With().Timestamp().Str("process", "registry").Logger()
-	if err := os.MkdirAll(b.Dir, 0o700); err != nil {
-		return fmt.Errorf("state_dir: %w", err)
-	}
-	unlock, err := store.Lock(b.Dir)
-	if err != nil {
-		return fmt.Errorf("state_dir: %w", err)
-	}
-	defer unlock()
-	sc := b.Service
-	sc.Clock, sc.FS, sc.Log = clock.System(), store.Dir(b.Dir), log
-	svc, rec, err := service.Open(sc)
-	if err != nil {
-		return err
-	}
-	ln, err := net.Listen("tcp", b.Listen)
-	if err != nil {
-		svc.Close()
-		return fmt.Errorf("listen: %w", err)
-	}
-	srv := &http1.Server{Handler: service.NewFront(svc, b.Callers, time.Duration(b.Past)*time.Millisecond), MaxOpen: b.MaxOpen,
-		Limits: http1.Limits{Body: 4 << 20, Idle: time.Minute}}
-	go srv.Serve(ln)
-	log.Info().Str("listen", ln.Addr().String()).Uint64("snapshot", rec.Snapshot).Int("records", rec.Records).Int64("cut", rec.Cut).Msg("serving")
-	signals := make(chan os.Signal, 2)
-	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
-	tick := time.NewTicker(time.Second)
-	defer tick.Stop()
-	for end := false; !end; {
-		select {
-		case <-signals:
-			end = true
-		case <-tick.C:
-			err = svc.Broken()
-			end = err != nil
-		}
-	}
-	ln.Close()
-	go srv.Drain(2 * time.Second)
-	cerr := svc.Close()
-	srv.Drain(2 * time.Second)
-	return errors.Join(err, cerr)
-}
-
-// remote is how an operator's commands reach the registry.
-type remote struct {
+// registryClient is how an operator's commands reach the registry.
+type registryClient struct {
 	Server  string        `required:"" env:"KITEHUB_REGISTRY" help:"host:port of the registry."`
 	KeyFile string        `required:"" type:"existingfile" env:"KITEHUB_REGISTRY_KEY" help:"File with the operator's secret."`
 	Key     string        `help:"Of the command: the same again does nothing anew. Drawn if not given."`
@@ -107,7 +43,7 @@
 	Why     string        `help:"For the history."`
 }
 
-func (r *remote) client() (*client.Client, error) {
+func (r *registryClient) client() (*client.Client, error) {
 	text, err := os.ReadFile(r.KeyFile)
 	if err != nil {
 		return nil, err
@@ -119,8 +55,8 @@
 	return &client.Client{Server: r.Server, Name: "operator", Key: k, Wall: time.Now}, nil
 }
 
-// send gives a command and prints what came of it. A move that has not ended yet is an error that says how to go on.
-func (r *remote) send(cmd wire.Command) error {
+// sendCommand gives a command and prints what came of it. A move that has not ended yet is an error that says how to go on.
+func (r *registryClient) sendCommand(cmd wire.Command) error {
 	c, err := r.client()
 	if err != nil {
 		return err
@@ -157,7 +93,7 @@
 	return fmt.Errorf("move %d is still %s: kitehub registry move %d asks again", a.Move, a.Status, a.Move)
 }
 
-func (r *remote) query(q wire.Query) (*wire.Answer, error) {
+func (r *registryClient) query(q wire.Query) (*wire.Answer, error) {
 	c, err := r.client()
 	if err != nil {
 		return nil, err
@@ -167,7 +103,7 @@
 }
 
 type registryPushCmd struct {
-	remote
+	registryClient
 	Model    string        `arg:""`
 	Version  string        `arg:""`
 	Digest   string        `arg:"" help:"sha256: and 64 hexadecimal digits."`
@@ -178,12 +114,12 @@
 }
 
 func (p *registryPushCmd) Run() error {
-	return p.send(wire.Command{Push: &registry.Push{Model: p.Model, Why: p.Why, Version: registry.Version{Name: p.Version, Digest: p.Digest, Size: p.Size,
+	return p.sendCommand(wire.Command{Push: &registry.Push{Model: p.Model, Why: p.Why, Version: registry.Version{Name: p.Version, Digest: p.Digest, Size: p.Size,
 		MemoryMB: p.MemoryMB, Lanes: p.Lanes, Load: p.Load}}})
 }
 
 type registryPromoteCmd struct {
-	remote
+	registryClient
 	Model      string `arg:""`
 	Alias      string `arg:""`
 	Version    string `arg:""`
@@ -201,48 +137,48 @@
 }
 
 func (p *registryPromoteCmd) Run() error {
-	return p.send(wire.Command{Promote: &registry.Promote{Model: p.Model, Alias: p.Alias, To: p.Version, IfRevision: p.IfRevision, Copies: p.Copies, Why: p.Why}})
+	return p.sendCommand(wire.Command{Promote: &registry.Promote{Model: p.Model, Alias: p.Alias, To: p.Version, IfRevision: p.IfRevision, Copies: p.Copies, Why: p.Why}})
 }
 
 type registryRollbackCmd struct {
-	remote
+	registryClient
 	Model      string `arg:""`
 	Alias      string `arg:""`
 	IfRevision uint64 `required:"" help:"Revision that the alias has."`
 }
 
 func (p *registryRollbackCmd) Run() error {
-	return p.send(wire.Command{Rollback: &registry.Rollback{Model: p.Model, Alias: p.Alias, IfRevision: p.IfRevision, Why: p.Why}})
+	return p.sendCommand(wire.Command{Rollback: &registry.Rollback{Model: p.Model, Alias: p.Alias, IfRevision: p.IfRevision, Why: p.Why}})
 }
 
 type registryCondemnCmd struct {
-	remote
+	registryClient
 	Model   string `arg:""`
 	Version string `arg:""`
 }
 
 func (p *registryCondemnCmd) Run() error {
-	return p.send(wire.Command{Condemn: &registry.Condemn{Model: p.Model, Version: p.Version, Why: p.Why}})
+	return p.sendCommand(wire.Command{Condemn: &registry.Condemn{Model: p.Model, Version: p.Version, Why: p.Why}})
 }
 
 type registryPolicyCmd struct {
-	remote
+	registryClient
 	Model string `arg:""`
 	Stale string `arg:"" enum:"stale,fresh" help:"stale: an answer that may be of a version that was left is better than none. fresh: refuse."`
 }
 
 func (p *registryPolicyCmd) Run() error {
-	return p.send(wire.Command{Policy: &registry.Policy{Model: p.Model, Stale: p.Stale == "stale", Why: p.Why}})
+	return p.sendCommand(wire.Command{Policy: &registry.Policy{Model: p.Model, Stale: p.Stale == "stale", Why: p.Why}})
 }
 
-type registryGcCmd struct{ remote }
+type registryGcCmd struct{ registryClient }
 
 func (p *registryGcCmd) Run() error {
-	return p.send(wire.Command{Collect: &registry.Collect{Why: p.Why}})
+	return p.sendCommand(wire.Command{Collect: &registry.Collect{Why: p.Why}})
 }
 
 type registryListCmd struct {
-	remote
+	registryClient
 	Model string `arg:"" optional:""`
 }
 
@@ -277,7 +213,7 @@
 }
 
 type registryHistoryCmd struct {
-	remote
+	registryClient
 	Model string `arg:"" optional:""`
 }
 
@@ -293,7 +229,7 @@
 }
 
 type registryMoveCmd struct {
-	remote
+	registryClient
 	Move uint64 `arg:""`
 }
 
@@ -306,7 +242,7 @@
 	return nil
 }
 
-type registryWatchCmd struct{ remote }
+type registryWatchCmd struct{ registryClient }
 
 func (p *registryWatchCmd) Run() error {
 	c, err := p.client()
@@ -333,7 +269,7 @@
 	Stale   []string
 }
 
-type registryExportCmd struct{ remote }
+type registryExportCmd struct{ registryClient }
 
 func (p *registryExportCmd) Run() error {
 	a, err := p.query(wire.Query{What: "export"})
@@ -376,7 +312,7 @@
 	return e
 }
 
-type registryImportCmd struct{ remote }
+type registryImportCmd struct{ registryClient }
 
 func (p *registryImportCmd) Run() error {
 	d := json.NewDecoder(os.Stdin)
@@ -393,7 +329,7 @@
 	send := func(cmd wire.Command) error { // each part has a key of its own: an import that stopped is gone on with by --key
 		n++
 		p.Key = fmt.Sprintf("%s-%d", key, n)
-		if err := p.send(cmd); err != nil {
+		if err := p.sendCommand(cmd); err != nil {
 			return fmt.Errorf("part %d: %w\ngo on with --key %s", n, err, key)
 		}
 		return nil
--- /dev/null
+++ b/cmd/kitehub/registryserve.go
@@ -0,0 +1,91 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"net"
+	"os"
+	"os/signal"
+	"syscall"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"kitehub/config"
+	"kitehub/internal/clock"
+	"kitehub/internal/http1"
+	"kitehub/internal/registry/service"
+	"kitehub/internal/store"
+)
+
+const (
+	maxRegistryBody      = 4 << 20 // bytes
+	registryDrainTimeout = 2 * time.Second
+)
+
+type registryServeCmd struct {
+	Config string `required:"" type:"path" help:"Configuration, in protobuf text format."`
+}
+
+// Run serves until SIGTERM or SIGINT, or until the store is broken: then it ends with an error, to be restarted by its
+// supervisor.
+func (s *registryServeCmd) Run() error {
+	b, err := config.LoadRegistry(s.Config)
+	if err != nil {
+		return err
+	}
+	log := zerolog.New(os.Stderr).With().Timestamp().Str("process", "registry").Logger()
+	if err := os.MkdirAll(b.Dir, 0o700); err != nil {
+		return fmt.Errorf("state_dir: %w", err)
+	}
+	unlock, err := store.Lock(b.Dir)
+	if err != nil {
+		return fmt.Errorf("state_dir: %w", err)
+	}
+	defer unlock()
+	sc := b.Service
+	sc.Clock = clock.System()
+	sc.FS = store.Dir(b.Dir)
+	sc.Log = log
+	svc, rec, err := service.Open(sc)
+	if err != nil {
+		return err
+	}
+	ln, err := net.Listen("tcp", b.Listen)
+	if err != nil {
+		svc.Close()
+		return fmt.Errorf("listen: %w", err)
+	}
+	srv := &http1.Server{
+		Handler: service.NewFront(svc, b.Callers, time.Duration(b.Past)*time.Millisecond),
+		MaxOpen: b.MaxOpen,
+		Limits:  http1.Limits{Body: maxRegistryBody, Idle: time.Minute},
+	}
+	go srv.Serve(ln)
+	log.Info().Str("listen", ln.Addr().String()).Uint64("snapshot", rec.Snapshot).Int("records", rec.Records).
+		Int64("cut", rec.Cut).Msg("serving")
+	err = awaitEnd(svc)
+	ln.Close()
+	go srv.Drain(registryDrainTimeout) // while the service closes, which answers those who wait
+	closeErr := svc.Close()
+	srv.Drain(registryDrainTimeout)
+	return errors.Join(err, closeErr)
+}
+
+// awaitEnd returns nil on SIGTERM or SIGINT, or the error of a store that is broken.
+func awaitEnd(svc *service.Service) error {
+	signals := make(chan os.Signal, 2)
+	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
+	ticker := time.NewTicker(time.Second)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-signals:
+			return nil
+		case <-ticker.C:
+			if err := svc.Broken(); err != nil {
+				return err
+			}
+		}
+	}
+}
--- a/cmd/kitehub/standin.go
+++ b/cmd/kitehub/standin.go
@@ -30,18 +30,9 @@
 	if s.Workers < 1 || s.Workers > 80 {
 		return fmt.Errorf("--workers: %d is not from 1 to 80", s.Workers)
 	}
-	cfg := fakeworker.Config{Clock: clock.System(), Fleet: workersim.Config{Store: workersim.Store{Pace: float64(s.Workers)}, Window: 5 * time.Second}}
-	for i := range s.Workers {
-		cfg.Fleet.Workers = append(cfg.Fleet.Workers, workersim.Spec{Name: fmt.Sprintf("worker-%d", i+1), Group: "g", Cores: 2, Speed: 1, MemoryMB: 4000, Queue: 32,
-			LoadSlots: 4, IdleLife: 8 * time.Second})
-	}
-	for _, f := range s.Function {
-		name, class, ok := strings.Cut(f, ":")
-		if !ok || name == "" || class == "" {
-			return fmt.Errorf("--function: %q is not a name and a class", f)
-		}
-		cfg.Functions = append(cfg.Functions, fakeworker.Kind{Function: workersim.Function{Name: name, MemoryMB: 500, Lanes: 2, Fetch: s.Load * 2 / 3, Start: s.Load / 3},
-			Class: class, Work: s.Work})
+	cfg, err := s.fleet()
+	if err != nil {
+		return err
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
@@ -50,12 +41,20 @@
 		return err
 	}
 	defer host.Close()
-	var l []gateway.Worker
+	var workers []gateway.Worker
 	for _, name := range host.Names() {
-		l = append(l, gateway.Worker{Name: name, Network: "tcp", Addr: host.Addr(name), Group: "g", Kind: "std", State: scheduler.Ready, Size: 1})
+		workers = append(workers, gateway.Worker{
+			Name:    name,
+			Network: "tcp",
+			Addr:    host.Addr(name),
+			Group:   "g",
+			Kind:    "std",
+			State:   scheduler.Ready,
+			Size:    1,
+		})
 		fmt.Println(name, host.Addr(name))
 	}
-	text, err := discovery.Render(s.Cluster, l)
+	text, err := discovery.Render(s.Cluster, workers)
 	if err == nil {
 		err = discovery.WriteFile(s.List, text)
 	}
@@ -65,3 +64,40 @@
 	<-ctx.Done()
 	return nil
 }
+
+// fleet returns the workers, all alike, and the functions that they can load.
+func (s *standinCmd) fleet() (fakeworker.Config, error) {
+	cfg := fakeworker.Config{
+		Clock: clock.System(),
+		Fleet: workersim.Config{
+			Store:  workersim.Store{Pace: float64(s.Workers)},
+			Window: 5 * time.Second,
+		},
+	}
+	for i := range s.Workers {
+		cfg.Fleet.Workers = append(cfg.Fleet.Workers, workersim.Spec{
+			Name:      fmt.Sprintf("worker-%d", i+1),
+			Group:     "g",
+			Cores:     2,
+			Speed:     1,
+			MemoryMB:  4000,
+			Queue:     32,
+			LoadSlots: 4,
+			IdleLife:  8 * time.Second,
+		})
+	}
+	for _, f := range s.Function {
+		name, class, ok := strings.Cut(f, ":")
+		if !ok || name == "" || class == "" {
+			return cfg, fmt.Errorf("--function: %q is not a name and a class", f)
+		}
+		cfg.Functions = append(cfg.Functions, fakeworker.Kind{
+			Function: workersim.Function{
+				Name: name, MemoryMB: 500, Lanes: 2, Fetch: s.Load * 2 / 3, Start: s.Load / 3,
+			},
+			Class: class,
+			Work:  s.Work,
+		})
+	}
+	return cfg, nil
+}
--- a/cmd/kitehub/tools.go
+++ b/cmd/kitehub/tools.go
@@ -29,8 +29,9 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%d controllers, %d stand-in workers, %.0f signed calls a second for %.0f s, %d troubles\n", s.Controllers, s.Workers.Count, s.Rate, s.LengthS, len(s.Troubles))
-	res, err := play(s, d.Trace)
+	fmt.Printf("%d controllers, %d stand-in workers, %.0f signed calls a second for %.0f s, %d troubles\n",
+		s.Controllers, s.Workers.Count, s.Rate, s.LengthS, len(s.Troubles))
+	res, err := playScenario(s, d.Trace)
 	if err != nil {
 		return err
 	}
@@ -40,10 +41,10 @@
 			return fmt.Errorf("rule %d was judged on nothing", r+1)
 		}
 	}
-	return verdict(res)
+	return checkResult(res)
 }
 
-func play(s *scenario.Day, out string) (*scenario.Result, error) {
+func playScenario(s *scenario.Day, out string) (*scenario.Result, error) {
 	o := scenario.Options{Log: zerolog.Nop()}
 	if isatty.IsTerminal(os.Stderr.Fd()) {
 		o.Progress = os.Stderr
@@ -67,7 +68,7 @@
 	return err
 }
 
-func verdict(res *scenario.Result) error {
+func checkResult(res *scenario.Result) error {
 	if res.Forged > 0 {
 		return fmt.Errorf("%d answers have no valid signature", res.Forged)
 	}
@@ -107,21 +108,27 @@
 		return errors.New("--scale: must be above 0")
 	}
 	s.Scale(d.Scale)
-	res, err := play(s, d.Trace)
+	res, err := playScenario(s, d.Trace)
 	if err != nil {
 		return err
 	}
 	if d.JSON {
 		t := res.Total()
 		t.Took = nil
-		if err := json.NewEncoder(os.Stdout).Encode(map[string]any{"total": t, "judged": res.Verdict.Judged, "breaks": res.Verdict.Breaks,
-			"cold_peak": res.Verdict.ColdPeak, "forged": res.Forged}); err != nil {
+		err := json.NewEncoder(os.Stdout).Encode(map[string]any{
+			"total":     t,
+			"judged":    res.Verdict.Judged,
+			"breaks":    res.Verdict.Breaks,
+			"cold_peak": res.Verdict.ColdPeak,
+			"forged":    res.Forged,
+		})
+		if err != nil {
 			return err
 		}
 	} else {
 		res.Write(os.Stdout)
 	}
-	return verdict(res)
+	return checkResult(res)
 }
 
 type rulesCmd struct {
@@ -179,11 +186,7 @@
 			return err
 		default:
 			built = append(built, b)
-			for i, h := range b.Scripts {
-				if _, err := compileFile(h.File); err != nil {
-					all = append(all, config.Problem{File: name, Field: fmt.Sprintf("hooks.scripts[%d].file", i), What: err.Error(), Remedy: "see kitehub hook check"})
-				}
-			}
+			all = append(all, checkScripts(name, b.Scripts)...)
 			for _, w := range b.Warnings {
 				fmt.Fprintf(os.Stderr, "%s: warning: %s\n", name, w)
 			}
@@ -201,6 +204,21 @@
 	return nil
 }
 
+// checkScripts returns what is wrong with the scripts that a configuration names.
+func checkScripts(configFile string, scripts []*config.HookFile) (l config.Problems) {
+	for i, script := range scripts {
+		if _, err := compileFile(script.File); err != nil {
+			l = append(l, config.Problem{
+				File:   configFile,
+				Field:  fmt.Sprintf("hooks.scripts[%d].file", i),
+				What:   err.Error(),
+				Remedy: "see kitehub hook check",
+			})
+		}
+	}
+	return l
+}
+
 type keyCmd struct {
 	New    keyNewCmd    `cmd:"" help:"Make a secret (whsec_), or a pair of keys (whsk_, whpk_)."`
 	Derive keyDeriveCmd `cmd:"" help:"Print the secret of one controller's endpoint, from a common one on standard input."`
@@ -216,12 +234,13 @@
 		if err != nil {
 			return err
 		}
-		fmt.Printf("whsk_%s\nwhpk_%s\n", base64.StdEncoding.EncodeToString(private), base64.StdEncoding.EncodeToString(public))
+		encode := base64.StdEncoding.EncodeToString
+		fmt.Printf("whsk_%s\nwhpk_%s\n", encode(private), encode(public))
 		return nil
 	}
-	var b [32]byte
-	rand.Read(b[:])
-	fmt.Println("whsec_" + base64.StdEncoding.EncodeToString(b[:]))
+	var secret [32]byte
+	rand.Read(secret[:])
+	fmt.Println("whsec_" + base64.StdEncoding.EncodeToString(secret[:]))
 	return nil
 }
 
