--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -12,10 +12,15 @@
 	"time"
 )
 
-// Each side, told each packet at each stage: what it does, and that only one of the two ever serves.
-func TestStages(t *testing.T) {
+// Each side gets each packet at each stage: it takes the right step, and only one of the two ever serves.
+func TestOnlyOneProcessServes(t *testing.T) {
 	all := []Kind{Hello, Sockets, TakeoverRequest, StatePart, StateComplete, StateTaken, Go, Conn, Answer, Done, Abort, '?'}
-	old := map[Kind][]Kind{0: nil, Sockets: {Hello}, StateComplete: {Hello, TakeoverRequest}, Go: {Hello, TakeoverRequest, StateTaken}}
+	old := map[Kind][]Kind{
+		0:             nil,
+		Sockets:       {Hello},
+		StateComplete: {Hello, TakeoverRequest},
+		Go:            {Hello, TakeoverRequest, StateTaken},
+	}
 	good := map[string]Step{"0H": OfferSockets, "LR": Pause, "ET": HandOff}
 	for stage, before := range old {
 		for _, k := range all {
@@ -30,7 +35,7 @@
 			case ok && (m != want || err != nil):
 				t.Errorf("old %s: %v, %v", name, m, err)
 			case !ok && stage == Go && m != Wait:
-				t.Errorf("old %s: %v after the last word", name, m)
+				t.Errorf("old %s: %v after Go", name, m)
 			case !ok && stage != Go && m != Resume:
 				t.Errorf("old %s: %v", name, m)
 			}
@@ -63,7 +68,8 @@
 	}
 }
 
-func TestSupervisor(t *testing.T) {
+// A supervisor gets the messages of sd_notify(3), and the watchdog only of the process that is named.
+func TestSupervisorMessages(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "n")
 	c, err := net.ListenUnixgram("unixgram", &net.UnixAddr{Name: name, Net: "unixgram"})
 	if err != nil {
@@ -81,7 +87,13 @@
 	for _, x := range []struct {
 		err  error
 		want string
-	}{{s.Ready("ok"), "READY=1\nSTATUS=ok"}, {s.Reloading(5), "RELOADING=1\nMONOTONIC_USEC=5"}, {s.Stopping(), "STOPPING=1"}, {s.Alive(), "WATCHDOG=1"}, {s.MainPID(9), "MAINPID=9\nREADY=1"}} {
+	}{
+		{s.Ready("ok"), "READY=1\nSTATUS=ok"},
+		{s.Reloading(5), "RELOADING=1\nMONOTONIC_USEC=5"},
+		{s.Stopping(), "STOPPING=1"},
+		{s.Alive(), "WATCHDOG=1"},
+		{s.MainPID(9), "MAINPID=9\nREADY=1"},
+	} {
 		b := make([]byte, 100)
 		c.SetReadDeadline(time.Now().Add(10 * time.Second))
 		if n, err := c.Read(b); x.err != nil || err != nil || string(b[:n]) != x.want {
@@ -93,7 +105,7 @@
 	}
 	for _, bad := range []map[string]string{{"NOTIFY_SOCKET": "x"}, {"NOTIFY_SOCKET": "/x", "WATCHDOG_USEC": "-1"}} {
 		if _, err := FromEnv(func(k string) string { return bad[k] }, 7); err == nil {
-			t.Errorf("%v is taken", bad)
+			t.Errorf("%v is accepted", bad)
 		}
 	}
 	if s, err := FromEnv(func(string) string { return "" }, 7); err != nil || s.Ready("x") != nil {
@@ -101,6 +113,7 @@
 	}
 }
 
+// The file of a living process is neither overwritten nor removed by another.
 func TestPIDFile(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "pid")
 	me := os.Getpid()
@@ -108,7 +121,7 @@
 		t.Fatal(err)
 	}
 	if err := WritePID(name, me+1); err == nil {
-		t.Error("the file of a living process is taken")
+		t.Error("the file of a living process is overwritten")
 	}
 	RemovePID(name, me+1)
 	if _, err := os.Stat(name); err != nil {
@@ -123,19 +136,20 @@
 	}
 }
 
-func TestLoop(t *testing.T) {
+// Only recent starts that ended badly make a loop; a file that cannot be read counts as empty.
+func TestCrashLoopCountsRecentCrashes(t *testing.T) {
 	l := &CrashLoop{MaxStarts: 3, Window: time.Minute}
 	at := time.Unix(1000, 0)
 	for i, want := range []bool{false, false, false, true, true} {
 		if got := l.Begin(at); got != want {
-			t.Errorf("start %d: careful %v", i, got)
+			t.Errorf("start %d: in a loop %v", i, got)
 		}
 		at = at.Add(time.Second)
 	}
 	if at = at.Add(time.Hour); l.Begin(at) {
 		t.Error("what is long ago counts")
 	}
-	for range 5 { // ends as it was told to
+	for range 5 { // each ends well
 		l.End(at)
 		if at = at.Add(time.Second); l.Begin(at) {
 			t.Error("a clean end counts")
@@ -155,8 +169,8 @@
 	}
 }
 
-// Packets keep their bounds, and a socket that goes over is the same one.
-func TestLink(t *testing.T) {
+// Packets keep their bounds, and a socket that is sent is the same one.
+func TestLinkCarriesPacketsAndSockets(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "h")
 	ln, err := ListenLinks(path)
 	if err != nil {
@@ -223,9 +237,8 @@
 	if _, _, _, err := b.Receive(time.Millisecond); err != ErrTimeout {
 		t.Error(err)
 	}
-	if a.Close(); true {
-		if _, _, _, err := b.Receive(10 * time.Second); err == nil || err == ErrTimeout {
-			t.Error(err)
-		}
+	a.Close()
+	if _, _, _, err := b.Receive(10 * time.Second); err == nil || err == ErrTimeout {
+		t.Error(err)
 	}
 }
--- a/internal/daemon/golden_test.go
+++ b/internal/daemon/golden_test.go
@@ -13,7 +13,7 @@
 )
 
 // The crash-loop file is written at one start of the process and read at the next.
-func TestStoredStartsAreAsBefore(t *testing.T) {
+func TestStoredStartsKeepTheirFormat(t *testing.T) {
 	starts := []Start{
 		{At: time.Date(2026, 3, 4, 5, 6, 7, 890, time.UTC), Clean: true},
 		{At: time.Date(2026, 3, 4, 5, 6, 8, 0, time.FixedZone("", 3600))},
@@ -45,7 +45,7 @@
 
 // The packets of a handover go between two versions of the program: a byte for the kind, then what it carries. A text goes in
 // parts.
-func TestPacketsAreAsBefore(t *testing.T) {
+func TestPacketsKeepTheirFormat(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "h")
 	listener, err := ListenLinks(path)
 	if err != nil {
@@ -100,8 +100,8 @@
 	goldenfile.Compare(t, "packets.txt", written)
 }
 
-// The other end takes packets as they were written before.
-func TestPacketsAreReadAsBefore(t *testing.T) {
+// Packets are read as earlier versions of the program wrote them.
+func TestPacketsOfOtherVersionsAreRead(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "h")
 	listener, err := ListenLinks(path)
 	if err != nil {
--- a/internal/daemon/loop.go
+++ b/internal/daemon/loop.go
@@ -7,41 +7,41 @@
 	"time"
 )
 
-// A CrashLoop tells a crash loop. It is pure: starts go in, and whether to start with care comes out.
+// A CrashLoop detects that the process crashes again and again. It is not safe for concurrent use.
 type CrashLoop struct {
-	MaxStarts int           // starts after a bad end, within
-	Window    time.Duration // this time, that are a loop
+	MaxStarts int           // starts that ended badly within Window, from which on it is a loop; 0: never
+	Window    time.Duration // how long a start counts
 	Starts    []Start       // newest last
 }
 
-// A Start of the process.
+// A Start is one start of the process.
 type Start struct {
 	At    time.Time `json:"at"`
-	Clean bool      `json:"clean"` // it ended as it was told to
+	Clean bool      `json:"clean"` // it ended by a graceful shutdown or a handover
 }
 
-// Begin notes a start and tells whether the process should leave out what may bring it down: when so many in the time ended
-// badly. Clocks that go back count as no time at all.
-func (l *CrashLoop) Begin(now time.Time) (careful bool) {
-	bad := 0
-	kept := l.Starts[:0]
+// Begin records a start, and returns whether the process is in a crash loop: it should leave out then what may be the
+// cause. A start in the future, by a clock that was set back, counts as one of now.
+func (l *CrashLoop) Begin(now time.Time) (inLoop bool) {
+	crashes := 0
+	recent := l.Starts[:0]
 	for _, s := range l.Starts {
 		if age := now.Sub(s.At); age > l.Window {
 			continue
 		}
-		kept = append(kept, s)
+		recent = append(recent, s)
 		if !s.Clean {
-			bad++
+			crashes++
 		}
 	}
-	l.Starts = append(kept, Start{At: now})
-	if n := len(l.Starts) - 4*(l.MaxStarts+1); n > 0 {
+	l.Starts = append(recent, Start{At: now})
+	if n := len(l.Starts) - 4*(l.MaxStarts+1); n > 0 { // more say nothing, and the file must not grow
 		l.Starts = l.Starts[n:]
 	}
-	return l.MaxStarts > 0 && bad >= l.MaxStarts
+	return l.MaxStarts > 0 && crashes >= l.MaxStarts
 }
 
-// End notes that the start of a time ended well.
+// End records that the start of a time ended well.
 func (l *CrashLoop) End(at time.Time) {
 	for i := range l.Starts {
 		if l.Starts[i].At.Equal(at) {
@@ -50,14 +50,14 @@
 	}
 }
 
-// Load reads the starts of a file; one that cannot be read says nothing, and must not keep the process from starting.
+// Load reads the starts from a file. One that cannot be read counts as empty: it must not prevent the start.
 func (l *CrashLoop) Load(name string) {
 	if text, err := os.ReadFile(name); err != nil || json.Unmarshal(text, &l.Starts) != nil {
 		l.Starts = nil
 	}
 }
 
-// Save writes them, whole or not at all.
+// Save writes the starts to a file, atomically.
 func (l *CrashLoop) Save(name string) error {
 	text, err := json.Marshal(l.Starts)
 	if err != nil {
--- a/internal/daemon/stage.go
+++ b/internal/daemon/stage.go
@@ -2,50 +2,55 @@
 
 import "fmt"
 
-// Kind is a packet's kind, in a handover. O is the old process, N the new one.
+// Kind is the kind of a packet, its first byte on the link.
 type Kind byte
 
-// The packets, in the order in which they come.
+// The packets, in the order in which they come; O: sent by the old process, N: by the new one.
 const (
-	Hello           Kind = 'H' // N: who it is
+	Hello           Kind = 'H' // N: it asks for a handover
 	Sockets         Kind = 'L' // O: the listeners, as file descriptors
-	TakeoverRequest Kind = 'R' // N: it could serve, and wants to
+	TakeoverRequest Kind = 'R' // N: it could serve, and asks for the state
 	StatePart       Kind = 'S' // O: a part of its state
-	StateComplete   Kind = 'E' // O: that was all; its folder is unlocked
-	StateTaken      Kind = 'T' // N: it has taken state and folder
-	Go              Kind = 'G' // O: it takes nothing more. From here on N serves
-	Conn            Kind = 'C' // O: a connection, with what was read of it
-	Answer          Kind = 'A' // O: how a call in hand ended
-	Done            Kind = 'D' // O: nothing is in hand any more
-	Abort           Kind = 'X' // either: it is off, and O goes on
+	StateComplete   Kind = 'E' // O: that was all; its state folder is unlocked
+	StateTaken      Kind = 'T' // N: it has read the state and locked the folder
+	Go              Kind = 'G' // O: it admits no further call. From here on N serves
+	Conn            Kind = 'C' // O: a connection, with what was read of it and not used
+	Answer          Kind = 'A' // O: how a call that was in flight ended
+	Done            Kind = 'D' // O: nothing is in flight any more
+	Abort           Kind = 'X' // either: the handover is off, and O resumes
 )
 
-// Step is what a side does next.
+// A Step is what a process does next.
 type Step int
 
-// What a side may have to do.
+// The steps; O: of the old process, N: of the new one.
 const (
-	Wait         Step = iota // for the other's next packet
+	Wait         Step = iota // wait for the other's next packet
 	OfferSockets             // O: send the listeners
-	Pause                    // O: take nothing for the moment, send all state, unlock
-	HandOff                  // O: send Go, give connections, finish what is in hand
-	Resume                   // O: as if nothing had been
-	Prepare                  // N: check that it could serve, then Wish
-	TakeState                // N: take state and folder, then Taken
+	Pause                    // O: have further calls wait, send all state, unlock the folder
+	HandOff                  // O: send Go and the connections, finish what is in flight
+	Resume                   // O: go on as if there had been no handover
+	Prepare                  // N: check that it could serve, then send TakeoverRequest
+	TakeState                // N: read the state and lock the folder, then send StateTaken
 	Serve                    // N: serve
-	ServeAlone               // N: serve; the old process is gone, with all that was in its hand
+	ServeAlone               // N: serve; the old process is gone, with all that was in flight there
 	Abandon                  // N: end
-	Record                   // take in what the packet says
+	Record                   // N: use what the packet holds
 )
 
+// String returns a word for messages.
 func (m Step) String() string {
-	return [...]string{"wait", "offer", "halt", "yield", "go on", "prepare", "take", "serve", "serve alone", "give up", "note"}[m]
+	return [...]string{
+		"wait", "offer", "halt", "yield", "go on", "prepare", "take", "serve", "serve alone", "give up", "note",
+	}[m]
 }
 
-// OldProcess is the old process's side of a handover: a state machine with no I/O.
-type OldProcess struct{ stage Kind }
+// An OldProcess is the old process's side of a handover: a state machine without I/O. It is not safe for concurrent use.
+type OldProcess struct {
+	stage Kind // the last packet that this side has sent, or Abort; 0 at first
+}
 
-// Packet says what a packet of the new process leads to.
+// Packet returns what a packet of the new process leads to. One that must not come now is an error.
 func (o *OldProcess) Packet(k Kind) (Step, error) {
 	switch {
 	case k == Abort:
@@ -63,8 +68,8 @@
 	return o.abort(), fmt.Errorf("daemon: packet %c at stage %c", k, o.stage)
 }
 
-// Lost says that the other end is gone or too slow. Before Go nothing has come of it; afterwards the new process has the
-// sockets, and this one finishes what is in hand.
+// Lost returns what follows if the new process is gone or too slow. Before Go this process resumes; afterwards the new
+// one has the sockets, and this one finishes what is in flight.
 func (o *OldProcess) Lost() Step { return o.abort() }
 
 func (o *OldProcess) abort() Step {
@@ -75,10 +80,12 @@
 	return Resume
 }
 
-// NewProcess is the new process's side.
-type NewProcess struct{ stage Kind }
+// A NewProcess is the new process's side, likewise.
+type NewProcess struct {
+	stage Kind // the last packet that has come, or Abort; 0 at first
+}
 
-// Packet says what a packet of the old process leads to.
+// Packet returns what a packet of the old process leads to. One that must not come now is an error.
 func (n *NewProcess) Packet(k Kind) (Step, error) {
 	switch {
 	case k == Abort:
@@ -104,22 +111,24 @@
 	return n.abort(), fmt.Errorf("daemon: packet %c at stage %c", k, n.stage)
 }
 
-// Lost says that the old process is gone. If all its state has come, the new one serves: nobody else would. If some of it is
-// missing, it does not know which messages were taken, and ends; a supervisor starts it as after any crash.
+// Lost returns what follows if the old process is gone. If all its state has come, this one serves: nobody else would.
+// If some of it is missing, it does not know which messages were admitted, and ends; a supervisor restarts it as after
+// any crash.
 func (n *NewProcess) Lost() Step {
 	switch n.stage {
 	case StateComplete:
 		n.stage = Go
 		return ServeAlone
 	case Go:
-		return ServeAlone // it serves already: what was in the other's hand is lost
+		return ServeAlone // it serves already: what was in flight in the other is lost
 	case Done:
 		return Wait
 	}
 	return n.abort()
 }
 
-// TimedOut says that the old process is silent, but there: before Go it may still go on, and this one must not serve.
+// TimedOut returns what follows if the old process is silent, but there: before Go it may still resume, and this one must
+// not serve.
 func (n *NewProcess) TimedOut() Step {
 	if n.stage == Go || n.stage == Done {
 		return Wait
