--- a/cmd/kitehub/registryserve.go
+++ b/cmd/kitehub/registryserve.go
@@ -35,17 +35,17 @@
 		return err
 	}
 	log := zerolog.New(os.Stderr).With().Timestamp().Str("process", "registry").Logger()
-	if err := os.MkdirAll(b.Dir, 0o700); err != nil {
+	if err := os.MkdirAll(b.StateDir, 0o700); err != nil {
 		return fmt.Errorf("state_dir: %w", err)
 	}
-	unlock, err := store.Lock(b.Dir)
+	unlock, err := store.Lock(b.StateDir)
 	if err != nil {
 		return fmt.Errorf("state_dir: %w", err)
 	}
 	defer unlock()
 	sc := b.Service
 	sc.Clock = clock.System()
-	sc.FS = store.Dir(b.Dir)
+	sc.FS = store.Dir(b.StateDir)
 	sc.Log = log
 	svc, rec, err := service.Open(sc)
 	if err != nil {
@@ -57,8 +57,8 @@
 		return fmt.Errorf("listen: %w", err)
 	}
 	srv := &http1.Server{
-		Handler: service.NewFront(svc, b.Callers, time.Duration(b.Past)*time.Millisecond),
-		MaxOpen: b.MaxOpen,
+		Handler: service.NewFront(svc, b.Callers, time.Duration(b.MaxAgeMS)*time.Millisecond),
+		MaxOpen: b.MaxConnections,
 		Limits:  http1.Limits{Body: maxRegistryBody, Idle: time.Minute},
 	}
 	go srv.Serve(ln)
--- a/cmd/kitehub/serve.go
+++ b/cmd/kitehub/serve.go
@@ -79,7 +79,7 @@
 	p := &serveProcess{
 		cmd:     s,
 		built:   b,
-		log:     zerolog.New(w).Level(b.Level).With().Timestamp().Str("controller", b.Name).Logger(),
+		log:     zerolog.New(w).Level(b.LogLevel).With().Timestamp().Str("controller", b.Name).Logger(),
 		signals: make(chan os.Signal, 4),
 		reloads: make(chan chan error),
 	}
@@ -145,7 +145,7 @@
 
 // recordStart detects a crash loop, and records this start as one that has not ended well.
 func (p *serveProcess) recordStart() error {
-	dir := filepath.Dir(p.built.Mark)
+	dir := filepath.Dir(p.built.ReplayMark)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return fmt.Errorf("state_dir: %w", err)
 	}
@@ -274,7 +274,7 @@
 	p.log.Info().Int("open", p.controller.Gateway.Open()).Msg("stopping")
 	p.warnSupervisor(p.supervisor.Stopping())
 	stopped := make(chan error, 1)
-	go func() { stopped <- p.controller.Stop(p.built.Stop) }()
+	go func() { stopped <- p.controller.Stop(p.built.StopTimeout) }()
 	for {
 		select {
 		case err := <-stopped:
--- /dev/null
+++ b/config/clients.go
@@ -0,0 +1,85 @@
+package config
+
+import (
+	"errors"
+	"fmt"
+	"strings"
+
+	"kitehub/internal/ingress/webhook"
+	"kitehub/internal/signing"
+)
+
+// clients maps the clients and their keys. Problems never hold the text of a key.
+func (b *builder) clients() {
+	names := map[string]bool{}
+	keyFields := map[string]string{} // where a key was first used, by its text
+	for i, client := range b.cfg.Clients {
+		field := fmt.Sprintf("clients[%d]", i)
+		if names[client.Name] {
+			b.file.Problem(field+".name", fmt.Sprintf("%q twice", client.Name), "names must differ")
+		}
+		names[client.Name] = true
+		out := webhook.Client{Name: client.Name, Tenant: b.tenant(field+".tenant", client.Tenant)}
+		if len(client.Keys)+len(client.CommonKeys) == 0 {
+			b.file.Problem(field+".keys", "none", "give keys or common_keys")
+		}
+		for j, text := range client.Keys {
+			out.Keys = b.addClientKey(out.Keys, fmt.Sprintf("%s.keys[%d]", field, j), text, keyFields)
+		}
+		for j, common := range client.CommonKeys {
+			keyField := fmt.Sprintf("%s.common_keys[%d]", field, j)
+			if own, ok := b.deriveKey(keyField, common); ok {
+				out.Keys = b.addClientKey(out.Keys, keyField, own, keyFields)
+			}
+		}
+		if client.AnswerKey != "" {
+			out.Sign = b.answerKey(field+".answer_key", client.AnswerKey)
+		}
+		b.built.Clients = append(b.built.Clients, out)
+	}
+}
+
+// addClientKey appends the key of a text by which a client's messages are verified, unless it is wrong.
+func (b *builder) addClientKey(keys []*signing.Key, field, text string, keyFields map[string]string) []*signing.Key {
+	if first, ok := keyFields[text]; ok {
+		b.file.Problem(field, "the same key as "+first, "a key names its client: give each its own")
+	}
+	keyFields[text] = field
+	key, err := signing.ParseKey(text)
+	if err != nil {
+		b.file.Problem(field, err.Error(), "make a secret with: kitehub key new")
+		return keys
+	}
+	if strings.HasPrefix(text, "whsk_") {
+		b.file.Problem(field, "a private key", "clients keep theirs: give its whpk_ key")
+		return keys
+	}
+	b.built.Secrets = append(b.built.Secrets, text)
+	return append(keys, key)
+}
+
+// deriveKey returns the key of this controller's endpoint, from one that is common to all controllers.
+func (b *builder) deriveKey(field, common string) (own string, ok bool) {
+	if _, err := signing.ParseKey(common); err != nil {
+		b.file.Problem(field, err.Error(), "make a secret with: kitehub key new")
+		return "", false
+	}
+	own, err := signing.Derive(common, b.cfg.Name)
+	if err != nil {
+		b.file.Problem(field, err.Error(), "")
+		return "", false
+	}
+	return own, true
+}
+
+// answerKey parses the private key that signs the answers to a client.
+func (b *builder) answerKey(field, text string) *signing.Key {
+	key, err := signing.ParseKey(text)
+	if err == nil && !strings.HasPrefix(text, "whsk_") {
+		err = errors.New("not a whsk_ key")
+	}
+	if err != nil {
+		b.file.Problem(field, err.Error(), "make one with: kitehub key new --asymmetric")
+	}
+	return key
+}
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -13,8 +13,8 @@
 
 const secret = "whsec_MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw"
 
-// whole is a configuration with a line for each field that the tests change.
-const whole = `# A comment.
+// complete is a configuration with a line for each field that the tests change.
+const complete = `# A comment.
 name: "c1"
 controllers: 1
 tick_ms: 2
@@ -66,25 +66,35 @@
 	return Load(name)
 }
 
-func TestWhole(t *testing.T) {
-	b, err := load(t, whole)
+// A complete configuration is mapped to the forms of the parts.
+func TestCompleteConfigurationIsBuilt(t *testing.T) {
+	b, err := load(t, complete)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if b.Settings.Classes[1].Idempotency != scheduler.IdempotentWithKey || b.Settings.Classes[1].DedupScope != scheduler.SameGroup || b.Settings.Limits.MaxOpenRequests != 1000 ||
-		len(b.Specs) != 2 || b.Specs[1].Class != 1 || b.Clients[0].Tenant != 0 || len(b.Clients[0].Keys) != 1 || !b.Settings.Loading.LoadsOnMiss {
-		t.Errorf("%+v", b)
+	s := b.Settings
+	if c := s.Classes[1]; c.Idempotency != scheduler.IdempotentWithKey || c.DedupScope != scheduler.SameGroup {
+		t.Errorf("class %+v", c)
+	}
+	if s.Limits.MaxOpenRequests != 1000 || !s.Loading.LoadsOnMiss {
+		t.Errorf("limits %+v, loading %+v", s.Limits, s.Loading)
+	}
+	if len(b.Specs) != 2 || b.Specs[1].Class != 1 {
+		t.Errorf("functions %+v", b.Specs)
+	}
+	if b.Clients[0].Tenant != 0 || len(b.Clients[0].Keys) != 1 {
+		t.Errorf("client %+v", b.Clients[0])
 	}
 }
 
 // Every error names the file, the line, the field, and where there is one, the remedy.
-func TestProblems(t *testing.T) {
+func TestProblemsNameFileLineAndField(t *testing.T) {
 	lineOf := func(part string) int {
-		i := strings.Index(whole, part)
+		i := strings.Index(complete, part)
 		if i < 0 {
 			t.Fatalf("%q is not there", part)
 		}
-		return 1 + strings.Count(whole[:i], "\n")
+		return 1 + strings.Count(complete[:i], "\n")
 	}
 	tests := []struct{ old, new, field, what string }{
 		{`tick_ms: 2`, `tick_ms: 0`, "tick_ms", "greater than 0"},
@@ -123,7 +133,7 @@
 			if tt.field == "clients[0].keys" {
 				line = lineOf("clients {")
 			}
-			_, err := load(t, strings.Replace(whole, tt.old, tt.new, 1))
+			_, err := load(t, strings.Replace(complete, tt.old, tt.new, 1))
 			var p Problems
 			if !errors.As(err, &p) {
 				t.Fatalf("err %v", err)
@@ -143,15 +153,16 @@
 
 // Errors never hold a secret.
 func TestSecretsStaySecret(t *testing.T) {
-	_, err := load(t, strings.Replace(whole, secret, "whsec_c2VjcmV0dGhhdG11c3Rub3RiZXNlZW4", 1))
+	_, err := load(t, strings.Replace(complete, secret, "whsec_c2VjcmV0dGhhdG11c3Rub3RiZXNlZW4", 1))
 	if err == nil || strings.Contains(err.Error(), "c2VjcmV0") {
 		t.Error(err)
 	}
 }
 
-func TestAcross(t *testing.T) {
+// Keys, numbers, names and the count of controllers are checked across files.
+func TestAcrossFindsWhatOnlySeveralFilesShow(t *testing.T) {
 	build := func(change ...string) *Built {
-		b, err := load(t, strings.NewReplacer(append(change, "controllers: 1", "controllers: 2")...).Replace(whole))
+		b, err := load(t, strings.NewReplacer(append(change, "controllers: 1", "controllers: 2")...).Replace(complete))
 		if err != nil {
 			t.Fatal(err)
 		}
--- /dev/null
+++ b/config/functions.go
@@ -0,0 +1,71 @@
+package config
+
+import (
+	"fmt"
+	"strings"
+
+	"kitehub/internal/gateway"
+	"kitehub/scheduler"
+)
+
+// defaultMaxNames is how many names may become known under a star where the configuration does not say.
+const defaultMaxNames = 1000
+
+func (b *builder) functions() {
+	classes := b.classIndexes()
+	indexes := map[string]int{}
+	names := map[scheduler.FunctionID]string{}
+	for i, fn := range b.cfg.Functions {
+		field := fmt.Sprintf("functions[%d]", i)
+		if first, ok := indexes[fn.Name]; ok {
+			b.file.Problem(field+".name", fmt.Sprintf("%q is functions[%d] already", fn.Name, first),
+				"names must differ")
+		}
+		indexes[fn.Name] = i
+		id := gateway.FunctionID(fn.Name)
+		if other, ok := names[id]; ok && other != fn.Name {
+			b.file.Problem(field+".name", fmt.Sprintf("%q has the same hash as %q", fn.Name, other), "rename one")
+		}
+		names[id] = fn.Name
+		class, ok := classes[fn.Class]
+		if !ok {
+			b.file.Problem(field+".class", fmt.Sprintf("%q is not among classes", fn.Class),
+				"add it there or name another")
+		}
+		b.built.Specs = append(b.built.Specs, functionSpec(fn, class))
+		if fn.Versions && b.cfg.Registry == nil {
+			b.file.Problem(field+".versions", "no registry is named", "add a registry section")
+		}
+		if fn.Versions && strings.HasSuffix(fn.Name, "*") {
+			b.file.Problem(field+".versions", "a model has no star in its name", "name each model")
+		}
+	}
+}
+
+// classIndexes returns the indexes of classes by name.
+func (b *builder) classIndexes() map[string]int {
+	classes := map[string]int{}
+	for i, class := range b.cfg.Classes {
+		if _, ok := classes[class.Name]; ok {
+			b.file.Problem(fmt.Sprintf("classes[%d].name", i), fmt.Sprintf("%q twice", class.Name), "names must differ")
+		}
+		classes[class.Name] = i
+	}
+	return classes
+}
+
+func functionSpec(fn *Function, class int) gateway.Spec {
+	spec := gateway.Spec{
+		Name:     fn.Name,
+		Class:    class,
+		MemoryMB: fn.MemoryMb,
+		Lanes:    fn.Lanes,
+		LoadTime: ms(fn.LoadMs),
+		Most:     int(fn.Most),
+		Versions: fn.Versions,
+	}
+	if spec.Most == 0 {
+		spec.Most = defaultMaxNames
+	}
+	return spec
+}
--- a/config/registry.go
+++ b/config/registry.go
@@ -10,59 +10,77 @@
 
 // A BuiltRegistry is the checked configuration of a registry's process.
 type BuiltRegistry struct {
-	Listen  string
-	Dir     string
-	MaxOpen int
-	Service service.Config // without what runs
+	Listen   string // host and port
+	StateDir string
+	// MaxConnections bounds the connections of controllers and operators.
+	MaxConnections int
+	// Service is without what runs.
+	Service service.Config
 	Callers []service.Caller
-	Past    float64 // milliseconds
+	// MaxAgeMS is how old in milliseconds a signed request may be.
+	MaxAgeMS float64
 }
 
-// LoadRegistry reads, checks and builds the configuration of a registry's process.
+// LoadRegistry reads, checks and builds the configuration of a registry's process. What is wrong with its contents is
+// Problems.
 func LoadRegistry(name string) (*BuiltRegistry, error) {
 	var c RegistryServer
 	f, err := Read(name, &c)
 	if err != nil {
 		return nil, err
 	}
-	b := &BuiltRegistry{Listen: c.Listen, Dir: c.StateDir, MaxOpen: int(c.MaxConnections), Past: c.PastMs,
+	b := &BuiltRegistry{Listen: c.Listen, StateDir: c.StateDir, MaxConnections: int(c.MaxConnections), MaxAgeMS: c.PastMs,
 		Service: service.Config{Every: int(c.SnapshotEvery), Hold: ms(c.HoldMs), Settings: registry.Settings{Lease: ms(c.LeaseMs), Drift: c.Drift, Settle: ms(c.SettleMs),
 			Staging: ms(c.StagingMs), Keep: ms(c.KeepMs), Watch: ms(c.WatchMs), Least: int(c.LeastCalls), Worse: c.Worse, Models: int(c.Models),
 			Versions: int(c.Versions), Aliases: int(c.Aliases), Asking: int(c.Controllers), Remembered: int(c.Remembered)}}}
 	if 3*c.HoldMs > c.LeaseMs {
-		f.Problem("hold_ms", fmt.Sprintf("%v is over a third of lease_ms %v", c.HoldMs, c.LeaseMs), "one lost question would cost a lease: lower it")
+		f.Problem("hold_ms", fmt.Sprintf("%v is over a third of lease_ms %v", c.HoldMs, c.LeaseMs),
+			"one lost question would cost a lease: lower it")
 	}
-	names, used := map[string]bool{}, map[string]string{}
-	for i, k := range c.Callers {
-		at := fmt.Sprintf("callers[%d]", i)
-		if names[k.Name] {
-			f.Problem(at+".name", fmt.Sprintf("%q twice", k.Name), "names must differ")
+	b.Callers = registryCallers(f, c.Callers)
+	if err := f.Err(); err != nil {
+		return nil, err
+	}
+	return b, nil
+}
+
+func registryCallers(f *File, callers []*Caller) (l []service.Caller) {
+	names := map[string]bool{}
+	keyFields := map[string]string{} // where a key was first used, by its text
+	for i, caller := range callers {
+		field := fmt.Sprintf("callers[%d]", i)
+		if names[caller.Name] {
+			f.Problem(field+".name", fmt.Sprintf("%q twice", caller.Name), "names must differ")
 		}
-		names[k.Name] = true
-		if !k.Operator && !k.Controller {
-			f.Problem(at, "neither operator nor controller", "say what it may do; either may ask")
+		names[caller.Name] = true
+		if !caller.Operator && !caller.Controller {
+			f.Problem(field, "neither operator nor controller", "say what it may do; either may ask")
 		}
-		out := service.Caller{Name: k.Name, Operator: k.Operator, Controller: k.Controller}
-		for j, text := range k.Keys {
-			field := fmt.Sprintf("%s.keys[%d]", at, j)
-			if who, ok := used[text]; ok {
-				f.Problem(field, "the same key as "+who, "a key names its caller: give each its own")
-			}
-			used[text] = field
-			key, err := signing.ParseKey(text)
-			if err != nil {
-				f.Problem(field, err.Error(), "make a secret with: kitehub key new")
-				continue
+		out := service.Caller{Name: caller.Name, Operator: caller.Operator, Controller: caller.Controller}
+		for j, text := range caller.Keys {
+			keyField := fmt.Sprintf("%s.keys[%d]", field, j)
+			if first, ok := keyFields[text]; ok {
+				f.Problem(keyField, "the same key as "+first, "a key names its caller: give each its own")
 			}
-			if !key.CanSign() { // answers are signed by the key that verified
-				f.Problem(field, "a public key", "answers are signed too: use a whsec_ secret")
+			keyFields[text] = keyField
+			if key, ok := registryKey(f, keyField, text); ok {
+				out.Keys = append(out.Keys, key)
 			}
-			out.Keys = append(out.Keys, key)
 		}
-		b.Callers = append(b.Callers, out)
+		l = append(l, out)
 	}
-	if err := f.Err(); err != nil {
-		return nil, err
+	return l
+}
+
+// registryKey parses a caller's key. It must sign as well: an answer is signed by the key that verified its request.
+func registryKey(f *File, field, text string) (key *signing.Key, ok bool) {
+	key, err := signing.ParseKey(text)
+	if err != nil {
+		f.Problem(field, err.Error(), "make a secret with: kitehub key new")
+		return nil, false
 	}
-	return b, nil
+	if !key.CanSign() {
+		f.Problem(field, "a public key", "answers are signed too: use a whsec_ secret")
+	}
+	return key, true
 }
--- a/internal/controller/handover_old.go
+++ b/internal/controller/handover_old.go
@@ -213,7 +213,7 @@
 	c.Front.Pass()
 	h.closeListeners()
 	c.stopWatchWhenIdle()
-	c.Gateway.Stop(c.built.Stop)
+	c.Gateway.Stop(c.built.StopTimeout)
 	c.HTTP.Drain(drainTimeout)
 	endConns()
 	if c.RPC != nil {
--- a/internal/controller/operator.go
+++ b/internal/controller/operator.go
@@ -47,7 +47,7 @@
 	if p := c.options.Predecessor; p != nil {
 		return p.listener(rpcListener)
 	}
-	return jsonrpc.Listen(c.built.Socket, c.built.Mode)
+	return jsonrpc.Listen(c.built.RPCSocket, c.built.RPCSocketMode)
 }
 
 // Status is the result of the operators' method status.
--- a/internal/controller/start.go
+++ b/internal/controller/start.go
@@ -47,7 +47,7 @@
 }
 
 // stateDir is where the replay watermark, the hooks and the lock are.
-func (c *Controller) stateDir() string { return filepath.Dir(c.built.Mark) }
+func (c *Controller) stateDir() string { return filepath.Dir(c.built.ReplayMark) }
 
 func (c *Controller) lockStateDir() error {
 	if err := os.MkdirAll(c.stateDir(), 0o700); err != nil {
@@ -92,17 +92,17 @@
 		Clock:          c.options.Clock,
 		Transport:      c.Backend,
 		Log:            c.log,
-		OmitRequestLog: b.NoLines,
+		OmitRequestLog: b.OmitRequestLog,
 	}
 	if c.peers != nil {
 		gc.Peers = c.peers
 	}
 	if b.Hooks != nil || b.RPC != nil {
 		gc.Hooks = &c.events
-		gc.MaxExplanations = b.Explain
+		gc.MaxExplanations = b.MaxExplanations
 	}
 	c.models = &modelVersions{clock: c.options.Clock, events: &c.events}
-	if b.Registry != "" {
+	if b.RegistryAddr != "" {
 		gc.Versions = c.models
 		if wrap := c.options.Versions; wrap != nil {
 			gc.Versions = wrap(c.models)
@@ -118,7 +118,7 @@
 // joinRegistry starts the agent that holds this controller's leases of aliases. With a predecessor it starts only when
 // that is done: the registry knows one holder a name, and what this agent confirmed would count for both processes.
 func (c *Controller) joinRegistry() error {
-	if c.built.Registry == "" {
+	if c.built.RegistryAddr == "" {
 		return nil
 	}
 	c.models.gateway = c.Gateway
@@ -135,9 +135,9 @@
 	b := c.built
 	a := agent.Start(agent.Config{
 		Client: &client.Client{
-			Server: b.Registry,
+			Server: b.RegistryAddr,
 			Name:   b.Name,
-			Key:    b.Key,
+			Key:    b.RegistryKey,
 			Wall:   c.options.Clock.Wall,
 			Dial:   c.trackConns((&net.Dialer{}).DialContext),
 		},
@@ -164,11 +164,11 @@
 	fc.Gateway = c.Gateway
 	fc.Clock = c.options.Clock
 	fc.Log = c.log
-	fc.Mark = webhook.File(b.Mark)
+	fc.Mark = webhook.File(b.ReplayMark)
 	fc.Functions = c.functions.Find
 	fc.Deadline = func(class int) time.Duration { return b.Settings.Classes[class].Deadline }
 	fc.Effect = func(class int) scheduler.Idempotency { return b.Settings.Classes[class].Idempotency }
-	if b.Registry != "" {
+	if b.RegistryAddr != "" {
 		fc.Models = c.models
 		if wrap := c.options.Models; wrap != nil {
 			fc.Models = wrap(c.models)
@@ -252,7 +252,7 @@
 	if wrap := c.options.Handler; wrap != nil {
 		handler = wrap(handler)
 	}
-	c.HTTP = &http1.Server{Handler: handler, Limits: c.built.HTTP, MaxOpen: c.built.MaxOpen}
+	c.HTTP = &http1.Server{Handler: handler, Limits: c.built.HTTP, MaxOpen: c.built.MaxConnections}
 	go func() {
 		defer close(c.acceptDone)
 		if err := c.HTTP.Serve(c.listener); err != nil {
