--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,7 @@
-// Wirehost hosts instances of the decision module on the simulator's wire: batches of events on standard
-// input, one reply to each on standard output. It translates and decides nothing.
+// Simadapter hosts instances of the scheduler's Dispatcher on the simulator's wire (package simwire): batches of events
+// on standard input, one reply to each on standard output. It translates and makes no decision. It is one goroutine.
+//
+// Exit 0: input has ended between frames; 1: a frame cannot be read, or a reply cannot be written.
 package main
 
 import (
@@ -13,6 +15,9 @@
 	"kitehub/scheduler"
 )
 
+// bufferBytes is the size of the buffers of input and output.
+const bufferBytes = 1 << 16
+
 func main() {
 	if err := serve(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "wirehost:", err)
@@ -22,118 +27,132 @@
 
 // serve answers batches until input ends.
 func serve(in io.Reader, out io.Writer) error {
-	dec := simwire.NewDecoder(bufio.NewReaderSize(in, 1<<16))
-	w := bufio.NewWriterSize(out, 1<<16)
-	h := host{live: map[uint32]*scheduler.Dispatcher{}, slot: map[uint32]int{}}
+	decoder := simwire.NewDecoder(bufio.NewReaderSize(in, bufferBytes))
+	writer := bufio.NewWriterSize(out, bufferBytes)
+	h := host{instances: map[uint32]*scheduler.Dispatcher{}, current: map[uint32]int{}}
 	for {
-		b, err := dec.Read()
+		batch, err := decoder.Read()
 		if errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		reply, err := h.answer(b)
+		reply, err := h.answer(batch)
 		if err != nil {
 			return err
 		}
-		if _, err := w.Write(reply); err != nil {
+		if _, err := writer.Write(reply); err != nil {
 			return err
 		}
-		if err := w.Flush(); err != nil {
+		if err := writer.Flush(); err != nil {
 			return err
 		}
 	}
 }
 
-// A run is the events of one batch for one life of an instance.
-type run struct {
-	instance uint32
-	d        *scheduler.Dispatcher
-	events   []scheduler.Event
+// A host holds the instances that run, and what is reused from batch to batch.
+type host struct {
+	instances map[uint32]*scheduler.Dispatcher
+	steps     []instanceStep
+	current   map[uint32]int // index in steps of an instance's step, plus one
+	encoder   simwire.Encoder
 }
 
-type host struct {
-	live map[uint32]*scheduler.Dispatcher
-	slot map[uint32]int // open run of an instance in this batch, plus one
-	enc  simwire.Encoder
-	runs []run
+// An instanceStep is the events of one batch for one instance, between its Provision and its Halt.
+type instanceStep struct {
+	instance   uint32
+	dispatcher *scheduler.Dispatcher // nil: the instance was halted in the same batch
+	events     []scheduler.Event
 }
 
-// answer hands each instance its events of the batch together, in order, and gathers the actions.
-func (h *host) answer(b simwire.Batch) ([]byte, error) {
-	h.enc.Reset()
-	h.runs = h.runs[:0]
-	clear(h.slot)
-	for _, rec := range b.Records {
-		switch e := rec.Event.(type) {
-		case simwire.Provision:
-			s, err := simwire.ParseSettings(e.Env)
-			if err != nil {
-				return nil, fmt.Errorf("%s, offset %d: %w", rec.Name, rec.Offset, err)
-			}
-			h.stop(rec.Instance)
-			d, err := build(s, e.Seed)
-			if err != nil {
-				h.enc.Panic(rec.Instance, err.Error())
-				continue
-			}
-			h.live[rec.Instance] = d
-		case simwire.Halt:
-			h.stop(rec.Instance)
-		case scheduler.Event:
-			d := h.live[rec.Instance]
-			if d == nil {
-				return nil, fmt.Errorf("%s, offset %d: instance %d does not live", rec.Name, rec.Offset, rec.Instance)
-			}
-			i := h.slot[rec.Instance]
-			if i == 0 {
-				h.runs = append(h.runs, run{instance: rec.Instance, d: d})
-				i = len(h.runs)
-				h.slot[rec.Instance] = i
-			}
-			h.runs[i-1].events = append(h.runs[i-1].events, e)
+// answer hands each instance its events of the batch together, in order, and returns the reply.
+func (h *host) answer(batch simwire.Batch) ([]byte, error) {
+	h.encoder.Reset()
+	h.steps = h.steps[:0]
+	clear(h.current)
+	for _, record := range batch.Records {
+		if err := h.receive(record); err != nil {
+			return nil, err
 		}
 	}
-	for _, r := range h.runs {
-		if r.d == nil {
-			continue
+	for _, s := range h.steps {
+		if s.dispatcher != nil {
+			h.step(s, batch)
 		}
-		actions, err := step(r, b)
+	}
+	return h.encoder.Bytes(), nil
+}
+
+// receive starts or ends an instance, or gathers its event. Settings that the scheduler rejects are reported as a crash;
+// its error ends the process.
+func (h *host) receive(record simwire.Record) error {
+	switch e := record.Event.(type) {
+	case simwire.Provision:
+		settings, err := simwire.ParseSettings(e.Settings)
 		if err != nil {
-			h.enc.Panic(r.instance, err.Error())
-			continue
+			return fmt.Errorf("%s, offset %d: %w", record.Name, record.Offset, err)
 		}
-		for _, a := range actions {
-			if err := h.enc.Action(r.instance, a); err != nil {
-				h.enc.Panic(r.instance, err.Error())
-			}
+		h.halt(record.Instance)
+		dispatcher, err := newDispatcher(settings, e.Seed)
+		if err != nil {
+			h.encoder.Panic(record.Instance, err.Error())
+			return nil
 		}
+		h.instances[record.Instance] = dispatcher
+	case simwire.Halt:
+		h.halt(record.Instance)
+	case scheduler.Event:
+		dispatcher := h.instances[record.Instance]
+		if dispatcher == nil {
+			return fmt.Errorf("%s, offset %d: instance %d does not live", record.Name, record.Offset, record.Instance)
+		}
+		i := h.current[record.Instance]
+		if i == 0 {
+			h.steps = append(h.steps, instanceStep{instance: record.Instance, dispatcher: dispatcher})
+			i = len(h.steps)
+			h.current[record.Instance] = i
+		}
+		h.steps[i-1].events = append(h.steps[i-1].events, e)
 	}
-	return h.enc.Bytes(), nil
+	return nil
 }
 
-// stop forgets an instance and what this batch still held for it.
-func (h *host) stop(instance uint32) {
-	delete(h.live, instance)
-	if i := h.slot[instance]; i > 0 {
-		h.runs[i-1].d = nil
-		delete(h.slot, instance)
+// halt forgets an instance and its events of this batch.
+func (h *host) halt(instance uint32) {
+	delete(h.instances, instance)
+	if i := h.current[instance]; i > 0 {
+		h.steps[i-1].dispatcher = nil
+		delete(h.current, instance)
+	}
+}
+
+// step steps an instance and adds its actions to the reply.
+func (h *host) step(s instanceStep, batch simwire.Batch) {
+	actions, err := stepDispatcher(s, batch)
+	if err != nil {
+		h.encoder.Panic(s.instance, err.Error())
+		return
+	}
+	for _, a := range actions {
+		if err := h.encoder.Action(s.instance, a); err != nil {
+			h.encoder.Panic(s.instance, err.Error())
+		}
 	}
 }
 
-func build(s scheduler.Settings, seed uint64) (d *scheduler.Dispatcher, err error) {
-	defer caught(&err)
+func newDispatcher(s scheduler.Settings, seed uint64) (d *scheduler.Dispatcher, err error) {
+	defer recoverCrash(&err)
 	return scheduler.New(s, seed)
 }
 
-func step(r run, b simwire.Batch) (a []scheduler.Action, err error) {
-	defer caught(&err)
-	return r.d.Step(b.Now, r.events), nil
+func stepDispatcher(s instanceStep, batch simwire.Batch) (actions []scheduler.Action, err error) {
+	defer recoverCrash(&err)
+	return s.dispatcher.Step(batch.Now, s.events), nil
 }
 
-// caught turns a crash of the module into an error that goes out on the wire.
-func caught(err *error) {
+// recoverCrash turns a panic of the scheduler into an error. Its text goes out on the wire.
+func recoverCrash(err *error) {
 	if p := recover(); p != nil {
 		*err = fmt.Errorf("module crashed: %v", p)
 	}
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-const env = `{"balancers": 1, "tickMs": 2, "classes": [{"effect": "pure", "giveUpMs": 4000, "targetMs": 600,
+const settingsText = `{"balancers": 1, "tickMs": 2, "classes": [{"effect": "pure", "giveUpMs": 4000, "targetMs": 600,
 	"worth": 1}], "domain": {"onMiss": "load", "idleLifeMs": 8500}, "limits": {"mostTries": 3, "dialTimeoutMs": 250}}`
 
 func be(parts ...any) []byte {
@@ -54,7 +54,7 @@
 	return l
 }
 
-func TestServe(t *testing.T) {
+func TestBatchesAreAnswered(t *testing.T) {
 	tests := []struct {
 		name  string
 		in    [][]byte
@@ -62,9 +62,9 @@
 		err   string
 	}{
 		{"empty batch", [][]byte{batch(1)}, []int{-1}, ""},
-		{"a request is sent", [][]byte{batch(1, provision(3, env), worker, fleet), batch(2, job)}, []int{-1, 0}, ""},
-		{"a new life knows nothing", [][]byte{batch(1, provision(3, env), worker, fleet, job, halt,
-			provision(3, env)), batch(2, job)}, []int{-1, 4}, ""},
+		{"a request is sent", [][]byte{batch(1, provision(3, settingsText), worker, fleet), batch(2, job)}, []int{-1, 0}, ""},
+		{"a new life knows nothing", [][]byte{batch(1, provision(3, settingsText), worker, fleet, job, halt,
+			provision(3, settingsText)), batch(2, job)}, []int{-1, 4}, ""},
 		{"rejected settings", [][]byte{batch(1, provision(3, "{}"))}, []int{9}, ""},
 		{"dead instance", [][]byte{batch(1, job)}, nil, "JOB_IN, offset 16: instance 3 does not live"},
 		{"no JSON", [][]byte{batch(1, provision(3, "]"))}, nil, "PROVISION"},
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -53,11 +53,11 @@
 		scheduler.LoadOrderEnded{Worker: worker, Function: 0x7c55d20a01, Outcome: scheduler.OK, Took: 640 * time.Millisecond,
 			Copies: 1}},
 	{"HALT", `09 00000003`, Halt{}},
-	{"PROVISION", `00 00000003 0000000000000009 00000002 7b7d`, Provision{Seed: 9, Env: []byte("{}")}},
+	{"PROVISION", `00 00000003 0000000000000009 00000002 7b7d`, Provision{Seed: 9, Settings: []byte("{}")}},
 	{"FLEET failed", `01 00000003 03 00000007 0000`, scheduler.ListUpdate{Kind: scheduler.ListFailed, Version: 7}},
 }
 
-func TestEvents(t *testing.T) {
+func TestEachEventIsDecoded(t *testing.T) {
 	for _, tt := range events {
 		d := NewDecoder(bytes.NewReader(frame(unhex(t, tt.hex), 1)))
 		b, err := d.Read()
@@ -74,8 +74,8 @@
 	}
 }
 
-// A number is resolved to its list in event order, also where one batch takes it over.
-func TestPoolOrder(t *testing.T) {
+// A list number is resolved in the order of the records, also where one batch reuses it.
+func TestListNumbersAreResolvedInOrder(t *testing.T) {
 	entry := func(id byte) string {
 		return `3f800000 0000000000000000 0001 0a0000` + hex.EncodeToString([]byte{id}) + ` 1f43 03 01 0002`
 	}
@@ -94,7 +94,7 @@
 	}
 }
 
-func TestActions(t *testing.T) {
+func TestEachActionIsEncoded(t *testing.T) {
 	tests := []struct {
 		action scheduler.Action
 		hex    string
@@ -131,14 +131,14 @@
 }
 
 // A frame cut at any byte is an error, never a hang, a crash or end of input.
-func TestTruncated(t *testing.T) {
+func TestTruncatedFrameIsAnError(t *testing.T) {
 	for _, tt := range events {
-		whole := frame(unhex(t, tt.hex), 1)
-		for n := 1; n < len(whole); n++ {
-			if _, err := NewDecoder(bytes.NewReader(whole[:n])).Read(); err == nil || err == io.EOF {
+		complete := frame(unhex(t, tt.hex), 1)
+		for n := 1; n < len(complete); n++ {
+			if _, err := NewDecoder(bytes.NewReader(complete[:n])).Read(); err == nil || err == io.EOF {
 				t.Errorf("%s cut at %d: error %v", tt.name, n, err)
 			}
-			short := append([]byte(nil), whole[:n]...)
+			short := append([]byte(nil), complete[:n]...)
 			if n >= headerSize {
 				short[11], short[10] = byte(n), byte(n>>8)
 				if _, err := NewDecoder(bytes.NewReader(short)).Read(); err == nil || errors.Is(err, io.EOF) {
@@ -149,7 +149,7 @@
 	}
 }
 
-func TestMalformed(t *testing.T) {
+func TestMalformedRecordIsNamedWithItsOffset(t *testing.T) {
 	tests := []struct{ name, hex, want string }{
 		{"unknown code", `63 00000003`, "offset 16: unknown record code 99"},
 		{"list without POOL", `01 00000003 01 00000029 0005`, "FLEET, offset 26: list 5 has no POOL"},
@@ -165,7 +165,7 @@
 	}
 }
 
-func TestDurations(t *testing.T) {
+func TestDurationsSurviveTheWire(t *testing.T) {
 	for us := int64(0); us < 1e12; us = us*3 + 1 {
 		d := time.Duration(us) * time.Microsecond
 		if got := ToDuration(FromDuration(d)); got != d {
@@ -174,7 +174,7 @@
 	}
 }
 
-func TestSettings(t *testing.T) {
+func TestSettingsAreMapped(t *testing.T) {
 	s, err := ParseSettings([]byte(`{"balancers": 3, "new": [1], "tickMs": 2.5, "membershipMode": "ask", "classes":
 		[{"effect": "token", "keyScope": "cell", "giveUpMs": 4000, "targetMs": 600, "windowMs": 5000, "worth": 1}],
 		"domain": {"onMiss": "miss", "idleLifeMs": 8500}, "limits": {"mostTries": 3}, "report": {"via": "probe",
@@ -183,11 +183,18 @@
 		t.Fatal(err)
 	}
 	c := s.Classes[0]
-	if s.Controllers != 3 || s.Tick != 2500*time.Microsecond || !s.PollForList || c.Idempotency != scheduler.IdempotentWithKey ||
-		c.DedupScope != scheduler.SameGroup || c.DedupWindow != 5*time.Second || s.Loading.LoadsOnMiss || !s.Loading.OnMissKnown ||
-		s.ReportVia != scheduler.ReportsInProbes || !reflect.DeepEqual(s.Report,
-		[]scheduler.ReportField{scheduler.FieldQueue, scheduler.FieldX1}) {
-		t.Errorf("got %+v", s)
+	if s.Controllers != 3 || s.Tick != 2500*time.Microsecond || !s.PollForList {
+		t.Errorf("settings %+v", s)
+	}
+	if c.Idempotency != scheduler.IdempotentWithKey || c.DedupScope != scheduler.SameGroup || c.DedupWindow != 5*time.Second {
+		t.Errorf("class %+v", c)
+	}
+	if s.Loading.LoadsOnMiss || !s.Loading.OnMissKnown {
+		t.Errorf("loading %+v", s.Loading)
+	}
+	report := []scheduler.ReportField{scheduler.FieldQueue, scheduler.FieldX1}
+	if s.ReportVia != scheduler.ReportsInProbes || !reflect.DeepEqual(s.Report, report) {
+		t.Errorf("reports %v in %v", s.Report, s.ReportVia)
 	}
 	if _, err := ParseSettings([]byte("{")); err == nil {
 		t.Error("settings that are no JSON: no error")
