--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -13,28 +13,29 @@
 
 func (m milliseconds) duration() time.Duration { return ToDuration(float64(m)) }
 
-// settingsText mirrors the settings text of the wire. What it does not name is ignored.
+// settingsText mirrors the settings text of the wire: its tags are the wire's words, its fields are named as those of
+// scheduler.Settings. What it does not name is ignored.
 type settingsText struct {
-	Balancers int         `json:"balancers"`
-	Classes   []classText `json:"classes"`
-	Clients   struct {
+	Controllers int         `json:"balancers"`
+	Classes     []classText `json:"classes"`
+	Clients     struct {
 		MarksRetry bool `json:"marksRetry"`
 	} `json:"clients"`
-	MembershipMode string     `json:"membershipMode"`
-	Workload       string     `json:"workload"`
-	Domain         domainText `json:"domain"`
-	Goal           struct {
+	Discovery string     `json:"membershipMode"`
+	Workload  string     `json:"workload"`
+	Loading   domainText `json:"domain"`
+	Goal      struct {
 		Whole       float64 `json:"whole"`
 		WorstClass  float64 `json:"worstClass"`
 		WorstTenant float64 `json:"worstTenant"`
 		WorstWindow float64 `json:"worstWindow"`
 	} `json:"goal"`
-	Kinds          []string   `json:"kinds"`
-	Limits         limitsText `json:"limits"`
-	Me             int        `json:"me"`
-	OverShareWorth float64    `json:"overShareWorth"`
-	Costs          costsText  `json:"costs"`
-	Report         struct {
+	Kinds           []string   `json:"kinds"`
+	Limits          limitsText `json:"limits"`
+	ControllerIndex int        `json:"me"`
+	OverQuotaWeight float64    `json:"overShareWorth"`
+	Prices          costsText  `json:"costs"`
+	Report          struct {
 		Fields []string `json:"fields"`
 		Via    string   `json:"via"`
 	} `json:"report"`
@@ -44,81 +45,81 @@
 		QuotaPerS float64 `json:"quotaPerS"`
 		Share     float64 `json:"share"`
 	} `json:"tenants"`
-	TickMs       milliseconds `json:"tickMs"`
-	Tier         int          `json:"tier"`
-	Tiers        []string     `json:"tiers"`
-	WeightSource string       `json:"weightSource"`
-	WorthBy      string       `json:"worthBy"`
-	Zone         int          `json:"zone"`
-	Localities   []string     `json:"localities"`
+	Tick     milliseconds `json:"tickMs"`
+	Tier     int          `json:"tier"`
+	Tiers    []string     `json:"tiers"`
+	Sizes    string       `json:"weightSource"`
+	WeightBy string       `json:"worthBy"`
+	Zone     int          `json:"zone"`
+	Zones    []string     `json:"localities"`
 }
 
 type classText struct {
-	AimStretch float64      `json:"aimStretch"`
-	TargetMs   milliseconds `json:"targetMs"`
-	GiveUpMs   milliseconds `json:"giveUpMs"`
-	Effect     string       `json:"effect"`
-	KeyScope   string       `json:"keyScope"`
-	LateShare  float64      `json:"lateShare"`
-	Name       string       `json:"name"`
-	Stream     bool         `json:"stream"`
-	WindowMs   milliseconds `json:"windowMs"`
-	Worth      float64      `json:"worth"`
+	ObjectiveStretch float64      `json:"aimStretch"`
+	LatencyObjective milliseconds `json:"targetMs"`
+	Deadline         milliseconds `json:"giveUpMs"`
+	Idempotency      string       `json:"effect"`
+	DedupScope       string       `json:"keyScope"`
+	LateValue        float64      `json:"lateShare"`
+	Name             string       `json:"name"`
+	Stream           bool         `json:"stream"`
+	DedupWindow      milliseconds `json:"windowMs"`
+	PriorityWeight   float64      `json:"worth"`
 }
 
 type domainText struct {
-	IdleLifeMs     milliseconds `json:"idleLifeMs"`
-	MachineMb      []float64    `json:"machineMb"`
-	LoadsAnyway    float64      `json:"loadsAnyway"`
-	LoadRatio      float64      `json:"loadRatio"`
-	LoadWindowMs   milliseconds `json:"loadWindowMs"`
-	IdleMemoryCost float64      `json:"idleMemoryCost"`
-	OnMiss         string       `json:"onMiss"`
-	AnswerWithinMs milliseconds `json:"answerWithinMs"`
-	MayOrder       bool         `json:"mayOrder"`
-	ReportX0       string       `json:"reportX0"`
-	ReportX1       string       `json:"reportX1"`
-	CountsAlike    bool         `json:"countsAlike"`
-	WarmNotes      bool         `json:"warmNotes"`
+	IdleCopyTTL         milliseconds `json:"idleLifeMs"`
+	MemoryMB            []float64    `json:"machineMb"`
+	BudgetFree          float64      `json:"loadsAnyway"`
+	BudgetRatio         float64      `json:"loadRatio"`
+	BudgetWindow        milliseconds `json:"loadWindowMs"`
+	IdlePrice           float64      `json:"idleMemoryCost"`
+	OnMiss              string       `json:"onMiss"`
+	OrderTimeout        milliseconds `json:"answerWithinMs"`
+	Orders              bool         `json:"mayOrder"`
+	X0                  string       `json:"reportX0"`
+	X1                  string       `json:"reportX1"`
+	SameFunctionCounted bool         `json:"countsAlike"`
+	LoadNotesGiven      bool         `json:"warmNotes"`
 }
 
 type limitsText struct {
-	Cancel          bool         `json:"cancel"`
-	KeepaliveMs     milliseconds `json:"keepaliveMs"`
-	DialTimeoutMs   milliseconds `json:"dialTimeoutMs"`
-	CPUUsPerRequest float64      `json:"cpuUsPerRequest"`
-	CPUUsPerS       float64      `json:"cpuUsPerS"`
-	MostTries       int          `json:"mostTries"`
-	MaxOpen         int          `json:"maxOpen"`
-	MaxRetryAfterMs milliseconds `json:"maxRetryAfterMs"`
-	PeerMessages    bool         `json:"peerMessages"`
-	Probes          bool         `json:"probes"`
-	RetryAfter      bool         `json:"retryAfter"`
-	MayDuplicate    bool         `json:"mayDuplicate"`
-	StreamsPerConn  int          `json:"streamsPerConn"`
+	Cancel                bool         `json:"cancel"`
+	IdleConnectionTimeout milliseconds `json:"keepaliveMs"`
+	DialTimeout           milliseconds `json:"dialTimeoutMs"`
+	CPUPerRequestUS       float64      `json:"cpuUsPerRequest"`
+	CPUPerSecondUS        float64      `json:"cpuUsPerS"`
+	MaxAttempts           int          `json:"mostTries"`
+	MaxOpenRequests       int          `json:"maxOpen"`
+	MaxRetryAfter         milliseconds `json:"maxRetryAfterMs"`
+	Peers                 bool         `json:"peerMessages"`
+	Probe                 bool         `json:"probes"`
+	RetryAfter            bool         `json:"retryAfter"`
+	HedgedRequests        bool         `json:"mayDuplicate"`
+	StreamsPerConnection  int          `json:"streamsPerConn"`
 }
 
 type costsText struct {
-	Connection     float64 `json:"connection"`
-	CrossZone      float64 `json:"crossZone"`
-	LateFail       float64 `json:"lateFail"`
-	MembershipMode float64 `json:"membershipMode"`
-	Handshake      float64 `json:"handshake"`
-	Moves          float64 `json:"moves"`
-	Origin         float64 `json:"origin"`
-	Peer           float64 `json:"peer"`
-	Probe          float64 `json:"probe"`
-	Waste          float64 `json:"waste"`
+	Connection float64 `json:"connection"`
+	CrossZone  float64 `json:"crossZone"`
+	LateFail   float64 `json:"lateFail"`
+	Discovery  float64 `json:"membershipMode"`
+	Handshake  float64 `json:"handshake"`
+	Moves      float64 `json:"moves"`
+	Origin     float64 `json:"origin"`
+	Peer       float64 `json:"peer"`
+	Probe      float64 `json:"probe"`
+	Waste      float64 `json:"waste"`
 }
 
 type guaranteesText struct {
-	GraceToAnswerMs milliseconds `json:"graceToAnswerMs"`
-	AskWithinMs     milliseconds `json:"askWithinMs"`
-	ColdFrom        float64      `json:"coldFrom"`
-	ColdMs          milliseconds `json:"coldMs"`
-	DrainGraceMs    milliseconds `json:"drainGraceMs"`
-	FallMultiple    float64      `json:"fallMultiple"`
-	OverloadForMs   milliseconds `json:"overloadForMs"`
+	AnswerGrace    milliseconds `json:"graceToAnswerMs"`
+	PollWithin     milliseconds `json:"askWithinMs"`
+	WarmupFraction float64      `json:"coldFrom"`
+	WarmupTime     milliseconds `json:"coldMs"`
+	DrainGrace     milliseconds `json:"drainGraceMs"`
+	CollapseFactor float64      `json:"fallMultiple"`
+	CollapseWindow milliseconds `json:"overloadForMs"`
 }
 
 // The words of the wire in the terms of the scheduler.
@@ -163,23 +164,23 @@
 		return scheduler.Settings{}, fmt.Errorf("settings: %w", err)
 	}
 	s := scheduler.Settings{
-		ControllerIndex:    t.Me,
-		Controllers:        t.Balancers,
+		ControllerIndex:    t.ControllerIndex,
+		Controllers:        t.Controllers,
 		Zone:               t.Zone,
-		Zones:              t.Localities,
+		Zones:              t.Zones,
 		Tier:               t.Tier,
 		Tiers:              t.Tiers,
 		Kinds:              t.Kinds,
-		OverQuotaWeight:    t.OverShareWorth,
-		WeightByWork:       t.WorthBy == "work",
+		OverQuotaWeight:    t.OverQuotaWeight,
+		WeightByWork:       t.WeightBy == "work",
 		ClientsMarkRetries: t.Clients.MarksRetry,
-		PollForList:        t.MembershipMode == "ask",
-		Tick:               t.TickMs.duration(),
+		PollForList:        t.Discovery == "ask",
+		Tick:               t.Tick.duration(),
 		Workload:           t.Workload,
-		Sizes:              sizeMeanings[t.WeightSource],
+		Sizes:              sizeMeanings[t.Sizes],
 		ReportVia:          reportSources[t.Report.Via],
 		Limits:             t.Limits.limits(),
-		Loading:            t.Domain.loading(),
+		Loading:            t.Loading.loading(),
 		Guarantees:         t.Guarantees.guarantees(),
 		Goal: scheduler.Goal{
 			Overall:     t.Goal.Whole,
@@ -187,7 +188,7 @@
 			WorstClass:  t.Goal.WorstClass,
 			WorstTenant: t.Goal.WorstTenant,
 		},
-		Prices: t.Costs.prices(),
+		Prices: t.Prices.prices(),
 	}
 	for _, c := range t.Classes {
 		s.Classes = append(s.Classes, c.class())
@@ -205,50 +206,50 @@
 
 func (t limitsText) limits() scheduler.Limits {
 	return scheduler.Limits{
-		MaxAttempts:           t.MostTries,
-		MaxOpenRequests:       t.MaxOpen,
-		HedgedRequests:        t.MayDuplicate,
+		MaxAttempts:           t.MaxAttempts,
+		MaxOpenRequests:       t.MaxOpenRequests,
+		HedgedRequests:        t.HedgedRequests,
 		Cancel:                t.Cancel,
-		Probe:                 t.Probes,
-		Peers:                 t.PeerMessages,
+		Probe:                 t.Probe,
+		Peers:                 t.Peers,
 		RetryAfter:            t.RetryAfter,
-		MaxRetryAfter:         t.MaxRetryAfterMs.duration(),
-		DialTimeout:           t.DialTimeoutMs.duration(),
-		IdleConnectionTimeout: t.KeepaliveMs.duration(),
-		StreamsPerConnection:  t.StreamsPerConn,
-		CPUPerRequestUS:       t.CPUUsPerRequest,
-		CPUPerSecondUS:        t.CPUUsPerS,
+		MaxRetryAfter:         t.MaxRetryAfter.duration(),
+		DialTimeout:           t.DialTimeout.duration(),
+		IdleConnectionTimeout: t.IdleConnectionTimeout.duration(),
+		StreamsPerConnection:  t.StreamsPerConnection,
+		CPUPerRequestUS:       t.CPUPerRequestUS,
+		CPUPerSecondUS:        t.CPUPerSecondUS,
 	}
 }
 
 func (t domainText) loading() scheduler.Loading {
 	return scheduler.Loading{
-		Orders:              t.MayOrder,
+		Orders:              t.Orders,
 		LoadsOnMiss:         t.OnMiss == "load",
 		OnMissKnown:         t.OnMiss == "load" || t.OnMiss == "miss",
-		IdleCopyTTL:         t.IdleLifeMs.duration(),
-		OrderTimeout:        t.AnswerWithinMs.duration(),
-		BudgetWindow:        t.LoadWindowMs.duration(),
-		BudgetFree:          t.LoadsAnyway,
-		BudgetRatio:         t.LoadRatio,
-		IdlePrice:           t.IdleMemoryCost,
-		LoadNotesGiven:      t.WarmNotes,
-		SameFunctionCounted: t.CountsAlike,
-		MemoryMB:            t.MachineMb,
-		X0:                  t.ReportX0,
-		X1:                  t.ReportX1,
+		IdleCopyTTL:         t.IdleCopyTTL.duration(),
+		OrderTimeout:        t.OrderTimeout.duration(),
+		BudgetWindow:        t.BudgetWindow.duration(),
+		BudgetFree:          t.BudgetFree,
+		BudgetRatio:         t.BudgetRatio,
+		IdlePrice:           t.IdlePrice,
+		LoadNotesGiven:      t.LoadNotesGiven,
+		SameFunctionCounted: t.SameFunctionCounted,
+		MemoryMB:            t.MemoryMB,
+		X0:                  t.X0,
+		X1:                  t.X1,
 	}
 }
 
 func (t guaranteesText) guarantees() scheduler.Guarantees {
 	return scheduler.Guarantees{
-		AnswerGrace:    t.GraceToAnswerMs.duration(),
-		DrainGrace:     t.DrainGraceMs.duration(),
-		PollWithin:     t.AskWithinMs.duration(),
-		WarmupFraction: t.ColdFrom,
-		WarmupTime:     t.ColdMs.duration(),
-		CollapseFactor: t.FallMultiple,
-		CollapseWindow: t.OverloadForMs.duration(),
+		AnswerGrace:    t.AnswerGrace.duration(),
+		DrainGrace:     t.DrainGrace.duration(),
+		PollWithin:     t.PollWithin.duration(),
+		WarmupFraction: t.WarmupFraction,
+		WarmupTime:     t.WarmupTime.duration(),
+		CollapseFactor: t.CollapseFactor,
+		CollapseWindow: t.CollapseWindow.duration(),
 	}
 }
 
@@ -257,7 +258,7 @@
 		Connection: t.Connection,
 		CrossZone:  t.CrossZone,
 		LateFail:   t.LateFail,
-		Discovery:  t.MembershipMode,
+		Discovery:  t.Discovery,
 		Handshake:  t.Handshake,
 		Moves:      t.Moves,
 		Origin:     t.Origin,
@@ -270,14 +271,14 @@
 func (t classText) class() scheduler.Class {
 	return scheduler.Class{
 		Name:             t.Name,
-		Idempotency:      idempotencies[t.Effect],
-		DedupScope:       scopes[t.KeyScope],
-		DedupWindow:      t.WindowMs.duration(),
-		LatencyObjective: t.TargetMs.duration(),
-		ObjectiveStretch: t.AimStretch,
-		Deadline:         t.GiveUpMs.duration(),
-		PriorityWeight:   t.Worth,
-		LateValue:        t.LateShare,
+		Idempotency:      idempotencies[t.Idempotency],
+		DedupScope:       scopes[t.DedupScope],
+		DedupWindow:      t.DedupWindow.duration(),
+		LatencyObjective: t.LatencyObjective.duration(),
+		ObjectiveStretch: t.ObjectiveStretch,
+		Deadline:         t.Deadline.duration(),
+		PriorityWeight:   t.PriorityWeight,
+		LateValue:        t.LateValue,
 		Stream:           t.Stream,
 	}
 }
