--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -42,32 +42,45 @@
 	}
 }
 
-// What a successor is told of an end: with its answer, without one that must stay or is too long, and refused.
+// A successor gets the end of a call with its answer, without one that must stay or is too long, or as rejected.
 func TestEndedCallsKeepTheirFormat(t *testing.T) {
 	key := replayguard.Key{Client: 1, ID: "msg_a"}
+	served := replayguard.Answer{Status: 200, Type: "application/json", Body: []byte(`{"a":"<b>"}`)}
 	long := make([]byte, daemon.PartSize)
-	for name, told := range map[string]struct {
+	for name, tt := range map[string]struct {
 		answer replayguard.Answer
 		end    endedCall
 	}{
-		"ended.json":         {replayguard.Answer{Status: 200, Type: "application/json", Body: []byte(`{"a":"<b>"}`)}, endedCall{Key: key, Answer: replayguard.Answer{Status: 200, Type: "application/json", Body: []byte(`{"a":"<b>"}`)}}},
-		"ended_refused.json": {replayguard.Answer{Rejected: true, Status: 503}, endedCall{Key: key, Answer: replayguard.Answer{Rejected: true, Status: 503}}},
-		"ended_version.json": {replayguard.Answer{Status: 200, Tag: gateway.VersionBinding{}, Body: []byte("x")}, endedCall{Key: key, Answer: replayguard.Answer{Status: 200}, NotCached: true}},
-		"ended_long.json":    {replayguard.Answer{Status: 200, Body: long}, endedCall{Key: key, Answer: replayguard.Answer{Status: 200}, NotCached: true}},
+		"ended.json": {
+			answer: served,
+			end:    endedCall{Key: key, Answer: served},
+		},
+		"ended_refused.json": {
+			answer: replayguard.Answer{Rejected: true, Status: 503},
+			end:    endedCall{Key: key, Answer: replayguard.Answer{Rejected: true, Status: 503}},
+		},
+		"ended_version.json": {
+			answer: replayguard.Answer{Status: 200, Tag: gateway.VersionBinding{}, Body: []byte("x")},
+			end:    endedCall{Key: key, Answer: replayguard.Answer{Status: 200}, NotCached: true},
+		},
+		"ended_long.json": {
+			answer: replayguard.Answer{Status: 200, Body: long},
+			end:    endedCall{Key: key, Answer: replayguard.Answer{Status: 200}, NotCached: true},
+		},
 	} {
-		goldenfile.Compare(t, name, encodeEndedCall(key, told.answer))
+		goldenfile.Compare(t, name, encodeEndedCall(key, tt.answer))
 
 		var read endedCall
 		if err := json.Unmarshal(goldenfile.Read(t, name), &read); err != nil {
 			t.Fatal(err)
 		}
-		if !reflect.DeepEqual(read, told.end) {
-			t.Errorf("%s: read %+v, want %+v", name, read, told.end)
+		if !reflect.DeepEqual(read, tt.end) {
+			t.Errorf("%s: read %+v, want %+v", name, read, tt.end)
 		}
 	}
 }
 
-// Words between controllers go as datagrams, behind the sender's number where that is agreed.
+// Messages between controllers are datagrams, behind the sender's index where that is agreed.
 func TestPeerDatagramsKeepTheirFormat(t *testing.T) {
 	heard, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
--- a/internal/controller/handover_test.go
+++ b/internal/controller/handover_test.go
@@ -28,26 +28,28 @@
 	"kitehub/internal/replayguard"
 )
 
-// newHandoverHarness is a rig whose controller can be taken over.
+// newHandoverHarness returns a harness, the changes to its configuration and the path by which its controller can be
+// taken over.
 func newHandoverHarness(t *testing.T, work time.Duration) (*harness, []string, string) {
-	r := newHarness(t, 3, func(c *fakeworker.Config) {
+	h := newHarness(t, 3, func(c *fakeworker.Config) {
 		for i := range c.Functions {
 			c.Functions[i].Work = work
 		}
 	})
-	path := filepath.Join(r.dir, "h")
-	return r, append(withRPC(r, fmt.Sprintf("hooks {} daemon { handover: %q }", path)), "remembered: 1000", "remembered: 100000"), path
+	path := filepath.Join(h.dir, "h")
+	return h, append(withRPC(h, fmt.Sprintf("hooks {} daemon { handover: %q }", path)), "remembered: 1000", "remembered: 100000"), path
 }
 
-// takeOver takes over from whoever runs.
-func (r *harness) takeOver(path string, changes []string) (*Controller, error) {
+// takeOver starts a controller in the place of the one that runs.
+func (h *harness) takeOver(path string, changes []string) (*Controller, error) {
 	return TakeOver(path, func(after *Succession) (*Controller, error) {
-		return Start(r.build("c", changes...), Options{Clock: r.clk, Log: zerolog.Nop(), Predecessor: after})
+		return Start(h.configure("c", changes...), Options{Clock: h.clock, Log: zerolog.Nop(), Predecessor: after})
 	})
 }
 
-// load sends signed calls until stop is closed: on one kept connection, or on a new one for each. The ids tell its calls apart.
-func (r *harness) load(t *testing.T, addr, who, function string, fresh bool, stop chan struct{}, sent *atomic.Int64, got func(answer, time.Duration)) {
+// load sends signed calls until stop is closed, on one connection or, with fresh, on a new one for each. who makes their
+// ids unlike those of other loads.
+func (h *harness) load(t *testing.T, addr, who, function string, fresh bool, stop chan struct{}, sent *atomic.Int64, got func(answer, time.Duration)) {
 	var nc net.Conn
 	var br *bufio.Reader
 	for i := 0; ; i++ {
@@ -66,7 +68,7 @@
 			nc.SetDeadline(time.Now().Add(100 * time.Second))
 			br = bufio.NewReader(nc)
 		}
-		m := sign(t, common, "c", fmt.Sprint(who, "-", i), function, `{"x":1}`, time.Now())
+		m := sign(t, commonSecret, "c", fmt.Sprint(who, "-", i), function, `{"x":1}`, time.Now())
 		begin := time.Now()
 		sent.Add(1)
 		nc.Write(m.bytes())
@@ -82,14 +84,15 @@
 	}
 }
 
-// Fifty handovers in a row under load: each call has its one answer, no unsafe one runs twice, nothing is refused for them.
-func TestHandovers(t *testing.T) {
+// In fifty handovers in a row under load each call has its one answer, no non-idempotent one runs twice, and none is
+// rejected.
+func TestHandoversUnderLoadLoseNoCall(t *testing.T) {
 	times := 50
 	if testing.Short() || racing {
 		times = 8
 	}
-	r, changes, path := newHandoverHarness(t, 5*ms)
-	c := r.start(r.build("c", changes...))
+	h, changes, path := newHandoverHarness(t, 5*ms)
+	c := h.start(h.configure("c", changes...))
 	addr := c.Addr()
 	var sent atomic.Int64
 	var mu sync.Mutex
@@ -107,14 +110,14 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			r.load(t, addr, fmt.Sprint("l", i), []string{"unsafe-1", "keyed-1", "safe-1"}[i%3], i >= 3, stop, &sent, got)
+			h.load(t, addr, fmt.Sprint("l", i), []string{"unsafe-1", "keyed-1", "safe-1"}[i%3], i >= 3, stop, &sent, got)
 		}()
 	}
 	for i := range times {
 		for sent.Load() < int64(20*(i+1)) && !t.Failed() {
 			time.Sleep(ms)
 		}
-		next, err := r.takeOver(path, changes)
+		next, err := h.takeOver(path, changes)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -130,7 +133,7 @@
 	if outcomes["200 served"] != n {
 		t.Errorf("of %d calls: %v", n, outcomes)
 	}
-	if ran := r.ran("unsafe-1") + r.ran("keyed-1") + r.ran("safe-1"); ran != n {
+	if ran := h.runs("unsafe-1") + h.runs("keyed-1") + h.runs("safe-1"); ran != n {
 		t.Errorf("%d runs of %d calls", ran, n)
 	}
 	if n < 10*times {
@@ -138,46 +141,47 @@
 	}
 }
 
-// A message in hand of the old process is not taken anew by its successor; the answer is kept there once it has come.
-func TestHandoverMidCall(t *testing.T) {
-	r, changes, path := newHandoverHarness(t, 600*ms)
-	old := r.start(r.build("c", changes...))
-	m := sign(t, common, "c", "once", "unsafe-1", `{"x":1}`, time.Now().Add(-5*time.Second))
+// A message that is in flight in the old process is not admitted by its successor; the answer is cached there once it has
+// come.
+func TestHandoverDuringACall(t *testing.T) {
+	h, changes, path := newHandoverHarness(t, 600*ms)
+	old := h.start(h.configure("c", changes...))
+	m := sign(t, commonSecret, "c", "once", "unsafe-1", `{"x":1}`, time.Now().Add(-5*time.Second))
 	first := make(chan answer)
 	go func() { first <- exchange(t, old.Addr(), m) }()
 	for old.Gateway.Open() == 0 {
 		time.Sleep(ms)
 	}
-	c, err := r.takeOver(path, changes)
+	c, err := h.takeOver(path, changes)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(c.Kill)
 	again := func(after int) answer {
-		return exchange(t, c.Addr(), sign(t, common, "c", "once", "unsafe-1", `{"x":1}`, time.Now().Add(time.Duration(after-4)*time.Second)))
+		return post(t, c, "once", "unsafe-1", `{"x":1}`, time.Now().Add(time.Duration(after-4)*time.Second))
 	}
-	want(t, exchange(t, c.Addr(), m), "409 replayed")
-	want(t, again(0), "503 refused") // it runs in the other process
-	want(t, exchange(t, c.Addr(), sign(t, common, "c", "new", "safe-1", `{}`, time.Now())), "200 served")
-	want(t, <-first, "200 served")
+	wantAnswer(t, exchange(t, c.Addr(), m), "409 replayed")
+	wantAnswer(t, again(0), "503 refused") // it runs in the other process
+	wantAnswer(t, post(t, c, "new", "safe-1", `{}`, time.Now()), "200 served")
+	wantAnswer(t, <-first, "200 served")
 	<-old.HandedOver()
 	for end := time.Now().Add(10 * time.Second); ; {
 		if a := again(1); a.status == 200 || time.Now().After(end) {
-			want(t, a, "200 served")
+			wantAnswer(t, a, "200 served")
 			break
 		}
 	}
-	if n := r.ran("unsafe-1"); n != 1 {
+	if n := h.runs("unsafe-1"); n != 1 {
 		t.Errorf("it ran %d times", n)
 	}
 }
 
-// Whatever end of a handover is killed at whatever stage, one process serves; before the last word it is the old one.
-func TestHandoverKilled(t *testing.T) {
+// Whichever process of a handover is killed at whichever stage, one serves; before Go it is the old one.
+func TestHandoverWithAProcessKilled(t *testing.T) {
 	for _, stage := range []string{"hello", "sockets", "wish", "whole", "taken", "garbage", "silent"} {
 		t.Run(stage, func(t *testing.T) {
-			r, changes, path := newHandoverHarness(t, ms)
-			c := r.start(r.build("c", changes...))
+			h, changes, path := newHandoverHarness(t, ms)
+			c := h.start(h.configure("c", changes...))
 			l, err := daemon.DialLink(path)
 			if err != nil {
 				t.Fatal(err)
@@ -227,45 +231,45 @@
 				if _, err := net.DialTimeout("tcp", c.Addr(), time.Second); !errors.Is(err, syscall.ECONNREFUSED) {
 					t.Error(err)
 				}
-				r.start(r.build("c", changes...)) // as its supervisor would
+				h.start(h.configure("c", changes...)) // as its supervisor would
 				return
 			}
 			l.Close()
 			for i := range 3 {
-				want(t, exchange(t, c.Addr(), sign(t, common, "c", fmt.Sprint("m", i), "safe-1", `{}`, time.Now())), "200 served")
+				wantAnswer(t, post(t, c, fmt.Sprint("m", i), "safe-1", `{}`, time.Now()), "200 served")
 			}
-			next, err := r.takeOver(path, changes) // and a further one is not held up
+			next, err := h.takeOver(path, changes) // and a further one is not held up
 			if err != nil {
 				t.Fatal(err)
 			}
 			t.Cleanup(next.Kill)
 			<-c.HandedOver()
-			want(t, exchange(t, next.Addr(), sign(t, common, "c", "after", "safe-1", `{}`, time.Now())), "200 served")
+			wantAnswer(t, post(t, next, "after", "safe-1", `{}`, time.Now()), "200 served")
 		})
 	}
 }
 
-// A successor whose configuration does not start leaves the old one as it was.
+// A successor that does not start leaves the old process as it was.
 func TestHandoverToBadSuccessor(t *testing.T) {
-	r, changes, path := newHandoverHarness(t, ms)
-	c := r.start(r.build("c", changes...))
+	h, changes, path := newHandoverHarness(t, ms)
+	c := h.start(h.configure("c", changes...))
 	_, err := TakeOver(path, func(_ *Succession) (*Controller, error) { return nil, errors.New("it does not start") })
 	if err == nil || !strings.Contains(err.Error(), "it does not start") {
 		t.Error(err)
 	}
-	want(t, exchange(t, c.Addr(), sign(t, common, "c", "m", "safe-1", `{}`, time.Now())), "200 served")
+	wantAnswer(t, post(t, c, "m", "safe-1", `{}`, time.Now()), "200 served")
 }
 
-// The old process dies when all its state has gone over and its last word has not: the new one serves, takes the ids as its own,
-// and answers for those that were in hand that they may have run. One that dies before all has come leaves the new one to end.
-func TestHandoverFromDying(t *testing.T) {
+// If the old process dies between its state and Go, the new one serves: it remembers the ids, and answers of those that
+// were in flight that they may have run. If it dies before all its state has come, the new one ends.
+func TestHandoverFromADyingProcess(t *testing.T) {
 	for _, whole := range []bool{true, false} {
-		r, changes, path := newHandoverHarness(t, ms)
+		h, changes, path := newHandoverHarness(t, ms)
 		tcp, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		unix, err := net.Listen("unix", filepath.Join(r.dir, "s"))
+		unix, err := net.Listen("unix", filepath.Join(h.dir, "s"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -273,7 +277,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		m := sign(t, common, "c", "known", "unsafe-1", `{}`, time.Now().Add(-3*time.Second))
+		m := sign(t, commonSecret, "c", "known", "unsafe-1", `{}`, time.Now().Add(-3*time.Second))
 		state := handoverState{Front: webhook.State{Highest: time.Now().Unix(), Durable: time.Now().Unix() + 10, Known: []replayguard.EntryState{
 			{Key: replayguard.Key{ID: "known"}, Last: time.Now().Unix() - 3, Running: true, Digest: bodyDigest("unsafe-1", m)}}}}
 		text, _ := json.Marshal(state)
@@ -295,7 +299,7 @@
 			links.Close()
 			l.Close() // as the end of its process would
 		}()
-		c, err := r.takeOver(path, changes)
+		c, err := h.takeOver(path, changes)
 		if !whole {
 			if err == nil {
 				t.Error("it serves with a part of the state")
@@ -306,35 +310,36 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(c.Kill)
-		want(t, exchange(t, c.Addr(), m), "409 replayed")
+		wantAnswer(t, exchange(t, c.Addr(), m), "409 replayed")
 		<-c.predecessorDone
-		want(t, exchange(t, c.Addr(), sign(t, common, "c", "known", "unsafe-1", `{}`, time.Now())), "502 failed")
-		want(t, exchange(t, c.Addr(), sign(t, common, "c", "new", "unsafe-1", `{}`, time.Now())), "200 served")
-		if n := r.ran("unsafe-1"); n != 1 {
+		wantAnswer(t, post(t, c, "known", "unsafe-1", `{}`, time.Now()), "502 failed")
+		wantAnswer(t, post(t, c, "new", "unsafe-1", `{}`, time.Now()), "200 served")
+		if n := h.runs("unsafe-1"); n != 1 {
 			t.Errorf("%d runs", n)
 		}
 	}
 }
 
-// bodyDigest is what the front remembers of a message's body.
+// bodyDigest is what the ingress remembers of a message's body.
 func bodyDigest(function string, m message) []byte {
-	sum := sha256.Sum256(append([]byte(function+"\x00\x00"), m.m.Body...))
+	sum := sha256.Sum256(append([]byte(function+"\x00\x00"), m.signed.Body...))
 	return sum[:]
 }
 
-// A controller that is told to stop while a successor has it halted stops, with all that waited answered, and does not yield.
+// A controller that is stopped while a successor has it paused stops, with all that waited answered, and is not handed
+// over.
 func TestStopInHandover(t *testing.T) {
-	r, changes, path := newHandoverHarness(t, ms)
-	c := r.start(r.build("c", changes...))
+	h, changes, path := newHandoverHarness(t, ms)
+	c := h.start(h.configure("c", changes...))
 	nc, err := net.Dial("tcp", c.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer nc.Close()
 	nc.SetDeadline(time.Now().Add(20 * time.Second))
-	first := sign(t, common, "c", "first", "safe-1", `{}`, time.Now())
+	first := sign(t, commonSecret, "c", "first", "safe-1", `{}`, time.Now())
 	nc.Write(first.bytes())
-	want(t, readAnswer(t, bufio.NewReader(nc), first), "200 served")
+	wantAnswer(t, readAnswer(t, bufio.NewReader(nc), first), "200 served")
 	l, err := daemon.DialLink(path)
 	if err != nil {
 		t.Fatal(err)
@@ -351,7 +356,7 @@
 			t.Fatal(err)
 		}
 	}
-	nc.Write(sign(t, common, "c", "waits", "safe-1", `{}`, time.Now()).bytes())
+	nc.Write(sign(t, commonSecret, "c", "waits", "safe-1", `{}`, time.Now()).bytes())
 	stopped := make(chan error)
 	go func() { stopped <- c.Stop(time.Second) }()
 	for !c.stopping.Load() {
@@ -371,15 +376,15 @@
 	}
 }
 
-// A call that ends while its process is halted is told to the successor like any other in hand.
-func TestEndedWhileHalted(t *testing.T) {
-	r, changes, path := newHandoverHarness(t, 300*ms)
-	c := r.start(r.build("c", changes...))
+// A call that ends while its process is paused is known to the successor, like those that end later.
+func TestCallEndedWhilePausedIsKnownToTheSuccessor(t *testing.T) {
+	h, changes, path := newHandoverHarness(t, 300*ms)
+	c := h.start(h.configure("c", changes...))
 	first := make(chan answer, 1)
 	go func() {
-		first <- exchange(t, c.Addr(), sign(t, common, "c", "once", "unsafe-1", `{}`, time.Now()))
+		first <- post(t, c, "once", "unsafe-1", `{}`, time.Now())
 	}()
-	r.await(kind(trace.Began))
+	h.awaitRecord(ofKind(trace.Began))
 	l, err := daemon.DialLink(path)
 	if err != nil {
 		t.Fatal(err)
@@ -403,7 +408,7 @@
 	until(daemon.Sockets)
 	l.Send(daemon.TakeoverRequest, nil)
 	until(daemon.StateComplete)
-	want(t, <-first, "200 served") // what is in hand goes on, halted or not
+	wantAnswer(t, <-first, "200 served") // what is in hand goes on, halted or not
 	l.Send(daemon.StateTaken, nil)
 	until(daemon.Go) // and not after the answer
 	var e endedCall
@@ -412,8 +417,8 @@
 	}
 }
 
-// An answer of a model's version never goes over: the successor could not ask whether its alias has left it.
-func TestVersionedAnswerStays(t *testing.T) {
+// An answer of a model's version is not handed over: the successor could not ask whether its alias has left it.
+func TestVersionedAnswerIsNotHandedOver(t *testing.T) {
 	k := replayguard.Key{ID: "x"}
 	for _, c := range []struct {
 		a      replayguard.Answer
@@ -439,27 +444,27 @@
 	}
 }
 
-// A key of the second front that the old process may have run is not taken by its successor; calls without one are.
-func TestHandoverRefusesKeys(t *testing.T) {
-	r, changes, path := newHandoverHarness(t, ms)
-	c := r.start(r.build("c", changes...))
-	if got := dial(t, r).request(call("1", "keyed-1", `,"key":"k"`)); !strings.Contains(got, "result") {
+// An idempotency key of RPC that the old process may have run is rejected by its successor; calls without one are served.
+func TestHandoverRejectsIdempotencyKeys(t *testing.T) {
+	h, changes, path := newHandoverHarness(t, ms)
+	c := h.start(h.configure("c", changes...))
+	if got := dial(t, h).request(call("1", "keyed-1", `,"key":"k"`)); !strings.Contains(got, "result") {
 		t.Error(got)
 	}
-	next, err := r.takeOver(path, changes)
+	next, err := h.takeOver(path, changes)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(next.Kill)
 	<-c.HandedOver()
-	l := dial(t, r)
+	l := dial(t, h)
 	if got := l.request(call("1", "keyed-1", `,"key":"k"`)); !strings.Contains(got, "-32010") || !strings.Contains(got, "the process before") {
 		t.Error(got)
 	}
 	if got := l.request(call("2", "safe-1", "")); !strings.Contains(got, "result") {
 		t.Error(got)
 	}
-	if n := r.ran("keyed-1"); n != 1 {
+	if n := h.runs("keyed-1"); n != 1 {
 		t.Errorf("the key ran %d times", n)
 	}
 }
--- a/internal/controller/rpc_golden_test.go
+++ b/internal/controller/rpc_golden_test.go
@@ -67,9 +67,9 @@
 
 // Every method of the second front, with all its params; the keys of its results and notifications, and its errors word by word.
 func TestOperatorMethodsKeepTheirFormat(t *testing.T) {
-	r := newHarness(t, 2, nil)
-	r.start(r.build("c", withRPC(r, "hooks {}")...))
-	l := dial(t, r)
+	h := newHarness(t, 2, nil)
+	h.start(h.configure("c", withRPC(h, "hooks {}")...))
+	l := dial(t, h)
 	var written strings.Builder
 	// ask notes a request and what comes of it: so many lines in any order, as notifications may come before the answer.
 	ask := func(name, text string, lines int) {
--- a/internal/controller/rpc_test.go
+++ b/internal/controller/rpc_test.go
@@ -18,9 +18,9 @@
 )
 
 // withRPC adds the second front, for the user of the test.
-func withRPC(r *harness, more string) []string {
+func withRPC(h *harness, more string) []string {
 	return []string{"stop_ms: 5000", fmt.Sprintf(`stop_ms: 5000 tenants { name: "t" } tenants { name: "u" }
-rpc { socket: %q explain: 100 users { self: true name: "me" tenant: "t" call: true operate: true } } %s`, filepath.Join(r.dir, "s"), more)}
+rpc { socket: %q explain: 100 users { self: true name: "me" tenant: "t" call: true operate: true } } %s`, filepath.Join(h.dir, "s"), more)}
 }
 
 func changed(l []string, old, to string) []string {
@@ -35,9 +35,9 @@
 	br *bufio.Reader
 }
 
-func dial(t *testing.T, r *harness) *operatorConn {
+func dial(t *testing.T, h *harness) *operatorConn {
 	t.Helper()
-	nc, err := net.Dial("unix", filepath.Join(r.dir, "s"))
+	nc, err := net.Dial("unix", filepath.Join(h.dir, "s"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -70,9 +70,9 @@
 }
 
 func TestRPCMessages(t *testing.T) {
-	r := newHarness(t, 2, nil)
-	r.start(r.build("c", withRPC(r, "")...))
-	l := dial(t, r)
+	h := newHarness(t, 2, nil)
+	h.start(h.configure("c", withRPC(h, "")...))
+	l := dial(t, h)
 	deep := strings.Repeat("[", 1_000_000)
 	for _, c := range []struct{ in, want string }{
 		{call("1", "safe-1", ""), `"id":1,"result":{"body":`},
@@ -117,7 +117,7 @@
 			Lines  []string
 		}
 	}
-	l = dial(t, r)
+	l = dial(t, h)
 	json.Unmarshal([]byte(l.request(request("1", "explain", `{"id":"me:a"}`))), &x)
 	if text := strings.Join(x.Result.Lines, "\n"); x.Result.Answer != "served" || !strings.Contains(text, "attempt 1") || !strings.Contains(text, "ok after") {
 		t.Errorf("%+v", x)
@@ -132,13 +132,13 @@
 
 // What is in hand is given up when its client cancels or leaves; a keyed call goes on while another try waits for it.
 func TestRPCCancel(t *testing.T) {
-	r := newHarness(t, 1, func(c *fakeworker.Config) {
+	h := newHarness(t, 1, func(c *fakeworker.Config) {
 		for i := range c.Functions {
 			c.Functions[i].Work = 400 * ms
 		}
 	})
-	c := r.start(r.build("c", withRPC(r, "")...))
-	l, m := dial(t, r), dial(t, r)
+	c := h.start(h.configure("c", withRPC(h, "")...))
+	l, m := dial(t, h), dial(t, h)
 	l.send(call("1", "safe-1", `,"progress":true`))
 	if got := l.next(); !strings.Contains(got, `"method":"progress"`) || !strings.Contains(got, `"attempt":1`) {
 		t.Fatal(got)
@@ -178,9 +178,9 @@
 // A client that subscribes and reads nothing loses events, is told how many, and holds nothing up; one that reads nothing at all
 // while it asks is not read from.
 func TestRPCSlowReader(t *testing.T) {
-	r := newHarness(t, 2, nil)
-	c := r.start(r.build("c", withRPC(r, "")...))
-	slow, l := dial(t, r), dial(t, r)
+	h := newHarness(t, 2, nil)
+	c := h.start(h.configure("c", withRPC(h, "")...))
+	slow, l := dial(t, h), dial(t, h)
 	slow.request(request("1", "subscribe", `{"topics":["ended"]}`))
 	for range 3000 {
 		c.RPC.Publish("ended", strings.Repeat("x", 1000))
@@ -203,18 +203,18 @@
 }
 
 func TestRPCDenied(t *testing.T) {
-	r := newHarness(t, 1, nil)
-	r.start(r.build("c", changed(withRPC(r, ""), "self: true", "uid: 4294967295")...))
-	if got := dial(t, r).next(); !strings.Contains(got, "-32001") {
+	h := newHarness(t, 1, nil)
+	h.start(h.configure("c", changed(withRPC(h, ""), "self: true", "uid: 4294967295")...))
+	if got := dial(t, h).next(); !strings.Contains(got, "-32001") {
 		t.Error(got)
 	}
-	r = newHarness(t, 1, nil)
-	c := r.start(r.build("c", changed(withRPC(r, ""), "call: true operate: true", "call: true")...))
-	l := dial(t, r)
+	h = newHarness(t, 1, nil)
+	c := h.start(h.configure("c", changed(withRPC(h, ""), "call: true operate: true", "call: true")...))
+	l := dial(t, h)
 	if got := l.request(request("1", "status", "{}")) + l.request(request("1", "subscribe", `{"topics":["ended"]}`)); strings.Count(got, "-32001") != 2 {
 		t.Error(got)
 	}
-	if info, err := os.Stat(filepath.Join(r.dir, "s")); err != nil || info.Mode().Perm() != 0o600 {
+	if info, err := os.Stat(filepath.Join(h.dir, "s")); err != nil || info.Mode().Perm() != 0o600 {
 		t.Error(info, err)
 	}
 	c.Drain()
@@ -236,13 +236,13 @@
 
 // A script comes by the second front, keeps copies warm before the first call, and what it refuses is refused with its reason.
 func TestHooksInController(t *testing.T) {
-	r := newHarness(t, 3, func(c *fakeworker.Config) {
+	h := newHarness(t, 3, func(c *fakeworker.Config) {
 		for i := range c.Functions {
 			c.Functions[i].Function.Fetch = 50 * ms
 		}
 	})
-	c := r.start(r.build("c", withRPC(r, "hooks {}")...))
-	l, _ := jsonrpc.Dial(filepath.Join(r.dir, "s"), time.Second)
+	c := h.start(h.configure("c", withRPC(h, "hooks {}")...))
+	l, _ := jsonrpc.Dial(filepath.Join(h.dir, "s"), time.Second)
 	defer l.Close()
 	if err := l.Do("hook.load", map[string]any{"name": "a", "text": "on arrive(c) {"}, nil, time.Second); err == nil || !strings.Contains(err.Error(), "a.hook:1:15") {
 		t.Error(err)
@@ -251,8 +251,8 @@
 		t.Fatal(err)
 	}
 	copies := func() (n int) {
-		r.host.Do(func(f *workersim.Fleet) {
-			for w := range r.host.Names() {
+		h.host.Do(func(f *workersim.Fleet) {
+			for w := range h.host.Names() {
 				n += f.Copies(w, "safe-1")
 			}
 		})
@@ -273,40 +273,40 @@
 
 // Half a message does nothing: neither when its client leaves, nor when its time is up.
 func TestRPCHalfFrame(t *testing.T) {
-	r := newHarness(t, 1, nil)
-	b := r.build("c", withRPC(r, "")...)
+	h := newHarness(t, 1, nil)
+	b := h.configure("c", withRPC(h, "")...)
 	b.RPC.Half = 30 * ms
-	c := r.start(b)
-	l := dial(t, r)
+	c := h.start(b)
+	l := dial(t, h)
 	l.nc.Write([]byte(call("1", "unsafe-1", "")))
 	l.nc.(*net.UnixConn).CloseWrite()
 	if got := l.next(); got != "end" {
 		t.Error(got)
 	}
-	l = dial(t, r)
+	l = dial(t, h)
 	l.nc.Write([]byte(call("1", "unsafe-1", "")[:30]))
 	if got := l.next(); !strings.Contains(got, "half a message") || l.next() != "end" {
 		t.Error(got)
 	}
-	if n := c.RPC.Counts.Calls.Load(); n != 0 || r.ran("unsafe-1") != 0 {
+	if n := c.RPC.Counts.Calls.Load(); n != 0 || h.runs("unsafe-1") != 0 {
 		t.Errorf("%d calls", n)
 	}
 }
 
 // A script's file is taken anew on reload while calls go on; a wrong one leaves the old one, and others are taken.
 func TestScriptsReload(t *testing.T) {
-	r := newHarness(t, 1, nil)
+	h := newHarness(t, 1, nil)
 	write := func(name, text string) string {
-		f := filepath.Join(r.dir, name)
+		f := filepath.Join(h.dir, name)
 		if err := os.WriteFile(f, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		return f
 	}
 	a, b := write("a", "on arrive(c) { refuse(\"one\") }"), write("b", "on ended(e) {}")
-	cfg := r.build("c", withRPC(r, fmt.Sprintf("hooks { scripts { name: \"a\" file: %q } scripts { name: \"b\" file: %q } }", a, b))...)
-	c := r.start(cfg)
-	l := dial(t, r)
+	cfg := h.configure("c", withRPC(h, fmt.Sprintf("hooks { scripts { name: \"a\" file: %q } scripts { name: \"b\" file: %q } }", a, b))...)
+	c := h.start(cfg)
+	l := dial(t, h)
 	if got := l.request(call("1", "safe-1", "")); !strings.Contains(got, "-32010") {
 		t.Error(got)
 	}
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -62,7 +62,7 @@
 		}
 	})
 	var err error
-	d.s, _, err = service.Open(service.Config{Clock: d.clk, FS: store.Dir(t.TempDir()), Log: zerolog.Nop(), Every: 100, Hold: 100 * ms,
+	d.s, _, err = service.Open(service.Config{Clock: d.clock, FS: store.Dir(t.TempDir()), Log: zerolog.Nop(), Every: 100, Hold: 100 * ms,
 		Settings: registry.Settings{Lease: 500 * ms, Drift: 0.01, Settle: settle, Staging: 5 * time.Second, Keep: time.Second, Watch: time.Second,
 			Least: 100, Worse: 0.5, Models: 10, Versions: 10, Aliases: 4, Asking: 4, Remembered: 1000}})
 	if err != nil {
@@ -123,10 +123,10 @@
 
 func (d *registryServer) controller(name string) *Controller {
 	d.t.Helper()
-	c := d.start(d.build(name, `functions { name: "safe-1"`, fmt.Sprintf("registry { server: %q key: %q }\nfunctions { versions: true name: \"safe-1\"", d.ln.Addr(), controllerSecret),
+	c := d.start(d.configure(name, `functions { name: "safe-1"`, fmt.Sprintf("registry { server: %q key: %q }\nfunctions { versions: true name: \"safe-1\"", d.ln.Addr(), controllerSecret),
 		`functions { name: "keyed-1"`, `functions { versions: true name: "keyed-1"`, `functions { name: "unsafe-1"`, `functions { versions: true name: "unsafe-1"`))
 	for i := 0; ; i++ { // until it has heard the registry
-		a := exchange(d.t, c.Addr(), sign(d.t, common, name, fmt.Sprint(name, "-first-", i), "safe-1@none", "{}", time.Now()))
+		a := post(d.t, c, fmt.Sprint(name, "-first-", i), "safe-1@none", "{}", time.Now())
 		if a.status == 503 && strings.Contains(a.body, "names no version") {
 			return c
 		}
@@ -140,7 +140,7 @@
 	for _, class := range []string{"safe", "keyed", "unsafe"} {
 		ch := make(chan answer, 1)
 		out[class] = ch
-		m := sign(d.t, common, "c1", id+"-"+class, class+"-1", "{}", time.Now())
+		m := sign(d.t, commonSecret, "c1", id+"-"+class, class+"-1", "{}", time.Now())
 		go func() { ch <- exchange(d.t, c.Addr(), m) }()
 	}
 	return out
@@ -150,7 +150,7 @@
 	d.t.Helper()
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(ms) {
 		got := 0
-		for _, r := range d.log.Records() {
+		for _, r := range d.trace.Records() {
 			if r.Kind == trace.Got && r.Function == function {
 				got++
 			}
@@ -164,7 +164,7 @@
 
 // An alias that moves while a worker still loads the old version, with no time for what runs: a safe call begins anew, one
 // that may run and must not twice is failed, though its answer comes.
-func TestMovedDuringLoad(t *testing.T) {
+func TestMigrationDuringLoad(t *testing.T) {
 	d := newRegistryServer(t, ms)
 	release := d.delayBytes("v1")
 	c := d.controller("c1")
@@ -175,14 +175,14 @@
 			t.Fatalf("%+v", a)
 		}
 	}
-	want(t, <-got["safe"], "200 served")
-	if n := d.ran("safe-1@v2"); n != 1 {
+	wantAnswer(t, <-got["safe"], "200 served")
+	if n := d.runs("safe-1@v2"); n != 1 {
 		t.Errorf("the new version ran %d times", n)
 	}
 	release()
-	want(t, <-got["keyed"], "502 failed")
-	want(t, <-got["unsafe"], "502 failed")
-	if n := d.ran("unsafe-1@v1") + d.ran("unsafe-1@v2"); n != 1 {
+	wantAnswer(t, <-got["keyed"], "502 failed")
+	wantAnswer(t, <-got["unsafe"], "502 failed")
+	if n := d.runs("unsafe-1@v1") + d.runs("unsafe-1@v2"); n != 1 {
 		t.Errorf("the unsafe call ran %d times", n)
 	}
 	if n := c.Front.Counts.Anew.Load(); n != 1 {
@@ -191,7 +191,7 @@
 }
 
 // With time for what runs the old version answers, and the acknowledgement comes after it.
-func TestMoveWaitsForCalls(t *testing.T) {
+func TestMigrationWaitsForCalls(t *testing.T) {
 	d := newRegistryServer(t, 8*time.Second)
 	release := d.delayBytes("v1")
 	c := d.controller("c1")
@@ -209,8 +209,8 @@
 	}
 	release()
 	for class, ch := range got {
-		want(t, <-ch, "200 served")
-		if n := d.ran(class + "-1@v1"); n != 1 {
+		wantAnswer(t, <-ch, "200 served")
+		if n := d.runs(class + "-1@v1"); n != 1 {
 			t.Errorf("%s ran %d times under v1", class, n)
 		}
 	}
@@ -228,7 +228,7 @@
 }
 
 // Moved twice during one load, and back: A, B, A. The call that began under the first A is not one of the second.
-func TestMovedTwiceAndBack(t *testing.T) {
+func TestMigrationTwiceAndBack(t *testing.T) {
 	d := newRegistryServer(t, ms)
 	release := d.delayBytes("v1")
 	c := d.controller("c1")
@@ -241,9 +241,9 @@
 		d.migrate(m, "v1", 2)
 	}
 	release()
-	want(t, <-got["safe"], "200 served") // under v2 if it ran before the move back, else under the second v1
-	want(t, <-got["unsafe"], "502 failed")
-	want(t, <-got["keyed"], "502 failed")
+	wantAnswer(t, <-got["safe"], "200 served") // under v2 if it ran before the move back, else under the second v1
+	wantAnswer(t, <-got["unsafe"], "502 failed")
+	wantAnswer(t, <-got["keyed"], "502 failed")
 }
 
 // A controller that is restarted between resolve and send, a mismatch at all stores, and a registry that is gone.
@@ -251,7 +251,7 @@
 	d := newRegistryServer(t, 100*ms)
 	release := d.delayBytes("v1")
 	c := d.controller("c1")
-	m := sign(t, common, "c1", "cut", "unsafe-1", "{}", time.Now())
+	m := sign(t, commonSecret, "c1", "cut", "unsafe-1", "{}", time.Now())
 	nc, err := net.Dial("tcp", c.Addr())
 	if err != nil {
 		t.Fatal(err)
@@ -265,15 +265,15 @@
 	c = d.controller("c1")
 	call := func(id, function string) answer {
 		for i := 0; ; i++ { // a restart has messages signed before it come again
-			a := exchange(t, c.Addr(), sign(t, common, "c1", fmt.Sprint(id, "-", i), function, "{}", time.Now()))
+			a := post(t, c, fmt.Sprint(id, "-", i), function, "{}", time.Now())
 			if !strings.Contains(a.body, "before a restart") {
 				return a
 			}
 			time.Sleep(20 * ms)
 		}
 	}
-	want(t, call("after", "unsafe-1"), "200 served")
-	if n := d.ran("unsafe-1@v2"); n != 1 {
+	wantAnswer(t, call("after", "unsafe-1"), "200 served")
+	if n := d.runs("unsafe-1@v2"); n != 1 {
 		t.Errorf("the new version ran %d times", n)
 	}
 
@@ -281,8 +281,8 @@
 	d.bad = true
 	d.mu.Unlock()
 	d.migrate("safe-1", "v2", 1)
-	if a := call("bad", "safe-1"); a.status == 200 || d.ran("safe-1@v2") > 0 {
-		t.Errorf("with no bytes that match: %v, ran %d times", a, d.ran("safe-1@v2"))
+	if a := call("bad", "safe-1"); a.status == 200 || d.runs("safe-1@v2") > 0 {
+		t.Errorf("with no bytes that match: %v, ran %d times", a, d.runs("safe-1@v2"))
 	}
 	d.mu.Lock()
 	d.bad = false
@@ -315,29 +315,29 @@
 }
 
 // A kept answer is not given again once its version was left: a safe call runs anew with its next try, others are failed.
-func TestKeptAnswerOfLeftVersion(t *testing.T) {
+func TestCachedAnswerOfSupersededVersionIsWithheld(t *testing.T) {
 	d := newRegistryServer(t, ms)
 	c := d.controller("c1")
 	at := time.Now().Add(-10 * time.Second)
 	try := func(class string, n int) answer { // the same call again, signed later
-		return exchange(t, c.Addr(), sign(t, common, "c1", "kept-"+class, class+"-1", "{}", at.Add(time.Duration(n)*time.Second)))
+		return post(t, c, "kept-"+class, class+"-1", "{}", at.Add(time.Duration(n)*time.Second))
 	}
 	for _, class := range []string{"safe", "keyed", "unsafe"} {
-		want(t, try(class, 0), "200 served")
-		want(t, try(class, 1), "200 served")
-		if n := d.ran(class + "-1@v1"); n != 1 {
+		wantAnswer(t, try(class, 0), "200 served")
+		wantAnswer(t, try(class, 1), "200 served")
+		if n := d.runs(class + "-1@v1"); n != 1 {
 			t.Errorf("%s ran %d times", class, n)
 		}
 		if a := d.migrate(class+"-1", "v2", 1); a.Status != "acknowledged" {
 			t.Fatalf("%+v", a)
 		}
 	}
-	want(t, try("safe", 2), "503 refused")
-	want(t, try("keyed", 2), "502 failed")
-	want(t, try("unsafe", 2), "502 failed")
-	want(t, try("safe", 2), "409 replayed") // that message was taken
-	want(t, try("safe", 3), "200 served")
-	if n := d.ran("safe-1@v2"); n != 1 {
+	wantAnswer(t, try("safe", 2), "503 refused")
+	wantAnswer(t, try("keyed", 2), "502 failed")
+	wantAnswer(t, try("unsafe", 2), "502 failed")
+	wantAnswer(t, try("safe", 2), "409 replayed") // that message was taken
+	wantAnswer(t, try("safe", 3), "200 served")
+	if n := d.runs("safe-1@v2"); n != 1 {
 		t.Errorf("the safe call ran %d times under the new version", n)
 	}
 	if n := c.Front.Counts.Withheld.Load(); n != 3 {
