--- a/cmd/kitehub/daemon_test.go
+++ b/cmd/kitehub/daemon_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// A successor process takes over from a running one: the old one exits with 0, the supervisor hears of the new one, and what an
-// operator loaded goes on. All by the program's own commands.
+// A successor process takes over from a running one: the old one exits with 0, the supervisor hears of the new one, and
+// what an operator loaded goes on. All by the program's own commands.
 func TestTakeOverProcess(t *testing.T) {
 	dir, file, _, _ := example(t)
 	socks, err := os.MkdirTemp("", "kh")
--- a/cmd/kitehub/interface_test.go
+++ b/cmd/kitehub/interface_test.go
@@ -34,9 +34,9 @@
 	"kitehub/internal/registry/wire"
 )
 
-// The tests of this file hold what operators type and read: a rename of a Go identifier, or a move of a package, must leave
-// the golden files as they are. Where the interface itself is meant to change, run this package's tests with -update and read
-// the difference.
+// The tests of this file hold what operators type and read: a rename of a Go identifier, or a move of a package, must
+// leave the golden files as they are. Where the interface itself is meant to change, run this package's tests with
+// -update and read the difference.
 var update = flag.Bool("update", false, "write the golden files of the interface anew")
 
 // golden compares text with a file of testdata/interface, or writes it.
@@ -209,9 +209,10 @@
 	return text
 }
 
-// TestMessages holds the keys of the JSON that is read and written by way of exported types: results of JSON-RPC methods, the
-// registry's questions and answers (its exported state among them), the list of workers and the lines of a trace. Fields
-// without a tag are there under the names that Go gives them, and a rename of one of these is a change of the interface.
+// TestMessages holds the keys of the JSON that is read and written by way of exported types: results of JSON-RPC
+// methods, the registry's questions and answers (its exported state among them), the list of workers and the lines of a
+// trace. Fields without a tag are there under the names that Go gives them, and a rename of one of these is a change of
+// the interface.
 func TestMessages(t *testing.T) {
 	var out strings.Builder
 	for _, root := range []struct {
@@ -291,13 +292,14 @@
 // word is the form of what may be a word of the interface, and is no sentence.
 var word = regexp.MustCompile(`^[A-Za-z0-9_.-]{1,40}$`)
 
-// TestWords holds the words of the interface that stand in the program's text, as there is no table to reach: names on the
-// wire by their form; words that are compared with (methods, commands, kinds of question), keys of map literals, words that are
-// constants, elements of lists or returned (statuses, outcomes, kinds of record), statuses with the kind of problem, and the
-// keys of each struct with JSON tags, also of those without a name. Sets over the whole module: so neither names in Go nor the
-// packages where they stand are in them. A word that stands in two places is held in a set only as long as one of them has it:
-// so the words of each switch and the keys of each map literal stand together besides, a line each. Where a switch is cut in
-// two, these lines change and the sets do not; that is no change of the interface.
+// TestWords holds the words of the interface that stand in the program's text, as there is no table to reach: names on
+// the wire by their form; words that are compared with (methods, commands, kinds of question), keys of map literals,
+// words that are constants, elements of lists or returned (statuses, outcomes, kinds of record), statuses with the kind
+// of problem, and the keys of each struct with JSON tags, also of those without a name. Sets over the whole module: so
+// neither names in Go nor the packages where they stand are in them. A word that stands in two places is held in a set
+// only as long as one of them has it: so the words of each switch and the keys of each map literal stand together
+// besides, a line each. Where a switch is cut in two, these lines change and the sets do not; that is no change of the
+// interface.
 func TestWords(t *testing.T) {
 	found := map[string]map[string]bool{}
 	add := func(file, text string) {
--- a/cmd/kitehub/registry.go
+++ b/cmd/kitehub/registry.go
@@ -55,7 +55,8 @@
 	return &client.Client{Server: r.Server, Name: "operator", Key: k, Wall: time.Now}, nil
 }
 
-// sendCommand gives a command and prints what came of it. A move that has not ended yet is an error that says how to go on.
+// sendCommand gives a command and prints what came of it. A move that has not ended yet is an error that says how to go
+// on.
 func (r *registryClient) sendCommand(cmd wire.Command) error {
 	c, err := r.client()
 	if err != nil {
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -84,8 +84,8 @@
 	return h.encoder.Bytes(), nil
 }
 
-// receive starts or ends an instance, or gathers its event. Settings that the scheduler rejects are reported as a crash;
-// its error ends the process.
+// receive starts or ends an instance, or gathers its event. Settings that the scheduler rejects are reported as a
+// crash; its error ends the process.
 func (h *host) receive(record simwire.Record) error {
 	switch e := record.Event.(type) {
 	case simwire.Provision:
--- a/config/load.go
+++ b/config/load.go
@@ -1,9 +1,9 @@
 // Package config reads the settings of a controller and of a registry: protobuf text format by the schema of
 // config.proto. It exists so that every error is found before anything starts, and names file, line, field and remedy.
 //
-// Read and Parse check a text by the schema's own rules (protovalidate); Load and LoadRegistry also check what no schema
-// can say, and map the settings to the forms that the parts of the program take; Across checks several files together.
-// Nothing here is shared between goroutines.
+// Read and Parse check a text by the schema's own rules (protovalidate); Load and LoadRegistry also check what no
+// schema can say, and map the settings to the forms that the parts of the program take; Across checks several files
+// together. Nothing here is shared between goroutines.
 package config
 
 import (
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// A valid signature replayed after the controller was killed and started again does not run; nor at a second controller,
-// which shares nothing with the first.
+// A valid signature replayed after the controller was killed and started again does not run; nor at a second
+// controller, which shares nothing with the first.
 func TestReplayAfterRestartOrElsewhereDoesNotRun(t *testing.T) {
 	h := newHarness(t, 2, nil)
 	c := h.start(h.configure("c1"))
@@ -111,7 +111,8 @@
 	}
 }
 
-// The attempt of a client that closes is cancelled. Its retry runs again where that does no harm, and has failed elsewhere.
+// The attempt of a client that closes is cancelled. Its retry runs again where that does no harm, and has failed
+// elsewhere.
 func TestClientCloseCancelsTheAttempt(t *testing.T) {
 	for class, then := range map[string]string{"safe": "200 served", "unsafe": "502 failed"} {
 		h := newHarness(t, 1, nil)
--- a/internal/controller/handover_test.go
+++ b/internal/controller/handover_test.go
@@ -47,8 +47,8 @@
 	})
 }
 
-// load sends signed calls until stop is closed, on one connection or, with fresh, on a new one for each. who makes their
-// ids unlike those of other loads.
+// load sends signed calls until stop is closed, on one connection or, with fresh, on a new one for each. who makes
+// their ids unlike those of other loads.
 func (h *harness) load(t *testing.T, addr, who, function string, fresh bool, stop chan struct{}, sent *atomic.Int64, got func(answer, time.Duration)) {
 	var nc net.Conn
 	var br *bufio.Reader
@@ -141,8 +141,8 @@
 	}
 }
 
-// A message that is in flight in the old process is not admitted by its successor; the answer is cached there once it has
-// come.
+// A message that is in flight in the old process is not admitted by its successor; the answer is cached there once it
+// has come.
 func TestHandoverDuringACall(t *testing.T) {
 	h, changes, path := newHandoverHarness(t, 600*ms)
 	old := h.start(h.configure("c", changes...))
@@ -444,7 +444,8 @@
 	}
 }
 
-// An idempotency key of RPC that the old process may have run is rejected by its successor; calls without one are served.
+// An idempotency key of RPC that the old process may have run is rejected by its successor; calls without one are
+// served.
 func TestHandoverRejectsIdempotencyKeys(t *testing.T) {
 	h, changes, path := newHandoverHarness(t, ms)
 	c := h.start(h.configure("c", changes...))
--- a/internal/controller/peers_test.go
+++ b/internal/controller/peers_test.go
@@ -8,8 +8,8 @@
 	"kitehub/scheduler"
 )
 
-// Messages are sent as they are where the address alone identifies the sender, behind its index elsewhere; one that is too
-// long is not sent, and one of a stranger is rejected.
+// Messages are sent as they are where the address alone identifies the sender, behind its index elsewhere; one that is
+// too long is not sent, and one of a stranger is rejected.
 func TestPeersPrefixTheIndexAndRejectStrangers(t *testing.T) {
 	for _, indexed := range []bool{false, true} {
 		other, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
--- a/internal/controller/rpc_golden_test.go
+++ b/internal/controller/rpc_golden_test.go
@@ -11,8 +11,8 @@
 	"kitehub/internal/goldenfile"
 )
 
-// shape writes JSON with its keys in their order and no values: of a list only the first element, and for a number 0, for a
-// string "" and for a truth false.
+// shape writes JSON with its keys in their order and no values: of a list only the first element, and for a number 0,
+// for a string "" and for a truth false.
 func shape(text string) string {
 	var written bytes.Buffer
 	decoder := json.NewDecoder(strings.NewReader(text))
@@ -65,7 +65,8 @@
 	return written.String()
 }
 
-// Every method of the second front, with all its params; the keys of its results and notifications, and its errors word by word.
+// Every method of the second front, with all its params; the keys of its results and notifications, and its errors word
+// by word.
 func TestOperatorMethodsKeepTheirFormat(t *testing.T) {
 	h := newHarness(t, 2, nil)
 	h.start(h.configure("c", withRPC(h, "hooks {}")...))
--- a/internal/controller/rpc_test.go
+++ b/internal/controller/rpc_test.go
@@ -175,8 +175,8 @@
 	}
 }
 
-// A client that subscribes and reads nothing loses events, is told how many, and holds nothing up; one that reads nothing at all
-// while it asks is not read from.
+// A client that subscribes and reads nothing loses events, is told how many, and holds nothing up; one that reads
+// nothing at all while it asks is not read from.
 func TestRPCSlowReader(t *testing.T) {
 	h := newHarness(t, 2, nil)
 	c := h.start(h.configure("c", withRPC(h, "")...))
@@ -234,7 +234,8 @@
 on joined(w) { log("joined " + w.name) }
 `
 
-// A script comes by the second front, keeps copies warm before the first call, and what it refuses is refused with its reason.
+// A script comes by the second front, keeps copies warm before the first call, and what it refuses is refused with its
+// reason.
 func TestHooksInController(t *testing.T) {
 	h := newHarness(t, 3, func(c *fakeworker.Config) {
 		for i := range c.Functions {
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -162,8 +162,8 @@
 	d.t.Fatalf("%s never reached a worker %d times", function, n)
 }
 
-// An alias that moves while a worker still loads the old version, with no time for what runs: a safe call begins anew, one
-// that may run and must not twice is failed, though its answer comes.
+// An alias that moves while a worker still loads the old version, with no time for what runs: a safe call begins anew,
+// one that may run and must not twice is failed, though its answer comes.
 func TestMigrationDuringLoad(t *testing.T) {
 	d := newRegistryServer(t, ms)
 	release := d.delayBytes("v1")
@@ -314,7 +314,8 @@
 	}
 }
 
-// A kept answer is not given again once its version was left: a safe call runs anew with its next try, others are failed.
+// A kept answer is not given again once its version was left: a safe call runs anew with its next try, others are
+// failed.
 func TestCachedAnswerOfSupersededVersionIsWithheld(t *testing.T) {
 	d := newRegistryServer(t, ms)
 	c := d.controller("c1")
--- a/internal/daemon/doc.go
+++ b/internal/daemon/doc.go
@@ -19,6 +19,6 @@
 //	                  <-    Conn, Answer ...
 //	                  <-    Done
 //
-// Either side aborts by Abort, or by closing the link, before Go: then the old one resumes. At no time do both serve. If
-// the old process dies once StateComplete has come, the new one serves alone.
+// Either side aborts by Abort, or by closing the link, before Go: then the old one resumes. At no time do both serve.
+// If the old process dies once StateComplete has come, the new one serves alone.
 package daemon
--- a/internal/daemon/golden_test.go
+++ b/internal/daemon/golden_test.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// The packets of a handover go between two versions of the program: a byte for the kind, then what it carries. A text goes in
-// parts.
+// The packets of a handover go between two versions of the program: a byte for the kind, then what it carries. A text
+// goes in parts.
 func TestPacketsKeepTheirFormat(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "h")
 	listener, err := ListenLinks(path)
--- a/internal/daemon/link.go
+++ b/internal/daemon/link.go
@@ -23,8 +23,8 @@
 )
 
 // A Link carries the packets of a handover between two processes, over a Unix socket that keeps their bounds
-// (SOCK_SEQPACKET), with file descriptors beside them (SCM_RIGHTS, unix(7)). Sends are safe for concurrent use; only one
-// goroutine may receive.
+// (SOCK_SEQPACKET), with file descriptors beside them (SCM_RIGHTS, unix(7)). Sends are safe for concurrent use; only
+// one goroutine may receive.
 type Link struct {
 	conn *net.UnixConn
 	mu   sync.Mutex // serialises writes and their deadlines
@@ -124,8 +124,8 @@
 // ErrTimeout is that no packet came in time. The other process is there, but silent.
 var ErrTimeout = errors.New("daemon: the other process is silent")
 
-// Receive returns the next packet; within 0 waits for ever. The files are the caller's to close. Its error is ErrTimeout,
-// or that the link has ended.
+// Receive returns the next packet; within 0 waits for ever. The files are the caller's to close. Its error is
+// ErrTimeout, or that the link has ended.
 func (l *Link) Receive(within time.Duration) (k Kind, b []byte, files []*os.File, err error) {
 	l.conn.SetReadDeadline(time.Time{})
 	if within > 0 {
--- a/internal/daemon/notify.go
+++ b/internal/daemon/notify.go
@@ -12,14 +12,15 @@
 const notifyTimeout = 100 * time.Millisecond
 
 // A Supervisor is notified of the state of the process by the protocol of sd_notify(3): datagrams to the socket that
-// NOTIFY_SOCKET names. A nil Supervisor, or one without a socket, is notified of nothing. It is safe for concurrent use.
+// NOTIFY_SOCKET names. A nil Supervisor, or one without a socket, is notified of nothing. It is safe for concurrent
+// use.
 type Supervisor struct {
 	addr             *net.UnixAddr // nil: there is none
 	watchdogInterval time.Duration // 0: no watchdog
 }
 
-// FromEnv returns the supervisor that the environment names. pid is the id of this process. A socket or an interval that
-// cannot be read is an error.
+// FromEnv returns the supervisor that the environment names. pid is the id of this process. A socket or an interval
+// that cannot be read is an error.
 func FromEnv(get func(string) string, pid int) (*Supervisor, error) {
 	name := get("NOTIFY_SOCKET")
 	if name == "" {
--- a/internal/daemon/stage.go
+++ b/internal/daemon/stage.go
@@ -45,7 +45,8 @@
 	}[m]
 }
 
-// An OldProcess is the old process's side of a handover: a state machine without I/O. It is not safe for concurrent use.
+// An OldProcess is the old process's side of a handover: a state machine without I/O. It is not safe for concurrent
+// use.
 type OldProcess struct {
 	stage Kind // the last packet that this side has sent, or Abort; 0 at first
 }
@@ -127,8 +128,8 @@
 	return n.abort()
 }
 
-// TimedOut returns what follows if the old process is silent, but there: before Go it may still resume, and this one must
-// not serve.
+// TimedOut returns what follows if the old process is silent, but there: before Go it may still resume, and this one
+// must not serve.
 func (n *NewProcess) TimedOut() Step {
 	if n.stage == Go || n.stage == Done {
 		return Wait
--- a/internal/gateway/answer_test.go
+++ b/internal/gateway/answer_test.go
@@ -156,8 +156,8 @@
 	}
 }
 
-// A call with an idempotency key of which other bytes ran takes no later answer: the workers drop the duplicate and answer
-// what those bytes did, under the right digest. An idempotent one takes the answer of the right bytes.
+// A call with an idempotency key of which other bytes ran takes no later answer: the workers drop the duplicate and
+// answer what those bytes did, under the right digest. An idempotent one takes the answer of the right bytes.
 func TestDigestMismatchIsNeverDelivered(t *testing.T) {
 	for _, tt := range []struct {
 		idempotency scheduler.Idempotency
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -84,7 +84,7 @@
 	if g.hasDigestMismatch(r, call, res) {
 		g.Counts.Mismatched.Add(1)
 		g.cfg.Log.Error().Str("worker", g.workerName(a.Worker)).Str("function", call.Function.Name).
-			Str("wanted", call.Function.Digest).Str("ran", res.Digest).Msg("digest mismatch, answer dropped")
+			Str("wanted", call.Function.Digest).Str("ran", res.Digest).Msg("answer dropped, worker ran another digest")
 		res.Outcome = scheduler.Error
 	}
 	wasLast := false
--- a/internal/relay/budget.go
+++ b/internal/relay/budget.go
@@ -66,12 +66,12 @@
 	return d
 }
 
-// lameDuck is how long after SIGTERM requests may still come, by the platform's PROTOCOL page: new connections for up to
-// 0.4 s, requests on open ones for 0.2 s more, and 0.1 s for the way. No answer is owed to what comes later.
+// lameDuck is how long after SIGTERM requests may still come, by the platform's PROTOCOL page: new connections for up
+// to 0.4 s, requests on open ones for 0.2 s more, and 0.1 s for the way. No answer is owed to what comes later.
 const lameDuck = 700 * time.Millisecond
 
-// maxCountedDeadline is the most that the platform counts of the longest deadline (PROTOCOL): it kills a controller that
-// stops once lameDuck and that time are over, and what is not answered by then is answered by nobody.
+// maxCountedDeadline is the most that the platform counts of the longest deadline (PROTOCOL): it kills a controller
+// that stops once lameDuck and that time are over, and what is not answered by then is answered by nobody.
 const maxCountedDeadline = 3 * time.Second
 
 // deliveryFraction is the part of the time for answers that is kept for those given at its end to be written and read,
--- a/internal/relay/harness_test.go
+++ b/internal/relay/harness_test.go
@@ -25,8 +25,8 @@
 	"domain": {"onMiss": "load", "idleLifeMs": 8500, "warmNotes": true}, "guarantees": {"drainGraceMs": 200},
 	"limits": {"mostTries": 3, "dialTimeoutMs": 250, "maxOpen": 100, "keepaliveMs": 15000, "streamsPerConn": 100, "cancel": true}}`
 
-// newInvoker starts a worker that answers after a delay with the body that it got. code, where set, gives the status of its
-// n-th answer.
+// newInvoker starts a worker that answers after a delay with the body that it got. code, where set, gives the status of
+// its n-th answer.
 func newInvoker(t testing.TB, delay time.Duration, code func(n int64) byte) *fakeplatform.Echo {
 	t.Helper()
 	v, err := fakeplatform.NewEcho(delay, code)
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -61,7 +61,8 @@
 	}
 }
 
-// A configuration that cannot be read changes nothing; one that can has calls go where its directory says, with none lost.
+// A configuration that cannot be read changes nothing; one that can has calls go where its directory says, with none
+// lost.
 func TestReload(t *testing.T) {
 	v, w := newInvoker(t, 0, nil), newInvoker(t, 0, nil)
 	first, second := newDirectory(t), newDirectory(t)
--- a/internal/relay/stop_test.go
+++ b/internal/relay/stop_test.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// What is open when the time for answers is over is answered, by a rejection where another attempt does no harm, and the
-// connection ends in order after it.
+// What is open when the time for answers is over is answered, by a rejection where another attempt does no harm, and
+// the connection ends in order after it.
 func TestStopAnswersWhatIsStillOpen(t *testing.T) {
 	came := make(chan struct{}, 3)
 	ln, err := fakeplatform.Invoke(func(_ int, c *net.TCPConn) {
@@ -161,8 +161,8 @@
 	}
 }
 
-// A call whose client withdrew it or closed while no worker was there is never sent; nor does a list that names no worker
-// end the watch.
+// A call whose client withdrew it or closed while no worker was there is never sent; nor does a list that names no
+// worker end the watch.
 func TestCancelledWhileQueuedIsNeverSent(t *testing.T) {
 	v := newInvoker(t, 0, nil)
 	d := newDirectory(t)
