--- a/internal/controller/models.go
+++ b/internal/controller/models.go
@@ -14,36 +14,42 @@
 	"kitehub/internal/registry/wire"
 )
 
-// models joins the registry's agent with the gateway's functions: what the front and the gateway ask of versions.
-type models struct {
-	agent     atomic.Pointer[agent.Agent] // nil until it asks: with a handover, when the process before is done
+// maxRevisions bounds the aliases whose migrations are posted: clients may name aliases as they like.
+const maxRevisions = 10_000
+
+// modelVersions joins the registry's agent with the gateway's functions: it answers what the ingresses and the gateway
+// ask of the versions of models. It implements ingress.Models and gateway.Versions, and is safe for concurrent use.
+type modelVersions struct {
+	agent     atomic.Pointer[agent.Agent] // nil until it has started: after a handover, once the predecessor is done
 	functions *gateway.Functions
 	gateway   *gateway.Gateway
 	clock     clock.Clock
-	tap       *tap
+	events    *eventTap
 
-	mu   sync.Mutex
-	seen map[registry.AliasName]uint64 // revision that an alias was last seen at
+	mu        sync.Mutex                    // guards revisions
+	revisions map[registry.AliasName]uint64 // the revision at which calls last found an alias
 }
 
-// moved tells hooks of an alias that a call finds at another revision than the one before.
-func (m *models) moved(n registry.AliasName, t registry.Target) {
+// postMigration posts that a call finds an alias at a later revision than the calls before.
+func (m *modelVersions) postMigration(n registry.AliasName, t registry.Target) {
 	m.mu.Lock()
-	old, known := m.seen[n]
-	if m.seen == nil {
-		m.seen = map[registry.AliasName]uint64{}
+	old, known := m.revisions[n]
+	if m.revisions == nil {
+		m.revisions = map[registry.AliasName]uint64{}
 	}
-	if known || len(m.seen) < 10_000 {
-		m.seen[n] = max(old, t.Revision)
+	if known || len(m.revisions) < maxRevisions {
+		m.revisions[n] = max(old, t.Revision)
 	}
 	m.mu.Unlock()
 	if known && t.Revision > old {
-		m.tap.Post("moved", hooklang.Move{Model: n.Model, Alias: n.Alias, Version: t.Version, Revision: int64(t.Revision)})
+		m.events.Post("moved", hooklang.Move{
+			Model: n.Model, Alias: n.Alias, Version: t.Version, Revision: int64(t.Revision),
+		})
 	}
 }
 
-// Bind implements front.Models.
-func (m *models) Bind(model *gateway.Function, alias string) (*gateway.Function, gateway.VersionBinding, registry.Verdict) {
+// Bind implements ingress.Models: it resolves an alias to a version, and counts a call of it.
+func (m *modelVersions) Bind(model *gateway.Function, alias string) (*gateway.Function, gateway.VersionBinding, registry.Verdict) {
 	b := gateway.VersionBinding{Name: registry.AliasName{Model: model.Name, Alias: alias}}
 	a := m.agent.Load()
 	if a == nil {
@@ -59,14 +65,14 @@
 	}
 	b.Target = t
 	a.Use(b.Name, t)
-	if m.tap != nil {
-		m.moved(b.Name, t)
+	if m.events != nil {
+		m.postMigration(b.Name, t)
 	}
 	return fn, b, v
 }
 
-// current returns the version that a model's alias current names, as a function.
-func (m *models) current(model *gateway.Function) (*gateway.Function, registry.Target, bool) {
+// current returns the version that a model's alias "current" names, as a function; false if none may be used now.
+func (m *modelVersions) current(model *gateway.Function) (*gateway.Function, registry.Target, bool) {
 	a := m.agent.Load()
 	if a == nil {
 		return nil, registry.Target{}, false
@@ -79,13 +85,14 @@
 	return fn, t, err == nil
 }
 
-// Unbind implements front.Models.
-func (m *models) Unbind(b gateway.VersionBinding, ran, failed bool) {
+// Unbind implements ingress.Models: it ends what Bind began.
+func (m *modelVersions) Unbind(b gateway.VersionBinding, ran, failed bool) {
 	m.agent.Load().Unuse(b.Name, b.Target, ran, failed)
 }
 
-// Begin implements front.Models.
-func (m *models) Begin(b gateway.VersionBinding) (func(), time.Duration, registry.Verdict) {
+// Begin implements ingress.Models: it asks for an answer to be let out. The duration is how long that may take; 0: no
+// bound.
+func (m *modelVersions) Begin(b gateway.VersionBinding) (func(), time.Duration, registry.Verdict) {
 	t, until, v := m.agent.Load().Begin(b.Name, b.Target)
 	if v != registry.Allowed {
 		return nil, 0, v
@@ -98,26 +105,27 @@
 }
 
 // MayAnswer implements gateway.Versions.
-func (m *models) MayAnswer(n registry.AliasName, t registry.Target) registry.Verdict {
+func (m *modelVersions) MayAnswer(n registry.AliasName, t registry.Target) registry.Verdict {
 	return m.agent.Load().MayAnswer(n, t)
 }
 
 // CopiesReady implements gateway.Versions.
-func (m *models) CopiesReady(function, worker string, copies int) {
+func (m *modelVersions) CopiesReady(function, worker string, copies int) {
 	if model, version, ok := strings.Cut(function, "@"); ok {
 		m.agent.Load().CopiesReady(registry.VersionRef{Model: model, Version: version}, worker, copies)
 	}
 }
 
-// stage hands the registry's wish for copies to the module, which orders them within its budget.
-func (m *models) stage(l []wire.Stage) {
+// stageCopies hands the copies that the registry wants ahead of calls to the dispatcher, which orders them within its
+// budget.
+func (m *modelVersions) stageCopies(l []wire.Stage) {
 	for _, s := range l {
 		model := m.functions.Find(s.Model)
 		if model == nil || !model.Versions {
 			continue // this controller serves no such model
 		}
 		if fn, err := m.functions.Version(model, s.Version, s.Digest); err == nil {
-			m.gateway.Stage(fn, s.Copies)
+			m.gateway.StageCopies(fn, s.Copies)
 		}
 	}
 }
--- a/internal/controller/rpc_test.go
+++ b/internal/controller/rpc_test.go
@@ -18,9 +18,9 @@
 )
 
 // withRPC adds the second front, for the user of the test.
-func withRPC(r *rig, more string) []string {
+func withRPC(h *harness, more string) []string {
 	return []string{"stop_ms: 5000", fmt.Sprintf(`stop_ms: 5000 tenants { name: "t" } tenants { name: "u" }
-rpc { socket: %q explain: 100 users { self: true name: "me" tenant: "t" call: true operate: true } } %s`, filepath.Join(r.dir, "s"), more)}
+rpc { socket: %q explain: 100 users { self: true name: "me" tenant: "t" call: true operate: true } } %s`, filepath.Join(h.dir, "s"), more)}
 }
 
 func changed(l []string, old, to string) []string {
@@ -28,27 +28,27 @@
 	return l
 }
 
-// A line is one connection of a client that writes what it likes.
-type line struct {
+// A operatorConn is one connection of a client that writes what it likes.
+type operatorConn struct {
 	t  *testing.T
 	nc net.Conn
 	br *bufio.Reader
 }
 
-func dial(t *testing.T, r *rig) *line {
+func dial(t *testing.T, h *harness) *operatorConn {
 	t.Helper()
-	nc, err := net.Dial("unix", filepath.Join(r.dir, "s"))
+	nc, err := net.Dial("unix", filepath.Join(h.dir, "s"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { nc.Close() })
 	nc.SetDeadline(time.Now().Add(20 * time.Second))
-	return &line{t, nc, bufio.NewReaderSize(nc, 1<<20)}
+	return &operatorConn{t, nc, bufio.NewReaderSize(nc, 1<<20)}
 }
 
-func (l *line) send(text string) { l.nc.Write([]byte(text + "\n")) }
+func (l *operatorConn) send(text string) { l.nc.Write([]byte(text + "\n")) }
 
-func (l *line) next() string {
+func (l *operatorConn) next() string {
 	s, err := l.br.ReadString('\n')
 	if err != nil {
 		return "end"
@@ -56,7 +56,7 @@
 	return strings.TrimSpace(s)
 }
 
-func (l *line) ask(text string) string {
+func (l *operatorConn) request(text string) string {
 	l.send(text)
 	return l.next()
 }
@@ -70,9 +70,9 @@
 }
 
 func TestRPCMessages(t *testing.T) {
-	r := newRig(t, 2, nil)
-	r.start(r.build("c", withRPC(r, "")...))
-	l := dial(t, r)
+	h := newHarness(t, 2, nil)
+	h.start(h.configure("c", withRPC(h, "")...))
+	l := dial(t, h)
 	deep := strings.Repeat("[", 1_000_000)
 	for _, c := range []struct{ in, want string }{
 		{call("1", "safe-1", ""), `"id":1,"result":{"body":`},
@@ -104,11 +104,11 @@
 		{request("1", "cancel", `{"id":77}`), `"in_hand":false`},
 		{request("1", "hooks", `{}`), `no hooks are configured`},
 	} {
-		if got := l.ask(c.in); !strings.Contains(got, c.want) {
+		if got := l.request(c.in); !strings.Contains(got, c.want) {
 			t.Errorf("%.100s: %s: %q is wanted", c.in, got, c.want)
 		}
 	}
-	if got := l.ask(deep + deep); !strings.Contains(got, "more than 1048576 bytes") || l.next() != "end" {
+	if got := l.request(deep + deep); !strings.Contains(got, "more than 1048576 bytes") || l.next() != "end" {
 		t.Error(got)
 	}
 	var x struct {
@@ -117,33 +117,33 @@
 			Lines  []string
 		}
 	}
-	l = dial(t, r)
-	json.Unmarshal([]byte(l.ask(request("1", "explain", `{"id":"me:a"}`))), &x)
+	l = dial(t, h)
+	json.Unmarshal([]byte(l.request(request("1", "explain", `{"id":"me:a"}`))), &x)
 	if text := strings.Join(x.Result.Lines, "\n"); x.Result.Answer != "served" || !strings.Contains(text, "attempt 1") || !strings.Contains(text, "ok after") {
 		t.Errorf("%+v", x)
 	}
-	if got := l.ask(request("1", "workers", "{}")); strings.Count(got, `"name":"w`) != 2 {
+	if got := l.request(request("1", "workers", "{}")); strings.Count(got, `"name":"w`) != 2 {
 		t.Error(got)
 	}
-	if got := l.ask(request("1", "functions", "{}")); !strings.Contains(got, `"name":"safe-1","home":"w`) {
+	if got := l.request(request("1", "functions", "{}")); !strings.Contains(got, `"name":"safe-1","home":"w`) {
 		t.Error(got)
 	}
 }
 
 // What is in hand is given up when its client cancels or leaves; a keyed call goes on while another try waits for it.
 func TestRPCCancel(t *testing.T) {
-	r := newRig(t, 1, func(c *fakeworker.Config) {
+	h := newHarness(t, 1, func(c *fakeworker.Config) {
 		for i := range c.Functions {
 			c.Functions[i].Work = 400 * ms
 		}
 	})
-	c := r.start(r.build("c", withRPC(r, "")...))
-	l, m := dial(t, r), dial(t, r)
+	c := h.start(h.configure("c", withRPC(h, "")...))
+	l, m := dial(t, h), dial(t, h)
 	l.send(call("1", "safe-1", `,"progress":true`))
 	if got := l.next(); !strings.Contains(got, `"method":"progress"`) || !strings.Contains(got, `"attempt":1`) {
 		t.Fatal(got)
 	}
-	if got := l.ask(call("1", "safe-1", "")); !strings.Contains(got, "in hand") {
+	if got := l.request(call("1", "safe-1", "")); !strings.Contains(got, "in hand") {
 		t.Error(got)
 	}
 	l.send(request("2", "cancel", `{"id":1}`))
@@ -154,7 +154,7 @@
 	l.send(call("3", "keyed-1", `,"key":"k"`))
 	m.send(call("3", "keyed-1", `,"key":"k"`))
 	m.send(request("4", "status", "{}"))
-	for got := m.next(); !strings.Contains(got, `"joined":1`); got = m.ask(request("4", "status", "{}")) {
+	for got := m.next(); !strings.Contains(got, `"joined":1`); got = m.request(request("4", "status", "{}")) {
 		if strings.Contains(got, `"id":3`) {
 			t.Fatal(got)
 		}
@@ -166,7 +166,7 @@
 	if got := m.next(); !strings.Contains(got, `"id":3,"result"`) {
 		t.Error(got)
 	}
-	if got := l.ask(call("6", "safe-1", `,"progress":true`)); !strings.Contains(got, "progress") {
+	if got := l.request(call("6", "safe-1", `,"progress":true`)); !strings.Contains(got, "progress") {
 		t.Error(got)
 	}
 	l.nc.Close()
@@ -175,17 +175,17 @@
 	}
 }
 
-// A client that subscribes and reads nothing loses events, is told how many, and holds nothing up; one that reads nothing at all
-// while it asks is not read from.
+// A client that subscribes and reads nothing loses events, is told how many, and holds nothing up; one that reads
+// nothing at all while it asks is not read from.
 func TestRPCSlowReader(t *testing.T) {
-	r := newRig(t, 2, nil)
-	c := r.start(r.build("c", withRPC(r, "")...))
-	slow, l := dial(t, r), dial(t, r)
-	slow.ask(request("1", "subscribe", `{"topics":["ended"]}`))
+	h := newHarness(t, 2, nil)
+	c := h.start(h.configure("c", withRPC(h, "")...))
+	slow, l := dial(t, h), dial(t, h)
+	slow.request(request("1", "subscribe", `{"topics":["ended"]}`))
 	for range 3000 {
 		c.RPC.Publish("ended", strings.Repeat("x", 1000))
 	}
-	if got := l.ask(call("1", "safe-1", "")); !strings.Contains(got, "result") {
+	if got := l.request(call("1", "safe-1", "")); !strings.Contains(got, "result") {
 		t.Fatal(got)
 	}
 	if lost := c.RPC.Counts.EventsLost.Load(); lost == 0 {
@@ -197,28 +197,28 @@
 		} else if got == "end" {
 			t.Fatal("cut")
 		} else if i == 256 {
-			l.ask(call("1", "safe-1", "")) // the next event says what was lost
+			l.request(call("1", "safe-1", "")) // the next event says what was lost
 		}
 	}
 }
 
 func TestRPCDenied(t *testing.T) {
-	r := newRig(t, 1, nil)
-	r.start(r.build("c", changed(withRPC(r, ""), "self: true", "uid: 4294967295")...))
-	if got := dial(t, r).next(); !strings.Contains(got, "-32001") {
+	h := newHarness(t, 1, nil)
+	h.start(h.configure("c", changed(withRPC(h, ""), "self: true", "uid: 4294967295")...))
+	if got := dial(t, h).next(); !strings.Contains(got, "-32001") {
 		t.Error(got)
 	}
-	r = newRig(t, 1, nil)
-	c := r.start(r.build("c", changed(withRPC(r, ""), "call: true operate: true", "call: true")...))
-	l := dial(t, r)
-	if got := l.ask(request("1", "status", "{}")) + l.ask(request("1", "subscribe", `{"topics":["ended"]}`)); strings.Count(got, "-32001") != 2 {
+	h = newHarness(t, 1, nil)
+	c := h.start(h.configure("c", changed(withRPC(h, ""), "call: true operate: true", "call: true")...))
+	l := dial(t, h)
+	if got := l.request(request("1", "status", "{}")) + l.request(request("1", "subscribe", `{"topics":["ended"]}`)); strings.Count(got, "-32001") != 2 {
 		t.Error(got)
 	}
-	if info, err := os.Stat(filepath.Join(r.dir, "s")); err != nil || info.Mode().Perm() != 0o600 {
+	if info, err := os.Stat(filepath.Join(h.dir, "s")); err != nil || info.Mode().Perm() != 0o600 {
 		t.Error(info, err)
 	}
 	c.Drain()
-	if got := l.ask(call("1", "safe-1", "")); !strings.Contains(got, `"outcome":"refused"`) {
+	if got := l.request(call("1", "safe-1", "")); !strings.Contains(got, `"outcome":"refused"`) {
 		t.Error(got)
 	}
 }
@@ -234,15 +234,16 @@
 on joined(w) { log("joined " + w.name) }
 `
 
-// A script comes by the second front, keeps copies warm before the first call, and what it refuses is refused with its reason.
+// A script comes by the second front, keeps copies warm before the first call, and what it refuses is refused with its
+// reason.
 func TestHooksInController(t *testing.T) {
-	r := newRig(t, 3, func(c *fakeworker.Config) {
+	h := newHarness(t, 3, func(c *fakeworker.Config) {
 		for i := range c.Functions {
 			c.Functions[i].Function.Fetch = 50 * ms
 		}
 	})
-	c := r.start(r.build("c", withRPC(r, "hooks {}")...))
-	l, _ := jsonrpc.Dial(filepath.Join(r.dir, "s"), time.Second)
+	c := h.start(h.configure("c", withRPC(h, "hooks {}")...))
+	l, _ := jsonrpc.Dial(filepath.Join(h.dir, "s"), time.Second)
 	defer l.Close()
 	if err := l.Do("hook.load", map[string]any{"name": "a", "text": "on arrive(c) {"}, nil, time.Second); err == nil || !strings.Contains(err.Error(), "a.hook:1:15") {
 		t.Error(err)
@@ -251,8 +252,8 @@
 		t.Fatal(err)
 	}
 	copies := func() (n int) {
-		r.host.Do(func(f *workersim.Fleet) {
-			for w := range r.host.Names() {
+		h.host.Do(func(f *workersim.Fleet) {
+			for w := range h.host.Names() {
 				n += f.Copies(w, "safe-1")
 			}
 		})
@@ -273,41 +274,41 @@
 
 // Half a message does nothing: neither when its client leaves, nor when its time is up.
 func TestRPCHalfFrame(t *testing.T) {
-	r := newRig(t, 1, nil)
-	b := r.build("c", withRPC(r, "")...)
+	h := newHarness(t, 1, nil)
+	b := h.configure("c", withRPC(h, "")...)
 	b.RPC.Half = 30 * ms
-	c := r.start(b)
-	l := dial(t, r)
+	c := h.start(b)
+	l := dial(t, h)
 	l.nc.Write([]byte(call("1", "unsafe-1", "")))
 	l.nc.(*net.UnixConn).CloseWrite()
 	if got := l.next(); got != "end" {
 		t.Error(got)
 	}
-	l = dial(t, r)
+	l = dial(t, h)
 	l.nc.Write([]byte(call("1", "unsafe-1", "")[:30]))
 	if got := l.next(); !strings.Contains(got, "half a message") || l.next() != "end" {
 		t.Error(got)
 	}
-	if n := c.RPC.Counts.Calls.Load(); n != 0 || r.ran("unsafe-1") != 0 {
+	if n := c.RPC.Counts.Calls.Load(); n != 0 || h.runs("unsafe-1") != 0 {
 		t.Errorf("%d calls", n)
 	}
 }
 
 // A script's file is taken anew on reload while calls go on; a wrong one leaves the old one, and others are taken.
 func TestScriptsReload(t *testing.T) {
-	r := newRig(t, 1, nil)
+	h := newHarness(t, 1, nil)
 	write := func(name, text string) string {
-		f := filepath.Join(r.dir, name)
+		f := filepath.Join(h.dir, name)
 		if err := os.WriteFile(f, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		return f
 	}
 	a, b := write("a", "on arrive(c) { refuse(\"one\") }"), write("b", "on ended(e) {}")
-	cfg := r.build("c", withRPC(r, fmt.Sprintf("hooks { scripts { name: \"a\" file: %q } scripts { name: \"b\" file: %q } }", a, b))...)
-	c := r.start(cfg)
-	l := dial(t, r)
-	if got := l.ask(call("1", "safe-1", "")); !strings.Contains(got, "-32010") {
+	cfg := h.configure("c", withRPC(h, fmt.Sprintf("hooks { scripts { name: \"a\" file: %q } scripts { name: \"b\" file: %q } }", a, b))...)
+	c := h.start(cfg)
+	l := dial(t, h)
+	if got := l.request(call("1", "safe-1", "")); !strings.Contains(got, "-32010") {
 		t.Error(got)
 	}
 	write("a", "on arrive(c) {")
@@ -323,7 +324,7 @@
 	if err := c.SetScripts(cfg); err != nil {
 		t.Error(err)
 	}
-	if got := l.ask(call("1", "safe-1", "")); !strings.Contains(got, "result") {
+	if got := l.request(call("1", "safe-1", "")); !strings.Contains(got, "result") {
 		t.Error(got)
 	}
 }
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -25,9 +25,9 @@
 const operatorSecret = "whsec_b3BlcmF0b3Itb3BlcmF0b3Itb3BlcmF0b3I="
 const controllerSecret = "whsec_Y29udHJvbGxlci1jb250cm9sbGVyLWNvbnRyb2w="
 
-// A desk is a rig with a registry, whose models' bytes come when the test lets them.
-type desk struct {
-	*rig
+// A registryServer is a rig with a registry, whose models' bytes come when the test lets them.
+type registryServer struct {
+	*harness
 	s      *service.Service
 	server *http1.Server
 	ln     net.Listener
@@ -41,10 +41,10 @@
 
 func digestOf(v string) string { return "sha256:" + strings.Repeat(v[1:], 64) }
 
-func newDesk(t *testing.T, settle time.Duration) *desk {
+func newRegistryServer(t *testing.T, settle time.Duration) *registryServer {
 	t.Helper()
-	d := &desk{hold: map[string]chan struct{}{}}
-	d.rig = newRig(t, 3, func(c *fakeworker.Config) {
+	d := &registryServer{hold: map[string]chan struct{}{}}
+	d.harness = newHarness(t, 3, func(c *fakeworker.Config) {
 		for i := range c.Functions {
 			c.Functions[i].Versions = true
 		}
@@ -62,7 +62,7 @@
 		}
 	})
 	var err error
-	d.s, _, err = service.Open(service.Config{Clock: d.clk, FS: store.Dir(t.TempDir()), Log: zerolog.Nop(), Every: 100, Hold: 100 * ms,
+	d.s, _, err = service.Open(service.Config{Clock: d.clock, FS: store.Dir(t.TempDir()), Log: zerolog.Nop(), Every: 100, Hold: 100 * ms,
 		Settings: registry.Settings{LeaseDuration: 500 * ms, MaxClockDrift: 0.01, SettleTimeout: settle, StagingTimeout: 5 * time.Second, Retention: time.Second, ErrorWatch: time.Second,
 			MinCalls: 100, MaxErrorIncrease: 0.5, MaxModels: 10, MaxVersions: 10, MaxAliases: 4, MaxControllers: 4, MaxRemembered: 1000}})
 	if err != nil {
@@ -87,12 +87,12 @@
 		for _, v := range []string{"v1", "v2"} {
 			d.command(wire.Command{Push: &registry.Push{Model: m, Version: registry.Version{Name: v, Digest: digestOf(v), Size: 1}}})
 		}
-		d.move(m, "v1", 0)
+		d.migrate(m, "v1", 0)
 	}
 	return d
 }
 
-func (d *desk) command(c wire.Command) *wire.Answer {
+func (d *registryServer) command(c wire.Command) *wire.Answer {
 	d.t.Helper()
 	d.mu.Lock()
 	d.keys++
@@ -107,13 +107,13 @@
 	return a
 }
 
-func (d *desk) move(model, to string, rev uint64) *wire.Answer {
+func (d *registryServer) migrate(model, to string, rev uint64) *wire.Answer {
 	d.t.Helper()
 	return d.command(wire.Command{Promote: &registry.Promote{Model: model, Alias: "current", To: to, IfRevision: rev}, WaitMS: 10000})
 }
 
-// keep has a version's bytes come only when the function returned is called.
-func (d *desk) keep(v string) (release func()) {
+// delayBytes has a version's bytes come only when the function returned is called.
+func (d *registryServer) delayBytes(v string) (release func()) {
 	ch := make(chan struct{})
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -121,12 +121,12 @@
 	return func() { close(ch) }
 }
 
-func (d *desk) controller(name string) *Controller {
+func (d *registryServer) controller(name string) *Controller {
 	d.t.Helper()
-	c := d.start(d.build(name, `functions { name: "safe-1"`, fmt.Sprintf("registry { server: %q key: %q }\nfunctions { versions: true name: \"safe-1\"", d.ln.Addr(), controllerSecret),
+	c := d.start(d.configure(name, `functions { name: "safe-1"`, fmt.Sprintf("registry { server: %q key: %q }\nfunctions { versions: true name: \"safe-1\"", d.ln.Addr(), controllerSecret),
 		`functions { name: "keyed-1"`, `functions { versions: true name: "keyed-1"`, `functions { name: "unsafe-1"`, `functions { versions: true name: "unsafe-1"`))
 	for i := 0; ; i++ { // until it has heard the registry
-		a := exchange(d.t, c.Addr(), sign(d.t, common, name, fmt.Sprint(name, "-first-", i), "safe-1@none", "{}", time.Now()))
+		a := post(d.t, c, fmt.Sprint(name, "-first-", i), "safe-1@none", "{}", time.Now())
 		if a.status == 503 && strings.Contains(a.body, "names no version") {
 			return c
 		}
@@ -135,22 +135,22 @@
 }
 
 // calls sends one call of each class and returns where their answers come.
-func (d *desk) calls(c *Controller, id string) map[string]chan answer {
+func (d *registryServer) calls(c *Controller, id string) map[string]chan answer {
 	out := map[string]chan answer{}
 	for _, class := range []string{"safe", "keyed", "unsafe"} {
 		ch := make(chan answer, 1)
 		out[class] = ch
-		m := sign(d.t, common, "c1", id+"-"+class, class+"-1", "{}", time.Now())
+		m := sign(d.t, commonSecret, "c1", id+"-"+class, class+"-1", "{}", time.Now())
 		go func() { ch <- exchange(d.t, c.Addr(), m) }()
 	}
 	return out
 }
 
-func (d *desk) reached(function string, n int) {
+func (d *registryServer) awaitAttempts(function string, n int) {
 	d.t.Helper()
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(ms) {
 		got := 0
-		for _, r := range d.log.Records() {
+		for _, r := range d.trace.Records() {
 			if r.Kind == trace.RequestRead && r.Function == function {
 				got++
 			}
@@ -162,27 +162,27 @@
 	d.t.Fatalf("%s never reached a worker %d times", function, n)
 }
 
-// An alias that moves while a worker still loads the old version, with no time for what runs: a safe call begins anew, one
-// that may run and must not twice is failed, though its answer comes.
-func TestMovedDuringLoad(t *testing.T) {
-	d := newDesk(t, ms)
-	release := d.keep("v1")
+// An alias that moves while a worker still loads the old version, with no time for what runs: a safe call begins anew,
+// one that may run and must not twice is failed, though its answer comes.
+func TestMigrationDuringLoad(t *testing.T) {
+	d := newRegistryServer(t, ms)
+	release := d.delayBytes("v1")
 	c := d.controller("c1")
 	got := d.calls(c, "a")
 	for _, class := range []string{"safe", "keyed", "unsafe"} {
-		d.reached(class+"-1@v1", 1)
-		if a := d.move(class+"-1", "v2", 1); a.Status != "acknowledged" {
+		d.awaitAttempts(class+"-1@v1", 1)
+		if a := d.migrate(class+"-1", "v2", 1); a.Status != "acknowledged" {
 			t.Fatalf("%+v", a)
 		}
 	}
-	want(t, <-got["safe"], "200 served")
-	if n := d.ran("safe-1@v2"); n != 1 {
+	wantAnswer(t, <-got["safe"], "200 served")
+	if n := d.runs("safe-1@v2"); n != 1 {
 		t.Errorf("the new version ran %d times", n)
 	}
 	release()
-	want(t, <-got["keyed"], "502 failed")
-	want(t, <-got["unsafe"], "502 failed")
-	if n := d.ran("unsafe-1@v1") + d.ran("unsafe-1@v2"); n != 1 {
+	wantAnswer(t, <-got["keyed"], "502 failed")
+	wantAnswer(t, <-got["unsafe"], "502 failed")
+	if n := d.runs("unsafe-1@v1") + d.runs("unsafe-1@v2"); n != 1 {
 		t.Errorf("the unsafe call ran %d times", n)
 	}
 	if n := c.Front.Counts.Anew.Load(); n != 1 {
@@ -191,15 +191,15 @@
 }
 
 // With time for what runs the old version answers, and the acknowledgement comes after it.
-func TestMoveWaitsForCalls(t *testing.T) {
-	d := newDesk(t, 8*time.Second)
-	release := d.keep("v1")
+func TestMigrationWaitsForCalls(t *testing.T) {
+	d := newRegistryServer(t, 8*time.Second)
+	release := d.delayBytes("v1")
 	c := d.controller("c1")
 	got := d.calls(c, "a")
 	acks := make(chan string, 3)
 	for _, class := range []string{"safe", "keyed", "unsafe"} {
-		d.reached(class+"-1@v1", 1)
-		go func() { acks <- d.move(class+"-1", "v2", 1).Status }()
+		d.awaitAttempts(class+"-1@v1", 1)
+		go func() { acks <- d.migrate(class+"-1", "v2", 1).Status }()
 	}
 	for d.epoch() < 6 { // until all three are fenced
 		time.Sleep(ms)
@@ -209,8 +209,8 @@
 	}
 	release()
 	for class, ch := range got {
-		want(t, <-ch, "200 served")
-		if n := d.ran(class + "-1@v1"); n != 1 {
+		wantAnswer(t, <-ch, "200 served")
+		if n := d.runs(class + "-1@v1"); n != 1 {
 			t.Errorf("%s ran %d times under v1", class, n)
 		}
 	}
@@ -222,67 +222,67 @@
 }
 
 // epoch returns the registry's epoch.
-func (d *desk) epoch() (epoch uint64) {
+func (d *registryServer) epoch() (epoch uint64) {
 	d.s.Do(func(_ time.Duration, st *registry.State, _ *registry.Leases) { epoch = st.Epoch })
 	return epoch
 }
 
 // Moved twice during one load, and back: A, B, A. The call that began under the first A is not one of the second.
-func TestMovedTwiceAndBack(t *testing.T) {
-	d := newDesk(t, ms)
-	release := d.keep("v1")
+func TestMigrationTwiceAndBack(t *testing.T) {
+	d := newRegistryServer(t, ms)
+	release := d.delayBytes("v1")
 	c := d.controller("c1")
 	got := d.calls(c, "a")
 	for _, class := range []string{"safe", "keyed", "unsafe"} {
-		d.reached(class+"-1@v1", 1)
+		d.awaitAttempts(class+"-1@v1", 1)
 	}
 	for _, m := range []string{"safe-1", "unsafe-1", "keyed-1"} {
-		d.move(m, "v2", 1)
-		d.move(m, "v1", 2)
+		d.migrate(m, "v2", 1)
+		d.migrate(m, "v1", 2)
 	}
 	release()
-	want(t, <-got["safe"], "200 served") // under v2 if it ran before the move back, else under the second v1
-	want(t, <-got["unsafe"], "502 failed")
-	want(t, <-got["keyed"], "502 failed")
+	wantAnswer(t, <-got["safe"], "200 served") // under v2 if it ran before the move back, else under the second v1
+	wantAnswer(t, <-got["unsafe"], "502 failed")
+	wantAnswer(t, <-got["keyed"], "502 failed")
 }
 
 // A controller that is restarted between resolve and send, a mismatch at all stores, and a registry that is gone.
 func TestVersionsAndFailures(t *testing.T) {
-	d := newDesk(t, 100*ms)
-	release := d.keep("v1")
+	d := newRegistryServer(t, 100*ms)
+	release := d.delayBytes("v1")
 	c := d.controller("c1")
-	m := sign(t, common, "c1", "cut", "unsafe-1", "{}", time.Now())
+	m := sign(t, commonSecret, "c1", "cut", "unsafe-1", "{}", time.Now())
 	nc, err := net.Dial("tcp", c.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer nc.Close()
 	nc.Write(m.bytes())
-	d.reached("unsafe-1@v1", 1)
+	d.awaitAttempts("unsafe-1@v1", 1)
 	c.Kill()
-	d.move("unsafe-1", "v2", 1) // its lease runs out first
+	d.migrate("unsafe-1", "v2", 1) // its lease runs out first
 	release()
 	c = d.controller("c1")
 	call := func(id, function string) answer {
 		for i := 0; ; i++ { // a restart has messages signed before it come again
-			a := exchange(t, c.Addr(), sign(t, common, "c1", fmt.Sprint(id, "-", i), function, "{}", time.Now()))
+			a := post(t, c, fmt.Sprint(id, "-", i), function, "{}", time.Now())
 			if !strings.Contains(a.body, "before a restart") {
 				return a
 			}
 			time.Sleep(20 * ms)
 		}
 	}
-	want(t, call("after", "unsafe-1"), "200 served")
-	if n := d.ran("unsafe-1@v2"); n != 1 {
+	wantAnswer(t, call("after", "unsafe-1"), "200 served")
+	if n := d.runs("unsafe-1@v2"); n != 1 {
 		t.Errorf("the new version ran %d times", n)
 	}
 
 	d.mu.Lock()
 	d.bad = true
 	d.mu.Unlock()
-	d.move("safe-1", "v2", 1)
-	if a := call("bad", "safe-1"); a.status == 200 || d.ran("safe-1@v2") > 0 {
-		t.Errorf("with no bytes that match: %v, ran %d times", a, d.ran("safe-1@v2"))
+	d.migrate("safe-1", "v2", 1)
+	if a := call("bad", "safe-1"); a.status == 200 || d.runs("safe-1@v2") > 0 {
+		t.Errorf("with no bytes that match: %v, ran %d times", a, d.runs("safe-1@v2"))
 	}
 	d.mu.Lock()
 	d.bad = false
@@ -314,30 +314,31 @@
 	}
 }
 
-// A kept answer is not given again once its version was left: a safe call runs anew with its next try, others are failed.
-func TestKeptAnswerOfLeftVersion(t *testing.T) {
-	d := newDesk(t, ms)
+// A kept answer is not given again once its version was left: a safe call runs anew with its next try, others are
+// failed.
+func TestCachedAnswerOfSupersededVersionIsWithheld(t *testing.T) {
+	d := newRegistryServer(t, ms)
 	c := d.controller("c1")
 	at := time.Now().Add(-10 * time.Second)
 	try := func(class string, n int) answer { // the same call again, signed later
-		return exchange(t, c.Addr(), sign(t, common, "c1", "kept-"+class, class+"-1", "{}", at.Add(time.Duration(n)*time.Second)))
+		return post(t, c, "kept-"+class, class+"-1", "{}", at.Add(time.Duration(n)*time.Second))
 	}
 	for _, class := range []string{"safe", "keyed", "unsafe"} {
-		want(t, try(class, 0), "200 served")
-		want(t, try(class, 1), "200 served")
-		if n := d.ran(class + "-1@v1"); n != 1 {
+		wantAnswer(t, try(class, 0), "200 served")
+		wantAnswer(t, try(class, 1), "200 served")
+		if n := d.runs(class + "-1@v1"); n != 1 {
 			t.Errorf("%s ran %d times", class, n)
 		}
-		if a := d.move(class+"-1", "v2", 1); a.Status != "acknowledged" {
+		if a := d.migrate(class+"-1", "v2", 1); a.Status != "acknowledged" {
 			t.Fatalf("%+v", a)
 		}
 	}
-	want(t, try("safe", 2), "503 refused")
-	want(t, try("keyed", 2), "502 failed")
-	want(t, try("unsafe", 2), "502 failed")
-	want(t, try("safe", 2), "409 replayed") // that message was taken
-	want(t, try("safe", 3), "200 served")
-	if n := d.ran("safe-1@v2"); n != 1 {
+	wantAnswer(t, try("safe", 2), "503 refused")
+	wantAnswer(t, try("keyed", 2), "502 failed")
+	wantAnswer(t, try("unsafe", 2), "502 failed")
+	wantAnswer(t, try("safe", 2), "409 replayed") // that message was taken
+	wantAnswer(t, try("safe", 3), "200 served")
+	if n := d.runs("safe-1@v2"); n != 1 {
 		t.Errorf("the safe call ran %d times under the new version", n)
 	}
 	if n := c.Front.Counts.Withheld.Load(); n != 3 {
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -1,15 +1,12 @@
-// Package relay is a controller on a platform that configures by environment and JSON: the MessagePack-RPC front, the
-// gateway loop with the module, the invokers' frames and the directory over DNS, within the platform's limits. It puts
-// them together and decides nothing.
 package relay
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"net"
 	"os"
 	"strconv"
-	"time"
 
 	"kitehub/internal/discovery/dns"
 	"kitehub/internal/gateway"
@@ -17,50 +14,58 @@
 	"kitehub/scheduler"
 )
 
-// Variables of the environment.
+// Variables of the environment. A name or address there goes before that of the file.
 const (
-	EnvName   = "RELAY_NAME"
-	EnvListen = "RELAY_LISTEN"
-	EnvConfig = "RELAY_CONFIG"
+	EnvName   = "RELAY_NAME"   // the controller's name
+	EnvListen = "RELAY_LISTEN" // host and port for clients
+	EnvConfig = "RELAY_CONFIG" // path of the JSON file
 )
 
-// A Problem is a wrong or missing setting: its field, and what is wrong.
-type Problem struct {
-	Field string
-	Err   error
+// A ConfigError is a wrong or missing setting. Its text is the one line by which the platform finds the field.
+type ConfigError struct {
+	Field string // a path in the JSON file, or a variable of the environment
+	Err   error  // what is wrong
 }
 
-func (p *Problem) Error() string { return fmt.Sprintf("relay: %s: %v", p.Field, p.Err) }
+// Error names the field and what is wrong.
+func (p *ConfigError) Error() string { return fmt.Sprintf("relay: %s: %v", p.Field, p.Err) }
 
 // Unwrap returns what is wrong.
-func (p *Problem) Unwrap() error { return p.Err }
+func (p *ConfigError) Unwrap() error { return p.Err }
 
-func problem(field, format string, a ...any) error {
-	return &Problem{field, fmt.Errorf(format, a...)}
+func configError(field, format string, a ...any) error {
+	return &ConfigError{field, fmt.Errorf(format, a...)}
+}
+
+// IsConfigError tells whether an error is one of configuration.
+func IsConfigError(err error) bool {
+	var p *ConfigError
+	return errors.As(err, &p)
 }
 
 // Limits of a controller's machine.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB float64 `json:"memory_mb"`
-	Sockets  int     `json:"sockets"`
+	Sockets  int     `json:"sockets"` // file descriptors
 }
 
-// A Config is the platform's configuration.
+// A Config is the platform's configuration of one controller.
 type Config struct {
-	Name, Listen string
-	Seed         uint64
-	Limits       Limits
-	PeerListen   string
-	Peers        map[int]string
-	Names        string
-	Serial       uint32 // of the last event in Known
-	Known        []gateway.Worker
-	Settings     scheduler.Settings
+	Name          string
+	Listen        string // host and port for clients
+	Seed          uint64
+	Limits        Limits
+	PeerListen    string         // host and port for messages of other controllers
+	Peers         map[int]string // addresses of all controllers by index
+	DirectoryAddr string         // of the DNS server that names the workers
+	Serial        uint32         // of the last event that KnownWorkers holds
+	KnownWorkers  []gateway.Worker
+	Settings      scheduler.Settings
 }
 
-// file mirrors the JSON.
-type file struct {
+// configFile mirrors the JSON.
+type configFile struct {
 	Name       string   `json:"name"`
 	Listen     string   `json:"listen"`
 	Seed       string   `json:"seed"`
@@ -69,51 +74,30 @@
 	Peers      []string `json:"peers"`
 	Names      string   `json:"names"`
 	Known      struct {
-		Cursor uint32  `json:"cursor"`
-		Cmds   []event `json:"cmds"`
+		Cursor uint32           `json:"cursor"`
+		Cmds   []directoryEvent `json:"cmds"`
 	} `json:"known"`
 	Settings json.RawMessage `json:"settings"`
 }
 
-// An event of the directory.
-type event struct {
-	Cursor uint32 `json:"cursor"`
-	Nodes  *struct {
-		All     bool     `json:"all"`
-		Targets []target `json:"targets"`
-	} `json:"nodes"`
-}
-
-// A target is an invoker.
-type target struct {
-	UID      string  `json:"uid"`
-	Endpoint string  `json:"endpoint"`
-	Zone     string  `json:"az"`
-	Model    string  `json:"model"`
-	Group    any     `json:"pod_group"`
-	State    string  `json:"state"`
-	Size     float64 `json:"capacity_hint"`
-	BootMS   int64   `json:"boot_ms"`
-}
-
-const mostConfig = 16 << 20 // bytes
+const maxConfigBytes = 16 << 20
 
-// Load reads what the environment names.
+// Load reads the configuration that the environment names. Its error is a *ConfigError.
 func Load(env func(string) string) (*Config, error) {
 	path := env(EnvConfig)
 	if path == "" {
-		return nil, problem(EnvConfig, "not set")
+		return nil, configError(EnvConfig, "not set")
 	}
 	info, err := os.Stat(path)
-	if err == nil && info.Size() > mostConfig {
-		err = fmt.Errorf("%s has %d bytes, at most %d", path, info.Size(), mostConfig)
+	if err == nil && info.Size() > maxConfigBytes {
+		err = fmt.Errorf("%s has %d bytes, at most %d", path, info.Size(), maxConfigBytes)
 	}
 	if err != nil {
-		return nil, &Problem{EnvConfig, err}
+		return nil, &ConfigError{EnvConfig, err}
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, &Problem{EnvConfig, err}
+		return nil, &ConfigError{EnvConfig, err}
 	}
 	c, err := Parse(text)
 	if err != nil {
@@ -128,113 +112,70 @@
 	return c, c.check()
 }
 
-// Parse reads a configuration. Fields that it does not know are passed over.
+// Parse reads a configuration from JSON. Unknown fields are ignored. Its error is a *ConfigError.
 func Parse(text []byte) (*Config, error) {
-	var f file
+	var f configFile
 	if err := json.Unmarshal(text, &f); err != nil {
-		return nil, &Problem{EnvConfig, err}
+		return nil, &ConfigError{EnvConfig, err}
+	}
+	c := &Config{
+		Name:          f.Name,
+		Listen:        f.Listen,
+		Limits:        f.Limits,
+		PeerListen:    f.PeerListen,
+		Peers:         map[int]string{},
+		DirectoryAddr: f.Names,
+		Serial:        f.Known.Cursor,
 	}
-	c := &Config{Name: f.Name, Listen: f.Listen, Limits: f.Limits, PeerListen: f.PeerListen, Peers: map[int]string{}, Names: f.Names, Serial: f.Known.Cursor}
-	for i, a := range f.Peers {
-		c.Peers[i] = a
+	for i, addr := range f.Peers {
+		c.Peers[i] = addr
 	}
 	var err error
 	if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
-		return nil, problem("seed", "%.32q is no number in hex", f.Seed)
+		return nil, configError("seed", "%.32q is no number in hex", f.Seed)
 	}
 	if len(f.Settings) == 0 {
-		return nil, problem("settings", "missing")
+		return nil, configError("settings", "missing")
 	}
 	if c.Settings, err = simwire.ParseSettings(f.Settings); err != nil {
-		return nil, &Problem{"settings", err}
+		return nil, &ConfigError{"settings", err}
 	}
-	if c.Known, err = replay(f.Known.Cmds); err != nil {
+	if c.KnownWorkers, err = replayEvents(f.Known.Cmds); err != nil {
 		return nil, err
 	}
 	return c, nil
 }
 
-var states = map[string]scheduler.WorkerState{"ready": scheduler.Ready, "draining": scheduler.Draining, "gone": scheduler.Gone}
-
-// replay puts the events of the directory so far together.
-func replay(events []event) ([]gateway.Worker, error) {
-	held := map[string]gateway.Worker{}
-	var order []string
-	for i, e := range events {
-		if e.Nodes == nil {
-			continue
-		}
-		if e.Nodes.All {
-			clear(held)
-		}
-		for j, t := range e.Nodes.Targets {
-			field := fmt.Sprintf("known.cmds[%d].nodes.targets[%d]", i, j)
-			state, ok := states[t.State]
-			switch {
-			case t.UID == "":
-				return nil, problem(field+".uid", "missing")
-			case !ok:
-				return nil, problem(field+".state", "%.32q is no state", t.State)
-			case state == scheduler.Gone:
-				delete(held, t.UID)
-				continue
-			}
-			if _, _, err := net.SplitHostPort(t.Endpoint); err != nil {
-				return nil, &Problem{field + ".endpoint", err}
-			}
-			w := gateway.Worker{Name: t.UID, Network: "tcp", Addr: t.Endpoint, Zone: t.Zone, Kind: t.Model, State: state, Size: t.Size}
-			if t.Group != nil {
-				w.Group = fmt.Sprint(t.Group)
-			}
-			if t.BootMS > 0 {
-				w.Started = time.UnixMilli(t.BootMS)
-			}
-			if _, ok := held[t.UID]; !ok {
-				order = append(order, t.UID)
-			}
-			held[t.UID] = w
-		}
-	}
-	var l []gateway.Worker
-	for _, uid := range order {
-		if w, ok := held[uid]; ok {
-			l = append(l, w)
-			delete(held, uid)
-		}
-	}
-	return l, nil
-}
-
-// check returns the first field that cannot be worked with.
+// check returns the first field that cannot be worked with, as a *ConfigError.
 func (c *Config) check() error {
 	if c.Name == "" {
-		return problem(EnvName, "not set")
+		return configError(EnvName, "not set")
 	}
 	if _, _, err := net.SplitHostPort(c.Listen); err != nil {
-		return &Problem{EnvListen, err}
+		return &ConfigError{EnvListen, err}
 	}
-	if _, err := dns.Address(c.Names); err != nil {
-		return &Problem{"names", err}
+	if _, err := dns.Address(c.DirectoryAddr); err != nil {
+		return &ConfigError{"names", err}
 	}
 	l := c.Limits
 	switch {
 	case !(l.Cores > 0):
-		return problem("limits.cores", "%v is not above 0", l.Cores)
+		return configError("limits.cores", "%v is not above 0", l.Cores)
 	case !(l.MemoryMB > 0):
-		return problem("limits.memory_mb", "%v is not above 0", l.MemoryMB)
-	case l.Sockets < leastSockets:
-		return problem("limits.sockets", "%d is under %d", l.Sockets, leastSockets)
+		return configError("limits.memory_mb", "%v is not above 0", l.MemoryMB)
+	case l.Sockets < minSockets:
+		return configError("limits.sockets", "%d is under %d", l.Sockets, minSockets)
 	case c.Settings.Limits.MaxOpenRequests < 1:
-		return problem("settings.limits.maxOpen", "%d is under 1", c.Settings.Limits.MaxOpenRequests)
+		return configError("settings.limits.maxOpen", "%d is under 1", c.Settings.Limits.MaxOpenRequests)
 	case c.Settings.Limits.DialTimeout <= 0:
-		return problem("settings.limits.dialTimeoutMs", "not above 0")
+		return configError("settings.limits.dialTimeoutMs", "not above 0")
 	case c.Settings.Limits.IdleConnectionTimeout <= 0:
-		return problem("settings.limits.keepaliveMs", "not above 0")
+		return configError("settings.limits.keepaliveMs", "not above 0")
 	case c.Settings.Guarantees.DrainGrace <= 0:
-		return problem("settings.guarantees.drainGraceMs", "not above 0")
+		return configError("settings.guarantees.drainGraceMs", "not above 0")
 	}
 	if c.Settings.Limits.Peers && c.PeerListen == "" {
-		return problem("peer_listen", "missing, though the settings allow words between controllers")
+		return configError("peer_listen", "missing, though the settings allow words between controllers")
 	}
 	return nil
 }
