--- a/internal/registry/agent/agent.go
+++ b/internal/registry/agent/agent.go
@@ -40,22 +40,22 @@
 }
 
 // A Ticket is one answer that is being written.
-type Ticket struct{ g *generation }
+type Ticket struct{ generation *generation }
 
 // A generation is one view. It is never changed; open counts its tickets and its being the current one.
 type generation struct {
-	view registry.View
-	open atomic.Int64
-	idle chan struct{} // closed when open is 0
+	view       registry.View
+	references atomic.Int64
+	idle       chan struct{} // closed when open is 0
 }
 
-func (g *generation) take() bool {
+func (g *generation) acquire() bool {
 	for {
-		n := g.open.Load()
+		n := g.references.Load()
 		if n == 0 {
 			return false
 		}
-		if g.open.CompareAndSwap(n, n+1) {
+		if g.references.CompareAndSwap(n, n+1) {
 			return true
 		}
 	}
@@ -71,49 +71,49 @@
 }
 
 func (g *generation) release() {
-	if g.open.Add(-1) == 0 {
+	if g.references.Add(-1) == 0 {
 		close(g.idle)
 	}
 }
 
 // An Agent is safe for concurrent use.
 type Agent struct {
-	cfg  Config
-	now  atomic.Pointer[generation]
-	stop chan struct{}
-	wg   sync.WaitGroup
+	cfg     Config
+	current atomic.Pointer[generation]
+	stop    chan struct{}
+	polling sync.WaitGroup
 	// Lost counts times at which no answer of the registry came in a lease's time, Nacks answers that were not taken.
 	Lost, Nacks atomic.Int64
 
-	mu     sync.Mutex
-	uses   map[use]int
-	freed  chan struct{} // a use of a target has ended that was the last
-	ended  map[registry.VersionRef]wire.CallsEnded
-	staged []wire.Stage
-	stands map[stand]int // told by answers; those that are staged go to the registry
+	mu          sync.Mutex
+	uses        map[aliasTarget]int
+	unused      chan struct{} // a use of a target has ended that was the last
+	endedCalls  map[registry.VersionRef]wire.CallsEnded
+	staged      []wire.Stage
+	readyCopies map[copiesAt]int // told by answers; those that are staged go to the registry
 }
 
-type use struct {
+type aliasTarget struct {
 	registry.AliasName
 	registry.Target
 }
 
-type stand struct{ model, version, worker string }
+type copiesAt struct{ model, version, worker string }
 
 func newGeneration(v registry.View) *generation {
 	g := &generation{view: v, idle: make(chan struct{})}
-	g.open.Store(1)
+	g.references.Store(1)
 	return g
 }
 
 // Start begins to ask. Until the first answer nothing resolves.
 func Start(cfg Config) *Agent {
-	a := &Agent{cfg: cfg, stop: make(chan struct{}), uses: map[use]int{}, freed: make(chan struct{}, 1), ended: map[registry.VersionRef]wire.CallsEnded{}, stands: map[stand]int{}}
-	a.now.Store(newGeneration(registry.View{}))
+	a := &Agent{cfg: cfg, stop: make(chan struct{}), uses: map[aliasTarget]int{}, unused: make(chan struct{}, 1), endedCalls: map[registry.VersionRef]wire.CallsEnded{}, readyCopies: map[copiesAt]int{}}
+	a.current.Store(newGeneration(registry.View{}))
 	if cfg.Ready != nil {
 		cfg.Ready(a)
 	}
-	a.wg.Add(1)
+	a.polling.Add(1)
 	go a.run()
 	return a
 }
@@ -122,25 +122,25 @@
 func (a *Agent) Stop() {
 	close(a.stop)
 	a.cfg.Client.Close()
-	a.wg.Wait()
+	a.polling.Wait()
 }
 
 // Resolve returns what an alias names now. It costs one look-up.
 func (a *Agent) Resolve(n registry.AliasName) (registry.Target, registry.Verdict) {
-	return a.now.Load().view.Resolve(a.cfg.Clock.Now(), n)
+	return a.current.Load().view.Resolve(a.cfg.Clock.Now(), n)
 }
 
 // MayAnswer tells whether an answer might go out now. Begin decides.
 func (a *Agent) MayAnswer(n registry.AliasName, t registry.Target) registry.Verdict {
-	return a.now.Load().view.MayAnswer(a.cfg.Clock.Now(), n, t)
+	return a.current.Load().view.MayAnswer(a.cfg.Clock.Now(), n, t)
 }
 
 // Begin asks for an answer of a target to be let out. Where the verdict is May, its bytes may be written until the time
 // returned (0: no bound), and End is to be called then.
 func (a *Agent) Begin(n registry.AliasName, t registry.Target) (Ticket, time.Duration, registry.Verdict) {
 	for {
-		g := a.now.Load()
-		if !g.take() {
+		g := a.current.Load()
+		if !g.acquire() {
 			continue // a newer one is there
 		}
 		v := g.view.MayAnswer(a.cfg.Clock.Now(), n, t)
@@ -148,7 +148,7 @@
 			g.release()
 			return Ticket{}, 0, v
 		}
-		until := g.view.LeaseEnds()
+		until := g.view.LeaseEnd()
 		if v == registry.Allowed && g.view.Stale(n.Model) {
 			until = 0
 		}
@@ -157,12 +157,12 @@
 }
 
 // End says that an answer's bytes are written, or never will be.
-func (a *Agent) End(t Ticket) { t.g.release() }
+func (a *Agent) End(t Ticket) { t.generation.release() }
 
 // Use and Unuse count the running calls of a version, so that the registry does not collect it.
 func (a *Agent) Use(n registry.AliasName, t registry.Target) {
 	a.mu.Lock()
-	a.uses[use{n, t}]++
+	a.uses[aliasTarget{n, t}]++
 	a.mu.Unlock()
 }
 
@@ -170,22 +170,22 @@
 func (a *Agent) Unuse(n registry.AliasName, t registry.Target, ran, failed bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	u := use{n, t}
+	u := aliasTarget{n, t}
 	if a.uses[u]--; a.uses[u] <= 0 {
 		delete(a.uses, u)
 		select {
-		case a.freed <- struct{}{}:
+		case a.unused <- struct{}{}:
 		default:
 		}
 	}
 	if ran {
 		b := registry.VersionRef{Model: n.Model, Version: t.Version}
-		e := a.ended[b]
+		e := a.endedCalls[b]
 		e.Model, e.Version, e.Calls = b.Model, b.Version, e.Calls+1
 		if failed {
 			e.Errors++
 		}
-		a.ended[b] = e
+		a.endedCalls[b] = e
 	}
 }
 
@@ -194,24 +194,24 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if slices.ContainsFunc(a.staged, func(s wire.Stage) bool { return s.Model == b.Model && s.Version == b.Version }) {
-		a.stands[stand{b.Model, b.Version, worker}] = copies
+		a.readyCopies[copiesAt{b.Model, b.Version, worker}] = copies
 	}
 }
 
 // Times of the asking, as parts of a lease, and before one is known.
 const (
-	renewPart = 4               // a lease is renewed so often in its time while an older view's writes are waited for
-	firstWait = 5 * time.Second // longest wait for an answer while no lease is known
-	leastWait = 20 * time.Millisecond
-	mostWait  = time.Second
+	pollsPerLease    = 4               // a lease is renewed so often in its time while an older view's writes are waited for
+	firstPollTimeout = 5 * time.Second // longest wait for an answer while no lease is known
+	minBackoff       = 20 * time.Millisecond
+	maxBackoff       = time.Second
 )
 
 func (a *Agent) run() {
-	defer a.wg.Done()
+	defer a.polling.Done()
 	confirmed, nonce, failures := uint64(0), "", 0
 	var nack *wire.ErrorDetail
-	lease, settling := firstWait, time.Duration(0) // when what is leaving is given up
-	var older []*generation                        // views whose writes may go on
+	lease, settling := firstPollTimeout, time.Duration(0) // when what is leaving is given up
+	var older []*generation                               // views whose writes may go on
 	for {
 		select {
 		case <-a.stop:
@@ -219,54 +219,54 @@
 		default:
 		}
 		asked := a.cfg.Clock.Now()
-		q := a.question(confirmed, nonce, nack)
-		resp, fresh, err := a.ask(q, lease)
+		q := a.newRequest(confirmed, nonce, nack)
+		resp, fresh, err := a.poll(q, lease)
 		if err == nil && fresh && nonce != "" { // the connection is new: the answer may be another process's, so ask for all
 			nonce = ""
 			continue
 		}
 		var told registry.ViewUpdate
 		if err == nil {
-			told, err = read(resp)
+			told, err = parseResponse(resp)
 			if err != nil { // not taken: say so
 				a.Nacks.Add(1)
 				nack, nonce = &wire.ErrorDetail{Code: 3, Message: err.Error()}, ""
 				a.cfg.Log.Warn().Err(err).Msg("registry's answer not taken: what was known stays until the lease ends")
-				a.sleep(leastWait << min(failures, 5))
+				a.sleep(minBackoff << min(failures, 5))
 				failures++
 				continue
 			}
 		}
 		if err != nil {
 			failures++
-			if a.cfg.Clock.Now() >= a.now.Load().view.LeaseEnds() {
+			if a.cfg.Clock.Now() >= a.current.Load().view.LeaseEnd() {
 				a.Lost.Add(1)
 			}
-			wait := min(mostWait, leastWait<<min(failures, 10), lease/renewPart)
+			wait := min(maxBackoff, minBackoff<<min(failures, 10), lease/pollsPerLease)
 			wait += time.Duration(rand.Float64() * float64(wait))
 			a.cfg.Log.Warn().Err(err).Int("failures", failures).Msg("registry not heard")
 			nonce = ""
-			a.keepUnsent(q)
+			a.restoreReports(q)
 			a.sleep(wait)
 			continue
 		}
 		failures, nack, lease = 0, nil, told.Lease
-		old := a.now.Load()
+		old := a.current.Load()
 		next := old.view
 		if !next.Update(asked, told) {
 			nonce = ""
-			a.sleep(leastWait)
+			a.sleep(minBackoff)
 			continue
 		}
 		nonce = resp.Nonce
 		g := newGeneration(next)
-		a.now.Store(g)
+		a.current.Store(g)
 		old.release()
 		older = append(older, old)
 		if next.Epoch() != old.view.Epoch() && a.cfg.AliasesChanged != nil {
 			a.cfg.AliasesChanged()
 		}
-		a.stage(resp.Stage)
+		a.setStaged(resp.Stage)
 		// Calls may go on to their answers under what was left, for a while, and writes under older views. Until all have
 		// ended the lease is renewed under the epoch that they are of.
 		if len(next.BeingSuperseded()) == 0 {
@@ -274,13 +274,13 @@
 		} else if settling == 0 {
 			settling = a.cfg.Clock.Now() + next.SettleWithin()
 		}
-		pause := time.NewTimer(lease / renewPart)
+		pause := time.NewTimer(lease / pollsPerLease)
 		for late := false; confirmed < next.Epoch() && !late; {
 			if len(next.BeingSuperseded()) > 0 {
-				if left := settling - a.cfg.Clock.Now(); a.used(next.BeingSuperseded()) && left > 0 {
+				if left := settling - a.cfg.Clock.Now(); a.hasCallsUnder(next.BeingSuperseded()) && left > 0 {
 					settle := time.NewTimer(left)
 					select {
-					case <-a.freed:
+					case <-a.unused:
 					case <-settle.C:
 					case <-pause.C:
 						late = true
@@ -293,7 +293,7 @@
 				old := g
 				next, settling = next.Settled(), 0
 				g = newGeneration(next)
-				a.now.Store(g)
+				a.current.Store(g)
 				old.release()
 				older = append(older, old)
 				if a.cfg.AliasesChanged != nil {
@@ -319,13 +319,13 @@
 	}
 }
 
-// used tells whether a call runs under one of the targets.
-func (a *Agent) used(l map[registry.AliasName][]registry.Target) bool {
+// hasCallsUnder tells whether a call runs under one of the targets.
+func (a *Agent) hasCallsUnder(l map[registry.AliasName][]registry.Target) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for n, targets := range l {
 		for _, t := range targets {
-			if a.uses[use{n, t}] > 0 {
+			if a.uses[aliasTarget{n, t}] > 0 {
 				return true
 			}
 		}
@@ -342,48 +342,48 @@
 	}
 }
 
-func (a *Agent) question(confirmed uint64, nonce string, nack *wire.ErrorDetail) *wire.Request {
+func (a *Agent) newRequest(confirmed uint64, nonce string, nack *wire.ErrorDetail) *wire.Request {
 	q := &wire.Request{VersionInfo: strconv.FormatUint(confirmed, 10), Node: wire.Node{ID: a.cfg.Node}, TypeURL: wire.TypeAlias,
 		ResponseNonce: nonce, ErrorDetail: nack}
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for u := range a.uses {
-		if b := (registry.VersionRef{Model: u.Model, Version: u.Version}); !slices.Contains(q.Uses, b) && a.now.Load().view.MayAnswer(0, u.AliasName, u.Target) != registry.Allowed {
+		if b := (registry.VersionRef{Model: u.Model, Version: u.Version}); !slices.Contains(q.Uses, b) && a.current.Load().view.MayAnswer(0, u.AliasName, u.Target) != registry.Allowed {
 			q.Uses = append(q.Uses, b)
 		}
 	}
-	for _, e := range a.ended {
+	for _, e := range a.endedCalls {
 		q.CallsEnded = append(q.CallsEnded, e)
 	}
-	for s, n := range a.stands {
+	for s, n := range a.readyCopies {
 		q.CopiesReady = append(q.CopiesReady, wire.CopiesReady{Model: s.model, Version: s.version, Worker: s.worker, Copies: n})
 	}
-	clear(a.ended)
-	clear(a.stands)
+	clear(a.endedCalls)
+	clear(a.readyCopies)
 	q.Staging = a.staged
 	return q
 }
 
-// keepUnsent takes back what a question that failed would have told. It may have been heard: counts can be doubled so,
+// restoreReports takes back what a question that failed would have told. It may have been heard: counts can be doubled so,
 // which costs a judgement of errors a little, never a rule.
-func (a *Agent) keepUnsent(q *wire.Request) {
+func (a *Agent) restoreReports(q *wire.Request) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, e := range q.CallsEnded {
 		b := registry.VersionRef{Model: e.Model, Version: e.Version}
-		have := a.ended[b]
+		have := a.endedCalls[b]
 		e.Calls, e.Errors = e.Calls+have.Calls, e.Errors+have.Errors
-		a.ended[b] = e
+		a.endedCalls[b] = e
 	}
 	for _, s := range q.CopiesReady {
-		k := stand{s.Model, s.Version, s.Worker}
-		if _, newer := a.stands[k]; !newer {
-			a.stands[k] = s.Copies
+		k := copiesAt{s.Model, s.Version, s.Worker}
+		if _, newer := a.readyCopies[k]; !newer {
+			a.readyCopies[k] = s.Copies
 		}
 	}
 }
 
-func (a *Agent) ask(q *wire.Request, within time.Duration) (*wire.Response, bool, error) {
+func (a *Agent) poll(q *wire.Request, within time.Duration) (*wire.Response, bool, error) {
 	body, err := json.Marshal(q)
 	if err != nil {
 		return nil, false, err
@@ -399,8 +399,8 @@
 	return &r, fresh, nil
 }
 
-// read checks a response. An error is one of its content: it is not to be asked again as if it were lost.
-func read(r *wire.Response) (registry.ViewUpdate, error) {
+// parseResponse checks a response. An error is one of its content: it is not to be asked again as if it were lost.
+func parseResponse(r *wire.Response) (registry.ViewUpdate, error) {
 	t := registry.ViewUpdate{Since: r.Since, Condemned: r.Condemned, Settle: time.Duration(r.SettleMS * float64(time.Millisecond)), Targets: map[registry.AliasName]registry.Target{}, Lease: time.Duration(r.LeaseMS * float64(time.Millisecond))}
 	var err error
 	if t.Epoch, err = strconv.ParseUint(r.VersionInfo, 10, 64); err != nil {
@@ -425,7 +425,7 @@
 	return t, nil
 }
 
-func (a *Agent) stage(l []wire.Stage) {
+func (a *Agent) setStaged(l []wire.Stage) {
 	a.mu.Lock()
 	a.staged = l
 	a.mu.Unlock()
--- a/internal/registry/agent/agent_test.go
+++ b/internal/registry/agent/agent_test.go
@@ -24,11 +24,11 @@
 		"a stranger":  {VersionInfo: "1", TypeURL: wire.TypeAlias, LeaseMS: 1, Resources: []wire.Alias{other}},
 		"no revision": {VersionInfo: "1", TypeURL: wire.TypeAlias, LeaseMS: 1, Resources: []wire.Alias{none}},
 	} {
-		if _, err := read(&r); err == nil {
+		if _, err := parseResponse(&r); err == nil {
 			t.Errorf("%s: taken", name)
 		}
 	}
-	told, err := read(&wire.Response{VersionInfo: "7", TypeURL: wire.TypeAlias, LeaseMS: 1500, Resources: []wire.Alias{alias}, Stale: []string{"m"}})
+	told, err := parseResponse(&wire.Response{VersionInfo: "7", TypeURL: wire.TypeAlias, LeaseMS: 1500, Resources: []wire.Alias{alias}, Stale: []string{"m"}})
 	if err != nil || told.Epoch != 7 || told.Lease != 1500*time.Millisecond || !told.Stale["m"] || len(told.Targets) != 1 {
 		t.Errorf("%+v, %v", told, err)
 	}
@@ -36,7 +36,7 @@
 
 // BenchmarkPath is what versions cost a call: bound, checked at send and answer, let out at the door, unbound.
 func BenchmarkPath(b *testing.B) {
-	a := &Agent{cfg: Config{Clock: clock.System()}, uses: map[use]int{}, freed: make(chan struct{}, 1), ended: map[registry.VersionRef]wire.CallsEnded{}}
+	a := &Agent{cfg: Config{Clock: clock.System()}, uses: map[aliasTarget]int{}, unused: make(chan struct{}, 1), endedCalls: map[registry.VersionRef]wire.CallsEnded{}}
 	told := registry.ViewUpdate{Epoch: 1, Targets: map[registry.AliasName]registry.Target{}, Lease: time.Hour}
 	n := registry.AliasName{Model: "model-500", Alias: "current"}
 	for i := range 1000 {
@@ -45,7 +45,7 @@
 	told.Targets[n] = registry.Target{Version: "v1", Digest: "sha256:1", Revision: 1}
 	var v registry.View
 	v.Update(a.cfg.Clock.Now(), told)
-	a.now.Store(newGeneration(v))
+	a.current.Store(newGeneration(v))
 	b.ReportAllocs()
 	for b.Loop() {
 		t, _ := a.Resolve(n)
--- a/internal/registry/client/client.go
+++ b/internal/registry/client/client.go
@@ -27,11 +27,11 @@
 	Dial   func(ctx context.Context, network, addr string) (net.Conn, error)
 	Wall   func() time.Time
 
-	mu   sync.Mutex
-	cmu  sync.Mutex // guards conn for Close
-	conn net.Conn
-	br   *bufio.Reader
-	end  bool
+	requestMu sync.Mutex
+	connMu    sync.Mutex // guards conn for Close
+	conn      net.Conn
+	reader    *bufio.Reader
+	closed    bool
 }
 
 // A StatusError is an answer other than 200 and 202.
@@ -54,8 +54,8 @@
 // Do asks and returns the answer's body. fresh tells whether the connection was opened for it. After an error of the
 // connection it is not known whether the registry has heard.
 func (c *Client) Do(path, id string, header http1.Header, body []byte, within time.Duration) (answer []byte, fresh bool, err error) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+	c.requestMu.Lock()
+	defer c.requestMu.Unlock()
 	m := signing.Message{ID: id, Stamp: strconv.FormatInt(c.Wall().Unix(), 10), Body: body}
 	s, err := c.Key.Sign(m)
 	if err != nil {
@@ -73,7 +73,7 @@
 		c.drop()
 		return nil, fresh, err
 	}
-	resp, err := http1.ReadResponse(c.br, &limits, "POST")
+	resp, err := http1.ReadResponse(c.reader, &limits, "POST")
 	if err != nil {
 		c.drop()
 		return nil, fresh, err
@@ -111,19 +111,19 @@
 	if err != nil {
 		return true, err
 	}
-	c.cmu.Lock()
-	defer c.cmu.Unlock()
-	if c.end {
+	c.connMu.Lock()
+	defer c.connMu.Unlock()
+	if c.closed {
 		conn.Close()
 		return true, net.ErrClosed
 	}
-	c.conn, c.br = conn, bufio.NewReaderSize(conn, http1.ReadBuffer)
+	c.conn, c.reader = conn, bufio.NewReaderSize(conn, http1.ReadBuffer)
 	return true, nil
 }
 
 func (c *Client) drop() {
-	c.cmu.Lock()
-	defer c.cmu.Unlock()
+	c.connMu.Lock()
+	defer c.connMu.Unlock()
 	if c.conn != nil {
 		c.conn.Close()
 		c.conn = nil
@@ -132,9 +132,9 @@
 
 // Close ends the connection, and with it a question that is out.
 func (c *Client) Close() {
-	c.cmu.Lock()
-	defer c.cmu.Unlock()
-	c.end = true
+	c.connMu.Lock()
+	defer c.connMu.Unlock()
+	c.closed = true
 	if c.conn != nil {
 		c.conn.Close()
 	}
@@ -154,7 +154,7 @@
 	case cmd.Rollback != nil:
 		h.Add("If-Match", `"`+strconv.FormatUint(cmd.Rollback.IfRevision, 10)+`"`)
 	}
-	return c.ask(wire.CommandPath, key, h, body, time.Duration(cmd.WaitMS)*time.Millisecond)
+	return c.request(wire.CommandPath, key, h, body, time.Duration(cmd.WaitMS)*time.Millisecond)
 }
 
 // Query asks without changing anything.
@@ -163,17 +163,17 @@
 	if err != nil {
 		return nil, err
 	}
-	return c.ask(wire.QueryPath, ID("query"), nil, body, time.Duration(q.WaitMS)*time.Millisecond)
+	return c.request(wire.QueryPath, ID("query"), nil, body, time.Duration(q.WaitMS)*time.Millisecond)
 }
 
-// margin is how much longer than its wait a question may take.
-const margin = 10 * time.Second
+// waitMargin is how much longer than its wait a question may take.
+const waitMargin = 10 * time.Second
 
-func (c *Client) ask(path, id string, h http1.Header, body []byte, wait time.Duration) (*wire.Answer, error) {
-	text, fresh, err := c.Do(path, id, h, body, wait+margin)
+func (c *Client) request(path, id string, h http1.Header, body []byte, wait time.Duration) (*wire.Answer, error) {
+	text, fresh, err := c.Do(path, id, h, body, wait+waitMargin)
 	var status *StatusError
 	if err != nil && !fresh && !errors.As(err, &status) { // an idle connection may have ended meanwhile
-		text, _, err = c.Do(path, id, h, body, wait+margin)
+		text, _, err = c.Do(path, id, h, body, wait+waitMargin)
 	}
 	if err != nil {
 		return nil, err
--- a/internal/registry/commands.go
+++ b/internal/registry/commands.go
@@ -16,7 +16,7 @@
 }
 
 func (p Push) apply(s *State, now time.Duration) ([]Effect, error) {
-	if err := cmp.Or(name("model", p.Model), name("version", p.Name), digest(p.Digest)); err != nil {
+	if err := cmp.Or(validateName("model", p.Model), validateName("version", p.Name), validateDigest(p.Digest)); err != nil {
 		return nil, err
 	}
 	if p.Size < 0 || !(p.MemoryMB >= 0) || p.Lanes < 0 || p.LoadTime < 0 {
@@ -46,11 +46,11 @@
 	}
 	s.Models[p.Model] = m
 	m.Versions[p.Name] = &v
-	s.note(now, p.By, "push "+p.Model+" "+p.Name+" "+p.Digest, p.Why)
+	s.appendHistory(now, p.By, "push "+p.Model+" "+p.Name+" "+p.Digest, p.Why)
 	return nil, nil
 }
 
-func (s *State) version(model, version string) (*Model, *Version, error) {
+func (s *State) lookupVersion(model, version string) (*Model, *Version, error) {
 	m := s.Models[model]
 	if m == nil {
 		return nil, nil, fmt.Errorf("model: %q is not known", model)
@@ -74,10 +74,10 @@
 }
 
 func (p Promote) apply(s *State, now time.Duration) ([]Effect, error) {
-	if err := name("alias", p.Alias); err != nil {
+	if err := validateName("alias", p.Alias); err != nil {
 		return nil, err
 	}
-	m, v, err := s.version(p.Model, p.To)
+	m, v, err := s.lookupVersion(p.Model, p.To)
 	if err != nil {
 		return nil, err
 	}
@@ -100,7 +100,7 @@
 	}
 	s.LastMigration++
 	a.Migration = &Migration{ID: s.LastMigration, From: a.Version, To: p.To, By: p.By, Why: p.Why, Copies: p.Copies, RequestedAt: now}
-	s.note(now, p.By, fmt.Sprintf("promote %s %s to %s, move %d", p.Model, p.Alias, p.To, s.LastMigration), p.Why)
+	s.appendHistory(now, p.By, fmt.Sprintf("promote %s %s to %s, move %d", p.Model, p.Alias, p.To, s.LastMigration), p.Why)
 	if v.Phase == Proposed || v.Phase == Retired {
 		v.Phase, v.Since = Staged, now
 	}
@@ -136,8 +136,8 @@
 		return nil, fmt.Errorf("%w: %s of %s is at revision %d, not %d", ErrRevisionChanged, r.Alias, r.Model, a.Revision, r.IfRevision)
 	}
 	if a.Migration != nil && !a.Migration.Fenced {
-		s.note(now, r.By, fmt.Sprintf("give up move %d", a.Migration.ID), r.Why)
-		return s.giveUp(m, a, "rolled back: "+r.Why, now), nil
+		s.appendHistory(now, r.By, fmt.Sprintf("give up move %d", a.Migration.ID), r.Why)
+		return s.abort(m, a, "rolled back: "+r.Why, now), nil
 	}
 	if a.PreviousVersion == "" {
 		return nil, fmt.Errorf("alias: %s of %s has no version before", r.Alias, r.Model)
@@ -154,7 +154,7 @@
 }
 
 func (c Condemn) apply(s *State, now time.Duration) ([]Effect, error) {
-	_, v, err := s.version(c.Model, c.Version)
+	_, v, err := s.lookupVersion(c.Model, c.Version)
 	if err != nil {
 		return nil, err
 	}
@@ -165,17 +165,17 @@
 	s.Condemned[bad] = c.Why
 	s.Epoch++ // also where no alias names it: calls may still run under it
 	out = append(out, Published{s.Epoch})
-	s.note(now, c.By, "condemn "+c.Model+" "+c.Version+" "+bad, c.Why)
-	for _, m := range sorted(s.Models) {
-		for _, v := range sorted(m.Versions) {
+	s.appendHistory(now, c.By, "condemn "+c.Model+" "+c.Version+" "+bad, c.Why)
+	for _, m := range sortedByName(s.Models) {
+		for _, v := range sortedByName(m.Versions) {
 			if v.Digest == bad && v.Phase != Condemned {
 				v.Phase, v.Since = Condemned, now
 				out = append(out, Unstage{m.Name, v.Name})
 			}
 		}
-		for _, a := range sorted(m.Aliases) {
+		for _, a := range sortedByName(m.Aliases) {
 			if a.Migration != nil && !a.Migration.Fenced && m.Versions[a.Migration.To].Digest == bad {
-				out = append(out, s.giveUp(m, a, "its version was condemned", now)...)
+				out = append(out, s.abort(m, a, "its version was condemned", now)...)
 			}
 			if v := m.Versions[a.Version]; v != nil && v.Digest == bad {
 				s.LastMigration++
@@ -199,7 +199,7 @@
 }
 
 func (c CopiesReady) apply(s *State, _ time.Duration) ([]Effect, error) {
-	_, v, err := s.version(c.Model, c.Version)
+	_, v, err := s.lookupVersion(c.Model, c.Version)
 	if err != nil {
 		return nil, err
 	}
@@ -220,7 +220,7 @@
 }
 
 func (c CallsEnded) apply(s *State, _ time.Duration) ([]Effect, error) {
-	_, v, err := s.version(c.Model, c.Version)
+	_, v, err := s.lookupVersion(c.Model, c.Version)
 	if err != nil || c.Calls < 0 || c.Errors < 0 || c.Errors > c.Calls {
 		return nil, cmp.Or(err, fmt.Errorf("calls: %d with %d errors", c.Calls, c.Errors))
 	}
@@ -261,7 +261,7 @@
 	}
 	m.Stale = c.Stale
 	s.Epoch++ // controllers are to hear of it; no move waits for that
-	s.note(now, c.By, fmt.Sprintf("policy %s stale %v", c.Model, c.Stale), c.Why)
+	s.appendHistory(now, c.By, fmt.Sprintf("policy %s stale %v", c.Model, c.Stale), c.Why)
 	return []Effect{Published{s.Epoch}}, nil
 }
 
@@ -281,23 +281,23 @@
 
 func (c Collect) apply(s *State, now time.Duration) ([]Effect, error) {
 	var out []Effect
-	for _, m := range sorted(s.Models) {
-		for _, v := range sorted(m.Versions) {
-			if slices.Contains(c.Except, VersionRef{m.Name, v.Name}) || s.holds(m, v, now) {
+	for _, m := range sortedByName(s.Models) {
+		for _, v := range sortedByName(m.Versions) {
+			if slices.Contains(c.Except, VersionRef{m.Name, v.Name}) || s.isRetained(m, v, now) {
 				continue
 			}
 			delete(m.Versions, v.Name)
-			s.note(now, c.By, "collect "+m.Name+" "+v.Name+" "+v.Digest, c.Why)
+			s.appendHistory(now, c.By, "collect "+m.Name+" "+v.Name+" "+v.Digest, c.Why)
 			out = append(out, Collected{m.Name, v.Name, v.Digest})
 		}
 	}
 	return out, nil
 }
 
-// holds tells why a version must stay: an alias names it, or did before, or a move goes to it or has left it and is
+// isRetained tells why a version must stay: an alias names it, or did before, or a move goes to it or has left it and is
 // not acknowledged; or it has not been left for as long as copies are kept. A version that was never used stays until it
 // is condemned: it may be about to be.
-func (s *State) holds(m *Model, v *Version, now time.Duration) bool {
+func (s *State) isRetained(m *Model, v *Version, now time.Duration) bool {
 	for _, a := range m.Aliases {
 		if a.Version == v.Name || a.PreviousVersion == v.Name || a.Migration != nil && (a.Migration.To == v.Name || a.Migration.From == v.Name) {
 			return true
--- a/internal/registry/lease.go
+++ b/internal/registry/lease.go
@@ -12,12 +12,12 @@
 // lives as long as the process that gave it, and a new process waits a whole one before it believes that there are none.
 // So no answer to a controller waits for a disk, and a full disk stops moves, not answers.
 type Leases struct {
-	s       Settings
-	quiet   time.Duration // until then a controller that is not known may hold a lease of the process before
-	holders map[string]*holder
+	settings   Settings
+	graceUntil time.Duration // until then a controller that is not known may hold a lease of the process before
+	holders    map[string]*leaseHolder
 }
 
-type holder struct {
+type leaseHolder struct {
 	epoch uint64        // confirmed
 	until time.Duration // by the registry's clock, drift included
 	uses  []VersionRef
@@ -25,23 +25,23 @@
 
 // NewLeases returns the leases of a process that started now. fresh says that there was none before it.
 func NewLeases(s Settings, now time.Duration, fresh bool) *Leases {
-	l := &Leases{s: s, holders: map[string]*holder{}}
+	l := &Leases{settings: s, holders: map[string]*leaseHolder{}}
 	if !fresh {
-		l.quiet = now + l.span()
+		l.graceUntil = now + l.ttlWithDrift()
 	}
 	return l
 }
 
-// span is how long the registry waits for a lease to run out by the controller's clock, however slow that runs.
-func (l *Leases) span() time.Duration {
-	return time.Duration(float64(l.s.LeaseDuration)*(1+l.s.MaxClockDrift)/(1-l.s.MaxClockDrift)) + 1
+// ttlWithDrift is how long the registry waits for a lease to run out by the controller's clock, however slow that runs.
+func (l *Leases) ttlWithDrift() time.Duration {
+	return time.Duration(float64(l.settings.LeaseDuration)*(1+l.settings.MaxClockDrift)/(1-l.settings.MaxClockDrift)) + 1
 }
 
 // Renew is a controller's word that it acts by an epoch, of which last is the newest. It begins a new lease; a controller
 // counts it from the moment at which it asked, which is before the registry hears of it. uses are the versions, other
 // than those that aliases name, which its running calls still name.
 func (l *Leases) Renew(now time.Duration, controller string, epoch, last uint64, uses []VersionRef) error {
-	if err := name("controller", controller); err != nil {
+	if err := validateName("controller", controller); err != nil {
 		return err
 	}
 	if epoch > last {
@@ -50,14 +50,14 @@
 	h := l.holders[controller]
 	if h == nil {
 		l.expire(now)
-		if len(l.holders) >= l.s.MaxControllers {
+		if len(l.holders) >= l.settings.MaxControllers {
 			return fmt.Errorf("controller: %d have a lease, which is all", len(l.holders))
 		}
-		h = &holder{}
+		h = &leaseHolder{}
 		l.holders[controller] = h
 	}
 	// One that started anew may hold less than it once confirmed.
-	h.epoch, h.until, h.uses = epoch, now+l.span(), uses
+	h.epoch, h.until, h.uses = epoch, now+l.ttlWithDrift(), uses
 	return nil
 }
 
@@ -72,7 +72,7 @@
 // ConfirmedEpoch returns the newest epoch that no controller can act against any more.
 func (l *Leases) ConfirmedEpoch(now time.Duration) uint64 {
 	l.expire(now)
-	if now < l.quiet {
+	if now < l.graceUntil {
 		return 0
 	}
 	least := uint64(math.MaxUint64)
@@ -84,8 +84,8 @@
 
 // NextExpiry returns when time alone may raise Least; 0: never.
 func (l *Leases) NextExpiry(now time.Duration) (next time.Duration) {
-	if now < l.quiet {
-		next = l.quiet
+	if now < l.graceUntil {
+		next = l.graceUntil
 	}
 	for _, h := range l.holders {
 		if next == 0 || h.until < next {
@@ -101,7 +101,7 @@
 	for _, h := range l.holders {
 		uses = append(uses, h.uses...)
 	}
-	return uses, now >= l.quiet
+	return uses, now >= l.graceUntil
 }
 
 // Holders returns the controllers with a lease, each with the epoch that it confirmed.
--- a/internal/registry/move.go
+++ b/internal/registry/migration.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// settle lets every move go as far as it may: staged ones to their fence, fenced ones to their acknowledgement, those
+// advance lets every move go as far as it may: staged ones to their fence, fenced ones to their acknowledgement, those
 // that took too long to their end, and versions that are worse than the one before back.
-func (s *State) settle(now time.Duration) (out []Effect) {
-	for _, m := range sorted(s.Models) {
-		for _, a := range sorted(m.Aliases) {
-			out = append(out, s.staged(m, a, now)...)
-			out = append(out, s.watched(m, a, now)...)
+func (s *State) advance(now time.Duration) (out []Effect) {
+	for _, m := range sortedByName(s.Models) {
+		for _, a := range sortedByName(m.Aliases) {
+			out = append(out, s.advanceStaging(m, a, now)...)
+			out = append(out, s.revertOnErrors(m, a, now)...)
 		}
 	}
-	out = append(out, s.fences()...)
-	for _, m := range sorted(s.Models) {
-		for _, v := range sorted(m.Versions) {
+	out = append(out, s.acknowledgeFences()...)
+	for _, m := range sortedByName(s.Models) {
+		for _, v := range sortedByName(m.Versions) {
 			if v.Phase == Retired && len(v.Copies) > 0 && now >= v.Since+s.Settings.Retention {
 				clear(v.Copies)
 				out = append(out, Unstage{m.Name, v.Name})
@@ -27,9 +27,9 @@
 	return out
 }
 
-// staged takes a move to its fence once enough copies stand, or gives it up. While the old and the new version cannot
+// advanceStaging takes a move to its fence once enough copies stand, or gives it up. While the old and the new version cannot
 // both be held, the copies never stand: the move ends with the alias as it was.
-func (s *State) staged(m *Model, a *Alias, now time.Duration) []Effect {
+func (s *State) advanceStaging(m *Model, a *Alias, now time.Duration) []Effect {
 	mv := a.Migration
 	if mv == nil || mv.Fenced {
 		return nil
@@ -42,17 +42,17 @@
 	case n >= mv.Copies:
 		return s.fence(m, a, now)
 	case now >= mv.RequestedAt+s.Settings.StagingTimeout:
-		return s.giveUp(m, a, fmt.Sprintf("%d of %d copies stood after %v", n, mv.Copies, s.Settings.StagingTimeout), now)
+		return s.abort(m, a, fmt.Sprintf("%d of %d copies stood after %v", n, mv.Copies, s.Settings.StagingTimeout), now)
 	}
 	return nil
 }
 
-// giveUp ends a move that has not been fenced. The alias was never touched.
-func (s *State) giveUp(m *Model, a *Alias, why string, now time.Duration) []Effect {
+// abort ends a move that has not been fenced. The alias was never touched.
+func (s *State) abort(m *Model, a *Alias, why string, now time.Duration) []Effect {
 	mv := a.Migration
 	a.Migration = nil
 	out := []Effect{Aborted{mv.ID, why}}
-	if v := m.Versions[mv.To]; v.Phase == Staged && !s.named(m, mv.To) {
+	if v := m.Versions[mv.To]; v.Phase == Staged && !s.isReferenced(m, mv.To) {
 		v.Phase, v.Since = Proposed, now
 		clear(v.Copies)
 		out = append(out, Unstage{m.Name, mv.To})
@@ -63,8 +63,8 @@
 	return out
 }
 
-// named tells whether an alias names a version, or a move goes to it.
-func (s *State) named(m *Model, version string) bool {
+// isReferenced tells whether an alias names a version, or a move goes to it.
+func (s *State) isReferenced(m *Model, version string) bool {
 	for _, a := range m.Aliases {
 		if a.Version == version || a.Migration != nil && a.Migration.To == version && !a.Migration.Fenced {
 			return true
@@ -84,7 +84,7 @@
 	if old != "" && old != mv.To {
 		a.PreviousVersion = old
 	}
-	if v := m.Versions[old]; v != nil && !s.named(m, old) && v.Phase == Live {
+	if v := m.Versions[old]; v != nil && !s.isReferenced(m, old) && v.Phase == Live {
 		v.Phase, v.Since = Retired, now
 	}
 	if v := m.Versions[old]; v != nil {
@@ -97,8 +97,8 @@
 	return []Effect{Published{s.Epoch}}
 }
 
-// fences acknowledges the moves that no controller can act against any more.
-func (s *State) fences() (out []Effect) {
+// acknowledgeFences acknowledges the moves that no controller can act against any more.
+func (s *State) acknowledgeFences() (out []Effect) {
 	s.Fences = slices.DeleteFunc(s.Fences, func(f Fence) bool {
 		if f.Epoch > s.Confirmed {
 			return false
@@ -112,8 +112,8 @@
 	return out
 }
 
-// Due returns when time alone will change something: a move that takes too long, copies that need not be kept. 0: never.
-func (s *State) Due() (due time.Duration) {
+// NextDeadline returns when time alone will change something: a move that takes too long, copies that need not be kept. 0: never.
+func (s *State) NextDeadline() (due time.Duration) {
 	note := func(at time.Duration) {
 		if due == 0 || at < due {
 			due = at
@@ -134,19 +134,19 @@
 	return due
 }
 
-// watched moves an alias back where its new version fails clearly more often than the one before did. It acts once a
+// revertOnErrors moves an alias back where its new version fails clearly more often than the one before did. It acts once a
 // move, within Watch, on at least Least calls; it could hurt where the calls themselves changed with the move.
-func (s *State) watched(m *Model, a *Alias, now time.Duration) []Effect {
+func (s *State) revertOnErrors(m *Model, a *Alias, now time.Duration) []Effect {
 	v, before := m.Versions[a.Version], m.Versions[a.PreviousVersion]
 	if v == nil || before == nil || before.Phase != Retired || a.Migration != nil && !a.Migration.Fenced || now >= v.Since+s.Settings.ErrorWatch ||
 		v.Calls < s.Settings.MinCalls || before.Calls == 0 {
 		return nil
 	}
-	if part(v) <= part(before)+s.Settings.MaxErrorIncrease {
+	if errorRate(v) <= errorRate(before)+s.Settings.MaxErrorIncrease {
 		return nil
 	}
 	why := fmt.Sprintf("%s fails in %d of %d calls, %s failed in %d of %d", v.Name, v.Errors, v.Calls, before.Name, before.Errors, before.Calls)
-	s.note(now, "registry", fmt.Sprintf("move %s %s back to %s", m.Name, a.Name, before.Name), why)
+	s.appendHistory(now, "registry", fmt.Sprintf("move %s %s back to %s", m.Name, a.Name, before.Name), why)
 	s.LastMigration++
 	a.Migration = &Migration{ID: s.LastMigration, From: a.Version, To: a.PreviousVersion, By: "registry", Why: why, RequestedAt: now}
 	out := s.fence(m, a, now)
@@ -154,4 +154,4 @@
 	return out
 }
 
-func part(v *Version) float64 { return float64(v.Errors) / float64(max(1, v.Calls)) }
+func errorRate(v *Version) float64 { return float64(v.Errors) / float64(max(1, v.Calls)) }
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -219,7 +219,7 @@
 	if err != nil {
 		return nil, err
 	}
-	effects = append(effects, s.settle(s.Now)...)
+	effects = append(effects, s.advance(s.Now)...)
 	for _, e := range effects {
 		switch e := e.(type) {
 		case Acknowledged:
@@ -259,14 +259,14 @@
 	return "forgotten", ""
 }
 
-func (s *State) note(now time.Duration, by, what, why string) {
+func (s *State) appendHistory(now time.Duration, by, what, why string) {
 	s.History = append(s.History, HistoryEntry{now, by, what, why})
 	if over := len(s.History) - s.Settings.MaxRemembered; over > 0 {
 		s.History = slices.Delete(s.History, 0, over)
 	}
 }
 
-func name(kind, s string) error {
+func validateName(kind, s string) error {
 	if s == "" || len(s) > 128 {
 		return fmt.Errorf("%s: %d bytes, want 1 to 128", kind, len(s))
 	}
@@ -278,7 +278,7 @@
 	return nil
 }
 
-func digest(s string) error {
+func validateDigest(s string) error {
 	hexa, ok := strings.CutPrefix(s, "sha256:")
 	if b, err := hex.DecodeString(hexa); !ok || err != nil || len(b) != 32 || strings.ToLower(hexa) != hexa {
 		return fmt.Errorf("digest: %q is not sha256: and 64 small hexadecimal digits", s)
@@ -286,8 +286,8 @@
 	return nil
 }
 
-// sorted returns the values of a map in the order of their names.
-func sorted[V any](m map[string]V) []V {
+// sortedByName returns the values of a map in the order of their names.
+func sortedByName[V any](m map[string]V) []V {
 	l := make([]V, 0, len(m))
 	for _, k := range slices.Sorted(maps.Keys(m)) {
 		l = append(l, m[k])
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -26,10 +26,10 @@
 
 func push(v, d string) Push { return Push{Model: "m", Version: Version{Name: v, Digest: sha(d)}} }
 
-// A desk is a registry as its process keeps it: a State with its Leases.
-type desk struct {
-	s *State
-	l *Leases
+// A testRegistry is a registry as its process keeps it: a State with its Leases.
+type testRegistry struct {
+	state  *State
+	leases *Leases
 }
 
 // renew is what a controller says; it is no command.
@@ -40,24 +40,24 @@
 
 func (renew) apply(*State, time.Duration) ([]Effect, error) { return nil, nil }
 
-func newDesk(s Settings) (*desk, error) {
+func newTestRegistry(s Settings) (*testRegistry, error) {
 	st, err := New(s)
-	return &desk{st, NewLeases(s, 0, true)}, err
+	return &testRegistry{st, NewLeases(s, 0, true)}, err
 }
 
-// say applies a command and what follows from the leases.
-func (d *desk) say(now time.Duration, c Command) ([]Effect, error) {
+// apply applies a command and what follows from the leases.
+func (d *testRegistry) apply(now time.Duration, c Command) ([]Effect, error) {
 	if r, ok := c.(renew); ok {
-		if err := d.l.Renew(now, r.Controller, r.Epoch, d.s.Epoch, nil); err != nil {
+		if err := d.leases.Renew(now, r.Controller, r.Epoch, d.state.Epoch, nil); err != nil {
 			return nil, err
 		}
 	}
-	out, err := d.s.Apply(now, c)
+	out, err := d.state.Apply(now, c)
 	if err != nil {
 		return nil, err
 	}
-	if least := min(d.l.ConfirmedEpoch(now), d.s.Epoch); least > d.s.Confirmed {
-		more, err := d.s.Apply(now, EpochConfirmed{least})
+	if least := min(d.leases.ConfirmedEpoch(now), d.state.Epoch); least > d.state.Confirmed {
+		more, err := d.state.Apply(now, EpochConfirmed{least})
 		return append(out, more...), err
 	}
 	return out, nil
@@ -142,13 +142,13 @@
 	}
 	for name, steps := range tests {
 		t.Run(name, func(t *testing.T) {
-			d, err := newDesk(settings)
+			d, err := newTestRegistry(settings)
 			if err != nil {
 				t.Fatal(err)
 			}
-			s := d.s
+			s := d.state
 			for i, st := range steps {
-				effects, err := d.say(time.Duration(st.at)*sec, st.say)
+				effects, err := d.apply(time.Duration(st.at)*sec, st.say)
 				got := fmt.Sprint(effects)
 				if err != nil {
 					got = err.Error()
@@ -171,15 +171,15 @@
 	}
 }
 
-// A peer is a controller in the model of the test: its clock runs at a rate of its own from an offset of its own.
-type peer struct {
-	view   View
-	known  uint64 // epoch that it confirms
-	rate   float64
-	offset time.Duration
+// A controllerModel is a controller in the model of the test: its clock runs at a rate of its own from an offset of its own.
+type controllerModel struct {
+	view      View
+	confirmed uint64 // epoch that it confirms
+	rate      float64
+	offset    time.Duration
 }
 
-func (p *peer) now(t time.Duration) time.Duration {
+func (p *controllerModel) now(t time.Duration) time.Duration {
 	return p.offset + time.Duration(float64(t)*p.rate)
 }
 
@@ -189,19 +189,19 @@
 	rapid.Check(t, func(t *rapid.T) {
 		settings := settings
 		settings.MaxClockDrift = 0.3 // much, so that forgetting it shows
-		d, err := newDesk(settings)
+		d, err := newTestRegistry(settings)
 		if err != nil {
 			t.Fatal(err)
 		}
-		s := d.s
+		s := d.state
 		var now time.Duration
-		var peers []*peer
+		var peers []*controllerModel
 		for i := range 3 {
 			r := rapid.Float64Range(1-settings.MaxClockDrift, 1+settings.MaxClockDrift).Draw(t, "rate")
 			if rapid.IntRange(0, 2).Draw(t, "worst") == 0 {
 				r = 1 - settings.MaxClockDrift
 			}
-			peers = append(peers, &peer{rate: r, offset: time.Duration(i+1) * time.Hour})
+			peers = append(peers, &controllerModel{rate: r, offset: time.Duration(i+1) * time.Hour})
 		}
 		for i, v := range []string{"v1", "v2", "v3"} {
 			if _, err := s.Apply(now, push(v, fmt.Sprint(i+1))); err != nil {
@@ -212,7 +212,7 @@
 		left := map[Target]bool{}       // acknowledged as left
 		moving := map[uint64][]Target{} // left by a move that is not acknowledged
 		type ask struct {
-			p     *peer
+			p     *controllerModel
 			asked time.Duration // by its clock
 			epoch uint64
 			told  *ViewUpdate
@@ -220,7 +220,7 @@
 		var asks []ask
 		apply := func(c Command) {
 			before := s.Send(0).Targets[name]
-			effects, err := d.say(now, c)
+			effects, err := d.apply(now, c)
 			if err != nil {
 				return
 			}
@@ -246,7 +246,7 @@
 			p := peers[rapid.IntRange(0, 2).Draw(t, "peer")]
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0, 1, 2: // it asks: the question goes out
-				asks = append(asks, ask{p: p, asked: p.now(now), epoch: p.known})
+				asks = append(asks, ask{p: p, asked: p.now(now), epoch: p.confirmed})
 			case 3, 4, 5, 6: // a question reaches the registry, or its answer the controller, in any order
 				if len(asks) == 0 {
 					continue
@@ -263,7 +263,7 @@
 				} else {
 					a.p.view.Update(a.asked, *a.told)
 					if rapid.IntRange(0, 2).Draw(t, "settle") > 0 { // else calls go on under what was left, and it does not confirm
-						a.p.view, a.p.known = a.p.view.Settled(), a.p.view.Epoch()
+						a.p.view, a.p.confirmed = a.p.view.Settled(), a.p.view.Epoch()
 					}
 					asks = append(asks[:i], asks[i+1:]...)
 				}
@@ -271,7 +271,7 @@
 				if rapid.IntRange(0, 3).Draw(t, "jump") == 0 { // its machine slept, by a clock that counts it
 					p.offset += time.Duration(rapid.IntRange(0, 10_000).Draw(t, "slept")) * time.Millisecond
 				} else if rapid.Bool().Draw(t, "anew") {
-					p.view, p.known = View{}, 0
+					p.view, p.confirmed = View{}, 0
 					kept := asks[:0]
 					for _, a := range asks {
 						if a.p != p {
@@ -284,7 +284,7 @@
 				}
 			case 8:
 				if rapid.IntRange(0, 9).Draw(t, "restart") == 0 { // the registry's process: its leases are gone
-					d.l = NewLeases(settings, now, false)
+					d.leases = NewLeases(settings, now, false)
 				}
 				apply(Promote{Model: "m", Alias: "current", To: rapid.SampledFrom([]string{"v1", "v2", "v3"}).Draw(t, "to"), IfRevision: uint64(rapid.IntRange(0, 1).Draw(t, "off")) + s.revisionOf(name)})
 			default:
@@ -309,9 +309,9 @@
 }
 
 func BenchmarkResolve(b *testing.B) {
-	v := View{told: ViewUpdate{Targets: map[AliasName]Target{}}, until: time.Hour}
+	v := View{current: ViewUpdate{Targets: map[AliasName]Target{}}, leaseEnd: time.Hour}
 	for i := range 1000 {
-		v.told.Targets[AliasName{fmt.Sprint("model-", i), "current"}] = Target{Version: "v1", Revision: 1}
+		v.current.Targets[AliasName{fmt.Sprint("model-", i), "current"}] = Target{Version: "v1", Revision: 1}
 	}
 	n := AliasName{"model-500", "current"}
 	b.ReportAllocs()
--- a/internal/registry/service/codec.go
+++ b/internal/registry/service/codec.go
@@ -12,27 +12,27 @@
 
 // A record is one line of the log: a command with the time at which it was applied. One command is set.
 type record struct {
-	At       time.Duration            `json:"at"`
-	Key      string                   `json:"key,omitempty"`
-	Sum      string                   `json:"sum,omitempty"`
-	Push     *registry.Push           `json:"push,omitempty"`
-	Promote  *registry.Promote        `json:"promote,omitempty"`
-	Rollback *registry.Rollback       `json:"rollback,omitempty"`
-	Condemn  *registry.Condemn        `json:"condemn,omitempty"`
-	Policy   *registry.Policy         `json:"policy,omitempty"`
-	Collect  *registry.Collect        `json:"collect,omitempty"`
-	Stands   *registry.CopiesReady    `json:"stands,omitempty"`
-	Ended    *registry.CallsEnded     `json:"ended,omitempty"`
-	Reached  *registry.EpochConfirmed `json:"reached,omitempty"`
-	Tick     *registry.Tick           `json:"tick,omitempty"`
+	At             time.Duration            `json:"at"`
+	Key            string                   `json:"key,omitempty"`
+	Sum            string                   `json:"sum,omitempty"`
+	Push           *registry.Push           `json:"push,omitempty"`
+	Promote        *registry.Promote        `json:"promote,omitempty"`
+	Rollback       *registry.Rollback       `json:"rollback,omitempty"`
+	Condemn        *registry.Condemn        `json:"condemn,omitempty"`
+	Policy         *registry.Policy         `json:"policy,omitempty"`
+	Collect        *registry.Collect        `json:"collect,omitempty"`
+	CopiesReady    *registry.CopiesReady    `json:"stands,omitempty"`
+	CallsEnded     *registry.CallsEnded     `json:"ended,omitempty"`
+	EpochConfirmed *registry.EpochConfirmed `json:"reached,omitempty"`
+	Tick           *registry.Tick           `json:"tick,omitempty"`
 }
 
 // command returns the one command of a record.
 func (r *record) command() (registry.Command, error) {
 	var l []registry.Command
-	l = given(given(given(given(l, r.Push), r.Promote), r.Rollback), r.Condemn)
-	l = given(given(given(given(l, r.Policy), r.Collect), r.Stands), r.Ended)
-	l = given(given(l, r.Reached), r.Tick)
+	l = appendIfSet(appendIfSet(appendIfSet(appendIfSet(l, r.Push), r.Promote), r.Rollback), r.Condemn)
+	l = appendIfSet(appendIfSet(appendIfSet(appendIfSet(l, r.Policy), r.Collect), r.CopiesReady), r.CallsEnded)
+	l = appendIfSet(appendIfSet(l, r.EpochConfirmed), r.Tick)
 	if len(l) != 1 {
 		return nil, fmt.Errorf("command: %d are set, want one of push, promote, rollback, condemn, policy, collect", len(l))
 	}
@@ -43,8 +43,8 @@
 	return c, nil
 }
 
-// given appends a command that is set.
-func given[C registry.Command](l []registry.Command, c *C) []registry.Command {
+// appendIfSet appends a command that is set.
+func appendIfSet[C registry.Command](l []registry.Command, c *C) []registry.Command {
 	if c != nil {
 		l = append(l, *c)
 	}
@@ -69,19 +69,19 @@
 	case registry.Collect:
 		r.Collect = &c
 	case registry.CopiesReady:
-		r.Stands = &c
+		r.CopiesReady = &c
 	case registry.CallsEnded:
-		r.Ended = &c
+		r.CallsEnded = &c
 	case registry.EpochConfirmed:
-		r.Reached = &c
+		r.EpochConfirmed = &c
 	case registry.Tick:
 		r.Tick = &c
 	}
 }
 
-// strict reads one JSON value and nothing else; a field that is not known is an error, as a misspelt condition would
+// unmarshalStrict reads one JSON value and nothing else; a field that is not known is an error, as a misspelt condition would
 // otherwise be no condition.
-func strict(text []byte, v any) error {
+func unmarshalStrict(text []byte, v any) error {
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
 	if err := d.Decode(v); err != nil {
--- a/internal/registry/service/golden_test.go
+++ b/internal/registry/service/golden_test.go
@@ -310,7 +310,7 @@
 	kinds := map[string]int{}
 	for _, text := range records {
 		var r record
-		if err := strict(text, &r); err != nil {
+		if err := unmarshalStrict(text, &r); err != nil {
 			t.Fatalf("%s: %v", text, err)
 		}
 		c, err := r.command()
--- a/internal/registry/service/http.go
+++ b/internal/registry/service/http.go
@@ -28,14 +28,14 @@
 
 // A Front takes signed messages over HTTP/1.1. It is safe for concurrent use.
 type Front struct {
-	s       *Service
+	service *Service
 	callers []Caller
-	past    time.Duration // how old, or far ahead, a timestamp may be
+	maxSkew time.Duration // how old, or far ahead, a timestamp may be
 }
 
 // NewFront returns the front of a service.
 func NewFront(s *Service, callers []Caller, past time.Duration) *Front {
-	return &Front{s: s, callers: callers, past: past}
+	return &Front{service: s, callers: callers, maxSkew: past}
 }
 
 func problem(status int, kind, detail string) *http1.Response {
@@ -73,7 +73,7 @@
 	if who == nil || !ok || m.ID == "" || len(m.ID) > 128 || strings.ContainsRune(m.ID, '.') || strings.HasPrefix(m.ID, signing.AnswerPrefix) {
 		return problem(401, "forged", "no signature is valid")
 	}
-	if d := f.s.cfg.Clock.Wall().Sub(stamp); d > f.past || d < -f.past {
+	if d := f.service.cfg.Clock.Wall().Sub(stamp); d > f.maxSkew || d < -f.maxSkew {
 		return problem(401, "forged", fmt.Sprintf("webhook-timestamp is %v off", d.Round(time.Second)))
 	}
 	resp := f.route(c, r, who, m.ID)
@@ -81,7 +81,7 @@
 		return nil
 	}
 	// An answer is bound to its question by the id.
-	a := signing.Message{ID: signing.AnswerID(strconv.Itoa(resp.Status), m.ID), Stamp: strconv.FormatInt(f.s.cfg.Clock.Wall().Unix(), 10), Body: resp.Body}
+	a := signing.Message{ID: signing.AnswerID(strconv.Itoa(resp.Status), m.ID), Stamp: strconv.FormatInt(f.service.cfg.Clock.Wall().Unix(), 10), Body: resp.Body}
 	if s, err := key.Sign(a); err == nil {
 		resp.Header.Add("webhook-id", a.ID)
 		resp.Header.Add("webhook-timestamp", a.Stamp)
@@ -111,7 +111,7 @@
 // command takes a signed command. The message's id is its key.
 func (f *Front) command(r *http1.Request, who *Caller, id string) *http1.Response {
 	var q wire.Command
-	if err := strict(r.Body, &q); err != nil {
+	if err := unmarshalStrict(r.Body, &q); err != nil {
 		return problem(400, "bad", err.Error())
 	}
 	sum := sha256.Sum256(r.Body)
@@ -147,7 +147,7 @@
 	case q.Collect != nil:
 		q.Collect.By = who.Name
 		known := false
-		f.s.Do(func(now time.Duration, _ *registry.State, l *registry.Leases) { q.Collect.Except, known = l.Uses(now) })
+		f.service.Do(func(now time.Duration, _ *registry.State, l *registry.Leases) { q.Collect.Except, known = l.Uses(now) })
 		if !known {
 			return problem(503, "early", "not every controller can have told yet what its calls still name: ask again after a lease")
 		}
@@ -159,7 +159,7 @@
 	if err != nil {
 		return problem(400, "bad", err.Error())
 	}
-	effects, err := f.s.Commit(c)
+	effects, err := f.service.Commit(c)
 	var refused *Refused
 	switch {
 	case errors.Is(err, registry.ErrRevisionChanged):
@@ -186,7 +186,7 @@
 	}
 	status := 200
 	if a.Migration > 0 {
-		a.Status, a.Why = f.s.Await(a.Migration, min(time.Duration(q.WaitMS)*time.Millisecond, mostWait))
+		a.Status, a.Why = f.service.Await(a.Migration, min(time.Duration(q.WaitMS)*time.Millisecond, maxWait))
 		if a.Status == "staging" || a.Status == "fenced" {
 			status = 202
 		}
@@ -194,18 +194,18 @@
 	return answer(status, a)
 }
 
-// mostWait is how long a command may wait for its move.
-const mostWait = 30 * time.Second
+// maxWait is how long a command may wait for its move.
+const maxWait = 30 * time.Second
 
 func (f *Front) query(r *http1.Request) *http1.Response {
 	var q wire.Query
-	if err := strict(r.Body, &q); err != nil {
+	if err := unmarshalStrict(r.Body, &q); err != nil {
 		return problem(400, "bad", err.Error())
 	}
 	a := wire.Answer{}
 	switch q.What {
 	case "list":
-		f.s.Do(func(now time.Duration, st *registry.State, l *registry.Leases) {
+		f.service.Do(func(now time.Duration, st *registry.State, l *registry.Leases) {
 			a.Epoch, a.Confirmed, a.Holders = st.Epoch, st.Confirmed, l.Holders(now)
 			for _, m := range st.Models {
 				if q.Model != "" && q.Model != m.Name {
@@ -217,8 +217,8 @@
 		})
 		slices.SortFunc(a.Models, func(x, y json.RawMessage) int { return strings.Compare(string(x), string(y)) })
 	case "history":
-		f.s.Do(func(now time.Duration, st *registry.State, _ *registry.Leases) {
-			wall := f.s.cfg.Clock.Wall()
+		f.service.Do(func(now time.Duration, st *registry.State, _ *registry.Leases) {
+			wall := f.service.cfg.Clock.Wall()
 			for _, h := range st.History {
 				if q.Model == "" || slices.Contains(strings.Fields(h.What), q.Model) {
 					a.History = append(a.History, wire.HistoryEntry{At: wall.Add(h.At - now), By: h.By, What: h.What, Why: h.Why})
@@ -227,24 +227,24 @@
 		})
 	case "move":
 		a.Migration = q.Migration
-		a.Status, a.Why = f.s.Await(q.Migration, min(time.Duration(q.WaitMS)*time.Millisecond, mostWait))
+		a.Status, a.Why = f.service.Await(q.Migration, min(time.Duration(q.WaitMS)*time.Millisecond, maxWait))
 	case "watch":
-		end := time.Now().Add(min(time.Duration(q.WaitMS)*time.Millisecond, mostWait))
+		end := time.Now().Add(min(time.Duration(q.WaitMS)*time.Millisecond, maxWait))
 		for {
 			var changed chan struct{}
-			f.s.Do(func(_ time.Duration, st *registry.State, _ *registry.Leases) {
-				a.Epoch, changed = st.Epoch, f.s.changed
+			f.service.Do(func(_ time.Duration, st *registry.State, _ *registry.Leases) {
+				a.Epoch, changed = st.Epoch, f.service.changed
 				if st.Epoch > q.Since {
-					a.Targets = targets(st.Send(q.Since))
+					a.Targets = aliasesOf(st.Send(q.Since))
 				}
 			})
-			if a.Epoch > q.Since || !sleep(f.s, changed, time.Until(end)) {
+			if a.Epoch > q.Since || !waitForChange(f.service, changed, time.Until(end)) {
 				break
 			}
 		}
 	case "export":
 		var err error
-		f.s.Do(func(_ time.Duration, st *registry.State, _ *registry.Leases) { a.State, err = json.Marshal(st) })
+		f.service.Do(func(_ time.Duration, st *registry.State, _ *registry.Leases) { a.State, err = json.Marshal(st) })
 		if err != nil {
 			return problem(500, "fault", err.Error())
 		}
@@ -254,8 +254,8 @@
 	return answer(200, a)
 }
 
-// sleep waits for a change; false when the time is up or the service ends.
-func sleep(s *Service, changed chan struct{}, d time.Duration) bool {
+// waitForChange waits for a change; false when the time is up or the service ends.
+func waitForChange(s *Service, changed chan struct{}, d time.Duration) bool {
 	if d <= 0 {
 		return false
 	}
@@ -265,12 +265,12 @@
 	case <-changed:
 		return true
 	case <-t.C:
-	case <-s.stop:
+	case <-s.closed:
 	}
 	return false
 }
 
-func targets(t registry.ViewUpdate) (l []wire.Alias) {
+func aliasesOf(t registry.ViewUpdate) (l []wire.Alias) {
 	for n, x := range t.Targets {
 		l = append(l, wire.Alias{Type: wire.TypeAlias, Model: n.Model, Alias: n.Alias, Version: x.Version, Digest: x.Digest, Revision: x.Revision})
 	}
@@ -298,7 +298,7 @@
 			return problem(400, "bad", fmt.Sprintf("version_info: %q is no epoch", q.VersionInfo))
 		}
 	}
-	s := f.s
+	s := f.service
 	s.mu.Lock()
 	now := s.now()
 	// A controller that refuses what it was told gives up its lease in time: it must not hold moves up for ever.
@@ -307,14 +307,14 @@
 			s.mu.Unlock()
 			return problem(409, "lease", err.Error())
 		}
-		delete(s.nacks, who.Name)
-	} else if s.nacks[who.Name] != q.ErrorDetail.Message {
-		s.nacks[who.Name] = q.ErrorDetail.Message
+		delete(s.lastNack, who.Name)
+	} else if s.lastNack[who.Name] != q.ErrorDetail.Message {
+		s.lastNack[who.Name] = q.ErrorDetail.Message
 		s.cfg.Log.Warn().Str("from", who.Name).Str("why", q.ErrorDetail.Message).Msg("refused by a controller: its lease is not renewed")
 	}
 	s.mu.Unlock()
 	s.wake()
-	f.heard(q)
+	f.commitReports(q)
 	end := time.Now().Add(s.cfg.Hold)
 	for {
 		s.mu.Lock()
@@ -324,27 +324,27 @@
 		}
 		told := s.state.Send(since)
 		a := wire.Response{VersionInfo: strconv.FormatUint(told.Epoch, 10), TypeURL: wire.TypeAlias, Since: told.Since,
-			LeaseMS: float64(told.Lease) / float64(time.Millisecond), SettleMS: float64(told.Settle) / float64(time.Millisecond), Condemned: told.Condemned, Stage: f.stage(who.Name)}
+			LeaseMS: float64(told.Lease) / float64(time.Millisecond), SettleMS: float64(told.Settle) / float64(time.Millisecond), Condemned: told.Condemned, Stage: f.stagedFor(who.Name)}
 		for m := range told.Stale {
 			a.Stale = append(a.Stale, m)
 		}
 		changed := s.changed
 		s.mu.Unlock()
 		slices.Sort(a.Stale)
-		if q.ResponseNonce == "" || told.Epoch != epoch || !slices.Equal(a.Stage, q.Staging) || !sleep(s, changed, time.Until(end)) {
+		if q.ResponseNonce == "" || told.Epoch != epoch || !slices.Equal(a.Stage, q.Staging) || !waitForChange(s, changed, time.Until(end)) {
 			a.Nonce = a.VersionInfo + "-" + strconv.FormatInt(int64(now), 36)
-			a.Resources = targets(told)
+			a.Resources = aliasesOf(told)
 			return answer(200, a)
 		}
 	}
 }
 
-// stage returns the versions of which a controller is to have copies loaded. The service's mu is held.
-func (f *Front) stage(controller string) (l []wire.Stage) {
-	st, now := f.s.state, f.s.now()
+// stagedFor returns the versions of which a controller is to have copies loaded. The service's mu is held.
+func (f *Front) stagedFor(controller string) (l []wire.Stage) {
+	st, now := f.service.state, f.service.now()
 	for _, m := range st.Models {
 		for _, a := range m.Aliases {
-			if mv := a.Migration; mv != nil && !mv.Fenced && f.s.leases.Stager(now, registry.VersionRef{Model: m.Name, Version: mv.To}) == controller {
+			if mv := a.Migration; mv != nil && !mv.Fenced && f.service.leases.Stager(now, registry.VersionRef{Model: m.Name, Version: mv.To}) == controller {
 				v := m.Versions[mv.To]
 				l = append(l, wire.Stage{Model: m.Name, Version: v.Name, Digest: v.Digest, Copies: mv.Copies, Alias: a.Name})
 			}
@@ -354,29 +354,29 @@
 	return slices.Compact(l)
 }
 
-// heard commits what a controller tells of copies that stand and calls that ended, where it is news to a move.
-func (f *Front) heard(q wire.Request) {
+// commitReports commits what a controller tells of copies that stand and calls that ended, where it is news to a move.
+func (f *Front) commitReports(q wire.Request) {
 	for _, x := range q.CopiesReady {
 		news := false
-		f.s.Do(func(_ time.Duration, st *registry.State, _ *registry.Leases) {
+		f.service.Do(func(_ time.Duration, st *registry.State, _ *registry.Leases) {
 			if m := st.Models[x.Model]; m != nil && m.Versions[x.Version] != nil {
 				news = m.Versions[x.Version].Copies[x.Worker] != x.Copies && m.Versions[x.Version].Phase != registry.Condemned
 			}
 		})
 		if news {
-			f.s.Commit(registry.CopiesReady{Model: x.Model, Version: x.Version, Worker: x.Worker, Copies: x.Copies})
+			f.service.Commit(registry.CopiesReady{Model: x.Model, Version: x.Version, Worker: x.Worker, Copies: x.Copies})
 		}
 	}
 	for _, x := range q.CallsEnded {
 		watched := false
-		f.s.Do(func(now time.Duration, st *registry.State, _ *registry.Leases) {
+		f.service.Do(func(now time.Duration, st *registry.State, _ *registry.Leases) {
 			if m := st.Models[x.Model]; m != nil && m.Versions[x.Version] != nil {
 				v := m.Versions[x.Version]
 				watched = v.Phase == registry.Live && (now < v.Since+st.Settings.ErrorWatch || v.Calls < st.Settings.MinCalls)
 			}
 		})
 		if watched {
-			f.s.Commit(registry.CallsEnded{Model: x.Model, Version: x.Version, Calls: x.Calls, Errors: x.Errors})
+			f.service.Commit(registry.CallsEnded{Model: x.Model, Version: x.Version, Calls: x.Calls, Errors: x.Errors})
 		}
 	}
 }
--- a/internal/registry/service/service.go
+++ b/internal/registry/service/service.go
@@ -35,25 +35,25 @@
 
 // A Service is a registry that runs. It is safe for concurrent use.
 type Service struct {
-	cfg  Config
-	log  *store.Log
-	base time.Duration // of the registry's time over the clock: it goes on where the last process left it
+	cfg         Config
+	log         *store.Log
+	clockOffset time.Duration // of the registry's time over the clock: it goes on where the last process left it
 
-	mu      sync.Mutex
-	state   *registry.State
-	leases  *registry.Leases
-	applied uint64
-	turn    *sync.Cond    // applied has grown
-	changed chan struct{} // closed when anything is to be told
-	since   int           // records since the last snapshot
-	writing bool          // a snapshot is being written
-	broken  error
-	nacks   map[string]string // last complaint of a controller
+	mu            sync.Mutex
+	state         *registry.State
+	leases        *registry.Leases
+	applied       uint64
+	appliedCond   *sync.Cond    // applied has grown
+	changed       chan struct{} // closed when anything is to be told
+	sinceSnapshot int           // records since the last snapshot
+	snapshotting  bool          // a snapshot is being written
+	broken        error
+	lastNack      map[string]string // last complaint of a controller
 
-	poke    chan struct{}
-	stop    chan struct{}
-	wg      sync.WaitGroup
-	closing sync.Once
+	deadlineChanged chan struct{}
+	closed          chan struct{}
+	deadlineDone    sync.WaitGroup
+	closeOnce       sync.Once
 }
 
 // Open recovers a registry and begins to run it.
@@ -65,8 +65,8 @@
 	if cfg.Every < 1 || cfg.Hold <= 0 || 3*cfg.Hold > cfg.Settings.LeaseDuration {
 		return nil, nil, fmt.Errorf("service: Every %d is under 1, or Hold %v is not under a third of the lease of %v", cfg.Every, cfg.Hold, cfg.Settings.LeaseDuration)
 	}
-	s := &Service{cfg: cfg, state: st, changed: make(chan struct{}), poke: make(chan struct{}, 1), stop: make(chan struct{}), nacks: map[string]string{}}
-	s.turn = sync.NewCond(&s.mu)
+	s := &Service{cfg: cfg, state: st, changed: make(chan struct{}), deadlineChanged: make(chan struct{}, 1), closed: make(chan struct{}), lastNack: map[string]string{}}
+	s.appliedCond = sync.NewCond(&s.mu)
 	log, rec, err := store.Open(cfg.FS, store.Options{}, func(_ uint64, text []byte) error {
 		if err := json.Unmarshal(text, st); err != nil {
 			return err
@@ -75,7 +75,7 @@
 		return nil
 	}, func(seq uint64, text []byte) error {
 		var r record
-		if err := strict(text, &r); err != nil {
+		if err := unmarshalStrict(text, &r); err != nil {
 			return fmt.Errorf("record %d: %w", seq, err)
 		}
 		c, err := r.command()
@@ -88,35 +88,35 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	s.log, s.applied, s.base = log, rec.Last, st.Now-cfg.Clock.Now()
+	s.log, s.applied, s.clockOffset = log, rec.Last, st.Now-cfg.Clock.Now()
 	s.leases = registry.NewLeases(cfg.Settings, s.now(), rec.Last == 0)
-	s.wg.Add(1)
-	go s.keep()
+	s.deadlineDone.Add(1)
+	go s.deadlineLoop()
 	return s, rec, nil
 }
 
 // Close ends the service. Questions that wait are answered. Closed again it does nothing.
 func (s *Service) Close() (err error) {
-	s.closing.Do(func() {
-		close(s.stop)
-		s.wg.Wait()
+	s.closeOnce.Do(func() {
+		close(s.closed)
+		s.deadlineDone.Wait()
 		err = s.log.Close() // a snapshot that is being written ends first, and none begins afterwards
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if s.broken == nil {
 			s.broken = store.ErrClosed
 		}
-		s.tell()
-		s.turn.Broadcast()
+		s.notifyWatchers()
+		s.appliedCond.Broadcast()
 	})
 	return err
 }
 
 // now is the registry's time: it never goes back over restarts, and runs as the clock does.
-func (s *Service) now() time.Duration { return s.cfg.Clock.Now() + s.base }
+func (s *Service) now() time.Duration { return s.cfg.Clock.Now() + s.clockOffset }
 
-// tell wakes all that wait for news. mu is held.
-func (s *Service) tell() {
+// notifyWatchers wakes all that wait for news. mu is held.
+func (s *Service) notifyWatchers() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -150,29 +150,29 @@
 		if errors.Is(err, store.ErrBroken) && s.broken == nil {
 			s.broken = err
 			s.cfg.Log.Error().Err(err).Msg("no move is taken any more: start the registry anew")
-			s.turn.Broadcast()
+			s.appliedCond.Broadcast()
 		}
 		return nil, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for s.applied+1 != seq {
-		s.turn.Wait() // for those before it in the log: their Appends have returned, or are about to
+		s.appliedCond.Wait() // for those before it in the log: their Appends have returned, or are about to
 	}
 	effects, err := s.state.Apply(r.At, c)
 	s.applied = seq
-	s.turn.Broadcast()
-	if s.since++; s.since >= s.cfg.Every && !s.writing {
-		s.snapshot()
+	s.appliedCond.Broadcast()
+	if s.sinceSnapshot++; s.sinceSnapshot >= s.cfg.Every && !s.snapshotting {
+		s.startSnapshot()
 	}
 	if err != nil {
 		return nil, &Refused{err}
 	}
 	for _, e := range effects {
-		s.note(e)
+		s.logEffect(e)
 	}
 	if len(effects) > 0 {
-		s.tell()
+		s.notifyWatchers()
 	}
 	s.wake()
 	return effects, nil
@@ -184,7 +184,7 @@
 func (r *Refused) Error() string { return r.Err.Error() }
 func (r *Refused) Unwrap() error { return r.Err }
 
-func (s *Service) note(e registry.Effect) {
+func (s *Service) logEffect(e registry.Effect) {
 	switch e := e.(type) {
 	case registry.Acknowledged:
 		s.cfg.Log.Info().Uint64("move", e.Migration).Msg("acknowledged")
@@ -197,51 +197,51 @@
 	}
 }
 
-// snapshot writes the state as it stands, beside what goes on. At most one is being written: with a slow disk the log
+// startSnapshot writes the state as it stands, beside what goes on. At most one is being written: with a slow disk the log
 // grows, not the copies of the state in memory. mu is held.
-func (s *Service) snapshot() {
-	s.since = 0
+func (s *Service) startSnapshot() {
+	s.sinceSnapshot = 0
 	text, err := json.Marshal(s.state)
 	if err != nil {
 		s.cfg.Log.Error().Err(err).Msg("snapshot")
 		return
 	}
 	seq := s.applied
-	s.writing = true
+	s.snapshotting = true
 	go func() {
 		if err := s.log.Snapshot(seq, text); err != nil && !errors.Is(err, store.ErrClosed) {
 			s.cfg.Log.Warn().Err(err).Msg("no snapshot: the log grows")
 		}
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.writing = false
+		s.snapshotting = false
 	}()
 }
 
 func (s *Service) wake() {
 	select {
-	case s.poke <- struct{}{}:
+	case s.deadlineChanged <- struct{}{}:
 	default:
 	}
 }
 
-// keep commits what time alone brings about: moves that no controller can act against any more, and those that took too
+// deadlineLoop commits what time alone brings about: moves that no controller can act against any more, and those that took too
 // long. What it cannot commit it tries again a little later.
-func (s *Service) keep() {
-	defer s.wg.Done()
+func (s *Service) deadlineLoop() {
+	defer s.deadlineDone.Done()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		select {
-		case <-s.stop:
+		case <-s.closed:
 			return
-		case <-s.poke:
+		case <-s.deadlineChanged:
 		case <-timer.C:
 		}
 		now := s.now()
 		s.mu.Lock()
 		least := min(s.leases.ConfirmedEpoch(now), s.state.Epoch)
-		confirmed, due, next := s.state.Confirmed, s.state.Due(), s.leases.NextExpiry(now)
+		confirmed, due, next := s.state.Confirmed, s.state.NextDeadline(), s.leases.NextExpiry(now)
 		s.mu.Unlock()
 		var err error
 		if least > confirmed {
@@ -287,7 +287,7 @@
 		case <-changed:
 		case <-timer.C:
 			return status, why
-		case <-s.stop:
+		case <-s.closed:
 			return status, why
 		}
 	}
--- a/internal/registry/view.go
+++ b/internal/registry/view.go
@@ -61,22 +61,22 @@
 
 // A View is what one controller knows of the registry. The zero value knows nothing.
 type View struct {
-	told  ViewUpdate
-	until time.Duration // by the controller's own clock
-	// leaving are targets that were left by moves which this controller has not confirmed: no such move is acknowledged
+	current  ViewUpdate
+	leaseEnd time.Duration // by the controller's own clock
+	// superseded are targets that were left by moves which this controller has not confirmed: no such move is acknowledged
 	// yet, so calls that run under them may still be answered, but no new ones begin. It is never changed in place.
-	leaving map[AliasName][]Target
+	superseded map[AliasName][]Target
 }
 
 // Update takes in what the registry told and tells whether it fits. asked is when the controller asked, by its own clock:
 // the lease counts from there, as the registry counts it from when it heard, which is later. An older epoch than the one
 // held is passed over; so are changes since a newer one: all is to be asked for then.
 func (v *View) Update(asked time.Duration, t ViewUpdate) bool {
-	if t.Epoch < v.told.Epoch || t.Since > v.told.Epoch {
+	if t.Epoch < v.current.Epoch || t.Since > v.current.Epoch {
 		return false
 	}
 	if t.Since > 0 {
-		all := v.told.Targets
+		all := v.current.Targets
 		if len(t.Targets) > 0 { // changes since an older epoch hold those since the one held
 			all = maps.Clone(all)
 			maps.Copy(all, t.Targets)
@@ -84,11 +84,11 @@
 		t.Targets = all
 	}
 	leaving := map[AliasName][]Target{}
-	for n, l := range v.leaving {
+	for n, l := range v.superseded {
 		leaving[n] = slices.Clone(l)
 	}
-	if t.Epoch > v.told.Epoch {
-		for n, old := range v.told.Targets {
+	if t.Epoch > v.current.Epoch {
+		for n, old := range v.current.Targets {
 			if held := t.Targets[n]; held != old && old.Version != "" {
 				leaving[n] = append(leaving[n], old)
 			}
@@ -100,15 +100,15 @@
 			delete(leaving, n)
 		}
 	}
-	v.leaving = leaving
+	v.superseded = leaving
 	t.Since = 0
-	v.until = max(v.until, asked+t.Lease)
-	v.told = t
+	v.leaseEnd = max(v.leaseEnd, asked+t.Lease)
+	v.current = t
 	return true
 }
 
 // Epoch is what to confirm with the next Renew.
-func (v *View) Epoch() uint64 { return v.told.Epoch }
+func (v *View) Epoch() uint64 { return v.current.Epoch }
 
 // Verdict says whether something may be done under an alias.
 type Verdict int
@@ -122,23 +122,23 @@
 )
 
 // BeingSuperseded returns the targets that may still be answered and no longer begun.
-func (v *View) BeingSuperseded() map[AliasName][]Target { return v.leaving }
+func (v *View) BeingSuperseded() map[AliasName][]Target { return v.superseded }
 
 // Settled returns the view in which nothing is leaving any more. A controller that acts by it may confirm its epoch.
 func (v *View) Settled() View {
 	s := *v
-	s.leaving = nil
+	s.superseded = nil
 	return s
 }
 
 // SettleWithin returns how long the registry lets calls go on under targets that were left.
-func (v *View) SettleWithin() time.Duration { return v.told.Settle }
+func (v *View) SettleWithin() time.Duration { return v.current.Settle }
 
 // Resolve returns what an alias names now. A call keeps its target to the end.
 func (v *View) Resolve(now time.Duration, n AliasName) (Target, Verdict) {
-	t, ok := v.told.Targets[n]
+	t, ok := v.current.Targets[n]
 	switch {
-	case now >= v.until && !v.told.Stale[n.Model]:
+	case now >= v.leaseEnd && !v.current.Stale[n.Model]:
 		return Target{}, NoLease
 	case !ok || t.Version == "":
 		return Target{}, Unknown
@@ -146,21 +146,21 @@
 	return t, Allowed
 }
 
-// LeaseEnds returns when the lease ends, by the controller's own clock.
-func (v *View) LeaseEnds() time.Duration { return v.until }
+// LeaseEnd returns when the lease ends, by the controller's own clock.
+func (v *View) LeaseEnd() time.Duration { return v.leaseEnd }
 
 // Stale tells whether a model's answers are better than none while there is no lease.
-func (v *View) Stale(model string) bool { return v.told.Stale[model] }
+func (v *View) Stale(model string) bool { return v.current.Stale[model] }
 
 // MayAnswer tells whether an answer of a target may be handed out at this very moment. An answer known to be left is
 // never handed out, also where stale is fine.
 func (v *View) MayAnswer(now time.Duration, n AliasName, t Target) Verdict {
-	switch held, ok := v.told.Targets[n]; {
-	case (!ok || held != t) && now < v.until && slices.Contains(v.leaving[n], t):
+	switch held, ok := v.current.Targets[n]; {
+	case (!ok || held != t) && now < v.leaseEnd && slices.Contains(v.superseded[n], t):
 		return BeingSuperseded // also where stale is fine: once the lease is over, the move may be acknowledged
 	case !ok || held != t:
 		return Superseded
-	case now >= v.until && !v.told.Stale[n.Model]:
+	case now >= v.leaseEnd && !v.current.Stale[n.Model]:
 		return NoLease
 	}
 	return Allowed
