--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -67,16 +67,16 @@
 }
 
 const (
-	fileHead   = 16 // magic, then the sequence number before the first record
-	recordHead = 24 // length, checksum, sequence number, highest durable sequence number when it was written
+	fileHeaderSize   = 16 // magic, then the sequence number before the first record
+	recordHeaderSize = 24 // length, checksum, sequence number, highest durable sequence number when it was written
 )
 
 var logMagic, snapMagic = [8]byte{'k', 'i', 't', 'e', 'l', 'o', 'g', 1}, [8]byte{'k', 'i', 't', 'e', 's', 'n', 'p', 1}
-var table = crc32.MakeTable(crc32.Castagnoli)
+var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 func logName(before uint64) string { return fmt.Sprintf("%020d.log", before) }
 func snapName(seq uint64) string   { return fmt.Sprintf("%020d.snap", seq) }
-func number(name, suffix string) (n uint64, ok bool) {
+func parseSeq(name, suffix string) (n uint64, ok bool) {
 	text, ok := strings.CutSuffix(name, suffix)
 	if !ok || len(text) != 20 {
 		return 0, false
@@ -87,26 +87,26 @@
 
 // A Log is open for appending. It is safe for concurrent use.
 type Log struct {
-	fs  FS
-	opt Options
+	folder  FS
+	options Options
 
-	queue chan *pending
-	quit  chan struct{}
-	wg    sync.WaitGroup
-	once  sync.Once
+	queue     chan *pending
+	quit      chan struct{}
+	committer sync.WaitGroup
+	closeOnce sync.Once
 
 	// Held while a snapshot is written, ahead of mu: snapshots share the name of the file that they are written to.
-	snapshotMu sync.Mutex
-	snapshot   uint64 // sequence number of the newest snapshot
-
-	mu      sync.Mutex // held while files change
-	file    File
-	name    string
-	size    int64
-	seq     uint64 // of the last record written
-	durable uint64
-	broken  error
-	closed  bool
+	snapshotMu  sync.Mutex
+	snapshotSeq uint64 // sequence number of the newest snapshot
+
+	mu         sync.Mutex // held while files change
+	file       File
+	fileName   string
+	fileSize   int64
+	writtenSeq uint64 // of the last record written
+	durableSeq uint64
+	broken     error
+	closed     bool
 	// Groups and Records count what was committed since Open.
 	groups, records uint64
 }
@@ -137,12 +137,12 @@
 	if opt.Waiting == 0 {
 		opt.Waiting = 1024
 	}
-	l := &Log{fs: fs, opt: opt, queue: make(chan *pending, opt.Waiting), quit: make(chan struct{})}
+	l := &Log{folder: fs, options: opt, queue: make(chan *pending, opt.Waiting), quit: make(chan struct{})}
 	rec, err := l.recover(restore, apply)
 	if err != nil {
 		return nil, nil, err
 	}
-	l.wg.Add(1)
+	l.committer.Add(1)
 	go l.commit()
 	return l, rec, nil
 }
@@ -155,20 +155,20 @@
 	b = binary.BigEndian.AppendUint64(b, seq)
 	b = binary.BigEndian.AppendUint64(b, durable)
 	b = append(b, payload...)
-	binary.BigEndian.PutUint32(b[at+4:], sum(b[at:]))
+	binary.BigEndian.PutUint32(b[at+4:], checksum(b[at:]))
 	return b
 }
 
-// sum is the checksum of a record: of its length, and of all behind the checksum.
-func sum(record []byte) uint32 {
-	return crc32.Update(crc32.Checksum(record[:4], table), table, record[8:])
+// checksum is the checksum of a record: of its length, and of all behind the checksum.
+func checksum(record []byte) uint32 {
+	return crc32.Update(crc32.Checksum(record[:4], castagnoli), castagnoli, record[8:])
 }
 
 // Append commits a record and returns its sequence number once it is durable. On ErrBroken, or when ctx ends while the
 // record is being written, it may or may not be found by the next Open; on any other error it will not be.
 func (l *Log) Append(ctx context.Context, payload []byte) (uint64, error) {
-	if len(payload) > l.opt.MaxRecord {
-		return 0, fmt.Errorf("store: record of %d bytes, at most %d", len(payload), l.opt.MaxRecord)
+	if len(payload) > l.options.MaxRecord {
+		return 0, fmt.Errorf("store: record of %d bytes, at most %d", len(payload), l.options.MaxRecord)
 	}
 	p := &pending{payload: payload, done: make(chan error, 1)}
 	select {
@@ -193,19 +193,19 @@
 
 // commit writes what waits, a group at a time: one write and one sync for all that came while the last one ran.
 func (l *Log) commit() {
-	defer l.wg.Done()
+	defer l.committer.Done()
 	for {
 		var group []*pending
 		select {
 		case p := <-l.queue:
 			group = append(group, p)
 		case <-l.quit:
-			l.refuseRest()
+			l.rejectQueued()
 			return
 		}
 		size := len(group[0].payload)
 	more:
-		for !l.opt.Alone && size < l.opt.MaxGroup {
+		for !l.options.Alone && size < l.options.MaxGroup {
 			select {
 			case p := <-l.queue:
 				group = append(group, p)
@@ -223,7 +223,7 @@
 	}
 }
 
-func (l *Log) refuseRest() {
+func (l *Log) rejectQueued() {
 	for {
 		select {
 		case p := <-l.queue:
@@ -241,14 +241,14 @@
 		return l.broken
 	}
 	var b []byte
-	seq := l.seq
+	seq := l.writtenSeq
 	for _, p := range group {
 		seq++
 		p.seq = seq
-		b = appendRecord(b, seq, l.durable, p.payload)
+		b = appendRecord(b, seq, l.durableSeq, p.payload)
 	}
 	if _, err := l.file.Write(b); err != nil {
-		if terr := l.cutBack(); terr != nil {
+		if terr := l.undoWrite(); terr != nil {
 			l.broken = fmt.Errorf("%w: %w, then: %w", ErrBroken, err, terr)
 			return l.broken
 		}
@@ -258,21 +258,21 @@
 		l.broken = fmt.Errorf("%w: sync: %w", ErrBroken, err)
 		return l.broken
 	}
-	l.seq, l.durable, l.size = seq, seq, l.size+int64(len(b))
+	l.writtenSeq, l.durableSeq, l.fileSize = seq, seq, l.fileSize+int64(len(b))
 	l.groups++
 	l.records += uint64(len(group))
 	return nil
 }
 
-// cutBack takes off what a failed write left, and opens the file anew behind it.
-func (l *Log) cutBack() error {
+// undoWrite takes off what a failed write left, and opens the file anew behind it.
+func (l *Log) undoWrite() error {
 	if err := l.file.Close(); err != nil {
 		return err
 	}
-	if err := l.fs.Truncate(l.name, l.size); err != nil {
+	if err := l.folder.Truncate(l.fileName, l.fileSize); err != nil {
 		return err
 	}
-	f, err := l.fs.Append(l.name)
+	f, err := l.folder.Append(l.fileName)
 	if err != nil {
 		return err
 	}
@@ -284,7 +284,7 @@
 func (l *Log) Seq() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.durable
+	return l.durableSeq
 }
 
 // Counts returns how many groups and records were committed since Open.
@@ -294,10 +294,10 @@
 	return l.groups, l.records
 }
 
-// startLog begins a new file behind a sequence number. Its head and its name are durable when it returns.
-func (l *Log) startLog(before uint64) error {
+// startFile begins a new file behind a sequence number. Its head and its name are durable when it returns.
+func (l *Log) startFile(before uint64) error {
 	name := logName(before)
-	f, err := l.fs.Create(name)
+	f, err := l.folder.Create(name)
 	if err != nil {
 		return err
 	}
@@ -306,13 +306,13 @@
 		err = f.Sync()
 	}
 	if err == nil {
-		err = l.fs.SyncDir()
+		err = l.folder.SyncDir()
 	}
 	if err != nil {
 		f.Close()
 		return err
 	}
-	l.file, l.name, l.size = f, name, fileHead
+	l.file, l.fileName, l.fileSize = f, name, fileHeaderSize
 	return nil
 }
 
@@ -325,14 +325,14 @@
 	if err := l.rotate(seq); err != nil {
 		return err
 	}
-	if seq <= l.snapshot {
+	if seq <= l.snapshotSeq {
 		return nil
 	}
 	if err := l.writeSnapshot(seq, state); err != nil {
 		return err
 	}
-	l.snapshot = seq
-	return l.collect(seq)
+	l.snapshotSeq = seq
+	return l.removeObsolete(seq)
 }
 
 // rotate lets the log go on in a new file behind a snapshot at seq, so that old files can go whole. It refuses a snapshot
@@ -345,15 +345,15 @@
 		return ErrClosed
 	case l.broken != nil:
 		return l.broken
-	case seq > l.durable:
-		return fmt.Errorf("store: snapshot at %d, of which only %d is durable", seq, l.durable)
-	case seq <= l.snapshot || l.size <= fileHead:
+	case seq > l.durableSeq:
+		return fmt.Errorf("store: snapshot at %d, of which only %d is durable", seq, l.durableSeq)
+	case seq <= l.snapshotSeq || l.fileSize <= fileHeaderSize:
 		return nil
 	}
 	old := l.file
-	if err := l.startLog(l.seq); err != nil {
+	if err := l.startFile(l.writtenSeq); err != nil {
 		// The old file stays in use. What is left of the new one holds nothing: recovery passes over it.
-		l.fs.Remove(logName(l.seq))
+		l.folder.Remove(logName(l.writtenSeq))
 		return err
 	}
 	old.Close()
@@ -362,7 +362,7 @@
 
 func (l *Log) writeSnapshot(seq uint64, state []byte) error {
 	const tmp = "snapshot.new"
-	f, err := l.fs.Create(tmp)
+	f, err := l.folder.Create(tmp)
 	if err != nil {
 		return err
 	}
@@ -375,54 +375,54 @@
 		err = cerr
 	}
 	if err == nil {
-		err = l.fs.Rename(tmp, snapName(seq))
+		err = l.folder.Rename(tmp, snapName(seq))
 	}
 	if err == nil {
-		err = l.fs.SyncDir()
+		err = l.folder.SyncDir()
 	}
 	if err != nil {
-		l.fs.Remove(tmp)
+		l.folder.Remove(tmp)
 	}
 	return err
 }
 
-// collect removes what a snapshot makes needless: older snapshots, and logs whose every record it holds. A crash between
+// removeObsolete removes what a snapshot makes needless: older snapshots, and logs whose every record it holds. A crash between
 // two removals leaves files that the next Open passes over.
-func (l *Log) collect(seq uint64) error {
-	names, err := l.fs.List()
+func (l *Log) removeObsolete(seq uint64) error {
+	names, err := l.folder.List()
 	if err != nil {
 		return err
 	}
 	slices.Sort(names)
 	var logs []uint64
 	for _, n := range names {
-		if at, ok := number(n, ".snap"); ok && at < seq {
-			if err := l.fs.Remove(n); err != nil {
+		if at, ok := parseSeq(n, ".snap"); ok && at < seq {
+			if err := l.folder.Remove(n); err != nil {
 				return err
 			}
 		}
-		if before, ok := number(n, ".log"); ok {
+		if before, ok := parseSeq(n, ".log"); ok {
 			logs = append(logs, before)
 		}
 	}
 	for i := range logs[:max(0, len(logs)-1)] {
 		if logs[i+1] <= seq { // its last record is the one before the next file's first
-			if err := l.fs.Remove(logName(logs[i])); err != nil {
+			if err := l.folder.Remove(logName(logs[i])); err != nil {
 				return err
 			}
 		}
 	}
-	return l.fs.SyncDir()
+	return l.folder.SyncDir()
 }
 
 // Close ends the log. Appends that wait are refused; a snapshot that is being written is written first. Nothing changes in
 // the folder once Close has returned.
 func (l *Log) Close() error {
 	var err error
-	l.once.Do(func() {
+	l.closeOnce.Do(func() {
 		close(l.quit)
-		l.wg.Wait()
-		l.refuseRest()
+		l.committer.Wait()
+		l.rejectQueued()
 		l.snapshotMu.Lock()
 		defer l.snapshotMu.Unlock()
 		l.mu.Lock()
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -107,8 +107,8 @@
 func TestFlippedBits(t *testing.T) {
 	m, want := filled(t, 6)
 	b := m.names[logName(0)].data
-	lastAt := len(b) - recordHead - len(want[5])
-	for i := fileHead; i < len(b); i++ {
+	lastAt := len(b) - recordHeaderSize - len(want[5])
+	for i := fileHeaderSize; i < len(b); i++ {
 		for bit := range 8 {
 			c := only(m, func(b []byte) []byte { b[i] ^= 1 << bit; return b })
 			l, got, rec, err := open(c)
