--- a/internal/registry/lease.go
+++ b/internal/registry/lease.go
@@ -8,38 +8,44 @@
 	"time"
 )
 
-// Leases are what the registry's process knows of the controllers that may act. They are not part of a State: a lease
-// lives as long as the process that gave it, and a new process waits a whole one before it believes that there are none.
-// So no answer to a controller waits for a disk, and a full disk stops moves, not answers.
+// Leases are the registry's side of the controllers' permission to answer. Not safe for concurrent use.
+//
+// They are no part of a State and are not stored: a lease lives as long as the process that granted it, and a new
+// process waits for the time of one lease before it assumes that no earlier one is left. So no answer to a controller
+// waits for a disk, and a full disk stops migrations but not calls.
 type Leases struct {
 	settings   Settings
-	graceUntil time.Duration // until then a controller that is not known may hold a lease of the process before
+	graceUntil time.Duration // until then an unknown controller may hold a lease of the previous process
 	holders    map[string]*leaseHolder
 }
 
 type leaseHolder struct {
-	epoch uint64        // confirmed
-	until time.Duration // by the registry's clock, drift included
-	uses  []VersionRef
+	epoch     uint64        // confirmed
+	expiresAt time.Duration // by the registry's clock, drift included
+	uses      []VersionRef
 }
 
-// NewLeases returns the leases of a process that started now. fresh says that there was none before it.
-func NewLeases(s Settings, now time.Duration, fresh bool) *Leases {
-	l := &Leases{settings: s, holders: map[string]*leaseHolder{}}
+// NewLeases returns the leases of a process that started now. fresh says that no process ran on this registry before.
+func NewLeases(settings Settings, now time.Duration, fresh bool) *Leases {
+	l := &Leases{settings: settings, holders: map[string]*leaseHolder{}}
 	if !fresh {
 		l.graceUntil = now + l.ttlWithDrift()
 	}
 	return l
 }
 
-// ttlWithDrift is how long the registry waits for a lease to run out by the controller's clock, however slow that runs.
+// ttlWithDrift is how long a lease may last by the registry's clock, if that clock runs as fast and the
+// controller's as slowly as the bound on their drift permits.
 func (l *Leases) ttlWithDrift() time.Duration {
-	return time.Duration(float64(l.settings.LeaseDuration)*(1+l.settings.MaxClockDrift)/(1-l.settings.MaxClockDrift)) + 1
+	drift := l.settings.MaxClockDrift
+	return time.Duration(float64(l.settings.LeaseDuration)*(1+drift)/(1-drift)) + 1
 }
 
-// Renew is a controller's word that it acts by an epoch, of which last is the newest. It begins a new lease; a controller
-// counts it from the moment at which it asked, which is before the registry hears of it. uses are the versions, other
-// than those that aliases name, which its running calls still name.
+// Renew grants a controller a new lease. The controller confirms by it that it acts by an epoch, of which last is the
+// newest there is. uses are the versions under which its calls still run, other than those that aliases name.
+//
+// The lease counts from now; the controller counts it from when it sent its request, which is earlier. Errors are a
+// bad name, an epoch that this registry never had, and too many controllers.
 func (l *Leases) Renew(now time.Duration, controller string, epoch, last uint64, uses []VersionRef) error {
 	if err := validateName("controller", controller); err != nil {
 		return err
@@ -47,84 +53,92 @@
 	if epoch > last {
 		return fmt.Errorf("epoch: %d, of which %d is the last: this is another registry's", epoch, last)
 	}
-	h := l.holders[controller]
-	if h == nil {
+	holder := l.holders[controller]
+	if holder == nil {
 		l.expire(now)
 		if len(l.holders) >= l.settings.MaxControllers {
 			return fmt.Errorf("controller: %d have a lease, which is all", len(l.holders))
 		}
-		h = &leaseHolder{}
-		l.holders[controller] = h
+		holder = &leaseHolder{}
+		l.holders[controller] = holder
 	}
-	// One that started anew may hold less than it once confirmed.
-	h.epoch, h.until, h.uses = epoch, now+l.ttlWithDrift(), uses
+	holder.epoch = epoch // may go back: a controller that restarted knows less than it once confirmed
+	holder.expiresAt = now + l.ttlWithDrift()
+	holder.uses = uses
 	return nil
 }
 
+// expire removes the leases that have ended. Their controllers may ask for new ones at any time.
 func (l *Leases) expire(now time.Duration) {
-	for name, h := range l.holders {
-		if now >= h.until {
-			delete(l.holders, name) // it comes back by asking, and is told all
+	for name, holder := range l.holders {
+		if now >= holder.expiresAt {
+			delete(l.holders, name)
 		}
 	}
 }
 
-// ConfirmedEpoch returns the newest epoch that no controller can act against any more.
+// ConfirmedEpoch returns the newest epoch such that no controller can act by an older one any more: the oldest one
+// that a lease holder confirmed. It is 0 while a lease of the previous process may be left, and the largest uint64
+// when nobody holds a lease.
 func (l *Leases) ConfirmedEpoch(now time.Duration) uint64 {
 	l.expire(now)
 	if now < l.graceUntil {
 		return 0
 	}
-	least := uint64(math.MaxUint64)
-	for _, h := range l.holders {
-		least = min(least, h.epoch)
+	oldest := uint64(math.MaxUint64)
+	for _, holder := range l.holders {
+		oldest = min(oldest, holder.epoch)
 	}
-	return least
+	return oldest
 }
 
-// NextExpiry returns when time alone may raise Least; 0: never.
+// NextExpiry returns when time alone may raise ConfirmedEpoch; 0: never.
 func (l *Leases) NextExpiry(now time.Duration) (next time.Duration) {
 	if now < l.graceUntil {
 		next = l.graceUntil
 	}
-	for _, h := range l.holders {
-		if next == 0 || h.until < next {
-			next = h.until
+	for _, holder := range l.holders {
+		if next == 0 || holder.expiresAt < next {
+			next = holder.expiresAt
 		}
 	}
 	return next
 }
 
-// Uses returns the versions that running calls may still name. known is false while a controller may not have told.
+// Uses returns the versions, other than those that aliases name, under which calls may still run. known is false
+// while a controller of the previous process may not have reported its own.
 func (l *Leases) Uses(now time.Duration) (uses []VersionRef, known bool) {
 	l.expire(now)
-	for _, h := range l.holders {
-		uses = append(uses, h.uses...)
+	for _, holder := range l.holders {
+		uses = append(uses, holder.uses...)
 	}
 	return uses, now >= l.graceUntil
 }
 
-// Holders returns the controllers with a lease, each with the epoch that it confirmed.
+// Holders returns the controllers that hold a lease, each with the epoch that it confirmed.
 func (l *Leases) Holders(now time.Duration) map[string]uint64 {
 	l.expire(now)
-	m := map[string]uint64{}
-	for name, h := range l.holders {
-		m[name] = h.epoch
+	epochs := map[string]uint64{}
+	for name, holder := range l.holders {
+		epochs[name] = holder.epoch
 	}
-	return m
+	return epochs
 }
 
-// Stager returns the controller that is to have copies of a version loaded: one alone, so that a budget is spent once;
-// "" where none has a lease. It is the highest by a hash of both, so that few change when one comes or goes.
-func (l *Leases) Stager(now time.Duration, b VersionRef) (best string) {
+// Stager returns the controller that orders the copies of a version, "" where none holds a lease. It is one alone,
+// so that the budget of loads is spent once. It is chosen by rendezvous hashing: when a controller comes or goes,
+// only the versions that are or were its own change hands.
+func (l *Leases) Stager(now time.Duration, version VersionRef) (stager string) {
 	l.expire(now)
-	var most uint64
+	var highest uint64
 	for name := range l.holders {
 		h := fnv.New64a()
-		fmt.Fprintf(h, "%s\x00%s\x00%s", b.Model, b.Version, name)
-		if sum := h.Sum64(); best == "" || cmp.Or(cmp.Compare(sum, most), cmp.Compare(name, best)) > 0 {
-			best, most = name, sum
+		fmt.Fprintf(h, "%s\x00%s\x00%s", version.Model, version.Version, name)
+		weight := h.Sum64()
+		if stager == "" || cmp.Or(cmp.Compare(weight, highest), cmp.Compare(name, stager)) > 0 {
+			stager = name
+			highest = weight
 		}
 	}
-	return best
+	return stager
 }
--- a/internal/registry/migration.go
+++ b/internal/registry/migration.go
@@ -6,152 +6,205 @@
 	"time"
 )
 
-// advance lets every move go as far as it may: staged ones to their fence, fenced ones to their acknowledgement, those
-// that took too long to their end, and versions that are worse than the one before back.
-func (s *State) advance(now time.Duration) (out []Effect) {
+// automatic is who asked, in history and migrations, where the registry itself acted.
+const automatic = "registry"
+
+// startMigration begins a migration of an alias to a version ("": none) and returns it.
+func (s *State) startMigration(a *Alias, to, by, why string, now time.Duration) *Migration {
+	s.LastMigration++
+	a.Migration = &Migration{ID: s.LastMigration, From: a.Version, To: to, By: by, Why: why, RequestedAt: now}
+	return a.Migration
+}
+
+// advance takes every step that is possible now: migrations with enough copies to their fence, fenced ones to their
+// acknowledgement, staging ones past their timeout to their abort, and aliases whose new version fails too often
+// back. Copies of versions past their retention are given free.
+func (s *State) advance(now time.Duration) (effects []Effect) {
 	for _, m := range sortedByName(s.Models) {
 		for _, a := range sortedByName(m.Aliases) {
-			out = append(out, s.advanceStaging(m, a, now)...)
-			out = append(out, s.revertOnErrors(m, a, now)...)
-		}
-	}
-	out = append(out, s.acknowledgeFences()...)
-	for _, m := range sortedByName(s.Models) {
-		for _, v := range sortedByName(m.Versions) {
-			if v.Phase == Retired && len(v.Copies) > 0 && now >= v.Since+s.Settings.Retention {
-				clear(v.Copies)
-				out = append(out, Unstage{m.Name, v.Name})
-			}
+			effects = append(effects, s.advanceStaging(m, a, now)...)
+			effects = append(effects, s.revertOnErrors(m, a, now)...)
 		}
 	}
-	return out
+	effects = append(effects, s.acknowledgeFences()...)
+	return append(effects, s.unstageRetired(now)...)
 }
 
-// advanceStaging takes a move to its fence once enough copies stand, or gives it up. While the old and the new version cannot
-// both be held, the copies never stand: the move ends with the alias as it was.
+// advanceStaging takes a migration to its fence once enough copies are ready, or aborts it at its timeout. Where
+// memory cannot hold the old and the new version at once, that many copies never become ready: the migration ends
+// with the alias as it was.
 func (s *State) advanceStaging(m *Model, a *Alias, now time.Duration) []Effect {
-	mv := a.Migration
-	if mv == nil || mv.Fenced {
+	if !a.staging() {
 		return nil
 	}
-	n := 0
-	for _, c := range m.Versions[mv.To].Copies {
-		n += c
-	}
+	migration := a.Migration
+	ready := m.Versions[migration.To].readyCopies()
 	switch {
-	case n >= mv.Copies:
+	case ready >= migration.Copies:
 		return s.fence(m, a, now)
-	case now >= mv.RequestedAt+s.Settings.StagingTimeout:
-		return s.abort(m, a, fmt.Sprintf("%d of %d copies stood after %v", n, mv.Copies, s.Settings.StagingTimeout), now)
+	case now >= migration.RequestedAt+s.Settings.StagingTimeout:
+		why := fmt.Sprintf("%d of %d copies stood after %v", ready, migration.Copies, s.Settings.StagingTimeout)
+		return s.abort(m, a, why, now)
 	}
 	return nil
 }
 
-// abort ends a move that has not been fenced. The alias was never touched.
+// abort ends a migration that is staging. The alias never changed; one that the migration was to create is removed.
 func (s *State) abort(m *Model, a *Alias, why string, now time.Duration) []Effect {
-	mv := a.Migration
+	migration := a.Migration
 	a.Migration = nil
-	out := []Effect{Aborted{mv.ID, why}}
-	if v := m.Versions[mv.To]; v.Phase == Staged && !s.isReferenced(m, mv.To) {
-		v.Phase, v.Since = Proposed, now
+	effects := []Effect{Aborted{migration.ID, why}}
+	if v := m.Versions[migration.To]; v.Phase == Staged && !isReferenced(m, migration.To) {
+		v.enterPhase(Proposed, now)
 		clear(v.Copies)
-		out = append(out, Unstage{m.Name, mv.To})
+		effects = append(effects, Unstage{m.Name, migration.To})
 	}
 	if a.Revision == 0 {
 		delete(m.Aliases, a.Name)
 	}
-	return out
+	return effects
 }
 
-// isReferenced tells whether an alias names a version, or a move goes to it.
-func (s *State) isReferenced(m *Model, version string) bool {
+// isReferenced tells whether an alias names a version, or a migration to it is staging.
+func isReferenced(m *Model, version string) bool {
 	for _, a := range m.Aliases {
-		if a.Version == version || a.Migration != nil && a.Migration.To == version && !a.Migration.Fenced {
+		if a.Version == version || a.staging() && a.Migration.To == version {
 			return true
 		}
 	}
 	return false
 }
 
-// fence makes the alias name its new version in a new epoch. From here on the move takes effect, controller by
-// controller; the operator hears of it when it has done so everywhere.
+// fence makes the alias name its new version in a new epoch. From here on the migration takes effect, controller by
+// controller; it is acknowledged when it has done so at every one.
 func (s *State) fence(m *Model, a *Alias, now time.Duration) []Effect {
-	mv := a.Migration
+	migration := a.Migration
 	s.Epoch++
-	mv.Fenced, mv.Epoch = true, s.Epoch
-	old := a.Version
-	a.Version, a.Revision, a.Epoch = mv.To, a.Revision+1, s.Epoch
-	if old != "" && old != mv.To {
-		a.PreviousVersion = old
-	}
-	if v := m.Versions[old]; v != nil && !s.isReferenced(m, old) && v.Phase == Live {
-		v.Phase, v.Since = Retired, now
-	}
-	if v := m.Versions[old]; v != nil {
+	migration.Fenced = true
+	migration.Epoch = s.Epoch
+	previous := a.Version
+	a.Version = migration.To
+	a.Revision++
+	a.Epoch = s.Epoch
+	if previous != "" && previous != migration.To {
+		a.PreviousVersion = previous
+	}
+	if v := m.Versions[previous]; v != nil {
+		if !isReferenced(m, previous) && v.Phase == Live {
+			v.enterPhase(Retired, now)
+		}
 		v.AbandonedInEpoch = s.Epoch
 	}
-	if v := m.Versions[mv.To]; v != nil && v.Phase != Condemned {
-		v.Phase, v.Since, v.Calls, v.Errors = Live, now, 0, 0
+	if v := m.Versions[migration.To]; v != nil && v.Phase != Condemned {
+		v.enterPhase(Live, now)
+		v.Calls = 0
+		v.Errors = 0
 	}
-	s.Fences = append(s.Fences, Fence{mv.ID, m.Name, a.Name, s.Epoch})
+	s.Fences = append(s.Fences, Fence{Migration: migration.ID, Model: m.Name, Alias: a.Name, Epoch: s.Epoch})
 	return []Effect{Published{s.Epoch}}
 }
 
-// acknowledgeFences acknowledges the moves that no controller can act against any more.
-func (s *State) acknowledgeFences() (out []Effect) {
+// acknowledgeFences acknowledges the migrations against which no controller can act any more.
+func (s *State) acknowledgeFences() (effects []Effect) {
 	s.Fences = slices.DeleteFunc(s.Fences, func(f Fence) bool {
 		if f.Epoch > s.Confirmed {
 			return false
 		}
-		out = append(out, Acknowledged{f.Migration})
-		if a := s.Models[f.Model].Aliases[f.Alias]; a != nil && a.Migration != nil && a.Migration.ID == f.Migration {
+		effects = append(effects, Acknowledged{f.Migration})
+		a := s.Models[f.Model].Aliases[f.Alias]
+		if a != nil && a.Migration != nil && a.Migration.ID == f.Migration {
 			a.Migration = nil
 		}
 		return true
 	})
-	return out
+	return effects
+}
+
+// unstageRetired gives the copies of versions free that were retired for longer than the retention.
+func (s *State) unstageRetired(now time.Duration) (effects []Effect) {
+	for _, m := range sortedByName(s.Models) {
+		for _, v := range sortedByName(m.Versions) {
+			if v.Phase == Retired && len(v.Copies) > 0 && now >= v.Since+s.Settings.Retention {
+				clear(v.Copies)
+				effects = append(effects, Unstage{m.Name, v.Name})
+			}
+		}
+	}
+	return effects
 }
 
-// NextDeadline returns when time alone will change something: a move that takes too long, copies that need not be kept. 0: never.
-func (s *State) NextDeadline() (due time.Duration) {
-	note := func(at time.Duration) {
-		if due == 0 || at < due {
-			due = at
+// revertOnErrors migrates an alias back where its new version fails clearly more often than the previous one did.
+// It acts once a migration, within Settings.ErrorWatch and on at least Settings.MinCalls calls. It can be wrong
+// where the calls themselves changed at the same time.
+func (s *State) revertOnErrors(m *Model, a *Alias, now time.Duration) []Effect {
+	v := m.Versions[a.Version]
+	previous := m.Versions[a.PreviousVersion]
+	switch {
+	case v == nil || previous == nil || previous.Phase != Retired:
+		return nil // nothing to go back to
+	case a.staging():
+		return nil // an operator is already changing it
+	case now >= v.Since+s.Settings.ErrorWatch:
+		return nil
+	case v.Calls < s.Settings.MinCalls || previous.Calls == 0:
+		return nil // nothing to compare
+	case v.errorRate() <= previous.errorRate()+s.Settings.MaxErrorIncrease:
+		return nil
+	}
+	why := fmt.Sprintf("%s fails in %d of %d calls, %s failed in %d of %d",
+		v.Name, v.Errors, v.Calls, previous.Name, previous.Errors, previous.Calls)
+	s.appendHistory(now, automatic, fmt.Sprintf("move %s %s back to %s", m.Name, a.Name, previous.Name), why)
+	s.startMigration(a, a.PreviousVersion, automatic, why, now)
+	effects := s.fence(m, a, now)
+	a.PreviousVersion = "" // it must not go forth again by itself
+	return effects
+}
+
+// NextDeadline returns when time alone will change something: a migration reaches its staging timeout, or a retired
+// version the end of its retention. 0: nothing is due. A Tick applied then takes the step.
+func (s *State) NextDeadline() (next time.Duration) {
+	consider := func(deadline time.Duration) {
+		if next == 0 || deadline < next {
+			next = deadline
 		}
 	}
 	for _, m := range s.Models {
 		for _, a := range m.Aliases {
-			if a.Migration != nil && !a.Migration.Fenced {
-				note(a.Migration.RequestedAt + s.Settings.StagingTimeout)
+			if a.staging() {
+				consider(a.Migration.RequestedAt + s.Settings.StagingTimeout)
 			}
 		}
 		for _, v := range m.Versions {
 			if v.Phase == Retired && len(v.Copies) > 0 {
-				note(v.Since + s.Settings.Retention)
+				consider(v.Since + s.Settings.Retention)
 			}
 		}
 	}
-	return due
+	return next
 }
 
-// revertOnErrors moves an alias back where its new version fails clearly more often than the one before did. It acts once a
-// move, within Watch, on at least Least calls; it could hurt where the calls themselves changed with the move.
-func (s *State) revertOnErrors(m *Model, a *Alias, now time.Duration) []Effect {
-	v, before := m.Versions[a.Version], m.Versions[a.PreviousVersion]
-	if v == nil || before == nil || before.Phase != Retired || a.Migration != nil && !a.Migration.Fenced || now >= v.Since+s.Settings.ErrorWatch ||
-		v.Calls < s.Settings.MinCalls || before.Calls == 0 {
-		return nil
+// Status returns how far a migration is: "staging", "fenced", "acknowledged", "given up" with the reason, or
+// "forgotten" where it never was or is no longer remembered. The texts are part of the interface to operators.
+func (s *State) Status(migration uint64) (status, why string) {
+	for _, end := range s.EndedMigrations {
+		if end.Migration == migration {
+			if end.Acknowledged {
+				return "acknowledged", ""
+			}
+			return "given up", end.Why
+		}
 	}
-	if errorRate(v) <= errorRate(before)+s.Settings.MaxErrorIncrease {
-		return nil
+	for _, f := range s.Fences {
+		if f.Migration == migration {
+			return "fenced", ""
+		}
 	}
-	why := fmt.Sprintf("%s fails in %d of %d calls, %s failed in %d of %d", v.Name, v.Errors, v.Calls, before.Name, before.Errors, before.Calls)
-	s.appendHistory(now, "registry", fmt.Sprintf("move %s %s back to %s", m.Name, a.Name, before.Name), why)
-	s.LastMigration++
-	a.Migration = &Migration{ID: s.LastMigration, From: a.Version, To: a.PreviousVersion, By: "registry", Why: why, RequestedAt: now}
-	out := s.fence(m, a, now)
-	a.PreviousVersion = "" // not forth again by itself
-	return out
+	for _, m := range s.Models {
+		for _, a := range m.Aliases {
+			if a.Migration != nil && a.Migration.ID == migration {
+				return "staging", ""
+			}
+		}
+	}
+	return "forgotten", ""
 }
-
-func errorRate(v *Version) float64 { return float64(v.Errors) / float64(max(1, v.Calls)) }
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -1,218 +1,52 @@
-// Package registry decides which version of a model an alias names, when a move of an alias takes effect, and when it
-// may be acknowledged. It is pure, like choice: commands in, effects out, time as an argument; a State is rebuilt by
-// applying the same commands at the same times.
+// Package registry decides which version of a model an alias names, when the migration of an alias to another version
+// takes effect, and when that migration may be acknowledged to the operator who asked for it.
 //
-// The guarantee. A move is acknowledged only when no controller can hand out an answer of the version that was left:
-// each controller has confirmed an epoch that knows the move, or its lease has run out by the registry's clock, which
-// waits longer than the controller's own by the greatest drift of clocks. A controller asks its View at the moment of
-// handing an answer out, and a View without a lease says no. docs/registry.md has the argument and what it costs.
+// It is a deterministic state machine without I/O: a Command and the time go in, Effects come out. A State is rebuilt
+// by applying the same commands at the same times, which is how package service recovers it from its log. No type of
+// this package is safe for concurrent use; its owner holds a lock around it.
+//
+// # The guarantee
+//
+// Once a migration is acknowledged, no controller hands out an answer of the version that the alias named before.
+//
+// The argument has three parts. The fence gives the alias its new version in a new epoch. From then on, each
+// controller either confirms an epoch that includes the migration, and so stops answering by the old one, or its
+// lease expires. The registry counts a lease from when it received the request and adds the largest clock drift,
+// while the controller counts from when it sent the request, so that the lease ends at the controller first. And a
+// controller asks its View at the moment at which it hands an answer out; a View without a lease refuses. The
+// migration is acknowledged when Leases.ConfirmedEpoch reaches the epoch of its fence. docs/registry.md has the
+// argument in full and what it costs.
+//
+// # Where to read
+//
+// state.go has the data, commands*.go what changes it, migration.go the steps of a migration, lease.go the registry's
+// side of the leases and view.go the controller's, supersede.go what becomes of calls whose alias has migrated.
 package registry
 
 import (
-	"encoding/hex"
-	"errors"
-	"fmt"
 	"maps"
 	"slices"
-	"strings"
 	"time"
 )
 
-// Settings bound a registry. All must be above 0, but for Drift.
-type Settings struct {
-	LeaseDuration    time.Duration // how long a controller may answer after it asked, by its own clock
-	MaxClockDrift    float64       // greatest difference between the rates of two clocks, as a part
-	SettleTimeout    time.Duration // how long running calls may hold up a move before they are given up
-	StagingTimeout   time.Duration // how long copies may take to stand before a move is given up
-	Retention        time.Duration // how long the copies of a version that was left are kept for a move back
-	ErrorWatch       time.Duration // how long a move is watched for errors
-	MinCalls         int           // calls of the new version before its errors are judged
-	MaxErrorIncrease float64       // part of calls that may fail beyond the part of the version before
-	MaxModels        int           // bounds on what is held
-	MaxVersions      int           // of one model
-	MaxAliases       int           // of one model
-	MaxControllers   int           // controllers with a lease at once
-	MaxRemembered    int           // keys of commands, and lines of history
-}
-
-// Phase is how far a version is in its life.
-type Phase int
-
-const (
-	Proposed  Phase = iota + 1 // known by digest
-	Staged                     // copies of it stand, or are being loaded
-	Live                       // an alias names it
-	Retired                    // no alias names it any more
-	Condemned                  // never to be used again
-)
-
-func (p Phase) String() string {
-	return [...]string{"", "proposed", "staged", "live", "retired", "condemned"}[p]
-}
-
-// A Version is immutable but for its phase.
-type Version struct {
-	Name             string         `json:"Name"`
-	Digest           string         `json:"Digest"` // "sha256:" and 64 hexadecimal digits, as the OCI image specification has it
-	Size             int64          `json:"Size"`   // bytes
-	MemoryMB         float64        `json:"MemoryMB"`
-	Lanes            int            `json:"Lanes"`
-	LoadTime         time.Duration  `json:"Load"`
-	Phase            Phase          `json:"Phase"`
-	Since            time.Duration  `json:"Since"`  // in this phase
-	Copies           map[string]int `json:"Copies"` // that stand, by worker
-	Calls            int            `json:"Calls"`  // watched, since it became live
-	Errors           int            `json:"Errors"`
-	AbandonedInEpoch uint64         `json:"Left"` // epoch in which the last alias left it
-}
-
-// An Alias names a version of its model. Revision grows with every move, so that A, B, A are three.
-type Alias struct {
-	Name            string     `json:"Name"`
-	Version         string     `json:"Version"` // "": none may be used
-	Revision        uint64     `json:"Revision"`
-	PreviousVersion string     `json:"Before"` // the version before, for a move back; "" for none
-	Epoch           uint64     `json:"Epoch"`  // in which it last changed
-	Migration       *Migration `json:"Move"`   // under way
-}
-
-// A Migration goes through two steps: copies are made to stand, then the controllers are fenced.
-type Migration struct {
-	ID          uint64        `json:"ID"`
-	From        string        `json:"From"`
-	To          string        `json:"To"`
-	By          string        `json:"By"`
-	Why         string        `json:"Why"`
-	Copies      int           `json:"Copies"` // that must stand
-	RequestedAt time.Duration `json:"Asked"`
-	Fenced      bool          `json:"Fenced"` // the alias names the new version; the acknowledgement waits for controllers
-	Epoch       uint64        `json:"Epoch"`  // that knows the move, once fenced
-}
-
-// A Model has versions and aliases.
-type Model struct {
-	Name     string              `json:"Name"`
-	Stale    bool                `json:"Stale"` // an answer without a lease is better than none
-	Versions map[string]*Version `json:"Versions"`
-	Aliases  map[string]*Alias   `json:"Aliases"`
-}
-
-// A MigrationEnd is how a move ended.
-type MigrationEnd struct {
-	Migration    uint64 `json:"Move"`
-	Acknowledged bool   `json:"Acknowledged"`
-	Why          string `json:"Why"` // it was given up
-}
-
-// A HistoryEntry of the history: who did what, when and why.
-type HistoryEntry struct {
-	At   time.Duration `json:"At"`
-	By   string        `json:"By"`
-	What string        `json:"What"`
-	Why  string        `json:"Why"`
-}
-
-// State is a whole registry.
-type State struct {
-	Settings        Settings          `json:"-"`
-	Epoch           uint64            `json:"Epoch"`
-	LastMigration   uint64            `json:"NextMove"`
-	Models          map[string]*Model `json:"Models"`
-	Fences          []Fence           `json:"Fences"`    // moves that wait for controllers, oldest first
-	Confirmed       uint64            `json:"Confirmed"` // epoch that no controller can act against any more
-	Keys            []KeyResult       `json:"Keys"`
-	History         []HistoryEntry    `json:"History"`
-	Condemned       map[string]string `json:"Condemned"` // digests, each with why: never collected
-	EndedMigrations []MigrationEnd    `json:"Moves"`     // that have ended, oldest first
-	Now             time.Duration     `json:"Now"`       // of the last command
-}
-
-// A Fence is a move whose alias has changed and whose acknowledgement is open.
-type Fence struct {
-	Migration uint64 `json:"Move"`
-	Model     string `json:"Model"`
-	Alias     string `json:"Alias"`
-	Epoch     uint64 `json:"Epoch"`
-}
-
-// A KeyResult is the answer to a command that carried a key: the same command again gets it again.
-type KeyResult struct {
-	Key       string `json:"Key"`
-	Sum       string `json:"Sum"`  // of the command's text
-	Migration uint64 `json:"Move"` // that it began; 0: none
-}
-
-// An Effect is one of Stage, Unstage, Published, Acknowledged, Aborted, Began, Again and Collected.
-type Effect interface{ effect() }
-
-// Stage asks for copies of a version to stand: the module orders them by Hold, within its budget and its bounds.
-type Stage struct {
-	Model, Version string
-	Copies         int
-}
-
-// Unstage says that copies of a version need not be kept.
-type Unstage struct{ Model, Version string }
-
-// Published says that a new epoch is to be told to controllers.
-type Published struct{ Epoch uint64 }
-
-// Acknowledged says that a move has taken effect everywhere.
-type Acknowledged struct{ Migration uint64 }
-
-// Aborted ends a move that did not take effect.
-type Aborted struct {
-	Migration uint64
-	Why       string
+// A Command changes a State. Its fields are what an operator, a controller or the registry's own process requests.
+type Command interface {
+	apply(s *State, now time.Duration) ([]Effect, error)
 }
 
-// Began says which move a command began, 0 for none; Again, which one the same command began before.
-type (
-	MigrationStarted struct{ Migration uint64 }
-	Replayed         struct{ Migration uint64 }
-)
-
-// Collected says that a version is forgotten. Its bytes may be removed if no other version has them.
-type Collected struct{ Model, Version, Digest string }
-
-func (MigrationStarted) effect() {}
-func (Replayed) effect()         {}
-func (Collected) effect()        {}
-func (Stage) effect()            {}
-func (Unstage) effect()          {}
-func (Published) effect()        {}
-func (Acknowledged) effect()     {}
-func (Aborted) effect()          {}
-
-// ErrRevisionChanged is a move that names another revision than the alias has: somebody else moved it.
-var ErrRevisionChanged = errors.New("the alias has moved since")
-
-// ErrKeyReused is a key that was used for another command.
-var ErrKeyReused = errors.New("key: used for another command")
-
-// New returns an empty registry.
-func New(s Settings) (*State, error) {
-	for _, f := range []struct {
-		name string
-		v    float64
-	}{{"Lease", float64(s.LeaseDuration)}, {"Settle", float64(s.SettleTimeout)}, {"Staging", float64(s.StagingTimeout)}, {"Keep", float64(s.Retention)}, {"Watch", float64(s.ErrorWatch)}, {"Least", float64(s.MinCalls)},
-		{"Worse", s.MaxErrorIncrease}, {"Models", float64(s.MaxModels)}, {"Versions", float64(s.MaxVersions)}, {"Aliases", float64(s.MaxAliases)}, {"Asking", float64(s.MaxControllers)}, {"Remembered", float64(s.MaxRemembered)}} {
-		if !(f.v > 0) {
-			return nil, fmt.Errorf("registry: settings: %s: %v is not above 0", f.name, f.v)
-		}
-	}
-	if !(s.MaxClockDrift >= 0 && s.MaxClockDrift < 1) {
-		return nil, fmt.Errorf("registry: settings: Drift: %v is not from 0 to 1", s.MaxClockDrift)
+// New returns an empty registry, or an error that names the setting that is out of range.
+func New(settings Settings) (*State, error) {
+	if err := settings.validate(); err != nil {
+		return nil, err
 	}
-	return &State{Settings: s, Models: map[string]*Model{}, Condemned: map[string]string{}}, nil
-}
-
-// A Command changes a State. Its fields are what an operator, a controller or a worker says.
-type Command interface {
-	apply(s *State, now time.Duration) ([]Effect, error)
+	return &State{Settings: settings, Models: map[string]*Model{}, Condemned: map[string]string{}}, nil
 }
 
-// Apply carries a command out. On an error nothing has changed. Time never goes back: an earlier now counts as the last.
+// Apply executes a command at a time, and every step of a migration that has become possible. Time never goes back:
+// an earlier now counts as the time of the last command.
+//
+// On an error nothing has changed but the time. Errors that a caller tells apart are ErrRevisionChanged and
+// ErrKeyReused; every other one says what is wrong with the command.
 func (s *State) Apply(now time.Duration, c Command) ([]Effect, error) {
 	s.Now = max(s.Now, now)
 	effects, err := c.apply(s, s.Now)
@@ -228,69 +62,30 @@
 			s.EndedMigrations = append(s.EndedMigrations, MigrationEnd{Migration: e.Migration, Why: e.Why})
 		}
 	}
-	if over := len(s.EndedMigrations) - s.Settings.MaxRemembered; over > 0 {
-		s.EndedMigrations = slices.Delete(s.EndedMigrations, 0, over)
-	}
+	s.EndedMigrations = keepNewest(s.EndedMigrations, s.Settings.MaxRemembered)
 	return effects, nil
 }
 
-// Status returns how far a move is: staging, fenced, acknowledged, given up (with why), or forgotten.
-func (s *State) Status(move uint64) (status, why string) {
-	for _, e := range s.EndedMigrations {
-		if e.Migration == move {
-			if e.Acknowledged {
-				return "acknowledged", ""
-			}
-			return "given up", e.Why
-		}
-	}
-	for _, f := range s.Fences {
-		if f.Migration == move {
-			return "fenced", ""
-		}
-	}
-	for _, m := range s.Models {
-		for _, a := range m.Aliases {
-			if a.Migration != nil && a.Migration.ID == move {
-				return "staging", ""
-			}
-		}
-	}
-	return "forgotten", ""
-}
-
+// appendHistory adds an entry to the history and forgets the oldest ones beyond the bound.
 func (s *State) appendHistory(now time.Duration, by, what, why string) {
-	s.History = append(s.History, HistoryEntry{now, by, what, why})
-	if over := len(s.History) - s.Settings.MaxRemembered; over > 0 {
-		s.History = slices.Delete(s.History, 0, over)
-	}
-}
-
-func validateName(kind, s string) error {
-	if s == "" || len(s) > 128 {
-		return fmt.Errorf("%s: %d bytes, want 1 to 128", kind, len(s))
-	}
-	for i, c := range []byte(s) {
-		if !(c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || i > 0 && strings.IndexByte("._-", c) >= 0) {
-			return fmt.Errorf("%s: %q has %q at byte %d", kind, s, c, i)
-		}
-	}
-	return nil
+	s.History = append(s.History, HistoryEntry{At: now, By: by, What: what, Why: why})
+	s.History = keepNewest(s.History, s.Settings.MaxRemembered)
 }
 
-func validateDigest(s string) error {
-	hexa, ok := strings.CutPrefix(s, "sha256:")
-	if b, err := hex.DecodeString(hexa); !ok || err != nil || len(b) != 32 || strings.ToLower(hexa) != hexa {
-		return fmt.Errorf("digest: %q is not sha256: and 64 small hexadecimal digits", s)
+// keepNewest removes the first elements of a list, so that at most limit are left.
+func keepNewest[E any](list []E, limit int) []E {
+	if excess := len(list) - limit; excess > 0 {
+		list = slices.Delete(list, 0, excess)
 	}
-	return nil
+	return list
 }
 
-// sortedByName returns the values of a map in the order of their names.
+// sortedByName returns the values of a map in the order of their names: applying a command must not depend on the
+// order in which Go ranges over a map.
 func sortedByName[V any](m map[string]V) []V {
-	l := make([]V, 0, len(m))
-	for _, k := range slices.Sorted(maps.Keys(m)) {
-		l = append(l, m[k])
+	values := make([]V, 0, len(m))
+	for _, name := range slices.Sorted(maps.Keys(m)) {
+		values = append(values, m[name])
 	}
-	return l
+	return values
 }
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -303,7 +303,7 @@
 
 func (s *State) revisionOf(n AliasName) uint64 {
 	if m := s.Models[n.Model]; m != nil {
-		return revision(m.Aliases[n.Alias])
+		return revisionOf(m.Aliases[n.Alias])
 	}
 	return 0
 }
--- a/internal/registry/view.go
+++ b/internal/registry/view.go
@@ -4,204 +4,206 @@
 	"maps"
 	"slices"
 	"time"
-
-	"kitehub/scheduler"
 )
 
-// A AliasName is what a call asks for.
+// AliasName is what a call names: an alias of a model.
 type AliasName struct{ Model, Alias string }
 
-// A Target is what an alias named at some time. Two targets with the same version may differ in revision: the alias was
-// moved away and back, and the answer of the earlier time is one of a version that was left.
+// A Target is what an alias names at some time. Two targets of the same version can differ in their revision: the
+// alias migrated to another version and back in between, and an answer by the earlier target is one of a superseded
+// version.
 type Target struct {
-	Version  string
+	Version  string // "": the alias names none
 	Digest   string
 	Revision uint64
 }
 
-// ViewUpdate is what the registry tells a controller: all aliases at an epoch, or those that changed since another.
+// A ViewUpdate is what the registry sends to a controller: every alias as of an epoch, or those that changed since
+// another epoch.
 type ViewUpdate struct {
 	Epoch     uint64
-	Since     uint64 // 0: all are told, and what is not told is no alias
+	Since     uint64 // Targets are the changes since this epoch; 0: Targets are complete
 	Targets   map[AliasName]Target
-	Stale     map[string]bool // all models for which an answer without a lease is better than none
-	Condemned []string        // digests that are condemned
-	Lease     time.Duration
-	Settle    time.Duration // how long calls that run under a target that was left may go on to their answer
+	Stale     map[string]bool // every model that permits answers without a lease; nil: none
+	Condemned []string        // every condemned digest, sorted
+	Lease     time.Duration   // from when the controller sent its request
+	Settle    time.Duration   // how long calls under a superseded target may go on
 }
 
-// Send returns what a controller is to know now that holds an epoch; 0: nothing. An alias that names no version is told
-// as an empty target.
+// Send returns the update for a controller that holds an epoch; 0: it holds nothing. An alias that names no version
+// is sent as a target with only a revision.
 func (s *State) Send(since uint64) ViewUpdate {
-	if since > s.Epoch {
+	if since > s.Epoch { // of another registry: send everything
 		since = 0
 	}
-	t := ViewUpdate{Epoch: s.Epoch, Since: since, Targets: map[AliasName]Target{}, Lease: s.Settings.LeaseDuration, Settle: s.Settings.SettleTimeout}
-	t.Condemned = slices.Sorted(maps.Keys(s.Condemned))
+	update := ViewUpdate{
+		Epoch:     s.Epoch,
+		Since:     since,
+		Targets:   map[AliasName]Target{},
+		Condemned: slices.Sorted(maps.Keys(s.Condemned)),
+		Lease:     s.Settings.LeaseDuration,
+		Settle:    s.Settings.SettleTimeout,
+	}
 	for _, m := range s.Models {
 		if m.Stale {
-			if t.Stale == nil {
-				t.Stale = map[string]bool{}
+			if update.Stale == nil {
+				update.Stale = map[string]bool{}
 			}
-			t.Stale[m.Name] = true
+			update.Stale[m.Name] = true
 		}
 		for _, a := range m.Aliases {
-			if a.Revision == 0 || a.Epoch <= since && since > 0 {
-				continue
+			neverFenced := a.Revision == 0
+			known := since > 0 && a.Epoch <= since
+			if !neverFenced && !known {
+				update.Targets[AliasName{m.Name, a.Name}] = m.target(a)
 			}
-			target := Target{Revision: a.Revision}
-			if v := m.Versions[a.Version]; v != nil {
-				target.Version, target.Digest = v.Name, v.Digest
-			}
-			t.Targets[AliasName{m.Name, a.Name}] = target
 		}
 	}
-	return t
+	return update
 }
 
-// A View is what one controller knows of the registry. The zero value knows nothing.
+// target returns what an alias of the model names now.
+func (m *Model) target(a *Alias) Target {
+	target := Target{Revision: a.Revision}
+	if v := m.Versions[a.Version]; v != nil {
+		target.Version = v.Name
+		target.Digest = v.Digest
+	}
+	return target
+}
+
+// A View is what one controller knows of the registry. The zero value knows nothing and permits nothing.
+//
+// Its methods may be called concurrently but for Update. A copy of a View is independent of the original: Update
+// replaces the maps that the two share and never changes them.
 type View struct {
-	current  ViewUpdate
+	current  ViewUpdate    // complete: Since is 0
 	leaseEnd time.Duration // by the controller's own clock
-	// superseded are targets that were left by moves which this controller has not confirmed: no such move is acknowledged
-	// yet, so calls that run under them may still be answered, but no new ones begin. It is never changed in place.
+	// superseded are the targets of migrations that this controller has not confirmed yet. No such migration is
+	// acknowledged, so calls that already run under these targets may still be answered; no new ones start.
 	superseded map[AliasName][]Target
 }
 
-// Update takes in what the registry told and tells whether it fits. asked is when the controller asked, by its own clock:
-// the lease counts from there, as the registry counts it from when it heard, which is later. An older epoch than the one
-// held is passed over; so are changes since a newer one: all is to be asked for then.
-func (v *View) Update(asked time.Duration, t ViewUpdate) bool {
-	if t.Epoch < v.current.Epoch || t.Since > v.current.Epoch {
+// Update applies what the registry sent and tells whether it fits what the View holds. It does not when its epoch is
+// older, or when it holds changes since a newer epoch: the controller then asks for everything.
+//
+// sentAt is when the controller sent its request, by its own clock. The lease counts from there; the registry
+// counts it from when the request came in, which is later.
+func (v *View) Update(sentAt time.Duration, update ViewUpdate) bool {
+	if update.Epoch < v.current.Epoch || update.Since > v.current.Epoch {
 		return false
 	}
-	if t.Since > 0 {
-		all := v.current.Targets
-		if len(t.Targets) > 0 { // changes since an older epoch hold those since the one held
-			all = maps.Clone(all)
-			maps.Copy(all, t.Targets)
+	if update.Since > 0 {
+		targets := v.current.Targets
+		if len(update.Targets) > 0 { // changes since an older epoch include those since the held one
+			targets = maps.Clone(targets)
+			maps.Copy(targets, update.Targets)
 		}
-		t.Targets = all
+		update.Targets = targets
+		update.Since = 0
 	}
-	leaving := map[AliasName][]Target{}
-	for n, l := range v.superseded {
-		leaving[n] = slices.Clone(l)
+	v.superseded = v.supersededBy(update)
+	v.leaseEnd = max(v.leaseEnd, sentAt+update.Lease)
+	v.current = update
+	return true
+}
+
+// supersededBy returns the targets under which calls may still finish once a complete update holds: those under
+// which they may now, and those that the update replaces. Condemned bytes, and targets of an alias that names no
+// version any more, are superseded without that grace.
+func (v *View) supersededBy(update ViewUpdate) map[AliasName][]Target {
+	superseded := map[AliasName][]Target{}
+	for name, targets := range v.superseded {
+		superseded[name] = slices.Clone(targets)
 	}
-	if t.Epoch > v.current.Epoch {
-		for n, old := range v.current.Targets {
-			if held := t.Targets[n]; held != old && old.Version != "" {
-				leaving[n] = append(leaving[n], old)
+	if update.Epoch > v.current.Epoch {
+		for name, previous := range v.current.Targets {
+			if update.Targets[name] != previous && previous.Version != "" {
+				superseded[name] = append(superseded[name], previous)
 			}
 		}
 	}
-	for n, l := range leaving { // an alias that names nothing, and bytes that are barred, leave at once
-		l = slices.DeleteFunc(l, func(x Target) bool { return t.Targets[n].Version == "" || slices.Contains(t.Condemned, x.Digest) })
-		if leaving[n] = l; len(l) == 0 {
-			delete(leaving, n)
+	for name, targets := range superseded {
+		targets = slices.DeleteFunc(targets, func(t Target) bool {
+			return update.Targets[name].Version == "" || slices.Contains(update.Condemned, t.Digest)
+		})
+		if len(targets) == 0 {
+			delete(superseded, name)
+		} else {
+			superseded[name] = targets
 		}
 	}
-	v.superseded = leaving
-	t.Since = 0
-	v.leaseEnd = max(v.leaseEnd, asked+t.Lease)
-	v.current = t
-	return true
+	return superseded
 }
 
-// Epoch is what to confirm with the next Renew.
+// Epoch returns the epoch that the view is of. The controller confirms it by its next request once nothing acts by an
+// older one.
 func (v *View) Epoch() uint64 { return v.current.Epoch }
 
-// Verdict says whether something may be done under an alias.
+// Verdict says whether a call may start or be answered under an alias.
 type Verdict int
 
+// The verdicts of Resolve and MayAnswer.
 const (
-	Allowed         Verdict = iota + 1
-	Superseded              // the alias has left that target: the answer is not handed out
-	NoLease                 // the registry was not heard for too long: the alias may have moved
-	Unknown                 // no such alias
-	BeingSuperseded         // the alias has left that target, and no move is acknowledged: answered if it runs, not begun
+	// Allowed means that the alias names the target.
+	Allowed Verdict = iota + 1
+	// Superseded means that the alias has migrated: an answer by the target is not handed out.
+	Superseded
+	// NoLease means that the lease has expired: the alias may have migrated.
+	NoLease
+	// Unknown means that there is no such alias, or that it names no version.
+	Unknown
+	// BeingSuperseded means that the alias has migrated, and that the migration is not acknowledged: a call that
+	// already runs may be answered, a new one may not start.
+	BeingSuperseded
 )
 
-// BeingSuperseded returns the targets that may still be answered and no longer begun.
+// BeingSuperseded returns the targets under which calls may still be answered and may not start any more. The caller
+// must not change the map.
 func (v *View) BeingSuperseded() map[AliasName][]Target { return v.superseded }
 
-// Settled returns the view in which nothing is leaving any more. A controller that acts by it may confirm its epoch.
+// Settled returns the view without targets that are being superseded. A controller that acts by it may confirm its
+// epoch.
 func (v *View) Settled() View {
-	s := *v
-	s.superseded = nil
-	return s
+	settled := *v
+	settled.superseded = nil
+	return settled
 }
 
-// SettleWithin returns how long the registry lets calls go on under targets that were left.
+// SettleWithin returns how long the registry lets calls under superseded targets go on.
 func (v *View) SettleWithin() time.Duration { return v.current.Settle }
 
-// Resolve returns what an alias names now. A call keeps its target to the end.
-func (v *View) Resolve(now time.Duration, n AliasName) (Target, Verdict) {
-	t, ok := v.current.Targets[n]
+// Resolve returns what an alias names now, with Allowed, NoLease or Unknown. A call keeps its target to the end.
+func (v *View) Resolve(now time.Duration, alias AliasName) (Target, Verdict) {
+	target, ok := v.current.Targets[alias]
 	switch {
-	case now >= v.leaseEnd && !v.current.Stale[n.Model]:
+	case now >= v.leaseEnd && !v.current.Stale[alias.Model]:
 		return Target{}, NoLease
-	case !ok || t.Version == "":
+	case !ok || target.Version == "":
 		return Target{}, Unknown
 	}
-	return t, Allowed
+	return target, Allowed
 }
 
 // LeaseEnd returns when the lease ends, by the controller's own clock.
 func (v *View) LeaseEnd() time.Duration { return v.leaseEnd }
 
-// Stale tells whether a model's answers are better than none while there is no lease.
+// Stale tells whether a model permits answers without a lease.
 func (v *View) Stale(model string) bool { return v.current.Stale[model] }
 
-// MayAnswer tells whether an answer of a target may be handed out at this very moment. An answer known to be left is
-// never handed out, also where stale is fine.
-func (v *View) MayAnswer(now time.Duration, n AliasName, t Target) Verdict {
-	switch held, ok := v.current.Targets[n]; {
-	case (!ok || held != t) && now < v.leaseEnd && slices.Contains(v.superseded[n], t):
-		return BeingSuperseded // also where stale is fine: once the lease is over, the move may be acknowledged
-	case !ok || held != t:
+// MayAnswer tells whether an answer by a target may be handed out at this very moment. One by a target that is
+// known to be superseded may not, also where the model permits answers without a lease.
+func (v *View) MayAnswer(now time.Duration, alias AliasName, target Target) Verdict {
+	held, known := v.current.Targets[alias]
+	isCurrent := known && held == target
+	hasLease := now < v.leaseEnd
+	switch {
+	case !isCurrent && hasLease && slices.Contains(v.superseded[alias], target):
+		return BeingSuperseded // only with a lease: without one the migration may be acknowledged
+	case !isCurrent:
 		return Superseded
-	case now >= v.leaseEnd && !v.current.Stale[n.Model]:
+	case !hasLease && !v.current.Stale[alias.Model]:
 		return NoLease
 	}
 	return Allowed
 }
-
-// A NextStep is what becomes of a call whose target was left, or may have been.
-type NextStep int
-
-const (
-	Wait    NextStep = iota + 1 // an attempt is out: its outcome decides
-	Restart                     // again from the start, under the alias's new target
-	Reject                      // trying again does no harm
-	Fail                        // it may have run, and must not twice
-)
-
-// MaxRestarts is how often one call may begin anew: an alias that moves faster than calls run would keep it for ever.
-const MaxRestarts = 3
-
-// AfterSuperseded decides what becomes of a call that its alias has left: a question of its effect and of what may have run.
-//
-// A safe call begins anew at once, and what is out is withdrawn. One that certainly never ran begins anew too. A keyed
-// or unsafe one that may have run is neither repeated nor refused: its key guards it under the version that was left
-// only, and under the new one it would be a second effect. While an attempt of it is out, its outcome is waited for: it
-// may prove that nothing ran.
-func AfterSuperseded(e scheduler.Idempotency, out, mayHaveRun bool, times int) NextStep {
-	switch {
-	case e != scheduler.Idempotent && out:
-		return Wait
-	case e != scheduler.Idempotent && mayHaveRun:
-		return Fail
-	case times >= MaxRestarts:
-		return Reject
-	}
-	return Restart
-}
-
-// WithoutLease decides what becomes of a call that may neither go on nor be answered, as the registry was not heard for
-// too long.
-func WithoutLease(e scheduler.Idempotency, out, mayHaveRun bool) NextStep {
-	if n := AfterSuperseded(e, out, mayHaveRun, MaxRestarts); n == Fail || n == Wait {
-		return n
-	}
-	return Reject
-}
