--- a/internal/registry/service/codec.go
+++ b/internal/registry/service/codec.go
@@ -10,11 +10,12 @@
 	"kitehub/internal/registry"
 )
 
-// A record is one line of the log: a command with the time at which it was applied. One command is set.
+// A record is one entry of the log: a command, of which exactly one is set, with the time at which it was applied.
+// Its JSON is the format of the log.
 type record struct {
 	At             time.Duration            `json:"at"`
-	Key            string                   `json:"key,omitempty"`
-	Sum            string                   `json:"sum,omitempty"`
+	Key            string                   `json:"key,omitempty"` // idempotency key
+	Sum            string                   `json:"sum,omitempty"` // of the command's text, with a key
 	Push           *registry.Push           `json:"push,omitempty"`
 	Promote        *registry.Promote        `json:"promote,omitempty"`
 	Rollback       *registry.Rollback       `json:"rollback,omitempty"`
@@ -27,34 +28,44 @@
 	Tick           *registry.Tick           `json:"tick,omitempty"`
 }
 
-// command returns the one command of a record.
+// command returns the one command of a record, or an error where none or several are set.
 func (r *record) command() (registry.Command, error) {
-	var l []registry.Command
-	l = appendIfSet(appendIfSet(appendIfSet(appendIfSet(l, r.Push), r.Promote), r.Rollback), r.Condemn)
-	l = appendIfSet(appendIfSet(appendIfSet(appendIfSet(l, r.Policy), r.Collect), r.CopiesReady), r.CallsEnded)
-	l = appendIfSet(appendIfSet(l, r.EpochConfirmed), r.Tick)
-	if len(l) != 1 {
-		return nil, fmt.Errorf("command: %d are set, want one of push, promote, rollback, condemn, policy, collect", len(l))
+	var commands []registry.Command
+	commands = appendIfSet(commands, r.Push)
+	commands = appendIfSet(commands, r.Promote)
+	commands = appendIfSet(commands, r.Rollback)
+	commands = appendIfSet(commands, r.Condemn)
+	commands = appendIfSet(commands, r.Policy)
+	commands = appendIfSet(commands, r.Collect)
+	commands = appendIfSet(commands, r.CopiesReady)
+	commands = appendIfSet(commands, r.CallsEnded)
+	commands = appendIfSet(commands, r.EpochConfirmed)
+	commands = appendIfSet(commands, r.Tick)
+	if len(commands) != 1 {
+		return nil, fmt.Errorf("command: %d are set, want one of push, promote, rollback, condemn, policy, collect",
+			len(commands))
 	}
-	c := l[0]
+	command := commands[0]
 	if r.Key != "" {
-		c = registry.IdempotentCommand{Key: r.Key, Sum: r.Sum, Command: c}
+		command = registry.IdempotentCommand{Key: r.Key, Sum: r.Sum, Command: command}
 	}
-	return c, nil
+	return command, nil
 }
 
-// appendIfSet appends a command that is set.
-func appendIfSet[C registry.Command](l []registry.Command, c *C) []registry.Command {
-	if c != nil {
-		l = append(l, *c)
+// appendIfSet appends the command that a field holds, if it holds one.
+func appendIfSet[C registry.Command](commands []registry.Command, field *C) []registry.Command {
+	if field == nil {
+		return commands
 	}
-	return l
+	return append(commands, *field)
 }
 
+// set makes c the command of the record.
 func (r *record) set(c registry.Command) {
 	switch c := c.(type) {
 	case registry.IdempotentCommand:
-		r.Key, r.Sum = c.Key, c.Sum
+		r.Key = c.Key
+		r.Sum = c.Sum
 		r.set(c.Command)
 	case registry.Push:
 		r.Push = &c
@@ -79,16 +90,16 @@
 	}
 }
 
-// unmarshalStrict reads one JSON value and nothing else; a field that is not known is an error, as a misspelt condition would
+// unmarshalStrict decodes one JSON value and nothing else. An unknown field is an error: a misspelt condition would
 // otherwise be no condition.
 func unmarshalStrict(text []byte, v any) error {
-	d := json.NewDecoder(bytes.NewReader(text))
-	d.DisallowUnknownFields()
-	if err := d.Decode(v); err != nil {
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(v); err != nil {
 		return err
 	}
-	if _, err := d.Token(); err != io.EOF {
-		return fmt.Errorf("more behind the value, at byte %d", d.InputOffset())
+	if _, err := decoder.Token(); err != io.EOF {
+		return fmt.Errorf("more behind the value, at byte %d", decoder.InputOffset())
 	}
 	return nil
 }
--- /dev/null
+++ b/internal/registry/service/commit.go
@@ -0,0 +1,120 @@
+package service
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"time"
+
+	"kitehub/internal/registry"
+	"kitehub/internal/store"
+)
+
+// A RejectedError is that of a command which the registry rejected: it changed nothing, and would not if sent again.
+// Err is what registry.State.Apply returned.
+type RejectedError struct{ Err error }
+
+// Error returns the text of the registry's error.
+func (e *RejectedError) Error() string { return e.Err.Error() }
+
+// Unwrap returns the registry's error.
+func (e *RejectedError) Unwrap() error { return e.Err }
+
+// Commit makes a command durable, applies it and returns its effects. It may be called concurrently: commands are
+// applied in the order in which the log has them.
+//
+// A *RejectedError says that the command was committed and rejected. After store.ErrBroken it is not known whether
+// it was committed: an idempotent command can be sent again with its key. After any other error, such as
+// store.ErrClosed or that of a full disk, it was not.
+func (s *Service) Commit(c registry.Command) ([]registry.Effect, error) {
+	r := record{At: s.now()}
+	r.set(c)
+	text, err := json.Marshal(r)
+	if err != nil {
+		return nil, err
+	}
+	if err := s.Broken(); err != nil {
+		return nil, err
+	}
+	seq, err := s.log.Append(context.Background(), text)
+	if err != nil {
+		s.noteBroken(err)
+		return nil, err
+	}
+	return s.applyInOrder(seq, r.At, c)
+}
+
+// noteBroken remembers the error of an append after which no other can succeed.
+func (s *Service) noteBroken(err error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if errors.Is(err, store.ErrBroken) && s.broken == nil {
+		s.broken = err
+		s.cfg.Log.Error().Err(err).Msg("registry log broken, commands rejected until restart")
+		s.appliedCond.Broadcast()
+	}
+}
+
+// applyInOrder applies a durable command once all those before it in the log are applied, as recovery would.
+func (s *Service) applyInOrder(seq uint64, at time.Duration, c registry.Command) ([]registry.Effect, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for s.applied+1 != seq {
+		s.appliedCond.Wait() // those before are durable too: their Appends have returned, or are about to
+	}
+	effects, err := s.state.Apply(at, c)
+	s.applied = seq
+	s.appliedCond.Broadcast()
+	s.sinceSnapshot++
+	if s.sinceSnapshot >= s.cfg.Every && !s.snapshotting {
+		s.startSnapshot()
+	}
+	if err != nil {
+		return nil, &RejectedError{err}
+	}
+	for _, e := range effects {
+		s.logEffect(e)
+	}
+	if len(effects) > 0 {
+		s.notifyWatchers()
+	}
+	s.wakeDeadlineLoop()
+	return effects, nil
+}
+
+func (s *Service) logEffect(e registry.Effect) {
+	switch e := e.(type) {
+	case registry.Acknowledged:
+		s.cfg.Log.Info().Uint64("move", e.Migration).Msg("migration acknowledged")
+	case registry.Aborted:
+		s.cfg.Log.Warn().Uint64("move", e.Migration).Str("why", e.Why).Msg("migration aborted")
+	case registry.Published:
+		s.cfg.Log.Info().Uint64("epoch", e.Epoch).Msg("epoch published")
+	case registry.Collected:
+		s.cfg.Log.Info().Str("model", e.Model).Str("version", e.Version).Str("digest", e.Digest).Msg("version collected")
+	}
+}
+
+// startSnapshot encodes the state and starts a goroutine that writes it, beside what goes on. At most one snapshot
+// is being written: with a slow disk the log grows, not the number of copies of the state in memory. The caller
+// holds mu.
+func (s *Service) startSnapshot() {
+	s.sinceSnapshot = 0
+	text, err := json.Marshal(s.state)
+	if err != nil {
+		s.cfg.Log.Error().Err(err).Msg("snapshot not encoded")
+		return
+	}
+	s.snapshotting = true
+	go s.writeSnapshot(s.applied, text)
+}
+
+// writeSnapshot writes the state as of a record. store.Log.Close waits for it.
+func (s *Service) writeSnapshot(seq uint64, text []byte) {
+	if err := s.log.Snapshot(seq, text); err != nil && !errors.Is(err, store.ErrClosed) {
+		s.cfg.Log.Warn().Err(err).Msg("snapshot failed, log keeps growing")
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.snapshotting = false
+}
--- /dev/null
+++ b/internal/registry/service/discovery.go
@@ -0,0 +1,194 @@
+package service
+
+import (
+	"encoding/json"
+	"fmt"
+	"maps"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"kitehub/internal/http1"
+	"kitehub/internal/registry"
+	"kitehub/internal/registry/wire"
+)
+
+// discovery answers a controller's long poll. It renews the lease first and reads what holds then, so that a
+// migration that is fenced in between waits for this controller.
+func (f *Front) discovery(r *http1.Request, caller *Caller) *http1.Response {
+	var q wire.Request
+	if err := json.Unmarshal(r.Body, &q); err != nil { // unknown fields are those of a later version
+		return problem(400, "bad", err.Error())
+	}
+	epoch, resp := checkDiscovery(&q, caller)
+	if resp != nil {
+		return resp
+	}
+	renewedAt, err := f.service.renewLease(caller.Name, epoch, &q)
+	if err != nil {
+		return problem(409, "lease", err.Error())
+	}
+	f.service.wakeDeadlineLoop()
+	f.service.commitReports(&q)
+	end := time.Now().Add(f.service.cfg.Hold)
+	for {
+		update, stage, changed := f.service.updateFor(caller.Name, epoch, &q)
+		isNews := q.ResponseNonce == "" || update.Epoch != epoch || !slices.Equal(stage, q.Staging)
+		if isNews || !f.service.waitForChange(changed, time.Until(end)) {
+			return answer(200, discoveryResponse(update, stage, renewedAt))
+		}
+	}
+}
+
+// checkDiscovery returns the epoch that a controller confirms, or a problem with its request.
+func checkDiscovery(q *wire.Request, caller *Caller) (epoch uint64, _ *http1.Response) {
+	if q.TypeURL != wire.TypeAlias {
+		return 0, problem(400, "bad", fmt.Sprintf("type_url: %q is not %s", q.TypeURL, wire.TypeAlias))
+	}
+	if q.Node.ID != caller.Name {
+		return 0, problem(403, "forbidden", fmt.Sprintf("node.id: %q speaks with the key of %q", q.Node.ID, caller.Name))
+	}
+	if q.VersionInfo == "" {
+		return 0, nil
+	}
+	epoch, err := strconv.ParseUint(q.VersionInfo, 10, 64)
+	if err != nil {
+		return 0, problem(400, "bad", fmt.Sprintf("version_info: %q is no epoch", q.VersionInfo))
+	}
+	return epoch, nil
+}
+
+// renewLease renews the lease of a controller that accepted the last update, and returns the registry's time. One
+// that rejected it keeps its lease only until that expires: it must not delay migrations for ever.
+func (s *Service) renewLease(controller string, epoch uint64, q *wire.Request) (now time.Duration, err error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now = s.now()
+	if q.ErrorDetail == nil {
+		if err := s.leases.Renew(now, controller, epoch, s.state.Epoch, q.Uses); err != nil {
+			return now, err
+		}
+		delete(s.lastNack, controller)
+	} else if why := q.ErrorDetail.Message; s.lastNack[controller] != why { // logged once for each reason
+		s.lastNack[controller] = why
+		s.cfg.Log.Warn().Str("from", controller).Str("why", why).Msg("update rejected by controller, lease not renewed")
+	}
+	return now, nil
+}
+
+// updateFor returns what a controller that confirms an epoch is to learn, the versions that it is to have copies
+// loaded of, and the channel that is closed when either may change.
+func (s *Service) updateFor(controller string, epoch uint64, q *wire.Request) (
+	update registry.ViewUpdate, stage []wire.Stage, changed chan struct{}) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	since := epoch
+	if q.ResponseNonce == "" {
+		since = 0 // it has just connected: everything is sent
+	}
+	return s.state.Send(since), s.stagedFor(controller), s.changed
+}
+
+// stagedFor returns the versions of which a controller is to have copies loaded, sorted. The caller holds mu.
+func (s *Service) stagedFor(controller string) (stages []wire.Stage) {
+	now := s.now()
+	for _, m := range s.state.Models {
+		for _, a := range m.Aliases {
+			migration := a.Migration
+			if migration == nil || migration.Fenced {
+				continue
+			}
+			version := registry.VersionRef{Model: m.Name, Version: migration.To}
+			if s.leases.Stager(now, version) != controller {
+				continue
+			}
+			stages = append(stages, wire.Stage{
+				Model:   m.Name,
+				Version: migration.To,
+				Digest:  m.Versions[migration.To].Digest,
+				Copies:  migration.Copies,
+				Alias:   a.Name,
+			})
+		}
+	}
+	slices.SortFunc(stages, func(a, b wire.Stage) int {
+		return strings.Compare(a.Model+"\x00"+a.Version, b.Model+"\x00"+b.Version)
+	})
+	return slices.Compact(stages)
+}
+
+// discoveryResponse returns the response to a controller. Its nonce tells responses of the same epoch apart.
+func discoveryResponse(update registry.ViewUpdate, stage []wire.Stage, renewedAt time.Duration) wire.Response {
+	epoch := strconv.FormatUint(update.Epoch, 10)
+	return wire.Response{
+		VersionInfo: epoch,
+		TypeURL:     wire.TypeAlias,
+		Nonce:       epoch + "-" + strconv.FormatInt(int64(renewedAt), 36),
+		Since:       update.Since,
+		Resources:   aliasesOf(update),
+		LeaseMS:     milliseconds(update.Lease),
+		SettleMS:    milliseconds(update.Settle),
+		Condemned:   update.Condemned,
+		Stale:       slices.Sorted(maps.Keys(update.Stale)),
+		Stage:       stage,
+	}
+}
+
+func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+
+// commitReports commits what a controller reports of ready copies and ended calls, where it matters to a migration.
+// A report that cannot be committed is dropped: copies are reported again while they are staged, and lost calls
+// only delay the judgement of a version's errors.
+func (s *Service) commitReports(q *wire.Request) {
+	for _, report := range q.CopiesReady {
+		if s.changesCopies(report) {
+			s.Commit(registry.CopiesReady{
+				Model:   report.Model,
+				Version: report.Version,
+				Worker:  report.Worker,
+				Copies:  report.Copies,
+			})
+		}
+	}
+	for _, report := range q.CallsEnded {
+		if s.watchesErrors(report) {
+			s.Commit(registry.CallsEnded{
+				Model:   report.Model,
+				Version: report.Version,
+				Calls:   report.Calls,
+				Errors:  report.Errors,
+			})
+		}
+	}
+}
+
+// changesCopies tells whether a report differs from what is known of a version that may be used.
+func (s *Service) changesCopies(report wire.CopiesReady) (changes bool) {
+	s.Do(func(_ time.Duration, state *registry.State, _ *registry.Leases) {
+		if v := versionOf(state, report.Model, report.Version); v != nil {
+			changes = v.Copies[report.Worker] != report.Copies && v.Phase != registry.Condemned
+		}
+	})
+	return changes
+}
+
+// watchesErrors tells whether calls of a version are still counted, which is until its errors have been judged or
+// could have been.
+func (s *Service) watchesErrors(report wire.CallsEnded) (watches bool) {
+	s.Do(func(now time.Duration, state *registry.State, _ *registry.Leases) {
+		if v := versionOf(state, report.Model, report.Version); v != nil {
+			inWatch := now < v.Since+state.Settings.ErrorWatch
+			watches = v.Phase == registry.Live && (inWatch || v.Calls < state.Settings.MinCalls)
+		}
+	})
+	return watches
+}
+
+// versionOf returns a version of a model, or nil.
+func versionOf(state *registry.State, model, version string) *registry.Version {
+	if m := state.Models[model]; m != nil {
+		return m.Versions[version]
+	}
+	return nil
+}
--- a/internal/registry/service/golden_test.go
+++ b/internal/registry/service/golden_test.go
@@ -73,7 +73,7 @@
 // refused gives a command that is refused; it is in the log all the same.
 func (s *script) refused(c registry.Command) {
 	s.t.Helper()
-	var refused *Refused
+	var refused *RejectedError
 	if _, err := s.Commit(c); !errors.As(err, &refused) {
 		s.t.Fatalf("%#v: %v, want it refused", c, err)
 	}
@@ -89,7 +89,7 @@
 			s.t.Fatal(err)
 		}
 	})
-	s.wake()
+	s.wakeDeadlineLoop()
 }
 
 // ends waits until a move has ended.
--- a/internal/registry/service/service.go
+++ b/internal/registry/service/service.go
@@ -1,15 +1,23 @@
-// Package service is the registry's process: registry.State on a store.Log, with leases given to controllers and commands
-// taken from operators, over HTTP/1.1 with signed messages. It decides nothing about moves; package registry does.
+// Package service runs a registry: a registry.State that is recovered from and committed to a store.Log, with leases
+// granted to controllers and commands accepted from operators, over HTTP/1.1 with signed messages. It decides nothing
+// about migrations; package registry does.
 //
-// A command is made durable first and applied then, in the order of the log, so what anybody was told is never taken back by a
-// crash. Leases are not logged: see registry.Leases. A store that is broken (a sync failed) stops moves at once, with an
-// error; controllers go on being told what holds, and the process is to be started anew.
+// # Durability
+//
+// A command is made durable first and applied then, in the order of the log. So nothing that anybody was told is
+// taken back by a crash. Leases are not logged: see registry.Leases. When the store breaks, which is when a sync
+// fails, commands fail from then on and migrations stop; controllers are still sent what holds, and the process is
+// to be restarted.
+//
+// # Concurrency
+//
+// A Service guards its state and leases by one mutex, which is never held while a record is written. Each request
+// runs on its connection's goroutine. The Service itself owns two more: deadlineLoop, from Open to Close, and one
+// that writes a snapshot, at most one at a time.
 package service
 
 import (
-	"context"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"sync"
 	"time"
@@ -25,55 +33,87 @@
 type Config struct {
 	Settings registry.Settings
 	Clock    clock.Clock
-	FS       store.FS
+	FS       store.FS // folder of the log and the snapshots
 	Log      zerolog.Logger
-	Every    int // records between two snapshots
-	// Hold is how long a question of a controller is kept open while nothing is new; under a third of a lease, so that
-	// one lost question costs no lease.
+	Every    int // records between two snapshots, at least 1
+	// Hold is how long a controller's request is held open while nothing changes (a long poll). It must be above 0
+	// and at most a third of a lease, so that one lost request costs no lease.
 	Hold time.Duration
 }
 
-// A Service is a registry that runs. It is safe for concurrent use.
+func (c Config) validate() error {
+	if c.Every < 1 || c.Hold <= 0 || 3*c.Hold > c.Settings.LeaseDuration {
+		return fmt.Errorf("service: Every %d is under 1, or Hold %v is not under a third of the lease of %v",
+			c.Every, c.Hold, c.Settings.LeaseDuration)
+	}
+	return nil
+}
+
+// A Service is a running registry. It is safe for concurrent use.
 type Service struct {
 	cfg         Config
 	log         *store.Log
-	clockOffset time.Duration // of the registry's time over the clock: it goes on where the last process left it
+	clockOffset time.Duration // of the registry's time from the clock's: see now
 
-	mu            sync.Mutex
+	mu            sync.Mutex // guards the fields up to lastNack
 	state         *registry.State
 	leases        *registry.Leases
-	applied       uint64
-	appliedCond   *sync.Cond    // applied has grown
-	changed       chan struct{} // closed when anything is to be told
-	sinceSnapshot int           // records since the last snapshot
-	snapshotting  bool          // a snapshot is being written
-	broken        error
-	lastNack      map[string]string // last complaint of a controller
-
-	deadlineChanged chan struct{}
-	closed          chan struct{}
+	applied       uint64            // sequence number of the last record that was applied
+	appliedCond   *sync.Cond        // signals that applied has grown; uses mu
+	changed       chan struct{}     // closed and replaced when watchers have something to learn
+	sinceSnapshot int               // records applied since the last snapshot was started
+	snapshotting  bool              // a snapshot is being written
+	broken        error             // why nothing can be committed any more
+	lastNack      map[string]string // by controller: why it rejected the last update, while it does
+
+	deadlineChanged chan struct{} // wakes deadlineLoop; holds at most one signal
+	closed          chan struct{} // closed by Close
 	deadlineDone    sync.WaitGroup
 	closeOnce       sync.Once
 }
 
-// Open recovers a registry and begins to run it.
+// Open recovers a registry from its folder and starts to run it. Errors are a setting out of range, a folder that
+// cannot be read, damage (*store.CorruptError), and a record that this program does not know.
 func Open(cfg Config) (*Service, *store.Recovered, error) {
-	st, err := registry.New(cfg.Settings)
+	state, err := registry.New(cfg.Settings)
 	if err != nil {
 		return nil, nil, err
 	}
-	if cfg.Every < 1 || cfg.Hold <= 0 || 3*cfg.Hold > cfg.Settings.LeaseDuration {
-		return nil, nil, fmt.Errorf("service: Every %d is under 1, or Hold %v is not under a third of the lease of %v", cfg.Every, cfg.Hold, cfg.Settings.LeaseDuration)
+	if err := cfg.validate(); err != nil {
+		return nil, nil, err
+	}
+	log, recovered, err := recoverState(cfg, state)
+	if err != nil {
+		return nil, nil, err
+	}
+	s := &Service{
+		cfg:             cfg,
+		log:             log,
+		clockOffset:     state.Now - cfg.Clock.Now(),
+		state:           state,
+		applied:         recovered.Last,
+		changed:         make(chan struct{}),
+		lastNack:        map[string]string{},
+		deadlineChanged: make(chan struct{}, 1),
+		closed:          make(chan struct{}),
 	}
-	s := &Service{cfg: cfg, state: st, changed: make(chan struct{}), deadlineChanged: make(chan struct{}, 1), closed: make(chan struct{}), lastNack: map[string]string{}}
 	s.appliedCond = sync.NewCond(&s.mu)
-	log, rec, err := store.Open(cfg.FS, store.Options{}, func(_ uint64, text []byte) error {
-		if err := json.Unmarshal(text, st); err != nil {
+	s.leases = registry.NewLeases(cfg.Settings, s.now(), recovered.Last == 0)
+	s.deadlineDone.Add(1)
+	go s.deadlineLoop()
+	return s, recovered, nil
+}
+
+// recoverState opens the log and fills state from the newest snapshot and the records behind it.
+func recoverState(cfg Config, state *registry.State) (*store.Log, *store.Recovered, error) {
+	restore := func(_ uint64, snapshot []byte) error {
+		if err := json.Unmarshal(snapshot, state); err != nil {
 			return err
 		}
-		st.Settings = cfg.Settings
+		state.Settings = cfg.Settings
 		return nil
-	}, func(seq uint64, text []byte) error {
+	}
+	replay := func(seq uint64, text []byte) error {
 		var r record
 		if err := unmarshalStrict(text, &r); err != nil {
 			return fmt.Errorf("record %d: %w", seq, err)
@@ -82,25 +122,19 @@
 		if err != nil {
 			return fmt.Errorf("record %d: %w", seq, err)
 		}
-		st.Apply(r.At, c) // what was refused then is refused now
+		state.Apply(r.At, c) // what was rejected then is rejected now: no reason to stop
 		return nil
-	})
-	if err != nil {
-		return nil, nil, err
 	}
-	s.log, s.applied, s.clockOffset = log, rec.Last, st.Now-cfg.Clock.Now()
-	s.leases = registry.NewLeases(cfg.Settings, s.now(), rec.Last == 0)
-	s.deadlineDone.Add(1)
-	go s.deadlineLoop()
-	return s, rec, nil
+	return store.Open(cfg.FS, store.Options{}, restore, replay)
 }
 
-// Close ends the service. Questions that wait are answered. Closed again it does nothing.
+// Close stops the service, once; further calls do nothing. Requests that wait are answered with what holds. A
+// snapshot that is being written is written first, and none starts afterwards.
 func (s *Service) Close() (err error) {
 	s.closeOnce.Do(func() {
 		close(s.closed)
 		s.deadlineDone.Wait()
-		err = s.log.Close() // a snapshot that is being written ends first, and none begins afterwards
+		err = s.log.Close()
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if s.broken == nil {
@@ -112,10 +146,11 @@
 	return err
 }
 
-// now is the registry's time: it never goes back over restarts, and runs as the clock does.
+// now is the registry's time. It runs as the clock does and goes on where the previous process stopped, so that it
+// never goes back.
 func (s *Service) now() time.Duration { return s.cfg.Clock.Now() + s.clockOffset }
 
-// notifyWatchers wakes all that wait for news. mu is held.
+// notifyWatchers wakes everybody who waits for a change. The caller holds mu.
 func (s *Service) notifyWatchers() {
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -128,159 +163,25 @@
 	return s.broken
 }
 
-// Commit makes a command durable and carries it out. An error that is no *Refused says that it is not known whether the
-// command was committed (send it again with its key), but for store.ErrClosed and a full disk, with which it was not.
-func (s *Service) Commit(c registry.Command) ([]registry.Effect, error) {
-	r := record{At: s.now()}
-	r.set(c)
-	text, err := json.Marshal(r)
-	if err != nil {
-		return nil, err
-	}
-	s.mu.Lock()
-	broken := s.broken
-	s.mu.Unlock()
-	if broken != nil {
-		return nil, broken
-	}
-	seq, err := s.log.Append(context.Background(), text)
-	if err != nil {
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		if errors.Is(err, store.ErrBroken) && s.broken == nil {
-			s.broken = err
-			s.cfg.Log.Error().Err(err).Msg("no move is taken any more: start the registry anew")
-			s.appliedCond.Broadcast()
-		}
-		return nil, err
-	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for s.applied+1 != seq {
-		s.appliedCond.Wait() // for those before it in the log: their Appends have returned, or are about to
-	}
-	effects, err := s.state.Apply(r.At, c)
-	s.applied = seq
-	s.appliedCond.Broadcast()
-	if s.sinceSnapshot++; s.sinceSnapshot >= s.cfg.Every && !s.snapshotting {
-		s.startSnapshot()
-	}
-	if err != nil {
-		return nil, &Refused{err}
-	}
-	for _, e := range effects {
-		s.logEffect(e)
-	}
-	if len(effects) > 0 {
-		s.notifyWatchers()
-	}
-	s.wake()
-	return effects, nil
-}
-
-// Refused is a command that was carried out as refused: it changed nothing, and would not if sent again.
-type Refused struct{ Err error }
-
-func (r *Refused) Error() string { return r.Err.Error() }
-func (r *Refused) Unwrap() error { return r.Err }
-
-func (s *Service) logEffect(e registry.Effect) {
-	switch e := e.(type) {
-	case registry.Acknowledged:
-		s.cfg.Log.Info().Uint64("move", e.Migration).Msg("acknowledged")
-	case registry.Aborted:
-		s.cfg.Log.Warn().Uint64("move", e.Migration).Str("why", e.Why).Msg("given up")
-	case registry.Published:
-		s.cfg.Log.Info().Uint64("epoch", e.Epoch).Msg("published")
-	case registry.Collected:
-		s.cfg.Log.Info().Str("model", e.Model).Str("version", e.Version).Str("digest", e.Digest).Msg("collected")
-	}
-}
-
-// startSnapshot writes the state as it stands, beside what goes on. At most one is being written: with a slow disk the log
-// grows, not the copies of the state in memory. mu is held.
-func (s *Service) startSnapshot() {
-	s.sinceSnapshot = 0
-	text, err := json.Marshal(s.state)
-	if err != nil {
-		s.cfg.Log.Error().Err(err).Msg("snapshot")
-		return
-	}
-	seq := s.applied
-	s.snapshotting = true
-	go func() {
-		if err := s.log.Snapshot(seq, text); err != nil && !errors.Is(err, store.ErrClosed) {
-			s.cfg.Log.Warn().Err(err).Msg("no snapshot: the log grows")
-		}
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		s.snapshotting = false
-	}()
-}
-
-func (s *Service) wake() {
-	select {
-	case s.deadlineChanged <- struct{}{}:
-	default:
-	}
-}
-
-// deadlineLoop commits what time alone brings about: moves that no controller can act against any more, and those that took too
-// long. What it cannot commit it tries again a little later.
-func (s *Service) deadlineLoop() {
-	defer s.deadlineDone.Done()
-	timer := time.NewTimer(0)
-	defer timer.Stop()
-	for {
-		select {
-		case <-s.closed:
-			return
-		case <-s.deadlineChanged:
-		case <-timer.C:
-		}
-		now := s.now()
-		s.mu.Lock()
-		least := min(s.leases.ConfirmedEpoch(now), s.state.Epoch)
-		confirmed, due, next := s.state.Confirmed, s.state.NextDeadline(), s.leases.NextExpiry(now)
-		s.mu.Unlock()
-		var err error
-		if least > confirmed {
-			_, err = s.Commit(registry.EpochConfirmed{Epoch: least})
-		}
-		if due > 0 && due <= now {
-			_, err = s.Commit(registry.Tick{})
-			due = 0
-		}
-		wait := time.Hour
-		for _, at := range []time.Duration{due, next} {
-			if at > 0 {
-				wait = min(wait, max(0, at-now))
-			}
-		}
-		if err != nil {
-			wait = s.cfg.Hold
-		}
-		timer.Reset(wait)
-	}
-}
-
-// Do runs f on the state, which it must not change or keep.
+// Do runs f on the state and the leases under the service's lock. f must neither change nor keep them, and must not
+// call the Service.
 func (s *Service) Do(f func(now time.Duration, st *registry.State, l *registry.Leases)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f(s.now(), s.state, s.leases)
 }
 
-// Await waits until a move has ended or the time is up, and returns its status.
-func (s *Service) Await(move uint64, within time.Duration) (status, why string) {
+// Await waits until a migration has ended, the time is up, or the service is closed or broken, and returns the
+// migration's status: see registry.State.Status.
+func (s *Service) Await(migration uint64, within time.Duration) (status, why string) {
 	timer := time.NewTimer(within)
 	defer timer.Stop()
 	for {
 		s.mu.Lock()
-		status, why = s.state.Status(move)
+		status, why = s.state.Status(migration)
 		changed, broken := s.changed, s.broken
 		s.mu.Unlock()
-		if status != "staging" && status != "fenced" || broken != nil {
+		if !inProgress(status) || broken != nil {
 			return status, why
 		}
 		select {
@@ -292,3 +193,23 @@
 		}
 	}
 }
+
+// inProgress tells whether a migration of this status has yet to end.
+func inProgress(status string) bool { return status == "staging" || status == "fenced" }
+
+// waitForChange waits until changed is closed and returns true, or until the time is up or the service is closed and
+// returns false.
+func (s *Service) waitForChange(changed chan struct{}, within time.Duration) bool {
+	if within <= 0 {
+		return false
+	}
+	timer := time.NewTimer(within)
+	defer timer.Stop()
+	select {
+	case <-changed:
+		return true
+	case <-timer.C:
+	case <-s.closed:
+	}
+	return false
+}
