--- a/internal/registry/agent/agent_test.go
+++ b/internal/registry/agent/agent_test.go
@@ -36,7 +36,7 @@
 
 // BenchmarkPath is what versions cost a call: bound, checked at send and answer, let out at the door, unbound.
 func BenchmarkPath(b *testing.B) {
-	a := &Agent{cfg: Config{Clock: clock.System()}, uses: map[aliasTarget]int{}, unused: make(chan struct{}, 1), endedCalls: map[registry.VersionRef]wire.CallsEnded{}}
+	a := &Agent{cfg: Config{Clock: clock.System()}, reports: newReports()}
 	told := registry.ViewUpdate{Epoch: 1, Targets: map[registry.AliasName]registry.Target{}, Lease: time.Hour}
 	n := registry.AliasName{Model: "model-500", Alias: "current"}
 	for i := range 1000 {
--- /dev/null
+++ b/internal/registry/agent/generation.go
@@ -0,0 +1,55 @@
+package agent
+
+import (
+	"sync/atomic"
+
+	"kitehub/internal/registry"
+)
+
+// A Ticket stands for one answer that is being written: see Agent.Begin.
+type Ticket struct{ generation *generation }
+
+// A generation is one view, which never changes, with a count of references to it: one for each Ticket, and one for
+// being the current generation. A generation without references is idle for ever.
+type generation struct {
+	view       registry.View
+	references atomic.Int64
+	idle       chan struct{} // closed when references is 0
+}
+
+// newGeneration returns a generation with one reference, of being the current one.
+func newGeneration(view registry.View) *generation {
+	g := &generation{view: view, idle: make(chan struct{})}
+	g.references.Store(1)
+	return g
+}
+
+// acquire adds a reference, or returns false where none is left.
+func (g *generation) acquire() bool {
+	for {
+		n := g.references.Load()
+		if n == 0 {
+			return false
+		}
+		if g.references.CompareAndSwap(n, n+1) {
+			return true
+		}
+	}
+}
+
+// release gives a reference back.
+func (g *generation) release() {
+	if g.references.Add(-1) == 0 {
+		close(g.idle)
+	}
+}
+
+// isIdle tells whether no reference is left.
+func (g *generation) isIdle() bool {
+	select {
+	case <-g.idle:
+		return true
+	default:
+		return false
+	}
+}
--- /dev/null
+++ b/internal/registry/agent/poll.go
@@ -0,0 +1,239 @@
+package agent
+
+import (
+	"encoding/json"
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"kitehub/internal/registry"
+	"kitehub/internal/registry/client"
+	"kitehub/internal/registry/wire"
+)
+
+const (
+	// pollsPerLease is how often in a lease's time the lease is renewed while an epoch waits to be confirmed.
+	pollsPerLease = 4
+	// firstPollTimeout bounds the wait for a response while no lease is known; afterwards it is the lease.
+	firstPollTimeout = 5 * time.Second
+	// minBackoff and maxBackoff bound the pause after a failed poll, without its jitter.
+	minBackoff = 20 * time.Millisecond
+	maxBackoff = time.Second
+)
+
+// A poller is the state of an agent's polling goroutine, which alone uses it.
+type poller struct {
+	agent     *Agent
+	confirmed uint64            // newest epoch by which everything acts
+	nonce     string            // of the last response; "": the registry sends everything
+	nack      *wire.ErrorDetail // why the last response was rejected; nil: it was not
+	failures  int               // polls in a row that failed or were rejected
+	lease     time.Duration
+	settleBy  time.Duration // when calls under superseded targets are abandoned; 0: there are none
+	older     []*generation // replaced ones under which answers may still be written
+}
+
+// run polls until the agent is stopped.
+func (p *poller) run() {
+	for {
+		select {
+		case <-p.agent.stop:
+			return
+		default:
+			p.poll()
+		}
+	}
+}
+
+// poll sends one request and acts on its outcome. It returns when the next one may be sent.
+func (p *poller) poll() {
+	sentAt := p.agent.cfg.Clock.Now()
+	request := p.agent.newRequest(p.confirmed, p.nonce, p.nack)
+	resp, newConnection, err := p.send(request)
+	if err != nil {
+		p.retryLater(request, err)
+		return
+	}
+	if newConnection && p.nonce != "" { // the response may be another process's: ask it for everything
+		p.nonce = ""
+		return
+	}
+	update, err := parseResponse(resp)
+	if err != nil {
+		p.reject(err)
+		return
+	}
+	p.accept(sentAt, update, resp)
+}
+
+// send sends a request and waits for its response, for a lease at most. newConnection tells whether a connection was
+// opened for it.
+func (p *poller) send(request *wire.Request) (_ *wire.Response, newConnection bool, _ error) {
+	body, err := json.Marshal(request)
+	if err != nil {
+		return nil, false, err
+	}
+	text, newConnection, err := p.agent.cfg.Client.Do(wire.DiscoveryPath, client.ID("poll"), nil, body, p.lease)
+	if err != nil {
+		return nil, newConnection, err
+	}
+	var resp wire.Response
+	if err := json.Unmarshal(text, &resp); err != nil {
+		return nil, newConnection, fmt.Errorf("not a discovery response: %w", err)
+	}
+	return &resp, newConnection, nil
+}
+
+// retryLater backs off after a poll without a valid response. The pause doubles with each failure and has up to as
+// much jitter, so that controllers do not all come back at once.
+func (p *poller) retryLater(request *wire.Request, err error) {
+	p.failures++
+	if p.agent.cfg.Clock.Now() >= p.agent.current.Load().view.LeaseEnd() {
+		p.agent.Lost.Add(1)
+	}
+	backoff := min(maxBackoff, minBackoff<<min(p.failures, 10), p.lease/pollsPerLease)
+	backoff += time.Duration(rand.Float64() * float64(backoff))
+	p.agent.cfg.Log.Warn().Err(err).Int("failures", p.failures).Msg("registry unreachable")
+	p.nonce = ""
+	p.agent.reports.restore(request)
+	p.sleep(backoff)
+}
+
+// reject keeps the view as it is and tells the registry why with the next poll, which asks for everything.
+func (p *poller) reject(why error) {
+	p.agent.Nacks.Add(1)
+	p.nack = &wire.ErrorDetail{Code: codeInvalidArgument, Message: why.Error()}
+	p.nonce = ""
+	p.agent.cfg.Log.Warn().Err(why).Msg("registry update rejected, keeping previous view until lease ends")
+	p.sleep(minBackoff << min(p.failures, 5))
+	p.failures++
+}
+
+// accept replaces the view by an updated one, and confirms its epoch if that becomes possible before the lease is
+// to be renewed.
+func (p *poller) accept(sentAt time.Duration, update registry.ViewUpdate, resp *wire.Response) {
+	p.failures = 0
+	p.nack = nil
+	p.lease = update.Lease
+	view := p.agent.current.Load().view
+	previousEpoch := view.Epoch()
+	if !view.Update(sentAt, update) { // of another registry process, or out of order: ask for everything
+		p.nonce = ""
+		p.sleep(minBackoff)
+		return
+	}
+	p.nonce = resp.Nonce
+	p.replaceView(view)
+	if view.Epoch() != previousEpoch {
+		p.aliasesChanged()
+	}
+	p.agent.setStaged(resp.Stage)
+	if len(view.BeingSuperseded()) == 0 {
+		p.settleBy = 0
+	} else if p.settleBy == 0 {
+		p.settleBy = p.agent.cfg.Clock.Now() + view.SettleWithin()
+	}
+	p.confirm(view)
+	p.removeIdle()
+}
+
+// replaceView makes a view the current one.
+func (p *poller) replaceView(view registry.View) {
+	previous := p.agent.current.Swap(newGeneration(view))
+	previous.release()
+	p.older = append(p.older, previous)
+}
+
+func (p *poller) aliasesChanged() {
+	if p.agent.cfg.AliasesChanged != nil {
+		p.agent.cfg.AliasesChanged()
+	}
+}
+
+// confirm waits until nothing acts by an epoch older than the view's, and notes that the next poll may confirm it.
+// First, calls under superseded targets may finish, until settleBy; then answers that older views admitted must be
+// written. It returns without the epoch confirmed when the lease is to be renewed, which goes on under the old
+// epoch, or when the agent is stopped.
+func (p *poller) confirm(view registry.View) {
+	renewal := time.NewTimer(p.lease / pollsPerLease)
+	defer renewal.Stop()
+	for p.confirmed < view.Epoch() {
+		if len(view.BeingSuperseded()) > 0 {
+			left := p.settleBy - p.agent.cfg.Clock.Now()
+			if left > 0 && p.agent.reports.hasCallsUnder(view.BeingSuperseded()) {
+				if !p.waitForCalls(left, renewal) {
+					return
+				}
+				continue
+			}
+			view = p.settle(view)
+		}
+		writing := p.olderThan(view)
+		if writing == nil {
+			p.confirmed = view.Epoch()
+			return
+		}
+		select {
+		case <-writing.idle:
+		case <-renewal.C:
+			return
+		case <-p.agent.stop:
+			return
+		}
+	}
+}
+
+// waitForCalls waits until a target has no calls left, or for a time, and returns true; or returns false when the
+// lease is to be renewed or the agent is stopped.
+func (p *poller) waitForCalls(within time.Duration, renewal *time.Timer) bool {
+	timeout := time.NewTimer(within)
+	defer timeout.Stop()
+	select {
+	case <-p.agent.reports.lastUseEnded:
+	case <-timeout.C:
+	case <-renewal.C:
+		return false
+	case <-p.agent.stop:
+		return false
+	}
+	return true
+}
+
+// settle replaces the view by one under which nothing is answered by a superseded target any more, and returns that.
+// Calls that still run learn of it by Config.AliasesChanged.
+func (p *poller) settle(view registry.View) registry.View {
+	view = view.Settled()
+	p.settleBy = 0
+	p.replaceView(view)
+	p.aliasesChanged()
+	return view
+}
+
+// olderThan returns a replaced generation that keeps the epoch of a settled view from being confirmed, as answers
+// that the view would not admit may still be written under it; nil: there is none.
+func (p *poller) olderThan(view registry.View) *generation {
+	p.removeIdle()
+	i := slices.IndexFunc(p.older, func(g *generation) bool {
+		return g.view.Epoch() < view.Epoch() || len(g.view.BeingSuperseded()) > 0
+	})
+	if i < 0 {
+		return nil
+	}
+	return p.older[i]
+}
+
+// removeIdle forgets replaced generations under which nothing is written any more.
+func (p *poller) removeIdle() {
+	p.older = slices.DeleteFunc(p.older, (*generation).isIdle)
+}
+
+// sleep waits for a time, or until the agent is stopped.
+func (p *poller) sleep(d time.Duration) {
+	timer := time.NewTimer(d)
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+	case <-p.agent.stop:
+	}
+}
