--- a/internal/registry/client/client.go
+++ b/internal/registry/client/client.go
@@ -1,5 +1,6 @@
-// Package client speaks to a registry over HTTP/1.1 with signed messages, and takes only answers that are signed for the
-// question that was asked.
+// Package client sends signed requests to a registry over HTTP/1.1, for operators and controllers. It accepts only
+// responses that are signed for the request that they answer: a registry that is impersonated can be silent, and no
+// more.
 package client
 
 import (
@@ -15,89 +16,134 @@
 	"time"
 
 	"kitehub/internal/http1"
-	"kitehub/internal/registry/wire"
 	"kitehub/internal/signing"
 )
 
-// A Client has one connection, opened when it is needed. It is safe for concurrent use; questions wait for one another.
+// A Client has one connection, which it opens when it needs one. Its fields must be set before the first request.
+// It is safe for concurrent use; requests are sent one after the other.
 type Client struct {
-	Server string // host:port
-	Name   string // for the log of the server
-	Key    *signing.Key
-	Dial   func(ctx context.Context, network, addr string) (net.Conn, error)
-	Wall   func() time.Time
-
-	requestMu sync.Mutex
-	connMu    sync.Mutex // guards conn for Close
-	conn      net.Conn
-	reader    *bufio.Reader
-	closed    bool
+	Server string       // host:port
+	Name   string       // in the User-Agent, for the server's log
+	Key    *signing.Key // signs requests and verifies responses
+	// Dial opens connections; nil: by net.Dialer.
+	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
+	Wall func() time.Time // for the timestamps of requests
+
+	requestMu sync.Mutex    // held for the whole of a request
+	reader    *bufio.Reader // of conn; guarded by requestMu
+
+	connMu sync.Mutex // guards the fields below, so that Close can end a request
+	conn   net.Conn   // nil: none is open; replaced only with requestMu held too
+	closed bool
 }
 
-// A StatusError is an answer other than 200 and 202.
+// A StatusError is a signed response of another status than 200 and 202, or one of 401.
 type StatusError struct {
-	Status int
-	Type   string
-	Detail string
+	Status int    // of HTTP
+	Type   string // of the problem, "urn:kitehub:registry:..."
+	Detail string // of the problem
 }
 
+// Error returns the status and the problem's detail.
 func (e *StatusError) Error() string { return fmt.Sprintf("registry: %d: %s", e.Status, e.Detail) }
 
-// ErrUnsigned is an answer that is not signed for the question. It says nothing.
+// ErrUnsigned is returned for a response that is not signed for the request. It says nothing about the registry.
 var ErrUnsigned = errors.New("registry: the answer is not signed for the question")
 
-// ID returns a new id for a message.
+// ID returns a new random id for a message.
 func ID(kind string) string { return kind + "_" + rand.Text() }
 
 var limits = http1.Limits{Body: 64 << 20, Headers: 16 << 10}.Filled()
 
-// Do asks and returns the answer's body. fresh tells whether the connection was opened for it. After an error of the
-// connection it is not known whether the registry has heard.
-func (c *Client) Do(path, id string, header http1.Header, body []byte, within time.Duration) (answer []byte, fresh bool, err error) {
+// Do sends a request under an id and returns the body of its response. newConnection tells whether a connection was
+// opened for it.
+//
+// A *StatusError is the registry's answer. After any other error, such as ErrUnsigned or that of a connection, it
+// is not known whether the registry received the request; the connection is closed then.
+func (c *Client) Do(path, id string, header http1.Header, body []byte, within time.Duration) (
+	answer []byte, newConnection bool, err error) {
 	c.requestMu.Lock()
 	defer c.requestMu.Unlock()
-	m := signing.Message{ID: id, Stamp: strconv.FormatInt(c.Wall().Unix(), 10), Body: body}
-	s, err := c.Key.Sign(m)
+	req, err := c.newRequest(path, id, header, body)
 	if err != nil {
 		return nil, false, err
 	}
-	end := time.Now().Add(within)
-	if fresh, err = c.open(end); err != nil {
-		return nil, fresh, err
-	}
-	c.conn.SetDeadline(end)
-	req := &http1.Request{Method: "POST", Target: path, Body: body, Header: append(http1.Header{{Name: "Host", Value: c.Server},
-		{Name: "User-Agent", Value: "kitehub/" + c.Name}, {Name: "Content-Type", Value: "application/json"}, {Name: "webhook-id", Value: id},
-		{Name: "webhook-timestamp", Value: m.Stamp}, {Name: "webhook-signature", Value: s}}, header...)}
-	if _, err = c.conn.Write(http1.AppendRequest(nil, req)); err != nil {
-		c.drop()
-		return nil, fresh, err
+	deadline := time.Now().Add(within)
+	newConnection, err = c.open(deadline)
+	if err != nil {
+		return nil, newConnection, err
 	}
-	resp, err := http1.ReadResponse(c.reader, &limits, "POST")
+	resp, err := c.exchange(req, deadline)
 	if err != nil {
-		c.drop()
-		return nil, fresh, err
+		c.closeConn()
+		return nil, newConnection, err
 	}
 	if resp.Close {
-		c.drop()
+		c.closeConn()
 	}
-	a := signing.Message{ID: resp.Header.Get("webhook-id"), Stamp: resp.Header.Get("webhook-timestamp"), Body: resp.Body}
-	if a.ID != signing.AnswerID(strconv.Itoa(resp.Status), id) || !c.Key.Verify(a, resp.Header.Get("webhook-signature")) {
-		c.drop()
-		if resp.Status == 401 { // it could not tell by which key to sign
-			return nil, fresh, &StatusError{Status: 401, Type: "forged", Detail: "the registry does not take the signature: wrong key, or a clock that is off"}
-		}
-		return nil, fresh, ErrUnsigned
+	if err := c.verify(resp, id); err != nil {
+		c.closeConn()
+		return nil, newConnection, err
 	}
 	if resp.Status != 200 && resp.Status != 202 {
-		var p struct{ Type, Detail string }
-		json.Unmarshal(resp.Body, &p)
-		return nil, fresh, &StatusError{resp.Status, p.Type, p.Detail}
+		return nil, newConnection, statusError(resp)
+	}
+	return resp.Body, newConnection, nil
+}
+
+// newRequest returns a signed request.
+func (c *Client) newRequest(path, id string, header http1.Header, body []byte) (*http1.Request, error) {
+	m := signing.Message{ID: id, Stamp: strconv.FormatInt(c.Wall().Unix(), 10), Body: body}
+	signature, err := c.Key.Sign(m)
+	if err != nil {
+		return nil, err
+	}
+	all := http1.Header{
+		{Name: "Host", Value: c.Server},
+		{Name: "User-Agent", Value: "kitehub/" + c.Name},
+		{Name: "Content-Type", Value: "application/json"},
+		{Name: "webhook-id", Value: id},
+		{Name: "webhook-timestamp", Value: m.Stamp},
+		{Name: "webhook-signature", Value: signature},
 	}
-	return resp.Body, fresh, nil
+	return &http1.Request{Method: "POST", Target: path, Body: body, Header: append(all, header...)}, nil
+}
+
+// exchange sends a request on the open connection and reads the response.
+func (c *Client) exchange(req *http1.Request, deadline time.Time) (*http1.Response, error) {
+	c.conn.SetDeadline(deadline) // on an error the connection fails at once
+	if _, err := c.conn.Write(http1.AppendRequest(nil, req)); err != nil {
+		return nil, err
+	}
+	return http1.ReadResponse(c.reader, &limits, "POST")
+}
+
+// verify checks that a response is signed for the request of an id.
+func (c *Client) verify(resp *http1.Response, id string) error {
+	m := signing.Message{
+		ID:    resp.Header.Get("webhook-id"),
+		Stamp: resp.Header.Get("webhook-timestamp"),
+		Body:  resp.Body,
+	}
+	isAnswer := m.ID == signing.AnswerID(strconv.Itoa(resp.Status), id)
+	if isAnswer && c.Key.Verify(m, resp.Header.Get("webhook-signature")) {
+		return nil
+	}
+	if resp.Status == 401 { // the registry could not tell by which key to sign
+		return &StatusError{Status: 401, Type: "forged", Detail: "the registry does not take the signature: wrong key, or a clock that is off"}
+	}
+	return ErrUnsigned
+}
+
+// statusError returns the error of a signed response whose body is a problem.
+func statusError(resp *http1.Response) error {
+	var p struct{ Type, Detail string }
+	json.Unmarshal(resp.Body, &p) // a body of another form leaves the status
+	return &StatusError{Status: resp.Status, Type: p.Type, Detail: p.Detail}
 }
 
-func (c *Client) open(end time.Time) (fresh bool, err error) {
+// open opens a connection where none is open. The caller holds requestMu.
+func (c *Client) open(deadline time.Time) (opened bool, err error) {
 	if c.conn != nil {
 		return false, nil
 	}
@@ -105,7 +151,7 @@
 	if dial == nil {
 		dial = (&net.Dialer{}).DialContext
 	}
-	ctx, cancel := context.WithDeadline(context.Background(), end)
+	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
 	conn, err := dial(ctx, "tcp", c.Server)
 	if err != nil {
@@ -117,11 +163,13 @@
 		conn.Close()
 		return true, net.ErrClosed
 	}
-	c.conn, c.reader = conn, bufio.NewReaderSize(conn, http1.ReadBuffer)
+	c.conn = conn
+	c.reader = bufio.NewReaderSize(conn, http1.ReadBuffer)
 	return true, nil
 }
 
-func (c *Client) drop() {
+// closeConn closes the connection; the next request opens another. The caller holds requestMu.
+func (c *Client) closeConn() {
 	c.connMu.Lock()
 	defer c.connMu.Unlock()
 	if c.conn != nil {
@@ -130,7 +178,7 @@
 	}
 }
 
-// Close ends the connection, and with it a question that is out.
+// Close closes the connection, and so ends a request that is being sent or answered. No other connection is opened.
 func (c *Client) Close() {
 	c.connMu.Lock()
 	defer c.connMu.Unlock()
@@ -139,48 +187,3 @@
 		c.conn.Close()
 	}
 }
-
-// Command gives a command under a key and waits for its move. With the same key it may be given again, whatever came of
-// it: a connection that ends is asked again once.
-func (c *Client) Command(key string, cmd wire.Command) (*wire.Answer, error) {
-	body, err := json.Marshal(cmd)
-	if err != nil {
-		return nil, err
-	}
-	var h http1.Header
-	switch {
-	case cmd.Promote != nil:
-		h.Add("If-Match", `"`+strconv.FormatUint(cmd.Promote.IfRevision, 10)+`"`)
-	case cmd.Rollback != nil:
-		h.Add("If-Match", `"`+strconv.FormatUint(cmd.Rollback.IfRevision, 10)+`"`)
-	}
-	return c.request(wire.CommandPath, key, h, body, time.Duration(cmd.WaitMS)*time.Millisecond)
-}
-
-// Query asks without changing anything.
-func (c *Client) Query(q wire.Query) (*wire.Answer, error) {
-	body, err := json.Marshal(q)
-	if err != nil {
-		return nil, err
-	}
-	return c.request(wire.QueryPath, ID("query"), nil, body, time.Duration(q.WaitMS)*time.Millisecond)
-}
-
-// waitMargin is how much longer than its wait a question may take.
-const waitMargin = 10 * time.Second
-
-func (c *Client) request(path, id string, h http1.Header, body []byte, wait time.Duration) (*wire.Answer, error) {
-	text, fresh, err := c.Do(path, id, h, body, wait+waitMargin)
-	var status *StatusError
-	if err != nil && !fresh && !errors.As(err, &status) { // an idle connection may have ended meanwhile
-		text, _, err = c.Do(path, id, h, body, wait+waitMargin)
-	}
-	if err != nil {
-		return nil, err
-	}
-	a := &wire.Answer{}
-	if err := json.Unmarshal(text, a); err != nil {
-		return nil, fmt.Errorf("registry: its answer: %w", err)
-	}
-	return a, nil
-}
--- a/internal/registry/wire/wire.go
+++ b/internal/registry/wire/wire.go
@@ -1,6 +1,11 @@
-// Package simwire is what goes between the registry, its operators and its controllers: JSON in signed messages (Standard
-// Webhooks) over HTTP/1.1. Aliases spread in the form of xDS's REST discovery: a long poll with the version held, a nonce,
-// and an error detail where the last answer was not taken (ACK and NACK).
+// Package wire is the protocol between the registry, its operators and its controllers: JSON in signed messages
+// (Standard Webhooks) over HTTP/1.1. It holds the forms of messages and no behaviour; packages client and service
+// speak it.
+//
+// Operators send commands and queries. Controllers poll for aliases in the form of xDS's REST discovery: a long
+// poll that confirms the version held (ACK), or says why the last response was rejected (NACK).
+//
+// The JSON keys in the tags are the protocol, also where they differ from the names of the fields.
 package wire
 
 import (
@@ -10,17 +15,17 @@
 	"kitehub/internal/registry"
 )
 
-// Paths, all POSTed.
+// The paths of requests; the method is always POST.
 const (
-	CommandPath   = "/registry/v1/command"
-	QueryPath     = "/registry/v1/query"
-	DiscoveryPath = "/v3/discovery:aliases"
+	CommandPath   = "/registry/v1/command"  // operators: Command to Answer
+	QueryPath     = "/registry/v1/query"    // any caller: Query to Answer
+	DiscoveryPath = "/v3/discovery:aliases" // controllers: Request to Response
 )
 
-// TypeAlias is the type of what is discovered.
+// TypeAlias is the type URL of the resources of discovery.
 const TypeAlias = "type.googleapis.com/kitehub.registry.v1.Alias"
 
-// A Command of an operator: one field is set, and how long to wait for its move. The message's id is its key.
+// A Command of an operator: exactly one of the pointers is set. The id of its message is its idempotency key.
 type Command struct {
 	Push     *registry.Push     `json:"push,omitempty"`
 	Promote  *registry.Promote  `json:"promote,omitempty"`
@@ -28,42 +33,46 @@
 	Condemn  *registry.Condemn  `json:"condemn,omitempty"`
 	Policy   *registry.Policy   `json:"policy,omitempty"`
 	Collect  *registry.Collect  `json:"collect,omitempty"`
-	WaitMS   int64              `json:"wait_ms,omitempty"`
+	// WaitMS is how long the answer may wait for the end of the migration, in milliseconds.
+	WaitMS int64 `json:"wait_ms,omitempty"`
 }
 
-// A Query asks without changing anything. What is list, history, move, watch or export.
+// A Query changes nothing.
 type Query struct {
+	// What is "list" (of models and lease holders), "history", "move" (status of a migration), "watch" (for a newer
+	// epoch) or "export" (of the state).
 	What      string `json:"what"`
-	Model     string `json:"model,omitempty"`
-	Migration uint64 `json:"move,omitempty"`
-	Since     uint64 `json:"since,omitempty"`
-	WaitMS    int64  `json:"wait_ms,omitempty"`
+	Model     string `json:"model,omitempty"`   // list, history: of this model alone
+	Migration uint64 `json:"move,omitempty"`    // move: its id
+	Since     uint64 `json:"since,omitempty"`   // watch: the epoch that is known
+	WaitMS    int64  `json:"wait_ms,omitempty"` // move, watch: how long to wait, in milliseconds
 }
 
-// An Answer to a command or a query.
+// An Answer to a command or a query. Only the fields that belong to it are set.
 type Answer struct {
-	Migration uint64            `json:"move,omitempty"`
-	Status    string            `json:"status,omitempty"` // staging, fenced, acknowledged, given up, forgotten
-	Why       string            `json:"why,omitempty"`
-	Replayed  bool              `json:"again,omitempty"` // the key was known: nothing was done anew
+	Migration uint64 `json:"move,omitempty"`   // that the command started; 0: none
+	Status    string `json:"status,omitempty"` // of the migration: see registry.State.Status
+	Why       string `json:"why,omitempty"`    // the migration was aborted
+	Replayed  bool   `json:"again,omitempty"`  // the key was known: nothing was done again
+
 	Collected []Collected       `json:"collected,omitempty"`
 	Epoch     uint64            `json:"epoch,omitempty"`
-	Confirmed uint64            `json:"confirmed,omitempty"`
-	Holders   map[string]uint64 `json:"holders,omitempty"`
-	Models    []json.RawMessage `json:"models,omitempty"`
-	History   []HistoryEntry    `json:"history,omitempty"`
-	Targets   []Alias           `json:"targets,omitempty"`
-	State     json.RawMessage   `json:"state,omitempty"`
+	Confirmed uint64            `json:"confirmed,omitempty"` // epoch: see registry.State.Confirmed
+	Holders   map[string]uint64 `json:"holders,omitempty"`   // epoch that each lease holder confirmed
+	Models    []json.RawMessage `json:"models,omitempty"`    // each a registry.Model
+	History   []HistoryEntry    `json:"history,omitempty"`   // oldest first
+	Targets   []Alias           `json:"targets,omitempty"`   // changed since the epoch of the query
+	State     json.RawMessage   `json:"state,omitempty"`     // a registry.State
 }
 
-// Collected is a version that was forgotten.
+// Collected is a version that was removed.
 type Collected struct {
 	Model   string `json:"Model"`
 	Version string `json:"Version"`
 	Digest  string `json:"Digest"`
 }
 
-// A HistoryEntry of the history, by the registry's wall clock as it is now.
+// A HistoryEntry says who did what, when and why. At is by the registry's wall clock as it is set now.
 type HistoryEntry struct {
 	At   time.Time `json:"At"`
 	By   string    `json:"By"`
@@ -71,32 +80,35 @@
 	Why  string    `json:"Why"`
 }
 
-// Node says who asks.
+// Node says which controller sends a request.
 type Node struct {
 	ID string `json:"id"`
 }
 
-// ErrorDetail says why an answer was not taken.
+// ErrorDetail says why a response was rejected. Code is one of google.rpc.Code.
 type ErrorDetail struct {
 	Code    int    `json:"code"`
 	Message string `json:"message"`
 }
 
-// A Request of a controller. VersionInfo is the epoch that it acts by: with it goes the word that no answer of an older
-// one is being handed out.
+// A Request of a controller. It renews the controller's lease, unless it has an ErrorDetail.
 type Request struct {
-	VersionInfo   string                `json:"version_info"`
-	Node          Node                  `json:"node"`
-	TypeURL       string                `json:"type_url"`
-	ResponseNonce string                `json:"response_nonce,omitempty"` // "": it has just come, and is to be told all
-	ErrorDetail   *ErrorDetail          `json:"error_detail,omitempty"`
-	CopiesReady   []CopiesReady         `json:"stands,omitempty"`
-	CallsEnded    []CallsEnded          `json:"ended,omitempty"`
-	Uses          []registry.VersionRef `json:"uses,omitempty"`
-	Staging       []Stage               `json:"staging,omitempty"` // that it was told
+	// VersionInfo is the epoch that the controller confirms, in decimal: it hands out no answer under an older one
+	// any more. "" is 0.
+	VersionInfo string `json:"version_info"`
+	Node        Node   `json:"node"`
+	TypeURL     string `json:"type_url"`
+	// ResponseNonce is that of the last response; "": everything is to be sent, as to a controller that just started.
+	ResponseNonce string        `json:"response_nonce,omitempty"`
+	ErrorDetail   *ErrorDetail  `json:"error_detail,omitempty"` // why the last response was rejected; nil: it was not
+	CopiesReady   []CopiesReady `json:"stands,omitempty"`       // news since the last request
+	CallsEnded    []CallsEnded  `json:"ended,omitempty"`        // since the last request
+	// Uses are the versions under which calls run although their alias does not name them any more.
+	Uses    []registry.VersionRef `json:"uses,omitempty"`
+	Staging []Stage               `json:"staging,omitempty"` // as the last response had it
 }
 
-// CopiesReady is a worker's copies of a version, as it answered.
+// CopiesReady is the number of ready copies of a version at a worker, as the worker said.
 type CopiesReady struct {
 	Model   string `json:"model"`
 	Version string `json:"version"`
@@ -104,29 +116,29 @@
 	Copies  int    `json:"copies"`
 }
 
-// CallsEnded counts calls of a version since the last word.
+// CallsEnded counts calls of a version.
 type CallsEnded struct {
 	Model   string `json:"model"`
 	Version string `json:"version"`
 	Calls   int    `json:"calls"`
-	Errors  int    `json:"errors"`
+	Errors  int    `json:"errors"` // how many of the calls failed
 }
 
 // A Response to a controller.
 type Response struct {
-	VersionInfo string   `json:"version_info"`
+	VersionInfo string   `json:"version_info"` // epoch, in decimal
 	TypeURL     string   `json:"type_url"`
 	Nonce       string   `json:"nonce"`
-	Since       uint64   `json:"since,omitempty"` // 0: all aliases are here
-	Resources   []Alias  `json:"resources"`
-	LeaseMS     float64  `json:"lease_ms"`
-	SettleMS    float64  `json:"settle_ms"`
-	Condemned   []string `json:"barred,omitempty"` // digests that are condemned
-	Stale       []string `json:"stale,omitempty"`
-	Stage       []Stage  `json:"stage,omitempty"`
+	Since       uint64   `json:"since,omitempty"`  // Resources are the changes since this epoch; 0: they are complete
+	Resources   []Alias  `json:"resources"`        // sorted by model and alias
+	LeaseMS     float64  `json:"lease_ms"`         // milliseconds from when the request was sent
+	SettleMS    float64  `json:"settle_ms"`        // milliseconds that calls under superseded targets may go on
+	Condemned   []string `json:"barred,omitempty"` // every condemned digest
+	Stale       []string `json:"stale,omitempty"`  // every model that permits answers without a lease
+	Stage       []Stage  `json:"stage,omitempty"`  // all that this controller is to have loaded
 }
 
-// An Alias as it stands. Version "" is none.
+// An Alias with the version that it names; "": none.
 type Alias struct {
 	Type     string `json:"@type"`
 	Model    string `json:"model"`
@@ -136,7 +148,7 @@
 	Revision uint64 `json:"revision"`
 }
 
-// A Stage is a version of which copies are to stand.
+// A Stage is a version of which so many copies are to become ready, for the migration of an alias.
 type Stage struct {
 	Model   string `json:"model"`
 	Alias   string `json:"alias"`
