--- a/internal/store/dir.go
+++ b/internal/store/dir.go
@@ -68,8 +68,8 @@
 	return f.Sync()
 }
 
-// Lock takes a folder for this process. The lock ends with the process, however it ends: a kill leaves nothing that stops
-// the next start.
+// Lock takes a folder for this process. The lock ends with the process, however it ends: a kill leaves nothing that
+// stops the next start.
 func Lock(dir string) (unlock func() error, err error) {
 	f, err := os.OpenFile(filepath.Join(dir, "lock"), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -1,16 +1,14 @@
 package store
 
 import (
-	"bufio"
-	"encoding/binary"
-	"errors"
 	"fmt"
 	"io"
 	"slices"
 )
 
-// recover finds the newest whole snapshot, applies the records behind it, and cuts off what was never durable.
-func (l *Log) recover(restore func(uint64, []byte) error, apply func(uint64, []byte) error) (*Recovered, error) {
+// recover restores the newest snapshot, applies the records behind it, cuts off what was never durable, and opens
+// the log for appending. It has the log to itself.
+func (l *Log) recover(restore, apply func(uint64, []byte) error) (*Recovered, error) {
 	names, err := l.folder.List()
 	if err != nil {
 		return nil, err
@@ -21,62 +19,23 @@
 		return nil, err
 	}
 	var logs []uint64
-	for _, n := range names {
-		if before, ok := parseSeq(n, ".log"); ok {
+	for _, name := range names {
+		if before, ok := parseLogName(name); ok {
 			logs = append(logs, before)
 		}
-		if n == "snapshot.new" {
-			if err := l.folder.Remove(n); err != nil {
+		if isUnfinishedSnapshot(name) {
+			if err := l.folder.Remove(name); err != nil {
 				return nil, err
 			}
 		}
 	}
-	l.writtenSeq, l.snapshotSeq = rec.Snapshot, rec.Snapshot
-	for i := 0; i < len(logs); i++ {
-		if i+1 < len(logs) && logs[i+1] <= rec.Snapshot {
-			continue // the snapshot holds all of it: a crash came before it was removed
-		}
-		last := i == len(logs)-1
-		if logs[i] > l.writtenSeq {
-			if !l.holdNoRecord(logs[i:]) {
-				return nil, &CorruptError{logName(logs[i]), 0, fmt.Sprintf("records after %d are missing before it", l.writtenSeq)}
-			}
-			// A file that was begun while the one before was not yet whole holds nothing: it was never used.
-			if err := l.removeLogs(logs[i:]); err != nil {
-				return nil, err
-			}
-			break
-		}
-		end, upTo, whole, err := l.replay(logs[i], rec, apply)
-		if err != nil {
-			return nil, err
-		}
-		if whole && !last {
-			continue
-		}
-		if !last && !l.holdNoRecord(logs[i+1:]) {
-			return nil, &CorruptError{logName(logs[i]), end, "damaged, and later files hold records"}
-		}
-		if err := l.removeLogs(logs[i+1:]); err != nil {
-			return nil, err
-		}
-		// One whose head was not durable never held an acknowledged record. One that ends before what is known,
-		// by a snapshot or by a file that stayed in use in its place, cannot be appended to.
-		if end < fileHeaderSize || upTo < l.writtenSeq {
-			if err := l.removeLogs(logs[i:]); err != nil {
-				return nil, err
-			}
-			break
-		}
-		if !whole {
-			if err := l.folder.Truncate(logName(logs[i]), end); err != nil {
-				return nil, err
-			}
-		}
-		l.fileName, l.fileSize = logName(logs[i]), end
-		break
+	l.snapshotSeq = rec.Snapshot
+	l.writtenSeq = rec.Snapshot
+	if err := l.replayLogs(logs, rec, apply); err != nil {
+		return nil, err
 	}
-	rec.Last, l.durableSeq = l.writtenSeq, l.writtenSeq
+	rec.Last = l.writtenSeq
+	l.durableSeq = l.writtenSeq
 	if l.fileName == "" {
 		return rec, l.startFile(l.writtenSeq)
 	}
@@ -86,165 +45,121 @@
 	return rec, nil
 }
 
-func (l *Log) removeLogs(logs []uint64) error {
-	for _, before := range logs {
-		if err := l.folder.Remove(logName(before)); err != nil {
-			return err
-		}
-	}
-	if len(logs) == 0 {
-		return nil
-	}
-	return l.folder.SyncDir()
-}
-
-// holdNoRecord tells whether log files hold no whole record.
-func (l *Log) holdNoRecord(logs []uint64) bool {
-	for _, before := range logs {
-		b, err := l.readAll(logName(before))
-		if err != nil || len(b) > fileHeaderSize && findRecord(b[fileHeaderSize:], l.options.MaxRecord, 0) {
-			return false
-		}
-	}
-	return true
-}
-
-func (l *Log) readAll(name string) ([]byte, error) {
-	f, err := l.folder.Open(name)
-	if err != nil {
-		return nil, err
-	}
-	defer f.Close()
-	return io.ReadAll(f)
-}
-
-// restore gives the newest snapshot that is whole. A damaged one is an error: it was durable before anything that it
-// replaces was removed, so the log alone would not do.
+// restore passes the newest snapshot on. A damaged one is an error: the log alone would not do, as files that the
+// snapshot replaced are removed once it is durable.
 func (l *Log) restore(names []string, rec *Recovered, restore func(uint64, []byte) error) error {
-	for i := len(names) - 1; i >= 0; i-- {
-		seq, ok := parseSeq(names[i], ".snap")
+	for _, name := range slices.Backward(names) {
+		seq, ok := parseSnapshotName(name)
 		if !ok {
 			continue
 		}
-		b, err := l.readAll(names[i])
+		b, err := l.readAll(name)
 		if err != nil {
 			return err
 		}
-		if len(b) < fileHeaderSize+recordHeaderSize || [8]byte(b[:8]) != snapMagic || binary.BigEndian.Uint64(b[8:]) != seq {
-			return &CorruptError{names[i], 0, "no head of a snapshot"}
+		if len(b) < fileHeaderSize+recordHeaderSize || !isFileHeader(b, snapshotMagic, seq) {
+			return &CorruptError{name, 0, "no head of a snapshot"}
 		}
-		r := b[fileHeaderSize:]
-		if int(binary.BigEndian.Uint32(r)) != len(r)-recordHeaderSize || binary.BigEndian.Uint32(r[4:]) != checksum(r) || binary.BigEndian.Uint64(r[8:]) != seq {
-			return &CorruptError{names[i], fileHeaderSize, "snapshot is damaged"}
+		record := b[fileHeaderSize:]
+		if payloadSize(record) != len(record)-recordHeaderSize || storedChecksum(record) != checksum(record) ||
+			recordSeq(record) != seq {
+			return &CorruptError{name, fileHeaderSize, "snapshot is damaged"}
 		}
 		rec.Snapshot = seq
-		return restore(seq, r[recordHeaderSize:])
+		return restore(seq, record[recordHeaderSize:])
 	}
 	return nil
 }
 
-// replay applies the records of a file. It returns where the whole ones end, the last one's number, and whether that is
-// the end of the file.
-func (l *Log) replay(before uint64, rec *Recovered, apply func(uint64, []byte) error) (end int64, seq uint64, whole bool, err error) {
-	seq = before
-	name := logName(before)
-	f, err := l.folder.Open(name)
-	if err != nil {
-		return 0, seq, false, err
-	}
-	defer f.Close()
-	br := bufio.NewReaderSize(f, 1<<16)
-	var head [fileHeaderSize]byte
-	if n, err := io.ReadFull(br, head[:]); err != nil {
-		rec.Cut += int64(n)
-		return 0, seq, false, ignoreEOF(err)
-	}
-	if [8]byte(head[:8]) != logMagic || binary.BigEndian.Uint64(head[8:]) != before {
-		rest, err := io.ReadAll(br)
+// replayLogs applies the records of the log files, which are sorted, and makes the file with the end of the log the
+// current one. It leaves fileName empty where no file can be appended to.
+func (l *Log) replayLogs(logs []uint64, rec *Recovered, apply func(uint64, []byte) error) error {
+	for i, before := range logs {
+		later := logs[i+1:]
+		if len(later) > 0 && later[0] <= rec.Snapshot {
+			continue // the snapshot includes all of it: a crash came before it was removed
+		}
+		if before > l.writtenSeq {
+			return l.removeUnused(logs[i:])
+		}
+		end, err := l.replay(before, rec, apply)
 		if err != nil {
-			return 0, seq, false, err
-		}
-		if findRecord(rest, l.options.MaxRecord, 0) {
-			return 0, seq, false, &CorruptError{name, 0, "no head of a log, but records behind it"}
-		}
-		rec.Cut += int64(fileHeaderSize + len(rest))
-		return 0, seq, false, nil
-	}
-	end = fileHeaderSize
-	buf := make([]byte, 0, 4096)
-	for {
-		var h [recordHeaderSize]byte
-		n, err := io.ReadFull(br, h[:])
-		if n == 0 && errors.Is(err, io.EOF) {
-			return end, seq, true, nil
-		}
-		if err != nil && ignoreEOF(err) != nil {
-			return 0, seq, false, err
-		}
-		size := int(binary.BigEndian.Uint32(h[:]))
-		bad := err != nil || size > l.options.MaxRecord
-		buf = append(buf[:0], h[:n]...)
-		if !bad {
-			buf = slices.Grow(buf, size)[:recordHeaderSize+size]
-			var m int
-			m, err = io.ReadFull(br, buf[recordHeaderSize:])
-			if err != nil && ignoreEOF(err) != nil {
-				return 0, seq, false, err
-			}
-			buf = buf[:recordHeaderSize+m]
-			bad = err != nil || checksum(buf) != binary.BigEndian.Uint32(h[4:]) || binary.BigEndian.Uint64(h[8:]) != seq+1
-		}
-		if bad {
-			end, whole, err = l.judgeDamage(name, end, seq, buf, br, rec)
-			return end, seq, whole, err
+			return err
 		}
-		seq++
-		end += int64(len(buf))
-		if seq <= l.writtenSeq {
-			continue // the snapshot holds it
+		if !end.complete || len(later) == 0 {
+			return l.endLog(logs[i:], end)
 		}
-		if err := apply(seq, buf[recordHeaderSize:]); err != nil {
-			return 0, seq, false, fmt.Errorf("store: record %d: %w", seq, err)
+	}
+	return nil
+}
+
+// removeUnused removes files that were started before the file ahead of them was complete. Such files were never
+// used; a record in one of them proves that records before it are missing.
+func (l *Log) removeUnused(logs []uint64) error {
+	if !l.holdNoRecord(logs) {
+		return &CorruptError{logName(logs[0]), 0, fmt.Sprintf("records after %d are missing before it", l.writtenSeq)}
+	}
+	return l.removeLogs(logs)
+}
+
+// endLog makes the first of the files the current one, given where its complete records end, and removes the later
+// ones.
+func (l *Log) endLog(logs []uint64, end fileEnd) error {
+	name := logName(logs[0])
+	later := logs[1:]
+	if len(later) > 0 && !l.holdNoRecord(later) {
+		return &CorruptError{name, end.offset, "damaged, and later files hold records"}
+	}
+	if err := l.removeLogs(later); err != nil {
+		return err
+	}
+	// A file whose header was not durable never held an acknowledged record. One that ends before what is known, by a
+	// snapshot or by a file that stayed in use in its place, cannot be appended to.
+	if end.offset < fileHeaderSize || end.seq < l.writtenSeq {
+		return l.removeLogs(logs)
+	}
+	if !end.complete {
+		if err := l.folder.Truncate(name, end.offset); err != nil {
+			return err
 		}
-		l.writtenSeq = seq
-		rec.Records++
 	}
+	l.fileName = name
+	l.fileSize = end.offset
+	return nil
 }
 
-// judgeDamage judges what follows the last whole record: unless a later record proves that the next one was durable, it
-// was never acknowledged and may be cut off.
-func (l *Log) judgeDamage(name string, end int64, seq uint64, read []byte, br io.Reader, rec *Recovered) (int64, bool, error) {
-	rest, err := io.ReadAll(br)
-	if err != nil {
-		return 0, false, err
+// removeLogs removes log files for good.
+func (l *Log) removeLogs(logs []uint64) error {
+	for _, before := range logs {
+		if err := l.folder.Remove(logName(before)); err != nil {
+			return err
+		}
 	}
-	rest = append(slices.Clone(read), rest...)
-	if findRecord(rest[min(1, len(rest)):], l.options.MaxRecord, seq+1) {
-		return 0, false, &CorruptError{name, end, fmt.Sprintf("record %d is damaged, and a later one shows that it was committed", seq+1)}
+	if len(logs) == 0 {
+		return nil
 	}
-	rec.Cut += int64(len(rest))
-	return end, false, nil
+	return l.folder.SyncDir()
 }
 
-// findRecord looks for a whole record at any offset that was written when the given sequence number was durable.
-func findRecord(b []byte, most int, durable uint64) bool {
-	for i := 0; i+recordHeaderSize <= len(b); i++ {
-		size := int(binary.BigEndian.Uint32(b[i:]))
-		if size > most || i+recordHeaderSize+size > len(b) || binary.BigEndian.Uint64(b[i+16:]) < durable ||
-			binary.BigEndian.Uint64(b[i+8:]) <= binary.BigEndian.Uint64(b[i+16:]) {
-			continue
+// holdNoRecord tells whether log files hold no complete record.
+func (l *Log) holdNoRecord(logs []uint64) bool {
+	for _, before := range logs {
+		b, err := l.readAll(logName(before))
+		if err != nil {
+			return false
 		}
-		if binary.BigEndian.Uint32(b[i+4:]) == checksum(b[i:i+recordHeaderSize+size]) {
-			return true
+		if len(b) > fileHeaderSize && findRecord(b[fileHeaderSize:], l.options.MaxRecord, 0) {
+			return false
 		}
 	}
-	return false
+	return true
 }
 
-// ignoreEOF drops the errors that say that a file ends.
-func ignoreEOF(err error) error {
-	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
-		return nil
+func (l *Log) readAll(name string) ([]byte, error) {
+	f, err := l.folder.Open(name)
+	if err != nil {
+		return nil, err
 	}
-	return err
+	defer f.Close()
+	return io.ReadAll(f)
 }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -146,7 +146,7 @@
 	l.Close()
 	names, _ := m.List()
 	slices.Sort(names)
-	if fmt.Sprint(names) != fmt.Sprint([]string{logName(6), snapName(6)}) {
+	if fmt.Sprint(names) != fmt.Sprint([]string{logName(6), snapshotName(6)}) {
 		t.Errorf("files %v", names)
 	}
 	l, got := mustOpen(t, m.crash())
@@ -338,7 +338,7 @@
 func BenchmarkCommit(b *testing.B) {
 	for _, alone := range []bool{false, true} {
 		b.Run(map[bool]string{false: "groups", true: "alone"}[alone], func(b *testing.B) {
-			l, _, err := Open(Dir(b.TempDir()), Options{Alone: alone}, nil, nil)
+			l, _, err := Open(Dir(b.TempDir()), Options{SyncEachRecord: alone}, nil, nil)
 			if err != nil {
 				b.Fatal(err)
 			}
