--- a/internal/store/dir.go
+++ b/internal/store/dir.go
@@ -8,7 +8,7 @@
 	"syscall"
 )
 
-// Dir is a folder of the machine. It must be there, and be used by one Log at a time.
+// Dir is a folder of the machine, by its path. It must exist, and belong to one Log at a time: see Lock.
 type Dir string
 
 func (d Dir) path(name string) string { return filepath.Join(string(d), name) }
@@ -68,8 +68,8 @@
 	return f.Sync()
 }
 
-// Lock takes a folder for this process. The lock ends with the process, however it ends: a kill leaves nothing that
-// stops the next start.
+// Lock locks a folder for this process, or returns an error where another process holds it. The lock ends with the
+// process, however that ends: a kill leaves nothing that stops the next start.
 func Lock(dir string) (unlock func() error, err error) {
 	f, err := os.OpenFile(filepath.Join(dir, "lock"), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
--- a/internal/store/fault_test.go
+++ b/internal/store/memory_test.go
@@ -10,17 +10,17 @@
 	"sync"
 )
 
-// memory is a folder in memory that knows what is durable and what only the kernel holds. It can fail, run out of room,
-// and crash: then of all that was not synced any part may be there, in any order, torn at any sector.
+// memory is a folder in memory that knows what is durable and what only the kernel holds. It can fail, fill up and crash:
+// of all that was not synced, any part may then be on disk, in any order, torn at any sector.
 type memory struct {
-	mu      sync.Mutex
-	rng     *rand.Rand
-	names   map[string]*inode // as seen
-	durable map[string]*inode // as on disk
-	ops     []func(map[string]*inode)
-	room    int // bytes that still fit; below 0: endless
-	fail    func(op string) error
-	syncs   int
+	mu       sync.Mutex
+	rng      *rand.Rand
+	names    map[string]*inode // as seen
+	durable  map[string]*inode // as on disk
+	ops      []func(map[string]*inode)
+	capacity int // bytes that still fit; below 0: any number
+	fail     func(op string) error
+	syncs    int
 }
 
 type inode struct {
@@ -37,10 +37,10 @@
 const sector = 32 // small, so that records span several
 
 var errFault = errors.New("fault")
-var errRoom = errors.New("no room")
+var errFull = errors.New("no capacity")
 
 func newMemory(seed uint64) *memory {
-	return &memory{rng: rand.New(rand.NewPCG(seed, seed)), names: map[string]*inode{}, durable: map[string]*inode{}, room: -1}
+	return &memory{rng: rand.New(rand.NewPCG(seed, seed)), names: map[string]*inode{}, durable: map[string]*inode{}, capacity: -1}
 }
 
 func (m *memory) check(op string) error {
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// name changes the folder as seen; on disk it is changed by SyncDir, or perhaps by a crash.
+// name changes the names as seen. On disk they change with SyncDir, or perhaps at a crash.
 func (m *memory) name(f func(map[string]*inode)) {
 	f(m.names)
 	m.ops = append(m.ops, f)
@@ -146,7 +146,7 @@
 func (m *memory) crash() *memory {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, f := range m.ops { // names too may come to the disk in any order
+	for _, f := range m.ops { // names too may reach the disk in any order
 		if m.rng.IntN(2) == 0 {
 			f(m.durable)
 		}
@@ -189,11 +189,11 @@
 	if err != nil {
 		n = h.m.rng.IntN(n + 1)
 	}
-	if h.m.room >= 0 && n > h.m.room {
-		n, err = h.m.room, errRoom
+	if h.m.capacity >= 0 && n > h.m.capacity {
+		n, err = h.m.capacity, errFull
 	}
-	if h.m.room >= 0 {
-		h.m.room -= n
+	if h.m.capacity >= 0 {
+		h.m.capacity -= n
 	}
 	h.n.writes = append(h.n.writes, write{len(h.n.data), slices.Clone(b[:n])})
 	h.n.data = append(h.n.data, b[:n]...)
@@ -205,7 +205,7 @@
 	defer h.m.mu.Unlock()
 	h.m.syncs++
 	if err := h.m.check("sync"); err != nil {
-		h.n.writes = nil // as Linux does: what could not be written is dropped, and the next sync says well
+		h.n.writes = nil // as Linux does: what could not be written is dropped, and the next sync succeeds
 		return err
 	}
 	h.n.synced, h.n.writes = slices.Clone(h.n.data), nil
