--- a/internal/registry/service/codec.go
+++ b/internal/registry/service/codec.go
@@ -10,51 +10,62 @@
 	"kitehub/internal/registry"
 )
 
-// A record is one line of the log: a command with the time at which it was applied. One command is set.
+// A record is one entry of the log: a command, of which exactly one is set, with the time at which it was applied.
+// Its JSON is the format of the log.
 type record struct {
-	At       time.Duration            `json:"at"`
-	Key      string                   `json:"key,omitempty"`
-	Sum      string                   `json:"sum,omitempty"`
-	Push     *registry.Push           `json:"push,omitempty"`
-	Promote  *registry.Promote        `json:"promote,omitempty"`
-	Rollback *registry.Rollback       `json:"rollback,omitempty"`
-	Condemn  *registry.Condemn        `json:"condemn,omitempty"`
-	Policy   *registry.Policy         `json:"policy,omitempty"`
-	Collect  *registry.Collect        `json:"collect,omitempty"`
-	Stands   *registry.CopiesReady    `json:"stands,omitempty"`
-	Ended    *registry.CallsEnded     `json:"ended,omitempty"`
-	Reached  *registry.EpochConfirmed `json:"reached,omitempty"`
-	Tick     *registry.Tick           `json:"tick,omitempty"`
+	At             time.Duration            `json:"at"`
+	Key            string                   `json:"key,omitempty"` // idempotency key
+	Sum            string                   `json:"sum,omitempty"` // of the command's text, with a key
+	Push           *registry.Push           `json:"push,omitempty"`
+	Promote        *registry.Promote        `json:"promote,omitempty"`
+	Rollback       *registry.Rollback       `json:"rollback,omitempty"`
+	Condemn        *registry.Condemn        `json:"condemn,omitempty"`
+	Policy         *registry.Policy         `json:"policy,omitempty"`
+	Collect        *registry.Collect        `json:"collect,omitempty"`
+	CopiesReady    *registry.CopiesReady    `json:"stands,omitempty"`
+	CallsEnded     *registry.CallsEnded     `json:"ended,omitempty"`
+	EpochConfirmed *registry.EpochConfirmed `json:"reached,omitempty"`
+	Tick           *registry.Tick           `json:"tick,omitempty"`
 }
 
-// command returns the one command of a record.
+// command returns the one command of a record, or an error where none or several are set.
 func (r *record) command() (registry.Command, error) {
-	var l []registry.Command
-	l = given(given(given(given(l, r.Push), r.Promote), r.Rollback), r.Condemn)
-	l = given(given(given(given(l, r.Policy), r.Collect), r.Stands), r.Ended)
-	l = given(given(l, r.Reached), r.Tick)
-	if len(l) != 1 {
-		return nil, fmt.Errorf("command: %d are set, want one of push, promote, rollback, condemn, policy, collect", len(l))
+	var commands []registry.Command
+	commands = appendIfSet(commands, r.Push)
+	commands = appendIfSet(commands, r.Promote)
+	commands = appendIfSet(commands, r.Rollback)
+	commands = appendIfSet(commands, r.Condemn)
+	commands = appendIfSet(commands, r.Policy)
+	commands = appendIfSet(commands, r.Collect)
+	commands = appendIfSet(commands, r.CopiesReady)
+	commands = appendIfSet(commands, r.CallsEnded)
+	commands = appendIfSet(commands, r.EpochConfirmed)
+	commands = appendIfSet(commands, r.Tick)
+	if len(commands) != 1 {
+		return nil, fmt.Errorf("command: %d are set, want one of push, promote, rollback, condemn, policy, collect",
+			len(commands))
 	}
-	c := l[0]
+	command := commands[0]
 	if r.Key != "" {
-		c = registry.IdempotentCommand{Key: r.Key, Sum: r.Sum, Command: c}
+		command = registry.IdempotentCommand{Key: r.Key, Sum: r.Sum, Command: command}
 	}
-	return c, nil
+	return command, nil
 }
 
-// given appends a command that is set.
-func given[C registry.Command](l []registry.Command, c *C) []registry.Command {
-	if c != nil {
-		l = append(l, *c)
+// appendIfSet appends the command that a field holds, if it holds one.
+func appendIfSet[C registry.Command](commands []registry.Command, field *C) []registry.Command {
+	if field == nil {
+		return commands
 	}
-	return l
+	return append(commands, *field)
 }
 
+// set makes c the command of the record.
 func (r *record) set(c registry.Command) {
 	switch c := c.(type) {
 	case registry.IdempotentCommand:
-		r.Key, r.Sum = c.Key, c.Sum
+		r.Key = c.Key
+		r.Sum = c.Sum
 		r.set(c.Command)
 	case registry.Push:
 		r.Push = &c
@@ -69,26 +80,26 @@
 	case registry.Collect:
 		r.Collect = &c
 	case registry.CopiesReady:
-		r.Stands = &c
+		r.CopiesReady = &c
 	case registry.CallsEnded:
-		r.Ended = &c
+		r.CallsEnded = &c
 	case registry.EpochConfirmed:
-		r.Reached = &c
+		r.EpochConfirmed = &c
 	case registry.Tick:
 		r.Tick = &c
 	}
 }
 
-// strict reads one JSON value and nothing else; a field that is not known is an error, as a misspelt condition would
+// unmarshalStrict decodes one JSON value and nothing else. An unknown field is an error: a misspelt condition would
 // otherwise be no condition.
-func strict(text []byte, v any) error {
-	d := json.NewDecoder(bytes.NewReader(text))
-	d.DisallowUnknownFields()
-	if err := d.Decode(v); err != nil {
+func unmarshalStrict(text []byte, v any) error {
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(v); err != nil {
 		return err
 	}
-	if _, err := d.Token(); err != io.EOF {
-		return fmt.Errorf("more behind the value, at byte %d", d.InputOffset())
+	if _, err := decoder.Token(); err != io.EOF {
+		return fmt.Errorf("more behind the value, at byte %d", decoder.InputOffset())
 	}
 	return nil
 }
