--- a/internal/gen/main.go
+++ b/internal/gen/main.go
@@ -5,6 +5,7 @@
 import (
 	"bytes"
 	"context"
+	"errors"
 	"flag"
 	"fmt"
 	"os"
@@ -44,12 +45,40 @@
 	return protocompile.SearchResult{Desc: d}, nil
 }
 
+// run makes the code of all files, and writes or checks it.
 func run(check bool) error {
+	req, err := request()
+	if err != nil {
+		return err
+	}
+	gen, err := protogen.Options{}.New(req)
+	if err != nil {
+		return err
+	}
+	for _, f := range gen.Files {
+		if f.Generate {
+			internal_gengo.GenerateFile(gen, f)
+		}
+	}
+	resp := gen.Response()
+	if resp.Error != nil {
+		return errors.New(resp.GetError())
+	}
+	for _, out := range resp.File {
+		if err := write(out, check); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// request compiles the files, with all that they import, to what a plugin of protoc is given.
+func request() (*pluginpb.CodeGeneratorRequest, error) {
 	c := protocompile.Compiler{SourceInfoMode: protocompile.SourceInfoStandard,
 		Resolver: protocompile.CompositeResolver{&protocompile.SourceResolver{}, registered{}}}
 	compiled, err := c.Compile(context.Background(), files...)
 	if err != nil {
-		return err
+		return nil, err
 	}
 	req := &pluginpb.CodeGeneratorRequest{FileToGenerate: files}
 	seen := map[string]bool{}
@@ -70,37 +99,21 @@
 	// Options of our own files are read anew, so that they are of the linked types.
 	b, err := proto.Marshal(req)
 	if err != nil {
-		return err
+		return nil, err
 	}
 	req = &pluginpb.CodeGeneratorRequest{}
-	if err := proto.Unmarshal(b, req); err != nil {
-		return err
-	}
-	gen, err := protogen.Options{}.New(req)
-	if err != nil {
-		return err
-	}
-	for _, f := range gen.Files {
-		if f.Generate {
-			internal_gengo.GenerateFile(gen, f)
-		}
+	return req, proto.Unmarshal(b, req)
+}
+
+// write writes a generated file if it has changed; with check that is an error.
+func write(out *pluginpb.CodeGeneratorResponse_File, check bool) error {
+	name := strings.TrimPrefix(out.GetName(), "kitehub/") // by go_package, which is the path within the module
+	old, _ := os.ReadFile(name)
+	if bytes.Equal(old, []byte(out.GetContent())) {
+		return nil
 	}
-	resp := gen.Response()
-	if resp.Error != nil {
-		return fmt.Errorf("%s", *resp.Error)
+	if check {
+		return fmt.Errorf("%s is not up to date: go run ./internal/gen", name)
 	}
-	for _, out := range resp.File {
-		name := strings.TrimPrefix(out.GetName(), "kitehub/") // by go_package, which is the path within the module
-		old, _ := os.ReadFile(name)
-		if bytes.Equal(old, []byte(out.GetContent())) {
-			continue
-		}
-		if check {
-			return fmt.Errorf("%s is not up to date: go run ./internal/gen", name)
-		}
-		if err := os.WriteFile(name, []byte(out.GetContent()), 0o644); err != nil {
-			return err
-		}
-	}
-	return nil
+	return os.WriteFile(name, []byte(out.GetContent()), 0o644)
 }
--- a/internal/harness/fakeworker/serve.go
+++ b/internal/harness/fakeworker/serve.go
@@ -230,37 +230,61 @@
 	return digest
 }
 
+// infer runs one call in the model, and answers as it ended there.
 func (w *site) infer(c *http1.Conn, r *http1.Request, name string) *http1.Response {
 	k := w.h.kind(name)
-	tp := strings.Split(r.Header.Get(backend.HeaderTrace), "-")
-	if k == nil || len(tp) != 4 {
+	traceparent := strings.Split(r.Header.Get(backend.HeaderTrace), "-")
+	if k == nil || len(traceparent) != 4 {
 		return fault(404, backend.ProblemMiss)
 	}
-	body := r.Body
-	if n, err := strconv.Atoi(r.Header.Get(backend.HeaderJSONLength)); err == nil && n >= 0 && n <= len(body) {
-		body = body[n:]
-	}
-	var m struct {
-		WorkMS float64 `json:"work_ms"`
-	}
-	json.Unmarshal(body, &m)
-	work := k.Work.Seconds()
-	if m.WorkMS > 0 {
-		work = m.WorkMS / 1000
-	}
-	rec := trace.Record{Kind: trace.RequestRead, Worker: w.name, Controller: controller(r), Request: tp[1], Attempt: tp[2],
+	body := callBody(r)
+	rec := trace.Record{Kind: trace.RequestRead, Worker: w.name, Controller: controller(r), Request: traceparent[1], Attempt: traceparent[2],
 		Class: k.Class, Function: name, Key: r.Header.Get(backend.HeaderKey)}
 	w.h.cfg.Trace.Add(rec)
 	if k.Versions {
 		if rec.Digest = w.proved(k, r.Header.Get(backend.HeaderDigest)); rec.Digest == "" {
-			return w.reported(fault(404, backend.ProblemMiss), &workersim.Effect{Note: 4}, 0) // the load failed; nothing ran
+			return w.reported(fault(404, backend.ProblemMiss), &workersim.Effect{Note: loadFailedNote}, 0) // nothing ran
 		}
 		w.mu.Lock()
 		if w.lies {
-			rec.Note = "lie" // on purpose: what is judged is that its answer goes nowhere
+			rec.Note = "lie" // on purpose: what is checked is that its answer goes nowhere
 		}
 		w.mu.Unlock()
 	}
+	e, ok := w.run(c, k, rec, workOf(k, body))
+	if !ok {
+		return nil
+	}
+	rec.Kind, rec.At, rec.Outcome = trace.Replied, 0, string(e.Outcome)
+	w.h.cfg.Trace.Add(rec)
+	return w.wrong(c, w.reported(inferResponse(name, body, rec.Digest, &e), &e, 0))
+}
+
+// loadFailedNote is how a load report says that a load failed.
+const loadFailedNote = 4
+
+// callBody returns the call's own bytes: those behind the JSON head of the inference request, if it has one.
+func callBody(r *http1.Request) []byte {
+	if n, err := strconv.Atoi(r.Header.Get(backend.HeaderJSONLength)); err == nil && n >= 0 && n <= len(r.Body) {
+		return r.Body[n:]
+	}
+	return r.Body
+}
+
+// workOf returns the seconds of work that a call asks for, or the mean of its kind.
+func workOf(k *Kind, body []byte) float64 {
+	var m struct {
+		WorkMS float64 `json:"work_ms"`
+	}
+	json.Unmarshal(body, &m)
+	if m.WorkMS > 0 {
+		return m.WorkMS / 1000
+	}
+	return k.Work.Seconds()
+}
+
+// run has the model run a call, and waits for its end; false if the connection has ended before, or the worker.
+func (w *site) run(c *http1.Conn, k *Kind, rec trace.Record, work float64) (e workersim.Effect, ok bool) {
 	id, ch := w.h.ask()
 	w.h.mu.Lock()
 	w.h.began[id] = rec
@@ -271,7 +295,7 @@
 		call.Key = rec.Key
 	}
 	w.h.Do(func(f *workersim.Fleet) { f.Call(w.index, call) })
-	e, ok := await(c, ch)
+	e, ok = await(c, ch)
 	if ok && e.Outcome != workersim.Reset {
 		ok = w.hush(c)
 	}
@@ -279,30 +303,31 @@
 		rec.Kind, rec.At = trace.ClientClosed, 0
 		w.h.cfg.Trace.Add(rec)
 		w.h.Do(func(f *workersim.Fleet) { f.Cancel(w.index, id) })
-		return nil
+		return e, false
 	}
 	if e.Outcome == workersim.Reset {
 		c.Reset()
-		return nil
+		return e, false
 	}
-	rec.Kind, rec.At, rec.Outcome = trace.Replied, 0, string(e.Outcome)
-	w.h.cfg.Trace.Add(rec)
-	var resp *http1.Response
+	return e, true
+}
+
+// inferResponse echoes the body of a call that was served.
+func inferResponse(name string, body []byte, digest string, e *workersim.Effect) *http1.Response {
 	switch e.Outcome {
 	case workersim.OK:
 		head := `{"model_name":"` + name + `","outputs":[{"name":"body","shape":[1],"datatype":"BYTES","parameters":{"binary_data_size":` +
 			strconv.Itoa(len(body)) + `}}]}`
-		resp = &http1.Response{Status: 200, Header: http1.Header{{Name: "Content-Type", Value: "application/octet-stream"},
+		resp := &http1.Response{Status: 200, Header: http1.Header{{Name: "Content-Type", Value: "application/octet-stream"},
 			{Name: backend.HeaderJSONLength, Value: strconv.Itoa(len(head))}}, Body: append([]byte(head), body...)}
-		if rec.Digest != "" {
-			resp.Header.Add(backend.HeaderDigest, rec.Digest)
+		if digest != "" {
+			resp.Header.Add(backend.HeaderDigest, digest)
 		}
+		return resp
 	case workersim.AtCapacity:
-		resp = fault(503, backend.ProblemFull)
-	default:
-		resp = fault(500, "urn:kitehub:problem:"+string(e.Outcome))
+		return fault(503, backend.ProblemFull)
 	}
-	return w.wrong(c, w.reported(resp, &e, 0))
+	return fault(500, "urn:kitehub:problem:"+string(e.Outcome))
 }
 
 // wrong answers as the fault set for the worker has it.
--- a/internal/harness/invariant/versions.go
+++ b/internal/harness/invariant/versions.go
@@ -23,65 +23,91 @@
 	Breaks []VersionBreak
 }
 
-// Versions judges that no answer of a version went out after the acknowledgement of a move that left it, and that no other
-// bytes ran than those under the name. It reads Moved (the operator has the acknowledgement), Asked and Answered of the
-// clients, and Began of the workers. A call that was asked for after an acknowledgement has no slack at all.
-func Versions(rs []trace.Record, slack time.Duration) *VersionVerdict {
-	v := &VersionVerdict{}
-	type move struct {
-		at       time.Duration
-		revision uint64
-		digest   string
+// A migration is one that the operator has the acknowledgement of.
+type migration struct {
+	at       time.Duration
+	revision uint64
+	digest   string
+}
+
+// A versionChecker goes through one trace.
+type versionChecker struct {
+	verdict    *VersionVerdict
+	slack      time.Duration
+	migrations map[string][]migration // of an alias, in the order of their revisions
+	digests    map[string]string      // by function at the workers, "model@version"
+	sentAt     map[string]time.Duration
+	ran        map[string][]string // digests, by request
+}
+
+// Versions checks that no answer of a version went out after the acknowledgement of a migration that superseded it, and that no
+// other bytes ran than those under the name. It reads AliasMigrated (the operator has the acknowledgement), RequestSent and Answered
+// of the clients, and RunStarted of the workers. A call that was sent after an acknowledgement has no slack at all.
+func Versions(records []trace.Record, slack time.Duration) *VersionVerdict {
+	c := &versionChecker{verdict: &VersionVerdict{}, slack: slack, migrations: map[string][]migration{}, digests: map[string]string{},
+		sentAt: map[string]time.Duration{}, ran: map[string][]string{}}
+	for i := range records {
+		c.gather(&records[i])
 	}
-	moves := map[string][]move{} // of an alias, in the order of their revisions
-	names := map[string]string{} // function at the workers, "model@version", to its digest
-	asked := map[string]time.Duration{}
-	ran := map[string][]string{} // digests, by request
-	for i := range rs {
-		switch r := &rs[i]; r.Kind {
-		case trace.AliasMigrated:
-			v.Moves++
-			moves[r.Function] = append(moves[r.Function], move{r.At, r.Revision, r.Digest})
-			names[r.Note] = r.Digest
-		case trace.RequestSent:
-			asked[r.Request] = r.At
-		case trace.RunStarted:
-			if r.Digest != "" {
-				v.Runs++
-				ran[r.Request] = append(ran[r.Request], r.Digest)
-			}
+	for _, l := range c.migrations {
+		slices.SortStableFunc(l, func(a, b migration) int { return int(a.revision) - int(b.revision) })
+	}
+	for i := range records {
+		r := &records[i]
+		if r.Kind == trace.RunStarted {
+			c.checkRun(r)
+		}
+		if r.Kind == trace.Answered && r.Outcome == "served" && r.Revision > 0 {
+			c.verdict.Answers++
+			c.checkAnswer(r)
 		}
 	}
-	for _, l := range moves {
-		slices.SortStableFunc(l, func(a, b move) int { return int(a.revision) - int(b.revision) })
+	return c.verdict
+}
+
+func (c *versionChecker) gather(r *trace.Record) {
+	switch r.Kind {
+	case trace.AliasMigrated:
+		c.verdict.Moves++
+		c.migrations[r.Function] = append(c.migrations[r.Function], migration{r.At, r.Revision, r.Digest})
+		c.digests[r.Note] = r.Digest
+	case trace.RequestSent:
+		c.sentAt[r.Request] = r.At
+	case trace.RunStarted:
+		if r.Digest != "" {
+			c.verdict.Runs++
+			c.ran[r.Request] = append(c.ran[r.Request], r.Digest)
+		}
 	}
-	note := func(at time.Duration, format string, args ...any) {
-		v.Breaks = append(v.Breaks, VersionBreak{at, fmt.Sprintf(format, args...)})
+}
+
+func (c *versionChecker) broken(at time.Duration, format string, args ...any) {
+	c.verdict.Breaks = append(c.verdict.Breaks, VersionBreak{at, fmt.Sprintf(format, args...)})
+}
+
+// checkRun checks that a worker ran the bytes that the function's name stands for, unless it was told to run others.
+func (c *versionChecker) checkRun(r *trace.Record) {
+	if want := c.digests[r.Function]; r.Digest != "" && want != "" && want != r.Digest && r.Note != "lie" {
+		c.broken(r.At, "%s ran %s as %s, which is %s", r.Worker, r.Digest, r.Function, want)
 	}
-	for i := range rs {
-		r := &rs[i]
-		if r.Kind == trace.RunStarted && r.Digest != "" && names[r.Function] != "" && names[r.Function] != r.Digest && r.Note != "lie" {
-			note(r.At, "%s ran %s as %s, which is %s", r.Worker, r.Digest, r.Function, names[r.Function])
-		}
-		if r.Kind != trace.Answered || r.Outcome != "served" || r.Revision == 0 {
-			continue
-		}
-		v.Answers++
-		for _, m := range moves[r.Function] {
-			switch {
-			case m.revision == r.Revision:
-				if m.digest != "" && !slices.Contains(ran[r.Request], m.digest) {
-					note(r.At, "answer %s of revision %d of %s: none of its runs was of %s", r.Request, r.Revision, r.Function, m.digest)
-				}
-			case m.revision < r.Revision:
-			case asked[r.Request] > m.at:
-				note(r.At, "answer %s of revision %d of %s, asked for %v after revision %d was acknowledged", r.Request, r.Revision, r.Function, asked[r.Request]-m.at, m.revision)
-			case r.At > m.at+slack:
-				note(r.At, "answer %s of revision %d of %s came %v after revision %d was acknowledged", r.Request, r.Revision, r.Function, r.At-m.at, m.revision)
-			case r.At > m.at:
-				v.Near++
+}
+
+func (c *versionChecker) checkAnswer(r *trace.Record) {
+	for _, m := range c.migrations[r.Function] {
+		switch {
+		case m.revision == r.Revision:
+			if m.digest != "" && !slices.Contains(c.ran[r.Request], m.digest) {
+				c.broken(r.At, "answer %s of revision %d of %s: none of its runs was of %s", r.Request, r.Revision, r.Function, m.digest)
 			}
+		case m.revision < r.Revision:
+		case c.sentAt[r.Request] > m.at:
+			c.broken(r.At, "answer %s of revision %d of %s, asked for %v after revision %d was acknowledged",
+				r.Request, r.Revision, r.Function, c.sentAt[r.Request]-m.at, m.revision)
+		case r.At > m.at+c.slack:
+			c.broken(r.At, "answer %s of revision %d of %s came %v after revision %d was acknowledged",
+				r.Request, r.Revision, r.Function, r.At-m.at, m.revision)
+		case r.At > m.at:
+			c.verdict.Near++
 		}
 	}
-	return v
 }
--- a/internal/harness/scenario/controllers.go
+++ b/internal/harness/scenario/controllers.go
@@ -74,20 +74,7 @@
 	w("state_dir: %q", filepath.Join(p.dir, controllerName(i)))
 	w(`webhook { listen: "127.0.0.1:0" prefix: "/call/" past_ms: 60000 future_ms: 1000 ahead_ms: 1000 remembered: 100000 kept_bytes: 16777216
   max_connections: 10000 max_body: 65536 first_byte_ms: 5000 head_ms: 3000 body_ms: 3000 idle_ms: 60000 }`)
-	for _, c := range s.Classes {
-		scope := ""
-		if c.Effect == "keyed" {
-			scope = fmt.Sprintf("scope: SAME_GROUP window_ms: %v", c.WindowMs)
-		}
-		w("classes { name: %q effect: %s %s aim_ms: %v deadline_ms: %v worth: 1 late_share: 0.2 }", c.Name, strings.ToUpper(c.Effect), scope, c.AimMs, c.DeadlineMs)
-		if s.Versions != nil {
-			for i := range int(c.Functions) + 3 {
-				w("functions { name: %q class: %q memory_mb: %v lanes: %d load_ms: %v versions: true }", functionName(c.Name, i), c.Name, c.MemoryMb, c.Lanes, c.FetchMs+c.StartMs)
-			}
-			continue
-		}
-		w("functions { name: \"%s-*\" class: %q memory_mb: %v lanes: %d load_ms: %v most: %d }", c.Name, c.Name, c.MemoryMb, c.Lanes, c.FetchMs+c.StartMs, c.Functions+10)
-	}
+	p.writeClasses(w)
 	for i, t := range s.Tenants {
 		w("tenants { name: %q share: %v }", t.Name, t.Share)
 		w("clients { name: %q tenant: %q common_keys: %q }", "client-"+t.Name, t.Name, p.secrets[i])
@@ -100,11 +87,7 @@
 	} else {
 		w("discovery { file: %q cluster: %q poll_ms: %d }", filepath.Join(p.dir, "list.json"), cluster, listPoll.Milliseconds())
 	}
-	r := s.Rules
-	w("limits { attempts: %d open: 20000 duplicate: %v cancel: true retry_after: true max_retry_after_ms: 1000 dial_ms: 250 keep_alive_ms: 20000 }", r.Attempts, r.Duplicate)
-	w("loading { orders: true on_miss: LOAD idle_life_ms: %v answer_ms: 5000 window_ms: %v free: %v ratio: %v warm_notes: true counts_alike: true }",
-		s.Workers.IdleLifeMs, r.LoadWindowMs, r.LoadFree, r.LoadRatio)
-	w("guarantees { answer_grace_ms: 8 drain_grace_ms: %v cold_share: %v cold_ms: %v fall_factor: %v fall_within_ms: %v }", r.DrainGraceMs, r.ColdShare, r.ColdMs, r.FallFactor, r.FallWithinMs)
+	p.writeLimits(w)
 	w("report { fields: [IN_FLIGHT, QUEUE] }")
 	if p.hooked(i) > 0 {
 		w("hooks {}")
@@ -116,6 +99,35 @@
 	return b.String()
 }
 
+// writeClasses writes the classes of calls, and the functions of each.
+func (p *player) writeClasses(w func(format string, args ...any)) {
+	s := p.s
+	for _, c := range s.Classes {
+		scope := ""
+		if c.Effect == "keyed" {
+			scope = fmt.Sprintf("scope: SAME_GROUP window_ms: %v", c.WindowMs)
+		}
+		w("classes { name: %q effect: %s %s aim_ms: %v deadline_ms: %v worth: 1 late_share: 0.2 }", c.Name, strings.ToUpper(c.Effect), scope, c.AimMs, c.DeadlineMs)
+		if s.Versions != nil {
+			for i := range int(c.Functions) + spareFunctions {
+				w("functions { name: %q class: %q memory_mb: %v lanes: %d load_ms: %v versions: true }", functionName(c.Name, i), c.Name, c.MemoryMb, c.Lanes, c.FetchMs+c.StartMs)
+			}
+			continue
+		}
+		w("functions { name: \"%s-*\" class: %q memory_mb: %v lanes: %d load_ms: %v most: %d }", c.Name, c.Name, c.MemoryMb, c.Lanes, c.FetchMs+c.StartMs, c.Functions+10)
+	}
+}
+
+// writeLimits writes the limits, the loading of copies and the figures of the rules.
+func (p *player) writeLimits(w func(format string, args ...any)) {
+	s := p.s
+	r := s.Rules
+	w("limits { attempts: %d open: 20000 duplicate: %v cancel: true retry_after: true max_retry_after_ms: 1000 dial_ms: 250 keep_alive_ms: 20000 }", r.Attempts, r.Duplicate)
+	w("loading { orders: true on_miss: LOAD idle_life_ms: %v answer_ms: 5000 window_ms: %v free: %v ratio: %v warm_notes: true counts_alike: true }",
+		s.Workers.IdleLifeMs, r.LoadWindowMs, r.LoadFree, r.LoadRatio)
+	w("guarantees { answer_grace_ms: 8 drain_grace_ms: %v cold_share: %v cold_ms: %v fall_factor: %v fall_within_ms: %v }", r.DrainGraceMs, r.ColdShare, r.ColdMs, r.FallFactor, r.FallWithinMs)
+}
+
 // socket is where a controller's Unix sockets are: their names must be short.
 func (p *player) socket(i int, what string) string {
 	return filepath.Join(p.socks, controllerName(i)+what)
--- a/internal/harness/scenario/versions.go
+++ b/internal/harness/scenario/versions.go
@@ -73,11 +73,25 @@
 	for i := range int(p.s.Controllers) {
 		v.keys[controllerName(i)] = secretOf(p.rng)
 	}
+	if err := v.startStores(); err != nil {
+		return nil, err
+	}
+	if err := v.start(); err != nil {
+		return nil, err
+	}
+	if err := v.pushModels(); err != nil {
+		return nil, err
+	}
+	return v, nil
+}
+
+// startStores starts the blob stores, and gives each worker a client of them.
+func (v *versions) startStores() error {
 	var stores []string
 	for i := range int(v.s.Stores) {
 		b, err := fakeworker.StartBlobs()
 		if err != nil {
-			return nil, err
+			return err
 		}
 		if i == 1 && v.s.Rotten {
 			b.Fault(fakeworker.Rotten)
@@ -85,6 +99,7 @@
 		v.blobs = append(v.blobs, b)
 		stores = append(stores, b.Addr())
 	}
+	p := v.p
 	for name := range p.specs {
 		// Each worker prefers another store.
 		l := append([]string(nil), stores...)
@@ -92,32 +107,41 @@
 		v.fetch[name] = blobfetch.NewClient(blobfetch.Settings{Tries: 12, Pause: 5 * time.Millisecond, Longest: 200 * time.Millisecond, Blame: time.Second}, l,
 			time.Second, p.clk, zerolog.Nop())
 	}
-	if err := v.start(); err != nil {
-		return nil, err
-	}
+	return nil
+}
+
+// pushModels makes all versions of all models known, and each model live at its first version.
+func (v *versions) pushModels() error {
 	c := v.client()
 	defer c.Close()
-	for _, name := range names {
+	for _, name := range v.names {
 		for n := range int(v.s.Count) {
-			blob := make([]byte, v.s.Bytes)
-			for i := range blob {
-				blob[i] = byte(p.rng.Uint32())
-			}
-			sum := sha256.Sum256(blob)
-			digest := "sha256:" + hex.EncodeToString(sum[:])
-			for _, b := range v.blobs {
-				b.Put(digest, blob)
-			}
-			v.sizes[digest] = int64(len(blob))
-			if _, err := c.Command(client.ID("push"), rwire.Command{Push: &registry.Push{Model: name, Version: registry.Version{Name: version(n), Digest: digest, Size: int64(len(blob))}}}); err != nil {
-				return nil, err
+			digest, size := v.putBlob()
+			push := registry.Push{Model: name, Version: registry.Version{Name: version(n), Digest: digest, Size: size}}
+			if _, err := c.Command(client.ID("push"), rwire.Command{Push: &push}); err != nil {
+				return err
 			}
 		}
 		if _, err := v.promote(c, name, 0, 0, 0, false); err != nil {
-			return nil, err
+			return err
 		}
 	}
-	return v, nil
+	return nil
+}
+
+// putBlob draws the bytes of a version and puts them in all stores.
+func (v *versions) putBlob() (digest string, size int64) {
+	blob := make([]byte, v.s.Bytes)
+	for i := range blob {
+		blob[i] = byte(v.p.rng.Uint32())
+	}
+	sum := sha256.Sum256(blob)
+	digest = "sha256:" + hex.EncodeToString(sum[:])
+	for _, b := range v.blobs {
+		b.Put(digest, blob)
+	}
+	v.sizes[digest] = int64(len(blob))
+	return digest, int64(len(blob))
 }
 
 func version(n int) string { return fmt.Sprint("v", n) }
