--- /dev/null
+++ b/internal/registry/guarantee_test.go
@@ -0,0 +1,204 @@
+package registry
+
+import (
+	"flag"
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+// Draws are the same in every run. Seek further with -rapid.seed.
+func init() { flag.Set("rapid.seed", "1") }
+
+// After a migration is acknowledged no controller hands out an answer of a superseded target: whatever is lost, delayed or
+// out of order between them and the registry, however their clocks drift within the bound, and when they restart.
+func TestGuarantee(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		g := newGuaranteeModel(t)
+		for range rapid.IntRange(1, 120).Draw(t, "steps") {
+			g.now += time.Duration(rapid.IntRange(0, 900).Draw(t, "dt")) * time.Millisecond
+			c := g.controllers[rapid.IntRange(0, 2).Draw(t, "peer")]
+			switch rapid.IntRange(0, 9).Draw(t, "what") {
+			case 0, 1, 2:
+				g.polls = append(g.polls, &poll{controller: c, sentAt: c.clock(g.now), epoch: c.confirmed})
+			case 3, 4, 5, 6:
+				g.deliver()
+			case 7:
+				g.disturb(c)
+			case 8:
+				g.migrate()
+			default:
+				g.apply(Tick{})
+			}
+			g.check()
+		}
+	})
+}
+
+// A guaranteeModel is a registry, its controllers, and the messages between them.
+type guaranteeModel struct {
+	t           *rapid.T
+	registry    *testRegistry
+	settings    Settings
+	now         time.Duration // by the registry's clock
+	controllers []*controllerModel
+	polls       []*poll // in flight
+
+	pending      map[uint64][]Target // superseded by a migration that is not acknowledged
+	acknowledged map[Target]bool     // superseded by one that is
+}
+
+// A controllerModel is a controller whose clock runs at a rate of its own from an offset of its own.
+type controllerModel struct {
+	name      string
+	view      View
+	confirmed uint64 // epoch that it confirms
+	rate      float64
+	offset    time.Duration
+}
+
+// clock returns the controller's time at a time of the registry.
+func (c *controllerModel) clock(now time.Duration) time.Duration {
+	return c.offset + time.Duration(float64(now)*c.rate)
+}
+
+// A poll is a request in flight to the registry, or its response in flight to the controller.
+type poll struct {
+	controller *controllerModel
+	sentAt     time.Duration // by its clock
+	epoch      uint64        // that it confirms
+	response   *ViewUpdate   // nil: the registry has not received the request
+}
+
+// guarded is the alias that migrates.
+var guarded = AliasName{"m", "current"}
+
+func newGuaranteeModel(t *rapid.T) *guaranteeModel {
+	settings := settings
+	settings.MaxClockDrift = 0.3 // large, so that to forget it shows
+	r, err := newTestRegistry(settings)
+	if err != nil {
+		t.Fatal(err)
+	}
+	g := &guaranteeModel{
+		t:            t,
+		registry:     r,
+		settings:     settings,
+		pending:      map[uint64][]Target{},
+		acknowledged: map[Target]bool{},
+	}
+	for i := range 3 {
+		rate := rapid.Float64Range(1-settings.MaxClockDrift, 1+settings.MaxClockDrift).Draw(t, "rate")
+		if rapid.IntRange(0, 2).Draw(t, "worst") == 0 {
+			rate = 1 - settings.MaxClockDrift
+		}
+		offset := time.Duration(i+1) * time.Hour
+		g.controllers = append(g.controllers, &controllerModel{name: fmt.Sprint("c", i), rate: rate, offset: offset})
+	}
+	for i, v := range []string{"v1", "v2", "v3"} {
+		if _, err := r.state.Apply(0, push(v, fmt.Sprint(i+1))); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return g
+}
+
+// apply applies a command and notes which targets it supersedes and which migrations it acknowledges.
+func (g *guaranteeModel) apply(c Command) {
+	state := g.registry.state
+	before := state.Send(0).Targets[guarded]
+	effects, err := g.registry.apply(g.now, c)
+	if err != nil {
+		return
+	}
+	after := state.Send(0).Targets[guarded]
+	if before != after && before.Version != "" {
+		g.pending[state.LastMigration] = append(g.pending[state.LastMigration], before)
+	}
+	for _, e := range effects {
+		if a, ok := e.(Acknowledged); ok {
+			g.acknowledge(a.Migration)
+		}
+	}
+}
+
+// acknowledge notes that a migration and all before it are acknowledged.
+func (g *guaranteeModel) acknowledge(migration uint64) {
+	for id, targets := range g.pending {
+		if id > migration {
+			continue
+		}
+		for _, target := range targets {
+			g.acknowledged[target] = true
+		}
+		delete(g.pending, id)
+	}
+}
+
+// deliver delivers one message in flight, in any order: a request to the registry, or a response to its controller.
+func (g *guaranteeModel) deliver() {
+	if len(g.polls) == 0 {
+		return
+	}
+	i := rapid.IntRange(0, len(g.polls)-1).Draw(g.t, "which")
+	p := g.polls[i]
+	if p.response == nil {
+		g.apply(renew{p.controller.name, p.epoch})
+		response := g.registry.state.Send(p.epoch)
+		p.response = &response
+		return
+	}
+	c := p.controller
+	c.view.Update(p.sentAt, *p.response)
+	if rapid.IntRange(0, 2).Draw(g.t, "settle") > 0 { // else calls go on, and it does not confirm
+		c.view = c.view.Settled()
+		c.confirmed = c.view.Epoch()
+	}
+	g.polls = slices.Delete(g.polls, i, i+1)
+}
+
+// disturb lets a controller's clock jump, restarts the controller, or loses the oldest message.
+func (g *guaranteeModel) disturb(c *controllerModel) {
+	if rapid.IntRange(0, 3).Draw(g.t, "jump") == 0 { // its machine slept, and its clock counts that
+		c.offset += time.Duration(rapid.IntRange(0, 10_000).Draw(g.t, "slept")) * time.Millisecond
+		return
+	}
+	if rapid.Bool().Draw(g.t, "anew") {
+		c.view = View{}
+		c.confirmed = 0
+		g.polls = slices.DeleteFunc(g.polls, func(p *poll) bool { return p.controller == c })
+		return
+	}
+	if len(g.polls) > 0 {
+		g.polls = g.polls[1:]
+	}
+}
+
+// migrate starts a migration, with a wrong revision at times, and before it restarts the registry at times.
+func (g *guaranteeModel) migrate() {
+	if rapid.IntRange(0, 9).Draw(g.t, "restart") == 0 { // the leases are lost with the process
+		g.registry.leases = NewLeases(g.settings, g.now, false)
+	}
+	var revision uint64
+	if m := g.registry.state.Models[guarded.Model]; m != nil {
+		revision = revisionOf(m.Aliases[guarded.Alias])
+	}
+	to := rapid.SampledFrom([]string{"v1", "v2", "v3"}).Draw(g.t, "to")
+	off := uint64(rapid.IntRange(0, 1).Draw(g.t, "off"))
+	g.apply(Promote{Model: guarded.Model, Alias: guarded.Alias, To: to, IfRevision: revision + off})
+}
+
+// check checks the guarantee at every controller.
+func (g *guaranteeModel) check() {
+	for i, c := range g.controllers {
+		for target := range g.acknowledged {
+			verdict := c.view.MayAnswer(c.clock(g.now), guarded, target)
+			if verdict == Allowed || verdict == BeingSuperseded {
+				g.t.Fatalf("at %v controller %d hands out %v, superseded by an acknowledged migration", g.now, i, target)
+			}
+		}
+	}
+}
