--- a/internal/signing/sign.go
+++ b/internal/signing/sign.go
@@ -1,5 +1,9 @@
-// Package signing signs and verifies messages as the Standard Webhooks specification says: of calls and their answers,
-// and of what operators and controllers say to the registry.
+// Package signing signs and verifies messages as the Standard Webhooks specification says. It serves calls and their
+// answers, and the requests of operators and controllers to the registry.
+//
+// A signature covers the id, the timestamp and the body of a Message. An answer is signed under an id that is derived from
+// the request's and from the outcome: see AnswerID. Whether a timestamp is recent, and whether an id was seen before, the
+// caller checks.
 package signing
 
 import (
@@ -27,10 +31,10 @@
 	macs    *sync.Pool // of hash.Hash; nil for ed25519
 }
 
-// Sizes of a shared secret in bytes: the specification's.
+// Sizes of a shared secret in bytes, from the specification.
 const (
-	secretLeast = 24
-	secretMost  = 64
+	minSecretSize = 24
+	maxSecretSize = 64
 )
 
 // ParseKey reads a key in its textual form. Errors never hold the text.
@@ -45,10 +49,10 @@
 	}
 	switch prefix {
 	case "whsec":
-		if len(raw) < secretLeast || len(raw) > secretMost {
-			return nil, fmt.Errorf("whsec_ key has %d bytes, want %d to %d", len(raw), secretLeast, secretMost)
+		if len(raw) < minSecretSize || len(raw) > maxSecretSize {
+			return nil, fmt.Errorf("whsec_ key has %d bytes, want %d to %d", len(raw), minSecretSize, maxSecretSize)
 		}
-		return shared(raw), nil
+		return newSharedKey(raw), nil
 	case "whpk":
 		if len(raw) != ed25519.PublicKeySize {
 			return nil, fmt.Errorf("whpk_ key has %d bytes, want %d", len(raw), ed25519.PublicKeySize)
@@ -62,13 +66,14 @@
 		default:
 			return nil, fmt.Errorf("whsk_ key has %d bytes, want %d or %d", len(raw), ed25519.SeedSize, ed25519.PrivateKeySize)
 		}
-		k := ed25519.PrivateKey(raw)
-		return &Key{private: k, public: k.Public().(ed25519.PublicKey)}, nil
+		private := ed25519.PrivateKey(raw)
+		return &Key{private: private, public: private.Public().(ed25519.PublicKey)}, nil
 	}
 	return nil, errors.New("key has no whsec_, whpk_ or whsk_ in front")
 }
 
-func shared(raw []byte) *Key {
+// newSharedKey returns the key of a shared secret. Its MACs are pooled, as each costs two hashes to set up.
+func newSharedKey(raw []byte) *Key {
 	return &Key{macs: &sync.Pool{New: func() any { return hmac.New(sha256.New, raw) }}}
 }
 
@@ -90,7 +95,7 @@
 
 // Message is the content that is signed, in its parts.
 type Message struct {
-	ID    string
+	ID    string // without dots, as the parts are joined by them
 	Stamp string // unix seconds, decimal
 	Body  []byte
 }
@@ -98,23 +103,25 @@
 // CanSign tells whether the key signs as well as verifies.
 func (k *Key) CanSign() bool { return k.macs != nil || k.private != nil }
 
-// Sign returns one signature with its version in front.
+// Sign returns one signature with its version in front, or an error for a public key.
 func (k *Key) Sign(m Message) (string, error) {
 	switch {
 	case k.macs != nil:
 		var sum [sha256.Size]byte
-		return "v1," + base64.StdEncoding.EncodeToString(k.sum(sum[:0], m)), nil
+		return "v1," + base64.StdEncoding.EncodeToString(k.appendMAC(sum[:0], m)), nil
 	case k.private != nil:
 		return "v1a," + base64.StdEncoding.EncodeToString(ed25519.Sign(k.private, m.content())), nil
 	}
 	return "", errors.New("a public key does not sign")
 }
 
+// content returns the bytes that are signed.
 func (m Message) content() []byte {
 	return bytes.Join([][]byte{[]byte(m.ID), []byte(m.Stamp), m.Body}, []byte("."))
 }
 
-func (k *Key) sum(to []byte, m Message) []byte {
+// appendMAC appends the MAC of a message, without a copy of its body.
+func (k *Key) appendMAC(to []byte, m Message) []byte {
 	h := k.macs.Get().(hash.Hash)
 	defer k.macs.Put(h)
 	h.Reset()
@@ -127,40 +134,51 @@
 	return h.Sum(to)
 }
 
-// mostSignatures bounds the work that one message can ask for.
-const mostSignatures = 16
+// maxSignatures bounds the work that one message can ask for.
+const maxSignatures = 16
 
-// Verify tells whether one of the space-separated signatures is valid for the key. It compares in constant
-// time; versions that it does not know are passed over.
+// Verify tells whether one of the space-separated signatures is valid for the key. It compares in constant time, and
+// ignores signatures of another version than the key's. More than 16 signatures are never valid.
 func (k *Key) Verify(m Message, signatures string) bool {
-	n, good := 0, 0
-	for s := range strings.SplitSeq(signatures, " ") {
-		if n++; n > mostSignatures {
+	count := 0
+	valid := 0
+	for signature := range strings.SplitSeq(signatures, " ") {
+		count++
+		if count > maxSignatures {
 			return false
 		}
-		version, text, _ := strings.Cut(s, ",")
-		if version == "v1" && k.macs == nil || version == "v1a" && k.macs != nil || version != "v1" && version != "v1a" {
-			continue
-		}
-		var room [ed25519.SignatureSize + 2]byte
-		if len(text) > base64.StdEncoding.EncodedLen(ed25519.SignatureSize) {
-			continue
-		}
-		size, err := base64.StdEncoding.Decode(room[:], []byte(text))
-		if err != nil {
-			continue
-		}
-		if version == "v1" {
-			var sum [sha256.Size]byte
-			good |= subtle.ConstantTimeCompare(k.sum(sum[:0], m), room[:size])
-		} else if size == ed25519.SignatureSize && ed25519.Verify(k.public, m.content(), room[:size]) {
-			good = 1
-		}
+		valid |= k.verifyOne(m, signature)
+	}
+	return valid == 1
+}
+
+// verifyOne returns 1 if one signature is valid for the key, else 0.
+func (k *Key) verifyOne(m Message, signature string) int {
+	version, text, _ := strings.Cut(signature, ",")
+	isMAC := version == "v1"
+	if !isMAC && version != "v1a" || isMAC != (k.macs != nil) {
+		return 0
+	}
+	if len(text) > base64.StdEncoding.EncodedLen(ed25519.SignatureSize) {
+		return 0
+	}
+	var decoded [ed25519.SignatureSize + 2]byte // Decode may write up to two bytes more than it returns
+	size, err := base64.StdEncoding.Decode(decoded[:], []byte(text))
+	if err != nil {
+		return 0
+	}
+	if isMAC {
+		var sum [sha256.Size]byte
+		return subtle.ConstantTimeCompare(k.appendMAC(sum[:0], m), decoded[:size])
+	}
+	if size == ed25519.SignatureSize && ed25519.Verify(k.public, m.content(), decoded[:size]) {
+		return 1
 	}
-	return good == 1
+	return 0
 }
 
-// ParseStamp reads a timestamp strictly: a second text for the same time would be a second message.
+// ParseStamp parses a timestamp, in unix seconds above 0. It is strict: another text for the same time would make another
+// message.
 func ParseStamp(s string) (time.Time, bool) {
 	n, err := strconv.ParseInt(s, 10, 64)
 	if err != nil || n <= 0 || strconv.FormatInt(n, 10) != s {
@@ -169,8 +187,8 @@
 	return time.Unix(n, 0), true
 }
 
-// Answers are signed under an id of their own that binds the outcome: the request's id with this in front. A
-// request that carries such an id is not taken, or a signed answer could be sent back as a call.
+// AnswerPrefix begins the ids under which answers are signed. A request with such an id must be rejected: a signed answer
+// could otherwise be sent back as a request.
 const AnswerPrefix = "answer_"
 
 // AnswerID returns the webhook-id of the answer with an outcome (served, refused, failed, ...) to a request.
