--- a/internal/blobfetch/client.go
+++ b/internal/blobfetch/client.go
@@ -3,14 +3,9 @@
 import (
 	"context"
 	"crypto/sha256"
-	"encoding/hex"
-	"errors"
 	"fmt"
-	"hash"
-	"io"
 	"math/rand/v2"
 	"net/http"
-	"strconv"
 	"strings"
 	"sync"
 	"time"
@@ -20,135 +15,116 @@
 	"kitehub/internal/clock"
 )
 
-// A Client fetches blobs. It is safe for concurrent use.
+// A Client fetches blobs. It is safe for concurrent use: fetches run at the same time and share what is known of the
+// stores.
 type Client struct {
-	mu     sync.Mutex
-	stores *Stores
-	clock  clock.Clock
-	http   *http.Client
-	log    zerolog.Logger
-	silent time.Duration
+	plansMu     sync.Mutex // guards stores and all plans
+	stores      *Stores
+	clock       clock.Clock
+	http        *http.Client
+	log         zerolog.Logger
+	idleTimeout time.Duration
 }
 
-// NewClient returns a client of stores, named by "host:port". A store that sends nothing for the time silent is broken off.
-func NewClient(set Settings, stores []string, silent time.Duration, clk clock.Clock, log zerolog.Logger) *Client {
-	return &Client{stores: NewStores(set, stores), clock: clk, log: log, silent: silent,
-		http: &http.Client{Transport: &http.Transport{DisableCompression: true, ResponseHeaderTimeout: silent, MaxIdleConnsPerHost: 2}}}
+// NewClient returns a client of stores, each named by "host:port". A request is broken off when the store sends
+// nothing for idleTimeout.
+func NewClient(settings Settings, stores []string, idleTimeout time.Duration, clk clock.Clock, log zerolog.Logger) *Client {
+	transport := &http.Transport{
+		DisableCompression:    true,
+		ResponseHeaderTimeout: idleTimeout,
+		MaxIdleConnsPerHost:   2,
+	}
+	return &Client{
+		stores:      NewStores(settings, stores),
+		clock:       clk,
+		http:        &http.Client{Transport: transport},
+		log:         log,
+		idleTimeout: idleTimeout,
+	}
 }
 
-// Close ends idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Fetch returns the bytes of a digest, proved, and the store that gave the last of them. size is known from the registry;
-// a store that has more or fewer is not believed.
+// Fetch returns the verified bytes of a digest, and the store that gave the last of them. size is known from the
+// registry; a store with more or fewer bytes is blamed. name is that of the repository.
+//
+// Errors are that of ctx, ErrMismatch, ErrExhausted, and a digest or size of a wrong form.
 func (c *Client) Fetch(ctx context.Context, name, digest string, size int64) (blob []byte, store string, err error) {
 	want, ok := strings.CutPrefix(digest, "sha256:")
 	if !ok || size <= 0 {
 		return nil, "", fmt.Errorf("fetch: %q of %d bytes", digest, size)
 	}
-	c.mu.Lock()
-	p := NewPlan(c.stores, size)
-	c.mu.Unlock()
-	sum := sha256.New()
+	d := &download{name: name, digest: digest, sum: sha256.New(), size: size}
+	plan := c.newPlan(size)
 	for {
-		c.mu.Lock()
-		ask, wait, err := p.Next(c.clock.Now())
-		c.mu.Unlock()
+		request, err := c.next(ctx, plan, d)
 		if err != nil {
-			c.log.Error().Err(err).Str("name", name).Str("digest", digest).Msg("not fetched")
 			return nil, "", err
 		}
-		if wait > 0 {
-			select {
-			case <-ctx.Done():
-				return nil, "", ctx.Err()
-			case <-time.After(wait):
-			}
-			continue
-		}
-		if ask.Whole {
-			blob = blob[:0]
-			sum.Reset()
+		if request.FromStart {
+			d.reset()
 		}
-		before := len(blob)
-		fault := Fault(0)
-		blob, fault = c.ask(ctx, ask, name, digest, size, blob, sum)
+		before := len(d.blob)
+		fault := c.request(ctx, request, d)
 		if ctx.Err() != nil {
 			return nil, "", ctx.Err()
 		}
-		c.mu.Lock()
-		p.Got(int64(len(blob) - before))
-		if fault == 0 && !p.Complete() {
-			fault = Broken
+		fault = c.record(plan, int64(len(d.blob)-before), fault, func() bool { return d.sumHex() == want })
+		if fault == 0 {
+			c.log.Info().Str("store", request.Store).Str("name", name).Str("digest", digest).Int("bytes", len(d.blob)).
+				Msg("blob fetched")
+			return d.blob, request.Store, nil
 		}
-		match := false
-		if fault != 0 {
-			p.Failed(c.clock.Now(), fault, rand.Float64())
-		} else {
-			match = hex.EncodeToString(sum.Sum(nil)) == want
-			p.Checked(c.clock.Now(), match, rand.Float64())
-			if !match {
-				fault = Mismatch
-			}
-		}
-		c.mu.Unlock()
-		if match {
-			c.log.Info().Str("store", ask.Store).Str("name", name).Str("digest", digest).Int("bytes", len(blob)).Msg("fetched")
-			return blob, ask.Store, nil
-		}
-		c.log.Warn().Str("store", ask.Store).Str("name", name).Str("digest", digest).Stringer("fault", fault).Int("bytes", len(blob)).Msg("fetch")
+		c.log.Warn().Str("store", request.Store).Str("name", name).Str("digest", digest).Stringer("fault", fault).
+			Int("bytes", len(d.blob)).Msg("blob request failed")
 	}
 }
 
-// ask makes one request and appends what comes. It takes no byte past the size.
-func (c *Client) ask(ctx context.Context, a Ask, name, digest string, size int64, blob []byte, sum hash.Hash) ([]byte, Fault) {
-	ctx, cancel := context.WithCancel(ctx)
-	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, "GET", "http://"+a.Store+"/v2/"+name+"/blobs/"+digest, nil)
-	if err != nil {
-		return blob, Refused
-	}
-	if a.Offset > 0 {
-		req.Header.Set("Range", "bytes="+strconv.FormatInt(a.Offset, 10)+"-")
-	}
-	resp, err := c.http.Do(req)
-	if err != nil {
-		return blob, Unreachable
-	}
-	defer resp.Body.Close()
-	switch {
-	case resp.StatusCode == 206 && a.Offset > 0:
-		if resp.Header.Get("Content-Range") != fmt.Sprintf("bytes %d-%d/%d", a.Offset, size-1, size) {
-			return blob, Wrong
-		}
-	case resp.StatusCode == 200: // a store may answer a range with the whole (RFC 9110 section 14.2)
-		if a.Offset > 0 {
-			if _, err := io.CopyN(io.Discard, resp.Body, a.Offset); err != nil {
-				return blob, Broken
-			}
-		}
-		if resp.ContentLength >= 0 && resp.ContentLength != size {
-			return blob, Wrong
-		}
-	default:
-		return blob, Refused
-	}
-	watch := time.AfterFunc(c.silent, cancel)
-	defer watch.Stop()
-	buf := make([]byte, 32<<10)
+func (c *Client) newPlan(size int64) *Plan {
+	c.plansMu.Lock()
+	defer c.plansMu.Unlock()
+	return NewPlan(c.stores, size)
+}
+
+// next returns the plan's next request, once it may be made. An error ends the fetch.
+func (c *Client) next(ctx context.Context, plan *Plan, d *download) (Request, error) {
 	for {
-		n, err := resp.Body.Read(buf)
-		watch.Reset(c.silent)
-		if int64(len(blob)+n) > size {
-			return blob, Wrong
+		c.plansMu.Lock()
+		request, wait, err := plan.Next(c.clock.Now())
+		c.plansMu.Unlock()
+		if err != nil {
+			c.log.Error().Err(err).Str("name", d.name).Str("digest", d.digest).Msg("blob not fetched")
+			return Request{}, err
 		}
-		blob = append(blob, buf[:n]...)
-		sum.Write(buf[:n])
-		if errors.Is(err, io.EOF) {
-			return blob, 0
+		if wait <= 0 {
+			return request, nil
 		}
-		if err != nil {
-			return blob, Broken
+		select {
+		case <-ctx.Done():
+			return Request{}, ctx.Err()
+		case <-time.After(wait):
 		}
 	}
 }
+
+// record tells the plan how a request ended, and returns its fault: that of the request, or the one that shows once
+// the request ended well. 0 is a blob that is complete and verified.
+func (c *Client) record(plan *Plan, received int64, fault Fault, verify func() bool) Fault {
+	c.plansMu.Lock()
+	defer c.plansMu.Unlock()
+	plan.Received(received)
+	if fault == 0 && !plan.Complete() {
+		fault = Broken
+	}
+	if fault != 0 {
+		plan.Failed(c.clock.Now(), fault, rand.Float64())
+		return fault
+	}
+	match := verify()
+	plan.Checked(c.clock.Now(), match, rand.Float64())
+	if !match {
+		return Mismatch
+	}
+	return 0
+}
--- /dev/null
+++ b/internal/blobfetch/download.go
@@ -0,0 +1,97 @@
+package blobfetch
+
+import (
+	"context"
+	"encoding/hex"
+	"errors"
+	"fmt"
+	"hash"
+	"io"
+	"net/http"
+	"strconv"
+	"time"
+)
+
+// A download is the bytes of one fetch so far, with their checksum.
+type download struct {
+	name   string // of the repository
+	digest string
+	size   int64
+	blob   []byte
+	sum    hash.Hash // of blob
+}
+
+// reset drops the bytes.
+func (d *download) reset() {
+	d.blob = d.blob[:0]
+	d.sum.Reset()
+}
+
+func (d *download) append(b []byte) {
+	d.blob = append(d.blob, b...)
+	d.sum.Write(b)
+}
+
+func (d *download) sumHex() string { return hex.EncodeToString(d.sum.Sum(nil)) }
+
+// request makes one request and appends what it gives to the download, to its size at most. It returns 0 when the
+// response ended well.
+func (c *Client) request(ctx context.Context, r Request, d *download) Fault {
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	req, err := http.NewRequestWithContext(ctx, "GET", "http://"+r.Store+"/v2/"+d.name+"/blobs/"+d.digest, nil)
+	if err != nil {
+		return Refused
+	}
+	if r.Offset > 0 {
+		req.Header.Set("Range", "bytes="+strconv.FormatInt(r.Offset, 10)+"-")
+	}
+	resp, err := c.http.Do(req)
+	if err != nil {
+		return Unreachable
+	}
+	defer resp.Body.Close()
+	if fault := seek(resp, r.Offset, d.size); fault != 0 {
+		return fault
+	}
+	idle := time.AfterFunc(c.idleTimeout, cancel)
+	defer idle.Stop()
+	buf := make([]byte, 32<<10)
+	for {
+		n, err := resp.Body.Read(buf)
+		idle.Reset(c.idleTimeout)
+		if int64(len(d.blob)+n) > d.size {
+			return Wrong
+		}
+		d.append(buf[:n])
+		if errors.Is(err, io.EOF) {
+			return 0
+		}
+		if err != nil {
+			return Broken
+		}
+	}
+}
+
+// seek checks the status and the length of a response to a request from an offset on, and reads its body up to the
+// offset, if it has that part.
+func seek(resp *http.Response, offset, size int64) Fault {
+	switch {
+	case resp.StatusCode == 206 && offset > 0:
+		if resp.Header.Get("Content-Range") != fmt.Sprintf("bytes %d-%d/%d", offset, size-1, size) {
+			return Wrong
+		}
+	case resp.StatusCode == 200: // a store may answer a range with all bytes (RFC 9110 section 14.2)
+		if offset > 0 {
+			if _, err := io.CopyN(io.Discard, resp.Body, offset); err != nil {
+				return Broken
+			}
+		}
+		if resp.ContentLength >= 0 && resp.ContentLength != size {
+			return Wrong
+		}
+	default:
+		return Refused
+	}
+	return 0
+}
--- a/internal/blobfetch/fetch_test.go
+++ b/internal/blobfetch/fetch_test.go
@@ -18,9 +18,9 @@
 
 const ms = time.Millisecond
 
-var set = blobfetch.Settings{Tries: 60, Pause: ms, Longest: 4 * ms, Blame: time.Hour}
+var settings = blobfetch.Settings{Tries: 60, Pause: ms, Longest: 4 * ms, Blame: time.Hour}
 
-// Blobs that are truncated, swapped, extended, rotten or missing: what comes is proved, or nothing does.
+// Whatever stores do to a blob, its verified bytes are returned or none are, and stores at fault are not asked again.
 func TestFaults(t *testing.T) {
 	blob := make([]byte, 100_000)
 	for i := range blob {
@@ -28,31 +28,41 @@
 	}
 	sum := sha256.Sum256(blob)
 	digest := "sha256:" + hex.EncodeToString(sum[:])
-	good, trunc, swapped, extended, rotten, none, long := fakeworker.GoodBlobs, fakeworker.Truncated, fakeworker.Swapped, fakeworker.Extended, fakeworker.Rotten, fakeworker.NoBlobs, fakeworker.LongBlobs
+	const (
+		good      = fakeworker.GoodBlobs
+		truncated = fakeworker.Truncated
+		swapped   = fakeworker.Swapped
+		extended  = fakeworker.Extended
+		rotten    = fakeworker.Rotten
+		missing   = fakeworker.NoBlobs
+		long      = fakeworker.LongBlobs
+	)
 	tests := []struct {
 		name   string
-		faults []fakeworker.BlobFault
-		from   int // store that gave the end; -1: none
+		stores []fakeworker.BlobFault
+		from   int // store that gave the last bytes; below 0: any or none
 		err    error
 		asked  []int // most requests to each store
 	}{
 		{"good", []fakeworker.BlobFault{good, good}, 0, nil, []int{1, 0}},
-		{"missing at the first", []fakeworker.BlobFault{none, good}, 1, nil, []int{1, 1}},
-		{"truncated for ever is gone on with, elsewhere where that may be asked", []fakeworker.BlobFault{trunc, good}, 1, nil, []int{1, 1}},
-		{"truncated everywhere is gone on with until it is whole", []fakeworker.BlobFault{trunc, trunc}, -2, nil, []int{60, 60}},
+		{"missing at the first", []fakeworker.BlobFault{missing, good}, 1, nil, []int{1, 1}},
+		{"truncated at the first: resumed at the other", []fakeworker.BlobFault{truncated, good}, 1, nil, []int{1, 1}},
+		{"truncated everywhere: resumed until complete", []fakeworker.BlobFault{truncated, truncated}, -2, nil, []int{60, 60}},
 		{"swapped", []fakeworker.BlobFault{swapped, good}, 1, nil, []int{1, 1}},
 		{"extended", []fakeworker.BlobFault{extended, good}, 1, nil, []int{1, 1}},
 		{"rotten", []fakeworker.BlobFault{rotten, good}, 1, nil, []int{1, 1}},
-		{"bytes behind the length", []fakeworker.BlobFault{long, none}, 0, nil, []int{1, 0}},
-		{"truncated, then rotten: nobody knows whose fault, each alone", []fakeworker.BlobFault{trunc, rotten, good}, 2, nil, []int{60, 2, 2}},
-		{"a mismatch everywhere", []fakeworker.BlobFault{swapped, rotten, extended}, -1, blobfetch.ErrMismatch, []int{1, 1, 1}},
-		{"missing everywhere", []fakeworker.BlobFault{none, none}, -1, blobfetch.ErrGivenUp, []int{60, 60}},
+		{"bytes behind the length", []fakeworker.BlobFault{long, missing}, 0, nil, []int{1, 0}},
+		{"truncated, then rotten: no store is known to be at fault, so each is asked by itself",
+			[]fakeworker.BlobFault{truncated, rotten, good}, 2, nil, []int{60, 2, 2}},
+		{"a mismatch everywhere",
+			[]fakeworker.BlobFault{swapped, rotten, extended}, -1, blobfetch.ErrMismatch, []int{1, 1, 1}},
+		{"missing everywhere", []fakeworker.BlobFault{missing, missing}, -1, blobfetch.ErrExhausted, []int{60, 60}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			var stores []*fakeworker.Blobs
 			var names []string
-			for _, f := range tt.faults {
+			for _, f := range tt.stores {
 				b, err := fakeworker.StartBlobs()
 				if err != nil {
 					t.Fatal(err)
@@ -62,7 +72,7 @@
 				b.Fault(f)
 				stores, names = append(stores, b), append(names, b.Addr())
 			}
-			c := blobfetch.NewClient(set, names, time.Second, clock.System(), zerolog.Nop())
+			c := blobfetch.NewClient(settings, names, time.Second, clock.System(), zerolog.Nop())
 			defer c.Close()
 			got, from, err := c.Fetch(context.Background(), "m", digest, int64(len(blob)))
 			if !errors.Is(err, tt.err) || (err == nil) != (tt.err == nil) {
@@ -90,9 +100,10 @@
 	}
 }
 
-// A store that gave wrong bytes is avoided, longer each time; one that failed only for a little while.
+// A store that gave wrong bytes is avoided, for longer each time.
 func TestBlameGrows(t *testing.T) {
-	stores := blobfetch.NewStores(blobfetch.Settings{Tries: 9, Pause: 10 * ms, Longest: time.Hour, Blame: time.Second}, []string{"a", "b"})
+	settings := blobfetch.Settings{Tries: 9, Pause: 10 * ms, Longest: time.Hour, Blame: time.Second}
+	stores := blobfetch.NewStores(settings, []string{"a", "b"})
 	now := time.Duration(0)
 	var asked []string
 	for range 3 {
@@ -107,14 +118,14 @@
 				continue
 			}
 			asked = append(asked, ask.Store)
-			p.Got(10)
+			p.Received(10)
 			if match := ask.Store == "b"; match {
 				p.Checked(now, match, 1)
 				break
 			}
 			p.Checked(now, false, 1)
 		}
-		now += 1500 * ms // over the first pause, under the second
+		now += 1500 * ms // over the first backoff, under the second
 	}
 	if got := strings.Join(asked, " "); got != "a b a b b" {
 		t.Errorf("asked %s, want a b a b b", got)
--- a/internal/blobfetch/plan.go
+++ b/internal/blobfetch/plan.go
@@ -1,16 +1,18 @@
-// Package blobfetch gets the bytes of a model's version from stores that speak the OCI distribution protocol, and lets nobody
-// have them before their digest is proved. A Plan decides, purely: which store next, from which byte, after what pause, and
-// who is to blame for bytes that are wrong. A Client carries plans out.
+// Package blobfetch fetches the bytes of a model's version from stores that speak the OCI distribution protocol,
+// and hands them out only once their digest is verified. A Plan decides, without I/O: which store to ask next, from
+// which byte, after which pause, and which store to blame for wrong bytes. A Client executes plans.
 //
-// Blame. Bytes that are wrong show only when all are there. If one store gave them all, it is to blame. If a fetch was
-// resumed at another store, nobody knows which: all is dropped, and each store is asked for the whole alone. So a store that
-// corrupts slowly, a byte in a thousand fetches, is found by its own fetch, and a good one is not avoided for it.
+// # Blame
+//
+// Wrong bytes show only when all bytes are received. If one store gave all of them, it is to blame. If a fetch was
+// resumed at another store, it is not known which one is: the bytes are dropped, and from then on each store is
+// asked for all of them by itself. So a store that corrupts rarely, a byte in a thousand fetches, is found by its
+// own fetch, and a good one is not avoided for it.
 package blobfetch
 
 import (
 	"errors"
 	"fmt"
-	"math"
 	"slices"
 	"strings"
 	"time"
@@ -18,217 +20,179 @@
 
 // Settings bound a fetch. All must be above 0.
 type Settings struct {
-	Tries   int           // requests of one fetch, all stores together
-	Pause   time.Duration // before a store that failed is asked again, the first time; doubled each time
-	Longest time.Duration // pause at most
-	Blame   time.Duration // for so long a store that gave wrong bytes is avoided, for all digests; doubled each time
+	Tries   int           // requests of one fetch, to all stores together
+	Pause   time.Duration // backoff from a store after its first failure in a row; doubled with each further one
+	Longest time.Duration // bound on every backoff
+	Blame   time.Duration // backoff from a store, for all digests, after it first gave wrong bytes; doubled each time
 }
 
-// A Fault is how a request ended other than well.
+// A Fault is how a request failed.
 type Fault int
 
+// The faults of a request.
 const (
 	Unreachable Fault = iota + 1 // no answer
 	Broken                       // the answer ended before its length
-	Refused                      // a status that is no success, 404 included
-	Wrong                        // the answer contradicts what was asked for: its length or range
+	Refused                      // a status other than success, 404 included
+	Wrong                        // the answer has another length or range than requested
 	Mismatch                     // the bytes are not those of the digest
 )
 
+// String returns a few words for logs and errors.
 func (f Fault) String() string {
 	return [...]string{"", "unreachable", "broken off", "refused", "wrong length or range", "digest mismatch"}[f]
 }
 
-// A Store is what is known of one store, over all fetches.
-type Store struct {
-	Name     string
-	failures int           // in a row
-	blames   int           // in all
-	from     time.Duration // not asked before
-}
-
-// Stores are those that may be asked, in the order of preference.
-type Stores struct {
-	set Settings
-	l   []*Store
-}
-
-// NewStores returns stores of which nothing is known.
-func NewStores(set Settings, names []string) *Stores {
-	s := &Stores{set: set}
-	for _, n := range names {
-		s.l = append(s.l, &Store{Name: n})
-	}
-	return s
-}
-
-func (s *Stores) find(name string) *Store {
-	for _, x := range s.l {
-		if x.Name == name {
-			return x
-		}
-	}
-	return nil
-}
-
-// pause keeps a store from being asked for a growing time. draw is from 0 to 1.
-func (s *Stores) pause(x *Store, now, first time.Duration, times int, draw float64) {
-	d := min(float64(s.set.Longest), float64(first)*math.Pow(2, float64(min(times, 30))))
-	x.from = max(x.from, now+time.Duration(d*(0.5+draw/2)))
-}
-
-func (s *Stores) failed(name string, now time.Duration, draw float64) {
-	if x := s.find(name); x != nil {
-		s.pause(x, now, s.set.Pause, x.failures, draw)
-		x.failures++
-	}
-}
-
-// blame marks a store that gave wrong bytes. It is not forgiven by a good answer, only with time.
-func (s *Stores) blame(name string, now time.Duration, draw float64) {
-	if x := s.find(name); x != nil {
-		s.pause(x, now, s.set.Blame, x.blames, draw)
-		x.blames++
-	}
-}
-
-func (s *Stores) good(name string) {
-	if x := s.find(name); x != nil {
-		x.failures = 0
-	}
+// A Request asks a store for the bytes from Offset on.
+type Request struct {
+	Store     string
+	Offset    int64
+	FromStart bool // the bytes received so far are to be dropped first
 }
 
-// An Ask is a request to be made: the bytes from Offset on.
-type Ask struct {
-	Store  string
-	Offset int64
-	Whole  bool // what was there is to be dropped first
-}
-
-// A Report is one thing that went wrong, for an operator.
+// A Report is one fault, for an operator.
 type Report struct {
 	Store string
 	Fault Fault
-	At    int64 // bytes that were there
+	At    int64 // bytes received until then
 }
 
-// A Plan is one fetch of one digest.
+// A Plan is one fetch of one digest. It is not safe for concurrent use. Next says which request to make; after it,
+// Received says how many bytes came, then Failed or Checked how it ended.
 type Plan struct {
-	stores  *Stores
-	size    int64
-	have    int64
-	givers  []string // of the bytes that are there
-	tries   int
-	alone   bool            // no more resuming at another store
-	bad     map[string]bool // stores whose whole was wrong
-	current string
-	Reports []Report
+	stores       *Stores
+	size         int64
+	received     int64
+	sources      []string // stores that the received bytes are from
+	attempts     int
+	singleSource bool            // a fetch is not resumed at another store any more
+	excluded     map[string]bool // stores that gave wrong bytes
+	current      string          // store of the last request
+	Reports      []Report        // oldest first
 }
 
 // NewPlan returns the plan of a fetch of so many bytes.
 func NewPlan(stores *Stores, size int64) *Plan {
-	return &Plan{stores: stores, size: size, bad: map[string]bool{}}
+	return &Plan{stores: stores, size: size, excluded: map[string]bool{}}
 }
 
 var (
-	// ErrMismatch is a fetch in which every store that answered gave wrong bytes.
+	// ErrMismatch is wrapped by the error of a fetch in which every store that answered gave wrong bytes.
 	ErrMismatch = errors.New("fetch: no store has bytes that match the digest")
-	// ErrQuarantined is a fetch whose requests are used up, or for which no store is left.
-	ErrGivenUp = errors.New("fetch: given up")
+	// ErrExhausted is wrapped by the error of a fetch whose requests are used up, or which has no store.
+	ErrExhausted = errors.New("fetch: given up")
 )
 
-// Next returns what to ask now, or how long to wait before asking Next again.
-func (p *Plan) Next(now time.Duration) (ask Ask, wait time.Duration, err error) {
-	if len(p.stores.l) == 0 {
-		return ask, 0, fmt.Errorf("%w: no store is named", ErrGivenUp)
+// Next returns the request to make now, or how long to wait before Next is called again. Errors wrap ErrMismatch or
+// ErrExhausted and name the faults of each store.
+func (p *Plan) Next(now time.Duration) (request Request, wait time.Duration, err error) {
+	if err := p.exhausted(); err != nil {
+		return Request{}, 0, err
 	}
-	if len(p.bad) == len(p.stores.l) {
-		return ask, 0, fmt.Errorf("%w: %s", ErrMismatch, p.said())
+	store := p.choose(now)
+	if store.availableAt > now {
+		return Request{}, store.availableAt - now, nil
 	}
-	if p.tries >= p.stores.set.Tries {
-		if len(p.bad) > 0 {
-			return ask, 0, fmt.Errorf("%w: %s", ErrMismatch, p.said())
-		}
-		return ask, 0, fmt.Errorf("%w after %d requests: %s", ErrGivenUp, p.tries, p.said())
+	p.attempts++
+	if p.received > 0 && p.singleSource && store.Name != p.current {
+		p.drop()
+	}
+	request = Request{Store: store.Name, Offset: p.received}
+	if p.received == 0 {
+		request.FromStart = true
+		p.drop() // also the sources that gave no byte
+	}
+	p.current = store.Name
+	if !slices.Contains(p.sources, store.Name) {
+		p.sources = append(p.sources, store.Name)
 	}
-	// The first that may be asked, but the one that gave what is there before it; else the one that may be soonest.
+	return request, 0, nil
+}
+
+// exhausted returns why no further request may be made, or nil.
+func (p *Plan) exhausted() error {
+	stores := p.stores.list
+	switch {
+	case len(stores) == 0:
+		return fmt.Errorf("%w: no store is named", ErrExhausted)
+	case len(p.excluded) == len(stores):
+		return fmt.Errorf("%w: %s", ErrMismatch, p.summary())
+	case p.attempts < p.stores.settings.Tries:
+		return nil
+	case len(p.excluded) > 0:
+		return fmt.Errorf("%w: %s", ErrMismatch, p.summary())
+	}
+	return fmt.Errorf("%w after %d requests: %s", ErrExhausted, p.attempts, p.summary())
+}
+
+// choose returns the store to ask: the one that gave the last bytes if it may be asked now, else the first one that
+// may, else the one that may be asked soonest. At least one store is not excluded.
+func (p *Plan) choose(now time.Duration) *Store {
 	var best *Store
-	for _, x := range p.stores.l {
+	for _, store := range p.stores.list {
+		available := store.availableAt <= now
 		switch {
-		case p.bad[x.Name]:
+		case p.excluded[store.Name]:
 		case best == nil,
-			x.from <= now && (best.from > now || x.Name == p.current),
-			x.from > now && x.from < best.from:
-			best = x
+			available && (best.availableAt > now || store.Name == p.current),
+			!available && store.availableAt < best.availableAt:
+			best = store
 		}
 	}
-	if best.from > now {
-		return ask, best.from - now, nil
-	}
-	p.tries++
-	ask = Ask{Store: best.Name, Offset: p.have}
-	if p.have > 0 && p.alone && best.Name != p.current {
-		ask.Offset, ask.Whole = 0, true
-	}
-	if ask.Offset == 0 {
-		ask.Whole = true
-		p.have, p.givers = 0, nil
-	}
-	p.current = best.Name
-	if !slices.Contains(p.givers, best.Name) {
-		p.givers = append(p.givers, best.Name)
-	}
-	return ask, 0, nil
+	return best
 }
 
-func (p *Plan) said() string {
-	var l []string
+// summary names each fault of each store once.
+func (p *Plan) summary() string {
+	var faults []string
 	for _, r := range p.Reports {
-		if s := r.Store + " " + r.Fault.String(); !slices.Contains(l, s) {
-			l = append(l, s)
+		if fault := r.Store + " " + r.Fault.String(); !slices.Contains(faults, fault) {
+			faults = append(faults, fault)
 		}
 	}
-	return strings.Join(l, ", ")
+	return strings.Join(faults, ", ")
 }
 
-// Got notes bytes that came.
-func (p *Plan) Got(n int64) { p.have += n }
+// Received notes how many bytes the last request gave.
+func (p *Plan) Received(n int64) { p.received += n }
 
-// Complete tells whether all bytes are there.
-func (p *Plan) Complete() bool { return p.have == p.size }
+// Complete tells whether all bytes are received.
+func (p *Plan) Complete() bool { return p.received == p.size }
 
-// Failed notes a request that ended other than well. draw, from 0 to 1, spreads the pauses of many workers.
+// Failed notes the fault of the last request. draw, from 0 to 1, spreads the backoffs of many workers. Bytes of a
+// request that broke off stay, so that the fetch can be resumed.
 func (p *Plan) Failed(now time.Duration, f Fault, draw float64) {
-	p.Reports = append(p.Reports, Report{p.current, f, p.have})
-	switch f {
-	case Broken: // it gave bytes: it may be asked to go on, a little later each time
-		p.stores.failed(p.current, now, draw)
-	case Wrong: // it does not have what was asked for, whatever it has
+	p.Reports = append(p.Reports, Report{p.current, f, p.received})
+	if f == Wrong { // the store does not have what was requested, whatever it has
 		p.drop()
-		p.bad[p.current] = true
+		p.excluded[p.current] = true
 		p.stores.blame(p.current, now, draw)
-	default:
-		p.stores.failed(p.current, now, draw)
+		return
 	}
+	p.stores.failed(p.current, now, draw)
 }
 
-func (p *Plan) drop() { p.have, p.givers = 0, nil }
+// drop forgets the received bytes.
+func (p *Plan) drop() {
+	p.received = 0
+	p.sources = nil
+}
 
-// Checked notes whether the bytes, now all there, are those of the digest. A wrong whole is dropped.
+// Checked notes whether the bytes, all received now, have the digest. If not they are dropped.
 func (p *Plan) Checked(now time.Duration, match bool, draw float64) {
 	if match {
 		p.stores.good(p.current)
 		return
 	}
-	givers := p.givers
-	for _, g := range givers {
-		p.Reports = append(p.Reports, Report{g, Mismatch, p.have})
+	sources := p.sources
+	for _, source := range sources {
+		p.Reports = append(p.Reports, Report{source, Mismatch, p.received})
 	}
 	p.drop()
-	if len(givers) == 1 {
-		p.bad[givers[0]] = true
-		p.stores.blame(givers[0], now, draw)
+	if len(sources) == 1 {
+		p.excluded[sources[0]] = true
+		p.stores.blame(sources[0], now, draw)
 		return
 	}
-	p.alone = true
+	p.singleSource = true
 }
