--- a/internal/signing/sign.go
+++ b/internal/signing/sign.go
@@ -1,9 +1,9 @@
 // Package signing signs and verifies messages as the Standard Webhooks specification says. It serves calls and their
 // answers, and the requests of operators and controllers to the registry.
 //
-// A signature covers the id, the timestamp and the body of a Message. An answer is signed under an id that is derived from
-// the request's and from the outcome: see AnswerID. Whether a timestamp is recent, and whether an id was seen before, the
-// caller checks.
+// A signature covers the id, the timestamp and the body of a Message. An answer is signed under an id that is
+// derived from the request's and from the outcome: see AnswerID. Whether a timestamp is recent, and whether an id
+// was seen before, the caller checks.
 package signing
 
 import (
@@ -177,8 +177,8 @@
 	return 0
 }
 
-// ParseStamp parses a timestamp, in unix seconds above 0. It is strict: another text for the same time would make another
-// message.
+// ParseStamp parses a timestamp, in unix seconds above 0. It is strict: another text for the same time would make
+// another message.
 func ParseStamp(s string) (time.Time, bool) {
 	n, err := strconv.ParseInt(s, 10, 64)
 	if err != nil || n <= 0 || strconv.FormatInt(n, 10) != s {
@@ -187,8 +187,8 @@
 	return time.Unix(n, 0), true
 }
 
-// AnswerPrefix begins the ids under which answers are signed. A request with such an id must be rejected: a signed answer
-// could otherwise be sent back as a request.
+// AnswerPrefix begins the ids under which answers are signed. A request with such an id must be rejected: a signed
+// answer could otherwise be sent back as a request.
 const AnswerPrefix = "answer_"
 
 // AnswerID returns the webhook-id of the answer with an outcome (served, refused, failed, ...) to a request.
