--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -85,58 +85,101 @@
 	}
 	tests := map[string][]step{
 		"a migration waits for copies, then for controllers": {
-			{0, push("v1", "1"), "[]", ""}, {0, push("v2", "2"), "[]", ""},
+			{0, push("v1", "1"), "[]", ""},
+			{0, push("v2", "2"), "[]", ""},
 			{0, to("v1", 0, 0), "[{1} {1}]", "v1@1"}, // no controller to wait for
-			{1, renew{"c1", 1}, "[]", "v1@1"}, {1, renew{"c2", 1}, "[]", "v1@1"},
+			{1, renew{"c1", 1}, "[]", "v1@1"},
+			{1, renew{"c2", 1}, "[]", "v1@1"},
 			{2, to("v2", 1, 2), "[{m v2 2}]", "v1@1"},
-			{3, CopiesReady{"m", "v2", "w1", 1}, "[]", "v1@1"}, {4, CopiesReady{"m", "v2", "w2", 1}, "[{2}]", "v2@2"},
-			{4, renew{"c1", 2}, "[]", "v2@2"}, {5, renew{"c2", 2}, "[{2}]", "v2@2"},
-			{11, Tick{}, "[]", "v2@2"}, {13, Tick{}, "[]", "v2@2"},
+			{3, CopiesReady{"m", "v2", "w1", 1}, "[]", "v1@1"},
+			{4, CopiesReady{"m", "v2", "w2", 1}, "[{2}]", "v2@2"},
+			{4, renew{"c1", 2}, "[]", "v2@2"},
+			{5, renew{"c2", 2}, "[{2}]", "v2@2"},
+			{11, Tick{}, "[]", "v2@2"},
+			{13, Tick{}, "[]", "v2@2"},
 		},
 		"a controller that does not renew delays a migration until its lease is over": {
-			{0, push("v1", "1"), "[]", ""}, {0, push("v2", "2"), "[]", ""}, {0, to("v1", 0, 0), "[{1} {1}]", "v1@1"},
-			{1, renew{"c1", 1}, "[]", "v1@1"}, {2, to("v2", 1, 0), "[{2}]", "v2@2"}, {6, Tick{}, "[]", "v2@2"}, {7, Tick{}, "[{2}]", "v2@2"},
+			{0, push("v1", "1"), "[]", ""},
+			{0, push("v2", "2"), "[]", ""},
+			{0, to("v1", 0, 0), "[{1} {1}]", "v1@1"},
+			{1, renew{"c1", 1}, "[]", "v1@1"},
+			{2, to("v2", 1, 0), "[{2}]", "v2@2"},
+			{6, Tick{}, "[]", "v2@2"},
+			{7, Tick{}, "[{2}]", "v2@2"},
 		},
 		"copies that never become ready abort the migration": {
-			{0, push("v1", "1"), "[]", ""}, {0, push("v2", "2"), "[]", ""}, {0, to("v1", 0, 0), "[{1} {1}]", "v1@1"},
-			{1, to("v2", 1, 2), "[{m v2 2}]", "v1@1"}, {2, to("v2", 1, 0), "the alias has moved since: current of m is being moved to v2: roll that back first", "v1@1"},
+			{0, push("v1", "1"), "[]", ""},
+			{0, push("v2", "2"), "[]", ""},
+			{0, to("v1", 0, 0), "[{1} {1}]", "v1@1"},
+			{1, to("v2", 1, 2), "[{m v2 2}]", "v1@1"},
+			{2, to("v2", 1, 0), "the alias has moved since: current of m is being moved to v2: roll that back first", "v1@1"},
 			{11, Tick{}, "[{2 0 of 2 copies stood after 10s} {m v2}]", "v1@1"},
 		},
 		"a migration to B and back gives three revisions": {
-			{0, push("v1", "1"), "[]", ""}, {0, push("v2", "2"), "[]", ""}, {0, to("v1", 0, 0), "[{1} {1}]", "v1@1"},
-			{1, to("v2", 1, 0), "[{2} {2}]", "v2@2"}, {2, Rollback{Model: "m", Alias: "current", IfRevision: 2}, "[{3} {3}]", "v1@3"},
+			{0, push("v1", "1"), "[]", ""},
+			{0, push("v2", "2"), "[]", ""},
+			{0, to("v1", 0, 0), "[{1} {1}]", "v1@1"},
+			{1, to("v2", 1, 0), "[{2} {2}]", "v2@2"},
+			{2, Rollback{Model: "m", Alias: "current", IfRevision: 2}, "[{3} {3}]", "v1@3"},
 			{3, to("v2", 1, 0), "the alias has moved since: current of m is at revision 3, not 1", "v1@3"},
 		},
 		"a command with a known idempotency key is replayed": {
-			{0, push("v1", "1"), "[]", ""}, {0, IdempotentCommand{"k", "sum", to("v1", 0, 0)}, "[{1} {1} {1}]", "v1@1"},
-			{1, IdempotentCommand{"k", "sum", to("v1", 0, 0)}, "[{1}]", "v1@1"}, {1, IdempotentCommand{"k", "other", to("v1", 1, 0)}, `key: used for another command: "k"`, "v1@1"},
+			{0, push("v1", "1"), "[]", ""},
+			{0, IdempotentCommand{"k", "sum", to("v1", 0, 0)}, "[{1} {1} {1}]", "v1@1"},
+			{1, IdempotentCommand{"k", "sum", to("v1", 0, 0)}, "[{1}]", "v1@1"},
+			{1, IdempotentCommand{"k", "other", to("v1", 1, 0)}, `key: used for another command: "k"`, "v1@1"},
 			{1, IdempotentCommand{"", "sum", to("v1", 1, 0)}, "key: 0 bytes, want 1 to 128", "v1@1"},
 		},
 		"condemned bytes are withdrawn from their alias for ever": {
-			{0, push("v1", "1"), "[]", ""}, {0, to("v1", 0, 0), "[{1} {1}]", "v1@1"}, {0, push("same", "1"), "[]", "v1@1"},
+			{0, push("v1", "1"), "[]", ""},
+			{0, to("v1", 0, 0), "[{1} {1}]", "v1@1"},
+			{0, push("same", "1"), "[]", "v1@1"},
 			{1, Condemn{Model: "m", Version: "same"}, "[{2} {m same} {m v1} {3} {2}]", "@2"},
-			{2, to("v1", 2, 0), "version: v1 of m is condemned", "@2"}, {2, push("again", "1"), "digest: " + sha("1") + " is condemned", "@2"},
+			{2, to("v1", 2, 0), "version: v1 of m is condemned", "@2"},
+			{2, push("again", "1"), "digest: " + sha("1") + " is condemned", "@2"},
 		},
 		"a version that fails more than the previous one is rolled back": {
-			{0, push("v1", "1"), "[]", ""}, {0, push("v2", "2"), "[]", ""}, {0, to("v1", 0, 0), "[{1} {1}]", "v1@1"},
-			{1, CallsEnded{"m", "v1", 100, 5}, "[]", "v1@1"}, {2, to("v2", 1, 0), "[{2} {2}]", "v2@2"},
-			{3, CallsEnded{"m", "v2", 9, 9}, "[]", "v2@2"}, {4, CallsEnded{"m", "v2", 1, 0}, "[{3} {3}]", "v1@3"},
+			{0, push("v1", "1"), "[]", ""},
+			{0, push("v2", "2"), "[]", ""},
+			{0, to("v1", 0, 0), "[{1} {1}]", "v1@1"},
+			{1, CallsEnded{"m", "v1", 100, 5}, "[]", "v1@1"},
+			{2, to("v2", 1, 0), "[{2} {2}]", "v2@2"},
+			{3, CallsEnded{"m", "v2", 9, 9}, "[]", "v2@2"},
+			{4, CallsEnded{"m", "v2", 1, 0}, "[{3} {3}]", "v1@3"},
 			{5, CallsEnded{"m", "v1", 100, 100}, "[]", "v1@3"},
 		},
 		"collection keeps what an alias names, named before, or a call still uses": {
-			{0, push("v1", "1"), "[]", ""}, {0, push("v2", "2"), "[]", ""}, {0, push("v3", "3"), "[]", ""}, {0, to("v1", 0, 0), "[{1} {1}]", "v1@1"},
-			{1, to("v2", 1, 0), "[{2} {2}]", "v2@2"}, {20, Collect{}, "[]", "v2@2"}, {21, renew{"c1", 2}, "[]", "v2@2"}, {21, to("v3", 2, 0), "[{3}]", "v3@3"},
-			{22, Collect{Except: []VersionRef{{"m", "v1"}}}, "[]", "v3@3"}, {22, Collect{}, "[{m v1 " + sha("1") + "}]", "v3@3"},
-			{27, Collect{}, "[{3}]", "v3@3"}, {40, Collect{}, "[]", "v3@3"},
+			{0, push("v1", "1"), "[]", ""},
+			{0, push("v2", "2"), "[]", ""},
+			{0, push("v3", "3"), "[]", ""},
+			{0, to("v1", 0, 0), "[{1} {1}]", "v1@1"},
+			{1, to("v2", 1, 0), "[{2} {2}]", "v2@2"},
+			{20, Collect{}, "[]", "v2@2"},
+			{21, renew{"c1", 2}, "[]", "v2@2"},
+			{21, to("v3", 2, 0), "[{3}]", "v3@3"},
+			{22, Collect{Except: []VersionRef{{"m", "v1"}}}, "[]", "v3@3"},
+			{22, Collect{}, "[{m v1 " + sha("1") + "}]", "v3@3"},
+			{27, Collect{}, "[{3}]", "v3@3"},
+			{40, Collect{}, "[]", "v3@3"},
 		},
 		"collection waits for controllers that may act by an older epoch": {
-			{0, push("v1", "1"), "[]", ""}, {0, push("v2", "2"), "[]", ""}, {0, push("v3", "3"), "[]", ""}, {0, to("v1", 0, 0), "[{1} {1}]", "v1@1"},
-			{1, renew{"c1", 1}, "[]", "v1@1"}, {2, to("v2", 1, 0), "[{2}]", "v2@2"}, {3, to("v3", 2, 0), "[{3}]", "v3@3"},
-			{5, renew{"c1", 1}, "[]", "v3@3"}, {9, renew{"c1", 1}, "[]", "v3@3"}, {12, Collect{}, "[]", "v3@3"},
-			{13, renew{"c1", 3}, "[{2} {3}]", "v3@3"}, {13, Collect{}, "[{m v1 " + sha("1") + "}]", "v3@3"},
+			{0, push("v1", "1"), "[]", ""},
+			{0, push("v2", "2"), "[]", ""},
+			{0, push("v3", "3"), "[]", ""},
+			{0, to("v1", 0, 0), "[{1} {1}]", "v1@1"},
+			{1, renew{"c1", 1}, "[]", "v1@1"},
+			{2, to("v2", 1, 0), "[{2}]", "v2@2"},
+			{3, to("v3", 2, 0), "[{3}]", "v3@3"},
+			{5, renew{"c1", 1}, "[]", "v3@3"},
+			{9, renew{"c1", 1}, "[]", "v3@3"},
+			{12, Collect{}, "[]", "v3@3"},
+			{13, renew{"c1", 3}, "[{2} {3}]", "v3@3"},
+			{13, Collect{}, "[{m v1 " + sha("1") + "}]", "v3@3"},
 		},
 		"a policy permits answers without a lease, once": {
-			{0, push("v1", "1"), "[]", ""}, {0, Policy{Model: "m", Stale: true}, "[{1}]", ""}, {0, Policy{Model: "m", Stale: true}, "[]", ""},
+			{0, push("v1", "1"), "[]", ""},
+			{0, Policy{Model: "m", Stale: true}, "[{1}]", ""},
+			{0, Policy{Model: "m", Stale: true}, "[]", ""},
 			{0, Policy{Model: "n"}, `model: "n" is not known`, ""},
 		},
 		"invalid commands are rejected and change nothing": {
@@ -144,8 +187,10 @@
 			{0, Push{Model: "m", Version: Version{Name: "", Digest: sha("1")}}, "version: 0 bytes, want 1 to 128", ""},
 			{0, Push{Model: "m", Version: Version{Name: "v", Digest: "sha256:12"}}, `digest: "sha256:12" is not sha256: and 64 small hexadecimal digits`, ""},
 			{0, push("v", "A"), `digest: "` + sha("A") + `" is not sha256: and 64 small hexadecimal digits`, ""},
-			{0, push("v", "1"), "[]", ""}, {0, push("v", "2"), "version: v of m is " + sha("1") + " already: a version never changes", ""},
-			{0, to("x", 0, 0), `version: "x" of m is not known`, ""}, {0, renew{"c", 9}, "epoch: 9, of which 0 is the last: this is another registry's", ""},
+			{0, push("v", "1"), "[]", ""},
+			{0, push("v", "2"), "version: v of m is " + sha("1") + " already: a version never changes", ""},
+			{0, to("x", 0, 0), `version: "x" of m is not known`, ""},
+			{0, renew{"c", 9}, "epoch: 9, of which 0 is the last: this is another registry's", ""},
 			{0, Rollback{Model: "m", Alias: "current"}, `alias: "current" of m is not known`, ""},
 		},
 	}
@@ -199,18 +244,27 @@
 func TestNextStep(t *testing.T) {
 	const safe, keyed, unsafe = scheduler.Idempotent, scheduler.IdempotentWithKey, scheduler.NonIdempotent
 	for _, tt := range []struct {
-		effect      scheduler.Idempotency
-		out, ran    bool
-		times       int
-		left, alone NextStep // where the alias has left, and where the registry is not heard
+		idempotency          scheduler.Idempotency
+		inFlight, mayHaveRun bool
+		restarts             int
+		superseded, noLease  NextStep
 	}{
-		{safe, false, false, 0, Restart, Reject}, {safe, true, true, 0, Restart, Reject}, {safe, false, true, MaxRestarts, Reject, Reject},
-		{keyed, false, false, 0, Restart, Reject}, {keyed, true, true, 0, Wait, Wait}, {keyed, false, true, 0, Fail, Fail},
-		{unsafe, false, false, 0, Restart, Reject}, {unsafe, true, true, 0, Wait, Wait}, {unsafe, false, true, 0, Fail, Fail},
+		{safe, false, false, 0, Restart, Reject},
+		{safe, true, true, 0, Restart, Reject},
+		{safe, false, true, MaxRestarts, Reject, Reject},
+		{keyed, false, false, 0, Restart, Reject},
+		{keyed, true, true, 0, Wait, Wait},
+		{keyed, false, true, 0, Fail, Fail},
+		{unsafe, false, false, 0, Restart, Reject},
+		{unsafe, true, true, 0, Wait, Wait},
+		{unsafe, false, true, 0, Fail, Fail},
 		{unsafe, false, false, MaxRestarts, Reject, Reject},
 	} {
-		if l, a := AfterSuperseded(tt.effect, tt.out, tt.ran, tt.times), WithoutLease(tt.effect, tt.out, tt.ran); l != tt.left || a != tt.alone {
-			t.Errorf("%+v: %d and %d", tt, l, a)
+		if got := AfterSuperseded(tt.idempotency, tt.inFlight, tt.mayHaveRun, tt.restarts); got != tt.superseded {
+			t.Errorf("%+v: %d after the alias has migrated", tt, got)
+		}
+		if got := WithoutLease(tt.idempotency, tt.inFlight, tt.mayHaveRun); got != tt.noLease {
+			t.Errorf("%+v: %d without a lease", tt, got)
 		}
 	}
 }
@@ -226,7 +280,8 @@
 		runtime.ReadMemStats(&before)
 		s, _ = New(set)
 		for i := range 1000 {
-			if _, err := s.Apply(0, Push{Model: fmt.Sprint("model-", i/10), Version: Version{Name: fmt.Sprint("v", i%10), Digest: "sha256:" + fmt.Sprintf("%064x", i), Size: 1}}); err != nil {
+			version := Version{Name: fmt.Sprint("v", i%10), Digest: "sha256:" + fmt.Sprintf("%064x", i), Size: 1}
+			if _, err := s.Apply(0, Push{Model: fmt.Sprint("model-", i/10), Version: version}); err != nil {
 				b.Fatal(err)
 			}
 		}
@@ -240,40 +295,50 @@
 // A call under a target that is being superseded may be answered, and no new one starts, until the view is settled, the
 // lease is over, or its bytes are condemned.
 func TestBeingSuperseded(t *testing.T) {
-	n, gone := AliasName{"m", "current"}, AliasName{"m", "gone"}
-	one, two := Target{"v1", sha("1"), 1}, Target{"v2", sha("2"), 2}
-	told := func(epoch uint64, x Target, barred ...string) ViewUpdate {
-		return ViewUpdate{Epoch: epoch, Targets: map[AliasName]Target{n: x, gone: {"", "", epoch}}, Lease: 10 * sec, Settle: sec, Condemned: barred}
+	current := AliasName{"m", "current"}
+	withdrawn := AliasName{"m", "withdrawn"} // names no version from epoch 2 on
+	one := Target{"v1", sha("1"), 1}
+	two := Target{"v2", sha("2"), 2}
+	update := func(epoch uint64, target Target, condemned ...string) ViewUpdate {
+		targets := map[AliasName]Target{current: target, withdrawn: {Revision: epoch}}
+		return ViewUpdate{Epoch: epoch, Targets: targets, Lease: 10 * sec, Settle: sec, Condemned: condemned}
 	}
-	begin := func() *View {
+	// migrated returns a view that saw the alias migrate from one to two at 1 s; its lease ends at 11 s.
+	migrated := func() *View {
 		v := &View{}
-		first := told(1, one)
-		first.Targets[gone] = Target{"v1", sha("1"), 1}
-		if !v.Update(0, first) || !v.Update(sec, told(2, two)) {
-			t.Fatal("not learnt")
+		first := update(1, one)
+		first.Targets[withdrawn] = one
+		if !v.Update(0, first) || !v.Update(sec, update(2, two)) {
+			t.Fatal("an update was rejected")
 		}
 		return v
 	}
-	v := begin()
-	if a, b, c := v.MayAnswer(5*sec, n, one), v.MayAnswer(5*sec, n, two), v.MayAnswer(5*sec, gone, Target{"v1", sha("1"), 1}); a != BeingSuperseded || b != Allowed || c != Superseded {
-		t.Errorf("%v for the one that is leaving, %v for the one that is named, %v for one whose alias names nothing", a, b, c)
-	}
-	if a := v.MayAnswer(11*sec, n, one); a != Superseded {
-		t.Errorf("after the lease: %v", a)
-	}
-	s := v.Settled()
-	if a := s.MayAnswer(5*sec, n, one); a != Superseded {
-		t.Errorf("settled: %v", a)
+	expect := func(what string, v *View, now time.Duration, alias AliasName, target Target, want Verdict) {
+		t.Helper()
+		if got := v.MayAnswer(now, alias, target); got != want {
+			t.Errorf("%s: %v, want %v", what, got, want)
+		}
 	}
-	v = begin()
-	if !v.Update(2*sec, told(3, two, sha("1"))) || v.MayAnswer(5*sec, n, one) != Superseded {
-		t.Errorf("barred: %v", v.MayAnswer(5*sec, n, one))
+	v := migrated()
+	expect("the previous target", v, 5*sec, current, one, BeingSuperseded)
+	expect("the current target", v, 5*sec, current, two, Allowed)
+	expect("a target whose alias names no version", v, 5*sec, withdrawn, one, Superseded)
+	expect("the previous target after the lease", v, 11*sec, current, one, Superseded)
+	settled := v.Settled()
+	expect("the previous target in a settled view", &settled, 5*sec, current, one, Superseded)
+
+	v = migrated()
+	if !v.Update(2*sec, update(3, two, sha("1"))) {
+		t.Error("the update that condemns was rejected")
 	}
-	v = begin()
-	if v.Update(3*sec, told(1, one)) || v.MayAnswer(5*sec, n, two) != Allowed {
-		t.Error("an older epoch was learnt")
+	expect("condemned bytes", v, 5*sec, current, one, Superseded)
+
+	v = migrated()
+	if v.Update(3*sec, update(1, one)) {
+		t.Error("an older epoch was accepted")
 	}
+	expect("the current target after an older update", v, 5*sec, current, two, Allowed)
 	if v.Update(3*sec, ViewUpdate{Epoch: 9, Since: 7, Targets: map[AliasName]Target{}, Lease: sec}) {
-		t.Error("changes since an epoch that it does not hold were learnt")
+		t.Error("changes since an epoch that the view does not hold were accepted")
 	}
 }
--- a/internal/registry/service/linearizable_test.go
+++ b/internal/registry/service/linearizable_test.go
@@ -29,127 +29,177 @@
 	defer o.running.RUnlock()
 }
 
-// The history of operators' commands, with processes killed in between, is that of one registry that does one thing at a
-// time: a command whose answer was lost is sent again with its key, and happens once between its first send and its answer.
+// The history of operators' commands, while the process is killed and restarted, is that of one registry that executes one
+// command at a time: a command whose answer was lost is sent again with its key, and is executed once between its first
+// send and its answer.
 func TestLinearizable(t *testing.T) {
-	d := open(t, store.Dir(t.TempDir()))
+	const clients, operations = 4, 150
+	r := open(t, store.Dir(t.TempDir()))
 	for i := range 5 {
-		must(t, d.client("ann"), fmt.Sprint("p", i), push(fmt.Sprint("v", i)))
+		must(t, r.client("ann"), fmt.Sprint("p", i), push(fmt.Sprint("v", i)))
 	}
-	type in struct {
-		read bool
-		to   string
-		rev  uint64
-	}
-	type out struct {
-		ok      bool
-		version string
-		rev     uint64
-	}
-	var mu sync.Mutex
-	var ops []porcupine.Operation
-	var down outage
-	again, done := 0, make(chan struct{}, 4*150)
-	begin, addr, keys := time.Now(), d.addr, []*signing.Key{secret(t, "ann"), secret(t, "bob")}
-	var wg sync.WaitGroup
-	for id := range 4 {
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
-			rng := rand.New(rand.NewPCG(7, uint64(id)))
-			known := uint64(0)
-			for i := range 150 {
-				c := &client.Client{Server: addr, Key: keys[id%2], Wall: time.Now}
-				x := in{read: rng.IntN(2) == 0}
-				if !x.read {
-					x.to, x.rev = fmt.Sprint("v", rng.IntN(5)), known
-				}
-				call, y, taken := int64(time.Since(begin)), out{}, true
-				for {
-					var err error
-					if x.read {
-						var a *wire.Answer
-						if a, err = c.Query(wire.Query{What: "watch"}); err == nil && len(a.Targets) == 1 {
-							y = out{version: a.Targets[0].Version, rev: a.Targets[0].Revision}
-							known = y.rev
-						}
-					} else {
-						cmd := promote(x.to, x.rev)
-						cmd.WaitMS = 0
-						if _, err = c.Command(fmt.Sprint("k", id, "-", i), cmd); err == nil {
-							y.ok, known = true, x.rev+1
-						}
-					}
-					if s := status(err); s != 0 { // 412 speaks of the revision, others of nothing that the model knows
-						taken = s == 412
-						break
-					} else if err == nil {
-						break
-					}
-					down.waitUntilOver()
-					mu.Lock()
-					again++
-					mu.Unlock()
-				}
-				c.Close()
-				if taken {
-					mu.Lock()
-					ops = append(ops, porcupine.Operation{ClientId: id, Input: x, Call: call, Output: y, Return: int64(time.Since(begin))})
-					mu.Unlock()
-				}
-				done <- struct{}{}
-			}
-		}()
+	h := &history{addr: r.addr, begin: time.Now(), done: make(chan struct{}, clients*operations)}
+	var running sync.WaitGroup
+	for id := range clients {
+		key := secret(t, []string{"ann", "bob"}[id%2])
+		running.Go(func() { h.runClient(id, key, operations) })
 	}
 	for range 12 {
 		for range 40 {
-			<-done
+			<-h.done
 		}
-		down.begin()
-		d.kill()
-		d.start()
-		down.end()
-	}
-	wg.Wait()
-	type state struct {
-		version string
-		rev     uint64
-	}
-	model := porcupine.NondeterministicModel{
-		Init: func() []interface{} { return []interface{}{state{}} },
-		Step: func(s, i, o interface{}) []interface{} {
-			st, x, y := s.(state), i.(in), o.(out)
-			next := state{x.to, st.rev + 1}
-			switch {
-			case x.read && (y.version == st.version && y.rev == st.rev):
-				return []interface{}{st}
-			case x.read:
-				return nil
-			case !y.ok && st.rev != x.rev:
-				return []interface{}{st}
-			case y.ok && st.rev == x.rev:
-				return []interface{}{next}
-			}
-			return nil
-		},
+		h.down.begin()
+		r.kill()
+		r.start()
+		h.down.end()
 	}
-	if !porcupine.CheckOperations(model.ToModel(), ops) {
-		text, _ := json.Marshal(ops)
-		t.Errorf("%d operations are not linearizable: %s", len(ops), text)
+	running.Wait()
+	model := aliasModel.ToModel()
+	if !porcupine.CheckOperations(model, h.operations) {
+		text, _ := json.Marshal(h.operations)
+		t.Errorf("%d operations are not linearizable: %s", len(h.operations), text)
 	}
-	moves := 0
-	for _, o := range ops {
-		if o.Output.(out).ok {
-			moves++
+	migrations := 0
+	for _, o := range h.operations {
+		if o.Output.(output).migrated {
+			migrations++
 		}
 	}
-	t.Logf("%d operations, %d moves, %d sent again", len(ops), moves, again)
-	if moves < 5 {
-		t.Errorf("%d moves: nothing is shown", moves)
+	t.Logf("%d operations, %d migrations, %d sent again", len(h.operations), migrations, h.retries)
+	if migrations < 5 {
+		t.Errorf("%d migrations: nothing is shown", migrations)
 	}
 	// The checker finds a planted fault: a read of a revision that nobody made yet.
-	ops = append(ops, porcupine.Operation{ClientId: 9, Input: in{read: true}, Call: 0, Output: out{version: "v9", rev: 99}, Return: 1})
-	if porcupine.CheckOperations(model.ToModel(), ops) {
+	planted := porcupine.Operation{ClientId: 9, Input: input{read: true}, Call: 0, Output: output{version: "v9", revision: 99}, Return: 1}
+	if porcupine.CheckOperations(model, append(h.operations, planted)) {
 		t.Error("a planted fault is not found")
 	}
 }
+
+// An input is a read of the alias, or a migration of it where it has a revision.
+type input struct {
+	read     bool
+	to       string
+	revision uint64
+}
+
+// An output is what was read, or whether the alias migrated.
+type output struct {
+	migrated bool
+	version  string
+	revision uint64
+}
+
+// A history is the operations of several clients.
+type history struct {
+	addr  string
+	begin time.Time
+	down  outage
+	done  chan struct{} // one signal an operation
+
+	mu         sync.Mutex // guards the fields below
+	operations []porcupine.Operation
+	retries    int
+}
+
+// runClient executes operations one after the other, each on a new connection.
+func (h *history) runClient(id int, key *signing.Key, operations int) {
+	rng := rand.New(rand.NewPCG(7, uint64(id)))
+	known := uint64(0) // the revision that the client last saw
+	for i := range operations {
+		in := input{read: rng.IntN(2) == 0}
+		if !in.read {
+			in.to = fmt.Sprint("v", rng.IntN(5))
+			in.revision = known
+		}
+		c := &client.Client{Server: h.addr, Key: key, Wall: time.Now}
+		call := time.Since(h.begin)
+		out, counts := h.execute(c, fmt.Sprint("k", id, "-", i), in, &known)
+		c.Close()
+		if counts {
+			h.add(porcupine.Operation{
+				ClientId: id,
+				Input:    in,
+				Call:     int64(call),
+				Output:   out,
+				Return:   int64(time.Since(h.begin)),
+			})
+		}
+		h.done <- struct{}{}
+	}
+}
+
+// execute sends an operation until it is answered. counts is false for an answer of which the model knows nothing.
+func (h *history) execute(c *client.Client, key string, in input, known *uint64) (out output, counts bool) {
+	for {
+		var err error
+		if in.read {
+			err = readAlias(c, &out, known)
+		} else {
+			err = migrateAlias(c, key, in, &out, known)
+		}
+		if code := status(err); code != 0 {
+			return out, code == 412 // the alias has another revision
+		}
+		if err == nil {
+			return out, true
+		}
+		h.down.waitUntilOver()
+		h.mu.Lock()
+		h.retries++
+		h.mu.Unlock()
+	}
+}
+
+func (h *history) add(o porcupine.Operation) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.operations = append(h.operations, o)
+}
+
+func readAlias(c *client.Client, out *output, known *uint64) error {
+	a, err := c.Query(wire.Query{What: "watch"})
+	if err == nil && len(a.Targets) == 1 {
+		*out = output{version: a.Targets[0].Version, revision: a.Targets[0].Revision}
+		*known = out.revision
+	}
+	return err
+}
+
+func migrateAlias(c *client.Client, key string, in input, out *output, known *uint64) error {
+	cmd := promote(in.to, in.revision)
+	cmd.WaitMS = 0
+	_, err := c.Command(key, cmd)
+	if err == nil {
+		out.migrated = true
+		*known = in.revision + 1
+	}
+	return err
+}
+
+// aliasState is the state of the model: what the alias names.
+type aliasState struct {
+	version  string
+	revision uint64
+}
+
+// aliasModel is a registry with one alias that executes one operation at a time.
+var aliasModel = porcupine.NondeterministicModel{
+	Init: func() []any { return []any{aliasState{}} },
+	Step: func(state, in, out any) []any {
+		s := state.(aliasState)
+		i := in.(input)
+		o := out.(output)
+		switch {
+		case i.read && o.version == s.version && o.revision == s.revision:
+			return []any{s}
+		case i.read:
+			return nil
+		case !o.migrated && s.revision != i.revision:
+			return []any{s}
+		case o.migrated && s.revision == i.revision:
+			return []any{aliasState{i.to, s.revision + 1}}
+		}
+		return nil
+	},
+}
