--- a/internal/registry/agent/agent_test.go
+++ b/internal/registry/agent/agent_test.go
@@ -1,6 +1,7 @@
 package agent
 
 import (
+	"fmt"
 	"testing"
 	"time"
 
@@ -9,54 +10,121 @@
 	"kitehub/internal/registry/wire"
 )
 
-// What a response must not hold: it is refused whole.
-func TestRead(t *testing.T) {
+// A response with an invalid part is rejected as a whole.
+func TestInvalidResponse(t *testing.T) {
 	alias := wire.Alias{Type: wire.TypeAlias, Model: "m", Alias: "current", Version: "v", Revision: 1}
-	other := alias
-	other.Type = "type.googleapis.com/other"
-	none := alias
-	none.Revision = 0
-	for name, r := range map[string]wire.Response{
-		"no epoch":    {VersionInfo: "x", TypeURL: wire.TypeAlias, LeaseMS: 1},
-		"other type":  {VersionInfo: "1", TypeURL: "other", LeaseMS: 1},
-		"no lease":    {VersionInfo: "1", TypeURL: wire.TypeAlias},
-		"twice":       {VersionInfo: "1", TypeURL: wire.TypeAlias, LeaseMS: 1, Resources: []wire.Alias{alias, alias}},
-		"a stranger":  {VersionInfo: "1", TypeURL: wire.TypeAlias, LeaseMS: 1, Resources: []wire.Alias{other}},
-		"no revision": {VersionInfo: "1", TypeURL: wire.TypeAlias, LeaseMS: 1, Resources: []wire.Alias{none}},
+	otherType := alias
+	otherType.Type = "type.googleapis.com/other"
+	noRevision := alias
+	noRevision.Revision = 0
+	withResources := func(aliases ...wire.Alias) wire.Response {
+		return wire.Response{VersionInfo: "1", TypeURL: wire.TypeAlias, LeaseMS: 1, Resources: aliases}
+	}
+	for name, resp := range map[string]wire.Response{
+		"no epoch":                   {VersionInfo: "x", TypeURL: wire.TypeAlias, LeaseMS: 1},
+		"another type":               {VersionInfo: "1", TypeURL: "other", LeaseMS: 1},
+		"no lease":                   {VersionInfo: "1", TypeURL: wire.TypeAlias},
+		"an alias twice":             withResources(alias, alias),
+		"a resource of another type": withResources(otherType),
+		"an alias without revision":  withResources(noRevision),
 	} {
-		if _, err := parseResponse(&r); err == nil {
-			t.Errorf("%s: taken", name)
+		if _, err := parseResponse(&resp); err == nil {
+			t.Errorf("%s: accepted", name)
 		}
 	}
-	told, err := parseResponse(&wire.Response{VersionInfo: "7", TypeURL: wire.TypeAlias, LeaseMS: 1500, Resources: []wire.Alias{alias}, Stale: []string{"m"}})
-	if err != nil || told.Epoch != 7 || told.Lease != 1500*time.Millisecond || !told.Stale["m"] || len(told.Targets) != 1 {
-		t.Errorf("%+v, %v", told, err)
+	valid := withResources(alias)
+	valid.VersionInfo = "7"
+	valid.LeaseMS = 1500
+	valid.Stale = []string{"m"}
+	update, err := parseResponse(&valid)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if update.Epoch != 7 || update.Lease != 1500*time.Millisecond || !update.Stale["m"] || len(update.Targets) != 1 {
+		t.Errorf("%+v", update)
+	}
+}
+
+// A generation is idle once it was replaced and the answers that it admitted are written; it admits none afterwards.
+func TestGenerationBecomesIdle(t *testing.T) {
+	g := newGeneration(registry.View{})
+	if !g.acquire() {
+		t.Fatal("the current generation admits no answer")
+	}
+	g.release() // replaced
+	if g.isIdle() {
+		t.Error("idle while an answer is written")
+	}
+	if !g.acquire() {
+		t.Error("a replaced generation that is not idle admits no answer")
+	}
+	g.release()
+	g.release()
+	if !g.isIdle() || g.acquire() {
+		t.Error("not idle after all answers are written")
+	}
+}
+
+// Reports are taken by a poll, and put back where it fails; newer ones about copies are not overwritten.
+func TestReportsOfFailedPoll(t *testing.T) {
+	a := &Agent{cfg: Config{Clock: clock.System()}, reports: newReports()}
+	a.current.Store(newGeneration(registry.View{}))
+	alias := registry.AliasName{Model: "m", Alias: "current"}
+	target := registry.Target{Version: "v", Revision: 1}
+	version := registry.VersionRef{Model: "m", Version: "v"}
+	a.setStaged([]wire.Stage{{Model: "m", Version: "v"}})
+	call := func(failed bool) {
+		a.Use(alias, target)
+		a.Unuse(alias, target, true, failed)
+	}
+	call(true)
+	a.CopiesReady(version, "w1", 1)
+	a.CopiesReady(version, "w2", 1)
+	lost := a.newRequest(0, "", nil)
+	call(false)
+	a.CopiesReady(version, "w1", 2)
+	a.reports.restore(lost)
+	request := a.newRequest(0, "", nil)
+	if want := []wire.CallsEnded{{Model: "m", Version: "v", Calls: 2, Errors: 1}}; fmt.Sprint(request.CallsEnded) != fmt.Sprint(want) {
+		t.Errorf("calls %v, want %v", request.CallsEnded, want)
+	}
+	copies := map[string]int{}
+	for _, report := range request.CopiesReady {
+		copies[report.Worker] = report.Copies
+	}
+	if want := map[string]int{"w1": 2, "w2": 1}; fmt.Sprint(copies) != fmt.Sprint(want) {
+		t.Errorf("copies %v, want %v", copies, want)
+	}
+	if again := a.newRequest(0, "", nil); len(again.CallsEnded)+len(again.CopiesReady) > 0 {
+		t.Errorf("reported twice: %+v", again)
 	}
 }
 
-// BenchmarkPath is what versions cost a call: bound, checked at send and answer, let out at the door, unbound.
+// BenchmarkPath is what versions cost a call: its alias resolved, its target checked at send and answer, its answer
+// admitted.
 func BenchmarkPath(b *testing.B) {
 	a := &Agent{cfg: Config{Clock: clock.System()}, reports: newReports()}
-	told := registry.ViewUpdate{Epoch: 1, Targets: map[registry.AliasName]registry.Target{}, Lease: time.Hour}
-	n := registry.AliasName{Model: "model-500", Alias: "current"}
+	alias := registry.AliasName{Model: "model-500", Alias: "current"}
+	update := registry.ViewUpdate{Epoch: 1, Targets: map[registry.AliasName]registry.Target{}, Lease: time.Hour}
 	for i := range 1000 {
-		told.Targets[registry.AliasName{Model: "model-" + string(rune('a'+i%26)) + string(rune('a'+i/26%26)) + string(rune('a'+i/676)), Alias: "current"}] = registry.Target{Version: "v", Revision: 1}
+		other := "model-" + string(rune('a'+i%26)) + string(rune('a'+i/26%26)) + string(rune('a'+i/676))
+		update.Targets[registry.AliasName{Model: other, Alias: "current"}] = registry.Target{Version: "v", Revision: 1}
 	}
-	told.Targets[n] = registry.Target{Version: "v1", Digest: "sha256:1", Revision: 1}
-	var v registry.View
-	v.Update(a.cfg.Clock.Now(), told)
-	a.current.Store(newGeneration(v))
+	update.Targets[alias] = registry.Target{Version: "v1", Digest: "sha256:1", Revision: 1}
+	var view registry.View
+	view.Update(a.cfg.Clock.Now(), update)
+	a.current.Store(newGeneration(view))
 	b.ReportAllocs()
 	for b.Loop() {
-		t, _ := a.Resolve(n)
-		a.Use(n, t)
-		a.MayAnswer(n, t)
-		a.MayAnswer(n, t)
-		ticket, _, verdict := a.Begin(n, t)
+		target, _ := a.Resolve(alias)
+		a.Use(alias, target)
+		a.MayAnswer(alias, target)
+		a.MayAnswer(alias, target)
+		ticket, _, verdict := a.Begin(alias, target)
 		if verdict != registry.Allowed {
 			b.Fatal(verdict)
 		}
 		a.End(ticket)
-		a.Unuse(n, t, true, false)
+		a.Unuse(alias, target, true, false)
 	}
 }
