--- a/internal/registry/client/client_test.go
+++ b/internal/registry/client/client_test.go
@@ -137,8 +137,8 @@
 	}
 }
 
-// A request whose idle connection has failed is sent once more, under the same id, on a new connection; one that fails on
-// a new connection is not.
+// A request whose idle connection has failed is sent once more, under the same id, on a new connection; one that
+// fails on a new connection is not.
 func TestRetriesIdleConnection(t *testing.T) {
 	key := registryKey(t, "ann")
 	var mu sync.Mutex // guards the two below: connections have goroutines of their own
--- a/internal/registry/guarantee_test.go
+++ b/internal/registry/guarantee_test.go
@@ -13,8 +13,9 @@
 // Draws are the same in every run. Seek further with -rapid.seed.
 func init() { flag.Set("rapid.seed", "1") }
 
-// After a migration is acknowledged no controller hands out an answer of a superseded target: whatever is lost, delayed or
-// out of order between them and the registry, however their clocks drift within the bound, and when they restart.
+// After a migration is acknowledged no controller hands out an answer of a superseded target: whatever is lost,
+// delayed or out of order between them and the registry, however their clocks drift within the bound, and when they
+// restart.
 func TestGuarantee(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := newGuaranteeModel(t)
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -240,7 +240,8 @@
 	}
 }
 
-// What becomes of a call whose alias has migrated, and of one without a lease, by its idempotency and what may have run.
+// What becomes of a call whose alias has migrated, and of one without a lease, by its idempotency and what may have
+// run.
 func TestNextStep(t *testing.T) {
 	const safe, keyed, unsafe = scheduler.Idempotent, scheduler.IdempotentWithKey, scheduler.NonIdempotent
 	for _, tt := range []struct {
@@ -292,8 +293,8 @@
 	runtime.KeepAlive(s)
 }
 
-// A call under a target that is being superseded may be answered, and no new one starts, until the view is settled, the
-// lease is over, or its bytes are condemned.
+// A call under a target that is being superseded may be answered, and no new one starts, until the view is settled,
+// the lease is over, or its bytes are condemned.
 func TestBeingSuperseded(t *testing.T) {
 	current := AliasName{"m", "current"}
 	withdrawn := AliasName{"m", "withdrawn"} // names no version from epoch 2 on
--- a/internal/registry/service/controller_test.go
+++ b/internal/registry/service/controller_test.go
@@ -67,7 +67,8 @@
 	}
 }
 
-// A controller that is disconnected resolves no alias once its lease is over, but for models that permit stale answers.
+// A controller that is disconnected resolves no alias once its lease is over, but for models that permit stale
+// answers.
 func TestDisconnectedController(t *testing.T) {
 	d := open(t, store.Dir(t.TempDir()))
 	ann := d.client("ann")
--- a/internal/registry/service/durability_test.go
+++ b/internal/registry/service/durability_test.go
@@ -81,7 +81,8 @@
 	}
 	d.kill()
 	d.start()
-	if a, err := d.client("ann").Query(wire.Query{What: "watch"}); err != nil || a.Targets[0].Version != "v2" || a.Targets[0].Revision != 2 {
+	a, err := d.client("ann").Query(wire.Query{What: "watch"})
+	if err != nil || a.Targets[0].Version != "v2" || a.Targets[0].Revision != 2 {
 		t.Errorf("after a restart: %+v, %v", a, err)
 	}
 }
@@ -144,68 +145,118 @@
 		if err != nil {
 			rt.Fatal(err)
 		}
-		clk := clock.NewManual(time.Unix(1_800_000_000, 0))
-		run := func() *service.Service {
-			s, _, err := service.Open(service.Config{Settings: settings, Clock: clk, FS: store.Dir(dir), Log: zerolog.Nop(), Every: 7, Hold: 100 * ms})
-			if err != nil {
-				rt.Fatal(err)
+		r := &restarts{t: rt, dir: dir, clock: clock.NewManual(time.Unix(1_800_000_000, 0))}
+		r.open()
+		defer func() { r.service.Close() }()
+		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
+			r.clock.Advance(time.Duration(rapid.IntRange(0, 400).Draw(rt, "dt")) * ms)
+			what := rapid.IntRange(0, 8).Draw(rt, "what")
+			if what == 8 {
+				r.restart()
+				continue
 			}
-			return s
+			r.service.Commit(r.drawCommand(what)) // rejected or not, the log holds it
 		}
-		s := run()
-		defer func() { s.Close() }()
-		text := func() (b []byte) {
-			s.Do(func(_ time.Duration, st *registry.State, _ *registry.Leases) { b, _ = json.Marshal(st) })
-			return b
+	})
+}
+
+// restarts is a service that is restarted on its folder, between commands that are drawn.
+type restarts struct {
+	t       *rapid.T
+	dir     string
+	clock   *clock.Manual
+	service *service.Service
+}
+
+func (r *restarts) open() {
+	s, _, err := service.Open(service.Config{
+		Settings: settings,
+		Clock:    r.clock,
+		FS:       store.Dir(r.dir),
+		Log:      zerolog.Nop(),
+		Every:    7,
+		Hold:     100 * ms,
+	})
+	if err != nil {
+		r.t.Fatal(err)
+	}
+	r.service = s
+}
+
+// stateText returns the state as JSON.
+func (r *restarts) stateText() (text []byte) {
+	r.service.Do(func(_ time.Duration, st *registry.State, _ *registry.Leases) { text, _ = json.Marshal(st) })
+	return text
+}
+
+// drawCommand draws a command of a kind, by its number.
+func (r *restarts) drawCommand(kind int) registry.Command {
+	model := func() string { return rapid.SampledFrom([]string{"m", "n"}).Draw(r.t, "m") }
+	version := func() string { return rapid.SampledFrom([]string{"v1", "v2", "v3"}).Draw(r.t, "v") }
+	revision := func() uint64 { return uint64(rapid.IntRange(0, 4).Draw(r.t, "rev")) }
+	copies := func() int { return rapid.IntRange(0, 2).Draw(r.t, "copies") }
+	switch kind {
+	case 0, 1:
+		name := version()
+		digest := "sha256:" + strings.Repeat(name[1:], 64)
+		return registry.Push{Model: model(), Version: registry.Version{Name: name, Digest: digest}}
+	case 2, 3:
+		return registry.Promote{
+			Model:      model(),
+			Alias:      "current",
+			To:         version(),
+			IfRevision: revision(),
+			Copies:     copies(),
 		}
-		v := rapid.SampledFrom([]string{"v1", "v2", "v3"})
-		m := rapid.SampledFrom([]string{"m", "n"})
-		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
-			clk.Advance(time.Duration(rapid.IntRange(0, 400).Draw(rt, "dt")) * ms)
-			var c registry.Command
-			switch rapid.IntRange(0, 8).Draw(rt, "what") {
-			case 0, 1:
-				x := v.Draw(rt, "v")
-				c = registry.Push{Model: m.Draw(rt, "m"), Version: registry.Version{Name: x, Digest: "sha256:" + strings.Repeat(x[1:], 64)}}
-			case 2, 3:
-				c = registry.Promote{Model: m.Draw(rt, "m"), Alias: "current", To: v.Draw(rt, "v"), IfRevision: uint64(rapid.IntRange(0, 4).Draw(rt, "rev")), Copies: rapid.IntRange(0, 2).Draw(rt, "copies")}
-			case 4:
-				c = registry.CopiesReady{Model: m.Draw(rt, "m"), Version: v.Draw(rt, "v"), Worker: "w", Copies: rapid.IntRange(0, 2).Draw(rt, "copies")}
-			case 5:
-				c = registry.Rollback{Model: m.Draw(rt, "m"), Alias: "current", IfRevision: uint64(rapid.IntRange(0, 4).Draw(rt, "rev"))}
-			case 6:
-				c = rapid.SampledFrom([]registry.Command{registry.Tick{}, registry.Collect{}, registry.Policy{Model: "m", Stale: true}, registry.Condemn{Model: "n", Version: "v3"}}).Draw(rt, "other")
-			case 7:
-				c = registry.IdempotentCommand{Key: rapid.SampledFrom([]string{"a", "b"}).Draw(rt, "key"), Sum: "s", Command: registry.Policy{Model: "m", Stale: rapid.Bool().Draw(rt, "stale")}}
-			default:
-				s.Close()
-				before := text()
-				s = run()
-				var after registry.State
-				var want registry.State
-				if err := errors.Join(json.Unmarshal(text(), &after), json.Unmarshal(before, &want)); err != nil {
-					rt.Fatal(err)
-				}
-				// A new process may have gone on by itself since: time passes, and nobody holds a lease.
-				if after.Epoch < want.Epoch || after.LastMigration < want.LastMigration || len(after.History) < len(want.History) || after.Confirmed < want.Confirmed {
-					rt.Fatalf("before %s\nafter %+v", before, after)
-				}
-				for name, model := range want.Models {
-					for vn, x := range model.Versions {
-						y := after.Models[name].Versions[vn]
-						if y == nil || y.Digest != x.Digest {
-							rt.Fatalf("%s %s: %+v, was %+v", name, vn, y, x)
-						}
-					}
-					for an, x := range model.Aliases {
-						if y := after.Models[name].Aliases[an]; x.Revision > 0 && (y == nil || y.Revision < x.Revision || y.Revision == x.Revision && y.Version != x.Version) {
-							rt.Fatalf("%s %s: %+v, was %+v", name, an, y, x)
-						}
-					}
-				}
+	case 4:
+		return registry.CopiesReady{Model: model(), Version: version(), Worker: "w", Copies: copies()}
+	case 5:
+		return registry.Rollback{Model: model(), Alias: "current", IfRevision: revision()}
+	case 6:
+		return rapid.SampledFrom([]registry.Command{
+			registry.Tick{},
+			registry.Collect{},
+			registry.Policy{Model: "m", Stale: true},
+			registry.Condemn{Model: "n", Version: "v3"},
+		}).Draw(r.t, "other")
+	}
+	return registry.IdempotentCommand{
+		Key:     rapid.SampledFrom([]string{"a", "b"}).Draw(r.t, "key"),
+		Sum:     "s",
+		Command: registry.Policy{Model: "m", Stale: rapid.Bool().Draw(r.t, "stale")},
+	}
+}
+
+// restart restarts the service and checks that nothing that was committed is lost. A new process may have gone on by
+// itself since: time passes, and nobody holds a lease.
+func (r *restarts) restart() {
+	r.service.Close()
+	before := r.stateText()
+	r.open()
+	var after, want registry.State
+	if err := errors.Join(json.Unmarshal(r.stateText(), &after), json.Unmarshal(before, &want)); err != nil {
+		r.t.Fatal(err)
+	}
+	if after.Epoch < want.Epoch || after.Confirmed < want.Confirmed ||
+		after.LastMigration < want.LastMigration || len(after.History) < len(want.History) {
+		r.t.Fatalf("before %s\nafter %+v", before, after)
+	}
+	for name, model := range want.Models {
+		for version, old := range model.Versions {
+			recovered := after.Models[name].Versions[version]
+			if recovered == nil || recovered.Digest != old.Digest {
+				r.t.Fatalf("%s %s: %+v, was %+v", name, version, recovered, old)
+			}
+		}
+		for alias, old := range model.Aliases {
+			if old.Revision == 0 { // its migration was staging, and may have been aborted
 				continue
 			}
-			s.Commit(c) // refused or not, it is in the log
+			recovered := after.Models[name].Aliases[alias]
+			if recovered == nil || recovered.Revision < old.Revision ||
+				recovered.Revision == old.Revision && recovered.Version != old.Version {
+				r.t.Fatalf("%s %s: %+v, was %+v", name, alias, recovered, old)
+			}
 		}
-	})
+	}
 }
--- a/internal/registry/service/golden_answers_test.go
+++ b/internal/registry/service/golden_answers_test.go
@@ -14,7 +14,8 @@
 	"kitehub/internal/signing"
 )
 
-// What operators and controllers send and are answered, each kind of answer and of problem once, on the golden folder.
+// What operators and controllers send and are answered, each kind of answer and of problem once, on the golden
+// folder.
 func TestGoldenAnswers(t *testing.T) {
 	s := &script{t: t, clock: clock.NewManual(time.Unix(1_900_000_000, 0)), folder: copyOf(t, goldenFolder)}
 	s.open(1000, nil)
--- a/internal/registry/service/golden_test.go
+++ b/internal/registry/service/golden_test.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// confirm lets time pass and the controller confirm an epoch, at one moment for the service, which then does by itself
-// what is due.
+// confirm lets time pass and the controller confirm an epoch, at one moment for the service, which then does by
+// itself what is due.
 func (s *script) confirm(after time.Duration, epoch uint64) {
 	s.t.Helper()
 	s.Do(func(_ time.Duration, state *registry.State, leases *registry.Leases) {
@@ -147,8 +147,8 @@
 // recordsBeforeSnapshot counts those of beforeSnapshot, with the one that the service commits itself.
 const recordsBeforeSnapshot = 18
 
-// behindSnapshot is the part of the script that the log holds behind the snapshot: every kind of command, keys that were
-// used before, a move that is rolled back while staging, and one that the time ends.
+// behindSnapshot is the part of the script that the log holds behind the snapshot: every kind of command, keys that
+// were used before, a move that is rolled back while staging, and one that the time ends.
 func (s *script) behindSnapshot() {
 	s.commit(registry.IdempotentCommand{Key: "ann k1", Sum: "5a2", Command: registry.Promote{Model: "m", Alias: "current", To: "v1", By: "ann", Why: awkward}})
 	s.commitRejected(registry.IdempotentCommand{Key: "ann k1", Sum: "0ther", Command: registry.Policy{Model: "m", Stale: true, By: "ann"}})
@@ -189,8 +189,8 @@
 	return lines.Bytes()
 }
 
-// payloads returns what the files of a folder hold, as text: the snapshot on the first line, and then each record. The
-// folder is copied, as opening it may change it.
+// payloads returns what the files of a folder hold, as text: the snapshot on the first line, and then each record.
+// The folder is copied, as opening it may change it.
 func payloads(t *testing.T, folder string) (snapshot []byte, records [][]byte) {
 	t.Helper()
 	log, _, err := store.Open(store.Dir(copyOf(t, folder)), store.Options{}, func(_ uint64, text []byte) error {
@@ -296,8 +296,8 @@
 	}
 }
 
-// The snapshot alone leads to its own bytes again: nothing of it is passed over, as json.Unmarshal does with keys that it
-// does not know.
+// The snapshot alone leads to its own bytes again: nothing of it is passed over, as json.Unmarshal does with keys
+// that it does not know.
 func TestGoldenSnapshotComesBack(t *testing.T) {
 	snapshot, _ := payloads(t, goldenFolder)
 	var state registry.State
@@ -313,8 +313,8 @@
 	}
 }
 
-// Every kind of command is in the golden log, each record comes back as its own bytes, and so do its fields one by one:
-// a record that is read leads to the same command.
+// Every kind of command is in the golden log, each record comes back as its own bytes, and so do its fields one by
+// one: a record that is read leads to the same command.
 func TestGoldenRecords(t *testing.T) {
 	_, records := payloads(t, goldenFolder)
 	kinds := map[string]int{}
--- a/internal/registry/service/linearizable_test.go
+++ b/internal/registry/service/linearizable_test.go
@@ -29,9 +29,9 @@
 	defer o.running.RUnlock()
 }
 
-// The history of operators' commands, while the process is killed and restarted, is that of one registry that executes one
-// command at a time: a command whose answer was lost is sent again with its key, and is executed once between its first
-// send and its answer.
+// The history of operators' commands, while the process is killed and restarted, is that of one registry that
+// executes one command at a time: a command whose answer was lost is sent again with its key, and is executed once
+// between its first send and its answer.
 func TestLinearizable(t *testing.T) {
 	const clients, operations = 4, 150
 	r := open(t, store.Dir(t.TempDir()))
--- a/internal/registry/service/service_test.go
+++ b/internal/registry/service/service_test.go
@@ -64,7 +64,14 @@
 // start runs the process, on the port that it had before.
 func (d *testRegistry) start() {
 	d.t.Helper()
-	s, _, err := service.Open(service.Config{Settings: settings, Clock: clock.System(), FS: d.fs, Log: zerolog.Nop(), Every: 50, Hold: 100 * ms})
+	s, _, err := service.Open(service.Config{
+		Settings: settings,
+		Clock:    clock.System(),
+		FS:       d.fs,
+		Log:      zerolog.Nop(),
+		Every:    50,
+		Hold:     100 * ms,
+	})
 	if err != nil {
 		d.t.Fatal(err)
 	}
@@ -104,7 +111,8 @@
 }
 
 func push(v string) wire.Command {
-	return wire.Command{Push: &registry.Push{Model: "m", Version: registry.Version{Name: v, Digest: "sha256:" + strings.Repeat(v[1:], 64)[:64], Size: 9}}}
+	digest := "sha256:" + strings.Repeat(v[1:], 64)[:64]
+	return wire.Command{Push: &registry.Push{Model: "m", Version: registry.Version{Name: v, Digest: digest, Size: 9}}}
 }
 
 func promote(v string, rev uint64) wire.Command {
@@ -149,17 +157,21 @@
 		t.Errorf("%+v", a)
 	}
 	if _, err := ann.Command("k2", promote("v2", 1)); status(err) != 412 {
-		t.Errorf("second mover: %v", err)
+		t.Errorf("an operator with an old revision: %v", err)
 	}
 	if _, err := d.client("c1").Command("k", push("v3")); status(err) != 403 {
 		t.Errorf("a controller gives commands: %v", err)
 	}
-	if _, err := (&client.Client{Server: d.addr, Key: secret(t, "eve"), Wall: time.Now}).Query(wire.Query{What: "list"}); status(err) != 401 {
+	eve := &client.Client{Server: d.addr, Key: secret(t, "eve"), Wall: time.Now}
+	if _, err := eve.Query(wire.Query{What: "list"}); status(err) != 401 {
 		t.Errorf("a stranger asks: %v", err)
 	}
-	if _, err := (&client.Client{Server: d.addr, Key: secret(t, "ann"), Wall: func() time.Time { return time.Now().Add(time.Hour) }}).Query(wire.Query{What: "list"}); status(err) != 401 {
+	inAnHour := func() time.Time { return time.Now().Add(time.Hour) }
+	early := &client.Client{Server: d.addr, Key: secret(t, "ann"), Wall: inAnHour}
+	if _, err := early.Query(wire.Query{What: "list"}); status(err) != 401 {
 		t.Errorf("a timestamp an hour off: %v", err)
 	}
+	const promotion = `{"promote":{"Model":"m","Alias":"current","To":"v1","IfRevision":2}}`
 	raw := func(path, body string, h http1.Header) int {
 		_, _, err := ann.Do(path, client.ID("raw"), h, []byte(body), time.Second)
 		return status(err)
@@ -169,12 +181,15 @@
 		header     http1.Header
 		want       int
 	}{
-		{wire.CommandPath, `{"promote":{"Model":"m","Alias":"current","To":"v1","IfRevision":2}}`, nil, 428},
-		{wire.CommandPath, `{"promote":{"Model":"m","Alias":"current","To":"v1","IfRevision":2}}`, http1.Header{{Name: "If-Match", Value: `"7"`}}, 400},
-		{wire.CommandPath, `{"promote":{"Model":"m","Alias":"current","To":"v1","IfRevision":2}}`, http1.Header{{Name: "If-Match", Value: "*"}}, 400},
+		{wire.CommandPath, promotion, nil, 428},
+		{wire.CommandPath, promotion, http1.Header{{Name: "If-Match", Value: `"7"`}}, 400},
+		{wire.CommandPath, promotion, http1.Header{{Name: "If-Match", Value: "*"}}, 400},
 		{wire.CommandPath, `{"promote":{"Model":"m","Alais":"current"}}`, nil, 400},
-		{wire.CommandPath, `{}`, nil, 400}, {wire.CommandPath, `{"tick":{}}`, nil, 400}, {wire.CommandPath, `{} {}`, nil, 400},
-		{wire.QueryPath, `{"what":"everything"}`, nil, 400}, {"/other", `{}`, nil, 404},
+		{wire.CommandPath, `{}`, nil, 400},
+		{wire.CommandPath, `{"tick":{}}`, nil, 400},
+		{wire.CommandPath, `{} {}`, nil, 400},
+		{wire.QueryPath, `{"what":"everything"}`, nil, 400},
+		{"/other", `{}`, nil, 404},
 		{wire.DiscoveryPath, `{"node":{"id":"c1"}}`, nil, 403},
 	} {
 		if got := raw(tt.path, tt.body, tt.header); got != tt.want {
--- a/internal/registry/service/snapshot_test.go
+++ b/internal/registry/service/snapshot_test.go
@@ -38,8 +38,8 @@
 	return f.File.Sync()
 }
 
-// While a snapshot is being written no other is begun: a slow disk lets the log grow, and no copies of the state gather in memory.
-// Closed twice the service ends once, after the snapshot.
+// While a snapshot is being written no other is begun: a slow disk lets the log grow, and no copies of the state
+// gather in memory. Closed twice the service ends once, after the snapshot.
 func TestOneSnapshotAtATime(t *testing.T) {
 	const every = 5
 	folder := stuckSnapshots{FS: store.Dir(t.TempDir()), begun: make(chan struct{}, 100), release: make(chan struct{})}
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -33,8 +33,8 @@
 	return files
 }
 
-// writeGoldenStore writes a folder with all that the format has: a snapshot, and a log behind it in which one record was
-// committed alone, two in one group, and the last one is empty.
+// writeGoldenStore writes a folder with all that the format has: a snapshot, and a log behind it in which one
+// record was committed alone, two in one group, and the last one is empty.
 func writeGoldenStore(t *testing.T, folder string) {
 	t.Helper()
 	log, _ := mustOpen(t, Dir(folder))
--- a/internal/store/memory_test.go
+++ b/internal/store/memory_test.go
@@ -10,8 +10,8 @@
 	"sync"
 )
 
-// memory is a folder in memory that knows what is durable and what only the kernel holds. It can fail, fill up and crash:
-// of all that was not synced, any part may then be on disk, in any order, torn at any sector.
+// memory is a folder in memory that knows what is durable and what only the kernel holds. It can fail, fill up and
+// crash: of all that was not synced, any part may then be on disk, in any order, torn at any sector.
 type memory struct {
 	mu       sync.Mutex
 	rng      *rand.Rand
--- a/internal/store/recover_test.go
+++ b/internal/store/recover_test.go
@@ -60,8 +60,9 @@
 	}
 }
 
-// With any bit of the last record flipped the log opens with all records before it. With any bit of an earlier one it is a
-// CorruptError, as a later record proves that the damaged one was committed. No record is ever read that was not written.
+// With any bit of the last record flipped the log opens with all records before it. With any bit of an earlier one
+// it is a CorruptError, as a later record proves that the damaged one was committed. No record is ever read that
+// was not written.
 func TestFlippedBits(t *testing.T) {
 	m, want := filled(t, 6)
 	b := m.names[logName(0)].data
@@ -84,8 +85,8 @@
 	}
 }
 
-// Whatever fails and whenever it crashes, a log opens with all records that were acknowledged, in order and without a gap,
-// and behind them at most those whose outcome was not known.
+// Whatever fails and whenever it crashes, a log opens with all records that were acknowledged, in order and without
+// a gap, and behind them at most those whose outcome was not known.
 func TestCrashes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newMemory(rapid.Uint64().Draw(t, "seed"))
--- a/internal/store/snapshot_test.go
+++ b/internal/store/snapshot_test.go
@@ -47,7 +47,8 @@
 	}
 }
 
-// crossing is a folder that counts how many snapshots are being written at once, and gives others the processor meanwhile.
+// crossing is a folder that counts how many snapshots are being written at once, and gives others the processor
+// meanwhile.
 type crossing struct {
 	FS
 	writing, most atomic.Int64
@@ -84,8 +85,8 @@
 	return f.File.Close()
 }
 
-// Snapshots asked for at once, in any order, are written one after the other, as they share the name of the file that they
-// are written to; the folder holds all records afterwards.
+// Snapshots asked for at once, in any order, are written one after the other, as they share the name of the file
+// that they are written to; the folder holds all records afterwards.
 func TestSnapshotsAtOnce(t *testing.T) {
 	m := newMemory(6)
 	folder := &crossing{FS: m}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -127,8 +127,11 @@
 // Open recovers a log and opens it for appending. It calls restore with the newest snapshot, if there is one, then
 // apply with each record behind it, in order. payload is valid until apply returns. An error of either ends the
 // opening, and errors.Is and errors.As find it in the one returned; damage is a *CorruptError.
-func Open(fs FS, opt Options, restore func(seq uint64, state []byte) error, apply func(seq uint64, payload []byte) error) (
-	*Log, *Recovered, error) {
+func Open(
+	fs FS, opt Options,
+	restore func(seq uint64, state []byte) error,
+	apply func(seq uint64, payload []byte) error,
+) (*Log, *Recovered, error) {
 	opt = opt.withDefaults()
 	l := &Log{folder: fs, options: opt, queue: make(chan *pending, opt.MaxQueued), quit: make(chan struct{})}
 	rec, err := l.recover(restore, apply)
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// On a full disk an append fails, and the log goes on when there is capacity again; a failed sync breaks it until it is
-// opened again.
+// On a full disk an append fails, and the log goes on when there is capacity again; a failed sync breaks it until
+// it is opened again.
 func TestFaults(t *testing.T) {
 	m := newMemory(4)
 	l, _ := mustOpen(t, m)
