--- a/internal/ingress/msgpackrpc/parse.go
+++ b/internal/ingress/msgpackrpc/parse.go
@@ -1,6 +1,7 @@
 package msgpackrpc
 
 import (
+	"errors"
 	"fmt"
 	"math"
 	"strconv"
@@ -11,31 +12,23 @@
 	"kitehub/scheduler"
 )
 
-// Bounds of figures, far over what any machine has: they keep sums finite, no more.
+// Bounds of numbers, far above what any machine has: they only keep sums finite.
 const (
-	mostMemoryMB = 1 << 30
-	mostLanes    = 1 << 20
-	mostMillis   = 1 << 31
-	patience     = 2 // a client's limit may be so many times its class's deadline
+	maxMemoryMB = 1 << 30
+	maxLanes    = 1 << 20
+	maxMillis   = 1 << 31
 )
 
-// parsed is a request that is fit for the gateway.
-type parsed struct {
-	call *gateway.Call
-	txn  uint64
-}
+// limitFactor: a client's time limit may be up to its class's deadline times this.
+const limitFactor = 2
 
-// FunctionID is the number that an item writes in 16 hex digits; Item writes it back. So no table of names is kept.
-func FunctionID(item string) (scheduler.FunctionID, bool) {
-	v, ok := hex16(item)
-	return scheduler.FunctionID(v), ok
-}
+const maxKeyBytes = 64 // of an idempotency key
 
-// Item is the name of a function on the wire.
+// Item returns the name of a function on the wire: 16 hex digits, which are its id. So no table of names is kept.
 func Item(id scheduler.FunctionID) string { return fmt.Sprintf("%016x", uint64(id)) }
 
-// hex16 reads 16 lower-case hex digits: other spellings would not pass on unchanged.
-func hex16(s string) (v uint64, ok bool) {
+// parseHex16 reads 16 lower-case hex digits: another spelling would not be forwarded unchanged.
+func parseHex16(s string) (v uint64, ok bool) {
 	if len(s) != 16 {
 		return 0, false
 	}
@@ -54,87 +47,98 @@
 	return v, true
 }
 
-// isKey tells whether a key can stand in a field of a frame: letters, digits, dashes and underscores.
-func isKey(s string) bool {
+// validKey reports whether an idempotency key can be a field of a worker's frame: letters, digits, dashes and
+// underscores.
+func validKey(s string) bool {
 	for i := range len(s) {
 		c := s[i]
 		if !(c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c == '-' || c == '_') {
 			return false
 		}
 	}
-	return s != "" && len(s) <= 64
+	return s != "" && len(s) <= maxKeyBytes
 }
 
-// parse checks a request against the settings. The error says what is wrong with it, for the client.
-func (f *Front) parse(m *message) (p parsed, err error) {
-	class, ok := f.classes[m.method]
+// parse checks a request against the settings and returns the call and its txn. The error says what is wrong with the
+// request, for the client.
+func (f *Front) parse(m *message) (call *gateway.Call, txn uint64, err error) {
+	classIndex, ok := f.classes[m.method]
 	if !ok {
-		return p, fmt.Errorf("no such class")
+		return nil, 0, errors.New("no such class")
 	}
-	c := &f.cfg.Settings.Classes[class]
-	x := &m.fields
-	if p.txn, ok = hex16(x.txn); !ok {
-		return p, fmt.Errorf("txn: want 16 hex digits")
+	class := &f.cfg.Settings.Classes[classIndex]
+	if txn, ok = parseHex16(m.fields.txn); !ok {
+		return nil, 0, errors.New("txn: want 16 hex digits")
 	}
-	item, ok := hex16(x.item)
+	item, ok := parseHex16(m.fields.item)
 	if !ok {
-		return p, fmt.Errorf("item: want 16 hex digits")
+		return nil, 0, errors.New("item: want 16 hex digits")
+	}
+	tenant, ok := f.tenants[m.fields.team]
+	if !ok && (m.fields.team != "" || len(f.tenants) > 0) {
+		return nil, 0, errors.New("team: no such tenant")
 	}
-	tenant, ok := f.tenants[x.team]
-	if !ok && (x.team != "" || len(f.tenants) > 0) {
-		return p, fmt.Errorf("team: no such tenant")
+	maxLimit := limitFactor * class.Deadline
+	limit, err := parseMillis(m.fields.limit)
+	if err != nil || limit <= 0 || limit > maxLimit {
+		return nil, 0, fmt.Errorf("limit: want milliseconds, above 0 and up to %d", maxLimit.Milliseconds())
 	}
-	left, err := millis(x.limit)
-	if err != nil || left <= 0 || left > patience*c.Deadline {
-		return p, fmt.Errorf("limit: want milliseconds, above 0 and up to %d", patience*c.Deadline.Milliseconds())
+	call = &gateway.Call{
+		ID:       m.fields.txn,
+		Function: &gateway.Function{Name: m.fields.item, ID: scheduler.FunctionID(item), Class: classIndex},
+		Tenant:   tenant,
+		Body:     m.body,
+		TimeLeft: limit,
+		Retry:    m.fields.second != "",
 	}
-	fn := &gateway.Function{Name: x.item, ID: scheduler.FunctionID(item), Class: class}
-	p.call = &gateway.Call{ID: x.txn, Function: fn, Tenant: tenant, Body: m.body, TimeLeft: left, Retry: x.second != ""}
-	if c.Idempotency == scheduler.IdempotentWithKey {
-		if !isKey(x.unique) {
-			return p, fmt.Errorf("unique: want a key of up to 64 letters and digits")
+	if class.Idempotency == scheduler.IdempotentWithKey {
+		if !validKey(m.fields.unique) {
+			return nil, 0, errors.New("unique: want a key of up to 64 letters and digits")
 		}
-		p.call.Key = x.unique
+		call.Key = m.fields.unique
 	}
-	if x.cpu != "" {
-		if p.call.RunTimeHint, err = millis(x.cpu); err != nil || p.call.RunTimeHint < 0 {
-			return p, fmt.Errorf("cpu: want milliseconds")
+	if m.fields.cpu != "" {
+		if call.RunTimeHint, err = parseMillis(m.fields.cpu); err != nil || call.RunTimeHint < 0 {
+			return nil, 0, errors.New("cpu: want milliseconds")
 		}
 	}
-	return p, attrs(x.attrs, fn)
+	return call, txn, parseAttributes(m.fields.attrs, call.Function)
 }
 
-// attrs reads figures like "memory_mb:512;lanes:2;load_ms:640". Names that are not known are passed over.
-func attrs(s string, fn *gateway.Function) error {
-	for s != "" {
+// parseAttributes reads attributes of a function like "memory_mb:512;lanes:2;load_ms:640". Unknown names are ignored.
+func parseAttributes(text string, function *gateway.Function) error {
+	for text != "" {
 		var pair string
-		pair, s, _ = strings.Cut(s, ";")
-		name, text, ok := strings.Cut(pair, ":")
-		v, err := strconv.ParseFloat(text, 64)
-		if !ok || err != nil || !(v >= 0) || math.IsInf(v, 0) {
+		pair, text, _ = strings.Cut(text, ";")
+		name, number, ok := strings.Cut(pair, ":")
+		value, err := strconv.ParseFloat(number, 64)
+		if !ok || err != nil || !(value >= 0) || math.IsInf(value, 0) {
 			return fmt.Errorf("attrs: %.32q is no name with a number", pair)
 		}
-		most := float64(math.MaxFloat64)
+		limit := math.MaxFloat64
 		switch name {
 		case "memory_mb":
-			fn.MemoryMB, most = v, mostMemoryMB
+			function.MemoryMB = value
+			limit = maxMemoryMB
 		case "lanes":
-			fn.Lanes, most = v, mostLanes
+			function.Lanes = value
+			limit = maxLanes
 		case "load_ms":
-			fn.LoadTime, most = time.Duration(min(v, mostMillis)*float64(time.Millisecond)), mostMillis
+			function.LoadTime = time.Duration(min(value, maxMillis) * float64(time.Millisecond))
+			limit = maxMillis
 		}
-		if v > most {
+		if value > limit {
 			return fmt.Errorf("attrs: %.32q is out of range", pair)
 		}
 	}
 	return nil
 }
 
-// millis reads milliseconds, whole or not.
-func millis(s string) (time.Duration, error) {
-	v, err := strconv.ParseFloat(s, 64)
-	if err != nil || !(math.Abs(v) <= mostMillis) {
-		return 0, fmt.Errorf("%.32q is no number of milliseconds", s)
+// parseMillis reads milliseconds, which may have a fraction.
+func parseMillis(text string) (time.Duration, error) {
+	millis, err := strconv.ParseFloat(text, 64)
+	if err != nil || !(math.Abs(millis) <= maxMillis) { // so is NaN
+		return 0, fmt.Errorf("%.32q is no number of milliseconds", text)
 	}
-	return time.Duration(v * float64(time.Millisecond)), nil
+	return time.Duration(millis * float64(time.Millisecond)), nil
 }
