--- a/internal/outbox/outbox.go
+++ b/internal/outbox/outbox.go
@@ -1,9 +1,13 @@
-// Package outbox writes whole messages to a connection without making the sender wait, in order, each whole, with a
-// bound on what waits for a slow reader. It knows how many bytes the kernel has taken, which is what proves that a
-// message which was cut half-way never came whole to the other side.
+// Package outbox writes messages to a connection without blocking the sender: in order, each complete or cut only by the
+// end of the connection, and with a bound on what waits for a slow reader. It knows how many bytes the kernel has taken,
+// which proves of a message that was cut half-way that it never arrived complete at the other side.
+//
+// A message is written at once if the kernel takes it. What it does not take waits, and a goroutine, the flusher, writes
+// it; there is one only while anything waits.
 package outbox
 
 import (
+	"errors"
 	"net"
 	"os"
 	"sync"
@@ -11,82 +15,86 @@
 	"time"
 )
 
-// An Outbox belongs to one connection. It is safe for concurrent use.
+// An Outbox belongs to one connection, whose only writer it is. It is safe for concurrent use.
+//
+// Positions in the stream of bytes written count from the first byte handed over.
 type Outbox struct {
-	conn  net.Conn
-	raw   syscall.RawConn // nil: every write is left to the flusher, and nothing can begin
-	most  int             // bytes that may wait
-	stall time.Duration   // without progress, until the reader is given up
-
-	mu       sync.Mutex
-	waiting  []byte
-	spare    []byte
-	flushing bool
-	writing  bool       // the flusher is in a write: of what it was given any part may have been taken
-	written  *sync.Cond // writing has ended
-	finished bool       // nothing more is taken; our half ends once what waits is out
-	closed   bool
-	taken    uint64 // bytes that the kernel has taken
-	end      uint64 // bytes handed over
-}
-
-// New returns the outbox of a connection. At most so many bytes wait for a reader that is slow; one that takes none of
-// them for stall is closed.
-func New(c net.Conn, most int, stall time.Duration) *Outbox {
-	o := &Outbox{conn: c, most: most, stall: stall}
-	o.written = sync.NewCond(&o.mu)
-	if sc, ok := c.(syscall.Conn); ok {
-		if raw, err := sc.SyscallConn(); err == nil {
+	conn       net.Conn
+	raw        syscall.RawConn // nil: every write is left to the flusher, and Begin always fails
+	maxWaiting int             // bytes
+	stall      time.Duration   // a reader that takes nothing for so long is disconnected
+
+	mu         sync.Mutex
+	waiting    []byte     // to be written by the flusher
+	spare      []byte     // the flusher's: a buffer to exchange with waiting
+	flushing   bool       // there is a flusher
+	writing    bool       // the flusher is in a write: the kernel may have taken any part of what it was given
+	writeEnded *sync.Cond // writing has become false
+	finished   bool       // no message is accepted any more; our half is closed once nothing waits
+	closed     bool
+	taken      uint64 // position up to which the kernel has taken the stream
+	end        uint64 // position up to which the stream was handed over
+}
+
+// New returns the outbox of a connection. At most maxWaiting bytes wait for a slow reader; one that takes none of them
+// for the time stall is disconnected.
+func New(conn net.Conn, maxWaiting int, stall time.Duration) *Outbox {
+	o := &Outbox{conn: conn, maxWaiting: maxWaiting, stall: stall}
+	o.writeEnded = sync.NewCond(&o.mu)
+	if socket, ok := conn.(syscall.Conn); ok {
+		if raw, err := socket.SyscallConn(); err == nil {
 			o.raw = raw
 		}
 	}
 	return o
 }
 
-// Send hands a message over. It returns the place of its last byte in the stream, for Whole, and false if the connection
-// is closed, or is closed now because too much waits. The message is copied if it cannot go out at once.
-func (o *Outbox) Send(b []byte) (end uint64, ok bool) {
+// Send hands a message over. It returns the position of its end in the stream, for Written, and false if the connection
+// is closed, or is being closed because too much waits. The message is copied if it cannot be written at once.
+func (o *Outbox) Send(message []byte) (end uint64, ok bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.send(b)
+	return o.send(message)
 }
 
-// Begin hands a message over as Send does, but only if its first byte goes out at once; else nothing of it ever does.
-func (o *Outbox) Begin(b []byte) (end uint64, ok bool) {
+// Begin hands a message over as Send does, but only if its first byte is written at once; otherwise nothing of it ever
+// is, and Begin returns false.
+func (o *Outbox) Begin(message []byte) (end uint64, ok bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.flushing || o.finished || o.closed || o.raw == nil {
 		return 0, false
 	}
-	n := o.try(b)
+	n := o.writeNow(message)
 	o.end += uint64(n)
-	if n == 0 || n == len(b) {
+	if n == 0 || n == len(message) {
 		return o.end, n > 0
 	}
-	whole := o.end + uint64(len(b)-n)
+	end = o.end + uint64(len(message)-n)
 	if !o.closed {
-		o.send(b[n:])
+		o.send(message[n:])
 	}
-	return whole, true
+	return end, true
 }
 
-func (o *Outbox) send(b []byte) (end uint64, ok bool) {
-	if !o.closed && o.flushing && len(o.waiting)+len(b) > o.most {
+// send is Send with mu held.
+func (o *Outbox) send(message []byte) (end uint64, ok bool) {
+	if !o.closed && o.flushing && len(o.waiting)+len(message) > o.maxWaiting {
 		o.close()
 	}
 	if o.closed || o.finished {
-		return o.end + uint64(max(1, len(b))), false // never whole
+		return o.end + uint64(max(1, len(message))), false // a position that is never reached
 	}
-	o.end += uint64(len(b))
+	o.end += uint64(len(message))
 	if !o.flushing {
-		n := o.try(b)
+		n := o.writeNow(message)
 		if o.closed {
 			return o.end, false
 		}
-		b = b[n:]
+		message = message[n:]
 	}
-	if len(b) > 0 {
-		o.waiting = append(o.waiting, b...)
+	if len(message) > 0 {
+		o.waiting = append(o.waiting, message...)
 		if !o.flushing {
 			o.flushing = true
 			go o.flush()
@@ -95,61 +103,76 @@
 	return o.end, true
 }
 
-// try writes what the kernel takes without waiting.
-func (o *Outbox) try(b []byte) (n int) {
+// writeNow writes what the kernel takes without blocking, and returns how many bytes that is. The caller holds mu.
+func (o *Outbox) writeNow(b []byte) (n int) {
 	if o.raw == nil {
 		return 0
 	}
-	var failed error
+	var writeErr error // kept until Write has ended: closing in the function would wait for that very call
 	err := o.raw.Write(func(fd uintptr) bool {
-		for n < len(b) {
-			m, err := syscall.Write(int(fd), b[n:])
-			if m > 0 {
-				n += m
-			}
-			switch {
-			case err == syscall.EINTR:
-				continue
-			case err == syscall.EAGAIN:
-				return true
-			case err != nil:
-				failed = err // to close here would wait for this very call to end
-				return true
-			}
-		}
+		n, writeErr = writeNonblocking(int(fd), b)
 		return true
 	})
 	o.taken += uint64(n)
-	if err != nil || failed != nil {
+	if err != nil || writeErr != nil {
 		o.close()
 	}
 	return n
 }
 
+// writeNonblocking writes until the kernel takes no more; that is no error.
+func writeNonblocking(fd int, b []byte) (n int, err error) {
+	for n < len(b) {
+		written, err := syscall.Write(fd, b[n:])
+		n += max(0, written)
+		switch {
+		case errors.Is(err, syscall.EINTR):
+		case errors.Is(err, syscall.EAGAIN):
+			return n, nil
+		case err != nil:
+			return n, err
+		}
+	}
+	return n, nil
+}
+
+const flushSize = 16 << 10 // bytes of one write by the flusher
+
+// flush is the flusher: it writes what waits until nothing does.
 func (o *Outbox) flush() {
 	for {
-		o.mu.Lock()
-		if len(o.waiting) == 0 || o.closed {
-			o.flushing, o.waiting, o.spare = false, nil, nil
-			if o.finished {
-				o.endWrites()
-			}
-			o.mu.Unlock()
+		b := o.takeWaiting()
+		if b == nil {
 			return
 		}
-		b := o.waiting
-		o.waiting = o.spare[:0]
-		o.mu.Unlock()
-		for open := true; open && len(b) > 0; { // any progress earns the reader more time
+		for open := true; open && len(b) > 0; { // each write has the time stall anew
 			var n int
-			n, open = o.write(b[:min(len(b), 1<<14)])
+			n, open = o.write(b[:min(len(b), flushSize)])
 			b = b[n:]
 		}
 		o.spare = b[:0]
 	}
 }
 
-// write writes a part of what waits, as long as it takes, and tells whether the connection is still open.
+// takeWaiting returns what waits; nil, and the end of the flusher, if nothing does or the connection is closed.
+func (o *Outbox) takeWaiting() []byte {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if len(o.waiting) == 0 || o.closed {
+		o.flushing = false
+		o.waiting = nil
+		o.spare = nil
+		if o.finished {
+			o.closeWrite()
+		}
+		return nil
+	}
+	b := o.waiting
+	o.waiting = o.spare[:0]
+	return b
+}
+
+// write writes a part of what waits, blocking, and reports whether the connection is still open.
 func (o *Outbox) write(b []byte) (n int, open bool) {
 	o.mu.Lock()
 	if o.closed {
@@ -163,14 +186,16 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.writing = false
-	o.written.Broadcast()
+	o.writeEnded.Broadcast()
 	o.taken += uint64(n)
-	if err != nil && !(n > 0 && os.IsTimeout(err)) {
+	progress := n > 0 && os.IsTimeout(err) // slow, but it reads
+	if err != nil && !progress {
 		o.close()
 	}
 	return n, !o.closed
 }
 
+// close closes the connection. The caller holds mu.
 func (o *Outbox) close() {
 	if !o.closed {
 		o.closed = true
@@ -178,8 +203,8 @@
 	}
 }
 
-// Finish takes no more messages. What waits still goes out, and then our half of the connection ends: the other side reads all
-// of it and then the end. To close the connection is left to the owner.
+// Finish accepts no more messages. What waits is still written, and then our half of the connection is closed: the other
+// side reads all of it and then the end. The owner must still close the connection.
 func (o *Outbox) Finish() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -188,12 +213,14 @@
 	}
 	o.finished = true
 	if !o.flushing {
-		o.endWrites()
+		o.closeWrite()
 	}
 }
 
-func (o *Outbox) endWrites() {
-	if c, ok := o.conn.(interface{ CloseWrite() error }); !o.closed && (!ok || c.CloseWrite() != nil) {
+// closeWrite closes our half of the connection, or all of it if it has no halves. The caller holds mu.
+func (o *Outbox) closeWrite() {
+	half, ok := o.conn.(interface{ CloseWrite() error })
+	if !o.closed && (!ok || half.CloseWrite() != nil) {
 		o.close()
 	}
 }
@@ -205,21 +232,22 @@
 	o.close()
 }
 
-// Busy tells whether anything waits for the reader.
+// Busy reports whether anything waits for the reader.
 func (o *Outbox) Busy() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.flushing
 }
 
-// Written tells whether the kernel has taken all bytes up to end. If not, and the connection is closed, the message that
-// ends there cannot have come whole to the other side. On a closed connection it waits for a write that is under way, which the
-// close ends: the other side may have what was written before the write has returned. On an open one it may lag behind.
+// Written reports whether the kernel has taken all bytes up to a position. If it has not, and the connection is closed,
+// the message that ends there cannot have arrived complete. On an open connection the answer may lag behind. On a closed
+// one Written first waits for a write in progress, which the close ends: the other side may have what was written before
+// the write returns.
 func (o *Outbox) Written(end uint64) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for o.closed && o.writing {
-		o.written.Wait()
+		o.writeEnded.Wait()
 	}
 	return o.taken >= end
 }
--- a/internal/outbox/outbox_test.go
+++ b/internal/outbox/outbox_test.go
@@ -27,13 +27,16 @@
 	}
 	ours, theirs = c.(*net.TCPConn), s.(*net.TCPConn)
 	ours.SetWriteBuffer(4 << 10)
-	t.Cleanup(func() { ours.Close(); theirs.Close() })
+	t.Cleanup(func() {
+		ours.Close()
+		theirs.Close()
+	})
 	return ours, theirs
 }
 
-func TestOrderAndWhole(t *testing.T) {
+func TestMessagesArriveCompleteAndInOrder(t *testing.T) {
 	ours, theirs := pair(t)
-	const size, messages = 5000, 400
+	const size, messages = 5000, 400 // 2 MB: more than the kernel's buffers hold
 	o := New(ours, size*messages, time.Minute)
 	var want bytes.Buffer
 	var last uint64
@@ -47,29 +50,30 @@
 		last = end
 	}
 	if !o.Busy() || o.Written(last) {
-		t.Fatalf("2 MB went out to a reader that reads nothing: busy %v, whole %v", o.Busy(), o.Written(last))
+		t.Fatalf("2 MB were written to a reader that reads nothing: busy %v, written %v", o.Busy(), o.Written(last))
 	}
 	got := make([]byte, want.Len())
 	if _, err := io.ReadFull(theirs, got); err != nil {
 		t.Fatal(err)
 	}
 	if !bytes.Equal(got, want.Bytes()) {
-		t.Error("the messages came in another order, or torn")
+		t.Error("the messages arrived in another order, or incomplete")
 	}
-	o.Close() // on an open connection what is known lags behind
+	o.Close() // on an open connection Written lags behind
 	if !o.Written(last) {
-		t.Error("all was read, and the last message is not whole")
+		t.Error("all was read, and the last message counts as not written")
 	}
 }
 
-// slowToReturn is a connection whose writes have all come to the other side before they return, and return once it is closed.
+// slowToReturn is a connection whose writes arrive at the other side long before they return, which they do once it is
+// closed.
 type slowToReturn struct {
 	net.Conn
-	came, closed chan struct{}
+	arrived, closed chan struct{}
 }
 
 func (c slowToReturn) Write(b []byte) (int, error) {
-	close(c.came)
+	close(c.arrived)
 	<-c.closed
 	for range 1000 { // others go first
 		runtime.Gosched()
@@ -84,46 +88,47 @@
 	return nil
 }
 
-// TestWholeBeforeWriteReturns: a message that came whole is never said not to have, though the connection ends before the write
-// that brought it has returned: it would be sent again.
-func TestWholeBeforeWriteReturns(t *testing.T) {
+// A message that has arrived is never reported as not written, even if the connection is closed before the write has
+// returned: it would be sent again.
+func TestWrittenWaitsForWriteInProgress(t *testing.T) {
 	for range 100 {
-		c := slowToReturn{came: make(chan struct{}), closed: make(chan struct{})}
+		c := slowToReturn{arrived: make(chan struct{}), closed: make(chan struct{})}
 		o := New(c, 1<<20, time.Minute)
 		end, ok := o.Send([]byte("message"))
 		if !ok {
-			t.Fatal("not taken")
+			t.Fatal("not accepted")
 		}
-		<-c.came
+		<-c.arrived
 		o.Close()
 		if !o.Written(end) {
-			t.Fatal("it came whole, and is said not to have")
+			t.Fatal("the message arrived, and is reported as not written")
 		}
 	}
 }
 
-// TestBegin: a message goes out from its first byte on at once, or never.
-func TestBegin(t *testing.T) {
+// A message is begun at once, or never.
+func TestBeginNeverLeavesMessageWaiting(t *testing.T) {
 	ours, theirs := pair(t)
 	o := New(ours, 1<<30, time.Minute)
 	m := bytes.Repeat([]byte("x"), 100<<10)
 	sum := 0
-	for ok := true; ok; { // until a part waits, or the kernel takes nothing
-		if _, ok = o.Begin(m); ok {
-			sum += len(m)
+	for { // until a part waits, or the kernel takes nothing
+		if _, ok := o.Begin(m); !ok {
+			break
 		}
+		sum += len(m)
 	}
 	for range 3 {
 		if _, ok := o.Begin([]byte("never")); ok {
-			t.Fatal("it began where bytes wait")
+			t.Fatal("a message was begun while bytes wait")
 		}
 	}
 	got := make([]byte, sum)
 	if _, err := io.ReadFull(theirs, got); err != nil || bytes.Contains(got, []byte("never")) {
-		t.Fatalf("%v, or what never began", err)
+		t.Fatalf("%v, or a message that was not begun arrived", err)
 	}
 	for o.Busy() {
-		time.Sleep(time.Millisecond)
+		runtime.Gosched()
 	}
 	if end, ok := o.Begin([]byte("last")); !ok || end != uint64(sum+4) {
 		t.Errorf("end %d, %v, want %d", end, ok, sum+4)
@@ -133,42 +138,43 @@
 	}
 }
 
-func TestSlowReader(t *testing.T) {
+// A reader that takes nothing is disconnected, when too much waits for it or too long.
+func TestSlowReaderIsDisconnected(t *testing.T) {
 	tests := []struct {
-		name  string
-		most  int
-		stall time.Duration
+		name       string
+		maxWaiting int
+		stall      time.Duration
 	}{
 		{"too much waits", 64 << 10, time.Minute},
 		{"no progress", 1 << 30, 20 * time.Millisecond},
 	}
 	for _, tt := range tests {
 		ours, _ := pair(t)
-		o := New(ours, tt.most, tt.stall)
+		o := New(ours, tt.maxWaiting, tt.stall)
 		m := make([]byte, 32<<10)
 		var end uint64
 		ok := true
 		for i := 0; ok && i < 4000; i++ { // 128 MB at most, were it not closed
 			end, ok = o.Send(m)
-			if tt.most == 1<<30 && i > 200 {
-				time.Sleep(time.Millisecond) // no verdict hangs on it: the loop ends when the reader is given up
+			if tt.maxWaiting == 1<<30 && i > 200 {
+				time.Sleep(time.Millisecond) // no verdict depends on it: the loop ends with the connection
 			}
 		}
 		if ok {
-			t.Errorf("%s: a reader that never reads is not closed", tt.name)
+			t.Errorf("%s: a reader that never reads is not disconnected", tt.name)
 		}
 		if o.Written(end) {
-			t.Errorf("%s: a message that was not taken counts as whole", tt.name)
+			t.Errorf("%s: a message that was not accepted counts as written", tt.name)
 		}
 		if _, ok := o.Send(m); ok {
-			t.Errorf("%s: a closed connection takes a message", tt.name)
+			t.Errorf("%s: a closed connection accepts a message", tt.name)
 		}
 	}
 }
 
-// TestResetWhileSending: the write that finds the connection reset must end. Closing a descriptor waits until nobody uses
-// it, so closing it from within that write would wait for itself.
-func TestResetWhileSending(t *testing.T) {
+// A write that finds the connection reset must end. Closing a descriptor waits until nobody uses it, so closing it from
+// within that write would wait for itself.
+func TestSendEndsWhenConnectionIsReset(t *testing.T) {
 	ours, theirs := pair(t)
 	o := New(ours, 1<<20, time.Minute)
 	theirs.SetLinger(0)
@@ -187,9 +193,9 @@
 	}
 }
 
-// TestFinish: what waits for a slow reader when the outbox is finished comes whole, and then the end.
-func TestFinish(t *testing.T) {
-	for _, size := range []int{10, 4 << 20} { // all out at once, and most of it waiting
+// What waits for a slow reader when the outbox is finished arrives complete, and then the end.
+func TestFinishWritesWhatWaits(t *testing.T) {
+	for _, size := range []int{10, 4 << 20} { // all written at once, and most of it waiting
 		ours, theirs := pair(t)
 		o := New(ours, 8<<20, time.Minute)
 		want := bytes.Repeat([]byte("x"), size)
@@ -199,15 +205,15 @@
 		o.Finish()
 		o.Finish()
 		if _, ok := o.Send([]byte("more")); ok {
-			t.Error("a message is taken after the end")
+			t.Error("a message is accepted after Finish")
 		}
 		if _, ok := o.Begin([]byte("more")); ok {
-			t.Error("a message begins after the end")
+			t.Error("a message is begun after Finish")
 		}
 		if got, err := io.ReadAll(theirs); err != nil || !bytes.Equal(got, want) {
 			t.Errorf("%d bytes of %d, %v", len(got), size, err)
 		}
-		if _, err := theirs.Write([]byte("still")); err != nil { // the other half is the owner's to close
+		if _, err := theirs.Write([]byte("still")); err != nil { // the owner closes the other half
 			t.Error(err)
 		}
 		if n, err := ours.Read(make([]byte, 10)); n != 5 || err != nil {
