--- a/internal/signing/sign_test.go
+++ b/internal/signing/signing_test.go
@@ -29,7 +29,7 @@
 	return k
 }
 
-func TestPublishedExample(t *testing.T) {
+func TestPublishedExampleIsSignedAndVerified(t *testing.T) {
 	k := key(t, exampleSecret)
 	if s, err := k.Sign(example); err != nil || s != exampleSignature {
 		t.Errorf("signed %q, want %q", s, exampleSignature)
@@ -40,7 +40,7 @@
 }
 
 // Signatures agree with those of the specification's own library, both ways.
-func TestAgainstLibrary(t *testing.T) {
+func TestSignaturesAgreeWithLibrary(t *testing.T) {
 	k := key(t, exampleSecret)
 	lib, err := standard.NewWebhook(exampleSecret)
 	if err != nil {
@@ -62,7 +62,7 @@
 		h.Set("webhook-timestamp", m.Stamp)
 		h.Set("webhook-signature", ours)
 		if err := lib.Verify(m.Body, h); err != nil {
-			t.Errorf("%d bytes: the library refuses ours: %v", len(body), err)
+			t.Errorf("%d bytes: the library rejects ours: %v", len(body), err)
 		}
 	}
 }
@@ -72,32 +72,33 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	sk := key(t, "whsk_"+base64.StdEncoding.EncodeToString(private))
-	pk := key(t, "whpk_"+base64.StdEncoding.EncodeToString(public))
-	v1a, err := sk.Sign(example)
+	privateKey := key(t, "whsk_"+base64.StdEncoding.EncodeToString(private))
+	publicKey := key(t, "whpk_"+base64.StdEncoding.EncodeToString(public))
+	v1a, err := privateKey.Sign(example)
 	if err != nil || !strings.HasPrefix(v1a, "v1a,") {
 		t.Fatal(v1a, err)
 	}
-	if _, err := pk.Sign(example); err == nil {
+	if _, err := publicKey.Sign(example); err == nil {
 		t.Error("a public key signed")
 	}
 	shared := key(t, exampleSecret)
+	other := "v1," + base64.StdEncoding.EncodeToString(make([]byte, 32))
 	flipped := []byte(exampleSignature)
 	flipped[10] ^= 1
 	tests := []struct {
-		name string
-		k    *Key
-		sigs string
-		want bool
+		name       string
+		key        *Key
+		signatures string
+		want       bool
 	}{
 		{"v1", shared, exampleSignature, true},
-		{"v1a", pk, v1a, true},
+		{"v1a", publicKey, v1a, true},
 		{"both, each its own", shared, v1a + " " + exampleSignature, true},
-		{"both, the other key", pk, exampleSignature + " " + v1a, true},
-		{"second of two while a secret is replaced", shared, "v1,AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA= " + exampleSignature, true},
+		{"both, the other key", publicKey, exampleSignature + " " + v1a, true},
+		{"second of two while a secret is replaced", shared, other + " " + exampleSignature, true},
 		{"unknown version before", shared, "v9,zzz " + exampleSignature, true},
 		{"flipped", shared, string(flipped), false},
-		{"v1 to a public key", pk, strings.Replace(v1a, "v1a,", "v1,", 1), false},
+		{"v1 to a public key", publicKey, strings.Replace(v1a, "v1a,", "v1,", 1), false},
 		{"v1a to a secret", shared, strings.Replace(exampleSignature, "v1,", "v1a,", 1), false},
 		{"no version", shared, strings.TrimPrefix(exampleSignature, "v1,"), false},
 		{"not base64", shared, "v1,%%%", false},
@@ -107,33 +108,46 @@
 		{"too long", shared, "v1," + strings.Repeat("A", 1000), false},
 	}
 	for _, tt := range tests {
-		if got := tt.k.Verify(example, tt.sigs); got != tt.want {
+		if got := tt.key.Verify(example, tt.signatures); got != tt.want {
 			t.Errorf("%s: %v, want %v", tt.name, got, tt.want)
 		}
 	}
-	for name, m := range map[string]Message{"id": {"msg_x", example.Stamp, example.Body}, "stamp": {example.ID, "1614265331", example.Body},
-		"body": {example.ID, example.Stamp, []byte("{}")}} {
-		if shared.Verify(m, exampleSignature) || pk.Verify(m, v1a) {
+	for name, m := range map[string]Message{
+		"id":    {"msg_x", example.Stamp, example.Body},
+		"stamp": {example.ID, "1614265331", example.Body},
+		"body":  {example.ID, example.Stamp, []byte("{}")},
+	} {
+		if shared.Verify(m, exampleSignature) || publicKey.Verify(m, v1a) {
 			t.Errorf("verifies with another %s", name)
 		}
 	}
 }
 
-func TestParseKey(t *testing.T) {
-	for text, want := range map[string]string{"": "no whsec_", "abc": "no whsec_", "whsec_***": "not base64", "whsec_AAAA": "3 bytes",
-		"whpk_AAAA": "3 bytes", "whsk_AAAA": "3 bytes", "whxx_AAAA": "no whsec_", "whsec_" + base64.StdEncoding.EncodeToString(make([]byte, 65)): "65 bytes"} {
+// A malformed key is rejected with an error that does not contain it.
+func TestMalformedKeyIsRejected(t *testing.T) {
+	tooLong := "whsec_" + base64.StdEncoding.EncodeToString(make([]byte, 65))
+	for text, want := range map[string]string{
+		"":           "no whsec_",
+		"abc":        "no whsec_",
+		"whsec_***":  "not base64",
+		"whsec_AAAA": "3 bytes",
+		"whpk_AAAA":  "3 bytes",
+		"whsk_AAAA":  "3 bytes",
+		"whxx_AAAA":  "no whsec_",
+		tooLong:      "65 bytes",
+	} {
 		_, err := ParseKey(text)
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v, want %q", text, err, want)
 		}
 		if err != nil && len(text) > 8 && strings.Contains(err.Error(), text[6:]) {
-			t.Errorf("the error holds the key: %v", err)
+			t.Errorf("the error contains the key: %v", err)
 		}
 	}
 }
 
 // A secret derived for one endpoint neither equals the common one nor that of another endpoint.
-func TestDerive(t *testing.T) {
+func TestDerivedSecretsVerifyAtTheirEndpointOnly(t *testing.T) {
 	a, err := Derive(exampleSecret, "c1")
 	if err != nil {
 		t.Fatal(err)
@@ -141,7 +155,7 @@
 	b, _ := Derive(exampleSecret, "c2")
 	again, _ := Derive(exampleSecret, "c1")
 	if a == b || a == exampleSecret || a != again {
-		t.Error(a, b, again)
+		t.Errorf("derived for c1 %q, for c2 %q, for c1 again %q", a, b, again)
 	}
 	s, _ := key(t, a).Sign(example)
 	if key(t, b).Verify(example, s) || !key(t, a).Verify(example, s) {
@@ -152,10 +166,10 @@
 	}
 }
 
-func TestParseStamp(t *testing.T) {
+func TestStampHasOneSpelling(t *testing.T) {
 	for _, s := range []string{"", "0", "-1", "+1", "01", "1.0", " 1", "1e3", "99999999999999999999"} {
 		if _, ok := ParseStamp(s); ok {
-			t.Errorf("%q was taken", s)
+			t.Errorf("%q is accepted", s)
 		}
 	}
 	if at, ok := ParseStamp("1614265330"); !ok || at.Unix() != 1614265330 {
@@ -168,7 +182,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		if !k.Verify(example, exampleSignature) {
-			b.Fatal("no")
+			b.Fatal("the signature does not verify")
 		}
 	}
 }
