--- a/internal/blobfetch/plan.go
+++ b/internal/blobfetch/plan.go
@@ -1,234 +1,178 @@
-// Package blobfetch gets the bytes of a model's version from stores that speak the OCI distribution protocol, and lets nobody
-// have them before their digest is proved. A Plan decides, purely: which store next, from which byte, after what pause, and
-// who is to blame for bytes that are wrong. A Client carries plans out.
-//
-// Blame. Bytes that are wrong show only when all are there. If one store gave them all, it is to blame. If a fetch was
-// resumed at another store, nobody knows which: all is dropped, and each store is asked for the whole alone. So a store that
-// corrupts slowly, a byte in a thousand fetches, is found by its own fetch, and a good one is not avoided for it.
 package blobfetch
 
 import (
 	"errors"
 	"fmt"
-	"math"
 	"slices"
 	"strings"
 	"time"
 )
 
-// Settings bound a fetch. All must be above 0.
-type Settings struct {
-	Tries   int           // requests of one fetch, all stores together
-	Pause   time.Duration // before a store that failed is asked again, the first time; doubled each time
-	Longest time.Duration // pause at most
-	Blame   time.Duration // for so long a store that gave wrong bytes is avoided, for all digests; doubled each time
-}
-
-// A Fault is how a request ended other than well.
+// A Fault is how a request failed.
 type Fault int
 
+// Faults of a request.
 const (
 	Unreachable Fault = iota + 1 // no answer
 	Broken                       // the answer ended before its length
 	Refused                      // a status that is no success, 404 included
-	Wrong                        // the answer contradicts what was asked for: its length or range
+	Wrong                        // the answer contradicts the request: its length or range
 	Mismatch                     // the bytes are not those of the digest
 )
 
+// String returns the fault for the log and for errors.
 func (f Fault) String() string {
 	return [...]string{"", "unreachable", "broken off", "refused", "wrong length or range", "digest mismatch"}[f]
 }
 
-// A Store is what is known of one store, over all fetches.
-type Store struct {
-	Name     string
-	failures int           // in a row
-	blames   int           // in all
-	from     time.Duration // not asked before
-}
+// Errors of a fetch, wrapped with the faults of each store.
+var (
+	ErrMismatch  = errors.New("fetch: no store has bytes that match the digest")
+	ErrExhausted = errors.New("fetch: given up") // all requests are used up, or there is no store
+)
 
-// Stores are those that may be asked, in the order of preference.
-type Stores struct {
-	set Settings
-	l   []*Store
+// A Request asks a store for the bytes from an offset on.
+type Request struct {
+	Store   string
+	Offset  int64
+	Restart bool // the bytes that came before are to be dropped
 }
 
-// NewStores returns stores of which nothing is known.
-func NewStores(set Settings, names []string) *Stores {
-	s := &Stores{set: set}
-	for _, n := range names {
-		s.l = append(s.l, &Store{Name: n})
-	}
-	return s
+// A failure is a request that failed, or a store that sent bytes that may be wrong.
+type failure struct {
+	store string
+	fault Fault
 }
 
-func (s *Stores) find(name string) *Store {
-	for _, x := range s.l {
-		if x.Name == name {
-			return x
-		}
-	}
-	return nil
+// A Plan is one fetch of one digest. It is not safe for concurrent use, and neither are several that share Stores.
+//
+// The caller asks Next for a request, sends it, reports the bytes that came with Received, and then either Failed or,
+// once Complete, Checked; and so on, until Checked reported a match, or Next returns an error.
+type Plan struct {
+	stores   *Stores
+	size     int64
+	received int64
+	senders  []string // stores that sent the bytes received
+	requests int
+	alone    bool            // each store must send all bytes by itself
+	wrong    map[string]bool // stores whose bytes were wrong
+	current  string          // the store of the last request
+	failures []failure
 }
 
-// pause keeps a store from being asked for a growing time. draw is from 0 to 1.
-func (s *Stores) pause(x *Store, now, first time.Duration, times int, draw float64) {
-	d := min(float64(s.set.Longest), float64(first)*math.Pow(2, float64(min(times, 30))))
-	x.from = max(x.from, now+time.Duration(d*(0.5+draw/2)))
+// NewPlan returns the plan of a fetch of so many bytes.
+func NewPlan(stores *Stores, size int64) *Plan {
+	return &Plan{stores: stores, size: size, wrong: map[string]bool{}}
 }
 
-func (s *Stores) failed(name string, now time.Duration, draw float64) {
-	if x := s.find(name); x != nil {
-		s.pause(x, now, s.set.Pause, x.failures, draw)
-		x.failures++
+// Next returns the next request, or how long to wait before Next is to be asked again. The error wraps ErrMismatch or
+// ErrExhausted.
+func (p *Plan) Next(now time.Duration) (request Request, wait time.Duration, err error) {
+	if err := p.exhausted(); err != nil {
+		return request, 0, err
 	}
-}
-
-// blame marks a store that gave wrong bytes. It is not forgiven by a good answer, only with time.
-func (s *Stores) blame(name string, now time.Duration, draw float64) {
-	if x := s.find(name); x != nil {
-		s.pause(x, now, s.set.Blame, x.blames, draw)
-		x.blames++
+	best := p.choose(now)
+	if best.notBefore > now {
+		return request, best.notBefore - now, nil
 	}
-}
-
-func (s *Stores) good(name string) {
-	if x := s.find(name); x != nil {
-		x.failures = 0
+	p.requests++
+	request = Request{Store: best.name, Offset: p.received}
+	if p.received > 0 && p.alone && best.name != p.current {
+		request.Offset = 0
 	}
+	if request.Offset == 0 {
+		request.Restart = true
+		p.drop()
+	}
+	p.current = best.name
+	if !slices.Contains(p.senders, best.name) {
+		p.senders = append(p.senders, best.name)
+	}
+	return request, 0, nil
 }
 
-// An Ask is a request to be made: the bytes from Offset on.
-type Ask struct {
-	Store  string
-	Offset int64
-	Whole  bool // what was there is to be dropped first
-}
-
-// A Report is one thing that went wrong, for an operator.
-type Report struct {
-	Store string
-	Fault Fault
-	At    int64 // bytes that were there
-}
-
-// A Plan is one fetch of one digest.
-type Plan struct {
-	stores  *Stores
-	size    int64
-	have    int64
-	givers  []string // of the bytes that are there
-	tries   int
-	alone   bool            // no more resuming at another store
-	bad     map[string]bool // stores whose whole was wrong
-	current string
-	Reports []Report
-}
-
-// NewPlan returns the plan of a fetch of so many bytes.
-func NewPlan(stores *Stores, size int64) *Plan {
-	return &Plan{stores: stores, size: size, bad: map[string]bool{}}
+// exhausted returns an error if no further request may be made.
+func (p *Plan) exhausted() error {
+	switch {
+	case len(p.stores.stores) == 0:
+		return fmt.Errorf("%w: no store is named", ErrExhausted)
+	case len(p.wrong) == len(p.stores.stores):
+		return fmt.Errorf("%w: %s", ErrMismatch, p.summary())
+	case p.requests < p.stores.settings.Tries:
+		return nil
+	case len(p.wrong) > 0:
+		return fmt.Errorf("%w: %s", ErrMismatch, p.summary())
+	}
+	return fmt.Errorf("%w after %d requests: %s", ErrExhausted, p.requests, p.summary())
 }
 
-var (
-	// ErrMismatch is a fetch in which every store that answered gave wrong bytes.
-	ErrMismatch = errors.New("fetch: no store has bytes that match the digest")
-	// ErrQuarantined is a fetch whose requests are used up, or for which no store is left.
-	ErrGivenUp = errors.New("fetch: given up")
-)
-
-// Next returns what to ask now, or how long to wait before asking Next again.
-func (p *Plan) Next(now time.Duration) (ask Ask, wait time.Duration, err error) {
-	if len(p.stores.l) == 0 {
-		return ask, 0, fmt.Errorf("%w: no store is named", ErrGivenUp)
-	}
-	if len(p.bad) == len(p.stores.l) {
-		return ask, 0, fmt.Errorf("%w: %s", ErrMismatch, p.said())
-	}
-	if p.tries >= p.stores.set.Tries {
-		if len(p.bad) > 0 {
-			return ask, 0, fmt.Errorf("%w: %s", ErrMismatch, p.said())
-		}
-		return ask, 0, fmt.Errorf("%w after %d requests: %s", ErrGivenUp, p.tries, p.said())
-	}
-	// The first that may be asked, but the one that gave what is there before it; else the one that may be soonest.
-	var best *Store
-	for _, x := range p.stores.l {
+// choose returns the first store that may be asked, but prefers the one that sent the last bytes; if none may be asked
+// yet, the one that may be soonest.
+func (p *Plan) choose(now time.Duration) *store {
+	var best *store
+	for _, candidate := range p.stores.stores {
 		switch {
-		case p.bad[x.Name]:
+		case p.wrong[candidate.name]:
 		case best == nil,
-			x.from <= now && (best.from > now || x.Name == p.current),
-			x.from > now && x.from < best.from:
-			best = x
+			candidate.notBefore <= now && (best.notBefore > now || candidate.name == p.current),
+			candidate.notBefore > now && candidate.notBefore < best.notBefore:
+			best = candidate
 		}
 	}
-	if best.from > now {
-		return ask, best.from - now, nil
-	}
-	p.tries++
-	ask = Ask{Store: best.Name, Offset: p.have}
-	if p.have > 0 && p.alone && best.Name != p.current {
-		ask.Offset, ask.Whole = 0, true
-	}
-	if ask.Offset == 0 {
-		ask.Whole = true
-		p.have, p.givers = 0, nil
-	}
-	p.current = best.Name
-	if !slices.Contains(p.givers, best.Name) {
-		p.givers = append(p.givers, best.Name)
-	}
-	return ask, 0, nil
+	return best
 }
 
-func (p *Plan) said() string {
-	var l []string
-	for _, r := range p.Reports {
-		if s := r.Store + " " + r.Fault.String(); !slices.Contains(l, s) {
-			l = append(l, s)
+// summary lists what went wrong at which store.
+func (p *Plan) summary() string {
+	var lines []string
+	for _, f := range p.failures {
+		if line := f.store + " " + f.fault.String(); !slices.Contains(lines, line) {
+			lines = append(lines, line)
 		}
 	}
-	return strings.Join(l, ", ")
+	return strings.Join(lines, ", ")
 }
 
-// Got notes bytes that came.
-func (p *Plan) Got(n int64) { p.have += n }
+// Received notes bytes that came.
+func (p *Plan) Received(n int64) { p.received += n }
 
-// Complete tells whether all bytes are there.
-func (p *Plan) Complete() bool { return p.have == p.size }
+// Complete reports whether all bytes have come.
+func (p *Plan) Complete() bool { return p.received == p.size }
 
-// Failed notes a request that ended other than well. draw, from 0 to 1, spreads the pauses of many workers.
-func (p *Plan) Failed(now time.Duration, f Fault, draw float64) {
-	p.Reports = append(p.Reports, Report{p.current, f, p.have})
-	switch f {
-	case Broken: // it gave bytes: it may be asked to go on, a little later each time
-		p.stores.failed(p.current, now, draw)
-	case Wrong: // it does not have what was asked for, whatever it has
+// Failed notes that the last request failed. draw, from 0 to 1, spreads the backoff of many workers.
+func (p *Plan) Failed(now time.Duration, fault Fault, draw float64) {
+	p.failures = append(p.failures, failure{p.current, fault})
+	if fault == Wrong { // it does not have the bytes, whatever it has
 		p.drop()
-		p.bad[p.current] = true
+		p.wrong[p.current] = true
 		p.stores.blame(p.current, now, draw)
-	default:
-		p.stores.failed(p.current, now, draw)
+		return
 	}
+	// It may be asked again, a little later each time: also to go on with bytes that it has begun to send.
+	p.stores.failed(p.current, now, draw)
 }
 
-func (p *Plan) drop() { p.have, p.givers = 0, nil }
+func (p *Plan) drop() {
+	p.received = 0
+	p.senders = nil
+}
 
-// Checked notes whether the bytes, now all there, are those of the digest. A wrong whole is dropped.
+// Checked notes whether the bytes, which are complete, match the digest. If they do not, they are dropped, and the store
+// that sent them is blamed if there was only one.
 func (p *Plan) Checked(now time.Duration, match bool, draw float64) {
 	if match {
-		p.stores.good(p.current)
+		p.stores.succeeded(p.current)
 		return
 	}
-	givers := p.givers
-	for _, g := range givers {
-		p.Reports = append(p.Reports, Report{g, Mismatch, p.have})
+	senders := p.senders
+	for _, sender := range senders {
+		p.failures = append(p.failures, failure{sender, Mismatch})
 	}
 	p.drop()
-	if len(givers) == 1 {
-		p.bad[givers[0]] = true
-		p.stores.blame(givers[0], now, draw)
+	if len(senders) > 1 {
+		p.alone = true
 		return
 	}
-	p.alone = true
+	p.wrong[senders[0]] = true
+	p.stores.blame(senders[0], now, draw)
 }
