--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -40,8 +40,8 @@
 
 const defaultMaxIdle = 64 // connections to one worker
 
-// A Backend holds the connections to all workers. It is safe for concurrent use: each exchange with a worker runs on a
-// goroutine of its own.
+// A Backend holds the connections to all workers. It is safe for concurrent use: each exchange with a worker runs on
+// a goroutine of its own.
 type Backend struct {
 	// Opened counts connections opened, Reused the idle connections used again, and Stale the idle connections that
 	// were found closed, or had been idle for too long.
--- a/internal/backend/frame/attempt_test.go
+++ b/internal/backend/frame/attempt_test.go
@@ -165,8 +165,8 @@
 	}
 }
 
-// A call whose first byte was sent before its worker began to drain arrives complete; none begins afterwards, also not
-// one that finds no room in the kernel's buffers.
+// A call whose first byte was sent before its worker began to drain arrives complete; none begins afterwards, also
+// not one that finds no room in the kernel's buffers.
 func TestCallHalfSentWhenWorkerDrainsArrivesComplete(t *testing.T) {
 	const size = 32 << 20 // more than the kernel's buffers hold
 	begin := make(chan struct{})
--- a/internal/backend/frame/check.go
+++ b/internal/backend/frame/check.go
@@ -25,8 +25,8 @@
 	return keepConn
 }
 
-// check is called periodically: it sends a ping on a silent connection, closes one that is dead, or idle for too long,
-// and forgets old ids.
+// check is called periodically: it sends a ping on a silent connection, closes one that is dead, or idle for too
+// long, and forgets old ids.
 func (c *conn) check(now time.Duration) {
 	b := c.worker.backend
 	c.mu.Lock()
--- a/internal/backend/frame/fields.go
+++ b/internal/backend/frame/fields.go
@@ -16,8 +16,8 @@
 	report       []float64
 }
 
-// parseFields reads fields like "note=resident,company=3". Unknown ones are ignored; those that are malformed count as
-// missing.
+// parseFields reads fields like "note=resident,company=3". Unknown ones are ignored; those that are malformed count
+// as missing.
 func parseFields(text string, report []scheduler.ReportField) (f answerFields) {
 	for pair := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(pair, "=")
--- a/internal/backend/frame/send.go
+++ b/internal/backend/frame/send.go
@@ -58,8 +58,8 @@
 }
 
 // LoadCopies sends a load order. done is called once, never by LoadCopies itself, with the number of copies that the
-// worker has loaded; it must not block. A worker carries out an order even if its connection ends: one whose answer is
-// lost ends as Reset.
+// worker has loaded; it must not block. A worker carries out an order even if its connection ends: one whose answer
+// is lost ends as Reset.
 func (b *Backend) LoadCopies(o backend.LoadOrder, done func(scheduler.Outcome, int, time.Duration)) {
 	id := b.nextID.Add(1)
 	a := &attempt{
--- a/internal/backend/report.go
+++ b/internal/backend/report.go
@@ -9,8 +9,8 @@
 	"kitehub/scheduler"
 )
 
-// A loadReport is an ORCA load report: the endpoint-load-metrics header, in its TEXT or JSON form. What has a field of
-// its own in ORCA uses it. The rest are named metrics: queue, inflight, latency_ms, x0 and x1; and, of the answer
+// A loadReport is an ORCA load report: the endpoint-load-metrics header, in its TEXT or JSON form. What has a field
+// of its own in ORCA uses it. The rest are named metrics: queue, inflight, latency_ms, x0 and x1; and, of the answer
 // itself, copy (a scheduler.LoadNote), alike and copies.
 type loadReport struct {
 	fields map[string]float64
--- a/internal/blobfetch/client.go
+++ b/internal/blobfetch/client.go
@@ -33,8 +33,8 @@
 
 const maxIdlePerStore = 2 // connections
 
-// NewClient returns a client of stores, named by "host:port". A request to a store that sends nothing for the time silent
-// fails.
+// NewClient returns a client of stores, named by "host:port". A request to a store that sends nothing for the time
+// silent fails.
 func NewClient(settings Settings, stores []string, silent time.Duration, clk clock.Clock, log zerolog.Logger) *Client {
 	return &Client{
 		stores: NewStores(settings, stores),
@@ -67,8 +67,8 @@
 }
 
 // Fetch returns the bytes of a digest, proved, and the store that sent the last of them. The size is known from the
-// registry: a store that has more or fewer bytes is not believed. The error wraps ErrMismatch or ErrExhausted, or is the
-// context's.
+// registry: a store that has more or fewer bytes is not believed. The error wraps ErrMismatch or ErrExhausted, or is
+// the context's.
 func (c *Client) Fetch(ctx context.Context, name, digest string, size int64) (blob []byte, store string, err error) {
 	want, ok := strings.CutPrefix(digest, "sha256:")
 	if !ok || size <= 0 {
--- a/internal/blobfetch/plan.go
+++ b/internal/blobfetch/plan.go
@@ -106,8 +106,8 @@
 	return fmt.Errorf("%w after %d requests: %s", ErrExhausted, p.requests, p.summary())
 }
 
-// choose returns the first store that may be asked, but prefers the one that sent the last bytes; if none may be asked
-// yet, the one that may be soonest.
+// choose returns the first store that may be asked, but prefers the one that sent the last bytes; if none may be
+// asked yet, the one that may be soonest.
 func (p *Plan) choose(now time.Duration) *store {
 	var best *store
 	for _, candidate := range p.stores.stores {
@@ -157,8 +157,8 @@
 	p.senders = nil
 }
 
-// Checked notes whether the bytes, which are complete, match the digest. If they do not, they are dropped, and the store
-// that sent them is blamed if there was only one.
+// Checked notes whether the bytes, which are complete, match the digest. If they do not, they are dropped, and the
+// store that sent them is blamed if there was only one.
 func (p *Plan) Checked(now time.Duration, match bool, draw float64) {
 	if match {
 		p.stores.succeeded(p.current)
--- a/internal/blobfetch/store.go
+++ b/internal/blobfetch/store.go
@@ -48,8 +48,8 @@
 
 const maxDoublings = 30 // of a backoff, which is at its maximum long before
 
-// backOff keeps requests from a store for a time that doubles with each failure before, and of which the draw, from 0 to
-// 1, spreads the second half over many workers.
+// backOff keeps requests from a store for a time that doubles with each failure before, and of which the draw, from 0
+// to 1, spreads the second half over many workers.
 func (s *Stores) backOff(avoided *store, now, first time.Duration, before int, draw float64) {
 	doubled := float64(first) * math.Pow(2, float64(min(before, maxDoublings)))
 	wait := min(float64(s.settings.Longest), doubled)
--- a/internal/discovery/dns/parse.go
+++ b/internal/discovery/dns/parse.go
@@ -41,8 +41,8 @@
 	return query.Pack()
 }
 
-// Parse reads an answer to the query with this id: the serial of the list and its workers, by name. After an error the
-// message must be ignored: it says nothing of the list.
+// Parse reads an answer to the query with this id: the serial of the list and its workers, by name. After an error
+// the message must be ignored: it says nothing of the list.
 func Parse(message []byte, id uint16, service dnsmessage.Name) (serial uint32, workers []gateway.Worker, err error) {
 	var parser dnsmessage.Parser
 	header, err := parser.Start(message)
--- a/internal/discovery/server.go
+++ b/internal/discovery/server.go
@@ -88,7 +88,8 @@
 	return time.Duration(float64(min(wait, most)) * (0.5 + draw/2))
 }
 
-// poll sends one long poll, on a new connection if there is none. Nil without an error means that nothing has changed.
+// poll sends one long poll, on a new connection if there is none. Nil without an error means that nothing has
+// changed.
 func (w *Watcher) poll(stream *pollStream) (*Update, error) {
 	if stream.conn == nil {
 		if err := w.connect(stream); err != nil {
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -14,8 +14,8 @@
 
 // A Sink is notified of changes of the list. gateway.Gateway is one.
 //
-// kind says whether workers is the complete list, a delta or a cached list; version counts the notifications, and is 0
-// for a cached list. An error rejects the update: the previous list stays in force.
+// kind says whether workers is the complete list, a delta or a cached list; version counts the notifications, and is
+// 0 for a cached list. An error rejects the update: the previous list stays in force.
 type Sink interface {
 	Workers(kind scheduler.ListKind, version uint32, workers []gateway.Worker) error
 }
--- /dev/null
+++ b/internal/http1/body.go
@@ -0,0 +1,156 @@
+package http1
+
+import (
+	"bytes"
+	"fmt"
+	"io"
+	"slices"
+	"strings"
+)
+
+// framing says where the body of a message ends.
+type framing struct {
+	chunked bool
+	length  int // -1: not given
+}
+
+// parseFraming reads the framing headers, and rejects all that two recipients could read differently.
+func parseFraming(h Header, minor int) (framing, error) {
+	f := framing{length: -1}
+	if n := h.Count("Transfer-Encoding"); n > 0 {
+		switch {
+		case minor == 0:
+			return f, bad("transfer coding in HTTP/1.0")
+		case h.Count("Content-Length") > 0:
+			return f, bad("both a length and a transfer coding")
+		case n > 1 || !strings.EqualFold(h.Get("Transfer-Encoding"), "chunked"):
+			return f, &Error{501, "transfer coding other than chunked"}
+		}
+		f.chunked = true
+		return f, nil
+	}
+	switch h.Count("Content-Length") {
+	case 0:
+		return f, nil
+	case 1:
+	default:
+		return f, bad("more than one length")
+	}
+	length, err := parseLength(h.Get("Content-Length"))
+	f.length = length
+	return f, err
+}
+
+const maxLengthDigits = 15 // of a length, which fits an int then
+
+func parseLength(text string) (int, error) {
+	if text == "" || len(text) > maxLengthDigits {
+		return 0, bad("length is not a number")
+	}
+	length := 0
+	for _, c := range []byte(text) {
+		if !isDigit(c) {
+			return 0, bad("length is not a number")
+		}
+		length = length*10 + int(c-'0')
+	}
+	return length, nil
+}
+
+// exactly reads n bytes. The buffer grows as they come: a length alone reserves at most ReadBuffer bytes.
+func (r *reader) exactly(n int) ([]byte, error) {
+	b := make([]byte, 0, min(n, ReadBuffer))
+	for len(b) < n {
+		if len(b) == cap(b) {
+			b = slices.Grow(b, min(len(b), n-len(b)))
+		}
+		end := min(cap(b), n)
+		read, err := r.buf.Read(b[len(b):end])
+		b = b[:len(b)+read]
+		if err != nil && len(b) < n {
+			return nil, unexpectedEOF(err)
+		}
+	}
+	return b, nil
+}
+
+// chunks reads a chunked body with its trailers, which are dropped.
+func (r *reader) chunks() ([]byte, error) {
+	var body []byte
+	for {
+		size, err := r.chunkSize()
+		if err != nil {
+			return nil, err
+		}
+		if size == 0 {
+			_, err := r.headers()
+			return body, err
+		}
+		if len(body)+size > r.limits.Body {
+			return nil, &Error{413, fmt.Sprintf("body over %d bytes", r.limits.Body)}
+		}
+		chunk, err := r.exactly(size)
+		if err != nil {
+			return nil, err
+		}
+		if body == nil {
+			body = chunk
+		} else {
+			body = append(body, chunk...)
+		}
+		var end [2]byte
+		if _, err := io.ReadFull(r.buf, end[:]); err != nil {
+			return nil, io.ErrUnexpectedEOF
+		}
+		if end != [2]byte{'\r', '\n'} {
+			return nil, bad("chunk is longer than its size")
+		}
+	}
+}
+
+const maxChunkDigits = 8 // hex digits of a chunk's size
+
+// chunkSize reads the line before a chunk. Extensions are allowed and ignored, but count as header bytes.
+func (r *reader) chunkSize() (int, error) {
+	line, err := r.line(r.limits.Line, 400, "chunk size")
+	if err != nil {
+		return 0, err
+	}
+	digits, extension, _ := bytes.Cut(line, []byte(";"))
+	if r.headersLeft -= len(extension) + len("\r\n"); r.headersLeft < 0 {
+		return 0, &Error{431, "chunk framing over the limit of header bytes"}
+	}
+	if len(digits) == 0 || len(digits) > maxChunkDigits {
+		return 0, bad("chunk size is malformed")
+	}
+	size := 0
+	for _, c := range digits {
+		digit, ok := hexDigit(c)
+		if !ok {
+			return 0, bad("chunk size is malformed")
+		}
+		size = size<<4 + digit
+	}
+	return size, nil
+}
+
+func hexDigit(c byte) (value int, ok bool) {
+	switch {
+	case isDigit(c):
+		return int(c - '0'), true
+	case c >= 'a' && c <= 'f':
+		return int(c-'a') + 10, true
+	case c >= 'A' && c <= 'F':
+		return int(c-'A') + 10, true
+	}
+	return 0, false
+}
+
+// toEnd reads up to the end of the connection.
+func (r *reader) toEnd() ([]byte, error) {
+	b, err := io.ReadAll(io.LimitReader(r.buf, int64(r.limits.Body)+1))
+	if err == nil && len(b) > r.limits.Body {
+		err = &Error{502, fmt.Sprintf("body over %d bytes", r.limits.Body)}
+	}
+	return b, err
+}
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -16,35 +16,43 @@
 	return ReadRequest(bufio.NewReaderSize(strings.NewReader(text), 16+ReadBuffer), &testLimits, nil)
 }
 
+// What two recipients could read differently is rejected, and what exceeds a limit; the rest is read.
 func TestReadRequest(t *testing.T) {
 	const host = "Host: a\r\n"
+	const (
+		get     = "GET / HTTP/1.1\r\n" + host
+		post    = "POST / HTTP/1.1\r\n" + host
+		chunked = post + "Transfer-Encoding: chunked\r\n\r\n"
+	)
+	longHeader := "X: " + strings.Repeat("x", 150) + "\r\n"
+	longExtension := "1;" + strings.Repeat("e", 150) + "\r\nx\r\n"
 	tests := []struct {
 		name, text string
-		status     int // of the refusal; 0: taken
+		status     int // of the error; 0: the request is valid
 		body       string
 	}{
 		{"length", "POST /x HTTP/1.1\r\n" + host + "Content-Length: 3\r\n\r\nabcd", 0, "abc"},
-		{"no body", "GET / HTTP/1.1\r\n" + host + "\r\n", 0, ""},
+		{"no body", get + "\r\n", 0, ""},
 		{"empty line first", "\r\nGET / HTTP/1.1\r\n" + host + "\r\n", 0, ""},
-		{"chunked", "POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n1;x=y\r\nd\r\n0\r\nT: 1\r\n\r\n", 0, "abcd"},
-		{"chunked in capitals", "POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: Chunked\r\n\r\nA\r\n0123456789\r\n0\r\n\r\n", 0, "0123456789"},
+		{"chunked", chunked + "3\r\nabc\r\n1;x=y\r\nd\r\n0\r\nT: 1\r\n\r\n", 0, "abcd"},
+		{"chunked in capitals", post + "Transfer-Encoding: Chunked\r\n\r\nA\r\n0123456789\r\n0\r\n\r\n", 0, "0123456789"},
 		{"two empty lines first", "\r\n\r\nGET / HTTP/1.1\r\n" + host + "\r\n", 400, ""},
-		{"two lengths", "POST / HTTP/1.1\r\n" + host + "Content-Length: 3\r\nContent-Length: 3\r\n\r\nabc", 400, ""},
-		{"a list of lengths", "POST / HTTP/1.1\r\n" + host + "Content-Length: 3, 3\r\n\r\nabc", 400, ""},
-		{"length and chunked", "POST / HTTP/1.1\r\n" + host + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400, ""},
-		{"signed length", "POST / HTTP/1.1\r\n" + host + "Content-Length: +3\r\n\r\nabc", 400, ""},
-		{"other coding", "POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n", 501, ""},
-		{"two codings", "POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 501, ""},
+		{"two lengths", post + "Content-Length: 3\r\nContent-Length: 3\r\n\r\nabc", 400, ""},
+		{"a list of lengths", post + "Content-Length: 3, 3\r\n\r\nabc", 400, ""},
+		{"length and chunked", post + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400, ""},
+		{"signed length", post + "Content-Length: +3\r\n\r\nabc", 400, ""},
+		{"other coding", post + "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n", 501, ""},
+		{"two codings", post + "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 501, ""},
 		{"coding in 1.0", "POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400, ""},
 		{"bare LF", "GET / HTTP/1.1\n" + host + "\r\n", 400, ""},
 		{"bare LF in a header", "GET / HTTP/1.1\r\nHost: a\n\r\n", 400, ""},
 		{"bare CR in a header", "GET / HTTP/1.1\r\nHost: a\rb\r\n\r\n", 400, ""},
 		{"space before the colon", "GET / HTTP/1.1\r\nHost : a\r\n\r\n", 400, ""},
-		{"folding", "GET / HTTP/1.1\r\n" + host + "X: a\r\n b\r\n\r\n", 400, ""},
-		{"nul in a header", "GET / HTTP/1.1\r\n" + host + "X: a\x00\r\n\r\n", 400, ""},
-		{"no name", "GET / HTTP/1.1\r\n" + host + ": a\r\n\r\n", 400, ""},
+		{"folding", get + "X: a\r\n b\r\n\r\n", 400, ""},
+		{"nul in a header", get + "X: a\x00\r\n\r\n", 400, ""},
+		{"no name", get + ": a\r\n\r\n", 400, ""},
 		{"no host", "GET / HTTP/1.1\r\n\r\n", 400, ""},
-		{"two hosts", "GET / HTTP/1.1\r\n" + host + host + "\r\n", 400, ""},
+		{"two hosts", get + host + "\r\n", 400, ""},
 		{"two spaces", "GET  / HTTP/1.1\r\n" + host + "\r\n", 400, ""},
 		{"bare word", "hello\r\n\r\n", 400, ""},
 		{"control byte in target", "GET /\x7f HTTP/1.1\r\n" + host + "\r\n", 400, ""},
@@ -53,20 +61,20 @@
 		{"version 2", "GET / HTTP/2.0\r\n" + host + "\r\n", 505, ""},
 		{"version in small letters", "GET / http/1.1\r\n" + host + "\r\n", 400, ""},
 		{"long line", "GET /" + strings.Repeat("x", 300) + " HTTP/1.1\r\n" + host + "\r\n", 414, ""},
-		{"long header", "GET / HTTP/1.1\r\n" + host + "X: " + strings.Repeat("x", 300) + "\r\n\r\n", 431, ""},
-		{"many headers", "GET / HTTP/1.1\r\n" + host + strings.Repeat("X: x\r\n", 6) + "\r\n", 431, ""},
-		{"headers too long together", "GET / HTTP/1.1\r\n" + host + strings.Repeat("X: "+strings.Repeat("x", 150)+"\r\n", 3) + "\r\n", 431, ""},
-		{"long body", "POST / HTTP/1.1\r\n" + host + "Content-Length: 65\r\n\r\n" + strings.Repeat("x", 65), 413, ""},
-		{"length past all numbers", "POST / HTTP/1.1\r\n" + host + "Content-Length: 99999999999999999999\r\n\r\n", 400, ""},
-		{"long chunks", "POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: chunked\r\n\r\n40\r\n" + strings.Repeat("x", 64) + "\r\n1\r\nx\r\n0\r\n\r\n", 413, ""},
-		{"chunk size past all numbers", "POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: chunked\r\n\r\nfffffffff\r\n", 400, ""},
-		{"chunk size with a sign", "POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: chunked\r\n\r\n+1\r\nx\r\n0\r\n\r\n", 400, ""},
-		{"chunk size with 0x", "POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: chunked\r\n\r\n0x1\r\nx\r\n0\r\n\r\n", 400, ""},
-		{"chunk size with a space", "POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: chunked\r\n\r\n1 \r\nx\r\n0\r\n\r\n", 400, ""},
-		{"chunk longer than its size", "POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: chunked\r\n\r\n1\r\nxy\r\n0\r\n\r\n", 400, ""},
-		{"chunk line with a bare LF", "POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: chunked\r\n\r\n1\nx\r\n0\r\n\r\n", 400, ""},
-		{"endless chunk extensions", "POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: chunked\r\n\r\n" + strings.Repeat("1;"+strings.Repeat("e", 150)+"\r\nx\r\n", 9) + "0\r\n\r\n", 431, ""},
-		{"unknown expectation", "POST / HTTP/1.1\r\n" + host + "Expect: tea\r\n\r\n", 417, ""},
+		{"long header", get + "X: " + strings.Repeat("x", 300) + "\r\n\r\n", 431, ""},
+		{"many headers", get + strings.Repeat("X: x\r\n", 6) + "\r\n", 431, ""},
+		{"headers too long together", get + strings.Repeat(longHeader, 3) + "\r\n", 431, ""},
+		{"long body", post + "Content-Length: 65\r\n\r\n" + strings.Repeat("x", 65), 413, ""},
+		{"length past all numbers", post + "Content-Length: 99999999999999999999\r\n\r\n", 400, ""},
+		{"long chunks", chunked + "40\r\n" + strings.Repeat("x", 64) + "\r\n1\r\nx\r\n0\r\n\r\n", 413, ""},
+		{"chunk size past all numbers", chunked + "fffffffff\r\n", 400, ""},
+		{"chunk size with a sign", chunked + "+1\r\nx\r\n0\r\n\r\n", 400, ""},
+		{"chunk size with 0x", chunked + "0x1\r\nx\r\n0\r\n\r\n", 400, ""},
+		{"chunk size with a space", chunked + "1 \r\nx\r\n0\r\n\r\n", 400, ""},
+		{"chunk longer than its size", chunked + "1\r\nxy\r\n0\r\n\r\n", 400, ""},
+		{"chunk line with a bare LF", chunked + "1\nx\r\n0\r\n\r\n", 400, ""},
+		{"endless chunk extensions", chunked + strings.Repeat(longExtension, 9) + "0\r\n\r\n", 431, ""},
+		{"unknown expectation", post + "Expect: tea\r\n\r\n", 417, ""},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -86,29 +94,42 @@
 			}
 		})
 	}
-	for _, cut := range []string{"GET / HT", "GET / HTTP/1.1\r\nHost: a\r\n", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\nabc",
-		"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabc"} {
-		if _, err := parse(cut); !errors.Is(err, io.ErrUnexpectedEOF) {
-			t.Errorf("%q: err %v, want an unexpected end", cut, err)
+}
+
+func TestTruncatedRequestIsUnexpectedEOF(t *testing.T) {
+	for _, truncated := range []string{
+		"GET / HT",
+		"GET / HTTP/1.1\r\nHost: a\r\n",
+		"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\nabc",
+		"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabc",
+	} {
+		if _, err := parse(truncated); !errors.Is(err, io.ErrUnexpectedEOF) {
+			t.Errorf("%q: err %v, want an unexpected end", truncated, err)
 		}
 	}
 	if _, err := parse(""); err != io.EOF {
-		t.Errorf("nothing: err %v, want EOF", err)
+		t.Errorf("no bytes: err %v, want EOF", err)
 	}
 }
 
 func TestReadResponse(t *testing.T) {
+	const (
+		continues = "HTTP/1.1 100 Continue\r\n\r\n"
+		interim   = continues + "HTTP/1.1 103 X\r\nA: b\r\n\r\n"
+	)
 	tests := []struct {
-		name, method, text, body string
-		close, fails             bool
+		name, method, text string
+		body               string
+		close              bool
+		fails              bool
 	}{
 		{"length", "GET", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nabX", "ab", false, false},
 		{"chunked", "GET", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n", "ab", false, false},
 		{"to the end", "GET", "HTTP/1.1 200 OK\r\n\r\nab", "ab", true, false},
 		{"head", "HEAD", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n", "", false, false},
 		{"no content", "GET", "HTTP/1.1 204 No Content\r\n\r\nHTTP", "", false, false},
-		{"interim first", "POST", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 X\r\nA: b\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na", "a", false, false},
-		{"interim without end", "POST", strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 9) + "HTTP/1.1 200 OK\r\n\r\n", "", false, true},
+		{"interim first", "POST", interim + "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na", "a", false, false},
+		{"interim without end", "POST", strings.Repeat(continues, 9) + "HTTP/1.1 200 OK\r\n\r\n", "", false, true},
 		{"switch of protocols", "GET", "HTTP/1.1 101 X\r\n\r\n", "", false, true},
 		{"garbage", "GET", "\x00\x01\x02\x03\r\n\r\n", "", false, true},
 		{"status in words", "GET", "HTTP/1.1 two OK\r\n\r\n", "", false, true},
@@ -133,50 +154,65 @@
 
 // What is written is read back the same, whatever is in it.
 func TestWriteReadsBack(t *testing.T) {
-	in := &Request{Method: "POST", Target: "/a?b", Header: Header{{"Host", "h"}, {"X", "a\r\nEvil: yes"}}, Body: []byte("body")}
+	in := &Request{
+		Method: "POST",
+		Target: "/a?b",
+		Header: Header{{"Host", "h"}, {"X", "a\r\nEvil: yes"}},
+		Body:   []byte("body"),
+	}
 	out, err := parse(string(AppendRequest(nil, in)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if out.Header.Get("Evil") != "" || out.Header.Get("X") != "a  Evil: yes" || string(out.Body) != "body" || out.Target != in.Target {
+	if out.Header.Get("Evil") != "" || out.Header.Get("X") != "a  Evil: yes" {
+		t.Errorf("header %+v", out.Header)
+	}
+	if string(out.Body) != "body" || out.Target != in.Target {
 		t.Errorf("got %+v", out)
 	}
-	chunked := "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n" + string(AppendChunk(AppendChunk(nil, []byte("body")), nil))
+	body := AppendChunk(AppendChunk(nil, []byte("body")), nil)
+	chunked := "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n" + string(body)
 	if out, err = parse(chunked); err != nil || string(out.Body) != "body" {
 		t.Errorf("chunked: %v %v", out, err)
 	}
 }
 
-// FuzzReadRequest compares the parser with net/http's on the same bytes. What both take must mean the same. What only
-// one takes must be in the list of justified differences: see allowed.
+// FuzzReadRequest compares the parser with net/http's on the same bytes. What both accept must mean the same. What
+// only ours accepts must be in the list of justified differences: see allowed.
 func FuzzReadRequest(f *testing.F) {
-	for _, s := range []string{"GET / HTTP/1.1\r\nHost: a\r\n\r\n", "POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabc",
-		"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n", "GET / HTTP/1.0\r\n\r\n",
-		"GET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\nGET / HTTP/1.1\r\nHost: a\r\n\r\n", "GET / HTTP/1.1\nHost: a\n\n",
-		"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"} {
+	for _, s := range []string{
+		"GET / HTTP/1.1\r\nHost: a\r\n\r\n",
+		"POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabc",
+		"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n",
+		"GET / HTTP/1.0\r\n\r\n",
+		"GET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\nGET / HTTP/1.1\r\nHost: a\r\n\r\n",
+		"GET / HTTP/1.1\nHost: a\n\n",
+		"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+	} {
 		f.Add([]byte(s))
 	}
 	l := Limits{}.Filled()
 	f.Fuzz(func(t *testing.T, b []byte) {
 		ours, err := ReadRequest(bufio.NewReader(bytes.NewReader(b)), &l, nil)
 		if err != nil {
-			return // refusing more than net/http is the intent; TestReadRequest says what
+			return // rejecting more than net/http is the intent; TestReadRequest says what
 		}
 		theirs, herr := http.ReadRequest(bufio.NewReader(bytes.NewReader(b)))
 		if herr != nil {
 			if !allowed(ours, herr) {
-				t.Fatalf("net/http refuses (%v) what we take: %q", herr, b)
+				t.Fatalf("net/http rejects (%v) what we accept: %q", herr, b)
 			}
 			return
 		}
 		body, berr := io.ReadAll(theirs.Body)
 		if berr != nil {
 			if !allowed(ours, berr) {
-				t.Fatalf("net/http refuses the body (%v) that we take: %q", berr, b)
+				t.Fatalf("net/http rejects the body (%v) that we accept: %q", berr, b)
 			}
 			return
 		}
-		if theirs.Method != ours.Method || theirs.RequestURI != ours.Target || theirs.ProtoMinor != ours.Minor || !bytes.Equal(body, ours.Body) {
+		if theirs.Method != ours.Method || theirs.RequestURI != ours.Target ||
+			theirs.ProtoMinor != ours.Minor || !bytes.Equal(body, ours.Body) {
 			t.Fatalf("read differently: %q", b)
 		}
 		if theirs.Close != ours.Close && ours.Minor == 1 {
@@ -185,23 +221,23 @@
 	})
 }
 
-// allowed are the requests that net/http refuses and we take, each with its reason.
+// allowed reports whether a request that net/http rejects may be accepted, each kind with its reason.
 func allowed(r *Request, err error) bool {
 	s := err.Error()
 	switch {
-	// It parses the target as a URL; we hand it on as bytes and compare it with paths only.
+	// It parses the target as a URL; here it is only compared with paths.
 	case strings.Contains(s, "parse ") || strings.Contains(s, "invalid URI") || strings.Contains(s, "invalid URL"):
 		return true
-	// It checks that Host is a host name; we do not route by it.
+	// It checks that Host is a host name; calls are not routed by it here.
 	case strings.Contains(s, "malformed Host"):
 		return true
-	// Trailers: it refuses some names in them; we drop all trailers unread but for their form.
+	// It rejects some names in trailers; here all trailers are dropped, once their form is checked.
 	case strings.Contains(s, "trailer"):
 		return true
-	// It takes "Trailer" announcements apart; we drop trailers whatever was announced.
+	// It interprets announcements of trailers; here they are dropped, whatever was announced.
 	case r.Header.Count("Trailer") > 0:
 		return true
-	// It bounds chunk framing that is large beside its data; so do we, by another measure (Limits.Headers).
+	// It bounds chunk framing that is large compared with its data; Limits.Headers does so here.
 	case strings.Contains(s, "chunked encoding contains too much non-data"):
 		return true
 	}
--- a/internal/http1/server_test.go
+++ b/internal/http1/server_test.go
@@ -15,10 +15,12 @@
 	"time"
 )
 
-func echo(c *Conn, r *Request) *Response {
+// echo answers with the path and the body of the request.
+func echo(_ *Conn, r *Request) *Response {
 	return &Response{Status: 200, Header: Header{{"X-Path", r.Path()}}, Body: append([]byte(nil), r.Body...)}
 }
 
+// serve runs a server until the test ends.
 func serve(t testing.TB, s *Server) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -51,6 +53,7 @@
 	return c, bufio.NewReader(c)
 }
 
+// read reads an answer.
 func read(t testing.TB, br *bufio.Reader) *Response {
 	t.Helper()
 	l := Limits{}.Filled()
@@ -138,13 +141,13 @@
 }
 
 // Each time limit ends its connection: with 408 where a request has begun.
-func TestServerTimes(t *testing.T) {
+func TestServerTimeouts(t *testing.T) {
 	const short = 30 * time.Millisecond
 	tests := []struct {
 		name   string
-		l      Limits
+		limits Limits
 		send   string
-		status int
+		status int // of the answer before the connection ends; 0: none
 	}{
 		{"first byte", Limits{FirstByte: short}, "", 0},
 		{"head", Limits{Head: short}, "GET / HTTP/1.1\r\nHost:", 408},
@@ -154,7 +157,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
-			c, br := dial(t, serve(t, &Server{Handler: HandlerFunc(echo), Limits: tt.l}))
+			c, br := dial(t, serve(t, &Server{Handler: HandlerFunc(echo), Limits: tt.limits}))
 			io.WriteString(c, tt.send)
 			if tt.status > 0 {
 				if resp := read(t, br); resp.Status != tt.status {
@@ -168,8 +171,8 @@
 	}
 }
 
-// A thousand connections that send their heads a byte at a time hold up nobody.
-func TestSlowHeaders(t *testing.T) {
+// A thousand connections that send their heads a byte at a time delay nobody.
+func TestSlowClientsDelayNobody(t *testing.T) {
 	s := &Server{Handler: HandlerFunc(echo), Limits: Limits{Head: time.Minute, FirstByte: time.Minute}}
 	addr := serve(t, s)
 	var slow []net.Conn
@@ -194,19 +197,16 @@
 	}
 }
 
-// A connection past the most that are open is told so and closed; a place that gets free is used.
-func TestMaxOpen(t *testing.T) {
+// A connection beyond MaxOpen is answered 503 and closed; room that becomes free is used.
+func TestConnectionBeyondMaxOpenIsRejected(t *testing.T) {
 	s := &Server{Handler: HandlerFunc(echo), MaxOpen: 2}
 	addr := serve(t, s)
 	a, abr := dial(t, addr)
 	b, bbr := dial(t, addr)
-	for _, x := range []struct {
-		c  net.Conn
-		br *bufio.Reader
-	}{{a, abr}, {b, bbr}} {
-		io.WriteString(x.c, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
-		read(t, x.br)
-	}
+	io.WriteString(a, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
+	read(t, abr)
+	io.WriteString(b, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
+	read(t, bbr)
 	_, br := dial(t, addr)
 	if resp := read(t, br); resp.Status != 503 || resp.Header.Get("Retry-After") == "" || s.Refused.Load() != 1 {
 		t.Errorf("%+v, %d refused", resp, s.Refused.Load())
@@ -216,7 +216,7 @@
 	if _, err := abr.ReadByte(); err != io.EOF {
 		t.Fatal(err)
 	}
-	for { // its goroutine may not have left yet
+	for { // the server may not have noticed yet
 		c, br := dial(t, addr)
 		io.WriteString(c, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
 		if read(t, br).Status == 200 {
@@ -225,7 +225,7 @@
 	}
 }
 
-// lateListener gives connections on which every deadline for writing is over, as it is where the process got no processor between
+// lateListener accepts connections on which every write deadline is over: as if the process got no processor between
 // setting the deadline and writing.
 type lateListener struct{ net.Listener }
 
@@ -243,8 +243,8 @@
 	return c.TCPConn.SetWriteDeadline(time.Unix(1, 0))
 }
 
-// A connection past the most that are open is told so also by a process that runs late.
-func TestRefusedThoughLate(t *testing.T) {
+// A process that gets little processor time rejects a connection all the same.
+func TestRejectionNeedsNoDeadline(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -266,29 +266,27 @@
 	}
 }
 
-// fewFiles is a listener that fails as one does whose process has no file descriptors left.
+// fewFiles is a listener that fails at first, as if the process had no file descriptor left.
 type fewFiles struct {
 	net.Listener
-	fail  atomic.Int64
-	tries atomic.Int64
+	failures atomic.Int64 // still to come
 }
 
 func (f *fewFiles) Accept() (net.Conn, error) {
-	f.tries.Add(1)
-	if f.fail.Add(-1) >= 0 {
+	if f.failures.Add(-1) >= 0 {
 		return nil, &net.OpError{Op: "accept", Err: errors.Join(syscall.EMFILE)}
 	}
 	return f.Listener.Accept()
 }
 
-// Out of file descriptors, accept waits and goes on: it neither ends nor spins.
-func TestAcceptBacksOff(t *testing.T) {
+// Without file descriptors, Serve waits and goes on: it neither ends nor spins.
+func TestAcceptIsRetriedWithBackoff(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	f := &fewFiles{Listener: ln}
-	f.fail.Store(4)
+	f.failures.Store(4)
 	s := &Server{Handler: HandlerFunc(echo)}
 	done := make(chan error)
 	start := time.Now()
@@ -298,7 +296,7 @@
 	if resp := read(t, br); resp.Status != 200 {
 		t.Error(resp.Status)
 	}
-	if least := 15 * acceptLeast; time.Since(start) < least {
+	if least := 15 * minAcceptBackoff; time.Since(start) < least {
 		t.Errorf("%v for four failures, want %v and more", time.Since(start), least)
 	}
 	if n := s.Stalled.Load(); n != 4 {
@@ -311,8 +309,8 @@
 	s.Cut()
 }
 
-// A handler that waits hears of its client hanging up, and of its answer, whichever is first; bytes of a next request
-// are no hang-up.
+// Await ends when the client hangs up or the answer is there, whichever is first; bytes of a next request are no
+// hang-up.
 func TestAwait(t *testing.T) {
 	hung := make(chan bool, 10)
 	var mu sync.Mutex
@@ -321,12 +319,15 @@
 	s := &Server{Handler: HandlerFunc(func(c *Conn, r *Request) *Response {
 		done := make(chan struct{})
 		mu.Lock()
-		waiting = append(waiting, func() { c.Wake(); close(done) })
+		waiting = append(waiting, func() {
+			c.Wake()
+			close(done)
+		})
 		mu.Unlock()
 		began <- struct{}{}
-		h := c.Await(done)
-		hung <- h
-		if h {
+		hungUp := c.Await(done)
+		hung <- hungUp
+		if hungUp {
 			return nil
 		}
 		return echo(c, r)
@@ -365,11 +366,11 @@
 	<-began
 	c.Close()
 	if h := <-hung; !h {
-		t.Error("the client left unheard")
+		t.Error("the client hung up unnoticed")
 	}
 }
 
-// Drain lets a request in hand be answered and closes idle connections.
+// Drain lets a request in flight be answered, and closes idle connections.
 func TestDrain(t *testing.T) {
 	began, answer := make(chan struct{}), make(chan struct{})
 	s := &Server{Handler: HandlerFunc(func(c *Conn, r *Request) *Response {
@@ -386,13 +387,16 @@
 	go s.Serve(ln)
 	busy, br := dial(t, ln.Addr().String())
 	c, idle := dial(t, ln.Addr().String())
-	io.WriteString(c, "GET / HTTP/1.1\r\nHost: a\r\n\r\n") // so that it has been taken before the listener closes
+	io.WriteString(c, "GET / HTTP/1.1\r\nHost: a\r\n\r\n") // so that it is accepted before the listener closes
 	read(t, idle)
 	io.WriteString(busy, "GET /slow HTTP/1.1\r\nHost: a\r\n\r\n")
 	<-began
 	ln.Close()
 	done := make(chan struct{})
-	go func() { s.Drain(time.Minute); close(done) }()
+	go func() {
+		s.Drain(time.Minute)
+		close(done)
+	}()
 	if _, err := idle.ReadByte(); err == nil {
 		t.Error("an idle connection was answered")
 	}
--- a/internal/ingress/bind.go
+++ b/internal/ingress/bind.go
@@ -44,8 +44,9 @@
 	Deliver func(a gateway.Answer, b *gateway.VersionBinding, release func())
 }
 
-// Run resolves a call's alias and submits the call. If the alias leaves its version before the answer, the call begins
-// anew or ends: registry.After says which. Run does not block, so it may be called where an answer is delivered.
+// Run resolves a call's alias and submits the call. If the alias leaves its version before the answer, the call
+// begins anew or ends: registry.After says which. Run does not block, so it may be called where an answer is
+// delivered.
 func (n *Binder) Run(c *BoundCall) { n.run(c, 0) }
 
 // run runs a call that has begun anew so many times.
--- a/internal/ingress/jsonrpc/message.go
+++ b/internal/ingress/jsonrpc/message.go
@@ -58,7 +58,8 @@
 	Params json.RawMessage
 }
 
-// precheck examines a line before it is decoded: it must be UTF-8, and not nested deeper than a reader's stack allows.
+// precheck examines a line before it is decoded: it must be UTF-8, and not nested deeper than a reader's stack
+// allows.
 func precheck(line []byte) *Error {
 	if !utf8.Valid(line) {
 		return problem(CodeParse, "not UTF-8")
--- a/internal/ingress/jsonrpc/write.go
+++ b/internal/ingress/jsonrpc/write.go
@@ -26,8 +26,8 @@
 	c.queue(textResponse(text))
 }
 
-// queue queues a response for writing. It does not block: calls in flight are bounded, and so are their responses. The
-// caller holds mu.
+// queue queues a response for writing. It does not block: calls in flight are bounded, and so are their responses.
+// The caller holds mu.
 func (c *conn) queue(r response) {
 	c.responses = append(c.responses, r)
 	c.changed.Broadcast()
--- a/internal/ingress/msgpackrpc/admission.go
+++ b/internal/ingress/msgpackrpc/admission.go
@@ -77,8 +77,8 @@
 	admitNever
 )
 
-// graceDivisor: a connection is not evicted for a time after it was accepted or last sent something, which is the time
-// within which a client must send a message divided by this.
+// graceDivisor: a connection is not evicted for a time after it was accepted or last sent something, which is the
+// time within which a client must send a message divided by this.
 const graceDivisor = 16
 
 // admit adds a connection, and closes another for it if there are too many.
--- a/internal/ingress/msgpackrpc/shutdown_test.go
+++ b/internal/ingress/msgpackrpc/shutdown_test.go
@@ -10,7 +10,8 @@
 	"kitehub/internal/gateway"
 )
 
-// startFinish starts Finish and returns once it has begun with all connections; the channel is closed when it returns.
+// startFinish starts Finish and returns once it has begun with all connections; the channel is closed when it
+// returns.
 func (f *testFront) startFinish() chan struct{} {
 	done := make(chan struct{})
 	go func() {
--- a/internal/ingress/webhook/call.go
+++ b/internal/ingress/webhook/call.go
@@ -11,7 +11,8 @@
 )
 
 // An inFlightCall is a call from its start to its answer, with the requests of its client that wait for it: the first
-// and its retries. Its fields are guarded by the front's mutex; answer and binding do not change after done is closed.
+// and its retries. Its fields are guarded by the front's mutex; answer and binding do not change after done is
+// closed.
 type inFlightCall struct {
 	done    chan struct{} // closed when the answer is set
 	answer  gateway.Answer
--- a/internal/ingress/webhook/handover.go
+++ b/internal/ingress/webhook/handover.go
@@ -32,7 +32,8 @@
 	f.onEnd = nil
 }
 
-// Pass ends a pause: the messages that wait, and all further ones, are passed to the successor with their connections.
+// Pass ends a pause: the messages that wait, and all further ones, are passed to the successor with their
+// connections.
 func (f *Front) Pass() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/ingress/webhook/header.go
+++ b/internal/ingress/webhook/header.go
@@ -22,8 +22,8 @@
 	return id
 }
 
-// clientTimeout returns how long the client waits, as it says: x-envoy-upstream-rq-timeout-ms, or Prefer: wait=seconds
-// (RFC 7240). It is at most the class's deadline, which also applies if the client does not say.
+// clientTimeout returns how long the client waits, as it says: x-envoy-upstream-rq-timeout-ms, or Prefer:
+// wait=seconds (RFC 7240). It is at most the class's deadline, which also applies if the client does not say.
 func clientTimeout(h http1.Header, deadline time.Duration) time.Duration {
 	millis, err := strconv.ParseUint(h.Get("x-envoy-upstream-rq-timeout-ms"), 10, 31)
 	if err == nil && millis > 0 {
--- a/internal/outbox/outbox.go
+++ b/internal/outbox/outbox.go
@@ -1,9 +1,9 @@
-// Package outbox writes messages to a connection without blocking the sender: in order, each complete or cut only by the
-// end of the connection, and with a bound on what waits for a slow reader. It knows how many bytes the kernel has taken,
-// which proves of a message that was cut half-way that it never arrived complete at the other side.
+// Package outbox writes messages to a connection without blocking the sender: in order, each complete or cut only by
+// the end of the connection, and with a bound on what waits for a slow reader. It knows how many bytes the kernel has
+// taken, which proves of a message that was cut half-way that it never arrived complete at the other side.
 //
-// A message is written at once if the kernel takes it. What it does not take waits, and a goroutine, the flusher, writes
-// it; there is one only while anything waits.
+// A message is written at once if the kernel takes it. What it does not take waits, and a goroutine, the flusher,
+// writes it; there is one only while anything waits.
 package outbox
 
 import (
@@ -36,8 +36,8 @@
 	end        uint64 // position up to which the stream was handed over
 }
 
-// New returns the outbox of a connection. At most maxWaiting bytes wait for a slow reader; one that takes none of them
-// for the time stall is disconnected.
+// New returns the outbox of a connection. At most maxWaiting bytes wait for a slow reader; one that takes none of
+// them for the time stall is disconnected.
 func New(conn net.Conn, maxWaiting int, stall time.Duration) *Outbox {
 	o := &Outbox{conn: conn, maxWaiting: maxWaiting, stall: stall}
 	o.writeEnded = sync.NewCond(&o.mu)
@@ -49,16 +49,17 @@
 	return o
 }
 
-// Send hands a message over. It returns the position of its end in the stream, for Written, and false if the connection
-// is closed, or is being closed because too much waits. The message is copied if it cannot be written at once.
+// Send hands a message over. It returns the position of its end in the stream, for Written, and false if the
+// connection is closed, or is being closed because too much waits. The message is copied if it cannot be written at
+// once.
 func (o *Outbox) Send(message []byte) (end uint64, ok bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.send(message)
 }
 
-// Begin hands a message over as Send does, but only if its first byte is written at once; otherwise nothing of it ever
-// is, and Begin returns false.
+// Begin hands a message over as Send does, but only if its first byte is written at once; otherwise nothing of it
+// ever is, and Begin returns false.
 func (o *Outbox) Begin(message []byte) (end uint64, ok bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -203,8 +204,8 @@
 	}
 }
 
-// Finish accepts no more messages. What waits is still written, and then our half of the connection is closed: the other
-// side reads all of it and then the end. The owner must still close the connection.
+// Finish accepts no more messages. What waits is still written, and then our half of the connection is closed: the
+// other side reads all of it and then the end. The owner must still close the connection.
 func (o *Outbox) Finish() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -239,10 +240,10 @@
 	return o.flushing
 }
 
-// Written reports whether the kernel has taken all bytes up to a position. If it has not, and the connection is closed,
-// the message that ends there cannot have arrived complete. On an open connection the answer may lag behind. On a closed
-// one Written first waits for a write in progress, which the close ends: the other side may have what was written before
-// the write returns.
+// Written reports whether the kernel has taken all bytes up to a position. If it has not, and the connection is
+// closed, the message that ends there cannot have arrived complete. On an open connection the answer may lag behind.
+// On a closed one Written first waits for a write in progress, which the close ends: the other side may have what was
+// written before the write returns.
 func (o *Outbox) Written(end uint64) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/outbox/outbox_test.go
+++ b/internal/outbox/outbox_test.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// slowToReturn is a connection whose writes arrive at the other side long before they return, which they do once it is
-// closed.
+// slowToReturn is a connection whose writes arrive at the other side long before they return, which they do once it
+// is closed.
 type slowToReturn struct {
 	net.Conn
 	arrived, closed chan struct{}
@@ -172,8 +172,8 @@
 	}
 }
 
-// A write that finds the connection reset must end. Closing a descriptor waits until nobody uses it, so closing it from
-// within that write would wait for itself.
+// A write that finds the connection reset must end. Closing a descriptor waits until nobody uses it, so closing it
+// from within that write would wait for itself.
 func TestSendEndsWhenConnectionIsReset(t *testing.T) {
 	ours, theirs := pair(t)
 	o := New(ours, 1<<20, time.Minute)
--- a/internal/signing/key.go
+++ b/internal/signing/key.go
@@ -1,5 +1,5 @@
-// Package signing signs and verifies messages as the Standard Webhooks specification says: calls and their answers, and
-// what operators and controllers send to the registry.
+// Package signing signs and verifies messages as the Standard Webhooks specification says: calls and their answers,
+// and what operators and controllers send to the registry.
 package signing
 
 import (
@@ -21,8 +21,8 @@
 	prefixPublic  = "whpk"  // an ed25519 public key
 )
 
-// A Key signs and verifies: with a shared secret by HMAC-SHA256, which the specification calls v1, or with an ed25519 key,
-// v1a. It is safe for concurrent use.
+// A Key signs and verifies: with a shared secret by HMAC-SHA256, which the specification calls v1, or with an ed25519
+// key, v1a. It is safe for concurrent use.
 type Key struct {
 	macs    *sync.Pool         // of hash.Hash, keyed with the shared secret; nil for ed25519
 	public  ed25519.PublicKey  // nil for a shared secret
@@ -79,9 +79,9 @@
 
 const derivedSize = 32 // bytes of a derived secret
 
-// Derive returns the text of the secret that an endpoint shares with a client, derived from the client's common secret
-// (HKDF-SHA256, RFC 5869, with the endpoint's name in the info). As each endpoint has a secret of its own, a message to
-// one does not verify at another.
+// Derive returns the text of the secret that an endpoint shares with a client, derived from the client's common
+// secret (HKDF-SHA256, RFC 5869, with the endpoint's name in the info). As each endpoint has a secret of its own, a
+// message to one does not verify at another.
 func Derive(secret, endpoint string) (string, error) {
 	encoded, ok := strings.CutPrefix(secret, prefixSecret+"_")
 	raw, err := base64.StdEncoding.DecodeString(encoded)
--- a/internal/signing/message.go
+++ b/internal/signing/message.go
@@ -65,8 +65,8 @@
 // maxSignatures bounds the work that one message can cause.
 const maxSignatures = 16
 
-// Verify reports whether one of the signatures, separated by spaces, is valid for the key. It compares in constant time;
-// signatures of other versions than the key's are ignored.
+// Verify reports whether one of the signatures, separated by spaces, is valid for the key. It compares in constant
+// time; signatures of other versions than the key's are ignored.
 func (k *Key) Verify(m Message, signatures string) bool {
 	version := versionEd25519
 	if k.macs != nil {
@@ -115,8 +115,8 @@
 	return time.Unix(seconds, 0), true
 }
 
-// AnswerPrefix begins the ids of answers, which bind the outcome to the request's id. A request with such an id must be
-// rejected, or a signed answer could be sent back as a call.
+// AnswerPrefix begins the ids of answers, which bind the outcome to the request's id. A request with such an id must
+// be rejected, or a signed answer could be sent back as a call.
 const AnswerPrefix = "answer_"
 
 // AnswerID returns the webhook-id of the answer with an outcome (served, refused, failed, ...) to a request.
