--- a/internal/hookengine/engine.go
+++ b/internal/hookengine/engine.go
@@ -1,6 +1,7 @@
 package hookengine
 
 import (
+	"cmp"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -16,7 +17,8 @@
 	"kitehub/internal/store"
 )
 
-// A Sink takes what hooks bring about. gateway.Gateway is one.
+// A Sink carries out what hooks bring about. gateway.Gateway is one. Its methods are called on the engine's
+// goroutine, and must not block.
 type Sink interface {
 	KeepWarm(function string, copies int, until time.Duration)
 	RankWorker(worker string, rank int, until time.Duration)
@@ -28,125 +30,125 @@
 	Advice       hookadvice.Settings
 	Facts        hookadvice.Facts
 	Sink         Sink
-	Notify       func(hookadvice.Notice) // must not block; nil: notices are logged only
-	Open         func() int              // calls in hand, for timers
+	Notify       func(hookadvice.Notice) // must not block; nil: notices are only logged
+	Open         func() int              // calls in flight, for timers; nil: 0
 	Clock        clock.Clock
 	Log          zerolog.Logger
-	FS           store.FS // for scripts and their state; nil: they end with the process
+	FS           store.FS // for scripts and their states; nil: they end with the process
 	Seed         uint64
-	Queue        int             // events that wait for the hooks; further ones are dropped and counted; 0: 4096
-	Aside        hooklang.Limits // zero: hook.Aside
-	Inline       hooklang.Limits // zero: hook.Inline
-	RunTimeout   time.Duration   // one run aside, as the last net: 250 ms
-	SaveInterval time.Duration   // state is stored at most so often: 1 s
+	Queue        int             // events that wait to be handled; further ones are dropped and counted. 0: 4096
+	Aside        hooklang.Limits // of a run aside; zero: hooklang.Aside
+	Inline       hooklang.Limits // of a run inline; zero: hooklang.Inline
+	RunTimeout   time.Duration   // for one run aside, should its limits not end it; 0: 250 ms
+	SaveInterval time.Duration   // states are stored at most so often; 0: 1 s
 }
 
-// Counts of what was run.
+func (cfg *Config) setDefaults() {
+	cfg.Queue = cmp.Or(cfg.Queue, 4096)
+	cfg.RunTimeout = cmp.Or(cfg.RunTimeout, 250*time.Millisecond)
+	cfg.SaveInterval = cmp.Or(cfg.SaveInterval, time.Second)
+	if cfg.Aside.Fuel == 0 {
+		cfg.Aside = hooklang.Aside
+	}
+	if cfg.Inline.Fuel == 0 {
+		cfg.Inline = hooklang.Inline
+	}
+}
+
+// Counts are for the log and for operators.
 type Counts struct {
-	Posted, Dropped, Inline, InlineNanos, Aside, AsideNanos, Faults, Refusals, Over atomic.Int64
+	Posted      atomic.Int64 // events and inline runs that the engine was notified of
+	Dropped     atomic.Int64 // those dropped because too many waited
+	Inline      atomic.Int64 // runs
+	InlineNanos atomic.Int64
+	Aside       atomic.Int64 // runs
+	AsideNanos  atomic.Int64
+	Faults      atomic.Int64 // runs of live versions that failed
+	Refusals    atomic.Int64 // calls rejected
+	Over        atomic.Int64 // calls that a hook wanted rejected, over the bound
 }
 
-// An Engine runs scripts. Arrive, Left and Post are safe for concurrent use and never wait for a hook that runs aside; all else
-// is carried out by one goroutine, between two runs, so that no script is replaced in the middle of one.
+// An Engine runs scripts. Arrive, CallEnded, Post and Workers are safe for concurrent use and never wait for a run
+// aside. All else is carried out by one goroutine, loop, between two runs, so that no script is replaced within one.
 type Engine struct {
-	cfg    Config
 	Counts Counts
-	queue  chan posted
-	calls  chan func()
-	list   atomic.Pointer[[]hookadvice.Worker] // not taken in yet
-	wake   chan struct{}
-	stop   chan struct{}
-	done   chan struct{}
-	once   sync.Once
-	killed atomic.Bool
-	pool   sync.Pool
-	live   atomic.Pointer[[]inline]
-	points atomic.Pointer[map[string]bool] // that some script has a handler of
-	dmu    sync.Mutex
-	door   *hookadvice.AdmissionGate
 
-	// Owned by the goroutine.
-	life   *Lifecycle
-	table  *hookadvice.Table
-	vm     *hooklang.VM
-	ran    map[string]*running
-	shadow map[string]*running
-	log    *store.Log
-	seq    uint64
-	since  int
-	saved  time.Duration
-	failed error
-	states map[string]json.RawMessage // as stored last
-}
+	cfg       Config
+	queue     chan posted
+	commands  chan func()   // for the loop to call
+	wake      chan struct{} // receives when newWorkers is set
+	stop      chan struct{} // closed by Close
+	done      chan struct{} // closed when the loop has ended
+	closeOnce sync.Once
+	killed    atomic.Bool
 
-// running is a version as it runs.
-type running struct {
-	name    string
-	version uint64
-	p       *hooklang.Program
-	state   *hooklang.State
-	every   time.Duration
-	next    time.Duration // of its timer
-	count   int64
-	changed bool // its state is not stored yet
+	// Set by the loop for all goroutines.
+	inline atomic.Pointer[[]inlineScript]  // live versions with a handler of arriving calls
+	points atomic.Pointer[map[string]bool] // that some version has a handler of
+
+	newWorkers atomic.Pointer[[]hookadvice.Worker] // the latest list that the loop has not seen yet
+	inlineVMs  sync.Pool                           // of *hooklang.VM
+
+	gateMu sync.Mutex
+	gate   *hookadvice.AdmissionGate
+
+	// Of the loop.
+	lifecycle *Lifecycle
+	table     *hookadvice.Table
+	asideVM   *hooklang.VM
+	active    map[string]*activeVersion // live versions that run, by script
+	shadows   map[string]*activeVersion // versions in the shadow, by script
+
+	// Of the loop: what is stored. See persist.go.
+	log                  *store.Log // nil: nothing is
+	lastRecord           uint64
+	recordsSinceSnapshot int
+	savedAt              time.Duration
+	storeErr             error                      // nothing is stored any more
+	savedStates          map[string]json.RawMessage // by script, as stored last
 }
 
-type inline struct {
+// An inlineScript is a live version that is run when a call arrives.
+type inlineScript struct {
 	name    string
 	version uint64
-	p       *hooklang.Program
-	state   *hooklang.State
-	shadow  *running // nil: none to compare
+	program *hooklang.Program
+	state   *hooklang.State // as published: inline runs change no state
+	shadow  bool            // there is a version in the shadow to compare it with
 }
 
+// posted is an event for the handlers that run aside, or an inline run for the books.
 type posted struct {
-	point string
-	event hooklang.Event
-	// Of a run that was made inline: what it led to.
-	script  string
-	version uint64
-	fault   string
-	fuel    int64
-	advice  []hooklang.Advice
-	ran     bool
-	at      time.Duration
-}
-
-// record is what the store holds: one of the two.
-type record struct {
-	Scripts []*Script       `json:"scripts,omitempty"`
-	Last    uint64          `json:"last,omitempty"`
-	State   string          `json:"state,omitempty"` // name of the script
-	Value   json.RawMessage `json:"value,omitempty"`
-}
+	point    string
+	event    hooklang.Event // of an inline run only if there is a shadow to compare with
+	postedAt time.Duration
 
-type snapshot struct {
-	Scripts []*Script                  `json:"scripts"`
-	Last    uint64                     `json:"last"`
-	States  map[string]json.RawMessage `json:"states"`
+	ranInline bool // the fields below are set
+	script    string
+	version   uint64
+	fault     string // "": none
+	fuel      int64
+	advice    []hooklang.Advice
 }
 
-// Start opens what was stored and runs it. A script that does not compile any more is in quarantine.
+// Start restores the scripts that were stored and runs them. A script that does not compile any more is quarantined.
 func Start(cfg Config) (*Engine, error) {
-	if cfg.Queue == 0 {
-		cfg.Queue = 4096
+	cfg.setDefaults()
+	e := &Engine{
+		cfg:         cfg,
+		queue:       make(chan posted, cfg.Queue),
+		commands:    make(chan func()),
+		wake:        make(chan struct{}, 1),
+		stop:        make(chan struct{}),
+		done:        make(chan struct{}),
+		lifecycle:   NewLifecycle(cfg.Lifecycle, cfg.Seed),
+		asideVM:     hooklang.NewVM(),
+		active:      map[string]*activeVersion{},
+		shadows:     map[string]*activeVersion{},
+		gate:        hookadvice.NewAdmissionGate(cfg.Advice),
+		savedStates: map[string]json.RawMessage{},
 	}
-	if cfg.Aside.Fuel == 0 {
-		cfg.Aside = hooklang.Aside
-	}
-	if cfg.Inline.Fuel == 0 {
-		cfg.Inline = hooklang.Inline
-	}
-	if cfg.RunTimeout == 0 {
-		cfg.RunTimeout = 250 * time.Millisecond
-	}
-	if cfg.SaveInterval == 0 {
-		cfg.SaveInterval = time.Second
-	}
-	e := &Engine{cfg: cfg, queue: make(chan posted, cfg.Queue), calls: make(chan func()), wake: make(chan struct{}, 1), stop: make(chan struct{}), done: make(chan struct{}),
-		life: NewLifecycle(cfg.Lifecycle, cfg.Seed), vm: hooklang.NewVM(), ran: map[string]*running{}, shadow: map[string]*running{}, door: hookadvice.NewAdmissionGate(cfg.Advice),
-		states: map[string]json.RawMessage{}}
-	e.pool.New = func() any { return hooklang.NewVM() }
+	e.inlineVMs.New = func() any { return hooklang.NewVM() }
 	var err error
 	if e.table, err = hookadvice.New(cfg.Advice, cfg.Facts); err != nil {
 		return nil, err
@@ -157,74 +159,15 @@
 		}
 	}
 	e.publish()
-	go e.run()
+	go e.loop()
 	return e, nil
 }
 
-func (e *Engine) recover() error {
-	snap := snapshot{States: map[string]json.RawMessage{}}
-	log, rec, err := store.Open(e.cfg.FS, store.Options{MaxRecord: 16 << 20, MaxGroup: 32 << 20},
-		func(_ uint64, text []byte) error { return json.Unmarshal(text, &snap) },
-		func(seq uint64, text []byte) error {
-			var r record
-			if err := json.Unmarshal(text, &r); err != nil {
-				return fmt.Errorf("record %d: %w", seq, err)
-			}
-			if r.State != "" {
-				snap.States[r.State] = r.Value
-			} else {
-				snap.Scripts, snap.Last = r.Scripts, r.Last
-			}
-			return nil
-		})
-	if err != nil {
-		return err
-	}
-	e.log, e.seq = log, rec.Last
-	e.life.Scripts, e.life.Last, e.states = snap.Scripts, snap.Last, snap.States
-	for _, s := range e.life.Scripts {
-		if s.Live != nil && s.Live.Bad == "" {
-			r, err := e.prepare(s.Name, s.Live)
-			if err != nil { // it did, in the program that stored it
-				s.Live.Bad = err.Error()
-				e.cfg.Log.Error().Str("script", s.Name).Err(err).Msg("hook in quarantine: it does not compile any more")
-				continue
-			}
-			if text := snap.States[s.Name]; text != nil {
-				if st, err := r.p.Restore(text); err != nil {
-					e.cfg.Log.Error().Str("script", s.Name).Err(err).Msg("hook's state not restored: it begins anew")
-				} else {
-					r.state = st
-				}
-			}
-			e.ran[s.Name] = r
-			e.advise([]hookadvice.Event{hookadvice.Live{Script: s.Name, Version: s.Live.Number}})
-		}
-		if s.Shadow != nil {
-			if r, err := e.prepare(s.Name, s.Shadow); err == nil {
-				e.shadow[s.Name] = r
-			} else {
-				s.Shadow = nil
-			}
-		}
-	}
-	return nil
-}
-
-func (e *Engine) prepare(name string, v *Version) (*running, error) {
-	p, err := hooklang.Compile(name+".hook", v.Text)
-	if err != nil {
-		return nil, err
-	}
-	_, every := p.Points()
-	return &running{name: name, version: v.Number, p: p, state: p.State(), every: every, next: e.cfg.Clock.Now() + every}, nil
-}
-
-// Close ends the engine and stores what its scripts have.
+// Close ends the engine and stores the states of its scripts. The error is that of the store.
 func (e *Engine) Close() error {
-	e.once.Do(func() { close(e.stop) })
+	e.closeOnce.Do(func() { close(e.stop) })
 	<-e.done
-	return e.failed
+	return e.storeErr
 }
 
 // Kill ends the engine as the end of its process would: what is not stored yet is lost.
@@ -233,33 +176,14 @@
 	e.Close()
 }
 
-// Arrive runs the handlers of a call that arrives, on the caller's goroutine, and judges it. The call is counted in hand of its
-// tenant until Left. A call is judged by the versions that were live when it arrived.
+// Arrive runs the handlers of a call that arrives, on the caller's goroutine, and judges it. The call counts as in
+// flight until CallEnded. It is judged by the versions that were live when it arrived.
 func (e *Engine) Arrive(c hooklang.Call) hookadvice.Verdict {
 	now := e.cfg.Clock.Now()
-	var all []hooklang.Advice
-	if l := *e.live.Load(); len(l) > 0 {
-		env := hooklang.Env{Now: int64(now), Wall: e.cfg.Clock.Wall().Unix()}
-		vm := e.pool.Get().(*hooklang.VM)
-		for _, s := range l {
-			res, err := vm.Run(s.p, "arrive", c, s.state, env, e.cfg.Inline)
-			p := posted{point: "arrive", script: s.name, version: s.version, fuel: res.Fuel, advice: res.Advice, ran: true, at: now}
-			if err != nil {
-				p.fault = err.Error()
-			}
-			all = append(all, res.Advice...)
-			if s.shadow != nil {
-				p.event = c
-			}
-			e.post(p) // its tally, its circuit, and its shadow
-		}
-		e.pool.Put(vm)
-		e.Counts.Inline.Add(int64(len(l)))
-		e.Counts.InlineNanos.Add(int64(e.cfg.Clock.Now() - now))
-	}
-	e.dmu.Lock()
-	v := e.door.Arrive(now, c.Tenant, all)
-	e.dmu.Unlock()
+	advice := e.runInline(now, c)
+	e.gateMu.Lock()
+	v := e.gate.Arrive(now, c.Tenant, advice)
+	e.gateMu.Unlock()
 	if v.ShedAdvised {
 		e.Counts.Refusals.Add(1)
 	}
@@ -269,28 +193,54 @@
 	return v
 }
 
-// CallEnded says that a call that arrived has its answer.
-func (e *Engine) CallEnded(tenant string) {
-	e.dmu.Lock()
-	e.door.CallEnded(tenant)
-	e.dmu.Unlock()
+// runInline runs the handlers of a call that arrives, and returns what they advise.
+func (e *Engine) runInline(now time.Duration, c hooklang.Call) (advice []hooklang.Advice) {
+	scripts := *e.inline.Load()
+	if len(scripts) == 0 {
+		return nil
+	}
+	env := hooklang.Env{Now: int64(now), Wall: e.cfg.Clock.Wall().Unix()}
+	vm := e.inlineVMs.Get().(*hooklang.VM)
+	for _, s := range scripts {
+		result, err := vm.Run(s.program, pointArrive, c, s.state, env, e.cfg.Inline)
+		p := posted{
+			point:     pointArrive,
+			postedAt:  now,
+			ranInline: true,
+			script:    s.name,
+			version:   s.version,
+			fuel:      result.Fuel,
+			advice:    result.Advice,
+		}
+		if err != nil {
+			p.fault = err.Error()
+		}
+		if s.shadow {
+			p.event = c
+		}
+		advice = append(advice, result.Advice...)
+		e.post(p)
+	}
+	e.inlineVMs.Put(vm)
+	e.Counts.Inline.Add(int64(len(scripts)))
+	e.Counts.InlineNanos.Add(int64(e.cfg.Clock.Now() - now))
+	return advice
 }
 
-// Post hands an event to the hooks, if any wants it. It never blocks: where too many wait the event is dropped, and counted.
-func (e *Engine) Post(point string, ev hooklang.Event) {
-	if m := e.points.Load(); m != nil && !(*m)[point] {
-		return
-	}
-	e.post(posted{point: point, event: ev, at: e.cfg.Clock.Now()})
+// CallEnded notes that a call that arrived has its answer.
+func (e *Engine) CallEnded(tenant string) {
+	e.gateMu.Lock()
+	e.gate.CallEnded(tenant)
+	e.gateMu.Unlock()
 }
 
-// Workers tells the list of workers as it stands. It does not block; a newer list replaces one that waits.
-func (e *Engine) Workers(l []hookadvice.Worker) {
-	e.list.Store(&l)
-	select {
-	case e.wake <- struct{}{}:
-	default:
+// Post hands an event to the handlers of a point, if there are any. It never blocks: if too many events wait, the
+// event is dropped and counted.
+func (e *Engine) Post(point string, event hooklang.Event) {
+	if points := e.points.Load(); points != nil && !(*points)[point] {
+		return
 	}
+	e.post(posted{point: point, event: event, postedAt: e.cfg.Clock.Now()})
 }
 
 func (e *Engine) post(p posted) {
@@ -302,117 +252,27 @@
 	}
 }
 
-// do has f run by the engine's goroutine, and waits for it.
-func (e *Engine) do(f func()) error {
-	ready := make(chan struct{})
+// Workers sets the list of workers. It does not block; a newer list replaces one that waits.
+func (e *Engine) Workers(list []hookadvice.Worker) {
+	e.newWorkers.Store(&list)
 	select {
-	case e.calls <- func() { f(); close(ready) }:
-		<-ready
-		return nil
-	case <-e.done:
-		return errors.New("hooks: stopped")
-	}
-}
-
-// advise steps the table and carries out what comes of it.
-func (e *Engine) advise(in []hookadvice.Event) {
-	for _, x := range e.table.Step(e.cfg.Clock.Now(), in) {
-		switch x := x.(type) {
-		case hookadvice.KeepWarm:
-			e.cfg.Sink.KeepWarm(x.Function, x.Copies, x.Until)
-		case hookadvice.RankWorker:
-			e.cfg.Sink.RankWorker(x.Worker, x.Rank, x.Until)
-		case hookadvice.Tenants:
-			e.dmu.Lock()
-			e.door.Set(x)
-			e.dmu.Unlock()
-		case hookadvice.Notice:
-			e.cfg.Log.Info().Str("script", x.Script).Str("target", x.Target).Msg("notice")
-			if e.cfg.Notify != nil {
-				e.cfg.Notify(x)
-			}
-		case hookadvice.Discarded:
-			e.cfg.Log.Debug().Str("script", x.Script).Str("kind", x.Item.Kind).Str("why", x.Why).Msg("advice dropped")
-		}
+	case e.wake <- struct{}{}:
+	default:
 	}
 }
 
-// follow makes what the lifecycle has decided true.
-func (e *Engine) follow() {
-	changes, dirty := e.life.Take()
-	for _, c := range changes {
-		ev := e.cfg.Log.Info()
-		if c.Alarm {
-			ev = e.cfg.Log.Error()
-		}
-		ev.Str("script", c.Script).Msg("hook: " + c.Text)
-		old := e.ran[c.Script]
-		if c.Live == nil {
-			if delete(e.ran, c.Script); old != nil {
-				if text, err := old.state.MarshalJSON(); err == nil { // it may come back
-					e.states[c.Script] = text
-				}
-				e.advise([]hookadvice.Event{hookadvice.Ended{Script: c.Script}})
-			}
-		} else if old == nil || old.version != c.Live.Number {
-			r, err := e.prepare(c.Script, c.Live)
-			if err != nil { // checked when it was loaded
-				e.cfg.Log.Error().Str("script", c.Script).Err(err).Msg("hook does not compile")
-				continue
-			}
-			if old != nil { // the new version goes on with what the old one has stored
-				r.state = r.p.Take(old.state)
-			} else if st := e.states[c.Script]; st != nil {
-				if s, err := r.p.Restore(st); err == nil {
-					r.state = s
-				}
-			}
-			r.changed = true
-			e.ran[c.Script] = r
-			e.advise([]hookadvice.Event{hookadvice.Live{Script: c.Script, Version: r.version}})
-		}
-		s := e.life.Find(c.Script)
-		if s == nil {
-			delete(e.states, c.Script)
-		}
-		if s == nil || s.Shadow == nil {
-			delete(e.shadow, c.Script)
-		} else if sh := e.shadow[c.Script]; sh == nil || sh.version != s.Shadow.Number {
-			if r, err := e.prepare(c.Script, s.Shadow); err == nil {
-				if live := e.ran[c.Script]; live != nil {
-					r.state = r.p.Take(live.state)
-				}
-				e.shadow[c.Script] = r
-			}
-		}
-	}
-	if len(changes) > 0 {
-		e.publish()
+// onLoop has the loop call a function, and waits for it.
+func (e *Engine) onLoop(f func()) error {
+	called := make(chan struct{})
+	command := func() {
+		f()
+		close(called)
 	}
-	if dirty {
-		e.append(record{Scripts: e.life.Scripts, Last: e.life.Last})
-	}
-}
-
-// publish shows the goroutines of calls what is live.
-func (e *Engine) publish() {
-	var l []inline
-	m := map[string]bool{}
-	for _, s := range e.life.Scripts {
-		r, sh := e.ran[s.Name], e.shadow[s.Name]
-		for _, x := range []*running{r, sh} {
-			if x == nil {
-				continue
-			}
-			points, _ := x.p.Points()
-			for _, p := range points {
-				m[p] = true
-			}
-		}
-		if r != nil && r.p.Has("arrive") {
-			l = append(l, inline{s.Name, r.version, r.p, r.state, sh})
-		}
+	select {
+	case e.commands <- command:
+		<-called
+		return nil
+	case <-e.done:
+		return errors.New("hooks: stopped")
 	}
-	e.live.Store(&l)
-	e.points.Store(&m)
 }
--- a/internal/hookengine/golden_test.go
+++ b/internal/hookengine/golden_test.go
@@ -56,11 +56,15 @@
 func TestStoredScriptsAreAsBefore(t *testing.T) {
 	folder := t.TempDir()
 	log, _, _ := openStore(t, folder)
-	engine := &Engine{log: log, life: &Lifecycle{Scripts: storedScripts(), Last: 4}, states: map[string]json.RawMessage{"a": json.RawMessage(storedState)},
-		cfg: Config{Log: zerolog.Nop()}}
-	engine.append(record{Scripts: engine.life.Scripts, Last: engine.life.Last})
-	engine.append(record{State: "a", Value: json.RawMessage(storedState)})
-	engine.append(record{})
+	engine := &Engine{
+		cfg:         Config{Log: zerolog.Nop()},
+		log:         log,
+		lifecycle:   &Lifecycle{Scripts: storedScripts(), Last: 4},
+		savedStates: map[string]json.RawMessage{"a": json.RawMessage(storedState)},
+	}
+	engine.appendRecord(record{Scripts: engine.lifecycle.Scripts, Last: engine.lifecycle.Last})
+	engine.appendRecord(record{State: "a", Value: json.RawMessage(storedState)})
+	engine.appendRecord(record{})
 	log.Close()
 	log, snapshot, records := openStore(t, folder)
 	if snapshot != nil || len(records) != 3 {
@@ -70,10 +74,11 @@
 	goldenfile.Compare(t, "record_state.json", records[1])
 	goldenfile.Compare(t, "record_empty.json", records[2])
 
-	engine.log, engine.since = log, recordsKept-1
-	engine.append(record{State: "a", Value: json.RawMessage(storedState)})
-	if engine.failed != nil || engine.since != 0 {
-		t.Fatal(engine.failed, engine.since)
+	engine.log = log
+	engine.recordsSinceSnapshot = recordsPerSnapshot - 1
+	engine.appendRecord(record{State: "a", Value: json.RawMessage(storedState)})
+	if engine.storeErr != nil || engine.recordsSinceSnapshot != 0 {
+		t.Fatal(engine.storeErr, engine.recordsSinceSnapshot)
 	}
 	log.Close()
 	log, snapshot, _ = openStore(t, folder)
@@ -81,7 +86,7 @@
 	goldenfile.Compare(t, "snapshot.json", snapshot)
 }
 
-// An engine begins with what was stored, by records or by a snapshot.
+// An engine begins with what was stored, in records or in a snapshot.
 func TestStoredScriptsAreReadAsBefore(t *testing.T) {
 	fill := map[string]func(*store.Log) error{
 		"records": func(log *store.Log) error {
@@ -107,8 +112,12 @@
 			t.Fatal(err)
 		}
 		log.Close()
-		engine := &Engine{cfg: Config{FS: store.Dir(folder), Clock: clock.System(), Log: zerolog.Nop()}, life: NewLifecycle(LifecycleSettings{}, 1),
-			ran: map[string]*running{}, shadow: map[string]*running{}}
+		engine := &Engine{
+			cfg:       Config{FS: store.Dir(folder), Clock: clock.System(), Log: zerolog.Nop()},
+			lifecycle: NewLifecycle(LifecycleSettings{}, 1),
+			active:    map[string]*activeVersion{},
+			shadows:   map[string]*activeVersion{},
+		}
 		var err error
 		if engine.table, err = hookadvice.New(hookadvice.Settings{Cap: 1}, nil); err != nil {
 			t.Fatal(err)
@@ -117,22 +126,26 @@
 			t.Fatal(err)
 		}
 		engine.log.Close()
-		if got, _ := json.Marshal(engine.life.Scripts); !reflect.DeepEqual(engine.life.Scripts, storedScripts()) || engine.life.Last != 4 {
-			t.Errorf("%s: read %s, last version %d", name, got, engine.life.Last)
+		if scripts := engine.lifecycle.Scripts; !reflect.DeepEqual(scripts, storedScripts()) {
+			got, _ := json.Marshal(scripts)
+			t.Errorf("%s: read %s", name, got)
+		}
+		if last := engine.lifecycle.Last; last != 4 {
+			t.Errorf("%s: last version %d, want 4", name, last)
 		}
-		if state := string(engine.states["a"]); state != storedState {
+		if state := string(engine.savedStates["a"]); state != storedState {
 			t.Errorf("%s: read the state %s", name, state)
 		}
-		if state := engine.ran["a"].state.String(); state != "state seen int = 7\n" {
+		if state := engine.active["a"].state.String(); state != "state seen int = 7\n" {
 			t.Errorf("%s: runs with %s", name, state)
 		}
-		if engine.shadow["a"] == nil || engine.ran["b"] == nil {
+		if engine.shadows["a"] == nil || engine.active["b"] == nil {
 			t.Errorf("%s: not all versions run", name)
 		}
 	}
 }
 
-// A notice goes out as a signed webhook.
+// A notice is sent as a signed webhook.
 func TestSentNoticeIsAsBefore(t *testing.T) {
 	key, err := signing.ParseKey("whsec_MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw")
 	if err != nil {
@@ -143,43 +156,60 @@
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	taken := make(chan string, 1)
+	accepted := make(chan string, 1)
 	server := &http1.Server{Handler: http1.HandlerFunc(func(_ *http1.Conn, r *http1.Request) *http1.Response {
 		written := fmt.Sprintf("%s %s\n", r.Method, r.Target)
 		for _, name := range []string{"User-Agent", "Content-Type", "webhook-id"} {
 			written += fmt.Sprintf("%s: %s\n", name, r.Header.Get(name))
 		}
-		taken <- written + "\n" + string(r.Body) + "\n"
+		accepted <- written + "\n" + string(r.Body) + "\n"
 		return &http1.Response{Status: 204}
 	})}
 	go server.Serve(listener)
 	defer server.Cut()
-	notifier := NewNotifier("c1", []Target{{Name: "ops", Address: listener.Addr().String(), Path: "/n", Key: key}}, clock.System(), zerolog.Nop())
+	target := Target{Name: "ops", Address: listener.Addr().String(), Path: "/n", Key: key}
+	notifier := NewNotifier("c1", []Target{target}, clock.System(), zerolog.Nop())
 	defer notifier.Close()
-	if err := notifier.send(note{hookadvice.Notice{Script: "a", Target: "ops", Text: `lost "3" <of> 4`}, "note_1", time.Unix(1700000000, 5e8)}); err != nil {
+	notice := hookadvice.Notice{Script: "a", Target: "ops", Text: `lost "3" <of> 4`}
+	if err := notifier.send(queuedNotice{notice, "note_1", time.Unix(1700000000, 5e8)}); err != nil {
 		t.Fatal(err)
 	}
-	goldenfile.Compare(t, "notice.txt", []byte(<-taken))
+	goldenfile.Compare(t, "notice.txt", []byte(<-accepted))
 }
 
-// Operators are shown scripts, and the advice that stands.
+// Operators see scripts, and the advice that holds.
 func TestOverviewIsAsBefore(t *testing.T) {
 	now := 10 * time.Second
 	overview := Overview{
 		Scripts: []Shown{
-			{Name: "a", Status: "open", Live: 1, Digest: "sha256:00", Before: 2, Shadow: 3, Points: []string{"ended"}, Tally: Tally{Runs: 4, Faults: 5, Fuel: 6, Differ: 7, Skipped: 8},
-				Trial: &Tally{Runs: 9}, Fault: "raised", State: "state n int = 1\n", BackInS: 1.5},
+			{
+				Name:    "a",
+				Status:  "open",
+				Live:    1,
+				Digest:  "sha256:00",
+				Before:  2,
+				Shadow:  3,
+				Points:  []string{"ended"},
+				Tally:   Tally{Runs: 4, Faults: 5, Fuel: 6, Differ: 7, Skipped: 8},
+				Trial:   &Tally{Runs: 9},
+				Fault:   "raised",
+				State:   "state n int = 1\n",
+				BackInS: 1.5,
+			},
 			{Name: "b", Status: "empty"},
 		},
 		Standing: []string{
-			standing(hookadvice.KeepWarm{Function: "resize", Copies: 2, Until: now + 90*time.Second}, now),
-			standing(hookadvice.RankWorker{Worker: "w1", Rank: -1, Until: now + time.Second}, now),
-			standing(hookadvice.Tenants{By: map[string]hookadvice.Tenant{"t": {Weight: 0.5, MaxOpenCalls: 3}, "s": {}}}, now),
-			standing(hookadvice.Tenants{}, now),
+			showStanding(hookadvice.KeepWarm{Function: "resize", Copies: 2, Until: now + 90*time.Second}, now),
+			showStanding(hookadvice.RankWorker{Worker: "w1", Rank: -1, Until: now + time.Second}, now),
+			showStanding(hookadvice.Tenants{By: map[string]hookadvice.Tenant{"t": {Weight: 0.5, MaxOpenCalls: 3}, "s": {}}}, now),
+			showStanding(hookadvice.Tenants{}, now),
 		},
 		Posted: 1, Dropped: 2, Waiting: 3, Taken: 4, Refused: 5, Over: 6, Aside: 7,
 	}
-	for name, overview := range map[string]Overview{"overview.json": overview, "overview_empty.json": {Scripts: []Shown{}, Standing: []string{}}} {
+	for name, overview := range map[string]Overview{
+		"overview.json":       overview,
+		"overview_empty.json": {Scripts: []Shown{}, Standing: []string{}},
+	} {
 		written, err := json.Marshal(overview)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/hookengine/notify_test.go
+++ b/internal/hookengine/notify_test.go
@@ -15,8 +15,8 @@
 	"kitehub/internal/signing"
 )
 
-// A notice is signed, tried again under its id until it is taken, and one for nobody is counted.
-func TestNotifier(t *testing.T) {
+// A notice is signed, and sent again under the same id until it is accepted; one without a target is counted.
+func TestNoticeIsSentUntilAccepted(t *testing.T) {
 	key, err := signing.ParseKey("whsec_MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw")
 	if err != nil {
 		t.Fatal(err)
@@ -27,8 +27,8 @@
 	}
 	var mu sync.Mutex
 	var ids []string
-	taken := make(chan string, 10)
-	srv := &http1.Server{Handler: http1.HandlerFunc(func(c *http1.Conn, r *http1.Request) *http1.Response {
+	accepted := make(chan string, 10)
+	srv := &http1.Server{Handler: http1.HandlerFunc(func(_ *http1.Conn, r *http1.Request) *http1.Response {
 		mu.Lock()
 		defer mu.Unlock()
 		m := signing.Message{ID: r.Header.Get("webhook-id"), Stamp: r.Header.Get("webhook-timestamp"), Body: r.Body}
@@ -38,23 +38,24 @@
 		if ids = append(ids, m.ID); len(ids) < 3 {
 			return &http1.Response{Status: 500}
 		}
-		taken <- string(r.Body)
+		accepted <- string(r.Body)
 		return &http1.Response{Status: 204}
 	})}
 	go srv.Serve(ln)
 	defer srv.Cut()
 	defer ln.Close()
-	n := NewNotifier("c", []Target{{Name: "ops", Address: ln.Addr().String(), Path: "/n", Key: key}}, clock.System(), zerolog.Nop())
+	target := Target{Name: "ops", Address: ln.Addr().String(), Path: "/n", Key: key}
+	n := NewNotifier("c", []Target{target}, clock.System(), zerolog.Nop())
 	defer n.Close()
 	n.Notify(hookadvice.Notice{Script: "a", Target: "nobody", Text: "x"})
 	n.Notify(hookadvice.Notice{Script: "a", Target: "ops", Text: "lost 3"})
 	select {
-	case got := <-taken:
+	case got := <-accepted:
 		if !strings.Contains(got, `"type":"hook.notice"`) || !strings.Contains(got, `"text":"lost 3"`) {
 			t.Error(got)
 		}
 	case <-time.After(20 * time.Second):
-		t.Fatal("not taken")
+		t.Fatal("not delivered")
 	}
 	mu.Lock()
 	defer mu.Unlock()
