--- /dev/null
+++ b/internal/ingress/bind_test.go
@@ -0,0 +1,146 @@
+package ingress
+
+import (
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"kitehub/internal/clock"
+	"kitehub/internal/gateway"
+	"kitehub/internal/registry"
+	"kitehub/scheduler"
+)
+
+// fakeModels binds every alias to one version, with one verdict, and counts the bindings that have not ended.
+type fakeModels struct {
+	verdict registry.Verdict
+	bound   int
+}
+
+func (m *fakeModels) Bind(model *gateway.Function, _ string) (
+	*gateway.Function, gateway.VersionBinding, registry.Verdict,
+) {
+	if m.verdict == registry.May {
+		m.bound++
+	}
+	return model, gateway.VersionBinding{}, m.verdict
+}
+
+func (m *fakeModels) Unbind(gateway.VersionBinding, bool, bool) { m.bound-- }
+
+func (m *fakeModels) Begin(gateway.VersionBinding) (func(), time.Duration, registry.Verdict) {
+	return func() {}, 0, m.verdict
+}
+
+// run runs a call whose attempts end with the given answers, one after the other, and returns the answer delivered and
+// whether the binding is released only when that has been written.
+func run(t *testing.T, models *fakeModels, idempotency scheduler.Idempotency, clientClosed bool, ends ...gateway.Answer) (
+	delivered gateway.Answer, releasedLater bool, restarts int64,
+) {
+	t.Helper()
+	counter := &atomic.Int64{}
+	binder := &Binder{
+		Models:      models,
+		Idempotency: func(int) scheduler.Idempotency { return idempotency },
+		Clock:       clock.NewManual(time.Unix(1000, 0)),
+		Restarts:    counter,
+	}
+	deliveries := 0
+	binder.Run(&BoundCall{
+		Model: &gateway.Function{Name: "m", Versions: true},
+		Alias: DefaultAlias,
+		Final: binder.Clock.Now() + time.Second,
+		Submit: func(call *gateway.Call) {
+			end := ends[0]
+			ends = ends[1:]
+			call.Deliver(end)
+		},
+		ClientClosed: func() bool { return clientClosed },
+		Deliver: func(a gateway.Answer, _ *gateway.VersionBinding, release func()) {
+			deliveries++
+			delivered = a
+			if release != nil {
+				releasedLater = models.bound > 0
+				release()
+			}
+		},
+	})
+	if deliveries != 1 {
+		t.Errorf("%d answers are delivered, want 1", deliveries)
+	}
+	if models.bound != 0 {
+		t.Errorf("%d bindings are left", models.bound)
+	}
+	return delivered, releasedLater, counter.Load()
+}
+
+func TestServedAnswerHoldsItsVersionUntilWritten(t *testing.T) {
+	models := &fakeModels{verdict: registry.May}
+	answer, releasedLater, _ := run(t, models, scheduler.Idempotent, false, gateway.Answer{Kind: gateway.Served})
+	if answer.Kind != gateway.Served || !releasedLater {
+		t.Errorf("answer %+v, released later: %v", answer, releasedLater)
+	}
+}
+
+func TestCallWithoutVersionIsRejected(t *testing.T) {
+	answer, _, _ := run(t, &fakeModels{verdict: registry.Unknown}, scheduler.Idempotent, false)
+	if answer.Kind != gateway.Rejected || answer.Verdict != registry.Unknown {
+		t.Errorf("unknown alias: %+v", answer)
+	}
+	answer, _, _ = run(t, &fakeModels{verdict: registry.NoLease}, scheduler.Idempotent, false)
+	if answer.Kind != gateway.Rejected || answer.Verdict != registry.NoLease || answer.RetryAfter == 0 {
+		t.Errorf("no lease: %+v", answer)
+	}
+}
+
+// What becomes of a call whose alias moves depends on whether to execute it again does harm.
+func TestCallWhoseAliasMoves(t *testing.T) {
+	served := gateway.Answer{Kind: gateway.Served}
+	moved := gateway.Answer{Kind: gateway.Superseded, Verdict: registry.Left}
+	movedAfterRun := gateway.Answer{Kind: gateway.Superseded, Verdict: registry.Left, MayHaveRun: true}
+	tests := []struct {
+		name         string
+		idempotency  scheduler.Idempotency
+		clientClosed bool
+		ends         []gateway.Answer
+		want         gateway.Answer
+		wantRestarts int64
+	}{
+		{"never ran", scheduler.NonIdempotent, false, []gateway.Answer{moved, served}, served, 1},
+		{"idempotent", scheduler.Idempotent, false, []gateway.Answer{movedAfterRun, served}, served, 1},
+		{"may have run", scheduler.NonIdempotent, false, []gateway.Answer{movedAfterRun},
+			gateway.Answer{Kind: gateway.Failed, Verdict: registry.Left}, 0},
+		{"its client has left", scheduler.Idempotent, true, []gateway.Answer{moved},
+			gateway.Answer{Kind: gateway.Rejected, Verdict: registry.Left}, 0},
+	}
+	for _, tt := range tests {
+		t.Run(tt.name, func(t *testing.T) {
+			models := &fakeModels{verdict: registry.May}
+			got, _, restarts := run(t, models, tt.idempotency, tt.clientClosed, tt.ends...)
+			if got.Kind != tt.want.Kind || got.Verdict != tt.want.Verdict || restarts != tt.wantRestarts {
+				t.Errorf("%+v after %d restarts, want %+v after %d", got, restarts, tt.want, tt.wantRestarts)
+			}
+		})
+	}
+}
+
+// A retry of a call that its client left executes it again only if that does no harm.
+func TestRetryVerdict(t *testing.T) {
+	left := gateway.Answer{Kind: gateway.ClientClosed}
+	leftAfterRun := gateway.Answer{Kind: gateway.ClientClosed, MayHaveRun: true}
+	for _, tt := range []struct {
+		name        string
+		answer      gateway.Answer
+		idempotency scheduler.Idempotency
+		want        gateway.AnswerKind
+	}{
+		{"never ran", left, scheduler.NonIdempotent, gateway.Rejected},
+		{"idempotent", leftAfterRun, scheduler.Idempotent, gateway.Rejected},
+		{"may have run", leftAfterRun, scheduler.NonIdempotent, gateway.ClientClosed},
+		{"served", gateway.Answer{Kind: gateway.Served}, scheduler.Idempotent, gateway.Served},
+	} {
+		if got := RetryVerdict(tt.answer, tt.idempotency).Kind; got != tt.want {
+			t.Errorf("%s: %v, want %v", tt.name, got, tt.want)
+		}
+	}
+}
