--- a/internal/backend/attempt_test.go
+++ b/internal/backend/attempt_test.go
@@ -30,6 +30,7 @@
 	}
 	empty503 := "HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n"
 	empty404 := "HTTP/1.1 404 X\r\nContent-Length: 0\r\n\r\n"
+	tooMuchOutput := strings.Replace(served, `size":2`, `size":9`, 1)
 	fullInText := "HTTP/1.1 503 X\r\nContent-Type: text/plain\r\nContent-Length: 4\r\n\r\nfull"
 	tests := []struct {
 		name   string
@@ -47,7 +48,7 @@
 		{"full in words only", answerWith(fullInText), scheduler.Error},
 		{"error", answerWith("HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n"), scheduler.Error},
 		{"200 with no output", answerWith("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"), scheduler.Error},
-		{"200 with more output than body", answerWith(strings.Replace(served, `size":2`, `size":9`, 1)), scheduler.Error},
+		{"200 with more output than body", answerWith(tooMuchOutput), scheduler.Error},
 		{"closed without an answer", answerAndClose(""), scheduler.Reset},
 		{"reset without an answer", reset, scheduler.Reset},
 		{"reset within the answer", resetAfterHalf, scheduler.Reset},
--- a/internal/backend/exchange_test.go
+++ b/internal/backend/exchange_test.go
@@ -42,7 +42,8 @@
 			if r := infer(b, time.Second); r.Outcome != scheduler.NotStarted {
 				t.Errorf("afterwards: outcome %v, want NotStarted", r.Outcome)
 			}
-			if outcome, _ := loadCopies(b, LoadOrder{Worker: 1, Function: "f", Copies: 1}); outcome != scheduler.NotStarted {
+			outcome, _ := loadCopies(b, LoadOrder{Worker: 1, Function: "f", Copies: 1})
+			if outcome != scheduler.NotStarted {
 				t.Errorf("load order: outcome %v, want NotStarted", outcome)
 			}
 			if n := w.count(); n != 0 {
--- a/internal/backend/frame/backend.go
+++ b/internal/backend/frame/backend.go
@@ -22,7 +22,7 @@
 	Streams  int              // exchanges in flight on one connection, at most
 	Conns    int              // connections to all workers, at most
 	MostBody int              // bytes of an answer's body, at most
-	Patience time.Duration    // silence after which a busy connection gets a ping, and longest wait for the answer to it
+	Patience time.Duration    // silence after which a busy connection gets a ping, and as long again for its answer
 	Forget   time.Duration    // no answer comes later than this after its exchange has ended
 	Order    time.Duration    // longest wait for the answer to a load order
 	Report   []scheduler.ReportField
--- a/internal/backend/frame/conn.go
+++ b/internal/backend/frame/conn.go
@@ -33,7 +33,7 @@
 	endedAt   map[uint64]time.Duration // ids of exchanges that have ended, to which answers may still come
 	sweptAt   time.Duration            // when endedAt was last swept
 	lastUsed  time.Duration            // when an exchange last began or ended
-	lastHeard time.Duration            // when a complete frame last came, or, if later, the first exchange in flight began
+	lastHeard time.Duration            // when a complete frame last came, or, if later, the first in flight began
 	pingedAt  time.Duration            // when the ping was sent that is not answered yet; 0: there is none
 	closed    bool                     // no exchange may start
 	started   int                      // exchanges
--- a/internal/backend/load_test.go
+++ b/internal/backend/load_test.go
@@ -28,7 +28,11 @@
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	}
 	loaded := strings.Replace(ok(""), "OK\r\n", "OK\r\nendpoint-load-metrics: TEXT named_metrics.copies=2\r\n", 1)
-	index := ok(`[{"name":"g","state":"READY"},{"name":"f","state":"READY","copies":3},{"name":"h","state":"UNAVAILABLE"}]`)
+	index := ok(`[
+		{"name":"g","state":"READY"},
+		{"name":"f","state":"READY","copies":3},
+		{"name":"h","state":"UNAVAILABLE"}
+	]`)
 	tests := []struct {
 		name       string
 		answer     string
--- a/internal/blobfetch/fetch_test.go
+++ b/internal/blobfetch/fetch_test.go
@@ -47,13 +47,13 @@
 		{"good", []fakeworker.BlobFault{good, good}, 0, nil, []int{1, 0}},
 		{"missing at the first", []fakeworker.BlobFault{none, good}, 1, nil, []int{1, 1}},
 		{"truncated, resumed at the other", []fakeworker.BlobFault{truncate, good}, 1, nil, []int{1, 1}},
-		{"truncated everywhere, resumed until complete", []fakeworker.BlobFault{truncate, truncate}, -2, nil, []int{60, 60}},
+		{"truncated everywhere, resumed", []fakeworker.BlobFault{truncate, truncate}, -2, nil, []int{60, 60}},
 		{"swapped", []fakeworker.BlobFault{swapped, good}, 1, nil, []int{1, 1}},
 		{"extended", []fakeworker.BlobFault{extended, good}, 1, nil, []int{1, 1}},
 		{"rotten", []fakeworker.BlobFault{rotten, good}, 1, nil, []int{1, 1}},
 		{"bytes after the length", []fakeworker.BlobFault{long, none}, 0, nil, []int{1, 0}},
-		{"truncated, then rotten: each sends all by itself", []fakeworker.BlobFault{truncate, rotten, good}, 2, nil, []int{60, 2, 2}},
-		{"a mismatch everywhere", []fakeworker.BlobFault{swapped, rotten, extended}, -1, blobfetch.ErrMismatch, []int{1, 1, 1}},
+		{"truncated, then rotten: each by itself", []fakeworker.BlobFault{truncate, rotten, good}, 2, nil, []int{60, 2, 2}},
+		{"mismatch everywhere", []fakeworker.BlobFault{swapped, rotten, extended}, -1, blobfetch.ErrMismatch, []int{1, 1, 1}},
 		{"missing everywhere", []fakeworker.BlobFault{none, none}, -1, blobfetch.ErrExhausted, []int{60, 60}},
 	}
 	for _, tt := range tests {
--- a/internal/hookengine/golden_test.go
+++ b/internal/hookengine/golden_test.go
@@ -180,6 +180,7 @@
 // Operators see scripts, and the advice that holds.
 func TestOverviewIsAsBefore(t *testing.T) {
 	now := 10 * time.Second
+	tenants := map[string]hookadvice.Tenant{"t": {Weight: 0.5, MaxOpenCalls: 3}, "s": {}}
 	overview := Overview{
 		Scripts: []Shown{
 			{
@@ -201,7 +202,7 @@
 		Standing: []string{
 			showStanding(hookadvice.KeepWarm{Function: "resize", Copies: 2, Until: now + 90*time.Second}, now),
 			showStanding(hookadvice.RankWorker{Worker: "w1", Rank: -1, Until: now + time.Second}, now),
-			showStanding(hookadvice.Tenants{By: map[string]hookadvice.Tenant{"t": {Weight: 0.5, MaxOpenCalls: 3}, "s": {}}}, now),
+			showStanding(hookadvice.Tenants{By: tenants}, now),
 			showStanding(hookadvice.Tenants{}, now),
 		},
 		Posted: 1, Dropped: 2, Waiting: 3, Taken: 4, Refused: 5, Over: 6, Aside: 7,
--- a/internal/hookengine/lifecycle.go
+++ b/internal/hookengine/lifecycle.go
@@ -115,7 +115,8 @@
 // was quarantined is rejected with ErrQuarantined.
 func (l *Lifecycle) Load(name, text, from string, shadow bool) (uint64, error) {
 	if !scriptName.MatchString(name) {
-		return 0, fmt.Errorf("hooks: %q is no name of a script: lower case letters, digits, dots, dashes, at most 64", name)
+		return 0, fmt.Errorf("hooks: %q is no name of a script: "+
+			"lower case letters, digits, dots, dashes, at most 64", name)
 	}
 	s, err := l.findOrAdd(name)
 	if err != nil {
--- a/internal/hookengine/lifecycle_test.go
+++ b/internal/hookengine/lifecycle_test.go
@@ -118,7 +118,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := l.Promote("a", false); !errors.Is(err, ErrTrialTooShort) || !strings.Contains(err.Error(), "0 runs of 3") {
+	err = l.Promote("a", false)
+	if !errors.Is(err, ErrTrialTooShort) || !strings.Contains(err.Error(), "0 runs of 3") {
 		t.Errorf("before its trial: %v", err)
 	}
 	for range 3 {
--- a/internal/http1/conn.go
+++ b/internal/http1/conn.go
@@ -43,7 +43,8 @@
 	c.allocate(read)
 	for wait := c.limits.FirstByte; ; wait = c.limits.Idle {
 		c.SetReadDeadline(time.Now().Add(wait))
-		if c.leave(nil) || c.server.stopping() { // only now: the deadline could have overwritten that of Drain or Detach
+		// Asked only now: the deadline could have overwritten that of Drain or Detach.
+		if c.leave(nil) || c.server.stopping() {
 			return
 		}
 		if _, err := c.buf.Peek(1); err != nil {
--- a/internal/http1/server_test.go
+++ b/internal/http1/server_test.go
@@ -69,9 +69,12 @@
 	t.Run("pipelining and keep-alive", func(t *testing.T) {
 		c, br := dial(t, addr)
 		for range 2 {
-			io.WriteString(c, "POST /1 HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\n\r\naGET /2 HTTP/1.1\r\nHost: a\r\n\r\nPOST /3 HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nc\r\n0\r\n\r\n")
+			io.WriteString(c, "POST /1 HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\n\r\na"+
+				"GET /2 HTTP/1.1\r\nHost: a\r\n\r\n"+
+				"POST /3 HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nc\r\n0\r\n\r\n")
 			for i, want := range []string{"a", "", "c"} {
-				if resp := read(t, br); string(resp.Body) != want || resp.Header.Get("X-Path") != fmt.Sprintf("/%d", i+1) {
+				resp := read(t, br)
+				if string(resp.Body) != want || resp.Header.Get("X-Path") != fmt.Sprintf("/%d", i+1) {
 					t.Errorf("answer %d: %q", i, resp.Body)
 				}
 			}
@@ -98,7 +101,8 @@
 	})
 	t.Run("HEAD", func(t *testing.T) {
 		c, br := dial(t, addr)
-		io.WriteString(c, "HEAD /h HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabcGET /n HTTP/1.1\r\nHost: a\r\n\r\n")
+		io.WriteString(c, "HEAD /h HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabc"+
+			"GET /n HTTP/1.1\r\nHost: a\r\n\r\n")
 		l := Limits{}.Filled()
 		resp, err := ReadResponse(br, &l, "HEAD")
 		if err != nil || resp.Header.Get("Content-Length") != "3" {
@@ -110,7 +114,8 @@
 	})
 	t.Run("close", func(t *testing.T) {
 		c, br := dial(t, addr)
-		io.WriteString(c, "GET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\nGET /never HTTP/1.1\r\nHost: a\r\n\r\n")
+		io.WriteString(c, "GET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"+
+			"GET /never HTTP/1.1\r\nHost: a\r\n\r\n")
 		if resp := read(t, br); !resp.Close {
 			t.Error("not told to close")
 		}
@@ -120,7 +125,8 @@
 	})
 	t.Run("doubt closes", func(t *testing.T) {
 		c, br := dial(t, addr)
-		io.WriteString(c, "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\nContent-Length: 1\r\n\r\naGET /smuggled HTTP/1.1\r\nHost: a\r\n\r\n")
+		io.WriteString(c, "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\nContent-Length: 1\r\n\r\na"+
+			"GET /smuggled HTTP/1.1\r\nHost: a\r\n\r\n")
 		if resp := read(t, br); resp.Status != 400 || !resp.Close {
 			t.Errorf("%d close %v", resp.Status, resp.Close)
 		}
@@ -129,7 +135,8 @@
 		}
 	})
 	t.Run("a client of net/http", func(t *testing.T) {
-		resp, err := http.Post("http://"+addr+"/go", "text/plain", io.MultiReader(strings.NewReader("chu"), strings.NewReader("nked")))
+		body := io.MultiReader(strings.NewReader("chu"), strings.NewReader("nked")) // of unknown length
+		resp, err := http.Post("http://"+addr+"/go", "text/plain", body)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/ingress/bind_test.go
+++ b/internal/ingress/bind_test.go
@@ -34,9 +34,9 @@
 
 // run runs a call whose attempts end with the given answers, one after the other, and returns the answer delivered and
 // whether the binding is released only when that has been written.
-func run(t *testing.T, models *fakeModels, idempotency scheduler.Idempotency, clientClosed bool, ends ...gateway.Answer) (
-	delivered gateway.Answer, releasedLater bool, restarts int64,
-) {
+func run(
+	t *testing.T, models *fakeModels, idempotency scheduler.Idempotency, clientClosed bool, ends ...gateway.Answer,
+) (delivered gateway.Answer, releasedLater bool, restarts int64) {
 	t.Helper()
 	counter := &atomic.Int64{}
 	binder := &Binder{
--- a/internal/ingress/jsonrpc/golden_test.go
+++ b/internal/ingress/jsonrpc/golden_test.go
@@ -110,7 +110,8 @@
 		defer nc.Close()
 		br := bufio.NewReader(nc)
 		for _, answer := range []string{
-			`{"jsonrpc":"2.0","method":"lost","params":{"events":2}}` + "\n" + `{"jsonrpc":"2.0","id":1,"result":{"open":3}}` + "\n",
+			`{"jsonrpc":"2.0","method":"lost","params":{"events":2}}` + "\n" +
+				`{"jsonrpc":"2.0","id":1,"result":{"open":3}}` + "\n",
 			`{"jsonrpc":"2.0","id":2,"error":{"code":-32010,"message":"m","data":{"outcome":"refused"}}}` + "\n",
 		} {
 			line, err := br.ReadString('\n')
--- a/internal/ingress/msgpackrpc/message_test.go
+++ b/internal/ingress/msgpackrpc/message_test.go
@@ -81,7 +81,8 @@
 			}
 			m, err := decode(r)
 			if tt.malformed != errors.Is(err, errFrame) || !tt.malformed && err != nil {
-				t.Errorf("%s, single bytes %v: error %v, want one of framing: %v", tt.name, singleBytes, err, tt.malformed)
+				t.Errorf("%s, single bytes %v: error %v, want one of framing: %v",
+					tt.name, singleBytes, err, tt.malformed)
 			}
 			if err == nil && m.fault != tt.fault {
 				t.Errorf("%s, single bytes %v: fault %q, want %q", tt.name, singleBytes, m.fault, tt.fault)
--- a/internal/ingress/webhook/front.go
+++ b/internal/ingress/webhook/front.go
@@ -85,9 +85,10 @@
 	mu       sync.Mutex
 	guard    *replayguard.Guard
 	inFlight map[replayguard.Key]*inFlightCall
-	resumed  chan struct{}                             // closed when the present pause ends; nil: there is none
-	passed   bool                                      // a successor serves all further requests
-	onEnd    func(replayguard.Key, replayguard.Answer) // notified of calls that end, for a successor; nil: there is none
+	resumed  chan struct{} // closed when the present pause ends; nil: there is none
+	passed   bool          // a successor serves all further requests
+	// onEnd is notified of calls that end, for a successor; nil if there is none.
+	onEnd func(replayguard.Key, replayguard.Answer)
 }
 
 // New returns a front. Its watermark is on disk then; it is an error if that cannot be written or read.
