--- a/cmd/kitehub/serve.go
+++ b/cmd/kitehub/serve.go
@@ -7,7 +7,6 @@
 	"os"
 	"os/signal"
 	"path/filepath"
-	"strconv"
 	"syscall"
 	"time"
 
@@ -213,7 +212,7 @@
 		return err
 	}
 	if file := d.GetPidFile(); file != "" {
-		if err := os.WriteFile(file, []byte(strconv.Itoa(os.Getpid())+"\n"), 0o644); err != nil {
+		if err := daemon.ReplacePID(file, os.Getpid()); err != nil {
 			return err
 		}
 	}
