--- a/config/functions.go
+++ b/config/functions.go
@@ -61,11 +61,11 @@
 		MemoryMB: fn.MemoryMb,
 		Lanes:    fn.Lanes,
 		LoadTime: ms(fn.LoadMs),
-		Most:     int(fn.Most),
+		MaxNames: int(fn.Most),
 		Versions: fn.Versions,
 	}
-	if spec.Most == 0 {
-		spec.Most = defaultMaxNames
+	if spec.MaxNames == 0 {
+		spec.MaxNames = defaultMaxNames
 	}
 	return spec
 }
--- a/config/registry.go
+++ b/config/registry.go
@@ -30,7 +30,7 @@
 		return nil, err
 	}
 	b := &BuiltRegistry{Listen: c.Listen, StateDir: c.StateDir, MaxConnections: int(c.MaxConnections), MaxAgeMS: c.PastMs,
-		Service: service.Config{Every: int(c.SnapshotEvery), Hold: ms(c.HoldMs), Settings: registry.Settings{LeaseDuration: ms(c.LeaseMs), MaxClockDrift: c.Drift, SettleTimeout: ms(c.SettleMs),
+		Service: service.Config{SnapshotInterval: int(c.SnapshotEvery), LongPoll: ms(c.HoldMs), Settings: registry.Settings{LeaseDuration: ms(c.LeaseMs), MaxClockDrift: c.Drift, SettleTimeout: ms(c.SettleMs),
 			StagingTimeout: ms(c.StagingMs), Retention: ms(c.KeepMs), ErrorWatch: ms(c.WatchMs), MinCalls: int(c.LeastCalls), MaxErrorIncrease: c.Worse, MaxModels: int(c.Models),
 			MaxVersions: int(c.Versions), MaxAliases: int(c.Aliases), MaxControllers: int(c.Controllers), MaxRemembered: int(c.Remembered)}}}
 	if 3*c.HoldMs > c.LeaseMs {
--- a/config/settings.go
+++ b/config/settings.go
@@ -19,7 +19,7 @@
 	reportFields = map[Field]scheduler.ReportField{
 		Field_IN_FLIGHT:  scheduler.FieldInFlight,
 		Field_QUEUE:      scheduler.FieldQueue,
-		Field_UTIL:       scheduler.FieldUtil,
+		Field_UTIL:       scheduler.FieldUtilization,
 		Field_LATENCY_MS: scheduler.FieldLatencyMS,
 		Field_RATE:       scheduler.FieldRate,
 		Field_ERROR_RATE: scheduler.FieldErrorRate,
@@ -88,8 +88,8 @@
 		BudgetFree:          l.Free,
 		BudgetRatio:         l.Ratio,
 		IdlePrice:           l.IdlePrice,
-		LoadNotesGiven:      l.WarmNotes,
-		SameFunctionCounted: l.CountsAlike,
+		ReportsLoadNotes:    l.WarmNotes,
+		ReportsSameFunction: l.CountsAlike,
 	}
 }
 
--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -22,26 +22,26 @@
 	Body     []byte
 	Timeout  time.Duration // for the whole attempt, the dial included
 
-	// Wanted is called just before the first byte is sent; if it returns false the attempt ends as NotStarted. Nil
+	// MayStart is called just before the first byte is sent; if it returns false the attempt ends as NotStarted. Nil
 	// stands for true. It must not block.
-	Wanted func() bool
+	MayStart func() bool
 }
 
 // A Result is how an attempt ended.
 type Result struct {
-	Outcome scheduler.Outcome
-	Took    time.Duration
-	Note    scheduler.LoadNote // what the worker says of the function's load
-	Alike   int                // calls of the same function in flight at the worker, as it says
-	Report  []float64          // load report, in the order of Config.Fields; nil if there was none
-	Body    []byte             // the answer, if Outcome is OK
-	Digest  string             // of the bytes that ran, as the worker says
-	Status  int                // of the worker's answer; 0 if there was none
+	Outcome      scheduler.Outcome
+	Took         time.Duration
+	Note         scheduler.LoadNote // what the worker says of the function's load
+	SameFunction int                // calls of the same function in flight at the worker, as it says
+	Report       []float64          // load report, in the order of Config.Fields; nil if there was none
+	Body         []byte             // the answer, if Outcome is OK
+	Digest       string             // of the bytes that ran, as the worker says
+	Status       int                // of the worker's answer; 0 if there was none
 }
 
 // Send starts an attempt. done is called once, on a goroutine of its own.
 func (b *Backend) Send(a Attempt, done func(Result)) Running {
-	x := &exchange{wanted: a.Wanted}
+	x := &exchange{wanted: a.MayStart}
 	go func() { done(b.infer(x, a)) }()
 	return x
 }
@@ -61,7 +61,7 @@
 	result.Digest = resp.Header.Get(HeaderDigest)
 	report := parseLoadReport(resp.Header.Get(HeaderLoad))
 	result.Report = report.values(b.cfg.Fields)
-	result.Alike = int(report.named["alike"])
+	result.SameFunction = int(report.named["alike"])
 	result.Note = report.loadNote()
 	if resp.Status != http.StatusOK {
 		result.Outcome = problemOutcome(resp)
--- a/internal/backend/attempt_test.go
+++ b/internal/backend/attempt_test.go
@@ -73,7 +73,7 @@
 
 func TestServedResultHasBodyAndLoadReport(t *testing.T) {
 	r := infer(start(t, startWorker(t, answerWith(served)).addr, nil), 5*time.Second)
-	if r.Outcome != scheduler.OK || string(r.Body) != "ok" || r.Note != scheduler.FoundWarm || r.Alike != 2 {
+	if r.Outcome != scheduler.OK || string(r.Body) != "ok" || r.Note != scheduler.FoundWarm || r.SameFunction != 2 {
 		t.Errorf("%q %+v", r.Body, r)
 	}
 	if len(r.Report) != 2 || r.Report[0] != 3 || r.Report[1] != 0.5 {
--- a/internal/backend/exchange_test.go
+++ b/internal/backend/exchange_test.go
@@ -104,7 +104,7 @@
 	b := start(t, w.addr, nil)
 	results := make(chan Result)
 	unwanted := attempt(time.Second)
-	unwanted.Wanted = func() bool { return false }
+	unwanted.MayStart = func() bool { return false }
 	b.Send(unwanted, func(r Result) { results <- r })
 	if r := <-results; r.Outcome != scheduler.NotStarted || w.count() != 0 {
 		t.Errorf("outcome %v, %d requests reached the worker", r.Outcome, w.count())
--- a/internal/backend/frame/attempt.go
+++ b/internal/backend/frame/attempt.go
@@ -84,7 +84,7 @@
 
 // dial opens a connection, sends the attempt on it, and then reads it until it ends.
 func (a *attempt) dial(w *worker) {
-	ctx, cancel := context.WithTimeout(context.Background(), min(a.backend.cfg.Within, a.timeout))
+	ctx, cancel := context.WithTimeout(context.Background(), min(a.backend.cfg.DialTimeout, a.timeout))
 	defer cancel()
 	a.mu.Lock()
 	a.cancelDial = cancel
--- a/internal/backend/frame/attempt_test.go
+++ b/internal/backend/frame/attempt_test.go
@@ -30,7 +30,7 @@
 	addr, commands := startRecorder(t, ignore)
 	b = start(t, addr, nil)
 	unwanted := newCall(3)
-	unwanted.Wanted = func() bool { return false }
+	unwanted.MayStart = func() bool { return false }
 	if r := run(b, unwanted); r.Outcome != scheduler.NotStarted {
 		t.Errorf("unwanted: %v", r.Outcome)
 	}
@@ -181,7 +181,7 @@
 	})
 	b := start(t, addr, func(c *Config) {
 		c.Conns = 1
-		c.MostBody = 2 * size
+		c.MaxBody = 2 * size
 	})
 	large := newCall(1)
 	large.Body = make([]byte, size)
@@ -238,7 +238,7 @@
 			var wanted atomic.Bool
 			wanted.Store(true)
 			call := newCall(1)
-			call.Wanted = wanted.Load
+			call.MayStart = wanted.Load
 			results := make(chan backend.Result, 1)
 			running := b.Send(call, func(r backend.Result) { results <- r })
 			<-dialling
--- a/internal/backend/frame/backend.go
+++ b/internal/backend/frame/backend.go
@@ -15,18 +15,18 @@
 
 // Config sets up a Backend.
 type Config struct {
-	Clock    clock.Clock
-	Dial     backend.DialFunc // nil for net.Dialer's
-	Within   time.Duration    // longest time for a connection to come up
-	Idle     time.Duration    // workers close connections that are idle for so long
-	Streams  int              // exchanges in flight on one connection, at most
-	Conns    int              // connections to all workers, at most
-	MostBody int              // bytes of an answer's body, at most
-	Patience time.Duration    // silence after which a busy connection gets a ping, and as long again for its answer
-	Forget   time.Duration    // no answer comes later than this after its exchange has ended
-	Order    time.Duration    // longest wait for the answer to a load order
-	Report   []scheduler.ReportField
-	Log      zerolog.Logger
+	Clock       clock.Clock
+	Dial        backend.DialFunc // nil for net.Dialer's
+	DialTimeout time.Duration    // longest time for a connection to come up
+	Idle        time.Duration    // workers close connections that are idle for so long
+	Streams     int              // exchanges in flight on one connection, at most
+	Conns       int              // connections to all workers, at most
+	MaxBody     int              // bytes of an answer's body, at most
+	PingAfter   time.Duration    // silence after which a busy connection gets a ping, and as long again for its answer
+	Forget      time.Duration    // no answer comes later than this after its exchange has ended
+	Order       time.Duration    // longest wait for the answer to a load order
+	Report      []scheduler.ReportField
+	Log         zerolog.Logger
 }
 
 // Counts are for the log and for tests.
@@ -80,7 +80,7 @@
 	cfg.Streams = max(1, cfg.Streams)
 	b := &Backend{
 		cfg:          cfg,
-		maxIdle:      maxIdleTime(cfg.Within, cfg.Idle),
+		maxIdle:      maxIdleTime(cfg.DialTimeout, cfg.Idle),
 		workers:      map[scheduler.WorkerID]*worker{},
 		maxPerWorker: max(1, cfg.Conns),
 		done:         make(chan struct{}),
@@ -95,7 +95,7 @@
 
 // watch examines all connections until Close.
 func (b *Backend) watch() {
-	ticker := time.NewTicker(max(b.cfg.Patience/checksPerPatience, time.Millisecond))
+	ticker := time.NewTicker(max(b.cfg.PingAfter/checksPerPatience, time.Millisecond))
 	defer ticker.Stop()
 	for {
 		select {
--- a/internal/backend/frame/backend_test.go
+++ b/internal/backend/frame/backend_test.go
@@ -59,16 +59,16 @@
 func start(t *testing.T, addr string, change func(*Config)) *Backend {
 	t.Helper()
 	cfg := Config{
-		Clock:    clock.System(),
-		Within:   5 * time.Second,
-		Idle:     time.Hour,
-		Streams:  100,
-		Conns:    8,
-		MostBody: 64 << 10,
-		Patience: time.Hour,
-		Forget:   time.Hour,
-		Order:    20 * time.Second,
-		Log:      zerolog.Nop(),
+		Clock:       clock.System(),
+		DialTimeout: 5 * time.Second,
+		Idle:        time.Hour,
+		Streams:     100,
+		Conns:       8,
+		MaxBody:     64 << 10,
+		PingAfter:   time.Hour,
+		Forget:      time.Hour,
+		Order:       20 * time.Second,
+		Log:         zerolog.Nop(),
 	}
 	if change != nil {
 		change(&cfg)
--- a/internal/backend/frame/check.go
+++ b/internal/backend/frame/check.go
@@ -56,7 +56,7 @@
 	case c.closed:
 		return keepConn
 	case len(c.inFlight) > 0 || c.pingedAt > 0: // a ping must be answered even if nothing is in flight any more
-		return checkSilence(now, c.lastHeard, c.pingedAt, b.cfg.Patience)
+		return checkSilence(now, c.lastHeard, c.pingedAt, b.cfg.PingAfter)
 	case now-c.lastUsed > b.maxIdle || c.worker.withdrawn.Load():
 		return closeConn
 	}
--- a/internal/backend/frame/check_test.go
+++ b/internal/backend/frame/check_test.go
@@ -41,7 +41,7 @@
 	manual := clock.NewManual(time.Unix(1e9, 0))
 	b := start(t, addr, func(c *Config) {
 		c.Clock = manual
-		c.Patience = testPatience
+		c.PingAfter = testPatience
 	})
 	return b, manual
 }
--- a/internal/backend/frame/conn.go
+++ b/internal/backend/frame/conn.go
@@ -44,7 +44,7 @@
 	return &conn{
 		Conn:      socket,
 		worker:    w,
-		out:       outbox.New(socket, b.cfg.MostBody, b.cfg.Patience),
+		out:       outbox.New(socket, b.cfg.MaxBody, b.cfg.PingAfter),
 		inFlight:  map[uint64]*exchange{},
 		endedAt:   map[uint64]time.Duration{},
 		lastUsed:  now,
@@ -123,7 +123,7 @@
 	var a answer
 	var err error
 	for {
-		if err = readAnswer(reader, b.cfg.MostBody, &a); err != nil {
+		if err = readAnswer(reader, b.cfg.MaxBody, &a); err != nil {
 			break
 		}
 		c.handle(&a)
--- a/internal/backend/frame/outcome_test.go
+++ b/internal/backend/frame/outcome_test.go
@@ -81,10 +81,10 @@
 		return fakeplatform.Reply(codeOK, command.ID, "note=booted,company=3,load=queue:2;util:0.5", "answer")
 	})
 	b := start(t, addr, func(c *Config) {
-		c.Report = []scheduler.ReportField{scheduler.FieldUtil, scheduler.FieldQueue}
+		c.Report = []scheduler.ReportField{scheduler.FieldUtilization, scheduler.FieldQueue}
 	})
 	r := run(b, newCall(1))
-	if r.Outcome != scheduler.OK || r.Note != scheduler.StartedLoad || r.Alike != 3 {
+	if r.Outcome != scheduler.OK || r.Note != scheduler.StartedLoad || r.SameFunction != 3 {
 		t.Errorf("%+v", r)
 	}
 	if len(r.Report) != 2 || r.Report[0] != 0.5 || r.Report[1] != 2 {
--- a/internal/backend/frame/placement_test.go
+++ b/internal/backend/frame/placement_test.go
@@ -71,8 +71,8 @@
 	manual := clock.NewManual(time.Unix(1e9, 0))
 	b := start(t, addr, func(c *Config) {
 		c.Clock = manual
-		c.Within = 5 * time.Second
-		c.Patience = time.Hour
+		c.DialTimeout = 5 * time.Second
+		c.PingAfter = time.Hour
 	})
 	for i, idle := range []time.Duration{0, 4 * time.Second, 6 * time.Second} {
 		manual.Advance(idle)
--- a/internal/backend/frame/send.go
+++ b/internal/backend/frame/send.go
@@ -21,7 +21,7 @@
 		return a
 	}
 	a.exchange.id = id
-	a.wanted = func() bool { return request.Wanted == nil || request.Wanted() }
+	a.wanted = func() bool { return request.MayStart == nil || request.MayStart() }
 	a.encode = func() []byte { return callFrame(id, request, request.Timeout-(b.cfg.Clock.Now()-a.begin)) }
 	a.start(request.Worker)
 	return a
@@ -49,7 +49,7 @@
 	fields := parseFields(ans.fields, b.cfg.Report)
 	result.Status = int(ans.code)
 	result.Note = fields.note
-	result.Alike = fields.sameFunction
+	result.SameFunction = fields.sameFunction
 	result.Report = fields.report
 	if o == scheduler.OK {
 		result.Body = ans.body
--- a/internal/backend/frame/worker.go
+++ b/internal/backend/frame/worker.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// Seen is what passed between this controller and a worker: the facts to compare the scheduler's estimates with.
-type Seen struct {
+// Traffic is what passed between this controller and a worker: the facts to compare the scheduler's estimates with.
+type Traffic struct {
 	Worker   scheduler.WorkerID
 	Name     string
 	Conns    int           // connections open
@@ -91,12 +91,12 @@
 }
 
 // Seen returns what passed, of the workers now listed, by number.
-func (b *Backend) Seen() []Seen {
+func (b *Backend) Seen() []Traffic {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
-	var seen []Seen
+	var seen []Traffic
 	for id, w := range b.workers {
-		seen = append(seen, Seen{
+		seen = append(seen, Traffic{
 			Worker:   id,
 			Name:     w.name,
 			Conns:    len(w.connections()),
@@ -106,6 +106,6 @@
 			Took:     time.Duration(w.traffic.took.Load()),
 		})
 	}
-	slices.SortFunc(seen, func(a, b Seen) int { return cmp.Compare(a.Worker, b.Worker) })
+	slices.SortFunc(seen, func(a, b Traffic) int { return cmp.Compare(a.Worker, b.Worker) })
 	return seen
 }
--- a/internal/backend/report.go
+++ b/internal/backend/report.go
@@ -90,7 +90,7 @@
 
 func (r loadReport) value(field scheduler.ReportField) (value float64, ok bool) {
 	switch field {
-	case scheduler.FieldUtil:
+	case scheduler.FieldUtilization:
 		value, ok = r.fields["cpu_utilization"]
 	case scheduler.FieldRate:
 		value, ok = r.fields["rps_fractional"]
--- a/internal/backend/report_test.go
+++ b/internal/backend/report_test.go
@@ -10,7 +10,7 @@
 
 func TestLoadReportIsReadInOrderOfFields(t *testing.T) {
 	fields := []scheduler.ReportField{
-		scheduler.FieldUtil,
+		scheduler.FieldUtilization,
 		scheduler.FieldInFlight,
 		scheduler.FieldRate,
 		scheduler.FieldX0,
--- a/internal/blobfetch/fetch_test.go
+++ b/internal/blobfetch/fetch_test.go
@@ -18,7 +18,7 @@
 
 const ms = time.Millisecond
 
-var settings = blobfetch.Settings{Tries: 60, Pause: ms, Longest: 4 * ms, Blame: time.Hour}
+var settings = blobfetch.Settings{MaxRequests: 60, MinBackoff: ms, MaxBackoff: 4 * ms, BlameBackoff: time.Hour}
 
 // Whatever stores do to a blob, its verified bytes are returned or none are, and stores at fault are not asked again.
 func TestFaults(t *testing.T) {
@@ -102,7 +102,7 @@
 
 // A store that gave wrong bytes is avoided, for longer each time.
 func TestBlameGrows(t *testing.T) {
-	settings := blobfetch.Settings{Tries: 9, Pause: 10 * ms, Longest: time.Hour, Blame: time.Second}
+	settings := blobfetch.Settings{MaxRequests: 9, MinBackoff: 10 * ms, MaxBackoff: time.Hour, BlameBackoff: time.Second}
 	stores := blobfetch.NewStores(settings, []string{"a", "b"})
 	now := time.Duration(0)
 	var asked []string
--- a/internal/blobfetch/plan.go
+++ b/internal/blobfetch/plan.go
@@ -20,10 +20,10 @@
 
 // Settings bound a fetch. All must be above 0.
 type Settings struct {
-	Tries   int           // requests of one fetch, to all stores together
-	Pause   time.Duration // backoff from a store after its first failure in a row; doubled with each further one
-	Longest time.Duration // bound on every backoff
-	Blame   time.Duration // backoff from a store, for all digests, after it first gave wrong bytes; doubled each time
+	MaxRequests  int           // requests of one fetch, to all stores together
+	MinBackoff   time.Duration // backoff from a store after its first failure in a row; doubled with each further one
+	MaxBackoff   time.Duration // bound on every backoff
+	BlameBackoff time.Duration // backoff from a store, for all digests, after it first gave wrong bytes; doubled each time
 }
 
 // A Fault is how a request failed.
@@ -117,7 +117,7 @@
 		return fmt.Errorf("%w: no store is named", ErrExhausted)
 	case len(p.excluded) == len(stores):
 		return fmt.Errorf("%w: %s", ErrMismatch, p.summary())
-	case p.attempts < p.stores.settings.Tries:
+	case p.attempts < p.stores.settings.MaxRequests:
 		return nil
 	case len(p.excluded) > 0:
 		return fmt.Errorf("%w: %s", ErrMismatch, p.summary())
--- a/internal/blobfetch/stores.go
+++ b/internal/blobfetch/stores.go
@@ -43,14 +43,14 @@
 func (s *Stores) backOff(store *Store, now, first time.Duration, times int, draw float64) {
 	const maxDoublings = 30 // against overflow
 	backoff := float64(first) * math.Pow(2, float64(min(times, maxDoublings)))
-	backoff = min(float64(s.settings.Longest), backoff)
+	backoff = min(float64(s.settings.MaxBackoff), backoff)
 	store.availableAt = max(store.availableAt, now+time.Duration(backoff*(0.5+draw/2)))
 }
 
 // failed backs off from a store whose request failed.
 func (s *Stores) failed(name string, now time.Duration, draw float64) {
 	if store := s.find(name); store != nil {
-		s.backOff(store, now, s.settings.Pause, store.failures, draw)
+		s.backOff(store, now, s.settings.MinBackoff, store.failures, draw)
 		store.failures++
 	}
 }
@@ -58,7 +58,7 @@
 // blame backs off from a store that gave wrong bytes. Only time ends that: no good answer does.
 func (s *Stores) blame(name string, now time.Duration, draw float64) {
 	if store := s.find(name); store != nil {
-		s.backOff(store, now, s.settings.Blame, store.blames, draw)
+		s.backOff(store, now, s.settings.BlameBackoff, store.blames, draw)
 		store.blames++
 	}
 }
--- a/internal/controller/handover_new.go
+++ b/internal/controller/handover_new.go
@@ -210,7 +210,7 @@
 		return key, false
 	}
 	if e.NotCached {
-		c.Front.Unkept(e.Key)
+		c.Front.EndedUncached(e.Key)
 	} else {
 		c.Front.Ended(e.Key, e.Answer)
 	}
--- a/internal/controller/handover_test.go
+++ b/internal/controller/handover_test.go
@@ -439,7 +439,7 @@
 	g := replayguard.NewGuard(replayguard.Settings{MaxAge: time.Minute, MaxClockSkew: time.Second, WatermarkStep: time.Second, MaxEntries: 9, MaxAnswerBytes: 99}, now, time.Time{})
 	g.Import([]replayguard.EntryState{{Key: k, Last: now.Unix() - 2, Running: true, Digest: make([]byte, 32)}}, 0, now.Unix()+5, 0)
 	g.EndedUncached(k)
-	if v, _, _ := g.Take(now, replayguard.Message{Key: k, Stamp: now.Add(-time.Second)}); v != replayguard.AnswerEvicted {
+	if v, _, _ := g.Admit(now, replayguard.Message{Key: k, Stamp: now.Add(-time.Second)}); v != replayguard.AnswerEvicted {
 		t.Errorf("verdict %v: lost is wanted, neither run again nor given", v)
 	}
 }
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -88,7 +88,7 @@
 		if i == 0 {
 			w.State = first
 		}
-		if first != scheduler.Gone {
+		if first != scheduler.Removed {
 			l = append(l, w)
 		}
 	}
--- a/internal/controller/operator.go
+++ b/internal/controller/operator.go
@@ -22,7 +22,7 @@
 	rc.Log = c.log
 	rc.Operator = operator{c}
 	rc.Deadline = c.frontConfig.Deadline
-	rc.Effect = c.frontConfig.Effect
+	rc.Effect = c.frontConfig.Idempotency
 	rc.Models = c.frontConfig.Models
 	if c.options.Predecessor != nil {
 		rc.After = c.options.Clock.Now()
--- a/internal/controller/start.go
+++ b/internal/controller/start.go
@@ -167,7 +167,7 @@
 	fc.Mark = webhook.File(b.ReplayMark)
 	fc.Functions = c.functions.Find
 	fc.Deadline = func(class int) time.Duration { return b.Settings.Classes[class].Deadline }
-	fc.Effect = func(class int) scheduler.Idempotency { return b.Settings.Classes[class].Idempotency }
+	fc.Idempotency = func(class int) scheduler.Idempotency { return b.Settings.Classes[class].Idempotency }
 	if b.RegistryAddr != "" {
 		fc.Models = c.models
 		if wrap := c.options.Models; wrap != nil {
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -62,7 +62,7 @@
 		}
 	})
 	var err error
-	d.s, _, err = service.Open(service.Config{Clock: d.clock, FS: store.Dir(t.TempDir()), Log: zerolog.Nop(), Every: 100, Hold: 100 * ms,
+	d.s, _, err = service.Open(service.Config{Clock: d.clock, FS: store.Dir(t.TempDir()), Log: zerolog.Nop(), SnapshotInterval: 100, LongPoll: 100 * ms,
 		Settings: registry.Settings{LeaseDuration: 500 * ms, MaxClockDrift: 0.01, SettleTimeout: settle, StagingTimeout: 5 * time.Second, Retention: time.Second, ErrorWatch: time.Second,
 			MinCalls: 100, MaxErrorIncrease: 0.5, MaxModels: 10, MaxVersions: 10, MaxAliases: 4, MaxControllers: 4, MaxRemembered: 1000}})
 	if err != nil {
@@ -185,7 +185,7 @@
 	if n := d.runs("unsafe-1@v1") + d.runs("unsafe-1@v2"); n != 1 {
 		t.Errorf("the unsafe call ran %d times", n)
 	}
-	if n := c.Front.Counts.Anew.Load(); n != 1 {
+	if n := c.Front.Counts.Restarted.Load(); n != 1 {
 		t.Errorf("%d calls began anew, want 1", n)
 	}
 }
--- a/internal/discovery/decode.go
+++ b/internal/discovery/decode.go
@@ -79,7 +79,7 @@
 		}
 		names[w.Name] = true
 		address := w.Network + w.Addr
-		if other, taken := nameOf[address]; taken && w.State != scheduler.Gone {
+		if other, taken := nameOf[address]; taken && w.State != scheduler.Removed {
 			return fmt.Errorf("address: %s is both %q's and %q's", w.Addr, other, w.Name)
 		}
 		nameOf[address] = w.Name
--- a/internal/discovery/dns/watcher.go
+++ b/internal/discovery/dns/watcher.go
@@ -33,11 +33,11 @@
 
 // Counts are for the log and for tests.
 type Counts struct {
-	Asked   atomic.Int64 // queries sent
-	Changed atomic.Int64 // answers with a newer list
-	Same    atomic.Int64 // answers with the list in force, or an older one
-	Unfit   atomic.Int64 // messages from the directory that do not answer the query
-	Silent  atomic.Int64 // queries without an answer in time, or interrupted
+	Queries   atomic.Int64 // queries sent
+	Updates   atomic.Int64 // answers with a newer list
+	Unchanged atomic.Int64 // answers with the list in force, or an older one
+	Invalid   atomic.Int64 // messages from the directory that do not answer the query
+	TimedOut  atomic.Int64 // queries without an answer in time, or interrupted
 }
 
 // A Watcher polls the directory until Stop. A query whose answer is lost or invalid is repeated sooner than after a
@@ -213,14 +213,14 @@
 	if err != nil || !w.setDeadline(server, deadline) {
 		return false
 	}
-	w.Counts.Asked.Add(1)
+	w.Counts.Queries.Add(1)
 	if _, err := w.conn.WriteToUDPAddrPort(query, server); err != nil {
 		w.cfg.Log.Warn().Err(err).Stringer("server", server).Msg("endpoint directory unreachable")
 	}
 	for {
 		n, from, err := w.conn.ReadFromUDPAddrPort(buffer)
 		if err != nil {
-			w.Counts.Silent.Add(1)
+			w.Counts.TimedOut.Add(1)
 			return false
 		}
 		if unmap(from) != server {
@@ -231,7 +231,7 @@
 			err = fmt.Errorf("an answer of over %d bytes", maxAnswerBytes)
 		}
 		if err != nil {
-			w.Counts.Unfit.Add(1)
+			w.Counts.Invalid.Add(1)
 			continue // the valid answer may still come
 		}
 		return w.apply(state, serial, workers)
@@ -242,10 +242,10 @@
 // directory must be polled again soon.
 func (w *Watcher) apply(state *State, serial uint32, workers []gateway.Worker) bool {
 	if !state.Advance(serial) {
-		w.Counts.Same.Add(1)
+		w.Counts.Unchanged.Add(1)
 		return serial == state.Serial
 	}
-	w.Counts.Changed.Add(1)
+	w.Counts.Updates.Add(1)
 	if err := w.cfg.Sink.Workers(scheduler.FullList, serial, workers); err != nil {
 		w.cfg.Log.Error().Err(err).Uint32("serial", serial).Msg("endpoint list rejected, keeping previous")
 	}
--- a/internal/discovery/dns/watcher_test.go
+++ b/internal/discovery/dns/watcher_test.go
@@ -200,7 +200,7 @@
 	})
 	w, s := startWatcher(t, addr, longPeriod)
 	w.mustSetServer(t, "127.0.0.1:1") // nobody listens: the kernel would say so at once to a connected socket
-	for w.Counts.Asked.Load() == 0 {
+	for w.Counts.Queries.Load() == 0 {
 		runtime.Gosched()
 	}
 	useUpDescriptors(t)
--- a/internal/discovery/encode.go
+++ b/internal/discovery/encode.go
@@ -15,7 +15,7 @@
 func Render(cluster string, workers []gateway.Worker) ([]byte, error) {
 	assignment := Assignment{Type: TypeAssignment, ClusterName: cluster, Endpoints: []Locality{}}
 	for _, w := range workers {
-		if w.State == scheduler.Gone {
+		if w.State == scheduler.Removed {
 			continue
 		}
 		endpoint, err := newEndpoint(w)
--- a/internal/discovery/state.go
+++ b/internal/discovery/state.go
@@ -118,7 +118,7 @@
 			return nil, nil, fmt.Errorf("removedResources[%d]: %q is changed by the same update", i, name)
 		}
 		delete(next, name)
-		w.State = scheduler.Gone
+		w.State = scheduler.Removed
 		changed = append(changed, w)
 	}
 	return changed, next, checkUnique(sortedByName(next))
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -28,7 +28,7 @@
 	if v != registry.Allowed {
 		g.recordNotStarted(r, a, now)
 		if g.supersede(a.Request, r, v, now) {
-			g.enqueue(scheduler.ClientGone{Request: a.Request})
+			g.enqueue(scheduler.ClientClosed{Request: a.Request})
 		}
 		return
 	}
@@ -68,7 +68,7 @@
 		Digest:   call.Function.Digest,
 		Body:     call.Body,
 		Timeout:  a.Timeout,
-		Wanted:   func() bool { return r.claimed.Load() == 0 },
+		MayStart: func() bool { return r.claimed.Load() == 0 },
 	}
 	t.running = g.cfg.Transport.Send(out, func(res backend.Result) { g.attemptEnded(r, call, a, number, res) })
 	r.attempts = append(r.attempts, t)
@@ -100,7 +100,7 @@
 		Took:         res.Took,
 		Complete:     res.Outcome == scheduler.OK,
 		Note:         res.Note,
-		SameFunction: res.Alike,
+		SameFunction: res.SameFunction,
 		Report:       res.Report,
 	}
 	g.mu.Lock()
--- a/internal/gateway/functions.go
+++ b/internal/gateway/functions.go
@@ -38,7 +38,7 @@
 	MemoryMB float64
 	Lanes    float64
 	LoadTime time.Duration
-	Most     int // names that may become known under a star
+	MaxNames int // names that may become known under a star
 	Versions bool
 }
 
@@ -132,7 +132,7 @@
 	}
 	for i := range f.patterns {
 		p := &f.patterns[i]
-		if strings.HasPrefix(name, p.Name) && p.taken < p.Most {
+		if strings.HasPrefix(name, p.Name) && p.taken < p.MaxNames {
 			fn, err := f.add(name, p.Spec)
 			if err != nil {
 				f.gateway.cfg.Log.Error().Err(err).Msg("function rejected")
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -184,7 +184,7 @@
 }
 
 // Cancel reports that the client of a call has closed. Deliver is still called, unless it was already.
-func (g *Gateway) Cancel(id scheduler.RequestID) { g.enqueue(scheduler.ClientGone{Request: id}) }
+func (g *Gateway) Cancel(id scheduler.RequestID) { g.enqueue(scheduler.ClientClosed{Request: id}) }
 
 // ReceiveGossip hands over a message of the controller with index from. It is dropped where Limits.Peers is not set.
 func (g *Gateway) ReceiveGossip(from int, payload []byte) {
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -34,7 +34,7 @@
 			MaxAttempts: 3, MaxOpenRequests: 10, DialTimeout: 250 * ms, Cancel: true, Peers: true,
 		},
 		Loading: scheduler.Loading{
-			Orders: true, LoadsOnMiss: true, OnMissKnown: true, LoadNotesGiven: true,
+			Orders: true, LoadsOnMiss: true, OnMissKnown: true, ReportsLoadNotes: true,
 			IdleCopyTTL: 8 * time.Second, OrderTimeout: 5 * time.Second,
 		},
 		Guarantees: scheduler.Guarantees{
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -129,7 +129,7 @@
 		g.inFlight[e.Request] = &request{call: c, submittedAt: c.submittedAt}
 		e.TimeLeft -= now - c.submittedAt // it has waited for the loop
 		return e
-	case scheduler.ClientGone:
+	case scheduler.ClientClosed:
 		if r := g.inFlight[e.Request]; r != nil && r.claim(ClientClosed) {
 			g.answer(e.Request, r, Answer{Kind: ClientClosed}, now)
 		}
--- a/internal/gateway/path_test.go
+++ b/internal/gateway/path_test.go
@@ -61,7 +61,7 @@
 			DialTimeout: 250 * ms, IdleConnectionTimeout: 5 * time.Second,
 		},
 		Loading: scheduler.Loading{
-			Orders: true, LoadsOnMiss: true, OnMissKnown: true, LoadNotesGiven: true,
+			Orders: true, LoadsOnMiss: true, OnMissKnown: true, ReportsLoadNotes: true,
 			IdleCopyTTL: 8 * time.Second, OrderTimeout: 5 * time.Second,
 		},
 		Guarantees: scheduler.Guarantees{
@@ -82,8 +82,8 @@
 			}
 			return nil
 		},
-		Deadline: func(int) time.Duration { return 2 * time.Second },
-		Effect:   func(int) scheduler.Idempotency { return scheduler.Idempotent },
+		Deadline:    func(int) time.Duration { return 2 * time.Second },
+		Idempotency: func(int) scheduler.Idempotency { return scheduler.Idempotent },
 		Replay: replayguard.Settings{
 			MaxAge: time.Minute, MaxClockSkew: 5 * time.Second, WatermarkStep: 2 * time.Second,
 			MaxEntries: 1000, MaxAnswerBytes: 1 << 20,
--- a/internal/gateway/versions.go
+++ b/internal/gateway/versions.go
@@ -46,7 +46,7 @@
 		// While the move is not acknowledged, what runs goes on, and what does not run begins anew.
 		leave := v == registry.Superseded || v == registry.BeingSuperseded && !r.mayHaveRun() && r.outstanding == 0 && r.call.Binding.Restarts < registry.MaxRestarts
 		if leave && g.supersede(id, r, v, now) {
-			events = append(events, scheduler.ClientGone{Request: id})
+			events = append(events, scheduler.ClientClosed{Request: id})
 		}
 	}
 	return events
--- a/internal/gateway/workers.go
+++ b/internal/gateway/workers.go
@@ -68,9 +68,9 @@
 		if other, ok := next[id]; ok && other.Name != w.Name {
 			return nil, nil, fmt.Errorf("workers %q and %q have the same hash: rename one", other.Name, w.Name)
 		}
-		if w.State == scheduler.Gone {
+		if w.State == scheduler.Removed {
 			delete(next, id)
-			gone = append(gone, scheduler.WorkerInfo{ID: id, State: scheduler.Gone})
+			gone = append(gone, scheduler.WorkerInfo{ID: id, State: scheduler.Removed})
 			continue
 		}
 		next[id] = w
@@ -93,7 +93,7 @@
 var stateNames = map[scheduler.WorkerState]string{
 	scheduler.Ready:    "ready",
 	scheduler.Draining: "draining",
-	scheduler.Gone:     "gone",
+	scheduler.Removed:  "gone",
 }
 
 // notifyHooks posts which workers became ready or ceased to be, and hands over the list. The caller holds g.mu.
@@ -116,7 +116,7 @@
 	}
 	for _, id := range sortedKeys(old) {
 		if _, ok := next[id]; !ok && old[id].State == scheduler.Ready {
-			post("left", old[id], scheduler.Gone)
+			post("left", old[id], scheduler.Removed)
 		}
 	}
 	g.cfg.Hooks.Workers(advisable)
--- a/internal/gateway/workers_test.go
+++ b/internal/gateway/workers_test.go
@@ -28,7 +28,7 @@
 	g.step(clk.Now())
 	event := []Worker{
 		{Name: "w1", Network: "tcp", Addr: "a:1", State: scheduler.Draining},
-		{Name: "w2", State: scheduler.Gone},
+		{Name: "w2", State: scheduler.Removed},
 	}
 	if err := g.Workers(scheduler.ListDelta, 2, event); err != nil {
 		t.Fatal(err)
--- a/internal/harness/scalebench/dispatch.go
+++ b/internal/harness/scalebench/dispatch.go
@@ -117,7 +117,7 @@
 			{Name: "write", Idempotency: scheduler.NonIdempotent, LatencyObjective: 500 * ms, Deadline: 2500 * ms, PriorityWeight: 1}},
 		Limits: scheduler.Limits{MaxAttempts: 3, MaxOpenRequests: 4000, DialTimeout: 250 * ms, Cancel: true, Probe: true},
 		Loading: scheduler.Loading{Orders: true, LoadsOnMiss: true, OnMissKnown: true, IdleCopyTTL: l.IdleLife, OrderTimeout: 5 * time.Second,
-			BudgetWindow: 5 * time.Second, BudgetFree: 20, BudgetRatio: 1, LoadNotesGiven: true, MemoryMB: []float64{8000, 16000}},
+			BudgetWindow: 5 * time.Second, BudgetFree: 20, BudgetRatio: 1, ReportsLoadNotes: true, MemoryMB: []float64{8000, 16000}},
 		Guarantees: scheduler.Guarantees{DrainGrace: 500 * ms, WarmupFraction: 0.2, WarmupTime: 16 * time.Second, CollapseFactor: 3, CollapseWindow: 2 * time.Second}}
 }
 
--- a/internal/harness/scalebench/list.go
+++ b/internal/harness/scalebench/list.go
@@ -98,7 +98,7 @@
 	began := processTime()
 	for i := range times {
 		gone, come := workers[i%len(workers)], listedWorker(2*len(workers)+i)
-		gone.State = scheduler.Gone
+		gone.State = scheduler.Removed
 		workers[i%len(workers)] = come
 		if err := g.Workers(scheduler.ListDelta, uint32(i+2), []gateway.Worker{gone, come}); err != nil {
 			return err
--- a/internal/harness/scalebench/models.go
+++ b/internal/harness/scalebench/models.go
@@ -93,22 +93,22 @@
 	}
 	c.Command = timed(times, move)
 	var told registry.ViewUpdate
-	c.TellAll = timed(times, func() { told = s.Send(0) })
+	c.TellAll = timed(times, func() { told = s.ViewSince(0) })
 	c.AllBytes = wireBytes(told)
 	told = registry.ViewUpdate{}
 	before := heapInUse()
 	var view registry.View
-	told = s.Send(0)
+	told = s.ViewSince(0)
 	c.LearnAll = timed(1, func() { view.Update(0, told) })
 	told = registry.ViewUpdate{}
 	c.ViewBytes = heapInUse() - before
 	move()
-	news := s.Send(view.Epoch())
+	news := s.ViewSince(view.Epoch())
 	c.LearnNews = timed(1, func() { view.Update(0, news) })
 	if _, verdict := view.Resolve(0, registry.AliasName{Model: modelName(models - 1), Alias: scaleAlias}); err == nil && verdict != registry.Allowed {
 		err = fmt.Errorf("the view does not resolve its last alias: verdict %d", verdict)
 	}
-	c.TellNews = timed(times, func() { told = s.Send(s.Epoch) })
+	c.TellNews = timed(times, func() { told = s.ViewSince(s.Epoch) })
 	c.Snapshot = timed(1, func() { _, _ = json.Marshal(s) })
 	runtime.KeepAlive(&view)
 	return c, err
--- a/internal/harness/scalebench/registry.go
+++ b/internal/harness/scalebench/registry.go
@@ -124,7 +124,7 @@
 func (p *registryPlay) open() error {
 	settings := registry.Settings{LeaseDuration: p.load.Lease, MaxClockDrift: 0.01, SettleTimeout: p.load.Lease / 8, StagingTimeout: p.load.Lease, Retention: time.Minute, ErrorWatch: time.Minute, MinCalls: 100, MaxErrorIncrease: 0.2,
 		MaxModels: p.load.Models, MaxVersions: 20, MaxAliases: 5, MaxControllers: p.load.Controllers, MaxRemembered: 1000}
-	s, _, err := service.Open(service.Config{Settings: settings, Clock: clock.System(), FS: store.Dir(p.load.Dir), Log: zerolog.Nop(), Every: snapshotEvery, Hold: p.load.Lease / 4})
+	s, _, err := service.Open(service.Config{Settings: settings, Clock: clock.System(), FS: store.Dir(p.load.Dir), Log: zerolog.Nop(), SnapshotInterval: snapshotEvery, LongPoll: p.load.Lease / 4})
 	if err != nil {
 		return err
 	}
--- a/internal/harness/scenario/guards_test.go
+++ b/internal/harness/scenario/guards_test.go
@@ -23,7 +23,7 @@
 
 func (d *deaf) Workers(_ scheduler.ListKind, version uint32, l []gateway.Worker) error {
 	for _, w := range l {
-		if w.State == scheduler.Gone {
+		if w.State == scheduler.Removed {
 			continue
 		}
 		w.State = scheduler.Ready
--- a/internal/harness/scenario/play.go
+++ b/internal/harness/scenario/play.go
@@ -312,7 +312,7 @@
 			res.Hooks = append(res.Hooks, hookResult(c.Name(), e))
 		}
 		if p.versions != nil {
-			res.Anew += c.Front.Counts.Anew.Load()
+			res.Anew += c.Front.Counts.Restarted.Load()
 			res.Withheld += c.Front.Counts.Withheld.Load()
 			res.Mismatched += c.Gateway.Counts.Mismatched.Load()
 		}
--- a/internal/harness/scenario/versions.go
+++ b/internal/harness/scenario/versions.go
@@ -104,7 +104,7 @@
 		// Each worker prefers another store.
 		l := append([]string(nil), stores...)
 		p.rng.Shuffle(len(l), func(i, j int) { l[i], l[j] = l[j], l[i] })
-		v.fetch[name] = blobfetch.NewClient(blobfetch.Settings{Tries: 12, Pause: 5 * time.Millisecond, Longest: 200 * time.Millisecond, Blame: time.Second}, l,
+		v.fetch[name] = blobfetch.NewClient(blobfetch.Settings{MaxRequests: 12, MinBackoff: 5 * time.Millisecond, MaxBackoff: 200 * time.Millisecond, BlameBackoff: time.Second}, l,
 			time.Second, p.clk, zerolog.Nop())
 	}
 	return nil
@@ -149,7 +149,7 @@
 // start runs the registry's process, on the folder as it is.
 func (v *versions) start() error {
 	lease := ms(v.s.LeaseMs)
-	s, _, err := service.Open(service.Config{Clock: v.p.clk, FS: store.Dir(v.dir), Log: v.p.o.Log, Every: 200, Hold: lease / 4,
+	s, _, err := service.Open(service.Config{Clock: v.p.clk, FS: store.Dir(v.dir), Log: v.p.o.Log, SnapshotInterval: 200, LongPoll: lease / 4,
 		Settings: registry.Settings{LeaseDuration: lease, MaxClockDrift: 0.01, SettleTimeout: ms(v.s.SettleMs), StagingTimeout: 2 * time.Second, Retention: 3 * time.Second, ErrorWatch: time.Second, MinCalls: 200, MaxErrorIncrease: 0.5,
 			MaxModels: 10000, MaxVersions: 100, MaxAliases: 4, MaxControllers: 100, MaxRemembered: 100000}})
 	if err != nil {
--- a/internal/http1/conn.go
+++ b/internal/http1/conn.go
@@ -84,7 +84,7 @@
 	if resp == nil {
 		return false
 	}
-	if resp.Pass {
+	if resp.HandOver {
 		c.pass(req)
 		return false
 	}
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -89,8 +89,8 @@
 	// (nil: this response), how long the write may take (0: Limits.Write) and what to call when it has ended (nil:
 	// nothing).
 	Gate func() (instead *Response, within time.Duration, done func())
-	// Pass hands the connection over with its request unanswered: see Server.Detach.
-	Pass bool
+	// HandOver hands the connection over with its request unanswered: see Server.Detach.
+	HandOver bool
 }
 
 // reasons are the reason phrases of status lines.
--- a/internal/ingress/msgpackrpc/admission.go
+++ b/internal/ingress/msgpackrpc/admission.go
@@ -114,7 +114,7 @@
 		conns = append(conns, c)
 		activities = append(activities, c.activity())
 	}
-	switch i := evictionCandidate(activities, f.cfg.Clock.Now(), f.cfg.Within/graceDivisor); i {
+	switch i := evictionCandidate(activities, f.cfg.Clock.Now(), f.cfg.MessageTimeout/graceDivisor); i {
 	case noCandidate:
 		f.Counts.Turned.Add(1)
 		return nil, admitNever
@@ -135,7 +135,7 @@
 
 // watch closes silent connections until Close.
 func (f *Front) watch() {
-	ticker := time.NewTicker(max(f.cfg.Within/checksPerTimeout, time.Millisecond))
+	ticker := time.NewTicker(max(f.cfg.MessageTimeout/checksPerTimeout, time.Millisecond))
 	defer ticker.Stop()
 	for {
 		select {
@@ -155,7 +155,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for c := range f.conns {
-		if silentTooLong(c.activity(), now, f.cfg.Within) && c.leave() {
+		if silentTooLong(c.activity(), now, f.cfg.MessageTimeout) && c.leave() {
 			silent = append(silent, c)
 		}
 	}
--- a/internal/ingress/msgpackrpc/conn.go
+++ b/internal/ingress/msgpackrpc/conn.go
@@ -38,11 +38,11 @@
 
 func (f *Front) newConn(socket net.Conn) *conn {
 	// The outbox holds an answer for each request that may be in flight.
-	maxWaiting := f.cfg.MostOpen * f.cfg.MostBody
+	maxWaiting := f.cfg.MaxInFlight * f.cfg.MaxBody
 	c := &conn{
 		Conn:     socket,
 		front:    f,
-		out:      outbox.New(socket, maxWaiting, f.cfg.Stall),
+		out:      outbox.New(socket, maxWaiting, f.cfg.StallTimeout),
 		inFlight: map[uint32]*inFlightRequest{},
 	}
 	c.touch()
@@ -78,7 +78,7 @@
 // serve reads and carries out messages until the connection ends.
 func (c *conn) serve() {
 	defer c.end()
-	d := decoder{r: bufio.NewReaderSize(c.Conn, readBuffer), maxBody: c.front.cfg.MostBody}
+	d := decoder{r: bufio.NewReaderSize(c.Conn, readBuffer), maxBody: c.front.cfg.MaxBody}
 	var m message
 	for {
 		if _, err := d.r.Peek(1); err != nil {
@@ -136,7 +136,7 @@
 // countFault counts an invalid message; false once there were as many as requests may be in flight.
 func (c *conn) countFault() bool {
 	c.faults++
-	return c.faults < c.front.cfg.MostOpen
+	return c.faults < c.front.cfg.MaxInFlight
 }
 
 // end cancels all that is in flight, and then closes: a client that sees the end knows that no request of its is
--- a/internal/ingress/msgpackrpc/front.go
+++ b/internal/ingress/msgpackrpc/front.go
@@ -22,15 +22,15 @@
 
 // Config sets up a Front.
 type Config struct {
-	Gateway  Gateway
-	Clock    clock.Clock
-	Settings scheduler.Settings
-	Log      zerolog.Logger
-	MostBody int           // bytes of a body, at most; the platform has 16 KiB
-	MostOpen int           // requests in flight on one connection, at most; the platform has 32
-	Conns    int           // connections at a time, at most
-	Within   time.Duration // a client must have sent a complete message so long after it connected or began one
-	Stall    time.Duration // a client that reads nothing for so long while answers wait is disconnected
+	Gateway        Gateway
+	Clock          clock.Clock
+	Settings       scheduler.Settings
+	Log            zerolog.Logger
+	MaxBody        int           // bytes of a body, at most; the platform has 16 KiB
+	MaxInFlight    int           // requests in flight on one connection, at most; the platform has 32
+	Conns          int           // connections at a time, at most
+	MessageTimeout time.Duration // a client must have sent a complete message so long after it connected or began one
+	StallTimeout   time.Duration // a client that reads nothing for so long while answers wait is disconnected
 }
 
 // Counts are for the log and for tests.
--- a/internal/ingress/msgpackrpc/front_test.go
+++ b/internal/ingress/msgpackrpc/front_test.go
@@ -17,7 +17,7 @@
 // Whatever some clients send at full speed, all calls of good ones are answered.
 func TestHostileClientsDoNotStopGoodOnes(t *testing.T) {
 	r := serve(t, func(c *Config) {
-		c.Within = 1600 * time.Millisecond
+		c.MessageTimeout = 1600 * time.Millisecond
 		c.Conns = 30
 	})
 	go ignoreCancelled(r.gateway)
@@ -103,7 +103,7 @@
 }
 
 func TestClientThatNeverReadsIsDisconnected(t *testing.T) {
-	r := serve(t, func(c *Config) { c.Stall = 50 * time.Millisecond })
+	r := serve(t, func(c *Config) { c.StallTimeout = 50 * time.Millisecond })
 	c := r.dial(t)
 	c.Client.Conn.(*net.TCPConn).SetReadBuffer(4 << 10)
 	go func() {
--- a/internal/ingress/msgpackrpc/helpers_test.go
+++ b/internal/ingress/msgpackrpc/helpers_test.go
@@ -86,15 +86,15 @@
 	t.Helper()
 	g := newFakeGateway()
 	cfg := Config{
-		Gateway:  g,
-		Clock:    clock.System(),
-		Settings: testSettings(),
-		Log:      zerolog.Nop(),
-		MostBody: 16 << 10,
-		MostOpen: 32,
-		Conns:    100,
-		Within:   time.Minute,
-		Stall:    time.Minute,
+		Gateway:        g,
+		Clock:          clock.System(),
+		Settings:       testSettings(),
+		Log:            zerolog.Nop(),
+		MaxBody:        16 << 10,
+		MaxInFlight:    32,
+		Conns:          100,
+		MessageTimeout: time.Minute,
+		StallTimeout:   time.Minute,
 	}
 	if change != nil {
 		change(&cfg)
--- a/internal/ingress/msgpackrpc/message.go
+++ b/internal/ingress/msgpackrpc/message.go
@@ -6,7 +6,7 @@
 	"fmt"
 )
 
-// Bounds of one message, but for its body, which Config.MostBody bounds.
+// Bounds of one message, but for its body, which Config.MaxBody bounds.
 const (
 	maxPairs    = 32      // of a map
 	maxText     = 256     // bytes of a name or a value
--- a/internal/ingress/msgpackrpc/request.go
+++ b/internal/ingress/msgpackrpc/request.go
@@ -24,7 +24,7 @@
 	if err != nil {
 		return c.answerInvalid(m.id, err.Error())
 	}
-	if inFlight >= f.cfg.MostOpen {
+	if inFlight >= f.cfg.MaxInFlight {
 		f.Counts.Over.Add(1)
 		c.out.Send(appendError(nil, m.id, errorRejected, "why", "too many open on this connection"))
 		return c.countFault()
--- a/internal/ingress/msgpackrpc/shutdown_test.go
+++ b/internal/ingress/msgpackrpc/shutdown_test.go
@@ -40,7 +40,7 @@
 // An answer that still waits to be written when the front finishes arrives complete, although a request crosses the
 // end: closing the connection with the request unread would reset it.
 func TestFinishWritesAnswersThatWait(t *testing.T) {
-	r := serve(t, func(c *Config) { c.MostBody = 1 << 20 })
+	r := serve(t, func(c *Config) { c.MaxBody = 1 << 20 })
 	c := r.dial(t)
 	c.send(newRequest(1, "lookup", withFields(), []byte("x")))
 	body := bytes.Repeat([]byte("b"), 8<<20) // more than the kernel's buffers hold
--- a/internal/ingress/webhook/call.go
+++ b/internal/ingress/webhook/call.go
@@ -57,14 +57,14 @@
 		Trace:    traceID(m.request.Header.Get("traceparent")),
 		TimeLeft: clientTimeout(m.request.Header, f.cfg.Deadline(class)),
 	}
-	if f.cfg.Effect(class) == scheduler.IdempotentWithKey {
+	if f.cfg.Idempotency(class) == scheduler.IdempotentWithKey {
 		submitted.Key = client.Name + ":" + m.id
 	}
 	if m.function.Versions {
 		f.runBound(m, call, submitted)
 	} else {
 		submitted.Deliver = func(a gateway.Answer) {
-			f.deliver(m.key, call, ingress.RetryVerdict(a, f.cfg.Effect(class)), nil)
+			f.deliver(m.key, call, ingress.RetryVerdict(a, f.cfg.Idempotency(class)), nil)
 		}
 		f.submit(&submitted, call)
 	}
@@ -88,7 +88,7 @@
 			if release != nil {
 				f.releaseWhenWritten(call, release)
 			}
-			f.deliver(m.key, call, ingress.RetryVerdict(a, f.cfg.Effect(m.function.Class)), b)
+			f.deliver(m.key, call, ingress.RetryVerdict(a, f.cfg.Idempotency(m.function.Class)), b)
 		},
 	})
 }
--- a/internal/ingress/webhook/front.go
+++ b/internal/ingress/webhook/front.go
@@ -36,20 +36,20 @@
 
 // Config sets up a Front.
 type Config struct {
-	Prefix    string // of the path, with its last slash
-	Source    Source
-	Field     string // for FromBody
-	Gateway   *gateway.Gateway
-	Functions func(name string) *gateway.Function // nil: no such function
-	Deadline  func(class int) time.Duration       // longest time that a client of the class waits
-	Effect    func(class int) scheduler.Idempotency
-	Clock     clock.Clock
-	Replay    replayguard.Settings
-	Mark      MarkFile // keeps the replay guard's watermark
-	Log       zerolog.Logger
-	State     *State         // of the previous process; nil: there is none
-	MaxJoin   int            // requests that wait for the same call; 0: 16
-	Models    ingress.Models // nil: no function has versions
+	Prefix      string // of the path, with its last slash
+	Source      Source
+	Field       string // for FromBody
+	Gateway     *gateway.Gateway
+	Functions   func(name string) *gateway.Function // nil: no such function
+	Deadline    func(class int) time.Duration       // longest time that a client of the class waits
+	Idempotency func(class int) scheduler.Idempotency
+	Clock       clock.Clock
+	Replay      replayguard.Settings
+	Mark        MarkFile // keeps the replay guard's watermark
+	Log         zerolog.Logger
+	State       *State         // of the previous process; nil: there is none
+	MaxJoin     int            // requests that wait for the same call; 0: 16
+	Models      ingress.Models // nil: no function has versions
 }
 
 const defaultMaxJoin = 16
@@ -61,13 +61,13 @@
 	Reused    atomic.Int64
 	Stale     atomic.Int64 // with a timestamp too old or too far ahead
 	Joined    atomic.Int64 // retries that waited for a call in flight
-	Kept      atomic.Int64 // retries answered with a cached answer
+	Cached    atomic.Int64 // retries answered with a cached answer
 	Unsettled atomic.Int64 // rejected because they may have been accepted before a restart
 	Unknown   atomic.Int64 // of an unknown function
 	Crowded   atomic.Int64 // rejected because too many ids are remembered, or too many requests wait for the call
 
-	Anew     atomic.Int64 // calls that began anew because their alias had moved
-	Withheld atomic.Int64 // answers not written because their version no longer may answer
+	Restarted atomic.Int64 // calls that began anew because their alias had moved
+	Withheld  atomic.Int64 // answers not written because their version no longer may answer
 }
 
 // A Front answers webhooks. It is safe for concurrent use: each connection serves its requests on a goroutine of its
@@ -111,9 +111,9 @@
 	}
 	f.binder = ingress.Binder{
 		Models:      cfg.Models,
-		Idempotency: cfg.Effect,
+		Idempotency: cfg.Idempotency,
 		Clock:       cfg.Clock,
-		Restarts:    &f.Counts.Anew,
+		Restarts:    &f.Counts.Restarted,
 	}
 	f.clients.Store(&clients)
 	if err := f.writeWatermark(); err != nil {
--- a/internal/ingress/webhook/gate.go
+++ b/internal/ingress/webhook/gate.go
@@ -40,7 +40,7 @@
 // withheld returns the response in place of an answer whose version may no longer answer.
 func (f *Front) withheld(m message, verdict registry.Verdict) *http1.Response {
 	f.Counts.Withheld.Add(1)
-	if registry.WithoutLease(f.cfg.Effect(m.function.Class), false, true) == registry.Fail {
+	if registry.WithoutLease(f.cfg.Idempotency(m.function.Class), false, true) == registry.Fail {
 		return f.signed(m.sender, answerResponse(gateway.Answer{Kind: gateway.Failed, Verdict: verdict}))
 	}
 	f.mu.Lock()
--- a/internal/ingress/webhook/handover.go
+++ b/internal/ingress/webhook/handover.go
@@ -49,8 +49,8 @@
 	f.guard.Ended(key, answer)
 }
 
-// Unkept reports the end of such a call whose answer is not handed over.
-func (f *Front) Unkept(key replayguard.Key) {
+// EndedUncached reports the end of such a call whose answer is not handed over.
+func (f *Front) EndedUncached(key replayguard.Key) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.guard.EndedUncached(key)
--- a/internal/ingress/webhook/message.go
+++ b/internal/ingress/webhook/message.go
@@ -44,7 +44,7 @@
 	}
 	t, ok := f.take(m)
 	if !ok {
-		return &http1.Response{Pass: true}
+		return &http1.Response{HandOver: true}
 	}
 	switch t.verdict {
 	case replayguard.New, replayguard.Retry:
@@ -53,7 +53,7 @@
 		f.Counts.Joined.Add(1)
 		return f.wait(m, t.call)
 	case replayguard.Cached:
-		f.Counts.Kept.Add(1)
+		f.Counts.Cached.Add(1)
 		binding, _ := t.cached.Tag.(*gateway.VersionBinding)
 		return f.gated(m, binding, cachedResponse(t.cached), nil)
 	}
@@ -128,7 +128,7 @@
 	if f.passed {
 		return t, false
 	}
-	t.verdict, t.cached, t.retryAfter = f.guard.Take(f.cfg.Clock.Wall(), signed)
+	t.verdict, t.cached, t.retryAfter = f.guard.Admit(f.cfg.Clock.Wall(), signed)
 	switch t.verdict {
 	case replayguard.New, replayguard.Retry:
 		t.call = newInFlightCall(m.conn)
--- a/internal/registry/guarantee_test.go
+++ b/internal/registry/guarantee_test.go
@@ -110,12 +110,12 @@
 // apply applies a command and notes which targets it supersedes and which migrations it acknowledges.
 func (g *guaranteeModel) apply(c Command) {
 	state := g.registry.state
-	before := state.Send(0).Targets[guarded]
+	before := state.ViewSince(0).Targets[guarded]
 	effects, err := g.registry.apply(g.now, c)
 	if err != nil {
 		return
 	}
-	after := state.Send(0).Targets[guarded]
+	after := state.ViewSince(0).Targets[guarded]
 	if before != after && before.Version != "" {
 		g.pending[state.LastMigration] = append(g.pending[state.LastMigration], before)
 	}
@@ -148,7 +148,7 @@
 	p := g.polls[i]
 	if p.response == nil {
 		g.apply(renew{p.controller.name, p.epoch})
-		response := g.registry.state.Send(p.epoch)
+		response := g.registry.state.ViewSince(p.epoch)
 		p.response = &response
 		return
 	}
--- a/internal/registry/service/commit.go
+++ b/internal/registry/service/commit.go
@@ -66,7 +66,7 @@
 	s.applied = seq
 	s.appliedCond.Broadcast()
 	s.sinceSnapshot++
-	if s.sinceSnapshot >= s.cfg.Every && !s.snapshotting {
+	if s.sinceSnapshot >= s.cfg.SnapshotInterval && !s.snapshotting {
 		s.startSnapshot()
 	}
 	if err != nil {
--- a/internal/registry/service/deadlines.go
+++ b/internal/registry/service/deadlines.go
@@ -45,7 +45,7 @@
 		deadline = 0
 	}
 	if err != nil {
-		return s.cfg.Hold
+		return s.cfg.LongPoll
 	}
 	wait = maxIdle
 	for _, at := range []time.Duration{deadline, expiry} {
--- a/internal/registry/service/discovery.go
+++ b/internal/registry/service/discovery.go
@@ -31,7 +31,7 @@
 	}
 	f.service.wakeDeadlineLoop()
 	f.service.commitReports(&q)
-	end := time.Now().Add(f.service.cfg.Hold)
+	end := time.Now().Add(f.service.cfg.LongPoll)
 	for {
 		update, stage, changed := f.service.updateFor(caller.Name, epoch, &q)
 		isNews := q.ResponseNonce == "" || update.Epoch != epoch || !slices.Equal(stage, q.Staging)
@@ -87,7 +87,7 @@
 	if q.ResponseNonce == "" {
 		since = 0 // it has just connected: everything is sent
 	}
-	return s.state.Send(since), s.stagedFor(controller), s.changed
+	return s.state.ViewSince(since), s.stagedFor(controller), s.changed
 }
 
 // stagedFor returns the versions of which a controller is to have copies loaded, sorted. The caller holds mu.
--- a/internal/registry/service/durability_test.go
+++ b/internal/registry/service/durability_test.go
@@ -170,12 +170,12 @@
 
 func (r *restarts) open() {
 	s, _, err := service.Open(service.Config{
-		Settings: settings,
-		Clock:    r.clock,
-		FS:       store.Dir(r.dir),
-		Log:      zerolog.Nop(),
-		Every:    7,
-		Hold:     100 * ms,
+		Settings:         settings,
+		Clock:            r.clock,
+		FS:               store.Dir(r.dir),
+		Log:              zerolog.Nop(),
+		SnapshotInterval: 7,
+		LongPoll:         100 * ms,
 	})
 	if err != nil {
 		r.t.Fatal(err)
--- a/internal/registry/service/golden_test.go
+++ b/internal/registry/service/golden_test.go
@@ -39,7 +39,7 @@
 
 func (s *script) open(every int, renamed chan struct{}) *store.Recovered {
 	s.t.Helper()
-	service, recovered, err := Open(Config{Settings: goldenSettings, Clock: s.clock, FS: watchedFolder{store.Dir(s.folder), renamed}, Log: zerolog.Nop(), Every: every, Hold: time.Minute})
+	service, recovered, err := Open(Config{Settings: goldenSettings, Clock: s.clock, FS: watchedFolder{store.Dir(s.folder), renamed}, Log: zerolog.Nop(), SnapshotInterval: every, LongPoll: time.Minute})
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -370,12 +370,12 @@
 			t.Fatal(err)
 		}
 		s, _, err := Open(Config{
-			Settings: goldenSettings,
-			Clock:    clock.NewManual(time.Unix(1_900_000_000, 0)),
-			FS:       store.Dir(folder),
-			Log:      zerolog.Nop(),
-			Every:    1000,
-			Hold:     time.Minute,
+			Settings:         goldenSettings,
+			Clock:            clock.NewManual(time.Unix(1_900_000_000, 0)),
+			FS:               store.Dir(folder),
+			Log:              zerolog.Nop(),
+			SnapshotInterval: 1000,
+			LongPoll:         time.Minute,
 		})
 		if err == nil {
 			s.Close()
--- a/internal/registry/service/query.go
+++ b/internal/registry/service/query.go
@@ -78,7 +78,7 @@
 			changed = f.service.changed
 			a.Epoch = state.Epoch
 			if state.Epoch > q.Since {
-				a.Targets = aliasesOf(state.Send(q.Since))
+				a.Targets = aliasesOf(state.ViewSince(q.Since))
 			}
 		})
 		if a.Epoch > q.Since || !f.service.waitForChange(changed, time.Until(end)) {
--- a/internal/registry/service/service.go
+++ b/internal/registry/service/service.go
@@ -31,20 +31,20 @@
 
 // Config sets up a Service.
 type Config struct {
-	Settings registry.Settings
-	Clock    clock.Clock
-	FS       store.FS // folder of the log and the snapshots
-	Log      zerolog.Logger
-	Every    int // records between two snapshots, at least 1
-	// Hold is how long a controller's request is held open while nothing changes (a long poll). It must be above 0
+	Settings         registry.Settings
+	Clock            clock.Clock
+	FS               store.FS // folder of the log and the snapshots
+	Log              zerolog.Logger
+	SnapshotInterval int // records between two snapshots, at least 1
+	// LongPoll is how long a controller's request is held open while nothing changes (a long poll). It must be above 0
 	// and at most a third of a lease, so that one lost request costs no lease.
-	Hold time.Duration
+	LongPoll time.Duration
 }
 
 func (c Config) validate() error {
-	if c.Every < 1 || c.Hold <= 0 || 3*c.Hold > c.Settings.LeaseDuration {
+	if c.SnapshotInterval < 1 || c.LongPoll <= 0 || 3*c.LongPoll > c.Settings.LeaseDuration {
 		return fmt.Errorf("service: Every %d is under 1, or Hold %v is not under a third of the lease of %v",
-			c.Every, c.Hold, c.Settings.LeaseDuration)
+			c.SnapshotInterval, c.LongPoll, c.Settings.LeaseDuration)
 	}
 	return nil
 }
--- a/internal/registry/service/service_test.go
+++ b/internal/registry/service/service_test.go
@@ -65,12 +65,12 @@
 func (d *testRegistry) start() {
 	d.t.Helper()
 	s, _, err := service.Open(service.Config{
-		Settings: settings,
-		Clock:    clock.System(),
-		FS:       d.fs,
-		Log:      zerolog.Nop(),
-		Every:    50,
-		Hold:     100 * ms,
+		Settings:         settings,
+		Clock:            clock.System(),
+		FS:               d.fs,
+		Log:              zerolog.Nop(),
+		SnapshotInterval: 50,
+		LongPoll:         100 * ms,
 	})
 	if err != nil {
 		d.t.Fatal(err)
--- a/internal/registry/service/snapshot_test.go
+++ b/internal/registry/service/snapshot_test.go
@@ -43,7 +43,7 @@
 func TestOneSnapshotAtATime(t *testing.T) {
 	const every = 5
 	folder := stuckSnapshots{FS: store.Dir(t.TempDir()), begun: make(chan struct{}, 100), release: make(chan struct{})}
-	s, _, err := service.Open(service.Config{Settings: settings, Clock: clock.NewManual(time.Unix(1_800_000_000, 0)), FS: folder, Log: zerolog.Nop(), Every: every, Hold: 100 * ms})
+	s, _, err := service.Open(service.Config{Settings: settings, Clock: clock.NewManual(time.Unix(1_800_000_000, 0)), FS: folder, Log: zerolog.Nop(), SnapshotInterval: every, LongPoll: 100 * ms})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/registry/view.go
+++ b/internal/registry/view.go
@@ -30,9 +30,9 @@
 	Settle    time.Duration   // how long calls under a superseded target may go on
 }
 
-// Send returns the update for a controller that holds an epoch; 0: it holds nothing. An alias that names no version
+// ViewSince returns the update for a controller that holds an epoch; 0: it holds nothing. An alias that names no version
 // is sent as a target with only a revision.
-func (s *State) Send(since uint64) ViewUpdate {
+func (s *State) ViewSince(since uint64) ViewUpdate {
 	if since > s.Epoch { // of another registry: send everything
 		since = 0
 	}
--- a/internal/relay/directory.go
+++ b/internal/relay/directory.go
@@ -33,7 +33,7 @@
 var statesByName = map[string]scheduler.WorkerState{
 	"ready":    scheduler.Ready,
 	"draining": scheduler.Draining,
-	"gone":     scheduler.Gone,
+	"gone":     scheduler.Removed,
 }
 
 // replayEvents returns the workers that hold after the events, in the order in which they were first named. Its error
@@ -53,7 +53,7 @@
 			if err != nil {
 				return nil, err
 			}
-			if w.State == scheduler.Gone {
+			if w.State == scheduler.Removed {
 				delete(workers, t.UID)
 				continue
 			}
@@ -82,7 +82,7 @@
 		return w, configError(field+".uid", "missing")
 	case !ok:
 		return w, configError(field+".state", "%.32q is no state", t.State)
-	case state == scheduler.Gone:
+	case state == scheduler.Removed:
 		return gateway.Worker{Name: t.UID, State: state}, nil
 	}
 	if _, _, err := net.SplitHostPort(t.Endpoint); err != nil {
--- a/internal/relay/estimates.go
+++ b/internal/relay/estimates.go
@@ -15,7 +15,7 @@
 // compareEstimates sets what the dispatcher estimates of each worker beside what passed on its sockets since before. It
 // returns a text for each worker, and by how many calls in flight the two differ in all. They are read one after the
 // other, so what is on its way between them counts as a difference for a moment; one that stays is a fault.
-func compareEstimates(now []frame.Seen, before map[scheduler.WorkerID]frame.Seen, views []gateway.WorkerView) (
+func compareEstimates(now []frame.Traffic, before map[scheduler.WorkerID]frame.Traffic, views []gateway.WorkerView) (
 	lines []string, differ int) {
 	viewOf := map[string]gateway.WorkerView{}
 	for _, v := range views {
@@ -32,7 +32,7 @@
 	return lines, differ
 }
 
-func describeWorker(now, before frame.Seen, view gateway.WorkerView, known bool) string {
+func describeWorker(now, before frame.Traffic, view gateway.WorkerView, known bool) string {
 	snapshot := view.Snapshot
 	served := now.Answered - before.Answered
 	meanRunTime := time.Duration(0)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -84,17 +84,17 @@
 func (r *Relay) startBackend() error {
 	s := r.cfg.Settings
 	r.Backend = frame.New(frame.Config{
-		Clock:    r.options.Clock,
-		Within:   s.Limits.DialTimeout,
-		Idle:     s.Limits.IdleConnectionTimeout,
-		Streams:  s.Limits.StreamsPerConnection,
-		Conns:    r.budget.workerConns,
-		MostBody: r.budget.answerBytes,
-		Patience: s.Limits.DialTimeout,
-		Forget:   time.Duration(lateAnswerDeadlines * float64(longestDeadline(s))),
-		Order:    s.Loading.OrderTimeout,
-		Report:   s.Report,
-		Log:      r.options.Log,
+		Clock:       r.options.Clock,
+		DialTimeout: s.Limits.DialTimeout,
+		Idle:        s.Limits.IdleConnectionTimeout,
+		Streams:     s.Limits.StreamsPerConnection,
+		Conns:       r.budget.workerConns,
+		MaxBody:     r.budget.answerBytes,
+		PingAfter:   s.Limits.DialTimeout,
+		Forget:      time.Duration(lateAnswerDeadlines * float64(longestDeadline(s))),
+		Order:       s.Loading.OrderTimeout,
+		Report:      s.Report,
+		Log:         r.options.Log,
 	})
 	r.undo = append(r.undo, func() { r.Backend.Close() })
 	return nil
@@ -137,15 +137,15 @@
 		return &ConfigError{"known", err}
 	}
 	r.Front = msgpackrpc.New(msgpackrpc.Config{
-		Gateway:  r.Gateway,
-		Clock:    r.options.Clock,
-		Settings: c.Settings,
-		Log:      r.options.Log,
-		MostBody: maxBodyBytes,
-		MostOpen: maxOpenPerConn,
-		Conns:    r.budget.clientConns,
-		Within:   dialTimeouts(c.Settings, firstMessageDials),
-		Stall:    dialTimeouts(c.Settings, stalledReaderDials),
+		Gateway:        r.Gateway,
+		Clock:          r.options.Clock,
+		Settings:       c.Settings,
+		Log:            r.options.Log,
+		MaxBody:        maxBodyBytes,
+		MaxInFlight:    maxOpenPerConn,
+		Conns:          r.budget.clientConns,
+		MessageTimeout: dialTimeouts(c.Settings, firstMessageDials),
+		StallTimeout:   dialTimeouts(c.Settings, stalledReaderDials),
 	})
 	return nil
 }
--- a/internal/relay/report.go
+++ b/internal/relay/report.go
@@ -16,7 +16,7 @@
 func (r *Relay) reportLoop() {
 	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
-	before := map[scheduler.WorkerID]frame.Seen{}
+	before := map[scheduler.WorkerID]frame.Traffic{}
 	for {
 		select {
 		case <-r.done:
@@ -29,7 +29,7 @@
 }
 
 // reportEstimates logs the dispatcher's estimates beside what passed on the sockets since before, and updates before.
-func (r *Relay) reportEstimates(before map[scheduler.WorkerID]frame.Seen) {
+func (r *Relay) reportEstimates(before map[scheduler.WorkerID]frame.Traffic) {
 	views, _, err := r.Gateway.View()
 	if err != nil {
 		return // the gateway has stopped
@@ -83,8 +83,8 @@
 
 func (r *Relay) addDirectoryCounts(e *zerolog.Event) {
 	counts := &r.Watcher.Counts
-	e.Int64("asked", counts.Asked.Load()).Int64("lists", counts.Changed.Load()).
-		Int64("unfit", counts.Unfit.Load()).Int64("silent", counts.Silent.Load())
+	e.Int64("asked", counts.Queries.Load()).Int64("lists", counts.Updates.Load()).
+		Int64("unfit", counts.Invalid.Load()).Int64("silent", counts.TimedOut.Load())
 }
 
 func addProcessCounts(e *zerolog.Event) {
--- a/internal/replayguard/guard.go
+++ b/internal/replayguard/guard.go
@@ -100,10 +100,10 @@
 // Len returns how many ids are remembered.
 func (g *Guard) Len() int { return len(g.entries) }
 
-// Take judges a message, and remembers it if the verdict accepts it. The answer is set if the verdict is Cached, and
+// Admit judges a message, and remembers it if the verdict accepts it. The answer is set if the verdict is Cached, and
 // retryAfter, how long the client should wait, if it is Unsettled or AtCapacity. The caller must report how a call
 // that is New or Retry ended, with Ended or EndedUncached.
-func (g *Guard) Take(now time.Time, m Message) (verdict Verdict, cached Answer, retryAfter time.Duration) {
+func (g *Guard) Admit(now time.Time, m Message) (verdict Verdict, cached Answer, retryAfter time.Duration) {
 	g.advance(now)
 	g.sweep()
 	if verdict, retryAfter := g.reject(m); verdict != 0 {
--- a/internal/replayguard/guard_test.go
+++ b/internal/replayguard/guard_test.go
@@ -49,7 +49,7 @@
 func expect(t *testing.T, g *Guard, now int64, m Message, want Verdict) Answer {
 	t.Helper()
 	saveWatermark(g, now)
-	verdict, cached, _ := g.Take(at(now), m)
+	verdict, cached, _ := g.Admit(at(now), m)
 	if verdict != want {
 		t.Errorf("at %d, %s stamped %d: verdict %v, want %v", now, m.ID, m.Stamp.Unix()-epoch, verdict, want)
 	}
@@ -147,7 +147,7 @@
 
 	g = NewGuard(settings, at(101), watermark)
 	saveWatermark(g, 101)
-	verdict, _, retryAfter := g.Take(at(101), message("a", 104))
+	verdict, _, retryAfter := g.Admit(at(101), message("a", 104))
 	if verdict != Unsettled || retryAfter != 6*time.Second {
 		t.Errorf("after the crash: verdict %v, retry after %v", verdict, retryAfter)
 	}
@@ -163,20 +163,20 @@
 	if !watermark.Equal(at(110)) {
 		t.Errorf("final watermark %v, want %v", watermark, at(110))
 	}
-	if verdict, _, _ := g.Take(at(107), message("z", 111)); verdict != Unsettled {
+	if verdict, _, _ := g.Admit(at(107), message("z", 111)); verdict != Unsettled {
 		t.Errorf("message above the final watermark: verdict %v", verdict)
 	}
 
 	g = NewGuard(settings, at(50), watermark) // the machine's clock was set back by a minute meanwhile
 	saveWatermark(g, 50)
-	if verdict, _, _ := g.Take(at(50), message("a", 50)); verdict != Unsettled {
+	if verdict, _, _ := g.Admit(at(50), message("a", 50)); verdict != Unsettled {
 		t.Errorf("clock set back: verdict %v", verdict)
 	}
 }
 
 func TestWatermarkThatCannotBeWrittenRejectsMessagesAboveIt(t *testing.T) {
 	g := newGuard(100)
-	if verdict, _, _ := g.Take(at(120), message("a", 120)); verdict != Unsettled {
+	if verdict, _, _ := g.Admit(at(120), message("a", 120)); verdict != Unsettled {
 		t.Errorf("watermark not written for 20 s: verdict %v", verdict)
 	}
 }
@@ -257,7 +257,7 @@
 	id := string(rune('a' + rapid.IntRange(0, 3).Draw(t, "id")))
 	m := message(id, c.now+int64(rapid.IntRange(-65, 7).Draw(t, "skew")))
 	name := fmt.Sprint(id, m.Stamp.Unix())
-	verdict, _, _ := c.guard.Take(at(c.now), m)
+	verdict, _, _ := c.guard.Admit(at(c.now), m)
 	switch verdict {
 	case New, Retry:
 		if c.executed[name] {
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -133,7 +133,7 @@
 	case 0:
 		w.State = scheduler.Draining
 	case 2:
-		w.State = scheduler.Gone
+		w.State = scheduler.Removed
 	default:
 		c.fail(start, fmt.Sprintf("unknown condition %d", state))
 	}
@@ -160,7 +160,7 @@
 	case codeReturned:
 		return attemptEnded(c)
 	case codeHangup:
-		return scheduler.ClientGone{Request: scheduler.RequestID(c.u64())}
+		return scheduler.ClientClosed{Request: scheduler.RequestID(c.u64())}
 	case codeElapsed:
 		return scheduler.Timer{Token: c.u64()}
 	case codeProbeDone:
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -40,7 +40,7 @@
 		scheduler.Arrival{Request: 0x121185d3a91c4, Function: 0x7c55d20a01, TimeLeft: 240 * time.Millisecond,
 			RunTimeHint: 12 * time.Millisecond, HasRunTimeHint: true, MemoryMB: 384, Lanes: 2}},
 	{"ELAPSED", `06 00000003 000000000000004d`, scheduler.Timer{Token: 0x4d}},
-	{"HANGUP", `05 00000003 000dbb200e6f2b19`, scheduler.ClientGone{Request: 0xdbb200e6f2b19}},
+	{"HANGUP", `05 00000003 000dbb200e6f2b19`, scheduler.ClientClosed{Request: 0xdbb200e6f2b19}},
 	{"STREAMING", `03 00000003 000121185d3a91c4 4022800000000000 0a124a07 1f43 00`,
 		scheduler.ResponseStarted{Request: 0x121185d3a91c4, Took: 9250 * time.Microsecond, Worker: worker}},
 	{"RETURNED", `04 00000003 000121185d3a91c4 00 0a124a07 1f43 0001 4032800000000000 01 0a 01 40000000`,
--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -224,7 +224,8 @@
 	} else {
 		worker.limit.release()
 	}
-	if placed.outstanding == 0 && worker.State == Gone { // else a hot function gathers those of all workers
+	if placed.outstanding == 0 && worker.State == Removed {
+		// Else a hot function gathers those of all workers that ever were.
 		delete(request.queue.placements, worker)
 	}
 	worker.waitingSince = d.now
@@ -294,7 +295,7 @@
 	request.queue.meanRunTime = mean(request.queue.meanRunTime, took)
 	d.classRunTime[request.Class] = mean(d.classRunTime[request.Class], took)
 	ratio := mean(worker.limit.latencyRatio, took/d.classRunTime[request.Class])
-	d.peerLatency.set(&worker.limit, ratio, worker.State != Gone)
+	d.peerLatency.set(&worker.limit, ratio, worker.State != Removed)
 	headroom := d.slowRatio(request) / worker.limit.latencyRatio
 	worker.limit.onAnswer(headroom, late, tokenStep(d.settings.Controllers))
 }
--- a/scheduler/attempts_test.go
+++ b/scheduler/attempts_test.go
@@ -100,7 +100,7 @@
 			var gone []WorkerInfo
 			for _, w := range d.order {
 				if w.Group == int(home) {
-					gone = append(gone, WorkerInfo{ID: w.ID, State: Gone})
+					gone = append(gone, WorkerInfo{ID: w.ID, State: Removed})
 				}
 			}
 			return d, 1030 * ms, 1040 * ms, []Event{ListUpdate{Kind: ListDelta, Workers: gone}}
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -51,7 +51,7 @@
 const (
 	Ready    WorkerState = iota + 1 // takes requests
 	Draining                        // finishes what it has and takes nothing new
-	Gone                            // it is no longer there
+	Removed                         // it is no longer there
 )
 
 // Arrival is a request that the controller has accepted from a client.
@@ -105,7 +105,7 @@
 // LoadNote says whether an answered attempt met a loaded copy.
 type LoadNote int
 
-// Notes on loads. They are given only with Loading.LoadNotesGiven.
+// Notes on loads. They are given only with Loading.ReportsLoadNotes.
 const (
 	NoLoadNote  LoadNote = iota // nothing is known
 	FoundWarm                   // a copy was loaded
@@ -122,8 +122,8 @@
 	Took    time.Duration // from the Send
 }
 
-// ClientGone says that the client of a request has left: nobody waits for its answer.
-type ClientGone struct{ Request RequestID }
+// ClientClosed says that the client of a request has left: nobody waits for its answer.
+type ClientClosed struct{ Request RequestID }
 
 // Timer is a Wake that is due.
 type Timer struct{ Token uint64 }
@@ -191,7 +191,7 @@
 func (Arrival) event()         {}
 func (AttemptEnded) event()    {}
 func (ResponseStarted) event() {}
-func (ClientGone) event()      {}
+func (ClientClosed) event()    {}
 func (Timer) event()           {}
 func (ProbeEnded) event()      {}
 func (GossipMessage) event()   {}
--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -33,14 +33,14 @@
 	}
 	d.listGeneration++
 	for _, info := range update.Workers {
-		if info.State == Gone {
+		if info.State == Removed {
 			d.depart(d.workers[info.ID])
 		} else {
 			d.updateWorker(info, update.Kind)
 		}
 	}
 	for _, worker := range d.order {
-		if update.Kind != ListDelta && worker.listGeneration != d.listGeneration && worker.State != Gone {
+		if update.Kind != ListDelta && worker.listGeneration != d.listGeneration && worker.State != Removed {
 			d.depart(worker)
 		}
 	}
@@ -82,7 +82,7 @@
 	if worker == nil {
 		return
 	}
-	worker.State = Gone
+	worker.State = Removed
 	d.reassign(worker)
 	delete(d.workers, worker.ID)
 	d.ring.Place(&worker.member, 0, 0)
@@ -99,7 +99,7 @@
 
 // sortWorkers puts the workers in order after a list, without those that are gone.
 func (d *Dispatcher) sortWorkers() {
-	d.order = slices.DeleteFunc(d.order, func(w *worker) bool { return w.State == Gone })
+	d.order = slices.DeleteFunc(d.order, func(w *worker) bool { return w.State == Removed })
 	slices.SortFunc(d.order, func(a, b *worker) int { return cmp.Compare(a.ID, b.ID) })
 }
 
@@ -127,7 +127,7 @@
 
 // update puts a worker on the list, or takes it off.
 func (l *watchList) update(worker *worker) {
-	watched := worker.State != Gone && (worker.ejected || worker.outstanding > 0)
+	watched := worker.State != Removed && (worker.ejected || worker.outstanding > 0)
 	i, found := slices.BinarySearchFunc(l.workers, worker.ID, compareID)
 	found = found && l.workers[i] == worker
 	switch {
--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -61,7 +61,7 @@
 		sent := pickOut[Send](d.Step(2*time.Second, []Event{arrival(90, 0, 7)}))
 		old := d.workers[sent[0].Worker]
 		gone, back := old.WorkerInfo, old.WorkerInfo
-		gone.State = Gone
+		gone.State = Removed
 		events := []Event{ListUpdate{Kind: ListDelta, Workers: []WorkerInfo{gone, back}}}
 		if !one {
 			events = []Event{ListUpdate{Kind: ListDelta, Workers: []WorkerInfo{gone}},
@@ -112,7 +112,7 @@
 	d.Step(4*time.Second, answers)
 	for fn, q := range d.queues.byFunction {
 		for w := range q.placements {
-			if w.State == Gone {
+			if w.State == Removed {
 				t.Fatalf("function %d: worker %d is still known", fn, w.ID)
 			}
 		}
--- a/scheduler/helpers_test.go
+++ b/scheduler/helpers_test.go
@@ -21,7 +21,7 @@
 				PriorityWeight: 1}},
 		Limits: Limits{MaxAttempts: 3, MaxOpenRequests: 100, DialTimeout: 250 * ms, Cancel: true},
 		Loading: Loading{Orders: true, LoadsOnMiss: true, OnMissKnown: true, IdleCopyTTL: 8 * time.Second,
-			OrderTimeout: 10 * time.Second, LoadNotesGiven: true},
+			OrderTimeout: 10 * time.Second, ReportsLoadNotes: true},
 		Guarantees: Guarantees{DrainGrace: 500 * ms, WarmupFraction: 0.2, WarmupTime: 16 * time.Second,
 			CollapseFactor: 3,
 			CollapseWindow: 2 * time.Second}}
--- a/scheduler/property_test.go
+++ b/scheduler/property_test.go
@@ -122,7 +122,7 @@
 			}
 			if !q.finished && rnd.IntN(900) == 0 {
 				q.finished = true
-				events = append(events, ClientGone{id})
+				events = append(events, ClientClosed{id})
 			}
 		}
 		for len(holds) > 0 && rnd.IntN(2) == 0 {
--- a/scheduler/queueindex_test.go
+++ b/scheduler/queueindex_test.go
@@ -49,7 +49,7 @@
 	var paces, failings []float64
 	ejected := 0
 	for _, w := range d.order {
-		if d.workers[w.ID] != w || w.State == Gone {
+		if d.workers[w.ID] != w || w.State == Removed {
 			t.Fatalf("worker %d is in the order and not known by its id, or gone", w.ID)
 		}
 		if w.outstanding > 0 || w.ejected {
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -102,8 +102,8 @@
 	BudgetFree          float64       // orders that are always allowed within the window
 	BudgetRatio         float64       // further orders for each request that came within the window
 	IdlePrice           float64       // for the mean part of memory that idle and loading copies hold
-	LoadNotesGiven      bool          // AttemptEnded.Note is given
-	SameFunctionCounted bool          // AttemptEnded.SameFunction is given
+	ReportsLoadNotes    bool          // AttemptEnded.Note is given
+	ReportsSameFunction bool          // AttemptEnded.SameFunction is given
 	MemoryMB            []float64     // of a worker, by kind
 	X0                  string        // what FieldX0 means, for people only
 	X1                  string        // what FieldX1 means, for people only
@@ -159,13 +159,13 @@
 
 // Values of Settings.Report.
 const (
-	FieldUnknown   ReportField = iota // it is to be ignored
-	FieldInFlight                     // requests at the worker
-	FieldQueue                        // of them, those that wait
-	FieldUtil                         // utilization, 0 to 1
-	FieldLatencyMS                    // recent latency, milliseconds
-	FieldRate                         // answers a second
-	FieldErrorRate                    // errors a second
-	FieldX0                           // see Loading.X0
-	FieldX1                           // see Loading.X1
+	FieldUnknown     ReportField = iota // it is to be ignored
+	FieldInFlight                       // requests at the worker
+	FieldQueue                          // of them, those that wait
+	FieldUtilization                    // utilization, 0 to 1
+	FieldLatencyMS                      // recent latency, milliseconds
+	FieldRate                           // answers a second
+	FieldErrorRate                      // errors a second
+	FieldX0                             // see Loading.X0
+	FieldX1                             // see Loading.X1
 )
--- a/scheduler/settings_check.go
+++ b/scheduler/settings_check.go
@@ -28,28 +28,27 @@
 	return nil
 }
 
-// checkNumbers returns an error that names the first number that is negative or not finite. The names are
-// those under which the settings are documented to users, which are older than some of the fields' names.
+// checkNumbers returns an error that names the first number that is negative or not finite.
 func (s *Settings) checkNumbers() error {
 	loading, guarantees := s.Loading, s.Guarantees
 	numbers := []struct {
 		name  string
 		value float64
 	}{
-		{"OverShareWorth", s.OverQuotaWeight},
+		{"OverQuotaWeight", s.OverQuotaWeight},
 		{"Tick", float64(s.Tick)},
-		{"Loading.Free", loading.BudgetFree},
-		{"Loading.Ratio", loading.BudgetRatio},
-		{"Loading.Window", float64(loading.BudgetWindow)},
+		{"Loading.BudgetFree", loading.BudgetFree},
+		{"Loading.BudgetRatio", loading.BudgetRatio},
+		{"Loading.BudgetWindow", float64(loading.BudgetWindow)},
 		{"Loading.IdlePrice", loading.IdlePrice},
-		{"Loading.IdleLife", float64(loading.IdleCopyTTL)},
-		{"Loading.Answer", float64(loading.OrderTimeout)},
-		{"Limits.Dial", float64(s.Limits.DialTimeout)},
-		{"Guarantees.ColdShare", guarantees.WarmupFraction},
-		{"Guarantees.FallFactor", guarantees.CollapseFactor},
-		{"Guarantees.ColdFor", float64(guarantees.WarmupTime)},
+		{"Loading.IdleCopyTTL", float64(loading.IdleCopyTTL)},
+		{"Loading.OrderTimeout", float64(loading.OrderTimeout)},
+		{"Limits.DialTimeout", float64(s.Limits.DialTimeout)},
+		{"Guarantees.WarmupFraction", guarantees.WarmupFraction},
+		{"Guarantees.CollapseFactor", guarantees.CollapseFactor},
+		{"Guarantees.WarmupTime", float64(guarantees.WarmupTime)},
 		{"Guarantees.DrainGrace", float64(guarantees.DrainGrace)},
-		{"Guarantees.FallWithin", float64(guarantees.CollapseWindow)},
+		{"Guarantees.CollapseWindow", float64(guarantees.CollapseWindow)},
 		{"Guarantees.AnswerGrace", float64(guarantees.AnswerGrace)},
 		{"Prices.Waste", s.Prices.Waste},
 		{"Prices.LateFail", s.Prices.LateFail},
--- a/scheduler/slowstart_fleet_test.go
+++ b/scheduler/slowstart_fleet_test.go
@@ -66,7 +66,7 @@
 		Limits: scheduler.Limits{MaxAttempts: 3, MaxOpenRequests: 20000, DialTimeout: 250 * ms, Cancel: true},
 		Loading: scheduler.Loading{Orders: true, LoadsOnMiss: true, OnMissKnown: true,
 			IdleCopyTTL: 2 * time.Second, OrderTimeout: 5 * time.Second,
-			BudgetWindow: 5 * time.Second, BudgetFree: 10, BudgetRatio: 0.1, LoadNotesGiven: true},
+			BudgetWindow: 5 * time.Second, BudgetFree: 10, BudgetRatio: 0.1, ReportsLoadNotes: true},
 		Guarantees: scheduler.Guarantees{DrainGrace: 500 * ms, WarmupFraction: c.fraction, WarmupTime: c.warmupTime,
 			CollapseFactor: c.factor, CollapseWindow: c.window}}
 	now := time.Hour
--- a/scheduler/snapshot.go
+++ b/scheduler/snapshot.go
@@ -123,7 +123,7 @@
 			}
 		}
 		for worker, placed := range queue.placements {
-			if worker.State != Gone && d.hasCopy(placed, worker) {
+			if worker.State != Removed && d.hasCopy(placed, worker) {
 				snapshot.Copies++
 			}
 		}
--- a/scheduler/spread_step_test.go
+++ b/scheduler/spread_step_test.go
@@ -32,7 +32,7 @@
 // copy, and answers that did not bring them back.
 func TestCrowdedHomeSharesItsRequests(t *testing.T) {
 	s := base()
-	s.Controllers, s.Loading.SameFunctionCounted = 100, true
+	s.Controllers, s.Loading.ReportsSameFunction = 100, true
 	d := start(t, s, ready(1, 2, 3, 4, 5, 6)...)
 	now, id, home := time.Second, RequestID(1), WorkerID(0)
 	run := func(calls, alike int) (away int) {
--- a/scheduler/step.go
+++ b/scheduler/step.go
@@ -103,7 +103,7 @@
 		d.arrive(event)
 	case AttemptEnded:
 		d.attemptEnded(event)
-	case ClientGone:
+	case ClientClosed:
 		if r := d.requests[event.Request]; r != nil {
 			d.end(r)
 		}
--- a/scheduler/step_test.go
+++ b/scheduler/step_test.go
@@ -62,7 +62,7 @@
 // Events about what is not known are ignored.
 func TestEventsAboutUnknownThingsAreIgnored(t *testing.T) {
 	d := start(t, base(), ready(1)...)
-	got := d.Step(time.Second, []Event{AttemptEnded{Request: 9}, ClientGone{9}, Timer{4},
+	got := d.Step(time.Second, []Event{AttemptEnded{Request: 9}, ClientClosed{9}, Timer{4},
 		LoadOrderEnded{Worker: 8, Function: 3}, ProbeEnded{Worker: 8}, ResponseStarted{Request: 9}, GossipMessage{},
 		ListUpdate{Kind: ListFailed}, Arrival{Request: 1, Class: 99}})
 	for _, a := range got {
--- a/scheduler/streams_play_test.go
+++ b/scheduler/streams_play_test.go
@@ -152,7 +152,7 @@
 		}
 	}
 	if p.nextCall > 1 && p.chance(p.day.rate/40) {
-		events = append(events, ClientGone{Request: p.nextCall - RequestID(1+p.rnd.IntN(min(20, int(p.nextCall)-1)))})
+		events = append(events, ClientClosed{Request: p.nextCall - RequestID(1+p.rnd.IntN(min(20, int(p.nextCall)-1)))})
 	}
 	if p.day.change > 0 && p.chance(p.day.change) {
 		events = append(events, p.listChange()...)
@@ -200,7 +200,7 @@
 		return []Event{ListUpdate{Kind: ListDelta, Workers: p.list[i : i+1]}}
 	case 1: // gone and back under one id, within one step
 		gone := old
-		gone.State = Gone
+		gone.State = Removed
 		p.list[i].State = Ready
 		return []Event{ListUpdate{Kind: ListDelta, Workers: []WorkerInfo{gone, p.list[i]}}}
 	case 2: // started anew under its id
@@ -222,7 +222,7 @@
 		}
 		return []Event{ListUpdate{Kind: ListDelta, Workers: p.list[len(p.list)-1:]}}
 	}
-	old.State = Gone
+	old.State = Removed
 	p.list[i] = p.newWorker(true)
 	return []Event{ListUpdate{Kind: ListDelta, Workers: []WorkerInfo{old, p.list[i]}}}
 }
--- a/scheduler/walk.go
+++ b/scheduler/walk.go
@@ -45,7 +45,7 @@
 		return positionA.Compare(positionB)
 	}
 	for worker := range q.placements { // sorted below: the map's order does not show
-		if worker.State != Gone && compare(last, worker) < 0 {
+		if worker.State != Removed && compare(last, worker) < 0 {
 			known = append(known, worker)
 		}
 	}
