--- a/internal/hookengine/control.go
+++ b/internal/hookengine/control.go
@@ -77,22 +77,22 @@
 	return version, p.Warnings, err
 }
 
-// Promote, Rollback, Release and Remove are those of Lifecycle.
+// Promote makes the shadow version of a script live, as [Lifecycle.Promote] does.
 func (e *Engine) Promote(name string, force bool) error {
 	return e.act(func() error { return e.life.Promote(name, force) })
 }
 
-// Rollback goes back to the version before.
+// Rollback makes the previous version live again, as [Lifecycle.Rollback] does.
 func (e *Engine) Rollback(name string) error {
 	return e.act(func() error { return e.life.Rollback(name) })
 }
 
-// Release lets a version in quarantine run again.
+// Release ends the quarantine of a script, as [Lifecycle.Release] does.
 func (e *Engine) Release(name string) error {
 	return e.act(func() error { return e.life.Release(name) })
 }
 
-// Remove forgets a script.
+// Remove deletes a script with its versions and state, as [Lifecycle.Remove] does.
 func (e *Engine) Remove(name string) error {
 	return e.act(func() error { return e.life.Remove(name) })
 }
--- a/internal/hookengine/hooks_test.go
+++ b/internal/hookengine/hooks_test.go
@@ -127,12 +127,12 @@
 	notes []hookadvice.Notice
 }
 
-func (h *host) KeepWarm(f string, n int, until time.Duration) {
+func (h *host) KeepWarm(f string, n int, _ time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.said = append(h.said, fmt.Sprintf("warm %s %d", f, n))
 }
-func (h *host) RankWorker(w string, rank int, until time.Duration) {
+func (h *host) RankWorker(w string, rank int, _ time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.said = append(h.said, fmt.Sprintf("regard %s %d", w, rank))
--- a/internal/hookengine/notify_test.go
+++ b/internal/hookengine/notify_test.go
@@ -28,7 +28,7 @@
 	var mu sync.Mutex
 	var ids []string
 	taken := make(chan string, 10)
-	srv := &http1.Server{Handler: http1.HandlerFunc(func(c *http1.Conn, r *http1.Request) *http1.Response {
+	srv := &http1.Server{Handler: http1.HandlerFunc(func(_ *http1.Conn, r *http1.Request) *http1.Response {
 		mu.Lock()
 		defer mu.Unlock()
 		m := signing.Message{ID: r.Header.Get("webhook-id"), Stamp: r.Header.Get("webhook-timestamp"), Body: r.Body}
--- a/internal/hooklang/ast.go
+++ b/internal/hooklang/ast.go
@@ -44,7 +44,6 @@
 
 	types  []*Type // of the parameters
 	ret    *Type
-	n      int
 	slots  int
 	calls  []*funcDecl // for what a handler may reach
 	writes Pos         // where it changes state; zero: it does not
--- a/internal/hooklang/builtin.go
+++ b/internal/hooklang/builtin.go
@@ -43,12 +43,12 @@
 	return s
 }
 
-func effect(name string, make func(a []Value) Advice, params ...*Type) {
+func effect(name string, build func(a []Value) Advice, params ...*Type) {
 	def(name, tyVoid, func(vm *VM, a []Value) Value {
 		if len(vm.advice) >= vm.lim.Effects {
 			vm.fault(FaultEffects, "more than %d pieces of advice", vm.lim.Effects)
 		}
-		d := make(a)
+		d := build(a)
 		d.Kind = name
 		vm.advice = append(vm.advice, d)
 		vm.alloc(int64(160 + len(d.Text)))
@@ -58,15 +58,15 @@
 
 func init() {
 	list, dict := listOf(varT), mapOf(varK, varV)
-	length := func(vm *VM, a []Value) Value { return Value{n: int64(len(a[0].o.l))} }
-	def("len", tyInt, func(vm *VM, a []Value) Value { return Value{n: int64(len(a[0].str()))} }, tyStr)
+	length := func(_ *VM, a []Value) Value { return Value{n: int64(len(a[0].o.l))} }
+	def("len", tyInt, func(_ *VM, a []Value) Value { return Value{n: int64(len(a[0].str()))} }, tyStr)
 	def("len", tyInt, length, list)
 	def("len", tyInt, length, dict)
 
 	for _, t := range []*Type{tyInt, tyFloat, tyDur, tyBool} {
 		def("str", tyStr, func(vm *VM, a []Value) Value { return vm.str(text(t, a[0])) }, t)
 	}
-	def("str", tyStr, func(vm *VM, a []Value) Value { return a[0] }, tyStr)
+	def("str", tyStr, func(_ *VM, a []Value) Value { return a[0] }, tyStr)
 
 	whole := func(f func(float64) float64) func(vm *VM, a []Value) Value {
 		return func(vm *VM, a []Value) Value {
@@ -81,8 +81,8 @@
 	def("floor", tyInt, whole(math.Floor), tyFloat)
 	def("ceil", tyInt, whole(math.Ceil), tyFloat)
 	def("round", tyInt, whole(math.Round), tyFloat)
-	def("float", tyFloat, func(vm *VM, a []Value) Value { return floatValue(float64(a[0].n)) }, tyInt)
-	def("seconds", tyFloat, func(vm *VM, a []Value) Value { return floatValue(time.Duration(a[0].n).Seconds()) }, tyDur)
+	def("float", tyFloat, func(_ *VM, a []Value) Value { return floatValue(float64(a[0].n)) }, tyInt)
+	def("seconds", tyFloat, func(_ *VM, a []Value) Value { return floatValue(time.Duration(a[0].n).Seconds()) }, tyDur)
 	def("duration", tyDur, func(vm *VM, a []Value) Value {
 		x := a[0].float() * 1e9
 		if !(math.Abs(x) < 1<<62) {
@@ -92,13 +92,13 @@
 	}, tyFloat)
 
 	for _, t := range []*Type{tyInt, tyFloat, tyDur, tyStr} {
-		def("min", t, func(vm *VM, a []Value) Value {
+		def("min", t, func(_ *VM, a []Value) Value {
 			if compare(t, a[1], a[0]) < 0 {
 				return a[1]
 			}
 			return a[0]
 		}, t, t)
-		def("max", t, func(vm *VM, a []Value) Value {
+		def("max", t, func(_ *VM, a []Value) Value {
 			if compare(t, a[1], a[0]) > 0 {
 				return a[1]
 			}
@@ -123,7 +123,7 @@
 			return Value{n: max(a[0].n, -a[0].n)}
 		}, t)
 	}
-	def("abs", tyFloat, func(vm *VM, a []Value) Value { return floatValue(math.Abs(a[0].float())) }, tyFloat)
+	def("abs", tyFloat, func(_ *VM, a []Value) Value { return floatValue(math.Abs(a[0].float())) }, tyFloat)
 
 	def("sort_by", list, nil, list, tyStr).by = true
 	def("reverse", list, func(vm *VM, a []Value) Value {
@@ -161,7 +161,7 @@
 		}
 		return Value{o: o}
 	}, dict)
-	def("get", varV, func(vm *VM, a []Value) Value {
+	def("get", varV, func(_ *VM, a []Value) Value {
 		if i, ok := a[0].o.find(a[1]); ok {
 			return a[0].o.l[i]
 		}
@@ -214,8 +214,8 @@
 		return vm.str(strings.Join(l, a[1].str()))
 	}, listOf(tyStr), tyStr)
 
-	def("now", tyDur, func(vm *VM, a []Value) Value { return Value{n: int64(vm.env.Now)} })
-	def("wall", tyInt, func(vm *VM, a []Value) Value { return Value{n: vm.env.Wall} })
+	def("now", tyDur, func(vm *VM, _ []Value) Value { return Value{n: int64(vm.env.Now)} })
+	def("wall", tyInt, func(vm *VM, _ []Value) Value { return Value{n: vm.env.Wall} })
 	def("fail", tyVoid, func(vm *VM, a []Value) Value {
 		vm.fault(FaultRaised, "%s", cut(a[0].str(), 200))
 		return Value{}
--- a/internal/hooklang/checkstmt.go
+++ b/internal/hooklang/checkstmt.go
@@ -158,18 +158,24 @@
 		}
 	}
 	v := c.value(s.value)
-	if s.op != "" {
-		if t.box() && s.op == "+" && t.name == "list" || t.ordered() && (s.op == "+" || t != tyStr) {
-		} else {
-			c.problem(s.pos, "a %v has no %s=", t, s.op)
-			return
-		}
+	if s.op != "" && !hasCompoundAssignment(t, s.op) {
+		c.problem(s.pos, "a %v has no %s=", t, s.op)
+		return
 	}
 	if !same(t, v) {
 		c.problem(s.value.at(), "%s wants a %v, not a %v", s.name, t, v)
 	}
 }
 
+// hasCompoundAssignment reports whether values of t take op with "=": lists and strings only "+=", numbers and durations
+// any arithmetic operator.
+func hasCompoundAssignment(t *Type, op string) bool {
+	if t.box() && t.name == "list" {
+		return op == "+"
+	}
+	return t.ordered() && (op == "+" || t != tyStr)
+}
+
 func (c *checker) loop(s *forStmt) {
 	t := c.value(s.from)
 	var key, elem *Type
--- a/internal/hooklang/compile.go
+++ b/internal/hooklang/compile.go
@@ -247,7 +247,6 @@
 	now    int // depth of the stack
 	total  int
 	breaks []*leave
-	free   int
 }
 
 type leave struct{ breaks, continues []int }
--- a/internal/hooklang/vm.go
+++ b/internal/hooklang/vm.go
@@ -89,7 +89,6 @@
 	fn   *function
 	pc   int
 	base int
-	ret  bool
 }
 
 // NewVM returns a VM.
