--- a/internal/hookadvice/advice_test.go
+++ b/internal/hookadvice/table_test.go
@@ -31,7 +31,7 @@
 	for i := range 8 {
 		l = append(l, Worker{fmt.Sprint("w", i), i != 7, 1000})
 	}
-	b.Step(0, []Event{Workers{l}, Live{"a", 1}, Live{"b", 1}})
+	b.Step(0, []Event{WorkerList{l}, VersionActivated{"a", 1}, VersionActivated{"b", 1}})
 	return b
 }
 
@@ -39,7 +39,7 @@
 	return hooklang.Advice{Kind: "keep_warm", Function: f, Copies: n, For: d}
 }
 
-func by(script string, l ...hooklang.Advice) Event { return Offered{script, 1, l} }
+func by(script string, l ...hooklang.Advice) Event { return AdviceGiven{script, 1, l} }
 
 func show(l []Effect) string {
 	var s []string
@@ -84,10 +84,10 @@
 			"Tenants{By:map[t:{Weight:0.5 MaxOpenCalls:20} u:{Weight:0 MaxOpenCalls:1}]}"},
 		{"no such tenant", []Event{by("a", tenant("tenant_weight", "x", 2))}, "dropped: no such tenant"},
 		{"no weight at all", []Event{by("a", tenant("tenant_weight", "t", 0))}, "dropped: 0 is not above 0"},
-		{"an old version", []Event{Live{"a", 2}, by("a", warm("f1", 2, 10*sec))}, "dropped: of version 1, which is not heard"},
+		{"an old version", []Event{VersionActivated{"a", 2}, by("a", warm("f1", 2, 10*sec))}, "dropped: of version 1, which is not heard"},
 		{"a script that is not heard", []Event{by("c", warm("f1", 2, 10*sec))}, "dropped: of version 1, which is not heard"},
 		{"what cannot stand", []Event{by("a", hooklang.Advice{Kind: "send"})}, "dropped: send does not stand"},
-		{"a script that ends", []Event{by("a", warm("f1", 2, 10*sec)), Ended{"a"}}, ""},
+		{"a script that ends", []Event{by("a", warm("f1", 2, 10*sec)), ScriptStopped{"a"}}, ""},
 		{"a notice", []Event{by("a", hooklang.Advice{Kind: "notify", Key: "ops", Text: "x"})}, "Notice{Script:a Target:ops Text:x}"},
 	} {
 		if got := show(table(t, Settings{}).Step(0, c.in)); got != c.want {
@@ -99,13 +99,13 @@
 func TestExpiryAndWorkers(t *testing.T) {
 	b := table(t, Settings{})
 	b.Step(0, []Event{by("a", warm("f1", 2, 10*sec), hooklang.Advice{Kind: "prefer", Worker: "w1", For: 20 * sec})})
-	if b.Next() != 10*sec {
-		t.Error(b.Next())
+	if b.NextExpiry() != 10*sec {
+		t.Error(b.NextExpiry())
 	}
 	if got := show(b.Step(10*sec, nil)); got != "KeepWarm{Function:f1 Copies:0 Until:0s}" {
 		t.Error(got)
 	}
-	if got := show(b.Step(11*sec, []Event{Workers{[]Worker{{"w1", false, 1000}, {"w2", true, 1000}, {"w3", true, 0}, {"w4", true, 0}}}})); got != "RankWorker{Worker:w1 Rank:0 Until:0s}" {
+	if got := show(b.Step(11*sec, []Event{WorkerList{[]Worker{{"w1", false, 1000}, {"w2", true, 1000}, {"w3", true, 0}, {"w4", true, 0}}}})); got != "RankWorker{Worker:w1 Rank:0 Until:0s}" {
 		t.Error(got)
 	}
 }
@@ -177,16 +177,16 @@
 			if len(held) > 3 || copies*100 > 1400 || up > 2 || down > 2 || ranks["w7"].Rank > 0 {
 				t.Fatalf("%v %v", held, ranks)
 			}
-			if len(b.Standing()) != len(held)+up+down {
-				t.Fatalf("%s stands, told were %v %v", show(b.Standing()), held, ranks)
+			if len(b.InForce()) != len(held)+up+down {
+				t.Fatalf("%s stands, told were %v %v", show(b.InForce()), held, ranks)
 			}
 		}
 	})
 }
 
-func TestDoor(t *testing.T) {
+func TestAdmissionGate(t *testing.T) {
 	d := NewAdmissionGate(Settings{})
-	d.Set(Tenants{map[string]Tenant{"t": {Weight: 2, MaxOpenCalls: 3}}})
+	d.SetTenants(Tenants{map[string]Tenant{"t": {Weight: 2, MaxOpenCalls: 3}}})
 	no := []hooklang.Advice{{Kind: "refuse", Text: "x"}}
 	refused, over := 0, 0
 	for i := range 1000 { // a script that refuses all
--- a/internal/hookengine/control.go
+++ b/internal/hookengine/control.go
@@ -159,10 +159,10 @@
 			}
 			o.Scripts = append(o.Scripts, x)
 		}
-		for _, x := range e.table.Standing() {
+		for _, x := range e.table.InForce() {
 			o.Standing = append(o.Standing, standing(x, now))
 		}
-		o.Taken, o.Aside = e.table.Counts.Taken, e.table.Counts.Aside
+		o.Taken, o.Aside = e.table.Counts.Accepted, e.table.Counts.Suppressed
 	})
 	o.Posted, o.Dropped, o.Waiting = e.Counts.Posted.Load(), e.Counts.Dropped.Load(), len(e.queue)
 	o.Refused, o.Over = e.Counts.Refusals.Load(), e.Counts.Over.Load()
--- a/internal/hookengine/engine.go
+++ b/internal/hookengine/engine.go
@@ -198,7 +198,7 @@
 				}
 			}
 			e.ran[s.Name] = r
-			e.advise([]hookadvice.Event{hookadvice.Live{Script: s.Name, Version: s.Live.Number}})
+			e.advise([]hookadvice.Event{hookadvice.VersionActivated{Script: s.Name, Version: s.Live.Number}})
 		}
 		if s.Shadow != nil {
 			if r, err := e.prepare(s.Name, s.Shadow); err == nil {
@@ -324,7 +324,7 @@
 			e.cfg.Sink.RankWorker(x.Worker, x.Rank, x.Until)
 		case hookadvice.Tenants:
 			e.dmu.Lock()
-			e.door.Set(x)
+			e.door.SetTenants(x)
 			e.dmu.Unlock()
 		case hookadvice.Notice:
 			e.cfg.Log.Info().Str("script", x.Script).Str("target", x.Target).Msg("notice")
@@ -352,7 +352,7 @@
 				if text, err := old.state.MarshalJSON(); err == nil { // it may come back
 					e.states[c.Script] = text
 				}
-				e.advise([]hookadvice.Event{hookadvice.Ended{Script: c.Script}})
+				e.advise([]hookadvice.Event{hookadvice.ScriptStopped{Script: c.Script}})
 			}
 		} else if old == nil || old.version != c.Live.Number {
 			r, err := e.prepare(c.Script, c.Live)
@@ -369,7 +369,7 @@
 			}
 			r.changed = true
 			e.ran[c.Script] = r
-			e.advise([]hookadvice.Event{hookadvice.Live{Script: c.Script, Version: r.version}})
+			e.advise([]hookadvice.Event{hookadvice.VersionActivated{Script: c.Script, Version: r.version}})
 		}
 		s := e.life.Find(c.Script)
 		if s == nil {
--- a/internal/hookengine/run.go
+++ b/internal/hookengine/run.go
@@ -30,7 +30,7 @@
 		case <-timer.C:
 		}
 		if l := e.list.Swap(nil); l != nil {
-			e.advise([]hookadvice.Event{hookadvice.Workers{List: *l}})
+			e.advise([]hookadvice.Event{hookadvice.WorkerList{List: *l}})
 		}
 		e.follow()
 		now := e.cfg.Clock.Now()
@@ -51,7 +51,7 @@
 		}
 	}
 	least(e.life.Next())
-	least(e.table.Next())
+	least(e.table.NextExpiry())
 	for _, r := range e.ran {
 		if r.every > 0 {
 			least(r.next)
@@ -135,7 +135,7 @@
 				l = append(l, a)
 			}
 		}
-		e.advise([]hookadvice.Event{hookadvice.Offered{Script: s.Name, Version: r.version, Items: l}})
+		e.advise([]hookadvice.Event{hookadvice.AdviceGiven{Script: s.Name, Version: r.version, Items: l}})
 	}
 	if sh := e.shadow[s.Name]; sh != nil {
 		e.try(sh, point, ev, res.Advice, fault)
