--- a/internal/hookengine/control.go
+++ b/internal/hookengine/control.go
@@ -154,8 +154,8 @@
 				x.Points, _ = r.p.Points()
 				x.State = r.state.String()
 			}
-			if s.open && s.until > now {
-				x.BackInS = (s.until - now).Seconds()
+			if s.circuit.open && s.circuit.openUntil > now {
+				x.BackInS = (s.circuit.openUntil - now).Seconds()
 			}
 			o.Scripts = append(o.Scripts, x)
 		}
--- a/internal/hookengine/engine.go
+++ b/internal/hookengine/engine.go
@@ -339,7 +339,7 @@
 
 // follow makes what the lifecycle has decided true.
 func (e *Engine) follow() {
-	changes, dirty := e.life.Take()
+	changes, dirty := e.life.TakeChanges()
 	for _, c := range changes {
 		ev := e.cfg.Log.Info()
 		if c.Alarm {
--- a/internal/hookengine/hooks_test.go
+++ b/internal/hookengine/hooks_test.go
@@ -36,13 +36,13 @@
 	s := l.Find("a")
 	now, opened := time.Duration(0), []time.Duration{}
 	for n := 0; s.Live.Text == "two" && n < 1000; n++ {
-		if s.open {
-			back := s.until - now
+		if s.circuit.open {
+			back := s.circuit.openUntil - now
 			opened = append(opened, back)
-			now = s.until
-			l.Due(now)
+			now = s.circuit.openUntil
+			l.StartProbes(now)
 		}
-		l.Ran(now, "a", s.Live.Number, "raised", 1)
+		l.RecordRun(now, "a", s.Live.Number, "raised", 1)
 	}
 	if s.Live.Text != "one" || s.Before.Bad == "" || len(opened) != 4 {
 		t.Fatalf("%+v after %v", s, opened)
@@ -59,11 +59,11 @@
 		t.Errorf("the text that was given up is taken again: %v", err)
 	}
 	for n := 0; s.Live.Bad == "" && n < 1000; n++ {
-		if s.open {
-			now = s.until
-			l.Due(now)
+		if s.circuit.open {
+			now = s.circuit.openUntil
+			l.StartProbes(now)
 		}
-		l.Ran(now, "a", s.Live.Number, "raised", 1)
+		l.RecordRun(now, "a", s.Live.Number, "raised", 1)
 	}
 	if s.Status(now) != "quarantined" {
 		t.Error(s.Status(now))
@@ -72,23 +72,23 @@
 	if s.Status(now) != "live" {
 		t.Error(s.Status(now))
 	}
-	l.Ran(now, "a", s.Live.Number, "x", 1)
-	l.Ran(now, "a", s.Live.Number, "", 1) // one good run begins the count anew
-	l.Ran(now, "a", s.Live.Number, "x", 1)
-	l.Ran(now, "a", s.Live.Number, "x", 1)
-	l.Ran(now, "a", 1, "x", 1) // two was version 2, and this is one again: of version 1
+	l.RecordRun(now, "a", s.Live.Number, "x", 1)
+	l.RecordRun(now, "a", s.Live.Number, "", 1) // one good run begins the count anew
+	l.RecordRun(now, "a", s.Live.Number, "x", 1)
+	l.RecordRun(now, "a", s.Live.Number, "x", 1)
+	l.RecordRun(now, "a", 1, "x", 1) // two was version 2, and this is one again: of version 1
 	if s.Live.Number == 1 && s.Status(now) != "open" {
 		t.Error("three faults in a row do not open it")
 	}
 	before := s.Tally
-	l.Ran(now, "a", 99, "x", 1) // a run of a version that is gone says nothing
+	l.RecordRun(now, "a", 99, "x", 1) // a run of a version that is gone says nothing
 	if s.Tally != before {
 		t.Error(s.Tally)
 	}
 }
 
 func TestPromotion(t *testing.T) {
-	l := NewLifecycle(LifecycleSettings{Trial: 3}, 1)
+	l := NewLifecycle(LifecycleSettings{MinTrialRuns: 3}, 1)
 	l.Load("a", "one", "x", false)
 	v, _ := l.Load("a", "two", "x", true)
 	if again, _ := l.Load("a", "two", "x", true); again != v {
@@ -101,9 +101,9 @@
 		t.Error(err)
 	}
 	for range 3 {
-		l.Tried("a", v, "", 10, false)
+		l.RecordTrial("a", v, "", 10, false)
 	}
-	l.Tried("a", v, "x", 10, false)
+	l.RecordTrial("a", v, "x", 10, false)
 	if err := l.Promote("a", false); err == nil || !strings.Contains(err.Error(), "1 faults, 3 differ") {
 		t.Error(err)
 	}
@@ -148,9 +148,9 @@
 
 func engine(t *testing.T, h *host, clk clock.Clock, dir string, rate ...int64) *Engine {
 	t.Helper()
-	life := LifecycleSettings{Rate: 1 << 40}
+	life := LifecycleSettings{InstructionRate: 1 << 40}
 	if rate != nil {
-		life.Rate = rate[0]
+		life.InstructionRate = rate[0]
 	}
 	cfg := Config{Lifecycle: life, Advice: hookadvice.Settings{Cap: 100}, Facts: h, Sink: h, Clock: clk, Log: zerolog.Nop(), SaveInterval: time.Nanosecond,
 		Notify: func(n hookadvice.Notice) { h.mu.Lock(); h.notes = append(h.notes, n); h.mu.Unlock() }}
--- a/internal/hookengine/run.go
+++ b/internal/hookengine/run.go
@@ -35,7 +35,7 @@
 		e.follow()
 		now := e.cfg.Clock.Now()
 		e.timers(now)
-		e.life.Due(now)
+		e.life.StartProbes(now)
 		e.advise(nil)
 		e.follow()
 		e.store(false)
@@ -50,7 +50,7 @@
 			at = min(at, t)
 		}
 	}
-	least(e.life.Next())
+	least(e.life.NextProbe())
 	least(e.table.NextExpiry())
 	for _, r := range e.ran {
 		if r.every > 0 {
@@ -82,7 +82,7 @@
 // one carries out what was posted.
 func (e *Engine) one(p posted) {
 	if p.ran {
-		e.life.Ran(p.at, p.script, p.version, p.fault, p.fuel)
+		e.life.RecordRun(p.at, p.script, p.version, p.fault, p.fuel)
 		if p.fault != "" {
 			e.Counts.Faults.Add(1)
 		}
@@ -110,7 +110,7 @@
 		}
 		return
 	}
-	if !e.life.Affords(now, &s.Tally) {
+	if !e.life.WithinRate(now, &s.Tally) {
 		return // nor does its shadow see what it is not to be compared on
 	}
 	res, err := e.aside(r, point, ev)
@@ -125,7 +125,7 @@
 			e.publish()
 		}
 	}
-	e.life.Ran(now, s.Name, r.version, fault, res.Fuel)
+	e.life.RecordRun(now, s.Name, r.version, fault, res.Fuel)
 	if len(res.Advice) > 0 {
 		var l []hooklang.Advice
 		for _, a := range res.Advice {
@@ -158,17 +158,17 @@
 // try runs a shadow on an event that the live version has had, and compares. What it advises goes nowhere.
 func (e *Engine) try(r *running, point string, ev hooklang.Event, live []hooklang.Advice, fault string) {
 	if !r.p.Has(point) {
-		e.life.Tried(r.name, r.version, "", 0, len(live) == 0)
+		e.life.RecordTrial(r.name, r.version, "", 0, len(live) == 0)
 		return
 	}
-	if s := e.life.Find(r.name); s == nil || !e.life.Affords(e.cfg.Clock.Now(), &s.Trial) {
+	if s := e.life.Find(r.name); s == nil || !e.life.WithinRate(e.cfg.Clock.Now(), &s.Trial) {
 		return
 	}
 	res, err := e.aside(r, point, ev)
 	if err != nil {
-		e.life.Tried(r.name, r.version, err.Error(), res.Fuel, false)
+		e.life.RecordTrial(r.name, r.version, err.Error(), res.Fuel, false)
 		return
 	}
 	r.state = res.State
-	e.life.Tried(r.name, r.version, "", res.Fuel, fault == "" && slices.Equal(res.Advice, live))
+	e.life.RecordTrial(r.name, r.version, "", res.Fuel, fault == "" && slices.Equal(res.Advice, live))
 }
