--- a/internal/hookengine/golden_test.go
+++ b/internal/hookengine/golden_test.go
@@ -56,11 +56,14 @@
 func TestStoredScriptsAreAsBefore(t *testing.T) {
 	folder := t.TempDir()
 	log, _, _ := openStore(t, folder)
-	engine := &Engine{log: log, life: &Lifecycle{Scripts: storedScripts(), Last: 4}, states: map[string]json.RawMessage{"a": json.RawMessage(storedState)},
-		cfg: Config{Log: zerolog.Nop()}}
-	engine.append(record{Scripts: engine.life.Scripts, Last: engine.life.Last})
-	engine.append(record{State: "a", Value: json.RawMessage(storedState)})
-	engine.append(record{})
+	engine := &Engine{
+		config:    Config{Log: zerolog.Nop()},
+		lifecycle: &Lifecycle{Scripts: storedScripts(), Last: 4},
+		storage:   storage{log: log, states: map[string]json.RawMessage{"a": json.RawMessage(storedState)}},
+	}
+	engine.appendRecord(record{Scripts: engine.lifecycle.Scripts, Last: engine.lifecycle.Last})
+	engine.appendRecord(record{State: "a", Value: json.RawMessage(storedState)})
+	engine.appendRecord(record{})
 	log.Close()
 	log, snapshot, records := openStore(t, folder)
 	if snapshot != nil || len(records) != 3 {
@@ -70,10 +73,10 @@
 	goldenfile.Compare(t, "record_state.json", records[1])
 	goldenfile.Compare(t, "record_empty.json", records[2])
 
-	engine.log, engine.since = log, recordsKept-1
-	engine.append(record{State: "a", Value: json.RawMessage(storedState)})
-	if engine.failed != nil || engine.since != 0 {
-		t.Fatal(engine.failed, engine.since)
+	engine.log, engine.sinceSnapshot = log, recordsPerSnapshot-1
+	engine.appendRecord(record{State: "a", Value: json.RawMessage(storedState)})
+	if engine.storeErr != nil || engine.sinceSnapshot != 0 {
+		t.Fatal(engine.storeErr, engine.sinceSnapshot)
 	}
 	log.Close()
 	log, snapshot, _ = openStore(t, folder)
@@ -107,26 +110,26 @@
 			t.Fatal(err)
 		}
 		log.Close()
-		engine := &Engine{cfg: Config{FS: store.Dir(folder), Clock: clock.System(), Log: zerolog.Nop()}, life: NewLifecycle(LifecycleSettings{}, 1),
-			ran: map[string]*running{}, shadow: map[string]*running{}}
+		engine := &Engine{config: Config{FS: store.Dir(folder), Clock: clock.System(), Log: zerolog.Nop()}, lifecycle: NewLifecycle(LifecycleSettings{}, 1),
+			active: map[string]*loadedVersion{}, shadows: map[string]*loadedVersion{}}
 		var err error
 		if engine.table, err = hookadvice.New(hookadvice.Settings{Cap: 1}, nil); err != nil {
 			t.Fatal(err)
 		}
-		if err := engine.recover(); err != nil {
+		if err := engine.restore(); err != nil {
 			t.Fatal(err)
 		}
 		engine.log.Close()
-		if got, _ := json.Marshal(engine.life.Scripts); !reflect.DeepEqual(engine.life.Scripts, storedScripts()) || engine.life.Last != 4 {
-			t.Errorf("%s: read %s, last version %d", name, got, engine.life.Last)
+		if got, _ := json.Marshal(engine.lifecycle.Scripts); !reflect.DeepEqual(engine.lifecycle.Scripts, storedScripts()) || engine.lifecycle.Last != 4 {
+			t.Errorf("%s: read %s, last version %d", name, got, engine.lifecycle.Last)
 		}
 		if state := string(engine.states["a"]); state != storedState {
 			t.Errorf("%s: read the state %s", name, state)
 		}
-		if state := engine.ran["a"].state.String(); state != "state seen int = 7\n" {
+		if state := engine.active["a"].state.String(); state != "state seen int = 7\n" {
 			t.Errorf("%s: runs with %s", name, state)
 		}
-		if engine.shadow["a"] == nil || engine.ran["b"] == nil {
+		if engine.shadows["a"] == nil || engine.active["b"] == nil {
 			t.Errorf("%s: not all versions run", name)
 		}
 	}
@@ -172,10 +175,10 @@
 			{Name: "b", Status: "empty"},
 		},
 		Standing: []string{
-			standing(hookadvice.KeepWarm{Function: "resize", Copies: 2, Until: now + 90*time.Second}, now),
-			standing(hookadvice.RankWorker{Worker: "w1", Rank: -1, Until: now + time.Second}, now),
-			standing(hookadvice.Tenants{By: map[string]hookadvice.Tenant{"t": {Weight: 0.5, MaxOpenCalls: 3}, "s": {}}}, now),
-			standing(hookadvice.Tenants{}, now),
+			inForceLine(hookadvice.KeepWarm{Function: "resize", Copies: 2, Until: now + 90*time.Second}, now),
+			inForceLine(hookadvice.RankWorker{Worker: "w1", Rank: -1, Until: now + time.Second}, now),
+			inForceLine(hookadvice.Tenants{By: map[string]hookadvice.Tenant{"t": {Weight: 0.5, MaxOpenCalls: 3}, "s": {}}}, now),
+			inForceLine(hookadvice.Tenants{}, now),
 		},
 		Posted: 1, Dropped: 2, Waiting: 3, Taken: 4, Refused: 5, Over: 6, Aside: 7,
 	}
--- a/internal/hookengine/hooks_test.go
+++ b/internal/hookengine/hooks_test.go
@@ -223,7 +223,7 @@
 	if got := h.words(); got != "warm f4 1, warm f4 0" {
 		t.Error(got)
 	}
-	for range 2 * recordsKept { // snapshots among them
+	for range 2 * recordsPerSnapshot { // snapshots among them
 		load(t, e, "a", counter, false)
 		load(t, e, "a", counter+"\n", false)
 	}
--- a/internal/hookengine/run.go
+++ b/internal/hookengine/run.go
@@ -8,6 +8,10 @@
 	"kitehub/internal/hooklang"
 )
 
+// maxIdle is how long the engine's goroutine waits at most when nothing is due.
+const maxIdle = time.Hour
+
+// run is the engine's goroutine.
 func (e *Engine) run() {
 	defer close(e.done)
 	timer := time.NewTimer(0)
@@ -15,160 +19,184 @@
 	for {
 		select {
 		case <-e.stop:
-			if !e.killed.Load() {
-				e.store(true)
-			}
-			if e.log != nil {
-				e.log.Close()
-			}
+			e.shutDown()
 			return
 		case <-e.wake:
-		case f := <-e.calls:
-			f()
-		case p := <-e.queue:
-			e.one(p)
+		case request := <-e.requests:
+			request()
+		case j := <-e.queue:
+			e.process(j)
 		case <-timer.C:
 		}
-		if l := e.list.Swap(nil); l != nil {
-			e.advise([]hookadvice.Event{hookadvice.WorkerList{List: *l}})
+		if workers := e.workers.Swap(nil); workers != nil {
+			e.advise(hookadvice.WorkerList{List: *workers})
 		}
-		e.follow()
-		now := e.cfg.Clock.Now()
-		e.timers(now)
-		e.life.StartProbes(now)
-		e.advise(nil)
-		e.follow()
-		e.store(false)
-		timer.Reset(max(time.Millisecond, min(e.next(now)-now, time.Hour)))
+		e.applyChanges()
+		now := e.config.Clock.Now()
+		e.runTimers(now)
+		e.lifecycle.StartProbes(now)
+		e.advise()
+		e.applyChanges()
+		e.saveStates(false)
+		timer.Reset(max(time.Millisecond, min(e.nextDue(now)-now, maxIdle)))
 	}
 }
 
-func (e *Engine) next(now time.Duration) time.Duration {
-	at := now + time.Hour
-	least := func(t time.Duration) {
-		if t > 0 {
-			at = min(at, t)
-		}
+func (e *Engine) shutDown() {
+	if !e.killed.Load() {
+		e.saveStates(true)
 	}
-	least(e.life.NextProbe())
-	least(e.table.NextExpiry())
-	for _, r := range e.ran {
-		if r.every > 0 {
-			least(r.next)
-		}
-		if r.changed {
-			least(e.saved + e.cfg.SaveInterval)
-		}
+	if e.log != nil {
+		e.log.Close()
 	}
-	return at
 }
 
-func (e *Engine) timers(now time.Duration) {
-	for _, s := range e.life.Scripts {
-		if r := e.ran[s.Name]; r != nil && r.every > 0 && now >= r.next {
-			r.count++
-			if r.next += r.every; r.next <= now { // late ones are not made up for
-				r.next = now + r.every
-			}
-			open := 0
-			if e.cfg.Open != nil {
-				open = e.cfg.Open()
-			}
-			e.event(s, "timer", hooklang.Tick{Count: r.count, Open: open}, now)
+// nextDue returns when the engine's goroutine has something to do next if nothing comes.
+func (e *Engine) nextDue(now time.Duration) time.Duration {
+	due := now + maxIdle
+	consider := func(at time.Duration) {
+		if at > 0 {
+			due = min(due, at)
+		}
+	}
+	consider(e.lifecycle.NextProbe())
+	consider(e.table.NextExpiry())
+	for _, loaded := range e.active {
+		if loaded.interval > 0 {
+			consider(loaded.nextTick)
+		}
+		if loaded.unsaved {
+			consider(e.lastSaved + e.config.SaveInterval)
 		}
 	}
+	return due
 }
 
-// one carries out what was posted.
-func (e *Engine) one(p posted) {
-	if p.ran {
-		e.life.RecordRun(p.at, p.script, p.version, p.fault, p.fuel)
-		if p.fault != "" {
-			e.Counts.Faults.Add(1)
+// runTimers runs the handlers of timers that are due. Ticks that were missed are not made up for.
+func (e *Engine) runTimers(now time.Duration) {
+	for _, s := range e.lifecycle.Scripts {
+		loaded := e.active[s.Name]
+		if loaded == nil || loaded.interval == 0 || now < loaded.nextTick {
+			continue
 		}
-		for _, a := range p.advice {
-			if a.Kind == "log" {
-				e.cfg.Log.Info().Str("script", p.script).Msg(a.Text)
-			}
+		loaded.ticks++
+		loaded.nextTick += loaded.interval
+		if loaded.nextTick <= now {
+			loaded.nextTick = now + loaded.interval
 		}
-		if r := e.shadow[p.script]; r != nil && p.event != nil {
-			e.try(r, p.point, p.event, p.advice, p.fault)
+		open := 0
+		if e.config.Open != nil {
+			open = e.config.Open()
 		}
+		e.handle(s, pointTimer, hooklang.Tick{Count: loaded.ticks, Open: open}, now)
+	}
+}
+
+// process takes a job from the queue.
+func (e *Engine) process(j job) {
+	if j.run != nil {
+		e.recordInline(j)
 		return
 	}
-	for _, s := range slices.Clone(e.life.Scripts) {
-		e.event(s, p.point, p.event, e.cfg.Clock.Now())
+	for _, s := range slices.Clone(e.lifecycle.Scripts) {
+		e.handle(s, j.point, j.event, e.config.Clock.Now())
 	}
 }
 
-// event runs a script's handler of one event, aside, and then its shadow's.
-func (e *Engine) event(s *Script, point string, ev hooklang.Event, now time.Duration) {
-	r := e.ran[s.Name]
-	if r == nil || !r.p.Has(point) {
-		if sh := e.shadow[s.Name]; r != nil && sh != nil && sh.p.Has(point) {
-			e.try(sh, point, ev, nil, "")
+// recordInline counts a run that was made on the goroutine of a call, and has the shadow see its event.
+func (e *Engine) recordInline(j job) {
+	run := j.run
+	e.lifecycle.RecordRun(j.at, run.script, run.version, run.fault, run.fuel)
+	if run.fault != "" {
+		e.Counts.Faults.Add(1)
+	}
+	e.logLines(run.script, run.advice)
+	if shadow := e.shadows[run.script]; shadow != nil && j.event != nil {
+		e.runShadow(shadow, j.point, j.event, run.advice, run.fault)
+	}
+}
+
+// handle runs a script's handler of an event, and then its shadow's.
+func (e *Engine) handle(s *Script, point string, event hooklang.Event, now time.Duration) {
+	live, shadow := e.active[s.Name], e.shadows[s.Name]
+	if live == nil || !live.program.Has(point) {
+		if live != nil && shadow != nil && shadow.program.Has(point) {
+			e.runShadow(shadow, point, event, nil, "")
 		}
 		return
 	}
-	if !e.life.WithinRate(now, &s.Tally) {
-		return // nor does its shadow see what it is not to be compared on
+	if !e.lifecycle.WithinRate(now, &s.Tally) {
+		return // the shadow does not see it either, as there is nothing to compare it with
 	}
-	res, err := e.aside(r, point, ev)
-	s.Tally.debt += res.Fuel
+	result, err := e.runAside(live, point, event)
+	s.Tally.debt += result.Fuel
 	fault := ""
 	if err != nil {
 		fault = err.Error()
 		e.Counts.Faults.Add(1)
-	} else if res.State != r.state {
-		r.state, r.changed = res.State, true
-		if r.p.Has("arrive") {
+	} else if result.State != live.state {
+		live.state = result.State
+		live.unsaved = true
+		if live.program.Has(pointArrive) {
 			e.publish()
 		}
 	}
-	e.life.RecordRun(now, s.Name, r.version, fault, res.Fuel)
-	if len(res.Advice) > 0 {
-		var l []hooklang.Advice
-		for _, a := range res.Advice {
-			if a.Kind == "log" {
-				e.cfg.Log.Info().Str("script", s.Name).Msg(a.Text)
-			} else {
-				l = append(l, a)
-			}
-		}
-		e.advise([]hookadvice.Event{hookadvice.AdviceGiven{Script: s.Name, Version: r.version, Items: l}})
+	e.lifecycle.RecordRun(now, s.Name, live.version, fault, result.Fuel)
+	if len(result.Advice) > 0 {
+		items := e.logLines(s.Name, result.Advice)
+		e.advise(hookadvice.AdviceGiven{Script: s.Name, Version: live.version, Items: items})
+	}
+	if shadow := e.shadows[s.Name]; shadow != nil {
+		e.runShadow(shadow, point, event, result.Advice, fault)
 	}
-	if sh := e.shadow[s.Name]; sh != nil {
-		e.try(sh, point, ev, res.Advice, fault)
+}
+
+// logLines writes the lines that a run logs, and returns the rest of its advice.
+func (e *Engine) logLines(script string, advice []hooklang.Advice) (rest []hooklang.Advice) {
+	for _, item := range advice {
+		if item.Kind == "log" {
+			e.config.Log.Info().Str("script", script).Msg(item.Text)
+		} else {
+			rest = append(rest, item)
+		}
 	}
+	return rest
 }
 
-func (e *Engine) aside(r *running, point string, ev hooklang.Event) (hooklang.Result, error) {
+// runAside runs a handler on the engine's goroutine.
+func (e *Engine) runAside(loaded *loadedVersion, point string, event hooklang.Event) (hooklang.Result, error) {
 	begin := time.Now()
-	lim := e.cfg.Aside
-	if point == "arrive" {
-		lim = e.cfg.Inline
+	limits := e.config.Aside
+	if point == pointArrive {
+		limits = e.config.Inline
 	}
-	lim.Stop = func() bool { return time.Since(begin) > e.cfg.RunTimeout }
-	res, err := e.vm.Run(r.p, point, ev, r.state, hooklang.Env{Now: int64(e.cfg.Clock.Now()), Wall: e.cfg.Clock.Wall().Unix()}, lim)
+	limits.Stop = func() bool { return time.Since(begin) > e.config.RunTimeout }
+	env := hooklang.Env{Now: int64(e.config.Clock.Now()), Wall: e.config.Clock.Wall().Unix()}
+	result, err := e.vm.Run(loaded.program, point, event, loaded.state, env, limits)
 	e.Counts.Aside.Add(1)
 	e.Counts.AsideNanos.Add(int64(time.Since(begin)))
-	return res, err
+	return result, err
 }
 
-// try runs a shadow on an event that the live version has had, and compares. What it advises goes nowhere.
-func (e *Engine) try(r *running, point string, ev hooklang.Event, live []hooklang.Advice, fault string) {
-	if !r.p.Has(point) {
-		e.life.RecordTrial(r.name, r.version, "", 0, len(live) == 0)
+// runShadow runs a shadow's handler of an event that the live version has seen, and compares the two: liveAdvice
+// and liveFault are the outcome of the live version. The shadow's advice is not followed.
+func (e *Engine) runShadow(
+	shadow *loadedVersion, point string, event hooklang.Event, liveAdvice []hooklang.Advice, liveFault string,
+) {
+	if !shadow.program.Has(point) {
+		e.lifecycle.RecordTrial(shadow.script, shadow.version, "", 0, len(liveAdvice) == 0)
 		return
 	}
-	if s := e.life.Find(r.name); s == nil || !e.life.WithinRate(e.cfg.Clock.Now(), &s.Trial) {
+	s := e.lifecycle.Find(shadow.script)
+	if s == nil || !e.lifecycle.WithinRate(e.config.Clock.Now(), &s.Trial) {
 		return
 	}
-	res, err := e.aside(r, point, ev)
+	result, err := e.runAside(shadow, point, event)
 	if err != nil {
-		e.life.RecordTrial(r.name, r.version, err.Error(), res.Fuel, false)
+		e.lifecycle.RecordTrial(shadow.script, shadow.version, err.Error(), result.Fuel, false)
 		return
 	}
-	r.state = res.State
-	e.life.RecordTrial(r.name, r.version, "", res.Fuel, fault == "" && slices.Equal(res.Advice, live))
+	shadow.state = result.State
+	same := liveFault == "" && slices.Equal(result.Advice, liveAdvice)
+	e.lifecycle.RecordTrial(shadow.script, shadow.version, "", result.Fuel, same)
 }
--- /dev/null
+++ b/internal/hookengine/versions.go
@@ -0,0 +1,185 @@
+package hookengine
+
+import (
+	"time"
+
+	"kitehub/internal/hookadvice"
+	"kitehub/internal/hooklang"
+)
+
+// Points of the hook language that the engine treats specially.
+const (
+	pointArrive = "arrive" // runs inline
+	pointTimer  = "timer"
+)
+
+// loadedVersion is a version that is compiled and runs, with its state.
+type loadedVersion struct {
+	script   string
+	version  uint64
+	program  *hooklang.Program
+	state    *hooklang.State
+	unsaved  bool          // the state is not stored yet
+	interval time.Duration // of its timer; 0: it has none
+	nextTick time.Duration
+	ticks    int64 // so far
+}
+
+// compile prepares a version to run, with its initial state.
+func (e *Engine) compile(script string, v *Version) (*loadedVersion, error) {
+	program, err := hooklang.Compile(script+".hook", v.Text)
+	if err != nil {
+		return nil, err
+	}
+	_, interval := program.Points()
+	return &loadedVersion{
+		script:   script,
+		version:  v.Number,
+		program:  program,
+		state:    program.State(),
+		interval: interval,
+		nextTick: e.config.Clock.Now() + interval,
+	}, nil
+}
+
+// applyChanges carries out what the lifecycle has decided.
+func (e *Engine) applyChanges() {
+	changes, dirty := e.lifecycle.TakeChanges()
+	for _, c := range changes {
+		e.apply(c)
+	}
+	if len(changes) > 0 {
+		e.publish()
+	}
+	if dirty {
+		e.appendRecord(record{Scripts: e.lifecycle.Scripts, Last: e.lifecycle.Last})
+	}
+}
+
+func (e *Engine) apply(c Change) {
+	event := e.config.Log.Info()
+	if c.Alarm {
+		event = e.config.Log.Error()
+	}
+	event.Str("script", c.Script).Msg("hook: " + c.Text)
+
+	old := e.active[c.Script]
+	if c.Live == nil {
+		e.deactivate(c.Script)
+	} else if old == nil || old.version != c.Live.Number {
+		if err := e.activate(c.Script, c.Live); err != nil { // it compiled when it was loaded
+			e.config.Log.Error().Str("script", c.Script).Err(err).Msg("hook does not compile")
+			return
+		}
+	}
+
+	script := e.lifecycle.Find(c.Script)
+	if script == nil {
+		delete(e.states, c.Script)
+	}
+	e.updateShadow(c.Script, script)
+}
+
+// deactivate stops the live version of a script. Its state is retained, as the version may run again.
+func (e *Engine) deactivate(script string) {
+	old := e.active[script]
+	delete(e.active, script)
+	if old == nil {
+		return
+	}
+	if text, err := old.state.MarshalJSON(); err == nil {
+		e.states[script] = text
+	}
+	e.advise(hookadvice.ScriptStopped{Script: script})
+}
+
+// activate runs a version, which takes over the state of the previous one as far as their declarations agree.
+func (e *Engine) activate(script string, v *Version) error {
+	loaded, err := e.compile(script, v)
+	if err != nil {
+		return err
+	}
+	if old := e.active[script]; old != nil {
+		loaded.state = loaded.program.Take(old.state)
+	} else if saved := e.states[script]; saved != nil {
+		if state, err := loaded.program.Restore(saved); err == nil {
+			loaded.state = state
+		}
+	}
+	loaded.unsaved = true
+	e.active[script] = loaded
+	e.advise(hookadvice.VersionActivated{Script: script, Version: loaded.version})
+	return nil
+}
+
+// updateShadow has the shadow version run that the lifecycle wants. s is nil if the script is removed.
+func (e *Engine) updateShadow(name string, s *Script) {
+	if s == nil || s.Shadow == nil {
+		delete(e.shadows, name)
+		return
+	}
+	if current := e.shadows[name]; current != nil && current.version == s.Shadow.Number {
+		return
+	}
+	loaded, err := e.compile(name, s.Shadow)
+	if err != nil {
+		return
+	}
+	if live := e.active[name]; live != nil {
+		loaded.state = loaded.program.Take(live.state)
+	}
+	e.shadows[name] = loaded
+}
+
+// publish gives the goroutines of calls what is live now.
+func (e *Engine) publish() {
+	var handlers []inlineHandler
+	points := map[string]bool{}
+	for _, s := range e.lifecycle.Scripts {
+		live, shadow := e.active[s.Name], e.shadows[s.Name]
+		for _, loaded := range []*loadedVersion{live, shadow} {
+			if loaded == nil {
+				continue
+			}
+			handled, _ := loaded.program.Points()
+			for _, point := range handled {
+				points[point] = true
+			}
+		}
+		if live != nil && live.program.Has(pointArrive) {
+			handlers = append(handlers, inlineHandler{
+				script:  s.Name,
+				version: live.version,
+				program: live.program,
+				state:   live.state,
+				shadow:  shadow != nil,
+			})
+		}
+	}
+	e.inline.Store(&handlers)
+	e.points.Store(&points)
+}
+
+// advise gives events to the table of advice and carries out what results. Without events it lets advice expire.
+func (e *Engine) advise(events ...hookadvice.Event) {
+	for _, effect := range e.table.Step(e.config.Clock.Now(), events) {
+		switch effect := effect.(type) {
+		case hookadvice.KeepWarm:
+			e.config.Sink.KeepWarm(effect.Function, effect.Copies, effect.Until)
+		case hookadvice.RankWorker:
+			e.config.Sink.RankWorker(effect.Worker, effect.Rank, effect.Until)
+		case hookadvice.Tenants:
+			e.gateMutex.Lock()
+			e.gate.SetTenants(effect)
+			e.gateMutex.Unlock()
+		case hookadvice.Notice:
+			e.config.Log.Info().Str("script", effect.Script).Str("target", effect.Target).Msg("notice")
+			if e.config.Notify != nil {
+				e.config.Notify(effect)
+			}
+		case hookadvice.Discarded:
+			e.config.Log.Debug().Str("script", effect.Script).Str("kind", effect.Item.Kind).Str("why", effect.Why).
+				Msg("advice dropped")
+		}
+	}
+}
