--- a/internal/hookengine/golden_test.go
+++ b/internal/hookengine/golden_test.go
@@ -159,7 +159,8 @@
 	defer server.Cut()
 	notifier := NewNotifier("c1", []Target{{Name: "ops", Address: listener.Addr().String(), Path: "/n", Key: key}}, clock.System(), zerolog.Nop())
 	defer notifier.Close()
-	if err := notifier.send(note{hookadvice.Notice{Script: "a", Target: "ops", Text: `lost "3" <of> 4`}, "note_1", time.Unix(1700000000, 5e8)}); err != nil {
+	notice := hookadvice.Notice{Script: "a", Target: "ops", Text: `lost "3" <of> 4`}
+	if err := notifier.send(queuedNotice{Notice: notice, id: "note_1", at: time.Unix(1700000000, 5e8)}); err != nil {
 		t.Fatal(err)
 	}
 	goldenfile.Compare(t, "notice.txt", []byte(<-taken))
--- a/internal/hookengine/notify.go
+++ b/internal/hookengine/notify.go
@@ -21,70 +21,84 @@
 	"kitehub/internal/signing"
 )
 
-// A Target takes notices.
+// Target is a receiver of notices.
 type Target struct {
 	Name    string
 	Address string // host:port
 	Path    string
-	Key     *signing.Key // signs
+	Key     *signing.Key // signs the notices
 }
 
-// A Notifier sends notices as signed webhooks (Standard Webhooks), one after the other, each tried again a few times with the
-// same webhook-id: its receiver drops what it had already. It holds no call up and is bounded.
+const (
+	maxQueuedNotices = 100
+	noticeAttempts   = 4
+	noticeBackoff    = 250 * time.Millisecond // before the first retry, doubled for each further one
+	noticeTimeout    = 2 * time.Second        // of one attempt
+	statusGone       = 410                    // by Standard Webhooks: the receiver wants no more notices
+)
+
+var noticeLimits = http1.Limits{Body: 64 << 10, Headers: 16 << 10}.Filled()
+
+// Notifier sends notices as signed webhooks (Standard Webhooks), one after the other from a goroutine of its own.
+// It retries each a few times with the same webhook-id, so that the receiver can drop duplicates. Its queue is
+// bounded, and no call waits for it. It is safe for concurrent use.
 type Notifier struct {
-	targets map[string]Target
-	name    string
-	clock   clock.Clock
-	log     zerolog.Logger
-	queue   chan note
-	stop    chan struct{}
-	done    chan struct{}
-	once    sync.Once
-	Sent    atomic.Int64
-	Failed  atomic.Int64
-	Lost    atomic.Int64 // as too many waited
+	Sent   atomic.Int64 // notices that were accepted by their target
+	Failed atomic.Int64 // notices whose target is not known, or did not accept them
+	Lost   atomic.Int64 // notices dropped as the queue was full
+
+	targets    map[string]Target // by name
+	controller string
+	clock      clock.Clock
+	log        zerolog.Logger
+	queue      chan queuedNotice
+	stop       chan struct{} // closed by Close
+	stopOnce   sync.Once
+	done       chan struct{} // closed when the goroutine has ended
 }
 
-type note struct {
+type queuedNotice struct {
 	hookadvice.Notice
-	id string
+	id string // the webhook-id
 	at time.Time
 }
 
-const (
-	notesWaiting = 100
-	noteTries    = 4
-	notePause    = 250 * time.Millisecond // before the second try, doubled for each further one
-	noteWithin   = 2 * time.Second
-)
-
-// NewNotifier starts one. name is the controller's.
-func NewNotifier(name string, l []Target, c clock.Clock, log zerolog.Logger) *Notifier {
-	n := &Notifier{targets: map[string]Target{}, name: name, clock: c, log: log, queue: make(chan note, notesWaiting), stop: make(chan struct{}), done: make(chan struct{})}
-	for _, t := range l {
-		n.targets[t.Name] = t
+// NewNotifier starts a notifier. The notices name the controller.
+func NewNotifier(controller string, targets []Target, c clock.Clock, log zerolog.Logger) *Notifier {
+	n := &Notifier{
+		targets:    map[string]Target{},
+		controller: controller,
+		clock:      c,
+		log:        log,
+		queue:      make(chan queuedNotice, maxQueuedNotices),
+		stop:       make(chan struct{}),
+		done:       make(chan struct{}),
+	}
+	for _, target := range targets {
+		n.targets[target.Name] = target
 	}
 	go n.run()
 	return n
 }
 
-// Notify takes a notice, and does not block.
-func (n *Notifier) Notify(x hookadvice.Notice) {
-	if _, ok := n.targets[x.Target]; !ok {
+// Notify queues a notice. It never blocks: if the queue is full the notice is dropped, and counted.
+func (n *Notifier) Notify(notice hookadvice.Notice) {
+	if _, ok := n.targets[notice.Target]; !ok {
 		n.Failed.Add(1)
-		n.log.Warn().Str("script", x.Script).Str("target", x.Target).Msg("notice: no such target in hooks.targets")
+		n.log.Warn().Str("script", notice.Script).Str("target", notice.Target).
+			Msg("notice: no such target in hooks.targets")
 		return
 	}
 	select {
-	case n.queue <- note{x, "note_" + rand.Text(), n.clock.Wall()}:
+	case n.queue <- queuedNotice{Notice: notice, id: "note_" + rand.Text(), at: n.clock.Wall()}:
 	default:
 		n.Lost.Add(1)
 	}
 }
 
-// Close ends it; what waits is not sent.
+// Close stops the notifier, after the attempt that is under way. Queued notices are not sent.
 func (n *Notifier) Close() {
-	n.once.Do(func() { close(n.stop) })
+	n.stopOnce.Do(func() { close(n.stop) })
 	<-n.done
 }
 
@@ -94,73 +108,91 @@
 		select {
 		case <-n.stop:
 			return
-		case x := <-n.queue:
-			n.deliver(x)
+		case notice := <-n.queue:
+			n.deliver(notice)
 		}
 	}
 }
 
-func (n *Notifier) deliver(x note) {
-	pause := notePause
-	for i := range noteTries {
-		err := n.send(x)
+// deliver sends a notice, with retries, until it is accepted, the attempts are used up or the notifier stops.
+func (n *Notifier) deliver(notice queuedNotice) {
+	backoff := noticeBackoff
+	for attempt := range noticeAttempts {
+		err := n.send(notice)
 		if err == nil {
 			n.Sent.Add(1)
 			return
 		}
-		if i == noteTries-1 {
+		if attempt == noticeAttempts-1 {
 			n.Failed.Add(1)
-			n.log.Warn().Err(err).Str("script", x.Script).Str("target", x.Target).Msg("notice not taken")
+			n.log.Warn().Err(err).Str("script", notice.Script).Str("target", notice.Target).Msg("notice not taken")
 			return
 		}
-		t := time.NewTimer(pause)
+		timer := time.NewTimer(backoff)
 		select {
 		case <-n.stop:
-			t.Stop()
+			timer.Stop()
 			return
-		case <-t.C:
+		case <-timer.C:
 		}
-		pause *= 2
+		backoff *= 2
 	}
 }
 
-var noteLimits = http1.Limits{Body: 64 << 10, Headers: 16 << 10}.Filled()
-
-func (n *Notifier) send(x note) error {
-	t := n.targets[x.Target]
-	body, err := json.Marshal(map[string]any{"type": "hook.notice", "timestamp": x.at.UTC().Format(time.RFC3339),
-		"data": map[string]string{"controller": n.name, "script": x.Script, "text": x.Text}})
+// send makes one attempt.
+func (n *Notifier) send(notice queuedNotice) error {
+	target := n.targets[notice.Target]
+	req, err := n.request(target, notice)
 	if err != nil {
 		return err
 	}
-	m := signing.Message{ID: x.id, Stamp: strconv.FormatInt(n.clock.Wall().Unix(), 10), Body: body}
-	sig, err := t.Key.Sign(m)
-	if err != nil {
-		return err
-	}
-	ctx, cancel := context.WithTimeout(context.Background(), noteWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), noticeTimeout)
 	defer cancel()
-	nc, err := (&net.Dialer{}).DialContext(ctx, "tcp", t.Address)
+	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", target.Address)
 	if err != nil {
 		return err
 	}
-	defer nc.Close()
-	nc.SetDeadline(time.Now().Add(noteWithin))
-	req := &http1.Request{Method: "POST", Target: t.Path, Body: body, Header: http1.Header{{Name: "Host", Value: t.Address}, {Name: "User-Agent", Value: "kitehub/" + n.name},
-		{Name: "Content-Type", Value: "application/json"}, {Name: "Connection", Value: "close"}, {Name: "webhook-id", Value: m.ID},
-		{Name: "webhook-timestamp", Value: m.Stamp}, {Name: "webhook-signature", Value: sig}}}
-	if _, err := nc.Write(http1.AppendRequest(nil, req)); err != nil {
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(noticeTimeout))
+	if _, err := conn.Write(http1.AppendRequest(nil, req)); err != nil {
 		return err
 	}
-	resp, err := http1.ReadResponse(bufio.NewReader(nc), &noteLimits, "POST")
+	resp, err := http1.ReadResponse(bufio.NewReader(conn), &noticeLimits, "POST")
 	if err != nil {
 		return err
 	}
-	if resp.Status == 410 {
+	switch {
+	case resp.Status == statusGone:
 		return errors.New("gone: its receiver wants no more (410)")
-	}
-	if resp.Status < 200 || resp.Status > 299 {
+	case resp.Status < 200 || resp.Status > 299:
 		return fmt.Errorf("status %d", resp.Status)
 	}
 	return nil
 }
+
+// request returns the signed webhook for a notice.
+func (n *Notifier) request(target Target, notice queuedNotice) (*http1.Request, error) {
+	body, err := json.Marshal(map[string]any{
+		"type":      "hook.notice",
+		"timestamp": notice.at.UTC().Format(time.RFC3339),
+		"data":      map[string]string{"controller": n.controller, "script": notice.Script, "text": notice.Text},
+	})
+	if err != nil {
+		return nil, err
+	}
+	stamp := strconv.FormatInt(n.clock.Wall().Unix(), 10)
+	message := signing.Message{ID: notice.id, Stamp: stamp, Body: body}
+	signature, err := target.Key.Sign(message)
+	if err != nil {
+		return nil, err
+	}
+	return &http1.Request{Method: "POST", Target: target.Path, Body: body, Header: http1.Header{
+		{Name: "Host", Value: target.Address},
+		{Name: "User-Agent", Value: "kitehub/" + n.controller},
+		{Name: "Content-Type", Value: "application/json"},
+		{Name: "Connection", Value: "close"},
+		{Name: "webhook-id", Value: message.ID},
+		{Name: "webhook-timestamp", Value: message.Stamp},
+		{Name: "webhook-signature", Value: signature},
+	}}, nil
+}
