--- a/internal/hooklang/ast.go
+++ b/internal/hooklang/ast.go
@@ -18,44 +18,44 @@
 }
 
 type stateDecl struct {
-	pos  Pos
-	name string
-	typ  *typeNode
-	init expr
-	t    *Type
-	n    int
+	pos          Pos
+	name         string
+	declaredType *typeNode
+	init         expr
+	valueType    *Type
+	index        int
 }
 
 type param struct {
-	pos  Pos
-	name string
-	typ  *typeNode
+	pos          Pos
+	name         string
+	declaredType *typeNode
 }
 
 type funcDecl struct {
-	pos    Pos
-	name   string // of a handler: its point
-	on     *Point // nil: a function
-	every  time.Duration
-	params []param
-	result *typeNode
-	body   *block
-	end    Pos
-
-	types  []*Type // of the parameters
-	ret    *Type
-	slots  int
-	calls  []*funcDecl // for what a handler may reach
-	writes Pos         // where it changes state; zero: it does not
-	uses   map[string]Pos
-	vars   []varInfo
+	pos            Pos
+	name           string // of a handler: its point
+	point          *Point // nil: a function
+	interval       time.Duration
+	params         []param
+	declaredResult *typeNode
+	body           *block
+	end            Pos
+
+	paramTypes    []*Type // of the parameters
+	resultType    *Type
+	slots         int
+	calls         []*funcDecl // for what a handler may reach
+	writesStateAt Pos         // where it changes state; zero: it does not
+	effectsAt     map[string]Pos
+	vars          []varInfo
 }
 
 type testDecl struct {
-	pos  Pos
-	name string
-	body *block
-	fn   *funcDecl
+	pos      Pos
+	name     string
+	body     *block
+	function *funcDecl
 }
 
 type block struct {
@@ -77,25 +77,25 @@
 type (
 	letStmt struct {
 		node
-		name  string
-		typ   *typeNode
-		value expr
-		slot  int
+		name         string
+		declaredType *typeNode
+		value        expr
+		slot         int
 	}
 	setStmt struct { // name = value, name += value, name[index] = value
 		node
-		name  string
-		op    string // "", "+" or "-"
-		index expr
-		value expr
-		ref   ref
-		t     *Type
+		name       string
+		op         string // "", "+" or "-"
+		index      expr
+		value      expr
+		target     ref
+		targetType *Type
 	}
 	ifStmt struct {
 		node
-		cond expr
-		then *block
-		els  stmt // *ifStmt, *block or nil
+		cond      expr
+		then      *block
+		otherwise stmt // *ifStmt, *block or nil
 	}
 	forStmt struct {
 		node
@@ -107,18 +107,18 @@
 	}
 	matchStmt struct {
 		node
-		value expr
-		cases []matchCase
-		els   *block
-		slot  int
+		value     expr
+		cases     []matchCase
+		otherwise *block
+		slot      int
 	}
 	returnStmt struct {
 		node
 		value expr
 	}
-	leaveStmt struct {
+	branchStmt struct {
 		node
-		word string // break or continue
+		keyword string // break or continue
 	}
 	exprStmt struct {
 		node
@@ -135,22 +135,22 @@
 
 // ref is a variable: a slot of the function, or of the state.
 type ref struct {
-	state bool
-	n     int
+	inState bool
+	index   int
 }
 
 type typed struct {
 	node
-	t *Type
+	valueType *Type
 }
 
-func (e *typed) typ() *Type { return e.t }
+func (e *typed) typ() *Type { return e.valueType }
 
 type (
-	litExpr struct {
+	literalExpr struct {
 		typed
-		v    Value
-		text string
+		value Value
+		text  string
 	}
 	nameExpr struct {
 		typed
@@ -159,53 +159,53 @@
 	}
 	unaryExpr struct {
 		typed
-		op string
-		x  expr
+		op      string
+		operand expr
 	}
-	binExpr struct {
+	binaryExpr struct {
 		typed
-		op   string
-		x, y expr
+		op          string
+		left, right expr
 	}
 	listExpr struct {
 		typed
-		node  *typeNode // of list[T]{…}; nil: [a, b]
-		items []expr
+		literalType *typeNode // of list[T]{…}; nil: [a, b]
+		items       []expr
 	}
 	mapExpr struct {
 		typed
-		node   *typeNode
-		keys   []expr
-		values []expr
+		literalType *typeNode
+		keys        []expr
+		values      []expr
 	}
-	recExpr struct {
+	recordExpr struct {
 		typed
-		name   string
-		fields []string
-		places []Pos
-		values []expr
+		name      string
+		fields    []string
+		positions []Pos
+		values    []expr
 	}
 	indexExpr struct {
 		typed
-		x, i expr
+		collection, index expr
 	}
 	fieldExpr struct {
 		typed
-		x    expr
-		name string
-		n    int
+		record expr
+		name   string
+		index  int
 	}
 	callExpr struct {
 		typed
-		name string
-		args []expr
-		fn   *funcDecl
-		b    *builtin
+		name     string
+		args     []expr
+		function *funcDecl
+		builtin  *builtin
 	}
 	runExpr struct { // in tests: run arrive(Call{…})
 		typed
-		point string
-		arg   expr
-		fn    *funcDecl
+		point   string
+		arg     expr
+		handler *funcDecl
 	}
 )
--- a/internal/hooklang/builtin.go
+++ b/internal/hooklang/builtin.go
@@ -12,18 +12,18 @@
 
 // A builtin is a function of the language's own, with one signature or several.
 type builtin struct {
-	name string
-	sigs []*signature
+	name       string
+	signatures []*signature
 }
 
 type signature struct {
-	params []*Type // T, K and V stand for any type
-	result *Type
-	run    func(vm *VM, a []Value) Value
-	op     opcode // instead of run, where the VM does it itself
-	effect bool
-	test   bool // in tests only
-	by     bool // the last argument is the name of a function that tells whether one comes before another
+	params        []*Type // T, K and V stand for any type
+	result        *Type
+	run           func(vm *VM, a []Value) Value
+	op            opcode // instead of run, where the VM does it itself
+	effect        bool
+	testOnly      bool // in tests only
+	takesFunction bool // the last argument is the name of a function that tells whether one comes before another
 }
 
 var (
@@ -32,21 +32,21 @@
 
 var builtins = map[string]*builtin{}
 
-func def(name string, result *Type, run func(vm *VM, a []Value) Value, params ...*Type) *signature {
+func define(name string, result *Type, run func(vm *VM, a []Value) Value, params ...*Type) *signature {
 	b := builtins[name]
 	if b == nil {
 		b = &builtin{name: name}
 		builtins[name] = b
 	}
 	s := &signature{params: params, result: result, run: run}
-	b.sigs = append(b.sigs, s)
+	b.signatures = append(b.signatures, s)
 	return s
 }
 
-func effect(name string, build func(a []Value) Advice, params ...*Type) {
-	def(name, tyVoid, func(vm *VM, a []Value) Value {
-		if len(vm.advice) >= vm.lim.Effects {
-			vm.fault(FaultEffects, "more than %d pieces of advice", vm.lim.Effects)
+func defineEffect(name string, build func(a []Value) Advice, params ...*Type) {
+	define(name, typeVoid, func(vm *VM, a []Value) Value {
+		if len(vm.advice) >= vm.limits.Effects {
+			vm.fault(FaultEffects, "more than %d pieces of advice", vm.limits.Effects)
 		}
 		d := build(a)
 		d.Kind = name
@@ -58,15 +58,15 @@
 
 func init() {
 	list, dict := listOf(varT), mapOf(varK, varV)
-	length := func(_ *VM, a []Value) Value { return Value{n: int64(len(a[0].o.l))} }
-	def("len", tyInt, func(_ *VM, a []Value) Value { return Value{n: int64(len(a[0].str()))} }, tyStr)
-	def("len", tyInt, length, list)
-	def("len", tyInt, length, dict)
+	length := func(_ *VM, a []Value) Value { return Value{bits: int64(len(a[0].object.items))} }
+	define("len", typeInt, func(_ *VM, a []Value) Value { return Value{bits: int64(len(a[0].str()))} }, typeString)
+	define("len", typeInt, length, list)
+	define("len", typeInt, length, dict)
 
-	for _, t := range []*Type{tyInt, tyFloat, tyDur, tyBool} {
-		def("str", tyStr, func(vm *VM, a []Value) Value { return vm.str(text(t, a[0])) }, t)
+	for _, t := range []*Type{typeInt, typeFloat, typeDuration, typeBool} {
+		define("str", typeString, func(vm *VM, a []Value) Value { return vm.str(text(t, a[0])) }, t)
 	}
-	def("str", tyStr, func(_ *VM, a []Value) Value { return a[0] }, tyStr)
+	define("str", typeString, func(_ *VM, a []Value) Value { return a[0] }, typeString)
 
 	whole := func(f func(float64) float64) func(vm *VM, a []Value) Value {
 		return func(vm *VM, a []Value) Value {
@@ -74,96 +74,96 @@
 			if !(x >= -1<<63 && x < 1<<63) {
 				vm.fault(FaultRange, "%s does not fit an int", floatText(x))
 			}
-			return Value{n: int64(x)}
+			return Value{bits: int64(x)}
 		}
 	}
-	def("int", tyInt, whole(math.Trunc), tyFloat)
-	def("floor", tyInt, whole(math.Floor), tyFloat)
-	def("ceil", tyInt, whole(math.Ceil), tyFloat)
-	def("round", tyInt, whole(math.Round), tyFloat)
-	def("float", tyFloat, func(_ *VM, a []Value) Value { return floatValue(float64(a[0].n)) }, tyInt)
-	def("seconds", tyFloat, func(_ *VM, a []Value) Value { return floatValue(time.Duration(a[0].n).Seconds()) }, tyDur)
-	def("duration", tyDur, func(vm *VM, a []Value) Value {
+	define("int", typeInt, whole(math.Trunc), typeFloat)
+	define("floor", typeInt, whole(math.Floor), typeFloat)
+	define("ceil", typeInt, whole(math.Ceil), typeFloat)
+	define("round", typeInt, whole(math.Round), typeFloat)
+	define("float", typeFloat, func(_ *VM, a []Value) Value { return floatValue(float64(a[0].bits)) }, typeInt)
+	define("seconds", typeFloat, func(_ *VM, a []Value) Value { return floatValue(time.Duration(a[0].bits).Seconds()) }, typeDuration)
+	define("duration", typeDuration, func(vm *VM, a []Value) Value {
 		x := a[0].float() * 1e9
 		if !(math.Abs(x) < 1<<62) {
 			vm.fault(FaultRange, "%s seconds are too long", floatText(a[0].float()))
 		}
-		return Value{n: int64(math.Round(x))}
-	}, tyFloat)
+		return Value{bits: int64(math.Round(x))}
+	}, typeFloat)
 
-	for _, t := range []*Type{tyInt, tyFloat, tyDur, tyStr} {
-		def("min", t, func(_ *VM, a []Value) Value {
+	for _, t := range []*Type{typeInt, typeFloat, typeDuration, typeString} {
+		define("min", t, func(_ *VM, a []Value) Value {
 			if compare(t, a[1], a[0]) < 0 {
 				return a[1]
 			}
 			return a[0]
 		}, t, t)
-		def("max", t, func(_ *VM, a []Value) Value {
+		define("max", t, func(_ *VM, a []Value) Value {
 			if compare(t, a[1], a[0]) > 0 {
 				return a[1]
 			}
 			return a[0]
 		}, t, t)
-		def("sort", listOf(t), func(vm *VM, a []Value) Value {
-			n := int64(len(a[0].o.l))
+		define("sort", listOf(t), func(vm *VM, a []Value) Value {
+			n := int64(len(a[0].object.items))
 			vm.spend(n * int64(1+math.Log2(float64(n+1))))
-			if t == tyStr {
-				vm.spend(steps(a[0]))
+			if t == typeString {
+				vm.spend(traversalCost(a[0]))
 			}
-			o := vm.clone(a[0].o)
-			slices.SortStableFunc(o.l, func(x, y Value) int { return compare(t, x, y) })
-			return Value{o: o}
+			o := vm.clone(a[0].object)
+			slices.SortStableFunc(o.items, func(x, y Value) int { return compare(t, x, y) })
+			return Value{object: o}
 		}, listOf(t))
 	}
-	for _, t := range []*Type{tyInt, tyDur} {
-		def("abs", t, func(vm *VM, a []Value) Value {
-			if a[0].n == math.MinInt64 {
+	for _, t := range []*Type{typeInt, typeDuration} {
+		define("abs", t, func(vm *VM, a []Value) Value {
+			if a[0].bits == math.MinInt64 {
 				vm.fault(FaultRange, "the least %s has no positive", t.name)
 			}
-			return Value{n: max(a[0].n, -a[0].n)}
+			return Value{bits: max(a[0].bits, -a[0].bits)}
 		}, t)
 	}
-	def("abs", tyFloat, func(_ *VM, a []Value) Value { return floatValue(math.Abs(a[0].float())) }, tyFloat)
+	define("abs", typeFloat, func(_ *VM, a []Value) Value { return floatValue(math.Abs(a[0].float())) }, typeFloat)
 
-	def("sort_by", list, nil, list, tyStr).by = true
-	def("reverse", list, func(vm *VM, a []Value) Value {
-		o := vm.clone(a[0].o)
-		slices.Reverse(o.l)
-		return Value{o: o}
+	define("sort_by", list, nil, list, typeString).takesFunction = true
+	define("reverse", list, func(vm *VM, a []Value) Value {
+		o := vm.clone(a[0].object)
+		slices.Reverse(o.items)
+		return Value{object: o}
 	}, list)
-	def("slice", list, func(vm *VM, a []Value) Value {
-		from, to := vm.span(a, len(a[0].o.l))
-		o := &object{box: true}
+	define("slice", list, func(vm *VM, a []Value) Value {
+		from, to := vm.span(a, len(a[0].object.items))
+		o := &object{collection: true}
 		vm.list(int64(to - from))
-		for _, e := range a[0].o.l[from:to] {
-			o.l = append(o.l, e.share())
+		for _, e := range a[0].object.items[from:to] {
+			o.items = append(o.items, e.share())
 		}
-		return Value{o: o}
-	}, list, tyInt, tyInt)
-	def("slice", tyStr, func(vm *VM, a []Value) Value {
+		return Value{object: o}
+	}, list, typeInt, typeInt)
+	define("slice", typeString, func(vm *VM, a []Value) Value {
 		s := a[0].str()
 		from, to := vm.span(a, len(s))
 		if from < len(s) && !utf8.RuneStart(s[from]) || to < len(s) && !utf8.RuneStart(s[to]) {
 			vm.fault(FaultIndex, "slice %d to %d cuts a character in two", from, to)
 		}
 		return vm.str(s[from:to])
-	}, tyStr, tyInt, tyInt)
+	}, typeString, typeInt, typeInt)
 
-	def("keys", listOf(varK), func(vm *VM, a []Value) Value {
-		vm.list(int64(len(a[0].o.keys)))
-		return Value{o: &object{box: true, l: slices.Clone(a[0].o.keys)}}
+	define("keys", listOf(varK), func(vm *VM, a []Value) Value {
+		vm.list(int64(len(a[0].object.keys)))
+		return Value{object: &object{collection: true, items: slices.Clone(a[0].object.keys)}}
 	}, dict)
-	def("values", listOf(varV), func(vm *VM, a []Value) Value {
-		vm.list(int64(len(a[0].o.l)))
-		o := &object{box: true}
-		for _, e := range a[0].o.l {
-			o.l = append(o.l, e.share())
+	define("values", listOf(varV), func(vm *VM, a []Value) Value {
+		vm.list(int64(len(a[0].object.items)))
+		o := &object{collection: true}
+		for _, e := range a[0].object.items {
+			o.items = append(o.items, e.share())
 		}
-		return Value{o: o}
+		return Value{object: o}
 	}, dict)
-	def("get", varV, func(_ *VM, a []Value) Value {
-		if i, ok := a[0].o.find(a[1]); ok {
-			return a[0].o.l[i]
+	define("get", varV, func(_ *VM, a []Value) Value {
+		if i, ok := a[0].object.find(a[1]); ok {
+			return a[0].object.items[i]
 		}
 		return a[2]
 	}, dict, varK, varV)
@@ -174,16 +174,16 @@
 			return f(a[0].str(), a[1].str())
 		}
 	}
-	def("starts", tyBool, text(func(s, t string) Value { return boolValue(strings.HasPrefix(s, t)) }), tyStr, tyStr)
-	def("ends", tyBool, text(func(s, t string) Value { return boolValue(strings.HasSuffix(s, t)) }), tyStr, tyStr)
-	def("find", tyInt, text(func(s, t string) Value { return Value{n: int64(strings.Index(s, t))} }), tyStr, tyStr)
-	def("lower", tyStr, func(vm *VM, a []Value) Value { return vm.str(strings.ToLower(a[0].str())) }, tyStr)
-	def("trim", tyStr, func(vm *VM, a []Value) Value { return vm.str(strings.TrimSpace(a[0].str())) }, tyStr)
-	def("hash", tyInt, func(vm *VM, a []Value) Value {
+	define("starts", typeBool, text(func(s, t string) Value { return boolValue(strings.HasPrefix(s, t)) }), typeString, typeString)
+	define("ends", typeBool, text(func(s, t string) Value { return boolValue(strings.HasSuffix(s, t)) }), typeString, typeString)
+	define("find", typeInt, text(func(s, t string) Value { return Value{bits: int64(strings.Index(s, t))} }), typeString, typeString)
+	define("lower", typeString, func(vm *VM, a []Value) Value { return vm.str(strings.ToLower(a[0].str())) }, typeString)
+	define("trim", typeString, func(vm *VM, a []Value) Value { return vm.str(strings.TrimSpace(a[0].str())) }, typeString)
+	define("hash", typeInt, func(vm *VM, a []Value) Value {
 		vm.spend(int64(len(a[0].str())) / 16)
-		return Value{n: int64(xxhash.Sum64String(a[0].str()) >> 1)}
-	}, tyStr)
-	def("split", listOf(tyStr), func(vm *VM, a []Value) Value {
+		return Value{bits: int64(xxhash.Sum64String(a[0].str()) >> 1)}
+	}, typeString)
+	define("split", listOf(typeString), func(vm *VM, a []Value) Value {
 		if a[1].str() == "" {
 			vm.fault(FaultRange, "split at nothing")
 		}
@@ -191,54 +191,54 @@
 		n := strings.Count(a[0].str(), a[1].str()) + 1
 		vm.list(int64(n))
 		vm.alloc(int64(n)*objectBytes + int64(len(a[0].str())))
-		o := &object{box: true}
+		o := &object{collection: true}
 		for _, s := range strings.Split(a[0].str(), a[1].str()) {
-			o.l = append(o.l, strValue(s))
+			o.items = append(o.items, strValue(s))
 		}
-		return Value{o: o}
-	}, tyStr, tyStr)
-	def("join", tyStr, func(vm *VM, a []Value) Value {
+		return Value{object: o}
+	}, typeString, typeString)
+	define("join", typeString, func(vm *VM, a []Value) Value {
 		n := 0
-		for i, e := range a[0].o.l {
+		for i, e := range a[0].object.items {
 			if i > 0 {
 				n += len(a[1].str())
 			}
 			n += len(e.str())
 			vm.size(n)
 		}
-		vm.spend(int64(len(a[0].o.l)))
-		l := make([]string, 0, len(a[0].o.l))
-		for _, e := range a[0].o.l {
+		vm.spend(int64(len(a[0].object.items)))
+		l := make([]string, 0, len(a[0].object.items))
+		for _, e := range a[0].object.items {
 			l = append(l, e.str())
 		}
 		return vm.str(strings.Join(l, a[1].str()))
-	}, listOf(tyStr), tyStr)
+	}, listOf(typeString), typeString)
 
-	def("now", tyDur, func(vm *VM, _ []Value) Value { return Value{n: int64(vm.env.Now)} })
-	def("wall", tyInt, func(vm *VM, _ []Value) Value { return Value{n: vm.env.Wall} })
-	def("fail", tyVoid, func(vm *VM, a []Value) Value {
+	define("now", typeDuration, func(vm *VM, _ []Value) Value { return Value{bits: int64(vm.env.Now)} })
+	define("wall", typeInt, func(vm *VM, _ []Value) Value { return Value{bits: vm.env.Wall} })
+	define("fail", typeVoid, func(vm *VM, a []Value) Value {
 		vm.fault(FaultRaised, "%s", cut(a[0].str(), 200))
 		return Value{}
-	}, tyStr)
-	def("expect", tyVoid, func(vm *VM, a []Value) Value {
-		if a[0].n == 0 {
+	}, typeString)
+	define("expect", typeVoid, func(vm *VM, a []Value) Value {
+		if a[0].bits == 0 {
 			vm.fault(FaultExpect, "not so")
 		}
 		return Value{}
-	}, tyBool).test = true
-	def("push", tyVoid, nil, list, varT).op = opPush
-	def("remove", tyVoid, nil, dict, varK).op = opRemove
+	}, typeBool).testOnly = true
+	define("push", typeVoid, nil, list, varT).op = opPush
+	define("remove", typeVoid, nil, dict, varK).op = opRemove
 
-	life := func(v Value) time.Duration { return time.Duration(v.n) }
-	effect("keep_warm", func(a []Value) Advice { return Advice{Function: a[0].str(), Copies: a[1].n, For: life(a[2])} }, tyStr, tyInt, tyDur)
-	effect("tenant_weight", func(a []Value) Advice { return Advice{Tenant: a[0].str(), Factor: a[1].float(), For: life(a[2])} }, tyStr, tyFloat, tyDur)
-	effect("tenant_cap", func(a []Value) Advice { return Advice{Tenant: a[0].str(), Factor: a[1].float(), For: life(a[2])} }, tyStr, tyFloat, tyDur)
-	effect("prefer", func(a []Value) Advice { return Advice{Worker: a[0].str(), For: life(a[1])} }, tyStr, tyDur)
-	effect("avoid", func(a []Value) Advice { return Advice{Worker: a[0].str(), For: life(a[1])} }, tyStr, tyDur)
-	effect("refuse", func(a []Value) Advice { return Advice{Text: a[0].str()} }, tyStr)
-	effect("annotate", func(a []Value) Advice { return Advice{Key: a[0].str(), Text: a[1].str()} }, tyStr, tyStr)
-	effect("notify", func(a []Value) Advice { return Advice{Key: a[0].str(), Text: a[1].str()} }, tyStr, tyStr)
-	effect("log", func(a []Value) Advice { return Advice{Text: a[0].str()} }, tyStr)
+	life := func(v Value) time.Duration { return time.Duration(v.bits) }
+	defineEffect("keep_warm", func(a []Value) Advice { return Advice{Function: a[0].str(), Copies: a[1].bits, For: life(a[2])} }, typeString, typeInt, typeDuration)
+	defineEffect("tenant_weight", func(a []Value) Advice { return Advice{Tenant: a[0].str(), Factor: a[1].float(), For: life(a[2])} }, typeString, typeFloat, typeDuration)
+	defineEffect("tenant_cap", func(a []Value) Advice { return Advice{Tenant: a[0].str(), Factor: a[1].float(), For: life(a[2])} }, typeString, typeFloat, typeDuration)
+	defineEffect("prefer", func(a []Value) Advice { return Advice{Worker: a[0].str(), For: life(a[1])} }, typeString, typeDuration)
+	defineEffect("avoid", func(a []Value) Advice { return Advice{Worker: a[0].str(), For: life(a[1])} }, typeString, typeDuration)
+	defineEffect("refuse", func(a []Value) Advice { return Advice{Text: a[0].str()} }, typeString)
+	defineEffect("annotate", func(a []Value) Advice { return Advice{Key: a[0].str(), Text: a[1].str()} }, typeString, typeString)
+	defineEffect("notify", func(a []Value) Advice { return Advice{Key: a[0].str(), Text: a[1].str()} }, typeString, typeString)
+	defineEffect("log", func(a []Value) Advice { return Advice{Text: a[0].str()} }, typeString)
 }
 
 func cut(s string, n int) string {
@@ -256,15 +256,15 @@
 	switch p {
 	case varT, varK, varV:
 		if old := vars[p]; old != nil {
-			return same(old, a)
+			return sameType(old, a)
 		}
 		vars[p] = a
-		return a != tyVoid
+		return a != typeVoid
 	}
-	if a == tyBad {
+	if a == typeInvalid {
 		return true
 	}
-	if p.name != a.name || p.rec != a.rec {
+	if p.name != a.name || p.record != a.record {
 		return false
 	}
 	return (p.elem == nil || unify(p.elem, a.elem, vars)) && (p.key == nil || unify(p.key, a.key, vars))
@@ -275,7 +275,7 @@
 	case vars[t] != nil:
 		return vars[t]
 	case t == varT || t == varK || t == varV:
-		return tyBad
+		return typeInvalid
 	case t.name == "list":
 		return listOf(substitute(t.elem, vars))
 	case t.name == "map":
--- a/internal/hooklang/check.go
+++ b/internal/hooklang/check.go
@@ -8,42 +8,42 @@
 )
 
 type variable struct {
-	name string
-	pos  Pos
-	t    *Type
-	ref  ref
-	used bool
+	name      string
+	pos       Pos
+	valueType *Type
+	ref       ref
+	used      bool
 }
 
 type checker struct {
-	file   string
-	s      *script
-	bad    Problems
-	funcs  map[string]*funcDecl
-	points map[string]*funcDecl
-	states map[string]*stateDecl
-	scopes []map[string]*variable
-	fn     *funcDecl
-	test   bool
-	consts bool // in a state's first value
-	loops  int
-	next   int // free slot
-	end    Pos // of the scope that ends next
+	file        string
+	parsed      *script
+	problems    Problems
+	funcs       map[string]*funcDecl
+	points      map[string]*funcDecl
+	states      map[string]*stateDecl
+	scopes      []map[string]*variable
+	current     *funcDecl
+	inTest      bool
+	inStateInit bool // in a state's first value
+	loopDepth   int
+	nextSlot    int // free slot
+	scopeEnd    Pos // of the scope that ends next
 }
 
 // Check parses a text and checks it. The script can be compiled if no problem is more than a warning.
 func check(file, text string) (*script, Problems) {
 	s, bad := parse(file, text)
-	c := &checker{file: file, s: s, bad: bad, funcs: map[string]*funcDecl{}, points: map[string]*funcDecl{}, states: map[string]*stateDecl{}}
+	c := &checker{file: file, parsed: s, problems: bad, funcs: map[string]*funcDecl{}, points: map[string]*funcDecl{}, states: map[string]*stateDecl{}}
 	if len(bad) == 0 || len(s.order) > 0 {
 		c.script()
 	}
-	sort.SliceStable(c.bad, func(i, j int) bool {
-		a, b := c.bad[i].Pos, c.bad[j].Pos
+	sort.SliceStable(c.problems, func(i, j int) bool {
+		a, b := c.problems[i].Pos, c.problems[j].Pos
 		return a.Line < b.Line || a.Line == b.Line && a.Col < b.Col
 	})
-	c.bad = slices.CompactFunc(c.bad, func(a, b *Problem) bool { return *a == *b })
-	return s, c.bad
+	c.problems = slices.CompactFunc(c.problems, func(a, b *Problem) bool { return *a == *b })
+	return s, c.problems
 }
 
 // Wrong tells whether one of the problems is more than a warning.
@@ -52,15 +52,15 @@
 }
 
 func (c *checker) problem(pos Pos, format string, args ...any) {
-	if len(c.bad) < maxProblems {
+	if len(c.problems) < maxProblems {
 		text := strings.ReplaceAll(fmt.Sprintf(format, args...), " a int", " an int")
-		c.bad = append(c.bad, &Problem{File: c.file, Pos: pos, Text: text})
+		c.problems = append(c.problems, &Problem{File: c.file, Pos: pos, Text: text})
 	}
 }
 
 func (c *checker) warn(pos Pos, format string, args ...any) {
-	if len(c.bad) < maxProblems {
-		c.bad = append(c.bad, &Problem{File: c.file, Pos: pos, Text: fmt.Sprintf(format, args...), Warning: true})
+	if len(c.problems) < maxProblems {
+		c.problems = append(c.problems, &Problem{File: c.file, Pos: pos, Text: fmt.Sprintf(format, args...), Warning: true})
 	}
 }
 
@@ -72,9 +72,9 @@
 		}
 	case "map":
 		k := c.typ(n.key)
-		if k != tyStr && k != tyInt && k != tyBad {
+		if k != typeString && k != typeInt && k != typeInvalid {
 			c.problem(n.key.pos, "keys of a map are string or int, not %v", k)
-			k = tyBad
+			k = typeInvalid
 		}
 		return mapOf(k, c.typ(n.elem))
 	}
@@ -82,14 +82,14 @@
 		return t
 	}
 	if r := records[n.name]; r != nil {
-		return r.t
+		return r.valueType
 	}
 	c.problem(n.pos, "there is no type %q", n.name)
-	return tyBad
+	return typeInvalid
 }
 
-// free tells whether a name may be given to something of the script.
-func (c *checker) free(pos Pos, name string) bool {
+// isFree tells whether a name may be given to something of the script.
+func (c *checker) isFree(pos Pos, name string) bool {
 	what := ""
 	switch {
 	case builtins[name] != nil:
@@ -108,86 +108,86 @@
 }
 
 func (c *checker) script() {
-	for _, d := range c.s.funcs {
-		d.uses = map[string]Pos{}
-		if d.on != nil {
+	for _, d := range c.parsed.funcs {
+		d.effectsAt = map[string]Pos{}
+		if d.point != nil {
 			if old := c.points[d.name]; old != nil {
 				c.problem(d.pos, "a second handler of %s: the first is in line %d", d.name, old.pos.Line)
 			}
 			c.points[d.name] = d
-			d.types, d.ret = []*Type{d.on.Record.t}, tyVoid
+			d.paramTypes, d.resultType = []*Type{d.point.Record.valueType}, typeVoid
 			continue
 		}
-		if c.free(d.pos, d.name) {
+		if c.isFree(d.pos, d.name) {
 			c.funcs[d.name] = d
 		}
 		if len(d.params) > 16 {
 			c.problem(d.pos, "%d parameters, over 16", len(d.params))
 		}
 		for _, p := range d.params {
-			d.types = append(d.types, c.typ(p.typ))
+			d.paramTypes = append(d.paramTypes, c.typ(p.declaredType))
 		}
-		d.ret = tyVoid
-		if d.result != nil {
-			d.ret = c.typ(d.result)
+		d.resultType = typeVoid
+		if d.declaredResult != nil {
+			d.resultType = c.typ(d.declaredResult)
 		}
 	}
-	for i, d := range c.s.states {
-		d.t, d.n = c.typ(d.typ), i
-		if d.t.rec != nil || d.t.elem != nil && holdsRecord(d.t) {
-			c.problem(d.typ.pos, "state holds no records of the host: keep the fields that matter")
+	for i, d := range c.parsed.states {
+		d.valueType, d.index = c.typ(d.declaredType), i
+		if d.valueType.record != nil || d.valueType.elem != nil && holdsRecord(d.valueType) {
+			c.problem(d.declaredType.pos, "state holds no records of the host: keep the fields that matter")
 		}
-		c.consts = true
-		if t := c.expr(d.init); !same(t, d.t) {
-			c.problem(d.init.at(), "%s is a %v, not a %v", d.name, d.t, t)
+		c.inStateInit = true
+		if t := c.expr(d.init); !sameType(t, d.valueType) {
+			c.problem(d.init.at(), "%s is a %v, not a %v", d.name, d.valueType, t)
 		}
-		c.consts = false
-		if c.free(d.pos, d.name) {
+		c.inStateInit = false
+		if c.isFree(d.pos, d.name) {
 			c.states[d.name] = d
 		}
 	}
 	// Bounds of what a check may take, and of the tests that run before a script is loaded.
-	if len(c.s.states) > maxStates {
-		c.problem(c.s.states[maxStates].pos, "more than %d state variables", maxStates)
+	if len(c.parsed.states) > maxStates {
+		c.problem(c.parsed.states[maxStates].pos, "more than %d state variables", maxStates)
 	}
-	if len(c.s.funcs) > maxFuncs {
-		c.problem(c.s.funcs[maxFuncs].pos, "more than %d functions", maxFuncs)
+	if len(c.parsed.funcs) > maxFuncs {
+		c.problem(c.parsed.funcs[maxFuncs].pos, "more than %d functions", maxFuncs)
 		return
 	}
-	if len(c.s.tests) > maxTests {
-		c.problem(c.s.tests[maxTests].pos, "more than %d tests", maxTests)
+	if len(c.parsed.tests) > maxTests {
+		c.problem(c.parsed.tests[maxTests].pos, "more than %d tests", maxTests)
 		return
 	}
-	for _, d := range c.s.funcs {
+	for _, d := range c.parsed.funcs {
 		c.function(d)
 	}
 	names := map[string]Pos{}
-	for _, d := range c.s.tests {
+	for _, d := range c.parsed.tests {
 		if old, ok := names[d.name]; ok {
 			c.problem(d.pos, "a second test %q: the first is in line %d", d.name, old.Line)
 		}
 		names[d.name] = d.pos
-		d.fn = &funcDecl{pos: d.pos, name: "test " + d.name, body: d.body, end: d.body.end, ret: tyVoid, uses: map[string]Pos{}}
-		c.test = true
-		c.function(d.fn)
-		c.test = false
+		d.function = &funcDecl{pos: d.pos, name: "test " + d.name, body: d.body, end: d.body.end, resultType: typeVoid, effectsAt: map[string]Pos{}}
+		c.inTest = true
+		c.function(d.function)
+		c.inTest = false
 	}
-	for _, d := range c.s.funcs {
-		if d.on != nil {
-			c.reach(d)
+	for _, d := range c.parsed.funcs {
+		if d.point != nil {
+			c.checkReachable(d)
 		}
 	}
-	for _, d := range c.s.tests {
-		for _, f := range reachable(d.fn) {
-			for _, name := range sortedNames(f.uses) {
-				c.problem(f.uses[name], "%s is reached from the test %q: a test looks at what run returns", name, d.name)
+	for _, d := range c.parsed.tests {
+		for _, f := range reachable(d.function) {
+			for _, name := range sortedNames(f.effectsAt) {
+				c.problem(f.effectsAt[name], "%s is reached from the test %q: a test looks at what run returns", name, d.name)
 			}
 		}
 	}
 }
 
 func holdsRecord(t *Type) bool {
-	return t.rec != nil || t.elem != nil && holdsRecord(t.elem)
+	return t.record != nil || t.elem != nil && holdsRecord(t.elem)
 }
 
 func sortedNames(m map[string]Pos) []string {
@@ -211,50 +211,50 @@
 	return l
 }
 
-// reach checks what a handler does, itself or by functions that it calls.
-func (c *checker) reach(d *funcDecl) {
+// checkReachable checks what a handler does, itself or by functions that it calls.
+func (c *checker) checkReachable(d *funcDecl) {
 	for _, f := range reachable(d) {
-		for _, name := range sortedNames(f.uses) {
-			if name != "log" && !slices.Contains(d.on.Effects, name) {
-				c.problem(f.uses[name], "%s cannot be advised at %s (on %s, line %d): there %v can", name, d.name, d.name, d.pos.Line, d.on.Effects)
+		for _, name := range sortedNames(f.effectsAt) {
+			if name != "log" && !slices.Contains(d.point.Effects, name) {
+				c.problem(f.effectsAt[name], "%s cannot be advised at %s (on %s, line %d): there %v can", name, d.name, d.name, d.pos.Line, d.point.Effects)
 			}
 		}
-		if d.on.Inline && f.writes != (Pos{}) {
-			c.problem(f.writes, "state cannot be changed at %s (on %s, line %d), where many calls run at once: change it at ended", d.name, d.name, d.pos.Line)
+		if d.point.Inline && f.writesStateAt != (Pos{}) {
+			c.problem(f.writesStateAt, "state cannot be changed at %s (on %s, line %d), where many calls run at once: change it at ended", d.name, d.name, d.pos.Line)
 		}
 	}
 }
 
 func (c *checker) function(d *funcDecl) {
-	c.fn, c.next, c.loops = d, 0, 0
+	c.current, c.nextSlot, c.loopDepth = d, 0, 0
 	c.scopes = []map[string]*variable{{}}
 	for i, p := range d.params {
-		if v := c.declare(p.pos, p.name, d.types[i]); v != nil {
+		if v := c.declare(p.pos, p.name, d.paramTypes[i]); v != nil {
 			v.used = true
 		}
 	}
 	for _, v := range c.scopes[0] {
-		d.vars = append(d.vars, varInfo{v.name, v.t, v.ref.n, d.pos, d.end})
+		d.vars = append(d.vars, varInfo{v.name, v.valueType, v.ref.index, d.pos, d.end})
 	}
 	sort.Slice(d.vars, func(i, j int) bool { return d.vars[i].slot < d.vars[j].slot })
 	returns := c.block(d.body)
-	if d.ret != tyVoid && !returns {
+	if d.resultType != typeVoid && !returns {
 		c.problem(d.end, "%s ends without a return", d.name)
 	}
 	c.scopes = nil
 }
 
 func (c *checker) declare(pos Pos, name string, t *Type) *variable {
-	v := &variable{name: name, pos: pos, t: t, ref: ref{n: c.next}, used: name == "_"}
-	c.next++
-	c.fn.slots = max(c.fn.slots, c.next)
-	if c.next == maxSlots {
+	v := &variable{name: name, pos: pos, valueType: t, ref: ref{index: c.nextSlot}, used: name == "_"}
+	c.nextSlot++
+	c.current.slots = max(c.current.slots, c.nextSlot)
+	if c.nextSlot == maxSlots {
 		c.problem(pos, "more than %d variables in one function", maxSlots)
 	}
 	if name == "_" {
 		return v
 	}
-	if !c.free(pos, name) {
+	if !c.isFree(pos, name) {
 		return v
 	}
 	for _, s := range c.scopes {
@@ -275,9 +275,9 @@
 	for _, v := range top {
 		l = append(l, v)
 	}
-	sort.Slice(l, func(i, j int) bool { return l[i].ref.n < l[j].ref.n })
+	sort.Slice(l, func(i, j int) bool { return l[i].ref.index < l[j].ref.index })
 	for _, v := range l {
-		c.fn.vars = append(c.fn.vars, varInfo{v.name, v.t, v.ref.n, v.pos, c.end})
+		c.current.vars = append(c.current.vars, varInfo{v.name, v.valueType, v.ref.index, v.pos, c.scopeEnd})
 		if !v.used {
 			c.warn(v.pos, "%s is never used", v.name)
 		}
--- a/internal/hooklang/checkexpr.go
+++ b/internal/hooklang/checkexpr.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-func (c *checker) want(e expr, t *Type, what string) {
-	if v := c.value(e); !same(v, t) {
+func (c *checker) expect(e expr, t *Type, what string) {
+	if v := c.value(e); !sameType(v, t) {
 		c.problem(e.at(), "%s is a %v, not a %v", what, t, v)
 	}
 }
@@ -14,44 +14,44 @@
 // value checks an expression that must have a value.
 func (c *checker) value(e expr) *Type {
 	t := c.expr(e)
-	if t == tyVoid {
+	if t == typeVoid {
 		c.problem(e.at(), "this has no value")
-		return tyBad
+		return typeInvalid
 	}
 	return t
 }
 
 func (c *checker) expr(e expr) *Type {
 	switch e := e.(type) {
-	case *litExpr:
-		return e.t
+	case *literalExpr:
+		return e.valueType
 	case *nameExpr:
 		t, r, ok := c.lookup(e.name)
 		if !ok {
 			if c.funcs[e.name] != nil {
 				c.problem(e.pos, "%s is a function: call it", e.name)
-			} else if c.consts {
+			} else if c.inStateInit {
 				c.problem(e.pos, "a state's first value is made of literals")
 			} else {
 				c.problem(e.pos, "there is no variable %q", e.name)
 			}
 		}
-		e.t, e.ref = t, r
+		e.valueType, e.ref = t, r
 	case *unaryExpr:
-		e.t = c.value(e.x)
-		if e.op == "not" && !same(e.t, tyBool) || e.op == "-" && (!e.t.ordered() || e.t == tyStr) {
-			c.problem(e.pos, "a %v has no %q", e.t, e.op)
-			e.t = tyBad
+		e.valueType = c.value(e.operand)
+		if e.op == "not" && !sameType(e.valueType, typeBool) || e.op == "-" && (!e.valueType.ordered() || e.valueType == typeString) {
+			c.problem(e.pos, "a %v has no %q", e.valueType, e.op)
+			e.valueType = typeInvalid
 		}
-	case *binExpr:
-		e.t = c.binary(e)
+	case *binaryExpr:
+		e.valueType = c.binary(e)
 	case *listExpr:
-		elem := tyBad
-		if e.node != nil {
-			t := c.typ(e.node)
+		elem := typeInvalid
+		if e.literalType != nil {
+			t := c.typ(e.literalType)
 			if t.name != "list" {
 				c.problem(e.pos, "list[T]{…} is wanted")
-				t = listOf(tyBad)
+				t = listOf(typeInvalid)
 			}
 			elem = t.elem
 		} else if len(e.items) == 0 {
@@ -59,71 +59,71 @@
 		}
 		for i, x := range e.items {
 			t := c.value(x)
-			if i == 0 && e.node == nil {
+			if i == 0 && e.literalType == nil {
 				elem = t
 			}
-			if !same(t, elem) {
+			if !sameType(t, elem) {
 				c.problem(x.at(), "an entry is a %v, not a %v", elem, t)
 			}
 		}
-		e.t = listOf(elem)
+		e.valueType = listOf(elem)
 	case *mapExpr:
-		e.t = c.typ(e.node)
+		e.valueType = c.typ(e.literalType)
 		for i := range e.keys {
-			c.want(e.keys[i], e.t.key, "a key")
-			c.want(e.values[i], e.t.elem, "an entry")
+			c.expect(e.keys[i], e.valueType.key, "a key")
+			c.expect(e.values[i], e.valueType.elem, "an entry")
 		}
-	case *recExpr:
+	case *recordExpr:
 		r := records[e.name]
-		e.t = r.t
+		e.valueType = r.valueType
 		for i, name := range e.fields {
 			n := slices.IndexFunc(r.Fields, func(f Field) bool { return f.Name == name })
 			if n < 0 {
-				c.problem(e.places[i], "%s has no field %q", e.name, name)
+				c.problem(e.positions[i], "%s has no field %q", e.name, name)
 				c.value(e.values[i])
 				continue
 			}
 			if slices.Contains(e.fields[:i], name) {
-				c.problem(e.places[i], "%s stands twice", name)
+				c.problem(e.positions[i], "%s stands twice", name)
 			}
-			c.want(e.values[i], r.Fields[n].Type, name)
+			c.expect(e.values[i], r.Fields[n].Type, name)
 		}
 	case *indexExpr:
-		t, i := c.value(e.x), c.value(e.i)
+		t, i := c.value(e.collection), c.value(e.index)
 		switch {
-		case t == tyBad:
-			e.t = tyBad
-		case t.name == "list" && same(i, tyInt):
-			e.t = t.elem
-		case t.name == "map" && same(i, t.key):
-			e.t = t.elem
+		case t == typeInvalid:
+			e.valueType = typeInvalid
+		case t.name == "list" && sameType(i, typeInt):
+			e.valueType = t.elem
+		case t.name == "map" && sameType(i, t.key):
+			e.valueType = t.elem
 		default:
 			c.problem(e.pos, "a %v has no entry at a %v", t, i)
-			e.t = tyBad
+			e.valueType = typeInvalid
 		}
 	case *fieldExpr:
-		t := c.value(e.x)
-		e.t = tyBad
-		if t == tyBad {
+		t := c.value(e.record)
+		e.valueType = typeInvalid
+		if t == typeInvalid {
 			break
 		}
-		if t.rec == nil {
+		if t.record == nil {
 			c.problem(e.pos, "a %v has no fields", t)
 			break
 		}
-		for i, f := range t.rec.Fields {
+		for i, f := range t.record.Fields {
 			if f.Name == e.name {
-				e.t, e.n = f.Type, i
+				e.valueType, e.index = f.Type, i
 			}
 		}
-		if e.t == tyBad {
+		if e.valueType == typeInvalid {
 			c.problem(e.pos, "%v has no field %q", t, e.name)
 		}
 	case *callExpr:
-		e.t = c.call(e)
+		e.valueType = c.call(e)
 	case *runExpr:
-		e.t = listOf(recAdvice.t)
-		if !c.test {
+		e.valueType = listOf(recordAdvice.valueType)
+		if !c.inTest {
 			c.problem(e.pos, "run is for tests")
 		}
 		d := c.points[e.point]
@@ -132,97 +132,97 @@
 			c.problem(e.pos, "there is no handler of %q", e.point)
 			break
 		}
-		e.fn = d
-		if !same(t, d.types[0]) {
-			c.problem(e.arg.at(), "%s gets a %v, not a %v", e.point, d.types[0], t)
+		e.handler = d
+		if !sameType(t, d.paramTypes[0]) {
+			c.problem(e.arg.at(), "%s gets a %v, not a %v", e.point, d.paramTypes[0], t)
 		}
 	}
 	return e.typ()
 }
 
-func (c *checker) binary(e *binExpr) *Type {
-	x, y := c.value(e.x), c.value(e.y)
-	if x == tyBad || y == tyBad {
+func (c *checker) binary(e *binaryExpr) *Type {
+	x, y := c.value(e.left), c.value(e.right)
+	if x == typeInvalid || y == typeInvalid {
 		switch e.op {
 		case "and", "or", "==", "!=", "<", "<=", ">", ">=", "in":
-			return tyBool
+			return typeBool
 		}
-		return tyBad
+		return typeInvalid
 	}
-	alike := same(x, y)
+	alike := sameType(x, y)
 	switch e.op {
 	case "and", "or":
-		if x == tyBool && y == tyBool {
-			return tyBool
+		if x == typeBool && y == typeBool {
+			return typeBool
 		}
 	case "==", "!=":
 		if alike {
-			return tyBool
+			return typeBool
 		}
 	case "<", "<=", ">", ">=":
 		if alike && x.ordered() {
-			return tyBool
+			return typeBool
 		}
 	case "in":
-		if y == tyStr && x == tyStr || y.name == "list" && same(x, y.elem) || y.name == "map" && same(x, y.key) {
-			return tyBool
+		if y == typeString && x == typeString || y.name == "list" && sameType(x, y.elem) || y.name == "map" && sameType(x, y.key) {
+			return typeBool
 		}
 	case "+":
 		if alike && (x.ordered() || x.name == "list") {
 			return x
 		}
 	case "-":
-		if alike && x.ordered() && x != tyStr {
+		if alike && x.ordered() && x != typeString {
 			return x
 		}
 	case "*":
 		switch {
-		case alike && (x == tyInt || x == tyFloat):
+		case alike && (x == typeInt || x == typeFloat):
 			return x
-		case x == tyDur && y == tyInt, x == tyInt && y == tyDur:
-			return tyDur
+		case x == typeDuration && y == typeInt, x == typeInt && y == typeDuration:
+			return typeDuration
 		}
 	case "/":
 		switch {
-		case alike && (x == tyInt || x == tyFloat):
+		case alike && (x == typeInt || x == typeFloat):
 			return x
-		case x == tyDur && y == tyInt:
-			return tyDur
-		case x == tyDur && y == tyDur:
-			return tyFloat
+		case x == typeDuration && y == typeInt:
+			return typeDuration
+		case x == typeDuration && y == typeDuration:
+			return typeFloat
 		}
 	case "%":
-		if alike && (x == tyInt || x == tyDur) {
+		if alike && (x == typeInt || x == typeDuration) {
 			return x
 		}
 	}
 	c.problem(e.pos, "%v %s %v has no meaning", x, e.op, y)
 	switch e.op {
 	case "and", "or", "==", "!=", "<", "<=", ">", ">=", "in":
-		return tyBool
+		return typeBool
 	}
-	return tyBad
+	return typeInvalid
 }
 
 func (c *checker) call(e *callExpr) *Type {
-	if c.consts {
+	if c.inStateInit {
 		c.problem(e.pos, "a state's first value is made of literals")
-		return tyBad
+		return typeInvalid
 	}
 	if d := c.funcs[e.name]; d != nil {
-		e.fn = d
-		c.fn.calls = append(c.fn.calls, d)
-		if len(e.args) != len(d.types) {
-			c.problem(e.pos, "%s takes %d arguments, not %d", e.name, len(d.types), len(e.args))
+		e.function = d
+		c.current.calls = append(c.current.calls, d)
+		if len(e.args) != len(d.paramTypes) {
+			c.problem(e.pos, "%s takes %d arguments, not %d", e.name, len(d.paramTypes), len(e.args))
 		}
 		for i, a := range e.args {
-			if i < len(d.types) {
-				c.want(a, d.types[i], d.params[i].name)
+			if i < len(d.paramTypes) {
+				c.expect(a, d.paramTypes[i], d.params[i].name)
 			} else {
 				c.value(a)
 			}
 		}
-		return d.ret
+		return d.resultType
 	}
 	b := builtins[e.name]
 	if b == nil {
@@ -230,23 +230,23 @@
 			c.value(a)
 		}
 		c.problem(e.pos, "there is no function %q", e.name)
-		return tyBad
+		return typeInvalid
 	}
-	e.b = &builtin{name: e.name}
-	if b.sigs[0].by {
-		return c.sortBy(e, b.sigs[0])
+	e.builtin = &builtin{name: e.name}
+	if b.signatures[0].takesFunction {
+		return c.sortBy(e, b.signatures[0])
 	}
 	var args []*Type
 	for i, a := range e.args {
 		if n, ok := a.(*nameExpr); ok && i == 0 && (e.name == "push" || e.name == "remove") {
 			t, r := c.target(n.pos, n.name)
-			n.t, n.ref = t, r
+			n.valueType, n.ref = t, r
 			args = append(args, t)
 			continue
 		}
 		args = append(args, c.value(a))
 	}
-	for _, s := range b.sigs {
+	for _, s := range b.signatures {
 		vars := map[*Type]*Type{}
 		if len(args) != len(s.params) {
 			continue
@@ -258,12 +258,12 @@
 		if !fits {
 			continue
 		}
-		if s.test && !c.test {
+		if s.testOnly && !c.inTest {
 			c.problem(e.pos, "%s is for tests", e.name)
 		}
 		if s.effect {
-			if _, ok := c.fn.uses[e.name]; !ok {
-				c.fn.uses[e.name] = e.pos
+			if _, ok := c.current.effectsAt[e.name]; !ok {
+				c.current.effectsAt[e.name] = e.pos
 			}
 		}
 		if s.op != 0 {
@@ -271,42 +271,42 @@
 				c.problem(e.args[0].at(), "%s changes a variable", e.name)
 			}
 		}
-		e.b.sigs = []*signature{s}
+		e.builtin.signatures = []*signature{s}
 		return substitute(s.result, vars)
 	}
 	want := ""
-	for i, s := range b.sigs {
+	for i, s := range b.signatures {
 		if i > 0 {
 			want += " or "
 		}
 		want += fmt.Sprint(s.params)
 	}
 	c.problem(e.pos, "%s takes %s, not %v", e.name, want, args)
-	return tyBad
+	return typeInvalid
 }
 
 // sortBy checks sort_by(list, less), where less is the name of a function of two entries.
 func (c *checker) sortBy(e *callExpr, s *signature) *Type {
-	e.b.sigs = []*signature{s}
+	e.builtin.signatures = []*signature{s}
 	if len(e.args) != 2 {
 		c.problem(e.pos, "sort_by takes a list and the name of a function")
-		return tyBad
+		return typeInvalid
 	}
 	t := c.value(e.args[0])
 	n, ok := e.args[1].(*nameExpr)
-	if t != tyBad && t.name != "list" {
+	if t != typeInvalid && t.name != "list" {
 		c.problem(e.args[0].at(), "sort_by takes a list, not a %v", t)
-		return tyBad
+		return typeInvalid
 	}
 	if !ok || c.funcs[n.name] == nil {
 		c.problem(e.args[1].at(), "sort_by takes the name of a function that tells whether one comes before another")
 		return t
 	}
 	d := c.funcs[n.name]
-	if t != tyBad && (len(d.types) != 2 || !same(d.types[0], t.elem) || !same(d.types[1], t.elem) || d.ret != tyBool) {
+	if t != typeInvalid && (len(d.paramTypes) != 2 || !sameType(d.paramTypes[0], t.elem) || !sameType(d.paramTypes[1], t.elem) || d.resultType != typeBool) {
 		c.problem(n.pos, "%s must be fn %s(a %v, b %v) bool", n.name, n.name, t.elem, t.elem)
 	}
-	e.fn = d
-	c.fn.calls = append(c.fn.calls, d)
+	e.function = d
+	c.current.calls = append(c.current.calls, d)
 	return t
 }
--- a/internal/hooklang/checkstmt.go
+++ b/internal/hooklang/checkstmt.go
@@ -2,7 +2,7 @@
 
 func (c *checker) block(b *block) (ends bool) {
 	c.push()
-	from := c.next
+	from := c.nextSlot
 	for i, s := range b.stmts {
 		if c.stmt(s) {
 			if ends = true; i+1 < len(b.stmts) {
@@ -11,8 +11,8 @@
 			}
 		}
 	}
-	c.next = from
-	c.end = b.end
+	c.nextSlot = from
+	c.scopeEnd = b.end
 	c.pop()
 	return ends
 }
@@ -24,38 +24,38 @@
 		return c.block(s)
 	case *letStmt:
 		t := c.value(s.value)
-		if s.typ != nil {
-			if w := c.typ(s.typ); !same(w, t) {
+		if s.declaredType != nil {
+			if w := c.typ(s.declaredType); !sameType(w, t) {
 				c.problem(s.value.at(), "%s is a %v, not a %v", s.name, w, t)
 				t = w
 			}
 		}
-		s.slot = c.declare(s.pos, s.name, t).ref.n
+		s.slot = c.declare(s.pos, s.name, t).ref.index
 	case *setStmt:
 		c.set(s)
 	case *ifStmt:
-		c.want(s.cond, tyBool, "a condition")
+		c.expect(s.cond, typeBool, "a condition")
 		a := c.block(s.then)
-		return s.els != nil && c.stmt(s.els) && a
+		return s.otherwise != nil && c.stmt(s.otherwise) && a
 	case *forStmt:
 		c.loop(s)
 	case *matchStmt:
 		t := c.value(s.value)
-		if !t.ordered() && t != tyBool {
+		if !t.ordered() && t != typeBool {
 			c.problem(s.value.at(), "match looks at bool, int, float, duration and string, not at %v", t)
 		}
-		from := c.next
-		s.slot = c.next
-		c.next++
-		c.fn.slots = max(c.fn.slots, c.next)
-		ends, seen := s.els != nil, map[string]Pos{}
+		from := c.nextSlot
+		s.slot = c.nextSlot
+		c.nextSlot++
+		c.current.slots = max(c.current.slots, c.nextSlot)
+		ends, seen := s.otherwise != nil, map[string]Pos{}
 		for _, k := range s.cases {
 			for _, v := range k.values {
-				if w := c.value(v); !same(w, t) {
+				if w := c.value(v); !sameType(w, t) {
 					c.problem(v.at(), "a case is a %v, not a %v", t, w)
 				}
-				if l, ok := v.(*litExpr); ok && l.t != tyBad {
-					key := text(l.t, l.v)
+				if l, ok := v.(*literalExpr); ok && l.valueType != typeInvalid {
+					key := text(l.valueType, l.value)
 					if old, ok := seen[key]; ok {
 						c.problem(v.at(), "the case %s stands in line %d already", key, old.Line)
 					}
@@ -64,33 +64,33 @@
 			}
 			ends = c.block(k.body) && ends
 		}
-		if s.els != nil {
-			ends = c.block(s.els) && ends
+		if s.otherwise != nil {
+			ends = c.block(s.otherwise) && ends
 		}
-		c.next = from
+		c.nextSlot = from
 		return ends
 	case *returnStmt:
 		switch {
-		case s.value == nil && c.fn.ret != tyVoid:
-			c.problem(s.pos, "a %v is to be returned", c.fn.ret)
-		case s.value != nil && c.fn.ret == tyVoid:
+		case s.value == nil && c.current.resultType != typeVoid:
+			c.problem(s.pos, "a %v is to be returned", c.current.resultType)
+		case s.value != nil && c.current.resultType == typeVoid:
 			c.value(s.value)
 			c.problem(s.value.at(), "nothing is to be returned here")
 		case s.value != nil:
-			c.want(s.value, c.fn.ret, "the result")
+			c.expect(s.value, c.current.resultType, "the result")
 		}
 		return true
-	case *leaveStmt:
-		if c.loops == 0 {
-			c.problem(s.pos, "%s outside a loop", s.word)
+	case *branchStmt:
+		if c.loopDepth == 0 {
+			c.problem(s.pos, "%s outside a loop", s.keyword)
 		}
 		return true
 	case *exprStmt:
 		t := c.expr(s.value)
-		if _, run := s.value.(*runExpr); t != tyVoid && t != tyBad && !run {
+		if _, run := s.value.(*runExpr); t != typeVoid && t != typeInvalid && !run {
 			c.problem(s.pos, "the %v is not used", t)
 		}
-		if k, ok := s.value.(*callExpr); ok && k.b != nil && k.name == "fail" {
+		if k, ok := s.value.(*callExpr); ok && k.builtin != nil && k.name == "fail" {
 			return true
 		}
 	}
@@ -101,13 +101,13 @@
 	for i := len(c.scopes) - 1; i >= 0; i-- {
 		if v := c.scopes[i][name]; v != nil {
 			v.used = true
-			return v.t, v.ref, true
+			return v.valueType, v.ref, true
 		}
 	}
-	if d := c.states[name]; d != nil && !c.consts {
-		return d.t, ref{true, d.n}, true
+	if d := c.states[name]; d != nil && !c.inStateInit {
+		return d.valueType, ref{true, d.index}, true
 	}
-	return tyBad, ref{}, false
+	return typeInvalid, ref{}, false
 }
 
 func (c *checker) target(pos Pos, name string) (*Type, ref) {
@@ -126,10 +126,10 @@
 			v.used = used[name]
 		}
 	}
-	if r.state && c.fn.writes == (Pos{}) {
-		c.fn.writes = pos
+	if r.inState && c.current.writesStateAt == (Pos{}) {
+		c.current.writesStateAt = pos
 	}
-	if r.state && c.test {
+	if r.inState && c.inTest {
 		c.problem(pos, "a test changes no state: handlers that it runs do")
 	}
 	return t, r
@@ -137,24 +137,24 @@
 
 func (c *checker) set(s *setStmt) {
 	t, r := c.target(s.pos, s.name)
-	s.ref, s.t = r, t
+	s.target, s.targetType = r, t
 	if s.index != nil {
 		i := c.value(s.index)
 		switch {
-		case t == tyBad:
+		case t == typeInvalid:
 		case t.name == "list":
-			if !same(i, tyInt) {
+			if !sameType(i, typeInt) {
 				c.problem(s.index.at(), "an index of a list is an int, not a %v", i)
 			}
 			t = t.elem
 		case t.name == "map":
-			if !same(i, t.key) {
+			if !sameType(i, t.key) {
 				c.problem(s.index.at(), "a key of %s is a %v, not a %v", s.name, t.key, i)
 			}
 			t = t.elem
 		default:
 			c.problem(s.pos, "%s is a %v: only lists and maps have entries", s.name, t)
-			t = tyBad
+			t = typeInvalid
 		}
 	}
 	v := c.value(s.value)
@@ -162,7 +162,7 @@
 		c.problem(s.pos, "a %v has no %s=", t, s.op)
 		return
 	}
-	if !same(t, v) {
+	if !sameType(t, v) {
 		c.problem(s.value.at(), "%s wants a %v, not a %v", s.name, t, v)
 	}
 }
@@ -170,10 +170,10 @@
 // hasCompoundAssignment reports whether values of t take op with "=": lists and strings only "+=", numbers and durations
 // any arithmetic operator.
 func hasCompoundAssignment(t *Type, op string) bool {
-	if t.box() && t.name == "list" {
+	if t.isCollection() && t.name == "list" {
 		return op == "+"
 	}
-	return t.ordered() && (op == "+" || t != tyStr)
+	return t.ordered() && (op == "+" || t != typeString)
 }
 
 func (c *checker) loop(s *forStmt) {
@@ -181,13 +181,13 @@
 	var key, elem *Type
 	switch {
 	case s.to != nil:
-		elem = tyInt
-		if !same(t, tyInt) {
+		elem = typeInt
+		if !sameType(t, typeInt) {
 			c.problem(s.from.at(), "a range runs over ints, not %v", t)
 		}
-		c.want(s.to, tyInt, "the end of a range")
-	case t == tyBad:
-		key, elem = tyBad, tyBad
+		c.expect(s.to, typeInt, "the end of a range")
+	case t == typeInvalid:
+		key, elem = typeInvalid, typeInvalid
 	case t.name == "list":
 		elem = t.elem
 	case t.name == "map":
@@ -197,28 +197,28 @@
 		}
 	default:
 		c.problem(s.from.at(), "for runs over lists, maps and ranges, not over a %v", t)
-		elem = tyBad
+		elem = typeInvalid
 	}
 	if s.key != "" && key == nil {
-		if elem != tyBad {
+		if elem != typeInvalid {
 			c.problem(s.pos, "only maps have keys to run over")
 		}
-		key = tyBad
+		key = typeInvalid
 	}
-	from := c.next
+	from := c.nextSlot
 	c.push()
 	v := c.declare(s.pos, s.name, elem)
-	s.slot, v.used = v.ref.n, true // to count is use enough
-	c.next += 2                    // what is run over, and where it stands
-	c.fn.slots = max(c.fn.slots, c.next)
+	s.slot, v.used = v.ref.index, true // to count is use enough
+	c.nextSlot += 2                    // what is run over, and where it stands
+	c.current.slots = max(c.current.slots, c.nextSlot)
 	if s.key != "" {
 		v := c.declare(s.pos, s.key, key)
-		s.keySlot, v.used = v.ref.n, true
+		s.keySlot, v.used = v.ref.index, true
 	}
-	c.loops++
+	c.loopDepth++
 	c.block(s.body)
-	c.loops--
-	c.end = s.body.end
+	c.loopDepth--
+	c.scopeEnd = s.body.end
 	c.pop()
-	c.next = from
+	c.nextSlot = from
 }
--- a/internal/hooklang/compile.go
+++ b/internal/hooklang/compile.go
@@ -82,55 +82,55 @@
 	opCodes
 )
 
-type instr struct {
+type instruction struct {
 	op   opcode
 	a, b int32
 }
 
 type function struct {
-	name   string
-	code   []instr
-	places []Pos // of each instruction
-	params int
-	slots  int
-	depth  int // of the stack above the slots
-	vars   []varInfo
+	name      string
+	code      []instruction
+	positions []Pos // of each instruction
+	params    int
+	slots     int
+	depth     int // of the stack above the slots
+	vars      []varInfo
 }
 
 // varInfo is a variable for the tracer: what it is called, from where to where.
 type varInfo struct {
-	name     string
-	t        *Type
-	slot     int
-	from, to Pos
+	name      string
+	valueType *Type
+	slot      int
+	from, to  Pos
 }
 
 type handler struct {
-	fn    int
-	point *Point
-	every time.Duration
+	function int
+	point    *Point
+	interval time.Duration
 }
 
 type stateVar struct {
-	name string
-	t    *Type
+	name      string
+	valueType *Type
 }
 
 // A Program is a script that can be run. It does not change, and may be used by many VMs at once.
 type Program struct {
-	File     string
-	Text     string
-	funcs    []*function
-	consts   []Value
-	types    []*Type
-	natives  []func(vm *VM, a []Value) Value
-	records  []template
-	handlers map[string]*handler
-	state    []stateVar
-	first    []Value // of the state
-	tests    []test
-	Warnings Problems
-	costs    []Cost
+	File         string
+	Text         string
+	funcs        []*function
+	consts       []Value
+	types        []*Type
+	natives      []func(vm *VM, a []Value) Value
+	templates    []template
+	handlers     map[string]*handler
+	state        []stateVar
+	initialState []Value // of the state
+	tests        []test
+	Warnings     Problems
+	costs        []Cost
 }
 
 type template struct {
@@ -139,9 +139,9 @@
 }
 
 type test struct {
-	name string
-	pos  Pos
-	fn   int
+	name     string
+	pos      Pos
+	function int
 }
 
 // Compile checks a text and makes a program of it. A *Problems error tells all that is wrong.
@@ -151,31 +151,31 @@
 		return nil, bad
 	}
 	p := &Program{File: file, Text: text, handlers: map[string]*handler{}, Warnings: bad}
-	c := &compiler{p: p, funcs: map[*funcDecl]int{}, native: map[*signature]int{}}
+	c := &compiler{program: p, funcs: map[*funcDecl]int{}, natives: map[*signature]int{}}
 	for i, d := range s.funcs {
 		c.funcs[d] = i
 		p.funcs = append(p.funcs, &function{name: d.name})
-		if d.on != nil {
+		if d.point != nil {
 			p.funcs[i].name = "on " + d.name
-			p.handlers[d.name] = &handler{i, d.on, d.every}
+			p.handlers[d.name] = &handler{i, d.point, d.interval}
 		}
 	}
 	for _, d := range s.tests {
-		c.funcs[d.fn] = len(p.funcs)
+		c.funcs[d.function] = len(p.funcs)
 		p.tests = append(p.tests, test{d.name, d.pos, len(p.funcs)})
-		p.funcs = append(p.funcs, &function{name: d.fn.name})
+		p.funcs = append(p.funcs, &function{name: d.function.name})
 	}
 	for _, d := range s.states {
-		p.state = append(p.state, stateVar{d.name, d.t})
+		p.state = append(p.state, stateVar{d.name, d.valueType})
 	}
 	for _, d := range s.funcs {
 		c.function(d, p.funcs[c.funcs[d]])
 	}
 	for _, d := range s.tests {
-		c.function(d.fn, p.funcs[c.funcs[d.fn]])
+		c.function(d.function, p.funcs[c.funcs[d.function]])
 	}
-	if c.total > maxCode {
-		return nil, Problems{{File: file, Pos: Pos{1, 1}, Text: fmt.Sprintf("%d instructions, over the %d that a script may have", c.total, maxCode)}}
+	if c.instructions > maxCode {
+		return nil, Problems{{File: file, Pos: Pos{1, 1}, Text: fmt.Sprintf("%d instructions, over the %d that a script may have", c.instructions, maxCode)}}
 	}
 	p.costs = estimate(s)
 	for _, k := range p.costs {
@@ -188,35 +188,35 @@
 				Text: fmt.Sprintf("on %s may take %.3g instructions, over the %d it has: %s", k.Point, k.Fuel, lim, k.Why)})
 		}
 	}
-	if err := p.begin(s); err != nil {
+	if err := p.computeInitialState(s); err != nil {
 		return nil, Problems{{File: file, Pos: Pos{1, 1}, Text: err.Error()}}
 	}
 	return p, nil
 }
 
-// begin computes the state's first values.
-func (p *Program) begin(s *script) error {
+// computeInitialState computes the state's first values.
+func (p *Program) computeInitialState(s *script) error {
 	fn := &function{name: "state"}
-	c := &compiler{p: p, fn: fn}
+	c := &compiler{program: p, current: fn}
 	for _, d := range s.states {
 		c.expr(d.init)
 	}
 	c.emit(Pos{}, opReturnNothing, 0, 0, 0)
 	fn.depth += len(s.states) + 1
 	vm := NewVM()
-	vm.lim = Aside
+	vm.limits = Aside
 	n := len(s.states)
 	return vm.guard(p, func() {
-		vm.p = p
-		vm.fuel, vm.memory = vm.lim.Fuel, vm.lim.Memory
+		vm.program = p
+		vm.fuel, vm.memory = vm.limits.Fuel, vm.limits.Memory
 		keep := make([]Value, 0, n)
-		vm.keep = &keep
+		vm.capture = &keep
 		vm.exec(fn, nil)
 		for _, v := range keep {
 			v.freeze()
 		}
-		p.first = keep
-		vm.keep = nil
+		p.initialState = keep
+		vm.capture = nil
 	})
 }
 
@@ -225,8 +225,8 @@
 	for _, pt := range Points {
 		if h := p.handlers[pt.Name]; h != nil {
 			names = append(names, pt.Name)
-			if h.every > 0 {
-				every = h.every
+			if h.interval > 0 {
+				every = h.interval
 			}
 		}
 	}
@@ -240,47 +240,47 @@
 func (p *Program) MarshalJSON() ([]byte, error) { return json.Marshal(p.File) }
 
 type compiler struct {
-	p      *Program
-	fn     *function
-	funcs  map[*funcDecl]int
-	native map[*signature]int
-	now    int // depth of the stack
-	total  int
-	breaks []*leave
+	program      *Program
+	current      *function
+	funcs        map[*funcDecl]int
+	natives      map[*signature]int
+	depth        int // depth of the stack
+	instructions int
+	loops        []*loopJumps
 }
 
-type leave struct{ breaks, continues []int }
+type loopJumps struct{ breaks, continues []int }
 
 func (c *compiler) emit(pos Pos, op opcode, a, b int, grow int) int {
-	c.fn.code = append(c.fn.code, instr{op, int32(a), int32(b)})
-	c.fn.places = append(c.fn.places, pos)
-	c.now += grow
-	c.fn.depth = max(c.fn.depth, c.now)
-	c.total++
-	return len(c.fn.code) - 1
+	c.current.code = append(c.current.code, instruction{op, int32(a), int32(b)})
+	c.current.positions = append(c.current.positions, pos)
+	c.depth += grow
+	c.current.depth = max(c.current.depth, c.depth)
+	c.instructions++
+	return len(c.current.code) - 1
 }
 
-func (c *compiler) here() int    { return len(c.fn.code) }
-func (c *compiler) patch(at int) { c.fn.code[at].a = int32(len(c.fn.code)) }
+func (c *compiler) here() int    { return len(c.current.code) }
+func (c *compiler) patch(at int) { c.current.code[at].a = int32(len(c.current.code)) }
 
 func (c *compiler) constant(v Value) int {
-	c.p.consts = append(c.p.consts, v)
-	return len(c.p.consts) - 1
+	c.program.consts = append(c.program.consts, v)
+	return len(c.program.consts) - 1
 }
 
 func (c *compiler) typ(t *Type) int {
-	for i, o := range c.p.types {
-		if same(o, t) {
+	for i, o := range c.program.types {
+		if sameType(o, t) {
 			return i
 		}
 	}
-	c.p.types = append(c.p.types, t)
-	return len(c.p.types) - 1
+	c.program.types = append(c.program.types, t)
+	return len(c.program.types) - 1
 }
 
 func (c *compiler) equal(pos Pos, t *Type, yes bool) {
 	switch t {
-	case tyInt, tyDur, tyBool:
+	case typeInt, typeDuration, typeBool:
 		if yes {
 			c.emit(pos, opEqInt, 0, 0, -1)
 		} else {
@@ -298,13 +298,13 @@
 func (c *compiler) arith(pos Pos, op string, x, y *Type) {
 	var k opcode
 	switch {
-	case x == tyStr:
+	case x == typeString:
 		k = opAddStr
 	case x.name == "list":
 		k = opAddList
-	case x == tyFloat:
+	case x == typeFloat:
 		k = map[string]opcode{"+": opAddFloat, "-": opSubFloat, "*": opMulFloat, "/": opDivFloat}[op]
-	case op == "/" && x == tyDur && y == tyDur:
+	case op == "/" && x == typeDuration && y == typeDuration:
 		k = opDivDur
 	default:
 		k = map[string]opcode{"+": opAddInt, "-": opSubInt, "*": opMulInt, "/": opDivInt, "%": opModInt}[op]
@@ -312,29 +312,29 @@
 	c.emit(pos, k, 0, 0, -1)
 }
 
-var order = map[string]opcode{"<": 0, "<=": 1, ">": 2, ">=": 3}
+var comparisonOffset = map[string]opcode{"<": 0, "<=": 1, ">": 2, ">=": 3}
 
 func (c *compiler) expr(e expr) {
 	switch e := e.(type) {
-	case *litExpr:
-		if e.v.o == nil && e.v.n >= -1<<31 && e.v.n < 1<<31 {
-			c.emit(e.pos, opInt, int(e.v.n), 0, 1)
+	case *literalExpr:
+		if e.value.object == nil && e.value.bits >= -1<<31 && e.value.bits < 1<<31 {
+			c.emit(e.pos, opInt, int(e.value.bits), 0, 1)
 		} else {
-			c.emit(e.pos, opConst, c.constant(e.v), 0, 1)
+			c.emit(e.pos, opConst, c.constant(e.value), 0, 1)
 		}
 	case *nameExpr:
 		c.load(e.pos, e.ref)
 	case *unaryExpr:
-		c.expr(e.x)
+		c.expr(e.operand)
 		switch {
 		case e.op == "not":
 			c.emit(e.pos, opNot, 0, 0, 0)
-		case e.t == tyFloat:
+		case e.valueType == typeFloat:
 			c.emit(e.pos, opNegFloat, 0, 0, 0)
 		default:
 			c.emit(e.pos, opNegInt, 0, 0, 0)
 		}
-	case *binExpr:
+	case *binaryExpr:
 		c.binary(e)
 	case *listExpr:
 		for _, x := range e.items {
@@ -347,9 +347,9 @@
 			c.expr(e.values[i])
 		}
 		c.emit(e.pos, opMap, len(e.keys), 0, 1-2*len(e.keys))
-	case *recExpr:
-		r := e.t.rec
-		t := template{values: zero(r.t).o.l}
+	case *recordExpr:
+		r := e.valueType.record
+		t := template{values: zeroValue(r.valueType).object.items}
 		for i, name := range e.fields {
 			c.expr(e.values[i])
 			for n, f := range r.Fields {
@@ -358,61 +358,61 @@
 				}
 			}
 		}
-		c.p.records = append(c.p.records, t)
-		c.emit(e.pos, opRecord, len(c.p.records)-1, 0, 1-len(e.fields))
+		c.program.templates = append(c.program.templates, t)
+		c.emit(e.pos, opRecord, len(c.program.templates)-1, 0, 1-len(e.fields))
 	case *indexExpr:
-		c.expr(e.x)
-		c.expr(e.i)
-		if e.x.typ().name == "map" {
+		c.expr(e.collection)
+		c.expr(e.index)
+		if e.collection.typ().name == "map" {
 			c.emit(e.pos, opIndexMap, 0, 0, -1)
 		} else {
 			c.emit(e.pos, opIndexList, 0, 0, -1)
 		}
 	case *fieldExpr:
-		c.expr(e.x)
-		c.emit(e.pos, opField, e.n, 0, 0)
+		c.expr(e.record)
+		c.emit(e.pos, opField, e.index, 0, 0)
 	case *callExpr:
 		c.call(e)
 	case *runExpr:
 		c.expr(e.arg)
-		c.emit(e.pos, opRun, c.funcs[e.fn], 0, 0)
+		c.emit(e.pos, opRun, c.funcs[e.handler], 0, 0)
 	}
 }
 
-func (c *compiler) binary(e *binExpr) {
+func (c *compiler) binary(e *binaryExpr) {
 	if e.op == "and" || e.op == "or" {
-		c.expr(e.x)
+		c.expr(e.left)
 		op := opAndJump
 		if e.op == "or" {
 			op = opOrJump
 		}
 		at := c.emit(e.pos, op, 0, 0, -1)
-		c.expr(e.y)
+		c.expr(e.right)
 		c.patch(at)
 		return
 	}
-	c.expr(e.x)
-	x, y := e.x.typ(), e.y.typ()
-	if l, ok := e.y.(*litExpr); ok && e.op == "+" && (x == tyInt || x == tyDur) && l.v.n >= 0 && l.v.n < 1<<31 {
-		c.emit(e.pos, opAddIntConst, int(l.v.n), 0, 0)
+	c.expr(e.left)
+	x, y := e.left.typ(), e.right.typ()
+	if l, ok := e.right.(*literalExpr); ok && e.op == "+" && (x == typeInt || x == typeDuration) && l.value.bits >= 0 && l.value.bits < 1<<31 {
+		c.emit(e.pos, opAddIntConst, int(l.value.bits), 0, 0)
 		return
 	}
-	c.expr(e.y)
+	c.expr(e.right)
 	switch e.op {
 	case "==", "!=":
 		c.equal(e.pos, x, e.op == "==")
 	case "<", "<=", ">", ">=":
 		base := opLtInt
 		switch x {
-		case tyFloat:
+		case typeFloat:
 			base = opLtFloat
-		case tyStr:
+		case typeString:
 			base = opLtStr
 		}
-		c.emit(e.pos, base+order[e.op], 0, 0, -1)
+		c.emit(e.pos, base+comparisonOffset[e.op], 0, 0, -1)
 	case "in":
 		switch {
-		case y == tyStr:
+		case y == typeString:
 			c.emit(e.pos, opInStr, 0, 0, -1)
 		case y.name == "list":
 			c.emit(e.pos, opInList, c.typ(y.elem), 0, -1)
@@ -425,38 +425,38 @@
 }
 
 func (c *compiler) call(e *callExpr) {
-	if e.fn != nil && e.b == nil {
+	if e.function != nil && e.builtin == nil {
 		for _, a := range e.args {
 			c.expr(a)
 		}
 		grow := -len(e.args)
-		if e.fn.ret != tyVoid {
+		if e.function.resultType != typeVoid {
 			grow++
 		}
-		c.emit(e.pos, opCall, c.funcs[e.fn], len(e.args), grow)
+		c.emit(e.pos, opCall, c.funcs[e.function], len(e.args), grow)
 		return
 	}
-	s := e.b.sigs[0]
+	s := e.builtin.signatures[0]
 	switch {
-	case s.by:
+	case s.takesFunction:
 		c.expr(e.args[0])
-		c.emit(e.pos, opSort, c.funcs[e.fn], 0, 0)
+		c.emit(e.pos, opSort, c.funcs[e.function], 0, 0)
 	case s.op != 0:
 		n := e.args[0].(*nameExpr)
 		c.expr(e.args[1])
-		c.emit(e.pos, s.op, n.ref.n, n.ref.flag(), -1)
+		c.emit(e.pos, s.op, n.ref.index, n.ref.flag(), -1)
 	default:
 		for _, a := range e.args {
 			c.expr(a)
 		}
-		i, ok := c.native[s]
+		i, ok := c.natives[s]
 		if !ok {
-			i = len(c.p.natives)
-			c.p.natives = append(c.p.natives, s.run)
-			c.native[s] = i
+			i = len(c.program.natives)
+			c.program.natives = append(c.program.natives, s.run)
+			c.natives[s] = i
 		}
 		grow, b := -len(e.args), len(e.args)
-		if s.result != tyVoid {
+		if s.result != typeVoid {
 			grow++
 			b |= 1 << 8 // it leaves a value
 		}
--- a/internal/hooklang/compilestmt.go
+++ b/internal/hooklang/compilestmt.go
@@ -1,8 +1,8 @@
 package hooklang
 
 func (c *compiler) function(d *funcDecl, f *function) {
-	c.fn, c.now = f, 0
-	f.params, f.slots, f.vars = len(d.types), d.slots, d.vars
+	c.current, c.depth = f, 0
+	f.params, f.slots, f.vars = len(d.paramTypes), d.slots, d.vars
 	c.block(d.body)
 	c.emit(d.end, opReturnNothing, 0, 0, 0)
 	f.depth += 2
@@ -27,13 +27,13 @@
 		c.expr(s.cond)
 		no := c.emit(s.pos, opJumpFalse, 0, 0, -1)
 		c.block(s.then)
-		if s.els == nil {
+		if s.otherwise == nil {
 			c.patch(no)
 			return
 		}
 		end := c.emit(s.pos, opJump, 0, 0, 0)
 		c.patch(no)
-		c.stmt(s.els)
+		c.stmt(s.otherwise)
 		c.patch(end)
 	case *forStmt:
 		c.loop(s)
@@ -57,8 +57,8 @@
 			ends = append(ends, c.emit(s.pos, opJump, 0, 0, 0))
 			c.patch(next)
 		}
-		if s.els != nil {
-			c.block(s.els)
+		if s.otherwise != nil {
+			c.block(s.otherwise)
 		}
 		for _, e := range ends {
 			c.patch(e)
@@ -70,40 +70,40 @@
 		}
 		c.expr(s.value)
 		c.emit(s.pos, opReturn, 0, 0, -1)
-	case *leaveStmt:
-		l := c.breaks[len(c.breaks)-1]
+	case *branchStmt:
+		l := c.loops[len(c.loops)-1]
 		at := c.emit(s.pos, opJump, 0, 0, 0)
-		if s.word == "break" {
+		if s.keyword == "break" {
 			l.breaks = append(l.breaks, at)
 		} else {
 			l.continues = append(l.continues, at)
 		}
 	case *exprStmt:
 		c.expr(s.value)
-		if s.value.typ() != tyVoid {
+		if s.value.typ() != typeVoid {
 			c.emit(s.pos, opPop, 0, 0, -1)
 		}
 	}
 }
 
 func (c *compiler) load(pos Pos, r ref) {
-	if r.state {
-		c.emit(pos, opLoadState, r.n, 0, 1)
+	if r.inState {
+		c.emit(pos, opLoadState, r.index, 0, 1)
 	} else {
-		c.emit(pos, opLoad, r.n, 0, 1)
+		c.emit(pos, opLoad, r.index, 0, 1)
 	}
 }
 
 func (c *compiler) store(pos Pos, r ref) {
-	if r.state {
-		c.emit(pos, opStoreState, r.n, 0, -1)
+	if r.inState {
+		c.emit(pos, opStoreState, r.index, 0, -1)
 	} else {
-		c.emit(pos, opStore, r.n, 0, -1)
+		c.emit(pos, opStore, r.index, 0, -1)
 	}
 }
 
 func (r ref) flag() int {
-	if r.state {
+	if r.inState {
 		return 1
 	}
 	return 0
@@ -114,27 +114,27 @@
 		c.expr(s.index)
 		c.expr(s.value)
 		op := opSetList
-		if s.t.name == "map" {
+		if s.targetType.name == "map" {
 			op = opSetMap
 		}
-		c.emit(s.pos, op, s.ref.n, s.ref.flag(), -2)
+		c.emit(s.pos, op, s.target.index, s.target.flag(), -2)
 		return
 	}
 	if s.op == "" {
 		c.expr(s.value)
-		c.store(s.pos, s.ref)
+		c.store(s.pos, s.target)
 		return
 	}
-	c.load(s.pos, s.ref)
+	c.load(s.pos, s.target)
 	c.expr(s.value)
-	c.arith(s.pos, s.op, s.t, s.t)
-	c.store(s.pos, s.ref)
+	c.arith(s.pos, s.op, s.targetType, s.targetType)
+	c.store(s.pos, s.target)
 }
 
 func (c *compiler) loop(s *forStmt) {
 	c.expr(s.from)
-	l := &leave{}
-	c.breaks = append(c.breaks, l)
+	l := &loopJumps{}
+	c.loops = append(c.loops, l)
 	var top, next int
 	if s.to != nil {
 		c.expr(s.to)
@@ -157,12 +157,12 @@
 	}
 	c.block(s.body)
 	for _, at := range l.continues {
-		c.fn.code[at].a = int32(top)
+		c.current.code[at].a = int32(top)
 	}
 	c.emit(s.pos, opJump, top, 0, 0)
 	c.patch(next)
 	for _, at := range l.breaks {
 		c.patch(at)
 	}
-	c.breaks = c.breaks[:len(c.breaks)-1]
+	c.loops = c.loops[:len(c.loops)-1]
 }
--- a/internal/hooklang/cost.go
+++ b/internal/hooklang/cost.go
@@ -5,8 +5,8 @@
 	"math"
 )
 
-// assumed is how long a list or map is taken to be, of which nothing is known before it runs.
-const assumed = 100
+// assumedLength is how long a list or map is taken to be, of which nothing is known before it runs.
+const assumedLength = 100
 
 // A Cost is an estimate of what a handler takes at most, in instructions. Ranges between literals are counted; lists, maps
 // and other ranges are taken to have 100 entries.
@@ -20,57 +20,57 @@
 // Costs returns the estimate of each handler, in the order of the text.
 func (p *Program) Costs() []Cost { return p.costs }
 
-type coster struct {
-	done map[*funcDecl]float64
-	open map[*funcDecl]bool
-	why  string
-	most float64
+type costEstimator struct {
+	costs   map[*funcDecl]float64
+	active  map[*funcDecl]bool
+	reason  string
+	largest float64
 }
 
 func estimate(s *script) (l []Cost) {
 	for _, d := range s.funcs {
-		if d.on == nil {
+		if d.point == nil {
 			continue
 		}
-		k := &coster{done: map[*funcDecl]float64{}, open: map[*funcDecl]bool{}}
+		k := &costEstimator{costs: map[*funcDecl]float64{}, active: map[*funcDecl]bool{}}
 		f := k.function(d)
-		if k.why == "" {
-			k.why = "its own length"
+		if k.reason == "" {
+			k.reason = "its own length"
 		}
-		l = append(l, Cost{d.name, d.pos, f, k.why})
+		l = append(l, Cost{d.name, d.pos, f, k.reason})
 	}
 	return l
 }
 
-func (k *coster) function(d *funcDecl) float64 {
-	if f, ok := k.done[d]; ok {
+func (k *costEstimator) function(d *funcDecl) float64 {
+	if f, ok := k.costs[d]; ok {
 		return f
 	}
-	if k.open[d] {
+	if k.active[d] {
 		k.note(math.Inf(1), fmt.Sprintf("%s calls itself", d.name))
 		return math.Inf(1)
 	}
-	k.open[d] = true
+	k.active[d] = true
 	f := k.block(d.body) + 2
-	k.open[d] = false
-	k.done[d] = f
+	k.active[d] = false
+	k.costs[d] = f
 	return f
 }
 
-func (k *coster) note(f float64, why string) {
-	if f > k.most {
-		k.most, k.why = f, why
+func (k *costEstimator) note(f float64, why string) {
+	if f > k.largest {
+		k.largest, k.reason = f, why
 	}
 }
 
-func (k *coster) block(b *block) (f float64) {
+func (k *costEstimator) block(b *block) (f float64) {
 	for _, s := range b.stmts {
 		f += k.stmt(s)
 	}
 	return f
 }
 
-func (k *coster) stmt(s stmt) float64 {
+func (k *costEstimator) stmt(s stmt) float64 {
 	switch s := s.(type) {
 	case *block:
 		return k.block(s)
@@ -84,19 +84,19 @@
 		return f
 	case *ifStmt:
 		f := k.block(s.then)
-		if s.els != nil {
-			f = max(f, k.stmt(s.els))
+		if s.otherwise != nil {
+			f = max(f, k.stmt(s.otherwise))
 		}
 		return k.expr(s.cond) + 2 + f
 	case *forStmt:
-		n := float64(assumed)
+		n := float64(assumedLength)
 		f := k.expr(s.from) + 2
 		if s.to != nil {
 			f += k.expr(s.to)
-			a, ok := s.from.(*litExpr)
-			b, ok2 := s.to.(*litExpr)
+			a, ok := s.from.(*literalExpr)
+			b, ok2 := s.to.(*literalExpr)
 			if ok && ok2 {
-				n = max(0, float64(b.v.n)-float64(a.v.n))
+				n = max(0, float64(b.value.bits)-float64(a.value.bits))
 			}
 		}
 		f += n * (k.block(s.body) + 3)
@@ -110,8 +110,8 @@
 			}
 			most = max(most, k.block(c.body))
 		}
-		if s.els != nil {
-			most = max(most, k.block(s.els))
+		if s.otherwise != nil {
+			most = max(most, k.block(s.otherwise))
 		}
 		return f + most + 1
 	case *returnStmt:
@@ -124,7 +124,7 @@
 	return 1
 }
 
-func (k *coster) expr(e expr) float64 {
+func (k *costEstimator) expr(e expr) float64 {
 	f := 1.0
 	each := func(l []expr) {
 		for _, x := range l {
@@ -133,40 +133,40 @@
 	}
 	switch e := e.(type) {
 	case *unaryExpr:
-		f += k.expr(e.x)
-	case *binExpr:
-		f += k.expr(e.x) + k.expr(e.y)
-		if t := e.y.typ(); e.op == "in" && t.name == "list" || e.op == "+" && t.box() {
-			f += assumed
+		f += k.expr(e.operand)
+	case *binaryExpr:
+		f += k.expr(e.left) + k.expr(e.right)
+		if t := e.right.typ(); e.op == "in" && t.name == "list" || e.op == "+" && t.isCollection() {
+			f += assumedLength
 		}
 	case *listExpr:
 		each(e.items)
 	case *mapExpr:
 		each(e.keys)
 		each(e.values)
-	case *recExpr:
+	case *recordExpr:
 		each(e.values)
 	case *indexExpr:
-		f += k.expr(e.x) + k.expr(e.i)
+		f += k.expr(e.collection) + k.expr(e.index)
 	case *fieldExpr:
-		f += k.expr(e.x)
+		f += k.expr(e.record)
 	case *callExpr:
 		for i, a := range e.args {
-			if i == 0 || e.b == nil || !e.b.sigs[0].by {
+			if i == 0 || e.builtin == nil || !e.builtin.signatures[0].takesFunction {
 				f += k.expr(a)
 			}
 		}
-		if e.fn != nil {
-			g := k.function(e.fn)
-			if e.b != nil { // sort_by
-				g *= assumed * math.Log2(assumed)
+		if e.function != nil {
+			g := k.function(e.function)
+			if e.builtin != nil { // sort_by
+				g *= assumedLength * math.Log2(assumedLength)
 				k.note(g, fmt.Sprintf("the sort of line %d", e.pos.Line))
 			}
 			f += g
-		} else if e.b != nil {
+		} else if e.builtin != nil {
 			for _, a := range e.args {
-				if a.typ() != nil && a.typ().box() && e.name != "len" && e.name != "get" && e.name != "push" {
-					f += assumed
+				if a.typ() != nil && a.typ().isCollection() && e.name != "len" && e.name != "get" && e.name != "push" {
+					f += assumedLength
 				}
 			}
 		}
--- a/internal/hooklang/format.go
+++ b/internal/hooklang/format.go
@@ -14,13 +14,13 @@
 		switch d := d.(type) {
 		case *stateDecl:
 			f.begin(d.pos, i > 0)
-			f.write("state ", d.name, " ", d.typ.text(), " = ", f.expr(d.init, 0))
+			f.write("state ", d.name, " ", d.declaredType.text(), " = ", f.expr(d.init, 0))
 		case *funcDecl:
 			f.begin(d.pos, i > 0)
-			if d.on != nil {
+			if d.point != nil {
 				f.write("on ", d.name, "(", d.params[0].name, ")")
-				if d.every > 0 {
-					f.write(" every ", durText(d.every))
+				if d.interval > 0 {
+					f.write(" every ", durText(d.interval))
 				}
 			} else {
 				f.write("fn ", d.name, "(")
@@ -28,11 +28,11 @@
 					if i > 0 {
 						f.write(", ")
 					}
-					f.write(p.name, " ", p.typ.text())
+					f.write(p.name, " ", p.declaredType.text())
 				}
 				f.write(")")
-				if d.result != nil {
-					f.write(" ", d.result.text())
+				if d.declaredResult != nil {
+					f.write(" ", d.declaredResult.text())
 				}
 			}
 			f.write(" ")
@@ -44,7 +44,7 @@
 		}
 	}
 	f.begin(Pos{Line: 1 << 30}, true)
-	return strings.TrimSpace(f.b.String()) + "\n", nil
+	return strings.TrimSpace(f.out.String()) + "\n", nil
 }
 
 func (n *typeNode) text() string {
@@ -58,28 +58,28 @@
 }
 
 type formatter struct {
-	b        strings.Builder
-	comments []comment
-	indent   int
-	line     int // of the text, last written
-	fresh    bool
+	out        strings.Builder
+	comments   []comment
+	indent     int
+	line       int // of the text, last written
+	blockStart bool
 }
 
 func (f *formatter) write(l ...string) {
 	for _, s := range l {
-		f.b.WriteString(s)
+		f.out.WriteString(s)
 	}
 }
 
 func (f *formatter) newline(gap bool) {
-	if f.b.Len() == 0 {
+	if f.out.Len() == 0 {
 		return
 	}
-	f.b.WriteByte('\n')
-	if gap && !f.fresh {
-		f.b.WriteByte('\n')
+	f.out.WriteByte('\n')
+	if gap && !f.blockStart {
+		f.out.WriteByte('\n')
 	}
-	f.fresh = false
+	f.blockStart = false
 	f.write(strings.Repeat("\t", f.indent))
 }
 
@@ -112,7 +112,7 @@
 	f.write("{")
 	f.line = b.pos.Line
 	f.indent++
-	f.fresh = true
+	f.blockStart = true
 	for _, s := range b.stmts {
 		f.begin(s.at(), true)
 		f.stmt(s)
@@ -134,9 +134,9 @@
 		f.line = c.pos.Line
 	}
 	f.indent--
-	f.fresh = true
+	f.blockStart = true
 	f.newline(false)
-	f.fresh = false
+	f.blockStart = false
 	f.write("}")
 	f.line = end.Line
 }
@@ -145,8 +145,8 @@
 	switch s := s.(type) {
 	case *letStmt:
 		f.write("let ", s.name)
-		if s.typ != nil {
-			f.write(" ", s.typ.text())
+		if s.declaredType != nil {
+			f.write(" ", s.declaredType.text())
 		}
 		f.write(" = ", f.expr(s.value, 0))
 	case *setStmt:
@@ -158,12 +158,12 @@
 	case *ifStmt:
 		f.write("if ", f.header(s.cond), " ")
 		f.block(s.then)
-		if s.els != nil {
+		if s.otherwise != nil {
 			f.write(" else ")
-			if b, ok := s.els.(*block); ok {
+			if b, ok := s.otherwise.(*block); ok {
 				f.block(b)
 			} else {
-				f.stmt(s.els)
+				f.stmt(s.otherwise)
 			}
 		}
 	case *forStmt:
@@ -181,7 +181,7 @@
 		f.write("match ", f.header(s.value), " {")
 		f.line = s.pos.Line
 		f.indent++
-		f.fresh = true
+		f.blockStart = true
 		for _, c := range s.cases {
 			f.begin(c.values[0].at(), false)
 			f.write("case ")
@@ -195,10 +195,10 @@
 			f.block(c.body)
 		}
 		end := f.line + 1
-		if s.els != nil {
-			f.begin(s.els.pos, false)
+		if s.otherwise != nil {
+			f.begin(s.otherwise.pos, false)
 			f.write("else ")
-			f.block(s.els)
+			f.block(s.otherwise)
 			end = f.line + 1
 		}
 		f.close(Pos{Line: end})
@@ -208,8 +208,8 @@
 		if s.value != nil {
 			f.write(" ", f.expr(s.value, 0))
 		}
-	case *leaveStmt:
-		f.write(s.word)
+	case *branchStmt:
+		f.write(s.keyword)
 	case *exprStmt:
 		f.write(f.expr(s.value, 0))
 	}
@@ -226,22 +226,22 @@
 
 func bareRecord(e expr) bool {
 	switch e := e.(type) {
-	case *recExpr:
+	case *recordExpr:
 		return true
 	case *unaryExpr:
-		return bareRecord(e.x)
-	case *binExpr:
-		return bareRecord(e.x) || bareRecord(e.y)
+		return bareRecord(e.operand)
+	case *binaryExpr:
+		return bareRecord(e.left) || bareRecord(e.right)
 	case *fieldExpr:
-		return bareRecord(e.x)
+		return bareRecord(e.record)
 	case *indexExpr:
-		return bareRecord(e.x)
+		return bareRecord(e.collection)
 	}
 	return false
 }
 
 func strength(op string) int {
-	for i, l := range levels {
+	for i, l := range precedence {
 		for _, o := range l {
 			if o == op {
 				return i + 1
@@ -261,9 +261,9 @@
 		return strings.Join(parts, ", ")
 	}
 	switch e := e.(type) {
-	case *litExpr:
-		if e.t == tyStr {
-			return quote(e.v.str())
+	case *literalExpr:
+		if e.valueType == typeString {
+			return quote(e.value.str())
 		}
 		return e.text
 	case *nameExpr:
@@ -273,25 +273,25 @@
 		if e.op == "not" {
 			n, s = 3, "not "
 		}
-		s += f.expr(e.x, n)
+		s += f.expr(e.operand, n)
 		if n < least {
 			return "(" + s + ")"
 		}
 		return s
-	case *binExpr:
+	case *binaryExpr:
 		n := strength(e.op)
 		left := n
 		if n == 3 {
 			left++ // comparisons do not chain
 		}
-		s := f.expr(e.x, left) + " " + e.op + " " + f.expr(e.y, n+1)
+		s := f.expr(e.left, left) + " " + e.op + " " + f.expr(e.right, n+1)
 		if n < least {
 			return "(" + s + ")"
 		}
 		return s
 	case *listExpr:
-		if e.node != nil {
-			return e.node.text() + "{" + list(e.items) + "}"
+		if e.literalType != nil {
+			return e.literalType.text() + "{" + list(e.items) + "}"
 		}
 		return "[" + list(e.items) + "]"
 	case *mapExpr:
@@ -299,17 +299,17 @@
 		for i := range e.keys {
 			parts = append(parts, f.expr(e.keys[i], 0)+": "+f.expr(e.values[i], 0))
 		}
-		return e.node.text() + "{" + strings.Join(parts, ", ") + "}"
-	case *recExpr:
+		return e.literalType.text() + "{" + strings.Join(parts, ", ") + "}"
+	case *recordExpr:
 		var parts []string
 		for i := range e.fields {
 			parts = append(parts, e.fields[i]+": "+f.expr(e.values[i], 0))
 		}
 		return e.name + "{" + strings.Join(parts, ", ") + "}"
 	case *indexExpr:
-		return f.expr(e.x, 7) + "[" + f.expr(e.i, 0) + "]"
+		return f.expr(e.collection, 7) + "[" + f.expr(e.index, 0) + "]"
 	case *fieldExpr:
-		return f.expr(e.x, 7) + "." + e.name
+		return f.expr(e.record, 7) + "." + e.name
 	case *callExpr:
 		return e.name + "(" + list(e.args) + ")"
 	case *runExpr:
--- a/internal/hooklang/host.go
+++ b/internal/hooklang/host.go
@@ -65,27 +65,27 @@
 	}
 )
 
-func rec(name string, fields ...any) *Record {
+func newRecord(name string, fields ...any) *Record {
 	r := &Record{Name: name}
 	for i := 0; i < len(fields); i += 2 {
 		r.Fields = append(r.Fields, Field{fields[i].(string), fields[i+1].(*Type)})
 	}
-	r.t = &Type{name: name, rec: r}
+	r.valueType = &Type{name: name, record: r}
 	return r
 }
 
 var (
-	recCall = rec("Call", "function", tyStr, "tenant", tyStr, "client", tyStr, "class", tyStr, "retry", tyBool, "wait", tyDur, "size", tyInt, "open", tyInt)
-	recEnd  = rec("Ended", "function", tyStr, "tenant", tyStr, "class", tyStr, "worker", tyStr, "answer", tyStr, "took", tyDur, "attempts", tyInt, "late", tyBool)
-	recWork = rec("Worker", "name", tyStr, "group", tyStr, "zone", tyStr, "state", tyStr)
-	recLoad = rec("Load", "function", tyStr, "worker", tyStr, "outcome", tyStr, "took", tyDur)
-	recLev  = rec("Level", "name", tyStr, "before", tyStr, "why", tyStr)
-	recTick = rec("Tick", "count", tyInt, "open", tyInt)
-	recMove = rec("Move", "model", tyStr, "alias", tyStr, "version", tyStr, "revision", tyInt)
+	recordCall   = newRecord("Call", "function", typeString, "tenant", typeString, "client", typeString, "class", typeString, "retry", typeBool, "wait", typeDuration, "size", typeInt, "open", typeInt)
+	recordEnded  = newRecord("Ended", "function", typeString, "tenant", typeString, "class", typeString, "worker", typeString, "answer", typeString, "took", typeDuration, "attempts", typeInt, "late", typeBool)
+	recordWorker = newRecord("Worker", "name", typeString, "group", typeString, "zone", typeString, "state", typeString)
+	recordLoad   = newRecord("Load", "function", typeString, "worker", typeString, "outcome", typeString, "took", typeDuration)
+	recordLevel  = newRecord("Level", "name", typeString, "before", typeString, "why", typeString)
+	recordTick   = newRecord("Tick", "count", typeInt, "open", typeInt)
+	recordMove   = newRecord("Move", "model", typeString, "alias", typeString, "version", typeString, "revision", typeInt)
 	// Advice is what tests see of a run.
-	recAdvice = rec("Advice", "kind", tyStr, "function", tyStr, "worker", tyStr, "tenant", tyStr, "copies", tyInt, "factor", tyFloat, "life", tyDur, "key", tyStr, "text", tyStr)
-	noRecord  = rec("Nothing")
-	records   = map[string]*Record{}
+	recordAdvice = newRecord("Advice", "kind", typeString, "function", typeString, "worker", typeString, "tenant", typeString, "copies", typeInt, "factor", typeFloat, "life", typeDuration, "key", typeString, "text", typeString)
+	noRecord     = newRecord("Nothing")
+	records      = map[string]*Record{}
 )
 
 // A Point is where the host runs handlers.
@@ -96,24 +96,24 @@
 	Inline  bool     // the call waits for it: Limits are Inline, and state cannot be changed
 }
 
-var standing = []string{"keep_warm", "tenant_weight", "tenant_cap", "prefer", "avoid", "notify"}
+var lastingEffects = []string{"keep_warm", "tenant_weight", "tenant_cap", "prefer", "avoid", "notify"}
 
 // Points in the order of the manual.
 var Points = []*Point{
-	{Name: "arrive", Record: recCall, Effects: []string{"refuse", "annotate"}, Inline: true},
-	{Name: "ended", Record: recEnd, Effects: standing},
-	{Name: "joined", Record: recWork, Effects: standing},
-	{Name: "left", Record: recWork, Effects: standing},
-	{Name: "load_refused", Record: recLoad, Effects: standing},
-	{Name: "level", Record: recLev, Effects: standing},
-	{Name: "timer", Record: recTick, Effects: standing},
-	{Name: "moved", Record: recMove, Effects: standing},
+	{Name: "arrive", Record: recordCall, Effects: []string{"refuse", "annotate"}, Inline: true},
+	{Name: "ended", Record: recordEnded, Effects: lastingEffects},
+	{Name: "joined", Record: recordWorker, Effects: lastingEffects},
+	{Name: "left", Record: recordWorker, Effects: lastingEffects},
+	{Name: "load_refused", Record: recordLoad, Effects: lastingEffects},
+	{Name: "level", Record: recordLevel, Effects: lastingEffects},
+	{Name: "timer", Record: recordTick, Effects: lastingEffects},
+	{Name: "moved", Record: recordMove, Effects: lastingEffects},
 }
 
 var points = map[string]*Point{}
 
 func init() {
-	for _, r := range []*Record{recCall, recEnd, recWork, recLoad, recLev, recTick, recMove, recAdvice} {
+	for _, r := range []*Record{recordCall, recordEnded, recordWorker, recordLoad, recordLevel, recordTick, recordMove, recordAdvice} {
 		records[r.Name] = r
 	}
 	for _, p := range Points {
@@ -142,29 +142,29 @@
 	Text     string
 }
 
-func num(n int) Value { return Value{n: int64(n)} }
+func num(n int) Value { return Value{bits: int64(n)} }
 
 func (e Call) values() (*Record, []Value) {
-	return recCall, []Value{strValue(e.Function), strValue(e.Tenant), strValue(e.Client), strValue(e.Class), boolValue(e.Retry), {n: int64(e.Wait)}, num(e.Size), num(e.Open)}
+	return recordCall, []Value{strValue(e.Function), strValue(e.Tenant), strValue(e.Client), strValue(e.Class), boolValue(e.Retry), {bits: int64(e.Wait)}, num(e.Size), num(e.Open)}
 }
 func (e Ended) values() (*Record, []Value) {
-	return recEnd, []Value{strValue(e.Function), strValue(e.Tenant), strValue(e.Class), strValue(e.Worker), strValue(e.Answer), {n: int64(e.Took)}, num(e.Attempts), boolValue(e.Late)}
+	return recordEnded, []Value{strValue(e.Function), strValue(e.Tenant), strValue(e.Class), strValue(e.Worker), strValue(e.Answer), {bits: int64(e.Took)}, num(e.Attempts), boolValue(e.Late)}
 }
 func (e Worker) values() (*Record, []Value) {
-	return recWork, []Value{strValue(e.Name), strValue(e.Group), strValue(e.Zone), strValue(e.State)}
+	return recordWorker, []Value{strValue(e.Name), strValue(e.Group), strValue(e.Zone), strValue(e.State)}
 }
 func (e Load) values() (*Record, []Value) {
-	return recLoad, []Value{strValue(e.Function), strValue(e.Worker), strValue(e.Outcome), {n: int64(e.Took)}}
+	return recordLoad, []Value{strValue(e.Function), strValue(e.Worker), strValue(e.Outcome), {bits: int64(e.Took)}}
 }
 func (e Level) values() (*Record, []Value) {
-	return recLev, []Value{strValue(e.Name), strValue(e.Before), strValue(e.Why)}
+	return recordLevel, []Value{strValue(e.Name), strValue(e.Before), strValue(e.Why)}
 }
-func (e Tick) values() (*Record, []Value) { return recTick, []Value{{n: e.Count}, num(e.Open)} }
+func (e Tick) values() (*Record, []Value) { return recordTick, []Value{{bits: e.Count}, num(e.Open)} }
 func (e Move) values() (*Record, []Value) {
-	return recMove, []Value{strValue(e.Model), strValue(e.Alias), strValue(e.Version), {n: e.Revision}}
+	return recordMove, []Value{strValue(e.Model), strValue(e.Alias), strValue(e.Version), {bits: e.Revision}}
 }
 
 func (a Advice) value() Value {
-	return Value{o: &object{l: []Value{strValue(a.Kind), strValue(a.Function), strValue(a.Worker), strValue(a.Tenant), {n: a.Copies}, floatValue(a.Factor),
-		{n: int64(a.For)}, strValue(a.Key), strValue(a.Text)}}}
+	return Value{object: &object{items: []Value{strValue(a.Kind), strValue(a.Function), strValue(a.Worker), strValue(a.Tenant), {bits: a.Copies}, floatValue(a.Factor),
+		{bits: int64(a.For)}, strValue(a.Key), strValue(a.Text)}}}
 }
--- a/internal/hooklang/hostile_test.go
+++ b/internal/hooklang/hostile_test.go
@@ -73,7 +73,7 @@
 	lim.Fuel = 1 << 40
 	lim.Stop = func() bool { asked++; return asked == 10 }
 	res, err := NewVM().Run(p, "ended", Ended{}, p.State(), Env{}, lim)
-	if f, ok := err.(*Fault); !ok || f.Kind != FaultStopped || res.Fuel > 11*between {
+	if f, ok := err.(*Fault); !ok || f.Kind != FaultStopped || res.Fuel > 11*stopInterval {
 		t.Errorf("%v after %d", err, res.Fuel)
 	}
 }
--- a/internal/hooklang/interface_test.go
+++ b/internal/hooklang/interface_test.go
@@ -16,7 +16,7 @@
 func TestNames(t *testing.T) {
 	var out strings.Builder
 	fmt.Fprintf(&out, "keywords %s\n", strings.Join(slices.Sorted(maps.Keys(keywords)), " "))
-	fmt.Fprintf(&out, "signs %s\n", strings.Join(slices.Sorted(slices.Values(signs)), " "))
+	fmt.Fprintf(&out, "signs %s\n", strings.Join(slices.Sorted(slices.Values(symbols)), " "))
 	fmt.Fprintf(&out, "types %s\n", strings.Join(slices.Sorted(maps.Keys(scalars)), " "))
 	for _, point := range Points {
 		fmt.Fprintf(&out, "point %s(%s) advises %s inline=%v\n", point.Name, point.Record.Name, strings.Join(point.Effects, " "), point.Inline)
@@ -28,12 +28,12 @@
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(builtins)) {
-		for _, s := range builtins[name].sigs {
+		for _, s := range builtins[name].signatures {
 			var parameters []string
 			for _, p := range s.params {
 				parameters = append(parameters, p.String())
 			}
-			fmt.Fprintf(&out, "function %s(%s) %s effect=%v test=%v\n", name, strings.Join(parameters, ", "), s.result, s.effect, s.test)
+			fmt.Fprintf(&out, "function %s(%s) %s effect=%v test=%v\n", name, strings.Join(parameters, ", "), s.result, s.effect, s.testOnly)
 		}
 	}
 	for _, kind := range []FaultKind{FaultFuel, FaultMemory, FaultDepth, FaultSize, FaultEffects, FaultStopped, FaultOverflow, FaultDivision, FaultIndex,
--- a/internal/hooklang/lexer.go
+++ b/internal/hooklang/lexer.go
@@ -9,26 +9,26 @@
 	"unicode/utf8"
 )
 
-type kind uint8
+type tokenKind uint8
 
 const (
-	tEOF kind = iota
-	tNewline
-	tName
-	tInt
-	tFloat
-	tDur
-	tStr
-	tSign // operators, brackets and keywords, by their text
-	tBad
+	tokenEOF tokenKind = iota
+	tokenNewline
+	tokenName
+	tokenInt
+	tokenFloat
+	tokenDuration
+	tokenString
+	tokenSymbol // operators, brackets and keywords, by their text
+	tokenInvalid
 )
 
 type token struct {
-	kind kind
-	text string // names and signs as written; strings as they are meant
-	pos  Pos
-	n    int64
-	f    float64
+	kind   tokenKind
+	text   string // names and signs as written; strings as they are meant
+	pos    Pos
+	number int64
+	float  float64
 }
 
 // A comment is kept for the formatter.
@@ -42,7 +42,7 @@
 	"match": true, "case": true, "return": true, "break": true, "continue": true, "and": true, "or": true, "not": true, "true": true, "false": true,
 	"test": true, "run": true, "list": true, "map": true}
 
-var signs = []string{"..", "==", "!=", "<=", ">=", "+=", "-=", "(", ")", "[", "]", "{", "}", ",", ":", ".", "=", "<", ">", "+", "-", "*", "/", "%"}
+var symbols = []string{"..", "==", "!=", "<=", ">=", "+=", "-=", "(", ")", "[", "]", "{", "}", ",", ":", ".", "=", "<", ">", "+", "-", "*", "/", "%"}
 
 // lex cuts a text into tokens. A newline ends a statement where the line could end one and no round or square bracket is open.
 func lex(file, text string) (toks []token, comments []comment, bad Problems) {
@@ -57,8 +57,8 @@
 		c, pos := text[i], Pos{line, i - start + 1}
 		switch {
 		case c == '\n':
-			if n := len(toks); n > 0 && depth == 0 && ends(toks[n-1]) {
-				add(token{kind: tNewline, text: "end of line", pos: pos})
+			if n := len(toks); n > 0 && depth == 0 && endsStatement(toks[n-1]) {
+				add(token{kind: tokenNewline, text: "end of line", pos: pos})
 			}
 			i++
 			line, start = line+1, i
@@ -72,19 +72,19 @@
 			comments = append(comments, comment{pos, strings.TrimRight(text[i:end], " \t\r"), strings.TrimSpace(text[start:i]) == ""})
 			i = end
 		case c == '"':
-			s, end, why := quoted(text, i)
+			s, end, why := lexString(text, i)
 			if why != "" {
 				problem(pos, "%s", why)
-				add(token{kind: tBad, pos: pos})
+				add(token{kind: tokenInvalid, pos: pos})
 			} else {
-				add(token{kind: tStr, text: s, pos: pos})
+				add(token{kind: tokenString, text: s, pos: pos})
 			}
 			i = end
 		case c >= '0' && c <= '9':
-			t, end, why := number(text, i)
+			t, end, why := lexNumber(text, i)
 			if t.pos = pos; why != "" {
 				problem(pos, "%s", why)
-				t.kind = tInt
+				t.kind = tokenInt
 			}
 			add(t)
 			i = end
@@ -93,15 +93,15 @@
 			for end < len(text) && isName(text[end]) {
 				end++
 			}
-			t := token{kind: tName, text: text[i:end], pos: pos}
+			t := token{kind: tokenName, text: text[i:end], pos: pos}
 			if keywords[t.text] {
-				t.kind = tSign
+				t.kind = tokenSymbol
 			}
 			add(t)
 			i = end
 		default:
 			sign := ""
-			for _, s := range signs {
+			for _, s := range symbols {
 				if strings.HasPrefix(text[i:], s) {
 					sign = s
 					break
@@ -119,22 +119,22 @@
 			case ")", "]":
 				depth = max(0, depth-1)
 			case "{", "}": // a block begins anew what brackets left open: an error must not swallow the rest of the text
-				if sign == "}" && depth > 0 && !open(toks) {
+				if sign == "}" && depth > 0 && !inBrace(toks) {
 					depth = 0
 				}
 			}
-			add(token{kind: tSign, text: sign, pos: pos})
+			add(token{kind: tokenSymbol, text: sign, pos: pos})
 			i += len(sign)
 		}
 	}
 	end := Pos{line, len(text) - start + 1}
-	add(token{kind: tNewline, text: "end of line", pos: end})
-	add(token{kind: tEOF, text: "end of text", pos: end})
+	add(token{kind: tokenNewline, text: "end of line", pos: end})
+	add(token{kind: tokenEOF, text: "end of text", pos: end})
 	return toks, comments, bad
 }
 
-// open tells whether the last bracket that is open is a brace: of a literal within brackets.
-func open(toks []token) bool {
+// inBrace tells whether the last bracket that is open is a brace: of a literal within brackets.
+func inBrace(toks []token) bool {
 	n := 0
 	for i := len(toks) - 1; i >= 0 && i > len(toks)-2_000; i-- {
 		switch toks[i].text {
@@ -149,11 +149,11 @@
 	return false
 }
 
-func ends(t token) bool {
+func endsStatement(t token) bool {
 	switch t.kind {
-	case tName, tInt, tFloat, tDur, tStr, tBad:
+	case tokenName, tokenInt, tokenFloat, tokenDuration, tokenString, tokenInvalid:
 		return true
-	case tSign:
+	case tokenSymbol:
 		switch t.text {
 		case ")", "]", "}", "return", "break", "continue", "true", "false":
 			return true
@@ -166,8 +166,8 @@
 	return c == '_' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9'
 }
 
-// quoted reads a string: escapes \n, \t, \", \\ and \u{hex}.
-func quoted(text string, i int) (s string, end int, why string) {
+// lexString reads a string: escapes \n, \t, \", \\ and \u{hex}.
+func lexString(text string, i int) (s string, end int, why string) {
 	var b strings.Builder
 	for i++; ; i++ {
 		if i >= len(text) || text[i] == '\n' {
@@ -214,13 +214,13 @@
 	return b.String(), i + 1, why
 }
 
-var units = []struct {
+var durationUnits = []struct {
 	name string
 	d    time.Duration
 }{{"ms", time.Millisecond}, {"us", time.Microsecond}, {"h", time.Hour}, {"m", time.Minute}, {"s", time.Second}}
 
-// number reads 12, 1_000, 1.5, 2e-3, or a duration as 1h30m, 250ms, 1.5s.
-func number(text string, i int) (t token, end int, why string) {
+// lexNumber reads 12, 1_000, 1.5, 2e-3, or a duration as 1h30m, 250ms, 1.5s.
+func lexNumber(text string, i int) (t token, end int, why string) {
 	digits := func(i int) int {
 		for i < len(text) && (text[i] >= '0' && text[i] <= '9' || text[i] == '_') {
 			i++
@@ -239,7 +239,7 @@
 		}
 		plain := strings.ReplaceAll(text[from:i], "_", "")
 		unit := -1
-		for k, u := range units {
+		for k, u := range durationUnits {
 			if strings.HasPrefix(text[i:], u.name) && (i+len(u.name) == len(text) || !isName(text[i+len(u.name)]) || text[i+len(u.name)] >= '0' && text[i+len(u.name)] <= '9') {
 				unit = k
 				break
@@ -247,24 +247,24 @@
 		}
 		if unit >= 0 {
 			f, _ := strconv.ParseFloat(plain, 64)
-			total += f * float64(units[unit].d)
-			if n, err := strconv.ParseInt(plain, 10, 64); err == nil && !frac && n < math.MaxInt64/int64(units[unit].d) {
-				exact += n * int64(units[unit].d)
+			total += f * float64(durationUnits[unit].d)
+			if n, err := strconv.ParseInt(plain, 10, 64); err == nil && !frac && n < math.MaxInt64/int64(durationUnits[unit].d) {
+				exact += n * int64(durationUnits[unit].d)
 			} else {
-				exact += int64(math.Round(min(f*float64(units[unit].d), math.MaxInt64/4)))
+				exact += int64(math.Round(min(f*float64(durationUnits[unit].d), math.MaxInt64/4)))
 			}
-			i += len(units[unit].name)
+			i += len(durationUnits[unit].name)
 			if parts++; i < len(text) && text[i] >= '0' && text[i] <= '9' && parts < 6 {
 				continue
 			}
 			if total >= math.MaxInt64/4 {
-				return token{kind: tDur}, i, "the duration is too long"
+				return token{kind: tokenDuration}, i, "the duration is too long"
 			}
-			t = token{kind: tDur, n: exact}
+			t = token{kind: tokenDuration, number: exact}
 			break
 		}
 		if parts > 0 {
-			return token{kind: tDur}, i, "a duration's last number has no unit: h, m, s, ms and us are"
+			return token{kind: tokenDuration}, i, "a duration's last number has no unit: h, m, s, ms and us are"
 		}
 		if i < len(text) && (text[i] == 'e' || text[i] == 'E') {
 			j := i + 1
@@ -278,11 +278,11 @@
 		plain = strings.ReplaceAll(text[begin:i], "_", "")
 		var err error
 		if frac {
-			t.kind = tFloat
-			t.f, err = strconv.ParseFloat(plain, 64)
+			t.kind = tokenFloat
+			t.float, err = strconv.ParseFloat(plain, 64)
 		} else {
-			t.kind = tInt
-			t.n, err = strconv.ParseInt(plain, 10, 64)
+			t.kind = tokenInt
+			t.number, err = strconv.ParseInt(plain, 10, 64)
 		}
 		if err != nil {
 			why = plain + " is out of range"
--- a/internal/hooklang/oracle_test.go
+++ b/internal/hooklang/oracle_test.go
@@ -137,8 +137,8 @@
 	case *ifStmt:
 		if o.expr(s.cond).(bool) {
 			o.block(s.then)
-		} else if s.els != nil {
-			o.stmt(s.els)
+		} else if s.otherwise != nil {
+			o.stmt(s.otherwise)
 		}
 	case *forStmt:
 		x := copied(o.expr(s.from))
@@ -178,16 +178,16 @@
 				}
 			}
 		}
-		if s.els != nil {
-			o.block(s.els)
+		if s.otherwise != nil {
+			o.block(s.otherwise)
 		}
 	case *returnStmt:
 		if s.value != nil {
 			panic(gives{o.expr(s.value)})
 		}
 		panic(gives{})
-	case *leaveStmt:
-		panic(leaves(s.word))
+	case *branchStmt:
+		panic(leaves(s.keyword))
 	case *exprStmt:
 		o.expr(s.value)
 	}
@@ -248,20 +248,20 @@
 
 func (o *oracle) expr(e expr) any {
 	switch e := e.(type) {
-	case *litExpr:
-		switch e.t {
-		case tyBool:
-			return e.v.n != 0
-		case tyFloat:
-			return e.v.float()
-		case tyStr:
-			return e.v.str()
-		}
-		return e.v.n
+	case *literalExpr:
+		switch e.valueType {
+		case typeBool:
+			return e.value.bits != 0
+		case typeFloat:
+			return e.value.float()
+		case typeString:
+			return e.value.str()
+		}
+		return e.value.bits
 	case *nameExpr:
 		return o.load(e.name)
 	case *unaryExpr:
-		switch x := o.expr(e.x).(type) {
+		switch x := o.expr(e.operand).(type) {
 		case bool:
 			return !x
 		case float64:
@@ -269,15 +269,15 @@
 		case int64:
 			return arith("-", int64(0), x)
 		}
-	case *binExpr:
-		x := o.expr(e.x)
+	case *binaryExpr:
+		x := o.expr(e.left)
 		if e.op == "and" || e.op == "or" {
 			if x.(bool) == (e.op == "or") {
 				return x
 			}
-			return o.expr(e.y)
+			return o.expr(e.right)
 		}
-		y := o.expr(e.y)
+		y := o.expr(e.right)
 		switch e.op {
 		case "==":
 			return fmt.Sprint(x) == fmt.Sprint(y)
@@ -325,7 +325,7 @@
 		}
 		return d
 	case *indexExpr:
-		x, i := o.expr(e.x), o.expr(e.i)
+		x, i := o.expr(e.collection), o.expr(e.index)
 		switch c := x.(type) {
 		case []any:
 			if n := i.(int64); n < 0 || n >= int64(len(c)) {
@@ -342,13 +342,13 @@
 	case *callExpr:
 		var a []any
 		for i, x := range e.args {
-			if e.fn != nil && e.b != nil && i == 1 {
+			if e.function != nil && e.builtin != nil && i == 1 {
 				break
 			}
 			a = append(a, o.expr(x))
 		}
-		if e.fn != nil && e.b == nil {
-			return o.call(e.fn, a)
+		if e.function != nil && e.builtin == nil {
+			return o.call(e.function, a)
 		}
 		switch e.name {
 		case "log":
@@ -385,7 +385,7 @@
 		case "sort_by":
 			l := copied(a[0]).([]any)
 			for i := range l { // insertion: stable, as the language promises
-				for k := i; k > 0 && o.call(e.fn, []any{l[k], l[k-1]}).(bool); k-- {
+				for k := i; k > 0 && o.call(e.function, []any{l[k], l[k-1]}).(bool); k-- {
 					l[k], l[k-1] = l[k-1], l[k]
 				}
 			}
@@ -631,7 +631,7 @@
 		}
 	}()
 	for _, d := range o.s.funcs {
-		if d.on != nil {
+		if d.point != nil {
 			o.call(d, []any{nil})
 		}
 	}
@@ -678,7 +678,7 @@
 			t.Fatalf("%q, the oracle says %q\n%s", said, o.out, src)
 		}
 		for i, v := range p.state {
-			if a, b := shown(v.t, res.State.values[i]), fmt.Sprint(o.state[v.name]); a != b {
+			if a, b := shown(v.valueType, res.State.values[i]), fmt.Sprint(o.state[v.name]); a != b {
 				t.Fatalf("%s is %s, the oracle has %s\n%s", v.name, a, b, src)
 			}
 		}
@@ -720,18 +720,18 @@
 	switch {
 	case t.name == "list":
 		var l []string
-		for _, e := range v.o.l {
+		for _, e := range v.object.items {
 			l = append(l, shown(t.elem, e))
 		}
 		return "[" + strings.Join(l, " ") + "]"
 	case t.name == "map":
 		var l []string
-		for i, e := range v.o.l {
-			l = append(l, shown(t.key, v.o.keys[i])+":"+shown(t.elem, e))
+		for i, e := range v.object.items {
+			l = append(l, shown(t.key, v.object.keys[i])+":"+shown(t.elem, e))
 		}
 		return "map[" + strings.Join(l, " ") + "]"
-	case t == tyStr:
+	case t == typeString:
 		return v.str()
 	}
-	return fmt.Sprint(v.n)
+	return fmt.Sprint(v.bits)
 }
--- a/internal/hooklang/parseexpr.go
+++ b/internal/hooklang/parseexpr.go
@@ -1,25 +1,25 @@
 package hooklang
 
-var levels = [][]string{{"or"}, {"and"}, {"==", "!=", "<", "<=", ">", ">=", "in"}, {"+", "-"}, {"*", "/", "%"}}
+var precedence = [][]string{{"or"}, {"and"}, {"==", "!=", "<", "<=", ">", ">=", "in"}, {"+", "-"}, {"*", "/", "%"}}
 
 func (p *parser) expr() expr { return p.binary(0) }
 
 func (p *parser) binary(level int) expr {
-	if level == len(levels) {
+	if level == len(precedence) {
 		return p.unary()
 	}
 	if level == 2 && p.is("not") { // binds weaker than comparisons, as and and or do
-		p.enter()
+		p.nest()
 		defer func() { p.depth-- }()
-		t := p.want("not")
+		t := p.expect("not")
 		return &unaryExpr{typed{node{t.pos}, nil}, "not", p.binary(2)}
 	}
 	x := p.binary(level + 1)
 	for n := 0; ; n++ {
-		t := p.tok()
+		t := p.peek()
 		found := false
-		for _, op := range levels[level] {
-			found = found || t.kind == tSign && t.text == op
+		for _, op := range precedence[level] {
+			found = found || t.kind == tokenSymbol && t.text == op
 		}
 		if !found {
 			return x
@@ -30,31 +30,31 @@
 		if n > 1_000 {
 			p.fail("too many in one expression")
 		}
-		p.i++
+		p.next++
 		y := p.binary(level + 1)
-		x = &binExpr{typed{node{t.pos}, nil}, t.text, x, y}
+		x = &binaryExpr{typed{node{t.pos}, nil}, t.text, x, y}
 	}
 }
 
 func (p *parser) unary() expr {
-	if t := p.tok(); p.take("-") {
-		p.enter()
+	if t := p.peek(); p.accept("-") {
+		p.nest()
 		defer func() { p.depth-- }()
 		return &unaryExpr{typed{node{t.pos}, nil}, "-", p.unary()}
 	}
 	x := p.primary()
 	for {
-		t := p.tok()
+		t := p.peek()
 		at := typed{node{t.pos}, nil}
 		switch {
-		case p.take("["):
-			bare := p.bare
-			p.bare = false
+		case p.accept("["):
+			bare := p.inHeader
+			p.inHeader = false
 			x = &indexExpr{at, x, p.expr()}
-			p.bare = bare
-			p.want("]")
-		case p.take("."):
-			x = &fieldExpr{typed: at, x: x, name: p.field().text}
+			p.inHeader = bare
+			p.expect("]")
+		case p.accept("."):
+			x = &fieldExpr{typed: at, record: x, name: p.field().text}
 		default:
 			return x
 		}
@@ -63,53 +63,53 @@
 
 // items reads what stands between brackets, up to the closing one.
 func (p *parser) items(end string, one func()) {
-	bare := p.bare
-	p.bare = false
+	bare := p.inHeader
+	p.inHeader = false
 	for p.newlines(); !p.is(end); p.newlines() {
 		one()
 		p.newlines()
-		if !p.take(",") {
+		if !p.accept(",") {
 			break
 		}
 	}
 	p.newlines()
-	p.bare = bare
-	p.want(end)
+	p.inHeader = bare
+	p.expect(end)
 }
 
 func (p *parser) primary() expr {
-	p.enter()
+	p.nest()
 	defer func() { p.depth-- }()
-	t := p.tok()
+	t := p.peek()
 	at := typed{node{t.pos}, nil}
 	lit := func(ty *Type, v Value) expr {
-		p.i++
-		at.t = ty
-		return &litExpr{at, v, t.text}
+		p.next++
+		at.valueType = ty
+		return &literalExpr{at, v, t.text}
 	}
 	switch t.kind {
-	case tInt:
-		return lit(tyInt, Value{n: t.n})
-	case tFloat:
-		return lit(tyFloat, floatValue(t.f))
-	case tDur:
-		return lit(tyDur, Value{n: t.n})
-	case tStr:
-		return lit(tyStr, strValue(t.text))
-	case tName:
-		p.i++
-		if p.take("(") {
+	case tokenInt:
+		return lit(typeInt, Value{bits: t.number})
+	case tokenFloat:
+		return lit(typeFloat, floatValue(t.float))
+	case tokenDuration:
+		return lit(typeDuration, Value{bits: t.number})
+	case tokenString:
+		return lit(typeString, strValue(t.text))
+	case tokenName:
+		p.next++
+		if p.accept("(") {
 			c := &callExpr{typed: at, name: t.text}
 			p.items(")", func() { c.args = append(c.args, p.expr()) })
 			return c
 		}
-		if p.is("{") && !p.bare && records[t.text] != nil {
-			p.i++
-			r := &recExpr{typed: at, name: t.text}
+		if p.is("{") && !p.inHeader && records[t.text] != nil {
+			p.next++
+			r := &recordExpr{typed: at, name: t.text}
 			p.items("}", func() {
 				n := p.field()
-				p.want(":")
-				r.fields, r.places, r.values = append(r.fields, n.text), append(r.places, n.pos), append(r.values, p.expr())
+				p.expect(":")
+				r.fields, r.positions, r.values = append(r.fields, n.text), append(r.positions, n.pos), append(r.values, p.expr())
 			})
 			return r
 		}
@@ -117,45 +117,45 @@
 	}
 	switch {
 	case p.is("true"):
-		return lit(tyBool, Value{n: 1})
+		return lit(typeBool, Value{bits: 1})
 	case p.is("false"):
-		return lit(tyBool, Value{})
-	case p.take("("):
-		bare := p.bare
-		p.bare = false
+		return lit(typeBool, Value{})
+	case p.accept("("):
+		bare := p.inHeader
+		p.inHeader = false
 		e := p.expr()
-		p.bare = bare
-		p.want(")")
+		p.inHeader = bare
+		p.expect(")")
 		return e
-	case p.take("["):
+	case p.accept("["):
 		l := &listExpr{typed: at}
 		p.items("]", func() { l.items = append(l.items, p.expr()) })
 		return l
 	case p.is("list"):
-		l := &listExpr{typed: at, node: p.typeName()}
-		p.want("{")
+		l := &listExpr{typed: at, literalType: p.typeName()}
+		p.expect("{")
 		p.items("}", func() { l.items = append(l.items, p.expr()) })
 		return l
 	case p.is("map"):
-		m := &mapExpr{typed: at, node: p.typeName()}
-		p.want("{")
+		m := &mapExpr{typed: at, literalType: p.typeName()}
+		p.expect("{")
 		p.items("}", func() {
 			k := p.expr()
-			p.want(":")
+			p.expect(":")
 			m.keys, m.values = append(m.keys, k), append(m.values, p.expr())
 		})
 		return m
-	case p.take("run"):
+	case p.accept("run"):
 		n := p.name("a point")
 		r := &runExpr{typed: at, point: n.text}
-		bare := p.bare
-		p.bare = false
-		p.want("(")
+		bare := p.inHeader
+		p.inHeader = false
+		p.expect("(")
 		r.arg = p.expr()
-		p.want(")")
-		p.bare = bare
+		p.expect(")")
+		p.inHeader = bare
 		return r
 	}
-	p.fail("a value is wanted, not %s", show(t))
+	p.fail("a value is wanted, not %s", describe(t))
 	return nil
 }
--- a/internal/hooklang/parser.go
+++ b/internal/hooklang/parser.go
@@ -7,16 +7,16 @@
 )
 
 type parser struct {
-	file  string
-	toks  []token
-	i     int
-	bad   Problems
-	depth int
-	bare  bool // in a header: a brace begins the block
-	last  int  // where the last problem was, in tokens
+	file        string
+	tokens      []token
+	next        int
+	problems    Problems
+	depth       int
+	inHeader    bool // in a header: a brace begins the block
+	lastProblem int  // where the last problem was, in tokens
 }
 
-type bail struct{}
+type syntaxError struct{}
 
 // parse reads a text. What it cannot read it reports, and goes on behind.
 func parse(file, text string) (*script, Problems) {
@@ -27,77 +27,79 @@
 		return &script{}, Problems{{File: file, Pos: Pos{1, 1}, Text: "the text is no UTF-8"}}
 	}
 	toks, comments, bad := lex(file, text)
-	p := &parser{file: file, toks: toks, bad: bad, last: -1}
+	p := &parser{file: file, tokens: toks, problems: bad, lastProblem: -1}
 	s := &script{comments: comments}
-	for !p.over() {
+	for !p.atEnd() {
 		p.guard(func() { p.decl(s) }, "fn", "on", "state", "test")
 	}
-	return s, p.bad
+	return s, p.problems
 }
 
-func (p *parser) over() bool { return p.toks[p.i].kind == tEOF || len(p.bad) >= maxProblems }
-func (p *parser) tok() token { return p.toks[p.i] }
+func (p *parser) atEnd() bool {
+	return p.tokens[p.next].kind == tokenEOF || len(p.problems) >= maxProblems
+}
+func (p *parser) peek() token { return p.tokens[p.next] }
 func (p *parser) is(s string) bool {
-	t := p.toks[p.i]
-	return t.kind == tSign && t.text == s
+	t := p.tokens[p.next]
+	return t.kind == tokenSymbol && t.text == s
 }
 
-func (p *parser) take(s string) bool {
+func (p *parser) accept(s string) bool {
 	if p.is(s) {
-		p.i++
+		p.next++
 		return true
 	}
 	return false
 }
 
 func (p *parser) problem(pos Pos, format string, args ...any) {
-	if p.i == p.last { // one for each place where reading went wrong
+	if p.next == p.lastProblem { // one for each place where reading went wrong
 		return
 	}
-	p.last = p.i
-	if len(p.bad) < maxProblems {
-		p.bad = append(p.bad, &Problem{File: p.file, Pos: pos, Text: fmt.Sprintf(format, args...)})
+	p.lastProblem = p.next
+	if len(p.problems) < maxProblems {
+		p.problems = append(p.problems, &Problem{File: p.file, Pos: pos, Text: fmt.Sprintf(format, args...)})
 	}
 }
 
 func (p *parser) fail(format string, args ...any) {
-	p.problem(p.tok().pos, format, args...)
-	panic(bail{})
+	p.problem(p.peek().pos, format, args...)
+	panic(syntaxError{})
 }
 
-func (p *parser) want(s string) token {
-	t := p.tok()
-	if !p.take(s) {
-		p.fail("%q is wanted, not %s", s, show(t))
+func (p *parser) expect(s string) token {
+	t := p.peek()
+	if !p.accept(s) {
+		p.fail("%q is wanted, not %s", s, describe(t))
 	}
 	return t
 }
 
-func show(t token) string {
+func describe(t token) string {
 	switch t.kind {
-	case tStr:
+	case tokenString:
 		return fmt.Sprintf("the string %q", t.text)
-	case tNewline, tEOF:
+	case tokenNewline, tokenEOF:
 		return "the " + t.text
-	case tBad:
+	case tokenInvalid:
 		return "this"
 	}
 	return fmt.Sprintf("%q", t.text)
 }
 
 func (p *parser) name(what string) token {
-	t := p.tok()
-	if t.kind != tName {
-		p.fail("%s is wanted, not %s", what, show(t))
+	t := p.peek()
+	if t.kind != tokenName {
+		p.fail("%s is wanted, not %s", what, describe(t))
 	}
-	p.i++
+	p.next++
 	return t
 }
 
 // field reads a field's name, which may be a word of the language.
 func (p *parser) field() token {
-	if t := p.tok(); t.kind == tSign && keywords[t.text] {
-		p.i++
+	if t := p.peek(); t.kind == tokenSymbol && keywords[t.text] {
+		p.next++
 		return t
 	}
 	return p.name("a field")
@@ -106,25 +108,25 @@
 // guard runs f. If f gives up, it skips to the next line that begins with one of the words, or with anything if there are
 // none, but not past a brace that closes more than was opened.
 func (p *parser) guard(f func(), words ...string) {
-	begin, depth := p.i, p.depth
+	begin, depth := p.next, p.depth
 	defer func() {
 		r := recover()
 		if r == nil {
 			return
 		}
-		if _, ok := r.(bail); !ok {
+		if _, ok := r.(syntaxError); !ok {
 			panic(r)
 		}
-		p.depth, p.bare = depth, false
-		if p.i == begin {
-			p.i++
+		p.depth, p.inHeader = depth, false
+		if p.next == begin {
+			p.next++
 		}
 		braces := 0
-		for ; p.toks[p.i].kind != tEOF; p.i++ {
+		for ; p.tokens[p.next].kind != tokenEOF; p.next++ {
 			if len(words) > 0 {
-				t := p.tok()
+				t := p.peek()
 				for _, w := range words {
-					if t.kind == tSign && t.text == w && (t.pos.Col == 1 || braces <= 0 && p.toks[p.i-1].kind == tNewline) {
+					if t.kind == tokenSymbol && t.text == w && (t.pos.Col == 1 || braces <= 0 && p.tokens[p.next-1].kind == tokenNewline) {
 						return
 					}
 				}
@@ -144,8 +146,8 @@
 					return
 				}
 				braces--
-			case p.tok().kind == tNewline && braces == 0:
-				p.i++
+			case p.peek().kind == tokenNewline && braces == 0:
+				p.next++
 				return
 			}
 		}
@@ -154,72 +156,72 @@
 }
 
 func (p *parser) newlines() {
-	for p.tok().kind == tNewline {
-		p.i++
+	for p.peek().kind == tokenNewline {
+		p.next++
 	}
 }
 
-func (p *parser) line() {
-	if p.is("}") || p.tok().kind == tEOF {
+func (p *parser) endStatement() {
+	if p.is("}") || p.peek().kind == tokenEOF {
 		return
 	}
-	if p.tok().kind != tNewline {
-		p.fail("the end of the statement is wanted, not %s", show(p.tok()))
+	if p.peek().kind != tokenNewline {
+		p.fail("the end of the statement is wanted, not %s", describe(p.peek()))
 	}
 	p.newlines()
 }
 
 func (p *parser) decl(s *script) {
 	p.newlines()
-	t := p.tok()
-	if t.kind == tEOF {
+	t := p.peek()
+	if t.kind == tokenEOF {
 		return
 	}
 	switch {
-	case p.take("state"):
+	case p.accept("state"):
 		d := &stateDecl{pos: t.pos, name: p.name("a name").text}
-		d.typ = p.typeName()
-		p.want("=")
+		d.declaredType = p.typeName()
+		p.expect("=")
 		d.init = p.expr()
 		s.states, s.order = append(s.states, d), append(s.order, d)
-	case p.take("fn"):
+	case p.accept("fn"):
 		d := &funcDecl{pos: t.pos, name: p.name("a name").text}
-		p.want("(")
+		p.expect("(")
 		for !p.is(")") {
 			n := p.name("a parameter")
 			d.params = append(d.params, param{n.pos, n.text, p.typeName()})
-			if !p.take(",") {
+			if !p.accept(",") {
 				break
 			}
 		}
-		p.want(")")
+		p.expect(")")
 		if !p.is("{") {
-			d.result = p.typeName()
+			d.declaredResult = p.typeName()
 		}
 		d.body = p.block()
 		d.end = d.body.end
 		s.funcs, s.order = append(s.funcs, d), append(s.order, d)
-	case p.take("on"):
+	case p.accept("on"):
 		n := p.name("a point")
 		d := &funcDecl{pos: t.pos, name: n.text}
-		if d.on = points[n.text]; d.on == nil {
+		if d.point = points[n.text]; d.point == nil {
 			p.problem(n.pos, "there is no point %q: %s are", n.text, pointNames())
-			d.on = &Point{Name: n.text, Record: noRecord}
+			d.point = &Point{Name: n.text, Record: noRecord}
 		}
-		p.want("(")
+		p.expect("(")
 		q := p.name("the event's name")
 		d.params = []param{{pos: q.pos, name: q.text}}
-		p.want(")")
-		if p.take("every") {
-			e := p.tok()
-			if e.kind != tDur {
-				p.fail("a duration is wanted, not %s", show(e))
+		p.expect(")")
+		if p.accept("every") {
+			e := p.peek()
+			if e.kind != tokenDuration {
+				p.fail("a duration is wanted, not %s", describe(e))
 			}
-			p.i++
-			d.every = time.Duration(e.n)
+			p.next++
+			d.interval = time.Duration(e.number)
 			if n.text != "timer" {
 				p.problem(e.pos, "only a timer has a time")
-			} else if d.every < Least || d.every > maxMinutes*time.Minute {
+			} else if d.interval < Least || d.interval > maxMinutes*time.Minute {
 				p.problem(e.pos, "a timer runs every %v at the shortest and %v at the longest", Least, maxMinutes*time.Minute)
 			}
 		} else if n.text == "timer" {
@@ -228,40 +230,40 @@
 		d.body = p.block()
 		d.end = d.body.end
 		s.funcs, s.order = append(s.funcs, d), append(s.order, d)
-	case p.take("test"):
-		n := p.tok()
-		if n.kind != tStr {
-			p.fail("a test's name in quotes is wanted, not %s", show(n))
+	case p.accept("test"):
+		n := p.peek()
+		if n.kind != tokenString {
+			p.fail("a test's name in quotes is wanted, not %s", describe(n))
 		}
-		p.i++
+		p.next++
 		d := &testDecl{pos: t.pos, name: n.text, body: p.block()}
 		s.tests, s.order = append(s.tests, d), append(s.order, d)
 	default:
-		p.fail("fn, on, state or test is wanted, not %s", show(t))
+		p.fail("fn, on, state or test is wanted, not %s", describe(t))
 	}
-	p.line()
+	p.endStatement()
 }
 
-func (p *parser) enter() {
+func (p *parser) nest() {
 	if p.depth++; p.depth > maxNesting {
 		p.fail("nested more than %d deep", maxNesting)
 	}
 }
 
 func (p *parser) typeName() *typeNode {
-	p.enter()
+	p.nest()
 	defer func() { p.depth-- }()
-	t := p.tok()
+	t := p.peek()
 	n := &typeNode{pos: t.pos, name: t.text}
 	switch {
-	case p.take("list"):
-		p.want("[")
+	case p.accept("list"):
+		p.expect("[")
 		n.elem = p.typeName()
-		p.want("]")
-	case p.take("map"):
-		p.want("[")
+		p.expect("]")
+	case p.accept("map"):
+		p.expect("[")
 		n.key = p.typeName()
-		p.want("]")
+		p.expect("]")
 		n.elem = p.typeName()
 	default:
 		p.name("a type")
@@ -270,96 +272,96 @@
 }
 
 func (p *parser) block() *block {
-	p.enter()
+	p.nest()
 	defer func() { p.depth-- }()
-	bare := p.bare
-	p.bare = false
-	b := &block{pos: p.want("{").pos}
-	for p.newlines(); !p.is("}") && !p.over(); p.newlines() {
+	bare := p.inHeader
+	p.inHeader = false
+	b := &block{pos: p.expect("{").pos}
+	for p.newlines(); !p.is("}") && !p.atEnd(); p.newlines() {
 		p.guard(func() {
 			b.stmts = append(b.stmts, p.stmt())
-			p.line()
+			p.endStatement()
 		})
 	}
-	p.bare = bare
-	b.end = p.want("}").pos
+	p.inHeader = bare
+	b.end = p.expect("}").pos
 	return b
 }
 
 func (p *parser) header() expr {
-	bare := p.bare
-	p.bare = true
+	bare := p.inHeader
+	p.inHeader = true
 	e := p.expr()
-	p.bare = bare
+	p.inHeader = bare
 	return e
 }
 
 func (p *parser) stmt() stmt {
-	t := p.tok()
+	t := p.peek()
 	at := node{t.pos}
 	switch {
-	case p.take("let"):
+	case p.accept("let"):
 		s := &letStmt{node: at, name: p.name("a name").text}
 		if !p.is("=") {
-			s.typ = p.typeName()
+			s.declaredType = p.typeName()
 		}
-		p.want("=")
+		p.expect("=")
 		s.value = p.expr()
 		return s
 	case p.is("if"):
 		return p.ifStmt()
-	case p.take("for"):
+	case p.accept("for"):
 		s := &forStmt{node: at, name: p.name("a name").text}
-		if p.take(",") {
+		if p.accept(",") {
 			s.key, s.name = s.name, p.name("a name").text
 		}
-		p.want("in")
+		p.expect("in")
 		s.from = p.header()
-		if p.take("..") {
+		if p.accept("..") {
 			s.to = p.header()
 		}
 		s.body = p.block()
 		return s
-	case p.take("match"):
+	case p.accept("match"):
 		s := &matchStmt{node: at, value: p.header()}
-		p.want("{")
-		for p.newlines(); !p.is("}") && !p.over(); p.newlines() {
-			if p.take("else") {
-				s.els = p.block()
+		p.expect("{")
+		for p.newlines(); !p.is("}") && !p.atEnd(); p.newlines() {
+			if p.accept("else") {
+				s.otherwise = p.block()
 				continue
 			}
-			if s.els != nil {
-				p.problem(p.tok().pos, "else is the last case")
+			if s.otherwise != nil {
+				p.problem(p.peek().pos, "else is the last case")
 			}
-			p.want("case")
+			p.expect("case")
 			c := matchCase{}
 			for {
 				c.values = append(c.values, p.header())
-				if !p.take(",") {
+				if !p.accept(",") {
 					break
 				}
 			}
 			c.body = p.block()
 			s.cases = append(s.cases, c)
 		}
-		p.want("}")
+		p.expect("}")
 		return s
-	case p.take("return"):
+	case p.accept("return"):
 		s := &returnStmt{node: at}
-		if k := p.tok(); k.kind != tNewline && !p.is("}") {
+		if k := p.peek(); k.kind != tokenNewline && !p.is("}") {
 			s.value = p.expr()
 		}
 		return s
-	case p.take("break"), p.take("continue"):
-		return &leaveStmt{at, t.text}
+	case p.accept("break"), p.accept("continue"):
+		return &branchStmt{at, t.text}
 	}
 	e := p.expr()
 	op := ""
 	switch {
-	case p.take("="):
-	case p.take("+="):
+	case p.accept("="):
+	case p.accept("+="):
 		op = "+"
-	case p.take("-="):
+	case p.accept("-="):
 		op = "-"
 	default:
 		switch e.(type) {
@@ -375,8 +377,8 @@
 		s.name = x.name
 		return s
 	case *indexExpr:
-		if n, ok := x.x.(*nameExpr); ok && op == "" {
-			s.name, s.index = n.name, x.i
+		if n, ok := x.collection.(*nameExpr); ok && op == "" {
+			s.name, s.index = n.name, x.index
 			return s
 		}
 	}
@@ -385,16 +387,16 @@
 }
 
 func (p *parser) ifStmt() *ifStmt {
-	p.enter()
+	p.nest()
 	defer func() { p.depth-- }()
-	s := &ifStmt{node: node{p.want("if").pos}}
+	s := &ifStmt{node: node{p.expect("if").pos}}
 	s.cond = p.header()
 	s.then = p.block()
-	if p.take("else") {
+	if p.accept("else") {
 		if p.is("if") {
-			s.els = p.ifStmt()
+			s.otherwise = p.ifStmt()
 		} else {
-			s.els = p.block()
+			s.otherwise = p.block()
 		}
 	}
 	return s
--- a/internal/hooklang/session.go
+++ b/internal/hooklang/session.go
@@ -25,20 +25,20 @@
 					continue
 				}
 				for _, v := range f.vars {
-					if v.from.Line < pos.Line && pos.Line <= v.to.Line && v.slot < len(locals) && !(locals[v.slot].o == nil && pointer(v.t)) {
-						s.Vars = append(s.Vars, v.name+" = "+cut(text(v.t, locals[v.slot]), 60))
+					if v.from.Line < pos.Line && pos.Line <= v.to.Line && v.slot < len(locals) && !(locals[v.slot].object == nil && pointer(v.valueType)) {
+						s.Vars = append(s.Vars, v.name+" = "+cut(text(v.valueType, locals[v.slot]), 60))
 					}
 				}
 			}
 			tell(s)
 		}
 		vm.start(p, p.State(), testEnv, Aside)
-		return true, vm.guard(p, func() { vm.exec(p.funcs[t.fn], nil) })
+		return true, vm.guard(p, func() { vm.exec(p.funcs[t.function], nil) })
 	}
 	return false, nil
 }
 
-func pointer(t *Type) bool { return t == tyStr || t.box() || t.rec != nil }
+func pointer(t *Type) bool { return t == typeString || t.isCollection() || t.record != nil }
 
 // A Session is what a REPL remembers: declarations, and statements, which are all run anew for each line. As the language
 // depends on nothing else, that is the same as going on.
@@ -96,8 +96,8 @@
 	vm := NewVM()
 	vm.start(p, p.State(), testEnv, Aside)
 	var keep []Value
-	vm.keep = &keep
-	fn := p.funcs[p.tests[len(p.tests)-1].fn]
+	vm.capture = &keep
+	fn := p.funcs[p.tests[len(p.tests)-1].function]
 	if err := vm.guard(p, func() { vm.exec(fn, nil) }); err != nil || expr == "" {
 		return "", err
 	}
--- a/internal/hooklang/state.go
+++ b/internal/hooklang/state.go
@@ -12,22 +12,22 @@
 
 // A State is the values of a program's state variables. It does not change: a run that writes leads to another.
 type State struct {
-	p      *Program
-	values []Value
+	program *Program
+	values  []Value
 }
 
 // State returns the state that a program begins with.
-func (p *Program) State() *State { return &State{p, p.first} }
+func (p *Program) State() *State { return &State{p, p.initialState} }
 
 // Take returns the program's state with what another, perhaps of another program, has of the same names and types.
 func (p *Program) Take(old *State) *State {
 	if old == nil {
 		return p.State()
 	}
-	s := &State{p, slices.Clone(p.first)}
+	s := &State{p, slices.Clone(p.initialState)}
 	for i, v := range p.state {
-		for k, o := range old.p.state {
-			if o.name == v.name && same(o.t, v.t) {
+		for k, o := range old.program.state {
+			if o.name == v.name && sameType(o.valueType, v.valueType) {
 				s.values[i] = old.values[k]
 			}
 		}
@@ -40,9 +40,9 @@
 	if len(s.values) != len(o.values) {
 		return false
 	}
-	for i, v := range s.p.state {
-		w := o.p.state[i]
-		if v.name != w.name || !same(v.t, w.t) || !equal(v.t, s.values[i], o.values[i]) {
+	for i, v := range s.program.state {
+		w := o.program.state[i]
+		if v.name != w.name || !sameType(v.valueType, w.valueType) || !equal(v.valueType, s.values[i], o.values[i]) {
 			return false
 		}
 	}
@@ -52,8 +52,8 @@
 // String writes the state as the language does, a line for each variable.
 func (s *State) String() string {
 	var b bytes.Buffer
-	for i, v := range s.p.state {
-		fmt.Fprintf(&b, "state %s %v = %s\n", v.name, v.t, text(v.t, s.values[i]))
+	for i, v := range s.program.state {
+		fmt.Fprintf(&b, "state %s %v = %s\n", v.name, v.valueType, text(v.valueType, s.values[i]))
 	}
 	return b.String()
 }
@@ -67,8 +67,8 @@
 // MarshalJSON writes the state: ints and durations as strings, as JSON's readers lose digits above 2^53 (RFC 8259, 6).
 func (s *State) MarshalJSON() ([]byte, error) {
 	l := []saved{}
-	for i, v := range s.p.state {
-		l = append(l, saved{v.name, v.t.String(), encode(nil, v.t, s.values[i])})
+	for i, v := range s.program.state {
+		l = append(l, saved{v.name, v.valueType.String(), encode(nil, v.valueType, s.values[i])})
 	}
 	return json.Marshal(l)
 }
@@ -79,10 +79,10 @@
 	if err := json.Unmarshal(text, &l); err != nil {
 		return nil, fmt.Errorf("hook state: %w", err)
 	}
-	s := &State{p, slices.Clone(p.first)}
+	s := &State{p, slices.Clone(p.initialState)}
 	for _, w := range l {
 		for i, v := range p.state {
-			if v.name != w.Name || v.t.String() != w.Type {
+			if v.name != w.Name || v.valueType.String() != w.Type {
 				continue
 			}
 			d := json.NewDecoder(bytes.NewReader(w.Value))
@@ -91,7 +91,7 @@
 			if err := d.Decode(&x); err != nil {
 				return nil, fmt.Errorf("hook state: %s: %w", w.Name, err)
 			}
-			val, err := decode(v.t, x)
+			val, err := decode(v.valueType, x)
 			if err != nil {
 				return nil, fmt.Errorf("hook state: %s: %w", w.Name, err)
 			}
@@ -104,16 +104,16 @@
 
 func encode(b []byte, t *Type, v Value) []byte {
 	switch {
-	case t == tyBool:
-		return strconv.AppendBool(b, v.n != 0)
-	case t == tyFloat:
+	case t == typeBool:
+		return strconv.AppendBool(b, v.bits != 0)
+	case t == typeFloat:
 		return strconv.AppendFloat(b, v.float(), 'g', -1, 64)
-	case t == tyStr:
+	case t == typeString:
 		q, _ := json.Marshal(v.str())
 		return append(b, q...)
 	case t.name == "list":
 		b = append(b, '[')
-		for i, e := range v.o.l {
+		for i, e := range v.object.items {
 			if i > 0 {
 				b = append(b, ',')
 			}
@@ -122,41 +122,41 @@
 		return append(b, ']')
 	case t.name == "map": // a list of pairs: keys may be ints
 		b = append(b, '[')
-		for i, e := range v.o.l {
+		for i, e := range v.object.items {
 			if i > 0 {
 				b = append(b, ',')
 			}
-			b = append(encode(append(b, '['), t.key, v.o.keys[i]), ',')
+			b = append(encode(append(b, '['), t.key, v.object.keys[i]), ',')
 			b = append(encode(b, t.elem, e), ']')
 		}
 		return append(b, ']')
 	}
-	return append(strconv.AppendInt(append(b, '"'), v.n, 10), '"')
+	return append(strconv.AppendInt(append(b, '"'), v.bits, 10), '"')
 }
 
 func decode(t *Type, x any) (Value, error) {
 	bad := func() (Value, error) { return Value{}, fmt.Errorf("%v is no %v", x, t) }
 	switch {
-	case t == tyBool:
+	case t == typeBool:
 		if b, ok := x.(bool); ok {
 			return boolValue(b), nil
 		}
-	case t == tyFloat:
+	case t == typeFloat:
 		if n, ok := x.(json.Number); ok {
 			if f, err := n.Float64(); err == nil {
 				return floatValue(f), nil
 			}
 		}
-	case t == tyStr:
+	case t == typeString:
 		if s, ok := x.(string); ok && utf8.ValidString(s) {
 			return strValue(s), nil
 		}
-	case t.box():
+	case t.isCollection():
 		l, ok := x.([]any)
 		if !ok {
 			return bad()
 		}
-		o := &object{box: true}
+		o := &object{collection: true}
 		for _, e := range l {
 			if t.key != nil {
 				pair, ok := e.([]any)
@@ -176,13 +176,13 @@
 			if err != nil {
 				return v, err
 			}
-			o.l = append(o.l, v)
+			o.items = append(o.items, v)
 		}
-		return Value{o: o}, nil
+		return Value{object: o}, nil
 	default:
 		if s, ok := x.(string); ok {
 			if n, err := strconv.ParseInt(s, 10, 64); err == nil {
-				return Value{n: n}, nil
+				return Value{bits: n}, nil
 			}
 		}
 	}
@@ -217,7 +217,7 @@
 	vm := NewVM()
 	for _, t := range p.tests {
 		vm.start(p, p.State(), testEnv, Aside)
-		err := vm.guard(p, func() { vm.exec(p.funcs[t.fn], nil) })
+		err := vm.guard(p, func() { vm.exec(p.funcs[t.function], nil) })
 		l = append(l, TestResult{t.name, t.pos, err, Aside.Fuel - vm.fuel})
 	}
 	return l
--- a/internal/hooklang/value.go
+++ b/internal/hooklang/value.go
@@ -11,21 +11,21 @@
 
 // A Type is bool, int, float, duration, string, list[T], map[K]V or a record of the host.
 type Type struct {
-	name string
-	elem *Type
-	key  *Type // of maps: string or int
-	rec  *Record
+	name   string
+	elem   *Type
+	key    *Type // of maps: string or int
+	record *Record
 }
 
 var (
-	tyBad   = &Type{name: "?"}
-	tyVoid  = &Type{name: "nothing"}
-	tyBool  = &Type{name: "bool"}
-	tyInt   = &Type{name: "int"}
-	tyFloat = &Type{name: "float"}
-	tyDur   = &Type{name: "duration"}
-	tyStr   = &Type{name: "string"}
-	scalars = map[string]*Type{"bool": tyBool, "int": tyInt, "float": tyFloat, "duration": tyDur, "string": tyStr}
+	typeInvalid  = &Type{name: "?"}
+	typeVoid     = &Type{name: "nothing"}
+	typeBool     = &Type{name: "bool"}
+	typeInt      = &Type{name: "int"}
+	typeFloat    = &Type{name: "float"}
+	typeDuration = &Type{name: "duration"}
+	typeString   = &Type{name: "string"}
+	scalars      = map[string]*Type{"bool": typeBool, "int": typeInt, "float": typeFloat, "duration": typeDuration, "string": typeString}
 )
 
 func listOf(t *Type) *Type   { return &Type{name: "list", elem: t} }
@@ -41,26 +41,26 @@
 	return t.name
 }
 
-func same(a, b *Type) bool {
-	if a == tyBad || b == tyBad {
+func sameType(a, b *Type) bool {
+	if a == typeInvalid || b == typeInvalid {
 		return true
 	}
-	if a.name != b.name || a.rec != b.rec {
+	if a.name != b.name || a.record != b.record {
 		return false
 	}
-	return (a.elem == nil || same(a.elem, b.elem)) && (a.key == nil || same(a.key, b.key))
+	return (a.elem == nil || sameType(a.elem, b.elem)) && (a.key == nil || sameType(a.key, b.key))
 }
 
-func (t *Type) box() bool { return t.name == "list" || t.name == "map" }
+func (t *Type) isCollection() bool { return t.name == "list" || t.name == "map" }
 func (t *Type) ordered() bool {
-	return t == tyInt || t == tyFloat || t == tyDur || t == tyStr || t == tyBad
+	return t == typeInt || t == typeFloat || t == typeDuration || t == typeString || t == typeInvalid
 }
 
 // A Record is a type of the host's: fields by name, not to be changed.
 type Record struct {
-	Name   string
-	Fields []Field
-	t      *Type
+	Name      string
+	Fields    []Field
+	valueType *Type
 }
 
 // A Field of a record.
@@ -71,82 +71,82 @@
 
 // A Value is of the type that the checks have found: it does not know it itself.
 type Value struct {
-	n int64 // bool, int, duration, and the bits of a float
-	o *object
+	bits   int64 // bool, int, duration, and the bits of a float
+	object *object
 }
 
 // An object is a string, list, map or record. Lists and maps are values: whoever stores one that is stored elsewhere makes
 // both stores share it, and a change copies it first. stored counts stores, up to 2, and is 3 where nothing may be
 // written any more, as others read it at the same time.
 type object struct {
-	s      string
-	l      []Value // list, values of a map, fields
-	keys   []Value // of a map, sorted
-	box    bool
-	stored uint8
+	text       string
+	items      []Value // list, values of a map, fields
+	keys       []Value // of a map, sorted
+	collection bool
+	shares     uint8
 }
 
-func floatValue(f float64) Value { return Value{n: int64(math.Float64bits(f))} }
-func (v Value) float() float64   { return math.Float64frombits(uint64(v.n)) }
-func strValue(s string) Value    { return Value{o: &object{s: s}} }
+func floatValue(f float64) Value { return Value{bits: int64(math.Float64bits(f))} }
+func (v Value) float() float64   { return math.Float64frombits(uint64(v.bits)) }
+func strValue(s string) Value    { return Value{object: &object{text: s}} }
 func boolValue(b bool) Value {
 	if b {
-		return Value{n: 1}
+		return Value{bits: 1}
 	}
 	return Value{}
 }
 
 func (v Value) str() string {
-	if v.o == nil {
+	if v.object == nil {
 		return ""
 	}
-	return v.o.s
+	return v.object.text
 }
 
 func (v Value) share() Value {
-	if v.o != nil && v.o.box && v.o.stored < 2 {
-		v.o.stored++
+	if v.object != nil && v.object.collection && v.object.shares < 2 {
+		v.object.shares++
 	}
 	return v
 }
 
 // freeze makes a value safe to be read by many.
 func (v Value) freeze() {
-	if v.o == nil || !v.o.box || v.o.stored == 3 {
+	if v.object == nil || !v.object.collection || v.object.shares == 3 {
 		return
 	}
-	v.o.stored = 3
-	for _, e := range v.o.l {
+	v.object.shares = 3
+	for _, e := range v.object.items {
 		e.freeze()
 	}
 }
 
-// zero is what a field of a record has that a literal leaves out.
-func zero(t *Type) Value {
+// zeroValue is what a field of a record has that a literal leaves out.
+func zeroValue(t *Type) Value {
 	switch {
-	case t == tyStr:
+	case t == typeString:
 		return strValue("")
-	case t.box():
-		return Value{o: &object{box: true}}
-	case t.rec != nil:
+	case t.isCollection():
+		return Value{object: &object{collection: true}}
+	case t.record != nil:
 		o := &object{}
-		for _, f := range t.rec.Fields {
-			o.l = append(o.l, zero(f.Type))
+		for _, f := range t.record.Fields {
+			o.items = append(o.items, zeroValue(f.Type))
 		}
-		return Value{o: o}
+		return Value{object: o}
 	}
 	return Value{}
 }
 
-// steps is what comparing or copying a value costs, at most.
-func steps(v Value) int64 {
-	if v.o == nil {
+// traversalCost is what comparing or copying a value costs, at most.
+func traversalCost(v Value) int64 {
+	if v.object == nil {
 		return 0
 	}
-	n := int64(len(v.o.s)/16 + len(v.o.l) + len(v.o.keys))
-	for _, e := range v.o.l {
-		if e.o != nil {
-			n += steps(e)
+	n := int64(len(v.object.text)/16 + len(v.object.items) + len(v.object.keys))
+	for _, e := range v.object.items {
+		if e.object != nil {
+			n += traversalCost(e)
 		}
 	}
 	return n
@@ -154,91 +154,91 @@
 
 func equal(t *Type, a, b Value) bool {
 	switch {
-	case t == tyFloat:
+	case t == typeFloat:
 		return a.float() == b.float()
-	case t == tyStr:
+	case t == typeString:
 		return a.str() == b.str()
-	case t.rec != nil:
-		for i, f := range t.rec.Fields {
-			if !equal(f.Type, a.o.l[i], b.o.l[i]) {
+	case t.record != nil:
+		for i, f := range t.record.Fields {
+			if !equal(f.Type, a.object.items[i], b.object.items[i]) {
 				return false
 			}
 		}
 		return true
-	case t.box():
-		if len(a.o.l) != len(b.o.l) {
+	case t.isCollection():
+		if len(a.object.items) != len(b.object.items) {
 			return false
 		}
-		for i := range a.o.l {
-			if t.key != nil && !equal(t.key, a.o.keys[i], b.o.keys[i]) || !equal(t.elem, a.o.l[i], b.o.l[i]) {
+		for i := range a.object.items {
+			if t.key != nil && !equal(t.key, a.object.keys[i], b.object.keys[i]) || !equal(t.elem, a.object.items[i], b.object.items[i]) {
 				return false
 			}
 		}
 		return true
 	}
-	return a.n == b.n
+	return a.bits == b.bits
 }
 
 func compare(t *Type, a, b Value) int {
 	switch t {
-	case tyFloat:
+	case typeFloat:
 		return cmp.Compare(a.float(), b.float())
-	case tyStr:
+	case typeString:
 		return strings.Compare(a.str(), b.str())
 	}
-	return cmp.Compare(a.n, b.n)
+	return cmp.Compare(a.bits, b.bits)
 }
 
 // find returns where a key of a map stands, or would.
 func (o *object) find(k Value) (int, bool) {
-	if k.o != nil {
-		return slices.BinarySearchFunc(o.keys, k.o.s, func(v Value, s string) int { return strings.Compare(v.o.s, s) })
+	if k.object != nil {
+		return slices.BinarySearchFunc(o.keys, k.object.text, func(v Value, s string) int { return strings.Compare(v.object.text, s) })
 	}
-	return slices.BinarySearchFunc(o.keys, k.n, func(v Value, n int64) int { return cmp.Compare(v.n, n) })
+	return slices.BinarySearchFunc(o.keys, k.bits, func(v Value, n int64) int { return cmp.Compare(v.bits, n) })
 }
 
 // text writes a value as the language writes it.
 func text(t *Type, v Value) string {
 	switch {
-	case t == tyStr:
+	case t == typeString:
 		return quote(v.str())
-	case t == tyBool:
-		return strconv.FormatBool(v.n != 0)
-	case t == tyFloat:
+	case t == typeBool:
+		return strconv.FormatBool(v.bits != 0)
+	case t == typeFloat:
 		return floatText(v.float())
-	case t == tyDur:
-		return durText(time.Duration(v.n))
-	case t.rec != nil:
+	case t == typeDuration:
+		return durText(time.Duration(v.bits))
+	case t.record != nil:
 		var b strings.Builder
 		b.WriteString(t.name + "{")
-		for i, f := range t.rec.Fields {
+		for i, f := range t.record.Fields {
 			if i > 0 {
 				b.WriteString(", ")
 			}
-			b.WriteString(f.Name + ": " + text(f.Type, v.o.l[i]))
+			b.WriteString(f.Name + ": " + text(f.Type, v.object.items[i]))
 		}
 		return b.String() + "}"
-	case t.box():
+	case t.isCollection():
 		var b strings.Builder
 		open, end := "[", "]"
-		if t.key != nil || len(v.o.l) == 0 {
+		if t.key != nil || len(v.object.items) == 0 {
 			open, end = t.String()+"{", "}"
 		}
 		b.WriteString(open)
-		for i := range v.o.l {
+		for i := range v.object.items {
 			if i > 0 {
 				b.WriteString(", ")
 			}
 			if t.key != nil {
-				b.WriteString(text(t.key, v.o.keys[i]) + ": ")
+				b.WriteString(text(t.key, v.object.keys[i]) + ": ")
 			}
-			b.WriteString(text(t.elem, v.o.l[i]))
+			b.WriteString(text(t.elem, v.object.items[i]))
 		}
 		return b.String() + end
-	case t == tyVoid:
+	case t == typeVoid:
 		return ""
 	}
-	return strconv.FormatInt(v.n, 10)
+	return strconv.FormatInt(v.bits, 10)
 }
 
 func floatText(f float64) string {
--- a/internal/hooklang/vm.go
+++ b/internal/hooklang/vm.go
@@ -68,27 +68,27 @@
 
 // A VM runs programs, one at a time. It keeps its stack from run to run.
 type VM struct {
-	p      *Program
-	lim    Limits
-	env    Env
-	fuel   int64 // left
-	memory int64
-	checks int64 // fuel at which Stop is asked next
-	stack  []Value
-	frames []frame
-	state  []Value
-	wrote  []bool
-	advice []Advice
-	keep   *[]Value
+	program   *Program
+	limits    Limits
+	env       Env
+	fuel      int64 // left
+	memory    int64
+	nextCheck int64 // fuel at which Stop is asked next
+	stack     []Value
+	frames    []frame
+	state     []Value
+	written   []bool
+	advice    []Advice
+	capture   *[]Value
 	// Trace, where set, is called before the first instruction of each line that is run.
-	Trace func(function string, pos Pos, locals []Value)
-	last  Pos
+	Trace      func(function string, pos Pos, locals []Value)
+	lastTraced Pos
 }
 
 type frame struct {
-	fn   *function
-	pc   int
-	base int
+	function *function
+	pc       int
+	base     int
 }
 
 // NewVM returns a VM.
@@ -102,32 +102,32 @@
 
 // spend charges for what costs more than one instruction.
 func (vm *VM) spend(n int64) {
-	if vm.fuel -= n; vm.fuel < vm.checks {
+	if vm.fuel -= n; vm.fuel < vm.nextCheck {
 		vm.check()
 	}
 }
 
-const between = 4096
+const stopInterval = 4096
 
 func (vm *VM) check() {
 	if vm.fuel < 0 {
-		vm.fault(FaultFuel, "more than %d instructions", vm.lim.Fuel)
+		vm.fault(FaultFuel, "more than %d instructions", vm.limits.Fuel)
 	}
-	if vm.lim.Stop != nil && vm.lim.Stop() {
+	if vm.limits.Stop != nil && vm.limits.Stop() {
 		vm.fault(FaultStopped, "its time is up")
 	}
-	vm.checks = max(0, vm.fuel-between)
+	vm.nextCheck = max(0, vm.fuel-stopInterval)
 }
 
 func (vm *VM) alloc(n int64) {
 	if vm.memory -= n; vm.memory < 0 {
-		vm.fault(FaultMemory, "more than %d bytes", vm.lim.Memory)
+		vm.fault(FaultMemory, "more than %d bytes", vm.limits.Memory)
 	}
 }
 
 func (vm *VM) size(n int) {
-	if n > vm.lim.Size {
-		vm.fault(FaultSize, "%d, over the %d that a string, list or map may have", n, vm.lim.Size)
+	if n > vm.limits.Size {
+		vm.fault(FaultSize, "%d, over the %d that a string, list or map may have", n, vm.limits.Size)
 	}
 }
 
@@ -146,19 +146,19 @@
 }
 
 func (vm *VM) clone(o *object) *object {
-	vm.list(int64(len(o.l) + len(o.keys)))
-	c := &object{box: true, l: slices.Clone(o.l), keys: slices.Clone(o.keys)}
-	for _, e := range c.l {
+	vm.list(int64(len(o.items) + len(o.keys)))
+	c := &object{collection: true, items: slices.Clone(o.items), keys: slices.Clone(o.keys)}
+	for _, e := range c.items {
 		e.share()
 	}
 	return c
 }
 
 func (vm *VM) span(a []Value, n int) (from, to int) {
-	if a[1].n < 0 || a[2].n < a[1].n || a[2].n > int64(n) {
-		vm.fault(FaultIndex, "slice %d to %d of %d", a[1].n, a[2].n, n)
+	if a[1].bits < 0 || a[2].bits < a[1].bits || a[2].bits > int64(n) {
+		vm.fault(FaultIndex, "slice %d to %d of %d", a[1].bits, a[2].bits, n)
 	}
-	return int(a[1].n), int(a[2].n)
+	return int(a[1].bits), int(a[2].bits)
 }
 
 // guard runs f and returns the fault that ended it.
@@ -175,14 +175,14 @@
 		fault.f.File = p.File
 		for i := len(vm.frames) - 1; i >= 0; i-- {
 			fr := vm.frames[i]
-			if len(fault.f.Stack) == 0 && fr.pc > 0 && fr.pc <= len(fr.fn.places) {
-				fault.f.Pos = fr.fn.places[fr.pc-1]
+			if len(fault.f.Stack) == 0 && fr.pc > 0 && fr.pc <= len(fr.function.positions) {
+				fault.f.Pos = fr.function.positions[fr.pc-1]
 			}
 			if len(fault.f.Stack) == 8 {
 				fault.f.Stack = append(fault.f.Stack, "…")
 				break
 			}
-			fault.f.Stack = append(fault.f.Stack, fr.fn.name)
+			fault.f.Stack = append(fault.f.Stack, fr.function.name)
 		}
 		err = fault.f
 	}()
@@ -203,31 +203,31 @@
 	}
 	vm.start(p, st, env, lim)
 	err := vm.guard(p, func() {
-		vm.exec(p.funcs[h.fn], []Value{{o: &object{l: fields}}})
-		vm.settle()
+		vm.exec(p.funcs[h.function], []Value{{object: &object{items: fields}}})
+		vm.freezeState()
 	})
 	res := Result{Fuel: lim.Fuel - vm.fuel, Memory: lim.Memory - vm.memory, State: st}
 	if err != nil {
 		return res, err
 	}
 	res.Advice = vm.advice
-	res.State = vm.left(st)
+	res.State = vm.resultState(st)
 	return res, nil
 }
 
 func (vm *VM) start(p *Program, st *State, env Env, lim Limits) {
-	vm.p, vm.env, vm.lim, vm.advice = p, env, lim, nil
-	vm.fuel, vm.memory, vm.last = lim.Fuel, lim.Memory, Pos{}
-	vm.checks = max(0, vm.fuel-between)
+	vm.program, vm.env, vm.limits, vm.advice = p, env, lim, nil
+	vm.fuel, vm.memory, vm.lastTraced = lim.Fuel, lim.Memory, Pos{}
+	vm.nextCheck = max(0, vm.fuel-stopInterval)
 	vm.state = st.values
-	vm.wrote = nil
+	vm.written = nil
 }
 
-// settle makes what the run stored safe to be read by others, and charges for it.
-func (vm *VM) settle() {
-	for i, w := range vm.wrote {
+// freezeState makes what the run stored safe to be read by others, and charges for it.
+func (vm *VM) freezeState() {
+	for i, w := range vm.written {
 		if w {
-			n := steps(vm.state[i])
+			n := traversalCost(vm.state[i])
 			vm.spend(n)
 			vm.size(int(n))
 			vm.state[i].freeze()
@@ -235,47 +235,47 @@
 	}
 }
 
-func (vm *VM) left(st *State) *State {
-	if vm.wrote == nil {
+func (vm *VM) resultState(st *State) *State {
+	if vm.written == nil {
 		return st
 	}
-	return &State{vm.p, vm.state}
+	return &State{vm.program, vm.state}
 }
 
 // set changes a variable of the state: the run has its own from the first change on.
 func (vm *VM) set(i int32, v Value) {
-	if vm.wrote == nil {
-		vm.wrote = make([]bool, len(vm.state))
+	if vm.written == nil {
+		vm.written = make([]bool, len(vm.state))
 		vm.state = slices.Clone(vm.state)
 	}
-	vm.state[i], vm.wrote[i] = v, true
+	vm.state[i], vm.written[i] = v, true
 }
 
-// own returns the list or map of a variable for changing: a copy, where it is stored elsewhere too.
-func (vm *VM) own(base int, in instr) *object {
+// ownedCollection returns the list or map of a variable for changing: a copy, where it is stored elsewhere too.
+func (vm *VM) ownedCollection(base int, in instruction) *object {
 	if in.b == 1 {
 		v := vm.state[in.a]
-		if v.o.stored < 2 && vm.wrote != nil && vm.wrote[in.a] {
-			return v.o
+		if v.object.shares < 2 && vm.written != nil && vm.written[in.a] {
+			return v.object
 		}
-		o := vm.clone(v.o)
-		o.stored = 1
-		vm.set(in.a, Value{o: o})
+		o := vm.clone(v.object)
+		o.shares = 1
+		vm.set(in.a, Value{object: o})
 		return o
 	}
 	v := vm.stack[base+int(in.a)]
-	if v.o.stored < 2 {
-		return v.o
+	if v.object.shares < 2 {
+		return v.object
 	}
-	o := vm.clone(v.o)
-	o.stored = 1
-	vm.stack[base+int(in.a)] = Value{o: o}
+	o := vm.clone(v.object)
+	o.shares = 1
+	vm.stack[base+int(in.a)] = Value{object: o}
 	return o
 }
 
 func (vm *VM) enter(fn *function, args int) int {
-	if len(vm.frames) >= vm.lim.Depth {
-		vm.fault(FaultDepth, "more than %d calls within calls", vm.lim.Depth)
+	if len(vm.frames) >= vm.limits.Depth {
+		vm.fault(FaultDepth, "more than %d calls within calls", vm.limits.Depth)
 	}
 	base := len(vm.stack) - args
 	need := base + fn.slots + fn.depth
@@ -287,7 +287,7 @@
 	for i := base; i < base+args; i++ {
 		vm.stack[i].share()
 	}
-	vm.frames = append(vm.frames, frame{fn: fn, base: base})
+	vm.frames = append(vm.frames, frame{function: fn, base: base})
 	return base
 }
 
@@ -301,23 +301,23 @@
 	for {
 		in := code[pc]
 		pc++
-		if vm.fuel--; vm.fuel < vm.checks {
+		if vm.fuel--; vm.fuel < vm.nextCheck {
 			vm.frames[len(vm.frames)-1].pc = pc
 			vm.check()
 		}
 		if vm.Trace != nil {
-			if pos := vm.frames[len(vm.frames)-1].fn.places[pc-1]; pos.Line != vm.last.Line {
-				vm.last = pos
-				f := vm.frames[len(vm.frames)-1].fn
+			if pos := vm.frames[len(vm.frames)-1].function.positions[pc-1]; pos.Line != vm.lastTraced.Line {
+				vm.lastTraced = pos
+				f := vm.frames[len(vm.frames)-1].function
 				vm.Trace(f.name, pos, st[base:base+f.slots])
 			}
 		}
 		n := len(st) - 1
 		switch in.op {
 		case opConst:
-			st = append(st, vm.p.consts[in.a])
+			st = append(st, vm.program.consts[in.a])
 		case opInt:
-			st = append(st, Value{n: int64(in.a)})
+			st = append(st, Value{bits: int64(in.a)})
 		case opLoad:
 			st = append(st, st[base+int(in.a)])
 		case opStore:
@@ -333,72 +333,72 @@
 		case opJump:
 			pc = int(in.a)
 		case opJumpFalse:
-			if st[n].n == 0 {
+			if st[n].bits == 0 {
 				pc = int(in.a)
 			}
 			st = st[:n]
 		case opJumpTrue:
-			if st[n].n != 0 {
+			if st[n].bits != 0 {
 				pc = int(in.a)
 			}
 			st = st[:n]
 		case opAndJump:
-			if st[n].n == 0 {
+			if st[n].bits == 0 {
 				pc = int(in.a)
 			} else {
 				st = st[:n]
 			}
 		case opOrJump:
-			if st[n].n != 0 {
+			if st[n].bits != 0 {
 				pc = int(in.a)
 			} else {
 				st = st[:n]
 			}
 		case opNot:
-			st[n].n ^= 1
+			st[n].bits ^= 1
 		case opAddIntConst:
-			x := st[n].n
+			x := st[n].bits
 			if x > math.MaxInt64-int64(in.a) {
 				vm.at(pc)
 				vm.fault(FaultOverflow, "%d + %d", x, in.a)
 			}
-			st[n].n = x + int64(in.a)
+			st[n].bits = x + int64(in.a)
 		case opAddInt:
-			x, y := st[n-1].n, st[n].n
+			x, y := st[n-1].bits, st[n].bits
 			z := x + y
 			if (x^z)&(y^z) < 0 {
 				vm.at(pc)
 				vm.fault(FaultOverflow, "%d + %d", x, y)
 			}
 			st = st[:n]
-			st[n-1].n = z
+			st[n-1].bits = z
 		case opSubInt:
-			x, y := st[n-1].n, st[n].n
+			x, y := st[n-1].bits, st[n].bits
 			z := x - y
 			if (x^y)&(x^z) < 0 {
 				vm.at(pc)
 				vm.fault(FaultOverflow, "%d - %d", x, y)
 			}
 			st = st[:n]
-			st[n-1].n = z
+			st[n-1].bits = z
 		case opEqInt:
 			st = st[:n]
-			st[n-1] = boolValue(st[n-1].n == st[:n+1][n].n)
+			st[n-1] = boolValue(st[n-1].bits == st[:n+1][n].bits)
 		case opNeInt:
 			st = st[:n]
-			st[n-1] = boolValue(st[n-1].n != st[:n+1][n].n)
+			st[n-1] = boolValue(st[n-1].bits != st[:n+1][n].bits)
 		case opLtInt:
 			st = st[:n]
-			st[n-1] = boolValue(st[n-1].n < st[:n+1][n].n)
+			st[n-1] = boolValue(st[n-1].bits < st[:n+1][n].bits)
 		case opLeInt:
 			st = st[:n]
-			st[n-1] = boolValue(st[n-1].n <= st[:n+1][n].n)
+			st[n-1] = boolValue(st[n-1].bits <= st[:n+1][n].bits)
 		case opGtInt:
 			st = st[:n]
-			st[n-1] = boolValue(st[n-1].n > st[:n+1][n].n)
+			st[n-1] = boolValue(st[n-1].bits > st[:n+1][n].bits)
 		case opGeInt:
 			st = st[:n]
-			st[n-1] = boolValue(st[n-1].n >= st[:n+1][n].n)
+			st[n-1] = boolValue(st[n-1].bits >= st[:n+1][n].bits)
 		case opLtFloat:
 			st = st[:n]
 			st[n-1] = boolValue(st[n-1].float() < st[:n+1][n].float())
@@ -412,9 +412,9 @@
 			st = st[:n]
 			st[n-1] = boolValue(st[n-1].float() >= st[:n+1][n].float())
 		case opField:
-			st[n] = st[n].o.l[in.a]
+			st[n] = st[n].object.items[in.a]
 		case opIndexList:
-			l, i := st[n-1].o.l, st[n].n
+			l, i := st[n-1].object.items, st[n].bits
 			if i < 0 || i >= int64(len(l)) {
 				vm.at(pc)
 				vm.fault(FaultIndex, "entry %d of %d", i, len(l))
@@ -423,22 +423,22 @@
 			st[n-1] = l[i]
 		case opNextRange:
 			cur := &st[base+int(in.b)+1]
-			if cur.n >= st[base+int(in.b)+2].n {
+			if cur.bits >= st[base+int(in.b)+2].bits {
 				pc = int(in.a)
 				break
 			}
-			st[base+int(in.b)] = Value{n: cur.n}
-			cur.n++
+			st[base+int(in.b)] = Value{bits: cur.bits}
+			cur.bits++
 		case opNextList:
-			o, cur := st[base+int(in.b)+1].o, &st[base+int(in.b)+2]
-			if cur.n >= int64(len(o.l)) {
+			o, cur := st[base+int(in.b)+1].object, &st[base+int(in.b)+2]
+			if cur.bits >= int64(len(o.items)) {
 				pc = int(in.a)
 				break
 			}
-			st[base+int(in.b)] = o.l[cur.n].share()
-			cur.n++
+			st[base+int(in.b)] = o.items[cur.bits].share()
+			cur.bits++
 		case opCall:
-			fn := vm.p.funcs[in.a]
+			fn := vm.program.funcs[in.a]
 			vm.at(pc)
 			vm.stack = st
 			base = vm.enter(fn, int(in.b))
@@ -448,8 +448,8 @@
 			var v Value
 			if in.op == opReturn {
 				v = st[n]
-			} else if vm.keep != nil {
-				*vm.keep = append(*vm.keep, st[base:]...)
+			} else if vm.capture != nil {
+				*vm.capture = append(*vm.capture, st[base:]...)
 			}
 			st = st[:base]
 			vm.frames = vm.frames[:len(vm.frames)-1]
@@ -461,11 +461,11 @@
 				st = append(st, v)
 			}
 			f := &vm.frames[len(vm.frames)-1]
-			base, code, pc = f.base, f.fn.code, f.pc
+			base, code, pc = f.base, f.function.code, f.pc
 		default:
 			vm.at(pc)
 			vm.stack = st
-			pc = vm.slow(in, base, pc, code)
+			pc = vm.execSlow(in, base, pc, code)
 			st = vm.stack
 		}
 	}
