--- a/internal/hooklang/lexer.go
+++ b/internal/hooklang/lexer.go
@@ -2,10 +2,9 @@
 
 import (
 	"fmt"
-	"math"
+	"slices"
 	"strconv"
 	"strings"
-	"time"
 	"unicode/utf8"
 )
 
@@ -31,112 +30,152 @@
 	float  float64
 }
 
-// A comment is kept for the formatter.
+// comment is for the formatter; the parser does not see it.
 type comment struct {
 	pos   Pos
 	text  string
-	alone bool // nothing stands before it on its line
+	alone bool // it has its line for itself
 }
 
-var keywords = map[string]bool{"fn": true, "on": true, "every": true, "state": true, "let": true, "if": true, "else": true, "for": true, "in": true,
-	"match": true, "case": true, "return": true, "break": true, "continue": true, "and": true, "or": true, "not": true, "true": true, "false": true,
-	"test": true, "run": true, "list": true, "map": true}
+var keywords = map[string]bool{
+	"fn": true, "on": true, "every": true, "state": true, "test": true, "run": true,
+	"let": true, "if": true, "else": true, "for": true, "in": true, "match": true, "case": true,
+	"return": true, "break": true, "continue": true,
+	"and": true, "or": true, "not": true, "true": true, "false": true,
+	"list": true, "map": true,
+}
+
+// symbols has the longer ones first, so that they are found.
+var symbols = []string{
+	"..", "==", "!=", "<=", ">=", "+=", "-=",
+	"(", ")", "[", "]", "{", "}", ",", ":", ".", "=", "<", ">", "+", "-", "*", "/", "%",
+}
+
+// lexer cuts a text into tokens. Positions in bytes; line and lineStart give them as a Pos.
+type lexer struct {
+	file      string
+	text      string
+	offset    int // of the next byte
+	line      int
+	lineStart int // offset of the line's first byte
+	brackets  int // round and square brackets that are open
+	tokens    []token
+	comments  []comment
+	problems  Problems
+}
+
+// lex cuts a text into tokens. A newline ends a statement where the line could end one and no round or square bracket is
+// open.
+func lex(file, text string) ([]token, []comment, Problems) {
+	l := &lexer{file: file, text: text, line: 1}
+	for l.offset < len(text) {
+		l.next()
+	}
+	end := l.pos()
+	l.add(token{kind: tokenNewline, text: "end of line", pos: end})
+	l.add(token{kind: tokenEOF, text: "end of text", pos: end})
+	return l.tokens, l.comments, l.problems
+}
 
-var symbols = []string{"..", "==", "!=", "<=", ">=", "+=", "-=", "(", ")", "[", "]", "{", "}", ",", ":", ".", "=", "<", ">", "+", "-", "*", "/", "%"}
+func (l *lexer) pos() Pos { return Pos{l.line, l.offset - l.lineStart + 1} }
 
-// lex cuts a text into tokens. A newline ends a statement where the line could end one and no round or square bracket is open.
-func lex(file, text string) (toks []token, comments []comment, bad Problems) {
-	line, start, depth := 1, 0, 0
-	problem := func(p Pos, format string, args ...any) {
-		if len(bad) < maxProblems {
-			bad = append(bad, &Problem{File: file, Pos: p, Text: fmt.Sprintf(format, args...)})
+func (l *lexer) add(t token) { l.tokens = append(l.tokens, t) }
+
+func (l *lexer) problem(pos Pos, format string, args ...any) {
+	if len(l.problems) < maxProblems {
+		l.problems = append(l.problems, &Problem{File: l.file, Pos: pos, Text: fmt.Sprintf(format, args...)})
+	}
+}
+
+// next reads a token, a comment, a newline or a blank.
+func (l *lexer) next() {
+	c, pos := l.text[l.offset], l.pos()
+	switch {
+	case c == '\n':
+		if n := len(l.tokens); n > 0 && l.brackets == 0 && endsStatement(l.tokens[n-1]) {
+			l.add(token{kind: tokenNewline, text: "end of line", pos: pos})
+		}
+		l.offset++
+		l.line++
+		l.lineStart = l.offset
+	case c == ' ' || c == '\t' || c == '\r':
+		l.offset++
+	case c == '#':
+		l.comment(pos)
+	case c == '"':
+		text, end, why := lexString(l.text, l.offset)
+		t := token{kind: tokenString, text: text, pos: pos}
+		if why != "" {
+			l.problem(pos, "%s", why)
+			t = token{kind: tokenInvalid, pos: pos}
+		}
+		l.add(t)
+		l.offset = end
+	case isDigit(c):
+		t, end, why := lexNumber(l.text, l.offset)
+		t.pos = pos
+		if why != "" {
+			l.problem(pos, "%s", why)
+			t.kind = tokenInt
 		}
+		l.add(t)
+		l.offset = end
+	case isNameByte(c):
+		end := skipName(l.text, l.offset)
+		t := token{kind: tokenName, text: l.text[l.offset:end], pos: pos}
+		if keywords[t.text] {
+			t.kind = tokenSymbol
+		}
+		l.add(t)
+		l.offset = end
+	default:
+		l.symbol(pos)
 	}
-	add := func(t token) { toks = append(toks, t) }
-	for i := 0; i < len(text); {
-		c, pos := text[i], Pos{line, i - start + 1}
-		switch {
-		case c == '\n':
-			if n := len(toks); n > 0 && depth == 0 && endsStatement(toks[n-1]) {
-				add(token{kind: tokenNewline, text: "end of line", pos: pos})
-			}
-			i++
-			line, start = line+1, i
-		case c == ' ' || c == '\t' || c == '\r':
-			i++
-		case c == '#':
-			end := i
-			for end < len(text) && text[end] != '\n' {
-				end++
-			}
-			comments = append(comments, comment{pos, strings.TrimRight(text[i:end], " \t\r"), strings.TrimSpace(text[start:i]) == ""})
-			i = end
-		case c == '"':
-			s, end, why := lexString(text, i)
-			if why != "" {
-				problem(pos, "%s", why)
-				add(token{kind: tokenInvalid, pos: pos})
-			} else {
-				add(token{kind: tokenString, text: s, pos: pos})
-			}
-			i = end
-		case c >= '0' && c <= '9':
-			t, end, why := lexNumber(text, i)
-			if t.pos = pos; why != "" {
-				problem(pos, "%s", why)
-				t.kind = tokenInt
-			}
-			add(t)
-			i = end
-		case c == '_' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z':
-			end := i
-			for end < len(text) && isName(text[end]) {
-				end++
-			}
-			t := token{kind: tokenName, text: text[i:end], pos: pos}
-			if keywords[t.text] {
-				t.kind = tokenSymbol
-			}
-			add(t)
-			i = end
-		default:
-			sign := ""
-			for _, s := range symbols {
-				if strings.HasPrefix(text[i:], s) {
-					sign = s
-					break
-				}
-			}
-			if sign == "" {
-				r, n := utf8.DecodeRuneInString(text[i:])
-				problem(pos, "%q has no meaning here", r)
-				i += n
-				continue
-			}
-			switch sign {
-			case "(", "[":
-				depth++
-			case ")", "]":
-				depth = max(0, depth-1)
-			case "{", "}": // a block begins anew what brackets left open: an error must not swallow the rest of the text
-				if sign == "}" && depth > 0 && !inBrace(toks) {
-					depth = 0
-				}
-			}
-			add(token{kind: tokenSymbol, text: sign, pos: pos})
-			i += len(sign)
+}
+
+func (l *lexer) comment(pos Pos) {
+	end := l.offset
+	for end < len(l.text) && l.text[end] != '\n' {
+		end++
+	}
+	text := strings.TrimRight(l.text[l.offset:end], " \t\r")
+	alone := strings.TrimSpace(l.text[l.lineStart:l.offset]) == ""
+	l.comments = append(l.comments, comment{pos, text, alone})
+	l.offset = end
+}
+
+func (l *lexer) symbol(pos Pos) {
+	rest := l.text[l.offset:]
+	i := slices.IndexFunc(symbols, func(s string) bool { return strings.HasPrefix(rest, s) })
+	if i < 0 {
+		r, size := utf8.DecodeRuneInString(rest)
+		l.problem(pos, "%q has no meaning here", r)
+		l.offset += size
+		return
+	}
+	symbol := symbols[i]
+	switch symbol {
+	case "(", "[":
+		l.brackets++
+	case ")", "]":
+		l.brackets = max(0, l.brackets-1)
+	case "}":
+		// The end of a block closes brackets that were left open: an error must not swallow the rest of the text.
+		if l.brackets > 0 && !inBrace(l.tokens) {
+			l.brackets = 0
 		}
 	}
-	end := Pos{line, len(text) - start + 1}
-	add(token{kind: tokenNewline, text: "end of line", pos: end})
-	add(token{kind: tokenEOF, text: "end of text", pos: end})
-	return toks, comments, bad
+	l.add(token{kind: tokenSymbol, text: symbol, pos: pos})
+	l.offset += len(symbol)
 }
 
-// inBrace tells whether the last bracket that is open is a brace: of a literal within brackets.
+const maxLookBack = 2_000
+
+// inBrace reports whether the innermost open bracket is a brace: that of a literal within brackets. It looks back a bounded
+// number of tokens, so that lexing a hostile text takes linear time.
 func inBrace(toks []token) bool {
 	n := 0
-	for i := len(toks) - 1; i >= 0 && i > len(toks)-2_000; i-- {
+	for i := len(toks) - 1; i >= 0 && i > len(toks)-maxLookBack; i-- {
 		switch toks[i].text {
 		case ")", "]", "}":
 			n++
@@ -149,6 +188,7 @@
 	return false
 }
 
+// endsStatement reports whether a statement can end with a token.
 func endsStatement(t token) bool {
 	switch t.kind {
 	case tokenName, tokenInt, tokenFloat, tokenDuration, tokenString, tokenInvalid:
@@ -162,10 +202,6 @@
 	return false
 }
 
-func isName(c byte) bool {
-	return c == '_' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9'
-}
-
 // lexString reads a string: escapes \n, \t, \", \\ and \u{hex}.
 func lexString(text string, i int) (s string, end int, why string) {
 	var b strings.Builder
@@ -213,89 +249,3 @@
 	}
 	return b.String(), i + 1, why
 }
-
-var durationUnits = []struct {
-	name string
-	d    time.Duration
-}{{"ms", time.Millisecond}, {"us", time.Microsecond}, {"h", time.Hour}, {"m", time.Minute}, {"s", time.Second}}
-
-// lexNumber reads 12, 1_000, 1.5, 2e-3, or a duration as 1h30m, 250ms, 1.5s.
-func lexNumber(text string, i int) (t token, end int, why string) {
-	digits := func(i int) int {
-		for i < len(text) && (text[i] >= '0' && text[i] <= '9' || text[i] == '_') {
-			i++
-		}
-		return i
-	}
-	begin, total, parts := i, 0.0, 0
-	var exact int64
-	for {
-		from := i
-		i = digits(i)
-		frac := false
-		if i+1 < len(text) && text[i] == '.' && text[i+1] >= '0' && text[i+1] <= '9' {
-			frac = true
-			i = digits(i + 1)
-		}
-		plain := strings.ReplaceAll(text[from:i], "_", "")
-		unit := -1
-		for k, u := range durationUnits {
-			if strings.HasPrefix(text[i:], u.name) && (i+len(u.name) == len(text) || !isName(text[i+len(u.name)]) || text[i+len(u.name)] >= '0' && text[i+len(u.name)] <= '9') {
-				unit = k
-				break
-			}
-		}
-		if unit >= 0 {
-			f, _ := strconv.ParseFloat(plain, 64)
-			total += f * float64(durationUnits[unit].d)
-			if n, err := strconv.ParseInt(plain, 10, 64); err == nil && !frac && n < math.MaxInt64/int64(durationUnits[unit].d) {
-				exact += n * int64(durationUnits[unit].d)
-			} else {
-				exact += int64(math.Round(min(f*float64(durationUnits[unit].d), math.MaxInt64/4)))
-			}
-			i += len(durationUnits[unit].name)
-			if parts++; i < len(text) && text[i] >= '0' && text[i] <= '9' && parts < 6 {
-				continue
-			}
-			if total >= math.MaxInt64/4 {
-				return token{kind: tokenDuration}, i, "the duration is too long"
-			}
-			t = token{kind: tokenDuration, number: exact}
-			break
-		}
-		if parts > 0 {
-			return token{kind: tokenDuration}, i, "a duration's last number has no unit: h, m, s, ms and us are"
-		}
-		if i < len(text) && (text[i] == 'e' || text[i] == 'E') {
-			j := i + 1
-			if j < len(text) && (text[j] == '-' || text[j] == '+') {
-				j++
-			}
-			if k := digits(j); k > j {
-				frac, i = true, k
-			}
-		}
-		plain = strings.ReplaceAll(text[begin:i], "_", "")
-		var err error
-		if frac {
-			t.kind = tokenFloat
-			t.float, err = strconv.ParseFloat(plain, 64)
-		} else {
-			t.kind = tokenInt
-			t.number, err = strconv.ParseInt(plain, 10, 64)
-		}
-		if err != nil {
-			why = plain + " is out of range"
-		}
-		break
-	}
-	if i < len(text) && isName(text[i]) {
-		j := i
-		for j < len(text) && isName(text[j]) {
-			j++
-		}
-		return t, j, fmt.Sprintf("%s is no number", text[begin:j])
-	}
-	t.text = text[begin:i]
-	return t, i, why
-}
--- /dev/null
+++ b/internal/hooklang/lexnumber.go
@@ -0,0 +1,148 @@
+package hooklang
+
+import (
+	"fmt"
+	"math"
+	"strconv"
+	"strings"
+	"time"
+)
+
+// lexNumber reads 12, 1_000, 1.5, 2e-3, or a duration as 1h30m, 250ms, 1.5s, which begins at an offset.
+func lexNumber(text string, begin int) (t token, end int, why string) {
+	end, fraction := skipDecimal(text, begin)
+	if unitAt(text, end) != nil {
+		t, end, why = lexDuration(text, begin)
+		if why != "" {
+			return t, end, why
+		}
+	} else {
+		t, end, why = lexPlainNumber(text, begin, end, fraction)
+	}
+	if end < len(text) && isNameByte(text[end]) {
+		end = skipName(text, end)
+		return t, end, fmt.Sprintf("%s is no number", text[begin:end])
+	}
+	t.text = text[begin:end]
+	return t, end, why
+}
+
+// maxDurationParts is how many numbers with units a duration has at most.
+const maxDurationParts = 6
+
+// lexDuration reads a duration. It adds whole numbers exactly, and notices by floating point that the sum does not fit.
+func lexDuration(text string, i int) (t token, end int, why string) {
+	var exact int64
+	approximate := 0.0
+	for part := 1; ; part++ {
+		from := i
+		digitsEnd, fraction := skipDecimal(text, from)
+		i = digitsEnd
+		unit := unitAt(text, i)
+		if unit == nil {
+			return token{kind: tokenDuration}, i, "a duration's last number has no unit: h, m, s, ms and us are"
+		}
+		digits := strings.ReplaceAll(text[from:i], "_", "")
+		value, _ := strconv.ParseFloat(digits, 64)
+		approximate += value * float64(unit.duration)
+		whole, err := strconv.ParseInt(digits, 10, 64)
+		if err == nil && !fraction && whole < math.MaxInt64/int64(unit.duration) {
+			exact += whole * int64(unit.duration)
+		} else {
+			exact += int64(math.Round(min(value*float64(unit.duration), math.MaxInt64/4)))
+		}
+		i += len(unit.name)
+		if i < len(text) && isDigit(text[i]) && part < maxDurationParts {
+			continue
+		}
+		if approximate >= math.MaxInt64/4 {
+			return token{kind: tokenDuration}, i, "the duration is too long"
+		}
+		return token{kind: tokenDuration, number: exact}, i, ""
+	}
+}
+
+// lexPlainNumber reads an int or a float whose digits end at an offset.
+func lexPlainNumber(text string, begin, digitsEnd int, fraction bool) (t token, end int, why string) {
+	end = digitsEnd
+	if end < len(text) && (text[end] == 'e' || text[end] == 'E') {
+		exponent := end + 1
+		if exponent < len(text) && (text[exponent] == '-' || text[exponent] == '+') {
+			exponent++
+		}
+		if after := skipDigits(text, exponent); after > exponent {
+			fraction = true
+			end = after
+		}
+	}
+	digits := strings.ReplaceAll(text[begin:end], "_", "")
+	var err error
+	if fraction {
+		t.kind = tokenFloat
+		t.float, err = strconv.ParseFloat(digits, 64)
+	} else {
+		t.kind = tokenInt
+		t.number, err = strconv.ParseInt(digits, 10, 64)
+	}
+	if err != nil {
+		why = digits + " is out of range"
+	}
+	return t, end, why
+}
+
+type durationUnit struct {
+	name     string
+	duration time.Duration
+}
+
+// durationUnits has ms before m, so that the longer one is found.
+var durationUnits = []durationUnit{
+	{"ms", time.Millisecond}, {"us", time.Microsecond}, {"h", time.Hour}, {"m", time.Minute}, {"s", time.Second},
+}
+
+// unitAt returns the unit at an offset, or nil. Only a digit or the end of the word may follow it.
+func unitAt(text string, i int) *durationUnit {
+	for k := range durationUnits {
+		unit := &durationUnits[k]
+		if !strings.HasPrefix(text[i:], unit.name) {
+			continue
+		}
+		end := i + len(unit.name)
+		if end == len(text) || !isNameByte(text[end]) || isDigit(text[end]) {
+			return unit
+		}
+	}
+	return nil
+}
+
+func isDigit(c byte) bool { return c >= '0' && c <= '9' }
+
+// isNameByte reports whether a byte may be part of a name; a name does not begin with a digit.
+func isNameByte(c byte) bool {
+	return c == '_' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || isDigit(c)
+}
+
+// skipName returns the end of the name at an offset.
+func skipName(text string, i int) int {
+	for i < len(text) && isNameByte(text[i]) {
+		i++
+	}
+	return i
+}
+
+// skipDigits returns the end of the digits at an offset.
+func skipDigits(text string, i int) int {
+	for i < len(text) && (isDigit(text[i]) || text[i] == '_') {
+		i++
+	}
+	return i
+}
+
+// skipDecimal returns the end of the decimal number at an offset, and whether it has a fraction.
+func skipDecimal(text string, i int) (end int, fraction bool) {
+	end = skipDigits(text, i)
+	if end+1 < len(text) && text[end] == '.' && isDigit(text[end+1]) {
+		return skipDigits(text, end+1), true
+	}
+	return end, false
+}
--- a/internal/hooklang/parseexpr.go
+++ b/internal/hooklang/parseexpr.go
@@ -1,18 +1,24 @@
 package hooklang
 
+// precedence lists the binary operators, those that bind weakest first.
 var precedence = [][]string{{"or"}, {"and"}, {"==", "!=", "<", "<=", ">", ">=", "in"}, {"+", "-"}, {"*", "/", "%"}}
 
+const (
+	comparisonLevel = 2     // of precedence
+	maxOperators    = 1_000 // of one level in an expression
+)
+
 func (p *parser) expr() expr { return p.binary(0) }
 
 func (p *parser) binary(level int) expr {
 	if level == len(precedence) {
 		return p.unary()
 	}
-	if level == 2 && p.is("not") { // binds weaker than comparisons, as and and or do
+	if level == comparisonLevel && p.is("not") { // binds weaker than comparisons, as and and or do
 		p.nest()
 		defer func() { p.depth-- }()
 		t := p.expect("not")
-		return &unaryExpr{typed{node{t.pos}, nil}, "not", p.binary(2)}
+		return &unaryExpr{typed{node{t.pos}, nil}, "not", p.binary(comparisonLevel)}
 	}
 	x := p.binary(level + 1)
 	for n := 0; ; n++ {
@@ -24,10 +30,10 @@
 		if !found {
 			return x
 		}
-		if n > 0 && level == 2 {
+		if n > 0 && level == comparisonLevel {
 			p.fail("comparisons do not chain: join them by and")
 		}
-		if n > 1_000 {
+		if n > maxOperators {
 			p.fail("too many in one expression")
 		}
 		p.next++
@@ -48,10 +54,7 @@
 		at := typed{node{t.pos}, nil}
 		switch {
 		case p.accept("["):
-			bare := p.inHeader
-			p.inHeader = false
-			x = &indexExpr{at, x, p.expr()}
-			p.inHeader = bare
+			x = &indexExpr{at, x, p.bracketed()}
 			p.expect("]")
 		case p.accept("."):
 			x = &fieldExpr{typed: at, record: x, name: p.field().text}
@@ -61,7 +64,7 @@
 	}
 }
 
-// items reads what stands between brackets, up to the closing one.
+// items reads entries with commas between them, up to the closing bracket.
 func (p *parser) items(end string, one func()) {
 	bare := p.inHeader
 	p.inHeader = false
@@ -77,54 +80,31 @@
 	p.expect(end)
 }
 
+// primary reads a literal, a name, a call, or an expression in brackets.
 func (p *parser) primary() expr {
 	p.nest()
 	defer func() { p.depth-- }()
 	t := p.peek()
 	at := typed{node{t.pos}, nil}
-	lit := func(ty *Type, v Value) expr {
-		p.next++
-		at.valueType = ty
-		return &literalExpr{at, v, t.text}
-	}
 	switch t.kind {
 	case tokenInt:
-		return lit(typeInt, Value{bits: t.number})
+		return p.literal(typeInt, Value{bits: t.number})
 	case tokenFloat:
-		return lit(typeFloat, floatValue(t.float))
+		return p.literal(typeFloat, floatValue(t.float))
 	case tokenDuration:
-		return lit(typeDuration, Value{bits: t.number})
+		return p.literal(typeDuration, Value{bits: t.number})
 	case tokenString:
-		return lit(typeString, strValue(t.text))
+		return p.literal(typeString, strValue(t.text))
 	case tokenName:
-		p.next++
-		if p.accept("(") {
-			c := &callExpr{typed: at, name: t.text}
-			p.items(")", func() { c.args = append(c.args, p.expr()) })
-			return c
-		}
-		if p.is("{") && !p.inHeader && records[t.text] != nil {
-			p.next++
-			r := &recordExpr{typed: at, name: t.text}
-			p.items("}", func() {
-				n := p.field()
-				p.expect(":")
-				r.fields, r.positions, r.values = append(r.fields, n.text), append(r.positions, n.pos), append(r.values, p.expr())
-			})
-			return r
-		}
-		return &nameExpr{typed: at, name: t.text}
+		return p.nameOrCall(at)
 	}
 	switch {
 	case p.is("true"):
-		return lit(typeBool, Value{bits: 1})
+		return p.literal(typeBool, Value{bits: 1})
 	case p.is("false"):
-		return lit(typeBool, Value{})
+		return p.literal(typeBool, Value{})
 	case p.accept("("):
-		bare := p.inHeader
-		p.inHeader = false
-		e := p.expr()
-		p.inHeader = bare
+		e := p.bracketed()
 		p.expect(")")
 		return e
 	case p.accept("["):
@@ -137,25 +117,74 @@
 		p.items("}", func() { l.items = append(l.items, p.expr()) })
 		return l
 	case p.is("map"):
-		m := &mapExpr{typed: at, literalType: p.typeName()}
-		p.expect("{")
-		p.items("}", func() {
-			k := p.expr()
-			p.expect(":")
-			m.keys, m.values = append(m.keys, k), append(m.values, p.expr())
-		})
-		return m
+		return p.mapLiteral(at)
 	case p.accept("run"):
-		n := p.name("a point")
-		r := &runExpr{typed: at, point: n.text}
-		bare := p.inHeader
-		p.inHeader = false
-		p.expect("(")
-		r.arg = p.expr()
-		p.expect(")")
-		p.inHeader = bare
-		return r
+		return p.run(at)
 	}
 	p.fail("a value is wanted, not %s", describe(t))
 	return nil
 }
+
+func (p *parser) literal(t *Type, v Value) expr {
+	token := p.peek()
+	p.next++
+	return &literalExpr{typed{node{token.pos}, t}, v, token.text}
+}
+
+// nameOrCall reads a variable, a call or the literal of a record.
+func (p *parser) nameOrCall(at typed) expr {
+	name := p.peek().text
+	p.next++
+	if p.accept("(") {
+		c := &callExpr{typed: at, name: name}
+		p.items(")", func() { c.args = append(c.args, p.expr()) })
+		return c
+	}
+	if !p.is("{") || p.inHeader || records[name] == nil {
+		return &nameExpr{typed: at, name: name}
+	}
+	p.next++
+	r := &recordExpr{typed: at, name: name}
+	p.items("}", func() {
+		field := p.field()
+		p.expect(":")
+		value := p.expr()
+		r.fields = append(r.fields, field.text)
+		r.positions = append(r.positions, field.pos)
+		r.values = append(r.values, value)
+	})
+	return r
+}
+
+func (p *parser) mapLiteral(at typed) expr {
+	m := &mapExpr{typed: at, literalType: p.typeName()}
+	p.expect("{")
+	p.items("}", func() {
+		key := p.expr()
+		p.expect(":")
+		value := p.expr()
+		m.keys = append(m.keys, key)
+		m.values = append(m.values, value)
+	})
+	return m
+}
+
+func (p *parser) run(at typed) expr {
+	r := &runExpr{typed: at, point: p.name("a point").text}
+	inHeader := p.inHeader
+	p.inHeader = false
+	p.expect("(")
+	r.arg = p.expr()
+	p.expect(")")
+	p.inHeader = inHeader
+	return r
+}
+
+// bracketed reads an expression within brackets, where a brace does not begin a block.
+func (p *parser) bracketed() expr {
+	inHeader := p.inHeader
+	p.inHeader = false
+	e := p.expr()
+	p.inHeader = inHeader
+	return e
+}
--- a/internal/hooklang/parser.go
+++ b/internal/hooklang/parser.go
@@ -2,7 +2,7 @@
 
 import (
 	"fmt"
-	"time"
+	"slices"
 	"unicode/utf8"
 )
 
@@ -16,25 +16,31 @@
 	lastProblem int  // where the last problem was, in tokens
 }
 
+// syntaxError is the panic by which a function of the parser gives up; guard recovers it. The problem is noted already.
 type syntaxError struct{}
 
-// parse reads a text. What it cannot read it reports, and goes on behind.
+// parse reads a text. It reports what it cannot read, and goes on behind it.
 func parse(file, text string) (*script, Problems) {
 	if len(text) > MaxSource {
-		return &script{}, Problems{{File: file, Pos: Pos{1, 1}, Text: fmt.Sprintf("%d bytes, over the %d that a script may have", len(text), MaxSource)}}
+		return &script{}, problemAtStart(file, "%d bytes, over the %d that a script may have", len(text), MaxSource)
 	}
 	if !utf8.ValidString(text) {
-		return &script{}, Problems{{File: file, Pos: Pos{1, 1}, Text: "the text is no UTF-8"}}
+		return &script{}, problemAtStart(file, "the text is no UTF-8")
 	}
 	toks, comments, bad := lex(file, text)
 	p := &parser{file: file, tokens: toks, problems: bad, lastProblem: -1}
 	s := &script{comments: comments}
 	for !p.atEnd() {
-		p.guard(func() { p.decl(s) }, "fn", "on", "state", "test")
+		p.guard(func() { p.declaration(s) }, "fn", "on", "state", "test")
 	}
 	return s, p.problems
 }
 
+// problemAtStart is a problem with a text as a whole.
+func problemAtStart(file, format string, args ...any) Problems {
+	return Problems{{File: file, Pos: Pos{1, 1}, Text: fmt.Sprintf(format, args...)}}
+}
+
 func (p *parser) atEnd() bool {
 	return p.tokens[p.next].kind == tokenEOF || len(p.problems) >= maxProblems
 }
@@ -105,8 +111,8 @@
 	return p.name("a field")
 }
 
-// guard runs f. If f gives up, it skips to the next line that begins with one of the words, or with anything if there are
-// none, but not past a brace that closes more than was opened.
+// guard runs f. If f gives up at a syntax error, parsing goes on behind it: at the next declaration if words are given, which
+// begin one, otherwise at the next statement of the block.
 func (p *parser) guard(f func(), words ...string) {
 	begin, depth := p.next, p.depth
 	defer func() {
@@ -117,44 +123,57 @@
 		if _, ok := r.(syntaxError); !ok {
 			panic(r)
 		}
-		p.depth, p.inHeader = depth, false
+		p.depth = depth
+		p.inHeader = false
 		if p.next == begin {
 			p.next++
 		}
-		braces := 0
-		for ; p.tokens[p.next].kind != tokenEOF; p.next++ {
-			if len(words) > 0 {
-				t := p.peek()
-				for _, w := range words {
-					if t.kind == tokenSymbol && t.text == w && (t.pos.Col == 1 || braces <= 0 && p.tokens[p.next-1].kind == tokenNewline) {
-						return
-					}
-				}
-				switch {
-				case p.is("{"):
-					braces++
-				case p.is("}"):
-					braces--
-				}
-				continue
-			}
-			switch {
-			case p.is("{"):
-				braces++
-			case p.is("}"):
-				if braces == 0 {
-					return
-				}
-				braces--
-			case p.peek().kind == tokenNewline && braces == 0:
-				p.next++
-				return
-			}
+		if len(words) > 0 {
+			p.skipToDeclaration(words)
+		} else {
+			p.skipStatement()
 		}
 	}()
 	f()
 }
 
+// skipToDeclaration skips to a word at the begin of a line, which must not be within braces unless it is in the first column.
+func (p *parser) skipToDeclaration(words []string) {
+	braces := 0
+	for ; p.tokens[p.next].kind != tokenEOF; p.next++ {
+		t := p.peek()
+		if t.kind == tokenSymbol && slices.Contains(words, t.text) &&
+			(t.pos.Col == 1 || braces <= 0 && p.tokens[p.next-1].kind == tokenNewline) {
+			return
+		}
+		switch {
+		case p.is("{"):
+			braces++
+		case p.is("}"):
+			braces--
+		}
+	}
+}
+
+// skipStatement skips to the next line, but not past a brace that closes more than was opened.
+func (p *parser) skipStatement() {
+	braces := 0
+	for ; p.tokens[p.next].kind != tokenEOF; p.next++ {
+		switch {
+		case p.is("{"):
+			braces++
+		case p.is("}"):
+			if braces == 0 {
+				return
+			}
+			braces--
+		case p.peek().kind == tokenNewline && braces == 0:
+			p.next++
+			return
+		}
+	}
+}
+
 func (p *parser) newlines() {
 	for p.peek().kind == tokenNewline {
 		p.next++
@@ -171,79 +190,6 @@
 	p.newlines()
 }
 
-func (p *parser) decl(s *script) {
-	p.newlines()
-	t := p.peek()
-	if t.kind == tokenEOF {
-		return
-	}
-	switch {
-	case p.accept("state"):
-		d := &stateDecl{pos: t.pos, name: p.name("a name").text}
-		d.declaredType = p.typeName()
-		p.expect("=")
-		d.init = p.expr()
-		s.states, s.order = append(s.states, d), append(s.order, d)
-	case p.accept("fn"):
-		d := &funcDecl{pos: t.pos, name: p.name("a name").text}
-		p.expect("(")
-		for !p.is(")") {
-			n := p.name("a parameter")
-			d.params = append(d.params, param{n.pos, n.text, p.typeName()})
-			if !p.accept(",") {
-				break
-			}
-		}
-		p.expect(")")
-		if !p.is("{") {
-			d.declaredResult = p.typeName()
-		}
-		d.body = p.block()
-		d.end = d.body.end
-		s.funcs, s.order = append(s.funcs, d), append(s.order, d)
-	case p.accept("on"):
-		n := p.name("a point")
-		d := &funcDecl{pos: t.pos, name: n.text}
-		if d.point = points[n.text]; d.point == nil {
-			p.problem(n.pos, "there is no point %q: %s are", n.text, pointNames())
-			d.point = &Point{Name: n.text, Record: noRecord}
-		}
-		p.expect("(")
-		q := p.name("the event's name")
-		d.params = []param{{pos: q.pos, name: q.text}}
-		p.expect(")")
-		if p.accept("every") {
-			e := p.peek()
-			if e.kind != tokenDuration {
-				p.fail("a duration is wanted, not %s", describe(e))
-			}
-			p.next++
-			d.interval = time.Duration(e.number)
-			if n.text != "timer" {
-				p.problem(e.pos, "only a timer has a time")
-			} else if d.interval < Least || d.interval > maxMinutes*time.Minute {
-				p.problem(e.pos, "a timer runs every %v at the shortest and %v at the longest", Least, maxMinutes*time.Minute)
-			}
-		} else if n.text == "timer" {
-			p.fail("a timer wants its time: on timer(t) every 5s")
-		}
-		d.body = p.block()
-		d.end = d.body.end
-		s.funcs, s.order = append(s.funcs, d), append(s.order, d)
-	case p.accept("test"):
-		n := p.peek()
-		if n.kind != tokenString {
-			p.fail("a test's name in quotes is wanted, not %s", describe(n))
-		}
-		p.next++
-		d := &testDecl{pos: t.pos, name: n.text, body: p.block()}
-		s.tests, s.order = append(s.tests, d), append(s.order, d)
-	default:
-		p.fail("fn, on, state or test is wanted, not %s", describe(t))
-	}
-	p.endStatement()
-}
-
 func (p *parser) nest() {
 	if p.depth++; p.depth > maxNesting {
 		p.fail("nested more than %d deep", maxNesting)
@@ -295,109 +241,3 @@
 	p.inHeader = bare
 	return e
 }
-
-func (p *parser) stmt() stmt {
-	t := p.peek()
-	at := node{t.pos}
-	switch {
-	case p.accept("let"):
-		s := &letStmt{node: at, name: p.name("a name").text}
-		if !p.is("=") {
-			s.declaredType = p.typeName()
-		}
-		p.expect("=")
-		s.value = p.expr()
-		return s
-	case p.is("if"):
-		return p.ifStmt()
-	case p.accept("for"):
-		s := &forStmt{node: at, name: p.name("a name").text}
-		if p.accept(",") {
-			s.key, s.name = s.name, p.name("a name").text
-		}
-		p.expect("in")
-		s.from = p.header()
-		if p.accept("..") {
-			s.to = p.header()
-		}
-		s.body = p.block()
-		return s
-	case p.accept("match"):
-		s := &matchStmt{node: at, value: p.header()}
-		p.expect("{")
-		for p.newlines(); !p.is("}") && !p.atEnd(); p.newlines() {
-			if p.accept("else") {
-				s.otherwise = p.block()
-				continue
-			}
-			if s.otherwise != nil {
-				p.problem(p.peek().pos, "else is the last case")
-			}
-			p.expect("case")
-			c := matchCase{}
-			for {
-				c.values = append(c.values, p.header())
-				if !p.accept(",") {
-					break
-				}
-			}
-			c.body = p.block()
-			s.cases = append(s.cases, c)
-		}
-		p.expect("}")
-		return s
-	case p.accept("return"):
-		s := &returnStmt{node: at}
-		if k := p.peek(); k.kind != tokenNewline && !p.is("}") {
-			s.value = p.expr()
-		}
-		return s
-	case p.accept("break"), p.accept("continue"):
-		return &branchStmt{at, t.text}
-	}
-	e := p.expr()
-	op := ""
-	switch {
-	case p.accept("="):
-	case p.accept("+="):
-		op = "+"
-	case p.accept("-="):
-		op = "-"
-	default:
-		switch e.(type) {
-		case *callExpr, *runExpr:
-			return &exprStmt{at, e}
-		}
-		p.problem(t.pos, "a value that nothing is done with")
-		return &exprStmt{at, e}
-	}
-	s := &setStmt{node: at, op: op, value: p.expr()}
-	switch x := e.(type) {
-	case *nameExpr:
-		s.name = x.name
-		return s
-	case *indexExpr:
-		if n, ok := x.collection.(*nameExpr); ok && op == "" {
-			s.name, s.index = n.name, x.index
-			return s
-		}
-	}
-	p.problem(t.pos, "only name = value, name += value, name -= value and name[key] = value are assignments")
-	return s
-}
-
-func (p *parser) ifStmt() *ifStmt {
-	p.nest()
-	defer func() { p.depth-- }()
-	s := &ifStmt{node: node{p.expect("if").pos}}
-	s.cond = p.header()
-	s.then = p.block()
-	if p.accept("else") {
-		if p.is("if") {
-			s.otherwise = p.ifStmt()
-		} else {
-			s.otherwise = p.block()
-		}
-	}
-	return s
-}
