--- a/internal/hooklang/check.go
+++ b/internal/hooklang/check.go
@@ -109,53 +109,12 @@
 
 func (c *checker) script() {
 	for _, d := range c.parsed.funcs {
-		d.effectsAt = map[string]Pos{}
-		if d.point != nil {
-			if old := c.points[d.name]; old != nil {
-				c.problem(d.pos, "a second handler of %s: the first is in line %d", d.name, old.pos.Line)
-			}
-			c.points[d.name] = d
-			d.paramTypes, d.resultType = []*Type{d.point.Record.valueType}, typeVoid
-			continue
-		}
-		if c.isFree(d.pos, d.name) {
-			c.funcs[d.name] = d
-		}
-		if len(d.params) > 16 {
-			c.problem(d.pos, "%d parameters, over 16", len(d.params))
-		}
-		for _, p := range d.params {
-			d.paramTypes = append(d.paramTypes, c.typ(p.declaredType))
-		}
-		d.resultType = typeVoid
-		if d.declaredResult != nil {
-			d.resultType = c.typ(d.declaredResult)
-		}
+		c.declareFunction(d)
 	}
 	for i, d := range c.parsed.states {
-		d.valueType, d.index = c.typ(d.declaredType), i
-		if d.valueType.record != nil || d.valueType.elem != nil && holdsRecord(d.valueType) {
-			c.problem(d.declaredType.pos, "state holds no records of the host: keep the fields that matter")
-		}
-		c.inStateInit = true
-		if t := c.expr(d.init); !sameType(t, d.valueType) {
-			c.problem(d.init.at(), "%s is a %v, not a %v", d.name, d.valueType, t)
-		}
-		c.inStateInit = false
-		if c.isFree(d.pos, d.name) {
-			c.states[d.name] = d
-		}
-	}
-	// Bounds of what a check may take, and of the tests that run before a script is loaded.
-	if len(c.parsed.states) > maxStates {
-		c.problem(c.parsed.states[maxStates].pos, "more than %d state variables", maxStates)
+		c.declareState(i, d)
 	}
-	if len(c.parsed.funcs) > maxFuncs {
-		c.problem(c.parsed.funcs[maxFuncs].pos, "more than %d functions", maxFuncs)
-		return
-	}
-	if len(c.parsed.tests) > maxTests {
-		c.problem(c.parsed.tests[maxTests].pos, "more than %d tests", maxTests)
+	if !c.withinBounds() {
 		return
 	}
 	for _, d := range c.parsed.funcs {
@@ -167,10 +126,7 @@
 			c.problem(d.pos, "a second test %q: the first is in line %d", d.name, old.Line)
 		}
 		names[d.name] = d.pos
-		d.function = &funcDecl{pos: d.pos, name: "test " + d.name, body: d.body, end: d.body.end, resultType: typeVoid, effectsAt: map[string]Pos{}}
-		c.inTest = true
-		c.function(d.function)
-		c.inTest = false
+		c.testBody(d)
 	}
 	for _, d := range c.parsed.funcs {
 		if d.point != nil {
@@ -178,51 +134,86 @@
 		}
 	}
 	for _, d := range c.parsed.tests {
-		for _, f := range reachable(d.function) {
-			for _, name := range sortedNames(f.effectsAt) {
-				c.problem(f.effectsAt[name], "%s is reached from the test %q: a test looks at what run returns", name, d.name)
-			}
-		}
+		c.checkTestEffects(d)
 	}
 }
 
-func holdsRecord(t *Type) bool {
-	return t.record != nil || t.elem != nil && holdsRecord(t.elem)
+// declareFunction notes the types of a function or handler, so that bodies can refer to it wherever they are.
+func (c *checker) declareFunction(d *funcDecl) {
+	d.effectsAt = map[string]Pos{}
+	d.resultType = typeVoid
+	if d.point != nil {
+		if old := c.points[d.name]; old != nil {
+			c.problem(d.pos, "a second handler of %s: the first is in line %d", d.name, old.pos.Line)
+		}
+		c.points[d.name] = d
+		d.paramTypes = []*Type{d.point.Record.valueType}
+		return
+	}
+	if c.isFree(d.pos, d.name) {
+		c.funcs[d.name] = d
+	}
+	if len(d.params) > maxParams {
+		c.problem(d.pos, "%d parameters, over %d", len(d.params), maxParams)
+	}
+	for _, p := range d.params {
+		d.paramTypes = append(d.paramTypes, c.typ(p.declaredType))
+	}
+	if d.declaredResult != nil {
+		d.resultType = c.typ(d.declaredResult)
+	}
 }
 
-func sortedNames(m map[string]Pos) []string {
-	var l []string
-	for n := range m {
-		l = append(l, n)
+// declareState checks a state variable and its first value, which consists of literals.
+func (c *checker) declareState(index int, d *stateDecl) {
+	d.index = index
+	d.valueType = c.typ(d.declaredType)
+	if holdsRecord(d.valueType) {
+		c.problem(d.declaredType.pos, "state holds no records of the host: keep the fields that matter")
+	}
+	c.inStateInit = true
+	if t := c.expr(d.init); !sameType(t, d.valueType) {
+		c.problem(d.init.at(), "%s is a %v, not a %v", d.name, d.valueType, t)
+	}
+	c.inStateInit = false
+	if c.isFree(d.pos, d.name) {
+		c.states[d.name] = d
 	}
-	sort.Strings(l)
-	return l
 }
 
-func reachable(d *funcDecl) []*funcDecl {
-	l := []*funcDecl{d}
-	for i := 0; i < len(l); i++ {
-		for _, f := range l[i].calls {
-			if !slices.Contains(l, f) {
-				l = append(l, f)
-			}
-		}
+// withinBounds checks how many declarations there are, which bounds what the rest of the check may take, and what the tests
+// that run before a script is loaded.
+func (c *checker) withinBounds() bool {
+	if len(c.parsed.states) > maxStates {
+		c.problem(c.parsed.states[maxStates].pos, "more than %d state variables", maxStates)
 	}
-	return l
+	if len(c.parsed.funcs) > maxFuncs {
+		c.problem(c.parsed.funcs[maxFuncs].pos, "more than %d functions", maxFuncs)
+		return false
+	}
+	if len(c.parsed.tests) > maxTests {
+		c.problem(c.parsed.tests[maxTests].pos, "more than %d tests", maxTests)
+		return false
+	}
+	return true
 }
 
-// checkReachable checks what a handler does, itself or by functions that it calls.
-func (c *checker) checkReachable(d *funcDecl) {
-	for _, f := range reachable(d) {
-		for _, name := range sortedNames(f.effectsAt) {
-			if name != "log" && !slices.Contains(d.point.Effects, name) {
-				c.problem(f.effectsAt[name], "%s cannot be advised at %s (on %s, line %d): there %v can", name, d.name, d.name, d.pos.Line, d.point.Effects)
-			}
-		}
-		if d.point.Inline && f.writesStateAt != (Pos{}) {
-			c.problem(f.writesStateAt, "state cannot be changed at %s (on %s, line %d), where many calls run at once: change it at ended", d.name, d.name, d.pos.Line)
-		}
+func (c *checker) testBody(d *testDecl) {
+	d.function = &funcDecl{
+		pos:        d.pos,
+		name:       "test " + d.name,
+		body:       d.body,
+		end:        d.body.end,
+		resultType: typeVoid,
+		effectsAt:  map[string]Pos{},
 	}
+	c.inTest = true
+	c.function(d.function)
+	c.inTest = false
+}
+
+func holdsRecord(t *Type) bool {
+	return t.record != nil || t.elem != nil && holdsRecord(t.elem)
 }
 
 func (c *checker) function(d *funcDecl) {
@@ -243,44 +234,3 @@
 	}
 	c.scopes = nil
 }
-
-func (c *checker) declare(pos Pos, name string, t *Type) *variable {
-	v := &variable{name: name, pos: pos, valueType: t, ref: ref{index: c.nextSlot}, used: name == "_"}
-	c.nextSlot++
-	c.current.slots = max(c.current.slots, c.nextSlot)
-	if c.nextSlot == maxSlots {
-		c.problem(pos, "more than %d variables in one function", maxSlots)
-	}
-	if name == "_" {
-		return v
-	}
-	if !c.isFree(pos, name) {
-		return v
-	}
-	for _, s := range c.scopes {
-		if old := s[name]; old != nil {
-			c.problem(pos, "%s is the variable of line %d: choose another name", name, old.pos.Line)
-			return v
-		}
-	}
-	c.scopes[len(c.scopes)-1][name] = v
-	return v
-}
-
-func (c *checker) push() { c.scopes = append(c.scopes, map[string]*variable{}) }
-
-func (c *checker) pop() {
-	top := c.scopes[len(c.scopes)-1]
-	var l []*variable
-	for _, v := range top {
-		l = append(l, v)
-	}
-	sort.Slice(l, func(i, j int) bool { return l[i].ref.index < l[j].ref.index })
-	for _, v := range l {
-		c.current.vars = append(c.current.vars, varInfo{v.name, v.valueType, v.ref.index, v.pos, c.scopeEnd})
-		if !v.used {
-			c.warn(v.pos, "%s is never used", v.name)
-		}
-	}
-	c.scopes = c.scopes[:len(c.scopes)-1]
-}
--- a/internal/hooklang/checkexpr.go
+++ b/internal/hooklang/checkexpr.go
@@ -1,7 +1,6 @@
 package hooklang
 
 import (
-	"fmt"
 	"slices"
 )
 
@@ -21,52 +20,19 @@
 	return t
 }
 
+// expr checks an expression and notes its type in it, which is typeVoid if it has no value.
 func (c *checker) expr(e expr) *Type {
 	switch e := e.(type) {
 	case *literalExpr:
 		return e.valueType
 	case *nameExpr:
-		t, r, ok := c.lookup(e.name)
-		if !ok {
-			if c.funcs[e.name] != nil {
-				c.problem(e.pos, "%s is a function: call it", e.name)
-			} else if c.inStateInit {
-				c.problem(e.pos, "a state's first value is made of literals")
-			} else {
-				c.problem(e.pos, "there is no variable %q", e.name)
-			}
-		}
-		e.valueType, e.ref = t, r
+		e.valueType, e.ref = c.name(e)
 	case *unaryExpr:
-		e.valueType = c.value(e.operand)
-		if e.op == "not" && !sameType(e.valueType, typeBool) || e.op == "-" && (!e.valueType.ordered() || e.valueType == typeString) {
-			c.problem(e.pos, "a %v has no %q", e.valueType, e.op)
-			e.valueType = typeInvalid
-		}
+		e.valueType = c.unary(e)
 	case *binaryExpr:
 		e.valueType = c.binary(e)
 	case *listExpr:
-		elem := typeInvalid
-		if e.literalType != nil {
-			t := c.typ(e.literalType)
-			if t.name != "list" {
-				c.problem(e.pos, "list[T]{…} is wanted")
-				t = listOf(typeInvalid)
-			}
-			elem = t.elem
-		} else if len(e.items) == 0 {
-			c.problem(e.pos, "an empty list names its type: list[int]{}")
-		}
-		for i, x := range e.items {
-			t := c.value(x)
-			if i == 0 && e.literalType == nil {
-				elem = t
-			}
-			if !sameType(t, elem) {
-				c.problem(x.at(), "an entry is a %v, not a %v", elem, t)
-			}
-		}
-		e.valueType = listOf(elem)
+		e.valueType = c.list(e)
 	case *mapExpr:
 		e.valueType = c.typ(e.literalType)
 		for i := range e.keys {
@@ -74,239 +40,217 @@
 			c.expect(e.values[i], e.valueType.elem, "an entry")
 		}
 	case *recordExpr:
-		r := records[e.name]
-		e.valueType = r.valueType
-		for i, name := range e.fields {
-			n := slices.IndexFunc(r.Fields, func(f Field) bool { return f.Name == name })
-			if n < 0 {
-				c.problem(e.positions[i], "%s has no field %q", e.name, name)
-				c.value(e.values[i])
-				continue
-			}
-			if slices.Contains(e.fields[:i], name) {
-				c.problem(e.positions[i], "%s stands twice", name)
-			}
-			c.expect(e.values[i], r.Fields[n].Type, name)
-		}
+		e.valueType = c.record(e)
 	case *indexExpr:
-		t, i := c.value(e.collection), c.value(e.index)
-		switch {
-		case t == typeInvalid:
-			e.valueType = typeInvalid
-		case t.name == "list" && sameType(i, typeInt):
-			e.valueType = t.elem
-		case t.name == "map" && sameType(i, t.key):
-			e.valueType = t.elem
-		default:
-			c.problem(e.pos, "a %v has no entry at a %v", t, i)
-			e.valueType = typeInvalid
-		}
+		e.valueType = c.index(e)
 	case *fieldExpr:
-		t := c.value(e.record)
-		e.valueType = typeInvalid
-		if t == typeInvalid {
-			break
-		}
-		if t.record == nil {
-			c.problem(e.pos, "a %v has no fields", t)
-			break
-		}
-		for i, f := range t.record.Fields {
-			if f.Name == e.name {
-				e.valueType, e.index = f.Type, i
-			}
-		}
-		if e.valueType == typeInvalid {
-			c.problem(e.pos, "%v has no field %q", t, e.name)
-		}
+		e.valueType = c.field(e)
 	case *callExpr:
 		e.valueType = c.call(e)
 	case *runExpr:
-		e.valueType = listOf(recordAdvice.valueType)
-		if !c.inTest {
-			c.problem(e.pos, "run is for tests")
-		}
-		d := c.points[e.point]
-		t := c.value(e.arg)
-		if d == nil {
-			c.problem(e.pos, "there is no handler of %q", e.point)
-			break
-		}
-		e.handler = d
-		if !sameType(t, d.paramTypes[0]) {
-			c.problem(e.arg.at(), "%s gets a %v, not a %v", e.point, d.paramTypes[0], t)
-		}
+		e.valueType = c.run(e)
 	}
 	return e.typ()
 }
 
-func (c *checker) binary(e *binaryExpr) *Type {
-	x, y := c.value(e.left), c.value(e.right)
-	if x == typeInvalid || y == typeInvalid {
-		switch e.op {
-		case "and", "or", "==", "!=", "<", "<=", ">", ">=", "in":
-			return typeBool
-		}
-		return typeInvalid
+func (c *checker) name(e *nameExpr) (*Type, ref) {
+	t, variable, ok := c.lookup(e.name)
+	switch {
+	case ok:
+	case c.funcs[e.name] != nil:
+		c.problem(e.pos, "%s is a function: call it", e.name)
+	case c.inStateInit:
+		c.problem(e.pos, "a state's first value is made of literals")
+	default:
+		c.problem(e.pos, "there is no variable %q", e.name)
 	}
-	alike := sameType(x, y)
+	return t, variable
+}
+
+func (c *checker) unary(e *unaryExpr) *Type {
+	t := c.value(e.operand)
+	valid := true
 	switch e.op {
-	case "and", "or":
-		if x == typeBool && y == typeBool {
-			return typeBool
-		}
-	case "==", "!=":
-		if alike {
-			return typeBool
-		}
-	case "<", "<=", ">", ">=":
-		if alike && x.ordered() {
-			return typeBool
-		}
-	case "in":
-		if y == typeString && x == typeString || y.name == "list" && sameType(x, y.elem) || y.name == "map" && sameType(x, y.key) {
-			return typeBool
-		}
-	case "+":
-		if alike && (x.ordered() || x.name == "list") {
-			return x
-		}
+	case "not":
+		valid = sameType(t, typeBool)
 	case "-":
-		if alike && x.ordered() && x != typeString {
-			return x
+		valid = t.ordered() && t != typeString
+	}
+	if !valid {
+		c.problem(e.pos, "a %v has no %q", t, e.op)
+		return typeInvalid
+	}
+	return t
+}
+
+func (c *checker) list(e *listExpr) *Type {
+	elem := typeInvalid
+	if e.literalType != nil {
+		t := c.typ(e.literalType)
+		if t.name != "list" {
+			c.problem(e.pos, "list[T]{…} is wanted")
+			t = listOf(typeInvalid)
+		}
+		elem = t.elem
+	} else if len(e.items) == 0 {
+		c.problem(e.pos, "an empty list names its type: list[int]{}")
+	}
+	for i, item := range e.items {
+		t := c.value(item)
+		if i == 0 && e.literalType == nil {
+			elem = t
 		}
-	case "*":
-		switch {
-		case alike && (x == typeInt || x == typeFloat):
-			return x
-		case x == typeDuration && y == typeInt, x == typeInt && y == typeDuration:
-			return typeDuration
+		if !sameType(t, elem) {
+			c.problem(item.at(), "an entry is a %v, not a %v", elem, t)
 		}
-	case "/":
-		switch {
-		case alike && (x == typeInt || x == typeFloat):
-			return x
-		case x == typeDuration && y == typeInt:
-			return typeDuration
-		case x == typeDuration && y == typeDuration:
-			return typeFloat
+	}
+	return listOf(elem)
+}
+
+func (c *checker) record(e *recordExpr) *Type {
+	r := records[e.name]
+	for i, name := range e.fields {
+		n := slices.IndexFunc(r.Fields, func(f Field) bool { return f.Name == name })
+		if n < 0 {
+			c.problem(e.positions[i], "%s has no field %q", e.name, name)
+			c.value(e.values[i])
+			continue
 		}
-	case "%":
-		if alike && (x == typeInt || x == typeDuration) {
-			return x
+		if slices.Contains(e.fields[:i], name) {
+			c.problem(e.positions[i], "%s stands twice", name)
 		}
+		c.expect(e.values[i], r.Fields[n].Type, name)
 	}
-	c.problem(e.pos, "%v %s %v has no meaning", x, e.op, y)
-	switch e.op {
-	case "and", "or", "==", "!=", "<", "<=", ">", ">=", "in":
-		return typeBool
+	return r.valueType
+}
+
+func (c *checker) index(e *indexExpr) *Type {
+	t := c.value(e.collection)
+	index := c.value(e.index)
+	switch {
+	case t == typeInvalid:
+		return typeInvalid
+	case t.name == "list" && sameType(index, typeInt):
+		return t.elem
+	case t.name == "map" && sameType(index, t.key):
+		return t.elem
 	}
+	c.problem(e.pos, "a %v has no entry at a %v", t, index)
 	return typeInvalid
 }
 
-func (c *checker) call(e *callExpr) *Type {
-	if c.inStateInit {
-		c.problem(e.pos, "a state's first value is made of literals")
+func (c *checker) field(e *fieldExpr) *Type {
+	t := c.value(e.record)
+	if t == typeInvalid {
 		return typeInvalid
 	}
-	if d := c.funcs[e.name]; d != nil {
-		e.function = d
-		c.current.calls = append(c.current.calls, d)
-		if len(e.args) != len(d.paramTypes) {
-			c.problem(e.pos, "%s takes %d arguments, not %d", e.name, len(d.paramTypes), len(e.args))
-		}
-		for i, a := range e.args {
-			if i < len(d.paramTypes) {
-				c.expect(a, d.paramTypes[i], d.params[i].name)
-			} else {
-				c.value(a)
-			}
-		}
-		return d.resultType
-	}
-	b := builtins[e.name]
-	if b == nil {
-		for _, a := range e.args {
-			c.value(a)
-		}
-		c.problem(e.pos, "there is no function %q", e.name)
+	if t.record == nil {
+		c.problem(e.pos, "a %v has no fields", t)
 		return typeInvalid
 	}
-	e.builtin = &builtin{name: e.name}
-	if b.signatures[0].takesFunction {
-		return c.sortBy(e, b.signatures[0])
-	}
-	var args []*Type
-	for i, a := range e.args {
-		if n, ok := a.(*nameExpr); ok && i == 0 && (e.name == "push" || e.name == "remove") {
-			t, r := c.target(n.pos, n.name)
-			n.valueType, n.ref = t, r
-			args = append(args, t)
-			continue
+	for i, f := range t.record.Fields {
+		if f.Name == e.name {
+			e.index = i
+			return f.Type
 		}
-		args = append(args, c.value(a))
 	}
-	for _, s := range b.signatures {
-		vars := map[*Type]*Type{}
-		if len(args) != len(s.params) {
-			continue
-		}
-		fits := true
-		for i, p := range s.params {
-			fits = fits && unify(p, args[i], vars)
-		}
-		if !fits {
-			continue
-		}
-		if s.testOnly && !c.inTest {
-			c.problem(e.pos, "%s is for tests", e.name)
-		}
-		if s.effect {
-			if _, ok := c.current.effectsAt[e.name]; !ok {
-				c.current.effectsAt[e.name] = e.pos
-			}
-		}
-		if s.op != 0 {
-			if _, ok := e.args[0].(*nameExpr); !ok {
-				c.problem(e.args[0].at(), "%s changes a variable", e.name)
-			}
-		}
-		e.builtin.signatures = []*signature{s}
-		return substitute(s.result, vars)
+	c.problem(e.pos, "%v has no field %q", t, e.name)
+	return typeInvalid
+}
+
+func (c *checker) run(e *runExpr) *Type {
+	if !c.inTest {
+		c.problem(e.pos, "run is for tests")
 	}
-	want := ""
-	for i, s := range b.signatures {
-		if i > 0 {
-			want += " or "
+	t := c.value(e.arg)
+	handler := c.points[e.point]
+	if handler == nil {
+		c.problem(e.pos, "there is no handler of %q", e.point)
+	} else {
+		e.handler = handler
+		if want := handler.paramTypes[0]; !sameType(t, want) {
+			c.problem(e.arg.at(), "%s gets a %v, not a %v", e.point, want, t)
 		}
-		want += fmt.Sprint(s.params)
 	}
-	c.problem(e.pos, "%s takes %s, not %v", e.name, want, args)
-	return typeInvalid
+	return listOf(recordAdvice.valueType)
 }
 
-// sortBy checks sort_by(list, less), where less is the name of a function of two entries.
-func (c *checker) sortBy(e *callExpr, s *signature) *Type {
-	e.builtin.signatures = []*signature{s}
-	if len(e.args) != 2 {
-		c.problem(e.pos, "sort_by takes a list and the name of a function")
-		return typeInvalid
+// binary checks both operands. Where one is invalid already it reports no further problem.
+func (c *checker) binary(e *binaryExpr) *Type {
+	left, right := c.value(e.left), c.value(e.right)
+	invalid := typeInvalid
+	switch e.op {
+	case "and", "or", "==", "!=", "<", "<=", ">", ">=", "in":
+		invalid = typeBool
 	}
-	t := c.value(e.args[0])
-	n, ok := e.args[1].(*nameExpr)
-	if t != typeInvalid && t.name != "list" {
-		c.problem(e.args[0].at(), "sort_by takes a list, not a %v", t)
-		return typeInvalid
+	if left == typeInvalid || right == typeInvalid {
+		return invalid
 	}
-	if !ok || c.funcs[n.name] == nil {
-		c.problem(e.args[1].at(), "sort_by takes the name of a function that tells whether one comes before another")
-		return t
+	result := logicalType(e.op, left, right)
+	if result == nil {
+		result = arithmeticType(e.op, left, right)
 	}
-	d := c.funcs[n.name]
-	if t != typeInvalid && (len(d.paramTypes) != 2 || !sameType(d.paramTypes[0], t.elem) || !sameType(d.paramTypes[1], t.elem) || d.resultType != typeBool) {
-		c.problem(n.pos, "%s must be fn %s(a %v, b %v) bool", n.name, n.name, t.elem, t.elem)
+	if result == nil {
+		c.problem(e.pos, "%v %s %v has no meaning", left, e.op, right)
+		return invalid
 	}
-	e.function = d
-	c.current.calls = append(c.current.calls, d)
-	return t
+	return result
+}
+
+// logicalType returns bool if op compares or joins operands of these types, otherwise nil.
+func logicalType(op string, left, right *Type) *Type {
+	valid := false
+	switch op {
+	case "and", "or":
+		valid = left == typeBool && right == typeBool
+	case "==", "!=":
+		valid = sameType(left, right)
+	case "<", "<=", ">", ">=":
+		valid = sameType(left, right) && left.ordered()
+	case "in":
+		valid = left == typeString && right == typeString ||
+			right.name == "list" && sameType(left, right.elem) ||
+			right.name == "map" && sameType(left, right.key)
+	}
+	if valid {
+		return typeBool
+	}
+	return nil
+}
+
+// arithmeticType returns the type of an arithmetic operation on operands of these types, nil if there is none.
+func arithmeticType(op string, left, right *Type) *Type {
+	same := sameType(left, right)
+	number := same && (left == typeInt || left == typeFloat)
+	switch op {
+	case "+":
+		if same && (left.ordered() || left.name == "list") {
+			return left
+		}
+	case "-":
+		if same && left.ordered() && left != typeString {
+			return left
+		}
+	case "*":
+		if number {
+			return left
+		}
+		if left == typeDuration && right == typeInt || left == typeInt && right == typeDuration {
+			return typeDuration
+		}
+	case "/":
+		switch {
+		case number:
+			return left
+		case left == typeDuration && right == typeInt:
+			return typeDuration
+		case left == typeDuration && right == typeDuration:
+			return typeFloat
+		}
+	case "%":
+		if same && (left == typeInt || left == typeDuration) {
+			return left
+		}
+	}
+	return nil
 }
--- /dev/null
+++ b/internal/hooklang/checkscope.go
@@ -0,0 +1,82 @@
+package hooklang
+
+import "sort"
+
+func (c *checker) lookup(name string) (*Type, ref, bool) {
+	for i := len(c.scopes) - 1; i >= 0; i-- {
+		if v := c.scopes[i][name]; v != nil {
+			v.used = true
+			return v.valueType, v.ref, true
+		}
+	}
+	if d := c.states[name]; d != nil && !c.inStateInit {
+		return d.valueType, ref{true, d.index}, true
+	}
+	return typeInvalid, ref{}, false
+}
+
+func (c *checker) target(pos Pos, name string) (*Type, ref) {
+	used := map[string]bool{}
+	for _, s := range c.scopes {
+		if v := s[name]; v != nil {
+			used[name] = v.used
+		}
+	}
+	t, r, ok := c.lookup(name)
+	if !ok {
+		c.problem(pos, "there is no variable %q", name)
+	}
+	for _, s := range c.scopes { // to be set is not to be used
+		if v := s[name]; v != nil {
+			v.used = used[name]
+		}
+	}
+	if r.inState && c.current.writesStateAt == (Pos{}) {
+		c.current.writesStateAt = pos
+	}
+	if r.inState && c.inTest {
+		c.problem(pos, "a test changes no state: handlers that it runs do")
+	}
+	return t, r
+}
+
+func (c *checker) declare(pos Pos, name string, t *Type) *variable {
+	v := &variable{name: name, pos: pos, valueType: t, ref: ref{index: c.nextSlot}, used: name == "_"}
+	c.nextSlot++
+	c.current.slots = max(c.current.slots, c.nextSlot)
+	if c.nextSlot == maxSlots {
+		c.problem(pos, "more than %d variables in one function", maxSlots)
+	}
+	if name == "_" {
+		return v
+	}
+	if !c.isFree(pos, name) {
+		return v
+	}
+	for _, s := range c.scopes {
+		if old := s[name]; old != nil {
+			c.problem(pos, "%s is the variable of line %d: choose another name", name, old.pos.Line)
+			return v
+		}
+	}
+	c.scopes[len(c.scopes)-1][name] = v
+	return v
+}
+
+func (c *checker) push() { c.scopes = append(c.scopes, map[string]*variable{}) }
+
+func (c *checker) pop() {
+	top := c.scopes[len(c.scopes)-1]
+	var l []*variable
+	for _, v := range top {
+		l = append(l, v)
+	}
+	sort.Slice(l, func(i, j int) bool { return l[i].ref.index < l[j].ref.index })
+	for _, v := range l {
+		c.current.vars = append(c.current.vars, varInfo{v.name, v.valueType, v.ref.index, v.pos, c.scopeEnd})
+		if !v.used {
+			c.warn(v.pos, "%s is never used", v.name)
+		}
+	}
+	c.scopes = c.scopes[:len(c.scopes)-1]
+}
--- a/internal/hooklang/checkstmt.go
+++ b/internal/hooklang/checkstmt.go
@@ -17,68 +17,25 @@
 	return ends
 }
 
-// stmt checks a statement and tells whether nothing behind it is reached.
-func (c *checker) stmt(s stmt) bool {
+// stmt checks a statement and reports whether nothing behind it is reached.
+func (c *checker) stmt(s stmt) (ends bool) {
 	switch s := s.(type) {
 	case *block:
 		return c.block(s)
 	case *letStmt:
-		t := c.value(s.value)
-		if s.declaredType != nil {
-			if w := c.typ(s.declaredType); !sameType(w, t) {
-				c.problem(s.value.at(), "%s is a %v, not a %v", s.name, w, t)
-				t = w
-			}
-		}
-		s.slot = c.declare(s.pos, s.name, t).ref.index
+		c.let(s)
 	case *setStmt:
 		c.set(s)
 	case *ifStmt:
 		c.expect(s.cond, typeBool, "a condition")
-		a := c.block(s.then)
-		return s.otherwise != nil && c.stmt(s.otherwise) && a
+		ends := c.block(s.then)
+		return s.otherwise != nil && c.stmt(s.otherwise) && ends
 	case *forStmt:
 		c.loop(s)
 	case *matchStmt:
-		t := c.value(s.value)
-		if !t.ordered() && t != typeBool {
-			c.problem(s.value.at(), "match looks at bool, int, float, duration and string, not at %v", t)
-		}
-		from := c.nextSlot
-		s.slot = c.nextSlot
-		c.nextSlot++
-		c.current.slots = max(c.current.slots, c.nextSlot)
-		ends, seen := s.otherwise != nil, map[string]Pos{}
-		for _, k := range s.cases {
-			for _, v := range k.values {
-				if w := c.value(v); !sameType(w, t) {
-					c.problem(v.at(), "a case is a %v, not a %v", t, w)
-				}
-				if l, ok := v.(*literalExpr); ok && l.valueType != typeInvalid {
-					key := text(l.valueType, l.value)
-					if old, ok := seen[key]; ok {
-						c.problem(v.at(), "the case %s stands in line %d already", key, old.Line)
-					}
-					seen[key] = v.at()
-				}
-			}
-			ends = c.block(k.body) && ends
-		}
-		if s.otherwise != nil {
-			ends = c.block(s.otherwise) && ends
-		}
-		c.nextSlot = from
-		return ends
+		return c.match(s)
 	case *returnStmt:
-		switch {
-		case s.value == nil && c.current.resultType != typeVoid:
-			c.problem(s.pos, "a %v is to be returned", c.current.resultType)
-		case s.value != nil && c.current.resultType == typeVoid:
-			c.value(s.value)
-			c.problem(s.value.at(), "nothing is to be returned here")
-		case s.value != nil:
-			c.expect(s.value, c.current.resultType, "the result")
-		}
+		c.returnValue(s)
 		return true
 	case *branchStmt:
 		if c.loopDepth == 0 {
@@ -90,49 +47,74 @@
 		if _, run := s.value.(*runExpr); t != typeVoid && t != typeInvalid && !run {
 			c.problem(s.pos, "the %v is not used", t)
 		}
-		if k, ok := s.value.(*callExpr); ok && k.builtin != nil && k.name == "fail" {
-			return true
-		}
+		call, ok := s.value.(*callExpr)
+		return ok && call.builtin != nil && call.name == "fail"
 	}
 	return false
 }
 
-func (c *checker) lookup(name string) (*Type, ref, bool) {
-	for i := len(c.scopes) - 1; i >= 0; i-- {
-		if v := c.scopes[i][name]; v != nil {
-			v.used = true
-			return v.valueType, v.ref, true
+func (c *checker) let(s *letStmt) {
+	t := c.value(s.value)
+	if s.declaredType != nil {
+		if declared := c.typ(s.declaredType); !sameType(declared, t) {
+			c.problem(s.value.at(), "%s is a %v, not a %v", s.name, declared, t)
+			t = declared
 		}
 	}
-	if d := c.states[name]; d != nil && !c.inStateInit {
-		return d.valueType, ref{true, d.index}, true
+	s.slot = c.declare(s.pos, s.name, t).ref.index
+}
+
+func (c *checker) returnValue(s *returnStmt) {
+	switch {
+	case s.value == nil && c.current.resultType != typeVoid:
+		c.problem(s.pos, "a %v is to be returned", c.current.resultType)
+	case s.value != nil && c.current.resultType == typeVoid:
+		c.value(s.value)
+		c.problem(s.value.at(), "nothing is to be returned here")
+	case s.value != nil:
+		c.expect(s.value, c.current.resultType, "the result")
 	}
-	return typeInvalid, ref{}, false
 }
 
-func (c *checker) target(pos Pos, name string) (*Type, ref) {
-	used := map[string]bool{}
-	for _, s := range c.scopes {
-		if v := s[name]; v != nil {
-			used[name] = v.used
+// match checks a match statement, whose value gets a slot of its own, and reports whether nothing behind it is reached.
+func (c *checker) match(s *matchStmt) (ends bool) {
+	t := c.value(s.value)
+	if !t.ordered() && t != typeBool {
+		c.problem(s.value.at(), "match looks at bool, int, float, duration and string, not at %v", t)
+	}
+	outer := c.nextSlot
+	s.slot = c.nextSlot
+	c.nextSlot++
+	c.current.slots = max(c.current.slots, c.nextSlot)
+	ends = s.otherwise != nil
+	seen := map[string]Pos{}
+	for _, k := range s.cases {
+		for _, value := range k.values {
+			c.caseValue(value, t, seen)
 		}
+		ends = c.block(k.body) && ends
 	}
-	t, r, ok := c.lookup(name)
-	if !ok {
-		c.problem(pos, "there is no variable %q", name)
+	if s.otherwise != nil {
+		ends = c.block(s.otherwise) && ends
 	}
-	for _, s := range c.scopes { // to be set is not to be used
-		if v := s[name]; v != nil {
-			v.used = used[name]
-		}
+	c.nextSlot = outer
+	return ends
+}
+
+// caseValue checks a value of a case. seen has the literals of the cases before.
+func (c *checker) caseValue(e expr, t *Type, seen map[string]Pos) {
+	if found := c.value(e); !sameType(found, t) {
+		c.problem(e.at(), "a case is a %v, not a %v", t, found)
 	}
-	if r.inState && c.current.writesStateAt == (Pos{}) {
-		c.current.writesStateAt = pos
+	literal, ok := e.(*literalExpr)
+	if !ok || literal.valueType == typeInvalid {
+		return
 	}
-	if r.inState && c.inTest {
-		c.problem(pos, "a test changes no state: handlers that it runs do")
+	key := text(literal.valueType, literal.value)
+	if old, ok := seen[key]; ok {
+		c.problem(e.at(), "the case %s stands in line %d already", key, old.Line)
 	}
-	return t, r
+	seen[key] = e.at()
 }
 
 func (c *checker) set(s *setStmt) {
--- a/internal/hooklang/doc.go
+++ b/internal/hooklang/doc.go
@@ -70,8 +70,9 @@
 	MaxSource   = 256 << 10
 	maxNesting  = 64 // of expressions and blocks
 	maxProblems = 20
-	maxSlots    = 200 // variables of a function
-	maxCode     = 50_000
+	maxSlots    = 200    // variables of a function
+	maxParams   = 16     // of a function
+	maxCode     = 50_000 // instructions
 	maxStates   = 100
 	maxFuncs    = 500
 	maxTests    = 100
--- a/internal/hooklang/parseexpr.go
+++ b/internal/hooklang/parseexpr.go
@@ -66,7 +66,7 @@
 
 // items reads entries with commas between them, up to the closing bracket.
 func (p *parser) items(end string, one func()) {
-	bare := p.inHeader
+	inHeader := p.inHeader
 	p.inHeader = false
 	for p.newlines(); !p.is(end); p.newlines() {
 		one()
@@ -76,7 +76,7 @@
 		}
 	}
 	p.newlines()
-	p.inHeader = bare
+	p.inHeader = inHeader
 	p.expect(end)
 }
 
--- a/internal/hooklang/parser.go
+++ b/internal/hooklang/parser.go
@@ -220,7 +220,7 @@
 func (p *parser) block() *block {
 	p.nest()
 	defer func() { p.depth-- }()
-	bare := p.inHeader
+	inHeader := p.inHeader
 	p.inHeader = false
 	b := &block{pos: p.expect("{").pos}
 	for p.newlines(); !p.is("}") && !p.atEnd(); p.newlines() {
@@ -229,15 +229,15 @@
 			p.endStatement()
 		})
 	}
-	p.inHeader = bare
+	p.inHeader = inHeader
 	b.end = p.expect("}").pos
 	return b
 }
 
 func (p *parser) header() expr {
-	bare := p.inHeader
+	inHeader := p.inHeader
 	p.inHeader = true
 	e := p.expr()
-	p.inHeader = bare
+	p.inHeader = inHeader
 	return e
 }
