--- a/internal/hooklang/builtin.go
+++ b/internal/hooklang/builtin.go
@@ -1,16 +1,8 @@
 package hooklang
 
-import (
-	"math"
-	"slices"
-	"strings"
-	"time"
-	"unicode/utf8"
+import "unicode/utf8"
 
-	"github.com/cespare/xxhash/v2"
-)
-
-// A builtin is a function of the language's own, with one signature or several.
+// builtin is a function of the language itself, with one signature or several. docs/hooks.md describes each.
 type builtin struct {
 	name       string
 	signatures []*signature
@@ -26,12 +18,15 @@
 	takesFunction bool // the last argument is the name of a function that tells whether one comes before another
 }
 
+// varT, varK and varV are type variables: in a signature they stand for any type, the same one each time.
 var (
 	varT, varK, varV = &Type{name: "T"}, &Type{name: "K"}, &Type{name: "V"}
 )
 
 var builtins = map[string]*builtin{}
 
+// define adds a signature to a builtin; of several the first that fits is taken. run may change no list or map that it is
+// given, and charges for what costs more than a step.
 func define(name string, result *Type, run func(vm *VM, a []Value) Value, params ...*Type) *signature {
 	b := builtins[name]
 	if b == nil {
@@ -43,6 +38,10 @@
 	return s
 }
 
+// adviceBytes is what a piece of advice counts as memory, besides its text.
+const adviceBytes = 160
+
+// defineEffect adds a builtin that gives advice.
 func defineEffect(name string, build func(a []Value) Advice, params ...*Type) {
 	define(name, typeVoid, func(vm *VM, a []Value) Value {
 		if len(vm.advice) >= vm.limits.Effects {
@@ -51,196 +50,12 @@
 		d := build(a)
 		d.Kind = name
 		vm.advice = append(vm.advice, d)
-		vm.alloc(int64(160 + len(d.Text)))
+		vm.alloc(int64(adviceBytes + len(d.Text)))
 		return Value{}
 	}, params...).effect = true
 }
 
-func init() {
-	list, dict := listOf(varT), mapOf(varK, varV)
-	length := func(_ *VM, a []Value) Value { return Value{bits: int64(len(a[0].object.items))} }
-	define("len", typeInt, func(_ *VM, a []Value) Value { return Value{bits: int64(len(a[0].str()))} }, typeString)
-	define("len", typeInt, length, list)
-	define("len", typeInt, length, dict)
-
-	for _, t := range []*Type{typeInt, typeFloat, typeDuration, typeBool} {
-		define("str", typeString, func(vm *VM, a []Value) Value { return vm.str(text(t, a[0])) }, t)
-	}
-	define("str", typeString, func(_ *VM, a []Value) Value { return a[0] }, typeString)
-
-	whole := func(f func(float64) float64) func(vm *VM, a []Value) Value {
-		return func(vm *VM, a []Value) Value {
-			x := f(a[0].float())
-			if !(x >= -1<<63 && x < 1<<63) {
-				vm.fault(FaultRange, "%s does not fit an int", floatText(x))
-			}
-			return Value{bits: int64(x)}
-		}
-	}
-	define("int", typeInt, whole(math.Trunc), typeFloat)
-	define("floor", typeInt, whole(math.Floor), typeFloat)
-	define("ceil", typeInt, whole(math.Ceil), typeFloat)
-	define("round", typeInt, whole(math.Round), typeFloat)
-	define("float", typeFloat, func(_ *VM, a []Value) Value { return floatValue(float64(a[0].bits)) }, typeInt)
-	define("seconds", typeFloat, func(_ *VM, a []Value) Value { return floatValue(time.Duration(a[0].bits).Seconds()) }, typeDuration)
-	define("duration", typeDuration, func(vm *VM, a []Value) Value {
-		x := a[0].float() * 1e9
-		if !(math.Abs(x) < 1<<62) {
-			vm.fault(FaultRange, "%s seconds are too long", floatText(a[0].float()))
-		}
-		return Value{bits: int64(math.Round(x))}
-	}, typeFloat)
-
-	for _, t := range []*Type{typeInt, typeFloat, typeDuration, typeString} {
-		define("min", t, func(_ *VM, a []Value) Value {
-			if compare(t, a[1], a[0]) < 0 {
-				return a[1]
-			}
-			return a[0]
-		}, t, t)
-		define("max", t, func(_ *VM, a []Value) Value {
-			if compare(t, a[1], a[0]) > 0 {
-				return a[1]
-			}
-			return a[0]
-		}, t, t)
-		define("sort", listOf(t), func(vm *VM, a []Value) Value {
-			n := int64(len(a[0].object.items))
-			vm.spend(n * int64(1+math.Log2(float64(n+1))))
-			if t == typeString {
-				vm.spend(traversalCost(a[0]))
-			}
-			o := vm.clone(a[0].object)
-			slices.SortStableFunc(o.items, func(x, y Value) int { return compare(t, x, y) })
-			return Value{object: o}
-		}, listOf(t))
-	}
-	for _, t := range []*Type{typeInt, typeDuration} {
-		define("abs", t, func(vm *VM, a []Value) Value {
-			if a[0].bits == math.MinInt64 {
-				vm.fault(FaultRange, "the least %s has no positive", t.name)
-			}
-			return Value{bits: max(a[0].bits, -a[0].bits)}
-		}, t)
-	}
-	define("abs", typeFloat, func(_ *VM, a []Value) Value { return floatValue(math.Abs(a[0].float())) }, typeFloat)
-
-	define("sort_by", list, nil, list, typeString).takesFunction = true
-	define("reverse", list, func(vm *VM, a []Value) Value {
-		o := vm.clone(a[0].object)
-		slices.Reverse(o.items)
-		return Value{object: o}
-	}, list)
-	define("slice", list, func(vm *VM, a []Value) Value {
-		from, to := vm.span(a, len(a[0].object.items))
-		o := &object{collection: true}
-		vm.list(int64(to - from))
-		for _, e := range a[0].object.items[from:to] {
-			o.items = append(o.items, e.share())
-		}
-		return Value{object: o}
-	}, list, typeInt, typeInt)
-	define("slice", typeString, func(vm *VM, a []Value) Value {
-		s := a[0].str()
-		from, to := vm.span(a, len(s))
-		if from < len(s) && !utf8.RuneStart(s[from]) || to < len(s) && !utf8.RuneStart(s[to]) {
-			vm.fault(FaultIndex, "slice %d to %d cuts a character in two", from, to)
-		}
-		return vm.str(s[from:to])
-	}, typeString, typeInt, typeInt)
-
-	define("keys", listOf(varK), func(vm *VM, a []Value) Value {
-		vm.list(int64(len(a[0].object.keys)))
-		return Value{object: &object{collection: true, items: slices.Clone(a[0].object.keys)}}
-	}, dict)
-	define("values", listOf(varV), func(vm *VM, a []Value) Value {
-		vm.list(int64(len(a[0].object.items)))
-		o := &object{collection: true}
-		for _, e := range a[0].object.items {
-			o.items = append(o.items, e.share())
-		}
-		return Value{object: o}
-	}, dict)
-	define("get", varV, func(_ *VM, a []Value) Value {
-		if i, ok := a[0].object.find(a[1]); ok {
-			return a[0].object.items[i]
-		}
-		return a[2]
-	}, dict, varK, varV)
-
-	text := func(f func(s, t string) Value) func(vm *VM, a []Value) Value {
-		return func(vm *VM, a []Value) Value {
-			vm.spend(int64(len(a[0].str())) / 16)
-			return f(a[0].str(), a[1].str())
-		}
-	}
-	define("starts", typeBool, text(func(s, t string) Value { return boolValue(strings.HasPrefix(s, t)) }), typeString, typeString)
-	define("ends", typeBool, text(func(s, t string) Value { return boolValue(strings.HasSuffix(s, t)) }), typeString, typeString)
-	define("find", typeInt, text(func(s, t string) Value { return Value{bits: int64(strings.Index(s, t))} }), typeString, typeString)
-	define("lower", typeString, func(vm *VM, a []Value) Value { return vm.str(strings.ToLower(a[0].str())) }, typeString)
-	define("trim", typeString, func(vm *VM, a []Value) Value { return vm.str(strings.TrimSpace(a[0].str())) }, typeString)
-	define("hash", typeInt, func(vm *VM, a []Value) Value {
-		vm.spend(int64(len(a[0].str())) / 16)
-		return Value{bits: int64(xxhash.Sum64String(a[0].str()) >> 1)}
-	}, typeString)
-	define("split", listOf(typeString), func(vm *VM, a []Value) Value {
-		if a[1].str() == "" {
-			vm.fault(FaultRange, "split at nothing")
-		}
-		vm.spend(int64(len(a[0].str())) / 4)
-		n := strings.Count(a[0].str(), a[1].str()) + 1
-		vm.list(int64(n))
-		vm.alloc(int64(n)*objectBytes + int64(len(a[0].str())))
-		o := &object{collection: true}
-		for _, s := range strings.Split(a[0].str(), a[1].str()) {
-			o.items = append(o.items, strValue(s))
-		}
-		return Value{object: o}
-	}, typeString, typeString)
-	define("join", typeString, func(vm *VM, a []Value) Value {
-		n := 0
-		for i, e := range a[0].object.items {
-			if i > 0 {
-				n += len(a[1].str())
-			}
-			n += len(e.str())
-			vm.size(n)
-		}
-		vm.spend(int64(len(a[0].object.items)))
-		l := make([]string, 0, len(a[0].object.items))
-		for _, e := range a[0].object.items {
-			l = append(l, e.str())
-		}
-		return vm.str(strings.Join(l, a[1].str()))
-	}, listOf(typeString), typeString)
-
-	define("now", typeDuration, func(vm *VM, _ []Value) Value { return Value{bits: int64(vm.env.Now)} })
-	define("wall", typeInt, func(vm *VM, _ []Value) Value { return Value{bits: vm.env.Wall} })
-	define("fail", typeVoid, func(vm *VM, a []Value) Value {
-		vm.fault(FaultRaised, "%s", cut(a[0].str(), 200))
-		return Value{}
-	}, typeString)
-	define("expect", typeVoid, func(vm *VM, a []Value) Value {
-		if a[0].bits == 0 {
-			vm.fault(FaultExpect, "not so")
-		}
-		return Value{}
-	}, typeBool).testOnly = true
-	define("push", typeVoid, nil, list, varT).op = opPush
-	define("remove", typeVoid, nil, dict, varK).op = opRemove
-
-	life := func(v Value) time.Duration { return time.Duration(v.bits) }
-	defineEffect("keep_warm", func(a []Value) Advice { return Advice{Function: a[0].str(), Copies: a[1].bits, For: life(a[2])} }, typeString, typeInt, typeDuration)
-	defineEffect("tenant_weight", func(a []Value) Advice { return Advice{Tenant: a[0].str(), Factor: a[1].float(), For: life(a[2])} }, typeString, typeFloat, typeDuration)
-	defineEffect("tenant_cap", func(a []Value) Advice { return Advice{Tenant: a[0].str(), Factor: a[1].float(), For: life(a[2])} }, typeString, typeFloat, typeDuration)
-	defineEffect("prefer", func(a []Value) Advice { return Advice{Worker: a[0].str(), For: life(a[1])} }, typeString, typeDuration)
-	defineEffect("avoid", func(a []Value) Advice { return Advice{Worker: a[0].str(), For: life(a[1])} }, typeString, typeDuration)
-	defineEffect("refuse", func(a []Value) Advice { return Advice{Text: a[0].str()} }, typeString)
-	defineEffect("annotate", func(a []Value) Advice { return Advice{Key: a[0].str(), Text: a[1].str()} }, typeString, typeString)
-	defineEffect("notify", func(a []Value) Advice { return Advice{Key: a[0].str(), Text: a[1].str()} }, typeString, typeString)
-	defineEffect("log", func(a []Value) Advice { return Advice{Text: a[0].str()} }, typeString)
-}
-
+// cut shortens a text to some n bytes, between characters.
 func cut(s string, n int) string {
 	if len(s) <= n {
 		return s
@@ -250,36 +65,3 @@
 	}
 	return s[:n] + "…"
 }
-
-// unify binds the variables of a parameter's type so that it is the argument's.
-func unify(p, a *Type, vars map[*Type]*Type) bool {
-	switch p {
-	case varT, varK, varV:
-		if old := vars[p]; old != nil {
-			return sameType(old, a)
-		}
-		vars[p] = a
-		return a != typeVoid
-	}
-	if a == typeInvalid {
-		return true
-	}
-	if p.name != a.name || p.record != a.record {
-		return false
-	}
-	return (p.elem == nil || unify(p.elem, a.elem, vars)) && (p.key == nil || unify(p.key, a.key, vars))
-}
-
-func substitute(t *Type, vars map[*Type]*Type) *Type {
-	switch {
-	case vars[t] != nil:
-		return vars[t]
-	case t == varT || t == varK || t == varV:
-		return typeInvalid
-	case t.name == "list":
-		return listOf(substitute(t.elem, vars))
-	case t.name == "map":
-		return mapOf(substitute(t.key, vars), substitute(t.elem, vars))
-	}
-	return t
-}
--- a/internal/hooklang/compilestmt.go
+++ b/internal/hooklang/compilestmt.go
@@ -1,8 +1,11 @@
 package hooklang
 
 func (c *compiler) function(d *funcDecl, f *function) {
-	c.current, c.depth = f, 0
-	f.params, f.slots, f.vars = len(d.paramTypes), d.slots, d.vars
+	c.current = f
+	c.depth = 0
+	f.params = len(d.paramTypes)
+	f.slots = d.slots
+	f.vars = d.vars
 	c.block(d.body)
 	c.emit(d.end, opReturnNothing, 0, 0, 0)
 	f.depth += 2
@@ -24,45 +27,11 @@
 	case *setStmt:
 		c.set(s)
 	case *ifStmt:
-		c.expr(s.cond)
-		no := c.emit(s.pos, opJumpFalse, 0, 0, -1)
-		c.block(s.then)
-		if s.otherwise == nil {
-			c.patch(no)
-			return
-		}
-		end := c.emit(s.pos, opJump, 0, 0, 0)
-		c.patch(no)
-		c.stmt(s.otherwise)
-		c.patch(end)
+		c.ifElse(s)
 	case *forStmt:
 		c.loop(s)
 	case *matchStmt:
-		c.expr(s.value)
-		c.emit(s.pos, opStore, s.slot, 0, -1)
-		var ends []int
-		for _, k := range s.cases {
-			var hits []int
-			for _, v := range k.values {
-				c.emit(v.at(), opLoad, s.slot, 0, 1)
-				c.expr(v)
-				c.equal(v.at(), s.value.typ(), true)
-				hits = append(hits, c.emit(v.at(), opJumpTrue, 0, 0, -1))
-			}
-			next := c.emit(s.pos, opJump, 0, 0, 0)
-			for _, h := range hits {
-				c.patch(h)
-			}
-			c.block(k.body)
-			ends = append(ends, c.emit(s.pos, opJump, 0, 0, 0))
-			c.patch(next)
-		}
-		if s.otherwise != nil {
-			c.block(s.otherwise)
-		}
-		for _, e := range ends {
-			c.patch(e)
-		}
+		c.match(s)
 	case *returnStmt:
 		if s.value == nil {
 			c.emit(s.pos, opReturnNothing, 0, 0, 0)
@@ -86,6 +55,49 @@
 	}
 }
 
+func (c *compiler) ifElse(s *ifStmt) {
+	c.expr(s.cond)
+	no := c.emit(s.pos, opJumpFalse, 0, 0, -1)
+	c.block(s.then)
+	if s.otherwise == nil {
+		c.patch(no)
+		return
+	}
+	end := c.emit(s.pos, opJump, 0, 0, 0)
+	c.patch(no)
+	c.stmt(s.otherwise)
+	c.patch(end)
+}
+
+// match compares the value, which it stores in a slot, with one case after the other.
+func (c *compiler) match(s *matchStmt) {
+	c.expr(s.value)
+	c.emit(s.pos, opStore, s.slot, 0, -1)
+	var ends []int
+	for _, k := range s.cases {
+		var hits []int
+		for _, v := range k.values {
+			c.emit(v.at(), opLoad, s.slot, 0, 1)
+			c.expr(v)
+			c.equal(v.at(), s.value.typ(), true)
+			hits = append(hits, c.emit(v.at(), opJumpTrue, 0, 0, -1))
+		}
+		next := c.emit(s.pos, opJump, 0, 0, 0)
+		for _, h := range hits {
+			c.patch(h)
+		}
+		c.block(k.body)
+		ends = append(ends, c.emit(s.pos, opJump, 0, 0, 0))
+		c.patch(next)
+	}
+	if s.otherwise != nil {
+		c.block(s.otherwise)
+	}
+	for _, end := range ends {
+		c.patch(end)
+	}
+}
+
 func (c *compiler) load(pos Pos, r ref) {
 	if r.inState {
 		c.emit(pos, opLoadState, r.index, 0, 1)
--- a/internal/hooklang/cost.go
+++ b/internal/hooklang/cost.go
@@ -20,6 +20,7 @@
 // Costs returns the estimate of each handler, in the order of the text.
 func (p *Program) Costs() []Cost { return p.costs }
 
+// costEstimator estimates the cost of one handler, and notes the largest single reason for it.
 type costEstimator struct {
 	costs   map[*funcDecl]float64
 	active  map[*funcDecl]bool
@@ -57,6 +58,7 @@
 	return f
 }
 
+// note remembers a reason if it is the largest so far.
 func (k *costEstimator) note(f float64, why string) {
 	if f > k.largest {
 		k.largest, k.reason = f, why
@@ -89,31 +91,9 @@
 		}
 		return k.expr(s.cond) + 2 + f
 	case *forStmt:
-		n := float64(assumedLength)
-		f := k.expr(s.from) + 2
-		if s.to != nil {
-			f += k.expr(s.to)
-			a, ok := s.from.(*literalExpr)
-			b, ok2 := s.to.(*literalExpr)
-			if ok && ok2 {
-				n = max(0, float64(b.value.bits)-float64(a.value.bits))
-			}
-		}
-		f += n * (k.block(s.body) + 3)
-		k.note(f, fmt.Sprintf("the loop of line %d, taken %g times", s.pos.Line, n))
-		return f
+		return k.loop(s)
 	case *matchStmt:
-		f, most := k.expr(s.value)+1, 0.0
-		for _, c := range s.cases {
-			for _, v := range c.values {
-				f += k.expr(v) + 3
-			}
-			most = max(most, k.block(c.body))
-		}
-		if s.otherwise != nil {
-			most = max(most, k.block(s.otherwise))
-		}
-		return f + most + 1
+		return k.match(s)
 	case *returnStmt:
 		if s.value != nil {
 			return k.expr(s.value) + 1
@@ -124,6 +104,38 @@
 	return 1
 }
 
+func (k *costEstimator) loop(s *forStmt) float64 {
+	times := float64(assumedLength)
+	cost := k.expr(s.from) + 2
+	if s.to != nil {
+		cost += k.expr(s.to)
+		from, fromKnown := s.from.(*literalExpr)
+		to, toKnown := s.to.(*literalExpr)
+		if fromKnown && toKnown {
+			times = max(0, float64(to.value.bits)-float64(from.value.bits))
+		}
+	}
+	cost += times * (k.block(s.body) + 3)
+	k.note(cost, fmt.Sprintf("the loop of line %d, taken %g times", s.pos.Line, times))
+	return cost
+}
+
+// match adds up all values of cases, and the most expensive body.
+func (k *costEstimator) match(s *matchStmt) float64 {
+	cost := k.expr(s.value) + 1
+	body := 0.0
+	for _, c := range s.cases {
+		for _, value := range c.values {
+			cost += k.expr(value) + 3
+		}
+		body = max(body, k.block(c.body))
+	}
+	if s.otherwise != nil {
+		body = max(body, k.block(s.otherwise))
+	}
+	return cost + body + 1
+}
+
 func (k *costEstimator) expr(e expr) float64 {
 	f := 1.0
 	each := func(l []expr) {
@@ -151,25 +163,33 @@
 	case *fieldExpr:
 		f += k.expr(e.record)
 	case *callExpr:
-		for i, a := range e.args {
-			if i == 0 || e.builtin == nil || !e.builtin.signatures[0].takesFunction {
-				f += k.expr(a)
-			}
+		return k.call(e)
+	}
+	return f
+}
+
+func (k *costEstimator) call(e *callExpr) float64 {
+	cost := 1.0
+	for i, arg := range e.args {
+		if i == 0 || e.builtin == nil || !e.builtin.signatures[0].takesFunction {
+			cost += k.expr(arg)
 		}
-		if e.function != nil {
-			g := k.function(e.function)
-			if e.builtin != nil { // sort_by
-				g *= assumedLength * math.Log2(assumedLength)
-				k.note(g, fmt.Sprintf("the sort of line %d", e.pos.Line))
-			}
-			f += g
-		} else if e.builtin != nil {
-			for _, a := range e.args {
-				if a.typ() != nil && a.typ().isCollection() && e.name != "len" && e.name != "get" && e.name != "push" {
-					f += assumedLength
-				}
-			}
+	}
+	if e.function != nil {
+		called := k.function(e.function)
+		if e.builtin != nil { // sort_by
+			called *= assumedLength * math.Log2(assumedLength)
+			k.note(called, fmt.Sprintf("the sort of line %d", e.pos.Line))
 		}
+		return cost + called
 	}
-	return f
+	if e.builtin == nil || e.name == "len" || e.name == "get" || e.name == "push" {
+		return cost
+	}
+	for _, arg := range e.args { // it reads lists and maps from end to end
+		if t := arg.typ(); t != nil && t.isCollection() {
+			cost += assumedLength
+		}
+	}
+	return cost
 }
--- a/internal/hooklang/format.go
+++ b/internal/hooklang/format.go
@@ -57,6 +57,7 @@
 	return n.name
 }
 
+// formatter writes a script. Comments are written before what they precede in the text.
 type formatter struct {
 	out        strings.Builder
 	comments   []comment
@@ -156,53 +157,11 @@
 		}
 		f.write(" ", s.op, "= ", f.expr(s.value, 0))
 	case *ifStmt:
-		f.write("if ", f.header(s.cond), " ")
-		f.block(s.then)
-		if s.otherwise != nil {
-			f.write(" else ")
-			if b, ok := s.otherwise.(*block); ok {
-				f.block(b)
-			} else {
-				f.stmt(s.otherwise)
-			}
-		}
+		f.ifElse(s)
 	case *forStmt:
-		f.write("for ")
-		if s.key != "" {
-			f.write(s.key, ", ")
-		}
-		f.write(s.name, " in ", f.header(s.from))
-		if s.to != nil {
-			f.write("..", f.header(s.to))
-		}
-		f.write(" ")
-		f.block(s.body)
+		f.loop(s)
 	case *matchStmt:
-		f.write("match ", f.header(s.value), " {")
-		f.line = s.pos.Line
-		f.indent++
-		f.blockStart = true
-		for _, c := range s.cases {
-			f.begin(c.values[0].at(), false)
-			f.write("case ")
-			for i, v := range c.values {
-				if i > 0 {
-					f.write(", ")
-				}
-				f.write(f.header(v))
-			}
-			f.write(" ")
-			f.block(c.body)
-		}
-		end := f.line + 1
-		if s.otherwise != nil {
-			f.begin(s.otherwise.pos, false)
-			f.write("else ")
-			f.block(s.otherwise)
-			end = f.line + 1
-		}
-		f.close(Pos{Line: end})
-		f.line = end
+		f.match(s)
 	case *returnStmt:
 		f.write("return")
 		if s.value != nil {
@@ -215,6 +174,60 @@
 	}
 }
 
+func (f *formatter) ifElse(s *ifStmt) {
+	f.write("if ", f.header(s.cond), " ")
+	f.block(s.then)
+	if s.otherwise != nil {
+		f.write(" else ")
+		if b, ok := s.otherwise.(*block); ok {
+			f.block(b)
+		} else {
+			f.stmt(s.otherwise)
+		}
+	}
+}
+
+func (f *formatter) loop(s *forStmt) {
+	f.write("for ")
+	if s.key != "" {
+		f.write(s.key, ", ")
+	}
+	f.write(s.name, " in ", f.header(s.from))
+	if s.to != nil {
+		f.write("..", f.header(s.to))
+	}
+	f.write(" ")
+	f.block(s.body)
+}
+
+func (f *formatter) match(s *matchStmt) {
+	f.write("match ", f.header(s.value), " {")
+	f.line = s.pos.Line
+	f.indent++
+	f.blockStart = true
+	for _, c := range s.cases {
+		f.begin(c.values[0].at(), false)
+		f.write("case ")
+		for i, v := range c.values {
+			if i > 0 {
+				f.write(", ")
+			}
+			f.write(f.header(v))
+		}
+		f.write(" ")
+		f.block(c.body)
+	}
+	end := f.line + 1
+	if s.otherwise != nil {
+		f.begin(s.otherwise.pos, false)
+		f.write("else ")
+		f.block(s.otherwise)
+		end = f.line + 1
+	}
+	f.close(Pos{Line: end})
+	f.line = end
+}
+
 // header writes an expression before a block's brace: a record's literal needs brackets there.
 func (f *formatter) header(e expr) string {
 	s := f.expr(e, 0)
@@ -253,13 +266,6 @@
 
 // expr writes an expression that stands where only what binds at least so strongly needs no brackets.
 func (f *formatter) expr(e expr, least int) string {
-	list := func(l []expr) string {
-		var parts []string
-		for _, x := range l {
-			parts = append(parts, f.expr(x, 0))
-		}
-		return strings.Join(parts, ", ")
-	}
 	switch e := e.(type) {
 	case *literalExpr:
 		if e.valueType == typeString {
@@ -269,31 +275,14 @@
 	case *nameExpr:
 		return e.name
 	case *unaryExpr:
-		n, s := 6, "-"
-		if e.op == "not" {
-			n, s = 3, "not "
-		}
-		s += f.expr(e.operand, n)
-		if n < least {
-			return "(" + s + ")"
-		}
-		return s
+		return f.unary(e, least)
 	case *binaryExpr:
-		n := strength(e.op)
-		left := n
-		if n == 3 {
-			left++ // comparisons do not chain
-		}
-		s := f.expr(e.left, left) + " " + e.op + " " + f.expr(e.right, n+1)
-		if n < least {
-			return "(" + s + ")"
-		}
-		return s
+		return f.binary(e, least)
 	case *listExpr:
 		if e.literalType != nil {
-			return e.literalType.text() + "{" + list(e.items) + "}"
+			return e.literalType.text() + "{" + f.list(e.items) + "}"
 		}
-		return "[" + list(e.items) + "]"
+		return "[" + f.list(e.items) + "]"
 	case *mapExpr:
 		var parts []string
 		for i := range e.keys {
@@ -311,9 +300,43 @@
 	case *fieldExpr:
 		return f.expr(e.record, 7) + "." + e.name
 	case *callExpr:
-		return e.name + "(" + list(e.args) + ")"
+		return e.name + "(" + f.list(e.args) + ")"
 	case *runExpr:
 		return "run " + e.point + "(" + f.expr(e.arg, 0) + ")"
 	}
 	return "?"
 }
+
+func (f *formatter) unary(e *unaryExpr, least int) string {
+	n, s := 6, "-"
+	if e.op == "not" {
+		n, s = 3, "not "
+	}
+	s += f.expr(e.operand, n)
+	if n < least {
+		return "(" + s + ")"
+	}
+	return s
+}
+
+func (f *formatter) binary(e *binaryExpr, least int) string {
+	n := strength(e.op)
+	left := n
+	if n == 3 {
+		left++ // comparisons do not chain
+	}
+	s := f.expr(e.left, left) + " " + e.op + " " + f.expr(e.right, n+1)
+	if n < least {
+		return "(" + s + ")"
+	}
+	return s
+}
+
+// list writes expressions with commas between them.
+func (f *formatter) list(l []expr) string {
+	var parts []string
+	for _, e := range l {
+		parts = append(parts, f.expr(e, 0))
+	}
+	return strings.Join(parts, ", ")
+}
--- a/internal/hooklang/state.go
+++ b/internal/hooklang/state.go
@@ -6,7 +6,6 @@
 	"fmt"
 	"slices"
 	"strconv"
-	"time"
 	"unicode/utf8"
 )
 
@@ -58,6 +57,7 @@
 	return b.String()
 }
 
+// saved is a state variable as it is stored.
 type saved struct {
 	Name  string          `json:"name"`
 	Type  string          `json:"type"`
@@ -135,7 +135,6 @@
 }
 
 func decode(t *Type, x any) (Value, error) {
-	bad := func() (Value, error) { return Value{}, fmt.Errorf("%v is no %v", x, t) }
 	switch {
 	case t == typeBool:
 		if b, ok := x.(bool); ok {
@@ -152,33 +151,7 @@
 			return strValue(s), nil
 		}
 	case t.isCollection():
-		l, ok := x.([]any)
-		if !ok {
-			return bad()
-		}
-		o := &object{collection: true}
-		for _, e := range l {
-			if t.key != nil {
-				pair, ok := e.([]any)
-				if !ok || len(pair) != 2 {
-					return bad()
-				}
-				k, err := decode(t.key, pair[0])
-				if err != nil {
-					return k, err
-				}
-				if n := len(o.keys); n > 0 && compare(t.key, o.keys[n-1], k) >= 0 {
-					return bad()
-				}
-				o.keys, e = append(o.keys, k), pair[1]
-			}
-			v, err := decode(t.elem, e)
-			if err != nil {
-				return v, err
-			}
-			o.items = append(o.items, v)
-		}
-		return Value{object: o}, nil
+		return decodeCollection(t, x)
 	default:
 		if s, ok := x.(string); ok {
 			if n, err := strconv.ParseInt(s, 10, 64); err == nil {
@@ -186,39 +159,38 @@
 			}
 		}
 	}
-	return bad()
+	return Value{}, fmt.Errorf("%v is no %v", x, t)
 }
 
-// A TestResult is the end of one test of a script.
-type TestResult struct {
-	Name string
-	Pos  Pos
-	Err  error // a *Fault, or nil
-	Fuel int64
-}
-
-// testEnv is the clock of tests: a day's begin.
-var testEnv = Env{Now: int64(24 * time.Hour), Wall: 86400}
-
-// FirstFailure runs the tests up to the first that fails.
-func (p *Program) FirstFailure() error {
-	for _, t := range p.tests {
-		one := *p
-		one.tests = []test{t}
-		if r := one.Test(); r[0].Err != nil {
-			return fmt.Errorf("test %q: %w", t.name, r[0].Err)
-		}
+// decodeCollection reads a list, or the pairs of a map, whose keys must be in order.
+func decodeCollection(t *Type, x any) (Value, error) {
+	invalid := func() error { return fmt.Errorf("%v is no %v", x, t) }
+	items, ok := x.([]any)
+	if !ok {
+		return Value{}, invalid()
 	}
-	return nil
-}
-
-// Test runs the tests of a program in the order of the text, each from the first state. Their clock stands at a day's begin.
-func (p *Program) Test() (l []TestResult) {
-	vm := NewVM()
-	for _, t := range p.tests {
-		vm.start(p, p.State(), testEnv, Aside)
-		err := vm.guard(p, func() { vm.exec(p.funcs[t.function], nil) })
-		l = append(l, TestResult{t.name, t.pos, err, Aside.Fuel - vm.fuel})
+	o := &object{collection: true}
+	for _, item := range items {
+		if t.key != nil {
+			pair, ok := item.([]any)
+			if !ok || len(pair) != 2 {
+				return Value{}, invalid()
+			}
+			key, err := decode(t.key, pair[0])
+			if err != nil {
+				return key, err
+			}
+			if n := len(o.keys); n > 0 && compare(t.key, o.keys[n-1], key) >= 0 {
+				return Value{}, invalid()
+			}
+			o.keys = append(o.keys, key)
+			item = pair[1]
+		}
+		value, err := decode(t.elem, item)
+		if err != nil {
+			return value, err
+		}
+		o.items = append(o.items, value)
 	}
-	return l
+	return Value{object: o}, nil
 }
