--- a/internal/hooklang/builtin.go
+++ b/internal/hooklang/builtin.go
@@ -25,8 +25,8 @@
 
 var builtins = map[string]*builtin{}
 
-// define adds a signature to a builtin; of several the first that fits is taken. run may change no list or map that it is
-// given, and charges for what costs more than a step.
+// define adds a signature to a builtin; of several the first that fits is taken. run may change no list or map that
+// it is given, and charges for what costs more than a step.
 func define(name string, result *Type, run func(vm *VM, a []Value) Value, params ...*Type) *signature {
 	b := builtins[name]
 	if b == nil {
--- a/internal/hooklang/check.go
+++ b/internal/hooklang/check.go
@@ -181,8 +181,8 @@
 	}
 }
 
-// withinBounds checks how many declarations there are, which bounds what the rest of the check may take, and what the tests
-// that run before a script is loaded.
+// withinBounds checks how many declarations there are, which bounds what the rest of the check may take, and what
+// the tests that run before a script is loaded.
 func (c *checker) withinBounds() bool {
 	if len(c.parsed.states) > maxStates {
 		c.problem(c.parsed.states[maxStates].pos, "more than %d state variables", maxStates)
--- a/internal/hooklang/checkstmt.go
+++ b/internal/hooklang/checkstmt.go
@@ -76,7 +76,8 @@
 	}
 }
 
-// match checks a match statement, whose value gets a slot of its own, and reports whether nothing behind it is reached.
+// match checks a match statement, whose value gets a slot of its own, and reports whether nothing behind it is
+// reached.
 func (c *checker) match(s *matchStmt) (ends bool) {
 	t := c.value(s.value)
 	if !t.ordered() && t != typeBool {
@@ -149,8 +150,8 @@
 	}
 }
 
-// hasCompoundAssignment reports whether values of t take op with "=": lists and strings only "+=", numbers and durations
-// any arithmetic operator.
+// hasCompoundAssignment reports whether values of t take op with "=": lists and strings only "+=", numbers and
+// durations any arithmetic operator.
 func hasCompoundAssignment(t *Type, op string) bool {
 	if t.isCollection() && t.name == "list" {
 		return op == "+"
--- a/internal/hooklang/compile.go
+++ b/internal/hooklang/compile.go
@@ -2,7 +2,8 @@
 
 import "fmt"
 
-// Compile checks a text and makes a program of it. The error is of type [Problems], with all that is wrong and the warnings.
+// Compile checks a text and makes a program of it. The error is of type [Problems], with all that is wrong and the
+// warnings.
 func Compile(file, text string) (*Program, error) {
 	s, bad := check(file, text)
 	if bad.Wrong() {
@@ -28,7 +29,8 @@
 	return p, nil
 }
 
-// declare gives functions, handlers, tests and state variables their places in the program, so that code can refer to them.
+// declare gives functions, handlers, tests and state variables their places in the program, so that code can refer
+// to them.
 func (c *compiler) declare(s *script) {
 	p := c.program
 	for i, d := range s.funcs {
--- a/internal/hooklang/doc.go
+++ b/internal/hooklang/doc.go
@@ -1,11 +1,14 @@
-// Package hooklang is the language in which operators write hooks: small scripts that the gateway runs at named points and
-// that answer with advice. A script can compute, and read what the host gives it, and nothing else: no I/O, no clock but
-// the host's, no variables that outlive a run but those that the host stores. docs/hooks.md is grammar and reference.
+// Package hooklang is the language in which operators write hooks: small scripts that the gateway runs at named
+// points and that answer with advice. A script can compute, and read what the host gives it, and nothing else: no
+// I/O, no clock but the host's, no variables that outlive a run but those that the host stores. docs/hooks.md is
+// grammar and reference.
 //
-// Check parses and checks a text, Compile makes a Program of it, a VM runs a handler of it within Limits. A run that passes
-// a limit or makes a fault ends with a *Fault, and its effects are dropped whole: advice, and changes of state.
+// Check parses and checks a text, Compile makes a Program of it, a VM runs a handler of it within Limits. A run
+// that passes a limit or makes a fault ends with a *Fault, and its effects are dropped whole: advice, and changes
+// of state.
 //
-// Nothing here depends on the order of a Go map, on time or on chance: same program, state, event and clock, same result.
+// Nothing here depends on the order of a Go map, on time or on chance: same program, state, event and clock, same
+// result.
 package hooklang
 
 import (
@@ -16,6 +19,7 @@
 // Pos is a place in a script, counted from 1; columns are bytes.
 type Pos struct{ Line, Col int }
 
+// String returns the place as line:column.
 func (p Pos) String() string { return fmt.Sprintf("%d:%d", p.Line, p.Col) }
 
 // A Problem is what is wrong, or in doubt, at a place of a script.
@@ -26,6 +30,7 @@
 	Warning bool
 }
 
+// Error returns file:line:column: and the text.
 func (p *Problem) Error() string {
 	kind := ""
 	if p.Warning {
@@ -37,6 +42,7 @@
 // Problems are those of one text, in the order of their places.
 type Problems []*Problem
 
+// Error returns a line for each problem.
 func (l Problems) Error() string {
 	text := ""
 	for i, p := range l {
--- a/internal/hooklang/format.go
+++ b/internal/hooklang/format.go
@@ -3,7 +3,8 @@
 import "strings"
 
 // Format returns a text in the one form that all scripts have: tabs, one statement a line, one empty line between
-// declarations at the most where the text has one. Comments stay. A text that cannot be read is returned with its problems.
+// declarations at the most where the text has one. Comments stay. A text that cannot be read is returned with its
+// problems.
 func Format(file, text string) (string, error) {
 	s, bad := parse(file, text)
 	if len(bad) > 0 {
--- a/internal/hooklang/lexer.go
+++ b/internal/hooklang/lexer.go
@@ -64,8 +64,8 @@
 	problems  Problems
 }
 
-// lex cuts a text into tokens. A newline ends a statement where the line could end one and no round or square bracket is
-// open.
+// lex cuts a text into tokens. A newline ends a statement where the line could end one and no round or square
+// bracket is open.
 func lex(file, text string) ([]token, []comment, Problems) {
 	l := &lexer{file: file, text: text, line: 1}
 	for l.offset < len(text) {
@@ -171,8 +171,8 @@
 
 const maxLookBack = 2_000
 
-// inBrace reports whether the innermost open bracket is a brace: that of a literal within brackets. It looks back a bounded
-// number of tokens, so that lexing a hostile text takes linear time.
+// inBrace reports whether the innermost open bracket is a brace: that of a literal within brackets. It looks back a
+// bounded number of tokens, so that lexing a hostile text takes linear time.
 func inBrace(toks []token) bool {
 	n := 0
 	for i := len(toks) - 1; i >= 0 && i > len(toks)-maxLookBack; i-- {
--- a/internal/hooklang/lexnumber.go
+++ b/internal/hooklang/lexnumber.go
@@ -30,7 +30,8 @@
 // maxDurationParts is how many numbers with units a duration has at most.
 const maxDurationParts = 6
 
-// lexDuration reads a duration. It adds whole numbers exactly, and notices by floating point that the sum does not fit.
+// lexDuration reads a duration. It adds whole numbers exactly, and notices by floating point that the sum does not
+// fit.
 func lexDuration(text string, i int) (t token, end int, why string) {
 	var exact int64
 	approximate := 0.0
--- a/internal/hooklang/parser.go
+++ b/internal/hooklang/parser.go
@@ -16,7 +16,8 @@
 	lastProblem int  // where the last problem was, in tokens
 }
 
-// syntaxError is the panic by which a function of the parser gives up; guard recovers it. The problem is noted already.
+// syntaxError is the panic by which a function of the parser gives up; guard recovers it. The problem is noted
+// already.
 type syntaxError struct{}
 
 // parse reads a text. It reports what it cannot read, and goes on behind it.
@@ -111,8 +112,8 @@
 	return p.name("a field")
 }
 
-// guard runs f. If f gives up at a syntax error, parsing goes on behind it: at the next declaration if words are given, which
-// begin one, otherwise at the next statement of the block.
+// guard runs f. If f gives up at a syntax error, parsing goes on behind it: at the next declaration if words are
+// given, which begin one, otherwise at the next statement of the block.
 func (p *parser) guard(f func(), words ...string) {
 	begin, depth := p.next, p.depth
 	defer func() {
@@ -137,7 +138,8 @@
 	f()
 }
 
-// skipToDeclaration skips to a word at the begin of a line, which must not be within braces unless it is in the first column.
+// skipToDeclaration skips to a word at the begin of a line, which must not be within braces unless it is in the
+// first column.
 func (p *parser) skipToDeclaration(words []string) {
 	braces := 0
 	for ; p.tokens[p.next].kind != tokenEOF; p.next++ {
--- a/internal/hooklang/program.go
+++ b/internal/hooklang/program.go
@@ -95,7 +95,8 @@
 	})
 }
 
-// Points returns the names of the points that the program has handlers for, in the order of the manual, and a timer's time.
+// Points returns the names of the points that the program has handlers for, in the order of the manual, and a
+// timer's time.
 func (p *Program) Points() (names []string, every time.Duration) {
 	for _, pt := range Points {
 		if h := p.handlers[pt.Name]; h != nil {
--- a/internal/hooklang/runtests.go
+++ b/internal/hooklang/runtests.go
@@ -28,7 +28,8 @@
 	return nil
 }
 
-// Test runs the tests of a program in the order of the text, each from the first state. Their clock stands at a day's begin.
+// Test runs the tests of a program in the order of the text, each from the first state. Their clock stands at a
+// day's begin.
 func (p *Program) Test() (l []TestResult) {
 	vm := NewVM()
 	for _, t := range p.tests {
@@ -38,3 +39,41 @@
 	}
 	return l
 }
+
+// runInTest is run in a test: a handler gets fuel of its own, state goes on from run to run, and what it advises is
+// returned.
+func (vm *VM) runInTest(in instruction, event Value) Value {
+	var h *handler
+	for _, pt := range Points {
+		if k := vm.program.handlers[pt.Name]; k != nil && k.function == int(in.a) {
+			h = k
+		}
+	}
+	lim := Aside
+	if h.point.Inline {
+		lim = Inline
+	}
+	in2 := NewVM()
+	in2.Trace = vm.Trace
+	res, err := in2.runHandler(vm.program, h, event, &State{vm.program, vm.state}, vm.env, lim)
+	if err != nil {
+		panic(faulted{err.(*Fault)})
+	}
+	vm.spend(res.Fuel)
+	vm.state = res.State.values
+	o := &object{collection: true}
+	for _, a := range res.Advice {
+		o.items = append(o.items, a.value())
+	}
+	vm.list(int64(len(o.items)))
+	return Value{object: o}
+}
+
+func (vm *VM) runHandler(p *Program, h *handler, event Value, st *State, env Env, lim Limits) (Result, error) {
+	vm.start(p, st, env, lim)
+	err := vm.guard(p, func() {
+		vm.exec(p.funcs[h.function], []Value{event})
+		vm.freezeState()
+	})
+	return Result{Advice: vm.advice, State: vm.resultState(st), Fuel: lim.Fuel - vm.fuel}, err
+}
--- a/internal/hooklang/session.go
+++ b/internal/hooklang/session.go
@@ -40,8 +40,8 @@
 
 func pointer(t *Type) bool { return t == typeString || t.isCollection() || t.record != nil }
 
-// A Session is what a REPL remembers: declarations, and statements, which are all run anew for each line. As the language
-// depends on nothing else, that is the same as going on.
+// A Session is what a REPL remembers: declarations, and statements, which are all run anew for each line. As the
+// language depends on nothing else, that is the same as going on.
 type Session struct {
 	decls, stmts []string
 }
--- a/internal/hooklang/state.go
+++ b/internal/hooklang/state.go
@@ -73,7 +73,8 @@
 	return json.Marshal(l)
 }
 
-// Restore reads what MarshalJSON wrote. Variables that the program does not have, or has with another type, are left out.
+// Restore reads what MarshalJSON wrote. Variables that the program does not have, or has with another type, are
+// left out.
 func (p *Program) Restore(text []byte) (*State, error) {
 	var l []saved
 	if err := json.Unmarshal(text, &l); err != nil {
--- a/internal/hooklang/value.go
+++ b/internal/hooklang/value.go
@@ -31,6 +31,7 @@
 func listOf(t *Type) *Type   { return &Type{name: "list", elem: t} }
 func mapOf(k, v *Type) *Type { return &Type{name: "map", key: k, elem: v} }
 
+// String returns the type as the language writes it.
 func (t *Type) String() string {
 	switch {
 	case t.name == "list":
@@ -75,9 +76,9 @@
 	object *object
 }
 
-// An object is a string, list, map or record. Lists and maps are values: whoever stores one that is stored elsewhere makes
-// both stores share it, and a change copies it first. stored counts stores, up to 2, and is 3 where nothing may be
-// written any more, as others read it at the same time.
+// An object is a string, list, map or record. Lists and maps are values: whoever stores one that is stored
+// elsewhere makes both stores share it, and a change copies it first. stored counts stores, up to 2, and is 3 where
+// nothing may be written any more, as others read it at the same time.
 type object struct {
 	text       string
 	items      []Value // list, values of a map, fields
--- a/internal/hooklang/vm.go
+++ b/internal/hooklang/vm.go
@@ -4,52 +4,8 @@
 	"fmt"
 	"math"
 	"slices"
-	"strings"
 )
 
-// FaultKind says why a run was ended.
-type FaultKind string
-
-// The kinds of faults.
-const (
-	FaultFuel     FaultKind = "fuel"
-	FaultMemory   FaultKind = "memory"
-	FaultDepth    FaultKind = "depth"
-	FaultSize     FaultKind = "size"
-	FaultEffects  FaultKind = "effects"
-	FaultStopped  FaultKind = "stopped" // by Limits.Stop
-	FaultOverflow FaultKind = "overflow"
-	FaultDivision FaultKind = "division"
-	FaultIndex    FaultKind = "index"
-	FaultKey      FaultKind = "key"
-	FaultRange    FaultKind = "range"
-	FaultRaised   FaultKind = "raised" // by fail
-	FaultExpect   FaultKind = "expect"
-	FaultInternal FaultKind = "internal"
-)
-
-// A Fault ended a run. What the run had advised or stored is dropped.
-type Fault struct {
-	Kind  FaultKind
-	Text  string
-	File  string
-	Pos   Pos
-	Stack []string // names of the functions, the innermost first
-}
-
-func (f *Fault) Error() string {
-	return fmt.Sprintf("%s:%v: %s: %s (in %s)", f.File, f.Pos, f.Kind, f.Text, strings.Join(f.Stack, ", "))
-}
-
-// Exhausted tells whether the run took more than it may, rather than going wrong.
-func (f *Fault) Exhausted() bool {
-	switch f.Kind {
-	case FaultFuel, FaultMemory, FaultDepth, FaultSize, FaultEffects, FaultStopped:
-		return true
-	}
-	return false
-}
-
 // Env is what a run sees of time.
 type Env struct {
 	Now  int64 // the step's clock, nanoseconds
@@ -64,36 +20,45 @@
 	Memory int64
 }
 
+// objectBytes is what a string, list, map or record counts as memory, besides its content.
 const objectBytes = 96
 
-// A VM runs programs, one at a time. It keeps its stack from run to run.
+// VM runs programs, one run at a time: it is not safe for concurrent use. It keeps the memory of its stack from run
+// to run.
 type VM struct {
-	program   *Program
-	limits    Limits
-	env       Env
-	fuel      int64 // left
-	memory    int64
-	nextCheck int64 // fuel at which Stop is asked next
-	stack     []Value
-	frames    []frame
-	state     []Value
-	written   []bool
-	advice    []Advice
-	capture   *[]Value
 	// Trace, where set, is called before the first instruction of each line that is run.
 	Trace      func(function string, pos Pos, locals []Value)
 	lastTraced Pos
+
+	program *Program
+	limits  Limits
+	env     Env
+
+	fuel      int64 // instructions left
+	memory    int64 // bytes left
+	nextCheck int64 // fuel at which limits.Stop is asked next
+
+	// Each frame has its slots on the stack, and its operands above them.
+	stack  []Value
+	frames []frame
+
+	state   []Value // of the program; the run has its own copy once written is set
+	written []bool  // which state variables the run has changed; nil: none
+	advice  []Advice
+	capture *[]Value // where set, gets the slots of the functions that return without a value
 }
 
+// frame is a call that has not returned.
 type frame struct {
 	function *function
-	pc       int
-	base     int
+	pc       int // of the next instruction; up to date only where a fault or a call needs it
+	base     int // index of its first slot on the stack
 }
 
 // NewVM returns a VM.
 func NewVM() *VM { return &VM{stack: make([]Value, 0, 256)} }
 
+// faulted is the panic by which a run ends with a fault; guard recovers it.
 type faulted struct{ f *Fault }
 
 func (vm *VM) fault(kind FaultKind, format string, args ...any) {
@@ -107,8 +72,10 @@
 	}
 }
 
+// stopInterval is how many instructions are run between two calls of Limits.Stop.
 const stopInterval = 4096
 
+// check ends a run that is out of fuel, or whose time is over.
 func (vm *VM) check() {
 	if vm.fuel < 0 {
 		vm.fault(FaultFuel, "more than %d instructions", vm.limits.Fuel)
@@ -119,18 +86,21 @@
 	vm.nextCheck = max(0, vm.fuel-stopInterval)
 }
 
+// alloc charges for memory.
 func (vm *VM) alloc(n int64) {
 	if vm.memory -= n; vm.memory < 0 {
 		vm.fault(FaultMemory, "more than %d bytes", vm.limits.Memory)
 	}
 }
 
+// size checks the size of a string, list or map.
 func (vm *VM) size(n int) {
 	if n > vm.limits.Size {
 		vm.fault(FaultSize, "%d, over the %d that a string, list or map may have", n, vm.limits.Size)
 	}
 }
 
+// str makes a string, and charges for it.
 func (vm *VM) str(s string) Value {
 	vm.size(len(s))
 	vm.spend(int64(len(s)) / 16)
@@ -145,6 +115,7 @@
 	vm.alloc(objectBytes + 16*n)
 }
 
+// clone copies a list or map, and charges for it. Entries are shared.
 func (vm *VM) clone(o *object) *object {
 	vm.list(int64(len(o.items) + len(o.keys)))
 	c := &object{collection: true, items: slices.Clone(o.items), keys: slices.Clone(o.keys)}
@@ -154,6 +125,7 @@
 	return c
 }
 
+// span checks the bounds of a slice of n entries or bytes, the arguments after the first.
 func (vm *VM) span(a []Value, n int) (from, to int) {
 	if a[1].bits < 0 || a[2].bits < a[1].bits || a[2].bits > int64(n) {
 		vm.fault(FaultIndex, "slice %d to %d of %d", a[1].bits, a[2].bits, n)
@@ -191,7 +163,8 @@
 	return nil
 }
 
-// Run runs the handler of an event's point. The error is a *Fault; then the Result has what was spent, and nothing else.
+// Run runs the handler of an event's point. The error is a *Fault; then the Result has what was spent, and nothing
+// else.
 func (vm *VM) Run(p *Program, point string, e Event, st *State, env Env, lim Limits) (Result, error) {
 	h := p.handlers[point]
 	if h == nil {
@@ -215,9 +188,15 @@
 	return res, nil
 }
 
+// start prepares the VM for a run.
 func (vm *VM) start(p *Program, st *State, env Env, lim Limits) {
-	vm.program, vm.env, vm.limits, vm.advice = p, env, lim, nil
-	vm.fuel, vm.memory, vm.lastTraced = lim.Fuel, lim.Memory, Pos{}
+	vm.program = p
+	vm.env = env
+	vm.limits = lim
+	vm.advice = nil
+	vm.fuel = lim.Fuel
+	vm.memory = lim.Memory
+	vm.lastTraced = Pos{}
 	vm.nextCheck = max(0, vm.fuel-stopInterval)
 	vm.state = st.values
 	vm.written = nil
@@ -235,6 +214,7 @@
 	}
 }
 
+// resultState returns the state as the run leaves it.
 func (vm *VM) resultState(st *State) *State {
 	if vm.written == nil {
 		return st
@@ -273,6 +253,7 @@
 	return o
 }
 
+// enter begins a call whose arguments are on the stack, and returns the index of its first slot.
 func (vm *VM) enter(fn *function, args int) int {
 	if len(vm.frames) >= vm.limits.Depth {
 		vm.fault(FaultDepth, "more than %d calls within calls", vm.limits.Depth)
@@ -291,189 +272,6 @@
 	return base
 }
 
-// exec runs a function to its end and returns its result.
-func (vm *VM) exec(fn *function, args []Value) Value {
-	vm.stack = append(vm.stack, args...)
-	floor := len(vm.frames)
-	base := vm.enter(fn, len(args))
-	code, pc := fn.code, 0
-	st := vm.stack
-	for {
-		in := code[pc]
-		pc++
-		if vm.fuel--; vm.fuel < vm.nextCheck {
-			vm.frames[len(vm.frames)-1].pc = pc
-			vm.check()
-		}
-		if vm.Trace != nil {
-			if pos := vm.frames[len(vm.frames)-1].function.positions[pc-1]; pos.Line != vm.lastTraced.Line {
-				vm.lastTraced = pos
-				f := vm.frames[len(vm.frames)-1].function
-				vm.Trace(f.name, pos, st[base:base+f.slots])
-			}
-		}
-		n := len(st) - 1
-		switch in.op {
-		case opConst:
-			st = append(st, vm.program.consts[in.a])
-		case opInt:
-			st = append(st, Value{bits: int64(in.a)})
-		case opLoad:
-			st = append(st, st[base+int(in.a)])
-		case opStore:
-			st[base+int(in.a)] = st[n].share()
-			st = st[:n]
-		case opLoadState:
-			st = append(st, vm.state[in.a])
-		case opStoreState:
-			vm.set(in.a, st[n].share())
-			st = st[:n]
-		case opPop:
-			st = st[:n]
-		case opJump:
-			pc = int(in.a)
-		case opJumpFalse:
-			if st[n].bits == 0 {
-				pc = int(in.a)
-			}
-			st = st[:n]
-		case opJumpTrue:
-			if st[n].bits != 0 {
-				pc = int(in.a)
-			}
-			st = st[:n]
-		case opAndJump:
-			if st[n].bits == 0 {
-				pc = int(in.a)
-			} else {
-				st = st[:n]
-			}
-		case opOrJump:
-			if st[n].bits != 0 {
-				pc = int(in.a)
-			} else {
-				st = st[:n]
-			}
-		case opNot:
-			st[n].bits ^= 1
-		case opAddIntConst:
-			x := st[n].bits
-			if x > math.MaxInt64-int64(in.a) {
-				vm.at(pc)
-				vm.fault(FaultOverflow, "%d + %d", x, in.a)
-			}
-			st[n].bits = x + int64(in.a)
-		case opAddInt:
-			x, y := st[n-1].bits, st[n].bits
-			z := x + y
-			if (x^z)&(y^z) < 0 {
-				vm.at(pc)
-				vm.fault(FaultOverflow, "%d + %d", x, y)
-			}
-			st = st[:n]
-			st[n-1].bits = z
-		case opSubInt:
-			x, y := st[n-1].bits, st[n].bits
-			z := x - y
-			if (x^y)&(x^z) < 0 {
-				vm.at(pc)
-				vm.fault(FaultOverflow, "%d - %d", x, y)
-			}
-			st = st[:n]
-			st[n-1].bits = z
-		case opEqInt:
-			st = st[:n]
-			st[n-1] = boolValue(st[n-1].bits == st[:n+1][n].bits)
-		case opNeInt:
-			st = st[:n]
-			st[n-1] = boolValue(st[n-1].bits != st[:n+1][n].bits)
-		case opLtInt:
-			st = st[:n]
-			st[n-1] = boolValue(st[n-1].bits < st[:n+1][n].bits)
-		case opLeInt:
-			st = st[:n]
-			st[n-1] = boolValue(st[n-1].bits <= st[:n+1][n].bits)
-		case opGtInt:
-			st = st[:n]
-			st[n-1] = boolValue(st[n-1].bits > st[:n+1][n].bits)
-		case opGeInt:
-			st = st[:n]
-			st[n-1] = boolValue(st[n-1].bits >= st[:n+1][n].bits)
-		case opLtFloat:
-			st = st[:n]
-			st[n-1] = boolValue(st[n-1].float() < st[:n+1][n].float())
-		case opLeFloat:
-			st = st[:n]
-			st[n-1] = boolValue(st[n-1].float() <= st[:n+1][n].float())
-		case opGtFloat:
-			st = st[:n]
-			st[n-1] = boolValue(st[n-1].float() > st[:n+1][n].float())
-		case opGeFloat:
-			st = st[:n]
-			st[n-1] = boolValue(st[n-1].float() >= st[:n+1][n].float())
-		case opField:
-			st[n] = st[n].object.items[in.a]
-		case opIndexList:
-			l, i := st[n-1].object.items, st[n].bits
-			if i < 0 || i >= int64(len(l)) {
-				vm.at(pc)
-				vm.fault(FaultIndex, "entry %d of %d", i, len(l))
-			}
-			st = st[:n]
-			st[n-1] = l[i]
-		case opNextRange:
-			cur := &st[base+int(in.b)+1]
-			if cur.bits >= st[base+int(in.b)+2].bits {
-				pc = int(in.a)
-				break
-			}
-			st[base+int(in.b)] = Value{bits: cur.bits}
-			cur.bits++
-		case opNextList:
-			o, cur := st[base+int(in.b)+1].object, &st[base+int(in.b)+2]
-			if cur.bits >= int64(len(o.items)) {
-				pc = int(in.a)
-				break
-			}
-			st[base+int(in.b)] = o.items[cur.bits].share()
-			cur.bits++
-		case opCall:
-			fn := vm.program.funcs[in.a]
-			vm.at(pc)
-			vm.stack = st
-			base = vm.enter(fn, int(in.b))
-			st = vm.stack
-			code, pc = fn.code, 0
-		case opReturn, opReturnNothing:
-			var v Value
-			if in.op == opReturn {
-				v = st[n]
-			} else if vm.capture != nil {
-				*vm.capture = append(*vm.capture, st[base:]...)
-			}
-			st = st[:base]
-			vm.frames = vm.frames[:len(vm.frames)-1]
-			if len(vm.frames) == floor {
-				vm.stack = st
-				return v
-			}
-			if in.op == opReturn {
-				st = append(st, v)
-			}
-			f := &vm.frames[len(vm.frames)-1]
-			base, code, pc = f.base, f.function.code, f.pc
-		default:
-			vm.at(pc)
-			vm.stack = st
-			pc = vm.execSlow(in, base, pc, code)
-			st = vm.stack
-		}
-	}
-}
-
-// at notes where the innermost frame stands, for a fault.
-func (vm *VM) at(pc int) { vm.frames[len(vm.frames)-1].pc = pc }
-
 func (vm *VM) pop() Value {
 	v := vm.stack[len(vm.stack)-1]
 	vm.stack = vm.stack[:len(vm.stack)-1]
@@ -482,6 +280,7 @@
 
 func (vm *VM) push(v Value) { vm.stack = append(vm.stack, v) }
 
+// finite returns a float, which must be finite.
 func (vm *VM) finite(x float64) Value {
 	if math.IsNaN(x) || math.IsInf(x, 0) {
 		vm.fault(FaultOverflow, "the result is no finite number")
--- a/internal/hooklang/vmops.go
+++ b/internal/hooklang/vmops.go
@@ -7,65 +7,147 @@
 	"strings"
 )
 
-// execSlow carries out what needs not be fastest, and returns where to go on.
+// execSlow carries out the instructions that need not be fastest, with the operands on vm.stack, and returns the
+// index of the next one.
 func (vm *VM) execSlow(in instruction, base, pc int, code []instruction) int {
 	switch in.op {
-	case opNegInt:
+	case opIndexMap, opSetList, opSetMap, opPush, opRemove:
+		vm.access(in, base)
+	case opList, opMap, opRecord:
+		vm.build(in)
+	case opAddStr, opAddList, opLtStr, opLeStr, opGtStr, opGeStr, opEq, opNe, opInStr, opInList, opInMap:
+		vm.operate(in)
+	case opNegInt, opNegFloat, opMulInt, opDivInt, opModInt, opDivDur:
+		vm.calculate(in)
+	case opAddFloat, opSubFloat, opMulFloat, opDivFloat:
+		vm.calculateFloat(in)
+	case opIterate:
 		v := vm.pop()
-		if v.bits == math.MinInt64 {
-			vm.fault(FaultOverflow, "-(%d)", v.bits)
+		v.share()
+		vm.stack[base+int(in.a)+1] = v.share() // twice: a change of the variable leaves what is run over
+		vm.stack[base+int(in.a)+2] = Value{}
+	case opNextMap:
+		return vm.nextOfMap(in, base, pc, code)
+	case opRange:
+		to, from := vm.pop(), vm.pop()
+		vm.stack[base+int(in.a)+1] = from
+		vm.stack[base+int(in.a)+2] = to
+	case opBuiltin:
+		n := int(in.b & 0xff)
+		v := vm.program.natives[in.a](vm, vm.stack[len(vm.stack)-n:])
+		vm.stack = vm.stack[:len(vm.stack)-n]
+		if in.b>>8 != 0 {
+			vm.push(v)
 		}
-		vm.push(Value{bits: -v.bits})
-	case opNegFloat:
-		vm.push(vm.finite(-vm.pop().float()))
-	case opMulInt:
-		y, x := vm.pop().bits, vm.pop().bits
-		z := x * y
-		if x != 0 && (z/x != y || x == -1 && y == math.MinInt64) {
-			vm.fault(FaultOverflow, "%d * %d", x, y)
+	case opSort:
+		vm.sort(vm.program.funcs[in.a])
+	case opRun:
+		vm.push(vm.runInTest(in, vm.pop()))
+	default:
+		panic(fmt.Sprintf("hook: no such instruction: %d", in.op))
+	}
+	return pc
+}
+
+// nextOfMap begins the next turn of a loop over a map, or ends it. The instruction behind it has the slot of the key.
+func (vm *VM) nextOfMap(in instruction, base, pc int, code []instruction) int {
+	o, cur := vm.stack[base+int(in.b)+1].object, &vm.stack[base+int(in.b)+2]
+	if cur.bits >= int64(len(o.keys)) {
+		return int(in.a)
+	}
+	if k := code[pc].a; k >= 0 {
+		vm.stack[base+int(k)] = o.keys[cur.bits]
+		vm.stack[base+int(in.b)] = o.items[cur.bits].share()
+	} else {
+		vm.stack[base+int(in.b)] = o.keys[cur.bits]
+	}
+	cur.bits++
+	return pc + 1
+}
+
+// sort replaces the list on the stack by a sorted copy.
+func (vm *VM) sort(less *function) {
+	o := vm.clone(vm.pop().object)
+	vm.push(Value{object: o}) // where a fault's stack looks, and nothing else does
+	vm.mergeSort(less, o.items, make([]Value, len(o.items)))
+	vm.stack[len(vm.stack)-1] = Value{object: o}
+}
+
+// access reads an entry of a map, or changes a list or map of a variable.
+func (vm *VM) access(in instruction, base int) {
+	switch in.op {
+	case opIndexMap:
+		k, m := vm.pop(), vm.pop()
+		vm.spend(4)
+		i, ok := m.object.find(k)
+		if !ok {
+			vm.fault(FaultKey, "no entry at %s: ask with in, or get(map, key, otherwise)", keyText(k))
 		}
-		vm.push(Value{bits: z})
-	case opDivInt, opModInt:
-		y, x := vm.pop().bits, vm.pop().bits
-		if y == 0 {
-			vm.fault(FaultDivision, "%d by 0", x)
+		vm.push(m.object.items[i])
+	case opSetList:
+		v, i := vm.pop(), vm.pop().bits
+		o := vm.ownedCollection(base, in)
+		if i < 0 || i >= int64(len(o.items)) {
+			vm.fault(FaultIndex, "entry %d of %d", i, len(o.items))
 		}
-		if y == -1 { // the one quotient that does not fit
-			if in.op == opModInt {
-				vm.push(Value{})
-				break
-			}
-			if x == math.MinInt64 {
-				vm.fault(FaultOverflow, "%d / %d", x, y)
-			}
+		o.items[i] = v.share()
+	case opSetMap:
+		v, k := vm.pop(), vm.pop()
+		vm.put(vm.ownedCollection(base, in), k, v)
+	case opPush:
+		v := vm.pop()
+		o := vm.ownedCollection(base, in)
+		vm.size(len(o.items) + 1)
+		vm.alloc(32)
+		o.items = append(o.items, v.share())
+	case opRemove:
+		k := vm.pop()
+		o := vm.ownedCollection(base, in)
+		if i, ok := o.find(k); ok {
+			vm.spend(4 + int64(len(o.keys)-i)/8)
+			o.keys, o.items = slices.Delete(o.keys, i, i+1), slices.Delete(o.items, i, i+1)
 		}
-		if in.op == opDivInt {
-			vm.push(Value{bits: x / y})
-		} else {
-			vm.push(Value{bits: x % y})
+	}
+}
+
+// build makes a list, map or record of values on the stack.
+func (vm *VM) build(in instruction) {
+	switch in.op {
+	case opList:
+		n := int(in.a)
+		vm.list(int64(n))
+		o := &object{collection: true, items: slices.Clone(vm.stack[len(vm.stack)-n:])}
+		for _, e := range o.items {
+			e.share()
 		}
-	case opAddFloat, opSubFloat, opMulFloat, opDivFloat:
-		y, x := vm.pop().float(), vm.pop().float()
-		switch in.op {
-		case opAddFloat:
-			x += y
-		case opSubFloat:
-			x -= y
-		case opMulFloat:
-			x *= y
-		default:
-			if y == 0 {
-				vm.fault(FaultDivision, "%s by 0", floatText(x))
-			}
-			x /= y
+		vm.stack = vm.stack[:len(vm.stack)-n]
+		vm.push(Value{object: o})
+	case opMap:
+		n := int(in.a)
+		vm.list(2 * int64(n))
+		o := &object{collection: true}
+		l := vm.stack[len(vm.stack)-2*n:]
+		for i := 0; i < n; i++ {
+			vm.put(o, l[2*i], l[2*i+1])
 		}
-		vm.push(vm.finite(x))
-	case opDivDur:
-		y, x := vm.pop().bits, vm.pop().bits
-		if y == 0 {
-			vm.fault(FaultDivision, "a duration by none")
+		vm.stack = vm.stack[:len(vm.stack)-2*n]
+		vm.push(Value{object: o})
+	case opRecord:
+		t := &vm.program.templates[in.a]
+		vm.alloc(objectBytes + 16*int64(len(t.values)))
+		o := &object{items: slices.Clone(t.values)}
+		l := vm.stack[len(vm.stack)-len(t.fields):]
+		for i, f := range t.fields {
+			o.items[f] = l[i]
 		}
-		vm.push(floatValue(float64(x) / float64(y)))
+		vm.stack = vm.stack[:len(vm.stack)-len(t.fields)]
+		vm.push(Value{object: o})
+	}
+}
+
+// operate joins, compares and searches strings, lists and maps.
+func (vm *VM) operate(in instruction) {
+	switch in.op {
 	case opAddStr:
 		y, x := vm.pop().str(), vm.pop().str()
 		vm.size(len(x) + len(y))
@@ -101,105 +183,72 @@
 		vm.spend(4)
 		_, ok := y.object.find(x)
 		vm.push(boolValue(ok))
-	case opList:
-		n := int(in.a)
-		vm.list(int64(n))
-		o := &object{collection: true, items: slices.Clone(vm.stack[len(vm.stack)-n:])}
-		for _, e := range o.items {
-			e.share()
-		}
-		vm.stack = vm.stack[:len(vm.stack)-n]
-		vm.push(Value{object: o})
-	case opMap:
-		n := int(in.a)
-		vm.list(2 * int64(n))
-		o := &object{collection: true}
-		l := vm.stack[len(vm.stack)-2*n:]
-		for i := 0; i < n; i++ {
-			vm.put(o, l[2*i], l[2*i+1])
-		}
-		vm.stack = vm.stack[:len(vm.stack)-2*n]
-		vm.push(Value{object: o})
-	case opRecord:
-		t := &vm.program.templates[in.a]
-		vm.alloc(objectBytes + 16*int64(len(t.values)))
-		o := &object{items: slices.Clone(t.values)}
-		l := vm.stack[len(vm.stack)-len(t.fields):]
-		for i, f := range t.fields {
-			o.items[f] = l[i]
-		}
-		vm.stack = vm.stack[:len(vm.stack)-len(t.fields)]
-		vm.push(Value{object: o})
-	case opIndexMap:
-		k, m := vm.pop(), vm.pop()
-		vm.spend(4)
-		i, ok := m.object.find(k)
-		if !ok {
-			vm.fault(FaultKey, "no entry at %s: ask with in, or get(map, key, otherwise)", keyText(k))
+	}
+}
+
+// calculate does arithmetic of ints and durations that may fail, and negates.
+func (vm *VM) calculate(in instruction) {
+	switch in.op {
+	case opNegInt:
+		v := vm.pop()
+		if v.bits == math.MinInt64 {
+			vm.fault(FaultOverflow, "-(%d)", v.bits)
 		}
-		vm.push(m.object.items[i])
-	case opSetList:
-		v, i := vm.pop(), vm.pop().bits
-		o := vm.ownedCollection(base, in)
-		if i < 0 || i >= int64(len(o.items)) {
-			vm.fault(FaultIndex, "entry %d of %d", i, len(o.items))
+		vm.push(Value{bits: -v.bits})
+	case opNegFloat:
+		vm.push(vm.finite(-vm.pop().float()))
+	case opMulInt:
+		y, x := vm.pop().bits, vm.pop().bits
+		z := x * y
+		if x != 0 && (z/x != y || x == -1 && y == math.MinInt64) {
+			vm.fault(FaultOverflow, "%d * %d", x, y)
 		}
-		o.items[i] = v.share()
-	case opSetMap:
-		v, k := vm.pop(), vm.pop()
-		vm.put(vm.ownedCollection(base, in), k, v)
-	case opPush:
-		v := vm.pop()
-		o := vm.ownedCollection(base, in)
-		vm.size(len(o.items) + 1)
-		vm.alloc(32)
-		o.items = append(o.items, v.share())
-	case opRemove:
-		k := vm.pop()
-		o := vm.ownedCollection(base, in)
-		if i, ok := o.find(k); ok {
-			vm.spend(4 + int64(len(o.keys)-i)/8)
-			o.keys, o.items = slices.Delete(o.keys, i, i+1), slices.Delete(o.items, i, i+1)
+		vm.push(Value{bits: z})
+	case opDivInt, opModInt:
+		y, x := vm.pop().bits, vm.pop().bits
+		if y == 0 {
+			vm.fault(FaultDivision, "%d by 0", x)
 		}
-	case opIterate:
-		v := vm.pop()
-		v.share()
-		vm.stack[base+int(in.a)+1] = v.share() // twice: a change of the variable leaves what is run over
-		vm.stack[base+int(in.a)+2] = Value{}
-	case opNextMap:
-		o, cur := vm.stack[base+int(in.b)+1].object, &vm.stack[base+int(in.b)+2]
-		if cur.bits >= int64(len(o.keys)) {
-			return int(in.a)
+		if y == -1 { // the one quotient that does not fit
+			if in.op == opModInt {
+				vm.push(Value{})
+				break
+			}
+			if x == math.MinInt64 {
+				vm.fault(FaultOverflow, "%d / %d", x, y)
+			}
 		}
-		if k := code[pc].a; k >= 0 {
-			vm.stack[base+int(k)] = o.keys[cur.bits]
-			vm.stack[base+int(in.b)] = o.items[cur.bits].share()
+		if in.op == opDivInt {
+			vm.push(Value{bits: x / y})
 		} else {
-			vm.stack[base+int(in.b)] = o.keys[cur.bits]
+			vm.push(Value{bits: x % y})
 		}
-		cur.bits++
-		return pc + 1
-	case opRange:
-		to, from := vm.pop(), vm.pop()
-		vm.stack[base+int(in.a)+1], vm.stack[base+int(in.a)+2] = from, to
-	case opBuiltin:
-		n := int(in.b & 0xff)
-		v := vm.program.natives[in.a](vm, vm.stack[len(vm.stack)-n:])
-		vm.stack = vm.stack[:len(vm.stack)-n]
-		if in.b>>8 != 0 {
-			vm.push(v)
+	case opDivDur:
+		y, x := vm.pop().bits, vm.pop().bits
+		if y == 0 {
+			vm.fault(FaultDivision, "a duration by none")
 		}
-	case opSort:
-		o := vm.clone(vm.pop().object)
-		vm.push(Value{object: o}) // where a fault's stack looks, and nothing else does
-		vm.mergeSort(vm.program.funcs[in.a], o.items, make([]Value, len(o.items)))
-		vm.stack[len(vm.stack)-1] = Value{object: o}
-	case opRun:
-		vm.push(vm.runInTest(in, vm.pop()))
+		vm.push(floatValue(float64(x) / float64(y)))
+	}
+}
+
+// calculateFloat does arithmetic of floats. A result that is not finite is a fault.
+func (vm *VM) calculateFloat(in instruction) {
+	y, x := vm.pop().float(), vm.pop().float()
+	switch in.op {
+	case opAddFloat:
+		x += y
+	case opSubFloat:
+		x -= y
+	case opMulFloat:
+		x *= y
 	default:
-		panic(fmt.Sprintf("hook: no such instruction: %d", in.op))
+		if y == 0 {
+			vm.fault(FaultDivision, "%s by 0", floatText(x))
+		}
+		x /= y
 	}
-	return pc
+	vm.push(vm.finite(x))
 }
 
 func keyText(k Value) string {
@@ -222,8 +271,8 @@
 	o.keys, o.items = slices.Insert(o.keys, i, k), slices.Insert(o.items, i, v.share())
 }
 
-// mergeSort sorts stably. Which entries are compared depends on the answers, how many never does by more than n log n: a
-// comparison that contradicts itself gives some order, and ends.
+// mergeSort sorts stably. Which entries are compared depends on the answers, how many never does by more than n log
+// n: a comparison that contradicts itself gives some order, and ends.
 func (vm *VM) mergeSort(less *function, l, tmp []Value) {
 	if len(l) < 2 {
 		return
@@ -241,40 +290,3 @@
 		}
 	}
 }
-
-// runInTest is run in a test: a handler gets fuel of its own, state goes on from run to run, and what it advises is returned.
-func (vm *VM) runInTest(in instruction, event Value) Value {
-	var h *handler
-	for _, pt := range Points {
-		if k := vm.program.handlers[pt.Name]; k != nil && k.function == int(in.a) {
-			h = k
-		}
-	}
-	lim := Aside
-	if h.point.Inline {
-		lim = Inline
-	}
-	in2 := NewVM()
-	in2.Trace = vm.Trace
-	res, err := in2.runHandler(vm.program, h, event, &State{vm.program, vm.state}, vm.env, lim)
-	if err != nil {
-		panic(faulted{err.(*Fault)})
-	}
-	vm.spend(res.Fuel)
-	vm.state = res.State.values
-	o := &object{collection: true}
-	for _, a := range res.Advice {
-		o.items = append(o.items, a.value())
-	}
-	vm.list(int64(len(o.items)))
-	return Value{object: o}
-}
-
-func (vm *VM) runHandler(p *Program, h *handler, event Value, st *State, env Env, lim Limits) (Result, error) {
-	vm.start(p, st, env, lim)
-	err := vm.guard(p, func() {
-		vm.exec(p.funcs[h.function], []Value{event})
-		vm.freezeState()
-	})
-	return Result{Advice: vm.advice, State: vm.resultState(st), Fuel: lim.Fuel - vm.fuel}, err
-}
