--- a/internal/hooklang/ast.go
+++ b/internal/hooklang/ast.go
@@ -2,14 +2,16 @@
 
 import "time"
 
+// script is the syntax tree of a text. The parser makes it; the checker fills in types, slots and what names refer to.
 type script struct {
 	states   []*stateDecl
 	funcs    []*funcDecl // functions and handlers, in order of the text
 	tests    []*testDecl
-	order    []any // all of them as they stand
+	order    []any // all of them, in order of the text, for the formatter
 	comments []comment
 }
 
+// typeNode is a type as it is written.
 type typeNode struct {
 	pos  Pos
 	name string // "list", "map" or a name
@@ -17,6 +19,7 @@
 	key  *typeNode
 }
 
+// stateDecl is a state variable.
 type stateDecl struct {
 	pos          Pos
 	name         string
@@ -26,12 +29,14 @@
 	index        int
 }
 
+// param is a parameter of a function, or the event of a handler.
 type param struct {
 	pos          Pos
 	name         string
 	declaredType *typeNode
 }
 
+// funcDecl is a function or a handler.
 type funcDecl struct {
 	pos            Pos
 	name           string // of a handler: its point
@@ -44,13 +49,14 @@
 
 	paramTypes    []*Type // of the parameters
 	resultType    *Type
-	slots         int
-	calls         []*funcDecl // for what a handler may reach
-	writesStateAt Pos         // where it changes state; zero: it does not
-	effectsAt     map[string]Pos
+	slots         int            // how many it needs
+	calls         []*funcDecl    // for what a handler may reach
+	writesStateAt Pos            // where it changes state; zero: it does not
+	effectsAt     map[string]Pos // the advice it gives, and where first
 	vars          []varInfo
 }
 
+// testDecl is a test.
 type testDecl struct {
 	pos      Pos
 	name     string
@@ -58,18 +64,21 @@
 	function *funcDecl
 }
 
+// block is the statements between braces.
 type block struct {
 	pos   Pos
 	stmts []stmt
 	end   Pos
 }
 
+// stmt is a statement, expr an expression, whose type is known once it is checked.
 type stmt interface{ at() Pos }
 type expr interface {
 	at() Pos
 	typ() *Type
 }
 
+// node is what has a place in the text.
 type node struct{ pos Pos }
 
 func (n node) at() Pos { return n.pos }
@@ -126,6 +135,7 @@
 	}
 )
 
+// matchCase is a case of a match statement: any of the values fits.
 type matchCase struct {
 	values []expr
 	body   *block
@@ -139,6 +149,7 @@
 	index   int
 }
 
+// typed is a node with a type.
 type typed struct {
 	node
 	valueType *Type
--- a/internal/hooklang/check.go
+++ b/internal/hooklang/check.go
@@ -31,22 +31,28 @@
 	scopeEnd    Pos // of the scope that ends next
 }
 
-// Check parses a text and checks it. The script can be compiled if no problem is more than a warning.
+// check parses a text and checks it. The script can be compiled if no problem is more than a warning.
 func check(file, text string) (*script, Problems) {
 	s, bad := parse(file, text)
-	c := &checker{file: file, parsed: s, problems: bad, funcs: map[string]*funcDecl{}, points: map[string]*funcDecl{}, states: map[string]*stateDecl{}}
+	c := &checker{
+		file:     file,
+		parsed:   s,
+		problems: bad,
+		funcs:    map[string]*funcDecl{},
+		points:   map[string]*funcDecl{},
+		states:   map[string]*stateDecl{},
+	}
 	if len(bad) == 0 || len(s.order) > 0 {
 		c.script()
 	}
 	sort.SliceStable(c.problems, func(i, j int) bool {
-		a, b := c.problems[i].Pos, c.problems[j].Pos
-		return a.Line < b.Line || a.Line == b.Line && a.Col < b.Col
+		return c.problems[i].Pos.before(c.problems[j].Pos)
 	})
 	c.problems = slices.CompactFunc(c.problems, func(a, b *Problem) bool { return *a == *b })
 	return s, c.problems
 }
 
-// Wrong tells whether one of the problems is more than a warning.
+// Wrong reports whether one of the problems is more than a warning.
 func (l Problems) Wrong() bool {
 	return slices.ContainsFunc(l, func(p *Problem) bool { return !p.Warning })
 }
@@ -217,7 +223,9 @@
 }
 
 func (c *checker) function(d *funcDecl) {
-	c.current, c.nextSlot, c.loopDepth = d, 0, 0
+	c.current = d
+	c.nextSlot = 0
+	c.loopDepth = 0
 	c.scopes = []map[string]*variable{{}}
 	for i, p := range d.params {
 		if v := c.declare(p.pos, p.name, d.paramTypes[i]); v != nil {
--- a/internal/hooklang/checkcall.go
+++ b/internal/hooklang/checkcall.go
@@ -120,7 +120,11 @@
 		return t
 	}
 	d := c.funcs[n.name]
-	if t != typeInvalid && (len(d.paramTypes) != 2 || !sameType(d.paramTypes[0], t.elem) || !sameType(d.paramTypes[1], t.elem) || d.resultType != typeBool) {
+	comparesEntries := func() bool {
+		return len(d.paramTypes) == 2 && sameType(d.paramTypes[0], t.elem) && sameType(d.paramTypes[1], t.elem) &&
+			d.resultType == typeBool
+	}
+	if t != typeInvalid && !comparesEntries() {
 		c.problem(n.pos, "%s must be fn %s(a %v, b %v) bool", n.name, n.name, t.elem, t.elem)
 	}
 	e.function = d
--- a/internal/hooklang/checkreach.go
+++ b/internal/hooklang/checkreach.go
@@ -45,7 +45,8 @@
 			}
 		}
 		if d.point.Inline && f.writesStateAt != (Pos{}) {
-			c.problem(f.writesStateAt, "state cannot be changed at %s (on %s, line %d), where many calls run at once: change it at ended",
+			c.problem(f.writesStateAt,
+				"state cannot be changed at %s (on %s, line %d), where many calls run at once: change it at ended",
 				d.name, d.name, d.pos.Line)
 		}
 	}
--- a/internal/hooklang/compile.go
+++ b/internal/hooklang/compile.go
@@ -60,7 +60,8 @@
 			fuel = Inline.Fuel
 		}
 		if cost.Fuel > float64(fuel) {
-			text := fmt.Sprintf("on %s may take %.3g instructions, over the %d it has: %s", cost.Point, cost.Fuel, fuel, cost.Why)
+			text := fmt.Sprintf("on %s may take %.3g instructions, over the %d it has: %s",
+				cost.Point, cost.Fuel, fuel, cost.Why)
 			p.Warnings = append(p.Warnings, &Problem{File: p.File, Pos: cost.Pos, Text: text, Warning: true})
 		}
 	}
--- a/internal/hooklang/compileexpr.go
+++ b/internal/hooklang/compileexpr.go
@@ -95,7 +95,8 @@
 	}
 	c.expr(e.left)
 	x, y := e.left.typ(), e.right.typ()
-	if l, ok := e.right.(*literalExpr); ok && e.op == "+" && (x == typeInt || x == typeDuration) && l.value.bits >= 0 && l.value.bits < 1<<31 {
+	l, ok := e.right.(*literalExpr)
+	if ok && e.op == "+" && (x == typeInt || x == typeDuration) && l.value.bits >= 0 && l.value.bits < 1<<31 {
 		c.emit(e.pos, opAddIntConst, int(l.value.bits), 0, 0)
 		return
 	}
--- a/internal/hooklang/cost.go
+++ b/internal/hooklang/cost.go
@@ -8,7 +8,7 @@
 // assumedLength is how long a list or map is taken to be, of which nothing is known before it runs.
 const assumedLength = 100
 
-// A Cost is an estimate of what a handler takes at most, in instructions. Ranges between literals are counted;
+// Cost is an estimate of what a handler takes at most, in instructions. Ranges between literals are counted;
 // lists, maps and other ranges are taken to have 100 entries.
 type Cost struct {
 	Point string
--- a/internal/hooklang/doc.go
+++ b/internal/hooklang/doc.go
@@ -19,10 +19,13 @@
 // Pos is a place in a script, counted from 1; columns are bytes.
 type Pos struct{ Line, Col int }
 
+// before reports whether a place is before another one of the same text.
+func (p Pos) before(o Pos) bool { return p.Line < o.Line || p.Line == o.Line && p.Col < o.Col }
+
 // String returns the place as line:column.
 func (p Pos) String() string { return fmt.Sprintf("%d:%d", p.Line, p.Col) }
 
-// A Problem is what is wrong, or in doubt, at a place of a script.
+// Problem is what is wrong, or in doubt (a warning), at a place of a script.
 type Problem struct {
 	File    string
 	Pos     Pos
--- a/internal/hooklang/fault.go
+++ b/internal/hooklang/fault.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// FaultKind says why a run was ended.
+// FaultKind is the reason why a run was ended.
 type FaultKind string
 
 // The kinds of faults.
@@ -26,7 +26,7 @@
 	FaultInternal FaultKind = "internal"
 )
 
-// A Fault ended a run. What the run had advised or stored is dropped.
+// Fault is the error that ended a run. What the run had advised or stored is discarded.
 type Fault struct {
 	Kind  FaultKind
 	Text  string
@@ -40,7 +40,7 @@
 	return fmt.Sprintf("%s:%v: %s: %s (in %s)", f.File, f.Pos, f.Kind, f.Text, strings.Join(f.Stack, ", "))
 }
 
-// Exhausted tells whether the run took more than it may, rather than going wrong.
+// Exhausted reports whether the run exceeded a limit, rather than going wrong.
 func (f *Fault) Exhausted() bool {
 	switch f.Kind {
 	case FaultFuel, FaultMemory, FaultDepth, FaultSize, FaultEffects, FaultStopped:
--- a/internal/hooklang/format.go
+++ b/internal/hooklang/format.go
@@ -87,7 +87,7 @@
 
 // begin writes the comments that stand before a place, and begins its line.
 func (f *formatter) begin(pos Pos, gap bool) {
-	for len(f.comments) > 0 && (f.comments[0].pos.Line < pos.Line || f.comments[0].pos.Line == pos.Line && f.comments[0].pos.Col < pos.Col) {
+	for len(f.comments) > 0 && f.comments[0].pos.before(pos) {
 		c := f.comments[0]
 		f.comments = f.comments[1:]
 		if !c.alone && f.line > 0 {
--- a/internal/hooklang/host.go
+++ b/internal/hooklang/host.go
@@ -5,11 +5,14 @@
 	"time"
 )
 
-// An Event is what a point hands to its handler: one of Call, Ended, Worker, Load, Level, Tick and Move.
-type Event interface{ values() (*Record, []Value) }
+// Event is what a point passes to its handler: a Call, Ended, Worker, Load, Level, Tick or Move.
+type Event interface {
+	// values returns the record of the event, and the values of its fields.
+	values() (*Record, []Value)
+}
 
 type (
-	// A Call has arrived and is decided upon next.
+	// Call is a call that has arrived, before the scheduler decides on it.
 	Call struct {
 		Function string        `json:"Function"`
 		Tenant   string        `json:"Tenant"`
@@ -18,7 +21,7 @@
 		Retry    bool          `json:"Retry"`
 		Wait     time.Duration `json:"Wait"` // how long the client waits
 		Size     int           `json:"Size"` // bytes of the body
-		Open     int           `json:"Open"` // calls in hand
+		Open     int           `json:"Open"` // calls in flight
 	}
 	// Ended is a call that got its final answer.
 	Ended struct {
@@ -31,32 +34,32 @@
 		Attempts int           `json:"Attempts"`
 		Late     bool          `json:"Late"`
 	}
-	// Worker has joined, or left (drains, or is gone from the list).
+	// Worker is a worker that has joined, or left: it is draining, or no longer in the endpoint list.
 	Worker struct {
 		Name  string `json:"Name"`
 		Group string `json:"Group"`
 		Zone  string `json:"Zone"`
 		State string `json:"State"`
 	}
-	// Load is an order to load that was refused.
+	// Load is a load order that a worker rejected.
 	Load struct {
 		Function string        `json:"Function"`
 		Worker   string        `json:"Worker"`
 		Outcome  string        `json:"Outcome"`
 		Took     time.Duration `json:"Took"`
 	}
-	// Level is a level of reduced service that changed.
+	// Level is a level of degraded service that has changed.
 	Level struct {
 		Name   string `json:"Name"`
 		Before string `json:"Before"`
 		Why    string `json:"Why"`
 	}
-	// Tick is a timer's run.
+	// Tick is one run of a timer.
 	Tick struct {
 		Count int64 `json:"Count"` // from 1
-		Open  int   `json:"Open"`  // calls in hand
+		Open  int   `json:"Open"`  // calls in flight
 	}
-	// Move is an alias that names another version.
+	// Move is an alias of a model that now names another version.
 	Move struct {
 		Model    string `json:"Model"`
 		Alias    string `json:"Alias"`
@@ -65,40 +68,58 @@
 	}
 )
 
-func newRecord(name string, fields ...any) *Record {
-	r := &Record{Name: name}
-	for i := 0; i < len(fields); i += 2 {
-		r.Fields = append(r.Fields, Field{fields[i].(string), fields[i+1].(*Type)})
-	}
+// newRecord makes a record of fields, whose values the methods "values" below give in the same order.
+func newRecord(name string, fields ...Field) *Record {
+	r := &Record{Name: name, Fields: fields}
 	r.valueType = &Type{name: name, record: r}
 	return r
 }
 
 var (
-	recordCall   = newRecord("Call", "function", typeString, "tenant", typeString, "client", typeString, "class", typeString, "retry", typeBool, "wait", typeDuration, "size", typeInt, "open", typeInt)
-	recordEnded  = newRecord("Ended", "function", typeString, "tenant", typeString, "class", typeString, "worker", typeString, "answer", typeString, "took", typeDuration, "attempts", typeInt, "late", typeBool)
-	recordWorker = newRecord("Worker", "name", typeString, "group", typeString, "zone", typeString, "state", typeString)
-	recordLoad   = newRecord("Load", "function", typeString, "worker", typeString, "outcome", typeString, "took", typeDuration)
-	recordLevel  = newRecord("Level", "name", typeString, "before", typeString, "why", typeString)
-	recordTick   = newRecord("Tick", "count", typeInt, "open", typeInt)
-	recordMove   = newRecord("Move", "model", typeString, "alias", typeString, "version", typeString, "revision", typeInt)
-	// Advice is what tests see of a run.
-	recordAdvice = newRecord("Advice", "kind", typeString, "function", typeString, "worker", typeString, "tenant", typeString, "copies", typeInt, "factor", typeFloat, "life", typeDuration, "key", typeString, "text", typeString)
-	noRecord     = newRecord("Nothing")
-	records      = map[string]*Record{}
+	recordCall = newRecord("Call",
+		Field{"function", typeString}, Field{"tenant", typeString}, Field{"client", typeString},
+		Field{"class", typeString}, Field{"retry", typeBool}, Field{"wait", typeDuration},
+		Field{"size", typeInt}, Field{"open", typeInt})
+	recordEnded = newRecord("Ended",
+		Field{"function", typeString}, Field{"tenant", typeString}, Field{"class", typeString},
+		Field{"worker", typeString}, Field{"answer", typeString}, Field{"took", typeDuration},
+		Field{"attempts", typeInt}, Field{"late", typeBool})
+	recordWorker = newRecord("Worker",
+		Field{"name", typeString}, Field{"group", typeString}, Field{"zone", typeString}, Field{"state", typeString})
+	recordLoad = newRecord("Load",
+		Field{"function", typeString}, Field{"worker", typeString}, Field{"outcome", typeString},
+		Field{"took", typeDuration})
+	recordLevel = newRecord("Level",
+		Field{"name", typeString}, Field{"before", typeString}, Field{"why", typeString})
+	recordTick = newRecord("Tick", Field{"count", typeInt}, Field{"open", typeInt})
+	recordMove = newRecord("Move",
+		Field{"model", typeString}, Field{"alias", typeString}, Field{"version", typeString}, Field{"revision", typeInt})
+
+	// recordAdvice is what tests see of a run.
+	recordAdvice = newRecord("Advice",
+		Field{"kind", typeString}, Field{"function", typeString}, Field{"worker", typeString},
+		Field{"tenant", typeString}, Field{"copies", typeInt}, Field{"factor", typeFloat},
+		Field{"life", typeDuration}, Field{"key", typeString}, Field{"text", typeString})
+
+	// noRecord is what the handler of a point gets that does not exist, so that its body can be checked.
+	noRecord = newRecord("Nothing")
+
+	// records are the records of the host by name.
+	records = map[string]*Record{}
 )
 
-// A Point is where the host runs handlers.
+// Point is an event of the host for which scripts can have a handler.
 type Point struct {
 	Name    string
 	Record  *Record
-	Effects []string // what may be advised there, besides log
-	Inline  bool     // the call waits for it: Limits are Inline, and state cannot be changed
+	Effects []string // the advice that may be given there, besides log
+	Inline  bool     // the call waits for it: the limits are Inline, and state cannot be changed
 }
 
+// lastingEffects are in force for a time, or go to operators.
 var lastingEffects = []string{"keep_warm", "tenant_weight", "tenant_cap", "prefer", "avoid", "notify"}
 
-// Points in the order of the manual.
+// Points lists all points, in the order of docs/hooks.md.
 var Points = []*Point{
 	{Name: "arrive", Record: recordCall, Effects: []string{"refuse", "annotate"}, Inline: true},
 	{Name: "ended", Record: recordEnded, Effects: lastingEffects},
@@ -110,10 +131,13 @@
 	{Name: "moved", Record: recordMove, Effects: lastingEffects},
 }
 
+// points are the Points by name.
 var points = map[string]*Point{}
 
 func init() {
-	for _, r := range []*Record{recordCall, recordEnded, recordWorker, recordLoad, recordLevel, recordTick, recordMove, recordAdvice} {
+	for _, r := range []*Record{
+		recordCall, recordEnded, recordWorker, recordLoad, recordLevel, recordTick, recordMove, recordAdvice,
+	} {
 		records[r.Name] = r
 	}
 	for _, p := range Points {
@@ -129,42 +153,82 @@
 	return strings.Join(l, ", ")
 }
 
-// Advice is one thing that a hook advises. Which fields are set is the kind's matter.
+// Advice is one thing that a hook advises. Kind is the name of the function of the language, on which it depends
+// what other fields are set.
 type Advice struct {
-	Kind     string // the name of the effect: keep_warm, tenant_weight, tenant_cap, prefer, avoid, refuse, annotate, notify, log
-	Function string
-	Worker   string
-	Tenant   string
-	Copies   int64
-	Factor   float64       // weight, or share of the calls in hand
-	For      time.Duration // how long it holds
-	Key      string
-	Text     string
+	// Kind is keep_warm, tenant_weight, tenant_cap, prefer, avoid, refuse, annotate, notify or log.
+	Kind     string
+	Function string        // of keep_warm
+	Worker   string        // of prefer and avoid
+	Tenant   string        // of tenant_weight and tenant_cap
+	Copies   int64         // of keep_warm
+	Factor   float64       // weight, or fraction of the calls in flight
+	For      time.Duration // how long it is in force
+	Key      string        // of annotate; the target of notify
+	Text     string        // of refuse, annotate, notify and log
 }
 
-func num(n int) Value { return Value{bits: int64(n)} }
+func intValue(n int) Value { return Value{bits: int64(n)} }
+
+func durationValue(d time.Duration) Value { return Value{bits: int64(d)} }
 
 func (e Call) values() (*Record, []Value) {
-	return recordCall, []Value{strValue(e.Function), strValue(e.Tenant), strValue(e.Client), strValue(e.Class), boolValue(e.Retry), {bits: int64(e.Wait)}, num(e.Size), num(e.Open)}
+	return recordCall, []Value{
+		strValue(e.Function),
+		strValue(e.Tenant),
+		strValue(e.Client),
+		strValue(e.Class),
+		boolValue(e.Retry),
+		durationValue(e.Wait),
+		intValue(e.Size),
+		intValue(e.Open),
+	}
 }
+
 func (e Ended) values() (*Record, []Value) {
-	return recordEnded, []Value{strValue(e.Function), strValue(e.Tenant), strValue(e.Class), strValue(e.Worker), strValue(e.Answer), {bits: int64(e.Took)}, num(e.Attempts), boolValue(e.Late)}
+	return recordEnded, []Value{
+		strValue(e.Function),
+		strValue(e.Tenant),
+		strValue(e.Class),
+		strValue(e.Worker),
+		strValue(e.Answer),
+		durationValue(e.Took),
+		intValue(e.Attempts),
+		boolValue(e.Late),
+	}
 }
+
 func (e Worker) values() (*Record, []Value) {
 	return recordWorker, []Value{strValue(e.Name), strValue(e.Group), strValue(e.Zone), strValue(e.State)}
 }
+
 func (e Load) values() (*Record, []Value) {
-	return recordLoad, []Value{strValue(e.Function), strValue(e.Worker), strValue(e.Outcome), {bits: int64(e.Took)}}
+	return recordLoad, []Value{strValue(e.Function), strValue(e.Worker), strValue(e.Outcome), durationValue(e.Took)}
 }
+
 func (e Level) values() (*Record, []Value) {
 	return recordLevel, []Value{strValue(e.Name), strValue(e.Before), strValue(e.Why)}
 }
-func (e Tick) values() (*Record, []Value) { return recordTick, []Value{{bits: e.Count}, num(e.Open)} }
+
+func (e Tick) values() (*Record, []Value) {
+	return recordTick, []Value{{bits: e.Count}, intValue(e.Open)}
+}
+
 func (e Move) values() (*Record, []Value) {
 	return recordMove, []Value{strValue(e.Model), strValue(e.Alias), strValue(e.Version), {bits: e.Revision}}
 }
 
+// value is the advice as tests of a script see it.
 func (a Advice) value() Value {
-	return Value{object: &object{items: []Value{strValue(a.Kind), strValue(a.Function), strValue(a.Worker), strValue(a.Tenant), {bits: a.Copies}, floatValue(a.Factor),
-		{bits: int64(a.For)}, strValue(a.Key), strValue(a.Text)}}}
+	return Value{object: &object{items: []Value{
+		strValue(a.Kind),
+		strValue(a.Function),
+		strValue(a.Worker),
+		strValue(a.Tenant),
+		{bits: a.Copies},
+		floatValue(a.Factor),
+		durationValue(a.For),
+		strValue(a.Key),
+		strValue(a.Text),
+	}}}
 }
--- a/internal/hooklang/library.go
+++ b/internal/hooklang/library.go
@@ -46,7 +46,9 @@
 	define("ceil", typeInt, whole(math.Ceil), typeFloat)
 	define("round", typeInt, whole(math.Round), typeFloat)
 	define("float", typeFloat, func(_ *VM, a []Value) Value { return floatValue(float64(a[0].bits)) }, typeInt)
-	define("seconds", typeFloat, func(_ *VM, a []Value) Value { return floatValue(time.Duration(a[0].bits).Seconds()) }, typeDuration)
+	define("seconds", typeFloat, func(_ *VM, a []Value) Value {
+		return floatValue(time.Duration(a[0].bits).Seconds())
+	}, typeDuration)
 	define("duration", typeDuration, func(vm *VM, a []Value) Value {
 		x := a[0].float() * 1e9
 		if !(math.Abs(x) < 1<<62) {
@@ -148,15 +150,29 @@
 			return f(a[0].str(), a[1].str())
 		}
 	}
-	define("starts", typeBool, text(func(s, t string) Value { return boolValue(strings.HasPrefix(s, t)) }), typeString, typeString)
-	define("ends", typeBool, text(func(s, t string) Value { return boolValue(strings.HasSuffix(s, t)) }), typeString, typeString)
-	define("find", typeInt, text(func(s, t string) Value { return Value{bits: int64(strings.Index(s, t))} }), typeString, typeString)
-	define("lower", typeString, func(vm *VM, a []Value) Value { return vm.str(strings.ToLower(a[0].str())) }, typeString)
-	define("trim", typeString, func(vm *VM, a []Value) Value { return vm.str(strings.TrimSpace(a[0].str())) }, typeString)
+	define("starts", typeBool, text(func(s, t string) Value {
+		return boolValue(strings.HasPrefix(s, t))
+	}), typeString, typeString)
+	define("ends", typeBool, text(func(s, t string) Value {
+		return boolValue(strings.HasSuffix(s, t))
+	}), typeString, typeString)
+	define("find", typeInt, text(func(s, t string) Value {
+		return Value{bits: int64(strings.Index(s, t))}
+	}), typeString, typeString)
+	define("lower", typeString, func(vm *VM, a []Value) Value {
+		return vm.str(strings.ToLower(a[0].str()))
+	}, typeString)
+	define("trim", typeString, func(vm *VM, a []Value) Value {
+		return vm.str(strings.TrimSpace(a[0].str()))
+	}, typeString)
 	define("hash", typeInt, func(vm *VM, a []Value) Value {
 		vm.spend(int64(len(a[0].str())) / 16)
 		return Value{bits: int64(xxhash.Sum64String(a[0].str()) >> 1)}
 	}, typeString)
+	defineSplitAndJoin()
+}
+
+func defineSplitAndJoin() {
 	define("split", listOf(typeString), func(vm *VM, a []Value) Value {
 		if a[1].str() == "" {
 			vm.fault(FaultRange, "split at nothing")
--- a/internal/hooklang/session.go
+++ b/internal/hooklang/session.go
@@ -4,14 +4,18 @@
 	"strings"
 )
 
-// A Step is one line that was run.
+// maxShownValue is how many bytes of a value a Step shows.
+const maxShownValue = 60
+
+// Step is one line that is about to be run.
 type Step struct {
 	Function string
 	Pos      Pos
-	Vars     []string // name = value, of those that are known where the line stands
+	Vars     []string // name = value, of those that are known there and set
 }
 
-// TraceTest runs one test of a program and tells each line before it is run.
+// TraceTest runs one test of a program and calls tell for each line before it is run. The error is the *Fault that
+// ended it.
 func (p *Program) TraceTest(name string, tell func(Step)) (found bool, err error) {
 	for _, t := range p.tests {
 		if t.name != name {
@@ -21,13 +25,8 @@
 		vm.Trace = func(function string, pos Pos, locals []Value) {
 			s := Step{Function: function, Pos: pos}
 			for _, f := range p.funcs {
-				if f.name != function {
-					continue
-				}
-				for _, v := range f.vars {
-					if v.from.Line < pos.Line && pos.Line <= v.to.Line && v.slot < len(locals) && !(locals[v.slot].object == nil && pointer(v.valueType)) {
-						s.Vars = append(s.Vars, v.name+" = "+cut(text(v.valueType, locals[v.slot]), 60))
-					}
+				if f.name == function {
+					s.Vars = append(s.Vars, f.variablesAt(pos, locals)...)
 				}
 			}
 			tell(s)
@@ -38,10 +37,23 @@
 	return false, nil
 }
 
+// variablesAt returns the variables that are known at a place and have a value, as name = value.
+func (f *function) variablesAt(pos Pos, locals []Value) (vars []string) {
+	for _, v := range f.vars {
+		known := v.from.Line < pos.Line && pos.Line <= v.to.Line && v.slot < len(locals)
+		if !known || locals[v.slot].object == nil && pointer(v.valueType) {
+			continue
+		}
+		vars = append(vars, v.name+" = "+cut(text(v.valueType, locals[v.slot]), maxShownValue))
+	}
+	return vars
+}
+
+// pointer reports whether a value of a type is an object, once it is set.
 func pointer(t *Type) bool { return t == typeString || t.isCollection() || t.record != nil }
 
-// A Session is what a REPL remembers: declarations, and statements, which are all run anew for each line. As the
-// language depends on nothing else, that is the same as going on.
+// Session is what a REPL remembers: declarations, and statements, which are all run anew for each line. As a script
+// depends on nothing else, that is the same as going on. It is not safe for concurrent use.
 type Session struct {
 	decls, stmts []string
 }
--- a/internal/hooklang/state.go
+++ b/internal/hooklang/state.go
@@ -9,7 +9,7 @@
 	"unicode/utf8"
 )
 
-// A State is the values of a program's state variables. It does not change: a run that writes leads to another.
+// State is the values of a program's state variables. It does not change: a run that writes leads to another.
 type State struct {
 	program *Program
 	values  []Value
--- a/internal/hooklang/value.go
+++ b/internal/hooklang/value.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// A Type is bool, int, float, duration, string, list[T], map[K]V or a record of the host.
+// Type is bool, int, float, duration, string, list[T], map[K]V or a record of the host.
 type Type struct {
 	name   string
 	elem   *Type
@@ -25,7 +25,9 @@
 	typeFloat    = &Type{name: "float"}
 	typeDuration = &Type{name: "duration"}
 	typeString   = &Type{name: "string"}
-	scalars      = map[string]*Type{"bool": typeBool, "int": typeInt, "float": typeFloat, "duration": typeDuration, "string": typeString}
+	scalars      = map[string]*Type{
+		"bool": typeBool, "int": typeInt, "float": typeFloat, "duration": typeDuration, "string": typeString,
+	}
 )
 
 func listOf(t *Type) *Type   { return &Type{name: "list", elem: t} }
@@ -57,20 +59,20 @@
 	return t == typeInt || t == typeFloat || t == typeDuration || t == typeString || t == typeInvalid
 }
 
-// A Record is a type of the host's: fields by name, not to be changed.
+// Record is a type of the host: fields by name, which a script cannot change.
 type Record struct {
 	Name      string
 	Fields    []Field
 	valueType *Type
 }
 
-// A Field of a record.
+// Field is a field of a record.
 type Field struct {
 	Name string
 	Type *Type
 }
 
-// A Value is of the type that the checks have found: it does not know it itself.
+// Value is a value of the language. It does not know its type: the checks have found that, and the code depends on it.
 type Value struct {
 	bits   int64 // bool, int, duration, and the bits of a float
 	object *object
@@ -171,7 +173,10 @@
 			return false
 		}
 		for i := range a.object.items {
-			if t.key != nil && !equal(t.key, a.object.keys[i], b.object.keys[i]) || !equal(t.elem, a.object.items[i], b.object.items[i]) {
+			if t.key != nil && !equal(t.key, a.object.keys[i], b.object.keys[i]) {
+				return false
+			}
+			if !equal(t.elem, a.object.items[i], b.object.items[i]) {
 				return false
 			}
 		}
@@ -193,7 +198,8 @@
 // find returns where a key of a map stands, or would.
 func (o *object) find(k Value) (int, bool) {
 	if k.object != nil {
-		return slices.BinarySearchFunc(o.keys, k.object.text, func(v Value, s string) int { return strings.Compare(v.object.text, s) })
+		byText := func(v Value, s string) int { return strings.Compare(v.object.text, s) }
+		return slices.BinarySearchFunc(o.keys, k.object.text, byText)
 	}
 	return slices.BinarySearchFunc(o.keys, k.bits, func(v Value, n int64) int { return cmp.Compare(v.bits, n) })
 }
--- a/internal/hooklang/vm.go
+++ b/internal/hooklang/vm.go
@@ -12,7 +12,7 @@
 	Wall int64 // time of day, seconds since 1970
 }
 
-// A Result is what a run led to.
+// Result is the outcome of a run.
 type Result struct {
 	Advice []Advice
 	State  *State // as the run leaves it
