--- a/internal/hookengine/circuit.go
+++ b/internal/hookengine/circuit.go
@@ -99,7 +99,7 @@
 	l.change(s, true, "version %d is in quarantine: %s", faulty.Number, fault)
 }
 
-// StartProbes lets the versions run once whose circuit has been open for its backoff.
+// StartProbes admits one run of the versions whose circuit has been open for its backoff.
 func (l *Lifecycle) StartProbes(now time.Duration) {
 	for _, s := range l.Scripts {
 		if s.awaitsProbe() && now >= s.circuit.openUntil {
--- a/internal/hookengine/versions.go
+++ b/internal/hookengine/versions.go
@@ -160,7 +160,7 @@
 	e.points.Store(&points)
 }
 
-// advise gives events to the table of advice and carries out what results. Without events it lets advice expire.
+// advise passes events to the table of advice and carries out the effects. Without events it only expires advice.
 func (e *Engine) advise(events ...hookadvice.Event) {
 	for _, effect := range e.table.Step(e.config.Clock.Now(), events) {
 		switch effect := effect.(type) {
--- a/internal/hooklang/builtin.go
+++ b/internal/hooklang/builtin.go
@@ -15,7 +15,7 @@
 	op            opcode // instead of run, where the VM does it itself
 	effect        bool
 	testOnly      bool // in tests only
-	takesFunction bool // the last argument is the name of a function that tells whether one comes before another
+	takesFunction bool // the last argument is the name of a function that reports whether one entry comes before another
 }
 
 // varT, varK and varV are type variables: in a signature they stand for any type, the same one each time.
--- a/internal/hooklang/check.go
+++ b/internal/hooklang/check.go
@@ -7,6 +7,7 @@
 	"strings"
 )
 
+// variable is a local variable.
 type variable struct {
 	name      string
 	pos       Pos
@@ -15,6 +16,7 @@
 	used      bool
 }
 
+// checker checks the names and types of a script, and fills them in in its syntax tree.
 type checker struct {
 	file        string
 	parsed      *script
@@ -94,7 +96,7 @@
 	return typeInvalid
 }
 
-// isFree tells whether a name may be given to something of the script.
+// isFree reports whether a script may declare a name, and adds a problem if it may not.
 func (c *checker) isFree(pos Pos, name string) bool {
 	what := ""
 	switch {
--- a/internal/hooklang/checkscope.go
+++ b/internal/hooklang/checkscope.go
@@ -2,6 +2,7 @@
 
 import "sort"
 
+// lookup finds a variable or state variable, and notes that it is used.
 func (c *checker) lookup(name string) (*Type, ref, bool) {
 	for i := len(c.scopes) - 1; i >= 0; i-- {
 		if v := c.scopes[i][name]; v != nil {
@@ -15,6 +16,7 @@
 	return typeInvalid, ref{}, false
 }
 
+// target finds a variable that is to be changed, which does not count as a use.
 func (c *checker) target(pos Pos, name string) (*Type, ref) {
 	used := map[string]bool{}
 	for _, s := range c.scopes {
@@ -26,7 +28,7 @@
 	if !ok {
 		c.problem(pos, "there is no variable %q", name)
 	}
-	for _, s := range c.scopes { // to be set is not to be used
+	for _, s := range c.scopes { // undo the note of lookup
 		if v := s[name]; v != nil {
 			v.used = used[name]
 		}
@@ -40,6 +42,7 @@
 	return t, r
 }
 
+// declare adds a variable to the innermost scope, in a slot of its own. Inner scopes may not hide a variable.
 func (c *checker) declare(pos Pos, name string, t *Type) *variable {
 	v := &variable{name: name, pos: pos, valueType: t, ref: ref{index: c.nextSlot}, used: name == "_"}
 	c.nextSlot++
--- a/internal/hooklang/checkstmt.go
+++ b/internal/hooklang/checkstmt.go
@@ -191,8 +191,8 @@
 	from := c.nextSlot
 	c.push()
 	v := c.declare(s.pos, s.name, elem)
-	s.slot, v.used = v.ref.index, true // to count is use enough
-	c.nextSlot += 2                    // what is run over, and where it stands
+	s.slot, v.used = v.ref.index, true // a loop may merely count
+	c.nextSlot += 2                    // the collection or the end of the range, and the position
 	c.current.slots = max(c.current.slots, c.nextSlot)
 	if s.key != "" {
 		v := c.declare(s.pos, s.key, key)
--- a/internal/hooklang/compile.go
+++ b/internal/hooklang/compile.go
@@ -94,7 +94,7 @@
 // here returns the index of the next instruction.
 func (c *compiler) here() int { return len(c.current.code) }
 
-// patch lets a jump lead to the next instruction.
+// patch makes the next instruction the target of a jump.
 func (c *compiler) patch(at int) { c.current.code[at].a = int32(len(c.current.code)) }
 
 func (c *compiler) constant(v Value) int {
--- a/internal/hooklang/cost.go
+++ b/internal/hooklang/cost.go
@@ -5,11 +5,11 @@
 	"math"
 )
 
-// assumedLength is how long a list or map is taken to be, of which nothing is known before it runs.
+// assumedLength is the assumed length of lists, maps and ranges that are not known before a run.
 const assumedLength = 100
 
 // Cost is an estimate of what a handler takes at most, in instructions. Ranges between literals are counted;
-// lists, maps and other ranges are taken to have 100 entries.
+// lists, maps and other ranges are assumed to have 100 entries.
 type Cost struct {
 	Point string
 	Pos   Pos
--- a/internal/hooklang/doc.go
+++ b/internal/hooklang/doc.go
@@ -1,14 +1,14 @@
 // Package hooklang is the language in which operators write hooks: small scripts that the gateway runs at named
-// points and that answer with advice. A script can compute, and read what the host gives it, and nothing else: no
-// I/O, no clock but the host's, no variables that outlive a run but those that the host stores. docs/hooks.md is
-// grammar and reference.
+// points and that answer with advice. It exists so that scripts can run inside the gateway without being able to
+// harm it: a script computes on what the host passes to it, and has no I/O, no clock but the host's, and no
+// variables that outlive a run except those that the host stores. docs/hooks.md has the grammar and the reference.
 //
-// Check parses and checks a text, Compile makes a Program of it, a VM runs a handler of it within Limits. A run
-// that passes a limit or makes a fault ends with a *Fault, and its effects are dropped whole: advice, and changes
-// of state.
+// [Compile] parses and checks a text and makes a [Program] of it: lexer, parser, checker and compiler are in the
+// files of these names. A [VM] runs a handler of the program within [Limits]. A run that exceeds a limit or goes
+// wrong ends with a [*Fault], and all its effects, advice and changes of state, are discarded.
 //
-// Nothing here depends on the order of a Go map, on time or on chance: same program, state, event and clock, same
-// result.
+// Nothing depends on the order of a Go map, on time or on chance: the same program, state, event and clock give the
+// same result.
 package hooklang
 
 import (
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// Pos is a place in a script, counted from 1; columns are bytes.
+// Pos is a place in a script. Lines and columns are counted from 1, columns in bytes.
 type Pos struct{ Line, Col int }
 
 // before reports whether a place is before another one of the same text.
@@ -42,7 +42,7 @@
 	return fmt.Sprintf("%s:%v: %s%s", p.File, p.Pos, kind, p.Text)
 }
 
-// Problems are those of one text, in the order of their places.
+// Problems are all problems of one text, in the order of their places.
 type Problems []*Problem
 
 // Error returns a line for each problem.
@@ -64,7 +64,8 @@
 	Depth   int   // calls within calls
 	Size    int   // bytes of a string, entries of a list or map
 	Effects int   // advice given
-	// Stop, where set, is asked every some thousand instructions whether the run must end: a last net over the others.
+	// Stop, where set, is called every few thousand instructions; if it returns true the run ends. It is a
+	// safeguard should the other limits allow too much.
 	Stop func() bool
 }
 
@@ -88,5 +89,5 @@
 	maxMinutes  = 24 * 60
 )
 
-// Least is the shortest time between two runs of a timer.
+// Least is the shortest interval of a timer.
 const Least = 100 * time.Millisecond
--- a/internal/hooklang/format.go
+++ b/internal/hooklang/format.go
@@ -85,7 +85,7 @@
 	f.write(strings.Repeat("\t", f.indent))
 }
 
-// begin writes the comments that stand before a place, and begins its line.
+// begin writes the comments before a place, and begins its line.
 func (f *formatter) begin(pos Pos, gap bool) {
 	for len(f.comments) > 0 && f.comments[0].pos.before(pos) {
 		c := f.comments[0]
@@ -265,7 +265,7 @@
 	return 0
 }
 
-// expr writes an expression that stands where only what binds at least so strongly needs no brackets.
+// expr writes an expression, in brackets if it binds weaker than least, a level of precedence counted from 1.
 func (f *formatter) expr(e expr, least int) string {
 	switch e := e.(type) {
 	case *literalExpr:
--- a/internal/hooklang/opcode.go
+++ b/internal/hooklang/opcode.go
@@ -15,7 +15,7 @@
 	opJump // a: where to
 	opJumpFalse
 	opJumpTrue
-	opAndJump // if false, keep it and jump; else drop it
+	opAndJump // if false, leave it on the stack and jump; else pop it
 	opOrJump
 	opNot
 	opNegInt
--- a/internal/hooklang/parser.go
+++ b/internal/hooklang/parser.go
@@ -6,6 +6,7 @@
 	"unicode/utf8"
 )
 
+// parser reads tokens by recursive descent.
 type parser struct {
 	file        string
 	tokens      []token
@@ -20,7 +21,7 @@
 // already.
 type syntaxError struct{}
 
-// parse reads a text. It reports what it cannot read, and goes on behind it.
+// parse reads a text. It reports syntax errors, and resumes behind each.
 func parse(file, text string) (*script, Problems) {
 	if len(text) > MaxSource {
 		return &script{}, problemAtStart(file, "%d bytes, over the %d that a script may have", len(text), MaxSource)
@@ -103,7 +104,7 @@
 	return t
 }
 
-// field reads a field's name, which may be a word of the language.
+// field reads a field's name, which may be a keyword.
 func (p *parser) field() token {
 	if t := p.peek(); t.kind == tokenSymbol && keywords[t.text] {
 		p.next++
@@ -112,7 +113,7 @@
 	return p.name("a field")
 }
 
-// guard runs f. If f gives up at a syntax error, parsing goes on behind it: at the next declaration if words are
+// guard runs f. If f gives up at a syntax error, parsing resumes behind it: at the next declaration if words are
 // given, which begin one, otherwise at the next statement of the block.
 func (p *parser) guard(f func(), words ...string) {
 	begin, depth := p.next, p.depth
--- a/internal/hooklang/program.go
+++ b/internal/hooklang/program.go
@@ -109,7 +109,7 @@
 	return names, every
 }
 
-// Has tells whether there is a handler of a point.
+// Has reports whether there is a handler of a point.
 func (p *Program) Has(point string) bool { return p.handlers[point] != nil }
 
 // MarshalJSON names the program: it is shown to operators.
--- a/internal/hooklang/runtests.go
+++ b/internal/hooklang/runtests.go
@@ -28,7 +28,7 @@
 	return nil
 }
 
-// Test runs the tests of a program in the order of the text, each from the first state. Their clock stands at a
+// Test runs the tests of a program in the order of the text, each from the first state. Their clock is that of a
 // day's begin.
 func (p *Program) Test() (l []TestResult) {
 	vm := NewVM()
@@ -40,8 +40,8 @@
 	return l
 }
 
-// runInTest is run in a test: a handler gets fuel of its own, state goes on from run to run, and what it advises is
-// returned.
+// runInTest carries out "run" in a test: the handler has fuel of its own, its state is that of the run before, and
+// its advice is returned.
 func (vm *VM) runInTest(in instruction, event Value) Value {
 	var h *handler
 	for _, pt := range Points {
--- a/internal/hooklang/session.go
+++ b/internal/hooklang/session.go
@@ -58,7 +58,7 @@
 	decls, stmts []string
 }
 
-// Do takes a line: a declaration or statement is kept, an expression's value is returned.
+// Do takes a line: a declaration or statement is remembered, an expression's value is returned.
 func (s *Session) Do(line string) (string, error) {
 	line = strings.TrimSpace(line)
 	if line == "" {
--- a/internal/hooklang/state.go
+++ b/internal/hooklang/state.go
@@ -34,7 +34,7 @@
 	return s
 }
 
-// Equal tells whether two states have the same names, types and values.
+// Equal reports whether two states have the same names, types and values.
 func (s *State) Equal(o *State) bool {
 	if len(s.values) != len(o.values) {
 		return false
--- a/internal/hooklang/unify.go
+++ b/internal/hooklang/unify.go
@@ -19,7 +19,7 @@
 	return (p.elem == nil || unify(p.elem, a.elem, vars)) && (p.key == nil || unify(p.key, a.key, vars))
 }
 
-// substitute puts the types in that type variables stand for.
+// substitute replaces type variables by the types they are bound to.
 func substitute(t *Type, vars map[*Type]*Type) *Type {
 	switch {
 	case vars[t] != nil:
--- a/internal/hooklang/value.go
+++ b/internal/hooklang/value.go
@@ -44,6 +44,8 @@
 	return t.name
 }
 
+// sameType reports whether two types are the same. An invalid type passes as any, so that one mistake is reported
+// once.
 func sameType(a, b *Type) bool {
 	if a == typeInvalid || b == typeInvalid {
 		return true
@@ -106,6 +108,7 @@
 	return v.object.text
 }
 
+// share notes that a value is stored once more, see object.
 func (v Value) share() Value {
 	if v.object != nil && v.object.collection && v.object.shares < 2 {
 		v.object.shares++
@@ -113,7 +116,7 @@
 	return v
 }
 
-// freeze makes a value safe to be read by many.
+// freeze marks a value as shared for good, so that any number of goroutines may read it.
 func (v Value) freeze() {
 	if v.object == nil || !v.object.collection || v.object.shares == 3 {
 		return
@@ -155,6 +158,7 @@
 	return n
 }
 
+// equal compares two values of a type.
 func equal(t *Type, a, b Value) bool {
 	switch {
 	case t == typeFloat:
@@ -185,6 +189,7 @@
 	return a.bits == b.bits
 }
 
+// compare orders two values of an ordered type.
 func compare(t *Type, a, b Value) int {
 	switch t {
 	case typeFloat:
@@ -195,7 +200,7 @@
 	return cmp.Compare(a.bits, b.bits)
 }
 
-// find returns where a key of a map stands, or would.
+// find returns the index of a key of a map, or where it is to be inserted, and whether the map has it.
 func (o *object) find(k Value) (int, bool) {
 	if k.object != nil {
 		byText := func(v Value, s string) int { return strings.Compare(v.object.text, s) }
@@ -248,6 +253,7 @@
 	return strconv.FormatInt(v.bits, 10)
 }
 
+// floatText writes a float, which always has a point or an exponent.
 func floatText(f float64) string {
 	s := strconv.FormatFloat(f, 'g', -1, 64)
 	if !strings.ContainsAny(s, ".e") {
@@ -285,6 +291,7 @@
 	return sign + b.String()
 }
 
+// quote writes a string as a literal.
 func quote(s string) string {
 	var b strings.Builder
 	b.WriteByte('"')
--- a/internal/hooklang/vm.go
+++ b/internal/hooklang/vm.go
@@ -36,7 +36,7 @@
 
 	fuel      int64 // instructions left
 	memory    int64 // bytes left
-	nextCheck int64 // fuel at which limits.Stop is asked next
+	nextCheck int64 // fuel at which limits.Stop is called next
 
 	// Each frame has its slots on the stack, and its operands above them.
 	stack  []Value
--- a/internal/hooklang/vmexec.go
+++ b/internal/hooklang/vmexec.go
@@ -186,5 +186,5 @@
 	}
 }
 
-// at notes where the innermost frame stands, for a fault.
+// at notes the position of the innermost frame, for a fault.
 func (vm *VM) at(pc int) { vm.frames[len(vm.frames)-1].pc = pc }
