--- a/internal/hookadvice/accept.go
+++ b/internal/hookadvice/accept.go
@@ -13,10 +13,12 @@
 func (t *Table) accept(given AdviceGiven) {
 	s := t.script(given.Script)
 	for _, item := range given.Items {
-		switch {
-		case !s.active || given.Version != s.version:
+		if !s.active || given.Version != s.version {
 			t.discard(s, item, &t.Counts.Stale, "of version %d, which is not heard", given.Version)
-		case item.Kind == "notify":
+			continue
+		}
+		switch item.Kind {
+		case "notify":
 			t.acceptNotice(s, item)
 		default:
 			t.acceptEntry(s, item)
@@ -38,8 +40,8 @@
 
 // acceptEntry takes advice that is in force for a time.
 func (t *Table) acceptEntry(s *script, item hooklang.Advice) {
-	on := subjectOf(item.Kind)
-	if on == subjectNone {
+	on, ok := subjects[item.Kind]
+	if !ok {
 		t.discard(s, item, &t.Counts.Unknown, "%s does not stand", item.Kind)
 		return
 	}
@@ -73,18 +75,19 @@
 // boundedValue returns the value of an item within the bounds of the settings. It discards an item on what does not
 // exist.
 func (t *Table) boundedValue(s *script, item hooklang.Advice) (value float64, ok bool) {
-	switch subjectOf(item.Kind) {
-	case subjectWarm:
+	switch item.Kind {
+	case "keep_warm":
 		if _, exists := t.facts.Function(item.Function); !exists {
 			t.discard(s, item, &t.Counts.Unknown, "no such function")
 			return 0, false
 		}
 		return float64(max(0, min(item.Copies, int64(t.settings.Copies)))), true
-	case subjectWeight, subjectCap:
+	case "tenant_weight", "tenant_cap":
 		return t.boundedFactor(s, item)
-	default:
+	case "prefer", "avoid":
 		return t.rank(s, item)
 	}
+	return 0, false
 }
 
 func (t *Table) boundedFactor(s *script, item hooklang.Advice) (factor float64, ok bool) {
@@ -96,7 +99,7 @@
 		t.discard(s, item, &t.Counts.Limited, "%v is not above 0", item.Factor)
 		return 0, false
 	}
-	if subjectOf(item.Kind) == subjectCap {
+	if item.Kind == "tenant_cap" {
 		return min(item.Factor, 1), true
 	}
 	limit := t.settings.Weight
--- a/internal/hookadvice/entry.go
+++ b/internal/hookadvice/entry.go
@@ -7,30 +7,23 @@
 )
 
 // subject is what an entry advises on.
-type subject int
+type subject string
 
 const (
-	subjectNone   subject = iota // advice that is not in force for a time
-	subjectCap                   // a tenant's cap
-	subjectRank                  // a worker's rank
-	subjectWarm                  // a function's warm copies
-	subjectWeight                // a tenant's weight
+	subjectCap    subject = "cap"    // a tenant's cap
+	subjectRank   subject = "rank"   // a worker's rank
+	subjectWarm   subject = "warm"   // a function's warm copies
+	subjectWeight subject = "weight" // a tenant's weight
 )
 
-// subjectOf returns the subject of a kind of advice. To prefer and to avoid have the same one: a script that gives
-// both for one worker has changed its mind.
-func subjectOf(kind string) subject {
-	switch kind {
-	case "keep_warm":
-		return subjectWarm
-	case "tenant_weight":
-		return subjectWeight
-	case "tenant_cap":
-		return subjectCap
-	case "prefer", "avoid":
-		return subjectRank
-	}
-	return subjectNone
+// subjects are the subjects of the kinds of advice that are in force for a time. To prefer and to avoid have the
+// same one: a script that gives both for one worker has changed its mind.
+var subjects = map[string]subject{
+	"keep_warm":     subjectWarm,
+	"tenant_weight": subjectWeight,
+	"tenant_cap":    subjectCap,
+	"prefer":        subjectRank,
+	"avoid":         subjectRank,
 }
 
 // entryKey says on what an entry advises: name is that of the function, tenant or worker.
--- a/internal/hookengine/arrive.go
+++ b/internal/hookengine/arrive.go
@@ -36,12 +36,12 @@
 
 // runInline runs one handler, and queues the outcome for the version's tally, its circuit and its shadow.
 func (e *Engine) runInline(vm *hooklang.VM, h *inlineHandler, c hooklang.Call, env hooklang.Env) []hooklang.Advice {
-	result, err := vm.Run(h.program, pointArrive, c, h.state, env, e.config.Inline)
+	result, err := vm.Run(h.program, "arrive", c, h.state, env, e.config.Inline)
 	run := &inlineRun{script: h.script, version: h.version, fuel: result.Fuel, advice: result.Advice}
 	if err != nil {
 		run.fault = err.Error()
 	}
-	j := job{point: pointArrive, run: run, at: time.Duration(env.Now)}
+	j := job{point: "arrive", run: run, at: time.Duration(env.Now)}
 	if h.shadow {
 		j.event = c
 	}
--- a/internal/hookengine/run.go
+++ b/internal/hookengine/run.go
@@ -88,7 +88,7 @@
 		if e.config.Open != nil {
 			open = e.config.Open()
 		}
-		e.handle(s, pointTimer, hooklang.Tick{Count: loaded.ticks, Open: open}, now)
+		e.handle(s, "timer", hooklang.Tick{Count: loaded.ticks, Open: open}, now)
 	}
 }
 
@@ -137,7 +137,7 @@
 	} else if result.State != live.state {
 		live.state = result.State
 		live.unsaved = true
-		if live.program.Has(pointArrive) {
+		if live.program.Has("arrive") {
 			e.publish()
 		}
 	}
@@ -167,7 +167,7 @@
 func (e *Engine) runAside(loaded *loadedVersion, point string, event hooklang.Event) (hooklang.Result, error) {
 	begin := time.Now()
 	limits := e.config.Aside
-	if point == pointArrive {
+	if point == "arrive" {
 		limits = e.config.Inline
 	}
 	limits.Stop = func() bool { return time.Since(begin) > e.config.RunTimeout }
--- a/internal/hookengine/versions.go
+++ b/internal/hookengine/versions.go
@@ -7,12 +7,6 @@
 	"kitehub/internal/hooklang"
 )
 
-// Points of the hook language that the engine treats specially.
-const (
-	pointArrive = "arrive" // runs inline
-	pointTimer  = "timer"
-)
-
 // loadedVersion is a version that is compiled and runs, with its state.
 type loadedVersion struct {
 	script   string
@@ -146,7 +140,7 @@
 				points[point] = true
 			}
 		}
-		if live != nil && live.program.Has(pointArrive) {
+		if live != nil && live.program.Has("arrive") {
 			handlers = append(handlers, inlineHandler{
 				script:  s.Name,
 				version: live.version,
--- a/internal/hooklang/checkexpr.go
+++ b/internal/hooklang/checkexpr.go
@@ -69,12 +69,9 @@
 
 func (c *checker) unary(e *unaryExpr) *Type {
 	t := c.value(e.operand)
-	valid := true
-	switch e.op {
-	case "not":
+	valid := t.ordered() && t != typeString
+	if e.op == "not" {
 		valid = sameType(t, typeBool)
-	case "-":
-		valid = t.ordered() && t != typeString
 	}
 	if !valid {
 		c.problem(e.pos, "a %v has no %q", t, e.op)
@@ -186,10 +183,7 @@
 	if left == typeInvalid || right == typeInvalid {
 		return invalid
 	}
-	result := logicalType(e.op, left, right)
-	if result == nil {
-		result = arithmeticType(e.op, left, right)
-	}
+	result := operatorType(e.op, left, right)
 	if result == nil {
 		c.problem(e.pos, "%v %s %v has no meaning", left, e.op, right)
 		return invalid
@@ -197,60 +191,54 @@
 	return result
 }
 
-// logicalType returns bool if op compares or joins operands of these types, otherwise nil.
-func logicalType(op string, left, right *Type) *Type {
-	valid := false
+// operatorType returns the type of an operation on operands of these types, nil if there is none.
+func operatorType(op string, left, right *Type) *Type {
+	same := sameType(left, right)
+	number := same && (left == typeInt || left == typeFloat)
 	switch op {
 	case "and", "or":
-		valid = left == typeBool && right == typeBool
+		return typeIf(left == typeBool && right == typeBool, typeBool)
 	case "==", "!=":
-		valid = sameType(left, right)
+		return typeIf(same, typeBool)
 	case "<", "<=", ">", ">=":
-		valid = sameType(left, right) && left.ordered()
+		return typeIf(same && left.ordered(), typeBool)
 	case "in":
-		valid = left == typeString && right == typeString ||
-			right.name == "list" && sameType(left, right.elem) ||
-			right.name == "map" && sameType(left, right.key)
-	}
-	if valid {
-		return typeBool
-	}
-	return nil
-}
-
-// arithmeticType returns the type of an arithmetic operation on operands of these types, nil if there is none.
-func arithmeticType(op string, left, right *Type) *Type {
-	same := sameType(left, right)
-	number := same && (left == typeInt || left == typeFloat)
-	switch op {
+		return typeIf(canContain(right, left), typeBool)
 	case "+":
-		if same && (left.ordered() || left.name == "list") {
-			return left
-		}
+		return typeIf(same && (left.ordered() || left.name == "list"), left)
 	case "-":
-		if same && left.ordered() && left != typeString {
-			return left
-		}
+		return typeIf(same && left.ordered() && left != typeString, left)
 	case "*":
-		if number {
-			return left
-		}
 		if left == typeDuration && right == typeInt || left == typeInt && right == typeDuration {
 			return typeDuration
 		}
+		return typeIf(number, left)
 	case "/":
-		switch {
-		case number:
-			return left
-		case left == typeDuration && right == typeInt:
-			return typeDuration
-		case left == typeDuration && right == typeDuration:
+		if left == typeDuration && right == typeDuration {
 			return typeFloat
 		}
-	case "%":
-		if same && (left == typeInt || left == typeDuration) {
-			return left
+		if left == typeDuration && right == typeInt {
+			return typeDuration
 		}
+		return typeIf(number, left)
+	case "%":
+		return typeIf(same && (left == typeInt || left == typeDuration), left)
 	}
 	return nil
 }
+
+// typeIf returns t if an operation is valid, otherwise nil.
+func typeIf(valid bool, t *Type) *Type {
+	if valid {
+		return t
+	}
+	return nil
+}
+
+// canContain reports whether "in" can look for a value of one type in one of another: a part of a string, an entry
+// of a list, or a key of a map.
+func canContain(container, t *Type) bool {
+	return container == typeString && t == typeString ||
+		container.name == "list" && sameType(t, container.elem) ||
+		container.name == "map" && sameType(t, container.key)
+}
--- a/internal/hooklang/host.go
+++ b/internal/hooklang/host.go
@@ -68,6 +68,8 @@
 	}
 )
 
+func field(name string, t *Type) Field { return Field{name, t} }
+
 // newRecord makes a record of fields, whose values the methods "values" below give in the same order.
 func newRecord(name string, fields ...Field) *Record {
 	r := &Record{Name: name, Fields: fields}
@@ -77,29 +79,29 @@
 
 var (
 	recordCall = newRecord("Call",
-		Field{"function", typeString}, Field{"tenant", typeString}, Field{"client", typeString},
-		Field{"class", typeString}, Field{"retry", typeBool}, Field{"wait", typeDuration},
-		Field{"size", typeInt}, Field{"open", typeInt})
+		field("function", typeString), field("tenant", typeString), field("client", typeString),
+		field("class", typeString), field("retry", typeBool), field("wait", typeDuration),
+		field("size", typeInt), field("open", typeInt))
 	recordEnded = newRecord("Ended",
-		Field{"function", typeString}, Field{"tenant", typeString}, Field{"class", typeString},
-		Field{"worker", typeString}, Field{"answer", typeString}, Field{"took", typeDuration},
-		Field{"attempts", typeInt}, Field{"late", typeBool})
+		field("function", typeString), field("tenant", typeString), field("class", typeString),
+		field("worker", typeString), field("answer", typeString), field("took", typeDuration),
+		field("attempts", typeInt), field("late", typeBool))
 	recordWorker = newRecord("Worker",
-		Field{"name", typeString}, Field{"group", typeString}, Field{"zone", typeString}, Field{"state", typeString})
+		field("name", typeString), field("group", typeString), field("zone", typeString), field("state", typeString))
 	recordLoad = newRecord("Load",
-		Field{"function", typeString}, Field{"worker", typeString}, Field{"outcome", typeString},
-		Field{"took", typeDuration})
+		field("function", typeString), field("worker", typeString), field("outcome", typeString),
+		field("took", typeDuration))
 	recordLevel = newRecord("Level",
-		Field{"name", typeString}, Field{"before", typeString}, Field{"why", typeString})
-	recordTick = newRecord("Tick", Field{"count", typeInt}, Field{"open", typeInt})
+		field("name", typeString), field("before", typeString), field("why", typeString))
+	recordTick = newRecord("Tick", field("count", typeInt), field("open", typeInt))
 	recordMove = newRecord("Move",
-		Field{"model", typeString}, Field{"alias", typeString}, Field{"version", typeString}, Field{"revision", typeInt})
+		field("model", typeString), field("alias", typeString), field("version", typeString), field("revision", typeInt))
 
 	// recordAdvice is what tests see of a run.
 	recordAdvice = newRecord("Advice",
-		Field{"kind", typeString}, Field{"function", typeString}, Field{"worker", typeString},
-		Field{"tenant", typeString}, Field{"copies", typeInt}, Field{"factor", typeFloat},
-		Field{"life", typeDuration}, Field{"key", typeString}, Field{"text", typeString})
+		field("kind", typeString), field("function", typeString), field("worker", typeString),
+		field("tenant", typeString), field("copies", typeInt), field("factor", typeFloat),
+		field("life", typeDuration), field("key", typeString), field("text", typeString))
 
 	// noRecord is what the handler of a point gets that does not exist, so that its body can be checked.
 	noRecord = newRecord("Nothing")
--- a/internal/hooklang/lexer.go
+++ b/internal/hooklang/lexer.go
@@ -159,9 +159,9 @@
 		l.brackets++
 	case ")", "]":
 		l.brackets = max(0, l.brackets-1)
-	case "}":
+	case "{", "}":
 		// The end of a block closes brackets that were left open: an error must not swallow the rest of the text.
-		if l.brackets > 0 && !inBrace(l.tokens) {
+		if symbol == "}" && l.brackets > 0 && !inBrace(l.tokens) {
 			l.brackets = 0
 		}
 	}
