--- a/internal/hookadvice/table_test.go
+++ b/internal/hookadvice/table_test.go
@@ -55,7 +55,7 @@
 
 const sec = time.Second
 
-// Each line: what is said, and what comes of it.
+// Each case is what scripts advise, and the effects.
 func TestTable(t *testing.T) {
 	rank := func(kind, w string) hooklang.Advice { return hooklang.Advice{Kind: kind, Worker: w, For: 10 * sec} }
 	tenant := func(kind, n string, f float64) hooklang.Advice {
@@ -67,28 +67,44 @@
 		want string
 	}{
 		{"copies", []Event{by("a", warm("f1", 2, 10*sec))}, "KeepWarm{Function:f1 Copies:2 Until:10s}"},
-		{"of two scripts the most, until the latest", []Event{by("a", warm("f1", 3, 10*sec)), by("b", warm("f1", 2, 20*sec))}, "KeepWarm{Function:f1 Copies:3 Until:20s}"},
-		{"too many copies, too long", []Event{by("a", warm("f1", 1<<40, 1e6*sec))}, "KeepWarm{Function:f1 Copies:4 Until:1h0m0s}"},
+		{"of two scripts the most, until the latest", []Event{by("a", warm("f1", 3, 10*sec)), by("b", warm("f1", 2, 20*sec))},
+			"KeepWarm{Function:f1 Copies:3 Until:20s}"},
+		{"too many copies, too long", []Event{by("a", warm("f1", 1<<40, 1e6*sec))},
+			"KeepWarm{Function:f1 Copies:4 Until:1h0m0s}"},
 		{"below zero", []Event{by("a", warm("f1", -3, 10*sec), warm("f2", 1, -sec))}, ""},
 		{"withdrawn", []Event{by("a", warm("f1", 2, 10*sec)), by("a", warm("f1", 0, sec))}, ""},
 		{"no such function", []Event{by("a", warm("x", 2, 10*sec))}, "dropped: no such function"},
-		{"more than memory", []Event{by("a", warm("f1", 4, sec), warm("f2", 4, sec), warm("f3", 4, sec), warm("f4", 4, sec), warm("f5", 4, sec))},
-			"KeepWarm{Function:f1 Copies:4 Until:1s}\nKeepWarm{Function:f2 Copies:4 Until:1s}\nKeepWarm{Function:f3 Copies:4 Until:1s}\nKeepWarm{Function:f4 Copies:4 Until:1s}\nKeepWarm{Function:f5 Copies:1 Until:1s}"},
+		{"more than memory",
+			[]Event{by("a", warm("f1", 4, sec), warm("f2", 4, sec), warm("f3", 4, sec), warm("f4", 4, sec), warm("f5", 4, sec))},
+			"KeepWarm{Function:f1 Copies:4 Until:1s}\n" +
+				"KeepWarm{Function:f2 Copies:4 Until:1s}\n" +
+				"KeepWarm{Function:f3 Copies:4 Until:1s}\n" +
+				"KeepWarm{Function:f4 Copies:4 Until:1s}\n" +
+				"KeepWarm{Function:f5 Copies:1 Until:1s}"},
 		{"avoided", []Event{by("a", rank("avoid", "w1"))}, "RankWorker{Worker:w1 Rank:-1 Until:10s}"},
-		{"avoided and preferred", []Event{by("a", rank("prefer", "w1")), by("b", rank("avoid", "w1"))}, "RankWorker{Worker:w1 Rank:-1 Until:10s}"},
+		{"avoided and preferred", []Event{by("a", rank("prefer", "w1")), by("b", rank("avoid", "w1"))},
+			"RankWorker{Worker:w1 Rank:-1 Until:10s}"},
 		{"one that drains", []Event{by("a", rank("prefer", "w7"))}, "dropped: the worker drains"},
 		{"no such worker", []Event{by("a", rank("avoid", "w9"))}, "dropped: no such worker"},
-		{"more than a share", []Event{by("a", rank("avoid", "w1"), rank("avoid", "w2"), rank("avoid", "w3"), rank("avoid", "w4"))},
+		{"more than a fraction",
+			[]Event{by("a", rank("avoid", "w1"), rank("avoid", "w2"), rank("avoid", "w3"), rank("avoid", "w4"))},
 			"RankWorker{Worker:w1 Rank:-1 Until:10s}\nRankWorker{Worker:w2 Rank:-1 Until:10s}"},
-		{"weights and caps", []Event{by("a", tenant("tenant_weight", "t", 100), tenant("tenant_cap", "t", 0.2), tenant("tenant_cap", "u", 1e-9)), by("b", tenant("tenant_weight", "t", 0.5))},
+		{"weights and caps",
+			[]Event{
+				by("a", tenant("tenant_weight", "t", 100), tenant("tenant_cap", "t", 0.2), tenant("tenant_cap", "u", 1e-9)),
+				by("b", tenant("tenant_weight", "t", 0.5)),
+			},
 			"Tenants{By:map[t:{Weight:0.5 MaxOpenCalls:20} u:{Weight:0 MaxOpenCalls:1}]}"},
 		{"no such tenant", []Event{by("a", tenant("tenant_weight", "x", 2))}, "dropped: no such tenant"},
 		{"no weight at all", []Event{by("a", tenant("tenant_weight", "t", 0))}, "dropped: 0 is not above 0"},
-		{"an old version", []Event{VersionActivated{"a", 2}, by("a", warm("f1", 2, 10*sec))}, "dropped: of version 1, which is not heard"},
-		{"a script that is not heard", []Event{by("c", warm("f1", 2, 10*sec))}, "dropped: of version 1, which is not heard"},
+		{"an old version", []Event{VersionActivated{"a", 2}, by("a", warm("f1", 2, 10*sec))},
+			"dropped: of version 1, which is not heard"},
+		{"a script that is not active", []Event{by("c", warm("f1", 2, 10*sec))},
+			"dropped: of version 1, which is not heard"},
 		{"what cannot stand", []Event{by("a", hooklang.Advice{Kind: "send"})}, "dropped: send does not stand"},
 		{"a script that ends", []Event{by("a", warm("f1", 2, 10*sec)), ScriptStopped{"a"}}, ""},
-		{"a notice", []Event{by("a", hooklang.Advice{Kind: "notify", Key: "ops", Text: "x"})}, "Notice{Script:a Target:ops Text:x}"},
+		{"a notice", []Event{by("a", hooklang.Advice{Kind: "notify", Key: "ops", Text: "x"})},
+			"Notice{Script:a Target:ops Text:x}"},
 	} {
 		if got := show(table(t, Settings{}).Step(0, c.in)); got != c.want {
 			t.Errorf("%s:\n%s\nwanted:\n%s", c.name, got, c.want)
@@ -105,12 +121,13 @@
 	if got := show(b.Step(10*sec, nil)); got != "KeepWarm{Function:f1 Copies:0 Until:0s}" {
 		t.Error(got)
 	}
-	if got := show(b.Step(11*sec, []Event{WorkerList{[]Worker{{"w1", false, 1000}, {"w2", true, 1000}, {"w3", true, 0}, {"w4", true, 0}}}})); got != "RankWorker{Worker:w1 Rank:0 Until:0s}" {
+	draining := WorkerList{[]Worker{{"w1", false, 1000}, {"w2", true, 1000}, {"w3", true, 0}, {"w4", true, 0}}}
+	if got := show(b.Step(11*sec, []Event{draining})); got != "RankWorker{Worker:w1 Rank:0 Until:0s}" {
 		t.Error(got)
 	}
 }
 
-// Advice that flips at each event is set aside, for longer each time; another piece of the script is still heard.
+// Advice that changes at each event is suppressed, for longer each time; other advice of the script is still followed.
 func TestFlips(t *testing.T) {
 	b := table(t, Settings{})
 	changes, now := 0, time.Duration(0)
@@ -125,12 +142,13 @@
 	if changes > 60 || changes < 6 {
 		t.Errorf("%d changes of 2000 are followed", changes)
 	}
-	if got := show(b.Step(now, []Event{by("a", warm("f2", 1, sec))})); got != "KeepWarm{Function:f2 Copies:1 Until:33m20s}" {
+	got := show(b.Step(now, []Event{by("a", warm("f2", 1, sec))}))
+	if got != "KeepWarm{Function:f2 Copies:1 Until:33m20s}" {
 		t.Error(got)
 	}
 }
 
-// Whatever is advised, what holds stays within the bounds, and is the same in any order of the scripts' offers.
+// Whatever is advised, what is in force stays within the bounds, and is what the effects add up to.
 func TestBounds(t *testing.T) {
 	kinds := []string{"keep_warm", "tenant_weight", "tenant_cap", "prefer", "avoid", "refuse", "notify", "", "send"}
 	rapid.Check(t, func(t *rapid.T) {
@@ -143,8 +161,12 @@
 			now += time.Duration(rapid.IntRange(0, 5000).Draw(t, "ms")) * time.Millisecond
 			var l []hooklang.Advice
 			for range rapid.IntRange(0, 6).Draw(t, "items") {
-				l = append(l, hooklang.Advice{Kind: rapid.SampledFrom(kinds).Draw(t, "kind"), Function: fmt.Sprint("f", rapid.IntRange(0, 9).Draw(t, "f")),
-					Copies: rapid.Int64Range(-2, 9).Draw(t, "copies"), For: time.Duration(rapid.Int64().Draw(t, "for"))})
+				l = append(l, hooklang.Advice{
+					Kind:     rapid.SampledFrom(kinds).Draw(t, "kind"),
+					Function: fmt.Sprint("f", rapid.IntRange(0, 9).Draw(t, "f")),
+					Copies:   rapid.Int64Range(-2, 9).Draw(t, "copies"),
+					For:      time.Duration(rapid.Int64().Draw(t, "for")),
+				})
 				if k := l[len(l)-1].Kind; k == "prefer" || k == "avoid" {
 					l[len(l)-1].Function, l[len(l)-1].Worker = "", fmt.Sprint("w", rapid.IntRange(0, 9).Draw(t, "w"))
 				}
@@ -178,7 +200,7 @@
 				t.Fatalf("%v %v", held, ranks)
 			}
 			if len(b.InForce()) != len(held)+up+down {
-				t.Fatalf("%s stands, told were %v %v", show(b.InForce()), held, ranks)
+				t.Fatalf("%s in force, effects were %v %v", show(b.InForce()), held, ranks)
 			}
 		}
 	})
--- a/internal/hookengine/golden_test.go
+++ b/internal/hookengine/golden_test.go
@@ -29,8 +29,15 @@
 	given := version(2)
 	given.Bad = "raised"
 	return []*Script{
-		{Name: "a", Live: version(3), Before: given, Shadow: version(4), Tally: Tally{Runs: 1, Faults: 2, Fuel: 3, Differ: 4, Skipped: 5},
-			Trial: Tally{Runs: 6, Faults: 7, Fuel: 8, Differ: 9, Skipped: 10}, Fault: "raised"},
+		{
+			Name:   "a",
+			Live:   version(3),
+			Before: given,
+			Shadow: version(4),
+			Tally:  Tally{Runs: 1, Faults: 2, Fuel: 3, Differ: 4, Skipped: 5},
+			Trial:  Tally{Runs: 6, Faults: 7, Fuel: 8, Differ: 9, Skipped: 10},
+			Fault:  "raised",
+		},
 		{Name: "b", Live: &Version{Number: 1, Digest: Digest(storedText), Text: storedText}},
 	}
 }
@@ -110,8 +117,12 @@
 			t.Fatal(err)
 		}
 		log.Close()
-		engine := &Engine{config: Config{FS: store.Dir(folder), Clock: clock.System(), Log: zerolog.Nop()}, lifecycle: NewLifecycle(LifecycleSettings{}, 1),
-			active: map[string]*loadedVersion{}, shadows: map[string]*loadedVersion{}}
+		engine := &Engine{
+			config:    Config{FS: store.Dir(folder), Clock: clock.System(), Log: zerolog.Nop()},
+			lifecycle: NewLifecycle(LifecycleSettings{}, 1),
+			active:    map[string]*loadedVersion{},
+			shadows:   map[string]*loadedVersion{},
+		}
 		var err error
 		if engine.table, err = hookadvice.New(hookadvice.Settings{Cap: 1}, nil); err != nil {
 			t.Fatal(err)
@@ -120,8 +131,9 @@
 			t.Fatal(err)
 		}
 		engine.log.Close()
-		if got, _ := json.Marshal(engine.lifecycle.Scripts); !reflect.DeepEqual(engine.lifecycle.Scripts, storedScripts()) || engine.lifecycle.Last != 4 {
-			t.Errorf("%s: read %s, last version %d", name, got, engine.lifecycle.Last)
+		read := engine.lifecycle
+		if got, _ := json.Marshal(read.Scripts); !reflect.DeepEqual(read.Scripts, storedScripts()) || read.Last != 4 {
+			t.Errorf("%s: read %s, last version %d", name, got, read.Last)
 		}
 		if state := string(engine.states["a"]); state != storedState {
 			t.Errorf("%s: read the state %s", name, state)
@@ -157,7 +169,8 @@
 	})}
 	go server.Serve(listener)
 	defer server.Cut()
-	notifier := NewNotifier("c1", []Target{{Name: "ops", Address: listener.Addr().String(), Path: "/n", Key: key}}, clock.System(), zerolog.Nop())
+	target := Target{Name: "ops", Address: listener.Addr().String(), Path: "/n", Key: key}
+	notifier := NewNotifier("c1", []Target{target}, clock.System(), zerolog.Nop())
 	defer notifier.Close()
 	notice := hookadvice.Notice{Script: "a", Target: "ops", Text: `lost "3" <of> 4`}
 	if err := notifier.send(queuedNotice{Notice: notice, id: "note_1", at: time.Unix(1700000000, 5e8)}); err != nil {
--- a/internal/hookengine/hooks_test.go
+++ b/internal/hookengine/hooks_test.go
@@ -19,8 +19,8 @@
 
 const sec = time.Second
 
-// Faults in a row open the circuit, longer each time and with jitter; then the version before takes over, and at last there
-// is quarantine.
+// Faults in a row open the circuit, longer each time and with jitter; then the previous version becomes live, and if that
+// faults too it is quarantined.
 func TestCircuit(t *testing.T) {
 	l := NewLifecycle(LifecycleSettings{}, 1)
 	must := func(err error) {
@@ -120,11 +120,11 @@
 	}
 }
 
-// A host is what an engine speaks to.
+// host records what an engine asks of the gateway.
 type host struct {
-	mu    sync.Mutex
-	said  []string
-	notes []hookadvice.Notice
+	mu      sync.Mutex
+	said    []string
+	notices []hookadvice.Notice
 }
 
 func (h *host) KeepWarm(f string, n int, _ time.Duration) {
@@ -140,7 +140,7 @@
 func (h *host) Function(n string) (float64, bool) { return 1, strings.HasPrefix(n, "f") }
 func (h *host) Tenant(n string) bool              { return n == "t" }
 
-func (h *host) words() string {
+func (h *host) calls() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return strings.Join(h.said, ", ")
@@ -152,8 +152,20 @@
 	if rate != nil {
 		life.InstructionRate = rate[0]
 	}
-	cfg := Config{Lifecycle: life, Advice: hookadvice.Settings{Cap: 100}, Facts: h, Sink: h, Clock: clk, Log: zerolog.Nop(), SaveInterval: time.Nanosecond,
-		Notify: func(n hookadvice.Notice) { h.mu.Lock(); h.notes = append(h.notes, n); h.mu.Unlock() }}
+	cfg := Config{
+		Lifecycle:    life,
+		Advice:       hookadvice.Settings{Cap: 100},
+		Facts:        h,
+		Sink:         h,
+		Clock:        clk,
+		Log:          zerolog.Nop(),
+		SaveInterval: time.Nanosecond,
+		Notify: func(n hookadvice.Notice) {
+			h.mu.Lock()
+			h.notices = append(h.notices, n)
+			h.mu.Unlock()
+		},
+	}
 	if dir != "" {
 		cfg.FS = store.Dir(dir)
 	}
@@ -162,7 +174,12 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { e.Close() })
-	e.Workers([]hookadvice.Worker{{Name: "w1", Ready: true}, {Name: "w2", Ready: true}, {Name: "w3", Ready: true}, {Name: "w4", Ready: true}})
+	e.Workers([]hookadvice.Worker{
+		{Name: "w1", Ready: true},
+		{Name: "w2", Ready: true},
+		{Name: "w3", Ready: true},
+		{Name: "w4", Ready: true},
+	})
 	return e
 }
 
@@ -197,7 +214,7 @@
 	}
 	e.Post("timer", hooklang.Tick{}) // nobody wants it
 	all(t, e)
-	if got := h.words(); got != "warm f1 1, warm f2 1, warm f3 1" {
+	if got := h.calls(); got != "warm f1 1, warm f2 1, warm f3 1" {
 		t.Fatal(got)
 	}
 	if n := e.Counts.Posted.Load(); n != 3 {
@@ -209,18 +226,21 @@
 	load(t, e, "a", strings.Replace(counter, "1h", "2h", 1), false)
 	e.Post("ended", hooklang.Ended{})
 	all(t, e)
-	if got := h.words(); got != "warm f4 1" {
+	if got := h.calls(); got != "warm f4 1" {
 		t.Error(got)
 	}
 	o, err := e.Overview()
-	if err != nil || len(o.Scripts) != 1 || o.Scripts[0].Live != 2 || o.Scripts[0].Before != 1 || !strings.Contains(o.Scripts[0].State, "n int = 4") {
+	if err != nil || len(o.Scripts) != 1 {
+		t.Fatalf("%v %+v", err, o)
+	}
+	if a := o.Scripts[0]; a.Live != 2 || a.Before != 1 || !strings.Contains(a.State, "n int = 4") {
 		t.Errorf("%v %+v", err, o)
 	}
 	if err := e.Remove("a"); err != nil {
 		t.Fatal(err)
 	}
 	all(t, e)
-	if got := h.words(); got != "warm f4 1, warm f4 0" {
+	if got := h.calls(); got != "warm f4 1, warm f4 0" {
 		t.Error(got)
 	}
 	for range 2 * recordsPerSnapshot { // snapshots among them
@@ -237,24 +257,33 @@
 	}
 }
 
-// A script that breaks is shut out, its advice withdrawn, its state as it was before; others go on. Shut out, it costs nothing.
+// A script that faults does not run while its circuit is open: its advice is withdrawn, its state is that before the fault,
+// and it costs nothing. Others run on.
 func TestEngineShutsOut(t *testing.T) {
 	h, clk := &host{}, clock.NewManual(time.Unix(1000, 0))
 	e := engine(t, h, clk, "")
-	load(t, e, "bad", "state n int = 0\non ended(e) {\nn += 1\nkeep_warm(\"f0\", 1, 1h)\nif n > 2 { for i in 0..9223372036854775807 {} }\n}\n", false)
+	load(t, e, "bad", `
+		state n int = 0
+		on ended(e) {
+			n += 1
+			keep_warm("f0", 1, 1h)
+			if n > 2 { for i in 0..9223372036854775807 {} }
+		}
+	`, false)
 	load(t, e, "good", counter, false)
 	for range 10 {
 		e.Post("ended", hooklang.Ended{})
 	}
 	all(t, e)
 	o, _ := e.Overview()
-	if b := o.Scripts[0]; b.Status != "open" || b.Tally.Runs != 5 || b.Tally.Faults != 3 || !strings.Contains(b.Fault, "fuel") {
+	b := o.Scripts[0]
+	if b.Status != "open" || b.Tally.Runs != 5 || b.Tally.Faults != 3 || !strings.Contains(b.Fault, "fuel") {
 		t.Errorf("%+v", b)
 	}
 	if g := o.Scripts[1]; g.Status != "live" || g.Tally.Runs != 10 {
 		t.Errorf("%+v", g)
 	}
-	if got := h.words(); strings.Count(got, "warm f0 1") != 1 || strings.Count(got, "warm f0 0") != 1 {
+	if got := h.calls(); strings.Count(got, "warm f0 1") != 1 || strings.Count(got, "warm f0 0") != 1 {
 		t.Error(got)
 	}
 }
@@ -270,8 +299,8 @@
 	v := e.Arrive(hooklang.Call{})
 	all(t, e)
 	o, _ := e.Overview()
-	if tr := o.Scripts[0].Trial; tr.Runs != 3 || tr.Differ != 2 || h.words() != "warm f1 1" || v.Notes[0].Text != "1" {
-		t.Errorf("%+v, %s, %+v", tr, h.words(), v)
+	if tr := o.Scripts[0].Trial; tr.Runs != 3 || tr.Differ != 2 || h.calls() != "warm f1 1" || v.Notes[0].Text != "1" {
+		t.Errorf("%+v, %s, %+v", tr, h.calls(), v)
 	}
 	if err := e.Promote("a", true); err != nil {
 		t.Fatal(err)
@@ -281,7 +310,8 @@
 	}
 }
 
-// While a script runs aside for long, calls are judged, posts do not wait, and what is too much is dropped and counted.
+// While the engine's goroutine is busy, calls are judged, posts do not wait, and events beyond the queue are dropped and
+// counted.
 func TestEngineNeverWaits(t *testing.T) {
 	h, clk := &host{}, clock.NewManual(time.Unix(1000, 0))
 	e := engine(t, h, clk, "")
@@ -302,23 +332,30 @@
 	all(t, e)
 }
 
-// Timers run at their time, late ones are not made up for; notices go out; tenants' weights and caps hold at the door.
+// Timers run at their time, missed ticks are not made up for; notices are sent; tenants' weights and caps are applied to calls.
 func TestEngineTimers(t *testing.T) {
 	h, clk := &host{}, clock.NewManual(time.Unix(1000, 0))
 	e := engine(t, h, clk, "")
-	load(t, e, "a", "on timer(t) every 5s {\nnotify(\"ops\", str(t.count))\ntenant_weight(\"t\", 2.0, 1m)\ntenant_cap(\"t\", 0.01, 1m)\navoid(\"w1\", 1m)\n}", false)
+	load(t, e, "a", `
+		on timer(t) every 5s {
+			notify("ops", str(t.count))
+			tenant_weight("t", 2.0, 1m)
+			tenant_cap("t", 0.01, 1m)
+			avoid("w1", 1m)
+		}
+	`, false)
 	clk.Advance(5 * sec)
 	all(t, e)
 	clk.Advance(60 * sec)
 	all(t, e)
 	all(t, e)
 	h.mu.Lock()
-	if len(h.notes) != 2 || h.notes[1].Text != "2" {
-		t.Error(h.notes)
+	if len(h.notices) != 2 || h.notices[1].Text != "2" {
+		t.Error(h.notices)
 	}
 	h.mu.Unlock()
-	if h.words() != "regard w1 -1, regard w1 0, regard w1 -1" && h.words() != "regard w1 -1, regard w1 -1" {
-		t.Error(h.words())
+	if h.calls() != "regard w1 -1, regard w1 0, regard w1 -1" && h.calls() != "regard w1 -1, regard w1 -1" {
+		t.Error(h.calls())
 	}
 	if v := e.Arrive(hooklang.Call{Tenant: "t"}); v.ShedAdvised || v.Weight != 2 {
 		t.Error(v)
--- a/internal/hookengine/notify_test.go
+++ b/internal/hookengine/notify_test.go
@@ -44,7 +44,8 @@
 	go srv.Serve(ln)
 	defer srv.Cut()
 	defer ln.Close()
-	n := NewNotifier("c", []Target{{Name: "ops", Address: ln.Addr().String(), Path: "/n", Key: key}}, clock.System(), zerolog.Nop())
+	target := Target{Name: "ops", Address: ln.Addr().String(), Path: "/n", Key: key}
+	n := NewNotifier("c", []Target{target}, clock.System(), zerolog.Nop())
 	defer n.Close()
 	n.Notify(hookadvice.Notice{Script: "a", Target: "nobody", Text: "x"})
 	n.Notify(hookadvice.Notice{Script: "a", Target: "ops", Text: "lost 3"})
