--- a/internal/hookengine/golden_test.go
+++ b/internal/hookengine/golden_test.go
@@ -29,8 +29,15 @@
 	given := version(2)
 	given.Bad = "raised"
 	return []*Script{
-		{Name: "a", Live: version(3), Before: given, Shadow: version(4), Tally: Tally{Runs: 1, Faults: 2, Fuel: 3, Differ: 4, Skipped: 5},
-			Trial: Tally{Runs: 6, Faults: 7, Fuel: 8, Differ: 9, Skipped: 10}, Fault: "raised"},
+		{
+			Name:   "a",
+			Live:   version(3),
+			Before: given,
+			Shadow: version(4),
+			Tally:  Tally{Runs: 1, Faults: 2, Fuel: 3, Differ: 4, Skipped: 5},
+			Trial:  Tally{Runs: 6, Faults: 7, Fuel: 8, Differ: 9, Skipped: 10},
+			Fault:  "raised",
+		},
 		{Name: "b", Live: &Version{Number: 1, Digest: Digest(storedText), Text: storedText}},
 	}
 }
@@ -56,11 +63,14 @@
 func TestStoredScriptsAreAsBefore(t *testing.T) {
 	folder := t.TempDir()
 	log, _, _ := openStore(t, folder)
-	engine := &Engine{log: log, life: &Lifecycle{Scripts: storedScripts(), Last: 4}, states: map[string]json.RawMessage{"a": json.RawMessage(storedState)},
-		cfg: Config{Log: zerolog.Nop()}}
-	engine.append(record{Scripts: engine.life.Scripts, Last: engine.life.Last})
-	engine.append(record{State: "a", Value: json.RawMessage(storedState)})
-	engine.append(record{})
+	engine := &Engine{
+		config:    Config{Log: zerolog.Nop()},
+		lifecycle: &Lifecycle{Scripts: storedScripts(), Last: 4},
+		storage:   storage{log: log, states: map[string]json.RawMessage{"a": json.RawMessage(storedState)}},
+	}
+	engine.appendRecord(record{Scripts: engine.lifecycle.Scripts, Last: engine.lifecycle.Last})
+	engine.appendRecord(record{State: "a", Value: json.RawMessage(storedState)})
+	engine.appendRecord(record{})
 	log.Close()
 	log, snapshot, records := openStore(t, folder)
 	if snapshot != nil || len(records) != 3 {
@@ -70,10 +80,10 @@
 	goldenfile.Compare(t, "record_state.json", records[1])
 	goldenfile.Compare(t, "record_empty.json", records[2])
 
-	engine.log, engine.since = log, recordsKept-1
-	engine.append(record{State: "a", Value: json.RawMessage(storedState)})
-	if engine.failed != nil || engine.since != 0 {
-		t.Fatal(engine.failed, engine.since)
+	engine.log, engine.sinceSnapshot = log, recordsPerSnapshot-1
+	engine.appendRecord(record{State: "a", Value: json.RawMessage(storedState)})
+	if engine.storeErr != nil || engine.sinceSnapshot != 0 {
+		t.Fatal(engine.storeErr, engine.sinceSnapshot)
 	}
 	log.Close()
 	log, snapshot, _ = openStore(t, folder)
@@ -107,26 +117,31 @@
 			t.Fatal(err)
 		}
 		log.Close()
-		engine := &Engine{cfg: Config{FS: store.Dir(folder), Clock: clock.System(), Log: zerolog.Nop()}, life: NewLifecycle(LifecycleSettings{}, 1),
-			ran: map[string]*running{}, shadow: map[string]*running{}}
+		engine := &Engine{
+			config:    Config{FS: store.Dir(folder), Clock: clock.System(), Log: zerolog.Nop()},
+			lifecycle: NewLifecycle(LifecycleSettings{}, 1),
+			active:    map[string]*loadedVersion{},
+			shadows:   map[string]*loadedVersion{},
+		}
 		var err error
 		if engine.table, err = hookadvice.New(hookadvice.Settings{Cap: 1}, nil); err != nil {
 			t.Fatal(err)
 		}
-		if err := engine.recover(); err != nil {
+		if err := engine.restore(); err != nil {
 			t.Fatal(err)
 		}
 		engine.log.Close()
-		if got, _ := json.Marshal(engine.life.Scripts); !reflect.DeepEqual(engine.life.Scripts, storedScripts()) || engine.life.Last != 4 {
-			t.Errorf("%s: read %s, last version %d", name, got, engine.life.Last)
+		read := engine.lifecycle
+		if got, _ := json.Marshal(read.Scripts); !reflect.DeepEqual(read.Scripts, storedScripts()) || read.Last != 4 {
+			t.Errorf("%s: read %s, last version %d", name, got, read.Last)
 		}
 		if state := string(engine.states["a"]); state != storedState {
 			t.Errorf("%s: read the state %s", name, state)
 		}
-		if state := engine.ran["a"].state.String(); state != "state seen int = 7\n" {
+		if state := engine.active["a"].state.String(); state != "state seen int = 7\n" {
 			t.Errorf("%s: runs with %s", name, state)
 		}
-		if engine.shadow["a"] == nil || engine.ran["b"] == nil {
+		if engine.shadows["a"] == nil || engine.active["b"] == nil {
 			t.Errorf("%s: not all versions run", name)
 		}
 	}
@@ -154,9 +169,11 @@
 	})}
 	go server.Serve(listener)
 	defer server.Cut()
-	notifier := NewNotifier("c1", []Target{{Name: "ops", Address: listener.Addr().String(), Path: "/n", Key: key}}, clock.System(), zerolog.Nop())
+	target := Target{Name: "ops", Address: listener.Addr().String(), Path: "/n", Key: key}
+	notifier := NewNotifier("c1", []Target{target}, clock.System(), zerolog.Nop())
 	defer notifier.Close()
-	if err := notifier.send(note{hookadvice.Notice{Script: "a", Target: "ops", Text: `lost "3" <of> 4`}, "note_1", time.Unix(1700000000, 5e8)}); err != nil {
+	notice := hookadvice.Notice{Script: "a", Target: "ops", Text: `lost "3" <of> 4`}
+	if err := notifier.send(queuedNotice{Notice: notice, id: "note_1", at: time.Unix(1700000000, 5e8)}); err != nil {
 		t.Fatal(err)
 	}
 	goldenfile.Compare(t, "notice.txt", []byte(<-taken))
@@ -172,10 +189,10 @@
 			{Name: "b", Status: "empty"},
 		},
 		Standing: []string{
-			standing(hookadvice.KeepWarm{Function: "resize", Copies: 2, Until: now + 90*time.Second}, now),
-			standing(hookadvice.RankWorker{Worker: "w1", Rank: -1, Until: now + time.Second}, now),
-			standing(hookadvice.Tenants{By: map[string]hookadvice.Tenant{"t": {Weight: 0.5, MaxOpenCalls: 3}, "s": {}}}, now),
-			standing(hookadvice.Tenants{}, now),
+			inForceLine(hookadvice.KeepWarm{Function: "resize", Copies: 2, Until: now + 90*time.Second}, now),
+			inForceLine(hookadvice.RankWorker{Worker: "w1", Rank: -1, Until: now + time.Second}, now),
+			inForceLine(hookadvice.Tenants{By: map[string]hookadvice.Tenant{"t": {Weight: 0.5, MaxOpenCalls: 3}, "s": {}}}, now),
+			inForceLine(hookadvice.Tenants{}, now),
 		},
 		Posted: 1, Dropped: 2, Waiting: 3, Taken: 4, Refused: 5, Over: 6, Aside: 7,
 	}
--- a/internal/hookengine/notify_test.go
+++ b/internal/hookengine/notify_test.go
@@ -28,7 +28,7 @@
 	var mu sync.Mutex
 	var ids []string
 	taken := make(chan string, 10)
-	srv := &http1.Server{Handler: http1.HandlerFunc(func(c *http1.Conn, r *http1.Request) *http1.Response {
+	srv := &http1.Server{Handler: http1.HandlerFunc(func(_ *http1.Conn, r *http1.Request) *http1.Response {
 		mu.Lock()
 		defer mu.Unlock()
 		m := signing.Message{ID: r.Header.Get("webhook-id"), Stamp: r.Header.Get("webhook-timestamp"), Body: r.Body}
@@ -44,7 +44,8 @@
 	go srv.Serve(ln)
 	defer srv.Cut()
 	defer ln.Close()
-	n := NewNotifier("c", []Target{{Name: "ops", Address: ln.Addr().String(), Path: "/n", Key: key}}, clock.System(), zerolog.Nop())
+	target := Target{Name: "ops", Address: ln.Addr().String(), Path: "/n", Key: key}
+	n := NewNotifier("c", []Target{target}, clock.System(), zerolog.Nop())
 	defer n.Close()
 	n.Notify(hookadvice.Notice{Script: "a", Target: "nobody", Text: "x"})
 	n.Notify(hookadvice.Notice{Script: "a", Target: "ops", Text: "lost 3"})
--- a/internal/hooklang/ast.go
+++ b/internal/hooklang/ast.go
@@ -2,14 +2,16 @@
 
 import "time"
 
+// script is the syntax tree of a text. The parser makes it; the checker fills in types, slots and what names refer to.
 type script struct {
 	states   []*stateDecl
 	funcs    []*funcDecl // functions and handlers, in order of the text
 	tests    []*testDecl
-	order    []any // all of them as they stand
+	order    []any // all of them, in order of the text, for the formatter
 	comments []comment
 }
 
+// typeNode is a type as it is written.
 type typeNode struct {
 	pos  Pos
 	name string // "list", "map" or a name
@@ -17,60 +19,66 @@
 	key  *typeNode
 }
 
+// stateDecl is a state variable.
 type stateDecl struct {
-	pos  Pos
-	name string
-	typ  *typeNode
-	init expr
-	t    *Type
-	n    int
+	pos          Pos
+	name         string
+	declaredType *typeNode
+	init         expr
+	valueType    *Type
+	index        int
 }
 
+// param is a parameter of a function, or the event of a handler.
 type param struct {
-	pos  Pos
-	name string
-	typ  *typeNode
+	pos          Pos
+	name         string
+	declaredType *typeNode
 }
 
+// funcDecl is a function or a handler.
 type funcDecl struct {
-	pos    Pos
-	name   string // of a handler: its point
-	on     *Point // nil: a function
-	every  time.Duration
-	params []param
-	result *typeNode
-	body   *block
-	end    Pos
-
-	types  []*Type // of the parameters
-	ret    *Type
-	n      int
-	slots  int
-	calls  []*funcDecl // for what a handler may reach
-	writes Pos         // where it changes state; zero: it does not
-	uses   map[string]Pos
-	vars   []varInfo
+	pos            Pos
+	name           string // of a handler: its point
+	point          *Point // nil: a function
+	interval       time.Duration
+	params         []param
+	declaredResult *typeNode
+	body           *block
+	end            Pos
+
+	paramTypes    []*Type // of the parameters
+	resultType    *Type
+	slots         int            // how many it needs
+	calls         []*funcDecl    // for what a handler may reach
+	writesStateAt Pos            // where it changes state; zero: it does not
+	effectsAt     map[string]Pos // the advice it gives, and where first
+	vars          []varInfo
 }
 
+// testDecl is a test.
 type testDecl struct {
-	pos  Pos
-	name string
-	body *block
-	fn   *funcDecl
+	pos      Pos
+	name     string
+	body     *block
+	function *funcDecl
 }
 
+// block is the statements between braces.
 type block struct {
 	pos   Pos
 	stmts []stmt
 	end   Pos
 }
 
+// stmt is a statement, expr an expression, whose type is known once it is checked.
 type stmt interface{ at() Pos }
 type expr interface {
 	at() Pos
 	typ() *Type
 }
 
+// node is what has a place in the text.
 type node struct{ pos Pos }
 
 func (n node) at() Pos { return n.pos }
@@ -78,25 +86,25 @@
 type (
 	letStmt struct {
 		node
-		name  string
-		typ   *typeNode
-		value expr
-		slot  int
+		name         string
+		declaredType *typeNode
+		value        expr
+		slot         int
 	}
 	setStmt struct { // name = value, name += value, name[index] = value
 		node
-		name  string
-		op    string // "", "+" or "-"
-		index expr
-		value expr
-		ref   ref
-		t     *Type
+		name       string
+		op         string // "", "+" or "-"
+		index      expr
+		value      expr
+		target     ref
+		targetType *Type
 	}
 	ifStmt struct {
 		node
-		cond expr
-		then *block
-		els  stmt // *ifStmt, *block or nil
+		cond      expr
+		then      *block
+		otherwise stmt // *ifStmt, *block or nil
 	}
 	forStmt struct {
 		node
@@ -108,18 +116,18 @@
 	}
 	matchStmt struct {
 		node
-		value expr
-		cases []matchCase
-		els   *block
-		slot  int
+		value     expr
+		cases     []matchCase
+		otherwise *block
+		slot      int
 	}
 	returnStmt struct {
 		node
 		value expr
 	}
-	leaveStmt struct {
+	branchStmt struct {
 		node
-		word string // break or continue
+		keyword string // break or continue
 	}
 	exprStmt struct {
 		node
@@ -127,6 +135,7 @@
 	}
 )
 
+// matchCase is a case of a match statement: any of the values fits.
 type matchCase struct {
 	values []expr
 	body   *block
@@ -136,22 +145,23 @@
 
 // ref is a variable: a slot of the function, or of the state.
 type ref struct {
-	state bool
-	n     int
+	inState bool
+	index   int
 }
 
+// typed is a node with a type.
 type typed struct {
 	node
-	t *Type
+	valueType *Type
 }
 
-func (e *typed) typ() *Type { return e.t }
+func (e *typed) typ() *Type { return e.valueType }
 
 type (
-	litExpr struct {
+	literalExpr struct {
 		typed
-		v    Value
-		text string
+		value Value
+		text  string
 	}
 	nameExpr struct {
 		typed
@@ -160,53 +170,53 @@
 	}
 	unaryExpr struct {
 		typed
-		op string
-		x  expr
+		op      string
+		operand expr
 	}
-	binExpr struct {
+	binaryExpr struct {
 		typed
-		op   string
-		x, y expr
+		op          string
+		left, right expr
 	}
 	listExpr struct {
 		typed
-		node  *typeNode // of list[T]{…}; nil: [a, b]
-		items []expr
+		literalType *typeNode // of list[T]{…}; nil: [a, b]
+		items       []expr
 	}
 	mapExpr struct {
 		typed
-		node   *typeNode
-		keys   []expr
-		values []expr
+		literalType *typeNode
+		keys        []expr
+		values      []expr
 	}
-	recExpr struct {
+	recordExpr struct {
 		typed
-		name   string
-		fields []string
-		places []Pos
-		values []expr
+		name      string
+		fields    []string
+		positions []Pos
+		values    []expr
 	}
 	indexExpr struct {
 		typed
-		x, i expr
+		collection, index expr
 	}
 	fieldExpr struct {
 		typed
-		x    expr
-		name string
-		n    int
+		record expr
+		name   string
+		index  int
 	}
 	callExpr struct {
 		typed
-		name string
-		args []expr
-		fn   *funcDecl
-		b    *builtin
+		name     string
+		args     []expr
+		function *funcDecl
+		builtin  *builtin
 	}
 	runExpr struct { // in tests: run arrive(Call{…})
 		typed
-		point string
-		arg   expr
-		fn    *funcDecl
+		point   string
+		arg     expr
+		handler *funcDecl
 	}
 )
--- a/internal/hooklang/parseexpr.go
+++ b/internal/hooklang/parseexpr.go
@@ -1,161 +1,190 @@
 package hooklang
 
-var levels = [][]string{{"or"}, {"and"}, {"==", "!=", "<", "<=", ">", ">=", "in"}, {"+", "-"}, {"*", "/", "%"}}
+// precedence lists the binary operators, those that bind weakest first.
+var precedence = [][]string{{"or"}, {"and"}, {"==", "!=", "<", "<=", ">", ">=", "in"}, {"+", "-"}, {"*", "/", "%"}}
+
+const (
+	comparisonLevel = 2     // of precedence
+	maxOperators    = 1_000 // of one level in an expression
+)
 
 func (p *parser) expr() expr { return p.binary(0) }
 
 func (p *parser) binary(level int) expr {
-	if level == len(levels) {
+	if level == len(precedence) {
 		return p.unary()
 	}
-	if level == 2 && p.is("not") { // binds weaker than comparisons, as and and or do
-		p.enter()
+	if level == comparisonLevel && p.is("not") { // binds weaker than comparisons, as and and or do
+		p.nest()
 		defer func() { p.depth-- }()
-		t := p.want("not")
-		return &unaryExpr{typed{node{t.pos}, nil}, "not", p.binary(2)}
+		t := p.expect("not")
+		return &unaryExpr{typed{node{t.pos}, nil}, "not", p.binary(comparisonLevel)}
 	}
 	x := p.binary(level + 1)
 	for n := 0; ; n++ {
-		t := p.tok()
+		t := p.peek()
 		found := false
-		for _, op := range levels[level] {
-			found = found || t.kind == tSign && t.text == op
+		for _, op := range precedence[level] {
+			found = found || t.kind == tokenSymbol && t.text == op
 		}
 		if !found {
 			return x
 		}
-		if n > 0 && level == 2 {
+		if n > 0 && level == comparisonLevel {
 			p.fail("comparisons do not chain: join them by and")
 		}
-		if n > 1_000 {
+		if n > maxOperators {
 			p.fail("too many in one expression")
 		}
-		p.i++
+		p.next++
 		y := p.binary(level + 1)
-		x = &binExpr{typed{node{t.pos}, nil}, t.text, x, y}
+		x = &binaryExpr{typed{node{t.pos}, nil}, t.text, x, y}
 	}
 }
 
 func (p *parser) unary() expr {
-	if t := p.tok(); p.take("-") {
-		p.enter()
+	if t := p.peek(); p.accept("-") {
+		p.nest()
 		defer func() { p.depth-- }()
 		return &unaryExpr{typed{node{t.pos}, nil}, "-", p.unary()}
 	}
 	x := p.primary()
 	for {
-		t := p.tok()
+		t := p.peek()
 		at := typed{node{t.pos}, nil}
 		switch {
-		case p.take("["):
-			bare := p.bare
-			p.bare = false
-			x = &indexExpr{at, x, p.expr()}
-			p.bare = bare
-			p.want("]")
-		case p.take("."):
-			x = &fieldExpr{typed: at, x: x, name: p.field().text}
+		case p.accept("["):
+			x = &indexExpr{at, x, p.bracketed()}
+			p.expect("]")
+		case p.accept("."):
+			x = &fieldExpr{typed: at, record: x, name: p.field().text}
 		default:
 			return x
 		}
 	}
 }
 
-// items reads what stands between brackets, up to the closing one.
+// items reads entries with commas between them, up to the closing bracket.
 func (p *parser) items(end string, one func()) {
-	bare := p.bare
-	p.bare = false
+	inHeader := p.inHeader
+	p.inHeader = false
 	for p.newlines(); !p.is(end); p.newlines() {
 		one()
 		p.newlines()
-		if !p.take(",") {
+		if !p.accept(",") {
 			break
 		}
 	}
 	p.newlines()
-	p.bare = bare
-	p.want(end)
+	p.inHeader = inHeader
+	p.expect(end)
 }
 
+// primary reads a literal, a name, a call, or an expression in brackets.
 func (p *parser) primary() expr {
-	p.enter()
+	p.nest()
 	defer func() { p.depth-- }()
-	t := p.tok()
+	t := p.peek()
 	at := typed{node{t.pos}, nil}
-	lit := func(ty *Type, v Value) expr {
-		p.i++
-		at.t = ty
-		return &litExpr{at, v, t.text}
-	}
 	switch t.kind {
-	case tInt:
-		return lit(tyInt, Value{n: t.n})
-	case tFloat:
-		return lit(tyFloat, floatValue(t.f))
-	case tDur:
-		return lit(tyDur, Value{n: t.n})
-	case tStr:
-		return lit(tyStr, strValue(t.text))
-	case tName:
-		p.i++
-		if p.take("(") {
-			c := &callExpr{typed: at, name: t.text}
-			p.items(")", func() { c.args = append(c.args, p.expr()) })
-			return c
-		}
-		if p.is("{") && !p.bare && records[t.text] != nil {
-			p.i++
-			r := &recExpr{typed: at, name: t.text}
-			p.items("}", func() {
-				n := p.field()
-				p.want(":")
-				r.fields, r.places, r.values = append(r.fields, n.text), append(r.places, n.pos), append(r.values, p.expr())
-			})
-			return r
-		}
-		return &nameExpr{typed: at, name: t.text}
+	case tokenInt:
+		return p.literal(typeInt, Value{bits: t.number})
+	case tokenFloat:
+		return p.literal(typeFloat, floatValue(t.float))
+	case tokenDuration:
+		return p.literal(typeDuration, Value{bits: t.number})
+	case tokenString:
+		return p.literal(typeString, strValue(t.text))
+	case tokenName:
+		return p.nameOrCall(at)
 	}
 	switch {
 	case p.is("true"):
-		return lit(tyBool, Value{n: 1})
+		return p.literal(typeBool, Value{bits: 1})
 	case p.is("false"):
-		return lit(tyBool, Value{})
-	case p.take("("):
-		bare := p.bare
-		p.bare = false
-		e := p.expr()
-		p.bare = bare
-		p.want(")")
+		return p.literal(typeBool, Value{})
+	case p.accept("("):
+		e := p.bracketed()
+		p.expect(")")
 		return e
-	case p.take("["):
+	case p.accept("["):
 		l := &listExpr{typed: at}
 		p.items("]", func() { l.items = append(l.items, p.expr()) })
 		return l
 	case p.is("list"):
-		l := &listExpr{typed: at, node: p.typeName()}
-		p.want("{")
+		l := &listExpr{typed: at, literalType: p.typeName()}
+		p.expect("{")
 		p.items("}", func() { l.items = append(l.items, p.expr()) })
 		return l
 	case p.is("map"):
-		m := &mapExpr{typed: at, node: p.typeName()}
-		p.want("{")
-		p.items("}", func() {
-			k := p.expr()
-			p.want(":")
-			m.keys, m.values = append(m.keys, k), append(m.values, p.expr())
-		})
-		return m
-	case p.take("run"):
-		n := p.name("a point")
-		r := &runExpr{typed: at, point: n.text}
-		bare := p.bare
-		p.bare = false
-		p.want("(")
-		r.arg = p.expr()
-		p.want(")")
-		p.bare = bare
-		return r
+		return p.mapLiteral(at)
+	case p.accept("run"):
+		return p.run(at)
 	}
-	p.fail("a value is wanted, not %s", show(t))
+	p.fail("a value is wanted, not %s", describe(t))
 	return nil
 }
+
+func (p *parser) literal(t *Type, v Value) expr {
+	token := p.peek()
+	p.next++
+	return &literalExpr{typed{node{token.pos}, t}, v, token.text}
+}
+
+// nameOrCall reads a variable, a call or the literal of a record.
+func (p *parser) nameOrCall(at typed) expr {
+	name := p.peek().text
+	p.next++
+	if p.accept("(") {
+		c := &callExpr{typed: at, name: name}
+		p.items(")", func() { c.args = append(c.args, p.expr()) })
+		return c
+	}
+	if !p.is("{") || p.inHeader || records[name] == nil {
+		return &nameExpr{typed: at, name: name}
+	}
+	p.next++
+	r := &recordExpr{typed: at, name: name}
+	p.items("}", func() {
+		field := p.field()
+		p.expect(":")
+		value := p.expr()
+		r.fields = append(r.fields, field.text)
+		r.positions = append(r.positions, field.pos)
+		r.values = append(r.values, value)
+	})
+	return r
+}
+
+func (p *parser) mapLiteral(at typed) expr {
+	m := &mapExpr{typed: at, literalType: p.typeName()}
+	p.expect("{")
+	p.items("}", func() {
+		key := p.expr()
+		p.expect(":")
+		value := p.expr()
+		m.keys = append(m.keys, key)
+		m.values = append(m.values, value)
+	})
+	return m
+}
+
+func (p *parser) run(at typed) expr {
+	r := &runExpr{typed: at, point: p.name("a point").text}
+	inHeader := p.inHeader
+	p.inHeader = false
+	p.expect("(")
+	r.arg = p.expr()
+	p.expect(")")
+	p.inHeader = inHeader
+	return r
+}
+
+// bracketed reads an expression within brackets, where a brace does not begin a block.
+func (p *parser) bracketed() expr {
+	inHeader := p.inHeader
+	p.inHeader = false
+	e := p.expr()
+	p.inHeader = inHeader
+	return e
+}
--- a/internal/hooklang/vm.go
+++ b/internal/hooklang/vm.go
@@ -4,59 +4,15 @@
 	"fmt"
 	"math"
 	"slices"
-	"strings"
 )
 
-// FaultKind says why a run was ended.
-type FaultKind string
-
-// The kinds of faults.
-const (
-	FaultFuel     FaultKind = "fuel"
-	FaultMemory   FaultKind = "memory"
-	FaultDepth    FaultKind = "depth"
-	FaultSize     FaultKind = "size"
-	FaultEffects  FaultKind = "effects"
-	FaultStopped  FaultKind = "stopped" // by Limits.Stop
-	FaultOverflow FaultKind = "overflow"
-	FaultDivision FaultKind = "division"
-	FaultIndex    FaultKind = "index"
-	FaultKey      FaultKind = "key"
-	FaultRange    FaultKind = "range"
-	FaultRaised   FaultKind = "raised" // by fail
-	FaultExpect   FaultKind = "expect"
-	FaultInternal FaultKind = "internal"
-)
-
-// A Fault ended a run. What the run had advised or stored is dropped.
-type Fault struct {
-	Kind  FaultKind
-	Text  string
-	File  string
-	Pos   Pos
-	Stack []string // names of the functions, the innermost first
-}
-
-func (f *Fault) Error() string {
-	return fmt.Sprintf("%s:%v: %s: %s (in %s)", f.File, f.Pos, f.Kind, f.Text, strings.Join(f.Stack, ", "))
-}
-
-// Exhausted tells whether the run took more than it may, rather than going wrong.
-func (f *Fault) Exhausted() bool {
-	switch f.Kind {
-	case FaultFuel, FaultMemory, FaultDepth, FaultSize, FaultEffects, FaultStopped:
-		return true
-	}
-	return false
-}
-
 // Env is what a run sees of time.
 type Env struct {
 	Now  int64 // the step's clock, nanoseconds
 	Wall int64 // time of day, seconds since 1970
 }
 
-// A Result is what a run led to.
+// Result is the outcome of a run.
 type Result struct {
 	Advice []Advice
 	State  *State // as the run leaves it
@@ -64,37 +20,45 @@
 	Memory int64
 }
 
+// objectBytes is what a string, list, map or record counts as memory, besides its content.
 const objectBytes = 96
 
-// A VM runs programs, one at a time. It keeps its stack from run to run.
+// VM runs programs, one run at a time: it is not safe for concurrent use. It keeps the memory of its stack from run
+// to run.
 type VM struct {
-	p      *Program
-	lim    Limits
-	env    Env
-	fuel   int64 // left
-	memory int64
-	checks int64 // fuel at which Stop is asked next
+	// Trace, where set, is called before the first instruction of each line that is run.
+	Trace      func(function string, pos Pos, locals []Value)
+	lastTraced Pos
+
+	program *Program
+	limits  Limits
+	env     Env
+
+	fuel      int64 // instructions left
+	memory    int64 // bytes left
+	nextCheck int64 // fuel at which limits.Stop is called next
+
+	// Each frame has its slots on the stack, and its operands above them.
 	stack  []Value
 	frames []frame
-	state  []Value
-	wrote  []bool
-	advice []Advice
-	keep   *[]Value
-	// Trace, where set, is called before the first instruction of each line that is run.
-	Trace func(function string, pos Pos, locals []Value)
-	last  Pos
+
+	state   []Value // of the program; the run has its own copy once written is set
+	written []bool  // which state variables the run has changed; nil: none
+	advice  []Advice
+	capture *[]Value // where set, gets the slots of the functions that return without a value
 }
 
+// frame is a call that has not returned.
 type frame struct {
-	fn   *function
-	pc   int
-	base int
-	ret  bool
+	function *function
+	pc       int // of the next instruction; up to date only where a fault or a call needs it
+	base     int // index of its first slot on the stack
 }
 
 // NewVM returns a VM.
 func NewVM() *VM { return &VM{stack: make([]Value, 0, 256)} }
 
+// faulted is the panic by which a run ends with a fault; guard recovers it.
 type faulted struct{ f *Fault }
 
 func (vm *VM) fault(kind FaultKind, format string, args ...any) {
@@ -103,35 +67,40 @@
 
 // spend charges for what costs more than one instruction.
 func (vm *VM) spend(n int64) {
-	if vm.fuel -= n; vm.fuel < vm.checks {
+	if vm.fuel -= n; vm.fuel < vm.nextCheck {
 		vm.check()
 	}
 }
 
-const between = 4096
+// stopInterval is how many instructions are run between two calls of Limits.Stop.
+const stopInterval = 4096
 
+// check ends a run that is out of fuel, or whose time is over.
 func (vm *VM) check() {
 	if vm.fuel < 0 {
-		vm.fault(FaultFuel, "more than %d instructions", vm.lim.Fuel)
+		vm.fault(FaultFuel, "more than %d instructions", vm.limits.Fuel)
 	}
-	if vm.lim.Stop != nil && vm.lim.Stop() {
+	if vm.limits.Stop != nil && vm.limits.Stop() {
 		vm.fault(FaultStopped, "its time is up")
 	}
-	vm.checks = max(0, vm.fuel-between)
+	vm.nextCheck = max(0, vm.fuel-stopInterval)
 }
 
+// alloc charges for memory.
 func (vm *VM) alloc(n int64) {
 	if vm.memory -= n; vm.memory < 0 {
-		vm.fault(FaultMemory, "more than %d bytes", vm.lim.Memory)
+		vm.fault(FaultMemory, "more than %d bytes", vm.limits.Memory)
 	}
 }
 
+// size checks the size of a string, list or map.
 func (vm *VM) size(n int) {
-	if n > vm.lim.Size {
-		vm.fault(FaultSize, "%d, over the %d that a string, list or map may have", n, vm.lim.Size)
+	if n > vm.limits.Size {
+		vm.fault(FaultSize, "%d, over the %d that a string, list or map may have", n, vm.limits.Size)
 	}
 }
 
+// str makes a string, and charges for it.
 func (vm *VM) str(s string) Value {
 	vm.size(len(s))
 	vm.spend(int64(len(s)) / 16)
@@ -146,20 +115,22 @@
 	vm.alloc(objectBytes + 16*n)
 }
 
+// clone copies a list or map, and charges for it. Entries are shared.
 func (vm *VM) clone(o *object) *object {
-	vm.list(int64(len(o.l) + len(o.keys)))
-	c := &object{box: true, l: slices.Clone(o.l), keys: slices.Clone(o.keys)}
-	for _, e := range c.l {
+	vm.list(int64(len(o.items) + len(o.keys)))
+	c := &object{collection: true, items: slices.Clone(o.items), keys: slices.Clone(o.keys)}
+	for _, e := range c.items {
 		e.share()
 	}
 	return c
 }
 
+// span checks the bounds of a slice of n entries or bytes, the arguments after the first.
 func (vm *VM) span(a []Value, n int) (from, to int) {
-	if a[1].n < 0 || a[2].n < a[1].n || a[2].n > int64(n) {
-		vm.fault(FaultIndex, "slice %d to %d of %d", a[1].n, a[2].n, n)
+	if a[1].bits < 0 || a[2].bits < a[1].bits || a[2].bits > int64(n) {
+		vm.fault(FaultIndex, "slice %d to %d of %d", a[1].bits, a[2].bits, n)
 	}
-	return int(a[1].n), int(a[2].n)
+	return int(a[1].bits), int(a[2].bits)
 }
 
 // guard runs f and returns the fault that ended it.
@@ -176,14 +147,14 @@
 		fault.f.File = p.File
 		for i := len(vm.frames) - 1; i >= 0; i-- {
 			fr := vm.frames[i]
-			if len(fault.f.Stack) == 0 && fr.pc > 0 && fr.pc <= len(fr.fn.places) {
-				fault.f.Pos = fr.fn.places[fr.pc-1]
+			if len(fault.f.Stack) == 0 && fr.pc > 0 && fr.pc <= len(fr.function.positions) {
+				fault.f.Pos = fr.function.positions[fr.pc-1]
 			}
 			if len(fault.f.Stack) == 8 {
 				fault.f.Stack = append(fault.f.Stack, "…")
 				break
 			}
-			fault.f.Stack = append(fault.f.Stack, fr.fn.name)
+			fault.f.Stack = append(fault.f.Stack, fr.function.name)
 		}
 		err = fault.f
 	}()
@@ -192,7 +163,8 @@
 	return nil
 }
 
-// Run runs the handler of an event's point. The error is a *Fault; then the Result has what was spent, and nothing else.
+// Run runs the handler of an event's point. The error is a *Fault; then the Result has what was spent, and nothing
+// else.
 func (vm *VM) Run(p *Program, point string, e Event, st *State, env Env, lim Limits) (Result, error) {
 	h := p.handlers[point]
 	if h == nil {
@@ -204,31 +176,37 @@
 	}
 	vm.start(p, st, env, lim)
 	err := vm.guard(p, func() {
-		vm.exec(p.funcs[h.fn], []Value{{o: &object{l: fields}}})
-		vm.settle()
+		vm.exec(p.funcs[h.function], []Value{{object: &object{items: fields}}})
+		vm.freezeState()
 	})
 	res := Result{Fuel: lim.Fuel - vm.fuel, Memory: lim.Memory - vm.memory, State: st}
 	if err != nil {
 		return res, err
 	}
 	res.Advice = vm.advice
-	res.State = vm.left(st)
+	res.State = vm.resultState(st)
 	return res, nil
 }
 
+// start prepares the VM for a run.
 func (vm *VM) start(p *Program, st *State, env Env, lim Limits) {
-	vm.p, vm.env, vm.lim, vm.advice = p, env, lim, nil
-	vm.fuel, vm.memory, vm.last = lim.Fuel, lim.Memory, Pos{}
-	vm.checks = max(0, vm.fuel-between)
+	vm.program = p
+	vm.env = env
+	vm.limits = lim
+	vm.advice = nil
+	vm.fuel = lim.Fuel
+	vm.memory = lim.Memory
+	vm.lastTraced = Pos{}
+	vm.nextCheck = max(0, vm.fuel-stopInterval)
 	vm.state = st.values
-	vm.wrote = nil
+	vm.written = nil
 }
 
-// settle makes what the run stored safe to be read by others, and charges for it.
-func (vm *VM) settle() {
-	for i, w := range vm.wrote {
+// freezeState makes what the run stored safe to be read by others, and charges for it.
+func (vm *VM) freezeState() {
+	for i, w := range vm.written {
 		if w {
-			n := steps(vm.state[i])
+			n := traversalCost(vm.state[i])
 			vm.spend(n)
 			vm.size(int(n))
 			vm.state[i].freeze()
@@ -236,47 +214,49 @@
 	}
 }
 
-func (vm *VM) left(st *State) *State {
-	if vm.wrote == nil {
+// resultState returns the state as the run leaves it.
+func (vm *VM) resultState(st *State) *State {
+	if vm.written == nil {
 		return st
 	}
-	return &State{vm.p, vm.state}
+	return &State{vm.program, vm.state}
 }
 
 // set changes a variable of the state: the run has its own from the first change on.
 func (vm *VM) set(i int32, v Value) {
-	if vm.wrote == nil {
-		vm.wrote = make([]bool, len(vm.state))
+	if vm.written == nil {
+		vm.written = make([]bool, len(vm.state))
 		vm.state = slices.Clone(vm.state)
 	}
-	vm.state[i], vm.wrote[i] = v, true
+	vm.state[i], vm.written[i] = v, true
 }
 
-// own returns the list or map of a variable for changing: a copy, where it is stored elsewhere too.
-func (vm *VM) own(base int, in instr) *object {
+// ownedCollection returns the list or map of a variable for changing: a copy, where it is stored elsewhere too.
+func (vm *VM) ownedCollection(base int, in instruction) *object {
 	if in.b == 1 {
 		v := vm.state[in.a]
-		if v.o.stored < 2 && vm.wrote != nil && vm.wrote[in.a] {
-			return v.o
+		if v.object.shares < 2 && vm.written != nil && vm.written[in.a] {
+			return v.object
 		}
-		o := vm.clone(v.o)
-		o.stored = 1
-		vm.set(in.a, Value{o: o})
+		o := vm.clone(v.object)
+		o.shares = 1
+		vm.set(in.a, Value{object: o})
 		return o
 	}
 	v := vm.stack[base+int(in.a)]
-	if v.o.stored < 2 {
-		return v.o
+	if v.object.shares < 2 {
+		return v.object
 	}
-	o := vm.clone(v.o)
-	o.stored = 1
-	vm.stack[base+int(in.a)] = Value{o: o}
+	o := vm.clone(v.object)
+	o.shares = 1
+	vm.stack[base+int(in.a)] = Value{object: o}
 	return o
 }
 
+// enter begins a call whose arguments are on the stack, and returns the index of its first slot.
 func (vm *VM) enter(fn *function, args int) int {
-	if len(vm.frames) >= vm.lim.Depth {
-		vm.fault(FaultDepth, "more than %d calls within calls", vm.lim.Depth)
+	if len(vm.frames) >= vm.limits.Depth {
+		vm.fault(FaultDepth, "more than %d calls within calls", vm.limits.Depth)
 	}
 	base := len(vm.stack) - args
 	need := base + fn.slots + fn.depth
@@ -288,193 +268,10 @@
 	for i := base; i < base+args; i++ {
 		vm.stack[i].share()
 	}
-	vm.frames = append(vm.frames, frame{fn: fn, base: base})
+	vm.frames = append(vm.frames, frame{function: fn, base: base})
 	return base
 }
 
-// exec runs a function to its end and returns its result.
-func (vm *VM) exec(fn *function, args []Value) Value {
-	vm.stack = append(vm.stack, args...)
-	floor := len(vm.frames)
-	base := vm.enter(fn, len(args))
-	code, pc := fn.code, 0
-	st := vm.stack
-	for {
-		in := code[pc]
-		pc++
-		if vm.fuel--; vm.fuel < vm.checks {
-			vm.frames[len(vm.frames)-1].pc = pc
-			vm.check()
-		}
-		if vm.Trace != nil {
-			if pos := vm.frames[len(vm.frames)-1].fn.places[pc-1]; pos.Line != vm.last.Line {
-				vm.last = pos
-				f := vm.frames[len(vm.frames)-1].fn
-				vm.Trace(f.name, pos, st[base:base+f.slots])
-			}
-		}
-		n := len(st) - 1
-		switch in.op {
-		case opConst:
-			st = append(st, vm.p.consts[in.a])
-		case opInt:
-			st = append(st, Value{n: int64(in.a)})
-		case opLoad:
-			st = append(st, st[base+int(in.a)])
-		case opStore:
-			st[base+int(in.a)] = st[n].share()
-			st = st[:n]
-		case opLoadState:
-			st = append(st, vm.state[in.a])
-		case opStoreState:
-			vm.set(in.a, st[n].share())
-			st = st[:n]
-		case opPop:
-			st = st[:n]
-		case opJump:
-			pc = int(in.a)
-		case opJumpFalse:
-			if st[n].n == 0 {
-				pc = int(in.a)
-			}
-			st = st[:n]
-		case opJumpTrue:
-			if st[n].n != 0 {
-				pc = int(in.a)
-			}
-			st = st[:n]
-		case opAndJump:
-			if st[n].n == 0 {
-				pc = int(in.a)
-			} else {
-				st = st[:n]
-			}
-		case opOrJump:
-			if st[n].n != 0 {
-				pc = int(in.a)
-			} else {
-				st = st[:n]
-			}
-		case opNot:
-			st[n].n ^= 1
-		case opAddIntConst:
-			x := st[n].n
-			if x > math.MaxInt64-int64(in.a) {
-				vm.at(pc)
-				vm.fault(FaultOverflow, "%d + %d", x, in.a)
-			}
-			st[n].n = x + int64(in.a)
-		case opAddInt:
-			x, y := st[n-1].n, st[n].n
-			z := x + y
-			if (x^z)&(y^z) < 0 {
-				vm.at(pc)
-				vm.fault(FaultOverflow, "%d + %d", x, y)
-			}
-			st = st[:n]
-			st[n-1].n = z
-		case opSubInt:
-			x, y := st[n-1].n, st[n].n
-			z := x - y
-			if (x^y)&(x^z) < 0 {
-				vm.at(pc)
-				vm.fault(FaultOverflow, "%d - %d", x, y)
-			}
-			st = st[:n]
-			st[n-1].n = z
-		case opEqInt:
-			st = st[:n]
-			st[n-1] = boolValue(st[n-1].n == st[:n+1][n].n)
-		case opNeInt:
-			st = st[:n]
-			st[n-1] = boolValue(st[n-1].n != st[:n+1][n].n)
-		case opLtInt:
-			st = st[:n]
-			st[n-1] = boolValue(st[n-1].n < st[:n+1][n].n)
-		case opLeInt:
-			st = st[:n]
-			st[n-1] = boolValue(st[n-1].n <= st[:n+1][n].n)
-		case opGtInt:
-			st = st[:n]
-			st[n-1] = boolValue(st[n-1].n > st[:n+1][n].n)
-		case opGeInt:
-			st = st[:n]
-			st[n-1] = boolValue(st[n-1].n >= st[:n+1][n].n)
-		case opLtFloat:
-			st = st[:n]
-			st[n-1] = boolValue(st[n-1].float() < st[:n+1][n].float())
-		case opLeFloat:
-			st = st[:n]
-			st[n-1] = boolValue(st[n-1].float() <= st[:n+1][n].float())
-		case opGtFloat:
-			st = st[:n]
-			st[n-1] = boolValue(st[n-1].float() > st[:n+1][n].float())
-		case opGeFloat:
-			st = st[:n]
-			st[n-1] = boolValue(st[n-1].float() >= st[:n+1][n].float())
-		case opField:
-			st[n] = st[n].o.l[in.a]
-		case opIndexList:
-			l, i := st[n-1].o.l, st[n].n
-			if i < 0 || i >= int64(len(l)) {
-				vm.at(pc)
-				vm.fault(FaultIndex, "entry %d of %d", i, len(l))
-			}
-			st = st[:n]
-			st[n-1] = l[i]
-		case opNextRange:
-			cur := &st[base+int(in.b)+1]
-			if cur.n >= st[base+int(in.b)+2].n {
-				pc = int(in.a)
-				break
-			}
-			st[base+int(in.b)] = Value{n: cur.n}
-			cur.n++
-		case opNextList:
-			o, cur := st[base+int(in.b)+1].o, &st[base+int(in.b)+2]
-			if cur.n >= int64(len(o.l)) {
-				pc = int(in.a)
-				break
-			}
-			st[base+int(in.b)] = o.l[cur.n].share()
-			cur.n++
-		case opCall:
-			fn := vm.p.funcs[in.a]
-			vm.at(pc)
-			vm.stack = st
-			base = vm.enter(fn, int(in.b))
-			st = vm.stack
-			code, pc = fn.code, 0
-		case opReturn, opReturnNothing:
-			var v Value
-			if in.op == opReturn {
-				v = st[n]
-			} else if vm.keep != nil {
-				*vm.keep = append(*vm.keep, st[base:]...)
-			}
-			st = st[:base]
-			vm.frames = vm.frames[:len(vm.frames)-1]
-			if len(vm.frames) == floor {
-				vm.stack = st
-				return v
-			}
-			if in.op == opReturn {
-				st = append(st, v)
-			}
-			f := &vm.frames[len(vm.frames)-1]
-			base, code, pc = f.base, f.fn.code, f.pc
-		default:
-			vm.at(pc)
-			vm.stack = st
-			pc = vm.slow(in, base, pc, code)
-			st = vm.stack
-		}
-	}
-}
-
-// at notes where the innermost frame stands, for a fault.
-func (vm *VM) at(pc int) { vm.frames[len(vm.frames)-1].pc = pc }
-
 func (vm *VM) pop() Value {
 	v := vm.stack[len(vm.stack)-1]
 	vm.stack = vm.stack[:len(vm.stack)-1]
@@ -483,6 +280,7 @@
 
 func (vm *VM) push(v Value) { vm.stack = append(vm.stack, v) }
 
+// finite returns a float, which must be finite.
 func (vm *VM) finite(x float64) Value {
 	if math.IsNaN(x) || math.IsInf(x, 0) {
 		vm.fault(FaultOverflow, "the result is no finite number")
