--- a/internal/blobfetch/fetch_test.go
+++ b/internal/blobfetch/fetch_test.go
@@ -85,8 +85,8 @@
 				t.Errorf("the end came from %s, want %s", from, names[tt.from])
 			}
 			for i, s := range stores {
-				if s.Asked() > tt.asked[i] {
-					t.Errorf("store %d was asked %d times, at most %d", i, s.Asked(), tt.asked[i])
+				if s.Requests() > tt.asked[i] {
+					t.Errorf("store %d was asked %d times, at most %d", i, s.Requests(), tt.asked[i])
 				}
 			}
 			if errors.Is(err, blobfetch.ErrMismatch) {
--- a/internal/controller/handover_old.go
+++ b/internal/controller/handover_old.go
@@ -71,7 +71,7 @@
 		case daemon.Pause:
 			err = h.pause()
 		case daemon.HandOff:
-			h.handOff()
+			h.transferService()
 			return
 		case daemon.Resume:
 			h.abort(err)
@@ -196,9 +196,9 @@
 	}
 }
 
-// handOff has the successor serve, sends it the connections, and finishes what is in flight. It ends this controller;
+// transferService has the successor serve, sends it the connections, and finishes what is in flight. It ends this controller;
 // the state folder, the scripts and the sockets' files are the successor's.
-func (h *outgoingHandover) handOff() {
+func (h *outgoingHandover) transferService() {
 	c := h.controller
 	if c.stopping.Swap(true) { // it stops already, with all that it has; from here on Stop does nothing
 		h.link.Send(daemon.Abort, nil)
--- a/internal/harness/fakeplatform/invoker.go
+++ b/internal/harness/fakeplatform/invoker.go
@@ -16,11 +16,11 @@
 
 // Codes of frames.
 const (
-	Call   = 48
-	GiveUp = 49
-	Ping   = 50
-	Hold   = 52
-	Unload = 54
+	Call       = 48
+	CancelCall = 49
+	Ping       = 50
+	Hold       = 52
+	Unload     = 54
 
 	Served = 64
 	Missed = 66
--- a/internal/harness/fakeworker/blobs.go
+++ b/internal/harness/fakeworker/blobs.go
@@ -27,12 +27,12 @@
 // Blobs is a store that speaks the pull of blobs of the OCI distribution specification: GET /v2/<name>/blobs/<digest>, with
 // ranges. It is safe for concurrent use.
 type Blobs struct {
-	mu     sync.Mutex
-	blobs  map[string][]byte
-	fault  BlobFault
-	server *http1.Server
-	ln     net.Listener
-	asked  int
+	mu       sync.Mutex
+	blobs    map[string][]byte
+	fault    BlobFault
+	server   *http1.Server
+	ln       net.Listener
+	requests int
 }
 
 // StartBlobs opens a store on a loopback port.
@@ -64,11 +64,11 @@
 	b.fault = f
 }
 
-// Asked returns how many requests came.
-func (b *Blobs) Asked() int {
+// Requests returns how many requests came.
+func (b *Blobs) Requests() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.asked
+	return b.requests
 }
 
 // Close ends the store.
@@ -80,8 +80,8 @@
 func (b *Blobs) serve(c *http1.Conn, r *http1.Request) *http1.Response {
 	part := strings.Split(r.Path(), "/")
 	b.mu.Lock()
-	b.asked++
-	asked, fault := b.asked, b.fault
+	b.requests++
+	asked, fault := b.requests, b.fault
 	var blob []byte
 	ok := false
 	if len(part) >= 5 && part[1] == "v2" && part[len(part)-2] == "blobs" {
--- a/internal/harness/fakeworker/list.go
+++ b/internal/harness/fakeworker/list.go
@@ -18,24 +18,24 @@
 // A List is a stand-in for the server of the list of workers. Changes are published after a delay, to the server's
 // long polls and to a file. It notes in the trace when each controller was told what.
 type List struct {
-	cluster string
-	log     *trace.Log
-	mu      sync.Mutex
-	version int
-	shown   []gateway.Worker // as published
-	since   map[int][]gateway.Worker
-	news    chan struct{} // closed at each publication
-	delay   time.Duration
-	queue   []change
-	end     chan struct{}
-	kick    chan struct{}
-	wg      sync.WaitGroup
-	file    string
-	poll    time.Duration
-	readers []string // controllers that watch the file
-	server  *http1.Server
-	ln      net.Listener
-	told    map[string]string // last state told, by controller and worker
+	cluster   string
+	log       *trace.Log
+	mu        sync.Mutex
+	version   int
+	shown     []gateway.Worker // as published
+	since     map[int][]gateway.Worker
+	news      chan struct{} // closed at each publication
+	delay     time.Duration
+	queue     []change
+	end       chan struct{}
+	kick      chan struct{}
+	wg        sync.WaitGroup
+	file      string
+	poll      time.Duration
+	readers   []string // controllers that watch the file
+	server    *http1.Server
+	ln        net.Listener
+	delivered map[string]string // last state told, by controller and worker
 }
 
 type change struct {
@@ -50,7 +50,7 @@
 		return nil, err
 	}
 	l := &List{cluster: cluster, log: log, since: map[int][]gateway.Worker{}, news: make(chan struct{}), end: make(chan struct{}),
-		kick: make(chan struct{}, 1), ln: ln, told: map[string]string{}}
+		kick: make(chan struct{}, 1), ln: ln, delivered: map[string]string{}}
 	l.server = &http1.Server{Handler: http1.HandlerFunc(l.serve)}
 	go l.server.Serve(ln)
 	l.wg.Add(1)
@@ -161,7 +161,7 @@
 			l.note(controller, w.Name, state, at)
 		}
 	}
-	for key, state := range l.told {
+	for key, state := range l.delivered {
 		if c, worker, _ := strings.Cut(key, " "); c == controller && !present[worker] && state != "gone" {
 			l.note(controller, worker, "gone", at)
 		}
@@ -170,12 +170,12 @@
 
 func (l *List) note(controller, worker, state string, at time.Duration) {
 	key := controller + " " + worker
-	old, known := l.told[key]
+	old, known := l.delivered[key]
 	if old == state || !known && state == "ready" {
-		l.told[key] = state
+		l.delivered[key] = state
 		return
 	}
-	l.told[key] = state
+	l.delivered[key] = state
 	l.log.Add(trace.Record{At: at, Kind: trace.ListDelivered, Controller: controller, Worker: worker, Outcome: state})
 }
 
@@ -185,9 +185,9 @@
 func (l *List) Forget(controller string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for key := range l.told {
+	for key := range l.delivered {
 		if strings.HasPrefix(key, controller+" ") {
-			delete(l.told, key)
+			delete(l.delivered, key)
 		}
 	}
 }
--- a/internal/harness/fakeworker/serve.go
+++ b/internal/harness/fakeworker/serve.go
@@ -14,7 +14,7 @@
 	"kitehub/internal/http1"
 )
 
-func (h *Host) ask() (uint64, chan workersim.Effect) {
+func (h *Host) newRequest() (uint64, chan workersim.Effect) {
 	ch := make(chan workersim.Effect, 1)
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -111,7 +111,7 @@
 	var rep workersim.Report
 	w.h.Do(func(f *workersim.Fleet) { rep = f.Report(w.index) })
 	s := fmt.Sprintf("TEXT cpu_utilization=%.3f, named_metrics.queue=%d, named_metrics.inflight=%d, named_metrics.x0=%.3f, named_metrics.x1=%d",
-		rep.Util, rep.Queue, rep.InFlight, rep.Memory, rep.Loads)
+		rep.Utilization, rep.Queue, rep.InFlight, rep.Memory, rep.Loads)
 	if e != nil {
 		s += fmt.Sprintf(", named_metrics.copy=%d, named_metrics.alike=%d", e.Note, e.SameFunction)
 	}
@@ -161,7 +161,7 @@
 	if k.Versions && w.proved(k, m.Parameters.Digest) == "" {
 		return w.reported(fault(500, "urn:kitehub:problem:load-failed"), nil, 0)
 	}
-	id, ch := w.h.ask()
+	id, ch := w.h.newRequest()
 	w.h.Do(func(f *workersim.Fleet) { f.Hold(w.index, id, &k.Function, copies) })
 	e, ok := await(c, ch)
 	if !ok || e.Outcome == workersim.Reset || !w.hush(c) {
@@ -203,7 +203,7 @@
 	w := h.site(worker)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.loaded[name], w.lies = digest, true
+	w.loaded[name], w.corrupt = digest, true
 }
 
 // proved has the bytes of a version at the worker, and returns the digest of what will run; "" if it cannot be had.
@@ -212,7 +212,7 @@
 		return ""
 	}
 	w.mu.Lock()
-	have, lies := w.loaded[k.Name], w.lies
+	have, lies := w.loaded[k.Name], w.corrupt
 	w.mu.Unlock()
 	if have != "" && (have == digest || lies) {
 		return have
@@ -246,7 +246,7 @@
 			return w.reported(fault(404, backend.ProblemMiss), &workersim.Effect{Note: loadFailedNote}, 0) // nothing ran
 		}
 		w.mu.Lock()
-		if w.lies {
+		if w.corrupt {
 			rec.Note = "lie" // on purpose: what is checked is that its answer goes nowhere
 		}
 		w.mu.Unlock()
@@ -285,7 +285,7 @@
 
 // run has the model run a call, and waits for its end; false if the connection has ended before, or the worker.
 func (w *site) run(c *http1.Conn, k *Kind, rec trace.Record, work float64) (e workersim.Effect, ok bool) {
-	id, ch := w.h.ask()
+	id, ch := w.h.newRequest()
 	w.h.mu.Lock()
 	w.h.began[id] = rec
 	fails := w.h.fails[k.Class]
--- a/internal/harness/fakeworker/standin.go
+++ b/internal/harness/fakeworker/standin.go
@@ -79,8 +79,8 @@
 	silent chan struct{} // closed when silence ends; nil: it speaks
 	fault  Fault
 	// The digests of the versions that are loaded, by name; a worker that Lies runs them whatever it is asked for.
-	loaded map[string]string
-	lies   bool
+	loaded  map[string]string
+	corrupt bool
 }
 
 // Start opens a loopback listener for each worker.
@@ -235,7 +235,7 @@
 	w.Fault(NoFault)
 	w.mu.Lock()
 	clear(w.loaded)
-	w.lies = false
+	w.corrupt = false
 	w.mu.Unlock()
 	s := h.cfg.Fleet.Workers[w.index]
 	h.cfg.Trace.Add(trace.Record{Kind: trace.WorkerUp, Worker: name, Capacity: s.Cores * s.Speed, WarmingUp: true})
--- a/internal/harness/scalebench/dispatch.go
+++ b/internal/harness/scalebench/dispatch.go
@@ -18,13 +18,13 @@
 // Figures of the hollow workers that answer a dispatcher. They have no queue and no memory limit, and no fault but those that a load
 // asks for, so what a step costs is not mixed with what trouble costs.
 const (
-	meanRun     = 60 * time.Millisecond  // of a call whose copy stands; exponentially distributed
-	loadTime    = 240 * time.Millisecond // of a copy
-	zipfPower   = 0.9                    // of the law by which calls come to functions
-	firstClock  = time.Hour              // of the dispatcher's clock at the start
-	warmUpShare = 3                      // the first part of a play, one in so many, is not measured
-	roundTrip   = time.Millisecond       // to a worker and back
-	faultPeriod = 20 * time.Second       // a worker with faults has them for one such span, and none for the next
+	meanRun        = 60 * time.Millisecond  // of a call whose copy stands; exponentially distributed
+	loadTime       = 240 * time.Millisecond // of a copy
+	zipfPower      = 0.9                    // of the law by which calls come to functions
+	firstClock     = time.Hour              // of the dispatcher's clock at the start
+	warmupFraction = 3                      // the first part of a play, one in so many, is not measured
+	roundTrip      = time.Millisecond       // to a worker and back
+	faultPeriod    = 20 * time.Second       // a worker with faults has them for one such span, and none for the next
 )
 
 // DispatchLoad is one controller's share of an installation, played in virtual time.
@@ -33,7 +33,7 @@
 	Rate               float64 // calls a second
 	Changes            float64 // lists a second that change one worker
 	Faulty             float64 // share of workers with faults: of these half reset what they are sent, half are silent, at times
-	IdleLife           time.Duration
+	IdleCopyTTL        time.Duration
 	Tick               time.Duration
 	Span               time.Duration // that is measured
 	Seed               uint64
@@ -116,7 +116,7 @@
 			{Name: "read", Idempotency: scheduler.Idempotent, LatencyObjective: 500 * ms, Deadline: 2500 * ms, PriorityWeight: 1},
 			{Name: "write", Idempotency: scheduler.NonIdempotent, LatencyObjective: 500 * ms, Deadline: 2500 * ms, PriorityWeight: 1}},
 		Limits: scheduler.Limits{MaxAttempts: 3, MaxOpenRequests: 4000, DialTimeout: 250 * ms, Cancel: true, Probe: true},
-		Loading: scheduler.Loading{Orders: true, LoadsOnMiss: true, OnMissKnown: true, IdleCopyTTL: l.IdleLife, OrderTimeout: 5 * time.Second,
+		Loading: scheduler.Loading{Orders: true, LoadsOnMiss: true, OnMissKnown: true, IdleCopyTTL: l.IdleCopyTTL, OrderTimeout: 5 * time.Second,
 			BudgetWindow: 5 * time.Second, BudgetFree: 20, BudgetRatio: 1, ReportsLoadNotes: true, MemoryMB: []float64{8000, 16000}},
 		Guarantees: scheduler.Guarantees{DrainGrace: 500 * ms, WarmupFraction: 0.2, WarmupTime: 16 * time.Second, CollapseFactor: 3, CollapseWindow: 2 * time.Second}}
 }
@@ -140,7 +140,7 @@
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	p.step([]scheduler.Event{scheduler.ListUpdate{Kind: scheduler.FullList, Workers: p.workers}}, true)
-	p.run(load.Span / warmUpShare)
+	p.run(load.Span / warmupFraction)
 	p.cost = DispatchCost{Span: load.Span}
 	var before, after runtime.MemStats
 	effort := d.Effort()
@@ -312,7 +312,7 @@
 
 // copies returns how many copies stand.
 func (p *dispatchPlay) copies(key copyKey) int {
-	if used, known := p.lastUse[key]; known && p.now-used < p.load.IdleLife {
+	if used, known := p.lastUse[key]; known && p.now-used < p.load.IdleCopyTTL {
 		return 1
 	}
 	return 0
--- a/internal/harness/scalebench/dispatch_test.go
+++ b/internal/harness/scalebench/dispatch_test.go
@@ -22,11 +22,11 @@
 func BenchmarkDispatch(b *testing.B) {
 	for _, size := range dispatchSizes {
 		for _, life := range []time.Duration{60 * time.Second, 8 * time.Second} {
-			benchmarkDispatch(b, scalebench.DispatchLoad{Workers: size.workers, Functions: size.functions, Rate: callRate, IdleLife: life})
+			benchmarkDispatch(b, scalebench.DispatchLoad{Workers: size.workers, Functions: size.functions, Rate: callRate, IdleCopyTTL: life})
 		}
-		benchmarkDispatch(b, scalebench.DispatchLoad{Workers: size.workers, Functions: size.functions, Rate: callRate, IdleLife: 60 * time.Second, Changes: 1})
-		benchmarkDispatch(b, scalebench.DispatchLoad{Workers: size.workers, Functions: size.functions, Rate: callRate, IdleLife: 60 * time.Second, Faulty: faultyShare})
-		benchmarkDispatch(b, scalebench.DispatchLoad{Workers: size.workers, Functions: size.functions, IdleLife: 60 * time.Second})
+		benchmarkDispatch(b, scalebench.DispatchLoad{Workers: size.workers, Functions: size.functions, Rate: callRate, IdleCopyTTL: 60 * time.Second, Changes: 1})
+		benchmarkDispatch(b, scalebench.DispatchLoad{Workers: size.workers, Functions: size.functions, Rate: callRate, IdleCopyTTL: 60 * time.Second, Faulty: faultyShare})
+		benchmarkDispatch(b, scalebench.DispatchLoad{Workers: size.workers, Functions: size.functions, IdleCopyTTL: 60 * time.Second})
 	}
 }
 
@@ -35,7 +35,7 @@
 func TestDispatchShape(t *testing.T) {
 	var small, last scheduler.Effort
 	for _, size := range dispatchSizes {
-		load := scalebench.DispatchLoad{Workers: size.workers, Functions: size.functions, Rate: callRate, Changes: 1, IdleLife: 8 * time.Second,
+		load := scalebench.DispatchLoad{Workers: size.workers, Functions: size.functions, Rate: callRate, Changes: 1, IdleCopyTTL: 8 * time.Second,
 			Tick: 10 * time.Millisecond, Span: 12 * time.Second, Seed: 1}
 		c, err := scalebench.PlayDispatch(load)
 		if err != nil {
@@ -70,7 +70,7 @@
 	const faulty = 12 // workers: half of them at a time
 	var small, last uint64
 	for _, size := range dispatchSizes {
-		c, err := scalebench.PlayDispatch(scalebench.DispatchLoad{Workers: size.workers, Functions: size.functions, Rate: callRate, IdleLife: 8 * time.Second,
+		c, err := scalebench.PlayDispatch(scalebench.DispatchLoad{Workers: size.workers, Functions: size.functions, Rate: callRate, IdleCopyTTL: 8 * time.Second,
 			Tick: 10 * time.Millisecond, Span: 30 * time.Second, Seed: 1, Faulty: faulty / float64(size.workers)})
 		if err != nil {
 			t.Fatal(err)
@@ -89,7 +89,7 @@
 
 func atRest(t *testing.T) {
 	t.Helper()
-	c, err := scalebench.PlayDispatch(scalebench.DispatchLoad{Workers: 1000, Functions: 100, IdleLife: 8 * time.Second, Tick: 10 * time.Millisecond, Span: 3 * time.Second, Seed: 1})
+	c, err := scalebench.PlayDispatch(scalebench.DispatchLoad{Workers: 1000, Functions: 100, IdleCopyTTL: 8 * time.Second, Tick: 10 * time.Millisecond, Span: 3 * time.Second, Seed: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -100,10 +100,10 @@
 
 func benchmarkDispatch(b *testing.B, load scalebench.DispatchLoad) {
 	load.Tick = 10 * time.Millisecond
-	name := fmt.Sprintf("workers=%d/functions=%d/rate=%g/life=%s/changes=%g/faulty=%g", load.Workers, load.Functions, load.Rate, load.IdleLife, load.Changes, load.Faulty)
+	name := fmt.Sprintf("workers=%d/functions=%d/rate=%g/life=%s/changes=%g/faulty=%g", load.Workers, load.Functions, load.Rate, load.IdleCopyTTL, load.Changes, load.Faulty)
 	b.Run(name, func(b *testing.B) {
 		// Long enough that functions are renewed and forgotten.
-		load.Span = 2 * load.IdleLife
+		load.Span = 2 * load.IdleCopyTTL
 		var core, longest, list, lists, listCPU, orders, questions, lost, bytes, heap, functions float64
 		for i := range b.N {
 			load.Seed = uint64(i + 1)
--- a/internal/harness/scalebench/list.go
+++ b/internal/harness/scalebench/list.go
@@ -24,11 +24,11 @@
 
 // ListCost is what the list's two forms of xDS and its DNS form cost. Processor time is of reading, as a controller does, alone.
 type ListCost struct {
-	WholeBytes, DeltaBytes int           // of one update
-	WholeCPU, DeltaCPU     time.Duration // to read one update
-	DNSBytes               int           // of a whole list as SRV, A and TXT records
-	DNSCPU                 time.Duration
-	GatewayCPU             time.Duration // for the gateway to take a delta of one worker in, but for its back end and module
+	FullBytes, DeltaBytes int           // of one update
+	FullCPU, DeltaCPU     time.Duration // to read one update
+	DNSBytes              int           // of a whole list as SRV, A and TXT records
+	DNSCPU                time.Duration
+	GatewayCPU            time.Duration // for the gateway to take a delta of one worker in, but for its back end and module
 }
 
 func listedWorker(i int) gateway.Worker {
@@ -54,7 +54,7 @@
 		if err != nil {
 			return c, err
 		}
-		c.WholeBytes, c.WholeCPU = size, c.WholeCPU+spent/time.Duration(load.Changes)
+		c.FullBytes, c.FullCPU = size, c.FullCPU+spent/time.Duration(load.Changes)
 		before := append([]gateway.Worker(nil), workers...)
 		workers[i%len(workers)] = listedWorker(load.Workers + i)
 		version := strconv.Itoa(2*i + 2)
@@ -87,7 +87,7 @@
 
 // playGateway tells a gateway of changes of one worker each. Its loop does not run.
 func (c *ListCost) playGateway(workers []gateway.Worker, times int) error {
-	settings := dispatchSettings(DispatchLoad{Tick: 10 * time.Millisecond, IdleLife: time.Minute})
+	settings := dispatchSettings(DispatchLoad{Tick: 10 * time.Millisecond, IdleCopyTTL: time.Minute})
 	g, err := gateway.New(gateway.Config{Name: "scale", Settings: settings, Clock: clock.System(), Transport: noCarrier{}, Log: zerolog.Nop(), OmitRequestLog: true})
 	if err != nil {
 		return err
--- a/internal/harness/scalebench/list_test.go
+++ b/internal/harness/scalebench/list_test.go
@@ -20,10 +20,10 @@
 					b.Fatal(err)
 				}
 			}
-			b.ReportMetric(float64(c.WholeBytes), "bytes-whole")
+			b.ReportMetric(float64(c.FullBytes), "bytes-whole")
 			b.ReportMetric(float64(c.DeltaBytes), "bytes-delta")
 			b.ReportMetric(float64(c.DNSBytes), "bytes-dns")
-			b.ReportMetric(float64(c.WholeCPU.Microseconds()), "us-whole")
+			b.ReportMetric(float64(c.FullCPU.Microseconds()), "us-whole")
 			b.ReportMetric(float64(c.DeltaCPU.Microseconds()), "us-delta")
 			b.ReportMetric(float64(c.DNSCPU.Microseconds()), "us-dns")
 			b.ReportMetric(float64(c.GatewayCPU.Microseconds()), "us-gateway")
@@ -45,8 +45,8 @@
 		}
 		*p.cost = c
 	}
-	if grown := float64(large.WholeBytes) / float64(small.WholeBytes); grown < 20 || grown > 1000.0/36*1.1 {
-		t.Errorf("a whole list of 1,000 is %.1f times that of 36: %d and %d bytes", grown, large.WholeBytes, small.WholeBytes)
+	if grown := float64(large.FullBytes) / float64(small.FullBytes); grown < 20 || grown > 1000.0/36*1.1 {
+		t.Errorf("a whole list of 1,000 is %.1f times that of 36: %d and %d bytes", grown, large.FullBytes, small.FullBytes)
 	}
 	if large.DeltaBytes > small.DeltaBytes+20 {
 		t.Errorf("a delta of one worker is %d bytes of 1,000, %d of 36", large.DeltaBytes, small.DeltaBytes)
--- a/internal/harness/scalebench/models.go
+++ b/internal/harness/scalebench/models.go
@@ -13,14 +13,14 @@
 // ModelsCost is what a registry's state costs by the models it holds, and what one controller's view of them does, with no network.
 // Processor time is of one of each.
 type ModelsCost struct {
-	Command   time.Duration // a move that names an alias anew: applied by the registry
-	TellAll   time.Duration // what holds, for a controller that joins
-	TellNews  time.Duration // what is new, for one that holds the last epoch: at each question
-	AllBytes  int           // of the aliases for one that joins, as JSON
-	LearnAll  time.Duration // by a controller that joins
-	LearnNews time.Duration // by a controller, one alias moved
-	ViewBytes float64       // of memory, a controller's view
-	Snapshot  time.Duration // the state as JSON, while nothing else can be done
+	Command    time.Duration // a move that names an alias anew: applied by the registry
+	SendFull   time.Duration // what holds, for a controller that joins
+	SendDelta  time.Duration // what is new, for one that holds the last epoch: at each question
+	AllBytes   int           // of the aliases for one that joins, as JSON
+	ApplyFull  time.Duration // by a controller that joins
+	ApplyDelta time.Duration // by a controller, one alias moved
+	ViewBytes  float64       // of memory, a controller's view
+	Snapshot   time.Duration // the state as JSON, while nothing else can be done
 }
 
 // filledRegistry returns a registry's state with so many models of one version and one alias, as their commands would leave it.
@@ -93,22 +93,22 @@
 	}
 	c.Command = timed(times, move)
 	var told registry.ViewUpdate
-	c.TellAll = timed(times, func() { told = s.ViewSince(0) })
+	c.SendFull = timed(times, func() { told = s.ViewSince(0) })
 	c.AllBytes = wireBytes(told)
 	told = registry.ViewUpdate{}
 	before := heapInUse()
 	var view registry.View
 	told = s.ViewSince(0)
-	c.LearnAll = timed(1, func() { view.Update(0, told) })
+	c.ApplyFull = timed(1, func() { view.Update(0, told) })
 	told = registry.ViewUpdate{}
 	c.ViewBytes = heapInUse() - before
 	move()
 	news := s.ViewSince(view.Epoch())
-	c.LearnNews = timed(1, func() { view.Update(0, news) })
+	c.ApplyDelta = timed(1, func() { view.Update(0, news) })
 	if _, verdict := view.Resolve(0, registry.AliasName{Model: modelName(models - 1), Alias: scaleAlias}); err == nil && verdict != registry.Allowed {
 		err = fmt.Errorf("the view does not resolve its last alias: verdict %d", verdict)
 	}
-	c.TellNews = timed(times, func() { told = s.ViewSince(s.Epoch) })
+	c.SendDelta = timed(times, func() { told = s.ViewSince(s.Epoch) })
 	c.Snapshot = timed(1, func() { _, _ = json.Marshal(s) })
 	runtime.KeepAlive(&view)
 	return c, err
--- a/internal/harness/scalebench/registry.go
+++ b/internal/harness/scalebench/registry.go
@@ -28,9 +28,9 @@
 // with the service. Message keys are derived from one secret; the disk is the real one.
 type RegistryLoad struct {
 	Controllers, Models int
-	Moves               int           // one after the other, of one alias
-	Rest                time.Duration // for which nothing happens, measured
-	Within              time.Duration // given up after, for each part
+	Migrations          int           // one after the other, of one alias
+	IdlePeriod          time.Duration // for which nothing happens, measured
+	Timeout             time.Duration // given up after, for each part
 	Lease               time.Duration
 	Dir                 string // for the log
 	FromSnapshot        bool   // the models stand in a snapshot at the start: by commands they take the square of their number
@@ -38,17 +38,17 @@
 
 // RegistryCost is what it cost. Processor time is the whole process's, so it is an upper bound for either end.
 type RegistryCost struct {
-	CommandCPU  time.Duration   // a command that makes a model or names it, with no controller there, while the last tenth is made
-	Joined      int             // controllers that held every alias in time
-	JoinTime    time.Duration   // until the last of them did
-	JoinBytes   float64         // received by a controller until all had joined, mean
-	JoinCPU     time.Duration   // all ends
-	RestBytes   float64         // received and sent by a controller, a second
-	RestCPU     float64         // of a core, all ends, by wall time
-	MoveTimes   []time.Duration // acknowledged: in force everywhere
-	MoveBytes   float64         // received and sent by a controller for one move
-	MoveCPU     time.Duration   // one move, all ends
-	MovesFailed int
+	CommandCPU       time.Duration   // a command that makes a model or names it, with no controller there, while the last tenth is made
+	Joined           int             // controllers that held every alias in time
+	JoinTime         time.Duration   // until the last of them did
+	JoinBytes        float64         // received by a controller until all had joined, mean
+	JoinCPU          time.Duration   // all ends
+	IdleBytes        float64         // received and sent by a controller, a second
+	IdleCPU          float64         // of a core, all ends, by wall time
+	MigrationTimes   []time.Duration // acknowledged: in force everywhere
+	MigrationBytes   float64         // received and sent by a controller for one move
+	MigrationCPU     time.Duration   // one move, all ends
+	MigrationsFailed int
 }
 
 // countedConn counts what one end receives and sends.
@@ -235,7 +235,7 @@
 	}
 	last := registry.AliasName{Model: modelName(p.load.Models - 1), Alias: scaleAlias}
 	waiting := p.agents
-	for len(waiting) > 0 && time.Since(began) < p.load.Within {
+	for len(waiting) > 0 && time.Since(began) < p.load.Timeout {
 		if _, verdict := waiting[0].Resolve(last); verdict == registry.Allowed {
 			waiting = waiting[1:]
 			continue
@@ -253,15 +253,15 @@
 		return
 	}
 	began, cpu, bytes := time.Now(), processTime(), p.in.Load()+p.out.Load()
-	time.Sleep(p.load.Rest)
+	time.Sleep(p.load.IdlePeriod)
 	span := time.Since(began).Seconds()
-	p.cost.RestBytes = float64(p.in.Load()+p.out.Load()-bytes) / span / float64(p.load.Controllers)
-	p.cost.RestCPU = (processTime() - cpu).Seconds() / span
+	p.cost.IdleBytes = float64(p.in.Load()+p.out.Load()-bytes) / span / float64(p.load.Controllers)
+	p.cost.IdleCPU = (processTime() - cpu).Seconds() / span
 }
 
 // moves moves one alias forth and back through the front, each until it is in force everywhere.
 func (p *registryPlay) moves() error {
-	if p.load.Moves == 0 || p.cost.Joined < p.load.Controllers {
+	if p.load.Migrations == 0 || p.cost.Joined < p.load.Controllers {
 		return nil
 	}
 	key, err := scaleKey(operatorName)
@@ -275,22 +275,22 @@
 		return err
 	}
 	cpu, bytes := processTime(), p.in.Load()+p.out.Load()
-	for i := range p.load.Moves {
+	for i := range p.load.Migrations {
 		to := []string{"v2", "v1"}[i%2]
 		began := time.Now()
-		a, err := operator.Command(client.ID("move"), wire.Command{WaitMS: p.load.Within.Milliseconds(),
+		a, err := operator.Command(client.ID("move"), wire.Command{WaitMS: p.load.Timeout.Milliseconds(),
 			Promote: &registry.Promote{Model: modelName(0), Alias: scaleAlias, To: to, IfRevision: uint64(i + 1)}})
 		if err != nil {
 			return fmt.Errorf("move %d: %w", i, err)
 		}
 		if a.Status != "acknowledged" {
-			p.cost.MovesFailed++
+			p.cost.MigrationsFailed++
 			continue
 		}
-		p.cost.MoveTimes = append(p.cost.MoveTimes, time.Since(began))
+		p.cost.MigrationTimes = append(p.cost.MigrationTimes, time.Since(began))
 	}
-	p.cost.MoveCPU = (processTime() - cpu) / time.Duration(p.load.Moves)
-	p.cost.MoveBytes = float64(p.in.Load()+p.out.Load()-bytes) / float64(p.load.Moves) / float64(p.load.Controllers)
+	p.cost.MigrationCPU = (processTime() - cpu) / time.Duration(p.load.Migrations)
+	p.cost.MigrationBytes = float64(p.in.Load()+p.out.Load()-bytes) / float64(p.load.Migrations) / float64(p.load.Controllers)
 	return nil
 }
 
@@ -305,11 +305,11 @@
 
 // String says it in one line.
 func (c RegistryCost) String() string {
-	moves := make([]string, 0, len(c.MoveTimes))
-	for _, m := range c.MoveTimes {
+	moves := make([]string, 0, len(c.MigrationTimes))
+	for _, m := range c.MigrationTimes {
 		moves = append(moves, m.Round(time.Millisecond).String())
 	}
 	return fmt.Sprintf("command %v; joined %d in %v, %.0f bytes each, %v of processor; at rest %.0f bytes/s each, %.4f of a core; moves %s, %d failed, %.0f bytes each, %v of processor",
-		c.CommandCPU, c.Joined, c.JoinTime.Round(time.Millisecond), c.JoinBytes, c.JoinCPU.Round(time.Millisecond), c.RestBytes, c.RestCPU,
-		strings.Join(moves, " "), c.MovesFailed, c.MoveBytes, c.MoveCPU.Round(time.Millisecond))
+		c.CommandCPU, c.Joined, c.JoinTime.Round(time.Millisecond), c.JoinBytes, c.JoinCPU.Round(time.Millisecond), c.IdleBytes, c.IdleCPU,
+		strings.Join(moves, " "), c.MigrationsFailed, c.MigrationBytes, c.MigrationCPU.Round(time.Millisecond))
 }
--- a/internal/harness/scalebench/registry_test.go
+++ b/internal/harness/scalebench/registry_test.go
@@ -33,7 +33,7 @@
 
 func benchmarkRegistry(b *testing.B, load scalebench.RegistryLoad) {
 	b.Helper()
-	load.Moves, load.Rest, load.Within, load.Lease, load.Dir = 3, 5*time.Second, 40*time.Second, 15*time.Second, b.TempDir()
+	load.Migrations, load.IdlePeriod, load.Timeout, load.Lease, load.Dir = 3, 5*time.Second, 40*time.Second, 15*time.Second, b.TempDir()
 	c, err := scalebench.PlayRegistry(load)
 	if err != nil {
 		b.Fatal(err)
@@ -46,12 +46,12 @@
 func TestRegistryShape(t *testing.T) {
 	play := func(controllers, models int, fromSnapshot bool) scalebench.RegistryCost {
 		t.Helper()
-		c, err := scalebench.PlayRegistry(scalebench.RegistryLoad{Controllers: controllers, Models: models, FromSnapshot: fromSnapshot, Moves: 2, Rest: 200 * time.Millisecond,
-			Within: 20 * time.Second, Lease: 5 * time.Second, Dir: t.TempDir()})
+		c, err := scalebench.PlayRegistry(scalebench.RegistryLoad{Controllers: controllers, Models: models, FromSnapshot: fromSnapshot, Migrations: 2, IdlePeriod: 200 * time.Millisecond,
+			Timeout: 20 * time.Second, Lease: 5 * time.Second, Dir: t.TempDir()})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if c.Joined != controllers || len(c.MoveTimes) != 2 || c.JoinBytes == 0 {
+		if c.Joined != controllers || len(c.MigrationTimes) != 2 || c.JoinBytes == 0 {
 			t.Fatalf("%d controllers, %d models: %v", controllers, models, c)
 		}
 		return c
@@ -68,8 +68,8 @@
 		t.Errorf("with the models in a snapshot: %.2f times the bytes to join", other)
 	}
 	// A move is told once or twice, with the questions before and after it.
-	if models.MoveBytes > 2*few.MoveBytes || controllers.MoveBytes > 2*few.MoveBytes {
-		t.Errorf("a move is %.0f bytes each, %.0f with ten times the models, %.0f with ten times the controllers", few.MoveBytes, models.MoveBytes, controllers.MoveBytes)
+	if models.MigrationBytes > 2*few.MigrationBytes || controllers.MigrationBytes > 2*few.MigrationBytes {
+		t.Errorf("a move is %.0f bytes each, %.0f with ten times the models, %.0f with ten times the controllers", few.MigrationBytes, models.MigrationBytes, controllers.MigrationBytes)
 	}
 }
 
@@ -85,11 +85,11 @@
 				}
 			}
 			b.ReportMetric(float64(c.Command.Microseconds()), "us-command")
-			b.ReportMetric(float64(c.TellAll.Microseconds()), "us-tell-all")
-			b.ReportMetric(float64(c.TellNews.Microseconds()), "us-tell-news")
+			b.ReportMetric(float64(c.SendFull.Microseconds()), "us-tell-all")
+			b.ReportMetric(float64(c.SendDelta.Microseconds()), "us-tell-news")
 			b.ReportMetric(float64(c.AllBytes), "bytes-all")
-			b.ReportMetric(float64(c.LearnAll.Microseconds()), "us-learn-all")
-			b.ReportMetric(float64(c.LearnNews.Microseconds()), "us-learn-news")
+			b.ReportMetric(float64(c.ApplyFull.Microseconds()), "us-learn-all")
+			b.ReportMetric(float64(c.ApplyDelta.Microseconds()), "us-learn-news")
 			b.ReportMetric(c.ViewBytes/1e6, "MB-view")
 			b.ReportMetric(float64(c.Snapshot.Microseconds()), "us-snapshot")
 		})
--- a/internal/harness/scenario/play.go
+++ b/internal/harness/scenario/play.go
@@ -256,7 +256,7 @@
 	go p.idle(&idle)
 	if p.versions != nil {
 		p.wg.Add(1)
-		go p.versions.move()
+		go p.versions.migrate()
 	}
 	if p.o.Progress != nil {
 		p.wg.Add(1)
--- a/internal/harness/scenario/result.go
+++ b/internal/harness/scenario/result.go
@@ -65,7 +65,7 @@
 	if v := r.Versions; v != nil {
 		m := r.Moves
 		fmt.Fprintf(w, "moves: %d acknowledged, %d given up, %d unknown of %d; longest %v; calls begun anew %d, answers withheld at the door %d, answers of other bytes dropped %d\n",
-			m.Acknowledged, m.GivenUp, m.Unknown, m.Asked, m.Longest.Round(time.Millisecond), r.Anew, r.Withheld, r.Mismatched)
+			m.Acknowledged, m.Aborted, m.Unknown, m.Requested, m.Longest.Round(time.Millisecond), r.Anew, r.Withheld, r.Mismatched)
 		fmt.Fprintf(w, "versions: %d answers and %d runs judged, %d answers near a move, %d breaks\n", v.Answers, v.Runs, v.Near, len(v.Breaks))
 		for i, b := range v.Breaks {
 			if i < 10 {
--- a/internal/harness/scenario/versions.go
+++ b/internal/harness/scenario/versions.go
@@ -43,14 +43,14 @@
 	service *service.Service
 	server  *http1.Server
 	port    net.Listener
-	ln      *life
+	ln      *incarnation
 	counts  VersionCounts
 }
 
 // VersionCounts are what became of the moves that the operator asked for.
 type VersionCounts struct {
-	Asked, Acknowledged, GivenUp, Refused, Unknown int
-	Longest                                        time.Duration // from the question to the acknowledgement
+	Requested, Acknowledged, Aborted, Refused, Unknown int
+	Longest                                            time.Duration // from the question to the acknowledgement
 }
 
 func secretOf(rng *rand.Rand) string {
@@ -172,22 +172,22 @@
 		}
 		go v.accept(v.port)
 	}
-	ln := &life{Listener: v.port, conns: make(chan net.Conn), end: make(chan struct{})}
+	ln := &incarnation{Listener: v.port, conns: make(chan net.Conn), end: make(chan struct{})}
 	server := &http1.Server{Handler: service.NewFront(s, callers, time.Minute)}
 	go server.Serve(ln)
 	v.service, v.server, v.ln, v.addr = s, server, ln, ln.Addr().String()
 	return nil
 }
 
-// A life is the listener of one process on a port that the rig keeps over its death: a port that was free meanwhile could
+// A incarnation is the listener of one process on a port that the rig keeps over its death: a port that was free meanwhile could
 // become another connection's.
-type life struct {
+type incarnation struct {
 	net.Listener
 	conns chan net.Conn
 	end   chan struct{}
 }
 
-func (l *life) Accept() (net.Conn, error) {
+func (l *incarnation) Accept() (net.Conn, error) {
 	select {
 	case c := <-l.conns:
 		return c, nil
@@ -196,7 +196,7 @@
 	}
 }
 
-func (l *life) Close() error {
+func (l *incarnation) Close() error {
 	close(l.end)
 	return nil
 }
@@ -257,9 +257,9 @@
 		if err == nil && (a.Status == "acknowledged" || a.Status == "given up") {
 			v.mu.Lock()
 			defer v.mu.Unlock()
-			v.counts.Asked++
+			v.counts.Requested++
 			if a.Status == "given up" {
-				v.counts.GivenUp++
+				v.counts.Aborted++
 				return revision, nil
 			}
 			v.counts.Acknowledged++
@@ -271,7 +271,7 @@
 		}
 		if !v.p.wait(20 * time.Millisecond) {
 			v.mu.Lock()
-			v.counts.Asked++
+			v.counts.Requested++
 			v.counts.Unknown++
 			v.mu.Unlock()
 			return revision, nil
@@ -292,8 +292,8 @@
 	return d
 }
 
-// move moves aliases until the day ends, several at a time, each model's in turn.
-func (v *versions) move() {
+// migrate moves aliases until the day ends, several at a time, each model's in turn.
+func (v *versions) migrate() {
 	defer v.p.wg.Done()
 	if v.s.MovesPerS == 0 {
 		return
--- a/internal/harness/workersim/fleet.go
+++ b/internal/harness/workersim/fleet.go
@@ -205,7 +205,7 @@
 // Report is what a worker would tell of its load.
 type Report struct {
 	InFlight, Queue int
-	Util            float64
+	Utilization     float64
 	Memory          float64 // share that cannot be freed
 	Loads           int
 }
@@ -224,7 +224,7 @@
 	for _, l := range w.loads {
 		pinned += l.function.MemoryMB
 	}
-	return Report{InFlight: len(w.calls), Queue: w.waiting, Util: min(1, float64(len(w.running))/w.Cores),
+	return Report{InFlight: len(w.calls), Queue: w.waiting, Utilization: min(1, float64(len(w.running))/w.Cores),
 		Memory: pinned / w.MemoryMB, Loads: len(w.loads)}
 }
 
--- a/internal/registry/commands.go
+++ b/internal/registry/commands.go
@@ -179,7 +179,7 @@
 	if s.LastMigration > lastMigration {
 		result.Migration = s.LastMigration
 	}
-	s.Keys = keepNewest(append(s.Keys, result), s.Settings.MaxRemembered)
+	s.Keys = newest(append(s.Keys, result), s.Settings.MaxRemembered)
 	return append([]Effect{MigrationStarted{result.Migration}}, effects...), nil
 }
 
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -62,18 +62,18 @@
 			s.EndedMigrations = append(s.EndedMigrations, MigrationEnd{Migration: e.Migration, Why: e.Why})
 		}
 	}
-	s.EndedMigrations = keepNewest(s.EndedMigrations, s.Settings.MaxRemembered)
+	s.EndedMigrations = newest(s.EndedMigrations, s.Settings.MaxRemembered)
 	return effects, nil
 }
 
 // appendHistory adds an entry to the history and forgets the oldest ones beyond the bound.
 func (s *State) appendHistory(now time.Duration, by, what, why string) {
 	s.History = append(s.History, HistoryEntry{At: now, By: by, What: what, Why: why})
-	s.History = keepNewest(s.History, s.Settings.MaxRemembered)
+	s.History = newest(s.History, s.Settings.MaxRemembered)
 }
 
-// keepNewest removes the first elements of a list, so that at most limit are left.
-func keepNewest[E any](list []E, limit int) []E {
+// newest removes the first elements of a list, so that at most limit are left.
+func newest[E any](list []E, limit int) []E {
 	if excess := len(list) - limit; excess > 0 {
 		list = slices.Delete(list, 0, excess)
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -198,7 +198,7 @@
 // while Stop runs.
 func (r *Relay) Reload(c *Config) {
 	if err := r.Watcher.SetServer(c.DirectoryAddr); err != nil {
-		r.options.Log.Error().Err(err).Msg(configKept)
+		r.options.Log.Error().Err(err).Msg(configRejected)
 		return
 	}
 	r.options.Log.Info().Str("names", c.DirectoryAddr).Msg("configuration read anew")
--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -12,8 +12,8 @@
 	"kitehub/internal/clock"
 )
 
-// configKept is the log line of a reload that was rejected.
-const configKept = "the new configuration is not taken, the old one stays"
+// configRejected is the log line of a reload that was rejected.
+const configRejected = "the new configuration is not taken, the old one stays"
 
 // Signals are what the platform sends to a controller. They come on two channels: one that is full of reloads must not
 // cost the request to stop.
@@ -73,7 +73,7 @@
 func (r *Relay) reloadFrom(env func(string) string) {
 	next, err := Load(env)
 	if err != nil {
-		r.options.Log.Error().Err(err).Msg(configKept)
+		r.options.Log.Error().Err(err).Msg(configRejected)
 		return
 	}
 	r.Reload(next)
--- a/internal/store/replay.go
+++ b/internal/store/replay.go
@@ -40,7 +40,7 @@
 			end.complete = true
 			return end, nil
 		case !ok:
-			return end, l.judgeDamage(name, end, buf, r, rec)
+			return end, l.classifyDamage(name, end, buf, r, rec)
 		}
 		end.seq++
 		end.offset += int64(len(buf))
@@ -99,9 +99,9 @@
 	return buf, ok, nil
 }
 
-// judgeDamage judges what follows the last complete record, of which read has been read already. Unless a later
+// classifyDamage judges what follows the last complete record, of which read has been read already. Unless a later
 // record proves that the next one was durable, that was never acknowledged, and what follows may be cut off.
-func (l *Log) judgeDamage(name string, end fileEnd, read []byte, r io.Reader, rec *Recovered) error {
+func (l *Log) classifyDamage(name string, end fileEnd, read []byte, r io.Reader, rec *Recovered) error {
 	rest, err := io.ReadAll(r)
 	if err != nil {
 		return err
--- a/scheduler/outlier.go
+++ b/scheduler/outlier.go
@@ -60,7 +60,7 @@
 // A workerHealth is what the outlier detector knows of one worker.
 type workerHealth struct {
 	tracked             bool          // the list has it
-	lastHeardAt         time.Duration // its last answer
+	lastAnswerAt        time.Duration // its last answer
 	waitingSince        time.Duration // since when something is outstanding without an answer
 	probedAt            time.Duration // of a probe that has no answer; 0: none
 	consecutiveFailures int           // without an answer
@@ -169,11 +169,11 @@
 		return probeEjected
 	case h.ejected && overdue:
 		return ejectSilent
-	case h.ejected || outstanding == 0 || now-max(h.waitingSince, h.lastHeardAt) <= silence:
+	case h.ejected || outstanding == 0 || now-max(h.waitingSince, h.lastAnswerAt) <= silence:
 		return noCheck
 	case h.probedAt == 0:
 		return probeSilent
-	case overdue && h.lastHeardAt < h.probedAt:
+	case overdue && h.lastAnswerAt < h.probedAt:
 		return ejectSilent
 	}
 	return noCheck
@@ -231,7 +231,7 @@
 		}
 		return
 	}
-	worker.lastHeardAt = d.now
+	worker.lastAnswerAt = d.now
 	if worker.ejected { // it may have started anew before the list says so
 		d.setEjected(worker, false)
 		worker.consecutiveFailures = 0
--- a/scheduler/outlier_test.go
+++ b/scheduler/outlier_test.go
@@ -106,13 +106,13 @@
 		want        healthCheck
 	}{
 		{"nothing outstanding", workerHealth{}, 0, noCheck},
-		{"answered not long ago", workerHealth{lastHeardAt: now - silence}, 1, noCheck},
+		{"answered not long ago", workerHealth{lastAnswerAt: now - silence}, 1, noCheck},
 		{"waiting not long", workerHealth{waitingSince: now - silence}, 1, noCheck},
-		{"silent", workerHealth{lastHeardAt: now - silence - 1}, 1, probeSilent},
+		{"silent", workerHealth{lastAnswerAt: now - silence - 1}, 1, probeSilent},
 		{"probed not long ago", workerHealth{probedAt: now - patience}, 1, noCheck},
 		{"probe unanswered", workerHealth{probedAt: now - patience - 1}, 1, ejectSilent},
 		{"heard since the probe, then silent", workerHealth{probedAt: now - 10*time.Second,
-			lastHeardAt: now - 9*time.Second}, 1, noCheck},
+			lastAnswerAt: now - 9*time.Second}, 1, noCheck},
 		{"ejected", workerHealth{ejected: true, ejectedUntil: now + 1}, 1, noCheck},
 		{"ejection over", workerHealth{ejected: true, ejectedUntil: now}, 0, probeEjected},
 		{"ejection over, probed", workerHealth{ejected: true, ejectedUntil: now - 1, probedAt: now - patience},
--- a/scheduler/snapshot.go
+++ b/scheduler/snapshot.go
@@ -80,8 +80,8 @@
 			Snapshot:        d.Snapshot(0, worker.ID),
 			SinceLastAnswer: -1,
 		}
-		if worker.lastHeardAt > 0 {
-			snapshot.SinceLastAnswer = d.now - worker.lastHeardAt
+		if worker.lastAnswerAt > 0 {
+			snapshot.SinceLastAnswer = d.now - worker.lastAnswerAt
 		}
 		for _, placed := range worker.placements {
 			if d.hasCopy(placed, worker) {
