--- a/internal/harness/scenario/controllers.go
+++ b/internal/harness/scenario/controllers.go
@@ -45,6 +45,9 @@
 		<-old.HandedOver()
 		return nil
 	}
+	// Its life begins here: before Start returns it may be told of the list, and order loads.
+	p.list.Forget(b.Name)
+	p.log.Add(trace.Record{Kind: trace.ControllerUp, Controller: b.Name})
 	ctl, err := controller.Start(b, o)
 	if err != nil {
 		return err
@@ -55,8 +58,6 @@
 	p.mu.Lock()
 	p.controllers[i] = ctl
 	p.mu.Unlock()
-	p.list.Forget(b.Name)
-	p.log.Add(trace.Record{Kind: trace.ControllerUp, Controller: b.Name})
 	p.load.targets[i].set(ctl.Addr())
 	return nil
 }
--- a/internal/harness/scenario/play.go
+++ b/internal/harness/scenario/play.go
@@ -154,11 +154,16 @@
 	err         error
 }
 
-// Play plays a day to its end and judges it.
-func Play(s *Day, o Options) (*Result, error) {
+func newPlayer(s *Day, o Options) *player {
 	p := &player{s: s, o: o, clk: clock.System(), rng: rand.New(rand.NewPCG(s.Seed, 11)), stop: make(chan struct{}),
 		listed: map[string]scheduler.WorkerState{}, started: map[string]time.Time{}, specs: map[string]workersim.Spec{}, dir: o.Dir}
 	p.log = trace.NewLog(p.clk.Now)
+	return p
+}
+
+// Play plays a day to its end and judges it.
+func Play(s *Day, o Options) (*Result, error) {
+	p := newPlayer(s, o)
 	if p.dir == "" {
 		dir, err := os.MkdirTemp("", "kitehub-day")
 		if err != nil {
