--- a/internal/backend/report.go
+++ b/internal/backend/report.go
@@ -88,24 +88,32 @@
 	return values
 }
 
+// A reportKey says under which name a report has a value: its own or one of its named metrics.
+type reportKey struct {
+	name  string
+	named bool
+}
+
+var reportKeys = map[scheduler.ReportField]reportKey{
+	scheduler.FieldUtilization: {name: "cpu_utilization"},
+	scheduler.FieldRate:        {name: "rps_fractional"},
+	scheduler.FieldErrorRate:   {name: "eps"},
+	scheduler.FieldInFlight:    {name: "inflight", named: true},
+	scheduler.FieldQueue:       {name: "queue", named: true},
+	scheduler.FieldLatencyMS:   {name: "latency_ms", named: true},
+	scheduler.FieldX0:          {name: "x0", named: true},
+	scheduler.FieldX1:          {name: "x1", named: true},
+}
+
 func (r loadReport) value(field scheduler.ReportField) (value float64, ok bool) {
-	switch field {
-	case scheduler.FieldUtilization:
-		value, ok = r.fields["cpu_utilization"]
-	case scheduler.FieldRate:
-		value, ok = r.fields["rps_fractional"]
-	case scheduler.FieldErrorRate:
-		value, ok = r.fields["eps"]
-	case scheduler.FieldInFlight:
-		value, ok = r.named["inflight"]
-	case scheduler.FieldQueue:
-		value, ok = r.named["queue"]
-	case scheduler.FieldLatencyMS:
-		value, ok = r.named["latency_ms"]
-	case scheduler.FieldX0:
-		value, ok = r.named["x0"]
-	case scheduler.FieldX1:
-		value, ok = r.named["x1"]
+	key, known := reportKeys[field]
+	switch {
+	case !known:
+		return 0, false
+	case key.named:
+		value, ok = r.named[key.name]
+	default:
+		value, ok = r.fields[key.name]
 	}
 	return value, ok
 }
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -26,19 +26,7 @@
 		},
 		"legacy_empty.json": {},
 	} {
-		written, err := json.Marshal(state)
-		if err != nil {
-			t.Fatal(err)
-		}
-		goldenfile.Compare(t, name, written)
-
-		var read handoverState
-		if err := json.Unmarshal(goldenfile.Read(t, name), &read); err != nil {
-			t.Fatal(err)
-		}
-		if !reflect.DeepEqual(read, state) {
-			t.Errorf("%s: read %+v, want %+v", name, read, state)
-		}
+		goldenfile.RoundTrip(t, name, state)
 	}
 }
 
--- a/internal/discovery/server.go
+++ b/internal/discovery/server.go
@@ -74,7 +74,7 @@
 		return
 	}
 	wait := backoff(failures, minBackoff, maxBackoff, rand.Float64())
-	w.cfg.Log.Warn().Err(err).Int("failures", failures).Dur("retry_in", wait).Msg("endpoint list server unreachable")
+	w.cfg.Log.Warn().Err(err).Int("failures", failures).Dur("again_in", wait).Msg("endpoint list server unreachable")
 	w.sleep(wait)
 }
 
--- a/internal/goldenfile/goldenfile.go
+++ b/internal/goldenfile/goldenfile.go
@@ -4,6 +4,7 @@
 
 import (
 	"bytes"
+	"encoding/json"
 	"flag"
 	"os"
 	"path/filepath"
@@ -81,3 +82,36 @@
 
 // Updating tells whether golden files are being written anew, for tests whose golden files are whole folders.
 func Updating() bool { return *update }
+
+// RoundTrip compares a value's JSON with a golden file, and fails the test unless the file reads as the same value.
+func RoundTrip[T any](t testing.TB, name string, value T) {
+	t.Helper()
+	written, err := json.Marshal(value)
+	if err != nil {
+		t.Fatal(err)
+	}
+	Compare(t, name, written)
+	var read T
+	if err := json.Unmarshal(Read(t, name), &read); err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(read, value) {
+		t.Errorf("%s: read %+v, want %+v", name, read, value)
+	}
+}
+
+// Files returns the files of a folder by name.
+func Files(t testing.TB, folder string) map[string][]byte {
+	t.Helper()
+	entries, err := os.ReadDir(folder)
+	if err != nil {
+		t.Fatal(err)
+	}
+	files := map[string][]byte{}
+	for _, entry := range entries {
+		if files[entry.Name()], err = os.ReadFile(filepath.Join(folder, entry.Name())); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return files
+}
--- a/internal/hookengine/golden_test.go
+++ b/internal/hookengine/golden_test.go
@@ -197,19 +197,7 @@
 		Posted: 1, Dropped: 2, Waiting: 3, Taken: 4, Refused: 5, Over: 6, Aside: 7,
 	}
 	for name, overview := range map[string]Overview{"overview.json": overview, "overview_empty.json": {Scripts: []Shown{}, Standing: []string{}}} {
-		written, err := json.Marshal(overview)
-		if err != nil {
-			t.Fatal(err)
-		}
-		goldenfile.Compare(t, name, written)
-
-		var read Overview
-		if err := json.Unmarshal(goldenfile.Read(t, name), &read); err != nil {
-			t.Fatal(err)
-		}
-		if !reflect.DeepEqual(read, overview) {
-			t.Errorf("%s: read %+v, want %+v", name, read, overview)
-		}
+		goldenfile.RoundTrip(t, name, overview)
 	}
 }
 
--- a/internal/registry/service/golden_test.go
+++ b/internal/registry/service/golden_test.go
@@ -6,7 +6,6 @@
 	"errors"
 	"maps"
 	"os"
-	"path/filepath"
 	"reflect"
 	"slices"
 	"strings"
@@ -218,21 +217,6 @@
 	return copied
 }
 
-func filesOf(t *testing.T, folder string) map[string][]byte {
-	t.Helper()
-	entries, err := os.ReadDir(folder)
-	if err != nil {
-		t.Fatal(err)
-	}
-	files := map[string][]byte{}
-	for _, entry := range entries {
-		if files[entry.Name()], err = os.ReadFile(filepath.Join(folder, entry.Name())); err != nil {
-			t.Fatal(err)
-		}
-	}
-	return files
-}
-
 // The same commands at the same times write the same folder, byte for byte, and lead to the same state.
 func TestGoldenBytes(t *testing.T) {
 	s := &script{t: t, clock: clock.NewManual(time.Unix(1_800_000_000, 0)), folder: t.TempDir()}
@@ -265,8 +249,8 @@
 	goldenfile.Compare(t, "snapshot.json", append(snapshot, '\n'))
 	goldenfile.Compare(t, "records.jsonl", append(bytes.Join(records, []byte("\n")), '\n'))
 	goldenfile.Compare(t, "state.json", state)
-	got := filesOf(t, s.folder)
-	golden := filesOf(t, goldenFolder)
+	got := goldenfile.Files(t, s.folder)
+	golden := goldenfile.Files(t, goldenFolder)
 	for name := range golden {
 		if !bytes.Equal(got[name], golden[name]) {
 			t.Errorf("%s: other bytes than in %s", name, goldenFolder)
@@ -289,8 +273,8 @@
 	if recovered.Snapshot != recordsBeforeSnapshot || recovered.Records != len(records) || recovered.Cut != 0 {
 		t.Errorf("recovered: %+v, want %d records behind %d", *recovered, len(records), recordsBeforeSnapshot)
 	}
-	for name, old := range filesOf(t, goldenFolder) {
-		if !bytes.Equal(filesOf(t, s.folder)[name], old) {
+	for name, old := range goldenfile.Files(t, goldenFolder) {
+		if !bytes.Equal(goldenfile.Files(t, s.folder)[name], old) {
 			t.Errorf("%s was changed by opening it", name)
 		}
 	}
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -3,36 +3,17 @@
 import (
 	"bytes"
 	"encoding/binary"
-	"flag"
 	"hash/crc32"
 	"os"
-	"path/filepath"
 	"slices"
 	"strings"
 	"testing"
-)
 
-// update writes the golden files anew. It is for a format that is changed on purpose, and for nothing else.
-var update = flag.Bool("update", false, "write the golden files anew")
+	"kitehub/internal/goldenfile"
+)
 
 const goldenFolder = "testdata/golden/folder"
 
-// filesOf returns the files of a folder by name.
-func filesOf(t *testing.T, folder string) map[string][]byte {
-	t.Helper()
-	entries, err := os.ReadDir(folder)
-	if err != nil {
-		t.Fatal(err)
-	}
-	files := map[string][]byte{}
-	for _, entry := range entries {
-		if files[entry.Name()], err = os.ReadFile(filepath.Join(folder, entry.Name())); err != nil {
-			t.Fatal(err)
-		}
-	}
-	return files
-}
-
 // writeGoldenStore writes a folder with all that the format has: a snapshot, and a log behind it in which one
 // record was committed alone, two in one group, and the last one is empty.
 func writeGoldenStore(t *testing.T, folder string) {
@@ -61,8 +42,8 @@
 func TestGoldenBytes(t *testing.T) {
 	folder := t.TempDir()
 	writeGoldenStore(t, folder)
-	got := filesOf(t, folder)
-	if *update {
+	got := goldenfile.Files(t, folder)
+	if goldenfile.Updating() {
 		if err := os.RemoveAll(goldenFolder); err != nil {
 			t.Fatal(err)
 		}
@@ -70,7 +51,7 @@
 			t.Fatal(err)
 		}
 	}
-	want := filesOf(t, goldenFolder)
+	want := goldenfile.Files(t, goldenFolder)
 	for name := range want {
 		if !bytes.Equal(got[name], want[name]) {
 			t.Errorf("%s:\ngot  %x\nwant %x", name, got[name], want[name])
@@ -99,8 +80,8 @@
 	if *recovered != (Recovered{Snapshot: 2, Records: 4, Last: 6}) {
 		t.Errorf("recovered: %+v", *recovered)
 	}
-	for name, old := range filesOf(t, goldenFolder) {
-		if !bytes.Equal(filesOf(t, folder)[name], old) {
+	for name, old := range goldenfile.Files(t, goldenFolder) {
+		if !bytes.Equal(goldenfile.Files(t, folder)[name], old) {
 			t.Errorf("%s was changed by opening it", name)
 		}
 	}
@@ -112,7 +93,7 @@
 
 // The golden files are what docs/store-format.md says: read here from that page alone, with nothing of the program.
 func TestGoldenIsAsDocumented(t *testing.T) {
-	files := filesOf(t, goldenFolder)
+	files := goldenfile.Files(t, goldenFolder)
 	castagnoli := crc32.MakeTable(crc32.Castagnoli)
 	for name, magic := range map[string]string{"00000000000000000002.log": "kitelog\x01", "00000000000000000002.snap": "kitesnp\x01"} {
 		text := files[name]
