--- a/cmd/kitehub/main_test.go
+++ b/cmd/kitehub/main_test.go
@@ -119,7 +119,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(host.Close)
-	text, err := discovery.Render("workers", []gateway.Worker{{Name: "w", Network: "tcp", Addr: host.Addr("w"), State: scheduler.Ready, Size: 1}})
+	text, err := discovery.MarshalAssignment("workers", []gateway.Worker{{Name: "w", Network: "tcp", Addr: host.Addr("w"), State: scheduler.Ready, Size: 1}})
 	if err == nil {
 		err = discovery.WriteFile(filepath.Join(dir, "workers.json"), text)
 	}
--- a/cmd/kitehub/standin.go
+++ b/cmd/kitehub/standin.go
@@ -54,7 +54,7 @@
 		})
 		fmt.Println(name, host.Addr(name))
 	}
-	text, err := discovery.Render(s.Cluster, workers)
+	text, err := discovery.MarshalAssignment(s.Cluster, workers)
 	if err == nil {
 		err = discovery.WriteFile(s.List, text)
 	}
--- a/config/network.go
+++ b/config/network.go
@@ -63,7 +63,7 @@
 		IdleTimeout:  ms(c.Limits.KeepAliveMs),
 		OrderTimeout: ms(c.Loading.AnswerMs),
 		ProbeTimeout: probeDials * dialTimeout,
-		Fields:       b.built.Settings.Report,
+		ReportFields: b.built.Settings.Report,
 	}
 	if dialTimeout > ms(c.Guarantees.DrainGraceMs) {
 		b.built.Warnings = append(b.built.Warnings, "limits.dial_ms is over guarantees.drain_grace_ms: "+
@@ -82,11 +82,11 @@
 		b.file.Problem("discovery.poll_ms", "a file is watched by looking at it", "give the time between two looks")
 	}
 	b.built.Discovery = discovery.Config{
-		Node:    b.cfg.Name,
-		Cluster: d.Cluster,
-		File:    d.File,
-		Server:  d.Server,
-		Poll:    poll,
-		Cache:   filepath.Join(b.cfg.StateDir, "workers.json"),
+		Node:         b.cfg.Name,
+		Cluster:      d.Cluster,
+		File:         d.File,
+		Server:       d.Server,
+		PollInterval: poll,
+		CacheFile:    filepath.Join(b.cfg.StateDir, "workers.json"),
 	}
 }
--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -12,15 +12,15 @@
 
 // An Attempt is one attempt at a call of a function, at one worker.
 type Attempt struct {
-	Worker   scheduler.WorkerID
-	Call     string // the client's id of the call, for protocols that pass it on
-	Class    string // the name of the call's class, likewise
-	Function string
-	Trace    string // traceparent
-	Key      string // idempotency key: the worker's group drops repeats of it; "" for none
-	Digest   string // of the bytes that are to run; "" for any
-	Body     []byte
-	Timeout  time.Duration // for the whole attempt, the dial included
+	Worker         scheduler.WorkerID
+	CallID         string // the client's id of the call, for protocols that pass it on
+	Class          string // the name of the call's class, likewise
+	Function       string
+	TraceParent    string // traceparent
+	IdempotencyKey string // idempotency key: the worker's group drops repeats of it; "" for none
+	Digest         string // of the bytes that are to run; "" for any
+	Body           []byte
+	Timeout        time.Duration // for the whole attempt, the dial included
 
 	// MayStart is called just before the first byte is sent; if it returns false the attempt ends as NotStarted. Nil
 	// stands for true. It must not block.
@@ -40,7 +40,7 @@
 }
 
 // Send starts an attempt. done is called once, on a goroutine of its own.
-func (b *Backend) Send(a Attempt, done func(Result)) Running {
+func (b *Backend) Send(a Attempt, done func(Result)) RunningAttempt {
 	x := &exchange{wanted: a.MayStart}
 	go func() { done(b.infer(x, a)) }()
 	return x
@@ -59,8 +59,8 @@
 	}
 	result.Status = resp.Status
 	result.Digest = resp.Header.Get(HeaderDigest)
-	report := parseLoadReport(resp.Header.Get(HeaderLoad))
-	result.Report = report.values(b.cfg.Fields)
+	report := parseLoadReport(resp.Header.Get(HeaderLoadReport))
+	result.Report = report.values(b.cfg.ReportFields)
 	result.SameFunction = int(report.named["alike"])
 	result.Note = report.loadNote()
 	if resp.Status != http.StatusOK {
@@ -84,10 +84,10 @@
 		http1.Field{Name: "Content-Type", Value: "application/octet-stream"},
 		http1.Field{Name: HeaderJSONLength, Value: strconv.Itoa(len(body))},
 		http1.Field{Name: HeaderTimeout, Value: strconv.FormatInt(a.Timeout.Milliseconds(), 10)},
-		http1.Field{Name: HeaderTrace, Value: a.Trace},
+		http1.Field{Name: HeaderTraceParent, Value: a.TraceParent},
 	)
-	if a.Key != "" {
-		header.Add(HeaderKey, a.Key)
+	if a.IdempotencyKey != "" {
+		header.Add(HeaderIdempotencyKey, a.IdempotencyKey)
 	}
 	if a.Digest != "" {
 		header.Add(HeaderDigest, a.Digest)
--- a/internal/backend/attempt_test.go
+++ b/internal/backend/attempt_test.go
@@ -38,12 +38,12 @@
 		want   scheduler.Outcome
 	}{
 		{"served", answerWith(served), scheduler.OK},
-		{"full", answerWith(problem(503, ProblemFull)), scheduler.AtCapacity},
-		{"miss", answerWith(problem(404, ProblemMiss)), scheduler.NotLoaded},
+		{"full", answerWith(problem(503, ProblemAtCapacity)), scheduler.AtCapacity},
+		{"miss", answerWith(problem(404, ProblemNotLoaded)), scheduler.NotLoaded},
 		{"503 that does not say full", answerWith(empty503), scheduler.Error},
 		{"503 of another type", answerWith(problem(503, "about:blank")), scheduler.Error},
-		{"full with another status", answerWith(problem(500, ProblemFull)), scheduler.Error},
-		{"miss with another status", answerWith(problem(503, ProblemMiss)), scheduler.Error},
+		{"full with another status", answerWith(problem(500, ProblemAtCapacity)), scheduler.Error},
+		{"miss with another status", answerWith(problem(503, ProblemNotLoaded)), scheduler.Error},
 		{"404 that does not say miss", answerWith(empty404), scheduler.Error},
 		{"full in words only", answerWith(fullInText), scheduler.Error},
 		{"error", answerWith("HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n"), scheduler.Error},
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -116,7 +116,7 @@
 		IdleTimeout:  time.Minute,
 		OrderTimeout: time.Second,
 		ProbeTimeout: time.Second,
-		Fields:       []scheduler.ReportField{scheduler.FieldQueue, scheduler.FieldUtilization},
+		ReportFields: []scheduler.ReportField{scheduler.FieldQueue, scheduler.FieldUtilization},
 	}
 	if change != nil {
 		change(&cfg)
@@ -128,7 +128,7 @@
 }
 
 func attempt(timeout time.Duration) Attempt {
-	return Attempt{Worker: 1, Function: "f", Trace: "t", Body: []byte("x"), Timeout: timeout}
+	return Attempt{Worker: 1, Function: "f", TraceParent: "t", Body: []byte("x"), Timeout: timeout}
 }
 
 // infer sends an attempt and waits for its end.
--- a/internal/backend/doc.go
+++ b/internal/backend/doc.go
@@ -11,8 +11,8 @@
 //	the connection broke in any other way              Reset          it may have run, on a reused connection too
 //	cancelled after the first byte                     Cancelled      it may have run
 //	no answer in time                                  TimedOut       it may have run
-//	an answer with problem type ProblemFull            AtCapacity     the worker says that it did not run
-//	an answer with problem type ProblemMiss            NotLoaded      the worker says that it did not run
+//	an answer with problem type ProblemAtCapacity      AtCapacity     the worker says that it did not run
+//	an answer with problem type ProblemNotLoaded       NotLoaded      the worker says that it did not run
 //	any other answer but 200                           Error          it may have run
 //	an answer that is malformed or too large           Reset          it may have run
 //
--- a/internal/backend/exchange.go
+++ b/internal/backend/exchange.go
@@ -12,8 +12,8 @@
 	"kitehub/scheduler"
 )
 
-// A Running attempt can be cancelled, at any time and from any goroutine.
-type Running interface{ Cancel() }
+// A RunningAttempt can be cancelled, at any time and from any goroutine.
+type RunningAttempt interface{ Cancel() }
 
 // An exchange is one request to a worker and its answer. Its goroutine runs Backend.exchange; Cancel may be called
 // from any other.
--- a/internal/backend/frame/attempt.go
+++ b/internal/backend/frame/attempt.go
@@ -45,7 +45,7 @@
 			go a.end(scheduler.NotStarted, nil)
 		}
 	case noConn:
-		a.backend.Counts.NoPlace.Add(1)
+		a.backend.Counts.NoConn.Add(1)
 		go a.end(scheduler.ConnectFailed, nil)
 	}
 }
--- a/internal/backend/frame/attempt_test.go
+++ b/internal/backend/frame/attempt_test.go
@@ -57,7 +57,7 @@
 
 	results := make(chan backend.Result, 1)
 	call := newCall(0x2d41)
-	call.Key = "5c0f"
+	call.IdempotencyKey = "5c0f"
 	running := b.Send(call, func(r backend.Result) { results <- r })
 	sent := <-commands
 	if sent.Code != codeCall || sent.ID != 0x2d41 || sent.Body != "body" ||
@@ -180,14 +180,14 @@
 		})
 	})
 	b := start(t, addr, func(c *Config) {
-		c.Conns = 1
+		c.MaxConns = 1
 		c.MaxBody = 2 * size
 	})
 	large := newCall(1)
 	large.Body = make([]byte, size)
 	results := make(chan backend.Result, 2)
 	b.Send(large, func(r backend.Result) { results <- r })
-	waitFor(func() bool { return b.Seen()[0].Open > 0 })
+	waitFor(func() bool { return b.Traffic()[0].InFlight > 0 })
 	b.Update([]backend.Endpoint{draining(1, addr)})
 	if r := run(b, newCall(2)); r.Outcome != scheduler.NotStarted && r.Outcome != scheduler.ConnectFailed {
 		t.Errorf("a call after the drain: %v", r.Outcome)
@@ -205,7 +205,7 @@
 func TestNothingIsSentIfUnwantedWhenConnectionComesUp(t *testing.T) {
 	type dialing struct {
 		backend *Backend
-		running backend.Running
+		running backend.RunningAttempt
 		wanted  *atomic.Bool
 		addr    string
 	}
--- a/internal/backend/frame/backend.go
+++ b/internal/backend/frame/backend.go
@@ -15,18 +15,18 @@
 
 // Config sets up a Backend.
 type Config struct {
-	Clock       clock.Clock
-	Dial        backend.DialFunc // nil for net.Dialer's
-	DialTimeout time.Duration    // longest time for a connection to come up
-	Idle        time.Duration    // workers close connections that are idle for so long
-	Streams     int              // exchanges in flight on one connection, at most
-	Conns       int              // connections to all workers, at most
-	MaxBody     int              // bytes of an answer's body, at most
-	PingAfter   time.Duration    // silence after which a busy connection gets a ping, and as long again for its answer
-	Forget      time.Duration    // no answer comes later than this after its exchange has ended
-	Order       time.Duration    // longest wait for the answer to a load order
-	Report      []scheduler.ReportField
-	Log         zerolog.Logger
+	Clock               clock.Clock
+	Dial                backend.DialFunc // nil for net.Dialer's
+	DialTimeout         time.Duration    // longest time for a connection to come up
+	WorkerIdleTimeout   time.Duration    // workers close connections that are idle for so long
+	MaxExchangesPerConn int              // exchanges in flight on one connection, at most
+	MaxConns            int              // connections to all workers, at most
+	MaxBody             int              // bytes of an answer's body, at most
+	PingAfter           time.Duration    // silence after which a busy connection gets a ping, and as long again for its answer
+	MaxResponseDelay    time.Duration    // no answer comes later than this after its exchange has ended
+	OrderTimeout        time.Duration    // longest wait for the answer to a load order
+	ReportFields        []scheduler.ReportField
+	Log                 zerolog.Logger
 }
 
 // Counts are for the log and for tests.
@@ -35,11 +35,11 @@
 	DialFailed atomic.Int64 // connections that did not come up
 	LostNew    atomic.Int64 // connections that ended under their first exchange
 	LostUsed   atomic.Int64 // connections that ended under a later exchange
-	Broken     atomic.Int64 // connections closed because of bytes that are no frame
+	Malformed  atomic.Int64 // connections closed because of bytes that are no frame
 	Strays     atomic.Int64 // answers to no exchange in flight: late, repeated, or with an unknown id
 	Pings      atomic.Int64 // pings sent
 	Dead       atomic.Int64 // connections closed because a ping was not answered
-	NoPlace    atomic.Int64 // attempts that no connection was available for
+	NoConn     atomic.Int64 // attempts that no connection was available for
 }
 
 // A Backend holds the connections to all workers. It is safe for concurrent use.
@@ -77,12 +77,12 @@
 	if cfg.Dial == nil {
 		cfg.Dial = (&net.Dialer{}).DialContext
 	}
-	cfg.Streams = max(1, cfg.Streams)
+	cfg.MaxExchangesPerConn = max(1, cfg.MaxExchangesPerConn)
 	b := &Backend{
 		cfg:          cfg,
-		maxIdle:      maxIdleTime(cfg.DialTimeout, cfg.Idle),
+		maxIdle:      maxIdleTime(cfg.DialTimeout, cfg.WorkerIdleTimeout),
 		workers:      map[scheduler.WorkerID]*worker{},
-		maxPerWorker: max(1, cfg.Conns),
+		maxPerWorker: max(1, cfg.MaxConns),
 		done:         make(chan struct{}),
 	}
 	b.nextID.Store(uint64(cfg.Clock.Now()))
@@ -164,7 +164,7 @@
 			b.removed = append(b.removed, w)
 		}
 	}
-	b.maxPerWorker = connsPerWorker(b.cfg.Conns, len(list))
+	b.maxPerWorker = connsPerWorker(b.cfg.MaxConns, len(list))
 }
 
 // Close closes all connections, which ends all that is in flight on them.
--- a/internal/backend/frame/backend_test.go
+++ b/internal/backend/frame/backend_test.go
@@ -59,16 +59,16 @@
 func start(t *testing.T, addr string, change func(*Config)) *Backend {
 	t.Helper()
 	cfg := Config{
-		Clock:       clock.System(),
-		DialTimeout: 5 * time.Second,
-		Idle:        time.Hour,
-		Streams:     100,
-		Conns:       8,
-		MaxBody:     64 << 10,
-		PingAfter:   time.Hour,
-		Forget:      time.Hour,
-		Order:       20 * time.Second,
-		Log:         zerolog.Nop(),
+		Clock:               clock.System(),
+		DialTimeout:         5 * time.Second,
+		WorkerIdleTimeout:   time.Hour,
+		MaxExchangesPerConn: 100,
+		MaxConns:            8,
+		MaxBody:             64 << 10,
+		PingAfter:           time.Hour,
+		MaxResponseDelay:    time.Hour,
+		OrderTimeout:        20 * time.Second,
+		Log:                 zerolog.Nop(),
 	}
 	if change != nil {
 		change(&cfg)
@@ -95,7 +95,7 @@
 func newCall(id uint64) backend.Attempt {
 	return backend.Attempt{
 		Worker:   1,
-		Call:     fmt.Sprintf("%016x", id),
+		CallID:   fmt.Sprintf("%016x", id),
 		Class:    "lookup",
 		Function: testFunction,
 		Body:     []byte("body"),
--- a/internal/backend/frame/check.go
+++ b/internal/backend/frame/check.go
@@ -68,7 +68,7 @@
 
 // sweepEnded forgets the ids to which no answer can come any more. The caller holds mu.
 func (c *conn) sweepEnded(now time.Duration) {
-	forget := c.worker.backend.cfg.Forget
+	forget := c.worker.backend.cfg.MaxResponseDelay
 	if now-c.sweptAt <= forget/sweepsPerForget {
 		return
 	}
--- a/internal/backend/frame/check_test.go
+++ b/internal/backend/frame/check_test.go
@@ -140,5 +140,5 @@
 	}
 	manual.Advance(overPatience)
 	b.check()
-	waitFor(func() bool { return b.Seen()[0].Conns <= 1 }) // the dead one is closed; the other, idle, may be too
+	waitFor(func() bool { return b.Traffic()[0].Conns <= 1 }) // the dead one is closed; the other, idle, may be too
 }
--- a/internal/backend/frame/conn.go
+++ b/internal/backend/frame/conn.go
@@ -129,7 +129,7 @@
 		c.handle(&a)
 	}
 	if errors.Is(err, errFrame) {
-		b.Counts.Broken.Add(1)
+		b.Counts.Malformed.Add(1)
 		b.cfg.Log.Debug().Str("worker", c.worker.name).Err(err).Msg("malformed frame, connection closed")
 	}
 	c.finish()
--- a/internal/backend/frame/placement.go
+++ b/internal/backend/frame/placement.go
@@ -72,10 +72,10 @@
 	for i, c := range w.conns {
 		states[i] = c.state(id)
 	}
-	if int(b.conns.Load()) >= b.cfg.Conns { // workers that were removed still have some
+	if int(b.conns.Load()) >= b.cfg.MaxConns { // workers that were removed still have some
 		maxConns = 0
 	}
-	lim := limits{maxConns: maxConns, maxInFlight: b.cfg.Streams, maxIdle: b.maxIdle}
+	lim := limits{maxConns: maxConns, maxInFlight: b.cfg.MaxExchangesPerConn, maxIdle: b.maxIdle}
 	placed, i := pick(states, w.dialing, lim, now)
 	switch placed {
 	case useConn:
@@ -111,7 +111,7 @@
 // are: a worker that has none must not wait for those that have more than they use. It reports whether one was
 // closed.
 func (b *Backend) evictIdle(w *worker) bool {
-	if int(b.conns.Load()) < b.cfg.Conns {
+	if int(b.conns.Load()) < b.cfg.MaxConns {
 		return false
 	}
 	var longest *conn
--- a/internal/backend/frame/placement_test.go
+++ b/internal/backend/frame/placement_test.go
@@ -101,7 +101,7 @@
 				<-answer
 				return serve(command)
 			})
-			b := start(t, addr, func(c *Config) { c.Conns = conns })
+			b := start(t, addr, func(c *Config) { c.MaxConns = conns })
 			results := make(chan backend.Result, conns)
 			for id := range uint64(conns) { // both at once: each on a connection of its own
 				b.Send(newCall(id+1), func(r backend.Result) { results <- r })
@@ -149,7 +149,7 @@
 	c := <-conns
 	c.SetLinger(0)
 	c.Close()
-	waitFor(func() bool { return b.Seen()[0].Conns == 0 })
+	waitFor(func() bool { return b.Traffic()[0].Conns == 0 })
 	if r := run(b, newCall(2)); r.Outcome != scheduler.OK {
 		t.Errorf("next call: %v", r.Outcome)
 	}
--- a/internal/backend/frame/send.go
+++ b/internal/backend/frame/send.go
@@ -10,12 +10,12 @@
 
 // Send starts an attempt. done is called once, never by Send itself. It must not block: it may run on the goroutine
 // that reads a connection.
-func (b *Backend) Send(request backend.Attempt, done func(backend.Result)) backend.Running {
+func (b *Backend) Send(request backend.Attempt, done func(backend.Result)) backend.RunningAttempt {
 	a := &attempt{backend: b, timeout: request.Timeout, begin: b.cfg.Clock.Now()}
 	a.done = func(o scheduler.Outcome, ans *answer) {
 		done(b.result(o, ans, b.cfg.Clock.Now()-a.begin))
 	}
-	id, err := strconv.ParseUint(request.Call, 16, 64)
+	id, err := strconv.ParseUint(request.CallID, 16, 64)
 	if err != nil { // ingress accepts no such id
 		go a.end(scheduler.NotStarted, nil)
 		return a
@@ -33,8 +33,8 @@
 	fields = appendField(fields, "c", request.Class)
 	fields = appendField(fields, "k", request.Function)
 	fields = appendField(fields, "w", strconv.FormatInt(max(1, left.Milliseconds()), 10))
-	if request.Key != "" {
-		fields = appendField(fields, "i", request.Key)
+	if request.IdempotencyKey != "" {
+		fields = appendField(fields, "i", request.IdempotencyKey)
 	}
 	frame := make([]byte, 0, headSize+len(fields)+len(request.Body)+checksumSize)
 	return appendFrame(frame, codeCall, id, fields, request.Body)
@@ -46,7 +46,7 @@
 	if ans == nil {
 		return result
 	}
-	fields := parseFields(ans.fields, b.cfg.Report)
+	fields := parseFields(ans.fields, b.cfg.ReportFields)
 	result.Status = int(ans.code)
 	result.Note = fields.note
 	result.SameFunction = fields.sameFunction
@@ -65,7 +65,7 @@
 	a := &attempt{
 		backend:  b,
 		exchange: exchange{id: id, isOrder: true},
-		timeout:  b.cfg.Order,
+		timeout:  b.cfg.OrderTimeout,
 		begin:    b.cfg.Clock.Now(),
 		wanted:   func() bool { return true },
 	}
--- a/internal/backend/frame/worker.go
+++ b/internal/backend/frame/worker.go
@@ -81,29 +81,29 @@
 
 // Traffic is what passed between this controller and a worker: the facts to compare the scheduler's estimates with.
 type Traffic struct {
-	Worker   scheduler.WorkerID
-	Name     string
-	Conns    int           // connections open
-	Open     int           // calls in flight
-	Answered int64         // calls served
-	Lost     int64         // calls whose connection ended, or that timed out, without an answer
-	Took     time.Duration // sum over the calls served, from the first byte sent to the answer
+	Worker    scheduler.WorkerID
+	Name      string
+	Conns     int           // connections open
+	InFlight  int           // calls in flight
+	Served    int64         // calls served
+	Lost      int64         // calls whose connection ended, or that timed out, without an answer
+	TotalTime time.Duration // sum over the calls served, from the first byte sent to the answer
 }
 
-// Seen returns what passed, of the workers now listed, by number.
-func (b *Backend) Seen() []Traffic {
+// Traffic returns what passed, of the workers now listed, by number.
+func (b *Backend) Traffic() []Traffic {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	var seen []Traffic
 	for id, w := range b.workers {
 		seen = append(seen, Traffic{
-			Worker:   id,
-			Name:     w.name,
-			Conns:    len(w.connections()),
-			Open:     int(w.traffic.open.Load()),
-			Answered: w.traffic.answered.Load(),
-			Lost:     w.traffic.lost.Load(),
-			Took:     time.Duration(w.traffic.took.Load()),
+			Worker:    id,
+			Name:      w.name,
+			Conns:     len(w.connections()),
+			InFlight:  int(w.traffic.open.Load()),
+			Served:    w.traffic.answered.Load(),
+			Lost:      w.traffic.lost.Load(),
+			TotalTime: time.Duration(w.traffic.took.Load()),
 		})
 	}
 	slices.SortFunc(seen, func(a, b Traffic) int { return cmp.Compare(a.Worker, b.Worker) })
--- a/internal/backend/load.go
+++ b/internal/backend/load.go
@@ -81,7 +81,7 @@
 
 // reportedCopies returns how many copies the load report of an answer says are loaded; 0 if it does not say.
 func reportedCopies(resp *http1.Response) int {
-	return int(parseLoadReport(resp.Header.Get(HeaderLoad)).named["copies"])
+	return int(parseLoadReport(resp.Header.Get(HeaderLoadReport)).named["copies"])
 }
 
 // copiesInIndex returns how many copies of a function a repository index lists as ready: its "copies" (kitehub's
@@ -132,7 +132,7 @@
 		resp, outcome := b.exchange(&exchange{toWithdrawn: true}, w, req, b.cfg.ProbeTimeout)
 		var report []float64
 		if outcome == scheduler.OK {
-			report = parseLoadReport(resp.Header.Get(HeaderLoad)).values(b.cfg.Fields)
+			report = parseLoadReport(resp.Header.Get(HeaderLoadReport)).values(b.cfg.ReportFields)
 			if resp.Status != http.StatusOK {
 				outcome = scheduler.Error
 			}
--- a/internal/backend/load_test.go
+++ b/internal/backend/load_test.go
@@ -42,7 +42,7 @@
 		wantCopies int
 	}{
 		{"loaded", loaded, "f", 1, scheduler.OK, 2},
-		{"no capacity", problem(503, ProblemFull), "f", 1, scheduler.AtCapacity, 0},
+		{"no capacity", problem(503, ProblemAtCapacity), "f", 1, scheduler.AtCapacity, 0},
 		{"failed", problem(500, "x"), "f", 1, scheduler.Error, 0},
 		{"counted", index, "f", 0, scheduler.OK, 3},
 		{"counted without a number", index, "g", 0, scheduler.OK, 1},
--- a/internal/backend/protocol.go
+++ b/internal/backend/protocol.go
@@ -12,18 +12,18 @@
 
 // Problem types (RFC 9457) by which a worker says that a call did not run. Nothing else counts as saying so.
 const (
-	ProblemFull = "urn:kitehub:problem:full" // with status 503: the worker has no capacity
-	ProblemMiss = "urn:kitehub:problem:miss" // with status 404: the function is not loaded
+	ProblemAtCapacity = "urn:kitehub:problem:full" // with status 503: the worker has no capacity
+	ProblemNotLoaded  = "urn:kitehub:problem:miss" // with status 404: the function is not loaded
 )
 
 // Headers of the protocols spoken.
 const (
-	HeaderJSONLength = "Inference-Header-Content-Length" // Open Inference Protocol, binary tensor data extension
-	HeaderLoad       = "endpoint-load-metrics"           // load report, in ORCA's form
-	HeaderTimeout    = "x-envoy-expected-rq-timeout-ms"  // time left for the call, in milliseconds, as Envoy has it
-	HeaderKey        = "Idempotency-Key"
-	HeaderTrace      = "traceparent"    // W3C Trace Context
-	HeaderDigest     = "kitehub-digest" // of the bytes that are to run, or that ran
+	HeaderJSONLength     = "Inference-Header-Content-Length" // Open Inference Protocol, binary tensor data extension
+	HeaderLoadReport     = "endpoint-load-metrics"           // load report, in ORCA's form
+	HeaderTimeout        = "x-envoy-expected-rq-timeout-ms"  // time left for the call, in milliseconds, as Envoy has it
+	HeaderIdempotencyKey = "Idempotency-Key"
+	HeaderTraceParent    = "traceparent"    // W3C Trace Context
+	HeaderDigest         = "kitehub-digest" // of the bytes that are to run, or that ran
 )
 
 // Paths of the Open Inference Protocol and its model repository extension.
@@ -68,9 +68,9 @@
 		return scheduler.Error
 	}
 	switch {
-	case problem.Type == ProblemFull && resp.Status == http.StatusServiceUnavailable:
+	case problem.Type == ProblemAtCapacity && resp.Status == http.StatusServiceUnavailable:
 		return scheduler.AtCapacity
-	case problem.Type == ProblemMiss && resp.Status == http.StatusNotFound:
+	case problem.Type == ProblemNotLoaded && resp.Status == http.StatusNotFound:
 		return scheduler.NotLoaded
 	}
 	return scheduler.Error
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -92,7 +92,7 @@
 			l = append(l, w)
 		}
 	}
-	text, err := discovery.Render("c", l)
+	text, err := discovery.MarshalAssignment("c", l)
 	if err == nil {
 		err = discovery.WriteFile(h.listFile, text)
 	}
--- a/internal/discovery/cache.go
+++ b/internal/discovery/cache.go
@@ -12,10 +12,10 @@
 
 // loadCache notifies the sink of the list that an earlier process cached, if there is one.
 func (w *Watcher) loadCache() {
-	if w.cfg.Cache == "" {
+	if w.cfg.CacheFile == "" {
 		return
 	}
-	text, err := os.ReadFile(w.cfg.Cache)
+	text, err := os.ReadFile(w.cfg.CacheFile)
 	if errors.Is(err, fs.ErrNotExist) {
 		return
 	}
@@ -27,18 +27,18 @@
 		err = w.cfg.Sink.Workers(scheduler.CachedList, 0, workers)
 	}
 	if err != nil {
-		w.cfg.Log.Warn().Err(err).Str("file", w.cfg.Cache).Msg("cached endpoint list rejected")
+		w.cfg.Log.Warn().Err(err).Str("file", w.cfg.CacheFile).Msg("cached endpoint list rejected")
 	}
 }
 
 // saveCache caches the list in force for the next start. A failure is only logged: it costs that start, not this run.
 func (w *Watcher) saveCache() {
-	if w.cfg.Cache == "" {
+	if w.cfg.CacheFile == "" {
 		return
 	}
-	text, err := Render(w.cfg.Cluster, w.state.Workers())
+	text, err := MarshalAssignment(w.cfg.Cluster, w.state.Workers())
 	if err == nil {
-		err = WriteFile(w.cfg.Cache, text)
+		err = WriteFile(w.cfg.CacheFile, text)
 	}
 	if err != nil {
 		w.cfg.Log.Warn().Err(err).Msg("endpoint list not cached")
--- a/internal/discovery/decode_test.go
+++ b/internal/discovery/decode_test.go
@@ -27,7 +27,7 @@
 // list returns a complete list of cluster "c".
 func list(t *testing.T, workers ...gateway.Worker) string {
 	t.Helper()
-	text, err := Render("c", workers)
+	text, err := MarshalAssignment("c", workers)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/discovery/dns/watcher.go
+++ b/internal/discovery/dns/watcher.go
@@ -23,12 +23,12 @@
 
 // Config sets up a Watcher.
 type Config struct {
-	Service string        // name of the SRV records, without the final dot
-	Server  string        // IPv4 address and port of the directory
-	Serial  uint32        // of the list already in force; 0: there is none
-	Period  time.Duration // how often the directory is polled
-	Sink    Sink
-	Log     zerolog.Logger
+	Service      string        // name of the SRV records, without the final dot
+	Server       string        // IPv4 address and port of the directory
+	Serial       uint32        // of the list already in force; 0: there is none
+	PollInterval time.Duration // how often the directory is polled
+	Sink         Sink
+	Log          zerolog.Logger
 }
 
 // Counts are for the log and for tests.
@@ -81,7 +81,7 @@
 		return nil, fmt.Errorf("service %q: %w", cfg.Service, err)
 	}
 	w := &Watcher{cfg: cfg, service: service, wake: make(chan struct{}, 1)}
-	if w.server, err = Address(cfg.Server); err != nil {
+	if w.server, err = ParseAddress(cfg.Server); err != nil {
 		return nil, err
 	}
 	if w.conn, err = net.ListenUDP("udp4", nil); err != nil {
@@ -92,9 +92,9 @@
 	return w, nil
 }
 
-// Address parses the address of a directory: an IPv4 address and a port. It cannot be a name, as there is no other
+// ParseAddress parses the address of a directory: an IPv4 address and a port. It cannot be a name, as there is no other
 // directory to resolve one.
-func Address(text string) (netip.AddrPort, error) {
+func ParseAddress(text string) (netip.AddrPort, error) {
 	address, err := netip.ParseAddrPort(text)
 	if err == nil && (!address.Addr().Unmap().Is4() || address.Port() == 0) {
 		err = fmt.Errorf("%.64q: want an IPv4 address and a port", text)
@@ -110,7 +110,7 @@
 // SetServer polls another server from now on, beginning at once. The list in force and its serial stay. Setting the
 // present server changes nothing.
 func (w *Watcher) SetServer(server string) error {
-	address, err := Address(server)
+	address, err := ParseAddress(server)
 	if err != nil {
 		return err
 	}
@@ -179,9 +179,9 @@
 			return
 		}
 		begin := time.Now()
-		wait := w.cfg.Period / answerTimeoutDivisor
+		wait := w.cfg.PollInterval / answerTimeoutDivisor
 		if w.poll(server, &state, buffer, begin.Add(wait)) {
-			wait = w.cfg.Period - w.jitter()
+			wait = w.cfg.PollInterval - w.jitter()
 			failures = 0
 		} else if failures++; failures%renewSocketAfter == 0 {
 			w.renewSocket()
@@ -190,7 +190,7 @@
 	}
 }
 
-func (w *Watcher) jitter() time.Duration { return rand.N(w.cfg.Period/jitterDivisor + 1) }
+func (w *Watcher) jitter() time.Duration { return rand.N(w.cfg.PollInterval/jitterDivisor + 1) }
 
 // renewSocket replaces the socket by one with another port. The old one stays if there is no descriptor for another.
 func (w *Watcher) renewSocket() {
--- a/internal/discovery/dns/watcher_test.go
+++ b/internal/discovery/dns/watcher_test.go
@@ -64,7 +64,7 @@
 func startWatcher(t *testing.T, server string, period time.Duration) (*Watcher, sink) {
 	t.Helper()
 	s := newSink()
-	w, err := Start(Config{Service: service, Server: server, Serial: 3, Period: period, Sink: s, Log: zerolog.Nop()})
+	w, err := Start(Config{Service: service, Server: server, Serial: 3, PollInterval: period, Sink: s, Log: zerolog.Nop()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -269,7 +269,7 @@
 		"[::1]:53":              false,
 		"":                      false,
 	} {
-		address, err := Address(text)
+		address, err := ParseAddress(text)
 		if (err == nil) != ok || ok && address.String() != "127.0.0.1:53" {
 			t.Errorf("%q: %v, %v", text, address, err)
 		}
--- a/internal/discovery/encode.go
+++ b/internal/discovery/encode.go
@@ -11,9 +11,9 @@
 	"kitehub/scheduler"
 )
 
-// Render writes workers as a complete list, an Assignment. Those that are Gone are left out.
-func Render(cluster string, workers []gateway.Worker) ([]byte, error) {
-	assignment := Assignment{Type: TypeAssignment, ClusterName: cluster, Endpoints: []Locality{}}
+// MarshalAssignment writes workers as a complete list, an Assignment. Removed workers are left out.
+func MarshalAssignment(cluster string, workers []gateway.Worker) ([]byte, error) {
+	assignment := Assignment{Type: TypeAssignment, ClusterName: cluster, Endpoints: []LocalityEndpoints{}}
 	for _, w := range workers {
 		if w.State == scheduler.Removed {
 			continue
@@ -29,11 +29,11 @@
 }
 
 // locality returns the locality of a zone, which it adds if there is none.
-func (a *Assignment) locality(zone string) *Locality {
-	i := slices.IndexFunc(a.Endpoints, func(l Locality) bool { return l.Locality.Zone == zone })
+func (a *Assignment) locality(zone string) *LocalityEndpoints {
+	i := slices.IndexFunc(a.Endpoints, func(l LocalityEndpoints) bool { return l.Locality.Zone == zone })
 	if i < 0 {
 		i = len(a.Endpoints)
-		a.Endpoints = append(a.Endpoints, Locality{Locality: Place{zone}})
+		a.Endpoints = append(a.Endpoints, LocalityEndpoints{Locality: Locality{zone}})
 	}
 	return &a.Endpoints[i]
 }
@@ -72,8 +72,8 @@
 	return &SocketAddress{host, uint32(port)}, nil
 }
 
-// Difference returns the changed and removed resources of a delta with the given version from one list to another.
-func Difference(from, to []gateway.Worker, version string) (changed []json.RawMessage, removed []string, err error) {
+// Delta returns the changed and removed resources of a delta with the given version from one list to another.
+func Delta(from, to []gateway.Worker, version string) (changed []json.RawMessage, removed []string, err error) {
 	missing := map[string]gateway.Worker{} // in from, and not yet found in to
 	for _, w := range from {
 		missing[w.Name] = w
--- a/internal/discovery/file.go
+++ b/internal/discovery/file.go
@@ -31,7 +31,7 @@
 			lastError = err.Error()
 			w.cfg.Log.Warn().Err(err).Str("file", w.cfg.File).Msg(logRejected)
 		}
-		if !w.sleep(w.cfg.Poll) {
+		if !w.sleep(w.cfg.PollInterval) {
 			return
 		}
 	}
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -37,7 +37,7 @@
 		for _, w := range workers {
 			inForce[w.Name] = w
 		}
-		watcher := &Watcher{cfg: Config{Cluster: "c", Cache: file}, state: State{Cluster: "c", workers: inForce}}
+		watcher := &Watcher{cfg: Config{Cluster: "c", CacheFile: file}, state: State{Cluster: "c", workers: inForce}}
 		watcher.saveCache()
 		written, err := os.ReadFile(file)
 		if err != nil {
@@ -47,7 +47,7 @@
 
 		sink := &lastListSink{}
 		golden := filepath.Join("testdata", "golden", name)
-		(&Watcher{cfg: Config{Cluster: "c", Cache: golden, Sink: sink}}).loadCache()
+		(&Watcher{cfg: Config{Cluster: "c", CacheFile: golden, Sink: sink}}).loadCache()
 		byName := map[string]gateway.Worker{}
 		for _, w := range sink.workers {
 			byName[w.Name] = w
@@ -71,7 +71,7 @@
 
 // Requests and updates are Envoy's messages.
 func TestDiscoveryMessagesAreAsBefore(t *testing.T) {
-	changed, removed, err := Difference([]gateway.Worker{listed[0], listed[3]}, listed[:3], "7")
+	changed, removed, err := Delta([]gateway.Worker{listed[0], listed[3]}, listed[:3], "7")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/discovery/server.go
+++ b/internal/discovery/server.go
@@ -12,11 +12,11 @@
 	"kitehub/internal/http1"
 )
 
-// LongPoll is how long a server may hold a poll before it answers that nothing has changed.
-const LongPoll = 10 * time.Second
+// LongPollTimeout is how long a server may hold a poll before it answers that nothing has changed.
+const LongPollTimeout = 10 * time.Second
 
 const (
-	pollTimeout = LongPoll + 5*time.Second // for the answer to a poll: a longer silence is a fault
+	pollTimeout = LongPollTimeout + 5*time.Second // for the answer to a poll: a longer silence is a fault
 	minBackoff  = 100 * time.Millisecond
 	maxBackoff  = 5 * time.Second
 )
@@ -137,7 +137,7 @@
 	if err != nil {
 		return nil, err
 	}
-	request := &http1.Request{Method: http.MethodPost, Target: Path, Body: body, Header: http1.Header{
+	request := &http1.Request{Method: http.MethodPost, Target: EndpointsPath, Body: body, Header: http1.Header{
 		{Name: "Host", Value: w.cfg.Server},
 		{Name: "User-Agent", Value: "kitehub/" + w.cfg.Node},
 		{Name: "Content-Type", Value: "application/json"},
--- a/internal/discovery/state_test.go
+++ b/internal/discovery/state_test.go
@@ -23,7 +23,7 @@
 // deltaUpdate is the delta from one list to another.
 func deltaUpdate(t *testing.T, version string, from, to []gateway.Worker) Update {
 	t.Helper()
-	changed, removed, err := Difference(from, to, version)
+	changed, removed, err := Delta(from, to, version)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -22,15 +22,15 @@
 
 // Config sets up a Watcher, of a file or, if File is empty, of a server.
 type Config struct {
-	Node    string // the controller's name, sent to the server
-	Cluster string // the name that lists must have
-	File    string
-	Server  string        // host:port
-	Poll    time.Duration // how often the file is read
-	Cache   string        // file for the last list that was applied; "" for none
-	Sink    Sink
-	Log     zerolog.Logger
-	Dial    func(ctx context.Context, network, addr string) (net.Conn, error) // nil for net.Dialer's
+	Node         string // the controller's name, sent to the server
+	Cluster      string // the name that lists must have
+	File         string
+	Server       string        // host:port
+	PollInterval time.Duration // how often the file is read
+	CacheFile    string        // file for the last list that was applied; "" for none
+	Sink         Sink
+	Log          zerolog.Logger
+	Dial         func(ctx context.Context, network, addr string) (net.Conn, error) // nil for net.Dialer's
 }
 
 const dialTimeout = 2 * time.Second
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -130,13 +130,13 @@
 	sink := newRecordingSink()
 	log := newLogBuffer()
 	cfg := Config{
-		Node:    "n",
-		Cluster: "c",
-		File:    file,
-		Cache:   cache,
-		Poll:    time.Millisecond,
-		Sink:    sink,
-		Log:     zerolog.New(log),
+		Node:         "n",
+		Cluster:      "c",
+		File:         file,
+		CacheFile:    cache,
+		PollInterval: time.Millisecond,
+		Sink:         sink,
+		Log:          zerolog.New(log),
 	}
 
 	watcher := Start(cfg)
--- a/internal/discovery/xds.go
+++ b/internal/discovery/xds.go
@@ -8,24 +8,24 @@
 	TypeEndpoint   = "type.googleapis.com/envoy.config.endpoint.v3.LbEndpoint"
 )
 
-// Path is where a server answers long polls for endpoints: the REST form of xDS. The body of the answer is an Update.
-const Path = "/v3/discovery:endpoints"
+// EndpointsPath is where a server answers long polls for endpoints: the REST form of xDS. The body of the answer is an Update.
+const EndpointsPath = "/v3/discovery:endpoints"
 
 // An Assignment is a ClusterLoadAssignment, as far as it is read. Unknown fields are ignored, as xDS asks.
 type Assignment struct {
-	Type        string     `json:"@type,omitempty"`
-	ClusterName string     `json:"clusterName"`
-	Endpoints   []Locality `json:"endpoints"`
+	Type        string              `json:"@type,omitempty"`
+	ClusterName string              `json:"clusterName"`
+	Endpoints   []LocalityEndpoints `json:"endpoints"`
 }
 
-// A Locality is a LocalityLbEndpoints: the endpoints of one zone.
-type Locality struct {
-	Locality    Place      `json:"locality"`
+// A LocalityEndpoints is a LocalityLbEndpoints: the endpoints of one zone.
+type LocalityEndpoints struct {
+	Locality    Locality   `json:"locality"`
 	LbEndpoints []Endpoint `json:"lbEndpoints"`
 }
 
-// A Place is a core.v3.Locality.
-type Place struct {
+// A Locality is a core.v3.Locality.
+type Locality struct {
 	Zone string `json:"zone,omitempty"`
 }
 
@@ -43,7 +43,7 @@
 	LoadBalancingWeight uint32 `json:"loadBalancingWeight,omitempty"`
 	Metadata            struct {
 		FilterMetadata struct {
-			Kitehub Meta `json:"kitehub"`
+			Kitehub Metadata `json:"kitehub"`
 		} `json:"filterMetadata"`
 	} `json:"metadata"`
 }
@@ -59,8 +59,8 @@
 	Path string `json:"path"`
 }
 
-// Meta is the metadata that kitehub adds to an endpoint, under "kitehub".
-type Meta struct {
+// Metadata is the metadata that kitehub adds to an endpoint, under "kitehub".
+type Metadata struct {
 	Group   string `json:"group,omitempty"`
 	Kind    string `json:"kind,omitempty"`
 	Zone    string `json:"zone,omitempty"`    // for deltas, whose endpoints come without a locality
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -59,16 +59,16 @@
 	}
 	r.outstanding++
 	out := backend.Attempt{
-		Worker:   a.Worker,
-		Call:     call.ID,
-		Class:    g.class(call).Name,
-		Function: call.Function.Name,
-		Trace:    traceparent(call.Trace, g.rng.Uint64()),
-		Key:      call.Key,
-		Digest:   call.Function.Digest,
-		Body:     call.Body,
-		Timeout:  a.Timeout,
-		MayStart: func() bool { return r.claimed.Load() == 0 },
+		Worker:         a.Worker,
+		CallID:         call.ID,
+		Class:          g.class(call).Name,
+		Function:       call.Function.Name,
+		TraceParent:    traceparent(call.Trace, g.rng.Uint64()),
+		IdempotencyKey: call.Key,
+		Digest:         call.Function.Digest,
+		Body:           call.Body,
+		Timeout:        a.Timeout,
+		MayStart:       func() bool { return r.claimed.Load() == 0 },
 	}
 	t.running = g.cfg.Transport.Send(out, func(res backend.Result) { g.attemptEnded(r, call, a, number, res) })
 	r.attempts = append(r.attempts, t)
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -52,7 +52,7 @@
 // only Running.Cancel may call back on the goroutine that cancels.
 type Transport interface {
 	// Send starts an attempt. The callback gets its result.
-	Send(backend.Attempt, func(backend.Result)) backend.Running
+	Send(backend.Attempt, func(backend.Result)) backend.RunningAttempt
 	// LoadCopies orders a worker to hold copies of a function. The callback gets the outcome, the number of copies that
 	// the worker then holds, and how long it took.
 	LoadCopies(backend.LoadOrder, func(outcome scheduler.Outcome, copies int, took time.Duration))
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -57,7 +57,7 @@
 
 func (noCancel) Cancel() {}
 
-func (f *fakeTransport) Send(a backend.Attempt, done func(backend.Result)) backend.Running {
+func (f *fakeTransport) Send(a backend.Attempt, done func(backend.Result)) backend.RunningAttempt {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.results = append(f.results, done)
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -28,7 +28,7 @@
 // An attempt is one that was made to run a request on a worker. It is the loop's.
 type attempt struct {
 	worker   string
-	running  backend.Running // nil once it has ended
+	running  backend.RunningAttempt // nil once it has ended
 	sentAt   time.Duration
 	outcome  scheduler.Outcome // 0 until it has ended
 	took     time.Duration
--- a/internal/harness/fakeworker/list.go
+++ b/internal/harness/fakeworker/list.go
@@ -132,7 +132,7 @@
 	if l.file == "" {
 		return
 	}
-	text, err := discovery.Render(l.cluster, list)
+	text, err := discovery.MarshalAssignment(l.cluster, list)
 	if err == nil {
 		err = discovery.WriteFile(l.file, text)
 	}
@@ -195,7 +195,7 @@
 // serve answers long polls: a whole list at first, a delta to one who holds a version that is still known.
 func (l *List) serve(_ *http1.Conn, r *http1.Request) *http1.Response {
 	var req discovery.Request
-	if r.Path() != discovery.Path || json.Unmarshal(r.Body, &req) != nil {
+	if r.Path() != discovery.EndpointsPath || json.Unmarshal(r.Body, &req) != nil {
 		return &http1.Response{Status: 400}
 	}
 	l.mu.Lock()
@@ -207,7 +207,7 @@
 	if have == l.version || l.version == 0 {
 		news := l.news
 		l.mu.Unlock()
-		timer := time.NewTimer(discovery.LongPoll)
+		timer := time.NewTimer(discovery.LongPollTimeout)
 		select {
 		case <-news:
 		case <-timer.C:
@@ -223,11 +223,11 @@
 	old, known := l.since[have]
 	if known && have > 0 {
 		u.TypeURL, u.SystemVersionInfo = discovery.TypeEndpoint, strconv.Itoa(l.version)
-		u.Resources, u.RemovedResources, err = discovery.Difference(old, l.shown, u.SystemVersionInfo)
+		u.Resources, u.RemovedResources, err = discovery.Delta(old, l.shown, u.SystemVersionInfo)
 	} else {
 		u.TypeURL, u.VersionInfo = discovery.TypeAssignment, strconv.Itoa(l.version)
 		var text []byte
-		text, err = discovery.Render(l.cluster, l.shown)
+		text, err = discovery.MarshalAssignment(l.cluster, l.shown)
 		u.Resources = []json.RawMessage{text}
 	}
 	if err != nil {
--- a/internal/harness/fakeworker/serve.go
+++ b/internal/harness/fakeworker/serve.go
@@ -118,7 +118,7 @@
 	if copies > 0 {
 		s += fmt.Sprintf(", named_metrics.copies=%d", copies)
 	}
-	resp.Header.Add(backend.HeaderLoad, s)
+	resp.Header.Add(backend.HeaderLoadReport, s)
 	return resp
 }
 
@@ -171,7 +171,7 @@
 	case workersim.OK:
 		return w.reported(&http1.Response{Status: 200}, nil, e.Copies)
 	case workersim.AtCapacity:
-		return w.reported(fault(503, backend.ProblemFull), nil, e.Copies)
+		return w.reported(fault(503, backend.ProblemAtCapacity), nil, e.Copies)
 	}
 	return w.reported(fault(500, "urn:kitehub:problem:load-failed"), nil, e.Copies)
 }
@@ -233,17 +233,17 @@
 // infer runs one call in the model, and answers as it ended there.
 func (w *site) infer(c *http1.Conn, r *http1.Request, name string) *http1.Response {
 	k := w.h.kind(name)
-	traceparent := strings.Split(r.Header.Get(backend.HeaderTrace), "-")
+	traceparent := strings.Split(r.Header.Get(backend.HeaderTraceParent), "-")
 	if k == nil || len(traceparent) != 4 {
-		return fault(404, backend.ProblemMiss)
+		return fault(404, backend.ProblemNotLoaded)
 	}
 	body := callBody(r)
 	rec := trace.Record{Kind: trace.RequestRead, Worker: w.name, Controller: controller(r), Request: traceparent[1], Attempt: traceparent[2],
-		Class: k.Class, Function: name, Key: r.Header.Get(backend.HeaderKey)}
+		Class: k.Class, Function: name, Key: r.Header.Get(backend.HeaderIdempotencyKey)}
 	w.h.cfg.Trace.Add(rec)
 	if k.Versions {
 		if rec.Digest = w.proved(k, r.Header.Get(backend.HeaderDigest)); rec.Digest == "" {
-			return w.reported(fault(404, backend.ProblemMiss), &workersim.Effect{Note: loadFailedNote}, 0) // nothing ran
+			return w.reported(fault(404, backend.ProblemNotLoaded), &workersim.Effect{Note: loadFailedNote}, 0) // nothing ran
 		}
 		w.mu.Lock()
 		if w.corrupt {
@@ -325,7 +325,7 @@
 		}
 		return resp
 	case workersim.AtCapacity:
-		return fault(503, backend.ProblemFull)
+		return fault(503, backend.ProblemAtCapacity)
 	}
 	return fault(500, "urn:kitehub:problem:"+string(e.Outcome))
 }
--- a/internal/harness/proxybench/bench_test.go
+++ b/internal/harness/proxybench/bench_test.go
@@ -81,7 +81,7 @@
 	for i, a := range addrs {
 		l = append(l, gateway.Worker{Name: fmt.Sprint("w", i), Network: "tcp", Addr: a, State: scheduler.Ready, Size: 1})
 	}
-	list, err := discovery.Render("c", l)
+	list, err := discovery.MarshalAssignment("c", l)
 	if err == nil {
 		err = os.WriteFile(filepath.Join(dir, "list.json"), list, 0o600)
 	}
--- a/internal/harness/scalebench/list.go
+++ b/internal/harness/scalebench/list.go
@@ -45,7 +45,7 @@
 	}
 	state := discovery.State{Cluster: "workers"}
 	for i := range load.Changes {
-		text, err := discovery.Render("workers", workers)
+		text, err := discovery.MarshalAssignment("workers", workers)
 		if err != nil {
 			return c, err
 		}
@@ -58,7 +58,7 @@
 		before := append([]gateway.Worker(nil), workers...)
 		workers[i%len(workers)] = listedWorker(load.Workers + i)
 		version := strconv.Itoa(2*i + 2)
-		changed, removed, err := discovery.Difference(before, workers, version)
+		changed, removed, err := discovery.Delta(before, workers, version)
 		if err != nil {
 			return c, err
 		}
@@ -77,7 +77,7 @@
 // noCarrier carries nothing.
 type noCarrier struct{}
 
-func (noCarrier) Send(backend.Attempt, func(backend.Result)) backend.Running                { return nil }
+func (noCarrier) Send(backend.Attempt, func(backend.Result)) backend.RunningAttempt         { return nil }
 func (noCarrier) LoadCopies(backend.LoadOrder, func(scheduler.Outcome, int, time.Duration)) {}
 func (noCarrier) Unload(scheduler.WorkerID, string)                                         {}
 func (noCarrier) Probe(scheduler.WorkerID, func(scheduler.Outcome, time.Duration, []float64)) {
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -154,7 +154,7 @@
 	if _, _, err := net.SplitHostPort(c.Listen); err != nil {
 		return &ConfigError{EnvListen, err}
 	}
-	if _, err := dns.Address(c.DirectoryAddr); err != nil {
+	if _, err := dns.ParseAddress(c.DirectoryAddr); err != nil {
 		return &ConfigError{"names", err}
 	}
 	l := c.Limits
--- a/internal/relay/config_test.go
+++ b/internal/relay/config_test.go
@@ -23,11 +23,11 @@
 // One log line a worker sets the estimates beside the sockets; the sum of what they differ is returned.
 func TestEstimatesAreComparedWithTheSockets(t *testing.T) {
 	seen := []frame.Traffic{
-		{Worker: 1, Name: "a", Open: 3, Answered: 30, Took: 3 * time.Second, Conns: 4},
-		{Worker: 2, Name: "b", Open: 0, Lost: 2},
+		{Worker: 1, Name: "a", InFlight: 3, Served: 30, TotalTime: 3 * time.Second, Conns: 4},
+		{Worker: 2, Name: "b", InFlight: 0, Lost: 2},
 		{Worker: 3, Name: "c"},
 	}
-	before := map[scheduler.WorkerID]frame.Traffic{1: {Answered: 10, Took: time.Second}}
+	before := map[scheduler.WorkerID]frame.Traffic{1: {Served: 10, TotalTime: time.Second}}
 	view := func(name string, s scheduler.Snapshot) gateway.WorkerView {
 		return gateway.WorkerView{Name: name, WorkerSnapshot: scheduler.WorkerSnapshot{Snapshot: s}}
 	}
--- a/internal/relay/estimates.go
+++ b/internal/relay/estimates.go
@@ -24,7 +24,7 @@
 	for _, seen := range now {
 		view, known := viewOf[seen.Name]
 		estimated := view.Snapshot.Busy + view.Snapshot.Loads
-		differ += max(estimated-seen.Open, seen.Open-estimated)
+		differ += max(estimated-seen.InFlight, seen.InFlight-estimated)
 		if len(lines) < maxReportedWorkers {
 			lines = append(lines, describeWorker(seen, before[seen.Worker], view, known))
 		}
@@ -34,10 +34,10 @@
 
 func describeWorker(now, before frame.Traffic, view gateway.WorkerView, known bool) string {
 	snapshot := view.Snapshot
-	served := now.Answered - before.Answered
+	served := now.Served - before.Served
 	meanRunTime := time.Duration(0)
 	if served > 0 {
-		meanRunTime = (now.Took - before.Took) / time.Duration(served)
+		meanRunTime = (now.TotalTime - before.TotalTime) / time.Duration(served)
 	}
 	state := "not known"
 	switch {
@@ -49,6 +49,6 @@
 		state = "well"
 	}
 	return fmt.Sprintf("%s out %d/%d conns %d served %d in %dms lost %d; %s pace %.2f tokens %.1f",
-		now.Name, snapshot.Busy+snapshot.Loads, now.Open, now.Conns, served, meanRunTime.Milliseconds(),
+		now.Name, snapshot.Busy+snapshot.Loads, now.InFlight, now.Conns, served, meanRunTime.Milliseconds(),
 		now.Lost-before.Lost, state, snapshot.LatencyRatio, snapshot.Tokens)
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -84,17 +84,17 @@
 func (r *Relay) startBackend() error {
 	s := r.cfg.Settings
 	r.Backend = frame.New(frame.Config{
-		Clock:       r.options.Clock,
-		DialTimeout: s.Limits.DialTimeout,
-		Idle:        s.Limits.IdleConnectionTimeout,
-		Streams:     s.Limits.StreamsPerConnection,
-		Conns:       r.budget.workerConns,
-		MaxBody:     r.budget.answerBytes,
-		PingAfter:   s.Limits.DialTimeout,
-		Forget:      time.Duration(lateAnswerDeadlines * float64(longestDeadline(s))),
-		Order:       s.Loading.OrderTimeout,
-		Report:      s.Report,
-		Log:         r.options.Log,
+		Clock:               r.options.Clock,
+		DialTimeout:         s.Limits.DialTimeout,
+		WorkerIdleTimeout:   s.Limits.IdleConnectionTimeout,
+		MaxExchangesPerConn: s.Limits.StreamsPerConnection,
+		MaxConns:            r.budget.workerConns,
+		MaxBody:             r.budget.answerBytes,
+		PingAfter:           s.Limits.DialTimeout,
+		MaxResponseDelay:    time.Duration(lateAnswerDeadlines * float64(longestDeadline(s))),
+		OrderTimeout:        s.Loading.OrderTimeout,
+		ReportFields:        s.Report,
+		Log:                 r.options.Log,
 	})
 	r.undo = append(r.undo, func() { r.Backend.Close() })
 	return nil
@@ -163,12 +163,12 @@
 // watchDirectory keeps the endpoint list up to date. It is the last step that may fail: nothing undoes it.
 func (r *Relay) watchDirectory() error {
 	watcher, err := dns.Start(dns.Config{
-		Service: directoryService,
-		Server:  r.cfg.DirectoryAddr,
-		Serial:  r.cfg.Serial,
-		Sink:    r.Gateway,
-		Log:     r.options.Log,
-		Period:  time.Duration(pollFraction * float64(r.cfg.Settings.Guarantees.DrainGrace)),
+		Service:      directoryService,
+		Server:       r.cfg.DirectoryAddr,
+		Serial:       r.cfg.Serial,
+		Sink:         r.Gateway,
+		Log:          r.options.Log,
+		PollInterval: time.Duration(pollFraction * float64(r.cfg.Settings.Guarantees.DrainGrace)),
 	})
 	if err != nil {
 		return &ConfigError{"names", err}
--- a/internal/relay/report.go
+++ b/internal/relay/report.go
@@ -34,7 +34,7 @@
 	if err != nil {
 		return // the gateway has stopped
 	}
-	seen := r.Backend.Seen()
+	seen := r.Backend.Traffic()
 	lines, differ := compareEstimates(seen, before, views)
 	clear(before)
 	for _, s := range seen {
@@ -76,9 +76,9 @@
 	counts := &r.Backend.Counts
 	e.Int64("opened", counts.Opened.Load()).Int64("dial_failed", counts.DialFailed.Load()).
 		Int64("lost_new", counts.LostNew.Load()).Int64("lost_used", counts.LostUsed.Load()).
-		Int64("noise", counts.Broken.Load()).Int64("strays", counts.Strays.Load()).
+		Int64("noise", counts.Malformed.Load()).Int64("strays", counts.Strays.Load()).
 		Int64("pings", counts.Pings.Load()).Int64("dead", counts.Dead.Load()).
-		Int64("no_place", counts.NoPlace.Load())
+		Int64("no_place", counts.NoConn.Load())
 }
 
 func (r *Relay) addDirectoryCounts(e *zerolog.Event) {
