--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -10,38 +10,47 @@
 	"kitehub/scheduler"
 )
 
-// An Attempt is one attempt at a call of a function, at one worker.
+// An Attempt describes one sending of a request to a worker.
 type Attempt struct {
-	Worker         scheduler.WorkerID
-	CallID         string // the client's id of the call, for protocols that pass it on
-	Class          string // the name of the call's class, likewise
-	Function       string
-	TraceParent    string // traceparent
-	IdempotencyKey string // idempotency key: the worker's group drops repeats of it; "" for none
-	Digest         string // of the bytes that are to run; "" for any
-	Body           []byte
-	Timeout        time.Duration // for the whole attempt, the dial included
+	Worker      scheduler.WorkerID
+	CallID      string // the client's ID of the call, for protocols that pass it on
+	Class       string // the name of the request's class, for protocols that pass it on
+	Function    string
+	TraceParent string // W3C Trace Context
 
-	// MayStart is called just before the first byte is sent; if it returns false the attempt ends as NotStarted. Nil
-	// stands for true. It must not block.
+	// IdempotencyKey lets the worker's group drop repeats of the same call. It is "" if the call
+	// has no key.
+	IdempotencyKey string
+
+	Digest  string // digest of the function's bytes to run; "" for any
+	Body    []byte
+	Timeout time.Duration // of the whole attempt, including the dial
+
+	// MayStart is called just before the first byte is sent. If it returns false, nothing is sent
+	// and the attempt ends as NotStarted. Nil means always true. MayStart must not block.
 	MayStart func() bool
 }
 
-// A Result is how an attempt ended.
+// A Result describes how an attempt ended.
 type Result struct {
-	Outcome      scheduler.Outcome
-	Took         time.Duration
-	Note         scheduler.LoadNote // what the worker says of the function's load
-	SameFunction int                // calls of the same function in flight at the worker, as it says
-	Report       []float64          // load report, in the order of Config.Fields; nil if there was none
-	Body         []byte             // the answer, if Outcome is OK
-	Digest       string             // of the bytes that ran, as the worker says
-	Status       int                // of the worker's answer; 0 if there was none
+	Outcome scheduler.Outcome
+	Took    time.Duration
+	Note    scheduler.LoadNote // what the worker reports about loading the function
+
+	// SameFunction is how many calls of the same function the worker reports as in flight.
+	SameFunction int
+
+	// Report is the load report, in the order of Config.ReportFields; nil if there was none.
+	Report []float64
+
+	Body   []byte // the function's output, if Outcome is OK
+	Digest string // digest of the function's bytes that ran, as reported by the worker
+	Status int    // status of the worker's response; 0 if there was none
 }
 
-// Send starts an attempt. done is called once, on a goroutine of its own.
+// Send starts an attempt. It calls done once, on a separate goroutine.
 func (b *Backend) Send(a Attempt, done func(Result)) RunningAttempt {
-	x := &exchange{wanted: a.MayStart}
+	x := &exchange{shouldSend: a.MayStart}
 	go func() { done(b.infer(x, a)) }()
 	return x
 }
@@ -74,13 +83,14 @@
 	return result
 }
 
-// inferRequest packs the call's body as the one input tensor, in binary behind the JSON that describes it.
+// inferRequest returns the inference request of an attempt. The call's body is its only input
+// tensor, in binary form after the JSON that describes it.
 func (b *Backend) inferRequest(w *worker, a Attempt) *http1.Request {
 	body := make([]byte, 0, 192+len(a.Body))
 	body = append(body, `{"inputs":[{"name":"body","shape":[1],"datatype":"BYTES","parameters":{"binary_data_size":`...)
 	body = strconv.AppendInt(body, int64(len(a.Body)), 10)
 	body = append(body, `}}],"outputs":[{"name":"body","parameters":{"binary_data":true}}]}`...)
-	header := append(b.header(w),
+	header := append(b.commonHeader(w),
 		http1.Field{Name: "Content-Type", Value: "application/octet-stream"},
 		http1.Field{Name: HeaderJSONLength, Value: strconv.Itoa(len(body))},
 		http1.Field{Name: HeaderTimeout, Value: strconv.FormatInt(a.Timeout.Milliseconds(), 10)},
@@ -100,20 +110,20 @@
 	}
 }
 
-// outputTensor returns the answer's first tensor, in binary behind the JSON or as a string in it; false if there is
-// none, or not in a form understood.
+// outputTensor returns the first output tensor of a response, which is either in binary form after
+// the JSON or a string within it. It returns false if there is no output or its form is unknown.
 func outputTensor(resp *http1.Response) ([]byte, bool) {
-	text := resp.Body
+	jsonPart := resp.Body
 	var binary []byte
 	if value := resp.Header.Get(HeaderJSONLength); value != "" {
 		n, err := strconv.Atoi(value)
 		if err != nil || n < 0 || n > len(resp.Body) {
 			return nil, false
 		}
-		text = resp.Body[:n]
+		jsonPart = resp.Body[:n]
 		binary = resp.Body[n:]
 	}
-	var answer struct {
+	var message struct {
 		Outputs []struct {
 			Parameters struct {
 				Size *int `json:"binary_data_size"`
@@ -121,10 +131,10 @@
 			Data []string `json:"data"`
 		} `json:"outputs"`
 	}
-	if json.Unmarshal(text, &answer) != nil || len(answer.Outputs) == 0 {
+	if json.Unmarshal(jsonPart, &message) != nil || len(message.Outputs) == 0 {
 		return nil, false
 	}
-	output := answer.Outputs[0]
+	output := message.Outputs[0]
 	if size := output.Parameters.Size; size != nil {
 		if *size < 0 || *size > len(binary) {
 			return nil, false
--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -12,7 +12,7 @@
 	"kitehub/scheduler"
 )
 
-// An Endpoint is where a worker listens.
+// An Endpoint is a worker's name, address and readiness.
 type Endpoint struct {
 	ID      scheduler.WorkerID
 	Name    string
@@ -21,30 +21,38 @@
 	Ready   bool // neither draining nor gone
 }
 
-// A DialFunc opens a connection. Tests put a network of their own here.
+// A DialFunc opens a connection. Tests substitute their own.
 type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// Config sets up a Backend.
+// Config configures a Backend.
 type Config struct {
-	Controller       string // the controller's name, sent to workers as the user agent
-	Clock            clock.Clock
-	Dial             DialFunc // nil for net.Dialer's
-	DialTimeout      time.Duration
-	IdleTimeout      time.Duration // idle connections are closed after this; must be shorter than the workers' own
-	MaxIdlePerWorker int           // idle connections kept open to one worker; 0 for 64
-	Limits           http1.Limits  // of answers
-	OrderTimeout     time.Duration // longest wait for the answer to a load order
-	ProbeTimeout     time.Duration // longest wait for the answer to a health check, or to a query for loaded copies
-	ReportFields     []scheduler.ReportField
+	Controller  string // the controller's name, sent to workers in the User-Agent header
+	Clock       clock.Clock
+	Dial        DialFunc // nil means net.Dialer.DialContext
+	DialTimeout time.Duration
+
+	// IdleTimeout is how long a connection may stay idle before it is closed. It must be shorter
+	// than the idle timeout of the workers.
+	IdleTimeout time.Duration
+
+	MaxIdlePerWorker int           // idle connections kept open to each worker; 0 means 64
+	Limits           http1.Limits  // limits on responses
+	OrderTimeout     time.Duration // timeout of a load order
+
+	// ProbeTimeout is the timeout of a health check and of a query for the number of loaded copies.
+	ProbeTimeout time.Duration
+
+	// ReportFields are the load report fields to extract, in the order of the extracted values.
+	ReportFields []scheduler.ReportField
 }
 
-const defaultMaxIdle = 64 // connections to one worker
+const defaultMaxIdle = 64 // connections per worker
 
-// A Backend holds the connections to all workers. It is safe for concurrent use: each exchange with a worker runs on
-// a goroutine of its own.
+// A Backend manages the connections to all workers. It is safe for concurrent use. Each exchange
+// with a worker runs on its own goroutine.
 type Backend struct {
-	// Opened counts connections opened, Reused the idle connections used again, and Stale the idle connections that
-	// were found closed, or had been idle for too long.
+	// Opened counts connections opened, Reused counts idle connections that were reused, and Stale
+	// counts idle connections that had been closed by the worker or idle for too long.
 	Opened, Reused, Stale atomic.Int64
 
 	cfg    Config
@@ -54,7 +62,7 @@
 	workers map[scheduler.WorkerID]*worker
 }
 
-// New returns a backend with no workers.
+// New returns a Backend without workers.
 func New(cfg Config) *Backend {
 	if cfg.Dial == nil {
 		cfg.Dial = (&net.Dialer{}).DialContext
@@ -66,8 +74,9 @@
 	return &Backend{cfg: cfg, workers: map[scheduler.WorkerID]*worker{}}
 }
 
-// Update replaces the list of workers. An attempt that has not sent its first byte to a worker that is no longer
-// Ready, or no longer listed, is not sent: it ends as NotStarted. Attempts in flight go on.
+// Update replaces the endpoint list. An attempt at a worker that is no longer Ready or no longer
+// listed ends as NotStarted unless its first byte has already been sent. Attempts in flight
+// continue.
 func (b *Backend) Update(list []Endpoint) {
 	for _, w := range b.replaceWorkers(list) {
 		w.withdrawn.Store(true)
@@ -75,7 +84,8 @@
 	}
 }
 
-// replaceWorkers returns the workers that are no longer listed. A worker with another name or address is another one.
+// replaceWorkers replaces the worker map and returns the workers that were removed. A worker whose
+// name or address has changed counts as removed, with a new worker in its place.
 func (b *Backend) replaceWorkers(list []Endpoint) (removed []*worker) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -97,7 +107,7 @@
 	return removed
 }
 
-// Close closes all idle connections; those in use are closed when their exchanges end.
+// Close closes all idle connections. Connections in use are closed when their exchanges end.
 func (b *Backend) Close() {
 	b.closed.Store(true)
 	b.Update(nil)
@@ -110,7 +120,7 @@
 	}
 }
 
-// worker returns a listed worker, or nil.
+// worker returns the worker with the given ID, or nil if it is not listed.
 func (b *Backend) worker(id scheduler.WorkerID) *worker {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -16,38 +16,39 @@
 
 const ms = time.Millisecond
 
-// A scriptedWorker answers requests as a script says.
-type scriptedWorker struct {
+// A fakeWorker is a server whose responses come from a respondFunc.
+type fakeWorker struct {
 	addr string
 
 	mu       sync.Mutex
-	requests int // read, on all connections
+	requests int // read so far, on all connections
 }
 
-// A script answers the n-th request of all connections (from 0). It returns false to close the connection.
-type script func(c net.Conn, n int) bool
+// A respondFunc responds to the n-th request (from 0) over all connections. It returns false to
+// close the connection.
+type respondFunc func(c net.Conn, n int) bool
 
-func startWorker(t testing.TB, answer script) *scriptedWorker {
+func startFakeWorker(t testing.TB, respond respondFunc) *fakeWorker {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
-	w := &scriptedWorker{addr: ln.Addr().String()}
+	w := &fakeWorker{addr: ln.Addr().String()}
 	go func() {
 		for {
 			c, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			go w.serve(c, answer)
+			go w.serve(c, respond)
 		}
 	}()
 	return w
 }
 
-func (w *scriptedWorker) serve(c net.Conn, answer script) {
+func (w *fakeWorker) serve(c net.Conn, respond respondFunc) {
 	defer c.Close()
 	reader := bufio.NewReader(c)
 	limits := http1.Limits{}.Filled()
@@ -59,55 +60,56 @@
 		n := w.requests
 		w.requests++
 		w.mu.Unlock()
-		if !answer(c, n) {
+		if !respond(c, n) {
 			return
 		}
 	}
 }
 
-func (w *scriptedWorker) count() int {
+func (w *fakeWorker) requestCount() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.requests
 }
 
-// served is a complete answer to a call, with a load report and the body "ok".
-const served = "HTTP/1.1 200 OK\r\n" +
+// okResponse is a complete response to a call, with a load report and the output "ok".
+const okResponse = "HTTP/1.1 200 OK\r\n" +
 	"Inference-Header-Content-Length: 53\r\n" +
 	"endpoint-load-metrics: TEXT cpu_utilization=0.5, named_metrics.queue=3, " +
 	"named_metrics.copy=1, named_metrics.alike=2\r\n" +
 	"Content-Length: 55\r\n\r\n" +
 	`{"outputs":[{"parameters":{"binary_data_size":2}}]}  ok`
 
-// answerWith writes a text, and then keeps the connection open.
-func answerWith(text string) script {
+// respondWith writes a text and keeps the connection open.
+func respondWith(text string) respondFunc {
 	return func(c net.Conn, _ int) bool {
 		io.WriteString(c, text)
 		return true
 	}
 }
 
-// answerAndClose writes a text, and then closes the connection.
-func answerAndClose(text string) script {
+// respondAndClose writes a text and closes the connection.
+func respondAndClose(text string) respondFunc {
 	return func(c net.Conn, _ int) bool {
 		io.WriteString(c, text)
 		return false
 	}
 }
 
-func reset(c net.Conn, _ int) bool {
+// resetConn resets the connection without a response.
+func resetConn(c net.Conn, _ int) bool {
 	c.(*net.TCPConn).SetLinger(0)
 	return false
 }
 
-func problem(status int, kind string) string {
-	body := `{"type":"` + kind + `"}`
+func problemResponse(status int, problemType string) string {
+	body := `{"type":"` + problemType + `"}`
 	return fmt.Sprintf("HTTP/1.1 %d X\r\nContent-Type: application/problem+json\r\nContent-Length: %d\r\n\r\n%s",
 		status, len(body), body)
 }
 
-// start returns a backend with one worker, number 1.
-func start(t testing.TB, addr string, change func(*Config)) *Backend {
+// newTestBackend returns a backend with one worker, whose ID is 1.
+func newTestBackend(t testing.TB, addr string, change func(*Config)) *Backend {
 	t.Helper()
 	cfg := Config{
 		Controller:   "c1",
@@ -127,13 +129,13 @@
 	return b
 }
 
-func attempt(timeout time.Duration) Attempt {
+func newAttempt(timeout time.Duration) Attempt {
 	return Attempt{Worker: 1, Function: "f", TraceParent: "t", Body: []byte("x"), Timeout: timeout}
 }
 
-// infer sends an attempt and waits for its end.
-func infer(b *Backend, timeout time.Duration) Result {
+// sendAndWait sends an attempt and waits for its result.
+func sendAndWait(b *Backend, timeout time.Duration) Result {
 	results := make(chan Result, 1)
-	b.Send(attempt(timeout), func(r Result) { results <- r })
+	b.Send(newAttempt(timeout), func(r Result) { results <- r })
 	return <-results
 }
--- a/internal/backend/exchange.go
+++ b/internal/backend/exchange.go
@@ -12,22 +12,23 @@
 	"kitehub/scheduler"
 )
 
-// A RunningAttempt can be cancelled, at any time and from any goroutine.
+// A RunningAttempt is an attempt that has been started. Cancel may be called at any time, from any
+// goroutine and more than once.
 type RunningAttempt interface{ Cancel() }
 
-// An exchange is one request to a worker and its answer. Its goroutine runs Backend.exchange; Cancel may be called
-// from any other.
+// An exchange is one request to a worker and the response to it. Its goroutine runs
+// Backend.exchange; Cancel may be called from any other goroutine.
 type exchange struct {
-	wanted      func() bool // nil, or asked just before the first byte is sent
-	toWithdrawn bool        // send it to a withdrawn worker too: health checks go there
+	shouldSend     func() bool // called just before the first byte is sent; nil means always true
+	allowWithdrawn bool        // also send to a withdrawn worker, as health checks must be
 
 	mu         sync.Mutex
-	conn       *conn              // in use, for Cancel to close
+	conn       *conn              // the connection in use, which Cancel closes
 	cancelDial context.CancelFunc // nil before the dial
 	cancelled  bool
 }
 
-// Cancel abandons the exchange: its connection is closed, and its answer, if any, dropped.
+// Cancel abandons the exchange: it closes the connection and drops any response.
 func (x *exchange) Cancel() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -43,7 +44,8 @@
 	}
 }
 
-// setConn notes the connection in use, nil for none, so that Cancel finds it; false if it is cancelled already.
+// setConn records the connection in use, or nil for none, so that Cancel can close it. It returns
+// false if the exchange has already been cancelled.
 func (x *exchange) setConn(c *conn) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -51,15 +53,15 @@
 	return !x.cancelled
 }
 
-// mayStart decides just before the first byte whether it is sent: not if the exchange was cancelled, its worker was
-// withdrawn, or it is no longer wanted.
+// mayStart reports whether the request may be sent. It is called just before the first byte and
+// returns false if the exchange was cancelled, its worker was withdrawn or shouldSend says no.
 func (x *exchange) mayStart(w *worker) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return !x.cancelled && x.mayReach(w) && (x.wanted == nil || x.wanted())
+	return !x.cancelled && x.mayUse(w) && (x.shouldSend == nil || x.shouldSend())
 }
 
-func (x *exchange) mayReach(w *worker) bool { return x.toWithdrawn || !w.withdrawn.Load() }
+func (x *exchange) mayUse(w *worker) bool { return x.allowWithdrawn || !w.withdrawn.Load() }
 
 func (x *exchange) isCancelled() bool {
 	x.mu.Lock()
@@ -67,7 +69,8 @@
 	return x.cancelled
 }
 
-// setCancelDial notes how to cancel the dial; false if the exchange is cancelled already.
+// setCancelDial records the function that cancels the dial. It returns false if the exchange has
+// already been cancelled.
 func (x *exchange) setCancelDial(cancel context.CancelFunc) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -75,8 +78,8 @@
 	return !x.cancelled
 }
 
-// exchange sends a request to a worker and reads the answer. The outcome is OK if an answer was read, whatever its
-// status.
+// exchange sends a request to a worker and reads the response. The outcome is OK if a response was
+// read, whatever its status.
 func (b *Backend) exchange(x *exchange, w *worker, req *http1.Request, timeout time.Duration) (
 	*http1.Response, scheduler.Outcome,
 ) {
@@ -104,11 +107,12 @@
 	return resp, outcome
 }
 
-// dial opens a connection, within the timeout of the whole exchange; nil and the outcome if it does not.
+// dial opens a connection within the timeout of the whole exchange. If it fails, it returns nil and
+// the outcome of the exchange.
 func (b *Backend) dial(x *exchange, w *worker, timeout time.Duration) (*conn, scheduler.Outcome) {
 	ctx, cancel := context.WithTimeout(context.Background(), min(b.cfg.DialTimeout, timeout))
 	defer cancel()
-	if !x.setCancelDial(cancel) || !x.mayReach(w) {
+	if !x.setCancelDial(cancel) || !x.mayUse(w) {
 		return nil, scheduler.NotStarted
 	}
 	c, err := b.cfg.Dial(ctx, w.Network, w.Addr)
@@ -127,10 +131,10 @@
 	return &buffer
 }}
 
-const maxPooledBuffer = 64 << 10 // bytes; a larger write buffer is not used again
+const maxPooledBuffer = 64 << 10 // bytes; a larger write buffer is not reused
 
-// roundTrip writes the request and reads the answer. Of a connection that breaks it proves only that nothing ran if
-// the kernel took no byte of the request.
+// roundTrip writes the request and reads the response. If the connection breaks, the call certainly
+// did not run only if the kernel accepted no byte of the request.
 func (b *Backend) roundTrip(c *conn, req *http1.Request, deadline time.Time) (*http1.Response, scheduler.Outcome) {
 	c.SetDeadline(deadline)
 	buffer := writeBuffers.Get().(*[]byte)
@@ -143,7 +147,7 @@
 	case err == nil:
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return nil, scheduler.TimedOut
-	case written == 0 && !errors.Is(err, net.ErrClosed): // closed here, it was cancelled
+	case written == 0 && !errors.Is(err, net.ErrClosed): // ErrClosed means that it was cancelled
 		return nil, scheduler.ConnectFailed
 	default:
 		return nil, scheduler.Reset
--- a/internal/backend/load.go
+++ b/internal/backend/load.go
@@ -11,16 +11,17 @@
 	"kitehub/scheduler"
 )
 
-// A LoadOrder has a worker load copies of a function, or, if Copies is 0, asks how many it has loaded.
+// A LoadOrder tells a worker to load copies of a function. If Copies is 0, it only asks how many
+// copies are loaded.
 type LoadOrder struct {
 	Worker   scheduler.WorkerID
 	Function string
-	Digest   string // of the bytes to load; "" if the worker knows
+	Digest   string // digest of the function's bytes to load; "" lets the worker choose
 	Copies   int
 }
 
-// LoadCopies sends a load order. done is called once, on a goroutine of its own, with the number of copies that the
-// worker has loaded.
+// LoadCopies sends a load order. It calls done once, on a separate goroutine, with the number of
+// copies that the worker has loaded.
 func (b *Backend) LoadCopies(o LoadOrder, done func(outcome scheduler.Outcome, copies int, took time.Duration)) {
 	go func() {
 		start := b.cfg.Clock.Now()
@@ -42,26 +43,26 @@
 		digest = `,"digest":` + strconv.Quote(o.Digest)
 	}
 	body := `{"parameters":{"copies":` + strconv.Itoa(o.Copies) + digest + `}}`
-	req := b.postJSON(w, pathLoad(o.Function), body)
+	req := b.newJSONRequest(w, pathLoad(o.Function), body)
 	resp, outcome := b.exchange(&exchange{}, w, req, b.cfg.OrderTimeout)
 	if outcome != scheduler.OK {
 		return outcome, 0
 	}
 	if resp.Status != http.StatusOK {
-		return loadProblem(resp)
+		return failedLoad(resp)
 	}
 	return scheduler.OK, max(o.Copies, reportedCopies(resp))
 }
 
-// countCopies asks a worker how many copies of a function it has loaded; a draining worker is asked too.
+// countCopies asks a worker, which may be draining, how many copies of a function it has loaded.
 func (b *Backend) countCopies(w *worker, function string) (outcome scheduler.Outcome, copies int) {
-	req := b.postJSON(w, pathIndex, `{"ready":true}`)
-	resp, outcome := b.exchange(&exchange{toWithdrawn: true}, w, req, b.cfg.ProbeTimeout)
+	req := b.newJSONRequest(w, pathIndex, `{"ready":true}`)
+	resp, outcome := b.exchange(&exchange{allowWithdrawn: true}, w, req, b.cfg.ProbeTimeout)
 	if outcome != scheduler.OK {
 		return outcome, 0
 	}
 	if resp.Status != http.StatusOK {
-		return loadProblem(resp)
+		return failedLoad(resp)
 	}
 	copies, ok := copiesInIndex(resp.Body, function)
 	if !ok {
@@ -70,8 +71,9 @@
 	return scheduler.OK, copies
 }
 
-// loadProblem returns what an answer other than 200 says of a load order.
-func loadProblem(resp *http1.Response) (outcome scheduler.Outcome, copies int) {
+// failedLoad returns the outcome of a load order, and the number of loaded copies, from a response
+// with a status other than 200.
+func failedLoad(resp *http1.Response) (outcome scheduler.Outcome, copies int) {
 	outcome = problemOutcome(resp)
 	if outcome != scheduler.AtCapacity {
 		outcome = scheduler.Error
@@ -79,15 +81,17 @@
 	return outcome, reportedCopies(resp)
 }
 
-// reportedCopies returns how many copies the load report of an answer says are loaded; 0 if it does not say.
+// reportedCopies returns the number of loaded copies in the load report of a response, or 0 if the
+// report does not contain it.
 func reportedCopies(resp *http1.Response) int {
 	return int(parseLoadReport(resp.Header.Get(HeaderLoadReport)).named["copies"])
 }
 
-// copiesInIndex returns how many copies of a function a repository index lists as ready: its "copies" (kitehub's
-// extension), or one if it has none. It returns false if the index is malformed.
+// copiesInIndex returns how many copies of a function a repository index lists as ready. That is
+// the entry's "copies" member, a kitehub extension, or 1 if the entry has none. It returns false if
+// the index is malformed.
 func copiesInIndex(body []byte, function string) (copies int, ok bool) {
-	if !bytes.Contains(body, []byte(function)) { // most of a long index need not be decoded
+	if !bytes.Contains(body, []byte(function)) { // avoids decoding a long index
 		return 0, json.Valid(body)
 	}
 	var index []struct {
@@ -110,16 +114,16 @@
 	return 0, true
 }
 
-// Unload has a worker drop the idle copies of a function. How that ends is not reported.
+// Unload tells a worker to drop the idle copies of a function. It does not report the outcome.
 func (b *Backend) Unload(id scheduler.WorkerID, function string) {
 	if w := b.worker(id); w != nil {
-		req := b.postJSON(w, pathUnload(function), `{}`)
+		req := b.newJSONRequest(w, pathUnload(function), `{}`)
 		go b.exchange(&exchange{}, w, req, b.cfg.ProbeTimeout)
 	}
 }
 
-// Probe checks a worker's health; a draining worker is checked too. done is called once, on a goroutine of its own,
-// with the worker's load report, nil if there was none.
+// Probe sends a health check to a worker, which may be draining. It calls done once, on a separate
+// goroutine, with the worker's load report, or nil if there was none.
 func (b *Backend) Probe(id scheduler.WorkerID, done func(o scheduler.Outcome, took time.Duration, report []float64)) {
 	go func() {
 		w := b.worker(id)
@@ -128,8 +132,8 @@
 			return
 		}
 		start := b.cfg.Clock.Now()
-		req := &http1.Request{Method: http.MethodGet, Target: pathReady, Header: b.header(w)}
-		resp, outcome := b.exchange(&exchange{toWithdrawn: true}, w, req, b.cfg.ProbeTimeout)
+		req := &http1.Request{Method: http.MethodGet, Target: pathReady, Header: b.commonHeader(w)}
+		resp, outcome := b.exchange(&exchange{allowWithdrawn: true}, w, req, b.cfg.ProbeTimeout)
 		var report []float64
 		if outcome == scheduler.OK {
 			report = parseLoadReport(resp.Header.Get(HeaderLoadReport)).values(b.cfg.ReportFields)
--- a/internal/backend/load_test.go
+++ b/internal/backend/load_test.go
@@ -9,8 +9,8 @@
 	"kitehub/scheduler"
 )
 
-// loadCopies sends a load order and waits for its end.
-func loadCopies(b *Backend, o LoadOrder) (scheduler.Outcome, int) {
+// loadAndWait sends a load order and waits for its result.
+func loadAndWait(b *Backend, o LoadOrder) (scheduler.Outcome, int) {
 	type result struct {
 		outcome scheduler.Outcome
 		copies  int
@@ -35,25 +35,25 @@
 	]`)
 	tests := []struct {
 		name       string
-		answer     string
+		response   string
 		function   string
-		copies     int // 0: asks how many are loaded
+		copies     int // 0 asks how many copies are loaded
 		want       scheduler.Outcome
 		wantCopies int
 	}{
 		{"loaded", loaded, "f", 1, scheduler.OK, 2},
-		{"no capacity", problem(503, ProblemAtCapacity), "f", 1, scheduler.AtCapacity, 0},
-		{"failed", problem(500, "x"), "f", 1, scheduler.Error, 0},
+		{"at capacity", problemResponse(503, ProblemAtCapacity), "f", 1, scheduler.AtCapacity, 0},
+		{"failed", problemResponse(500, "x"), "f", 1, scheduler.Error, 0},
 		{"counted", index, "f", 0, scheduler.OK, 3},
-		{"counted without a number", index, "g", 0, scheduler.OK, 1},
+		{"counted without a copies member", index, "g", 0, scheduler.OK, 1},
 		{"counted but not ready", index, "h", 0, scheduler.OK, 0},
 		{"counted but not listed", index, "zz", 0, scheduler.OK, 0},
 		{"malformed index", ok("{{"), "f", 0, scheduler.Error, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b := start(t, startWorker(t, answerWith(tt.answer)).addr, nil)
-			outcome, copies := loadCopies(b, LoadOrder{Worker: 1, Function: tt.function, Copies: tt.copies})
+			b := newTestBackend(t, startFakeWorker(t, respondWith(tt.response)).addr, nil)
+			outcome, copies := loadAndWait(b, LoadOrder{Worker: 1, Function: tt.function, Copies: tt.copies})
 			if outcome != tt.want || copies != tt.wantCopies {
 				t.Errorf("%v with %d copies, want %v with %d", outcome, copies, tt.want, tt.wantCopies)
 			}
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -12,29 +12,31 @@
 	"kitehub/internal/http1"
 )
 
-// A worker is one endpoint of the list, with its idle connections.
+// A worker is an entry of the endpoint list with its idle connections.
 type worker struct {
 	Endpoint
-	withdrawn atomic.Bool // it is draining or gone: nothing new is sent to it
+	withdrawn atomic.Bool // draining or removed: nothing new is sent to it
 
 	mu     sync.Mutex
-	idle   []*conn // by time of last use, the latest last
-	closed bool    // it is gone: no connection becomes idle any more
+	idle   []*conn // ordered by last use, most recent last
+	closed bool    // removed: connections are closed instead of becoming idle
 }
 
-// A conn is a connection to a worker. It belongs to one exchange, or to its worker's idle connections.
+// A conn is a connection to a worker. It is either used by one exchange or in its worker's list of
+// idle connections.
 type conn struct {
 	net.Conn
 	reader    *bufio.Reader
-	idleSince time.Duration // by the backend's clock
+	idleSince time.Duration // in the time of the backend's clock
 }
 
 func newConn(c net.Conn) *conn {
 	return &conn{Conn: c, reader: bufio.NewReaderSize(c, http1.ReadBuffer)}
 }
 
-// takeIdle returns the idle connection used last that is still open, or nil. That the worker has closed one is found
-// out here, before a byte is written: afterwards nothing would prove that the call did not run.
+// takeIdle returns the most recently used idle connection that is still open, or nil. It detects
+// connections that the worker has closed, because this must happen before a byte is written:
+// afterwards nothing would prove that the call did not run.
 func (b *Backend) takeIdle(w *worker) *conn {
 	for {
 		c := w.popIdle()
@@ -68,7 +70,7 @@
 		return false
 	}
 	socket, ok := c.Conn.(syscall.Conn)
-	if !ok { // a test's network
+	if !ok { // not a socket but a connection of a test
 		return true
 	}
 	raw, err := socket.SyscallConn()
@@ -85,8 +87,8 @@
 	return err == nil && open
 }
 
-// putIdle makes a connection available to later exchanges. It closes the one that has been idle longest if there are
-// too many, or if that one has been idle for too long.
+// putIdle makes a connection available to later exchanges. It closes the connection that has been
+// idle longest if there are too many or if that one has been idle for too long.
 func (b *Backend) putIdle(w *worker, c *conn) {
 	now := b.cfg.Clock.Now()
 	c.idleSince = now
@@ -118,7 +120,8 @@
 	}
 }
 
-// close closes the idle connections for good: connections in use are closed when their exchanges end.
+// close closes the idle connections. Connections in use are closed when their exchanges end instead
+// of becoming idle.
 func (w *worker) close() {
 	w.mu.Lock()
 	w.closed = true
--- a/internal/backend/pool_test.go
+++ b/internal/backend/pool_test.go
@@ -11,32 +11,33 @@
 	"kitehub/scheduler"
 )
 
-// A connection is used again after a complete answer, and never after a doubtful one.
+// A connection is reused only after a complete response without bytes after it. Otherwise the rest of
+// one response could be read as the response to the next attempt.
 func TestReuse(t *testing.T) {
 	const attempts = 3
-	connectionClose := strings.Replace(served, "\r\nContent-Length", "\r\nConnection: close\r\nContent-Length", 1)
+	connectionClose := strings.Replace(okResponse, "\r\nContent-Length", "\r\nConnection: close\r\nContent-Length", 1)
 	tests := []struct {
 		name        string
-		answer      script
-		closes      bool  // the worker closes the connection without saying so
+		respond     respondFunc
+		closes      bool  // the worker closes the connection without "Connection: close"
 		connections int64 // opened by all attempts
 	}{
-		{"complete answers", answerWith(served), false, 1},
-		{"a second answer behind the first", answerWith(served + served), false, attempts},
-		{"more body than announced", answerWith(served + "xyz"), false, attempts},
-		{"Connection: close", answerWith(connectionClose), false, attempts},
-		{"closed without notice", answerAndClose(served), true, attempts},
+		{"complete responses", respondWith(okResponse), false, 1},
+		{"a second response after the first", respondWith(okResponse + okResponse), false, attempts},
+		{"bytes after the body", respondWith(okResponse + "xyz"), false, attempts},
+		{"Connection: close", respondWith(connectionClose), false, attempts},
+		{"closed without Connection: close", respondAndClose(okResponse), true, attempts},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b := start(t, startWorker(t, tt.answer).addr, nil)
+			b := newTestBackend(t, startFakeWorker(t, tt.respond).addr, nil)
 			for i := range attempts {
-				if r := infer(b, 5*time.Second); r.Outcome != scheduler.OK || string(r.Body) != "ok" {
+				if r := sendAndWait(b, 5*time.Second); r.Outcome != scheduler.OK || string(r.Body) != "ok" {
 					t.Fatalf("attempt %d: %v %q", i, r.Outcome, r.Body)
 				}
 				if tt.closes {
 					idle := b.worker(1).idle[0]
-					for isOpen(idle) { // until this side's kernel knows
+					for isOpen(idle) { // until the kernel has received the close
 						runtime.Gosched()
 					}
 				}
@@ -48,20 +49,21 @@
 	}
 }
 
-// That the worker resets an idle connection while the request is on its way proves nothing: it may have run.
-func TestResetOfReusedConnectionIsNoProof(t *testing.T) {
-	w := startWorker(t, func(c net.Conn, n int) bool {
+// A reset of a reused connection does not prove that the call did not run, even if the worker only
+// meant to close an idle connection.
+func TestResetOfReusedConnection(t *testing.T) {
+	w := startFakeWorker(t, func(c net.Conn, n int) bool {
 		if n == 0 {
-			io.WriteString(c, served)
+			io.WriteString(c, okResponse)
 			return true
 		}
-		return reset(c, n) // the second request is read, and perhaps run, before the connection ends
+		return resetConn(c, n) // the worker has read the second request and might have run it
 	})
-	b := start(t, w.addr, nil)
-	if r := infer(b, time.Second); r.Outcome != scheduler.OK {
+	b := newTestBackend(t, w.addr, nil)
+	if r := sendAndWait(b, time.Second); r.Outcome != scheduler.OK {
 		t.Fatal(r.Outcome)
 	}
-	if r := infer(b, time.Second); r.Outcome != scheduler.Reset || b.Reused.Load() != 1 {
+	if r := sendAndWait(b, time.Second); r.Outcome != scheduler.Reset || b.Reused.Load() != 1 {
 		t.Errorf("outcome %v after %d reuses, want Reset after one", r.Outcome, b.Reused.Load())
 	}
 }
@@ -69,17 +71,17 @@
 func TestIdleConnectionsAreBounded(t *testing.T) {
 	const attempts = 8
 	release := make(chan struct{})
-	w := startWorker(t, func(c net.Conn, _ int) bool {
+	w := startFakeWorker(t, func(c net.Conn, _ int) bool {
 		<-release
-		io.WriteString(c, served)
+		io.WriteString(c, okResponse)
 		return true
 	})
-	b := start(t, w.addr, func(c *Config) { c.MaxIdlePerWorker = 3 })
+	b := newTestBackend(t, w.addr, func(c *Config) { c.MaxIdlePerWorker = 3 })
 	results := make(chan Result)
 	for range attempts {
-		b.Send(attempt(10*time.Second), func(r Result) { results <- r })
+		b.Send(newAttempt(10*time.Second), func(r Result) { results <- r })
 	}
-	for w.count() < attempts {
+	for w.requestCount() < attempts {
 		runtime.Gosched()
 	}
 	close(release)
--- a/internal/backend/protocol.go
+++ b/internal/backend/protocol.go
@@ -10,20 +10,25 @@
 	"kitehub/scheduler"
 )
 
-// Problem types (RFC 9457) by which a worker says that a call did not run. Nothing else counts as saying so.
+// Problem types (RFC 9457) with which a worker declares that a call did not run. No other response
+// is taken as proof of that.
 const (
 	ProblemAtCapacity = "urn:kitehub:problem:full" // with status 503: the worker has no capacity
 	ProblemNotLoaded  = "urn:kitehub:problem:miss" // with status 404: the function is not loaded
 )
 
-// Headers of the protocols spoken.
+// Header names of requests to workers and of their responses.
 const (
-	HeaderJSONLength     = "Inference-Header-Content-Length" // Open Inference Protocol, binary tensor data extension
-	HeaderLoadReport     = "endpoint-load-metrics"           // load report, in ORCA's form
-	HeaderTimeout        = "x-envoy-expected-rq-timeout-ms"  // time left for the call, in milliseconds, as Envoy has it
+	// HeaderJSONLength is the header of the binary tensor data extension of the Open Inference
+	// Protocol.
+	HeaderJSONLength = "Inference-Header-Content-Length"
+	// HeaderLoadReport holds a load report in an ORCA format.
+	HeaderLoadReport = "endpoint-load-metrics"
+	// HeaderTimeout holds the time left for the call in milliseconds, as sent by Envoy.
+	HeaderTimeout        = "x-envoy-expected-rq-timeout-ms"
 	HeaderIdempotencyKey = "Idempotency-Key"
 	HeaderTraceParent    = "traceparent"    // W3C Trace Context
-	HeaderDigest         = "kitehub-digest" // of the bytes that are to run, or that ran
+	HeaderDigest         = "kitehub-digest" // digest of the function's bytes to run or that ran
 )
 
 // Paths of the Open Inference Protocol and its model repository extension.
@@ -42,21 +47,21 @@
 	return "/v2/repository/models/" + url.PathEscape(function) + "/unload"
 }
 
-// header returns the fields that all requests to a worker begin with.
-func (b *Backend) header(w *worker) http1.Header {
+// commonHeader returns the header fields that all requests to a worker share.
+func (b *Backend) commonHeader(w *worker) http1.Header {
 	return append(make(http1.Header, 0, 8),
 		http1.Field{Name: "Host", Value: w.Name},
 		http1.Field{Name: "User-Agent", Value: "kitehub/" + b.cfg.Controller},
 	)
 }
 
-// postJSON returns a request with a JSON body.
-func (b *Backend) postJSON(w *worker, path, body string) *http1.Request {
-	header := append(b.header(w), http1.Field{Name: "Content-Type", Value: "application/json"})
+// newJSONRequest returns a POST request with a JSON body.
+func (b *Backend) newJSONRequest(w *worker, path, body string) *http1.Request {
+	header := append(b.commonHeader(w), http1.Field{Name: "Content-Type", Value: "application/json"})
 	return &http1.Request{Method: http.MethodPost, Target: path, Header: header, Body: []byte(body)}
 }
 
-// problemOutcome returns what an answer other than 200 proves.
+// problemOutcome returns the outcome that a response with a status other than 200 proves.
 func problemOutcome(resp *http1.Response) scheduler.Outcome {
 	if !strings.HasPrefix(resp.Header.Get("Content-Type"), "application/problem+json") {
 		return scheduler.Error
--- a/internal/backend/report.go
+++ b/internal/backend/report.go
@@ -9,20 +9,21 @@
 	"kitehub/scheduler"
 )
 
-// A loadReport is an ORCA load report: the endpoint-load-metrics header, in its TEXT or JSON form. What has a field
-// of its own in ORCA uses it. The rest are named metrics: queue, inflight, latency_ms, x0 and x1; and, of the answer
-// itself, copy (a scheduler.LoadNote), alike and copies.
+// A loadReport is an ORCA load report, sent in the endpoint-load-metrics header in the TEXT or JSON
+// format. Values that ORCA has a field for use that field. The others are named metrics: queue,
+// inflight, latency_ms, x0 and x1 describe the worker, and copy (a scheduler.LoadNote), alike and
+// copies describe the function of the request.
 type loadReport struct {
 	fields map[string]float64
 	named  map[string]float64
 }
 
 const (
-	maxMetrics  = 32 // in a report
+	maxMetrics  = 32 // per load report
 	namedPrefix = "named_metrics."
 )
 
-// parseLoadReport reads a report. Malformed parts are ignored: a report is advice.
+// parseLoadReport parses a load report. Malformed parts are ignored, as load reports are advisory.
 func parseLoadReport(header string) loadReport {
 	r := loadReport{fields: map[string]float64{}, named: map[string]float64{}}
 	if text, ok := strings.CutPrefix(header, "JSON "); ok {
@@ -33,7 +34,7 @@
 	return r
 }
 
-// addText adds metrics like cpu_utilization=0.5, named_metrics.queue=3.
+// addText adds metrics in the TEXT format: cpu_utilization=0.5, named_metrics.queue=3.
 func (r loadReport) addText(text string) {
 	for pair := range strings.SplitSeq(text, ",") {
 		name, number, ok := strings.Cut(pair, "=")
@@ -43,7 +44,7 @@
 	}
 }
 
-// addJSON adds metrics like {"cpu_utilization":0.5,"named_metrics":{"queue":3}}.
+// addJSON adds metrics in the JSON format: {"cpu_utilization":0.5,"named_metrics":{"queue":3}}.
 func (r loadReport) addJSON(text string) {
 	var members map[string]json.RawMessage
 	if json.Unmarshal([]byte(text), &members) != nil {
@@ -73,7 +74,8 @@
 	}
 }
 
-// values returns the report's values of the configured fields, in their order; nil if it has none of them.
+// values returns the values of the given fields, in that order, with 0 for a field that is missing.
+// It returns nil if the load report has none of them.
 func (r loadReport) values(fields []scheduler.ReportField) []float64 {
 	values := make([]float64, len(fields))
 	found := false
@@ -88,10 +90,10 @@
 	return values
 }
 
-// A reportKey says under which name a report has a value: its own or one of its named metrics.
+// A reportKey locates a value in a load report.
 type reportKey struct {
 	name  string
-	named bool
+	named bool // a named metric instead of an ORCA field
 }
 
 var reportKeys = map[scheduler.ReportField]reportKey{
@@ -118,7 +120,7 @@
 	return value, ok
 }
 
-// loadNote returns what the report says of the function's load.
+// loadNote returns what the worker reports about loading the function.
 func (r loadReport) loadNote() scheduler.LoadNote {
 	note := scheduler.LoadNote(r.named["copy"])
 	if note < scheduler.NoLoadNote || note > scheduler.LoadFailed {
--- a/internal/backend/report_test.go
+++ b/internal/backend/report_test.go
@@ -8,7 +8,7 @@
 	"kitehub/scheduler"
 )
 
-func TestLoadReportIsReadInOrderOfFields(t *testing.T) {
+func TestLoadReportValuesAreInOrderOfFields(t *testing.T) {
 	fields := []scheduler.ReportField{
 		scheduler.FieldUtilization,
 		scheduler.FieldInFlight,
