--- a/internal/backend/frame/attempt.go
+++ b/internal/backend/frame/attempt.go
@@ -9,35 +9,36 @@
 	"kitehub/scheduler"
 )
 
-// An attempt is one call or load order from its start to its end. It is a backend.Running.
+// An attempt is the sending of one call or load order to a worker, from its start to its end. It
+// implements backend.RunningAttempt.
 type attempt struct {
-	backend  *Backend
-	exchange exchange
-	encode   func() []byte // builds the frame, just before it is sent: the time left is in it
-	wanted   func() bool   // asked just before the first byte is sent
-	done     func(scheduler.Outcome, *answer)
-	timeout  time.Duration // for the whole attempt
-	begin    time.Duration
+	backend     *Backend
+	exchange    exchange
+	encodeFrame func() []byte // called just before sending, as the frame holds the time left
+	shouldStart func() bool   // called just before the first byte is sent
+	done        func(scheduler.Outcome, *response)
+	timeout     time.Duration // of the whole attempt
+	startedAt   time.Duration
 
 	mu         sync.Mutex
 	cancelDial context.CancelFunc // nil before the dial
 	cancelled  bool
-	conn       *conn // that the frame was sent on
+	conn       *conn // the connection that the frame was sent on; nil before
 	ended      bool
 }
 
-// start sends the attempt to a worker: at once if a connection is available, else on one that it opens.
+// start sends the attempt to a worker, on an available connection or on a new one.
 func (a *attempt) start(id scheduler.WorkerID) {
 	w, maxConns := a.backend.worker(id)
 	if w == nil {
 		go a.end(scheduler.NotStarted, nil)
 		return
 	}
-	c, placed := a.backend.place(w, a.exchange.id, maxConns)
-	if placed == noConn && a.backend.evictIdle(w) {
-		c, placed = a.backend.place(w, a.exchange.id, maxConns)
+	c, choice := a.backend.placeExchange(w, a.exchange.id, maxConns)
+	if choice == noConn && a.backend.evictIdle(w) {
+		c, choice = a.backend.placeExchange(w, a.exchange.id, maxConns)
 	}
-	switch placed {
+	switch choice {
 	case openConn:
 		go a.dial(w)
 	case useConn:
@@ -50,7 +51,7 @@
 	}
 }
 
-// send sends the frame on a connection; false if nothing of it was sent.
+// send sends the frame on a connection. It returns false if no byte of it was sent.
 func (a *attempt) send(c *conn) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -58,21 +59,22 @@
 		return false
 	}
 	now := a.backend.cfg.Clock.Now()
-	left := a.timeout - (now - a.begin)
+	left := a.timeout - (now - a.startedAt)
 	a.exchange.done = a.end
 	a.exchange.timer = time.AfterFunc(max(left, 0), a.timedOut)
-	mayStart := func() bool { return !c.worker.withdrawn.Load() && a.wanted() }
-	if !c.start(&a.exchange, a.encode(), now, mayStart) {
+	mayStart := func() bool { return !c.worker.withdrawn.Load() && a.shouldStart() }
+	if !c.start(&a.exchange, a.encodeFrame(), now, mayStart) {
 		a.exchange.timer.Stop()
 		return false
 	}
 	a.conn = c
-	if !a.exchange.isOrder {
-		c.worker.traffic.open.Add(1)
+	if !a.exchange.isLoadOrder {
+		c.worker.traffic.inFlight.Add(1)
 	}
 	return true
 }
 
+// timedOut ends the attempt when its timeout has elapsed.
 func (a *attempt) timedOut() {
 	a.mu.Lock()
 	c := a.conn
@@ -82,7 +84,8 @@
 	}
 }
 
-// dial opens a connection, sends the attempt on it, and then reads it until it ends.
+// dial opens a connection, sends the attempt on it and then reads responses until the connection
+// ends.
 func (a *attempt) dial(w *worker) {
 	ctx, cancel := context.WithTimeout(context.Background(), min(a.backend.cfg.DialTimeout, a.timeout))
 	defer cancel()
@@ -101,12 +104,13 @@
 		return
 	}
 	if !a.send(c) {
-		a.end(scheduler.NotStarted, nil) // the connection stays for the next attempt
+		a.end(scheduler.NotStarted, nil) // the connection remains open for later attempts
 	}
 	c.read()
 }
 
-// dialFailed ends an attempt without a connection. That proves a failure only if it was not given up first.
+// dialFailed ends an attempt for which no connection was opened. The dial counts as failed only if
+// the attempt was not abandoned first.
 func (a *attempt) dialFailed(unwanted bool) {
 	a.mu.Lock()
 	unwanted = unwanted || a.cancelled
@@ -119,7 +123,7 @@
 	a.end(scheduler.ConnectFailed, nil)
 }
 
-// Cancel abandons the attempt. If its frame is being sent or was sent, the worker is told.
+// Cancel abandons the attempt. If sending its frame has begun, the worker is sent a cancellation.
 func (a *attempt) Cancel() {
 	a.mu.Lock()
 	a.cancelled = true
@@ -133,8 +137,8 @@
 	}
 }
 
-// end reports how the attempt ended, once.
-func (a *attempt) end(o scheduler.Outcome, ans *answer) {
+// end reports how the attempt ended. Only the first call has an effect.
+func (a *attempt) end(o scheduler.Outcome, resp *response) {
 	a.mu.Lock()
 	ended := a.ended
 	a.ended = true
@@ -143,8 +147,8 @@
 	if ended {
 		return
 	}
-	if c != nil && !a.exchange.isOrder {
+	if c != nil && !a.exchange.isLoadOrder {
 		c.worker.traffic.callEnded(o, a.backend.cfg.Clock.Now()-a.exchange.sentAt)
 	}
-	a.done(o, ans)
+	a.done(o, resp)
 }
--- a/internal/backend/frame/attempt_test.go
+++ b/internal/backend/frame/attempt_test.go
@@ -13,50 +13,50 @@
 	"kitehub/scheduler"
 )
 
-func TestNothingIsSentWithoutConnectionOrNeed(t *testing.T) {
+func TestNothingIsSentWithoutConnectionOrPermission(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	ln.Close()
-	b := start(t, ln.Addr().String(), nil)
-	if r := run(b, newCall(1)); r.Outcome != scheduler.ConnectFailed {
-		t.Errorf("nobody listens: %v", r.Outcome)
+	b := newTestBackend(t, ln.Addr().String(), nil)
+	if r := sendAndWait(b, newAttempt(1)); r.Outcome != scheduler.ConnectFailed {
+		t.Errorf("no listener: %v", r.Outcome)
 	}
-	if r := run(b, newCallAt(77, 2)); r.Outcome != scheduler.NotStarted {
+	if r := sendAndWait(b, newAttemptAt(77, 2)); r.Outcome != scheduler.NotStarted {
 		t.Errorf("worker not listed: %v", r.Outcome)
 	}
 
-	addr, commands := startRecorder(t, ignore)
-	b = start(t, addr, nil)
-	unwanted := newCall(3)
-	unwanted.MayStart = func() bool { return false }
-	if r := run(b, unwanted); r.Outcome != scheduler.NotStarted {
-		t.Errorf("unwanted: %v", r.Outcome)
+	addr, commands := startRecordingWorker(t, noResponse)
+	b = newTestBackend(t, addr, nil)
+	forbidden := newAttempt(3)
+	forbidden.MayStart = func() bool { return false }
+	if r := sendAndWait(b, forbidden); r.Outcome != scheduler.NotStarted {
+		t.Errorf("MayStart returned false: %v", r.Outcome)
 	}
-	b.Update([]backend.Endpoint{draining(1, addr)})
-	if r := run(b, newCall(4)); r.Outcome != scheduler.NotStarted {
+	b.Update([]backend.Endpoint{drainingEndpoint(1, addr)})
+	if r := sendAndWait(b, newAttempt(4)); r.Outcome != scheduler.NotStarted {
 		t.Errorf("draining worker: %v", r.Outcome)
 	}
-	if outcome, _ := runLoad(b, 1); outcome != scheduler.NotStarted {
+	if outcome, _ := loadAndWait(b, 1); outcome != scheduler.NotStarted {
 		t.Errorf("load order to a draining worker: %v", outcome)
 	}
 	if len(commands) > 0 {
-		t.Errorf("a command came: %+v", <-commands)
+		t.Errorf("worker received a command: %+v", <-commands)
 	}
 }
 
 func TestCommandsOnTheWire(t *testing.T) {
-	addr, commands := startRecorder(t, func(command fakeplatform.Command) []byte {
+	addr, commands := startRecordingWorker(t, func(command fakeplatform.Command) []byte {
 		if command.Code == codeLoad {
 			return fakeplatform.Reply(codeOK, command.ID, "slots_up=2", "")
 		}
 		return nil
 	})
-	b := start(t, addr, nil)
+	b := newTestBackend(t, addr, nil)
 
 	results := make(chan backend.Result, 1)
-	call := newCall(0x2d41)
+	call := newAttempt(0x2d41)
 	call.IdempotencyKey = "5c0f"
 	running := b.Send(call, func(r backend.Result) { results <- r })
 	sent := <-commands
@@ -67,14 +67,14 @@
 	}
 	running.Cancel()
 	if sent := <-commands; sent.Code != codeCancel || sent.ID != 0x2d41 {
-		t.Errorf("cancelled: %+v", sent)
+		t.Errorf("cancellation: %+v", sent)
 	}
 	if r := <-results; r.Outcome != scheduler.Cancelled {
 		t.Errorf("cancelled: %v", r.Outcome)
 	}
-	running.Cancel() // twice does nothing
+	running.Cancel() // a second call has no effect
 
-	if _, copies := runLoad(b, 2); copies != 2 {
+	if _, copies := loadAndWait(b, 2); copies != 2 {
 		t.Errorf("%d copies loaded", copies)
 	}
 	if sent := <-commands; sent.Code != codeLoad || sent.Fields != "k=7f3a9c21e0b4d655,slots_up=2" {
@@ -86,19 +86,19 @@
 	}
 }
 
-func TestCallWithoutAnswerTimesOutAndIsCancelled(t *testing.T) {
-	addr, commands := startRecorder(t, ignore)
-	b := start(t, addr, nil)
+func TestCallWithoutResponseTimesOutAndIsCancelled(t *testing.T) {
+	addr, commands := startRecordingWorker(t, noResponse)
+	b := newTestBackend(t, addr, nil)
 	results := make(chan backend.Result, 1)
-	running := b.Send(newCall(1), func(r backend.Result) { results <- r })
-	<-commands // the connection is up: opening it may take longer than the next call has
+	running := b.Send(newAttempt(1), func(r backend.Result) { results <- r })
+	<-commands // the connection is open; opening it may outlast the next timeout
 	running.Cancel()
 	<-results
 	<-commands
 
-	call := newCall(9)
+	call := newAttempt(9)
 	call.Timeout = time.Millisecond
-	if r := run(b, call); r.Outcome != scheduler.TimedOut {
+	if r := sendAndWait(b, call); r.Outcome != scheduler.TimedOut {
 		t.Errorf("outcome %v", r.Outcome)
 	}
 	sent, cancelled := <-commands, <-commands
@@ -107,11 +107,12 @@
 	}
 }
 
-// A late second copy of "at capacity" must not end the repeat of the same call at the same worker.
-func TestRepeatOfCallUsesAnotherConnection(t *testing.T) {
-	repeated := make(chan struct{})
+// A worker may send an "at capacity" response twice. The second one, arriving late, must not end a
+// retry of the same call at the same worker, so the retry uses another connection.
+func TestRetryOfCallUsesAnotherConnection(t *testing.T) {
+	retried := make(chan struct{})
 	conns := make(chan int, 10)
-	addr := startInvoker(t, func(n int, c *net.TCPConn) {
+	addr := startFakeWorker(t, func(n int, c *net.TCPConn) {
 		command, err := fakeplatform.ReadCommand(c)
 		if err != nil {
 			return
@@ -119,144 +120,147 @@
 		conns <- n
 		if n == 0 {
 			c.Write(fakeplatform.Reply(codeAtCapacity, command.ID, "", ""))
-			<-repeated
+			<-retried
 			c.Write(fakeplatform.Reply(codeAtCapacity, command.ID, "", ""))
-			drain(c)
+			readUntilClosed(c)
 			return
 		}
-		close(repeated)
+		close(retried)
 		c.Write(fakeplatform.Reply(codeOK, command.ID, "", "answer"))
-		drain(c)
+		readUntilClosed(c)
 	})
-	b := start(t, addr, nil)
-	if r := run(b, newCall(7)); r.Outcome != scheduler.AtCapacity {
+	b := newTestBackend(t, addr, nil)
+	if r := sendAndWait(b, newAttempt(7)); r.Outcome != scheduler.AtCapacity {
 		t.Fatalf("first: %v", r.Outcome)
 	}
-	if r := run(b, newCall(7)); r.Outcome != scheduler.OK {
-		t.Errorf("repeat: %v", r.Outcome)
+	if r := sendAndWait(b, newAttempt(7)); r.Outcome != scheduler.OK {
+		t.Errorf("retry: %v", r.Outcome)
 	}
 	if first, second := <-conns, <-conns; first == second {
-		t.Error("both were sent on one connection")
+		t.Error("both attempts used the same connection")
 	}
 }
 
-func TestLateAnswerBelongsToNoCall(t *testing.T) {
-	addr, _ := startRecorder(t, func(command fakeplatform.Command) []byte {
+func TestLateResponseIsIgnored(t *testing.T) {
+	addr, _ := startRecordingWorker(t, func(command fakeplatform.Command) []byte {
 		switch command.ID {
 		case 1:
 			return nil
 		case 2:
-			return append(fakeplatform.Reply(codeOK, 1, "", "late"), serve(command)...)
+			return append(fakeplatform.Reply(codeOK, 1, "", "late"), respondOK(command)...)
 		}
-		return serve(command)
+		return respondOK(command)
 	})
-	b := start(t, addr, nil)
-	run(b, newCall(3)) // the connection is up: opening it may take longer than the next call has
-	late := newCall(1)
+	b := newTestBackend(t, addr, nil)
+	sendAndWait(b, newAttempt(3)) // opens the connection, which may outlast the next timeout
+	late := newAttempt(1)
 	late.Timeout = time.Millisecond
-	if r := run(b, late); r.Outcome != scheduler.TimedOut {
-		t.Fatalf("no answer in time: %v", r.Outcome)
+	if r := sendAndWait(b, late); r.Outcome != scheduler.TimedOut {
+		t.Fatalf("no response in time: %v", r.Outcome)
 	}
-	if r := run(b, newCall(2)); string(r.Body) != "answer" {
+	if r := sendAndWait(b, newAttempt(2)); string(r.Body) != "answer" {
 		t.Errorf("the next call: %v, %q", r.Outcome, r.Body)
 	}
 	if opened, strays := b.Counts.Opened.Load(), b.Counts.Strays.Load(); opened != 1 || strays != 1 {
-		t.Errorf("%d connections, %d strays, want 1 and 1", opened, strays)
+		t.Errorf("%d connections, %d stray responses, want 1 and 1", opened, strays)
 	}
 }
 
-// A call whose first byte was sent before its worker began to drain arrives complete; none begins afterwards, also
-// not one that finds no room in the kernel's buffers.
+// A call whose first byte was sent before its worker began to drain must arrive complete. No call
+// may start afterwards, not even one that had to wait because the kernel's buffers were full.
 func TestCallHalfSentWhenWorkerDrainsArrivesComplete(t *testing.T) {
-	const size = 32 << 20 // more than the kernel's buffers hold
-	begin := make(chan struct{})
+	const size = 32 << 20 // bytes, more than fit into the kernel's buffers
+	startReading := make(chan struct{})
 	commands := make(chan fakeplatform.Command, 100)
-	addr := startInvoker(t, func(_ int, c *net.TCPConn) {
-		<-begin
+	addr := startFakeWorker(t, func(_ int, c *net.TCPConn) {
+		<-startReading
 		fakeplatform.Commands(c, func(command fakeplatform.Command) bool {
 			commands <- command
-			c.Write(serve(command))
+			c.Write(respondOK(command))
 			return true
 		})
 	})
-	b := start(t, addr, func(c *Config) {
+	b := newTestBackend(t, addr, func(c *Config) {
 		c.MaxConns = 1
 		c.MaxBody = 2 * size
 	})
-	large := newCall(1)
+	large := newAttempt(1)
 	large.Body = make([]byte, size)
 	results := make(chan backend.Result, 2)
 	b.Send(large, func(r backend.Result) { results <- r })
 	waitFor(func() bool { return b.Traffic()[0].InFlight > 0 })
-	b.Update([]backend.Endpoint{draining(1, addr)})
-	if r := run(b, newCall(2)); r.Outcome != scheduler.NotStarted && r.Outcome != scheduler.ConnectFailed {
-		t.Errorf("a call after the drain: %v", r.Outcome)
+	b.Update([]backend.Endpoint{drainingEndpoint(1, addr)})
+	if r := sendAndWait(b, newAttempt(2)); r.Outcome != scheduler.NotStarted && r.Outcome != scheduler.ConnectFailed {
+		t.Errorf("call after the drain began: %v", r.Outcome)
 	}
-	close(begin)
+	close(startReading)
 	if r := <-results; r.Outcome != scheduler.OK {
-		t.Errorf("half sent: %v", r.Outcome)
+		t.Errorf("call half sent: %v", r.Outcome)
 	}
 	if sent := <-commands; sent.ID != 1 || len(sent.Body) != size || len(commands) > 0 {
-		t.Errorf("%d arrived with %d bytes, and %d more", sent.ID, len(sent.Body), len(commands))
+		t.Errorf("call %d arrived with %d bytes, followed by %d more", sent.ID, len(sent.Body), len(commands))
 	}
 }
 
-// A connection that comes up when its attempt is no longer wanted there carries nothing of it.
-func TestNothingIsSentIfUnwantedWhenConnectionComesUp(t *testing.T) {
+// Guards against sending an attempt that was cancelled or withdrawn while the connection for it was
+// being opened.
+func TestNothingIsSentIfCancelledDuringDial(t *testing.T) {
 	type dialing struct {
 		backend *Backend
 		running backend.RunningAttempt
-		wanted  *atomic.Bool
+		allowed *atomic.Bool
 		addr    string
 	}
 	tests := []struct {
 		name  string
 		event func(dialing)
-		kept  bool // the connection, for the next attempt
+		kept  bool // the connection stays open for later attempts
 	}{
 		{"cancelled", func(d dialing) { d.running.Cancel() }, true},
-		{"unwanted", func(d dialing) { d.wanted.Store(false) }, true},
-		{"the worker drains", func(d dialing) {
-			d.backend.Update([]backend.Endpoint{draining(1, d.addr)})
+		{"MayStart returns false", func(d dialing) { d.allowed.Store(false) }, true},
+		{"worker drains", func(d dialing) {
+			d.backend.Update([]backend.Endpoint{drainingEndpoint(1, d.addr)})
 		}, false},
-		{"the worker is gone", func(d dialing) { d.backend.Update(nil) }, false},
-		{"another is at its address", func(d dialing) {
+		{"worker removed", func(d dialing) { d.backend.Update(nil) }, false},
+		{"another worker at the same address", func(d dialing) {
 			d.backend.Update([]backend.Endpoint{endpoint(2, d.addr)})
 		}, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			addr, commands := startRecorder(t, serve)
-			dialling, up := make(chan struct{}), make(chan struct{})
-			b := start(t, addr, func(c *Config) {
-				c.Dial = func(_ context.Context, network, addr string) (net.Conn, error) { // it comes up however late
-					close(dialling)
-					<-up
+			addr, commands := startRecordingWorker(t, respondOK)
+			dialStarted, connect := make(chan struct{}), make(chan struct{})
+			b := newTestBackend(t, addr, func(c *Config) {
+				// This dial ignores its context: the connection is opened even after a
+				// cancellation.
+				c.Dial = func(_ context.Context, network, addr string) (net.Conn, error) {
+					close(dialStarted)
+					<-connect
 					return net.Dial(network, addr)
 				}
 			})
-			var wanted atomic.Bool
-			wanted.Store(true)
-			call := newCall(1)
-			call.MayStart = wanted.Load
+			var allowed atomic.Bool
+			allowed.Store(true)
+			call := newAttempt(1)
+			call.MayStart = allowed.Load
 			results := make(chan backend.Result, 1)
 			running := b.Send(call, func(r backend.Result) { results <- r })
-			<-dialling
-			tt.event(dialing{b, running, &wanted, addr})
-			close(up)
+			<-dialStarted
+			tt.event(dialing{b, running, &allowed, addr})
+			close(connect)
 			if r := <-results; r.Outcome != scheduler.NotStarted {
 				t.Errorf("%v, want NotStarted", r.Outcome)
 			}
 			b.check()
 			if !tt.kept {
-				waitFor(func() bool { return b.conns.Load() == 0 }) // its reading goroutine has ended
+				waitFor(func() bool { return b.conns.Load() == 0 }) // its reader has ended
 			}
 			if n := b.conns.Load(); tt.kept != (n == 1) {
-				t.Errorf("%d connections kept", n)
+				t.Errorf("%d connections left open", n)
 			}
 			b.Close()
 			if len(commands) > 0 {
-				t.Errorf("%+v came", <-commands)
+				t.Errorf("worker received %+v", <-commands)
 			}
 		})
 	}
--- a/internal/backend/frame/backend.go
+++ b/internal/backend/frame/backend.go
@@ -13,66 +13,75 @@
 	"kitehub/scheduler"
 )
 
-// Config sets up a Backend.
+// Config configures a Backend.
 type Config struct {
 	Clock               clock.Clock
-	Dial                backend.DialFunc // nil for net.Dialer's
-	DialTimeout         time.Duration    // longest time for a connection to come up
-	WorkerIdleTimeout   time.Duration    // workers close connections that are idle for so long
-	MaxExchangesPerConn int              // exchanges in flight on one connection, at most
-	MaxConns            int              // connections to all workers, at most
-	MaxBody             int              // bytes of an answer's body, at most
-	PingAfter           time.Duration    // silence after which a busy connection gets a ping, and as long again for its answer
-	MaxResponseDelay    time.Duration    // no answer comes later than this after its exchange has ended
-	OrderTimeout        time.Duration    // longest wait for the answer to a load order
-	ReportFields        []scheduler.ReportField
-	Log                 zerolog.Logger
+	Dial                backend.DialFunc // nil means net.Dialer.DialContext
+	DialTimeout         time.Duration    // longest time to open a connection
+	WorkerIdleTimeout   time.Duration    // workers close connections that are idle for this long
+	MaxExchangesPerConn int              // exchanges in flight on one connection
+	MaxConns            int              // connections to all workers
+	MaxBody             int              // bytes of a response body
+
+	// PingAfter is how long a connection with exchanges in flight may be silent before a ping is
+	// sent on it, and then how long the worker has to respond to the ping.
+	PingAfter time.Duration
+
+	// MaxResponseDelay is the longest time after the end of an exchange in which a late response to
+	// it may arrive.
+	MaxResponseDelay time.Duration
+
+	OrderTimeout time.Duration           // timeout of a load order
+	ReportFields []scheduler.ReportField // load report fields to extract
+	Log          zerolog.Logger
 }
 
-// Counts are for the log and for tests.
+// Counts holds counters for the log and for tests.
 type Counts struct {
-	Opened     atomic.Int64 // connections opened
-	DialFailed atomic.Int64 // connections that did not come up
-	LostNew    atomic.Int64 // connections that ended under their first exchange
-	LostUsed   atomic.Int64 // connections that ended under a later exchange
-	Malformed  atomic.Int64 // connections closed because of bytes that are no frame
-	Strays     atomic.Int64 // answers to no exchange in flight: late, repeated, or with an unknown id
+	Opened     atomic.Int64 // connections established
+	DialFailed atomic.Int64 // connections that could not be established
+	LostNew    atomic.Int64 // connections lost during their first exchange
+	LostUsed   atomic.Int64 // connections lost during a later exchange
+	Malformed  atomic.Int64 // connections closed because of malformed frames
+	Strays     atomic.Int64 // late, repeated or unknown responses, to no exchange in flight
 	Pings      atomic.Int64 // pings sent
 	Dead       atomic.Int64 // connections closed because a ping was not answered
-	NoConn     atomic.Int64 // attempts that no connection was available for
+	NoConn     atomic.Int64 // attempts for which no connection was available
 }
 
-// A Backend holds the connections to all workers. It is safe for concurrent use.
+// A Backend manages the connections to all workers. It is safe for concurrent use.
 //
-// Each connection has a goroutine that reads it and ends what is in flight on it; one goroutine, watch, examines all
-// connections periodically.
+// Each connection has a goroutine that reads responses and ends the exchanges in flight. One
+// goroutine, running watch, checks all connections periodically.
 type Backend struct {
 	Counts Counts
 
 	cfg     Config
-	maxIdle time.Duration // a connection that was idle for longer is not used again
-	nextID  atomic.Uint64 // of orders and pings
+	maxIdle time.Duration // a connection idle for longer is not reused
+	nextID  atomic.Uint64 // ID of the next load order or ping
 	conns   atomic.Int64  // connections open or being opened
 	done    chan struct{} // closed by Close
 
 	mu           sync.RWMutex
 	workers      map[scheduler.WorkerID]*worker
-	removed      []*worker // no longer listed, with connections still open
-	maxPerWorker int       // connections to one worker
+	removed      []*worker // no longer listed, but with open connections
+	maxPerWorker int       // maximum connections per worker
 	closed       bool
 }
 
-// maxIdleDivisor: our idle time is at most the workers' own divided by this. What is sent must not meet their close.
+// maxIdleDivisor is the ratio of the workers' idle timeout to the longest idle time of a connection
+// that is reused. The margin avoids sending on a connection that the worker is closing.
 const maxIdleDivisor = 2
 
-// maxIdleTime returns how long a connection may have been idle to be used again. A call that meets a connection which
-// the worker, or something on the way, has dropped meanwhile may have run, whereas opening another costs a dial at
-// most: so beyond the time of a dial that is not risked.
-func maxIdleTime(dialTimeout, workersIdle time.Duration) time.Duration {
-	return min(dialTimeout, workersIdle/maxIdleDivisor)
+// maxIdleTime returns the longest idle time after which a connection may be reused. If the worker
+// or an intermediary has dropped the connection meanwhile, a call sent on it counts as one that may
+// have run, whereas a new connection costs at most the time of a dial. Connections that were idle
+// for longer than a dial may take are therefore not reused.
+func maxIdleTime(dialTimeout, workerIdleTimeout time.Duration) time.Duration {
+	return min(dialTimeout, workerIdleTimeout/maxIdleDivisor)
 }
 
-// New returns a backend with no workers, which watches its connections until Close.
+// New returns a Backend without workers. It checks its connections until Close.
 func New(cfg Config) *Backend {
 	if cfg.Dial == nil {
 		cfg.Dial = (&net.Dialer{}).DialContext
@@ -90,12 +99,12 @@
 	return b
 }
 
-// checksPerPatience is how often connections are examined in the time after which silence counts.
-const checksPerPatience = 4
+// checksPerPingAfter is how many times connections are checked during Config.PingAfter.
+const checksPerPingAfter = 4
 
-// watch examines all connections until Close.
+// watch checks all connections periodically until Close.
 func (b *Backend) watch() {
-	ticker := time.NewTicker(max(b.cfg.PingAfter/checksPerPatience, time.Millisecond))
+	ticker := time.NewTicker(max(b.cfg.PingAfter/checksPerPingAfter, time.Millisecond))
 	defer ticker.Stop()
 	for {
 		select {
@@ -117,7 +126,7 @@
 	}
 }
 
-// dropDisconnected drops the removed workers that have no connection left.
+// dropDisconnected forgets the removed workers that have no connections left.
 func (b *Backend) dropDisconnected() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -131,7 +140,7 @@
 	b.removed = connected
 }
 
-// allWorkers returns the listed workers and the removed ones.
+// allWorkers returns the listed workers and the removed ones that still have connections.
 func (b *Backend) allWorkers() []*worker {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
@@ -142,9 +151,9 @@
 	return append(all, b.removed...)
 }
 
-// Update replaces the list of workers. From here on nothing new is sent to a worker that is not Ready, or no longer
-// listed; what is in flight goes on. A worker with another name or address is another one, whatever connections lead
-// to its address.
+// Update replaces the endpoint list. From then on, nothing new is sent to a worker that is not
+// Ready or no longer listed. Exchanges in flight continue. If the name or address of a worker has
+// changed, a new worker replaces it, even if connections to the same address exist.
 func (b *Backend) Update(list []backend.Endpoint) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -167,7 +176,7 @@
 	b.maxPerWorker = connsPerWorker(b.cfg.MaxConns, len(list))
 }
 
-// Close closes all connections, which ends all that is in flight on them.
+// Close closes all connections, which ends all exchanges in flight.
 func (b *Backend) Close() {
 	b.mu.Lock()
 	if b.closed {
@@ -195,7 +204,8 @@
 	}
 }
 
-// worker returns a listed worker, or nil, and how many connections to it there may be.
+// worker returns the worker with the given ID, or nil if it is not listed, and the maximum number
+// of connections to it.
 func (b *Backend) worker(id scheduler.WorkerID) (w *worker, maxConns int) {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
--- a/internal/backend/frame/backend_test.go
+++ b/internal/backend/frame/backend_test.go
@@ -18,8 +18,8 @@
 
 const testFunction = "7f3a9c21e0b4d655"
 
-// startInvoker starts a worker that plays a script on the n-th connection to it (from 0).
-func startInvoker(t *testing.T, script func(n int, c *net.TCPConn)) (addr string) {
+// startFakeWorker starts a worker that runs script on the n-th connection to it (from 0).
+func startFakeWorker(t *testing.T, script func(n int, c *net.TCPConn)) (addr string) {
 	t.Helper()
 	ln, err := fakeplatform.Invoke(script)
 	if err != nil {
@@ -29,12 +29,13 @@
 	return ln.Addr().String()
 }
 
-// startRecorder starts a worker that answers each command as a function says, and hands over the commands.
-func startRecorder(t *testing.T, answer func(fakeplatform.Command) []byte) (
+// startRecordingWorker starts a worker that sends the commands it receives on a channel and
+// responds with what the respond function returns.
+func startRecordingWorker(t *testing.T, respond func(fakeplatform.Command) []byte) (
 	addr string, commands <-chan fakeplatform.Command,
 ) {
 	t.Helper()
-	ln, commands, err := fakeplatform.Record(answer)
+	ln, commands, err := fakeplatform.Record(respond)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,21 +43,21 @@
 	return ln.Addr().String(), commands
 }
 
-// serve answers every call, and nothing else.
-func serve(command fakeplatform.Command) []byte {
+// respondOK responds to calls and ignores other commands.
+func respondOK(command fakeplatform.Command) []byte {
 	if command.Code != codeCall {
 		return nil
 	}
 	return fakeplatform.Reply(codeOK, command.ID, "", "answer")
 }
 
-func ignore(fakeplatform.Command) []byte { return nil }
+func noResponse(fakeplatform.Command) []byte { return nil }
 
-// drain keeps a connection open and reads on until the other side closes it.
-func drain(c net.Conn) { io.Copy(io.Discard, c) }
+// readUntilClosed keeps a connection open and reads from it until the other side closes it.
+func readUntilClosed(c net.Conn) { io.Copy(io.Discard, c) }
 
-// start returns a backend with one worker, number 1.
-func start(t *testing.T, addr string, change func(*Config)) *Backend {
+// newTestBackend returns a backend with one worker, whose ID is 1.
+func newTestBackend(t *testing.T, addr string, change func(*Config)) *Backend {
 	t.Helper()
 	cfg := Config{
 		Clock:               clock.System(),
@@ -79,20 +80,20 @@
 	return b
 }
 
-// endpoint returns a ready worker.
+// endpoint returns the endpoint of a ready worker.
 func endpoint(id scheduler.WorkerID, addr string) backend.Endpoint {
 	return backend.Endpoint{ID: id, Name: fmt.Sprint("w", id), Network: "tcp", Addr: addr, Ready: true}
 }
 
-// draining returns a worker that drains.
-func draining(id scheduler.WorkerID, addr string) backend.Endpoint {
+// drainingEndpoint returns the endpoint of a draining worker.
+func drainingEndpoint(id scheduler.WorkerID, addr string) backend.Endpoint {
 	e := endpoint(id, addr)
 	e.Ready = false
 	return e
 }
 
-// newCall returns a call at worker 1.
-func newCall(id uint64) backend.Attempt {
+// newAttempt returns an attempt at worker 1 for the call with the given ID.
+func newAttempt(id uint64) backend.Attempt {
 	return backend.Attempt{
 		Worker:   1,
 		CallID:   fmt.Sprintf("%016x", id),
@@ -103,22 +104,22 @@
 	}
 }
 
-// newCallAt returns a call at a worker.
-func newCallAt(worker scheduler.WorkerID, id uint64) backend.Attempt {
-	call := newCall(id)
+// newAttemptAt returns an attempt at the given worker.
+func newAttemptAt(worker scheduler.WorkerID, id uint64) backend.Attempt {
+	call := newAttempt(id)
 	call.Worker = worker
 	return call
 }
 
-// run sends an attempt and waits for its end.
-func run(b *Backend, call backend.Attempt) backend.Result {
+// sendAndWait sends an attempt and waits for its result.
+func sendAndWait(b *Backend, call backend.Attempt) backend.Result {
 	results := make(chan backend.Result, 1)
 	b.Send(call, func(r backend.Result) { results <- r })
 	return <-results
 }
 
-// runLoad sends a load order and waits for its end.
-func runLoad(b *Backend, copies int) (scheduler.Outcome, int) {
+// loadAndWait sends a load order and waits for its result.
+func loadAndWait(b *Backend, copies int) (scheduler.Outcome, int) {
 	type result struct {
 		outcome scheduler.Outcome
 		copies  int
@@ -130,19 +131,20 @@
 	return r.outcome, r.copies
 }
 
-// waitFor waits until a condition holds that other goroutines bring about; go test's time-out ends it if it never
-// does.
+// waitFor waits until other goroutines make a condition true. If that never happens, the timeout of
+// go test ends the wait.
 func waitFor(condition func() bool) {
 	for !condition() {
 		runtime.Gosched()
 	}
 }
 
+// expectConns checks the numbers of the connections on which the next commands arrive.
 func expectConns(t *testing.T, commands <-chan fakeplatform.Command, want ...int) {
 	t.Helper()
 	for i, conn := range want {
 		if got := (<-commands).Conn; got != conn {
-			t.Errorf("command %d came on connection %d, want %d", i, got, conn)
+			t.Errorf("command %d arrived on connection %d, want %d", i, got, conn)
 		}
 	}
 }
--- a/internal/backend/frame/check.go
+++ b/internal/backend/frame/check.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// A checkAction is what to do about a connection that was examined.
+// A checkAction is the result of checking a connection.
 type checkAction int
 
 const (
@@ -11,30 +11,32 @@
 	closeConn
 )
 
-// checkSilence examines a connection with exchanges in flight. A slow worker answers a ping at once, as its
-// connection works; one that is dead, or whose connection waits for the rest of a frame that will not come, does not.
-// lastHeard is when a complete frame last came, or the first exchange began if that was later; pingedAt is when the
-// ping was sent that is not answered yet, 0 if there is none.
-func checkSilence(now, lastHeard, pingedAt, patience time.Duration) checkAction {
+// checkSilence decides about a connection with exchanges in flight on which nothing may have been
+// received for a while. A slow worker responds to a ping at once, as its connection works. A worker
+// that is dead does not, nor does one whose connection is stuck within an incomplete frame.
+//
+// lastReceived is when the last complete frame was received or, if that is later, when the first
+// exchange in flight began. pingSentAt is when the unanswered ping was sent, or 0 if there is none.
+func checkSilence(now, lastReceived, pingSentAt, timeout time.Duration) checkAction {
 	switch {
-	case pingedAt > 0 && now-pingedAt > patience:
+	case pingSentAt > 0 && now-pingSentAt > timeout:
 		return closeConn
-	case pingedAt == 0 && now-lastHeard > patience:
+	case pingSentAt == 0 && now-lastReceived > timeout:
 		return pingConn
 	}
 	return keepConn
 }
 
-// check is called periodically: it sends a ping on a silent connection, closes one that is dead, or idle for too
-// long, and forgets old ids.
+// check is called periodically. It sends a ping on a silent connection, closes one that is dead or
+// idle for too long, and forgets the IDs of exchanges that ended long ago.
 func (c *conn) check(now time.Duration) {
 	b := c.worker.backend
 	c.mu.Lock()
 	action := c.nextAction(now)
 	if action == pingConn {
-		c.pingedAt = now
+		c.pingSentAt = now
 	}
-	dead := c.pingedAt > 0
+	dead := c.pingSentAt > 0
 	c.sweepEnded(now)
 	c.mu.Unlock()
 	switch action {
@@ -45,36 +47,38 @@
 		if dead {
 			b.Counts.Dead.Add(1)
 		}
-		c.out.Close() // the reading goroutine ends what is in flight
+		c.out.Close() // the reading goroutine ends the exchanges in flight
 	}
 }
 
-// nextAction returns what to do about the connection. The caller holds mu.
+// nextAction returns what to do with the connection. The caller must hold c.mu.
 func (c *conn) nextAction(now time.Duration) checkAction {
 	b := c.worker.backend
 	switch {
 	case c.closed:
 		return keepConn
-	case len(c.inFlight) > 0 || c.pingedAt > 0: // a ping must be answered even if nothing is in flight any more
-		return checkSilence(now, c.lastHeard, c.pingedAt, b.cfg.PingAfter)
+	case len(c.inFlight) > 0 || c.pingSentAt > 0: // a pong is due even if nothing is in flight
+		return checkSilence(now, c.lastReceived, c.pingSentAt, b.cfg.PingAfter)
 	case now-c.lastUsed > b.maxIdle || c.worker.withdrawn.Load():
 		return closeConn
 	}
 	return keepConn
 }
 
-// sweepsPerForget is how often the ids of ended exchanges are swept in the time that they are remembered.
-const sweepsPerForget = 4
+// sweepsPerResponseDelay is how many times the IDs of ended exchanges are swept during
+// Config.MaxResponseDelay, for which they are kept.
+const sweepsPerResponseDelay = 4
 
-// sweepEnded forgets the ids to which no answer can come any more. The caller holds mu.
+// sweepEnded forgets the IDs of exchanges for which no late response can arrive any more. The
+// caller must hold c.mu.
 func (c *conn) sweepEnded(now time.Duration) {
-	forget := c.worker.backend.cfg.MaxResponseDelay
-	if now-c.sweptAt <= forget/sweepsPerForget {
+	maxDelay := c.worker.backend.cfg.MaxResponseDelay
+	if now-c.sweptAt <= maxDelay/sweepsPerResponseDelay {
 		return
 	}
 	c.sweptAt = now
 	for id, at := range c.endedAt {
-		if now-at > forget {
+		if now-at > maxDelay {
 			delete(c.endedAt, id)
 		}
 	}
--- a/internal/backend/frame/codec.go
+++ b/internal/backend/frame/codec.go
@@ -9,10 +9,10 @@
 	"io"
 )
 
-// Marks and codes of frames, by the platform's PROTOCOL page.
+// Magic bytes and codes of frames, as specified by the platform's PROTOCOL page.
 const (
-	markCommand = 192
-	markAnswer  = 193
+	magicCommand  = 192
+	magicResponse = 193
 
 	codeCall   = 48
 	codeCancel = 49
@@ -24,19 +24,20 @@
 	codeNotLoaded    = 66
 	codeAtCapacity   = 67
 	codeError        = 68
-	codeEndedAlready = 69
+	codeAlreadyEnded = 69
 	codePong         = 70
 )
 
-// Sizes in bytes. A frame is a head, fields, a body and a checksum of the fields and the body.
+// Sizes in bytes. A frame consists of a header, fields, a body, and a checksum of the fields and
+// the body.
 const (
-	headSize     = 16
-	checksumSize = 4
-	maxFields    = 4 << 10 // of an answer
-	growStep     = 4 << 10 // a buffer grows with what has come, not to the size that the head claims
+	headerSize      = 16
+	checksumSize    = 4
+	maxFields       = 4 << 10 // of a response
+	minBufferGrowth = 4 << 10 // a buffer grows with the bytes received, not to the announced size
 )
 
-// A header is the head of a frame, after its mark.
+// A header is the header of a frame without its magic byte.
 type header struct {
 	code       byte
 	fieldsSize int
@@ -44,20 +45,20 @@
 	id         uint64
 }
 
-// An answer is a frame from a worker.
-type answer struct {
+// A response is a frame sent by a worker.
+type response struct {
 	header
 	fields string
 	body   []byte
 }
 
-// errFrame is wrapped by errors that say that bytes are no frame: what follows on the connection cannot be told from
-// garbage.
-var errFrame = errors.New("not a frame")
+// errFrame is wrapped by all errors about malformed frames. Bytes that follow on the connection
+// cannot be parsed, as the start of the next frame is unknown.
+var errFrame = errors.New("malformed frame")
 
-// appendFrame appends a command.
+// appendFrame appends a frame with a command to a worker.
 func appendFrame(b []byte, code byte, id uint64, fields, body []byte) []byte {
-	b = append(b, markCommand, code)
+	b = append(b, magicCommand, code)
 	b = binary.BigEndian.AppendUint16(b, uint16(len(fields)))
 	b = binary.BigEndian.AppendUint32(b, uint32(len(body)))
 	b = binary.BigEndian.AppendUint64(b, id)
@@ -67,7 +68,8 @@
 	return binary.BigEndian.AppendUint32(b, crc32.ChecksumIEEE(b[payload:]))
 }
 
-// appendField appends name=value to fields. Values come from settings, hex digits and numbers: none holds a comma.
+// appendField appends name=value to the fields of a frame. Values need no escaping: they are names
+// from the settings, hex digits or numbers, none of which contains a comma.
 func appendField(b []byte, name, value string) []byte {
 	if len(b) > 0 {
 		b = append(b, ',')
@@ -77,8 +79,8 @@
 	return append(b, value...)
 }
 
-// parseHead reads a frame's head and checks it against what an answer may be.
-func parseHead(b []byte, maxBody int) (header, error) {
+// parseHeader parses the header of a response and checks its code and sizes.
+func parseHeader(b []byte, maxBody int) (header, error) {
 	h := header{
 		code:       b[1],
 		fieldsSize: int(binary.BigEndian.Uint16(b[2:])),
@@ -86,35 +88,37 @@
 		id:         binary.BigEndian.Uint64(b[8:]),
 	}
 	switch {
-	case b[0] != markAnswer:
-		return h, errMark(b[0])
+	case b[0] != magicResponse:
+		return h, errMagic(b[0])
 	case h.code != codeOK && (h.code < codeNotLoaded || h.code > codePong):
-		return h, fmt.Errorf("%w: no answer has code %d", errFrame, h.code)
+		return h, fmt.Errorf("%w: unknown response code %d", errFrame, h.code)
 	case h.fieldsSize > maxFields:
-		return h, fmt.Errorf("%w: %d bytes of fields, at most %d", errFrame, h.fieldsSize, maxFields)
+		return h, fmt.Errorf("%w: fields of %d bytes, maximum is %d", errFrame, h.fieldsSize, maxFields)
 	case h.bodySize > maxBody:
-		return h, fmt.Errorf("%w: a body of %d bytes, at most %d", errFrame, h.bodySize, maxBody)
+		return h, fmt.Errorf("%w: body of %d bytes, maximum is %d", errFrame, h.bodySize, maxBody)
 	}
 	return h, nil
 }
 
-func errMark(mark byte) error { return fmt.Errorf("%w: mark %d, want %d", errFrame, mark, markAnswer) }
+func errMagic(magic byte) error {
+	return fmt.Errorf("%w: magic byte %d, want %d", errFrame, magic, magicResponse)
+}
 
-// readAnswer reads one frame. An error that wraps errFrame says that the bytes are no frame; any other is the
-// connection's.
-func readAnswer(r *bufio.Reader, maxBody int, a *answer) error {
-	head, err := r.Peek(headSize)
+// readResponse reads one frame into resp. An error that wraps errFrame means that the frame is
+// malformed. Any other error is from the connection.
+func readResponse(r *bufio.Reader, maxBody int, resp *response) error {
+	header, err := r.Peek(headerSize)
 	if err != nil {
-		if len(head) > 0 && head[0] != markAnswer {
-			return errMark(head[0])
+		if len(header) > 0 && header[0] != magicResponse {
+			return errMagic(header[0])
 		}
 		return err
 	}
-	if a.header, err = parseHead(head, maxBody); err != nil {
+	if resp.header, err = parseHeader(header, maxBody); err != nil {
 		return err
 	}
-	r.Discard(headSize)
-	payload, err := readGrowing(r, a.fieldsSize+a.bodySize)
+	r.Discard(headerSize)
+	payload, err := readIncrementally(r, resp.fieldsSize+resp.bodySize)
 	if err != nil {
 		return unexpectedEOF(err)
 	}
@@ -123,19 +127,20 @@
 		return unexpectedEOF(err)
 	}
 	if got, want := crc32.ChecksumIEEE(payload), binary.BigEndian.Uint32(checksum[:]); got != want {
-		return fmt.Errorf("%w: check %08x, want %08x", errFrame, got, want)
+		return fmt.Errorf("%w: checksum %08x, want %08x", errFrame, got, want)
 	}
-	a.fields = string(payload[:a.fieldsSize])
-	a.body = payload[a.fieldsSize:]
+	resp.fields = string(payload[:resp.fieldsSize])
+	resp.body = payload[resp.fieldsSize:]
 	return nil
 }
 
-// readGrowing reads so many bytes, into a buffer that at most doubles with what has come.
-func readGrowing(r io.Reader, size int) ([]byte, error) {
-	b := make([]byte, 0, min(size, growStep))
+// readIncrementally reads size bytes. Its buffer at most doubles with the bytes received, so that a
+// header with a false size cannot cause a large allocation.
+func readIncrementally(r io.Reader, size int) ([]byte, error) {
+	b := make([]byte, 0, min(size, minBufferGrowth))
 	for len(b) < size {
 		from := len(b)
-		b = append(b, make([]byte, min(size-from, max(from, growStep)))...)
+		b = append(b, make([]byte, min(size-from, max(from, minBufferGrowth)))...)
 		if _, err := io.ReadFull(r, b[from:]); err != nil {
 			return nil, err
 		}
@@ -143,7 +148,7 @@
 	return b, nil
 }
 
-// unexpectedEOF returns the error of a stream that ended within a frame.
+// unexpectedEOF turns io.EOF into io.ErrUnexpectedEOF, for a stream that ended within a frame.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
--- a/internal/backend/frame/codec_test.go
+++ b/internal/backend/frame/codec_test.go
@@ -9,19 +9,20 @@
 	"kitehub/scheduler"
 )
 
-// Whatever bytes come, an answer that is accepted is one that a worker could have framed.
-func FuzzReadAnswer(f *testing.F) {
+// Whatever the input, a response that is accepted must be identical to a frame that a worker could
+// have sent.
+func FuzzReadResponse(f *testing.F) {
 	f.Add(fakeplatform.Reply(codeOK, 7, "note=resident", "answer"))
 	f.Add(fakeplatform.Reply(codePong, 7, "", "")[:17])
 	f.Fuzz(func(t *testing.T, in []byte) {
-		var a answer
-		if readAnswer(bufio.NewReader(bytes.NewReader(in)), 1000, &a) != nil {
+		var resp response
+		if readResponse(bufio.NewReader(bytes.NewReader(in)), 1000, &resp) != nil {
 			return
 		}
-		parseFields(a.fields, []scheduler.ReportField{scheduler.FieldUtilization})
-		framed := fakeplatform.Reply(a.code, a.id, a.fields, string(a.body))
+		parseFields(resp.fields, []scheduler.ReportField{scheduler.FieldUtilization})
+		framed := fakeplatform.Reply(resp.code, resp.id, resp.fields, string(resp.body))
 		if !bytes.HasPrefix(in, framed) {
-			t.Errorf("%x was read as %x", in, framed)
+			t.Errorf("%x was parsed as %x", in, framed)
 		}
 	})
 }
--- a/internal/backend/frame/conn.go
+++ b/internal/backend/frame/conn.go
@@ -11,48 +11,49 @@
 	"kitehub/scheduler"
 )
 
-// An exchange is a call or a load order in flight on a connection. Its fields are set before it starts.
+// An exchange is a call or a load order in flight on a connection. Unless noted, its fields are set
+// before it starts.
 type exchange struct {
-	id       uint64
-	isOrder  bool
-	done     func(scheduler.Outcome, *answer) // called once, by whoever removes it from its connection
-	timer    *time.Timer                      // its time-out
-	frameEnd uint64                           // of its frame in the connection's stream; set when it starts
-	sentAt   time.Duration                    // likewise
+	id          uint64
+	isLoadOrder bool
+	done        func(scheduler.Outcome, *response) // called once, after removal from the connection
+	timer       *time.Timer                        // ends the exchange with a timeout
+	frameEnd    uint64                             // output offset of its end; set at the start
+	sentAt      time.Duration                      // set at the start
 }
 
-// A conn is a connection to a worker. Exchanges are found by id; an id is not used twice on one connection while an
-// answer to its first use may still come.
+// A conn is a connection to a worker. Responses refer to exchanges by ID. An ID is not reused on a
+// connection while a response to its earlier use may still arrive.
 type conn struct {
 	net.Conn
 	worker *worker
 	out    *outbox.Outbox
 
-	mu        sync.Mutex
-	inFlight  map[uint64]*exchange
-	endedAt   map[uint64]time.Duration // ids of exchanges that have ended, to which answers may still come
-	sweptAt   time.Duration            // when endedAt was last swept
-	lastUsed  time.Duration            // when an exchange last began or ended
-	lastHeard time.Duration            // when a complete frame last came, or, if later, the first in flight began
-	pingedAt  time.Duration            // when the ping was sent that is not answered yet; 0: there is none
-	closed    bool                     // no exchange may start
-	started   int                      // exchanges
+	mu           sync.Mutex
+	inFlight     map[uint64]*exchange
+	endedAt      map[uint64]time.Duration // ended exchanges that may still get a response, by ID
+	sweptAt      time.Duration            // when endedAt was last swept
+	lastUsed     time.Duration            // when an exchange last started or ended
+	lastReceived time.Duration            // see checkSilence
+	pingSentAt   time.Duration            // when the unanswered ping was sent; 0 if there is none
+	closed       bool                     // no further exchange may start
+	started      int                      // number of exchanges started
 }
 
 func (b *Backend) newConn(w *worker, socket net.Conn) *conn {
 	now := b.cfg.Clock.Now()
 	return &conn{
-		Conn:      socket,
-		worker:    w,
-		out:       outbox.New(socket, b.cfg.MaxBody, b.cfg.PingAfter),
-		inFlight:  map[uint64]*exchange{},
-		endedAt:   map[uint64]time.Duration{},
-		lastUsed:  now,
-		lastHeard: now,
+		Conn:         socket,
+		worker:       w,
+		out:          outbox.New(socket, b.cfg.MaxBody, b.cfg.PingAfter),
+		inFlight:     map[uint64]*exchange{},
+		endedAt:      map[uint64]time.Duration{},
+		lastUsed:     now,
+		lastReceived: now,
 	}
 }
 
-// state returns what the choice of a connection for an exchange with this id depends on.
+// state returns the state of the connection as seen by a new exchange with the given ID.
 func (c *conn) state(id uint64) connState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -61,14 +62,15 @@
 	return connState{
 		inFlight: len(c.inFlight),
 		lastUsed: c.lastUsed,
-		suspect:  c.pingedAt > 0 || c.closed || c.out.Busy(),
+		suspect:  c.pingSentAt > 0 || c.closed || c.out.Busy(),
 		used:     c.started > 0,
-		knowsID:  inFlight || ended,
+		idTaken:  inFlight || ended,
 	}
 }
 
-// start begins an exchange and sends its frame. mayStart is asked at the last moment before the first byte; if it, or
-// the connection, says no, nothing is sent and start returns false.
+// start starts an exchange and sends its frame. It calls mayStart immediately before the first
+// byte. If mayStart returns false or the connection is not available, start sends nothing and
+// returns false.
 func (c *conn) start(x *exchange, frame []byte, now time.Duration, mayStart func() bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -76,10 +78,10 @@
 		return false
 	}
 	if len(c.inFlight) == 0 {
-		c.lastHeard = now
+		c.lastReceived = now
 	}
 	end, ok := c.out.Begin(frame)
-	if !ok { // the first byte must not wait: the worker may begin to drain before it is sent
+	if !ok { // the first byte must not be queued: the worker may begin to drain before it is sent
 		return false
 	}
 	x.frameEnd = end
@@ -90,7 +92,8 @@
 	return true
 }
 
-// remove removes an exchange, whose end the caller then reports; false if another has removed it.
+// remove removes an exchange from the connection. If it returns true, the caller must report the
+// end of the exchange. It returns false if the exchange has already been removed.
 func (c *conn) remove(x *exchange) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -105,28 +108,28 @@
 	return true
 }
 
-// abandon ends an exchange without an answer. If it is a call, the worker is told.
+// abandon ends an exchange without a response. If it is a call, the worker is sent a cancellation.
 func (c *conn) abandon(x *exchange, o scheduler.Outcome) {
 	if !c.remove(x) {
 		return
 	}
-	if !x.isOrder {
+	if !x.isLoadOrder {
 		c.out.Send(appendFrame(nil, codeCancel, x.id, nil, nil))
 	}
 	x.done(o, nil)
 }
 
-// read reads answers until the connection ends, and then ends what is in flight on it.
+// read reads responses until the connection ends, and then ends all exchanges in flight on it.
 func (c *conn) read() {
 	b := c.worker.backend
 	reader := bufio.NewReaderSize(c.Conn, readBuffer)
-	var a answer
+	var resp response
 	var err error
 	for {
-		if err = readAnswer(reader, b.cfg.MaxBody, &a); err != nil {
+		if err = readResponse(reader, b.cfg.MaxBody, &resp); err != nil {
 			break
 		}
-		c.handle(&a)
+		c.handle(&resp)
 	}
 	if errors.Is(err, errFrame) {
 		b.Counts.Malformed.Add(1)
@@ -135,39 +138,40 @@
 	c.finish()
 }
 
-// handle ends the exchange that an answer belongs to.
-func (c *conn) handle(a *answer) {
-	x := c.heard(a)
+// handle ends the exchange that a response belongs to.
+func (c *conn) handle(resp *response) {
+	x := c.recordResponse(resp)
 	if x == nil {
 		return
 	}
-	outcome, ok := callOutcome(a.code)
-	if x.isOrder {
-		outcome, ok = orderOutcome(a.code)
+	outcome, ok := callOutcome(resp.code)
+	if x.isLoadOrder {
+		outcome, ok = orderOutcome(resp.code)
 	}
 	if ok && c.remove(x) {
-		x.done(outcome, a)
+		x.done(outcome, resp)
 	}
 }
 
-// heard notes that a complete frame has come. It returns the exchange in flight that it answers, or nil.
-func (c *conn) heard(a *answer) *exchange {
+// recordResponse records that a complete frame was received. It returns the exchange in flight that
+// the frame responds to, or nil.
+func (c *conn) recordResponse(resp *response) *exchange {
 	b := c.worker.backend
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.lastHeard = b.cfg.Clock.Now()
-	if a.code == codePong {
-		c.pingedAt = 0
+	c.lastReceived = b.cfg.Clock.Now()
+	if resp.code == codePong {
+		c.pingSentAt = 0
 		return nil
 	}
-	x := c.inFlight[a.id]
+	x := c.inFlight[resp.id]
 	if x == nil {
 		b.Counts.Strays.Add(1)
 	}
 	return x
 }
 
-// finish closes the connection and ends all that is in flight on it.
+// finish closes the connection and ends all exchanges in flight on it.
 func (c *conn) finish() {
 	c.out.Close()
 	c.mu.Lock()
@@ -189,7 +193,8 @@
 	}
 }
 
-// evict closes an idle connection and frees its room at once; false if an exchange has begun on it meanwhile.
+// evict closes an idle connection and removes it from its worker at once, so that another one may
+// be opened. It returns false if an exchange has started on the connection meanwhile.
 func (c *conn) evict() bool {
 	c.mu.Lock()
 	idle := !c.closed && c.started > 0 && len(c.inFlight) == 0
--- a/internal/backend/frame/fields.go
+++ b/internal/backend/frame/fields.go
@@ -8,17 +8,17 @@
 	"kitehub/scheduler"
 )
 
-// answerFields are the fields of an answer that are understood.
-type answerFields struct {
+// responseFields holds the known fields of a response.
+type responseFields struct {
 	note         scheduler.LoadNote
 	sameFunction int // calls of the same function in flight at the worker
-	copies       int // loaded
+	copies       int // loaded copies of the function
 	report       []float64
 }
 
-// parseFields reads fields like "note=resident,company=3". Unknown ones are ignored; those that are malformed count
-// as missing.
-func parseFields(text string, report []scheduler.ReportField) (f answerFields) {
+// parseFields parses fields like "note=resident,company=3". Unknown fields are ignored, and
+// malformed ones count as missing.
+func parseFields(text string, report []scheduler.ReportField) (f responseFields) {
 	for pair := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(pair, "=")
 		switch name {
@@ -35,7 +35,7 @@
 	return f
 }
 
-// loadNotes are the notes of answers, by their words on the wire.
+// loadNotes maps the values of the note field.
 var loadNotes = map[string]scheduler.LoadNote{
 	"resident":   scheduler.FoundWarm,
 	"booted":     scheduler.StartedLoad,
@@ -43,7 +43,7 @@
 	"boot_error": scheduler.LoadFailed,
 }
 
-const maxCount = 1 << 16 // a greater number is no count
+const maxCount = 1 << 16 // greater numbers are rejected
 
 func parseCount(text string) int {
 	n, err := strconv.Atoi(text)
@@ -53,7 +53,8 @@
 	return n
 }
 
-// reportFields are the words for the fields of a load report: the platform's, and those of the settings.
+// reportFields maps the names of load report fields: those of the platform and those of the
+// settings.
 var reportFields = map[string]scheduler.ReportField{
 	"inflight":     scheduler.FieldInFlight,
 	"outstanding":  scheduler.FieldInFlight,
@@ -71,8 +72,8 @@
 	"x1":           scheduler.FieldX1,
 }
 
-// parseReport reads a load report like "inflight:7;util:0.61", in the order of the fields. It returns nil if the
-// report lacks a field or has one that is not a number.
+// parseReport parses a load report like "inflight:7;util:0.61" and returns the values of the given
+// fields, in that order. It returns nil if a field is missing or is not a non-negative number.
 func parseReport(text string, fields []scheduler.ReportField) []float64 {
 	if len(fields) == 0 {
 		return nil
--- a/internal/backend/frame/outcome.go
+++ b/internal/backend/frame/outcome.go
@@ -2,25 +2,28 @@
 
 import "kitehub/scheduler"
 
-// How an attempt on a connection can end, and what each end proves. The scheduler may repeat only what certainly did
-// not run, so this table is the one place that says so:
+// The following table lists how an attempt can end and what that proves. The scheduler may retry
+// only an attempt that certainly did not run:
 //
-//	how it ended                                        Outcome        what is known
-//	answer 64, OK                                       OK             it ran
-//	answer 66, not loaded                               NotLoaded      it did not run
-//	answer 67, at capacity                              AtCapacity     it did not run
-//	answer 69, ended already                            NotStarted     it did not run
-//	answer 68, error                                    Error          it may have run
-//	no connection came up, or none was available        ConnectFailed  nothing was sent
-//	withdrawn, cancelled or unwanted before a byte      NotStarted     nothing was sent
-//	the connection ended with the frame incomplete      ConnectFailed  it never arrived complete, so it did not run
-//	the connection ended with the frame complete        Reset          it may have run
-//	garbage, a wrong checksum, a frame over the bounds  Reset          it may have run, as may all on the connection
-//	silence that a ping did not end                     Reset          likewise
-//	no answer in time                                   TimedOut       it may have run
+//	how the attempt ended                               Outcome        what is known
+//	response 64, OK                                     OK             it ran
+//	response 66, not loaded                             NotLoaded      it did not run
+//	response 67, at capacity                            AtCapacity     it did not run
+//	response 69, already ended                          NotStarted     it did not run
+//	response 68, error                                  Error          it may have run
+//	no connection could be opened or was available      ConnectFailed  nothing was sent
+//	withdrawn, cancelled or rejected by MayStart        NotStarted     nothing was sent
+//	connection ended before the frame was complete      ConnectFailed  incomplete: it did not run
+//	connection ended after the frame was complete       Reset          it may have run
+//	malformed frame, wrong checksum, limit exceeded     Reset          it may have run (*)
+//	silence without a response to a ping                Reset          it may have run (*)
+//	no response in time                                 TimedOut       it may have run
 //	cancelled after the first byte                      Cancelled      it may have run
+//
+// (*) This holds for all attempts in flight on the connection.
 
-// callOutcome returns what an answer to a call proves; false for a code that answers no call.
+// callOutcome returns what a response to a call proves. It returns false for a code that is no
+// response to a call.
 func callOutcome(code byte) (scheduler.Outcome, bool) {
 	switch code {
 	case codeOK:
@@ -31,13 +34,14 @@
 		return scheduler.AtCapacity, true
 	case codeError:
 		return scheduler.Error, true
-	case codeEndedAlready:
+	case codeAlreadyEnded:
 		return scheduler.NotStarted, true
 	}
 	return 0, false
 }
 
-// orderOutcome returns what an answer to a load order says; false for a code that answers no order.
+// orderOutcome returns the outcome of a load order from the code of a response. It returns false
+// for a code that is no response to a load order.
 func orderOutcome(code byte) (scheduler.Outcome, bool) {
 	switch code {
 	case codeOK, codeAtCapacity, codeError:
@@ -46,8 +50,8 @@
 	return 0, false
 }
 
-// lostOutcome returns what the end of its connection proves of an attempt, by whether the kernel had taken its
-// complete frame.
+// lostOutcome returns the outcome of an attempt whose connection has ended. frameComplete says
+// whether the kernel had accepted the complete frame.
 func lostOutcome(frameComplete bool) scheduler.Outcome {
 	if frameComplete {
 		return scheduler.Reset
--- a/internal/backend/frame/outcome_test.go
+++ b/internal/backend/frame/outcome_test.go
@@ -10,80 +10,80 @@
 	"kitehub/scheduler"
 )
 
-// Each way that a call can end is reported exactly as far as it is proven.
+// A call that may have run must not be reported as one that did not, or a retry would run it twice.
 func TestOutcomeOfEachEnd(t *testing.T) {
 	const id = 0x9b1f03aa5c7e2d41
-	reply := fakeplatform.Reply
+	frame := fakeplatform.Reply
 	write := func(parts ...[]byte) func(*net.TCPConn) {
 		return func(c *net.TCPConn) {
 			c.Write(bytes.Join(parts, nil))
-			drain(c)
+			readUntilClosed(c)
 		}
 	}
-	changed := func(change func([]byte)) []byte {
-		frame := reply(codeOK, id, "note=resident", "answer")
-		change(frame)
-		return frame
+	corrupted := func(corrupt func([]byte)) []byte {
+		b := frame(codeOK, id, "note=resident", "answer")
+		corrupt(b)
+		return b
 	}
-	ok := reply(codeOK, id, "note=booted", "answer")
+	ok := frame(codeOK, id, "note=booted", "answer")
 	singleBytes := func(c *net.TCPConn) {
 		for i := range ok {
 			c.Write(ok[i : i+1])
 		}
-		drain(c)
+		readUntilClosed(c)
 	}
-	wrongChecksum := changed(func(b []byte) { b[len(b)-1] ^= 1 })
-	changedBody := changed(func(b []byte) { b[headSize+15] ^= 1 })
-	wrongMark := changed(func(b []byte) { b[0] = markCommand })
-	hugeBody := changed(func(b []byte) { binary.BigEndian.PutUint32(b[4:], 3<<30) })
-	hugeFields := changed(func(b []byte) { binary.BigEndian.PutUint16(b[2:], 0xffff) })
+	wrongChecksum := corrupted(func(b []byte) { b[len(b)-1] ^= 1 })
+	changedBody := corrupted(func(b []byte) { b[headerSize+15] ^= 1 })
+	wrongMagic := corrupted(func(b []byte) { b[0] = magicCommand })
+	hugeBody := corrupted(func(b []byte) { binary.BigEndian.PutUint32(b[4:], 3<<30) })
+	hugeFields := corrupted(func(b []byte) { binary.BigEndian.PutUint16(b[2:], 0xffff) })
 	tests := []struct {
-		name   string
-		answer func(*net.TCPConn) // to the call; then the connection is closed
-		want   scheduler.Outcome
+		name    string
+		respond func(*net.TCPConn) // responds to the call; the connection is closed afterwards
+		want    scheduler.Outcome
 	}{
 		{"OK", write(ok), scheduler.OK},
 		{"OK in single bytes", singleBytes, scheduler.OK},
-		{"not loaded", write(reply(codeNotLoaded, id, "note=boot_error", "")), scheduler.NotLoaded},
-		{"at capacity", write(reply(codeAtCapacity, id, "company=9", "")), scheduler.AtCapacity},
-		{"ended already", write(reply(codeEndedAlready, id, "", "")), scheduler.NotStarted},
-		{"error", write(reply(codeError, id, "", "")), scheduler.Error},
+		{"not loaded", write(frame(codeNotLoaded, id, "note=boot_error", "")), scheduler.NotLoaded},
+		{"at capacity", write(frame(codeAtCapacity, id, "company=9", "")), scheduler.AtCapacity},
+		{"already ended", write(frame(codeAlreadyEnded, id, "", "")), scheduler.NotStarted},
+		{"error", write(frame(codeError, id, "", "")), scheduler.Error},
 		{"OK twice", write(ok, ok), scheduler.OK},
-		{"an answer with an unknown id first", write(reply(codeAtCapacity, 5, "", ""), ok), scheduler.OK},
-		{"a pong without a ping first", write(reply(codePong, id, "", ""), ok), scheduler.OK},
-		{"an unknown code", write(reply(71, id, "", ""), ok), scheduler.Reset},
-		{"a wrong checksum", write(wrongChecksum), scheduler.Reset},
-		{"a changed body", write(changedBody), scheduler.Reset},
-		{"a wrong mark", write(wrongMark), scheduler.Reset},
-		{"3 GB by its head", write(hugeBody, make([]byte, 1<<20)), scheduler.Reset},
-		{"fields over the bound", write(hugeFields), scheduler.Reset},
+		{"unknown ID before the response", write(frame(codeAtCapacity, 5, "", ""), ok), scheduler.OK},
+		{"unexpected pong before the response", write(frame(codePong, id, "", ""), ok), scheduler.OK},
+		{"unknown code", write(frame(71, id, "", ""), ok), scheduler.Reset},
+		{"wrong checksum", write(wrongChecksum), scheduler.Reset},
+		{"corrupted body", write(changedBody), scheduler.Reset},
+		{"wrong magic byte", write(wrongMagic), scheduler.Reset},
+		{"header announcing 3 GB", write(hugeBody, make([]byte, 1<<20)), scheduler.Reset},
+		{"fields over the limit", write(hugeFields), scheduler.Reset},
 		{"garbage", write([]byte("HTTP/1.1 200 OK\r\n\r\n")), scheduler.Reset},
 		{"truncated", func(c *net.TCPConn) { c.Write(ok[:len(ok)-3]) }, scheduler.Reset},
 		{"closed", func(*net.TCPConn) {}, scheduler.Reset},
 		{"reset", func(c *net.TCPConn) { c.SetLinger(0) }, scheduler.Reset},
-		{"at capacity, then garbage", write(reply(codeAtCapacity, id, "", ""), []byte("noise")), scheduler.AtCapacity},
+		{"at capacity, then garbage", write(frame(codeAtCapacity, id, "", ""), []byte("noise")), scheduler.AtCapacity},
 	}
 	for _, tt := range tests {
-		addr := startInvoker(t, func(_ int, c *net.TCPConn) {
+		addr := startFakeWorker(t, func(_ int, c *net.TCPConn) {
 			if _, err := fakeplatform.ReadCommand(c); err == nil {
-				tt.answer(c)
+				tt.respond(c)
 			}
 		})
-		r := run(start(t, addr, nil), newCall(id))
+		r := sendAndWait(newTestBackend(t, addr, nil), newAttempt(id))
 		if r.Outcome != tt.want || (r.Outcome == scheduler.OK) != (string(r.Body) == "answer") {
 			t.Errorf("%s: %v, body %q, want outcome %v", tt.name, r.Outcome, r.Body, tt.want)
 		}
 	}
 }
 
-func TestResultHasFieldsOfAnswer(t *testing.T) {
-	addr, _ := startRecorder(t, func(command fakeplatform.Command) []byte {
+func TestResultHasFieldsOfResponse(t *testing.T) {
+	addr, _ := startRecordingWorker(t, func(command fakeplatform.Command) []byte {
 		return fakeplatform.Reply(codeOK, command.ID, "note=booted,company=3,load=queue:2;util:0.5", "answer")
 	})
-	b := start(t, addr, func(c *Config) {
+	b := newTestBackend(t, addr, func(c *Config) {
 		c.ReportFields = []scheduler.ReportField{scheduler.FieldUtilization, scheduler.FieldQueue}
 	})
-	r := run(b, newCall(1))
+	r := sendAndWait(b, newAttempt(1))
 	if r.Outcome != scheduler.OK || r.Note != scheduler.StartedLoad || r.SameFunction != 3 {
 		t.Errorf("%+v", r)
 	}
--- a/internal/backend/frame/placement.go
+++ b/internal/backend/frame/placement.go
@@ -5,40 +5,42 @@
 	"time"
 )
 
-// A connState is what the choice among a worker's connections depends on.
+// A connState is the state of a connection on which the choice among a worker's connections is
+// based.
 type connState struct {
-	inFlight int           // exchanges
-	lastUsed time.Duration // when an exchange last began or ended on it
-	suspect  bool          // it may be dead: a ping is not answered yet, or bytes wait to be written
-	used     bool          // an exchange has begun on it; otherwise the attempt that opened it is about to begin
-	knowsID  bool          // the id was used on it: a late answer to the earlier use would pass for the new one's
+	inFlight int           // number of exchanges in flight
+	lastUsed time.Duration // when an exchange last started or ended
+	suspect  bool          // possibly dead: a ping is unanswered or output is queued
+	used     bool          // an exchange has started; if not, one is about to
+	idTaken  bool          // the ID was used before, and a late response to that use may arrive
 }
 
-// A placement is where an attempt goes.
+// A placement says on which kind of connection an attempt is sent.
 type placement int
 
 const (
-	useConn  placement = iota // on an open connection
-	openConn                  // on a new connection
-	noConn                    // nowhere: no connection may be opened, and none that is open is available
+	useConn  placement = iota // an open connection
+	openConn                  // a new connection
+	noConn                    // none: no connection may be opened, and no open one is available
 )
 
-// limits of the connections to one worker.
+// limits are the limits on the connections to one worker.
 type limits struct {
 	maxConns    int
-	maxInFlight int           // exchanges on one connection
-	maxIdle     time.Duration // a connection idle for longer is not used: the worker may be closing it
+	maxInFlight int           // exchanges per connection
+	maxIdle     time.Duration // longest idle time of a usable connection
 }
 
-// pick chooses where an attempt goes; index is that of the connection for useConn. One answer that cannot be read, or
-// one reset, ends all that is in flight on the connection, so an attempt gets a connection of its own while the
-// worker may have another: the idle one used last is the likeliest to be open. Beyond that attempts share
-// connections, the one with the fewest exchanges first.
-func pick(conns []connState, dialing int, lim limits, now time.Duration) (placed placement, index int) {
+// choosePlacement chooses the connection for an attempt. For useConn, index is that of the chosen
+// connection. One malformed response or one reset ends all exchanges in flight on a connection, so
+// an attempt gets its own connection as long as the worker may have another. Among idle connections
+// the most recently used one is chosen, as it is the most likely to be open. Beyond that, attempts
+// share connections, starting with the one that has the fewest exchanges in flight.
+func choosePlacement(conns []connState, dialing int, lim limits, now time.Duration) (choice placement, index int) {
 	idle, shared := -1, -1
 	for i, c := range conns {
 		switch {
-		case c.suspect || c.knowsID:
+		case c.suspect || c.idTaken:
 		case c.inFlight == 0:
 			if now-c.lastUsed <= lim.maxIdle && (idle < 0 || c.lastUsed > conns[idle].lastUsed) {
 				idle = i
@@ -60,11 +62,13 @@
 	return noConn, 0
 }
 
-// connsPerWorker returns how many connections each worker may have if all have the same share of the budget.
+// connsPerWorker returns how many connections each worker may have if all get an equal share of the
+// budget.
 func connsPerWorker(budget, workers int) int { return max(1, budget/max(1, workers)) }
 
-// place chooses the connection for an exchange with this id, or reserves room for a new one, which addConn takes up.
-func (b *Backend) place(w *worker, id uint64, maxConns int) (*conn, placement) {
+// placeExchange chooses a connection for an exchange with the given ID. If it returns openConn, it
+// has reserved a slot for a new connection, which addConn then uses or releases.
+func (b *Backend) placeExchange(w *worker, id uint64, maxConns int) (*conn, placement) {
 	now := b.cfg.Clock.Now()
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -72,23 +76,23 @@
 	for i, c := range w.conns {
 		states[i] = c.state(id)
 	}
-	if int(b.conns.Load()) >= b.cfg.MaxConns { // workers that were removed still have some
+	if int(b.conns.Load()) >= b.cfg.MaxConns { // removed workers still have some
 		maxConns = 0
 	}
 	lim := limits{maxConns: maxConns, maxInFlight: b.cfg.MaxExchangesPerConn, maxIdle: b.maxIdle}
-	placed, i := pick(states, w.dialing, lim, now)
-	switch placed {
+	choice, i := choosePlacement(states, w.dialing, lim, now)
+	switch choice {
 	case useConn:
 		return w.conns[i], useConn
 	case openConn:
 		w.dialing++
 		b.conns.Add(1)
 	}
-	return nil, placed
+	return nil, choice
 }
 
-// addConn takes up the room that place has reserved: with a connection, or, if the dial ended with an error, by
-// giving it up.
+// addConn uses the slot that placeExchange has reserved for a new connection, or releases it if the
+// dial failed.
 func (b *Backend) addConn(w *worker, socket net.Conn, dialErr error) (*conn, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -107,9 +111,9 @@
 	return c, nil
 }
 
-// evictIdle closes the connection to another worker that has been idle longest, if all connections that may be open
-// are: a worker that has none must not wait for those that have more than they use. It reports whether one was
-// closed.
+// evictIdle closes the connection that has been idle longest among those to other workers, if the
+// maximum number of connections is reached. Without it, a worker without connections would have to
+// wait for others that do not use theirs. It reports whether it closed a connection.
 func (b *Backend) evictIdle(w *worker) bool {
 	if int(b.conns.Load()) < b.cfg.MaxConns {
 		return false
--- a/internal/backend/frame/worker.go
+++ b/internal/backend/frame/worker.go
@@ -10,36 +10,36 @@
 	"kitehub/scheduler"
 )
 
-// A worker is one endpoint of the list, with its connections.
+// A worker is an entry of the endpoint list with its connections.
 type worker struct {
 	backend   *Backend
 	name      string
 	network   string
 	addr      string
-	withdrawn atomic.Bool // it is draining or gone: nothing new is sent to it
+	withdrawn atomic.Bool // draining or removed: nothing new is sent to it
 	traffic   traffic
 
 	mu      sync.Mutex
 	conns   []*conn
 	dialing int  // connections being opened
-	closed  bool // by Backend.Close: no connection is added any more
+	closed  bool // by Backend.Close: no connection may be added
 }
 
-// connections returns the present connections.
+// connections returns a copy of the list of open connections.
 func (w *worker) connections() []*conn {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return slices.Clone(w.conns)
 }
 
-// connected reports whether there are connections, or some are being opened.
+// connected reports whether any connection is open or being opened.
 func (w *worker) connected() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return len(w.conns)+w.dialing > 0
 }
 
-// remove removes a connection, once.
+// remove removes a connection from the worker, unless that has already been done.
 func (w *worker) remove(c *conn) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -59,38 +59,39 @@
 	}
 }
 
-// traffic is what passed between this controller and a worker, as its sockets saw it.
+// traffic counts the calls between this controller and a worker, as observed on the connections.
 type traffic struct {
-	open     atomic.Int64 // calls in flight
-	answered atomic.Int64
-	lost     atomic.Int64
-	took     atomic.Int64 // nanoseconds, over the calls answered
+	inFlight  atomic.Int64 // calls in flight
+	served    atomic.Int64
+	lost      atomic.Int64
+	totalTime atomic.Int64 // nanoseconds, summed over the calls served
 }
 
-// callEnded counts the end of a call that was sent.
+// callEnded records the end of a call that was sent.
 func (tr *traffic) callEnded(o scheduler.Outcome, took time.Duration) {
-	tr.open.Add(-1)
+	tr.inFlight.Add(-1)
 	switch o {
 	case scheduler.OK:
-		tr.answered.Add(1)
-		tr.took.Add(int64(took))
+		tr.served.Add(1)
+		tr.totalTime.Add(int64(took))
 	case scheduler.Reset, scheduler.ConnectFailed, scheduler.TimedOut:
 		tr.lost.Add(1)
 	}
 }
 
-// Traffic is what passed between this controller and a worker: the facts to compare the scheduler's estimates with.
+// Traffic counts the calls between this controller and a worker, for comparison with the
+// scheduler's estimates.
 type Traffic struct {
 	Worker    scheduler.WorkerID
 	Name      string
-	Conns     int           // connections open
+	Conns     int           // open connections
 	InFlight  int           // calls in flight
 	Served    int64         // calls served
-	Lost      int64         // calls whose connection ended, or that timed out, without an answer
-	TotalTime time.Duration // sum over the calls served, from the first byte sent to the answer
+	Lost      int64         // calls that ended without a response: connection lost or timeout
+	TotalTime time.Duration // from sending to response, summed over the calls served
 }
 
-// Traffic returns what passed, of the workers now listed, by number.
+// Traffic returns the traffic of each listed worker, ordered by worker ID.
 func (b *Backend) Traffic() []Traffic {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
@@ -100,10 +101,10 @@
 			Worker:    id,
 			Name:      w.name,
 			Conns:     len(w.connections()),
-			InFlight:  int(w.traffic.open.Load()),
-			Served:    w.traffic.answered.Load(),
+			InFlight:  int(w.traffic.inFlight.Load()),
+			Served:    w.traffic.served.Load(),
 			Lost:      w.traffic.lost.Load(),
-			TotalTime: time.Duration(w.traffic.took.Load()),
+			TotalTime: time.Duration(w.traffic.totalTime.Load()),
 		})
 	}
 	slices.SortFunc(seen, func(a, b Traffic) int { return cmp.Compare(a.Worker, b.Worker) })
