--- a/internal/discovery/cache.go
+++ b/internal/discovery/cache.go
@@ -10,7 +10,7 @@
 	"kitehub/scheduler"
 )
 
-// loadCache notifies the sink of the list that an earlier process cached, if there is one.
+// loadCache notifies the sink of the list cached by an earlier process, if there is one.
 func (w *Watcher) loadCache() {
 	if w.cfg.CacheFile == "" {
 		return
@@ -31,7 +31,8 @@
 	}
 }
 
-// saveCache caches the list in force for the next start. A failure is only logged: it costs that start, not this run.
+// saveCache caches the list in force for the next start. An error is only logged, as it does not
+// affect the running process.
 func (w *Watcher) saveCache() {
 	if w.cfg.CacheFile == "" {
 		return
@@ -45,8 +46,8 @@
 	}
 }
 
-// WriteFile replaces a file atomically: a reader sees either the old text or the new, complete. The text is synced to
-// disk before it takes the name.
+// WriteFile replaces a file atomically: readers see either the complete old text or the complete
+// new one. It syncs the new text to disk before renaming it over the old file.
 func WriteFile(name string, text []byte) error {
 	temp, err := os.CreateTemp(filepath.Dir(name), filepath.Base(name)+".*")
 	if err != nil {
--- a/internal/discovery/decode.go
+++ b/internal/discovery/decode.go
@@ -18,8 +18,8 @@
 	maxHostnameBytes = 253 // of a DNS name
 )
 
-// workerStates maps envoy.config.core.v3.HealthStatus. UNHEALTHY and TIMEOUT are the results of health checks by
-// others: the scheduler has its own, so these workers stay listed as ready.
+// workerStates maps envoy.config.core.v3.HealthStatus. UNHEALTHY and TIMEOUT are results of health
+// checks made by others. The scheduler makes its own health checks, so such workers count as ready.
 var workerStates = map[string]scheduler.WorkerState{
 	"":          scheduler.Ready,
 	"UNKNOWN":   scheduler.Ready,
@@ -30,11 +30,11 @@
 	"DRAINING":  scheduler.Draining,
 }
 
-// ParseAssignment reads a complete list. An empty cluster matches any. Errors name the field at fault; they go to the
-// server as the reason of the rejection.
+// ParseAssignment parses a complete list. An empty cluster matches any. Errors name the invalid
+// field and are sent to the server as the reason for the rejection.
 func ParseAssignment(text []byte, cluster string) ([]gateway.Worker, error) {
 	if len(text) > maxUpdateBytes {
-		return nil, fmt.Errorf("list of %d bytes, at most %d", len(text), maxUpdateBytes)
+		return nil, fmt.Errorf("list of %d bytes, maximum is %d", len(text), maxUpdateBytes)
 	}
 	var assignment Assignment
 	if err := json.Unmarshal(text, &assignment); err != nil {
@@ -66,28 +66,30 @@
 	return workers, checkUnique(workers)
 }
 
-// checkUnique rejects two workers with one name, and two with one address: one would be sent the other's calls.
+// checkUnique returns an error if two workers have the same name or the same address, as one of
+// them would receive the other's calls.
 func checkUnique(workers []gateway.Worker) error {
 	if len(workers) > maxWorkers {
-		return fmt.Errorf("%d workers, at most %d", len(workers), maxWorkers)
+		return fmt.Errorf("%d workers, maximum is %d", len(workers), maxWorkers)
 	}
 	names := map[string]bool{}
 	nameOf := map[string]string{} // by network and address
 	for _, w := range workers {
 		if names[w.Name] {
-			return fmt.Errorf("hostname: %q twice", w.Name)
+			return fmt.Errorf("hostname: duplicate %q", w.Name)
 		}
 		names[w.Name] = true
 		address := w.Network + w.Addr
 		if other, taken := nameOf[address]; taken && w.State != scheduler.Removed {
-			return fmt.Errorf("address: %s is both %q's and %q's", w.Addr, other, w.Name)
+			return fmt.Errorf("address: %s is used by both %q and %q", w.Addr, other, w.Name)
 		}
 		nameOf[address] = w.Name
 	}
 	return nil
 }
 
-// worker reads one endpoint. zone is that of its locality; if it is empty, the metadata's counts.
+// worker converts an endpoint. zone is the zone of its locality. If that is empty, the zone is
+// taken from the endpoint's metadata.
 func (e *Endpoint) worker(zone string) (gateway.Worker, error) {
 	meta := e.Metadata.FilterMetadata.Kitehub
 	w := gateway.Worker{
@@ -121,7 +123,7 @@
 	return w, nil
 }
 
-// address returns the network and address of an endpoint, as net.Dial takes them.
+// address returns the network and address of an endpoint in the form expected by net.Dial.
 func (e *Endpoint) address() (network, addr string, err error) {
 	name := e.Endpoint.Hostname
 	socket := e.Endpoint.Address.SocketAddress
@@ -131,10 +133,11 @@
 		return "", "", fmt.Errorf("endpoint.address: of %q: both a socket and a pipe", name)
 	case socket != nil:
 		if socket.PortValue == 0 || socket.PortValue > 65535 {
-			return "", "", fmt.Errorf("endpoint.address.socketAddress.portValue: %d of %q", socket.PortValue, name)
+			return "", "", fmt.Errorf("endpoint.address.socketAddress.portValue: %d of %q is out of range",
+				socket.PortValue, name)
 		}
 		if net.ParseIP(socket.Address) == nil {
-			return "", "", fmt.Errorf("endpoint.address.socketAddress.address: %q of %q is no IP address",
+			return "", "", fmt.Errorf("endpoint.address.socketAddress.address: %q of %q is not an IP address",
 				socket.Address, name)
 		}
 		return "tcp", net.JoinHostPort(socket.Address, strconv.Itoa(int(socket.PortValue))), nil
--- a/internal/discovery/decode_test.go
+++ b/internal/discovery/decode_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// list returns a complete list of cluster "c".
+// list returns a complete list of cluster "c" as JSON.
 func list(t *testing.T, workers ...gateway.Worker) string {
 	t.Helper()
 	text, err := MarshalAssignment("c", workers)
@@ -34,7 +34,7 @@
 	return string(text)
 }
 
-func TestRenderedListIsReadBack(t *testing.T) {
+func TestMarshalAssignmentRoundTrip(t *testing.T) {
 	in := []gateway.Worker{
 		worker("a", "127.0.0.1:1", scheduler.Ready),
 		worker("b", "[::1]:2", scheduler.Draining),
@@ -49,44 +49,44 @@
 	}
 }
 
-// goodList is a list that ParseAssignment accepts, for the tests that break it.
-func goodList(t *testing.T) string {
+// validList returns a list that ParseAssignment accepts. Tests corrupt it.
+func validList(t *testing.T) string {
 	t.Helper()
-	good := list(t, worker("a", "127.0.0.1:1", scheduler.Ready), worker("b", "127.0.0.1:2", scheduler.Ready))
-	if _, err := ParseAssignment([]byte(good), "c"); err != nil {
+	valid := list(t, worker("a", "127.0.0.1:1", scheduler.Ready), worker("b", "127.0.0.1:2", scheduler.Ready))
+	if _, err := ParseAssignment([]byte(valid), "c"); err != nil {
 		t.Fatal(err)
 	}
-	return good
+	return valid
 }
 
 func TestTruncatedListIsRejected(t *testing.T) {
-	good := goodList(t)
-	for i := range good {
-		if _, err := ParseAssignment([]byte(good[:i]), "c"); err == nil {
-			t.Fatalf("list truncated at byte %d is accepted", i)
+	valid := validList(t)
+	for i := range valid {
+		if _, err := ParseAssignment([]byte(valid[:i]), "c"); err == nil {
+			t.Fatalf("list truncated at byte %d was accepted", i)
 		}
 	}
 }
 
-func TestRejectedListNamesFieldAtFault(t *testing.T) {
-	good := goodList(t)
+func TestErrorNamesInvalidField(t *testing.T) {
+	valid := validList(t)
 	tests := []struct{ old, new, wantError string }{
 		{`"clusterName": "c"`, `"clusterName": ""`, "clusterName: empty"},
 		{`"clusterName": "c"`, `"clusterName": "d"`, `clusterName: "d", want "c"`},
-		{`"hostname": "b"`, `"hostname": "a"`, `hostname: "a" twice`},
+		{`"hostname": "b"`, `"hostname": "a"`, `hostname: duplicate "a"`},
 		{`"hostname": "b"`, `"hostname": ""`, "endpoints[0].lbEndpoints[1].endpoint.hostname: empty"},
-		{`"portValue": 2`, `"portValue": 1`, `address: 127.0.0.1:1 is both "a"'s and "b"'s`},
-		{`"portValue": 2`, `"portValue": 70000`, "portValue: 70000"},
-		{`"address": "127.0.0.1"`, `"address": "localhost"`, "is no IP address"},
+		{`"portValue": 2`, `"portValue": 1`, `address: 127.0.0.1:1 is used by both "a" and "b"`},
+		{`"portValue": 2`, `"portValue": 70000`, `portValue: 70000 of "b" is out of range`},
+		{`"address": "127.0.0.1"`, `"address": "localhost"`, "is not an IP address"},
 		{`"healthStatus": "HEALTHY"`, `"healthStatus": "FINE"`, `healthStatus: "FINE"`},
 		{`2023-11-14T`, `yesterday`, "started"},
 		{TypeAssignment, "type.googleapis.com/x", "@type"},
 	}
 	for _, tt := range tests {
-		if !strings.Contains(good, tt.old) {
-			t.Fatalf("%q is not in %s", tt.old, good)
+		if !strings.Contains(valid, tt.old) {
+			t.Fatalf("%q is not in %s", tt.old, valid)
 		}
-		_, err := ParseAssignment([]byte(strings.Replace(good, tt.old, tt.new, 1)), "c")
+		_, err := ParseAssignment([]byte(strings.Replace(valid, tt.old, tt.new, 1)), "c")
 		if err == nil || !strings.Contains(err.Error(), tt.wantError) {
 			t.Errorf("%s: %v, want %q", tt.new, err, tt.wantError)
 		}
@@ -94,7 +94,7 @@
 }
 
 func TestUnknownFieldsAreIgnored(t *testing.T) {
-	extended := strings.Replace(goodList(t), `"clusterName"`, `"policy": {"x": 1}, "clusterName"`, 1)
+	extended := strings.Replace(validList(t), `"clusterName"`, `"policy": {"x": 1}, "clusterName"`, 1)
 	if _, err := ParseAssignment([]byte(extended), "c"); err != nil {
 		t.Error(err)
 	}
--- a/internal/discovery/encode.go
+++ b/internal/discovery/encode.go
@@ -11,7 +11,8 @@
 	"kitehub/scheduler"
 )
 
-// MarshalAssignment writes workers as a complete list, an Assignment. Removed workers are left out.
+// MarshalAssignment returns workers as the JSON of an Assignment, a complete list. Removed workers
+// are left out.
 func MarshalAssignment(cluster string, workers []gateway.Worker) ([]byte, error) {
 	assignment := Assignment{Type: TypeAssignment, ClusterName: cluster, Endpoints: []LocalityEndpoints{}}
 	for _, w := range workers {
@@ -28,7 +29,7 @@
 	return json.MarshalIndent(assignment, "", " ")
 }
 
-// locality returns the locality of a zone, which it adds if there is none.
+// locality returns the locality of a zone, adding it if there is none.
 func (a *Assignment) locality(zone string) *LocalityEndpoints {
 	i := slices.IndexFunc(a.Endpoints, func(l LocalityEndpoints) bool { return l.Locality.Zone == zone })
 	if i < 0 {
@@ -72,7 +73,8 @@
 	return &SocketAddress{host, uint32(port)}, nil
 }
 
-// Delta returns the changed and removed resources of a delta with the given version from one list to another.
+// Delta returns the changed resources and the names of the removed ones of a delta between two
+// lists. The changed resources get the given version.
 func Delta(from, to []gateway.Worker, version string) (changed []json.RawMessage, removed []string, err error) {
 	missing := map[string]gateway.Worker{} // in from, and not yet found in to
 	for _, w := range from {
--- a/internal/discovery/file.go
+++ b/internal/discovery/file.go
@@ -7,10 +7,11 @@
 	"strconv"
 )
 
-// watchFile reads the file every poll period, and applies it when its text has changed. The time of change is not
-// relied on: a file that is copied or restored may have an old one.
+// watchFile reads the file once every poll interval and applies it when its text has changed. It
+// does not rely on the modification time, as a file that was copied or restored may have an old
+// one.
 //
-// An error is logged once, not every period.
+// A repeated error is logged only once.
 func (w *Watcher) watchFile() {
 	defer w.wg.Done()
 	var lastText []byte
@@ -20,7 +21,7 @@
 		if err == nil && !bytes.Equal(text, lastText) {
 			lastText = text
 			err = w.apply(Update{
-				VersionInfo: strconv.FormatUint(reads, 10), // a file has no version: any that grows will do
+				VersionInfo: strconv.FormatUint(reads, 10), // any increasing number, as files have none
 				TypeURL:     TypeAssignment,
 				Resources:   []json.RawMessage{text},
 			})
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -13,8 +13,8 @@
 	"kitehub/scheduler"
 )
 
-// listed has workers of each kind that a list can contain.
-var listed = []gateway.Worker{
+// testWorkers contains every kind of worker that a list can contain.
+var testWorkers = []gateway.Worker{
 	worker("a", "127.0.0.1:1", scheduler.Ready),
 	worker("b", "[::1]:2", scheduler.Draining),
 	{Name: "bare", Network: "tcp", Addr: "127.0.0.1:3", State: scheduler.Ready},
@@ -29,9 +29,10 @@
 	},
 }
 
-// The list is cached in a file for the next start of the process.
-func TestCachedListIsAsBefore(t *testing.T) {
-	for name, workers := range map[string][]gateway.Worker{"cache.json": listed, "cache_empty.json": nil} {
+// Guards against a change to the format of the cache, which the next version of the program would
+// not be able to read.
+func TestCacheFormatIsUnchanged(t *testing.T) {
+	for name, workers := range map[string][]gateway.Worker{"cache.json": testWorkers, "cache_empty.json": nil} {
 		file := filepath.Join(t.TempDir(), name)
 		inForce := map[string]gateway.Worker{}
 		for _, w := range workers {
@@ -53,12 +54,12 @@
 			byName[w.Name] = w
 		}
 		if sink.kind != scheduler.CachedList || !reflect.DeepEqual(byName, inForce) {
-			t.Errorf("%s: read %v as kind %v, want %v", name, byName, sink.kind, inForce)
+			t.Errorf("%s: loaded %v as kind %v, want %v", name, byName, sink.kind, inForce)
 		}
 	}
 }
 
-// A lastListSink keeps the last list that it was notified of.
+// A lastListSink records the last list that it was notified of.
 type lastListSink struct {
 	kind    scheduler.ListKind
 	workers []gateway.Worker
@@ -69,9 +70,9 @@
 	return nil
 }
 
-// Requests and updates are Envoy's messages.
-func TestDiscoveryMessagesAreAsBefore(t *testing.T) {
-	changed, removed, err := Delta([]gateway.Worker{listed[0], listed[3]}, listed[:3], "7")
+// Guards against a change to the JSON of requests and updates, which are Envoy's messages.
+func TestMessageFormatIsUnchanged(t *testing.T) {
+	changed, removed, err := Delta([]gateway.Worker{testWorkers[0], testWorkers[3]}, testWorkers[:3], "7")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -106,12 +107,13 @@
 			t.Fatal(err)
 		}
 		if !reflect.DeepEqual(read, message) {
-			t.Errorf("%s: read %+v, want %+v", name, read, message)
+			t.Errorf("%s: decoded %+v, want %+v", name, read, message)
 		}
 	}
 }
 
-// Each field that is stored or sent has a key of its own: what it is called in Go may change, the format may not.
-func TestKeysDoNotFollowFieldNames(t *testing.T) {
+// Every field that is stored or sent needs a JSON key in its tag, so that renaming it in Go does
+// not change the format.
+func TestFieldsHaveJSONKeys(t *testing.T) {
 	goldenfile.Tagged(t, Assignment{}, Request{}, Update{}, Resource{})
 }
--- a/internal/discovery/server.go
+++ b/internal/discovery/server.go
@@ -12,53 +12,53 @@
 	"kitehub/internal/http1"
 )
 
-// LongPollTimeout is how long a server may hold a poll before it answers that nothing has changed.
+// LongPollTimeout is how long a server may hold a poll before it responds that nothing has changed.
 const LongPollTimeout = 10 * time.Second
 
 const (
-	pollTimeout = LongPollTimeout + 5*time.Second // for the answer to a poll: a longer silence is a fault
-	minBackoff  = 100 * time.Millisecond
-	maxBackoff  = 5 * time.Second
+	responseTimeout = LongPollTimeout + 5*time.Second // longer waits for a response are errors
+	minBackoff      = 100 * time.Millisecond
+	maxBackoff      = 5 * time.Second
 )
 
 var pollLimits = http1.Limits{Body: maxUpdateBytes}.Filled()
 
-// A pollStream is one connection after the other to the server, and the request that continues from the last update.
-// It belongs to the goroutine of watchServer.
-type pollStream struct {
-	conn    net.Conn // nil while there is none
+// A pollSession holds the current connection to the server and the next request to it. Only the
+// goroutine of watchServer uses it.
+type pollSession struct {
+	conn    net.Conn // nil if there is none
 	reader  *bufio.Reader
 	request Request
 }
 
-// watchServer sends one long poll after the other, and applies the updates.
+// watchServer sends one long poll after another and applies the updates received.
 func (w *Watcher) watchServer() {
 	defer w.wg.Done()
-	stream := &pollStream{request: Request{
+	session := &pollSession{request: Request{
 		Node:          Node{w.cfg.Node},
 		ResourceNames: []string{w.cfg.Cluster},
 		TypeURL:       TypeAssignment,
 	}}
-	defer stream.close()
+	defer session.close()
 	failures := 0 // in a row
 	for w.ctx.Err() == nil {
-		update, err := w.poll(stream)
+		update, err := w.poll(session)
 		if err != nil {
-			stream.close()
+			session.close()
 			failures++
-			w.sleepAfterFailure(err, failures)
+			w.waitBeforeRetry(err, failures)
 			continue
 		}
 		failures = 0
 		if update != nil {
-			w.applyFromServer(stream, update)
+			w.applyFromServer(session, update)
 		}
 	}
 }
 
-// applyFromServer applies an update, and notes in the next request that it is accepted or rejected.
-func (w *Watcher) applyFromServer(stream *pollStream, update *Update) {
-	request := &stream.request
+// applyFromServer applies an update and sets the next request to accept or reject it.
+func (w *Watcher) applyFromServer(session *pollSession, update *Update) {
+	request := &session.request
 	request.ResponseNonce = update.Nonce
 	request.ErrorDetail = nil
 	if err := w.apply(*update); err != nil {
@@ -68,8 +68,8 @@
 	request.VersionInfo = w.state.Version
 }
 
-// sleepAfterFailure logs a failure and waits before the next attempt.
-func (w *Watcher) sleepAfterFailure(err error, failures int) {
+// waitBeforeRetry logs a failed poll and waits before the next one.
+func (w *Watcher) waitBeforeRetry(err error, failures int) {
 	if w.ctx.Err() != nil {
 		return
 	}
@@ -78,37 +78,38 @@
 	w.sleep(wait)
 }
 
-// backoff returns how long to wait after so many failures in a row: twice as long each time, from least to most, and
-// from half of that to all of it by the draw in [0, 1), so that many controllers do not retry in step.
-func backoff(failures int, least, most time.Duration, draw float64) time.Duration {
-	wait := least
-	for i := 1; i < failures && wait < most; i++ {
+// backoff returns how long to wait after the given number of consecutive failures. The wait doubles
+// with each failure from minWait to maxWait. It is then reduced to between half and all of that by
+// random, a number in [0, 1), so that many controllers do not retry at the same time.
+func backoff(failures int, minWait, maxWait time.Duration, random float64) time.Duration {
+	wait := minWait
+	for i := 1; i < failures && wait < maxWait; i++ {
 		wait *= 2
 	}
-	return time.Duration(float64(min(wait, most)) * (0.5 + draw/2))
+	return time.Duration(float64(min(wait, maxWait)) * (0.5 + random/2))
 }
 
-// poll sends one long poll, on a new connection if there is none. Nil without an error means that nothing has
-// changed.
-func (w *Watcher) poll(stream *pollStream) (*Update, error) {
-	if stream.conn == nil {
-		if err := w.connect(stream); err != nil {
+// poll sends one long poll, opening a connection if there is none. It returns nil without an error
+// if nothing has changed.
+func (w *Watcher) poll(session *pollSession) (*Update, error) {
+	if session.conn == nil {
+		if err := w.connect(session); err != nil {
 			return nil, err
 		}
 	}
-	response, err := w.exchange(stream)
+	response, err := w.roundTrip(session)
 	if err != nil {
 		return nil, err
 	}
 	if response.Close {
-		stream.conn.Close() // the next poll fails on it, and connects anew
+		session.conn.Close() // the next poll fails on it, and the one after reconnects
 	}
 	switch response.Status {
 	case http.StatusNotModified:
 		return nil, nil
 	case http.StatusOK:
 	default:
-		return nil, fmt.Errorf("status %d", response.Status)
+		return nil, fmt.Errorf("unexpected status %d", response.Status)
 	}
 	var update Update
 	if err := json.Unmarshal(response.Body, &update); err != nil {
@@ -117,13 +118,13 @@
 	return &update, nil
 }
 
-func (w *Watcher) connect(stream *pollStream) error {
+func (w *Watcher) connect(session *pollSession) error {
 	conn, err := w.cfg.Dial(w.ctx, "tcp", w.cfg.Server)
 	if err != nil {
 		return err
 	}
-	stream.conn = conn
-	stream.reader = bufio.NewReaderSize(conn, http1.ReadBuffer)
+	session.conn = conn
+	session.reader = bufio.NewReaderSize(conn, http1.ReadBuffer)
 	w.state.Reconnected()
 	w.mu.Lock()
 	w.conn = conn
@@ -131,9 +132,9 @@
 	return nil
 }
 
-// exchange writes the request and reads the response to it.
-func (w *Watcher) exchange(stream *pollStream) (*http1.Response, error) {
-	body, err := json.Marshal(&stream.request)
+// roundTrip writes the request and reads the response.
+func (w *Watcher) roundTrip(session *pollSession) (*http1.Response, error) {
+	body, err := json.Marshal(&session.request)
 	if err != nil {
 		return nil, err
 	}
@@ -142,14 +143,14 @@
 		{Name: "User-Agent", Value: "kitehub/" + w.cfg.Node},
 		{Name: "Content-Type", Value: "application/json"},
 	}}
-	stream.conn.SetDeadline(time.Now().Add(pollTimeout))
-	if _, err := stream.conn.Write(http1.AppendRequest(nil, request)); err != nil {
+	session.conn.SetDeadline(time.Now().Add(responseTimeout))
+	if _, err := session.conn.Write(http1.AppendRequest(nil, request)); err != nil {
 		return nil, err
 	}
-	return http1.ReadResponse(stream.reader, &pollLimits, http.MethodPost)
+	return http1.ReadResponse(session.reader, &pollLimits, http.MethodPost)
 }
 
-func (s *pollStream) close() {
+func (s *pollSession) close() {
 	if s.conn != nil {
 		s.conn.Close()
 		s.conn = nil
--- a/internal/discovery/state.go
+++ b/internal/discovery/state.go
@@ -13,26 +13,27 @@
 	"kitehub/scheduler"
 )
 
-// A WatchEvent is what an update changes.
+// A WatchEvent describes what an update changes.
 type WatchEvent struct {
 	Kind    scheduler.ListKind // FullList or ListDelta
-	Version uint32             // counts the events of one State, from 1
-	Workers []gateway.Worker   // all workers, or those that a delta changes; removed ones are Gone
+	Version uint32             // number of the event within its State, from 1
+	Workers []gateway.Worker   // the complete list or a delta, with removed workers as Removed
 }
 
-// A State is the list in force. It does no input or output, and is not safe for concurrent use. The zero value, with
-// Cluster set, is ready for use. A copy is a snapshot: Apply replaces the list, and never changes it in place.
+// A State holds the endpoint list in force. It does no I/O and is not safe for concurrent use. The
+// zero value with Cluster set is ready for use. A copy is a snapshot, as Apply replaces the list
+// and never changes it in place.
 type State struct {
-	Cluster string // the name that complete lists must have; "" for any
+	Cluster string // cluster name required in complete lists; "" for any
 	Version string // of the last update applied
 
-	number  uint64 // Version, if it is a number that may be compared; else 0
-	workers map[string]gateway.Worker
-	events  uint32 // watch events returned
+	versionNumber uint64 // Version as a number, or 0 if it cannot be compared
+	workers       map[string]gateway.Worker
+	eventCount    uint32 // number of watch events returned
 }
 
-// Apply applies an update and returns what it changes: nil if the update is not newer than the list in force. On an
-// error, which names the field at fault, nothing has changed.
+// Apply applies an update and returns what it changes, or nil if the update is not newer than the
+// list in force. If it returns an error, which names the invalid field, the list is unchanged.
 func (s *State) Apply(u Update) (*WatchEvent, error) {
 	version, err := u.version()
 	if err != nil {
@@ -40,9 +41,9 @@
 	}
 	number, err := strconv.ParseUint(version, 10, 64)
 	if err != nil {
-		number = 0 // an opaque version, as xDS allows: it can only be compared for equality
+		number = 0 // xDS allows opaque versions, which can only be compared for equality
 	}
-	if version == s.Version || number > 0 && number < s.number {
+	if version == s.Version || number > 0 && number < s.versionNumber {
 		return nil, nil
 	}
 	event := &WatchEvent{Kind: scheduler.FullList}
@@ -56,11 +57,11 @@
 	if err != nil {
 		return nil, err
 	}
-	s.events++
-	event.Version = s.events
+	s.eventCount++
+	event.Version = s.eventCount
 	s.workers = next
 	s.Version = version
-	s.number = number
+	s.versionNumber = number
 	return event, nil
 }
 
@@ -71,7 +72,7 @@
 	if u.isDelta() {
 		version = u.SystemVersionInfo
 	} else if u.TypeURL != TypeAssignment {
-		return "", fmt.Errorf("typeUrl: %q is neither of assignments nor of endpoints", u.TypeURL)
+		return "", fmt.Errorf("typeUrl: %q is neither an assignment nor an endpoint", u.TypeURL)
 	}
 	if version == "" {
 		return "", errors.New("versionInfo: empty")
@@ -79,10 +80,10 @@
 	return version, nil
 }
 
-// applyFull reads a complete list.
+// applyFull returns the workers of a complete list, as a slice and by name.
 func (s *State) applyFull(u Update) (changed []gateway.Worker, next map[string]gateway.Worker, err error) {
 	if len(u.Resources) != 1 {
-		return nil, nil, fmt.Errorf("resources: %d, want the one of the cluster", len(u.Resources))
+		return nil, nil, fmt.Errorf("resources: got %d, want 1 in a complete list", len(u.Resources))
 	}
 	changed, err = ParseAssignment(u.Resources[0], s.Cluster)
 	if err != nil {
@@ -95,10 +96,11 @@
 	return changed, next, nil
 }
 
-// applyDelta applies changed and removed workers to a copy of the list in force.
+// applyDelta applies a delta to a copy of the list in force. It returns the changed and removed
+// workers and the new list.
 func (s *State) applyDelta(u Update) (changed []gateway.Worker, next map[string]gateway.Worker, err error) {
 	if s.workers == nil {
-		return nil, nil, errors.New("resources: a delta before any whole list")
+		return nil, nil, errors.New("resources: delta before the first complete list")
 	}
 	next = maps.Clone(s.workers)
 	for i, text := range u.Resources {
@@ -112,7 +114,7 @@
 	for i, name := range u.RemovedResources {
 		w, known := next[name]
 		if !known {
-			continue // as xDS asks: it is no error to remove what is not known
+			continue // xDS requires that removals of unknown resources are ignored
 		}
 		if slices.ContainsFunc(changed, func(other gateway.Worker) bool { return other.Name == name }) {
 			return nil, nil, fmt.Errorf("removedResources[%d]: %q is changed by the same update", i, name)
@@ -124,8 +126,8 @@
 	return changed, next, checkUnique(sortedByName(next))
 }
 
-// parseResource reads one changed endpoint of a delta. The error begins with the path of the field at fault below the
-// resource, or with a colon if it is the resource itself.
+// parseResource parses a changed endpoint of a delta. The error begins with the path of the invalid
+// field relative to the resource, or with a colon if the resource itself is invalid.
 func parseResource(text json.RawMessage) (gateway.Worker, error) {
 	var resource Resource
 	if err := json.Unmarshal(text, &resource); err != nil {
@@ -140,16 +142,17 @@
 		return gateway.Worker{}, fmt.Errorf(".resource.%w", err)
 	}
 	if resource.Name != w.Name {
-		return gateway.Worker{}, fmt.Errorf(".name: %q, its endpoint is %q", resource.Name, w.Name)
+		return gateway.Worker{}, fmt.Errorf(".name: %q differs from hostname %q", resource.Name, w.Name)
 	}
 	return w, nil
 }
 
-// Reconnected must be called when a new connection to the server begins. xDS versions are compared only within one
-// stream: a server that began to count anew would otherwise be ignored for good.
-func (s *State) Reconnected() { s.number = 0 }
+// Reconnected must be called when a new connection to the server is opened. xDS versions can only
+// be compared within one stream: without this, the updates of a server that restarts its numbering
+// would be ignored forever.
+func (s *State) Reconnected() { s.versionNumber = 0 }
 
-// Workers returns the list in force, by name.
+// Workers returns the list in force, ordered by name.
 func (s *State) Workers() []gateway.Worker { return sortedByName(s.workers) }
 
 func sortedByName(workers map[string]gateway.Worker) []gateway.Worker {
--- a/internal/discovery/state_test.go
+++ b/internal/discovery/state_test.go
@@ -10,7 +10,7 @@
 	"kitehub/scheduler"
 )
 
-// fullUpdate is a complete list.
+// fullUpdate returns an update with a complete list.
 func fullUpdate(t *testing.T, version string, workers ...gateway.Worker) Update {
 	t.Helper()
 	return Update{
@@ -20,7 +20,7 @@
 	}
 }
 
-// deltaUpdate is the delta from one list to another.
+// deltaUpdate returns an update with the delta from one list to another.
 func deltaUpdate(t *testing.T, version string, from, to []gateway.Worker) Update {
 	t.Helper()
 	changed, removed, err := Delta(from, to, version)
@@ -30,7 +30,7 @@
 	return Update{SystemVersionInfo: version, TypeURL: TypeEndpoint, Resources: changed, RemovedResources: removed}
 }
 
-// summary shows workers by name and the number of their state.
+// summary returns the names of workers, each followed by the number of its state.
 func summary(workers []gateway.Worker) string {
 	var out []string
 	for _, w := range workers {
@@ -39,8 +39,9 @@
 	return strings.Join(out, " ")
 }
 
-// TestUpdatesAppliedInTurn reads as a script: an update a line, what it changes, and the list in force afterwards.
-func TestUpdatesAppliedInTurn(t *testing.T) {
+// Applies updates in sequence and checks, after each of them, the reported change and the list in
+// force.
+func TestApplyUpdatesInSequence(t *testing.T) {
 	a := worker("a", "127.0.0.1:1", scheduler.Ready)
 	b := worker("b", "127.0.0.1:2", scheduler.Ready)
 	c := worker("c", "127.0.0.1:3", scheduler.Ready)
@@ -60,23 +61,23 @@
 		name      string
 		update    Update
 		wantError string
-		wantEvent string // kind, and workers with their states
+		wantEvent string // kind and summary of the workers
 		wantList  string
 	}{
-		{"a delta first", delta("1", nil, workers(a)), "before any whole list", "", ""},
+		{"delta first", delta("1", nil, workers(a)), "before the first complete list", "", ""},
 		{"complete list", full("1", a, b), "", "2 a1 b1", "a1 b1"},
-		{"the same version", full("1", a), "", "", "a1 b1"},
+		{"same version", full("1", a), "", "", "a1 b1"},
 		{"a drains", delta("2", workers(a, b), workers(draining, b)), "", "1 a2", "a2 b1"},
-		{"an older version", full("1", a, b), "", "", "a2 b1"},
+		{"older version", full("1", a, b), "", "", "a2 b1"},
 		{"truncated", truncated, "not a ClusterLoadAssignment", "", "a2 b1"},
-		{"an address used twice", delta("9", nil, workers(sameAddress)), `is both "b"'s and "x"'s`, "", "a2 b1"},
+		{"duplicate address", delta("9", nil, workers(sameAddress)), `used by both "b" and "x"`, "", "a2 b1"},
 		{"changed and removed", changedAndRemoved, "is changed by the same update", "", "a2 b1"},
 		{"no version", full("", a), "versionInfo: empty", "", "a2 b1"},
-		{"another type", Update{VersionInfo: "9", TypeURL: "x"}, "typeUrl", "", "a2 b1"},
-		{"a leaves, c joins", delta("3", workers(draining, b), workers(b, c)), "", "1 c1 a3", "b1 c1"},
+		{"unsupported type", Update{VersionInfo: "9", TypeURL: "x"}, "typeUrl", "", "a2 b1"},
+		{"a removed, c added", delta("3", workers(draining, b), workers(b, c)), "", "1 c1 a3", "b1 c1"},
 		{"a removed again", removedAgain, "", "1", "b1 c1"},
-		{"all leave", full("5"), "", "2", ""},
-		{"and join again", full("6", a, b, c), "", "2 a1 b1 c1", "a1 b1 c1"},
+		{"all removed", full("5"), "", "2", ""},
+		{"all added again", full("6", a, b, c), "", "2 a1 b1 c1", "a1 b1 c1"},
 	}
 	for _, step := range steps {
 		event, err := state.Apply(step.update)
@@ -96,7 +97,8 @@
 	}
 }
 
-func TestVersionsAreComparedWithinOneConnectionOnly(t *testing.T) {
+// Guards against ignoring the updates of a server that has restarted its version numbers.
+func TestVersionsAreNotComparedAcrossConnections(t *testing.T) {
 	a := worker("a", "127.0.0.1:1", scheduler.Ready)
 	state := State{Cluster: "c"}
 	if event, err := state.Apply(fullUpdate(t, "6", a)); err != nil || event == nil {
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -12,31 +12,33 @@
 	"kitehub/scheduler"
 )
 
-// A Sink is notified of changes of the list. gateway.Gateway is one.
+// A Sink is notified of changes to the endpoint list. gateway.Gateway implements it.
 //
-// kind says whether workers is the complete list, a delta or a cached list; version counts the notifications, and is
-// 0 for a cached list. An error rejects the update: the previous list stays in force.
+// kind says whether workers is a complete list, a delta or a cached list. version is the number of
+// the notification, or 0 for a cached list. An error rejects the update: the previous list stays in
+// force.
 type Sink interface {
 	Workers(kind scheduler.ListKind, version uint32, workers []gateway.Worker) error
 }
 
-// Config sets up a Watcher, of a file or, if File is empty, of a server.
+// Config configures a Watcher, which watches a file or, if File is empty, a server.
 type Config struct {
 	Node         string // the controller's name, sent to the server
-	Cluster      string // the name that lists must have
+	Cluster      string // cluster name required in lists
 	File         string
 	Server       string        // host:port
-	PollInterval time.Duration // how often the file is read
-	CacheFile    string        // file for the last list that was applied; "" for none
+	PollInterval time.Duration // time between two reads of the file
+	CacheFile    string        // file that caches the last list applied; "" for none
 	Sink         Sink
 	Log          zerolog.Logger
-	Dial         func(ctx context.Context, network, addr string) (net.Conn, error) // nil for net.Dialer's
+	// Dial opens connections to the server. Nil means net.Dialer.DialContext.
+	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 }
 
 const dialTimeout = 2 * time.Second
 
-// A Watcher keeps a sink up to date until Stop. One goroutine reads the file or polls the server; it alone uses state
-// and, after Start has returned, calls the sink.
+// A Watcher keeps a sink up to date until Stop. One goroutine reads the file or polls the server.
+// After Start has returned, only that goroutine uses state and calls the sink.
 type Watcher struct {
 	cfg    Config
 	state  State
@@ -45,10 +47,10 @@
 	wg     sync.WaitGroup
 
 	mu   sync.Mutex
-	conn net.Conn // to the server, for Stop to close; the last one stays when it is closed
+	conn net.Conn // last connection to the server, which Stop closes
 }
 
-// Start notifies the sink of the cached list, if there is one, and begins to watch.
+// Start notifies the sink of the cached list, if there is one, and starts watching.
 func Start(cfg Config) *Watcher {
 	if cfg.Dial == nil {
 		cfg.Dial = (&net.Dialer{Timeout: dialTimeout}).DialContext
@@ -65,7 +67,7 @@
 	return w
 }
 
-// Stop stops the watching, and returns when the sink is notified no more.
+// Stop stops watching. After it returns, the sink is not notified any more.
 func (w *Watcher) Stop() {
 	w.cancel()
 	w.mu.Lock()
@@ -76,8 +78,8 @@
 	w.wg.Wait()
 }
 
-// apply applies an update, notifies the sink of what it changes and caches the new list. On an error, the sink's
-// included, the previous list stays in force.
+// apply applies an update, notifies the sink of the changes and caches the new list. If any of the
+// first two fails, the previous list stays in force.
 func (w *Watcher) apply(u Update) error {
 	previous := w.state
 	event, err := w.state.Apply(u)
@@ -92,10 +94,10 @@
 	return nil
 }
 
-// logRejected is the one line, for a file and a server, that says that an update was not applied.
+// logRejected is the log message for an update that was not applied, from a file or a server.
 const logRejected = "endpoint list rejected, keeping previous"
 
-// sleep waits; it returns false if the watcher was stopped meanwhile.
+// sleep waits for the given time. It returns false if the watcher was stopped meanwhile.
 func (w *Watcher) sleep(d time.Duration) bool {
 	select {
 	case <-w.ctx.Done():
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -30,14 +30,14 @@
 			t.Errorf("%d failures: %v, want %v", failures, got, want)
 		}
 		if got := backoff(failures, minBackoff, maxBackoff, 0); got != want/2 {
-			t.Errorf("%d failures, lowest draw: %v, want %v", failures, got, want/2)
+			t.Errorf("%d failures, minimum jitter: %v, want %v", failures, got, want/2)
 		}
 	}
 }
 
-// A recordingSink records what it is notified of, or rejects it.
+// A recordingSink records its notifications, or rejects them with an error.
 type recordingSink struct {
-	notified chan string // kind, and workers with their states
+	notified chan string // kind and summary of the workers
 
 	mu     sync.Mutex
 	reject error
@@ -73,9 +73,9 @@
 	}
 }
 
-// A logBuffer takes log lines from another goroutine.
+// A logBuffer collects log lines. It is safe for concurrent use.
 type logBuffer struct {
-	written chan struct{} // receives after a write
+	written chan struct{} // signalled after a write
 
 	mu   sync.Mutex
 	text strings.Builder
@@ -119,8 +119,8 @@
 	}
 }
 
-// The sink follows the file; a truncated one changes nothing and is logged. The next start begins with the cached
-// list, unless the cache is broken.
+// The sink is notified of each change to the file. A truncated file changes nothing and is logged.
+// The next start begins with the cached list unless the cache is corrupt.
 func TestWatchFile(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "list.json")
@@ -165,23 +165,23 @@
 	}
 }
 
-// A scriptedServer passes each poll to the test, and answers it as the test says.
-type scriptedServer struct {
-	addr     string
-	requests chan Request
-	answers  chan func(*http1.Conn) *http1.Response
+// A fakeServer passes each poll to the test and responds as the test specifies.
+type fakeServer struct {
+	addr      string
+	requests  chan Request
+	responses chan func(*http1.Conn) *http1.Response
 }
 
-func newScriptedServer(t *testing.T) *scriptedServer {
+func newFakeServer(t *testing.T) *fakeServer {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &scriptedServer{
-		addr:     ln.Addr().String(),
-		requests: make(chan Request, 100),
-		answers:  make(chan func(*http1.Conn) *http1.Response, 100),
+	s := &fakeServer{
+		addr:      ln.Addr().String(),
+		requests:  make(chan Request, 100),
+		responses: make(chan func(*http1.Conn) *http1.Response, 100),
 	}
 	server := &http1.Server{Handler: http1.HandlerFunc(func(c *http1.Conn, r *http1.Request) *http1.Response {
 		var request Request
@@ -189,46 +189,46 @@
 			t.Error(err)
 		}
 		s.requests <- request
-		answer, ok := <-s.answers
+		respond, ok := <-s.responses
 		if !ok {
 			return nil
 		}
-		return answer(c)
+		return respond(c)
 	})}
 	go server.Serve(ln)
 	t.Cleanup(func() {
-		close(s.answers)
+		close(s.responses)
 		ln.Close()
 		server.Cut()
 	})
 	return s
 }
 
-// update answers the present poll, or the next, with an update.
-func (s *scriptedServer) update(t *testing.T, nonce string, u Update) {
+// update responds to the current poll, or the next, with an update.
+func (s *fakeServer) update(t *testing.T, nonce string, u Update) {
 	t.Helper()
 	u.Nonce = nonce
 	body, err := json.Marshal(u)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.answers <- func(*http1.Conn) *http1.Response { return &http1.Response{Status: 200, Body: body} }
+	s.responses <- func(*http1.Conn) *http1.Response { return &http1.Response{Status: 200, Body: body} }
 }
 
-func (s *scriptedServer) notModified() {
-	s.answers <- func(*http1.Conn) *http1.Response { return &http1.Response{Status: 304} }
+func (s *fakeServer) notModified() {
+	s.responses <- func(*http1.Conn) *http1.Response { return &http1.Response{Status: 304} }
 }
 
-func (s *scriptedServer) resetConnection() {
-	s.answers <- func(c *http1.Conn) *http1.Response {
+func (s *fakeServer) resetConnection() {
+	s.responses <- func(c *http1.Conn) *http1.Response {
 		c.Reset()
 		return nil
 	}
 }
 
-// expectPoll waits for the next poll and checks what it says of the last update: the version in force, the nonce
-// answered, and, if the update was rejected, a part of the reason.
-func (s *scriptedServer) expectPoll(t *testing.T, version, nonce, rejection string) {
+// expectPoll waits for the next poll and checks its version in force, the nonce of the last update
+// and, if that update was rejected, a part of the reason.
+func (s *fakeServer) expectPoll(t *testing.T, version, nonce, rejection string) {
 	t.Helper()
 	r := <-s.requests
 	if r.VersionInfo != version || r.ResponseNonce != nonce {
@@ -241,12 +241,12 @@
 	}
 }
 
-// The server is polled again and again: each poll accepts or rejects the last update by its nonce, a connection that
-// breaks is replaced, and the version in force goes along.
+// Each poll contains the version in force and accepts or rejects the last update by its nonce, also
+// after the connection was lost and replaced.
 func TestWatchServer(t *testing.T) {
 	a := worker("a", "127.0.0.1:1", scheduler.Ready)
 	b := worker("b", "127.0.0.1:2", scheduler.Ready)
-	server := newScriptedServer(t)
+	server := newFakeServer(t)
 	sink := newRecordingSink()
 	watcher := Start(Config{Node: "n", Cluster: "c", Server: server.addr, Sink: sink, Log: zerolog.Nop()})
 	t.Cleanup(watcher.Stop)
--- a/internal/discovery/xds.go
+++ b/internal/discovery/xds.go
@@ -2,23 +2,25 @@
 
 import "encoding/json"
 
-// Type URLs of the resources understood.
+// Type URLs of the supported resources.
 const (
 	TypeAssignment = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
 	TypeEndpoint   = "type.googleapis.com/envoy.config.endpoint.v3.LbEndpoint"
 )
 
-// EndpointsPath is where a server answers long polls for endpoints: the REST form of xDS. The body of the answer is an Update.
+// EndpointsPath is the path on which a server responds to long polls for endpoints, in the REST
+// form of xDS. The body of a response is an Update.
 const EndpointsPath = "/v3/discovery:endpoints"
 
-// An Assignment is a ClusterLoadAssignment, as far as it is read. Unknown fields are ignored, as xDS asks.
+// An Assignment is a ClusterLoadAssignment with the fields that are used. Unknown fields are
+// ignored, as xDS requires.
 type Assignment struct {
 	Type        string              `json:"@type,omitempty"`
 	ClusterName string              `json:"clusterName"`
 	Endpoints   []LocalityEndpoints `json:"endpoints"`
 }
 
-// A LocalityEndpoints is a LocalityLbEndpoints: the endpoints of one zone.
+// LocalityEndpoints is a LocalityLbEndpoints: the endpoints of one zone.
 type LocalityEndpoints struct {
 	Locality    Locality   `json:"locality"`
 	LbEndpoints []Endpoint `json:"lbEndpoints"`
@@ -29,7 +31,8 @@
 	Zone string `json:"zone,omitempty"`
 }
 
-// An Endpoint is an LbEndpoint. Hostname is the worker's stable name, and LoadBalancingWeight its size.
+// An Endpoint is an LbEndpoint. Hostname is the worker's stable name, and LoadBalancingWeight is
+// its size.
 type Endpoint struct {
 	Type     string `json:"@type,omitempty"`
 	Endpoint struct {
@@ -63,21 +66,22 @@
 type Metadata struct {
 	Group   string `json:"group,omitempty"`
 	Kind    string `json:"kind,omitempty"`
-	Zone    string `json:"zone,omitempty"`    // for deltas, whose endpoints come without a locality
+	Zone    string `json:"zone,omitempty"`    // for deltas, whose endpoints have no locality
 	Started string `json:"started,omitempty"` // when the worker's process started, RFC 3339
 }
 
-// An Update is a DiscoveryResponse, with a complete list, or a DeltaDiscoveryResponse.
+// An Update is a DiscoveryResponse with a complete list or a DeltaDiscoveryResponse.
 type Update struct {
-	// VersionInfo is the version of a complete list, SystemVersionInfo that of a delta.
+	// VersionInfo is the version of a complete list. SystemVersionInfo is that of a delta.
 	VersionInfo       string `json:"versionInfo,omitempty"`
 	SystemVersionInfo string `json:"systemVersionInfo,omitempty"`
 	// TypeURL is TypeAssignment for a complete list and TypeEndpoint for a delta.
 	TypeURL string `json:"typeUrl"`
 	Nonce   string `json:"nonce"`
-	// Resources are the one Assignment of a complete list, or the Resources that a delta changes.
+	// Resources holds the single Assignment of a complete list, or each Resource that a delta
+	// changes.
 	Resources []json.RawMessage `json:"resources,omitempty"`
-	// RemovedResources are the names of the workers that a delta removes.
+	// RemovedResources holds the names of the workers that a delta removes.
 	RemovedResources []string `json:"removedResources,omitempty"`
 }
 
@@ -88,9 +92,10 @@
 	Resource json.RawMessage `json:"resource"` // an Endpoint
 }
 
-// A Request is a DiscoveryRequest or a DeltaDiscoveryRequest. It asks for what comes after VersionInfo, and answers
-// the update with the nonce ResponseNonce: it accepts it (VersionInfo is the update's) or rejects it (VersionInfo is
-// the previous one, and ErrorDetail says why).
+// A Request is a DiscoveryRequest or a DeltaDiscoveryRequest. It requests the changes after
+// VersionInfo, and accepts or rejects the update with the nonce ResponseNonce: VersionInfo is that
+// of the update if it is accepted, and the previous one, with the reason in ErrorDetail, if it is
+// rejected.
 type Request struct {
 	VersionInfo   string       `json:"versionInfo,omitempty"`
 	Node          Node         `json:"node"`
