--- a/internal/backend/pool_test.go
+++ b/internal/backend/pool_test.go
@@ -11,8 +11,8 @@
 	"kitehub/scheduler"
 )
 
-// A connection is reused only after a complete response without bytes after it. Otherwise the rest of
-// one response could be read as the response to the next attempt.
+// A connection is reused only after a complete response without bytes after it. Otherwise the rest
+// of one response could be read as the response to the next attempt.
 func TestReuse(t *testing.T) {
 	const attempts = 3
 	connectionClose := strings.Replace(okResponse, "\r\nContent-Length", "\r\nConnection: close\r\nContent-Length", 1)
--- a/internal/discovery/dns/parse.go
+++ b/internal/discovery/dns/parse.go
@@ -16,23 +16,24 @@
 	"kitehub/scheduler"
 )
 
-// Limits on an answer.
+// Limits on a response.
 const (
-	maxAnswerBytes = 8000 // the longest that the platform's directory sends
-	maxRecords     = 4096
+	maxResponseBytes = 8000 // the longest response that the platform's directory sends
+	maxRecords       = 4096
 )
 
-// SRV records (RFC 2782), as the directory uses them.
+// Values in SRV records (RFC 2782), as used by the directory.
 const (
 	priorityReady    = 0
 	priorityDraining = 1
-	weightPerSize    = 10 // a record's weight is the worker's size times this
+	weightPerSize    = 10 // ratio of a record's weight to the worker's size
 )
 
-// errNotAnswer is the error for a message that does not answer the query in flight: delayed, forged or misdirected.
-var errNotAnswer = errors.New("not the answer to this question")
+// errUnrelated is the error for a message that is not a response to the query in flight: it may be
+// delayed, forged or misdirected.
+var errUnrelated = errors.New("not a response to this query")
 
-// packQuery packs the query for a service's SRV records.
+// packQuery encodes a query for the SRV records of a service.
 func packQuery(id uint16, service dnsmessage.Name) ([]byte, error) {
 	query := dnsmessage.Message{
 		Header:    dnsmessage.Header{ID: id, RecursionDesired: false},
@@ -41,8 +42,9 @@
 	return query.Pack()
 }
 
-// Parse reads an answer to the query with this id: the serial of the list and its workers, by name. After an error
-// the message must be ignored: it says nothing of the list.
+// Parse parses a response to the query with the given ID. It returns the serial of the list and its
+// workers, ordered by name. If it returns an error, the message must be ignored, as it is not a
+// valid list.
 func Parse(message []byte, id uint16, service dnsmessage.Name) (serial uint32, workers []gateway.Worker, err error) {
 	var parser dnsmessage.Parser
 	header, err := parser.Start(message)
@@ -57,7 +59,7 @@
 		return 0, nil, fmt.Errorf("question: %w", err)
 	}
 	if len(questions) != 1 || !sameName(questions[0].Name, service) || questions[0].Type != dnsmessage.TypeSRV {
-		return 0, nil, errNotAnswer
+		return 0, nil, errUnrelated
 	}
 	answers, err := parser.AllAnswers()
 	if err != nil {
@@ -84,13 +86,13 @@
 
 func checkHeader(header dnsmessage.Header, id uint16) error {
 	if !header.Response || header.ID != id {
-		return errNotAnswer
+		return errUnrelated
 	}
 	if header.RCode != dnsmessage.RCodeSuccess {
-		return fmt.Errorf("the directory reports a failure: %s", header.RCode)
+		return fmt.Errorf("directory reports failure: %s", header.RCode)
 	}
 	if header.Truncated {
-		return errors.New("the answer is truncated")
+		return errors.New("response is truncated")
 	}
 	return nil
 }
@@ -102,10 +104,10 @@
 			return soa.Serial, nil
 		}
 	}
-	return 0, errors.New("no SOA record: the list has no number")
+	return 0, errors.New("no SOA record: the list has no serial")
 }
 
-// A host is what the additional records say of one SRV target.
+// A host holds the additional records of one SRV target.
 type host struct {
 	hasA    bool
 	addr    netip.Addr
@@ -115,23 +117,23 @@
 	started time.Time
 }
 
-// parseHosts reads the A and TXT records, by canonical name.
+// parseHosts parses the A and TXT records. It returns them by canonical name.
 func parseHosts(additionals []dnsmessage.Resource) (map[string]*host, error) {
 	hosts := map[string]*host{}
 	for _, record := range additionals {
 		name := canonical(record.Header.Name)
-		known := hosts[name]
-		if known == nil {
-			known = &host{}
-			hosts[name] = known
+		h := hosts[name]
+		if h == nil {
+			h = &host{}
+			hosts[name] = h
 		}
 		switch body := record.Body.(type) {
 		case *dnsmessage.AResource:
-			known.hasA = true
-			known.addr = netip.AddrFrom4(body.A)
+			h.hasA = true
+			h.addr = netip.AddrFrom4(body.A)
 		case *dnsmessage.TXTResource:
-			known.hasTXT = true
-			if err := known.parseTXT(body.TXT); err != nil {
+			h.hasTXT = true
+			if err := h.parseTXT(body.TXT); err != nil {
 				return nil, fmt.Errorf("%s: %w", name, err)
 			}
 		}
@@ -139,7 +141,7 @@
 	return hosts, nil
 }
 
-// parseTXT reads name=value pairs. Unknown names are ignored.
+// parseTXT parses name=value pairs. Unknown names are ignored.
 func (h *host) parseTXT(pairs []string) error {
 	for _, pair := range pairs {
 		name, value, _ := strings.Cut(pair, "=")
@@ -151,7 +153,7 @@
 		case "started": // Unix milliseconds; 0 if unknown
 			millis, err := strconv.ParseInt(value, 10, 64)
 			if err != nil || millis < 0 {
-				return fmt.Errorf("started: %.32q is no time", value)
+				return fmt.Errorf("started: %.32q is not a valid time", value)
 			}
 			if millis > 0 {
 				h.started = time.UnixMilli(millis)
@@ -161,12 +163,12 @@
 	return nil
 }
 
-// parseWorkers reads the SRV records of the service; other answers are ignored.
+// parseWorkers parses the SRV records of the service and ignores other records.
 func parseWorkers(answers []dnsmessage.Resource, hosts map[string]*host, service dnsmessage.Name) (
 	[]gateway.Worker, error,
 ) {
 	if len(answers) > maxRecords {
-		return nil, fmt.Errorf("%d records, at most %d", len(answers), maxRecords)
+		return nil, fmt.Errorf("%d records, maximum is %d", len(answers), maxRecords)
 	}
 	var workers []gateway.Worker
 	indexOf := map[string]int{} // in workers, by name
@@ -194,14 +196,15 @@
 	return workers, nil
 }
 
-// newWorker returns the worker of an SRV record, whose target begins with the worker's id and its zone.
+// newWorker returns the worker of an SRV record. The first two labels of the record's target are
+// the worker's ID and zone.
 func newWorker(srv *dnsmessage.SRVResource, target string, h *host) (w gateway.Worker, err error) {
 	labels := strings.SplitN(target, ".", 3)
 	if len(labels) < 2 || labels[0] == "" || labels[1] == "" {
-		return w, fmt.Errorf("target %.64q: want an id and a zone", target)
+		return w, fmt.Errorf("target %.64q does not begin with an ID and a zone", target)
 	}
 	if h == nil || !h.hasA || !h.hasTXT {
-		return w, fmt.Errorf("%s: its A or TXT record is missing", target)
+		return w, fmt.Errorf("%s: A or TXT record is missing", target)
 	}
 	w = gateway.Worker{
 		Name:    labels[0],
@@ -219,26 +222,26 @@
 	case priorityDraining:
 		w.State = scheduler.Draining
 	default:
-		return w, fmt.Errorf("%s: priority %d", target, srv.Priority)
+		return w, fmt.Errorf("%s: unknown priority %d", target, srv.Priority)
 	}
 	return w, nil
 }
 
-// mergeRepeated merges a further record of a worker into the first. A repeated record says nothing new (RFC 2181,
-// section 5). A worker that is listed both as ready and as draining is draining: rejecting the complete list for it
-// would go on sending calls there.
+// mergeRepeated merges a repeated record of a worker into the first. A duplicate record adds
+// nothing (RFC 2181, section 5). A worker that is listed both as ready and as draining counts as
+// draining, as calls would still be sent to it if the whole list was rejected instead.
 func mergeRepeated(first *gateway.Worker, repeated gateway.Worker) error {
 	if repeated.State == scheduler.Draining {
 		first.State = scheduler.Draining
 	}
 	repeated.State = first.State
 	if *first != repeated {
-		return errors.New("listed twice, as different workers")
+		return errors.New("listed twice with different data")
 	}
 	return nil
 }
 
-// canonical returns a name in the form that it is compared in: names are case-insensitive.
+// canonical returns a name in lower case, as names are case-insensitive, and without the final dot.
 func canonical(name dnsmessage.Name) string {
 	return strings.ToLower(strings.TrimSuffix(name.String(), "."))
 }
--- a/internal/discovery/dns/parse_test.go
+++ b/internal/discovery/dns/parse_test.go
@@ -17,8 +17,8 @@
 
 func name(s string) dnsmessage.Name { return dnsmessage.MustNewName(s + ".") }
 
-// answer packs what a directory answers to the query with this id.
-func answer(t testing.TB, l fakeplatform.List, id uint16) []byte {
+// packResponse encodes the directory's response to the query with the given ID.
+func packResponse(t testing.TB, l fakeplatform.List, id uint16) []byte {
 	t.Helper()
 	message, err := l.Pack(id)
 	if err != nil {
@@ -32,27 +32,27 @@
 	tests := []struct {
 		name      string
 		list      fakeplatform.List
-		id        uint16 // of the query; the answer's is 7
+		id        uint16 // ID of the query; that of the response is 7
 		wantError string
 	}{
 		{"complete", fakeplatform.List{Workers: two}, 7, ""},
 		{"empty", fakeplatform.List{}, 7, ""},
 		{"draining", fakeplatform.List{Workers: two, Prio: 1}, 7, ""},
-		{"another id", fakeplatform.List{Workers: two}, 8, "not the answer"},
-		{"a query sent back", fakeplatform.List{Workers: two, NotAnswer: true}, 7, "not the answer"},
-		{"another question", fakeplatform.List{Workers: two, Question: "_web._tcp.cluster.lan"}, 7, "not the answer"},
-		{"a failure", fakeplatform.List{Workers: two, RCode: dnsmessage.RCodeServerFailure}, 7, "failure"},
+		{"another ID", fakeplatform.List{Workers: two}, 8, "not a response"},
+		{"a query", fakeplatform.List{Workers: two, NotAnswer: true}, 7, "not a response"},
+		{"another question", fakeplatform.List{Workers: two, Question: "_web._tcp.cluster.lan"}, 7, "not a response"},
+		{"failure", fakeplatform.List{Workers: two, RCode: dnsmessage.RCodeServerFailure}, 7, "failure"},
 		{"truncated", fakeplatform.List{Workers: two, Cut: true}, 7, "truncated"},
-		{"no serial", fakeplatform.List{Workers: two, NoSOA: true}, 7, "no number"},
+		{"no serial", fakeplatform.List{Workers: two, NoSOA: true}, 7, "no serial"},
 		{"no A record", fakeplatform.List{Workers: two, NoA: true}, 7, "missing"},
 		{"no TXT record", fakeplatform.List{Workers: two, NoTXT: true}, 7, "missing"},
-		{"every record twice", fakeplatform.List{Workers: two, Twice: true}, 7, ""},
-		{"an unknown priority", fakeplatform.List{Workers: two, Prio: 2}, 7, "priority"},
-		{"a start that is no time", fakeplatform.List{Workers: two, Started: "soon"}, 7, "no time"},
+		{"duplicate records", fakeplatform.List{Workers: two, Twice: true}, 7, ""},
+		{"unknown priority", fakeplatform.List{Workers: two, Prio: 2}, 7, "unknown priority 2"},
+		{"invalid start time", fakeplatform.List{Workers: two, Started: "soon"}, 7, "not a valid time"},
 	}
 	for _, tt := range tests {
 		tt.list.Serial = 41
-		message := answer(t, tt.list, 7)
+		message := packResponse(t, tt.list, 7)
 		serial, workers, err := Parse(message, tt.id, name(service))
 		if !matches(err, tt.wantError) {
 			t.Errorf("%s: error %v, want %q", tt.name, err, tt.wantError)
@@ -60,19 +60,19 @@
 		if err == nil && (serial != 41 || len(workers) != len(tt.list.Workers)) {
 			t.Errorf("%s: %d, %v", tt.name, serial, workers)
 		}
-		for n := range message { // cut short anywhere, it says nothing
+		for n := range message { // every truncated message is rejected
 			if _, _, err := Parse(message[:n], 7, name(service)); err == nil {
-				t.Errorf("%s: accepted when cut at byte %d of %d", tt.name, n, len(message))
+				t.Errorf("%s: accepted when truncated at byte %d of %d", tt.name, n, len(message))
 				break
 			}
 		}
 	}
-	if _, _, err := Parse(nil, 1, name(service)); err == nil || errors.Is(err, errNotAnswer) {
-		t.Errorf("no bytes: %v", err)
+	if _, _, err := Parse(nil, 1, name(service)); err == nil || errors.Is(err, errUnrelated) {
+		t.Errorf("empty message: %v", err)
 	}
 }
 
-// matches reports whether an error has a text, or there is none if the text is empty.
+// matches reports whether an error contains a text. An empty text matches only a nil error.
 func matches(err error, want string) bool {
 	if want == "" {
 		return err == nil
@@ -80,9 +80,9 @@
 	return err != nil && strings.Contains(err.Error(), want)
 }
 
-func TestParsedWorkerHasFactsOfAllItsRecords(t *testing.T) {
+func TestParsedWorkerCombinesItsRecords(t *testing.T) {
 	list := fakeplatform.List{Serial: 41, Workers: []string{"s-2", "s-1"}, Started: "1500"}
-	_, workers, err := Parse(answer(t, list, 7), 7, name(service))
+	_, workers, err := Parse(packResponse(t, list, 7), 7, name(service))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -102,24 +102,24 @@
 	}
 }
 
-// A worker may be listed twice with the same facts; it is draining if one of the records says so.
+// A worker may be listed twice with the same data. It is draining if either record says so.
 func TestWorkerListedTwice(t *testing.T) {
 	tests := []struct {
 		name      string
-		change    func(*dnsmessage.SRVResource) // of one of the two records
+		change    func(*dnsmessage.SRVResource) // applied to one of the two records
 		wantState scheduler.WorkerState
 		wantError string
 	}{
-		{"the same", func(*dnsmessage.SRVResource) {}, scheduler.Ready, ""},
+		{"identical", func(*dnsmessage.SRVResource) {}, scheduler.Ready, ""},
 		{"ready and draining", func(r *dnsmessage.SRVResource) { r.Priority = 1 }, scheduler.Draining, ""},
-		{"at two ports", func(r *dnsmessage.SRVResource) { r.Port++ }, 0, "listed twice"},
-		{"of two sizes", func(r *dnsmessage.SRVResource) { r.Weight = 80 }, 0, "listed twice"},
+		{"different ports", func(r *dnsmessage.SRVResource) { r.Port++ }, 0, "listed twice"},
+		{"different sizes", func(r *dnsmessage.SRVResource) { r.Weight = 80 }, 0, "listed twice"},
 	}
 	for _, tt := range tests {
-		for _, changed := range []int{0, 1} { // in either order
+		for _, changed := range []int{0, 1} { // each of the two records
 			var message dnsmessage.Message
 			list := fakeplatform.List{Serial: 41, Workers: []string{"s-1"}, Twice: true}
-			if err := message.Unpack(answer(t, list, 7)); err != nil {
+			if err := message.Unpack(packResponse(t, list, 7)); err != nil {
 				t.Fatal(err)
 			}
 			tt.change(message.Answers[changed].Body.(*dnsmessage.SRVResource))
@@ -139,7 +139,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add(answer(f, fakeplatform.List{Serial: 41, Workers: []string{"a", "b"}}, 7))
+	f.Add(packResponse(f, fakeplatform.List{Serial: 41, Workers: []string{"a", "b"}}, 7))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		_, workers, err := Parse(in, 7, name(service))
 		if err != nil {
--- a/internal/discovery/dns/state_test.go
+++ b/internal/discovery/dns/state_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Serials are compared as a zone's are: they wrap around, and 0 stands for no list.
+// Serials wrap around as in RFC 1982, and 0 stands for no list.
 func TestAdvanceAcceptsNewerSerialsOnly(t *testing.T) {
 	for _, tt := range []struct {
 		inForce, serial uint32
@@ -31,7 +31,7 @@
 			wantSerial = tt.serial
 		}
 		if state.Serial != wantSerial {
-			t.Errorf("%d after %d: serial now %d, want %d", tt.serial, tt.inForce, state.Serial, wantSerial)
+			t.Errorf("%d after %d: serial is %d, want %d", tt.serial, tt.inForce, state.Serial, wantSerial)
 		}
 	}
 }
--- a/internal/discovery/dns/watcher.go
+++ b/internal/discovery/dns/watcher.go
@@ -16,46 +16,49 @@
 	"kitehub/scheduler"
 )
 
-// A Sink is notified of each new list, with its serial as the version. gateway.Gateway is one.
+// A Sink is notified of each new list, with its serial as the version. gateway.Gateway implements
+// it.
 type Sink interface {
 	Workers(kind scheduler.ListKind, version uint32, workers []gateway.Worker) error
 }
 
-// Config sets up a Watcher.
+// Config configures a Watcher.
 type Config struct {
 	Service      string        // name of the SRV records, without the final dot
 	Server       string        // IPv4 address and port of the directory
-	Serial       uint32        // of the list already in force; 0: there is none
-	PollInterval time.Duration // how often the directory is polled
+	Serial       uint32        // serial of the list already in force; 0 if there is none
+	PollInterval time.Duration // time between two polls
 	Sink         Sink
 	Log          zerolog.Logger
 }
 
-// Counts are for the log and for tests.
+// Counts holds counters for the log and for tests.
 type Counts struct {
 	Queries   atomic.Int64 // queries sent
-	Updates   atomic.Int64 // answers with a newer list
-	Unchanged atomic.Int64 // answers with the list in force, or an older one
-	Invalid   atomic.Int64 // messages from the directory that do not answer the query
-	TimedOut  atomic.Int64 // queries without an answer in time, or interrupted
+	Updates   atomic.Int64 // responses with a newer list
+	Unchanged atomic.Int64 // responses with the list in force or an older one
+	Invalid   atomic.Int64 // messages from the directory that are not valid responses to the query
+	TimedOut  atomic.Int64 // queries that timed out or were interrupted
 }
 
-// A Watcher polls the directory until Stop. A query whose answer is lost or invalid is repeated sooner than after a
-// period, so that the list is never older than the period and the time that the losses took.
+// A Watcher polls the directory until Stop. If the response to a query is lost or invalid, the next
+// query is sent before the poll interval has elapsed, so that the list is never older than the poll
+// interval plus the time lost to failed queries.
 //
-// The watcher always has one socket, which is not connected to a server: neither a server that is down nor a change
-// of servers needs a file descriptor, which idle clients may have used up meanwhile. If answers stay away for long,
-// another socket replaces it where a descriptor is to be had: something on the way, a NAT gateway for instance, may
-// have lost the path back to its port.
+// The watcher always has one socket, which is not connected to a server. Changing the server, or
+// polling one that is down, therefore needs no new file descriptor, of which idle clients may have
+// left none. If no valid response arrives for a long time, another socket replaces it if a
+// descriptor is available: an intermediary such as a NAT gateway may have lost the mapping for its
+// port.
 //
-// One goroutine, run, sends and receives, notifies the sink, and alone replaces conn. SetServer and Stop may be
-// called from any goroutine.
+// One goroutine, running run, sends and receives, notifies the sink, and is the only one to replace
+// conn. SetServer and Stop may be called from any goroutine.
 type Watcher struct {
 	Counts Counts
 
 	cfg     Config
 	service dnsmessage.Name
-	wake    chan struct{} // receives when the server has changed, or the watcher is stopped
+	wake    chan struct{} // signalled when the server has changed or the watcher is stopped
 	wg      sync.WaitGroup
 
 	mu      sync.Mutex
@@ -65,16 +68,17 @@
 }
 
 const (
-	// The answer to a query is waited for a period divided by this.
-	answerTimeoutDivisor = 2
-	// A wait is shortened at random by up to a period divided by this, so that controllers that were started together
-	// do not poll in step.
+	// responseTimeoutDivisor is the ratio of the poll interval to the timeout of a query.
+	responseTimeoutDivisor = 2
+	// jitterDivisor is the ratio of the poll interval to the largest random reduction of a wait.
+	// The jitter keeps controllers that were started together from polling at the same time.
 	jitterDivisor = 8
-	// The socket is replaced after so many queries in a row without a valid answer.
-	renewSocketAfter = 4
+	// replaceSocketAfter is the number of consecutive queries without a valid response after which
+	// the socket is replaced.
+	replaceSocketAfter = 4
 )
 
-// Start begins to poll.
+// Start starts polling.
 func Start(cfg Config) (*Watcher, error) {
 	service, err := dnsmessage.NewName(cfg.Service + ".")
 	if err != nil {
@@ -92,8 +96,8 @@
 	return w, nil
 }
 
-// ParseAddress parses the address of a directory: an IPv4 address and a port. It cannot be a name, as there is no other
-// directory to resolve one.
+// ParseAddress parses the address of a directory: an IPv4 address and a port. A host name is not
+// allowed, as there is no other directory to resolve it.
 func ParseAddress(text string) (netip.AddrPort, error) {
 	address, err := netip.ParseAddrPort(text)
 	if err == nil && (!address.Addr().Unmap().Is4() || address.Port() == 0) {
@@ -102,13 +106,13 @@
 	return unmap(address), err
 }
 
-// unmap turns an IPv4 address in IPv6 form into plain IPv4, so that equal addresses compare equal.
+// unmap converts an IPv4-mapped IPv6 address to IPv4, so that equal addresses compare as equal.
 func unmap(address netip.AddrPort) netip.AddrPort {
 	return netip.AddrPortFrom(address.Addr().Unmap(), address.Port())
 }
 
-// SetServer polls another server from now on, beginning at once. The list in force and its serial stay. Setting the
-// present server changes nothing.
+// SetServer changes the server to poll and polls it at once. The list in force and its serial are
+// kept. Setting the current server again has no effect.
 func (w *Watcher) SetServer(server string) error {
 	address, err := ParseAddress(server)
 	if err != nil {
@@ -123,7 +127,7 @@
 	return nil
 }
 
-// Stop stops the polling, and returns when the sink is notified no more.
+// Stop stops polling. After it returns, the sink is not notified any more.
 func (w *Watcher) Stop() {
 	w.mu.Lock()
 	w.stopped = true
@@ -132,18 +136,19 @@
 	w.wg.Wait()
 }
 
-// interrupt ends a wait for an answer or for the next query. The caller holds mu, as setDeadline does: a wait either
-// begins before the interrupt, and is ended by it, or after, and sees what has changed.
+// interrupt ends a wait for a response or for the next query. The caller must hold w.mu, as
+// setDeadline does. A wait therefore either begins before the interrupt, which ends it, or after
+// it, and then sees the change.
 func (w *Watcher) interrupt() {
-	w.conn.SetReadDeadline(time.Unix(1, 0)) // long past
+	w.conn.SetReadDeadline(time.Unix(1, 0)) // in the past, so that reads return at once
 	select {
 	case w.wake <- struct{}{}:
 	default:
 	}
 }
 
-// setDeadline bounds the wait for the answer of a server. It returns false if meanwhile another server was set, or
-// the watcher was stopped.
+// setDeadline sets the deadline for the response of a server. It returns false if another server
+// was set meanwhile or the watcher was stopped.
 func (w *Watcher) setDeadline(server netip.AddrPort, deadline time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -154,19 +159,19 @@
 	return true
 }
 
-func (w *Watcher) current() (server netip.AddrPort, stopped bool) {
+func (w *Watcher) currentServer() (server netip.AddrPort, stopped bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.server, w.stopped
 }
 
-// run sends a query every period, and sooner after a failure or a change of servers.
+// run sends a query every poll interval, and sooner after a failure or a change of the server.
 func (w *Watcher) run() {
 	defer w.wg.Done()
 	defer func() { w.conn.Close() }()
 	failures := 0 // in a row
 	state := State{Serial: w.cfg.Serial}
-	buffer := make([]byte, maxAnswerBytes+1) // one more, to recognise a longer answer
+	buffer := make([]byte, maxResponseBytes+1) // one more byte, to detect longer responses
 	timer := time.NewTimer(w.jitter())
 	defer timer.Stop()
 	for {
@@ -174,17 +179,17 @@
 		case <-timer.C:
 		case <-w.wake:
 		}
-		server, stopped := w.current()
+		server, stopped := w.currentServer()
 		if stopped {
 			return
 		}
 		begin := time.Now()
-		wait := w.cfg.PollInterval / answerTimeoutDivisor
+		wait := w.cfg.PollInterval / responseTimeoutDivisor
 		if w.poll(server, &state, buffer, begin.Add(wait)) {
 			wait = w.cfg.PollInterval - w.jitter()
 			failures = 0
-		} else if failures++; failures%renewSocketAfter == 0 {
-			w.renewSocket()
+		} else if failures++; failures%replaceSocketAfter == 0 {
+			w.replaceSocket()
 		}
 		timer.Reset(max(0, wait-time.Since(begin)))
 	}
@@ -192,8 +197,9 @@
 
 func (w *Watcher) jitter() time.Duration { return rand.N(w.cfg.PollInterval/jitterDivisor + 1) }
 
-// renewSocket replaces the socket by one with another port. The old one stays if there is no descriptor for another.
-func (w *Watcher) renewSocket() {
+// replaceSocket replaces the socket with one on another port. It keeps the old one if no file
+// descriptor is available.
+func (w *Watcher) replaceSocket() {
 	conn, err := net.ListenUDP("udp4", nil)
 	if err != nil {
 		return
@@ -205,8 +211,9 @@
 	old.Close()
 }
 
-// poll sends one query and reads messages until its answer comes; false if none came before the deadline, or if it
-// was interrupted.
+// poll sends one query and reads messages until a valid response arrives. It returns false if none
+// arrived before the deadline, if it was interrupted or if the list received is older than the one
+// in force.
 func (w *Watcher) poll(server netip.AddrPort, state *State, buffer []byte, deadline time.Time) bool {
 	id := uint16(rand.Uint32())
 	query, err := packQuery(id, w.service)
@@ -224,22 +231,22 @@
 			return false
 		}
 		if unmap(from) != server {
-			continue // from the previous server, or forged
+			continue // from the previous server or forged
 		}
 		serial, workers, err := Parse(buffer[:n], id, w.service)
-		if n > maxAnswerBytes && err == nil {
-			err = fmt.Errorf("an answer of over %d bytes", maxAnswerBytes)
+		if n > maxResponseBytes && err == nil {
+			err = fmt.Errorf("response of over %d bytes", maxResponseBytes)
 		}
 		if err != nil {
 			w.Counts.Invalid.Add(1)
-			continue // the valid answer may still come
+			continue // the valid response may still arrive
 		}
 		return w.apply(state, serial, workers)
 	}
 }
 
-// apply notifies the sink of a list if it is newer than the one in force. It returns false if it is older: the
-// directory must be polled again soon.
+// apply notifies the sink of a list if it is newer than the one in force. It returns false if the
+// list is older, in which case the directory must be polled again soon.
 func (w *Watcher) apply(state *State, serial uint32, workers []gateway.Worker) bool {
 	if !state.Advance(serial) {
 		w.Counts.Unchanged.Add(1)
--- a/internal/discovery/dns/watcher_test.go
+++ b/internal/discovery/dns/watcher_test.go
@@ -21,7 +21,7 @@
 	"kitehub/scheduler"
 )
 
-// A sink hands each list to the test, as its version and the names of its workers.
+// A sink sends each list to the test as text: its version and the names of its workers.
 type sink struct{ lists chan string }
 
 func newSink() sink { return sink{make(chan string, 10)} }
@@ -47,7 +47,8 @@
 	}
 }
 
-// startServer starts a directory that answers the n-th query (from 0), of this id, with the messages of a script.
+// startServer starts a directory. It responds to the n-th query (from 0), which has the given ID,
+// with the messages that script returns.
 func startServer(t *testing.T, script func(n int, id uint16) [][]byte) (addr string) {
 	t.Helper()
 	c, err := fakeplatform.Direct(script)
@@ -58,13 +59,13 @@
 	return c.LocalAddr().String()
 }
 
-func silent(int, uint16) [][]byte { return nil }
+func noResponse(int, uint16) [][]byte { return nil }
 
-// startWatcher watches a server, from serial 3.
-func startWatcher(t *testing.T, server string, period time.Duration) (*Watcher, sink) {
+// startWatcher starts a Watcher of a server, with a list of serial 3 in force.
+func startWatcher(t *testing.T, server string, interval time.Duration) (*Watcher, sink) {
 	t.Helper()
 	s := newSink()
-	w, err := Start(Config{Service: service, Server: server, Serial: 3, PollInterval: period, Sink: s, Log: zerolog.Nop()})
+	w, err := Start(Config{Service: service, Server: server, Serial: 3, PollInterval: interval, Sink: s, Log: zerolog.Nop()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -72,10 +73,10 @@
 	return w, s
 }
 
-// Periods of a watcher that repeats a query soon, and of one that does not within a test.
+// Poll intervals of a watcher that repeats queries within a test, and of one that does not.
 const (
-	shortPeriod = 20 * time.Millisecond
-	longPeriod  = time.Hour
+	shortInterval = 20 * time.Millisecond
+	longInterval  = time.Hour
 )
 
 func (w *Watcher) mustSetServer(t *testing.T, server string) {
@@ -85,7 +86,7 @@
 	}
 }
 
-// idSet notes the ids of queries; it is safe for concurrent use.
+// idSet is a set of query IDs. It is safe for concurrent use.
 type idSet struct {
 	mu  sync.Mutex
 	ids map[uint16]bool
@@ -106,46 +107,48 @@
 	return len(s.ids)
 }
 
-// Only a complete answer to the query in flight, with a newer serial, changes the list; and each list does so once.
-func TestOnlyValidNewerAnswersChangeTheList(t *testing.T) {
+// Only a complete response to the query in flight with a newer serial changes the list, and each
+// list is applied only once.
+func TestOnlyValidNewerResponsesChangeTheList(t *testing.T) {
 	ids := &idSet{}
 	first := startServer(t, func(n int, id uint16) [][]byte {
 		ids.add(id)
-		good := answer(t, fakeplatform.List{Serial: 4, Workers: []string{"a", "b"}}, id)
+		valid := packResponse(t, fakeplatform.List{Serial: 4, Workers: []string{"a", "b"}}, id)
 		switch n {
 		case 0: // lost
 			return nil
-		case 1: // of another query
-			return [][]byte{answer(t, fakeplatform.List{Serial: 9, Workers: []string{"evil"}}, id+1)}
-		case 2: // a failure
-			return [][]byte{answer(t, fakeplatform.List{Serial: 9, RCode: dnsmessage.RCodeServerFailure}, id)}
+		case 1: // response to another query
+			return [][]byte{packResponse(t, fakeplatform.List{Serial: 9, Workers: []string{"evil"}}, id+1)}
+		case 2: // failure
+			return [][]byte{packResponse(t, fakeplatform.List{Serial: 9, RCode: dnsmessage.RCodeServerFailure}, id)}
 		case 3: // truncated
-			return [][]byte{answer(t, fakeplatform.List{Serial: 9, Workers: []string{"a"}}, id)[:30]}
-		case 4: // of a replica that lags behind
-			return [][]byte{answer(t, fakeplatform.List{Serial: 2, Workers: []string{"old"}}, id)}
-		case 5: // behind noise, and twice
-			return [][]byte{[]byte("noise"), good, good}
+			return [][]byte{packResponse(t, fakeplatform.List{Serial: 9, Workers: []string{"a"}}, id)[:30]}
+		case 4: // from a replica that lags behind
+			return [][]byte{packResponse(t, fakeplatform.List{Serial: 2, Workers: []string{"old"}}, id)}
+		case 5: // after garbage, and twice
+			return [][]byte{[]byte("noise"), valid, valid}
 		}
-		return [][]byte{good}
+		return [][]byte{valid}
 	})
 	second := startServer(t, func(_ int, id uint16) [][]byte {
-		return [][]byte{answer(t, fakeplatform.List{Serial: 5, Workers: []string{"b"}}, id)}
+		return [][]byte{packResponse(t, fakeplatform.List{Serial: 5, Workers: []string{"b"}}, id)}
 	})
-	w, s := startWatcher(t, first, shortPeriod)
+	w, s := startWatcher(t, first, shortInterval)
 	s.expect(t, "4 a b")
 	if n := ids.len(); n < 5 {
-		t.Errorf("%d ids for 6 queries", n)
+		t.Errorf("%d different IDs in 6 queries", n)
 	}
 	w.mustSetServer(t, second)
 	s.expect(t, "5 b")
 	w.Stop()
 	if len(s.lists) > 0 {
-		t.Errorf("a further list: %q", <-s.lists)
+		t.Errorf("unexpected list: %q", <-s.lists)
 	}
 }
 
-// Setting the present server again while a query is in flight loses neither its answer nor a period.
-func TestSettingTheSameServerLosesNoAnswer(t *testing.T) {
+// Setting the current server again while a query is in flight must neither discard the response nor
+// delay the list by a poll interval.
+func TestSettingTheSameServerKeepsQueryInFlight(t *testing.T) {
 	queried := make(chan struct{})
 	setAgain := make(chan struct{})
 	addr := startServer(t, func(n int, id uint16) [][]byte {
@@ -154,9 +157,9 @@
 		}
 		close(queried)
 		<-setAgain
-		return [][]byte{answer(t, fakeplatform.List{Serial: 4, Workers: []string{"a"}}, id)}
+		return [][]byte{packResponse(t, fakeplatform.List{Serial: 4, Workers: []string{"a"}}, id)}
 	})
-	w, s := startWatcher(t, startServer(t, silent), longPeriod)
+	w, s := startWatcher(t, startServer(t, noResponse), longInterval)
 	w.mustSetServer(t, addr)
 	<-queried
 	w.mustSetServer(t, addr)
@@ -164,9 +167,9 @@
 	s.expect(t, "4 a")
 }
 
-// While the first server leaves a query unanswered the second is queried at once; what the first then sends, with the
-// very id of the new query, is ignored.
-func TestAnswerOfThePreviousServerIsIgnored(t *testing.T) {
+// A change of the server while a query is in flight must query the new server at once. A late
+// response of the previous server must be ignored, even if it has the ID of the new query.
+func TestResponseOfPreviousServerIsIgnored(t *testing.T) {
 	queried := make(chan struct{})
 	ids := make(chan uint16)
 	written := make(chan struct{})
@@ -178,28 +181,28 @@
 	go func() {
 		_, from, _ := first.ReadFrom(make([]byte, 512))
 		close(queried)
-		first.WriteTo(answer(t, fakeplatform.List{Serial: 9, Workers: []string{"old"}}, <-ids), from)
+		first.WriteTo(packResponse(t, fakeplatform.List{Serial: 9, Workers: []string{"old"}}, <-ids), from)
 		close(written)
 	}()
 	second := startServer(t, func(_ int, id uint16) [][]byte {
 		ids <- id
-		<-written // it is before ours in the socket
-		return [][]byte{answer(t, fakeplatform.List{Serial: 5, Workers: []string{"b"}}, id)}
+		<-written // the response of the first server arrives first
+		return [][]byte{packResponse(t, fakeplatform.List{Serial: 5, Workers: []string{"b"}}, id)}
 	})
-	w, s := startWatcher(t, startServer(t, silent), longPeriod)
+	w, s := startWatcher(t, startServer(t, noResponse), longInterval)
 	w.mustSetServer(t, first.LocalAddr().String())
 	<-queried
 	w.mustSetServer(t, second)
 	s.expect(t, "5 b")
 }
 
-// Another server is queried although no file descriptor is left, as where idle clients use them all.
-func TestChangeOfServersNeedsNoDescriptor(t *testing.T) {
+// A new server must be polled even if no file descriptor is left because idle clients use them all.
+func TestChangeOfServerNeedsNoDescriptor(t *testing.T) {
 	addr := startServer(t, func(_ int, id uint16) [][]byte {
-		return [][]byte{answer(t, fakeplatform.List{Serial: 4, Workers: []string{"a"}}, id)}
+		return [][]byte{packResponse(t, fakeplatform.List{Serial: 4, Workers: []string{"a"}}, id)}
 	})
-	w, s := startWatcher(t, addr, longPeriod)
-	w.mustSetServer(t, "127.0.0.1:1") // nobody listens: the kernel would say so at once to a connected socket
+	w, s := startWatcher(t, addr, longInterval)
+	w.mustSetServer(t, "127.0.0.1:1") // no listener, of which a connected socket would be told
 	for w.Counts.Queries.Load() == 0 {
 		runtime.Gosched()
 	}
@@ -208,7 +211,7 @@
 	s.expect(t, "4 a")
 }
 
-// useUpDescriptors opens files until no descriptor is left, until the test ends.
+// useUpDescriptors opens files until no descriptor is left. They are closed when the test ends.
 func useUpDescriptors(t *testing.T) {
 	t.Helper()
 	var limit syscall.Rlimit
@@ -231,7 +234,7 @@
 	}
 }
 
-// Where nothing comes back to one port any more, another is tried.
+// If responses no longer reach the port of the watcher, it must switch to another port.
 func TestSocketIsReplacedAfterLongSilence(t *testing.T) {
 	server, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
@@ -240,7 +243,7 @@
 	defer server.Close()
 	go func() {
 		buffer := make([]byte, 512)
-		unreachable := "" // the first port that a query comes from
+		unreachable := "" // the address of the first query
 		for {
 			n, from, err := server.ReadFrom(buffer)
 			if err != nil {
@@ -251,11 +254,11 @@
 			}
 			if from.String() != unreachable {
 				id := binary.BigEndian.Uint16(buffer[:n])
-				server.WriteTo(answer(t, fakeplatform.List{Serial: 4, Workers: []string{"a"}}, id), from)
+				server.WriteTo(packResponse(t, fakeplatform.List{Serial: 4, Workers: []string{"a"}}, id), from)
 			}
 		}
 	}()
-	_, s := startWatcher(t, server.LocalAddr().String(), shortPeriod)
+	_, s := startWatcher(t, server.LocalAddr().String(), shortInterval)
 	s.expect(t, "4 a")
 }
 
@@ -277,14 +280,14 @@
 }
 
 func TestInvalidConfigurationIsRejected(t *testing.T) {
-	w, _ := startWatcher(t, "127.0.0.1:1", longPeriod)
+	w, _ := startWatcher(t, "127.0.0.1:1", longInterval)
 	if err := w.SetServer("nowhere"); err == nil {
-		t.Error("a server without an address is accepted")
+		t.Error("invalid server address was accepted")
 	}
 	if _, err := Start(Config{Service: service, Server: "nowhere"}); err == nil {
-		t.Error("a server without an address is accepted at the start")
+		t.Error("invalid server address was accepted by Start")
 	}
 	if _, err := Start(Config{Service: strings.Repeat("x", 300)}); err == nil {
-		t.Error("a name of 300 bytes is accepted")
+		t.Error("service name of 300 bytes was accepted")
 	}
 }
--- a/internal/discovery/file.go
+++ b/internal/discovery/file.go
@@ -21,7 +21,7 @@
 		if err == nil && !bytes.Equal(text, lastText) {
 			lastText = text
 			err = w.apply(Update{
-				VersionInfo: strconv.FormatUint(reads, 10), // any increasing number, as files have none
+				VersionInfo: strconv.FormatUint(reads, 10), // increasing: a file has no version
 				TypeURL:     TypeAssignment,
 				Resources:   []json.RawMessage{text},
 			})
