--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -18,7 +18,7 @@
 	Name    string
 	Network string // tcp or unix
 	Addr    string
-	Ready   bool // neither draining nor gone
+	Ready   bool // not draining
 }
 
 // A DialFunc opens a connection. Tests substitute their own.
--- a/internal/backend/doc.go
+++ b/internal/backend/doc.go
@@ -5,10 +5,10 @@
 // known, because the scheduler may retry only an attempt that certainly did not run:
 //
 //	how the attempt ended                              Outcome        what is known
-//	connection refused, or not up within DialTimeout   ConnectFailed  no byte was sent
+//	connection failed, also after DialTimeout          ConnectFailed  no byte was sent
 //	withdrawn or cancelled before the first byte       NotStarted     no byte was sent
-//	the write failed before the kernel took a byte     ConnectFailed  no byte was sent
-//	the connection broke in any other way              Reset          it may have run (*)
+//	write failed before the kernel accepted a byte     ConnectFailed  no byte was sent
+//	connection broken in any other way                 Reset          it may have run (*)
 //	cancelled after the first byte                     Cancelled      it may have run
 //	no response in time                                TimedOut       it may have run
 //	response with problem type ProblemAtCapacity       AtCapacity     the worker says it did not run
--- a/internal/backend/exchange.go
+++ b/internal/backend/exchange.go
@@ -54,7 +54,8 @@
 }
 
 // mayStart reports whether the request may be sent. It is called just before the first byte and
-// returns false if the exchange was cancelled, its worker was withdrawn or shouldSend says no.
+// returns false if the exchange was cancelled, its worker was withdrawn or shouldSend returned
+// false.
 func (x *exchange) mayStart(w *worker) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -147,7 +148,7 @@
 	case err == nil:
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return nil, scheduler.TimedOut
-	case written == 0 && !errors.Is(err, net.ErrClosed): // ErrClosed means that it was cancelled
+	case written == 0 && !errors.Is(err, net.ErrClosed): // ErrClosed: closed by Cancel
 		return nil, scheduler.ConnectFailed
 	default:
 		return nil, scheduler.Reset
--- a/internal/backend/frame/attempt.go
+++ b/internal/backend/frame/attempt.go
@@ -91,16 +91,16 @@
 	defer cancel()
 	a.mu.Lock()
 	a.cancelDial = cancel
-	unwanted := a.cancelled || w.withdrawn.Load()
+	abandoned := a.cancelled || w.withdrawn.Load()
 	a.mu.Unlock()
 	var socket net.Conn
 	err := net.ErrClosed
-	if !unwanted {
+	if !abandoned {
 		socket, err = a.backend.cfg.Dial(ctx, w.network, w.addr)
 	}
 	c, err := a.backend.addConn(w, socket, err)
 	if err != nil {
-		a.dialFailed(unwanted)
+		a.dialFailed(abandoned)
 		return
 	}
 	if !a.send(c) {
@@ -111,11 +111,11 @@
 
 // dialFailed ends an attempt for which no connection was opened. The dial counts as failed only if
 // the attempt was not abandoned first.
-func (a *attempt) dialFailed(unwanted bool) {
+func (a *attempt) dialFailed(abandoned bool) {
 	a.mu.Lock()
-	unwanted = unwanted || a.cancelled
+	abandoned = abandoned || a.cancelled
 	a.mu.Unlock()
-	if unwanted {
+	if abandoned {
 		a.end(scheduler.NotStarted, nil)
 		return
 	}
--- a/internal/backend/frame/backend.go
+++ b/internal/backend/frame/backend.go
@@ -43,7 +43,7 @@
 	LostNew    atomic.Int64 // connections lost during their first exchange
 	LostUsed   atomic.Int64 // connections lost during a later exchange
 	Malformed  atomic.Int64 // connections closed because of malformed frames
-	Strays     atomic.Int64 // late, repeated or unknown responses, to no exchange in flight
+	Strays     atomic.Int64 // responses to no exchange in flight: late, repeated, unknown ID
 	Pings      atomic.Int64 // pings sent
 	Dead       atomic.Int64 // connections closed because a ping was not answered
 	NoConn     atomic.Int64 // attempts for which no connection was available
@@ -51,14 +51,14 @@
 
 // A Backend manages the connections to all workers. It is safe for concurrent use.
 //
-// Each connection has a goroutine that reads responses and ends the exchanges in flight. One
-// goroutine, running watch, checks all connections periodically.
+// Each connection has a goroutine that reads responses and ends the exchanges in flight. The
+// goroutine of watch checks all connections periodically.
 type Backend struct {
 	Counts Counts
 
 	cfg     Config
 	maxIdle time.Duration // a connection idle for longer is not reused
-	nextID  atomic.Uint64 // ID of the next load order or ping
+	nextID  atomic.Uint64 // last ID used for a load order or ping
 	conns   atomic.Int64  // connections open or being opened
 	done    chan struct{} // closed by Close
 
--- a/internal/backend/frame/check.go
+++ b/internal/backend/frame/check.go
@@ -11,9 +11,9 @@
 	closeConn
 )
 
-// checkSilence decides about a connection with exchanges in flight on which nothing may have been
-// received for a while. A slow worker responds to a ping at once, as its connection works. A worker
-// that is dead does not, nor does one whose connection is stuck within an incomplete frame.
+// checkSilence returns what to do with a connection that has exchanges in flight, depending on how
+// long it has been silent. A slow worker responds to a ping at once, as its connection works. A
+// dead worker does not, nor does one whose connection is stuck within an incomplete frame.
 //
 // lastReceived is when the last complete frame was received or, if that is later, when the first
 // exchange in flight began. pingSentAt is when the unanswered ping was sent, or 0 if there is none.
--- a/internal/backend/frame/codec.go
+++ b/internal/backend/frame/codec.go
@@ -37,7 +37,7 @@
 	minBufferGrowth = 4 << 10 // a buffer grows with the bytes received, not to the announced size
 )
 
-// A header is the header of a frame without its magic byte.
+// A header holds the header fields of a frame that follow its magic byte.
 type header struct {
 	code       byte
 	fieldsSize int
--- a/internal/backend/frame/conn.go
+++ b/internal/backend/frame/conn.go
@@ -34,7 +34,7 @@
 	endedAt      map[uint64]time.Duration // ended exchanges that may still get a response, by ID
 	sweptAt      time.Duration            // when endedAt was last swept
 	lastUsed     time.Duration            // when an exchange last started or ended
-	lastReceived time.Duration            // see checkSilence
+	lastReceived time.Duration            // when a frame was last received; see checkSilence
 	pingSentAt   time.Duration            // when the unanswered ping was sent; 0 if there is none
 	closed       bool                     // no further exchange may start
 	started      int                      // number of exchanges started
--- a/internal/backend/frame/fields.go
+++ b/internal/backend/frame/fields.go
@@ -43,7 +43,7 @@
 	"boot_error": scheduler.LoadFailed,
 }
 
-const maxCount = 1 << 16 // greater numbers are rejected
+const maxCount = 1 << 16 // greater numbers count as 0
 
 func parseCount(text string) int {
 	n, err := strconv.Atoi(text)
--- a/internal/backend/frame/placement.go
+++ b/internal/backend/frame/placement.go
@@ -11,8 +11,8 @@
 	inFlight int           // number of exchanges in flight
 	lastUsed time.Duration // when an exchange last started or ended
 	suspect  bool          // possibly dead: a ping is unanswered or output is queued
-	used     bool          // an exchange has started; if not, one is about to
-	idTaken  bool          // the ID was used before, and a late response to that use may arrive
+	used     bool          // false until the first exchange has started
+	idTaken  bool          // the ID is in flight or may still get a late response
 }
 
 // A placement says on which kind of connection an attempt is sent.
--- a/internal/backend/frame/worker.go
+++ b/internal/backend/frame/worker.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// Traffic counts the calls between this controller and a worker, for comparison with the
-// scheduler's estimates.
+// Traffic describes the connections and calls between this controller and a worker, for comparison
+// with the scheduler's estimates.
 type Traffic struct {
 	Worker    scheduler.WorkerID
 	Name      string
--- a/internal/backend/load.go
+++ b/internal/backend/load.go
@@ -16,7 +16,7 @@
 type LoadOrder struct {
 	Worker   scheduler.WorkerID
 	Function string
-	Digest   string // digest of the function's bytes to load; "" lets the worker choose
+	Digest   string // digest of the function's bytes to load; "" if the worker knows it
 	Copies   int
 }
 
--- a/internal/discovery/dns/parse.go
+++ b/internal/discovery/dns/parse.go
@@ -229,7 +229,7 @@
 
 // mergeRepeated merges a repeated record of a worker into the first. A duplicate record adds
 // nothing (RFC 2181, section 5). A worker that is listed both as ready and as draining counts as
-// draining, as calls would still be sent to it if the whole list was rejected instead.
+// draining, as calls would still be sent to it if the whole list were rejected instead.
 func mergeRepeated(first *gateway.Worker, repeated gateway.Worker) error {
 	if repeated.State == scheduler.Draining {
 		first.State = scheduler.Draining
--- a/internal/discovery/dns/watcher.go
+++ b/internal/discovery/dns/watcher.go
@@ -17,7 +17,7 @@
 )
 
 // A Sink is notified of each new list, with its serial as the version. gateway.Gateway implements
-// it.
+// it. An error is logged.
 type Sink interface {
 	Workers(kind scheduler.ListKind, version uint32, workers []gateway.Worker) error
 }
@@ -51,8 +51,8 @@
 // descriptor is available: an intermediary such as a NAT gateway may have lost the mapping for its
 // port.
 //
-// One goroutine, running run, sends and receives, notifies the sink, and is the only one to replace
-// conn. SetServer and Stop may be called from any goroutine.
+// The goroutine of run sends and receives, notifies the sink, and is the only one to replace conn.
+// SetServer and Stop may be called from any goroutine.
 type Watcher struct {
 	Counts Counts
 
@@ -169,7 +169,7 @@
 func (w *Watcher) run() {
 	defer w.wg.Done()
 	defer func() { w.conn.Close() }()
-	failures := 0 // in a row
+	failures := 0 // consecutive
 	state := State{Serial: w.cfg.Serial}
 	buffer := make([]byte, maxResponseBytes+1) // one more byte, to detect longer responses
 	timer := time.NewTimer(w.jitter())
--- a/internal/discovery/dns/watcher_test.go
+++ b/internal/discovery/dns/watcher_test.go
@@ -202,7 +202,7 @@
 		return [][]byte{packResponse(t, fakeplatform.List{Serial: 4, Workers: []string{"a"}}, id)}
 	})
 	w, s := startWatcher(t, addr, longInterval)
-	w.mustSetServer(t, "127.0.0.1:1") // no listener, of which a connected socket would be told
+	w.mustSetServer(t, "127.0.0.1:1") // no listener; a connected socket would report that
 	for w.Counts.Queries.Load() == 0 {
 		runtime.Gosched()
 	}
--- a/internal/discovery/server.go
+++ b/internal/discovery/server.go
@@ -40,7 +40,7 @@
 		TypeURL:       TypeAssignment,
 	}}
 	defer session.close()
-	failures := 0 // in a row
+	failures := 0 // consecutive
 	for w.ctx.Err() == nil {
 		update, err := w.poll(session)
 		if err != nil {
--- a/internal/discovery/state.go
+++ b/internal/discovery/state.go
@@ -17,7 +17,7 @@
 type WatchEvent struct {
 	Kind    scheduler.ListKind // FullList or ListDelta
 	Version uint32             // number of the event within its State, from 1
-	Workers []gateway.Worker   // the complete list or a delta, with removed workers as Removed
+	Workers []gateway.Worker   // complete list, or the changed and removed workers of a delta
 }
 
 // A State holds the endpoint list in force. It does no I/O and is not safe for concurrent use. The
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -78,8 +78,8 @@
 	w.wg.Wait()
 }
 
-// apply applies an update, notifies the sink of the changes and caches the new list. If any of the
-// first two fails, the previous list stays in force.
+// apply applies an update, notifies the sink of the changes and caches the new list. If the update
+// is invalid or the sink rejects it, the previous list stays in force.
 func (w *Watcher) apply(u Update) error {
 	previous := w.state
 	event, err := w.state.Apply(u)
