--- a/cmd/kitehub/serve.go
+++ b/cmd/kitehub/serve.go
@@ -270,7 +270,7 @@
 // stop shuts down gracefully. A second signal ends it at once, with an error.
 func (p *serveProcess) stop() error {
 	go p.rejectReloads()
-	p.log.Info().Int("open", p.controller.Gateway.Open()).Msg("stopping")
+	p.log.Info().Int("open", p.controller.Gateway.OpenRequests()).Msg("stopping")
 	p.warnSupervisor(p.supervisor.Stopping())
 	stopped := make(chan error, 1)
 	go func() { stopped <- p.controller.Stop(p.built.StopTimeout) }()
--- a/config/built.go
+++ b/config/built.go
@@ -23,7 +23,7 @@
 	Name     string
 	Seed     uint64
 	Settings scheduler.Settings
-	Specs    []gateway.Spec
+	Specs    []gateway.FunctionSpec
 	// Peers are the addresses of the other controllers by index.
 	Peers map[int]string
 
--- a/config/functions.go
+++ b/config/functions.go
@@ -54,15 +54,15 @@
 	return classes
 }
 
-func functionSpec(fn *Function, class int) gateway.Spec {
-	spec := gateway.Spec{
+func functionSpec(fn *Function, class int) gateway.FunctionSpec {
+	spec := gateway.FunctionSpec{
 		Name:     fn.Name,
 		Class:    class,
 		MemoryMB: fn.MemoryMb,
 		Lanes:    fn.Lanes,
 		LoadTime: ms(fn.LoadMs),
 		MaxNames: int(fn.Most),
-		Versions: fn.Versions,
+		IsModel:  fn.Versions,
 	}
 	if spec.MaxNames == 0 {
 		spec.MaxNames = defaultMaxNames
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -126,7 +126,7 @@
 		h.awaitRecord(ofKind(trace.RunStarted))
 		nc.Close()
 		h.awaitRecord(ofKind(trace.ClientClosed))
-		for c.Gateway.Open() > 0 {
+		for c.Gateway.OpenRequests() > 0 {
 			time.Sleep(ms)
 		}
 		wantAnswer(t, post(t, c, "m1", class+"-1", `{"work_ms":200}`, now.Add(time.Second)), then)
@@ -150,7 +150,7 @@
 		time.Sleep(4*ms + time.Duration(i)*100*time.Microsecond) // spread over the answer's time; nothing is judged by it
 		nc.Close()
 	}
-	for c.Gateway.Open() > 0 {
+	for c.Gateway.OpenRequests() > 0 {
 		time.Sleep(ms)
 	}
 	n := &c.Gateway.Counts
@@ -219,7 +219,7 @@
 		}
 		l = append(l, gateway.Worker{Name: name, Network: "tcp", Addr: h.host.Addr(name), Group: "g", State: st, Size: 1})
 	}
-	if err := c.Gateway.Workers(scheduler.FullList, 9, l); err != nil {
+	if err := c.Gateway.UpdateWorkers(scheduler.FullList, 9, l); err != nil {
 		t.Fatal(err)
 	}
 	for i := range 5 {
@@ -242,7 +242,7 @@
 	h := newHarness(t, 2, nil)
 	c := h.start(h.configure("c1"))
 	wantAnswer(t, post(t, c, "m1", "unsafe-1", `{}`, time.Now()), "200 served")
-	if err := c.Gateway.Workers(scheduler.FullList, 9, nil); err != nil {
+	if err := c.Gateway.UpdateWorkers(scheduler.FullList, 9, nil); err != nil {
 		t.Fatal(err)
 	}
 	m := sign(t, commonSecret, "c1", "m2", "unsafe-1", `{}`, time.Now())
--- a/internal/controller/handover_old.go
+++ b/internal/controller/handover_old.go
@@ -136,17 +136,17 @@
 func (h *outgoingHandover) pause() error {
 	h.paused = true
 	c := h.controller
-	c.log.Info().Int("open", c.Gateway.Open()).Msg("handover: paused")
+	c.log.Info().Int("open", c.Gateway.OpenRequests()).Msg("handover: paused")
 	state := handoverState{
 		Front: c.Front.Pause(func(k replayguard.Key, a replayguard.Answer) {
 			h.endedCalls <- endedCall{Key: k, Answer: a}
 		}),
-		Open: c.Gateway.Open(),
+		Open: c.Gateway.OpenRequests(),
 	}
 	if c.RPC != nil {
 		c.RPC.Pause()
 	}
-	c.Gateway.SetSuperseded(true) // before the budget is read: what would still be ordered would be counted by nobody
+	c.Gateway.SetBudgetHandedOver(true) // before the budget is read: what would still be ordered would be counted by nobody
 	var err error
 	if state.Budget, err = c.Gateway.BudgetHandover(); err != nil {
 		return err
@@ -171,7 +171,7 @@
 // resume takes back what pause gave away.
 func (c *Controller) resume() {
 	c.relockStateDir()
-	c.Gateway.SetSuperseded(false)
+	c.Gateway.SetBudgetHandedOver(false)
 	if c.hooks.Load() != nil && !c.stopping.Load() {
 		c.hooks.Store(nil)
 		if err := c.startHooks(); err != nil {
@@ -205,7 +205,7 @@
 		c.resume()
 		return
 	}
-	c.log.Info().Int("open", c.Gateway.Open()).Msg("handover: successor takes over")
+	c.log.Info().Int("open", c.Gateway.OpenRequests()).Msg("handover: successor takes over")
 	c.draining.Store(true)
 	h.link.Send(daemon.Go, nil) // first: the successor takes nothing else until then
 	answersSent := h.sendEndedCalls()
--- a/internal/controller/handover_test.go
+++ b/internal/controller/handover_test.go
@@ -149,7 +149,7 @@
 	m := sign(t, commonSecret, "c", "once", "unsafe-1", `{"x":1}`, time.Now().Add(-5*time.Second))
 	first := make(chan answer)
 	go func() { first <- exchange(t, old.Addr(), m) }()
-	for old.Gateway.Open() == 0 {
+	for old.Gateway.OpenRequests() == 0 {
 		time.Sleep(ms)
 	}
 	c, err := h.takeOver(path, changes)
--- a/internal/controller/hooks.go
+++ b/internal/controller/hooks.go
@@ -29,8 +29,8 @@
 
 var _ gateway.Hooks = (*eventTap)(nil)
 
-// Arrive implements gateway.Hooks.
-func (t *eventTap) Arrive(c hooklang.Call) hookadvice.Verdict {
+// CallArrived implements gateway.Hooks.
+func (t *eventTap) CallArrived(c hooklang.Call) hookadvice.Verdict {
 	if e := t.engine.Load(); e != nil {
 		return e.Arrive(c)
 	}
@@ -54,8 +54,8 @@
 	}
 }
 
-// Workers implements gateway.Hooks.
-func (t *eventTap) Workers(l []hookadvice.Worker) {
+// SetWorkers implements gateway.Hooks.
+func (t *eventTap) SetWorkers(l []hookadvice.Worker) {
 	if e := t.engine.Load(); e != nil {
 		e.Workers(l)
 	}
@@ -81,7 +81,7 @@
 
 // KeepWarm advises copies of a function. A model is kept warm as the version that its alias current names.
 func (s adviceSink) KeepWarm(function string, copies int, until time.Duration) {
-	if spec, ok := s.controller.functions.Spec(function); ok && spec.Versions {
+	if spec, ok := s.controller.functions.Spec(function); ok && spec.IsModel {
 		model := s.controller.functions.Find(function) // a model is configured by its whole name: no pattern is used up
 		if v, _, ok := s.controller.models.current(model); ok {
 			s.controller.Gateway.KeepWarm(v.Name, copies, until)
@@ -130,7 +130,7 @@
 	hc.Clock = c.options.Clock
 	hc.Log = c.log
 	hc.FS = store.Dir(dir)
-	hc.Open = c.Gateway.Open
+	hc.Open = c.Gateway.OpenRequests
 	if len(c.built.Targets) > 0 {
 		c.notifier = hookengine.NewNotifier(c.built.Name, c.built.Targets, c.options.Clock, c.log)
 		hc.Notify = c.notifier.Notify
--- a/internal/controller/models.go
+++ b/internal/controller/models.go
@@ -121,7 +121,7 @@
 func (m *modelVersions) stageCopies(l []wire.Stage) {
 	for _, s := range l {
 		model := m.functions.Find(s.Model)
-		if model == nil || !model.Versions {
+		if model == nil || !model.IsModel {
 			continue // this controller serves no such model
 		}
 		if fn, err := m.functions.Version(model, s.Version, s.Digest); err == nil {
--- a/internal/controller/operator.go
+++ b/internal/controller/operator.go
@@ -83,7 +83,7 @@
 		return op.explain(params)
 	case "drain":
 		c.Drain()
-		return map[string]int{"open": c.Gateway.Open()}, nil
+		return map[string]int{"open": c.Gateway.OpenRequests()}, nil
 	case "reload":
 		if c.options.Reload == nil {
 			return nil, errors.New("this program does not read its configuration anew")
@@ -128,7 +128,7 @@
 	s := Status{
 		Name:     c.built.Name,
 		PID:      os.Getpid(),
-		Open:     c.Gateway.Open(),
+		Open:     c.Gateway.OpenRequests(),
 		Draining: c.draining.Load(),
 		Answers: map[string]int64{
 			"served":  counts.Served.Load(),
@@ -139,7 +139,7 @@
 			"turned":  counts.OverCapacity.Load(),
 		},
 		StepUS:  float64(counts.StepNanos.Load()) / 1e3 / float64(max(1, counts.Steps.Load())),
-		Crashes: counts.Crashes.Load(),
+		Crashes: counts.Panics.Load(),
 	}
 	if c.RPC != nil {
 		s.RPC = rpcStatus(c.RPC)
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -79,7 +79,7 @@
 			continue
 		}
 		if index, ok := p.sender(buf, from); ok {
-			g.ReceiveGossip(index, append([]byte(nil), buf[p.headerBytes:n]...))
+			g.ReceivePeerMessage(index, append([]byte(nil), buf[p.headerBytes:n]...))
 		}
 	}
 }
--- a/internal/controller/stop.go
+++ b/internal/controller/stop.go
@@ -43,12 +43,12 @@
 // stopWatchWhenIdle ends discovery as soon as nothing is in flight: the endpoint list matters as long as attempts are
 // made.
 func (c *Controller) stopWatchWhenIdle() {
-	if c.Gateway.Open() == 0 {
+	if c.Gateway.OpenRequests() == 0 {
 		c.watcher.Stop()
 		return
 	}
 	go func() {
-		for c.Gateway.Open() > 0 && !c.killed.Load() {
+		for c.Gateway.OpenRequests() > 0 && !c.killed.Load() {
 			time.Sleep(c.built.Settings.Tick)
 		}
 		c.watcher.Stop()
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -297,8 +297,8 @@
 	for _, w := range d.host.Names() {
 		d.host.Lie(w, "keyed-1@v1", digestOf("v2"))
 	}
-	if a := call("lie", "keyed-1"); a.status == 200 || c.Gateway.Counts.Mismatched.Load() == 0 {
-		t.Errorf("other bytes: %v, %d mismatched", a, c.Gateway.Counts.Mismatched.Load())
+	if a := call("lie", "keyed-1"); a.status == 200 || c.Gateway.Counts.DigestMismatches.Load() == 0 {
+		t.Errorf("other bytes: %v, %d mismatched", a, c.Gateway.Counts.DigestMismatches.Load())
 	}
 
 	d.ln.Close()
--- a/internal/discovery/cache.go
+++ b/internal/discovery/cache.go
@@ -24,7 +24,7 @@
 		workers, err = ParseAssignment(text, w.cfg.Cluster)
 	}
 	if err == nil {
-		err = w.cfg.Sink.Workers(scheduler.CachedList, 0, workers)
+		err = w.cfg.Sink.UpdateWorkers(scheduler.CachedList, 0, workers)
 	}
 	if err != nil {
 		w.cfg.Log.Warn().Err(err).Str("file", w.cfg.Cache).Msg("cached endpoint list rejected")
--- a/internal/discovery/dns/watcher.go
+++ b/internal/discovery/dns/watcher.go
@@ -18,7 +18,7 @@
 
 // A Sink is notified of each new list, with its serial as the version. gateway.Gateway is one.
 type Sink interface {
-	Workers(kind scheduler.ListKind, version uint32, workers []gateway.Worker) error
+	UpdateWorkers(kind scheduler.ListKind, version uint32, workers []gateway.Worker) error
 }
 
 // Config sets up a Watcher.
@@ -246,7 +246,7 @@
 		return serial == state.Serial
 	}
 	w.Counts.Updates.Add(1)
-	if err := w.cfg.Sink.Workers(scheduler.FullList, serial, workers); err != nil {
+	if err := w.cfg.Sink.UpdateWorkers(scheduler.FullList, serial, workers); err != nil {
 		w.cfg.Log.Error().Err(err).Uint32("serial", serial).Msg("endpoint list rejected, keeping previous")
 	}
 	return true
--- a/internal/discovery/dns/watcher_test.go
+++ b/internal/discovery/dns/watcher_test.go
@@ -26,7 +26,7 @@
 
 func newSink() sink { return sink{make(chan string, 10)} }
 
-func (s sink) Workers(_ scheduler.ListKind, version uint32, workers []gateway.Worker) error {
+func (s sink) UpdateWorkers(_ scheduler.ListKind, version uint32, workers []gateway.Worker) error {
 	text := fmt.Sprint(version)
 	for _, w := range workers {
 		text += " " + w.Name
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -64,7 +64,7 @@
 	workers []gateway.Worker
 }
 
-func (s *lastListSink) Workers(kind scheduler.ListKind, _ uint32, workers []gateway.Worker) error {
+func (s *lastListSink) UpdateWorkers(kind scheduler.ListKind, _ uint32, workers []gateway.Worker) error {
 	s.kind, s.workers = kind, workers
 	return nil
 }
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -17,7 +17,7 @@
 // kind says whether workers is the complete list, a delta or a cached list; version counts the notifications, and is
 // 0 for a cached list. An error rejects the update: the previous list stays in force.
 type Sink interface {
-	Workers(kind scheduler.ListKind, version uint32, workers []gateway.Worker) error
+	UpdateWorkers(kind scheduler.ListKind, version uint32, workers []gateway.Worker) error
 }
 
 // Config sets up a Watcher, of a file or, if File is empty, of a server.
@@ -84,7 +84,7 @@
 	if err != nil || event == nil {
 		return err
 	}
-	if err := w.cfg.Sink.Workers(event.Kind, event.Version, event.Workers); err != nil {
+	if err := w.cfg.Sink.UpdateWorkers(event.Kind, event.Version, event.Workers); err != nil {
 		w.state = previous
 		return err
 	}
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -45,7 +45,7 @@
 
 func newRecordingSink() *recordingSink { return &recordingSink{notified: make(chan string, 10)} }
 
-func (s *recordingSink) Workers(kind scheduler.ListKind, _ uint32, workers []gateway.Worker) error {
+func (s *recordingSink) UpdateWorkers(kind scheduler.ListKind, _ uint32, workers []gateway.Worker) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.reject != nil {
--- a/internal/gateway/advice.go
+++ b/internal/gateway/advice.go
@@ -57,6 +57,6 @@
 // InheritBudget begins with the budgets as another process has left them. It must be called before Run.
 func (g *Gateway) InheritBudget(h scheduler.BudgetHandover) { g.enqueue(h) }
 
-// SetSuperseded has the gateway finish what is open without its budgets, as another process has them now; with false,
+// SetBudgetHandedOver has the gateway finish what is open without its budgets, as another process has them now; with false,
 // it has them back.
-func (g *Gateway) SetSuperseded(on bool) { g.enqueue(scheduler.Superseded{On: on}) }
+func (g *Gateway) SetBudgetHandedOver(on bool) { g.enqueue(scheduler.Superseded{On: on}) }
--- a/internal/gateway/answer_test.go
+++ b/internal/gateway/answer_test.go
@@ -22,8 +22,8 @@
 	clk.Advance(30 * ms)
 	transport.result(0)(backend.Result{Outcome: scheduler.OK, Took: 30 * ms, Body: []byte("yes")})
 	g.step(clk.Now())
-	if len(got) != 1 || got[0].Kind != Served || string(got[0].Body) != "yes" || g.Open() != 0 || len(g.inFlight) != 0 {
-		t.Errorf("%+v, %d open, %d in flight", got, g.Open(), len(g.inFlight))
+	if len(got) != 1 || got[0].Kind != Served || string(got[0].Body) != "yes" || g.OpenRequests() != 0 || len(g.inFlight) != 0 {
+		t.Errorf("%+v, %d open, %d in flight", got, g.OpenRequests(), len(g.inFlight))
 	}
 	if !strings.Contains(log.String(), `"answer":"served"`) || !strings.Contains(log.String(), `ok 30ms"]`) {
 		t.Errorf("closing line: %s", log)
@@ -44,8 +44,8 @@
 	transport.result(0)(backend.Result{Outcome: scheduler.OK, Took: ms})
 	g.step(clk.Now())
 	submit(t, g, 0, &got)
-	if g.Open() != 10 {
-		t.Errorf("%d open", g.Open())
+	if g.OpenRequests() != 10 {
+		t.Errorf("%d open", g.OpenRequests())
 	}
 }
 
@@ -88,8 +88,8 @@
 			g.Cancel(id)
 		}
 		g.step(clk.Now())
-		if len(got) != 1 || got[0].Kind != want || g.Open() != 0 || len(g.inFlight) != 0 {
-			t.Errorf("%+v, want one %v; %d open, %d in flight", got, want, g.Open(), len(g.inFlight))
+		if len(got) != 1 || got[0].Kind != want || g.OpenRequests() != 0 || len(g.inFlight) != 0 {
+			t.Errorf("%+v, want one %v; %d open, %d in flight", got, want, g.OpenRequests(), len(g.inFlight))
 		}
 		if want == ClientClosed && !got[0].MayHaveRun {
 			t.Error("a running attempt did not count as one that may have run")
@@ -151,8 +151,8 @@
 	}
 	g.step(clk.Now()) // the event of the attempt that served it
 	g.step(clk.Now()) // that of the attempt which was not started
-	if len(got) != 1 || got[0].Kind != Served || g.Open() != 0 || len(g.inFlight) != 0 {
-		t.Errorf("%+v, %d open, %d in flight", got, g.Open(), len(g.inFlight))
+	if len(got) != 1 || got[0].Kind != Served || g.OpenRequests() != 0 || len(g.inFlight) != 0 {
+		t.Errorf("%+v, %d open, %d in flight", got, g.OpenRequests(), len(g.inFlight))
 	}
 }
 
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -63,8 +63,8 @@
 		Call:     call.ID,
 		Class:    g.class(call).Name,
 		Function: call.Function.Name,
-		Trace:    traceparent(call.Trace, g.rng.Uint64()),
-		Key:      call.Key,
+		Trace:    traceparent(call.TraceID, g.rng.Uint64()),
+		Key:      call.IdempotencyKey,
 		Digest:   call.Function.Digest,
 		Body:     call.Body,
 		Timeout:  a.Timeout,
@@ -82,7 +82,7 @@
 // a parameter because request.call is the loop's, which clears it with the answer.
 func (g *Gateway) attemptEnded(r *request, call *Call, a scheduler.Send, number int, res backend.Result) {
 	if g.hasDigestMismatch(r, call, res) {
-		g.Counts.Mismatched.Add(1)
+		g.Counts.DigestMismatches.Add(1)
 		g.cfg.Log.Error().Str("worker", g.workerName(a.Worker)).Str("function", call.Function.Name).
 			Str("wanted", call.Function.Digest).Str("ran", res.Digest).Msg("answer dropped, worker ran another digest")
 		res.Outcome = scheduler.Error
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -23,10 +23,10 @@
 	Body []byte
 	// TimeLeft is how long the client still waits.
 	TimeLeft time.Duration
-	// Key is the idempotency key; "" where the class has none.
-	Key string
-	// Trace is the W3C trace id.
-	Trace [16]byte
+	// IdempotencyKey is the idempotency key; "" where the class has none.
+	IdempotencyKey string
+	// TraceID is the W3C trace id.
+	TraceID [16]byte
 	// Retry says that the client marks the call as a retry: it is shed first under overload.
 	Retry bool
 	// RunTimeHint is how long the client expects the call to run; 0: unknown.
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -33,9 +33,9 @@
 	Versions Versions
 	// Hooks are notified of calls and workers; nil: there are none.
 	Hooks Hooks
-	// NameOf, where set, gives the name of a function by its number. Functions then need not be added: no table grows
+	// FunctionName, where set, gives the name of a function by its number. Functions then need not be added: no table grows
 	// with the names that clients come up with.
-	NameOf func(scheduler.FunctionID) string
+	FunctionName func(scheduler.FunctionID) string
 	// MaxExplanations is how many answered calls are kept for Explain; 0: none.
 	MaxExplanations int
 	// Log receives one line for each request, and the events of the loop.
@@ -94,12 +94,12 @@
 // Hooks are what operators' scripts observe of the gateway, and advise on calls. hookengine.Engine is one. The methods
 // are safe for concurrent use and must not block.
 type Hooks interface {
-	// Arrive advises on a call that is being submitted. CallEnded follows once for each.
-	Arrive(hooklang.Call) hookadvice.Verdict
+	// CallArrived advises on a call that is being submitted. CallEnded follows once for each.
+	CallArrived(hooklang.Call) hookadvice.Verdict
 	// CallEnded reports that a call of the tenant has been answered, or was not admitted after all.
 	CallEnded(tenant string)
 	// Post publishes an event to the handlers of a hook point.
 	Post(point string, e hooklang.Event)
-	// Workers replaces the workers that advice may name.
-	Workers([]hookadvice.Worker)
+	// SetWorkers replaces the workers that advice may name.
+	SetWorkers([]hookadvice.Worker)
 }
--- a/internal/gateway/directory.go
+++ b/internal/gateway/directory.go
@@ -121,8 +121,8 @@
 }
 
 func (g *Gateway) functionName(id scheduler.FunctionID) (name, digest string, ok bool) {
-	if g.cfg.NameOf != nil {
-		return g.cfg.NameOf(id), "", true
+	if g.cfg.FunctionName != nil {
+		return g.cfg.FunctionName(id), "", true
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/gateway/explain.go
+++ b/internal/gateway/explain.go
@@ -17,7 +17,7 @@
 	Class    string   `json:"class"`
 	Answer   string   `json:"answer"` // "" while it runs
 	TookMS   float64  `json:"took_ms"`
-	Why      string   `json:"why,omitempty"` // a hook's reason to advise against it
+	Reason   string   `json:"why,omitempty"` // a hook's reason to advise against it
 	Lines    []string `json:"lines"`         // the explanation, a sentence each
 }
 
@@ -79,7 +79,7 @@
 		Function: c.Function.Name,
 		Answer:   answer,
 		TookMS:   float64(now-r.submittedAt) / 1e6,
-		Why:      c.verdict.Why,
+		Reason:   c.verdict.Why,
 		Lines:    append([]string{}, describeCall(c)...),
 	}
 	for i := range r.attempts {
@@ -88,8 +88,8 @@
 	if len(r.attempts) > 0 {
 		return x
 	}
-	if x.Why != "" {
-		x.Lines = append(x.Lines, "never sent: "+x.Why)
+	if x.Reason != "" {
+		x.Lines = append(x.Lines, "never sent: "+x.Reason)
 	} else {
 		x.Lines = append(x.Lines,
 			"never sent: no worker could take it in its time, or too many calls were late to let it pass")
--- a/internal/gateway/functions.go
+++ b/internal/gateway/functions.go
@@ -16,8 +16,8 @@
 	Name string
 	// Digest of the bytes, where the registry names them: only answers of these are delivered.
 	Digest string
-	// Versions says that it is a model: its versions are called, not it.
-	Versions bool
+	// IsModel says that it is a model: its versions are called, not it.
+	IsModel bool
 	// ID is the hash of the name; 0 for a model.
 	ID scheduler.FunctionID
 	// Class is an index of Settings.Classes.
@@ -30,16 +30,16 @@
 	LoadTime time.Duration
 }
 
-// A Spec is what the configuration says of a function, or of all whose names have a prefix. The fields that Function
+// A FunctionSpec is what the configuration says of a function, or of all whose names have a prefix. The fields that Function
 // has as well mean the same.
-type Spec struct {
+type FunctionSpec struct {
 	Name     string // a name, or a prefix and a star
 	Class    int
 	MemoryMB float64
 	Lanes    float64
 	LoadTime time.Duration
 	MaxNames int // names that may become known under a star
-	Versions bool
+	IsModel  bool
 }
 
 const (
@@ -65,8 +65,8 @@
 }
 
 type namePattern struct {
-	Spec      // Name is the prefix
-	taken int // names that have become known
+	FunctionSpec     // Name is the prefix
+	taken        int // names that have become known
 }
 
 type versionKey struct{ model, version string }
@@ -77,7 +77,7 @@
 }
 
 // NewFunctions makes the functions named by the specs known to the gateway. Two names with one hash are an error.
-func NewFunctions(g *Gateway, specs []Spec) (*Functions, error) {
+func NewFunctions(g *Gateway, specs []FunctionSpec) (*Functions, error) {
 	f := &Functions{
 		gateway:     g,
 		known:       map[string]*Function{},
@@ -87,7 +87,7 @@
 	for _, s := range specs {
 		if prefix, ok := strings.CutSuffix(s.Name, "*"); ok {
 			s.Name = prefix
-			f.patterns = append(f.patterns, namePattern{Spec: s})
+			f.patterns = append(f.patterns, namePattern{FunctionSpec: s})
 			continue
 		}
 		if _, err := f.add(s.Name, s); err != nil {
@@ -98,16 +98,16 @@
 }
 
 // add makes a function known. The caller holds f.mu, or is alone.
-func (f *Functions) add(name string, s Spec) (*Function, error) {
+func (f *Functions) add(name string, s FunctionSpec) (*Function, error) {
 	fn := &Function{
 		Name:     name,
 		Class:    s.Class,
 		MemoryMB: s.MemoryMB,
 		Lanes:    s.Lanes,
 		LoadTime: s.LoadTime,
-		Versions: s.Versions,
+		IsModel:  s.IsModel,
 	}
-	if !s.Versions {
+	if !s.IsModel {
 		var err error
 		if fn.ID, err = f.gateway.AddFunction(name); err != nil {
 			return nil, err
@@ -133,7 +133,7 @@
 	for i := range f.patterns {
 		p := &f.patterns[i]
 		if strings.HasPrefix(name, p.Name) && p.taken < p.MaxNames {
-			fn, err := f.add(name, p.Spec)
+			fn, err := f.add(name, p.FunctionSpec)
 			if err != nil {
 				f.gateway.cfg.Log.Error().Err(err).Msg("function rejected")
 				return nil
@@ -147,25 +147,25 @@
 
 // Spec returns what is configured for a name, known or not. Unlike Find it makes no name known: advice must not use up
 // the bound of a pattern.
-func (f *Functions) Spec(name string) (Spec, bool) {
+func (f *Functions) Spec(name string) (FunctionSpec, bool) {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
 	if fn := f.known[name]; fn != nil {
-		return Spec{
+		return FunctionSpec{
 			Name:     name,
 			Class:    fn.Class,
 			MemoryMB: fn.MemoryMB,
 			Lanes:    fn.Lanes,
 			LoadTime: fn.LoadTime,
-			Versions: fn.Versions,
+			IsModel:  fn.IsModel,
 		}, true
 	}
 	for i := range f.patterns {
 		if p := &f.patterns[i]; len(name) <= maxPatternName && strings.HasPrefix(name, p.Name) {
-			return p.Spec, true
+			return p.FunctionSpec, true
 		}
 	}
-	return Spec{}, false
+	return FunctionSpec{}, false
 }
 
 // Version returns a version of a model as a function of its own, named "model@version". All controllers name it alike,
@@ -187,7 +187,7 @@
 	v = &version{Function: *model}
 	v.Name = model.Name + "@" + name
 	v.Digest = digest
-	v.Versions = false
+	v.IsModel = false
 	var err error
 	if v.ID, err = f.gateway.addVersion(v.Name, digest); err != nil {
 		return nil, err
--- a/internal/gateway/functions_test.go
+++ b/internal/gateway/functions_test.go
@@ -14,7 +14,7 @@
 // Names under a star become known when they are called, up to the bound, and are found again without an allocation.
 func TestPatternsTakeNamesUpToTheirBound(t *testing.T) {
 	g, _, _, _ := newManual(t)
-	f, err := NewFunctions(g, []Spec{{Name: "one", Class: 1}, {Name: "q-*", Lanes: 3, MaxNames: 2}})
+	f, err := NewFunctions(g, []FunctionSpec{{Name: "one", Class: 1}, {Name: "q-*", Lanes: 3, MaxNames: 2}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,7 +41,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f, err := NewFunctions(g, []Spec{{Name: "q-*", MemoryMB: 7, MaxNames: 2}})
+	f, err := NewFunctions(g, []FunctionSpec{{Name: "q-*", MemoryMB: 7, MaxNames: 2}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -36,10 +36,10 @@
 	Served, Rejected, Failed, ClientClosed, Superseded atomic.Int64
 	// OverCapacity counts calls that Submit did not take.
 	OverCapacity atomic.Int64
-	// Steps counts steps of the Dispatcher, Crashes those that panicked.
-	Steps, Crashes atomic.Int64
-	// Mismatched counts answers of workers that ran another digest than they were asked to: none is delivered.
-	Mismatched atomic.Int64
+	// Steps counts steps of the Dispatcher, Panics those that panicked.
+	Steps, Panics atomic.Int64
+	// DigestMismatches counts answers of workers that ran another digest than they were asked to: none is delivered.
+	DigestMismatches atomic.Int64
 	// StepNanos is the time spent in the Dispatcher, MaxStepDelayNanos the longest that a step was late.
 	StepNanos, MaxStepDelayNanos atomic.Int64
 }
@@ -118,7 +118,7 @@
 	}
 	id := scheduler.RequestID(g.nextID.Add(1))
 	if h := g.cfg.Hooks; h != nil {
-		c.verdict = h.Arrive(g.hookCall(c))
+		c.verdict = h.CallArrived(g.hookCall(c))
 	}
 	if !g.enqueueArrival(id, c) {
 		if h := g.cfg.Hooks; h != nil {
@@ -146,7 +146,7 @@
 		Retry:    c.Retry,
 		Wait:     c.TimeLeft,
 		Size:     len(c.Body),
-		Open:     g.Open(),
+		Open:     g.OpenRequests(),
 	}
 }
 
@@ -186,8 +186,8 @@
 // Cancel reports that the client of a call has closed. Deliver is still called, unless it was already.
 func (g *Gateway) Cancel(id scheduler.RequestID) { g.enqueue(scheduler.ClientClosed{Request: id}) }
 
-// ReceiveGossip hands over a message of the controller with index from. It is dropped where Limits.Peers is not set.
-func (g *Gateway) ReceiveGossip(from int, payload []byte) {
+// ReceivePeerMessage hands over a message of the controller with index from. It is dropped where Limits.Peers is not set.
+func (g *Gateway) ReceivePeerMessage(from int, payload []byte) {
 	if g.cfg.Settings.Limits.Peers {
 		g.enqueue(scheduler.GossipMessage{From: from, Payload: payload})
 	}
@@ -208,8 +208,8 @@
 	}
 }
 
-// Open returns how many requests have no final answer yet.
-func (g *Gateway) Open() int { return int(g.openCount.Load()) }
+// OpenRequests returns how many requests have no final answer yet.
+func (g *Gateway) OpenRequests() int { return int(g.openCount.Load()) }
 
 // class returns the class of a call's function.
 func (g *Gateway) class(c *Call) *scheduler.Class { return &g.cfg.Settings.Classes[c.Function.Class] }
--- a/internal/gateway/golden_test.go
+++ b/internal/gateway/golden_test.go
@@ -33,7 +33,7 @@
 		"explained.json": &[]Explanation{
 			{
 				ID: "me:1", Request: 2, Function: "resize", Tenant: "t", Class: "safe", Answer: "served",
-				TookMS: 3.5, Why: "closed", Lines: []string{"a", "b"},
+				TookMS: 3.5, Reason: "closed", Lines: []string{"a", "b"},
 			},
 			{Lines: []string{}},
 		},
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -132,7 +132,7 @@
 		t.Fatal(err)
 	}
 	workers := []Worker{readyWorker("w1", "a:1"), readyWorker("w2", "a:2")}
-	if err := g.Workers(scheduler.FullList, 1, workers); err != nil {
+	if err := g.UpdateWorkers(scheduler.FullList, 1, workers); err != nil {
 		t.Fatal(err)
 	}
 	return g, transport, clk, log
--- a/internal/gateway/loop_test.go
+++ b/internal/gateway/loop_test.go
@@ -27,7 +27,7 @@
 	if len(sent) != 1 || sent[0].Kind != Failed || len(queued) != 1 || queued[0].Kind != Rejected {
 		t.Errorf("sent %+v, queued %+v", sent, queued)
 	}
-	if g.Counts.Crashes.Load() != 1 || !strings.Contains(log.String(), "dispatcher crashed") {
+	if g.Counts.Panics.Load() != 1 || !strings.Contains(log.String(), "dispatcher crashed") {
 		t.Error("the crash is neither counted nor logged")
 	}
 	clk.Advance(ms)
@@ -60,7 +60,7 @@
 	for i := range 12 {
 		l = append(l, readyWorker(fmt.Sprint("w", i), fmt.Sprint("a:", i)))
 	}
-	g.Workers(scheduler.FullList, 1, l)
+	g.UpdateWorkers(scheduler.FullList, 1, l)
 	var fns []*Function
 	for i := range 20 {
 		name := fmt.Sprint("f", i)
--- a/internal/gateway/path_test.go
+++ b/internal/gateway/path_test.go
@@ -129,7 +129,7 @@
 	go g.Run()
 	t.Cleanup(func() { g.Stop(time.Second) })
 	workers := []gateway.Worker{{Name: "w1", Network: "tcp", Addr: host.Addr("w1"), State: scheduler.Ready}}
-	if err := g.Workers(scheduler.FullList, 1, workers); err != nil {
+	if err := g.UpdateWorkers(scheduler.FullList, 1, workers); err != nil {
 		t.Fatal(err)
 	}
 	key, err := signing.ParseKey("whsec_MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw")
--- a/internal/gateway/requestlog.go
+++ b/internal/gateway/requestlog.go
@@ -35,7 +35,7 @@
 	}
 	c := r.call
 	e.Str("id", c.ID).Uint64("request", uint64(id)).Str("client", c.Client).Str("function", c.Function.Name).
-		Str("class", g.class(c).Name).Str("trace", hex.EncodeToString(c.Trace[:])).Str("answer", a.Kind.String()).
+		Str("class", g.class(c).Name).Str("trace", hex.EncodeToString(c.TraceID[:])).Str("answer", a.Kind.String()).
 		Dur("took", now-r.submittedAt).Dur("allowed", c.TimeLeft).Bool("late", now > r.submittedAt+c.TimeLeft).
 		Bool("retry", c.Retry)
 	if t := g.tenantName(c.Tenant); t != "" {
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -48,8 +48,8 @@
 // restartDispatcher answers all that is open and goes on with a new dispatcher: a fault in the scheduler costs what it
 // had learned, not the process.
 func (g *Gateway) restartDispatcher(cause error, now time.Duration) {
-	g.Counts.Crashes.Add(1)
-	g.cfg.Log.Error().Err(cause).Int("open", g.Open()).Msg("dispatcher restarted, open requests answered")
+	g.Counts.Panics.Add(1)
+	g.cfg.Log.Error().Err(cause).Int("open", g.OpenRequests()).Msg("dispatcher restarted, open requests answered")
 	g.answerAll(now)
 	g.restarts++
 	dispatcher, err := scheduler.New(g.cfg.Settings, g.cfg.Seed+g.restarts)
--- a/internal/gateway/workers.go
+++ b/internal/gateway/workers.go
@@ -26,11 +26,11 @@
 	Started time.Time
 }
 
-// Workers takes a watch event of the endpoint list: a full or cached list replaces the one known, a delta changes the
+// UpdateWorkers takes a watch event of the endpoint list: a full or cached list replaces the one known, a delta changes the
 // workers that it names. The back end is notified at once, so that nothing which is still unsent goes to a draining
 // worker; the dispatcher learns of it in its next step. On an error, which is that two names have one hash, the list
 // stays as it was.
-func (g *Gateway) Workers(kind scheduler.ListKind, version uint32, event []Worker) error {
+func (g *Gateway) UpdateWorkers(kind scheduler.ListKind, version uint32, event []Worker) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	old := g.directory.workers
@@ -119,7 +119,7 @@
 			post("left", old[id], scheduler.Removed)
 		}
 	}
-	g.cfg.Hooks.Workers(advisable)
+	g.cfg.Hooks.SetWorkers(advisable)
 }
 
 // advisableWorker returns what advice on a worker is checked against.
--- a/internal/gateway/workers_test.go
+++ b/internal/gateway/workers_test.go
@@ -17,7 +17,7 @@
 	before := len(transport.endpoints)
 	twice := []Worker{readyWorker("w1", "x:1"), readyWorker("w9", "x:2")}
 	g.directory.workers[WorkerID("w9")] = Worker{Name: "another"}
-	if err := g.Workers(scheduler.ListDelta, 2, twice); err == nil || len(transport.endpoints) != before {
+	if err := g.UpdateWorkers(scheduler.ListDelta, 2, twice); err == nil || len(transport.endpoints) != before {
 		t.Errorf("err %v, list of %d", err, len(transport.endpoints))
 	}
 }
@@ -30,7 +30,7 @@
 		{Name: "w1", Network: "tcp", Addr: "a:1", State: scheduler.Draining},
 		{Name: "w2", State: scheduler.Removed},
 	}
-	if err := g.Workers(scheduler.ListDelta, 2, event); err != nil {
+	if err := g.UpdateWorkers(scheduler.ListDelta, 2, event); err != nil {
 		t.Fatal(err)
 	}
 	if len(transport.endpoints) != 1 || transport.endpoints[0].Name != "w1" || transport.endpoints[0].Ready {
@@ -51,7 +51,7 @@
 	started := clk.Wall().Add(-3 * time.Second)
 	w := readyWorker("w1", "a:1")
 	w.Started = started
-	if err := g.Workers(scheduler.FullList, 2, []Worker{w}); err != nil {
+	if err := g.UpdateWorkers(scheduler.FullList, 2, []Worker{w}); err != nil {
 		t.Fatal(err)
 	}
 	if got := clk.Now() - g.pendingList.Workers[0].StartedAt; got != 3*time.Second {
--- a/internal/harness/proxybench/bench_test.go
+++ b/internal/harness/proxybench/bench_test.go
@@ -108,7 +108,7 @@
 // unsigned is the gateway behind a front that verifies nothing: what signatures cost is the difference.
 func unsigned(t testing.TB, addrs []string) string {
 	ctl := start(t, addrs)
-	fns, err := gateway.NewFunctions(ctl.Gateway, []gateway.Spec{{Name: "g-*", Lanes: 1000, MemoryMB: 1, MaxNames: 100}})
+	fns, err := gateway.NewFunctions(ctl.Gateway, []gateway.FunctionSpec{{Name: "g-*", Lanes: 1000, MemoryMB: 1, MaxNames: 100}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/harness/scalebench/list.go
+++ b/internal/harness/scalebench/list.go
@@ -92,7 +92,7 @@
 	if err != nil {
 		return err
 	}
-	if err := g.Workers(scheduler.FullList, 1, workers); err != nil {
+	if err := g.UpdateWorkers(scheduler.FullList, 1, workers); err != nil {
 		return err
 	}
 	began := processTime()
@@ -100,7 +100,7 @@
 		gone, come := workers[i%len(workers)], listedWorker(2*len(workers)+i)
 		gone.State = scheduler.Removed
 		workers[i%len(workers)] = come
-		if err := g.Workers(scheduler.ListDelta, uint32(i+2), []gateway.Worker{gone, come}); err != nil {
+		if err := g.UpdateWorkers(scheduler.ListDelta, uint32(i+2), []gateway.Worker{gone, come}); err != nil {
 			return err
 		}
 	}
--- a/internal/harness/scenario/guards_test.go
+++ b/internal/harness/scenario/guards_test.go
@@ -21,7 +21,7 @@
 	known map[string]gateway.Worker
 }
 
-func (d *deaf) Workers(_ scheduler.ListKind, version uint32, l []gateway.Worker) error {
+func (d *deaf) UpdateWorkers(_ scheduler.ListKind, version uint32, l []gateway.Worker) error {
 	for _, w := range l {
 		if w.State == scheduler.Removed {
 			continue
@@ -39,7 +39,7 @@
 		}
 		return 1
 	})
-	return d.Sink.Workers(scheduler.FullList, version, all)
+	return d.Sink.UpdateWorkers(scheduler.FullList, version, all)
 }
 
 // A gateway with one guard taken out is caught by the rule that the guard is for.
--- a/internal/harness/scenario/play.go
+++ b/internal/harness/scenario/play.go
@@ -319,7 +319,7 @@
 		if p.versions != nil {
 			res.Anew += c.Front.Counts.Restarted.Load()
 			res.Withheld += c.Front.Counts.Withheld.Load()
-			res.Mismatched += c.Gateway.Counts.Mismatched.Load()
+			res.Mismatched += c.Gateway.Counts.DigestMismatches.Load()
 		}
 	}
 }
--- a/internal/ingress/bind_test.go
+++ b/internal/ingress/bind_test.go
@@ -47,7 +47,7 @@
 	}
 	deliveries := 0
 	binder.Run(&BoundCall{
-		Model: &gateway.Function{Name: "m", Versions: true},
+		Model: &gateway.Function{Name: "m", IsModel: true},
 		Alias: DefaultAlias,
 		Final: binder.Clock.Now() + time.Second,
 		Submit: func(call *gateway.Call) {
--- a/internal/ingress/jsonrpc/call.go
+++ b/internal/ingress/jsonrpc/call.go
@@ -80,7 +80,7 @@
 		return nil
 	}
 	request.key = c.user.Name + ":" + p.Key
-	sub.call.Key = request.key
+	sub.call.IdempotencyKey = request.key
 	if e := s.submitKeyed(&request, sub, p); e != nil {
 		c.removeCall(string(r.ID))
 		return e
@@ -163,7 +163,7 @@
 		Body:     p.Body,
 		Retry:    p.Retry,
 		TimeLeft: timeout,
-		Trace:    traceID(p.Trace),
+		TraceID:  traceID(p.Trace),
 	}
 	if p.Progress {
 		call.Progress = func(attempt int, worker string, load bool) {
@@ -192,7 +192,7 @@
 // submit hands a call to the gateway, bound to a version if its function has versions. pending belongs to c.
 func (s *Server) submit(c *conn, pending *pendingCall, sub submission, deliver deliverFunc) {
 	submit := func(call *gateway.Call) { s.submitBound(c, pending, call) }
-	if !sub.function.Versions {
+	if !sub.function.IsModel {
 		sub.call.Deliver = func(a gateway.Answer) { deliver(a, nil, nil) }
 		submit(&sub.call)
 		return
--- a/internal/ingress/msgpackrpc/parse.go
+++ b/internal/ingress/msgpackrpc/parse.go
@@ -95,7 +95,7 @@
 		if !validKey(m.fields.unique) {
 			return nil, 0, errors.New("unique: want a key of up to 64 letters and digits")
 		}
-		call.Key = m.fields.unique
+		call.IdempotencyKey = m.fields.unique
 	}
 	if m.fields.cpu != "" {
 		if call.RunTimeHint, err = parseMillis(m.fields.cpu); err != nil || call.RunTimeHint < 0 {
--- a/internal/ingress/resolve.go
+++ b/internal/ingress/resolve.go
@@ -14,7 +14,7 @@
 func Resolve(functions func(name string) *gateway.Function, models Models, name string) (
 	function *gateway.Function, alias string,
 ) {
-	if function = functions(name); function != nil && !function.Versions {
+	if function = functions(name); function != nil && !function.IsModel {
 		return function, ""
 	}
 	model, alias, ok := strings.Cut(name, "@")
@@ -22,7 +22,7 @@
 		alias = DefaultAlias
 	}
 	function = functions(model)
-	if function == nil || !function.Versions || alias == "" || models == nil {
+	if function == nil || !function.IsModel || alias == "" || models == nil {
 		return nil, ""
 	}
 	return function, alias
--- a/internal/ingress/resolve_test.go
+++ b/internal/ingress/resolve_test.go
@@ -8,7 +8,7 @@
 
 func TestResolve(t *testing.T) {
 	plain := &gateway.Function{Name: "plain"}
-	model := &gateway.Function{Name: "model", Versions: true}
+	model := &gateway.Function{Name: "model", IsModel: true}
 	withAt := &gateway.Function{Name: "odd@name"}
 	functions := func(name string) *gateway.Function {
 		return map[string]*gateway.Function{"plain": plain, "model": model, "odd@name": withAt}[name]
--- a/internal/ingress/webhook/call.go
+++ b/internal/ingress/webhook/call.go
@@ -54,13 +54,13 @@
 		Client:   client.Name,
 		Body:     m.request.Body,
 		Retry:    retry,
-		Trace:    traceID(m.request.Header.Get("traceparent")),
+		TraceID:  traceID(m.request.Header.Get("traceparent")),
 		TimeLeft: clientTimeout(m.request.Header, f.cfg.Deadline(class)),
 	}
 	if f.cfg.Idempotency(class) == scheduler.IdempotentWithKey {
-		submitted.Key = client.Name + ":" + m.id
+		submitted.IdempotencyKey = client.Name + ":" + m.id
 	}
-	if m.function.Versions {
+	if m.function.IsModel {
 		f.runBound(m, call, submitted)
 	} else {
 		submitted.Deliver = func(a gateway.Answer) {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -40,7 +40,7 @@
 // A Relay is a running controller, until Stop. Its fields are set by Start and must not be changed.
 type Relay struct {
 	Gateway *gateway.Gateway
-	Front   *msgpackrpc.Front
+	Ingress *msgpackrpc.Front
 	Backend *frame.Backend
 	Watcher *dns.Watcher
 
@@ -123,7 +123,7 @@
 		Seed:           c.Seed,
 		Clock:          r.options.Clock,
 		Transport:      r.Backend,
-		NameOf:         msgpackrpc.Item,
+		FunctionName:   msgpackrpc.Item,
 		Log:            r.options.Log,
 		OmitRequestLog: true,
 	}
@@ -133,10 +133,10 @@
 	if r.Gateway, err = gateway.New(gc); err != nil {
 		return &ConfigError{"settings", err}
 	}
-	if err = r.Gateway.Workers(scheduler.CachedList, c.Serial, c.KnownWorkers); err != nil {
+	if err = r.Gateway.UpdateWorkers(scheduler.CachedList, c.Serial, c.KnownWorkers); err != nil {
 		return &ConfigError{"known", err}
 	}
-	r.Front = msgpackrpc.New(msgpackrpc.Config{
+	r.Ingress = msgpackrpc.New(msgpackrpc.Config{
 		Gateway:        r.Gateway,
 		Clock:          r.options.Clock,
 		Settings:       c.Settings,
@@ -184,7 +184,7 @@
 		go r.peers.Receive(r.Gateway)
 	}
 	go func() {
-		if err := r.Front.Serve(r.listener); err != nil {
+		if err := r.Ingress.Serve(r.listener); err != nil {
 			r.options.Log.Error().Err(err).Msg("listener")
 		}
 	}()
@@ -208,13 +208,13 @@
 // then admits no more and answers what is open within the time. The last part of that time is for answers to reach
 // their clients. It must be called once.
 func (r *Relay) Stop(lameDuck, within time.Duration) {
-	r.Front.Drain()
+	r.Ingress.Drain()
 	time.Sleep(lameDuck)
 	delivery := time.Duration(deliveryFraction * float64(within))
 	r.Gateway.Stop(within - delivery)
-	r.Front.Finish(delivery)
+	r.Ingress.Finish(delivery)
 	r.listener.Close()
-	r.Front.Close()
+	r.Ingress.Close()
 	r.Watcher.Stop()
 	r.Backend.Close()
 	if r.peers != nil {
--- a/internal/relay/report.go
+++ b/internal/relay/report.go
@@ -58,14 +58,14 @@
 	counts := &r.Gateway.Counts
 	e.Int64("served", counts.Served.Load()).Int64("refused", counts.Rejected.Load()).
 		Int64("failed", counts.Failed.Load()).Int64("gone", counts.ClientClosed.Load()).
-		Int64("turned", counts.OverCapacity.Load()).Int("open", r.Gateway.Open()).
-		Int64("crashes", counts.Crashes.Load()).Int64("steps", counts.Steps.Load()).
+		Int64("turned", counts.OverCapacity.Load()).Int("open", r.Gateway.OpenRequests()).
+		Int64("crashes", counts.Panics.Load()).Int64("steps", counts.Steps.Load()).
 		Int64("step_us", counts.StepNanos.Load()/1000).Int64("late_us", counts.MaxStepDelayNanos.Load()/1000)
 }
 
 func (r *Relay) addFrontCounts(e *zerolog.Event) {
-	counts := &r.Front.Counts
-	e.Int("clients", r.Front.Conns()).Int64("accepted", counts.Accepted.Load()).
+	counts := &r.Ingress.Counts
+	e.Int("clients", r.Ingress.Conns()).Int64("accepted", counts.Accepted.Load()).
 		Int64("evicted", counts.Evicted.Load()).Int64("shut", counts.Shut.Load()).
 		Int64("requests", counts.Requests.Load()).Int64("invalid", counts.Invalid.Load()).
 		Int64("over", counts.Over.Load()).Int64("broken", counts.Broken.Load()).
--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -62,9 +62,9 @@
 					close(stopped)
 				}()
 			case sig == os.Interrupt: // somebody at a terminal who will not wait
-				return fmt.Errorf("relay: ended by a second %s with %d requests open", sig, r.Gateway.Open())
+				return fmt.Errorf("relay: ended by a second %s with %d requests open", sig, r.Gateway.OpenRequests())
 			default: // a repeated signal changes nothing: the open requests are worth as much as before
-				log.Info().Str("signal", sig.String()).Int("open", r.Gateway.Open()).Msg("stopping already")
+				log.Info().Str("signal", sig.String()).Int("open", r.Gateway.OpenRequests()).Msg("stopping already")
 			}
 		}
 	}
