--- a/cmd/kitehub/registry.go
+++ b/cmd/kitehub/registry.go
@@ -65,7 +65,7 @@
 	defer c.Close()
 	key := r.Key
 	if key == "" {
-		key = client.ID("cli")
+		key = client.NewID("cli")
 	}
 	cmd.WaitMS = r.Wait.Milliseconds()
 	a, err := c.Command(key, cmd)
@@ -89,12 +89,12 @@
 		fmt.Printf("move %d is acknowledged\n", a.Migration)
 		return nil
 	case a.Status == "given up":
-		return fmt.Errorf("move %d was given up: %s", a.Migration, a.Why)
+		return fmt.Errorf("move %d was given up: %s", a.Migration, a.Reason)
 	}
 	return fmt.Errorf("move %d is still %s: kitehub registry move %d asks again", a.Migration, a.Status, a.Migration)
 }
 
-func (r *registryClient) query(q wire.Query) (*wire.Answer, error) {
+func (r *registryClient) query(q wire.Query) (*wire.Response, error) {
 	c, err := r.client()
 	if err != nil {
 		return nil, err
@@ -115,7 +115,7 @@
 }
 
 func (p *registryPushCmd) Run() error {
-	return p.sendCommand(wire.Command{Push: &registry.Push{Model: p.Model, Why: p.Why, Version: registry.Version{Name: p.Version, Digest: p.Digest, Size: p.Size,
+	return p.sendCommand(wire.Command{Push: &registry.Push{Model: p.Model, Reason: p.Why, Version: registry.Version{Name: p.Version, Digest: p.Digest, Size: p.Size,
 		MemoryMB: p.MemoryMB, Lanes: p.Lanes, LoadTime: p.Load}}})
 }
 
@@ -138,7 +138,7 @@
 }
 
 func (p *registryPromoteCmd) Run() error {
-	return p.sendCommand(wire.Command{Promote: &registry.Promote{Model: p.Model, Alias: p.Alias, To: p.Version, IfRevision: p.IfRevision, Copies: p.Copies, Why: p.Why}})
+	return p.sendCommand(wire.Command{Promote: &registry.Promote{Model: p.Model, Alias: p.Alias, To: p.Version, IfRevision: p.IfRevision, Copies: p.Copies, Reason: p.Why}})
 }
 
 type registryRollbackCmd struct {
@@ -149,7 +149,7 @@
 }
 
 func (p *registryRollbackCmd) Run() error {
-	return p.sendCommand(wire.Command{Rollback: &registry.Rollback{Model: p.Model, Alias: p.Alias, IfRevision: p.IfRevision, Why: p.Why}})
+	return p.sendCommand(wire.Command{Rollback: &registry.Rollback{Model: p.Model, Alias: p.Alias, IfRevision: p.IfRevision, Reason: p.Why}})
 }
 
 type registryCondemnCmd struct {
@@ -159,7 +159,7 @@
 }
 
 func (p *registryCondemnCmd) Run() error {
-	return p.sendCommand(wire.Command{Condemn: &registry.Condemn{Model: p.Model, Version: p.Version, Why: p.Why}})
+	return p.sendCommand(wire.Command{Condemn: &registry.Condemn{Model: p.Model, Version: p.Version, Reason: p.Why}})
 }
 
 type registryPolicyCmd struct {
@@ -169,13 +169,13 @@
 }
 
 func (p *registryPolicyCmd) Run() error {
-	return p.sendCommand(wire.Command{Policy: &registry.Policy{Model: p.Model, Stale: p.Stale == "stale", Why: p.Why}})
+	return p.sendCommand(wire.Command{Policy: &registry.Policy{Model: p.Model, AllowStale: p.Stale == "stale", Reason: p.Why}})
 }
 
 type registryGcCmd struct{ registryClient }
 
 func (p *registryGcCmd) Run() error {
-	return p.sendCommand(wire.Command{Collect: &registry.Collect{Why: p.Why}})
+	return p.sendCommand(wire.Command{Collect: &registry.Collect{Reason: p.Why}})
 }
 
 type registryListCmd struct {
@@ -184,7 +184,7 @@
 }
 
 func (p *registryListCmd) Run() error {
-	a, err := p.query(wire.Query{What: "list", Model: p.Model})
+	a, err := p.query(wire.Query{Kind: "list", Model: p.Model})
 	if err != nil {
 		return err
 	}
@@ -219,12 +219,12 @@
 }
 
 func (p *registryHistoryCmd) Run() error {
-	a, err := p.query(wire.Query{What: "history", Model: p.Model})
+	a, err := p.query(wire.Query{Kind: "history", Model: p.Model})
 	if err != nil {
 		return err
 	}
 	for _, l := range a.History {
-		fmt.Printf("%s  %s  %s  %s\n", l.At.UTC().Format(time.RFC3339), l.By, l.What, l.Why)
+		fmt.Printf("%s  %s  %s  %s\n", l.At.UTC().Format(time.RFC3339), l.By, l.Action, l.Reason)
 	}
 	return nil
 }
@@ -235,11 +235,11 @@
 }
 
 func (p *registryMoveCmd) Run() error {
-	a, err := p.query(wire.Query{What: "move", Migration: p.Move, WaitMS: p.Wait.Milliseconds()})
+	a, err := p.query(wire.Query{Kind: "move", Migration: p.Move, WaitMS: p.Wait.Milliseconds()})
 	if err != nil {
 		return err
 	}
-	fmt.Println(strings.TrimSpace(a.Status + " " + a.Why))
+	fmt.Println(strings.TrimSpace(a.Status + " " + a.Reason))
 	return nil
 }
 
@@ -252,7 +252,7 @@
 	}
 	defer c.Close()
 	for since := uint64(0); ; {
-		a, err := c.Query(wire.Query{What: "watch", Since: since, WaitMS: 20000})
+		a, err := c.Query(wire.Query{Kind: "watch", Since: since, WaitMS: 20000})
 		if err != nil {
 			return err
 		}
@@ -273,7 +273,7 @@
 type registryExportCmd struct{ registryClient }
 
 func (p *registryExportCmd) Run() error {
-	a, err := p.query(wire.Query{What: "export"})
+	a, err := p.query(wire.Query{Kind: "export"})
 	if err != nil {
 		return err
 	}
@@ -306,7 +306,7 @@
 				e.Aliases = append(e.Aliases, registry.Promote{Model: m.Name, Alias: x.Name, To: x.Version})
 			}
 		}
-		if m.Stale {
+		if m.AllowStale {
 			e.Stale = append(e.Stale, m.Name)
 		}
 	}
@@ -324,7 +324,7 @@
 	}
 	key := p.Key
 	if key == "" {
-		key = client.ID("import")
+		key = client.NewID("import")
 	}
 	n := 0
 	send := func(cmd wire.Command) error { // each part has a key of its own: an import that stopped is gone on with by --key
@@ -336,18 +336,18 @@
 		return nil
 	}
 	for i := range e.Pushes {
-		e.Pushes[i].Why = p.Why
+		e.Pushes[i].Reason = p.Why
 		if err := send(wire.Command{Push: &e.Pushes[i]}); err != nil {
 			return err
 		}
 	}
 	for _, m := range e.Stale {
-		if err := send(wire.Command{Policy: &registry.Policy{Model: m, Stale: true, Why: p.Why}}); err != nil {
+		if err := send(wire.Command{Policy: &registry.Policy{Model: m, AllowStale: true, Reason: p.Why}}); err != nil {
 			return err
 		}
 	}
 	for i := range e.Aliases {
-		e.Aliases[i].Why = p.Why
+		e.Aliases[i].Reason = p.Why
 		if err := send(wire.Command{Promote: &e.Aliases[i]}); err != nil {
 			return err
 		}
--- a/config/registry.go
+++ b/config/registry.go
@@ -16,7 +16,7 @@
 	MaxConnections int
 	// Service is without what runs.
 	Service service.Config
-	Callers []service.Caller
+	Callers []service.Client
 	// MaxAgeMS is how old in milliseconds a signed request may be.
 	MaxAgeMS float64
 }
@@ -31,7 +31,7 @@
 	}
 	b := &BuiltRegistry{Listen: c.Listen, StateDir: c.StateDir, MaxConnections: int(c.MaxConnections), MaxAgeMS: c.PastMs,
 		Service: service.Config{SnapshotInterval: int(c.SnapshotEvery), LongPoll: ms(c.HoldMs), Settings: registry.Settings{LeaseDuration: ms(c.LeaseMs), MaxClockDrift: c.Drift, SettleTimeout: ms(c.SettleMs),
-			StagingTimeout: ms(c.StagingMs), Retention: ms(c.KeepMs), ErrorWatch: ms(c.WatchMs), MinCalls: int(c.LeastCalls), MaxErrorIncrease: c.Worse, MaxModels: int(c.Models),
+			StagingTimeout: ms(c.StagingMs), Retention: ms(c.KeepMs), AutoRollbackWindow: ms(c.WatchMs), MinCalls: int(c.LeastCalls), MaxErrorIncrease: c.Worse, MaxModels: int(c.Models),
 			MaxVersions: int(c.Versions), MaxAliases: int(c.Aliases), MaxControllers: int(c.Controllers), MaxRemembered: int(c.Remembered)}}}
 	if 3*c.HoldMs > c.LeaseMs {
 		f.Problem("hold_ms", fmt.Sprintf("%v is over a third of lease_ms %v", c.HoldMs, c.LeaseMs),
@@ -44,7 +44,7 @@
 	return b, nil
 }
 
-func registryCallers(f *File, callers []*Caller) (l []service.Caller) {
+func registryCallers(f *File, callers []*Caller) (l []service.Client) {
 	names := map[string]bool{}
 	keyFields := map[string]string{} // where a key was first used, by its text
 	for i, caller := range callers {
@@ -56,7 +56,7 @@
 		if !caller.Operator && !caller.Controller {
 			f.Problem(field, "neither operator nor controller", "say what it may do; either may ask")
 		}
-		out := service.Caller{Name: caller.Name, Operator: caller.Operator, Controller: caller.Controller}
+		out := service.Client{Name: caller.Name, Operator: caller.Operator, Controller: caller.Controller}
 		for j, text := range caller.Keys {
 			keyField := fmt.Sprintf("%s.keys[%d]", field, j)
 			if first, ok := keyFields[text]; ok {
--- a/internal/controller/models.go
+++ b/internal/controller/models.go
@@ -64,7 +64,7 @@
 		return nil, b, registry.Unknown
 	}
 	b.Target = t
-	a.Use(b.Name, t)
+	a.BeginCall(b.Name, t)
 	if m.events != nil {
 		m.postMigration(b.Name, t)
 	}
@@ -87,13 +87,13 @@
 
 // Unbind implements ingress.Models: it ends what Bind began.
 func (m *modelVersions) Unbind(b gateway.VersionBinding, ran, failed bool) {
-	m.agent.Load().Unuse(b.Name, b.Target, ran, failed)
+	m.agent.Load().EndCall(b.Name, b.Target, ran, failed)
 }
 
 // Begin implements ingress.Models: it asks for an answer to be let out. The duration is how long that may take; 0: no
 // bound.
 func (m *modelVersions) Begin(b gateway.VersionBinding) (func(), time.Duration, registry.Verdict) {
-	t, until, v := m.agent.Load().Begin(b.Name, b.Target)
+	t, until, v := m.agent.Load().BeginAnswer(b.Name, b.Target)
 	if v != registry.Allowed {
 		return nil, 0, v
 	}
@@ -101,7 +101,7 @@
 	if until > 0 {
 		within = max(1, until-m.clock.Now())
 	}
-	return func() { m.agent.Load().End(t) }, within, v
+	return func() { m.agent.Load().EndAnswer(t) }, within, v
 }
 
 // MayAnswer implements gateway.Versions.
@@ -112,7 +112,7 @@
 // CopiesReady implements gateway.Versions.
 func (m *modelVersions) CopiesReady(function, worker string, copies int) {
 	if model, version, ok := strings.Cut(function, "@"); ok {
-		m.agent.Load().CopiesReady(registry.VersionRef{Model: model, Version: version}, worker, copies)
+		m.agent.Load().ReportCopies(registry.VersionRef{Model: model, Version: version}, worker, copies)
 	}
 }
 
--- a/internal/controller/start.go
+++ b/internal/controller/start.go
@@ -141,12 +141,12 @@
 			Wall:   c.options.Clock.Wall,
 			Dial:   c.trackConns((&net.Dialer{}).DialContext),
 		},
-		Node:           b.Name,
-		Clock:          c.options.Clock,
-		Log:            c.log,
-		AliasesChanged: c.Gateway.RecheckVersions,
-		Stage:          c.models.stageCopies,
-		Ready:          func(a *agent.Agent) { c.models.agent.Store(a) },
+		Node:             b.Name,
+		Clock:            c.options.Clock,
+		Log:              c.log,
+		OnAliasesChanged: c.Gateway.RecheckVersions,
+		OnStage:          c.models.stageCopies,
+		OnStart:          func(a *agent.Agent) { c.models.agent.Store(a) },
 	})
 	c.mu.Lock()
 	c.agent = a
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -63,7 +63,7 @@
 	})
 	var err error
 	d.s, _, err = service.Open(service.Config{Clock: d.clock, FS: store.Dir(t.TempDir()), Log: zerolog.Nop(), SnapshotInterval: 100, LongPoll: 100 * ms,
-		Settings: registry.Settings{LeaseDuration: 500 * ms, MaxClockDrift: 0.01, SettleTimeout: settle, StagingTimeout: 5 * time.Second, Retention: time.Second, ErrorWatch: time.Second,
+		Settings: registry.Settings{LeaseDuration: 500 * ms, MaxClockDrift: 0.01, SettleTimeout: settle, StagingTimeout: 5 * time.Second, Retention: time.Second, AutoRollbackWindow: time.Second,
 			MinCalls: 100, MaxErrorIncrease: 0.5, MaxModels: 10, MaxVersions: 10, MaxAliases: 4, MaxControllers: 4, MaxRemembered: 1000}})
 	if err != nil {
 		t.Fatal(err)
@@ -78,7 +78,7 @@
 	if d.ln, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
-	d.server = &http1.Server{Handler: service.NewFront(d.s, []service.Caller{{Name: "op", Keys: []*signing.Key{key(operatorSecret)}, Operator: true},
+	d.server = &http1.Server{Handler: service.NewHandler(d.s, []service.Client{{Name: "op", Keys: []*signing.Key{key(operatorSecret)}, Operator: true},
 		{Name: "c1", Keys: []*signing.Key{key(controllerSecret)}, Controller: true}}, time.Minute)}
 	go d.server.Serve(d.ln)
 	t.Cleanup(func() { d.ln.Close(); d.server.Cut(); d.s.Close() })
@@ -92,7 +92,7 @@
 	return d
 }
 
-func (d *registryServer) command(c wire.Command) *wire.Answer {
+func (d *registryServer) command(c wire.Command) *wire.Response {
 	d.t.Helper()
 	d.mu.Lock()
 	d.keys++
@@ -107,7 +107,7 @@
 	return a
 }
 
-func (d *registryServer) migrate(model, to string, rev uint64) *wire.Answer {
+func (d *registryServer) migrate(model, to string, rev uint64) *wire.Response {
 	d.t.Helper()
 	return d.command(wire.Command{Promote: &registry.Promote{Model: model, Alias: "current", To: to, IfRevision: rev}, WaitMS: 10000})
 }
@@ -223,7 +223,7 @@
 
 // epoch returns the registry's epoch.
 func (d *registryServer) epoch() (epoch uint64) {
-	d.s.Do(func(_ time.Duration, st *registry.State, _ *registry.Leases) { epoch = st.Epoch })
+	d.s.Inspect(func(_ time.Duration, st *registry.State, _ *registry.Leases) { epoch = st.Epoch })
 	return epoch
 }
 
--- a/internal/harness/scalebench/models.go
+++ b/internal/harness/scalebench/models.go
@@ -26,7 +26,7 @@
 // filledRegistry returns a registry's state with so many models of one version and one alias, as their commands would leave it.
 // It is built at once: by commands it takes the square of the models.
 func filledRegistry(models int) (*registry.State, error) {
-	s, err := registry.New(registry.Settings{LeaseDuration: time.Minute, MaxClockDrift: 0.01, SettleTimeout: time.Second, StagingTimeout: time.Second, Retention: time.Minute, ErrorWatch: time.Minute,
+	s, err := registry.New(registry.Settings{LeaseDuration: time.Minute, MaxClockDrift: 0.01, SettleTimeout: time.Second, StagingTimeout: time.Second, Retention: time.Minute, AutoRollbackWindow: time.Minute,
 		MinCalls: 100, MaxErrorIncrease: 0.2, MaxModels: models, MaxVersions: 20, MaxAliases: 5, MaxControllers: 1000, MaxRemembered: 1000})
 	if err != nil {
 		return nil, err
@@ -38,7 +38,7 @@
 		s.Models[modelName(i)] = &registry.Model{Name: modelName(i), Versions: map[string]*registry.Version{"v1": &v},
 			Aliases: map[string]*registry.Alias{scaleAlias: {Name: scaleAlias, Version: "v1", Revision: 1, Epoch: s.Epoch}}}
 	}
-	s.Confirmed, s.LastMigration = s.Epoch, s.Epoch
+	s.ConfirmedEpoch, s.LastMigration = s.Epoch, s.Epoch
 	return s, nil
 }
 
@@ -62,7 +62,7 @@
 
 // wireBytes returns the length of what is told, as it goes over the wire.
 func wireBytes(told registry.ViewUpdate) int {
-	var r wire.Response
+	var r wire.DiscoveryResponse
 	for n, t := range told.Targets {
 		r.Resources = append(r.Resources, wire.Alias{Type: wire.TypeAlias, Model: n.Model, Alias: n.Alias, Version: t.Version, Digest: t.Digest, Revision: t.Revision})
 	}
--- a/internal/harness/scalebench/registry.go
+++ b/internal/harness/scalebench/registry.go
@@ -122,32 +122,32 @@
 func controllerName(i int) string { return fmt.Sprintf("controller-%d", i) }
 
 func (p *registryPlay) open() error {
-	settings := registry.Settings{LeaseDuration: p.load.Lease, MaxClockDrift: 0.01, SettleTimeout: p.load.Lease / 8, StagingTimeout: p.load.Lease, Retention: time.Minute, ErrorWatch: time.Minute, MinCalls: 100, MaxErrorIncrease: 0.2,
+	settings := registry.Settings{LeaseDuration: p.load.Lease, MaxClockDrift: 0.01, SettleTimeout: p.load.Lease / 8, StagingTimeout: p.load.Lease, Retention: time.Minute, AutoRollbackWindow: time.Minute, MinCalls: 100, MaxErrorIncrease: 0.2,
 		MaxModels: p.load.Models, MaxVersions: 20, MaxAliases: 5, MaxControllers: p.load.Controllers, MaxRemembered: 1000}
 	s, _, err := service.Open(service.Config{Settings: settings, Clock: clock.System(), FS: store.Dir(p.load.Dir), Log: zerolog.Nop(), SnapshotInterval: snapshotEvery, LongPoll: p.load.Lease / 4})
 	if err != nil {
 		return err
 	}
 	p.service = s
-	var callers []service.Caller
+	var callers []service.Client
 	for i := range p.load.Controllers {
 		key, err := scaleKey(controllerName(i))
 		if err != nil {
 			return err
 		}
-		callers = append(callers, service.Caller{Name: controllerName(i), Keys: []*signing.Key{key}, Controller: true})
+		callers = append(callers, service.Client{Name: controllerName(i), Keys: []*signing.Key{key}, Controller: true})
 	}
 	key, err := scaleKey(operatorName)
 	if err != nil {
 		return err
 	}
-	callers = append(callers, service.Caller{Name: operatorName, Keys: []*signing.Key{key}, Operator: true})
+	callers = append(callers, service.Client{Name: operatorName, Keys: []*signing.Key{key}, Operator: true})
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
 	p.address = listener.Addr().String()
-	p.server = &http1.Server{Handler: service.NewFront(s, callers, time.Minute)}
+	p.server = &http1.Server{Handler: service.NewHandler(s, callers, time.Minute)}
 	go p.server.Serve(listener)
 	return nil
 }
@@ -271,14 +271,14 @@
 	operator := &client.Client{Server: p.address, Name: operatorName, Key: key, Wall: time.Now}
 	defer operator.Close()
 	push := registry.Push{Model: modelName(0), Version: scaleVersion("v2", 2*p.load.Models+1)}
-	if _, err := operator.Command(client.ID("push"), wire.Command{Push: &push}); err != nil {
+	if _, err := operator.Command(client.NewID("push"), wire.Command{Push: &push}); err != nil {
 		return err
 	}
 	cpu, bytes := processTime(), p.in.Load()+p.out.Load()
 	for i := range p.load.Migrations {
 		to := []string{"v2", "v1"}[i%2]
 		began := time.Now()
-		a, err := operator.Command(client.ID("move"), wire.Command{WaitMS: p.load.Timeout.Milliseconds(),
+		a, err := operator.Command(client.NewID("move"), wire.Command{WaitMS: p.load.Timeout.Milliseconds(),
 			Promote: &registry.Promote{Model: modelName(0), Alias: scaleAlias, To: to, IfRevision: uint64(i + 1)}})
 		if err != nil {
 			return fmt.Errorf("move %d: %w", i, err)
--- a/internal/harness/scenario/versions.go
+++ b/internal/harness/scenario/versions.go
@@ -118,7 +118,7 @@
 		for n := range int(v.s.Count) {
 			digest, size := v.putBlob()
 			push := registry.Push{Model: name, Version: registry.Version{Name: version(n), Digest: digest, Size: size}}
-			if _, err := c.Command(client.ID("push"), rwire.Command{Push: &push}); err != nil {
+			if _, err := c.Command(client.NewID("push"), rwire.Command{Push: &push}); err != nil {
 				return err
 			}
 		}
@@ -150,18 +150,18 @@
 func (v *versions) start() error {
 	lease := ms(v.s.LeaseMs)
 	s, _, err := service.Open(service.Config{Clock: v.p.clk, FS: store.Dir(v.dir), Log: v.p.o.Log, SnapshotInterval: 200, LongPoll: lease / 4,
-		Settings: registry.Settings{LeaseDuration: lease, MaxClockDrift: 0.01, SettleTimeout: ms(v.s.SettleMs), StagingTimeout: 2 * time.Second, Retention: 3 * time.Second, ErrorWatch: time.Second, MinCalls: 200, MaxErrorIncrease: 0.5,
+		Settings: registry.Settings{LeaseDuration: lease, MaxClockDrift: 0.01, SettleTimeout: ms(v.s.SettleMs), StagingTimeout: 2 * time.Second, Retention: 3 * time.Second, AutoRollbackWindow: time.Second, MinCalls: 200, MaxErrorIncrease: 0.5,
 			MaxModels: 10000, MaxVersions: 100, MaxAliases: 4, MaxControllers: 100, MaxRemembered: 100000}})
 	if err != nil {
 		return err
 	}
-	var callers []service.Caller
+	var callers []service.Client
 	for name, secret := range v.keys {
 		k, err := signing.ParseKey(secret)
 		if err != nil {
 			return err
 		}
-		callers = append(callers, service.Caller{Name: name, Keys: []*signing.Key{k}, Operator: name == operator, Controller: name != operator})
+		callers = append(callers, service.Client{Name: name, Keys: []*signing.Key{k}, Operator: name == operator, Controller: name != operator})
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -173,7 +173,7 @@
 		go v.accept(v.port)
 	}
 	ln := &incarnation{Listener: v.port, conns: make(chan net.Conn), end: make(chan struct{})}
-	server := &http1.Server{Handler: service.NewFront(s, callers, time.Minute)}
+	server := &http1.Server{Handler: service.NewHandler(s, callers, time.Minute)}
 	go server.Serve(ln)
 	v.service, v.server, v.ln, v.addr = s, server, ln, ln.Addr().String()
 	return nil
@@ -250,7 +250,7 @@
 // promote moves a model's alias and waits for the acknowledgement, through deaths of the registry too: the same key asks
 // again for the same move. It returns the alias's next revision.
 func (v *versions) promote(c *client.Client, model string, to int, revision uint64, copies int, patient bool) (uint64, error) {
-	key, begin := client.ID("move"), v.p.clk.Now()
+	key, begin := client.NewID("move"), v.p.clk.Now()
 	cmd := rwire.Command{Promote: &registry.Promote{Model: model, Alias: "current", To: version(to), IfRevision: revision, Copies: copies}, WaitMS: 5000}
 	for {
 		a, err := c.Command(key, cmd)
@@ -285,7 +285,7 @@
 	s := v.service
 	v.mu.Unlock()
 	if s != nil {
-		s.Do(func(_ time.Duration, st *registry.State, _ *registry.Leases) {
+		s.Inspect(func(_ time.Duration, st *registry.State, _ *registry.Leases) {
 			d = st.Models[model].Versions[version(to)].Digest
 		})
 	}
--- a/internal/registry/agent/agent.go
+++ b/internal/registry/agent/agent.go
@@ -34,14 +34,14 @@
 	Node   string         // the controller's name, under which it holds its lease
 	Clock  clock.Clock
 	Log    zerolog.Logger
-	// AliasesChanged, where set, is called when calls may have been superseded: after a view of a new epoch was
+	// OnAliasesChanged, where set, is called when calls may have been superseded: after a view of a new epoch was
 	// taken, and after calls under superseded targets have had their time.
-	AliasesChanged func()
-	// Stage, where set, is called with the versions of which copies are to be loaded, with each response of the
+	OnAliasesChanged func()
+	// OnStage, where set, is called with the versions of which copies are to be loaded, with each response of the
 	// registry until they are ready.
-	Stage func([]wire.Stage)
-	// Ready, where set, is called by Start with the agent before the first poll.
-	Ready func(*Agent)
+	OnStage func([]wire.Stage)
+	// OnStart, where set, is called by Start with the agent before the first poll.
+	OnStart func(*Agent)
 }
 
 // An Agent holds a controller's view of the registry. It is safe for concurrent use.
@@ -51,8 +51,8 @@
 	stop    chan struct{}
 	polling sync.WaitGroup
 
-	// Lost counts failed polls that found the lease expired, Nacks responses of the registry that were rejected.
-	Lost, Nacks atomic.Int64
+	// PollsWithoutLease counts failed polls that found the lease expired, Nacks responses of the registry that were rejected.
+	PollsWithoutLease, Nacks atomic.Int64
 
 	reports reports
 }
@@ -61,8 +61,8 @@
 func Start(cfg Config) *Agent {
 	a := &Agent{cfg: cfg, stop: make(chan struct{}), reports: newReports()}
 	a.current.Store(newGeneration(registry.View{}))
-	if cfg.Ready != nil {
-		cfg.Ready(a)
+	if cfg.OnStart != nil {
+		cfg.OnStart(a)
 	}
 	a.polling.Add(1)
 	go func() {
@@ -89,10 +89,10 @@
 	return a.current.Load().view.MayAnswer(a.cfg.Clock.Now(), n, t)
 }
 
-// Begin admits the answer of a call under a target, or returns the verdict against it. Where the verdict is
+// BeginAnswer admits the answer of a call under a target, or returns the verdict against it. Where the verdict is
 // registry.Allowed the answer may be written until the time returned, by Config.Clock (0: for any time), and End
 // must be called once it is written or given up.
-func (a *Agent) Begin(n registry.AliasName, t registry.Target) (Ticket, time.Duration, registry.Verdict) {
+func (a *Agent) BeginAnswer(n registry.AliasName, t registry.Target) (Ticket, time.Duration, registry.Verdict) {
 	g := a.acquireCurrent()
 	verdict := g.view.MayAnswer(a.cfg.Clock.Now(), n, t)
 	if verdict != registry.Allowed && verdict != registry.BeingSuperseded {
@@ -100,14 +100,14 @@
 		return Ticket{}, 0, verdict
 	}
 	until := g.view.LeaseEnd()
-	if verdict == registry.Allowed && g.view.Stale(n.Model) {
+	if verdict == registry.Allowed && g.view.AllowsStale(n.Model) {
 		until = 0
 	}
 	return Ticket{g}, until, registry.Allowed
 }
 
-// End says that the answer of a ticket has been written, or never will be.
-func (a *Agent) End(t Ticket) { t.generation.release() }
+// EndAnswer says that the answer of a ticket has been written, or never will be.
+func (a *Agent) EndAnswer(t Ticket) { t.generation.release() }
 
 // acquireCurrent returns the current generation with a reference to it.
 func (a *Agent) acquireCurrent() *generation {
--- a/internal/registry/agent/agent_test.go
+++ b/internal/registry/agent/agent_test.go
@@ -17,10 +17,10 @@
 	otherType.Type = "type.googleapis.com/other"
 	noRevision := alias
 	noRevision.Revision = 0
-	withResources := func(aliases ...wire.Alias) wire.Response {
-		return wire.Response{VersionInfo: "1", TypeURL: wire.TypeAlias, LeaseMS: 1, Resources: aliases}
+	withResources := func(aliases ...wire.Alias) wire.DiscoveryResponse {
+		return wire.DiscoveryResponse{VersionInfo: "1", TypeURL: wire.TypeAlias, LeaseMS: 1, Resources: aliases}
 	}
-	for name, resp := range map[string]wire.Response{
+	for name, resp := range map[string]wire.DiscoveryResponse{
 		"no epoch":                   {VersionInfo: "x", TypeURL: wire.TypeAlias, LeaseMS: 1},
 		"another type":               {VersionInfo: "1", TypeURL: "other", LeaseMS: 1},
 		"no lease":                   {VersionInfo: "1", TypeURL: wire.TypeAlias},
@@ -35,12 +35,12 @@
 	valid := withResources(alias)
 	valid.VersionInfo = "7"
 	valid.LeaseMS = 1500
-	valid.Stale = []string{"m"}
+	valid.AllowStale = []string{"m"}
 	update, err := parseResponse(&valid)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if update.Epoch != 7 || update.Lease != 1500*time.Millisecond || !update.Stale["m"] || len(update.Targets) != 1 {
+	if update.Epoch != 7 || update.LeaseDuration != 1500*time.Millisecond || !update.AllowStale["m"] || len(update.Targets) != 1 {
 		t.Errorf("%+v", update)
 	}
 }
@@ -74,15 +74,15 @@
 	version := registry.VersionRef{Model: "m", Version: "v"}
 	a.setStaged([]wire.Stage{{Model: "m", Version: "v"}})
 	call := func(failed bool) {
-		a.Use(alias, target)
-		a.Unuse(alias, target, true, failed)
+		a.BeginCall(alias, target)
+		a.EndCall(alias, target, true, failed)
 	}
 	call(true)
-	a.CopiesReady(version, "w1", 1)
-	a.CopiesReady(version, "w2", 1)
+	a.ReportCopies(version, "w1", 1)
+	a.ReportCopies(version, "w2", 1)
 	lost := a.newRequest(0, "", nil)
 	call(false)
-	a.CopiesReady(version, "w1", 2)
+	a.ReportCopies(version, "w1", 2)
 	a.reports.restore(lost)
 	request := a.newRequest(0, "", nil)
 	if want := []wire.CallsEnded{{Model: "m", Version: "v", Calls: 2, Errors: 1}}; fmt.Sprint(request.CallsEnded) != fmt.Sprint(want) {
@@ -105,7 +105,7 @@
 func BenchmarkPath(b *testing.B) {
 	a := &Agent{cfg: Config{Clock: clock.System()}, reports: newReports()}
 	alias := registry.AliasName{Model: "model-500", Alias: "current"}
-	update := registry.ViewUpdate{Epoch: 1, Targets: map[registry.AliasName]registry.Target{}, Lease: time.Hour}
+	update := registry.ViewUpdate{Epoch: 1, Targets: map[registry.AliasName]registry.Target{}, LeaseDuration: time.Hour}
 	for i := range 1000 {
 		other := "model-" + string(rune('a'+i%26)) + string(rune('a'+i/26%26)) + string(rune('a'+i/676))
 		update.Targets[registry.AliasName{Model: other, Alias: "current"}] = registry.Target{Version: "v", Revision: 1}
@@ -117,14 +117,14 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		target, _ := a.Resolve(alias)
-		a.Use(alias, target)
+		a.BeginCall(alias, target)
 		a.MayAnswer(alias, target)
 		a.MayAnswer(alias, target)
-		ticket, _, verdict := a.Begin(alias, target)
+		ticket, _, verdict := a.BeginAnswer(alias, target)
 		if verdict != registry.Allowed {
 			b.Fatal(verdict)
 		}
-		a.End(ticket)
-		a.Unuse(alias, target, true, false)
+		a.EndAnswer(ticket)
+		a.EndCall(alias, target, true, false)
 	}
 }
--- a/internal/registry/agent/poll.go
+++ b/internal/registry/agent/poll.go
@@ -69,16 +69,16 @@
 
 // send sends a request and waits for its response, for a lease at most. newConnection tells whether a connection was
 // opened for it.
-func (p *poller) send(request *wire.Request) (_ *wire.Response, newConnection bool, _ error) {
+func (p *poller) send(request *wire.DiscoveryRequest) (_ *wire.DiscoveryResponse, newConnection bool, _ error) {
 	body, err := json.Marshal(request)
 	if err != nil {
 		return nil, false, err
 	}
-	text, newConnection, err := p.agent.cfg.Client.Do(wire.DiscoveryPath, client.ID("poll"), nil, body, p.lease)
+	text, newConnection, err := p.agent.cfg.Client.Do(wire.DiscoveryPath, client.NewID("poll"), nil, body, p.lease)
 	if err != nil {
 		return nil, newConnection, err
 	}
-	var resp wire.Response
+	var resp wire.DiscoveryResponse
 	if err := json.Unmarshal(text, &resp); err != nil {
 		return nil, newConnection, fmt.Errorf("not a discovery response: %w", err)
 	}
@@ -87,10 +87,10 @@
 
 // retryLater backs off after a poll without a valid response. The pause doubles with each failure and has up to as
 // much jitter, so that controllers do not all come back at once.
-func (p *poller) retryLater(request *wire.Request, err error) {
+func (p *poller) retryLater(request *wire.DiscoveryRequest, err error) {
 	p.failures++
 	if p.agent.cfg.Clock.Now() >= p.agent.current.Load().view.LeaseEnd() {
-		p.agent.Lost.Add(1)
+		p.agent.PollsWithoutLease.Add(1)
 	}
 	backoff := min(maxBackoff, minBackoff<<min(p.failures, 10), p.lease/pollsPerLease)
 	backoff += time.Duration(rand.Float64() * float64(backoff))
@@ -112,10 +112,10 @@
 
 // accept replaces the view by an updated one, and confirms its epoch if that becomes possible before the lease is
 // to be renewed.
-func (p *poller) accept(sentAt time.Duration, update registry.ViewUpdate, resp *wire.Response) {
+func (p *poller) accept(sentAt time.Duration, update registry.ViewUpdate, resp *wire.DiscoveryResponse) {
 	p.failures = 0
 	p.nack = nil
-	p.lease = update.Lease
+	p.lease = update.LeaseDuration
 	view := p.agent.current.Load().view
 	previousEpoch := view.Epoch()
 	if !view.Update(sentAt, update) { // of another registry process, or out of order: ask for everything
@@ -132,7 +132,7 @@
 	if len(view.BeingSuperseded()) == 0 {
 		p.settleBy = 0
 	} else if p.settleBy == 0 {
-		p.settleBy = p.agent.cfg.Clock.Now() + view.SettleWithin()
+		p.settleBy = p.agent.cfg.Clock.Now() + view.SettleTimeout()
 	}
 	p.confirm(view)
 	p.removeIdle()
@@ -146,8 +146,8 @@
 }
 
 func (p *poller) aliasesChanged() {
-	if p.agent.cfg.AliasesChanged != nil {
-		p.agent.cfg.AliasesChanged()
+	if p.agent.cfg.OnAliasesChanged != nil {
+		p.agent.cfg.OnAliasesChanged()
 	}
 }
 
--- a/internal/registry/agent/reports.go
+++ b/internal/registry/agent/reports.go
@@ -38,17 +38,17 @@
 	}
 }
 
-// Use counts a call that starts to run under a target, until Unuse. While it runs, the registry does not collect the
+// BeginCall counts a call that starts to run under a target, until Unuse. While it runs, the registry does not collect the
 // version, and a migration away from it waits for the call until the settle time is over.
-func (a *Agent) Use(n registry.AliasName, t registry.Target) {
+func (a *Agent) BeginCall(n registry.AliasName, t registry.Target) {
 	r := &a.reports
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.uses[aliasTarget{n, t}]++
 }
 
-// Unuse ends a Use. ran says that a worker answered the call, failed that the answer was an error.
-func (a *Agent) Unuse(n registry.AliasName, t registry.Target, ran, failed bool) {
+// EndCall ends a Use. ran says that a worker answered the call, failed that the answer was an error.
+func (a *Agent) EndCall(n registry.AliasName, t registry.Target, ran, failed bool) {
 	r := &a.reports
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -78,9 +78,9 @@
 	r.endedCalls[version] = count
 }
 
-// CopiesReady notes how many copies of a version a worker said to have ready. It matters, and is kept, only while the
+// ReportCopies notes how many copies of a version a worker said to have ready. It matters, and is kept, only while the
 // version is staged.
-func (a *Agent) CopiesReady(version registry.VersionRef, worker string, copies int) {
+func (a *Agent) ReportCopies(version registry.VersionRef, worker string, copies int) {
 	r := &a.reports
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -112,14 +112,14 @@
 	r.mu.Lock()
 	r.staged = staged
 	r.mu.Unlock()
-	if len(staged) > 0 && a.cfg.Stage != nil {
-		a.cfg.Stage(staged)
+	if len(staged) > 0 && a.cfg.OnStage != nil {
+		a.cfg.OnStage(staged)
 	}
 }
 
 // newRequest returns a poll that confirms an epoch, with all reports since the last one: they are taken out.
-func (a *Agent) newRequest(confirmed uint64, nonce string, nack *wire.ErrorDetail) *wire.Request {
-	request := &wire.Request{
+func (a *Agent) newRequest(confirmed uint64, nonce string, nack *wire.ErrorDetail) *wire.DiscoveryRequest {
+	request := &wire.DiscoveryRequest{
 		VersionInfo:   strconv.FormatUint(confirmed, 10),
 		Node:          wire.Node{ID: a.cfg.Node},
 		TypeURL:       wire.TypeAlias,
@@ -129,7 +129,7 @@
 	r := &a.reports
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	request.Uses = r.usesBesidesAliases(&a.current.Load().view)
+	request.VersionsInUse = r.usesBesidesAliases(&a.current.Load().view)
 	for _, calls := range r.endedCalls {
 		request.CallsEnded = append(request.CallsEnded, calls)
 	}
@@ -161,7 +161,7 @@
 
 // restore puts the reports of a poll that failed back. The registry may have received them: calls can be counted
 // twice so, which distorts the judgement of a version's errors a little and breaks no guarantee.
-func (r *reports) restore(request *wire.Request) {
+func (r *reports) restore(request *wire.DiscoveryRequest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, calls := range request.CallsEnded {
--- a/internal/registry/agent/response.go
+++ b/internal/registry/agent/response.go
@@ -15,20 +15,20 @@
 
 // parseResponse checks a response and returns the update that it holds. On an error all of it is to be rejected: the
 // error is one of the response's content, not of a lost response, and the registry is to be told.
-func parseResponse(resp *wire.Response) (registry.ViewUpdate, error) {
+func parseResponse(resp *wire.DiscoveryResponse) (registry.ViewUpdate, error) {
 	epoch, err := strconv.ParseUint(resp.VersionInfo, 10, 64)
 	if err != nil {
 		return registry.ViewUpdate{}, fmt.Errorf("version_info: %q is no epoch", resp.VersionInfo)
 	}
 	update := registry.ViewUpdate{
-		Epoch:     epoch,
-		Since:     resp.Since,
-		Targets:   map[registry.AliasName]registry.Target{},
-		Condemned: resp.Condemned,
-		Lease:     fromMilliseconds(resp.LeaseMS),
-		Settle:    fromMilliseconds(resp.SettleMS),
+		Epoch:         epoch,
+		Since:         resp.Since,
+		Targets:       map[registry.AliasName]registry.Target{},
+		Condemned:     resp.Condemned,
+		LeaseDuration: fromMilliseconds(resp.LeaseMS),
+		SettleTimeout: fromMilliseconds(resp.SettleMS),
 	}
-	if resp.TypeURL != wire.TypeAlias || update.Lease <= 0 {
+	if resp.TypeURL != wire.TypeAlias || update.LeaseDuration <= 0 {
 		return update, errors.New("not a response about aliases with a lease")
 	}
 	for i, x := range resp.Resources {
@@ -39,11 +39,11 @@
 		}
 		update.Targets[name] = registry.Target{Version: x.Version, Digest: x.Digest, Revision: x.Revision}
 	}
-	for _, model := range resp.Stale {
-		if update.Stale == nil {
-			update.Stale = map[string]bool{}
+	for _, model := range resp.AllowStale {
+		if update.AllowStale == nil {
+			update.AllowStale = map[string]bool{}
 		}
-		update.Stale[model] = true
+		update.AllowStale[model] = true
 	}
 	return update, nil
 }
--- a/internal/registry/client/client.go
+++ b/internal/registry/client/client.go
@@ -50,8 +50,8 @@
 // ErrUnsigned is returned for a response that is not signed for the request. It says nothing about the registry.
 var ErrUnsigned = errors.New("registry: the answer is not signed for the question")
 
-// ID returns a new random id for a message.
-func ID(kind string) string { return kind + "_" + rand.Text() }
+// NewID returns a new random id for a message.
+func NewID(kind string) string { return kind + "_" + rand.Text() }
 
 var limits = http1.Limits{Body: 64 << 20, Headers: 16 << 10}.Filled()
 
--- a/internal/registry/client/client_test.go
+++ b/internal/registry/client/client_test.go
@@ -98,7 +98,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := connect(t, func(r *http1.Request) *http1.Response { return tt.answer(r.Header.Get("webhook-id")) })
-			answer, err := c.Query(wire.Query{What: "list"})
+			answer, err := c.Query(wire.Query{Kind: "list"})
 			if !errors.Is(err, tt.want) {
 				t.Fatalf("error %v, want %v", err, tt.want)
 			}
@@ -128,7 +128,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := connect(t, func(r *http1.Request) *http1.Response { return tt.answer(r.Header.Get("webhook-id")) })
-			_, err := c.Query(wire.Query{What: "list"})
+			_, err := c.Query(wire.Query{Kind: "list"})
 			var status *client.StatusError
 			if !errors.As(err, &status) || *status != tt.want {
 				t.Errorf("error %v, want %v", err, &tt.want)
--- a/internal/registry/client/operate.go
+++ b/internal/registry/client/operate.go
@@ -16,7 +16,7 @@
 
 // Command sends a command under an idempotency key and waits for its migration for up to cmd.WaitMS milliseconds.
 // After an error that is no *StatusError the same command may be sent again with the same key: it is executed once.
-func (c *Client) Command(key string, cmd wire.Command) (*wire.Answer, error) {
+func (c *Client) Command(key string, cmd wire.Command) (*wire.Response, error) {
 	body, err := json.Marshal(cmd)
 	if err != nil {
 		return nil, err
@@ -32,17 +32,17 @@
 }
 
 // Query sends a query, which changes nothing. Errors are those of Do.
-func (c *Client) Query(q wire.Query) (*wire.Answer, error) {
+func (c *Client) Query(q wire.Query) (*wire.Response, error) {
 	body, err := json.Marshal(q)
 	if err != nil {
 		return nil, err
 	}
-	return c.request(wire.QueryPath, ID("query"), nil, body, q.WaitMS)
+	return c.request(wire.QueryPath, NewID("query"), nil, body, q.WaitMS)
 }
 
 // request sends a request that may be sent twice, and once more on a new connection where an idle one has failed: the
 // registry may have closed it meanwhile.
-func (c *Client) request(path, id string, header http1.Header, body []byte, waitMS int64) (*wire.Answer, error) {
+func (c *Client) request(path, id string, header http1.Header, body []byte, waitMS int64) (*wire.Response, error) {
 	within := time.Duration(waitMS)*time.Millisecond + waitMargin
 	text, newConnection, err := c.Do(path, id, header, body, within)
 	var status *StatusError
@@ -52,7 +52,7 @@
 	if err != nil {
 		return nil, err
 	}
-	answer := &wire.Answer{}
+	answer := &wire.Response{}
 	if err := json.Unmarshal(text, answer); err != nil {
 		return nil, fmt.Errorf("registry: its answer: %w", err)
 	}
--- a/internal/registry/commands.go
+++ b/internal/registry/commands.go
@@ -12,8 +12,8 @@
 type Push struct {
 	Model string `json:"Model"`
 	Version
-	By  string `json:"By"`
-	Why string `json:"Why"`
+	By     string `json:"By"`
+	Reason string `json:"Why"`
 }
 
 func (p Push) apply(s *State, now time.Duration) ([]Effect, error) {
@@ -42,7 +42,7 @@
 	}
 	s.Models[p.Model] = m
 	m.Versions[p.Name] = p.newVersion(now)
-	s.appendHistory(now, p.By, "push "+p.Model+" "+p.Name+" "+p.Digest, p.Why)
+	s.appendHistory(now, p.By, "push "+p.Model+" "+p.Name+" "+p.Digest, p.Reason)
 	return nil, nil
 }
 
@@ -61,15 +61,15 @@
 // command holds.
 func (p Push) newVersion(now time.Duration) *Version {
 	return &Version{
-		Name:     p.Name,
-		Digest:   p.Digest,
-		Size:     p.Size,
-		MemoryMB: p.MemoryMB,
-		Lanes:    p.Lanes,
-		LoadTime: p.LoadTime,
-		Phase:    Proposed,
-		Since:    now,
-		Copies:   map[string]int{},
+		Name:       p.Name,
+		Digest:     p.Digest,
+		Size:       p.Size,
+		MemoryMB:   p.MemoryMB,
+		Lanes:      p.Lanes,
+		LoadTime:   p.LoadTime,
+		Phase:      Proposed,
+		PhaseSince: now,
+		Copies:     map[string]int{},
 	}
 }
 
@@ -125,16 +125,16 @@
 	if c.Epoch > s.Epoch {
 		return nil, fmt.Errorf("epoch: %d, of which %d is the last", c.Epoch, s.Epoch)
 	}
-	s.Confirmed = max(s.Confirmed, c.Epoch)
+	s.ConfirmedEpoch = max(s.ConfirmedEpoch, c.Epoch)
 	return nil, nil
 }
 
 // Policy says whether a controller without a lease may answer for a model: see Model.Stale.
 type Policy struct {
-	Model string `json:"Model"`
-	Stale bool   `json:"Stale"`
-	By    string `json:"By"`
-	Why   string `json:"Why"`
+	Model      string `json:"Model"`
+	AllowStale bool   `json:"Stale"`
+	By         string `json:"By"`
+	Reason     string `json:"Why"`
 }
 
 func (p Policy) apply(s *State, now time.Duration) ([]Effect, error) {
@@ -142,12 +142,12 @@
 	if m == nil {
 		return nil, fmt.Errorf("model: %q is not known", p.Model)
 	}
-	if m.Stale == p.Stale {
+	if m.AllowStale == p.AllowStale {
 		return nil, nil
 	}
-	m.Stale = p.Stale
+	m.AllowStale = p.AllowStale
 	s.Epoch++ // controllers must learn of it; no migration waits for that
-	s.appendHistory(now, p.By, fmt.Sprintf("policy %s stale %v", p.Model, p.Stale), p.Why)
+	s.appendHistory(now, p.By, fmt.Sprintf("policy %s stale %v", p.Model, p.AllowStale), p.Reason)
 	return []Effect{Published{s.Epoch}}, nil
 }
 
@@ -155,31 +155,31 @@
 // Replayed with the result of the first one; another command under the same key is ErrKeyReused. The newest
 // Settings.MaxRemembered keys are remembered. A command that fails does not use its key up.
 type IdempotentCommand struct {
-	Key     string // 1 to 128 bytes
-	Sum     string // of the command's text: by it the same command is told from another
-	Command Command
+	Key      string // 1 to 128 bytes
+	Checksum string // of the command's text: by it the same command is told from another
+	Command  Command
 }
 
 func (c IdempotentCommand) apply(s *State, now time.Duration) ([]Effect, error) {
 	if err := validateLength("key", c.Key); err != nil {
 		return nil, err
 	}
-	if i := slices.IndexFunc(s.Keys, func(k KeyResult) bool { return k.Key == c.Key }); i >= 0 {
-		if s.Keys[i].Sum != c.Sum {
+	if i := slices.IndexFunc(s.IdempotencyKeys, func(k KeyResult) bool { return k.Key == c.Key }); i >= 0 {
+		if s.IdempotencyKeys[i].Checksum != c.Checksum {
 			return nil, fmt.Errorf("%w: %q", ErrKeyReused, c.Key)
 		}
-		return []Effect{Replayed{s.Keys[i].Migration}}, nil
+		return []Effect{Replayed{s.IdempotencyKeys[i].Migration}}, nil
 	}
 	lastMigration := s.LastMigration
 	effects, err := c.Command.apply(s, now)
 	if err != nil {
 		return nil, err
 	}
-	result := KeyResult{Key: c.Key, Sum: c.Sum}
+	result := KeyResult{Key: c.Key, Checksum: c.Checksum}
 	if s.LastMigration > lastMigration {
 		result.Migration = s.LastMigration
 	}
-	s.Keys = newest(append(s.Keys, result), s.Settings.MaxRemembered)
+	s.IdempotencyKeys = newest(append(s.IdempotencyKeys, result), s.Settings.MaxRemembered)
 	return append([]Effect{MigrationStarted{result.Migration}}, effects...), nil
 }
 
--- a/internal/registry/commands_alias.go
+++ b/internal/registry/commands_alias.go
@@ -14,7 +14,7 @@
 	IfRevision uint64 `json:"IfRevision"` // the revision that the alias must have, or ErrRevisionChanged
 	Copies     int    `json:"Copies"`     // that must be ready before the alias names the version
 	By         string `json:"By"`
-	Why        string `json:"Why"`
+	Reason     string `json:"Why"`
 }
 
 func (p Promote) apply(s *State, now time.Duration) ([]Effect, error) {
@@ -33,9 +33,9 @@
 		a = &Alias{Name: p.Alias}
 		m.Aliases[p.Alias] = a
 	}
-	migration := s.startMigration(a, p.To, p.By, p.Why, now)
+	migration := s.startMigration(a, p.To, p.By, p.Reason, now)
 	migration.Copies = p.Copies
-	s.appendHistory(now, p.By, fmt.Sprintf("promote %s %s to %s, move %d", p.Model, p.Alias, p.To, migration.ID), p.Why)
+	s.appendHistory(now, p.By, fmt.Sprintf("promote %s %s to %s, move %d", p.Model, p.Alias, p.To, migration.ID), p.Reason)
 	if v.Phase == Proposed || v.Phase == Retired {
 		v.enterPhase(Staged, now)
 	}
@@ -75,7 +75,7 @@
 	Alias      string `json:"Alias"`
 	IfRevision uint64 `json:"IfRevision"` // the revision that the alias must have, or ErrRevisionChanged
 	By         string `json:"By"`
-	Why        string `json:"Why"`
+	Reason     string `json:"Why"`
 }
 
 func (r Rollback) apply(s *State, now time.Duration) ([]Effect, error) {
@@ -88,8 +88,8 @@
 		return nil, errRevision(r.Model, r.Alias, a.Revision, r.IfRevision)
 	}
 	if a.staging() {
-		s.appendHistory(now, r.By, fmt.Sprintf("give up move %d", a.Migration.ID), r.Why)
-		return s.abort(m, a, "rolled back: "+r.Why, now), nil
+		s.appendHistory(now, r.By, fmt.Sprintf("give up move %d", a.Migration.ID), r.Reason)
+		return s.abort(m, a, "rolled back: "+r.Reason, now), nil
 	}
 	if a.PreviousVersion == "" {
 		return nil, fmt.Errorf("alias: %s of %s has no version before", r.Alias, r.Model)
@@ -100,6 +100,6 @@
 		To:         a.PreviousVersion,
 		IfRevision: r.IfRevision,
 		By:         r.By,
-		Why:        "rollback: " + r.Why,
+		Reason:     "rollback: " + r.Reason,
 	}.apply(s, now)
 }
--- a/internal/registry/commands_remove.go
+++ b/internal/registry/commands_remove.go
@@ -11,7 +11,7 @@
 	Model   string `json:"Model"`
 	Version string `json:"Version"`
 	By      string `json:"By"`
-	Why     string `json:"Why"`
+	Reason  string `json:"Why"`
 }
 
 func (c Condemn) apply(s *State, now time.Duration) ([]Effect, error) {
@@ -24,10 +24,10 @@
 	if !known && len(s.Condemned) >= s.Settings.MaxModels*s.Settings.MaxVersions {
 		return nil, fmt.Errorf("digest: %d are condemned, which is all that are remembered", len(s.Condemned))
 	}
-	s.Condemned[digest] = c.Why
+	s.Condemned[digest] = c.Reason
 	s.Epoch++ // also where no alias names it: calls may still run under it
 	effects := []Effect{Published{s.Epoch}}
-	s.appendHistory(now, c.By, "condemn "+c.Model+" "+c.Version+" "+digest, c.Why)
+	s.appendHistory(now, c.By, "condemn "+c.Model+" "+c.Version+" "+digest, c.Reason)
 	for _, m := range sortedByName(s.Models) {
 		for _, v := range sortedByName(m.Versions) {
 			if v.Digest == digest && v.Phase != Condemned {
@@ -52,7 +52,7 @@
 		effects = append(effects, s.abort(m, a, "its version was condemned", now)...)
 	}
 	if condemned(a.Version) {
-		s.startMigration(a, "", c.By, c.Why, now)
+		s.startMigration(a, "", c.By, c.Reason, now)
 		effects = append(effects, s.fence(m, a, now)...)
 	}
 	if condemned(a.PreviousVersion) {
@@ -66,7 +66,7 @@
 	// Except are versions under which calls may still run, as the controllers reported. They stay.
 	Except []VersionRef `json:"Except"`
 	By     string       `json:"By"`
-	Why    string       `json:"Why"`
+	Reason string       `json:"Why"`
 }
 
 func (c Collect) apply(s *State, now time.Duration) (effects []Effect, err error) {
@@ -76,7 +76,7 @@
 				continue
 			}
 			delete(m.Versions, v.Name)
-			s.appendHistory(now, c.By, "collect "+m.Name+" "+v.Name+" "+v.Digest, c.Why)
+			s.appendHistory(now, c.By, "collect "+m.Name+" "+v.Name+" "+v.Digest, c.Reason)
 			effects = append(effects, Collected{m.Name, v.Name, v.Digest})
 		}
 	}
@@ -96,5 +96,5 @@
 		}
 	}
 	unused := v.Phase == Retired || v.Phase == Condemned
-	return !unused || now < v.Since+s.Settings.Retention || v.AbandonedInEpoch > s.Confirmed
+	return !unused || now < v.PhaseSince+s.Settings.Retention || v.ReplacedInEpoch > s.ConfirmedEpoch
 }
--- a/internal/registry/effect.go
+++ b/internal/registry/effect.go
@@ -22,7 +22,7 @@
 // Aborted ends a migration that did not take effect.
 type Aborted struct {
 	Migration uint64
-	Why       string
+	Reason    string
 }
 
 // MigrationStarted says which migration a command with an idempotency key started; 0: none.
--- a/internal/registry/lease.go
+++ b/internal/registry/lease.go
@@ -105,9 +105,9 @@
 	return next
 }
 
-// Uses returns the versions, other than those that aliases name, under which calls may still run. known is false
+// VersionsInUse returns the versions, other than those that aliases name, under which calls may still run. known is false
 // while a controller of the previous process may not have reported its own.
-func (l *Leases) Uses(now time.Duration) (uses []VersionRef, known bool) {
+func (l *Leases) VersionsInUse(now time.Duration) (uses []VersionRef, known bool) {
 	l.expire(now)
 	for _, holder := range l.holders {
 		uses = append(uses, holder.uses...)
@@ -125,10 +125,10 @@
 	return epochs
 }
 
-// Stager returns the controller that orders the copies of a version, "" where none holds a lease. It is one alone,
+// StagingController returns the controller that orders the copies of a version, "" where none holds a lease. It is one alone,
 // so that the budget of loads is spent once. It is chosen by rendezvous hashing: when a controller comes or goes,
 // only the versions that are or were its own change hands.
-func (l *Leases) Stager(now time.Duration, version VersionRef) (stager string) {
+func (l *Leases) StagingController(now time.Duration, version VersionRef) (stager string) {
 	l.expire(now)
 	var highest uint64
 	for name := range l.holders {
--- a/internal/registry/migration.go
+++ b/internal/registry/migration.go
@@ -12,7 +12,7 @@
 // startMigration begins a migration of an alias to a version ("": none) and returns it.
 func (s *State) startMigration(a *Alias, to, by, why string, now time.Duration) *Migration {
 	s.LastMigration++
-	a.Migration = &Migration{ID: s.LastMigration, From: a.Version, To: to, By: by, Why: why, RequestedAt: now}
+	a.Migration = &Migration{ID: s.LastMigration, From: a.Version, To: to, By: by, Reason: why, RequestedAt: now}
 	return a.Migration
 }
 
@@ -93,7 +93,7 @@
 		if !isReferenced(m, previous) && v.Phase == Live {
 			v.enterPhase(Retired, now)
 		}
-		v.AbandonedInEpoch = s.Epoch
+		v.ReplacedInEpoch = s.Epoch
 	}
 	if v := m.Versions[migration.To]; v != nil && v.Phase != Condemned {
 		v.enterPhase(Live, now)
@@ -107,7 +107,7 @@
 // acknowledgeFences acknowledges the migrations against which no controller can act any more.
 func (s *State) acknowledgeFences() (effects []Effect) {
 	s.Fences = slices.DeleteFunc(s.Fences, func(f Fence) bool {
-		if f.Epoch > s.Confirmed {
+		if f.Epoch > s.ConfirmedEpoch {
 			return false
 		}
 		effects = append(effects, Acknowledged{f.Migration})
@@ -124,7 +124,7 @@
 func (s *State) unstageRetired(now time.Duration) (effects []Effect) {
 	for _, m := range sortedByName(s.Models) {
 		for _, v := range sortedByName(m.Versions) {
-			if v.Phase == Retired && len(v.Copies) > 0 && now >= v.Since+s.Settings.Retention {
+			if v.Phase == Retired && len(v.Copies) > 0 && now >= v.PhaseSince+s.Settings.Retention {
 				clear(v.Copies)
 				effects = append(effects, Unstage{m.Name, v.Name})
 			}
@@ -144,7 +144,7 @@
 		return nil // nothing to go back to
 	case a.staging():
 		return nil // an operator is already changing it
-	case now >= v.Since+s.Settings.ErrorWatch:
+	case now >= v.PhaseSince+s.Settings.AutoRollbackWindow:
 		return nil
 	case v.Calls < s.Settings.MinCalls || previous.Calls == 0:
 		return nil // nothing to compare
@@ -176,7 +176,7 @@
 		}
 		for _, v := range m.Versions {
 			if v.Phase == Retired && len(v.Copies) > 0 {
-				consider(v.Since + s.Settings.Retention)
+				consider(v.PhaseSince + s.Settings.Retention)
 			}
 		}
 	}
@@ -191,7 +191,7 @@
 			if end.Acknowledged {
 				return "acknowledged", ""
 			}
-			return "given up", end.Why
+			return "given up", end.Reason
 		}
 	}
 	for _, f := range s.Fences {
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -59,7 +59,7 @@
 		case Acknowledged:
 			s.EndedMigrations = append(s.EndedMigrations, MigrationEnd{Migration: e.Migration, Acknowledged: true})
 		case Aborted:
-			s.EndedMigrations = append(s.EndedMigrations, MigrationEnd{Migration: e.Migration, Why: e.Why})
+			s.EndedMigrations = append(s.EndedMigrations, MigrationEnd{Migration: e.Migration, Reason: e.Reason})
 		}
 	}
 	s.EndedMigrations = newest(s.EndedMigrations, s.Settings.MaxRemembered)
@@ -68,7 +68,7 @@
 
 // appendHistory adds an entry to the history and forgets the oldest ones beyond the bound.
 func (s *State) appendHistory(now time.Duration, by, what, why string) {
-	s.History = append(s.History, HistoryEntry{At: now, By: by, What: what, Why: why})
+	s.History = append(s.History, HistoryEntry{At: now, By: by, Action: what, Reason: why})
 	s.History = newest(s.History, s.Settings.MaxRemembered)
 }
 
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -14,19 +14,19 @@
 const sec = time.Second
 
 var settings = Settings{
-	LeaseDuration:    5 * sec,
-	MaxClockDrift:    0.01,
-	SettleTimeout:    sec,
-	StagingTimeout:   10 * sec,
-	Retention:        8 * sec,
-	ErrorWatch:       30 * sec,
-	MinCalls:         10,
-	MaxErrorIncrease: 0.1,
-	MaxModels:        4,
-	MaxVersions:      4,
-	MaxAliases:       2,
-	MaxControllers:   4,
-	MaxRemembered:    50,
+	LeaseDuration:      5 * sec,
+	MaxClockDrift:      0.01,
+	SettleTimeout:      sec,
+	StagingTimeout:     10 * sec,
+	Retention:          8 * sec,
+	AutoRollbackWindow: 30 * sec,
+	MinCalls:           10,
+	MaxErrorIncrease:   0.1,
+	MaxModels:          4,
+	MaxVersions:        4,
+	MaxAliases:         2,
+	MaxControllers:     4,
+	MaxRemembered:      50,
 }
 
 // sha returns a digest of one repeated digit.
@@ -65,7 +65,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if least := min(d.leases.ConfirmedEpoch(now), d.state.Epoch); least > d.state.Confirmed {
+	if least := min(d.leases.ConfirmedEpoch(now), d.state.Epoch); least > d.state.ConfirmedEpoch {
 		more, err := d.state.Apply(now, EpochConfirmed{least})
 		return append(out, more...), err
 	}
@@ -178,8 +178,8 @@
 		},
 		"a policy permits answers without a lease, once": {
 			{0, push("v1", "1"), "[]", ""},
-			{0, Policy{Model: "m", Stale: true}, "[{1}]", ""},
-			{0, Policy{Model: "m", Stale: true}, "[]", ""},
+			{0, Policy{Model: "m", AllowStale: true}, "[{1}]", ""},
+			{0, Policy{Model: "m", AllowStale: true}, "[]", ""},
 			{0, Policy{Model: "n"}, `model: "n" is not known`, ""},
 		},
 		"invalid commands are rejected and change nothing": {
@@ -302,7 +302,7 @@
 	two := Target{"v2", sha("2"), 2}
 	update := func(epoch uint64, target Target, condemned ...string) ViewUpdate {
 		targets := map[AliasName]Target{current: target, withdrawn: {Revision: epoch}}
-		return ViewUpdate{Epoch: epoch, Targets: targets, Lease: 10 * sec, Settle: sec, Condemned: condemned}
+		return ViewUpdate{Epoch: epoch, Targets: targets, LeaseDuration: 10 * sec, SettleTimeout: sec, Condemned: condemned}
 	}
 	// migrated returns a view that saw the alias migrate from one to two at 1 s; its lease ends at 11 s.
 	migrated := func() *View {
@@ -339,7 +339,7 @@
 		t.Error("an older epoch was accepted")
 	}
 	expect("the current target after an older update", v, 5*sec, current, two, Allowed)
-	if v.Update(3*sec, ViewUpdate{Epoch: 9, Since: 7, Targets: map[AliasName]Target{}, Lease: sec}) {
+	if v.Update(3*sec, ViewUpdate{Epoch: 9, Since: 7, Targets: map[AliasName]Target{}, LeaseDuration: sec}) {
 		t.Error("changes since an epoch that the view does not hold were accepted")
 	}
 }
--- a/internal/registry/service/codec.go
+++ b/internal/registry/service/codec.go
@@ -47,7 +47,7 @@
 	}
 	command := commands[0]
 	if r.Key != "" {
-		command = registry.IdempotentCommand{Key: r.Key, Sum: r.Sum, Command: command}
+		command = registry.IdempotentCommand{Key: r.Key, Checksum: r.Sum, Command: command}
 	}
 	return command, nil
 }
@@ -65,7 +65,7 @@
 	switch c := c.(type) {
 	case registry.IdempotentCommand:
 		r.Key = c.Key
-		r.Sum = c.Sum
+		r.Sum = c.Checksum
 		r.set(c.Command)
 	case registry.Push:
 		r.Push = &c
--- a/internal/registry/service/command.go
+++ b/internal/registry/service/command.go
@@ -22,7 +22,7 @@
 func waitTime(ms int64) time.Duration { return min(time.Duration(ms)*time.Millisecond, maxWait) }
 
 // command commits an operator's command. The message's id is its idempotency key, among the caller's own.
-func (f *Front) command(r *http1.Request, caller *Caller, id string) *http1.Response {
+func (f *Handler) command(r *http1.Request, caller *Client, id string) *http1.Response {
 	var q wire.Command
 	if err := unmarshalStrict(r.Body, &q); err != nil {
 		return problem(400, "bad", err.Error())
@@ -55,7 +55,7 @@
 	a := answerOf(effects)
 	status := 200
 	if a.Migration > 0 {
-		a.Status, a.Why = f.service.Await(a.Migration, waitTime(q.WaitMS))
+		a.Status, a.Reason = f.service.AwaitMigration(a.Migration, waitTime(q.WaitMS))
 		if inProgress(a.Status) {
 			status = 202
 		}
@@ -91,7 +91,7 @@
 
 // complete puts into a command what the message does not decide: who sent it, and which versions are in use. A
 // message with several commands is rejected later, so only one of them is completed.
-func (f *Front) complete(q *wire.Command, operator string) *http1.Response {
+func (f *Handler) complete(q *wire.Command, operator string) *http1.Response {
 	switch {
 	case q.Promote != nil:
 		q.Promote.By = operator
@@ -112,10 +112,10 @@
 
 // exceptVersionsInUse excepts the versions from collection under which calls may run, or returns a problem while that
 // is not known.
-func (f *Front) exceptVersionsInUse(c *registry.Collect) *http1.Response {
+func (f *Handler) exceptVersionsInUse(c *registry.Collect) *http1.Response {
 	known := false
-	f.service.Do(func(now time.Duration, _ *registry.State, l *registry.Leases) {
-		c.Except, known = l.Uses(now)
+	f.service.Inspect(func(now time.Duration, _ *registry.State, l *registry.Leases) {
+		c.Except, known = l.VersionsInUse(now)
 	})
 	if !known {
 		return problem(503, "early", "not every controller can have told yet what its calls still name: ask again after a lease")
@@ -140,7 +140,7 @@
 }
 
 // answerOf returns what an operator learns of a command's effects.
-func answerOf(effects []registry.Effect) (a wire.Answer) {
+func answerOf(effects []registry.Effect) (a wire.Response) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case registry.MigrationStarted:
--- a/internal/registry/service/commit.go
+++ b/internal/registry/service/commit.go
@@ -87,7 +87,7 @@
 	case registry.Acknowledged:
 		s.cfg.Log.Info().Uint64("move", e.Migration).Msg("migration acknowledged")
 	case registry.Aborted:
-		s.cfg.Log.Warn().Uint64("move", e.Migration).Str("why", e.Why).Msg("migration aborted")
+		s.cfg.Log.Warn().Uint64("move", e.Migration).Str("why", e.Reason).Msg("migration aborted")
 	case registry.Published:
 		s.cfg.Log.Info().Uint64("epoch", e.Epoch).Msg("epoch published")
 	case registry.Collected:
--- a/internal/registry/service/controller_test.go
+++ b/internal/registry/service/controller_test.go
@@ -40,11 +40,11 @@
 		target, v = a.Resolve(n)
 		return v == registry.Allowed
 	})
-	ticket, _, v := a.Begin(n, target)
+	ticket, _, v := a.BeginAnswer(n, target)
 	if v != registry.Allowed {
 		t.Fatal(v)
 	}
-	command := make(chan *wire.Answer, 1)
+	command := make(chan *wire.Response, 1)
 	go func() {
 		x, _ := ann.Command("k2", promote("v2", 1))
 		command <- x
@@ -58,7 +58,7 @@
 		t.Errorf("acknowledged while an old answer is written: %+v", x)
 	case <-time.After(2 * settings.LeaseDuration): // renewed all the while, under the old epoch
 	}
-	a.End(ticket)
+	a.EndAnswer(ticket)
 	if x := <-command; x == nil || x.Status != "acknowledged" {
 		t.Errorf("%+v", x)
 	}
@@ -76,7 +76,7 @@
 	p := push("v1")
 	p.Push.Model = "s"
 	must(t, ann, "p2", p)
-	must(t, ann, "pol", wire.Command{Policy: &registry.Policy{Model: "s", Stale: true}})
+	must(t, ann, "pol", wire.Command{Policy: &registry.Policy{Model: "s", AllowStale: true}})
 	must(t, ann, "k1", promote("v1", 0))
 	q := promote("v1", 0)
 	q.Promote.Model = "s"
@@ -119,17 +119,17 @@
 	must(t, ann, "p1", push("v1"))
 	must(t, ann, "p2", push("v2"))
 	must(t, ann, "k1", promote("v1", 0))
-	poll := func(q wire.Request) {
+	poll := func(q wire.DiscoveryRequest) {
 		q.Node.ID, q.TypeURL = "c1", wire.TypeAlias
 		body, err := json.Marshal(q)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, _, err := c1.Do(wire.DiscoveryPath, client.ID("poll"), nil, body, time.Second); err != nil {
+		if _, _, err := c1.Do(wire.DiscoveryPath, client.NewID("poll"), nil, body, time.Second); err != nil {
 			t.Error(err)
 		}
 	}
-	poll(wire.Request{VersionInfo: "1"})
+	poll(wire.DiscoveryRequest{VersionInfo: "1"})
 	got := make(chan string, 1)
 	go func() {
 		a, err := ann.Command("k2", promote("v2", 1))
@@ -147,7 +147,7 @@
 			}
 			return
 		default:
-			poll(wire.Request{VersionInfo: "1", ErrorDetail: &wire.ErrorDetail{Code: 3, Message: "no"}})
+			poll(wire.DiscoveryRequest{VersionInfo: "1", ErrorDetail: &wire.ErrorDetail{Code: 3, Message: "no"}})
 		}
 	}
 }
--- a/internal/registry/service/deadlines.go
+++ b/internal/registry/service/deadlines.go
@@ -32,7 +32,7 @@
 	now := s.now()
 	s.mu.Lock()
 	epoch := min(s.leases.ConfirmedEpoch(now), s.state.Epoch)
-	confirmed := s.state.Confirmed
+	confirmed := s.state.ConfirmedEpoch
 	deadline := s.state.NextDeadline()
 	expiry := s.leases.NextExpiry(now)
 	s.mu.Unlock()
--- a/internal/registry/service/discovery.go
+++ b/internal/registry/service/discovery.go
@@ -16,8 +16,8 @@
 
 // discovery answers a controller's long poll. It renews the lease first and reads what holds then, so that a
 // migration that is fenced in between waits for this controller.
-func (f *Front) discovery(r *http1.Request, caller *Caller) *http1.Response {
-	var q wire.Request
+func (f *Handler) discovery(r *http1.Request, caller *Client) *http1.Response {
+	var q wire.DiscoveryRequest
 	if err := json.Unmarshal(r.Body, &q); err != nil { // unknown fields are those of a later version
 		return problem(400, "bad", err.Error())
 	}
@@ -42,7 +42,7 @@
 }
 
 // checkDiscovery returns the epoch that a controller confirms, or a problem with its request.
-func checkDiscovery(q *wire.Request, caller *Caller) (epoch uint64, _ *http1.Response) {
+func checkDiscovery(q *wire.DiscoveryRequest, caller *Client) (epoch uint64, _ *http1.Response) {
 	if q.TypeURL != wire.TypeAlias {
 		return 0, problem(400, "bad", fmt.Sprintf("type_url: %q is not %s", q.TypeURL, wire.TypeAlias))
 	}
@@ -61,12 +61,12 @@
 
 // renewLease renews the lease of a controller that accepted the last update, and returns the registry's time. One
 // that rejected it keeps its lease only until that expires: it must not delay migrations for ever.
-func (s *Service) renewLease(controller string, epoch uint64, q *wire.Request) (now time.Duration, err error) {
+func (s *Service) renewLease(controller string, epoch uint64, q *wire.DiscoveryRequest) (now time.Duration, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now = s.now()
 	if q.ErrorDetail == nil {
-		if err := s.leases.Renew(now, controller, epoch, s.state.Epoch, q.Uses); err != nil {
+		if err := s.leases.Renew(now, controller, epoch, s.state.Epoch, q.VersionsInUse); err != nil {
 			return now, err
 		}
 		delete(s.lastNack, controller)
@@ -79,7 +79,7 @@
 
 // updateFor returns what a controller that confirms an epoch is to learn, the versions that it is to have copies
 // loaded of, and the channel that is closed when either may change.
-func (s *Service) updateFor(controller string, epoch uint64, q *wire.Request) (
+func (s *Service) updateFor(controller string, epoch uint64, q *wire.DiscoveryRequest) (
 	update registry.ViewUpdate, stage []wire.Stage, changed chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -100,7 +100,7 @@
 				continue
 			}
 			version := registry.VersionRef{Model: m.Name, Version: migration.To}
-			if s.leases.Stager(now, version) != controller {
+			if s.leases.StagingController(now, version) != controller {
 				continue
 			}
 			stages = append(stages, wire.Stage{
@@ -119,18 +119,18 @@
 }
 
 // discoveryResponse returns the response to a controller. Its nonce tells responses of the same epoch apart.
-func discoveryResponse(update registry.ViewUpdate, stage []wire.Stage, renewedAt time.Duration) wire.Response {
+func discoveryResponse(update registry.ViewUpdate, stage []wire.Stage, renewedAt time.Duration) wire.DiscoveryResponse {
 	epoch := strconv.FormatUint(update.Epoch, 10)
-	return wire.Response{
+	return wire.DiscoveryResponse{
 		VersionInfo: epoch,
 		TypeURL:     wire.TypeAlias,
 		Nonce:       epoch + "-" + strconv.FormatInt(int64(renewedAt), 36),
 		Since:       update.Since,
 		Resources:   aliasesOf(update),
-		LeaseMS:     milliseconds(update.Lease),
-		SettleMS:    milliseconds(update.Settle),
+		LeaseMS:     milliseconds(update.LeaseDuration),
+		SettleMS:    milliseconds(update.SettleTimeout),
 		Condemned:   update.Condemned,
-		Stale:       slices.Sorted(maps.Keys(update.Stale)),
+		AllowStale:  slices.Sorted(maps.Keys(update.AllowStale)),
 		Stage:       stage,
 	}
 }
@@ -140,7 +140,7 @@
 // commitReports commits what a controller reports of ready copies and ended calls, where it matters to a migration.
 // A report that cannot be committed is dropped: copies are reported again while they are staged, and lost calls
 // only delay the judgement of a version's errors.
-func (s *Service) commitReports(q *wire.Request) {
+func (s *Service) commitReports(q *wire.DiscoveryRequest) {
 	for _, report := range q.CopiesReady {
 		if s.changesCopies(report) {
 			s.Commit(registry.CopiesReady{
@@ -165,7 +165,7 @@
 
 // changesCopies tells whether a report differs from what is known of a version that may be used.
 func (s *Service) changesCopies(report wire.CopiesReady) (changes bool) {
-	s.Do(func(_ time.Duration, state *registry.State, _ *registry.Leases) {
+	s.Inspect(func(_ time.Duration, state *registry.State, _ *registry.Leases) {
 		if v := versionOf(state, report.Model, report.Version); v != nil {
 			changes = v.Copies[report.Worker] != report.Copies && v.Phase != registry.Condemned
 		}
@@ -176,9 +176,9 @@
 // watchesErrors tells whether calls of a version are still counted, which is until its errors have been judged or
 // could have been.
 func (s *Service) watchesErrors(report wire.CallsEnded) (watches bool) {
-	s.Do(func(now time.Duration, state *registry.State, _ *registry.Leases) {
+	s.Inspect(func(now time.Duration, state *registry.State, _ *registry.Leases) {
 		if v := versionOf(state, report.Model, report.Version); v != nil {
-			inWatch := now < v.Since+state.Settings.ErrorWatch
+			inWatch := now < v.PhaseSince+state.Settings.AutoRollbackWindow
 			watches = v.Phase == registry.Live && (inWatch || v.Calls < state.Settings.MinCalls)
 		}
 	})
--- a/internal/registry/service/durability_test.go
+++ b/internal/registry/service/durability_test.go
@@ -70,7 +70,7 @@
 	if _, err := ann.Command("k2", promote("v2", 1)); status(err) != 507 {
 		t.Errorf("with a full disk: %v, want 507", err)
 	}
-	if a, err := ann.Query(wire.Query{What: "watch"}); err != nil || len(a.Targets) != 1 || a.Targets[0].Version != "v1" {
+	if a, err := ann.Query(wire.Query{Kind: "watch"}); err != nil || len(a.Targets) != 1 || a.Targets[0].Version != "v1" {
 		t.Errorf("after it: %+v, %v", a, err)
 	}
 	fs.mu.Lock()
@@ -81,7 +81,7 @@
 	}
 	d.kill()
 	d.start()
-	a, err := d.client("ann").Query(wire.Query{What: "watch"})
+	a, err := d.client("ann").Query(wire.Query{Kind: "watch"})
 	if err != nil || a.Targets[0].Version != "v2" || a.Targets[0].Revision != 2 {
 		t.Errorf("after a restart: %+v, %v", a, err)
 	}
@@ -101,7 +101,7 @@
 		}()
 		for { // until it is in the log
 			n := 0
-			d.s.Do(func(_ time.Duration, st *registry.State, _ *registry.Leases) { n = int(st.LastMigration) })
+			d.s.Inspect(func(_ time.Duration, st *registry.State, _ *registry.Leases) { n = int(st.LastMigration) })
 			if n > i {
 				break
 			}
@@ -185,7 +185,7 @@
 
 // stateText returns the state as JSON.
 func (r *restarts) stateText() (text []byte) {
-	r.service.Do(func(_ time.Duration, st *registry.State, _ *registry.Leases) { text, _ = json.Marshal(st) })
+	r.service.Inspect(func(_ time.Duration, st *registry.State, _ *registry.Leases) { text, _ = json.Marshal(st) })
 	return text
 }
 
@@ -216,14 +216,14 @@
 		return rapid.SampledFrom([]registry.Command{
 			registry.Tick{},
 			registry.Collect{},
-			registry.Policy{Model: "m", Stale: true},
+			registry.Policy{Model: "m", AllowStale: true},
 			registry.Condemn{Model: "n", Version: "v3"},
 		}).Draw(r.t, "other")
 	}
 	return registry.IdempotentCommand{
-		Key:     rapid.SampledFrom([]string{"a", "b"}).Draw(r.t, "key"),
-		Sum:     "s",
-		Command: registry.Policy{Model: "m", Stale: rapid.Bool().Draw(r.t, "stale")},
+		Key:      rapid.SampledFrom([]string{"a", "b"}).Draw(r.t, "key"),
+		Checksum: "s",
+		Command:  registry.Policy{Model: "m", AllowStale: rapid.Bool().Draw(r.t, "stale")},
 	}
 }
 
@@ -237,7 +237,7 @@
 	if err := errors.Join(json.Unmarshal(r.stateText(), &after), json.Unmarshal(before, &want)); err != nil {
 		r.t.Fatal(err)
 	}
-	if after.Epoch < want.Epoch || after.Confirmed < want.Confirmed ||
+	if after.Epoch < want.Epoch || after.ConfirmedEpoch < want.ConfirmedEpoch ||
 		after.LastMigration < want.LastMigration || len(after.History) < len(want.History) {
 		r.t.Fatalf("before %s\nafter %+v", before, after)
 	}
--- a/internal/registry/service/golden_answers_test.go
+++ b/internal/registry/service/golden_answers_test.go
@@ -29,7 +29,7 @@
 // goldenAnswers writes down requests to a front and what they are answered.
 type goldenAnswers struct {
 	script *script
-	front  *Front
+	front  *Handler
 	keys   map[string]*signing.Key // by caller
 	text   bytes.Buffer
 }
@@ -51,11 +51,11 @@
 			s.t.Fatal(err)
 		}
 	}
-	callers := []Caller{
+	callers := []Client{
 		{Name: "ann", Keys: []*signing.Key{keys["ann"]}, Operator: true},
 		{Name: "c1", Keys: []*signing.Key{keys["c1"]}, Controller: true},
 	}
-	return &goldenAnswers{script: s, front: NewFront(s.Service, callers, time.Minute), keys: keys}
+	return &goldenAnswers{script: s, front: NewHandler(s.Service, callers, time.Minute), keys: keys}
 }
 
 // send signs and sends a request, and writes it and its answer down.
--- a/internal/registry/service/golden_test.go
+++ b/internal/registry/service/golden_test.go
@@ -24,7 +24,7 @@
 const goldenFolder = "testdata/golden/folder"
 
 // goldenSettings are long beside any run of the tests, so that only the manual clock brings times about.
-var goldenSettings = registry.Settings{LeaseDuration: time.Hour, MaxClockDrift: 0.01, SettleTimeout: time.Minute, StagingTimeout: time.Hour, Retention: time.Hour, ErrorWatch: 2 * time.Hour, MinCalls: 10, MaxErrorIncrease: 0.2,
+var goldenSettings = registry.Settings{LeaseDuration: time.Hour, MaxClockDrift: 0.01, SettleTimeout: time.Minute, StagingTimeout: time.Hour, Retention: time.Hour, AutoRollbackWindow: 2 * time.Hour, MinCalls: 10, MaxErrorIncrease: 0.2,
 	MaxModels: 10, MaxVersions: 20, MaxAliases: 5, MaxControllers: 5, MaxRemembered: 1000}
 
 // A script is a registry that is led through a life by a test, each step ended before the next begins. Its one
@@ -78,7 +78,7 @@
 // itself what is due.
 func (s *script) confirm(after time.Duration, epoch uint64) {
 	s.t.Helper()
-	s.Do(func(_ time.Duration, state *registry.State, leases *registry.Leases) {
+	s.Inspect(func(_ time.Duration, state *registry.State, leases *registry.Leases) {
 		s.clock.Advance(after)
 		if err := leases.Renew(s.now(), "c1", epoch, state.Epoch, nil); err != nil {
 			s.t.Fatal(err)
@@ -90,7 +90,7 @@
 // awaitEnd waits until a migration has ended.
 func (s *script) awaitEnd(migration uint64, want string) {
 	s.t.Helper()
-	if status, why := s.Await(migration, time.Minute); status != want {
+	if status, why := s.AwaitMigration(migration, time.Minute); status != want {
 		s.t.Fatalf("migration %d is %s %s, want %s", migration, status, why, want)
 	}
 }
@@ -108,8 +108,8 @@
 			Lanes:    2,
 			LoadTime: 3 * time.Second,
 		},
-		By:  "ann",
-		Why: "to try " + version,
+		By:     "ann",
+		Reason: "to try " + version,
 	}
 }
 
@@ -120,27 +120,27 @@
 // back while staging, one that waits for the controller, one that is staging, and a version that is condemned.
 func (s *script) beforeSnapshot() {
 	s.confirm(time.Second, 0)
-	s.commit(registry.IdempotentCommand{Key: "ann p1", Sum: "5a1", Command: goldenPush("m", "v1", "1")})
+	s.commit(registry.IdempotentCommand{Key: "ann p1", Checksum: "5a1", Command: goldenPush("m", "v1", "1")})
 	s.commit(goldenPush("m", "v2", "2"))
 	s.commit(goldenPush("m", "v3", "3"))
 	s.commit(goldenPush("n", "w1", "4"))
-	s.commit(registry.IdempotentCommand{Key: "ann k1", Sum: "5a2", Command: registry.Promote{Model: "m", Alias: "current", To: "v1", By: "ann", Why: awkward}})
+	s.commit(registry.IdempotentCommand{Key: "ann k1", Checksum: "5a2", Command: registry.Promote{Model: "m", Alias: "current", To: "v1", By: "ann", Reason: awkward}})
 	s.confirm(time.Second, 1)
 	s.awaitEnd(1, "acknowledged")
 	s.commit(registry.CopiesReady{Model: "m", Version: "v1", Worker: "worker-1", Copies: 2})
 	s.commit(registry.CallsEnded{Model: "m", Version: "v1", Calls: 20, Errors: 1})
 	s.confirm(time.Second, 1)
-	s.commit(registry.Promote{Model: "m", Alias: "current", To: "v2", IfRevision: 1, Copies: 2, By: "bob", Why: "to be aborted"})
-	s.commit(registry.Rollback{Model: "m", Alias: "current", IfRevision: 1, By: "ann", Why: "not this one"})
+	s.commit(registry.Promote{Model: "m", Alias: "current", To: "v2", IfRevision: 1, Copies: 2, By: "bob", Reason: "to be aborted"})
+	s.commit(registry.Rollback{Model: "m", Alias: "current", IfRevision: 1, By: "ann", Reason: "not this one"})
 	s.awaitEnd(2, "given up")
-	s.commit(registry.Promote{Model: "m", Alias: "current", To: "v2", IfRevision: 1, Copies: 1, By: "bob", Why: "again"})
+	s.commit(registry.Promote{Model: "m", Alias: "current", To: "v2", IfRevision: 1, Copies: 1, By: "bob", Reason: "again"})
 	s.commit(registry.CopiesReady{Model: "m", Version: "v2", Worker: "worker-1", Copies: 1})
 	s.commit(registry.CallsEnded{Model: "m", Version: "v2", Calls: 5, Errors: 1})
-	s.commit(registry.Policy{Model: "n", Stale: true, By: "ann", Why: "better than none"})
+	s.commit(registry.Policy{Model: "n", AllowStale: true, By: "ann", Reason: "better than none"})
 	s.commit(goldenPush("m", "bad", "5"))
-	s.commit(registry.Condemn{Model: "m", Version: "bad", By: "ann", Why: "leaks"})
-	s.commitRejected(registry.Promote{Model: "m", Alias: "current", To: "v3", IfRevision: 7, By: "bob", Why: "a revision that is not"})
-	s.commit(registry.Promote{Model: "n", Alias: "current", To: "w1", Copies: 3, By: "ann", Why: "staging still"})
+	s.commit(registry.Condemn{Model: "m", Version: "bad", By: "ann", Reason: "leaks"})
+	s.commitRejected(registry.Promote{Model: "m", Alias: "current", To: "v3", IfRevision: 7, By: "bob", Reason: "a revision that is not"})
+	s.commit(registry.Promote{Model: "n", Alias: "current", To: "w1", Copies: 3, By: "ann", Reason: "staging still"})
 }
 
 // recordsBeforeSnapshot counts those of beforeSnapshot, with the one that the service commits itself.
@@ -149,26 +149,26 @@
 // behindSnapshot is the part of the script that the log holds behind the snapshot: every kind of command, keys that
 // were used before, a move that is rolled back while staging, and one that the time ends.
 func (s *script) behindSnapshot() {
-	s.commit(registry.IdempotentCommand{Key: "ann k1", Sum: "5a2", Command: registry.Promote{Model: "m", Alias: "current", To: "v1", By: "ann", Why: awkward}})
-	s.commitRejected(registry.IdempotentCommand{Key: "ann k1", Sum: "0ther", Command: registry.Policy{Model: "m", Stale: true, By: "ann"}})
-	s.commit(registry.IdempotentCommand{Key: "ann p4", Sum: "5a3", Command: goldenPush("m", "v4", "6")})
+	s.commit(registry.IdempotentCommand{Key: "ann k1", Checksum: "5a2", Command: registry.Promote{Model: "m", Alias: "current", To: "v1", By: "ann", Reason: awkward}})
+	s.commitRejected(registry.IdempotentCommand{Key: "ann k1", Checksum: "0ther", Command: registry.Policy{Model: "m", AllowStale: true, By: "ann"}})
+	s.commit(registry.IdempotentCommand{Key: "ann p4", Checksum: "5a3", Command: goldenPush("m", "v4", "6")})
 	s.commit(registry.Push{Model: "m", Version: registry.Version{Name: "v5", Digest: goldenDigest("7")}}) // all that may be empty is
 	s.commit(registry.CopiesReady{Model: "n", Version: "w1", Worker: "worker-2", Copies: 3})
 	s.commit(registry.CallsEnded{Model: "n", Version: "w1", Calls: 3})
-	s.commit(registry.Policy{Model: "n", By: "bob", Why: "not any more"})
-	s.commit(registry.Promote{Model: "m", Alias: "canary", To: "v4", Copies: 1, By: "bob", Why: "to be aborted"})
-	s.commit(registry.Rollback{Model: "m", Alias: "canary", By: "bob", Why: "changed my mind"})
+	s.commit(registry.Policy{Model: "n", By: "bob", Reason: "not any more"})
+	s.commit(registry.Promote{Model: "m", Alias: "canary", To: "v4", Copies: 1, By: "bob", Reason: "to be aborted"})
+	s.commit(registry.Rollback{Model: "m", Alias: "canary", By: "bob", Reason: "changed my mind"})
 	s.awaitEnd(5, "given up")
-	s.commit(registry.Promote{Model: "m", Alias: "canary", To: "v3", Copies: 2, By: "ann", Why: "no copies will stand"})
+	s.commit(registry.Promote{Model: "m", Alias: "canary", To: "v3", Copies: 2, By: "ann", Reason: "no copies will stand"})
 	s.confirm(time.Hour, 2)
 	s.awaitEnd(6, "given up") // by the service's own tick
 	s.confirm(2*time.Minute, 5)
 	s.awaitEnd(4, "acknowledged") // by the service's own word of what the controller reached; the quiet time is over
-	s.commit(registry.Condemn{Model: "m", Version: "v4", By: "bob", Why: awkward})
-	s.commit(registry.Collect{Except: []registry.VersionRef{{Model: "m", Version: "v3"}, {Model: "m", Version: "gone"}}, By: "ann", Why: "room"})
+	s.commit(registry.Condemn{Model: "m", Version: "v4", By: "bob", Reason: awkward})
+	s.commit(registry.Collect{Except: []registry.VersionRef{{Model: "m", Version: "v3"}, {Model: "m", Version: "gone"}}, By: "ann", Reason: "room"})
 	s.commit(registry.Collect{})
-	s.commitRejected(registry.Promote{Model: "m", Alias: "current", To: "v4", IfRevision: 2, By: "bob", Why: "condemned"})
-	s.commit(registry.IdempotentCommand{Key: "bob r1", Sum: "5a4", Command: registry.Rollback{Model: "m", Alias: "current", IfRevision: 2, By: "bob", Why: "v2 is slow"}})
+	s.commitRejected(registry.Promote{Model: "m", Alias: "current", To: "v4", IfRevision: 2, By: "bob", Reason: "condemned"})
+	s.commit(registry.IdempotentCommand{Key: "bob r1", Checksum: "5a4", Command: registry.Rollback{Model: "m", Alias: "current", IfRevision: 2, By: "bob", Reason: "v2 is slow"}})
 }
 
 // stateOf returns the state of a service in the form in which it is stored, on lines of their own.
@@ -176,7 +176,7 @@
 	t.Helper()
 	var text []byte
 	var err error
-	s.Do(func(_ time.Duration, state *registry.State, _ *registry.Leases) { text, err = json.Marshal(state) })
+	s.Inspect(func(_ time.Duration, state *registry.State, _ *registry.Leases) { text, err = json.Marshal(state) })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -372,5 +372,5 @@
 
 // Every field that is stored or sent has a key of its own, so that renames in Go change no format.
 func TestStoredFieldsAreTagged(t *testing.T) {
-	goldenfile.Tagged(t, record{}, registry.State{}, wire.Command{}, wire.Query{}, wire.Answer{}, wire.Request{}, wire.Response{})
+	goldenfile.Tagged(t, record{}, registry.State{}, wire.Command{}, wire.Query{}, wire.Response{}, wire.DiscoveryRequest{}, wire.DiscoveryResponse{})
 }
--- a/internal/registry/service/front.go
+++ b/internal/registry/service/handler.go
@@ -12,32 +12,32 @@
 	"kitehub/internal/signing"
 )
 
-// A Caller may send signed requests to the registry.
-type Caller struct {
+// A Client may send signed requests to the registry.
+type Client struct {
 	Name       string
 	Keys       []*signing.Key // any of them verifies; the response is signed by the one that did
 	Operator   bool           // may send commands
 	Controller bool           // may hold a lease, under its own name
 }
 
-// A Front serves signed requests over HTTP/1.1. It is safe for concurrent use.
-type Front struct {
+// A Handler serves signed requests over HTTP/1.1. It is safe for concurrent use.
+type Handler struct {
 	service *Service
-	callers []Caller
+	callers []Client
 	maxSkew time.Duration
 }
 
-// NewFront returns the front of a service for its callers. A request whose timestamp is more than maxSkew before or
+// NewHandler returns the front of a service for its callers. A request whose timestamp is more than maxSkew before or
 // after the service's wall clock is rejected.
-func NewFront(s *Service, callers []Caller, maxSkew time.Duration) *Front {
-	return &Front{service: s, callers: callers, maxSkew: maxSkew}
+func NewHandler(s *Service, callers []Client, maxSkew time.Duration) *Handler {
+	return &Handler{service: s, callers: callers, maxSkew: maxSkew}
 }
 
 // maxIDLength bounds the id of a message, in bytes.
 const maxIDLength = 128
 
 // Serve implements http1.Handler: it verifies a request, routes it and signs its response.
-func (f *Front) Serve(_ *http1.Conn, r *http1.Request) *http1.Response {
+func (f *Handler) Serve(_ *http1.Conn, r *http1.Request) *http1.Response {
 	if r.Method != "POST" {
 		resp := problem(405, "method", "all is POSTed, as the signature covers the body")
 		resp.Header.Add("Allow", "POST")
@@ -58,7 +58,7 @@
 }
 
 // authenticate returns the caller who signed a message and the key that verifies it, or nil.
-func (f *Front) authenticate(m signing.Message, signature string) (*Caller, *signing.Key) {
+func (f *Handler) authenticate(m signing.Message, signature string) (*Client, *signing.Key) {
 	for i := range f.callers {
 		for _, key := range f.callers[i].Keys {
 			if key.Verify(m, signature) {
@@ -78,7 +78,7 @@
 
 // sign adds the signature of a response, which is bound to its request by the id. Without a signature the client
 // rejects the response.
-func (f *Front) sign(resp *http1.Response, key *signing.Key, requestID string) {
+func (f *Handler) sign(resp *http1.Response, key *signing.Key, requestID string) {
 	m := signing.Message{
 		ID:    signing.AnswerID(strconv.Itoa(resp.Status), requestID),
 		Stamp: strconv.FormatInt(f.service.cfg.Clock.Wall().Unix(), 10),
@@ -93,7 +93,7 @@
 	resp.Header.Add("webhook-signature", signature)
 }
 
-func (f *Front) route(r *http1.Request, caller *Caller, id string) *http1.Response {
+func (f *Handler) route(r *http1.Request, caller *Client, id string) *http1.Response {
 	switch r.Path() {
 	case wire.CommandPath:
 		if !caller.Operator {
--- a/internal/registry/service/linearizable_test.go
+++ b/internal/registry/service/linearizable_test.go
@@ -158,7 +158,7 @@
 }
 
 func readAlias(c *client.Client, out *output, known *uint64) error {
-	a, err := c.Query(wire.Query{What: "watch"})
+	a, err := c.Query(wire.Query{Kind: "watch"})
 	if err == nil && len(a.Targets) == 1 {
 		*out = output{version: a.Targets[0].Version, revision: a.Targets[0].Revision}
 		*known = out.revision
--- a/internal/registry/service/query.go
+++ b/internal/registry/service/query.go
@@ -13,20 +13,20 @@
 )
 
 // query answers a request that changes nothing.
-func (f *Front) query(r *http1.Request) *http1.Response {
+func (f *Handler) query(r *http1.Request) *http1.Response {
 	var q wire.Query
 	if err := unmarshalStrict(r.Body, &q); err != nil {
 		return problem(400, "bad", err.Error())
 	}
-	a := wire.Answer{}
-	switch q.What {
+	a := wire.Response{}
+	switch q.Kind {
 	case "list":
 		f.list(q, &a)
 	case "history":
 		f.history(q, &a)
 	case "move":
 		a.Migration = q.Migration
-		a.Status, a.Why = f.service.Await(q.Migration, waitTime(q.WaitMS))
+		a.Status, a.Reason = f.service.AwaitMigration(q.Migration, waitTime(q.WaitMS))
 	case "watch":
 		f.watch(q, &a)
 	case "export":
@@ -34,16 +34,16 @@
 			return problem(500, "fault", err.Error())
 		}
 	default:
-		return problem(400, "bad", fmt.Sprintf("what: %q is none of list, history, move, watch, export", q.What))
+		return problem(400, "bad", fmt.Sprintf("what: %q is none of list, history, move, watch, export", q.Kind))
 	}
 	return answer(200, a)
 }
 
 // list answers with the models, or the one that the query names, and with who holds a lease.
-func (f *Front) list(q wire.Query, a *wire.Answer) {
-	f.service.Do(func(now time.Duration, state *registry.State, leases *registry.Leases) {
+func (f *Handler) list(q wire.Query, a *wire.Response) {
+	f.service.Inspect(func(now time.Duration, state *registry.State, leases *registry.Leases) {
 		a.Epoch = state.Epoch
-		a.Confirmed = state.Confirmed
+		a.ConfirmedEpoch = state.ConfirmedEpoch
 		a.Holders = leases.Holders(now)
 		for _, m := range state.Models {
 			if q.Model != "" && q.Model != m.Name {
@@ -57,12 +57,12 @@
 }
 
 // history answers with the entries of the history, or those that name the query's model.
-func (f *Front) history(q wire.Query, a *wire.Answer) {
-	f.service.Do(func(now time.Duration, state *registry.State, _ *registry.Leases) {
+func (f *Handler) history(q wire.Query, a *wire.Response) {
+	f.service.Inspect(func(now time.Duration, state *registry.State, _ *registry.Leases) {
 		wall := f.service.cfg.Clock.Wall()
 		for _, h := range state.History {
-			if q.Model == "" || slices.Contains(strings.Fields(h.What), q.Model) {
-				entry := wire.HistoryEntry{At: wall.Add(h.At - now), By: h.By, What: h.What, Why: h.Why}
+			if q.Model == "" || slices.Contains(strings.Fields(h.Action), q.Model) {
+				entry := wire.HistoryEntry{At: wall.Add(h.At - now), By: h.By, Action: h.Action, Reason: h.Reason}
 				a.History = append(a.History, entry)
 			}
 		}
@@ -70,11 +70,11 @@
 }
 
 // watch answers with the aliases that changed since the query's epoch, once there is a newer one or the time is up.
-func (f *Front) watch(q wire.Query, a *wire.Answer) {
+func (f *Handler) watch(q wire.Query, a *wire.Response) {
 	end := time.Now().Add(waitTime(q.WaitMS))
 	for {
 		var changed chan struct{}
-		f.service.Do(func(_ time.Duration, state *registry.State, _ *registry.Leases) {
+		f.service.Inspect(func(_ time.Duration, state *registry.State, _ *registry.Leases) {
 			changed = f.service.changed
 			a.Epoch = state.Epoch
 			if state.Epoch > q.Since {
@@ -88,8 +88,8 @@
 }
 
 // export answers with the complete state, as a snapshot has it.
-func (f *Front) export(a *wire.Answer) (err error) {
-	f.service.Do(func(_ time.Duration, state *registry.State, _ *registry.Leases) {
+func (f *Handler) export(a *wire.Response) (err error) {
+	f.service.Inspect(func(_ time.Duration, state *registry.State, _ *registry.Leases) {
 		a.State, err = json.Marshal(state)
 	})
 	return err
--- a/internal/registry/service/service.go
+++ b/internal/registry/service/service.go
@@ -163,17 +163,17 @@
 	return s.broken
 }
 
-// Do runs f on the state and the leases under the service's lock. f must neither change nor keep them, and must not
+// Inspect runs f on the state and the leases under the service's lock. f must neither change nor keep them, and must not
 // call the Service.
-func (s *Service) Do(f func(now time.Duration, st *registry.State, l *registry.Leases)) {
+func (s *Service) Inspect(f func(now time.Duration, st *registry.State, l *registry.Leases)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f(s.now(), s.state, s.leases)
 }
 
-// Await waits until a migration has ended, the time is up, or the service is closed or broken, and returns the
+// AwaitMigration waits until a migration has ended, the time is up, or the service is closed or broken, and returns the
 // migration's status: see registry.State.Status.
-func (s *Service) Await(migration uint64, within time.Duration) (status, why string) {
+func (s *Service) AwaitMigration(migration uint64, within time.Duration) (status, why string) {
 	timer := time.NewTimer(within)
 	defer timer.Stop()
 	for {
--- a/internal/registry/service/service_test.go
+++ b/internal/registry/service/service_test.go
@@ -22,19 +22,19 @@
 const ms = time.Millisecond
 
 var settings = registry.Settings{
-	LeaseDuration:    400 * ms,
-	MaxClockDrift:    0.01,
-	SettleTimeout:    200 * ms,
-	StagingTimeout:   2 * time.Second,
-	Retention:        300 * ms,
-	ErrorWatch:       time.Second,
-	MinCalls:         100,
-	MaxErrorIncrease: 0.2,
-	MaxModels:        10,
-	MaxVersions:      20,
-	MaxAliases:       5,
-	MaxControllers:   5,
-	MaxRemembered:    1000,
+	LeaseDuration:      400 * ms,
+	MaxClockDrift:      0.01,
+	SettleTimeout:      200 * ms,
+	StagingTimeout:     2 * time.Second,
+	Retention:          300 * ms,
+	AutoRollbackWindow: time.Second,
+	MinCalls:           100,
+	MaxErrorIncrease:   0.2,
+	MaxModels:          10,
+	MaxVersions:        20,
+	MaxAliases:         5,
+	MaxControllers:     5,
+	MaxRemembered:      1000,
 }
 
 // secret returns the key of a caller.
@@ -81,13 +81,13 @@
 	if d.ln, err = net.Listen("tcp", d.addr); err != nil {
 		d.t.Fatal(err)
 	}
-	var callers []service.Caller
+	var callers []service.Client
 	for _, n := range []string{"ann", "bob"} {
-		callers = append(callers, service.Caller{Name: n, Keys: []*signing.Key{secret(d.t, n)}, Operator: true})
+		callers = append(callers, service.Client{Name: n, Keys: []*signing.Key{secret(d.t, n)}, Operator: true})
 	}
-	callers = append(callers, service.Caller{Name: "c1", Keys: []*signing.Key{secret(d.t, "c1")}, Controller: true})
+	callers = append(callers, service.Client{Name: "c1", Keys: []*signing.Key{secret(d.t, "c1")}, Controller: true})
 	d.s, d.addr = s, d.ln.Addr().String()
-	d.srv = &http1.Server{Handler: service.NewFront(s, callers, time.Minute)}
+	d.srv = &http1.Server{Handler: service.NewHandler(s, callers, time.Minute)}
 	go d.srv.Serve(d.ln)
 }
 
@@ -120,7 +120,7 @@
 }
 
 // must sends a command that is to succeed.
-func must(t testing.TB, c *client.Client, key string, cmd wire.Command) *wire.Answer {
+func must(t testing.TB, c *client.Client, key string, cmd wire.Command) *wire.Response {
 	t.Helper()
 	a, err := c.Command(key, cmd)
 	if err != nil {
@@ -163,17 +163,17 @@
 		t.Errorf("a controller gives commands: %v", err)
 	}
 	eve := &client.Client{Server: d.addr, Key: secret(t, "eve"), Wall: time.Now}
-	if _, err := eve.Query(wire.Query{What: "list"}); status(err) != 401 {
+	if _, err := eve.Query(wire.Query{Kind: "list"}); status(err) != 401 {
 		t.Errorf("a stranger asks: %v", err)
 	}
 	inAnHour := func() time.Time { return time.Now().Add(time.Hour) }
 	early := &client.Client{Server: d.addr, Key: secret(t, "ann"), Wall: inAnHour}
-	if _, err := early.Query(wire.Query{What: "list"}); status(err) != 401 {
+	if _, err := early.Query(wire.Query{Kind: "list"}); status(err) != 401 {
 		t.Errorf("a timestamp an hour off: %v", err)
 	}
 	const promotion = `{"promote":{"Model":"m","Alias":"current","To":"v1","IfRevision":2}}`
 	raw := func(path, body string, h http1.Header) int {
-		_, _, err := ann.Do(path, client.ID("raw"), h, []byte(body), time.Second)
+		_, _, err := ann.Do(path, client.NewID("raw"), h, []byte(body), time.Second)
 		return status(err)
 	}
 	for _, tt := range []struct {
@@ -196,7 +196,7 @@
 			t.Errorf("%s %s: %d, want %d", tt.path, tt.body, got, tt.want)
 		}
 	}
-	h, err := ann.Query(wire.Query{What: "history"})
+	h, err := ann.Query(wire.Query{Kind: "history"})
 	if err != nil || len(h.History) != 4 || h.History[3].By != "bob" {
 		t.Errorf("history: %+v, %v", h, err)
 	}
--- a/internal/registry/settings.go
+++ b/internal/registry/settings.go
@@ -19,8 +19,8 @@
 	StagingTimeout time.Duration
 	// Retention is how long the copies of a version that no alias names any more are kept for a rollback.
 	Retention time.Duration
-	// ErrorWatch is how long after a migration the errors of the new version may cause an automatic rollback.
-	ErrorWatch time.Duration
+	// AutoRollbackWindow is how long after a migration the errors of the new version may cause an automatic rollback.
+	AutoRollbackWindow time.Duration
 	// MinCalls is the number of calls of the new version from which its errors are judged.
 	MinCalls int
 	// MaxErrorIncrease is by how much the error rate of the new version may exceed that of the previous one, as a
@@ -45,7 +45,7 @@
 		{"Settle", float64(s.SettleTimeout)},
 		{"Staging", float64(s.StagingTimeout)},
 		{"Keep", float64(s.Retention)},
-		{"Watch", float64(s.ErrorWatch)},
+		{"Watch", float64(s.AutoRollbackWindow)},
 		{"Least", float64(s.MinCalls)},
 		{"Worse", s.MaxErrorIncrease},
 		{"Models", float64(s.MaxModels)},
--- a/internal/registry/state.go
+++ b/internal/registry/state.go
@@ -9,15 +9,15 @@
 // where they differ from the names of the fields. Durations in it are in nanoseconds, and times count from when the
 // registry was first started.
 type State struct {
-	Settings      Settings          `json:"-"`
-	Epoch         uint64            `json:"Epoch"`    // grows with every change that controllers must learn of
-	LastMigration uint64            `json:"NextMove"` // id of the newest migration
-	Models        map[string]*Model `json:"Models"`   // by name
-	Fences        []Fence           `json:"Fences"`   // not acknowledged, oldest first
-	Confirmed     uint64            `json:"Confirmed"`
-	Keys          []KeyResult       `json:"Keys"`      // idempotency keys, oldest first
-	History       []HistoryEntry    `json:"History"`   // oldest first
-	Condemned     map[string]string `json:"Condemned"` // the reason by digest; never removed
+	Settings        Settings          `json:"-"`
+	Epoch           uint64            `json:"Epoch"`    // grows with every change that controllers must learn of
+	LastMigration   uint64            `json:"NextMove"` // id of the newest migration
+	Models          map[string]*Model `json:"Models"`   // by name
+	Fences          []Fence           `json:"Fences"`   // not acknowledged, oldest first
+	ConfirmedEpoch  uint64            `json:"Confirmed"`
+	IdempotencyKeys []KeyResult       `json:"Keys"`      // idempotency keys, oldest first
+	History         []HistoryEntry    `json:"History"`   // oldest first
+	Condemned       map[string]string `json:"Condemned"` // the reason by digest; never removed
 	// EndedMigrations are the newest migrations that have ended, oldest first.
 	EndedMigrations []MigrationEnd `json:"Moves"`
 	Now             time.Duration  `json:"Now"` // time of the last command
@@ -26,11 +26,11 @@
 // A Model has versions and aliases, each by name.
 type Model struct {
 	Name string `json:"Name"`
-	// Stale permits answers while a controller has no lease: for this model, one by an alias that may have migrated
+	// AllowStale permits answers while a controller has no lease: for this model, one by an alias that may have migrated
 	// is better than none.
-	Stale    bool                `json:"Stale"`
-	Versions map[string]*Version `json:"Versions"`
-	Aliases  map[string]*Alias   `json:"Aliases"`
+	AllowStale bool                `json:"Stale"`
+	Versions   map[string]*Version `json:"Versions"`
+	Aliases    map[string]*Alias   `json:"Aliases"`
 }
 
 // Phase is a version's stage of life. The numbers are stored.
@@ -59,13 +59,13 @@
 	Lanes    int           `json:"Lanes"` // calls that one copy runs at once
 	LoadTime time.Duration `json:"Load"`
 
-	Phase  Phase          `json:"Phase"`
-	Since  time.Duration  `json:"Since"`  // time at which the phase began
-	Copies map[string]int `json:"Copies"` // ready copies by worker
-	Calls  int            `json:"Calls"`  // calls that ended since it became live
-	Errors int            `json:"Errors"` // how many of them failed
-	// AbandonedInEpoch is the epoch in which an alias last stopped naming it; 0: never.
-	AbandonedInEpoch uint64 `json:"Left"`
+	Phase      Phase          `json:"Phase"`
+	PhaseSince time.Duration  `json:"Since"`  // time at which the phase began
+	Copies     map[string]int `json:"Copies"` // ready copies by worker
+	Calls      int            `json:"Calls"`  // calls that ended since it became live
+	Errors     int            `json:"Errors"` // how many of them failed
+	// ReplacedInEpoch is the epoch in which an alias last stopped naming it; 0: never.
+	ReplacedInEpoch uint64 `json:"Left"`
 }
 
 // An Alias names a version of its model.
@@ -87,7 +87,7 @@
 	From        string        `json:"From"` // "": the alias is new
 	To          string        `json:"To"`   // "": the alias's version was condemned
 	By          string        `json:"By"`   // operator, or "registry"
-	Why         string        `json:"Why"`
+	Reason      string        `json:"Why"`
 	Copies      int           `json:"Copies"` // that must be ready before the fence
 	RequestedAt time.Duration `json:"Asked"`
 	Fenced      bool          `json:"Fenced"` // the alias names To; the acknowledgement waits for controllers
@@ -106,21 +106,21 @@
 type MigrationEnd struct {
 	Migration    uint64 `json:"Move"`
 	Acknowledged bool   `json:"Acknowledged"` // else it was aborted
-	Why          string `json:"Why"`          // it was aborted
+	Reason       string `json:"Why"`          // it was aborted
 }
 
 // A HistoryEntry says who did what, when and why.
 type HistoryEntry struct {
-	At   time.Duration `json:"At"`
-	By   string        `json:"By"`
-	What string        `json:"What"`
-	Why  string        `json:"Why"`
+	At     time.Duration `json:"At"`
+	By     string        `json:"By"`
+	Action string        `json:"What"`
+	Reason string        `json:"Why"`
 }
 
 // A KeyResult is the result of a command that carried an idempotency key.
 type KeyResult struct {
 	Key       string `json:"Key"`
-	Sum       string `json:"Sum"`  // of the command's text
+	Checksum  string `json:"Sum"`  // of the command's text
 	Migration uint64 `json:"Move"` // that the command started; 0: none
 }
 
@@ -146,7 +146,7 @@
 // enterPhase puts a version into a phase as of now.
 func (v *Version) enterPhase(phase Phase, now time.Duration) {
 	v.Phase = phase
-	v.Since = now
+	v.PhaseSince = now
 }
 
 // readyCopies returns the number of ready copies at all workers.
--- a/internal/registry/view.go
+++ b/internal/registry/view.go
@@ -21,13 +21,13 @@
 // A ViewUpdate is what the registry sends to a controller: every alias as of an epoch, or those that changed since
 // another epoch.
 type ViewUpdate struct {
-	Epoch     uint64
-	Since     uint64 // Targets are the changes since this epoch; 0: Targets are complete
-	Targets   map[AliasName]Target
-	Stale     map[string]bool // every model that permits answers without a lease; nil: none
-	Condemned []string        // every condemned digest, sorted
-	Lease     time.Duration   // from when the controller sent its request
-	Settle    time.Duration   // how long calls under a superseded target may go on
+	Epoch         uint64
+	Since         uint64 // Targets are the changes since this epoch; 0: Targets are complete
+	Targets       map[AliasName]Target
+	AllowStale    map[string]bool // every model that permits answers without a lease; nil: none
+	Condemned     []string        // every condemned digest, sorted
+	LeaseDuration time.Duration   // from when the controller sent its request
+	SettleTimeout time.Duration   // how long calls under a superseded target may go on
 }
 
 // ViewSince returns the update for a controller that holds an epoch; 0: it holds nothing. An alias that names no version
@@ -37,19 +37,19 @@
 		since = 0
 	}
 	update := ViewUpdate{
-		Epoch:     s.Epoch,
-		Since:     since,
-		Targets:   map[AliasName]Target{},
-		Condemned: slices.Sorted(maps.Keys(s.Condemned)),
-		Lease:     s.Settings.LeaseDuration,
-		Settle:    s.Settings.SettleTimeout,
+		Epoch:         s.Epoch,
+		Since:         since,
+		Targets:       map[AliasName]Target{},
+		Condemned:     slices.Sorted(maps.Keys(s.Condemned)),
+		LeaseDuration: s.Settings.LeaseDuration,
+		SettleTimeout: s.Settings.SettleTimeout,
 	}
 	for _, m := range s.Models {
-		if m.Stale {
-			if update.Stale == nil {
-				update.Stale = map[string]bool{}
+		if m.AllowStale {
+			if update.AllowStale == nil {
+				update.AllowStale = map[string]bool{}
 			}
-			update.Stale[m.Name] = true
+			update.AllowStale[m.Name] = true
 		}
 		for _, a := range m.Aliases {
 			neverFenced := a.Revision == 0
@@ -103,7 +103,7 @@
 		update.Since = 0
 	}
 	v.superseded = v.supersededBy(update)
-	v.leaseEnd = max(v.leaseEnd, sentAt+update.Lease)
+	v.leaseEnd = max(v.leaseEnd, sentAt+update.LeaseDuration)
 	v.current = update
 	return true
 }
@@ -170,14 +170,14 @@
 	return settled
 }
 
-// SettleWithin returns how long the registry lets calls under superseded targets go on.
-func (v *View) SettleWithin() time.Duration { return v.current.Settle }
+// SettleTimeout returns how long the registry lets calls under superseded targets go on.
+func (v *View) SettleTimeout() time.Duration { return v.current.SettleTimeout }
 
 // Resolve returns what an alias names now, with Allowed, NoLease or Unknown. A call keeps its target to the end.
 func (v *View) Resolve(now time.Duration, alias AliasName) (Target, Verdict) {
 	target, ok := v.current.Targets[alias]
 	switch {
-	case now >= v.leaseEnd && !v.current.Stale[alias.Model]:
+	case now >= v.leaseEnd && !v.current.AllowStale[alias.Model]:
 		return Target{}, NoLease
 	case !ok || target.Version == "":
 		return Target{}, Unknown
@@ -188,8 +188,8 @@
 // LeaseEnd returns when the lease ends, by the controller's own clock.
 func (v *View) LeaseEnd() time.Duration { return v.leaseEnd }
 
-// Stale tells whether a model permits answers without a lease.
-func (v *View) Stale(model string) bool { return v.current.Stale[model] }
+// AllowsStale tells whether a model permits answers without a lease.
+func (v *View) AllowsStale(model string) bool { return v.current.AllowStale[model] }
 
 // MayAnswer tells whether an answer by a target may be handed out at this very moment. One by a target that is
 // known to be superseded may not, also where the model permits answers without a lease.
@@ -202,7 +202,7 @@
 		return BeingSuperseded // only with a lease: without one the migration may be acknowledged
 	case !isCurrent:
 		return Superseded
-	case !hasLease && !v.current.Stale[alias.Model]:
+	case !hasLease && !v.current.AllowStale[alias.Model]:
 		return NoLease
 	}
 	return Allowed
--- a/internal/registry/wire/wire.go
+++ b/internal/registry/wire/wire.go
@@ -39,30 +39,30 @@
 
 // A Query changes nothing.
 type Query struct {
-	// What is "list" (of models and lease holders), "history", "move" (status of a migration), "watch" (for a newer
+	// Kind is "list" (of models and lease holders), "history", "move" (status of a migration), "watch" (for a newer
 	// epoch) or "export" (of the state).
-	What      string `json:"what"`
+	Kind      string `json:"what"`
 	Model     string `json:"model,omitempty"`   // list, history: of this model alone
 	Migration uint64 `json:"move,omitempty"`    // move: its id
 	Since     uint64 `json:"since,omitempty"`   // watch: the epoch that is known
 	WaitMS    int64  `json:"wait_ms,omitempty"` // move, watch: how long to wait, in milliseconds
 }
 
-// An Answer to a command or a query. Only the fields that belong to it are set.
-type Answer struct {
+// An Response to a command or a query. Only the fields that belong to it are set.
+type Response struct {
 	Migration uint64 `json:"move,omitempty"`   // that the command started; 0: none
 	Status    string `json:"status,omitempty"` // of the migration: see registry.State.Status
-	Why       string `json:"why,omitempty"`    // the migration was aborted
+	Reason    string `json:"why,omitempty"`    // the migration was aborted
 	Replayed  bool   `json:"again,omitempty"`  // the key was known: nothing was done again
 
-	Collected []Collected       `json:"collected,omitempty"`
-	Epoch     uint64            `json:"epoch,omitempty"`
-	Confirmed uint64            `json:"confirmed,omitempty"` // epoch: see registry.State.Confirmed
-	Holders   map[string]uint64 `json:"holders,omitempty"`   // epoch that each lease holder confirmed
-	Models    []json.RawMessage `json:"models,omitempty"`    // each a registry.Model
-	History   []HistoryEntry    `json:"history,omitempty"`   // oldest first
-	Targets   []Alias           `json:"targets,omitempty"`   // changed since the epoch of the query
-	State     json.RawMessage   `json:"state,omitempty"`     // a registry.State
+	Collected      []Collected       `json:"collected,omitempty"`
+	Epoch          uint64            `json:"epoch,omitempty"`
+	ConfirmedEpoch uint64            `json:"confirmed,omitempty"` // epoch: see registry.State.Confirmed
+	Holders        map[string]uint64 `json:"holders,omitempty"`   // epoch that each lease holder confirmed
+	Models         []json.RawMessage `json:"models,omitempty"`    // each a registry.Model
+	History        []HistoryEntry    `json:"history,omitempty"`   // oldest first
+	Targets        []Alias           `json:"targets,omitempty"`   // changed since the epoch of the query
+	State          json.RawMessage   `json:"state,omitempty"`     // a registry.State
 }
 
 // Collected is a version that was removed.
@@ -74,10 +74,10 @@
 
 // A HistoryEntry says who did what, when and why. At is by the registry's wall clock as it is set now.
 type HistoryEntry struct {
-	At   time.Time `json:"At"`
-	By   string    `json:"By"`
-	What string    `json:"What"`
-	Why  string    `json:"Why"`
+	At     time.Time `json:"At"`
+	By     string    `json:"By"`
+	Action string    `json:"What"`
+	Reason string    `json:"Why"`
 }
 
 // Node says which controller sends a request.
@@ -91,8 +91,8 @@
 	Message string `json:"message"`
 }
 
-// A Request of a controller. It renews the controller's lease, unless it has an ErrorDetail.
-type Request struct {
+// A DiscoveryRequest of a controller. It renews the controller's lease, unless it has an ErrorDetail.
+type DiscoveryRequest struct {
 	// VersionInfo is the epoch that the controller confirms, in decimal: it hands out no answer under an older one
 	// any more. "" is 0.
 	VersionInfo string `json:"version_info"`
@@ -103,9 +103,9 @@
 	ErrorDetail   *ErrorDetail  `json:"error_detail,omitempty"` // why the last response was rejected; nil: it was not
 	CopiesReady   []CopiesReady `json:"stands,omitempty"`       // news since the last request
 	CallsEnded    []CallsEnded  `json:"ended,omitempty"`        // since the last request
-	// Uses are the versions under which calls run although their alias does not name them any more.
-	Uses    []registry.VersionRef `json:"uses,omitempty"`
-	Staging []Stage               `json:"staging,omitempty"` // as the last response had it
+	// VersionsInUse are the versions under which calls run although their alias does not name them any more.
+	VersionsInUse []registry.VersionRef `json:"uses,omitempty"`
+	Staging       []Stage               `json:"staging,omitempty"` // as the last response had it
 }
 
 // CopiesReady is the number of ready copies of a version at a worker, as the worker said.
@@ -124,8 +124,8 @@
 	Errors  int    `json:"errors"` // how many of the calls failed
 }
 
-// A Response to a controller.
-type Response struct {
+// A DiscoveryResponse to a controller.
+type DiscoveryResponse struct {
 	VersionInfo string   `json:"version_info"` // epoch, in decimal
 	TypeURL     string   `json:"type_url"`
 	Nonce       string   `json:"nonce"`
@@ -134,7 +134,7 @@
 	LeaseMS     float64  `json:"lease_ms"`         // milliseconds from when the request was sent
 	SettleMS    float64  `json:"settle_ms"`        // milliseconds that calls under superseded targets may go on
 	Condemned   []string `json:"barred,omitempty"` // every condemned digest
-	Stale       []string `json:"stale,omitempty"`  // every model that permits answers without a lease
+	AllowStale  []string `json:"stale,omitempty"`  // every model that permits answers without a lease
 	Stage       []Stage  `json:"stage,omitempty"`  // all that this controller is to have loaded
 }
 
