--- a/config/network.go
+++ b/config/network.go
@@ -63,7 +63,7 @@
 		IdleTimeout:  ms(c.Limits.KeepAliveMs),
 		OrderTimeout: ms(c.Loading.AnswerMs),
 		ProbeTimeout: probeDials * dialTimeout,
-		Fields:       b.built.Settings.Report,
+		Fields:       b.built.Settings.LoadReportFields,
 	}
 	if dialTimeout > ms(c.Guarantees.DrainGraceMs) {
 		b.built.Warnings = append(b.built.Warnings, "limits.dial_ms is over guarantees.drain_grace_ms: "+
--- a/config/settings.go
+++ b/config/settings.go
@@ -16,7 +16,7 @@
 		Scope_SAME_ZONE:   scheduler.SameZone,
 		Scope_SAME_GROUP:  scheduler.SameGroup,
 	}
-	reportFields = map[Field]scheduler.ReportField{
+	reportFields = map[Field]scheduler.LoadReportField{
 		Field_IN_FLIGHT:  scheduler.FieldInFlight,
 		Field_QUEUE:      scheduler.FieldQueue,
 		Field_UTIL:       scheduler.FieldUtilization,
@@ -53,10 +53,10 @@
 		s.Tenants = append(s.Tenants, scheduler.Tenant{Name: t.Name, Quota: t.QuotaPerS, Share: t.Share})
 	}
 	for _, field := range c.GetReport().GetFields() {
-		s.Report = append(s.Report, reportFields[field])
+		s.LoadReportFields = append(s.LoadReportFields, reportFields[field])
 	}
-	if len(s.Report) > 0 {
-		s.ReportVia = scheduler.ReportsInAnswers
+	if len(s.LoadReportFields) > 0 {
+		s.LoadReportSource = scheduler.LoadReportsInResponses
 	}
 	b.built.Settings = s
 }
--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -35,7 +35,7 @@
 	Limits           http1.Limits  // of answers
 	OrderTimeout     time.Duration // longest wait for the answer to a load order
 	ProbeTimeout     time.Duration // longest wait for the answer to a health check, or to a query for loaded copies
-	Fields           []scheduler.ReportField
+	Fields           []scheduler.LoadReportField
 }
 
 const defaultMaxIdle = 64 // connections to one worker
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -116,7 +116,7 @@
 		IdleTimeout:  time.Minute,
 		OrderTimeout: time.Second,
 		ProbeTimeout: time.Second,
-		Fields:       []scheduler.ReportField{scheduler.FieldQueue, scheduler.FieldUtilization},
+		Fields:       []scheduler.LoadReportField{scheduler.FieldQueue, scheduler.FieldUtilization},
 	}
 	if change != nil {
 		change(&cfg)
--- a/internal/backend/frame/backend.go
+++ b/internal/backend/frame/backend.go
@@ -25,7 +25,7 @@
 	PingAfter   time.Duration    // silence after which a busy connection gets a ping, and as long again for its answer
 	Forget      time.Duration    // no answer comes later than this after its exchange has ended
 	Order       time.Duration    // longest wait for the answer to a load order
-	Report      []scheduler.ReportField
+	Report      []scheduler.LoadReportField
 	Log         zerolog.Logger
 }
 
--- a/internal/backend/frame/codec_test.go
+++ b/internal/backend/frame/codec_test.go
@@ -18,7 +18,7 @@
 		if readAnswer(bufio.NewReader(bytes.NewReader(in)), 1000, &a) != nil {
 			return
 		}
-		parseFields(a.fields, []scheduler.ReportField{scheduler.FieldUtilization})
+		parseFields(a.fields, []scheduler.LoadReportField{scheduler.FieldUtilization})
 		framed := fakeplatform.Reply(a.code, a.id, a.fields, string(a.body))
 		if !bytes.HasPrefix(in, framed) {
 			t.Errorf("%x was read as %x", in, framed)
--- a/internal/backend/frame/fields.go
+++ b/internal/backend/frame/fields.go
@@ -18,7 +18,7 @@
 
 // parseFields reads fields like "note=resident,company=3". Unknown ones are ignored; those that are malformed count
 // as missing.
-func parseFields(text string, report []scheduler.ReportField) (f answerFields) {
+func parseFields(text string, report []scheduler.LoadReportField) (f answerFields) {
 	for pair := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(pair, "=")
 		switch name {
@@ -54,7 +54,7 @@
 }
 
 // reportFields are the words for the fields of a load report: the platform's, and those of the settings.
-var reportFields = map[string]scheduler.ReportField{
+var reportFields = map[string]scheduler.LoadReportField{
 	"inflight":     scheduler.FieldInFlight,
 	"outstanding":  scheduler.FieldInFlight,
 	"queue":        scheduler.FieldQueue,
@@ -73,7 +73,7 @@
 
 // parseReport reads a load report like "inflight:7;util:0.61", in the order of the fields. It returns nil if the
 // report lacks a field or has one that is not a number.
-func parseReport(text string, fields []scheduler.ReportField) []float64 {
+func parseReport(text string, fields []scheduler.LoadReportField) []float64 {
 	if len(fields) == 0 {
 		return nil
 	}
--- a/internal/backend/frame/outcome_test.go
+++ b/internal/backend/frame/outcome_test.go
@@ -81,7 +81,7 @@
 		return fakeplatform.Reply(codeOK, command.ID, "note=booted,company=3,load=queue:2;util:0.5", "answer")
 	})
 	b := start(t, addr, func(c *Config) {
-		c.Report = []scheduler.ReportField{scheduler.FieldUtilization, scheduler.FieldQueue}
+		c.Report = []scheduler.LoadReportField{scheduler.FieldUtilization, scheduler.FieldQueue}
 	})
 	r := run(b, newCall(1))
 	if r.Outcome != scheduler.OK || r.Note != scheduler.StartedLoad || r.SameFunction != 3 {
--- a/internal/backend/report.go
+++ b/internal/backend/report.go
@@ -74,7 +74,7 @@
 }
 
 // values returns the report's values of the configured fields, in their order; nil if it has none of them.
-func (r loadReport) values(fields []scheduler.ReportField) []float64 {
+func (r loadReport) values(fields []scheduler.LoadReportField) []float64 {
 	values := make([]float64, len(fields))
 	found := false
 	for i, field := range fields {
@@ -94,7 +94,7 @@
 	named bool
 }
 
-var reportKeys = map[scheduler.ReportField]reportKey{
+var reportKeys = map[scheduler.LoadReportField]reportKey{
 	scheduler.FieldUtilization: {name: "cpu_utilization"},
 	scheduler.FieldRate:        {name: "rps_fractional"},
 	scheduler.FieldErrorRate:   {name: "eps"},
@@ -105,7 +105,7 @@
 	scheduler.FieldX1:          {name: "x1", named: true},
 }
 
-func (r loadReport) value(field scheduler.ReportField) (value float64, ok bool) {
+func (r loadReport) value(field scheduler.LoadReportField) (value float64, ok bool) {
 	key, known := reportKeys[field]
 	switch {
 	case !known:
--- a/internal/backend/report_test.go
+++ b/internal/backend/report_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestLoadReportIsReadInOrderOfFields(t *testing.T) {
-	fields := []scheduler.ReportField{
+	fields := []scheduler.LoadReportField{
 		scheduler.FieldUtilization,
 		scheduler.FieldInFlight,
 		scheduler.FieldRate,
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -61,7 +61,7 @@
 	}
 	datagram = append(datagram, payload...)
 	for index, addr := range p.addrs {
-		if index == to || to == scheduler.Everyone && index != p.self {
+		if index == to || to == scheduler.AllControllers && index != p.self {
 			p.conn.WriteToUDP(datagram, addr)
 		}
 	}
--- a/internal/controller/peers_test.go
+++ b/internal/controller/peers_test.go
@@ -23,7 +23,7 @@
 		}
 		defer p.Close()
 		p.Send(0, make([]byte, maxMessage+1))
-		p.Send(scheduler.Everyone, []byte("word"))
+		p.Send(scheduler.AllControllers, []byte("word"))
 		want := "word"
 		if indexed {
 			want = "\x00\x00\x00\x02word"
--- a/internal/gateway/answer_test.go
+++ b/internal/gateway/answer_test.go
@@ -107,10 +107,10 @@
 	for _, a := range []scheduler.Action{
 		scheduler.Unload{Worker: w, Function: fn},
 		scheduler.Probe{Worker: w},
-		scheduler.Close{Worker: w},
-		scheduler.Gossip{To: 2, Payload: []byte("hi")},
-		scheduler.Watch{On: true},
-		scheduler.Fetch{},
+		scheduler.CloseIdleConnections{Worker: w},
+		scheduler.PeerMessage{To: 2, Payload: []byte("hi")},
+		scheduler.WatchEndpoints{On: true},
+		scheduler.FetchEndpoints{},
 		scheduler.Log{Text: "note"},
 		scheduler.LoadOrder{Worker: w, Function: fn, Copies: 2},
 		scheduler.LoadOrder{Worker: w, Function: 99}, // not known: not sent
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -101,7 +101,7 @@
 		Complete:     res.Outcome == scheduler.OK,
 		Note:         res.Note,
 		SameFunction: res.SameFunction,
-		Report:       res.Report,
+		LoadReport:   res.Report,
 	}
 	g.mu.Lock()
 	g.pendingResults[attemptKey{a.Request, number}] = res
--- a/internal/gateway/execute.go
+++ b/internal/gateway/execute.go
@@ -45,17 +45,17 @@
 		}
 	case scheduler.Probe:
 		g.probe(a)
-	case scheduler.Close:
+	case scheduler.CloseIdleConnections:
 		g.cfg.Transport.CloseIdle(a.Worker)
-	case scheduler.Watch:
+	case scheduler.WatchEndpoints:
 		if g.cfg.Lister != nil {
 			g.cfg.Lister.Watch(a.On)
 		}
-	case scheduler.Fetch:
+	case scheduler.FetchEndpoints:
 		if g.cfg.Lister != nil {
 			g.cfg.Lister.Fetch()
 		}
-	case scheduler.Gossip:
+	case scheduler.PeerMessage:
 		if g.cfg.Peers != nil && g.cfg.Settings.Limits.Peers {
 			g.cfg.Peers.Send(a.To, a.Payload)
 		}
@@ -86,7 +86,7 @@
 
 func (g *Gateway) probe(a scheduler.Probe) {
 	g.cfg.Transport.Probe(a.Worker, func(o scheduler.Outcome, took time.Duration, report []float64) {
-		g.enqueue(scheduler.ProbeEnded{Worker: a.Worker, Outcome: o, Took: took, Report: report})
+		g.enqueue(scheduler.ProbeEnded{Worker: a.Worker, Outcome: o, Took: took, LoadReport: report})
 	})
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -189,7 +189,7 @@
 // ReceiveGossip hands over a message of the controller with index from. It is dropped where Limits.Peers is not set.
 func (g *Gateway) ReceiveGossip(from int, payload []byte) {
 	if g.cfg.Settings.Limits.Peers {
-		g.enqueue(scheduler.GossipMessage{From: from, Payload: payload})
+		g.enqueue(scheduler.PeerMessageReceived{From: from, Payload: payload})
 	}
 }
 
--- a/internal/harness/scalebench/dispatch.go
+++ b/internal/harness/scalebench/dispatch.go
@@ -147,7 +147,7 @@
 	runtime.ReadMemStats(&before)
 	p.run(load.Span)
 	runtime.ReadMemStats(&after)
-	p.cost.Effort = scheduler.Effort{Points: d.Effort().Points - effort.Points, Workers: d.Effort().Workers - effort.Workers, Queues: d.Effort().Queues - effort.Queues, Summed: d.Effort().Summed - effort.Summed}
+	p.cost.Effort = scheduler.Effort{RingPoints: d.Effort().RingPoints - effort.RingPoints, Workers: d.Effort().Workers - effort.Workers, Queues: d.Effort().Queues - effort.Queues, SummedWorkers: d.Effort().SummedWorkers - effort.SummedWorkers}
 	p.cost.Allocations, p.cost.Bytes = after.Mallocs-before.Mallocs, after.TotalAlloc-before.TotalAlloc
 	runtime.GC()
 	runtime.ReadMemStats(&after)
--- a/internal/harness/scalebench/dispatch_test.go
+++ b/internal/harness/scalebench/dispatch_test.go
@@ -44,10 +44,10 @@
 		if c.Sent < c.Calls*9/10 || c.Orders == 0 || c.Lists == 0 {
 			t.Fatalf("%d of %d calls sent, %d orders, %d lists: the play tests too little", c.Sent, c.Calls, c.Orders, c.Lists)
 		}
-		a := scheduler.Effort{Points: c.Effort.Points * 100 / uint64(c.Calls), Workers: c.Effort.Workers * 100 / uint64(c.Calls), Queues: c.Effort.Queues * 100 / uint64(c.Calls), Summed: c.Effort.Summed * 100 / uint64(c.Calls)}
+		a := scheduler.Effort{RingPoints: c.Effort.RingPoints * 100 / uint64(c.Calls), Workers: c.Effort.Workers * 100 / uint64(c.Calls), Queues: c.Effort.Queues * 100 / uint64(c.Calls), SummedWorkers: c.Effort.SummedWorkers * 100 / uint64(c.Calls)}
 		// The sum over all that a cold worker's bound asks for is made once a step at the most, where one is considered: under a third of calls.
-		if c.Effort.Summed > uint64(c.Calls*size.workers/3) {
-			t.Errorf("%d workers: %d shares added up for %d calls", size.workers, c.Effort.Summed, c.Calls)
+		if c.Effort.SummedWorkers > uint64(c.Calls*size.workers/3) {
+			t.Errorf("%d workers: %d shares added up for %d calls", size.workers, c.Effort.SummedWorkers, c.Calls)
 		}
 		t.Logf("%d workers, %d functions: a hundred calls look at %+v; %d orders", size.workers, size.functions, a, c.Orders)
 		if small == (scheduler.Effort{}) {
@@ -55,10 +55,10 @@
 		}
 		last = a
 	}
-	if last.Points > 4*small.Points || last.Workers > 4*small.Workers || last.Queues > 4*small.Queues {
+	if last.RingPoints > 4*small.RingPoints || last.Workers > 4*small.Workers || last.Queues > 4*small.Queues {
 		t.Errorf("a hundred calls look at %+v in the largest installation, at %+v in the smallest", last, small)
 	}
-	if last.Summed == 0 {
+	if last.SummedWorkers == 0 {
 		t.Error("no cold worker was considered: the play tests too little")
 	}
 	atRest(t)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -93,7 +93,7 @@
 		PingAfter:   s.Limits.DialTimeout,
 		Forget:      time.Duration(lateAnswerDeadlines * float64(longestDeadline(s))),
 		Order:       s.Loading.OrderTimeout,
-		Report:      s.Report,
+		Report:      s.LoadReportFields,
 		Log:         r.options.Log,
 	})
 	r.undo = append(r.undo, func() { r.Backend.Close() })
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -165,10 +165,10 @@
 		return scheduler.Timer{Token: c.u64()}
 	case codeProbeDone:
 		e := scheduler.ProbeEnded{Outcome: c.outcome(), Worker: c.worker(), Took: ToDuration(c.f64())}
-		e.Report = c.report()
+		e.LoadReport = c.report()
 		return e
 	case codeMail:
-		return scheduler.GossipMessage{From: int(c.u32()), Payload: c.bytes(int64(c.u16()))}
+		return scheduler.PeerMessageReceived{From: int(c.u32()), Payload: c.bytes(int64(c.u16()))}
 	case codeLoadDone:
 		return scheduler.LoadOrderEnded{
 			Worker: c.worker(), Function: scheduler.FunctionID(c.u64()), Outcome: c.outcome(),
@@ -252,6 +252,6 @@
 	loads := c.u8()
 	e.Note = scheduler.LoadNote(loads & loadNoteMask)
 	e.SameFunction = int(loads >> loadNoteBits)
-	e.Report = c.report()
+	e.LoadReport = c.report()
 	return e
 }
--- a/internal/simwire/encode.go
+++ b/internal/simwire/encode.go
@@ -104,21 +104,21 @@
 	case scheduler.Probe:
 		e.head(codeTest, instance)
 		e.worker(a.Worker)
-	case scheduler.Close:
+	case scheduler.CloseIdleConnections:
 		e.head(codeFree, instance)
 		e.worker(a.Worker)
-	case scheduler.Gossip:
+	case scheduler.PeerMessage:
 		e.head(codeNotify, instance)
 		to := uint16(a.To)
-		if a.To == scheduler.Everyone {
+		if a.To == scheduler.AllControllers {
 			to = math.MaxUint16
 		}
 		e.u16(to)
 		e.text(string(a.Payload))
-	case scheduler.Watch:
+	case scheduler.WatchEndpoints:
 		e.head(codeTail, instance)
 		e.bool(a.On)
-	case scheduler.Fetch:
+	case scheduler.FetchEndpoints:
 		e.head(codeRefresh, instance)
 	case scheduler.LoadOrder:
 		e.head(codePreload, instance)
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -134,16 +134,16 @@
 		"zone": scheduler.SameZone,
 		"cell": scheduler.SameGroup,
 	}
-	reportSources = map[string]scheduler.ReportSource{
-		"answers": scheduler.ReportsInAnswers,
-		"probe":   scheduler.ReportsInProbes,
+	reportSources = map[string]scheduler.LoadReportSource{
+		"answers": scheduler.LoadReportsInResponses,
+		"probe":   scheduler.LoadReportsInProbes,
 	}
-	sizeMeanings = map[string]scheduler.SizeMeaning{
+	sizeMeanings = map[string]scheduler.SizeSource{
 		"nominal": scheduler.SizeNominal,
-		"rough":   scheduler.SizeRough,
-		"live":    scheduler.SizeLive,
+		"rough":   scheduler.SizeEstimated,
+		"live":    scheduler.SizeMeasured,
 	}
-	reportFields = map[string]scheduler.ReportField{
+	reportFields = map[string]scheduler.LoadReportField{
 		"outstanding":  scheduler.FieldInFlight,
 		"backlog":      scheduler.FieldQueue,
 		"utilization":  scheduler.FieldUtilization,
@@ -172,13 +172,13 @@
 		Tiers:              t.Tiers,
 		Kinds:              t.Kinds,
 		OverQuotaWeight:    t.OverQuotaWeight,
-		WeightByWork:       t.WeightBy == "work",
+		WeightByRunTime:    t.WeightBy == "work",
 		ClientsMarkRetries: t.Clients.MarksRetry,
-		PollForList:        t.Discovery == "ask",
+		PollEndpoints:      t.Discovery == "ask",
 		Tick:               t.Tick.duration(),
 		Workload:           t.Workload,
-		Sizes:              sizeMeanings[t.Sizes],
-		ReportVia:          reportSources[t.Report.Via],
+		SizeSource:         sizeMeanings[t.Sizes],
+		LoadReportSource:   reportSources[t.Report.Via],
 		Limits:             t.Limits.limits(),
 		Loading:            t.Loading.loading(),
 		Guarantees:         t.Guarantees.guarantees(),
@@ -199,7 +199,7 @@
 		})
 	}
 	for _, field := range t.Report.Fields {
-		s.Report = append(s.Report, reportFields[field])
+		s.LoadReportFields = append(s.LoadReportFields, reportFields[field])
 	}
 	return s, nil
 }
@@ -243,13 +243,13 @@
 
 func (t guaranteesText) guarantees() scheduler.Guarantees {
 	return scheduler.Guarantees{
-		AnswerGrace:    t.AnswerGrace.duration(),
-		DrainGrace:     t.DrainGrace.duration(),
-		PollWithin:     t.PollWithin.duration(),
-		WarmupFraction: t.WarmupFraction,
-		WarmupTime:     t.WarmupTime.duration(),
-		CollapseFactor: t.CollapseFactor,
-		CollapseWindow: t.CollapseWindow.duration(),
+		AnswerGrace:     t.AnswerGrace.duration(),
+		DrainGrace:      t.DrainGrace.duration(),
+		MaxPollInterval: t.PollWithin.duration(),
+		WarmupFraction:  t.WarmupFraction,
+		WarmupTime:      t.WarmupTime.duration(),
+		CollapseFactor:  t.CollapseFactor,
+		CollapseWindow:  t.CollapseWindow.duration(),
 	}
 }
 
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -45,10 +45,10 @@
 		scheduler.ResponseStarted{Request: 0x121185d3a91c4, Took: 9250 * time.Microsecond, Worker: worker}},
 	{"RETURNED", `04 00000003 000121185d3a91c4 00 0a124a07 1f43 0001 4032800000000000 01 0a 01 40000000`,
 		scheduler.AttemptEnded{Request: 0x121185d3a91c4, Worker: worker, Outcome: scheduler.OK,
-			Took: 18500 * time.Microsecond, Complete: true, Note: scheduler.StartedLoad, SameFunction: 1, Report: []float64{2}}},
+			Took: 18500 * time.Microsecond, Complete: true, Note: scheduler.StartedLoad, SameFunction: 1, LoadReport: []float64{2}}},
 	{"PROBE_DONE", `07 00000003 0001 0a124a07 1f43 3ff8000000000000 02 4040000040e00000`,
-		scheduler.ProbeEnded{Worker: worker, Outcome: scheduler.OK, Took: 1500 * time.Microsecond, Report: []float64{3, 7}}},
-	{"MAIL", `08 00000003 00000002 0004 68692037`, scheduler.GossipMessage{From: 2, Payload: []byte("hi 7")}},
+		scheduler.ProbeEnded{Worker: worker, Outcome: scheduler.OK, Took: 1500 * time.Microsecond, LoadReport: []float64{3, 7}}},
+	{"MAIL", `08 00000003 00000002 0004 68692037`, scheduler.PeerMessageReceived{From: 2, Payload: []byte("hi 7")}},
 	{"LOAD_DONE", `0a 00000003 0a124a07 1f43 0000007c55d20a01 0001 4084000000000000 01`,
 		scheduler.LoadOrderEnded{Worker: worker, Function: 0x7c55d20a01, Outcome: scheduler.OK, Took: 640 * time.Millisecond,
 			Copies: 1}},
@@ -107,11 +107,11 @@
 		{scheduler.Cancel{Request: 0x121185d3a91c4, Attempt: 1}, `03 00000003 000121185d3a91c4 01`},
 		{scheduler.Wake{At: 8964250 * time.Microsecond, Token: 0x4d}, `04 00000003 40c1822000000000 000000000000004d`},
 		{scheduler.Probe{Worker: worker}, `05 00000003 0a124a07 1f43`},
-		{scheduler.Close{Worker: worker}, `06 00000003 0a124a07 1f43`},
-		{scheduler.Gossip{To: scheduler.Everyone, Payload: []byte("hi 7")}, `07 00000003 ffff 0004 68692037`},
+		{scheduler.CloseIdleConnections{Worker: worker}, `06 00000003 0a124a07 1f43`},
+		{scheduler.PeerMessage{To: scheduler.AllControllers, Payload: []byte("hi 7")}, `07 00000003 ffff 0004 68692037`},
 		{scheduler.Log{Text: "two servers known"}, `08 00000003 0011 74776f2073657276657273206b6e6f776e`},
-		{scheduler.Watch{On: true}, `0a 00000003 01`},
-		{scheduler.Fetch{}, `0b 00000003`},
+		{scheduler.WatchEndpoints{On: true}, `0a 00000003 01`},
+		{scheduler.FetchEndpoints{}, `0b 00000003`},
 		{scheduler.LoadOrder{Worker: worker, Function: 0x7c55d20a01, Copies: 1}, `0c 00000003 0a124a07 1f43 0000007c55d20a01 01`},
 		{scheduler.Unload{Worker: worker, Function: 0x7c55d20a01}, `0d 00000003 0a124a07 1f43 0000007c55d20a01`},
 	}
@@ -183,7 +183,7 @@
 		t.Fatal(err)
 	}
 	c := s.Classes[0]
-	if s.Controllers != 3 || s.Tick != 2500*time.Microsecond || !s.PollForList {
+	if s.Controllers != 3 || s.Tick != 2500*time.Microsecond || !s.PollEndpoints {
 		t.Errorf("settings %+v", s)
 	}
 	if c.Idempotency != scheduler.IdempotentWithKey || c.DedupScope != scheduler.SameGroup || c.DedupWindow != 5*time.Second {
@@ -192,9 +192,9 @@
 	if s.Loading.LoadsOnMiss || !s.Loading.OnMissKnown {
 		t.Errorf("loading %+v", s.Loading)
 	}
-	report := []scheduler.ReportField{scheduler.FieldQueue, scheduler.FieldX1}
-	if s.ReportVia != scheduler.ReportsInProbes || !reflect.DeepEqual(s.Report, report) {
-		t.Errorf("reports %v in %v", s.Report, s.ReportVia)
+	report := []scheduler.LoadReportField{scheduler.FieldQueue, scheduler.FieldX1}
+	if s.LoadReportSource != scheduler.LoadReportsInProbes || !reflect.DeepEqual(s.LoadReportFields, report) {
+		t.Errorf("reports %v in %v", s.LoadReportFields, s.LoadReportSource)
 	}
 	if _, err := ParseSettings([]byte("{")); err == nil {
 		t.Error("settings that are no JSON: no error")
--- a/scheduler/actions.go
+++ b/scheduler/actions.go
@@ -36,26 +36,26 @@
 // Probe asks a worker for a health check, which ends with a ProbeEnded.
 type Probe struct{ Worker WorkerID }
 
-// Close closes the idle connections to a worker.
-type Close struct{ Worker WorkerID }
+// CloseIdleConnections closes the idle connections to a worker.
+type CloseIdleConnections struct{ Worker WorkerID }
 
-// Everyone addresses a Gossip to all other controllers.
-const Everyone = -1
+// AllControllers addresses a PeerMessage to all other controllers.
+const AllControllers = -1
 
-// Gossip sends up to 256 bytes to another controller.
-type Gossip struct {
-	To      int // its ControllerIndex, or Everyone
+// PeerMessage sends up to 256 bytes to another controller.
+type PeerMessage struct {
+	To      int // its ControllerIndex, or AllControllers
 	Payload []byte
 }
 
 // Log is a line for the operators.
 type Log struct{ Text string }
 
-// Watch subscribes to the list of workers, or ends the subscription.
-type Watch struct{ On bool }
+// WatchEndpoints subscribes to the list of workers, or ends the subscription.
+type WatchEndpoints struct{ On bool }
 
-// Fetch asks once for the full list of workers.
-type Fetch struct{}
+// FetchEndpoints asks once for the full list of workers.
+type FetchEndpoints struct{}
 
 // LoadOrder asks a worker to have at least Copies of a function loaded; 0 only asks how many are. It ends
 // with a LoadOrderEnded.
@@ -71,16 +71,16 @@
 	Function FunctionID
 }
 
-func (Send) action()      {}
-func (Reject) action()    {}
-func (Fail) action()      {}
-func (Cancel) action()    {}
-func (Wake) action()      {}
-func (Probe) action()     {}
-func (Close) action()     {}
-func (Gossip) action()    {}
-func (Log) action()       {}
-func (Watch) action()     {}
-func (Fetch) action()     {}
-func (LoadOrder) action() {}
-func (Unload) action()    {}
+func (Send) action()                 {}
+func (Reject) action()               {}
+func (Fail) action()                 {}
+func (Cancel) action()               {}
+func (Wake) action()                 {}
+func (Probe) action()                {}
+func (CloseIdleConnections) action() {}
+func (PeerMessage) action()          {}
+func (Log) action()                  {}
+func (WatchEndpoints) action()       {}
+func (FetchEndpoints) action()       {}
+func (LoadOrder) action()            {}
+func (Unload) action()               {}
--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -65,7 +65,7 @@
 	if clientRetry {
 		fraction = math.Pow(fraction, clientRetryPower)
 	}
-	return unit(mix(^uint64(request))) < fraction
+	return unitInterval(mix(^uint64(request))) < fraction
 }
 
 // shedding tells whether less than everything is admitted.
--- a/scheduler/admission_step_test.go
+++ b/scheduler/admission_step_test.go
@@ -8,7 +8,7 @@
 // From issue 10: where answers are overdue, whatever the cause, less is admitted. The rest is rejected in the step of
 // its arrival, with a time to retry after. Once answers are on time again, everything is admitted again.
 func TestOverdueAnswersReduceAdmission(t *testing.T) {
-	s := base()
+	s := testSettings()
 	s.Limits.RetryAfter, s.Limits.MaxRetryAfter = true, time.Second
 	d := start(t, s, ready(1, 2, 3, 4, 5, 6)...)
 	now := playAnswersAfter(t, d, 2*time.Second, 60, 2*time.Second, OK)
@@ -23,7 +23,7 @@
 				a.Request += 1e9
 			}
 			now += s.Tick
-			for _, f := range pickOut[Reject](d.Step(now, []Event{a})) {
+			for _, f := range actionsOf[Reject](d.Step(now, []Event{a})) {
 				if f.Request != a.Request || f.RetryAfter <= 0 || f.RetryAfter > s.Limits.MaxRetryAfter {
 					t.Fatalf("%+v, want request %d refused, to come back within a second", f, a.Request)
 				}
@@ -46,7 +46,7 @@
 
 // A missing answer counts as soon as it is overdue, not at the timeout.
 func TestUnansweredRequestsReduceAdmission(t *testing.T) {
-	d := start(t, base(), ready(1, 2, 3, 4, 5, 6)...)
+	d := start(t, testSettings(), ready(1, 2, 3, 4, 5, 6)...)
 	for i := 0; i < 60; i++ {
 		d.Step(2*time.Second+time.Duration(i)*10*ms, []Event{arrival(RequestID(i+1), 0, FunctionID(i))})
 	}
@@ -58,7 +58,7 @@
 
 // What sending less does not help does not reduce admission: loads within their time, and errors.
 func TestLoadsAndErrorsDoNotReduceAdmission(t *testing.T) {
-	d := start(t, base(), ready(1, 2, 3, 4, 5, 6)...)
+	d := start(t, testSettings(), ready(1, 2, 3, 4, 5, 6)...)
 	playAnswersAfter(t, d, 2*time.Second, 1, 900*ms, OK) // its first call waits for the load: objective 500 ms, load 750
 	if d.admission.fraction != 1 {
 		t.Errorf("share %v after a load, want 1", d.admission.fraction)
@@ -71,7 +71,7 @@
 
 // A controller with hardly any requests admits all again after a while, although no answer shows that it may.
 func TestAdmissionRecoversWithoutAnswers(t *testing.T) {
-	d := start(t, base(), ready(1, 2)...)
+	d := start(t, testSettings(), ready(1, 2)...)
 	d.admission.fraction = minAdmittedFraction
 	d.Step(241*time.Second, nil)
 	if d.admission.fraction != 1 {
@@ -80,11 +80,11 @@
 }
 
 func TestAdviceAndWeightDecideAdmission(t *testing.T) {
-	d := start(t, base(), ready(1, 2)...)
+	d := start(t, testSettings(), ready(1, 2)...)
 	a := arrival(1, 0, 7)
 	a.ShedAdvised = true
 	l := d.Step(2*time.Second, []Event{a, arrival(2, 0, 7)})
-	if r, s := pickOut[Reject](l), pickOut[Send](l); len(r) != 1 || r[0].Request != 1 || len(s) != 1 ||
+	if r, s := actionsOf[Reject](l), actionsOf[Send](l); len(r) != 1 || r[0].Request != 1 || len(s) != 1 ||
 		s[0].Request != 2 {
 		t.Errorf("%v", l)
 	}
--- a/scheduler/advice_test.go
+++ b/scheduler/advice_test.go
@@ -7,12 +7,12 @@
 )
 
 func TestDesiredCopiesAreLoadedAndRenewedUntilTheirTime(t *testing.T) {
-	d := start(t, base(), ready(1, 2, 3, 4)...)
+	d := start(t, testSettings(), ready(1, 2, 3, 4)...)
 	begin := d.Step(2*time.Second, []Event{DesiredCopies{Function: 7, Copies: 2, Until: 40 * time.Second}})
 	holds := map[WorkerID]int{}
 	var out []LoadOrder
 	take := func(l []Action) {
-		for _, h := range pickOut[LoadOrder](l) {
+		for _, h := range actionsOf[LoadOrder](l) {
 			holds[h.Worker]++
 			out = append(out, h)
 		}
@@ -42,7 +42,7 @@
 }
 
 func TestAdviceLeavesLoadBudgetToRequests(t *testing.T) {
-	s := base()
+	s := testSettings()
 	setBudget(&s, 10*time.Second, 8, 0)
 	d := start(t, s, ready(1, 2, 3, 4)...)
 	var in []Event
@@ -51,7 +51,7 @@
 	}
 	n, first := 0, 0
 	for now := 2 * time.Second; now < 12*time.Second; now += 100 * ms {
-		l := pickOut[LoadOrder](d.Step(now, in))
+		l := actionsOf[LoadOrder](d.Step(now, in))
 		if in = nil; n == 0 {
 			first = len(l)
 		}
@@ -69,13 +69,13 @@
 }
 
 func TestAdviceLoadsNothingAtADrainingWorker(t *testing.T) {
-	d := start(t, base(), ready(1, 2)...)
+	d := start(t, testSettings(), ready(1, 2)...)
 	d.Step(2*time.Second, []Event{WorkerRank{Worker: 1, Rank: 1, Until: time.Hour},
 		DesiredCopies{Function: 7, Copies: 2, Until: time.Hour}})
 	drained := ready(1, 2)
 	drained[0].State = Draining
 	for now := 2 * time.Second; now < 30*time.Second; now += 100 * ms {
-		for _, h := range pickOut[LoadOrder](d.Step(now,
+		for _, h := range actionsOf[LoadOrder](d.Step(now,
 			[]Event{ListUpdate{Kind: FullList, Workers: drained},
 				Arrival{Request: RequestID(now), Function: 7, TimeLeft: time.Second, Lanes: 2}})) {
 			if h.Worker == 1 {
--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -23,7 +23,7 @@
 	if !arrival.Resubmitted {
 		d.loadBudget.recordArrival(d.now)
 	}
-	queue := d.queues.get(arrival.Function)
+	queue := d.queues.getOrCreate(arrival.Function)
 	d.queues.arrive(queue, d.now)
 	request := &request{
 		Arrival:   arrival,
@@ -104,7 +104,7 @@
 	noTime := d.cannotMeetDeadline(request)
 	if noTime && d.now == request.arrivedAt {
 		// The mean run time rejects even a new request. Lower it, or a wrong one would never be corrected.
-		request.queue.meanRunTime = mean(request.queue.meanRunTime, 0)
+		request.queue.meanRunTime = ewma(request.queue.meanRunTime, 0)
 	}
 	switch {
 	case request.hasOutstanding():
@@ -145,9 +145,9 @@
 		if limits := &d.settings.Limits; limits.RetryAfter && d.admission.shedding() {
 			reject.RetryAfter = d.admission.retryAfter(limits.MaxRetryAfter, d.random)
 		}
-		d.do(reject)
+		d.emit(reject)
 	} else {
-		d.do(Fail{Request: request.Request})
+		d.emit(Fail{Request: request.Request})
 	}
 	d.end(request)
 }
@@ -168,7 +168,7 @@
 func (d *Dispatcher) cancel(request *request, i int) {
 	if a := &request.attempts[i]; d.settings.Limits.Cancel && !a.done && !a.abandoned {
 		a.abandoned = true
-		d.do(Cancel{Request: request.Request, Attempt: i})
+		d.emit(Cancel{Request: request.Request, Attempt: i})
 	}
 }
 
@@ -178,7 +178,7 @@
 	work := d.classRunTime[request.Class]
 	d.queues.dequeue(request)
 	request.mayHedge = false
-	d.queues.sent(queue, d.runTime(request), d.now)
+	d.queues.charge(queue, d.runTime(request), d.now)
 	if worker.outstanding == 0 {
 		worker.waitingSince = d.now
 	}
@@ -206,7 +206,7 @@
 		awaitsLoad: awaitsLoad,
 	})
 	timeout := max(request.answerBy-d.now, d.settings.Tick)
-	d.do(Send{Request: request.Request, Worker: worker.ID, Timeout: timeout})
+	d.emit(Send{Request: request.Request, Worker: worker.ID, Timeout: timeout})
 }
 
 // release ends an attempt's hold on its worker and notes whether it may have run.
@@ -229,7 +229,7 @@
 		delete(request.queue.placements, worker)
 	}
 	worker.waitingSince = d.now
-	d.queues.ended(request.queue, d.now)
+	d.queues.recordOutcome(request.queue, d.now)
 	d.slowStart.ended(&worker.warmup, attempt.work, outcome)
 }
 
@@ -292,9 +292,9 @@
 // learnRunTime follows the run times of the function, its class and the worker, in seconds, and with them the
 // worker's concurrency limit.
 func (d *Dispatcher) learnRunTime(request *request, worker *worker, took float64, late bool) {
-	request.queue.meanRunTime = mean(request.queue.meanRunTime, took)
-	d.classRunTime[request.Class] = mean(d.classRunTime[request.Class], took)
-	ratio := mean(worker.limit.latencyRatio, took/d.classRunTime[request.Class])
+	request.queue.meanRunTime = ewma(request.queue.meanRunTime, took)
+	d.classRunTime[request.Class] = ewma(d.classRunTime[request.Class], took)
+	ratio := ewma(worker.limit.latencyRatio, took/d.classRunTime[request.Class])
 	d.peerLatency.set(&worker.limit, ratio, worker.State != Removed)
 	headroom := d.slowRatio(request) / worker.limit.latencyRatio
 	worker.limit.onAnswer(headroom, late, tokenStep(d.settings.Controllers))
@@ -321,5 +321,5 @@
 
 // observeCrowding follows how many workers a function needs, by what a request met at one.
 func (d *Dispatcher) observeCrowding(q *queue, met int, lanes float64, slow bool) {
-	q.spread.observe(met, lanes, slow, manyControllers(d.settings.Controllers, lanes), len(d.order))
+	q.spread.observe(met, lanes, slow, manyControllers(d.settings.Controllers, lanes), len(d.listed))
 }
--- a/scheduler/attempts_test.go
+++ b/scheduler/attempts_test.go
@@ -8,7 +8,7 @@
 // A request gets one answer before its time is over, also when no worker can take it.
 func TestEveryRequestGetsOneAnswerInTime(t *testing.T) {
 	for _, class := range []int{0, 1, 2} {
-		d := start(t, base())
+		d := start(t, testSettings())
 		answers := 0
 		for now := time.Second; now < 6*time.Second; now += 2 * ms {
 			var events []Event
@@ -16,7 +16,7 @@
 				events = []Event{arrival(1, class, 7)}
 			}
 			actions := d.Step(now, events)
-			n := len(pickOut[Reject](actions)) + len(pickOut[Fail](actions))
+			n := len(actionsOf[Reject](actions)) + len(actionsOf[Fail](actions))
 			if n > 0 && now >= 4*time.Second {
 				t.Errorf("class %d: answered at %v, the client left at 4s", class, now)
 			}
@@ -32,11 +32,11 @@
 }
 
 func TestRequestWithoutTimeIsRejectedAtOnce(t *testing.T) {
-	d := start(t, base(), ready(1)...)
+	d := start(t, testSettings(), ready(1)...)
 	a := arrival(1, 2, 7)
 	a.TimeLeft = 0
 	got := d.Step(time.Second, []Event{a})
-	if len(pickOut[Reject](got)) != 1 || len(pickOut[Send](got)) != 0 {
+	if len(actionsOf[Reject](got)) != 1 || len(actionsOf[Send](got)) != 0 {
 		t.Errorf("got %v, want one Refuse and no Send", got)
 	}
 }
@@ -44,16 +44,16 @@
 // A request of a function that was never served is rejected a run time of its class before its time is over, not at
 // the last moment at which an answer can still arrive. One with little time is not rejected as it arrives.
 func TestUnservedRequestIsRejectedARunTimeBeforeItsEnd(t *testing.T) {
-	d := start(t, base()) // no worker is known
+	d := start(t, testSettings()) // no worker is known
 	now := 2 * time.Second
 	if l := d.Step(now, []Event{arrival(1, 0, 7), Arrival{Request: 2, Function: 8, TimeLeft: 100 * ms,
-		Lanes: 2}}); len(pickOut[Reject](l)) > 0 {
+		Lanes: 2}}); len(actionsOf[Reject](l)) > 0 {
 		t.Fatal("given up as they came")
 	}
 	run := seconds(guessRun * 0.5) // of the objective
 	at := map[RequestID]time.Duration{}
 	for end := now + 4*time.Second; now < end; now += 2 * ms {
-		for _, r := range pickOut[Reject](d.Step(now, nil)) {
+		for _, r := range actionsOf[Reject](d.Step(now, nil)) {
 			at[r.Request] = now - 2*time.Second
 		}
 	}
@@ -69,11 +69,11 @@
 func TestRequestThatCannotBeServedIsAnsweredAtOnce(t *testing.T) {
 	// keyed starts a keyed request that may have run and is queued for its only mate, which is off the ring.
 	keyed := func(t *testing.T, duplicate bool) (d *Dispatcher, home WorkerID, sent time.Duration) {
-		s := base()
+		s := testSettings()
 		s.Limits.HedgedRequests = duplicate
 		d = start(t, s, ready(1, 2, 3, 4)...)
-		home = pickOut[Send](d.Step(time.Second, []Event{arrival(1, 1, 7)}))[0].Worker
-		for _, w := range d.order {
+		home = actionsOf[Send](d.Step(time.Second, []Event{arrival(1, 1, 7)}))[0].Worker
+		for _, w := range d.listed {
 			if w.ID != home {
 				d.setEjected(w, true)
 				w.Group, w.ejectedUntil = int(home), time.Hour
@@ -98,7 +98,7 @@
 			d, home, _ := keyed(t, false)
 			d.Step(1020*ms, []Event{AttemptEnded{Request: 1, Worker: home, Outcome: Error}})
 			var gone []WorkerInfo
-			for _, w := range d.order {
+			for _, w := range d.listed {
 				if w.Group == int(home) {
 					gone = append(gone, WorkerInfo{ID: w.ID, State: Removed})
 				}
@@ -115,25 +115,25 @@
 			return d, sent + 2100*ms, sent + 2200*ms, []Event{AttemptEnded{Request: 1, Worker: home, Outcome: Reset}}
 		}, true},
 		{"too late for any answer", func(t *testing.T) (*Dispatcher, time.Duration, time.Duration, []Event) {
-			d := start(t, base(), ready(1, 2)...)
-			for _, w := range d.order {
+			d := start(t, testSettings(), ready(1, 2)...)
+			for _, w := range d.listed {
 				w.limit.tokens, w.limit.inUse, w.awaitingLoad = 1, 1, 9
 			}
-			d.queues.get(7).meanRunTime = 0.4
+			d.queues.getOrCreate(7).meanRunTime = 0.4
 			d.Step(time.Second, []Event{arrival(1, 0, 7)})
 			return d, 3580 * ms, 3600 * ms, nil
 		}, false},
 		{"past its aim, home barred for loads beyond its time", func(t *testing.T) (*Dispatcher, time.Duration,
 			time.Duration, []Event) {
-			d := start(t, base(), ready(1, 2)...)
-			for _, w := range d.order {
+			d := start(t, testSettings(), ready(1, 2)...)
+			for _, w := range d.listed {
 				w.loadBackoff.until = 8 * time.Second
 			}
 			d.Step(time.Second, []Event{arrival(1, 0, 7)})
 			return d, 1300 * ms, 1500 * ms, []Event{Timer{}}
 		}, false},
 		{"does not pass", func(t *testing.T) (*Dispatcher, time.Duration, time.Duration, []Event) {
-			d := start(t, base(), ready(1, 2)...)
+			d := start(t, testSettings(), ready(1, 2)...)
 			d.admission.fraction = 0
 			return d, time.Second, time.Second, []Event{arrival(1, 0, 7)}
 		}, false},
@@ -141,11 +141,11 @@
 	for _, tt := range tests {
 		d, before, at, events := tt.run(t)
 		got := d.Step(before, nil)
-		if n := len(pickOut[Fail](got)) + len(pickOut[Reject](got)); n > 0 {
+		if n := len(actionsOf[Fail](got)) + len(actionsOf[Reject](got)); n > 0 {
 			t.Errorf("%s: answered before: %v", tt.name, got)
 		}
 		got = d.Step(at, events)
-		fails, refusals := len(pickOut[Fail](got)), len(pickOut[Reject](got))
+		fails, refusals := len(actionsOf[Fail](got)), len(actionsOf[Reject](got))
 		if tt.fail && (fails != 1 || refusals != 0) || !tt.fail && (fails != 0 || refusals != 1) {
 			t.Errorf("%s: %d failures, %d refusals in that step", tt.name, fails, refusals)
 		}
@@ -154,11 +154,11 @@
 
 // A mean run time that is longer than any client waits must not exclude a function for good.
 func TestTooLongMeanRunTimeIsCorrected(t *testing.T) {
-	d := start(t, base(), ready(1, 2)...)
-	d.queues.get(7).meanRunTime = 60
+	d := start(t, testSettings(), ready(1, 2)...)
+	d.queues.getOrCreate(7).meanRunTime = 60
 	for i := 1; i <= 100; i++ {
 		got := d.Step(time.Second+time.Duration(i)*10*ms, []Event{arrival(RequestID(i), 0, 7)})
-		if n := len(pickOut[Send](got)); i == 1 && n > 0 {
+		if n := len(actionsOf[Send](got)); i == 1 && n > 0 {
 			t.Error("the first is sent, want it refused: it cannot be answered in its time")
 		} else if n > 0 {
 			return
@@ -169,21 +169,21 @@
 
 // A request that waits for a second copy is not answered while its first attempt is outstanding.
 func TestRequestThatMayYetBeServedWaits(t *testing.T) {
-	s := base()
+	s := testSettings()
 	s.Limits.HedgedRequests = true
 	d := start(t, s, ready(1, 2)...)
-	home := pickOut[Send](d.Step(time.Second, []Event{arrival(1, 0, 7)}))[0].Worker
+	home := actionsOf[Send](d.Step(time.Second, []Event{arrival(1, 0, 7)}))[0].Worker
 	d.reassign(d.workers[home])
-	for _, w := range d.order {
+	for _, w := range d.listed {
 		w.loadBackoff.until = time.Hour
 	}
 	d.admission.fraction = 0
 	for now := 1010 * ms; now < 3900*ms; now += 10 * ms {
-		if got := d.Step(now, nil); len(pickOut[Reject](got))+len(pickOut[Fail](got)) > 0 {
+		if got := d.Step(now, nil); len(actionsOf[Reject](got))+len(actionsOf[Fail](got)) > 0 {
 			t.Fatalf("%v: %v, want the outcome awaited", now, got)
 		}
 	}
-	if got := d.Step(4*time.Second, nil); len(pickOut[Reject](got)) != 1 {
+	if got := d.Step(4*time.Second, nil); len(actionsOf[Reject](got)) != 1 {
 		t.Errorf("at its end: %v, want a refusal", got)
 	}
 }
--- a/scheduler/concurrency_step_test.go
+++ b/scheduler/concurrency_step_test.go
@@ -7,7 +7,7 @@
 
 // The concurrency limit halves after a rejection.
 func TestRejectionHalvesTokens(t *testing.T) {
-	d := start(t, base(), ready(1)...)
+	d := start(t, testSettings(), ready(1)...)
 	w := d.workers[1]
 	w.limit.tokens = 8
 	d.Step(time.Second, []Event{arrival(1, 0, 7)})
@@ -24,10 +24,10 @@
 		controllers int
 		falls       bool
 	}{{3, true}, {8, true}, {9, false}, {200, false}} { // two lanes, four controllers to a lane
-		s := base()
+		s := testSettings()
 		s.Controllers = tt.controllers
 		d := start(t, s, ready(1, 2, 3)...)
-		for _, w := range d.order {
+		for _, w := range d.listed {
 			d.peerLatency.set(&w.limit, 1, true)
 		}
 		w := d.workers[2]
@@ -53,13 +53,13 @@
 // From i9cf6b9 and days with slow workers: a worker far slower than its peers gets less than one token where many
 // controllers send to it.
 func TestSlowWorkerHasLessThanOneToken(t *testing.T) {
-	s := base()
+	s := testSettings()
 	s.Controllers = 20
 	d := start(t, s, ready(1, 2, 3)...)
 	now, share := time.Second, map[WorkerID]int{}
 	for i := RequestID(1); i <= 300; i++ {
 		now += 30 * ms
-		for _, a := range pickOut[Send](d.Step(now, []Event{arrival(i, 0, FunctionID(i%6))})) {
+		for _, a := range actionsOf[Send](d.Step(now, []Event{arrival(i, 0, FunctionID(i%6))})) {
 			took := 20 * ms
 			if a.Worker == 1 {
 				took = 300 * ms
--- a/scheduler/copies.go
+++ b/scheduler/copies.go
@@ -73,10 +73,10 @@
 	if !d.loadBudget.take(d.now) {
 		return false
 	}
-	placed := d.queues.get(function).placement(worker)
+	placed := d.queues.getOrCreate(function).placement(worker)
 	placed.pendingOrders++
 	placed.loadStartedAt = d.now
-	d.do(LoadOrder{Worker: worker.ID, Function: function, Copies: 1})
+	d.emit(LoadOrder{Worker: worker.ID, Function: function, Copies: 1})
 	return true
 }
 
@@ -110,9 +110,9 @@
 
 // stageCopies orders the copies of a function that is about to be called, at the first workers of its walk.
 func (d *Dispatcher) stageCopies(staged StagedCopies) {
-	queue := d.queues.get(staged.Function)
+	queue := d.queues.getOrCreate(staged.Function)
 	missing := staged.Copies
-	for i := 0; missing > 0 && i < len(d.order); i++ {
+	for i := 0; missing > 0 && i < len(d.listed); i++ {
 		if w := queue.worker(i); d.ready(w) && d.ensureCopy(queue, w) {
 			missing--
 		}
@@ -124,14 +124,14 @@
 func (d *Dispatcher) renewCopies() {
 	for queue := d.queues.nextRenewal(d.now); queue != nil; queue = d.queues.nextRenewal(d.now) {
 		i := 0
-		for i < len(d.order) && !d.ready(queue.worker(i)) {
+		for i < len(d.listed) && !d.ready(queue.worker(i)) {
 			i++
 		}
-		if i == len(d.order) || !d.orderLoad(queue.worker(i), queue.function) {
+		if i == len(d.listed) || !d.orderLoad(queue.worker(i), queue.function) {
 			return // no worker is ready, or there is no budget: for no function
 		}
 		queue.lastRenewalAt = d.now
-		d.queues.touch(queue)
+		d.queues.markDirty(queue)
 	}
 }
 
@@ -156,13 +156,13 @@
 // loadDesired goes along the walk of one function, until as many workers as copies are desired have been
 // found.
 func (d *Dispatcher) loadDesired(desired DesiredCopies, mayOrder bool) {
-	queue := d.queues.get(desired.Function)
+	queue := d.queues.getOrCreate(desired.Function)
 	queue.desiredUntil = desired.Until
-	d.queues.touch(queue)
+	d.queues.markDirty(queue)
 	thisStep := max(d.now, 1)
 	interval := renewalInterval(d.settings.Loading.IdleCopyTTL)
 	missing := desired.Copies
-	for i := 0; missing > 0 && i < len(d.order); i++ {
+	for i := 0; missing > 0 && i < len(d.listed); i++ {
 		worker := queue.worker(i)
 		if !d.ready(worker) {
 			continue
--- a/scheduler/copies_test.go
+++ b/scheduler/copies_test.go
@@ -7,12 +7,12 @@
 
 // An idle active queue renews the copy at its home by an order of one copy.
 func TestIdleCopyAtHomeIsRenewedOnce(t *testing.T) {
-	d := start(t, base(), ready(1, 2)...)
-	home := pickOut[Send](d.Step(time.Second, []Event{arrival(1, 0, 7)}))[0].Worker
+	d := start(t, testSettings(), ready(1, 2)...)
+	home := actionsOf[Send](d.Step(time.Second, []Event{arrival(1, 0, 7)}))[0].Worker
 	d.Step(1100*ms, []Event{AttemptEnded{Request: 1, Worker: home, Outcome: OK, Complete: true, Note: FoundWarm}})
 	holds := 0
 	for now := 1200 * ms; now < 8*time.Second; now += 20 * ms {
-		for _, h := range pickOut[LoadOrder](d.Step(now, nil)) {
+		for _, h := range actionsOf[LoadOrder](d.Step(now, nil)) {
 			if h != (LoadOrder{Worker: home, Function: 7, Copies: 1}) || now < 1100*ms+4800*ms {
 				t.Errorf("%v: %+v", now, h)
 			}
@@ -26,35 +26,35 @@
 
 // Staged copies are ordered within the budget, at ready workers only, and once.
 func TestStagedCopiesAreOrderedOnceWithinTheBudget(t *testing.T) {
-	s := base()
+	s := testSettings()
 	setBudget(&s, 5*time.Second, 3, 0)
 	d := start(t, s, ready(1, 2, 3, 4)...)
 	l := ready(1)
 	l[0].State = Draining
 	d.Step(time.Second, []Event{ListUpdate{Kind: ListDelta, Workers: l}})
-	first := pickOut[LoadOrder](d.Step(time.Second, []Event{StagedCopies{Function: 7, Copies: 2}}))
+	first := actionsOf[LoadOrder](d.Step(time.Second, []Event{StagedCopies{Function: 7, Copies: 2}}))
 	if len(first) != 2 || first[0].Worker == 1 || first[1].Worker == 1 || first[0].Worker == first[1].Worker ||
 		first[0].Function != 7 {
 		t.Fatalf("%+v, want two orders at two ready workers", first)
 	}
-	if l := pickOut[LoadOrder](d.Step(time.Second, []Event{StagedCopies{Function: 7, Copies: 2}})); len(l) != 0 {
+	if l := actionsOf[LoadOrder](d.Step(time.Second, []Event{StagedCopies{Function: 7, Copies: 2}})); len(l) != 0 {
 		t.Errorf("told again while they load: %+v", l)
 	}
 	var held []Event
 	for _, h := range first {
 		held = append(held, LoadOrderEnded{Worker: h.Worker, Function: 7, Outcome: OK, Copies: 1})
 	}
-	if l := pickOut[LoadOrder](d.Step(2*time.Second, append(held, StagedCopies{Function: 7, Copies: 2}))); len(l) != 0 {
+	if l := actionsOf[LoadOrder](d.Step(2*time.Second, append(held, StagedCopies{Function: 7, Copies: 2}))); len(l) != 0 {
 		t.Errorf("told again while they stand: %+v", l)
 	}
-	if l := pickOut[LoadOrder](d.Step(2*time.Second, []Event{StagedCopies{Function: 8, Copies: 3}})); len(l) != 1 {
+	if l := actionsOf[LoadOrder](d.Step(2*time.Second, []Event{StagedCopies{Function: 8, Copies: 3}})); len(l) != 1 {
 		t.Errorf("%d orders, want the one that the limit leaves", len(l))
 	}
 }
 
 // From incident i45c260: an order that is rejected at once must not be repeated at once.
 func TestRejectedLoadOrderBacksOff(t *testing.T) {
-	d := start(t, base(), ready(1, 2)...)
+	d := start(t, testSettings(), ready(1, 2)...)
 	var events []Event
 	for i := 0; i < 8; i++ {
 		events = append(events, arrival(RequestID(i+1), 0, 7))
@@ -63,7 +63,7 @@
 	for now := time.Second; now < 2*time.Second; now += 10 * ms {
 		actions := d.Step(now, events)
 		events = nil
-		for _, h := range pickOut[LoadOrder](actions) {
+		for _, h := range actionsOf[LoadOrder](actions) {
 			if h.Copies > 0 {
 				holds++
 			}
--- a/scheduler/encoding_test.go
+++ b/scheduler/encoding_test.go
@@ -27,15 +27,15 @@
 		return fmt.Sprintf("wake at=%d token=%d", int64(a.At), a.Token), nil
 	case Probe:
 		return fmt.Sprintf("probe worker=%d", uint64(a.Worker)), nil
-	case Close:
+	case CloseIdleConnections:
 		return fmt.Sprintf("close worker=%d", uint64(a.Worker)), nil
-	case Gossip:
+	case PeerMessage:
 		return fmt.Sprintf("gossip to=%d payload=%s", a.To, hex.EncodeToString(a.Payload)), nil
 	case Log:
 		return "log text=" + hex.EncodeToString([]byte(a.Text)), nil
-	case Watch:
+	case WatchEndpoints:
 		return fmt.Sprintf("watch on=%t", a.On), nil
-	case Fetch:
+	case FetchEndpoints:
 		return "fetch", nil
 	case LoadOrder:
 		return fmt.Sprintf("load worker=%d function=%d copies=%d", uint64(a.Worker), uint64(a.Function), a.Copies), nil
@@ -75,11 +75,11 @@
 		{Cancel{}, Cancel{Request: 1}, Cancel{Attempt: 1}},
 		{Wake{}, Wake{At: time.Nanosecond}, Wake{Token: 1}},
 		{Probe{}, Probe{Worker: 1}},
-		{Close{}, Close{Worker: 1}},
-		{Gossip{}, Gossip{To: Everyone}, Gossip{Payload: []byte{0}}, Gossip{Payload: []byte{1}}},
+		{CloseIdleConnections{}, CloseIdleConnections{Worker: 1}},
+		{PeerMessage{}, PeerMessage{To: AllControllers}, PeerMessage{Payload: []byte{0}}, PeerMessage{Payload: []byte{1}}},
 		{Log{}, Log{Text: "a"}},
-		{Watch{}, Watch{On: true}},
-		{Fetch{}},
+		{WatchEndpoints{}, WatchEndpoints{On: true}},
+		{FetchEndpoints{}},
 		{LoadOrder{}, LoadOrder{Worker: 1}, LoadOrder{Function: 1}, LoadOrder{Copies: 1}},
 		{Unload{}, Unload{Worker: 1}, Unload{Function: 1}},
 	}
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -36,7 +36,7 @@
 // WorkerInfo is one line of the list of workers.
 type WorkerInfo struct {
 	ID        WorkerID
-	Size      float64       // see Settings.Sizes
+	Size      float64       // see Settings.SizeSource
 	StartedAt time.Duration // on the clock of Step; 0: long ago
 	Group     int           // workers that share an idempotency store: see SameGroup
 	Zone      int           // an index into Settings.Zones
@@ -83,7 +83,7 @@
 	Complete     bool          // the client has its answer: nothing more is to be done
 	Note         LoadNote
 	SameFunction int       // requests of the function that the worker already had
-	Report       []float64 // by Settings.Report
+	LoadReport   []float64 // by Settings.LoadReportFields
 }
 
 // Outcome is how an attempt, a probe or an order ended.
@@ -130,14 +130,14 @@
 
 // ProbeEnded answers a Probe.
 type ProbeEnded struct {
-	Worker  WorkerID
-	Outcome Outcome
-	Took    time.Duration
-	Report  []float64 // by Settings.Report
+	Worker     WorkerID
+	Outcome    Outcome
+	Took       time.Duration
+	LoadReport []float64 // by Settings.LoadReportFields
 }
 
-// GossipMessage comes from another controller.
-type GossipMessage struct {
+// PeerMessageReceived comes from another controller.
+type PeerMessageReceived struct {
 	From    int // its ControllerIndex
 	Payload []byte
 }
@@ -187,17 +187,17 @@
 	On bool // false: the takeover was called off
 }
 
-func (ListUpdate) event()      {}
-func (Arrival) event()         {}
-func (AttemptEnded) event()    {}
-func (ResponseStarted) event() {}
-func (ClientClosed) event()    {}
-func (Timer) event()           {}
-func (ProbeEnded) event()      {}
-func (GossipMessage) event()   {}
-func (LoadOrderEnded) event()  {}
-func (StagedCopies) event()    {}
-func (DesiredCopies) event()   {}
-func (WorkerRank) event()      {}
-func (BudgetHandover) event()  {}
-func (Superseded) event()      {}
+func (ListUpdate) event()          {}
+func (Arrival) event()             {}
+func (AttemptEnded) event()        {}
+func (ResponseStarted) event()     {}
+func (ClientClosed) event()        {}
+func (Timer) event()               {}
+func (ProbeEnded) event()          {}
+func (PeerMessageReceived) event() {}
+func (LoadOrderEnded) event()      {}
+func (StagedCopies) event()        {}
+func (DesiredCopies) event()       {}
+func (WorkerRank) event()          {}
+func (BudgetHandover) event()      {}
+func (Superseded) event()          {}
--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -39,7 +39,7 @@
 			d.updateWorker(info, update.Kind)
 		}
 	}
-	for _, worker := range d.order {
+	for _, worker := range d.listed {
 		if update.Kind != ListDelta && worker.listGeneration != d.listGeneration && worker.State != Removed {
 			d.depart(worker)
 		}
@@ -71,7 +71,7 @@
 	joined := &worker{limit: newConcurrencyLimit(), placements: map[*queue]*placement{}}
 	joined.member = ring.Member[*worker]{ID: uint64(id), Value: joined}
 	d.workers[id] = joined
-	d.order = append(d.order, joined)
+	d.listed = append(d.listed, joined)
 	d.outliers.track(&joined.workerHealth)
 	return joined
 }
@@ -99,8 +99,8 @@
 
 // sortWorkers puts the workers in order after a list, without those that are gone.
 func (d *Dispatcher) sortWorkers() {
-	d.order = slices.DeleteFunc(d.order, func(w *worker) bool { return w.State == Removed })
-	slices.SortFunc(d.order, func(a, b *worker) int { return cmp.Compare(a.ID, b.ID) })
+	d.listed = slices.DeleteFunc(d.listed, func(w *worker) bool { return w.State == Removed })
+	slices.SortFunc(d.listed, func(a, b *worker) int { return cmp.Compare(a.ID, b.ID) })
 }
 
 // setEjected begins or ends the ejection of a worker.
@@ -180,8 +180,8 @@
 
 // sumCapacity goes on adding up, to the last one given and including it, or to the end.
 func (d *Dispatcher) sumCapacity(last *worker) {
-	for ; d.capacity.next < len(d.order); d.capacity.next++ {
-		worker := d.order[d.capacity.next]
+	for ; d.capacity.next < len(d.listed); d.capacity.next++ {
+		worker := d.listed[d.capacity.next]
 		if last != nil && worker.ID > last.ID {
 			return
 		}
--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -8,8 +8,8 @@
 
 // Nothing new, request or order, goes to a draining worker.
 func TestDrainingWorkerGetsNothingNew(t *testing.T) {
-	d := start(t, base(), ready(1, 2)...)
-	home := pickOut[Send](d.Step(time.Second, []Event{arrival(1, 0, 7)}))[0].Worker
+	d := start(t, testSettings(), ready(1, 2)...)
+	home := actionsOf[Send](d.Step(time.Second, []Event{arrival(1, 0, 7)}))[0].Worker
 	d.Step(1100*ms, []Event{AttemptEnded{Request: 1, Worker: home, Outcome: OK, Complete: true, Took: 100 * ms,
 		Note: FoundWarm}})
 	d.Step(1200*ms, []Event{ListUpdate{Kind: ListDelta, Workers: []WorkerInfo{{ID: home, State: Draining}}}})
@@ -21,12 +21,12 @@
 			events = append(events, arrival(RequestID(100+i), 0, 7))
 		}
 		actions := d.Step(now, events)
-		for _, a := range pickOut[Send](actions) {
+		for _, a := range actionsOf[Send](actions) {
 			if a.Worker == home {
 				t.Fatalf("%v: send to a draining worker", now)
 			}
 		}
-		for _, a := range pickOut[LoadOrder](actions) {
+		for _, a := range actionsOf[LoadOrder](actions) {
 			if a.Worker == home && a.Copies > 0 {
 				t.Fatalf("%v: order to a draining worker", now)
 			}
@@ -37,11 +37,11 @@
 // A function that is always called keeps nothing of workers that are gone, also of those that went with its requests
 // outstanding.
 func TestRemovedWorkersAreForgotten(t *testing.T) {
-	d := start(t, base(), ready(1)...)
+	d := start(t, testSettings(), ready(1)...)
 	for i := RequestID(1); i <= 50; i++ {
 		id := WorkerID(i)
 		d.Step(time.Second, []Event{ListUpdate{Kind: FullList, Workers: ready(id)}})
-		sends := pickOut[Send](d.Step(time.Second, []Event{arrival(i, 0, 7)}))
+		sends := actionsOf[Send](d.Step(time.Second, []Event{arrival(i, 0, 7)}))
 		if len(sends) != 1 || sends[0].Worker != id {
 			t.Fatalf("%+v", sends)
 		}
@@ -57,8 +57,8 @@
 // outstanding at the first does not count for the second.
 func TestWorkerThatReturnsUnderItsIDIsAnother(t *testing.T) {
 	for _, one := range []bool{true, false} {
-		d := called(t, base(), 7)
-		sent := pickOut[Send](d.Step(2*time.Second, []Event{arrival(90, 0, 7)}))
+		d := startAndServe(t, testSettings(), 7)
+		sent := actionsOf[Send](d.Step(2*time.Second, []Event{arrival(90, 0, 7)}))
 		old := d.workers[sent[0].Worker]
 		gone, back := old.WorkerInfo, old.WorkerInfo
 		gone.State = Removed
@@ -69,7 +69,7 @@
 		}
 		d.Step(2010*ms, events)
 		now := d.workers[old.ID]
-		if now == old || now == nil || len(now.placements) != 0 || len(d.order) != 3 {
+		if now == old || now == nil || len(now.placements) != 0 || len(d.listed) != 3 {
 			t.Fatalf("in one list %v: the same worker %v, of which %d functions are known", one, now == old,
 				len(now.placements))
 		}
@@ -91,17 +91,17 @@
 		}
 		return l
 	}
-	d := start(t, base(), many(1)...)
+	d := start(t, testSettings(), many(1)...)
 	var sent []Send
 	for i := range RequestID(300) {
-		sent = append(sent, pickOut[Send](d.Step(2*time.Second, []Event{arrival(i+1, 0, FunctionID(i+1))}))...)
+		sent = append(sent, actionsOf[Send](d.Step(2*time.Second, []Event{arrival(i+1, 0, FunctionID(i+1))}))...)
 	}
 	if len(sent) < 290 {
 		t.Fatalf("%d of 300 sent: the test tests too little", len(sent))
 	}
 	d.Step(3*time.Second, []Event{ListUpdate{Kind: FullList, Workers: many(5000)}})
-	if len(d.order) != 2000 || d.order[0].ID != 5000 || d.ring.Len() != 2000 {
-		t.Errorf("%d listed from %d on, %d on the ring", len(d.order), d.order[0].ID, d.ring.Len())
+	if len(d.listed) != 2000 || d.listed[0].ID != 5000 || d.ring.Len() != 2000 {
+		t.Errorf("%d listed from %d on, %d on the ring", len(d.listed), d.listed[0].ID, d.ring.Len())
 	}
 	checkIndexes(t, d)
 	var answers []Event
@@ -122,10 +122,10 @@
 
 // Workers are in the order of their IDs, whatever order they came in.
 func TestWorkersAreOrderedByID(t *testing.T) {
-	d := start(t, base(), ready(5, 2, 9)...)
+	d := start(t, testSettings(), ready(5, 2, 9)...)
 	d.Step(2*time.Second, []Event{ListUpdate{Kind: ListDelta, Workers: ready(1, 7, 3)}})
-	if !slices.IsSortedFunc(d.order, byID) || len(d.order) != 6 {
-		t.Errorf("%d workers, sorted %v", len(d.order), slices.IsSortedFunc(d.order, byID))
+	if !slices.IsSortedFunc(d.listed, byID) || len(d.listed) != 6 {
+		t.Errorf("%d workers, sorted %v", len(d.listed), slices.IsSortedFunc(d.listed, byID))
 	}
 	checkIndexes(t, d)
 }
@@ -134,18 +134,18 @@
 // later: a check may end an ejection on the way, and with it the others are no longer more than the half from which
 // ejections are ignored.
 func TestCapacityCountsWorkersAsHealthChecksFoundThem(t *testing.T) {
-	s := base()
+	s := testSettings()
 	s.Loading.Orders, s.Limits.Probe = false, false // a worker that cannot be asked is taken back when its time is over
-	d := called(t, s, 7)
-	first, second := d.order[0], d.order[1]
+	d := startAndServe(t, s, 7)
+	first, second := d.listed[0], d.listed[1]
 	d.setEjected(first, true)
 	d.setEjected(second, true)
 	first.ejectedUntil, second.ejectedUntil = time.Hour, 0
 	d.now = time.Minute
 	d.checkHealth()
-	if !first.ejected || second.ejected || d.Effort().Summed > 2 {
+	if !first.ejected || second.ejected || d.Effort().SummedWorkers > 2 {
 		t.Fatalf("ejected %v and %v, want the first only; %d shares added up on the way, want 2 at the most",
-			first.ejected, second.ejected, d.Effort().Summed)
+			first.ejected, second.ejected, d.Effort().SummedWorkers)
 	}
 	if got := d.readyCapacity(); got != 3 {
 		t.Errorf("%v ready, want all 3: two of three were under suspicion when health came to the first two", got)
--- a/scheduler/helpers_test.go
+++ b/scheduler/helpers_test.go
@@ -8,8 +8,8 @@
 
 const ms = time.Millisecond
 
-// base returns settings of a small deployment with one class of each idempotency.
-func base() Settings {
+// testSettings returns settings of a small deployment with one class of each idempotency.
+func testSettings() Settings {
 	return Settings{Controllers: 1, Tick: 2 * ms,
 		Classes: []Class{
 			{Name: "safe", Idempotency: Idempotent, LatencyObjective: 500 * ms, Deadline: 4 * time.Second,
@@ -60,14 +60,14 @@
 
 // walk returns the listed workers in the order of the queue's walk.
 func walk(d *Dispatcher, q *queue) (l []*worker) {
-	for i := range d.order {
+	for i := range d.listed {
 		l = append(l, q.worker(i))
 	}
 	return l
 }
 
-// pickOut returns the actions of one type.
-func pickOut[T Action](actions []Action) (l []T) {
+// actionsOf returns the actions of one type.
+func actionsOf[T Action](actions []Action) (l []T) {
 	for _, a := range actions {
 		if a, ok := a.(T); ok {
 			l = append(l, a)
@@ -95,7 +95,7 @@
 		if i < n {
 			events = append(events, arrival(RequestID(from)+RequestID(i), 0, FunctionID(i%3)))
 		}
-		for _, a := range pickOut[Send](d.Step(now, events)) {
+		for _, a := range actionsOf[Send](d.Step(now, events)) {
 			pending = append(pending, out{AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: o, Took: took,
 				Complete: o == OK, Attempt: len(d.requests[a.Request].attempts) - 1}, now + took})
 		}
--- a/scheduler/loadbudget_step_test.go
+++ b/scheduler/loadbudget_step_test.go
@@ -7,14 +7,14 @@
 
 // A request that the controller has accepted before earns no load budget again.
 func TestResubmittedRequestEarnsNoLoad(t *testing.T) {
-	s := base()
+	s := testSettings()
 	setBudget(&s, 5*time.Second, 0, 1)
 	for _, again := range []bool{false, true} {
 		d := start(t, s, ready(1, 2)...)
 		a := arrival(1, 0, 5)
 		a.Resubmitted = again
 		d.Step(time.Second, []Event{a})
-		l := pickOut[LoadOrder](d.Step(time.Second, []Event{StagedCopies{Function: 9, Copies: 1}}))
+		l := actionsOf[LoadOrder](d.Step(time.Second, []Event{StagedCopies{Function: 9, Copies: 1}}))
 		if (len(l) == 1) == again {
 			t.Errorf("again %v: %d orders", again, len(l))
 		}
@@ -24,7 +24,7 @@
 // Two processes of one controller, one after the other, keep one load budget, and the one that is superseded sends
 // nothing to warming workers.
 func TestTwoProcessesShareOneLoadBudget(t *testing.T) {
-	s := base()
+	s := testSettings()
 	setBudget(&s, 10*time.Second, 8, 0)
 	old, next := start(t, s, ready(1, 2, 3, 4)...), start(t, s, ready(1, 2, 3, 4)...)
 	want := func(n int) (in []Event) {
@@ -33,18 +33,18 @@
 		}
 		return in
 	}
-	first := len(pickOut[LoadOrder](old.Step(2*time.Second, want(1))))
+	first := len(actionsOf[LoadOrder](old.Step(2*time.Second, want(1))))
 	old.Step(3*time.Second, []Event{Superseded{On: true}})
 	for f := range 10 { // prepared for calls beyond home, which advice does not limit
-		if old.ensureCopy(old.queues.get(FunctionID(100+f)), old.order[0]) {
+		if old.ensureCopy(old.queues.getOrCreate(FunctionID(100+f)), old.listed[0]) {
 			t.Fatal("a retired one orders a load")
 		}
 	}
 	next.Step(3*time.Second, []Event{old.BudgetHandover()})
 	n := 0
 	for f := range 20 {
-		for _, w := range next.order {
-			if next.ensureCopy(next.queues.get(FunctionID(200+f)), w) {
+		for _, w := range next.listed {
+			if next.ensureCopy(next.queues.getOrCreate(FunctionID(200+f)), w) {
 				n++
 			}
 		}
@@ -59,7 +59,7 @@
 	if !old.loadBudget.allows(old.now) {
 		t.Error("one that goes on has no budget")
 	}
-	w := old.order[0]
+	w := old.listed[0]
 	w.warmingSince, w.StartedAt = 4*time.Second, 4*time.Second
 	old.Step(5*time.Second, []Event{Superseded{On: true}})
 	w.credit = 100
@@ -73,7 +73,7 @@
 
 // Each order is within the load budget.
 func TestOrdersKeepTheLoadBudget(t *testing.T) {
-	s := base()
+	s := testSettings()
 	setBudget(&s, 5*time.Second, 2, 0.1)
 	d := start(t, s, ready(1, 2, 3)...)
 	var taken, orders []time.Duration
--- a/scheduler/numbers.go
+++ b/scheduler/numbers.go
@@ -3,20 +3,20 @@
 import "time"
 
 const (
-	// meanWeight is the weight of a new sample in its mean: it follows a change within some five samples.
-	meanWeight = 0.2
+	// ewmaWeight is the weight of a new sample in its mean: it follows a change within some five samples.
+	ewmaWeight = 0.2
 	// maxMeanMultiple is how many times its mean a sample counts at most: one rare long run is not the rule.
 	maxMeanMultiple = 4.0
 	// jitter is the part of a time by which it is varied, so that those who saw the same do not act in step.
 	jitter = 0.5
 )
 
-// mean returns an exponentially weighted mean with a new sample. A mean of 0 has no sample yet.
-func mean(old, sample float64) float64 {
+// ewma returns an exponentially weighted ewma with a new sample. A ewma of 0 has no sample yet.
+func ewma(old, sample float64) float64 {
 	if old == 0 {
 		return sample
 	}
-	return old + meanWeight*(min(sample, maxMeanMultiple*old)-old)
+	return old + ewmaWeight*(min(sample, maxMeanMultiple*old)-old)
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
@@ -29,5 +29,5 @@
 	return x ^ x>>31
 }
 
-// unit maps a number to [0, 1).
-func unit(x uint64) float64 { return float64(x>>11) / (1 << 53) }
+// unitInterval maps a number to [0, 1).
+func unitInterval(x uint64) float64 { return float64(x>>11) / (1 << 53) }
--- a/scheduler/outlier.go
+++ b/scheduler/outlier.go
@@ -99,13 +99,13 @@
 func (o *outlierDetector) onSuccess(health *workerHealth) {
 	health.consecutiveFailures = 0
 	health.ejections = 0
-	o.setErrorRate(health, health.errorRate*(1-meanWeight))
+	o.setErrorRate(health, health.errorRate*(1-ewmaWeight))
 }
 
 // onError notes that an attempt ended otherwise. It counts as an error if it was one of the worker's own.
 func (o *outlierDetector) onError(health *workerHealth, counts bool, now time.Duration) {
 	if counts {
-		o.setErrorRate(health, health.errorRate+meanWeight*(1-health.errorRate))
+		o.setErrorRate(health, health.errorRate+ewmaWeight*(1-health.errorRate))
 	}
 	if now >= health.avoidUntil && health.errorRate > errorRateExcess+o.errorRates.Median(0) {
 		health.avoidUntil = now + o.ejectionDuration(health.ejections)
@@ -204,9 +204,9 @@
 func (d *Dispatcher) probe(worker *worker) bool {
 	switch {
 	case d.settings.Loading.Orders && worker.lastFunction != 0:
-		d.do(LoadOrder{Worker: worker.ID, Function: worker.lastFunction})
+		d.emit(LoadOrder{Worker: worker.ID, Function: worker.lastFunction})
 	case d.settings.Limits.Probe:
-		d.do(Probe{Worker: worker.ID})
+		d.emit(Probe{Worker: worker.ID})
 	default:
 		return false
 	}
@@ -216,7 +216,7 @@
 
 // ready tells whether a worker may be sent anything new.
 func (d *Dispatcher) ready(w *worker) bool {
-	return w.State == Ready && (!w.ejected || d.outliers.suspicious(len(d.order)))
+	return w.State == Ready && (!w.ejected || d.outliers.suspicious(len(d.listed)))
 }
 
 // workerAnswered notes the outcome of anything that was asked of a worker: any answer is a sign of life.
--- a/scheduler/outlier_step_test.go
+++ b/scheduler/outlier_step_test.go
@@ -18,7 +18,7 @@
 		{"all workers", func(_ WorkerID, i RequestID) bool { return i%5 > 0 }, true},
 		{"none", func(WorkerID, RequestID) bool { return false }, true},
 	} {
-		d := start(t, base(), ready(1, 2, 3)...)
+		d := start(t, testSettings(), ready(1, 2, 3)...)
 		now, tries := time.Second, map[RequestID]int{}
 		sent := map[bool]int{} // at worker 1 from request 101 on, by whether the request was idempotent
 		for i := RequestID(1); i <= 400; i++ {
@@ -58,7 +58,7 @@
 
 // The time of avoidance grows while every answer is an error, and ends with the errors.
 func TestAvoidanceGrowsAndEnds(t *testing.T) {
-	d := start(t, base(), ready(1, 2, 3)...)
+	d := start(t, testSettings(), ready(1, 2, 3)...)
 	w := d.workers[1]
 	var spans []time.Duration
 	for len(spans) < 3 {
@@ -75,7 +75,7 @@
 	r := arrival(1, 2, 7)
 	d.Step(w.avoidUntil+time.Second, []Event{r})
 	for range 10 {
-		w.errorRate *= 1 - meanWeight // as ten answers do
+		w.errorRate *= 1 - ewmaWeight // as ten answers do
 	}
 	d.outliers.onError(&w.workerHealth, true, d.now)
 	if d.now < w.avoidUntil {
@@ -85,7 +85,7 @@
 
 // An ejected worker that fails the probe at the end of its time is not probed again in every step.
 func TestEjectedWorkerIsNotProbedInEveryStep(t *testing.T) {
-	d := start(t, base(), ready(1, 2, 3)...)
+	d := start(t, testSettings(), ready(1, 2, 3)...)
 	for i := RequestID(1); i <= 8; i++ {
 		d.Step(time.Second, []Event{arrival(i, 0, FunctionID(i))})
 	}
@@ -94,11 +94,11 @@
 	for now := time.Second; now < 10*time.Second; now += 10 * ms {
 		actions := d.Step(now, events)
 		events = nil
-		for _, a := range pickOut[Send](actions) {
+		for _, a := range actionsOf[Send](actions) {
 			events = append(events, AttemptEnded{Request: a.Request, Attempt: len(d.requests[a.Request].attempts) - 1,
 				Worker: a.Worker, Outcome: ConnectFailed})
 		}
-		for _, a := range pickOut[LoadOrder](actions) {
+		for _, a := range actionsOf[LoadOrder](actions) {
 			asked++
 			events = append(events, LoadOrderEnded{Worker: a.Worker, Function: a.Function, Outcome: ConnectFailed})
 		}
@@ -110,15 +110,15 @@
 
 // Ejections never leave no worker ready.
 func TestEjectionsLeaveWorkersReady(t *testing.T) {
-	d := start(t, base(), ready(1, 2, 3)...)
+	d := start(t, testSettings(), ready(1, 2, 3)...)
 	for i := RequestID(1); i < 30; i++ {
 		now := time.Second + time.Duration(i)*50*ms
-		for _, a := range pickOut[Send](d.Step(now, []Event{arrival(i, 0, FunctionID(i))})) {
+		for _, a := range actionsOf[Send](d.Step(now, []Event{arrival(i, 0, FunctionID(i))})) {
 			d.Step(now, []Event{AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: ConnectFailed}})
 		}
 	}
 	up := 0
-	for _, w := range d.order {
+	for _, w := range d.listed {
 		if d.ready(w) {
 			up++
 		}
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -85,8 +85,8 @@
 // ordered to load one and sent to once it is loaded. A home without a token is waited for, before a further
 // copy is loaded.
 func (d *Dispatcher) pick(queue *queue, request *request) *worker {
-	found := search{queue: queue, request: request, placeable: len(d.order) == 0}
-	from := queue.spread.start(request.Request, len(d.order))
+	found := search{queue: queue, request: request, placeable: len(d.listed) == 0}
+	from := queue.spread.start(request.Request, len(d.listed))
 	for worker := range d.candidates(queue, from, &found.narrow) {
 		if d.consider(&found, worker) {
 			return worker
@@ -184,7 +184,7 @@
 // of them. The position of a request is a hash, which falls as it waits, so that it comes to be accepted.
 // One that the worker had before is the last to be accepted.
 func (d *Dispatcher) accepts(request *request, worker *worker) bool {
-	position := unit(mix(uint64(request.Request) ^ uint64(worker.ID)))
+	position := unitInterval(mix(uint64(request.Request) ^ uint64(worker.ID)))
 	if slices.ContainsFunc(request.attempts, func(a attempt) bool { return a.worker == worker }) {
 		position = 1
 	}
--- a/scheduler/placement_test.go
+++ b/scheduler/placement_test.go
@@ -7,10 +7,10 @@
 
 // From buchung big-1: a request past its objective goes behind those that can still meet theirs.
 func TestRequestsPastTheirObjectiveGoLast(t *testing.T) {
-	d := start(t, base())
+	d := start(t, testSettings())
 	d.Step(time.Second, []Event{arrival(1, 0, 7)})
 	d.Step(2*time.Second, []Event{arrival(2, 0, 7)})
-	sent := pickOut[Send](d.Step(2002*ms, []Event{ListUpdate{Kind: FullList, Workers: ready(1)}}))
+	sent := actionsOf[Send](d.Step(2002*ms, []Event{ListUpdate{Kind: FullList, Workers: ready(1)}}))
 	if len(sent) != 1 || sent[0].Request != 2 {
 		t.Errorf("sent %v, want request 2 first: 1 is past its aim", sent)
 	}
@@ -19,11 +19,11 @@
 // From i45c260: where copies prove to be evicted, a further copy waits longer.
 func TestFurtherCopyWaitsLongerWhereCopiesAreEvicted(t *testing.T) {
 	for _, note := range []LoadNote{FoundWarm, StartedLoad} {
-		d := start(t, base(), ready(1, 2)...)
+		d := start(t, testSettings(), ready(1, 2)...)
 		now, id := time.Second, RequestID(0)
 		for range 40 {
 			id, now = id+1, now+100*ms
-			for _, a := range pickOut[Send](d.Step(now, []Event{arrival(id, 0, 7)})) {
+			for _, a := range actionsOf[Send](d.Step(now, []Event{arrival(id, 0, 7)})) {
 				d.Step(now, []Event{AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: OK, Complete: true,
 					Took: 50 * ms, Note: note}})
 			}
@@ -34,7 +34,7 @@
 			events = append(events, arrival(id, 0, 7))
 		}
 		d.Step(now, events)
-		orders := len(pickOut[LoadOrder](d.Step(now+150*ms, []Event{Timer{}}))) // a quarter of the objective is over
+		orders := len(actionsOf[LoadOrder](d.Step(now+150*ms, []Event{Timer{}}))) // a quarter of the objective is over
 		if want := note == FoundWarm; (orders > 0) != want {
 			t.Errorf("note %d: %d orders for a further copy, want some: %v", note, orders, want)
 		}
--- a/scheduler/property_test.go
+++ b/scheduler/property_test.go
@@ -53,7 +53,7 @@
 
 func rules(t *testing.T, seed uint64, seen map[string]int) {
 	rnd := rand.New(rand.NewPCG(seed, 7))
-	s := base()
+	s := testSettings()
 	s.Limits.HedgedRequests = seed%2 == 0
 	s.Limits.Cancel = seed%3 != 0
 	setBudget(&s, 5*time.Second, 3, 0.2)
--- a/scheduler/queueindex.go
+++ b/scheduler/queueindex.go
@@ -42,8 +42,8 @@
 	q.renewableEntry.Value = q
 }
 
-// touch notes that something of a queue changes on which its places depend.
-func (x *queueIndex) touch(queue *queue) {
+// markDirty notes that something of a queue changes on which its places depend.
+func (x *queueIndex) markDirty(queue *queue) {
 	if !queue.isTouched && !queue.isForgotten {
 		queue.isTouched = true
 		x.touched = append(x.touched, queue)
--- a/scheduler/queueindex_test.go
+++ b/scheduler/queueindex_test.go
@@ -48,7 +48,7 @@
 	var watchList []*worker
 	var paces, failings []float64
 	ejected := 0
-	for _, w := range d.order {
+	for _, w := range d.listed {
 		if d.workers[w.ID] != w || w.State == Removed {
 			t.Fatalf("worker %d is in the order and not known by its id, or gone", w.ID)
 		}
@@ -63,9 +63,9 @@
 		}
 		failings = append(failings, w.errorRate)
 	}
-	if !slices.Equal(watchList, d.watchList.workers) || ejected != d.outliers.ejected || d.ring.Len() != len(d.order) {
+	if !slices.Equal(watchList, d.watchList.workers) || ejected != d.outliers.ejected || d.ring.Len() != len(d.listed) {
 		t.Fatalf("%d to be watched, %d ejected, %d listed; found %d, %d, %d", len(watchList), ejected,
-			len(d.order), len(d.watchList.workers), d.outliers.ejected, d.ring.Len())
+			len(d.listed), len(d.watchList.workers), d.outliers.ejected, d.ring.Len())
 	}
 	slices.Sort(paces)
 	slices.Sort(failings)
@@ -96,7 +96,7 @@
 
 // renewals returns the functions renewed at a step, in order. An order of no copies is a probe.
 func renewals(d *Dispatcher, now time.Duration) (fns []FunctionID) {
-	for _, h := range pickOut[LoadOrder](d.Step(now, nil)) {
+	for _, h := range actionsOf[LoadOrder](d.Step(now, nil)) {
 		if h.Copies > 0 {
 			fns = append(fns, h.Function)
 		}
@@ -104,15 +104,15 @@
 	return fns
 }
 
-// called returns a dispatcher that served one call of each function at 1 s, answered at 1.1 s.
-func called(t *testing.T, s Settings, fns ...FunctionID) *Dispatcher {
+// startAndServe returns a dispatcher that served one call of each function at 1 s, answered at 1.1 s.
+func startAndServe(t *testing.T, s Settings, fns ...FunctionID) *Dispatcher {
 	t.Helper()
 	d := start(t, s, ready(1, 2, 3)...)
 	var arrivals, answers []Event
 	for i, fn := range fns {
 		arrivals = append(arrivals, arrival(RequestID(i+1), 0, fn))
 	}
-	for _, a := range pickOut[Send](d.Step(time.Second, arrivals)) {
+	for _, a := range actionsOf[Send](d.Step(time.Second, arrivals)) {
 		answers = append(answers, AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: OK, Complete: true,
 			Note: StartedLoad, Took: 100 * ms})
 	}
@@ -126,9 +126,9 @@
 // Several renewals that are due at one instant come in one step, in the order of the functions, as far as the budget
 // goes. The rest waits for it in that order.
 func TestRenewalsDueAtOnceGoByFunction(t *testing.T) {
-	s := base()
+	s := testSettings()
 	setBudget(&s, 2*time.Second, 2, 0)
-	d := called(t, s, 5, 3, 9, 4)
+	d := startAndServe(t, s, 5, 3, 9, 4)
 	due := 1100*ms + 4800*ms // 0.6 of an idle life of 8 s
 	if got := renewals(d, due-1); got != nil {
 		t.Errorf("renewed %v before the time", got)
@@ -148,8 +148,8 @@
 // A renewal moves later with each request, is not due while one is in flight, and comes only while its queue is
 // active.
 func TestRenewalMovesWithUseAndAdvice(t *testing.T) {
-	d := called(t, base(), 7)
-	sent := pickOut[Send](d.Step(5*time.Second, []Event{arrival(50, 0, 7)}))
+	d := startAndServe(t, testSettings(), 7)
+	sent := actionsOf[Send](d.Step(5*time.Second, []Event{arrival(50, 0, 7)}))
 	if len(sent) != 1 {
 		t.Fatal("not sent")
 	}
@@ -179,13 +179,13 @@
 
 // A shorter time between arrivals makes a queue's time to live end earlier than it was due.
 func TestShorterInterarrivalEndsActivityEarlier(t *testing.T) {
-	d := called(t, base(), 7)
-	q := d.queues.get(7)
+	d := startAndServe(t, testSettings(), 7)
+	q := d.queues.getOrCreate(7)
 	d.queues.reindex()
 	before := q.expiryEntry.Key()
 	for i := range 10 {
 		now := 1200*ms + time.Duration(i)*10*ms
-		for _, a := range pickOut[Send](d.Step(now, []Event{arrival(RequestID(60+i), 0, 7)})) {
+		for _, a := range actionsOf[Send](d.Step(now, []Event{arrival(RequestID(60+i), 0, 7)})) {
 			d.Step(now, []Event{AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: OK, Complete: true,
 				Note: FoundWarm, Took: ms}})
 		}
@@ -208,8 +208,8 @@
 // A function that is forgotten in the step in which it is called is kept, with what is known of it; one not called
 // is not.
 func TestFunctionCalledAsItExpiresIsKept(t *testing.T) {
-	d := called(t, base(), 7, 8)
-	q := d.queues.get(7)
+	d := startAndServe(t, testSettings(), 7, 8)
+	q := d.queues.getOrCreate(7)
 	past := 1100*ms + (8+8+16)*time.Second + 1 // time to live, idle copy's time to live, warmup time
 	d.Step(past-1, nil)
 	if d.queues.byFunction[7] != q || d.queues.byFunction[8] == nil {
@@ -226,7 +226,7 @@
 // An hour in one step: what came due meanwhile is due once, and becomes inactive and forgotten at once where both
 // times are past.
 func TestHourInOneStepExpiresOnce(t *testing.T) {
-	d := called(t, base(), 1, 2, 3)
+	d := startAndServe(t, testSettings(), 1, 2, 3)
 	if got := renewals(d, time.Hour); got != nil {
 		t.Errorf("renewed %v, of functions nobody calls any more", got)
 	}
@@ -242,7 +242,7 @@
 
 // 100,000 functions called once each are forgotten, and their memory is given back.
 func TestForgottenFunctionsFreeTheirMemory(t *testing.T) {
-	d := start(t, base(), ready(1, 2, 3, 4)...)
+	d := start(t, testSettings(), ready(1, 2, 3, 4)...)
 	heapNow := func() uint64 {
 		runtime.GC()
 		runtime.GC()
@@ -261,14 +261,14 @@
 			events = append(events, arrival(id, 0, FunctionID(id)))
 		}
 		answers := []Event{}
-		for _, a := range pickOut[Send](d.Step(now, events)) {
+		for _, a := range actionsOf[Send](d.Step(now, events)) {
 			answers = append(answers, AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: OK,
 				Complete: true, Note: FoundWarm, Took: ms})
 		}
 		for len(answers) > 0 { // what waited goes out as tokens come back
 			actions := d.Step(now, answers)
 			answers = answers[:0]
-			for _, a := range pickOut[Send](actions) {
+			for _, a := range actionsOf[Send](actions) {
 				answers = append(answers, AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: OK,
 					Complete: true, Note: FoundWarm, Took: ms})
 			}
@@ -286,7 +286,7 @@
 		t.Errorf("%d functions, %d places and %d requests are kept", len(d.queues.byFunction), indexed(d),
 			len(d.requests))
 	}
-	for _, w := range d.order {
+	for _, w := range d.listed {
 		if len(w.placements) != 0 {
 			t.Errorf("worker %d: %d functions are kept", w.ID, len(w.placements))
 		}
@@ -305,9 +305,9 @@
 	for id := WorkerID(1); id <= 500; id++ {
 		infos = append(infos, WorkerInfo{ID: id, State: Ready})
 	}
-	d := start(t, base(), infos...)
+	d := start(t, testSettings(), infos...)
 	for i := range RequestID(500) {
-		for _, a := range pickOut[Send](d.Step(time.Second, []Event{arrival(i+1, 0, FunctionID(i+1))})) {
+		for _, a := range actionsOf[Send](d.Step(time.Second, []Event{arrival(i+1, 0, FunctionID(i+1))})) {
 			d.Step(time.Second, []Event{AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: OK,
 				Complete: true, Note: FoundWarm, Took: ms}})
 		}
--- a/scheduler/queues.go
+++ b/scheduler/queues.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// get returns the queue of a function, a new one where none is kept.
-func (f *fairQueues) get(function FunctionID) *queue {
+// getOrCreate returns the queue of a function, a new one where none is kept.
+func (f *fairQueues) getOrCreate(function FunctionID) *queue {
 	if known := f.byFunction[function]; known != nil {
 		return known
 	}
@@ -84,7 +84,7 @@
 	added.walk = ring.Walk[*worker]{Ring: f.ring, From: added.hash}
 	added.setEntries()
 	f.byFunction[function] = added
-	f.touch(added)
+	f.markDirty(added)
 	return added
 }
 
@@ -101,17 +101,17 @@
 func (f *fairQueues) arrive(queue *queue, now time.Duration) {
 	if queue.lastArrivalAt > 0 {
 		since := max((now - queue.lastArrivalAt).Seconds(), f.tick.Seconds())
-		queue.meanInterarrival = mean(queue.meanInterarrival, since)
+		queue.meanInterarrival = ewma(queue.meanInterarrival, since)
 	}
 	queue.lastArrivalAt = max(now, 1)
-	f.touch(queue)
+	f.markDirty(queue)
 	f.activate(queue)
 }
 
 // activate has a queue compete, from the global virtual time on.
 func (f *fairQueues) activate(queue *queue) {
 	if !queue.active {
-		f.touch(queue)
+		f.markDirty(queue)
 		queue.active = true
 		queue.virtualTime = max(queue.virtualTime, f.globalVirtualTime)
 	}
@@ -124,7 +124,7 @@
 	}
 	request.queued = true
 	f.activate(request.queue)
-	f.touch(request.queue)
+	f.markDirty(request.queue)
 	pending := request.queue.pending
 	i, _ := slices.BinarySearchFunc(pending, request.arrivedAt+1, compareArrival)
 	request.queue.pending = slices.Insert(pending, i, request)
@@ -137,23 +137,23 @@
 func (f *fairQueues) dequeue(request *request) {
 	if request.queued {
 		request.queued = false
-		f.touch(request.queue)
+		f.markDirty(request.queue)
 		i := slices.Index(request.queue.pending, request)
 		request.queue.pending = slices.Delete(request.queue.pending, i, i+1)
 	}
 }
 
-// sent charges a queue for a request that is sent, by its expected run time in seconds.
-func (f *fairQueues) sent(queue *queue, runTime float64, now time.Duration) {
+// charge charges a queue for a request that is charge, by its expected run time in seconds.
+func (f *fairQueues) charge(queue *queue, runTime float64, now time.Duration) {
 	queue.virtualTime += runTime
-	f.touch(queue)
+	f.markDirty(queue)
 	queue.inFlight++
 	queue.lastActiveAt = now
 }
 
-// ended notes the outcome of an attempt.
-func (f *fairQueues) ended(queue *queue, now time.Duration) {
-	f.touch(queue)
+// recordOutcome notes the outcome of an attempt.
+func (f *fairQueues) recordOutcome(queue *queue, now time.Duration) {
+	f.markDirty(queue)
 	queue.inFlight--
 	queue.lastActiveAt = now
 }
@@ -166,7 +166,7 @@
 		queue := e.Value
 		queue.active = false
 		if now < f.forgetAt(queue) {
-			f.touch(queue)
+			f.markDirty(queue)
 			f.reindex()
 		} else {
 			f.forget(queue)
--- a/scheduler/queues_test.go
+++ b/scheduler/queues_test.go
@@ -11,7 +11,7 @@
 // A queue within the lead goes before one beyond it, then the longest, then the one with the fewest requests in
 // flight.
 func TestQueuesGoByLeadLengthAndRequestsInFlight(t *testing.T) {
-	d := start(t, base(), ready(1)...)
+	d := start(t, testSettings(), ready(1)...)
 	tests := []struct {
 		name string
 		a, b queue
@@ -32,8 +32,8 @@
 // A dispatch charges the queue with the function's mean run time. A newly active queue starts at the global virtual
 // time.
 func TestDispatchChargesVirtualTime(t *testing.T) {
-	d := start(t, base(), ready(1, 2)...)
-	q := d.queues.get(7)
+	d := start(t, testSettings(), ready(1, 2)...)
+	q := d.queues.getOrCreate(7)
 	q.meanRunTime = 0.2
 	d.Step(time.Second, []Event{arrival(1, 0, 7)})
 	if q.virtualTime != 0.2 {
@@ -43,7 +43,7 @@
 	if d.queues.globalVirtualTime != 0.2 {
 		t.Errorf("Global_VT %v, want the lowest active VT 0.2", d.queues.globalVirtualTime)
 	}
-	fresh := d.queues.get(8)
+	fresh := d.queues.getOrCreate(8)
 	d.queues.activate(fresh)
 	if fresh.virtualTime != d.queues.globalVirtualTime {
 		t.Errorf("new queue at %v, want Global_VT %v", fresh.virtualTime, d.queues.globalVirtualTime)
@@ -53,8 +53,8 @@
 // An empty queue stays active for two of its mean interarrival times, and before a second request for as long as an
 // idle copy stays loaded.
 func TestEmptyQueueStaysActiveForTwoInterarrivals(t *testing.T) {
-	d := start(t, base(), ready(1)...)
-	q := d.queues.get(7)
+	d := start(t, testSettings(), ready(1)...)
+	q := d.queues.getOrCreate(7)
 	if got := d.queues.timeToLive(q); got != 8*time.Second {
 		t.Errorf("before a second call: %v, want the keep-alive", got)
 	}
@@ -66,15 +66,15 @@
 
 // Every controller finds the same home, and the loss of another worker does not move it.
 func TestHomesAgreeAndStay(t *testing.T) {
-	a, b := start(t, base(), ready(1, 2, 3, 4)...), start(t, base(), ready(4, 3, 2, 1)...)
+	a, b := start(t, testSettings(), ready(1, 2, 3, 4)...), start(t, testSettings(), ready(4, 3, 2, 1)...)
 	for fn := FunctionID(1); fn < 50; fn++ {
-		home := walk(a, a.queues.get(fn))[0]
-		if got := walk(b, b.queues.get(fn))[0]; got.ID != home.ID {
+		home := walk(a, a.queues.getOrCreate(fn))[0]
+		if got := walk(b, b.queues.getOrCreate(fn))[0]; got.ID != home.ID {
 			t.Errorf("function %d: homes %d and %d", fn, home.ID, got.ID)
 		}
 		if home.ID != 4 {
-			c := start(t, base(), ready(1, 2, 3)...)
-			if got := walk(c, c.queues.get(fn))[0]; got.ID != home.ID {
+			c := start(t, testSettings(), ready(1, 2, 3)...)
+			if got := walk(c, c.queues.getOrCreate(fn))[0]; got.ID != home.ID {
 				t.Errorf("function %d moved from %d to %d as worker 4 left", fn, home.ID, got.ID)
 			}
 		}
@@ -90,24 +90,24 @@
 
 func TestGlobalVirtualTimeIsTheLowestAndNeverFalls(t *testing.T) {
 	f := queuesOf()
-	a, b := f.get(1), f.get(2)
+	a, b := f.getOrCreate(1), f.getOrCreate(2)
 	f.arrive(a, time.Second)
 	f.arrive(b, time.Second)
-	f.sent(a, 3, time.Second)
-	f.sent(b, 2, time.Second)
+	f.charge(a, 3, time.Second)
+	f.charge(b, 2, time.Second)
 	f.expire(time.Second)
 	if f.globalVirtualTime != 2 {
 		t.Errorf("global virtual time %v, want the lowest, 2", f.globalVirtualTime)
 	}
-	late := f.get(3)
+	late := f.getOrCreate(3)
 	f.arrive(late, 2*time.Second)
 	if late.virtualTime != 2 {
 		t.Errorf("a queue that becomes active begins at %v, want the global virtual time 2", late.virtualTime)
 	}
 	a.virtualTime, b.virtualTime, late.virtualTime = 1, 1, 1
-	f.touch(a)
-	f.touch(b)
-	f.touch(late)
+	f.markDirty(a)
+	f.markDirty(b)
+	f.markDirty(late)
 	f.expire(2 * time.Second)
 	if f.globalVirtualTime != 2 {
 		t.Errorf("global virtual time fell to %v", f.globalVirtualTime)
@@ -118,14 +118,14 @@
 // nothing of it is of use.
 func TestQueueExpiresAndIsForgotten(t *testing.T) {
 	f := queuesOf()
-	q := f.get(1)
+	q := f.getOrCreate(1)
 	f.arrive(q, time.Second)
-	f.sent(q, 1, time.Second)
+	f.charge(q, 1, time.Second)
 	f.expire(time.Hour)
 	if !q.active {
 		t.Fatal("expired with a request in flight")
 	}
-	f.ended(q, time.Hour)
+	f.recordOutcome(q, time.Hour)
 	f.expire(time.Hour + 8*time.Second - 1)
 	if !q.active {
 		t.Error("expired before its time to live")
@@ -142,7 +142,7 @@
 
 func TestQueueKeepsRequestsInOrderOfArrival(t *testing.T) {
 	f := queuesOf()
-	q := f.get(1)
+	q := f.getOrCreate(1)
 	var all []*request
 	for _, at := range []time.Duration{3, 1, 2, 1} {
 		r := &request{queue: q, arrivedAt: at}
--- a/scheduler/ranks.go
+++ b/scheduler/ranks.go
@@ -21,7 +21,7 @@
 	}
 	d.ranksStale = false
 	changed := false
-	for _, worker := range d.order {
+	for _, worker := range d.listed {
 		advised, _ := d.advisedRanks.find(uint64(worker.ID))
 		changed = changed || advised.Rank != worker.rank
 		worker.rank = advised.Rank
@@ -34,11 +34,11 @@
 // buildRing gives each listed worker its points, by its part of the sum of all weights.
 func (d *Dispatcher) buildRing() {
 	var sum float64
-	for _, w := range d.order {
+	for _, w := range d.listed {
 		sum += d.ringWeight(w)
 	}
-	for _, worker := range d.order {
-		points := ringPoints * d.ringWeight(worker) * float64(len(d.order)) / sum
+	for _, worker := range d.listed {
+		points := ringPoints * d.ringWeight(worker) * float64(len(d.listed)) / sum
 		tier := max(0, -worker.rank) // those avoided come after all others
 		d.ring.Place(&worker.member, max(1, int(math.Round(points))), tier)
 	}
--- a/scheduler/ranks_test.go
+++ b/scheduler/ranks_test.go
@@ -7,7 +7,7 @@
 
 // Ranks are applied when advice comes, when it ends, and for workers that join meanwhile, not at each step.
 func TestRanksFollowAdviceAndTheList(t *testing.T) {
-	d := called(t, base(), 7)
+	d := startAndServe(t, testSettings(), 7)
 	rank := func(id WorkerID, want int) {
 		t.Helper()
 		if w := d.workers[id]; w.rank != want {
@@ -15,10 +15,10 @@
 		}
 	}
 	listed := append([]WorkerInfo(nil), WorkerInfo{ID: 9, State: Ready})
-	for _, w := range d.order {
+	for _, w := range d.listed {
 		listed = append(listed, w.WorkerInfo)
 	}
-	known := d.order[0].ID
+	known := d.listed[0].ID
 	d.Step(2*time.Second, []Event{WorkerRank{Worker: known, Rank: -1, Until: 4 * time.Second},
 		WorkerRank{Worker: 9, Rank: 1, Until: 5 * time.Second}})
 	rank(known, -1)
@@ -33,8 +33,8 @@
 }
 
 func TestRankedWorkersMoveOnTheRing(t *testing.T) {
-	d := start(t, base(), ready(1, 2, 3, 4)...)
-	q := d.queues.get(7)
+	d := start(t, testSettings(), ready(1, 2, 3, 4)...)
+	q := d.queues.getOrCreate(7)
 	home := walk(d, q)[0].ID
 	d.Step(2*time.Second, []Event{WorkerRank{Worker: home, Rank: -1, Until: 5 * time.Second}})
 	if l := walk(d, q); l[3].ID != home {
@@ -53,7 +53,7 @@
 	for _, w := range []WorkerID{1, 2, 3, 4} { // of all alike: no worker is better than another
 		d.Step(9*time.Second, []Event{WorkerRank{Worker: w, Rank: -1, Until: time.Hour}})
 	}
-	if walk(d, q)[0].ID != home || len(pickOut[Send](d.Step(10*time.Second, []Event{arrival(1, 0, 7)}))) != 1 {
+	if walk(d, q)[0].ID != home || len(actionsOf[Send](d.Step(10*time.Second, []Event{arrival(1, 0, 7)}))) != 1 {
 		t.Error("a call is not sent where all workers are to be avoided")
 	}
 }
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -92,7 +92,7 @@
 
 // mayRetry tells whether the rules leave any worker for another attempt.
 func (d *Dispatcher) mayRetry(r *request) bool {
-	return slices.ContainsFunc(d.order, func(w *worker) bool { return d.retryRules.maySend(r, w, d.now) })
+	return slices.ContainsFunc(d.listed, func(w *worker) bool { return d.retryRules.maySend(r, w, d.now) })
 }
 
 // retry queues a request for another attempt, waits for one that is outstanding, or answers.
--- a/scheduler/retry_test.go
+++ b/scheduler/retry_test.go
@@ -21,8 +21,8 @@
 		{2, Cancelled, want{fails: 1}}, {2, OK, want{}},
 	}
 	for _, tt := range tests {
-		d := start(t, base(), ready(1, 2, 3)...)
-		sent := pickOut[Send](d.Step(time.Second, []Event{arrival(1, tt.class, 7)}))
+		d := start(t, testSettings(), ready(1, 2, 3)...)
+		sent := actionsOf[Send](d.Step(time.Second, []Event{arrival(1, tt.class, 7)}))
 		if len(sent) != 1 {
 			t.Fatalf("class %d: %d sends on arrival, want 1", tt.class, len(sent))
 		}
@@ -31,9 +31,9 @@
 			Complete: tt.outcome == OK})
 		for now := 1020 * ms; now < 3500*ms && got == (want{}); now += 20 * ms {
 			actions := d.Step(now, []Event{e})
-			got.sends += len(pickOut[Send](actions))
-			got.refuses += len(pickOut[Reject](actions))
-			got.fails += len(pickOut[Fail](actions))
+			got.sends += len(actionsOf[Send](actions))
+			got.refuses += len(actionsOf[Reject](actions))
+			got.fails += len(actionsOf[Fail](actions))
 			e = Timer{}
 		}
 		if got != tt.want {
@@ -46,8 +46,8 @@
 // window.
 func TestKeyedRequestIsRetriedInItsGroupOnly(t *testing.T) {
 	for _, mate := range []bool{true, false} {
-		d := start(t, base(), ready(1, 2, 3, 4)...)
-		sent := pickOut[Send](d.Step(time.Second, []Event{arrival(1, 1, 7)}))
+		d := start(t, testSettings(), ready(1, 2, 3, 4)...)
+		sent := actionsOf[Send](d.Step(time.Second, []Event{arrival(1, 1, 7)}))
 		home := sent[0].Worker
 		var news []WorkerInfo
 		for _, w := range ready(1, 2, 3, 4) {
@@ -59,11 +59,11 @@
 		d.Step(1001*ms, []Event{ListUpdate{Kind: ListDelta,
 			Workers: append(news, WorkerInfo{ID: home, State: Draining})}})
 		actions := d.Step(1020*ms, []Event{AttemptEnded{Request: 1, Worker: home, Outcome: Reset, Took: 20 * ms}})
-		again, fails := pickOut[Send](actions), pickOut[Fail](actions)
+		again, fails := actionsOf[Send](actions), actionsOf[Fail](actions)
 		if mate && (len(again) != 1 || again[0].Worker != news[0].ID) {
 			t.Errorf("with a mate: sends %v, want one to %d", again, news[0].ID)
 		}
-		if !mate && (len(again) != 0 || len(fails) != 1 || len(pickOut[Reject](actions)) != 0) {
+		if !mate && (len(again) != 0 || len(fails) != 1 || len(actionsOf[Reject](actions)) != 0) {
 			t.Errorf("without a mate: %v, want one Fail and nothing else", actions)
 		}
 	}
@@ -72,12 +72,12 @@
 // A request with an idempotency key that may have run is not sent again after its window, counted from that send.
 func TestKeyedRequestIsNotRetriedAfterItsWindow(t *testing.T) {
 	for _, at := range []time.Duration{2900 * ms, 3100 * ms} { // sent at 1 s, window 2 s
-		s := base()
+		s := testSettings()
 		s.Classes[1].DedupScope = AllWorkers
 		d := start(t, s, ready(1, 2)...)
-		home := pickOut[Send](d.Step(time.Second, []Event{arrival(1, 1, 7)}))[0].Worker
+		home := actionsOf[Send](d.Step(time.Second, []Event{arrival(1, 1, 7)}))[0].Worker
 		e := []Event{AttemptEnded{Request: 1, Worker: home, Outcome: Reset}}
-		if sent := len(pickOut[Send](d.Step(at, e))); (sent == 1) != (at < 3*time.Second) {
+		if sent := len(actionsOf[Send](d.Step(at, e))); (sent == 1) != (at < 3*time.Second) {
 			t.Errorf("reset at %v: %d further sends", at, sent)
 		}
 	}
@@ -85,7 +85,7 @@
 
 // The rules alone: which worker may have one more attempt, after attempts that may have run or not.
 func TestRetryRulesKeepIdempotency(t *testing.T) {
-	s := base()
+	s := testSettings()
 	s.Limits.HedgedRequests = true
 	rules := newRetryRules(&s)
 	first := &worker{WorkerInfo: WorkerInfo{ID: 1, State: Ready, Group: 1, Zone: 1}}
@@ -132,7 +132,7 @@
 }
 
 func TestOnlyHarmlessRequestsAreRejected(t *testing.T) {
-	s := base()
+	s := testSettings()
 	mayHaveRun := []attempt{{done: true, mayHaveRun: true}}
 	for _, tt := range []struct {
 		class  int
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -6,24 +6,24 @@
 // themselves. Fields that today's decisions do not read are part of the interface all the same: callers
 // fill them in, so that a decision may come to depend on them.
 type Settings struct {
-	ControllerIndex    int           // of this controller, from 0
-	Controllers        int           // all that share the workers, this one included; at least 1
-	Zone               int           // of this controller: an index into Zones
-	Zones              []string      // names, for people only
-	Tier               int           // an index into Tiers
-	Tiers              []string      // names, for people only
-	Kinds              []string      // of workers: names, for people only
-	Classes            []Class       // at least one; Arrival.Class is an index into them
-	Tenants            []Tenant      // Arrival.Tenant is an index into them
-	OverQuotaWeight    float64       // priority weight of a request beyond its tenant's quota
-	WeightByWork       bool          // an answer's value grows with its run time
-	ClientsMarkRetries bool          // Arrival.ClientRetry is given
-	PollForList        bool          // the list of workers comes only when it is asked for
-	Tick               time.Duration // longest time between two steps while a request is open
-	Workload           string        // name, for people only
-	Sizes              SizeMeaning   // of WorkerInfo.Size
-	Report             []ReportField // meaning of the values of a load report, in order
-	ReportVia          ReportSource
+	ControllerIndex    int               // of this controller, from 0
+	Controllers        int               // all that share the workers, this one included; at least 1
+	Zone               int               // of this controller: an index into Zones
+	Zones              []string          // names, for people only
+	Tier               int               // an index into Tiers
+	Tiers              []string          // names, for people only
+	Kinds              []string          // of workers: names, for people only
+	Classes            []Class           // at least one; Arrival.Class is an index into them
+	Tenants            []Tenant          // Arrival.Tenant is an index into them
+	OverQuotaWeight    float64           // priority weight of a request beyond its tenant's quota
+	WeightByRunTime    bool              // an answer's value grows with its run time
+	ClientsMarkRetries bool              // Arrival.ClientRetry is given
+	PollEndpoints      bool              // the list of workers comes only when it is asked for
+	Tick               time.Duration     // longest time between two steps while a request is open
+	Workload           string            // name, for people only
+	SizeSource         SizeSource        // of WorkerInfo.Size
+	LoadReportFields   []LoadReportField // meaning of the values of a load report, in order
+	LoadReportSource   LoadReportSource
 	Limits             Limits
 	Loading            Loading
 	Guarantees         Guarantees
@@ -81,7 +81,7 @@
 	HedgedRequests        bool          // a second attempt may be outstanding beside the first
 	Cancel                bool          // the Cancel action is allowed
 	Probe                 bool          // the Probe action is allowed
-	Peers                 bool          // the Gossip action is allowed
+	Peers                 bool          // the PeerMessage action is allowed
 	RetryAfter            bool          // Reject.RetryAfter reaches the client
 	MaxRetryAfter         time.Duration // longest that clients follow
 	DialTimeout           time.Duration // a connection that is not up by then has failed
@@ -111,13 +111,13 @@
 
 // Guarantees are the figures of the rules between controllers, workers and clients.
 type Guarantees struct {
-	AnswerGrace    time.Duration // a final answer this long after the deadline still counts
-	DrainGrace     time.Duration // sends to a draining or gone worker end within this
-	PollWithin     time.Duration // with PollForList: the list is asked for at least this often
-	WarmupFraction float64       // part of its capacity that a worker has at its start
-	WarmupTime     time.Duration // its capacity has grown to the whole by then
-	CollapseFactor float64       // a warming worker collapses if sent more than this multiple of its capacity
-	CollapseWindow time.Duration // for this long
+	AnswerGrace     time.Duration // a final answer this long after the deadline still counts
+	DrainGrace      time.Duration // sends to a draining or gone worker end within this
+	MaxPollInterval time.Duration // with PollEndpoints: the list is asked for at least this often
+	WarmupFraction  float64       // part of its capacity that a worker has at its start
+	WarmupTime      time.Duration // its capacity has grown to the whole by then
+	CollapseFactor  float64       // a warming worker collapses if sent more than this multiple of its capacity
+	CollapseWindow  time.Duration // for this long
 }
 
 // Goal weighs the parts of the result that a deployment is judged by.
@@ -133,39 +133,39 @@
 	Connection, CrossZone, LateFail, Discovery, Handshake, Moves, Origin, Peer, Probe, Waste float64
 }
 
-// SizeMeaning says what WorkerInfo.Size is.
-type SizeMeaning int
+// SizeSource says what WorkerInfo.Size is.
+type SizeSource int
 
-// Values of Settings.Sizes.
+// Values of Settings.SizeSource.
 const (
-	SizeNone    SizeMeaning = iota // not given
-	SizeNominal                    // as configured
-	SizeRough                      // an estimate
-	SizeLive                       // as measured now
+	SizeNone      SizeSource = iota // not given
+	SizeNominal                     // as configured
+	SizeEstimated                   // an estimate
+	SizeMeasured                    // as measured now
 )
 
-// ReportSource says where load reports come from.
-type ReportSource int
+// LoadReportSource says where load reports come from.
+type LoadReportSource int
 
-// Values of Settings.ReportVia.
+// Values of Settings.LoadReportSource.
 const (
-	NoReports        ReportSource = iota // there are none
-	ReportsInAnswers                     // with AttemptEnded
-	ReportsInProbes                      // with ProbeEnded
+	NoLoadReports          LoadReportSource = iota // there are none
+	LoadReportsInResponses                         // with AttemptEnded
+	LoadReportsInProbes                            // with ProbeEnded
 )
 
-// A ReportField is the meaning of one value of a load report.
-type ReportField int
+// A LoadReportField is the meaning of one value of a load report.
+type LoadReportField int
 
-// Values of Settings.Report.
+// Values of Settings.LoadReportFields.
 const (
-	FieldUnknown     ReportField = iota // it is to be ignored
-	FieldInFlight                       // requests at the worker
-	FieldQueue                          // of them, those that wait
-	FieldUtilization                    // utilization, 0 to 1
-	FieldLatencyMS                      // recent latency, milliseconds
-	FieldRate                           // answers a second
-	FieldErrorRate                      // errors a second
-	FieldX0                             // see Loading.X0
-	FieldX1                             // see Loading.X1
+	FieldUnknown     LoadReportField = iota // it is to be ignored
+	FieldInFlight                           // requests at the worker
+	FieldQueue                              // of them, those that wait
+	FieldUtilization                        // utilization, 0 to 1
+	FieldLatencyMS                          // recent latency, milliseconds
+	FieldRate                               // answers a second
+	FieldErrorRate                          // errors a second
+	FieldX0                                 // see Loading.X0
+	FieldX1                                 // see Loading.X1
 )
--- a/scheduler/settings_check_test.go
+++ b/scheduler/settings_check_test.go
@@ -26,7 +26,7 @@
 		{"Controllers", func(s *Settings) { s.Controllers = 0 }},
 	}
 	for _, tt := range tests {
-		s := base()
+		s := testSettings()
 		tt.spoil(&s)
 		if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), tt.field) {
 			t.Errorf("spoilt %s: error %v does not name it", tt.field, err)
--- a/scheduler/slowstart_step_test.go
+++ b/scheduler/slowstart_step_test.go
@@ -9,7 +9,7 @@
 // each. All together they keep to the bound in every window, and still use the worker.
 func TestControllersTogetherKeepTheBoundOfAWarmingWorker(t *testing.T) {
 	const n, workers, run = 100, 10, 100 * ms
-	s := base()
+	s := testSettings()
 	s.Controllers, s.Guarantees.CollapseFactor = n, 2
 	s.Loading.IdleCopyTTL = time.Hour
 	begin := time.Hour
@@ -77,7 +77,7 @@
 // start admits go there all the same, also where each controller has one in several windows; or workers that a
 // release brings would be idle until they are warm.
 func TestWarmingHomeIsUsedWithoutOrders(t *testing.T) {
-	s := base()
+	s := testSettings()
 	s.Controllers = 50
 	s.Loading.BudgetWindow = 5 * time.Second // no order is ever within the budget
 	sent, total := 0, 0
@@ -87,7 +87,7 @@
 			t.Fatal(err)
 		}
 		d.Step(time.Hour, []Event{ListUpdate{Kind: CachedList, Workers: ready(1, 2, 3, 4)}})
-		home := walk(d, d.queues.get(7))[0].ID
+		home := walk(d, d.queues.getOrCreate(7))[0].ID
 		begin := time.Hour + time.Second
 		d.Step(begin, []Event{ListUpdate{Kind: ListDelta,
 			Workers: []WorkerInfo{{ID: home, State: Ready, StartedAt: begin}}}})
@@ -95,7 +95,7 @@
 		for now := begin + 6*time.Second; now < begin+15*time.Second; now += 4 * time.Second {
 			next++
 			d.slowStart.answered += 0.1 // seconds of work that the others answered
-			for _, a := range pickOut[Send](d.Step(now, []Event{arrival(next, 0, 7)})) {
+			for _, a := range actionsOf[Send](d.Step(now, []Event{arrival(next, 0, 7)})) {
 				if total++; a.Worker == home {
 					sent++
 				}
--- a/scheduler/snapshot.go
+++ b/scheduler/snapshot.go
@@ -27,7 +27,7 @@
 
 // Snapshot returns the state of a worker and a function now. Either may be unknown.
 func (d *Dispatcher) Snapshot(function FunctionID, id WorkerID) Snapshot {
-	snapshot := Snapshot{RingPosition: -1, RingSize: len(d.order), AdmittedFraction: d.admission.fraction}
+	snapshot := Snapshot{RingPosition: -1, RingSize: len(d.listed), AdmittedFraction: d.admission.fraction}
 	worker, queue := d.workers[id], d.queues.byFunction[function]
 	if queue != nil {
 		snapshot.Queued = len(queue.pending)
@@ -54,7 +54,7 @@
 
 // ringPosition is the place of a worker in a function's walk, or -1.
 func (d *Dispatcher) ringPosition(queue *queue, id WorkerID) int {
-	for i := range d.order {
+	for i := range d.listed {
 		if queue.worker(i).ID == id {
 			return i
 		}
@@ -73,7 +73,7 @@
 
 // Workers returns all workers that are listed, by id.
 func (d *Dispatcher) Workers() (snapshots []WorkerSnapshot) {
-	for _, worker := range d.order {
+	for _, worker := range d.listed {
 		snapshot := WorkerSnapshot{
 			ID:              worker.ID,
 			State:           worker.State,
@@ -117,7 +117,7 @@
 			MeanInterarrival: seconds(queue.meanInterarrival),
 			Desired:          queue.desiredUntil > d.now,
 		}
-		for i := 0; i < len(d.order) && snapshot.Home == 0; i++ {
+		for i := 0; i < len(d.listed) && snapshot.Home == 0; i++ {
 			if w := queue.worker(i); d.ready(w) {
 				snapshot.Home = w.ID
 			}
--- a/scheduler/spread.go
+++ b/scheduler/spread.go
@@ -22,7 +22,7 @@
 
 // start is the place in the walk at which a request starts, of as many workers as are listed.
 func (s *spread) start(request RequestID, listed int) int {
-	return min(int(unit(mix(uint64(request)))*s.workers), max(0, listed-1))
+	return min(int(unitInterval(mix(uint64(request)))*s.workers), max(0, listed-1))
 }
 
 // observe follows an answer, or a rejection or timeout, which count as slow. It met so many other requests
--- a/scheduler/spread_step_test.go
+++ b/scheduler/spread_step_test.go
@@ -9,13 +9,13 @@
 // function on top scatters its copies.
 func TestFewControllersDoNotSpreadAFunction(t *testing.T) {
 	for _, n := range []int{3, 100} {
-		s := base()
+		s := testSettings()
 		s.Controllers = n
 		d := start(t, s, ready(1, 2, 3, 4)...)
 		now := time.Second
 		for id := RequestID(1); id <= 5; id++ {
 			now += time.Second
-			for _, a := range pickOut[Send](d.Step(now, []Event{arrival(id, 0, 7)})) {
+			for _, a := range actionsOf[Send](d.Step(now, []Event{arrival(id, 0, 7)})) {
 				d.Step(now, []Event{AttemptEnded{Request: id, Worker: a.Worker, Outcome: OK, Took: 800 * ms,
 					Complete: true,
 					Note:     FoundWarm, SameFunction: 9}})
@@ -31,7 +31,7 @@
 // so that whole tokens limit none of them. Answers that met all lanes taken move a part of the requests to the next
 // copy, and answers that did not bring them back.
 func TestCrowdedHomeSharesItsRequests(t *testing.T) {
-	s := base()
+	s := testSettings()
 	s.Controllers, s.Loading.ReportsSameFunction = 100, true
 	d := start(t, s, ready(1, 2, 3, 4, 5, 6)...)
 	now, id, home := time.Second, RequestID(1), WorkerID(0)
@@ -39,15 +39,15 @@
 		for range calls {
 			now += 200 * ms
 			actions := d.Step(now, []Event{arrival(id, 0, 7)})
-			for i := 0; i < 5 && len(pickOut[Send](actions)) == 0; i++ {
+			for i := 0; i < 5 && len(actionsOf[Send](actions)) == 0; i++ {
 				var held []Event
-				for _, a := range pickOut[LoadOrder](actions) {
+				for _, a := range actionsOf[LoadOrder](actions) {
 					held = append(held, LoadOrderEnded{Worker: a.Worker, Function: a.Function, Outcome: OK, Copies: 1})
 				}
 				now += 100 * ms
 				actions = d.Step(now, held)
 			}
-			sent := pickOut[Send](actions)
+			sent := actionsOf[Send](actions)
 			if len(sent) != 1 {
 				t.Fatalf("request %d: %d sends, want 1", id, len(sent))
 			}
--- a/scheduler/step.go
+++ b/scheduler/step.go
@@ -18,7 +18,7 @@
 	wakeAt  time.Duration // last asked for
 
 	workers        map[WorkerID]*worker
-	order          []*worker // listed, by id
+	listed         []*worker // listed, by id
 	ring           ring.Ring[*worker]
 	listGeneration int  // lists that came
 	ranksStale     bool // the list or the advice on workers has changed
@@ -125,8 +125,8 @@
 	}
 }
 
-// do adds an action to those of the step.
-func (d *Dispatcher) do(a Action) { d.actions = append(d.actions, a) }
+// emit adds an action to those of the step.
+func (d *Dispatcher) emit(a Action) { d.actions = append(d.actions, a) }
 
 // requestWake asks for the next step: after a tick or so, by the time of the next answer of our own. It
 // asks for none where nothing is open or remembered, or an earlier one is still to come.
@@ -143,7 +143,7 @@
 		return
 	}
 	d.wakeAt = at
-	d.do(Wake{At: at})
+	d.emit(Wake{At: at})
 }
 
 // BudgetHandover returns what a process that takes over this controller begins with.
@@ -151,18 +151,18 @@
 
 // Effort counts what steps have examined: a measure of their cost that depends on no clock.
 type Effort struct {
-	Points  uint64 // of the ring
-	Workers uint64 // as candidates for a request, or for their health
-	Queues  uint64
-	Summed  uint64 // workers whose capacity was added up, in the steps in which a warming one is considered
+	RingPoints    uint64 // points of the ring that were visited
+	Workers       uint64 // as candidates for a request, or for a health check
+	Queues        uint64
+	SummedWorkers uint64 // whose capacity was added up while a worker that is warming up was considered
 }
 
 // Effort returns the sums since the start.
 func (d *Dispatcher) Effort() Effort {
 	return Effort{
-		Points:  d.ring.Visited,
-		Workers: d.candidatesExamined + d.watchList.examined,
-		Queues:  d.queues.examined,
-		Summed:  d.capacity.added,
+		RingPoints:    d.ring.Visited,
+		Workers:       d.candidatesExamined + d.watchList.examined,
+		Queues:        d.queues.examined,
+		SummedWorkers: d.capacity.added,
 	}
 }
--- a/scheduler/step_test.go
+++ b/scheduler/step_test.go
@@ -10,8 +10,8 @@
 // The same events give the same actions, and another instance beside it changes nothing.
 func TestEqualEventsGiveEqualActions(t *testing.T) {
 	run := func(beside bool) (all [][]Action) {
-		d := start(t, base(), ready(5, 3, 9, 1)...)
-		other := start(t, base(), ready(1, 2)...)
+		d := start(t, testSettings(), ready(5, 3, 9, 1)...)
+		other := start(t, testSettings(), ready(1, 2)...)
 		for i := 0; i < 2000; i++ {
 			now := time.Second + time.Duration(i)*5*ms
 			e := []Event{arrival(RequestID(i+1), i%3, FunctionID(i*i%17))}
@@ -30,7 +30,7 @@
 
 // Functions, requests and workers that are gone leave nothing behind.
 func TestNothingIsKeptOfWhatIsOver(t *testing.T) {
-	d := start(t, base(), ready(1, 2, 3)...)
+	d := start(t, testSettings(), ready(1, 2, 3)...)
 	id := RequestID(0)
 	for round := 0; round < 20; round++ {
 		now := time.Second + time.Duration(round)*100*time.Second
@@ -44,26 +44,26 @@
 		for s := 0; s < 90; s++ {
 			actions := d.Step(now+time.Duration(s)*time.Second, events)
 			events = nil
-			for _, a := range pickOut[Send](actions) {
+			for _, a := range actionsOf[Send](actions) {
 				events = append(events, AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: OK, Complete: true})
 			}
-			for _, h := range pickOut[LoadOrder](actions) {
+			for _, h := range actionsOf[LoadOrder](actions) {
 				events = append(events, LoadOrderEnded{Worker: h.Worker, Function: h.Function, Outcome: OK,
 					Copies: h.Copies})
 			}
 		}
 	}
 	if len(d.queues.byFunction) > 0 || len(d.requests) > 0 || indexed(d) > 0 || len(d.workers) != 2 ||
-		len(d.order) != 2 {
+		len(d.listed) != 2 {
 		t.Errorf("kept %d queues, %d requests, %d workers", len(d.queues.byFunction), len(d.requests), len(d.workers))
 	}
 }
 
 // Events about what is not known are ignored.
 func TestEventsAboutUnknownThingsAreIgnored(t *testing.T) {
-	d := start(t, base(), ready(1)...)
+	d := start(t, testSettings(), ready(1)...)
 	got := d.Step(time.Second, []Event{AttemptEnded{Request: 9}, ClientClosed{9}, Timer{4},
-		LoadOrderEnded{Worker: 8, Function: 3}, ProbeEnded{Worker: 8}, ResponseStarted{Request: 9}, GossipMessage{},
+		LoadOrderEnded{Worker: 8, Function: 3}, ProbeEnded{Worker: 8}, ResponseStarted{Request: 9}, PeerMessageReceived{},
 		ListUpdate{Kind: ListFailed}, Arrival{Request: 1, Class: 99}})
 	for _, a := range got {
 		if _, ok := a.(Wake); !ok {
--- a/scheduler/streams_play_test.go
+++ b/scheduler/streams_play_test.go
@@ -67,7 +67,7 @@
 
 // playStreamWith plays a day, calls after each step what is to be looked at, and returns the play.
 func playStreamWith(t *testing.T, c streamCase, seed uint64, after func(*Dispatcher)) *streamPlay {
-	s := base()
+	s := testSettings()
 	s.Tick, s.Loading.IdleCopyTTL = c.tick, c.idleCopyTTL
 	if c.adjust != nil {
 		c.adjust(&s)
@@ -298,7 +298,7 @@
 }
 
 func (p *streamPlay) faulty(w WorkerID) bool {
-	return unit(mix(uint64(w)*7+uint64(p.now/(7*time.Second)))) < p.day.fault
+	return unitInterval(mix(uint64(w)*7+uint64(p.now/(7*time.Second)))) < p.day.fault
 }
 
 func (p *streamPlay) answerSend(a Send) {
--- a/scheduler/walk.go
+++ b/scheduler/walk.go
@@ -10,8 +10,8 @@
 func (d *Dispatcher) candidates(queue *queue, from int, narrow *bool) iter.Seq[*worker] {
 	return func(yield func(*worker) bool) {
 		var last *worker
-		for i := 0; i < len(d.order) && !*narrow; i++ {
-			last = queue.worker((from + i) % len(d.order))
+		for i := 0; i < len(d.listed) && !*narrow; i++ {
+			last = queue.worker((from + i) % len(d.listed))
 			d.candidatesExamined++
 			if !yield(last) {
 				return
--- a/scheduler/walk_test.go
+++ b/scheduler/walk_test.go
@@ -9,8 +9,8 @@
 
 // A walk finds what sorting all points finds, in any order of ranks.
 func TestWalkGoesByRank(t *testing.T) {
-	d := start(t, base(), ready(1, 2, 3, 4, 5, 6, 7, 8)...)
-	q := d.queues.get(7)
+	d := start(t, testSettings(), ready(1, 2, 3, 4, 5, 6, 7, 8)...)
+	q := d.queues.getOrCreate(7)
 	if q.worker(0) == nil || q.worker(1) == nil { // half of a walk
 		t.Fatal("no walk")
 	}
@@ -41,14 +41,14 @@
 		for id := WorkerID(1); int(id) <= 1+random.IntN(30); id++ {
 			ids = append(ids, id)
 		}
-		d := start(t, base(), ready(ids...)...)
-		q := d.queues.get(FunctionID(1 + random.IntN(1000)))
-		for _, w := range d.order {
+		d := start(t, testSettings(), ready(ids...)...)
+		q := d.queues.getOrCreate(FunctionID(1 + random.IntN(1000)))
+		for _, w := range d.listed {
 			if random.IntN(3) == 0 {
 				q.placement(w)
 			}
 		}
-		from, looked := random.IntN(len(d.order)), 1+random.IntN(len(d.order))
+		from, looked := random.IntN(len(d.listed)), 1+random.IntN(len(d.listed))
 		whole := walk(d, q)
 		whole = append(slices.Clone(whole[from:]), whole[:from]...)
 		var want []*worker
