--- a/cmd/kitehub/operate.go
+++ b/cmd/kitehub/operate.go
@@ -91,12 +91,12 @@
 		printTable("WORKER\tSTATE\tTOKENS\tIN USE\tLOADS\tFUNCTIONS\tHEARD\tNOTES", func(w *tabwriter.Writer) {
 			for _, x := range l {
 				heard := "never"
-				if x.SinceLastAnswer >= 0 {
-					heard = x.SinceLastAnswer.Round(time.Millisecond).String() + " ago"
+				if x.SinceLastResponse >= 0 {
+					heard = x.SinceLastResponse.Round(time.Millisecond).String() + " ago"
 				}
 				state := map[bool]string{true: "ready", false: "draining"}[x.State == 1]
-				fmt.Fprintf(w, "%s\t%s\t%.1f\t%d\t%d\t%d\t%s\t%s\n", x.Name, state, x.Snapshot.Tokens, x.Snapshot.Busy,
-					x.Snapshot.Loads, x.Copies, heard, strings.Join(workerNotes(x.Snapshot), ", "))
+				fmt.Fprintf(w, "%s\t%s\t%.1f\t%d\t%d\t%d\t%s\t%s\n", x.Name, state, x.Snapshot.Tokens, x.Snapshot.TokensInUse,
+					x.Snapshot.AwaitingLoad, x.Copies, heard, strings.Join(workerNotes(x.Snapshot), ", "))
 			}
 		})
 	})
--- a/internal/gateway/explain.go
+++ b/internal/gateway/explain.go
@@ -152,7 +152,7 @@
 	case s.Rank < 0:
 		texts = append(texts, "to be avoided by advice")
 	}
-	texts = append(texts, fmt.Sprintf("%d of %.1f tokens in use", s.Busy, s.Tokens))
+	texts = append(texts, fmt.Sprintf("%d of %.1f tokens in use", s.TokensInUse, s.Tokens))
 	if s.AdmittedFraction < 1 {
 		texts = append(texts, fmt.Sprintf("%.0f%% of calls let pass", 100*s.AdmittedFraction))
 	}
--- a/internal/gateway/golden_test.go
+++ b/internal/gateway/golden_test.go
@@ -14,12 +14,12 @@
 func TestViewsKeepTheirFormat(t *testing.T) {
 	snapshot := scheduler.Snapshot{
 		RingPosition: 1, RingSize: 2, Ready: true, Ejected: true, WarmingUp: true, HasCopy: true, Rank: -1,
-		Tokens: 2.5, Busy: 3, LatencyRatio: 0.5, Loads: 4, AdmittedFraction: 0.25, Queued: 5, InFlight: 6,
+		Tokens: 2.5, TokensInUse: 3, LatencyRatio: 0.5, AwaitingLoad: 4, AdmittedFraction: 0.25, Queued: 5, InFlight: 6,
 	}
 	for name, shown := range map[string]any{
 		"workers.json": &[]WorkerView{
 			{"w1", scheduler.WorkerSnapshot{
-				ID: 1, State: scheduler.Draining, Snapshot: snapshot, SinceLastAnswer: 2 * time.Second, Copies: 3,
+				ID: 1, State: scheduler.Draining, Snapshot: snapshot, SinceLastResponse: 2 * time.Second, Copies: 3,
 			}},
 			{},
 		},
--- a/internal/relay/config_test.go
+++ b/internal/relay/config_test.go
@@ -32,8 +32,8 @@
 		return gateway.WorkerView{Name: name, WorkerSnapshot: scheduler.WorkerSnapshot{Snapshot: s}}
 	}
 	views := []gateway.WorkerView{
-		view("a", scheduler.Snapshot{Busy: 2, Loads: 1, Tokens: 4, LatencyRatio: 1.5}),
-		view("b", scheduler.Snapshot{Busy: 2, Ejected: true}),
+		view("a", scheduler.Snapshot{TokensInUse: 2, AwaitingLoad: 1, Tokens: 4, LatencyRatio: 1.5}),
+		view("b", scheduler.Snapshot{TokensInUse: 2, Ejected: true}),
 	}
 	lines, differ := compareEstimates(seen, before, views)
 	want := []string{
--- a/internal/relay/estimates.go
+++ b/internal/relay/estimates.go
@@ -23,7 +23,7 @@
 	}
 	for _, seen := range now {
 		view, known := viewOf[seen.Name]
-		estimated := view.Snapshot.Busy + view.Snapshot.Loads
+		estimated := view.Snapshot.TokensInUse + view.Snapshot.AwaitingLoad
 		differ += max(estimated-seen.Open, seen.Open-estimated)
 		if len(lines) < maxReportedWorkers {
 			lines = append(lines, describeWorker(seen, before[seen.Worker], view, known))
@@ -49,6 +49,6 @@
 		state = "well"
 	}
 	return fmt.Sprintf("%s out %d/%d conns %d served %d in %dms lost %d; %s pace %.2f tokens %.1f",
-		now.Name, snapshot.Busy+snapshot.Loads, now.Open, now.Conns, served, meanRunTime.Milliseconds(),
+		now.Name, snapshot.TokensInUse+snapshot.AwaitingLoad, now.Open, now.Conns, served, meanRunTime.Milliseconds(),
 		now.Lost-before.Lost, state, snapshot.LatencyRatio, snapshot.Tokens)
 }
--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -187,7 +187,7 @@
 	placed.outstanding++
 	if awaitsLoad {
 		worker.awaitingLoad++
-		placed.leaders++
+		placed.awaitingLoad++
 		placed.loadStartedAt = d.now
 		request.loadAllowance = d.loadTime(request)
 	} else {
@@ -220,7 +220,7 @@
 	placed.outstanding--
 	if attempt.awaitsLoad {
 		worker.awaitingLoad--
-		placed.leaders--
+		placed.awaitingLoad--
 	} else {
 		worker.limit.release()
 	}
@@ -253,10 +253,10 @@
 		d.afterRejection(request, attempt, ended)
 	case TimedOut:
 		worker.limit.onTimeout(tokenStep(d.settings.Controllers))
-		d.workerAnswered(worker, TimedOut)
+		d.workerResponded(worker, TimedOut)
 		d.observeCrowding(request.queue, int(2*request.Lanes), request.Lanes, d.isWarm(worker))
 	default:
-		d.workerAnswered(worker, ended.Outcome)
+		d.workerResponded(worker, ended.Outcome)
 		ownError := ended.Outcome == Error && ended.Note != LoadFailed
 		d.outliers.onError(&worker.workerHealth, ownError, d.now)
 	}
@@ -271,10 +271,10 @@
 func (d *Dispatcher) afterSuccess(request *request, attempt *attempt, placed *placement, ended AttemptEnded) {
 	worker := attempt.worker
 	late := ended.Took > d.class(request).LatencyObjective
-	d.workerAnswered(worker, OK)
+	d.workerResponded(worker, OK)
 	d.observe(request, !d.overdue(request))
 	if ended.Note == StartedLoad {
-		worker.loadBackoff.loaded()
+		worker.loadBackoff.onLoaded()
 	}
 	d.outliers.onSuccess(&worker.workerHealth)
 	placed.lastSeenAt = d.now
@@ -297,18 +297,18 @@
 	ratio := mean(worker.limit.latencyRatio, took/d.classRunTime[request.Class])
 	d.peerLatency.set(&worker.limit, ratio, worker.State != Removed)
 	headroom := d.slowRatio(request) / worker.limit.latencyRatio
-	worker.limit.onAnswer(headroom, late, tokenStep(d.settings.Controllers))
+	worker.limit.onResponse(headroom, late, tokenStep(d.settings.Controllers))
 }
 
 // slowRatio is the latency ratio from which a worker counts as slow.
 func (d *Dispatcher) slowRatio(r *request) float64 {
-	return slowFrom(d.settings.Controllers, r.Lanes) * d.peerLatency.median()
+	return slowThreshold(d.settings.Controllers, r.Lanes) * d.peerLatency.median()
 }
 
 // afterRejection learns from a worker that was at its capacity.
 func (d *Dispatcher) afterRejection(request *request, attempt *attempt, ended AttemptEnded) {
 	worker := attempt.worker
-	d.workerAnswered(worker, OK)
+	d.workerResponded(worker, OK)
 	worker.limit.onRejection()
 	d.observeCrowding(request.queue, ended.SameFunction, request.Lanes, d.isWarm(worker))
 	if len(request.attempts) >= d.settings.Limits.MaxAttempts {
--- a/scheduler/concurrency_test.go
+++ b/scheduler/concurrency_test.go
@@ -23,7 +23,7 @@
 		{"fast just below one token: one", concurrencyLimit{tokens: 0.95}, 1.2, false, 1},
 	} {
 		limit := tt.before
-		limit.onAnswer(tt.headroom, tt.late, step)
+		limit.onResponse(tt.headroom, tt.late, step)
 		if limit.tokens != tt.want {
 			t.Errorf("%s: %v tokens, want %v", tt.name, limit.tokens, tt.want)
 		}
@@ -70,8 +70,8 @@
 	}
 	limit.tokens = 9
 	limit.onRestart()
-	if limit.tokens != startTokens {
-		t.Errorf("%v tokens after a restart at 9, want %v", limit.tokens, startTokens)
+	if limit.tokens != initialTokens {
+		t.Errorf("%v tokens after a restart at 9, want %v", limit.tokens, initialTokens)
 	}
 }
 
@@ -84,8 +84,8 @@
 }
 
 func TestFewControllersCountAsSlowEarlier(t *testing.T) {
-	for controllers, want := range map[int]float64{8: slowThresholdFew, 9: slowThreshold} { // two lanes
-		if got := slowFrom(controllers, 2); got != want {
+	for controllers, want := range map[int]float64{8: slowThresholdFew, 9: slowThresholdMany} { // two lanes
+		if got := slowThreshold(controllers, 2); got != want {
 			t.Errorf("%d controllers: slow from %v, want %v", controllers, got, want)
 		}
 	}
--- a/scheduler/copies.go
+++ b/scheduler/copies.go
@@ -6,25 +6,25 @@
 )
 
 const (
-	// renewAfter is the idle part of an idle copy's time to live after which an order of one copy renews
-	// it: 5 s of 8.4 s, which leaves time for an order that is late.
-	renewAfter = 0.6
-	// guessLoad is the load time of a function that states none, in latency objectives.
-	guessLoad = 1.5
-	// maxLeaderLoads is how many load times other requests wait for the request that began a load.
-	maxLeaderLoads = 2
+	// renewalTTLFraction is the idle part of an idle copy's time to live after which an order of
+	// one copy renews it: 5 s of 8.4 s, which leaves time for an order that is late.
+	renewalTTLFraction = 0.6
+	// defaultLoadObjectives is the load time of a function that states none, in latency objectives.
+	defaultLoadObjectives = 1.5
+	// maxLoadTimes is how many load times other requests wait for the request that began a load.
+	maxLoadTimes = 2
 	// evictionWeight is the weight of one answer in the evicted fraction.
 	evictionWeight = 0.02
 	// maxAdviceEvictions is the evicted fraction from which nothing more is loaded on advice alone.
 	maxAdviceEvictions = 0.1
 )
 
-// A placement is what is known of a function at one worker. Copies are never reported: they are concluded
-// from answers, which prove one, and from the time that an idle copy stays loaded.
+// A placement is what is known of a function at one worker. Copies are never reported: they are
+// concluded from answers, which prove one, and from the time that an idle copy stays loaded.
 type placement struct {
 	lastSeenAt    time.Duration // when a copy last proved to be loaded; 0: never
 	outstanding   int           // attempts without an outcome
-	leaders       int           // of them, those that may wait for a load: the leaders of a load
+	awaitingLoad  int           // of them, those that may wait for a load: the leaders of a load
 	copies        int           // loaded, as the last order reported; 0: not known
 	pendingOrders int           // orders without an answer
 	loadStartedAt time.Duration // of the last such attempt or order
@@ -32,8 +32,8 @@
 
 // loading tells whether a load is under way, for a while that loads of this time may take.
 func (p *placement) loading(now, loadTime time.Duration) bool {
-	begun := p != nil && (p.leaders > 0 || p.pendingOrders > 0)
-	return begun && now < p.loadStartedAt+loadTime*maxLeaderLoads
+	begun := p != nil && (p.awaitingLoad > 0 || p.pendingOrders > 0)
+	return begun && now < p.loadStartedAt+loadTime*maxLoadTimes
 }
 
 // evictions estimates how short of memory the workers are.
@@ -51,17 +51,18 @@
 
 // loadTime is how long a load for the request is likely to take.
 func (d *Dispatcher) loadTime(r *request) time.Duration {
-	return cmp.Or(r.LoadTime, seconds(guessLoad*d.class(r).LatencyObjective.Seconds()))
+	return cmp.Or(r.LoadTime, seconds(defaultLoadObjectives*d.class(r).LatencyObjective.Seconds()))
 }
 
-// hasCopy tells whether a copy is believed to be loaded: one was seen, not longer ago than an idle copy
-// stays, and the worker has not started since.
+// hasCopy tells whether a copy is believed to be loaded: one was seen, not longer ago than an idle
+// copy stays, and the worker has not started since.
 func (d *Dispatcher) hasCopy(placed *placement, w *worker) bool {
 	return placed != nil && placed.lastSeenAt > 0 && placed.lastSeenAt >= w.warmingSince &&
 		(placed.outstanding > 0 || d.now-placed.lastSeenAt < d.settings.Loading.IdleCopyTTL)
 }
 
-// ensureCopy orders a copy where one will be needed soon, and tells whether one is loaded or on its way.
+// ensureCopy orders a copy where one will be needed soon, and tells whether one is loaded or on its
+// way.
 func (d *Dispatcher) ensureCopy(queue *queue, worker *worker) bool {
 	placed := queue.placement(worker)
 	return placed.pendingOrders > 0 || d.hasCopy(placed, worker) ||
@@ -80,11 +81,11 @@
 	return true
 }
 
-// loadOrderEnded notes which copies are loaded. An order that failed says nothing of the worker's health,
-// but for its silence.
+// loadOrderEnded notes which copies are loaded. An order that failed says nothing of the worker's
+// health, but for its silence.
 func (d *Dispatcher) loadOrderEnded(ended LoadOrderEnded) {
 	worker, queue := d.workers[ended.Worker], d.queues.byFunction[ended.Function]
-	d.workerAnswered(worker, ended.Outcome)
+	d.workerResponded(worker, ended.Outcome)
 	if worker == nil || queue == nil {
 		return
 	}
@@ -94,7 +95,7 @@
 	case ended.Copies > 0:
 		placed.lastSeenAt = d.now
 		placed.copies = ended.Copies
-		worker.loadBackoff.loaded()
+		worker.loadBackoff.onLoaded()
 	case ended.Outcome == AtCapacity || ended.Outcome == Error:
 		d.loadRejected(worker)
 	case ended.Outcome == OK && placed.outstanding == 0:
@@ -104,11 +105,12 @@
 
 // loadRejected begins a backoff at a worker that had no capacity for a copy, or failed to load it.
 func (d *Dispatcher) loadRejected(w *worker) {
-	first := guessLoad * d.settings.Classes[0].LatencyObjective.Seconds()
-	w.loadBackoff.rejected(d.now, first, d.settings.Loading.IdleCopyTTL)
+	first := defaultLoadObjectives * d.settings.Classes[0].LatencyObjective.Seconds()
+	w.loadBackoff.onRejected(d.now, first, d.settings.Loading.IdleCopyTTL)
 }
 
-// stageCopies orders the copies of a function that is about to be called, at the first workers of its walk.
+// stageCopies orders the copies of a function that is about to be called, at the first workers of
+// its walk.
 func (d *Dispatcher) stageCopies(staged StagedCopies) {
 	queue := d.queues.get(staged.Function)
 	missing := staged.Copies
@@ -119,8 +121,8 @@
 	}
 }
 
-// renewCopies renews the home copies of functions that are likely to be called again, in the order of the
-// functions, as far as the budget goes.
+// renewCopies renews the home copies of functions that are likely to be called again, in the order
+// of the functions, as far as the budget goes.
 func (d *Dispatcher) renewCopies() {
 	for queue := d.queues.nextRenewal(d.now); queue != nil; queue = d.queues.nextRenewal(d.now) {
 		i := 0
@@ -137,13 +139,13 @@
 
 // renewalInterval is how long a copy may be idle before it is renewed.
 func renewalInterval(idleCopyTTL time.Duration) time.Duration {
-	return time.Duration(renewAfter * float64(idleCopyTTL))
+	return time.Duration(renewalTTLFraction * float64(idleCopyTTL))
 }
 
-// loadDesiredCopies orders the copies that are advised: one order at a worker at a time, within advice's
-// part of the budget, and none while copies are evicted already. A copy that is loaded is renewed like one
-// that requests keep. The first pass only notes the workers that have an order, whatever function it is
-// for.
+// loadDesiredCopies orders the copies that are advised: one order at a worker at a time, within
+// advice's part of the budget, and none while copies are evicted already. A copy that is loaded is
+// renewed like one that requests keep. The first pass only notes the workers that have an order,
+// whatever function it is for.
 func (d *Dispatcher) loadDesiredCopies() {
 	d.desiredCopies.expire(d.now)
 	for _, mayOrder := range []bool{false, true} {
@@ -153,8 +155,8 @@
 	}
 }
 
-// loadDesired goes along the walk of one function, until as many workers as copies are desired have been
-// found.
+// loadDesired goes along the walk of one function, until as many workers as copies are desired have
+// been found.
 func (d *Dispatcher) loadDesired(desired DesiredCopies, mayOrder bool) {
 	queue := d.queues.get(desired.Function)
 	queue.desiredUntil = desired.Until
--- a/scheduler/copies_test.go
+++ b/scheduler/copies_test.go
@@ -98,9 +98,9 @@
 	}{
 		{nil, false},
 		{&placement{loadStartedAt: 9 * time.Second}, false},
-		{&placement{leaders: 1, loadStartedAt: 9 * time.Second}, true},
+		{&placement{awaitingLoad: 1, loadStartedAt: 9 * time.Second}, true},
 		{&placement{pendingOrders: 1, loadStartedAt: 9 * time.Second}, true},
-		{&placement{leaders: 1, loadStartedAt: 8 * time.Second}, false},
+		{&placement{awaitingLoad: 1, loadStartedAt: 8 * time.Second}, false},
 	} {
 		if got := tt.placed.loading(10*time.Second, time.Second); got != tt.want {
 			t.Errorf("%+v: under way %v, want %v", tt.placed, got, tt.want)
--- a/scheduler/encoding_test.go
+++ b/scheduler/encoding_test.go
@@ -52,13 +52,13 @@
 	const format = "place=%d ring=%d ready=%t ejected=%t warming=%t copy=%t rank=%d tokens=%s busy=%d pace=%s " +
 		"loads=%d admitted=%s waiting=%d out=%d"
 	return fmt.Sprintf(format, l.RingPosition, l.RingSize, l.Ready, l.Ejected, l.WarmingUp, l.HasCopy, l.Rank,
-		exactFloat(l.Tokens), l.Busy, exactFloat(l.LatencyRatio), l.Loads, exactFloat(l.AdmittedFraction), l.Queued,
+		exactFloat(l.Tokens), l.TokensInUse, exactFloat(l.LatencyRatio), l.AwaitingLoad, exactFloat(l.AdmittedFraction), l.Queued,
 		l.InFlight)
 }
 
 func encodeWorkerSnapshot(l WorkerSnapshot) string {
 	return fmt.Sprintf("worker=%d state=%d heard=%d copies=%d %s", uint64(l.ID), int(l.State),
-		int64(l.SinceLastAnswer), l.Copies, encodeSnapshot(l.Snapshot))
+		int64(l.SinceLastResponse), l.Copies, encodeSnapshot(l.Snapshot))
 }
 
 func encodeFunctionSnapshot(l FunctionSnapshot) string {
--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -34,14 +34,14 @@
 	d.listGeneration++
 	for _, info := range update.Workers {
 		if info.State == Removed {
-			d.depart(d.workers[info.ID])
+			d.removeWorker(d.workers[info.ID])
 		} else {
 			d.updateWorker(info, update.Kind)
 		}
 	}
 	for _, worker := range d.order {
 		if update.Kind != ListDelta && worker.listGeneration != d.listGeneration && worker.State != Removed {
-			d.depart(worker)
+			d.removeWorker(worker)
 		}
 	}
 	d.sortWorkers()
@@ -53,9 +53,9 @@
 func (d *Dispatcher) updateWorker(info WorkerInfo, kind ListKind) {
 	worker := d.workers[info.ID]
 	if worker == nil {
-		worker = d.join(info.ID)
+		worker = d.addWorker(info.ID)
 		if kind == CachedList {
-			worker.limit.distrust() // the list may be out of date
+			worker.limit.restrictToOne() // the list may be out of date
 		}
 	}
 	if info.StartedAt > worker.StartedAt && info.StartedAt > worker.warmingSince {
@@ -66,8 +66,8 @@
 	worker.listGeneration = d.listGeneration
 }
 
-// join adds a worker that is listed for the first time.
-func (d *Dispatcher) join(id WorkerID) *worker {
+// addWorker adds a worker that is listed for the first time.
+func (d *Dispatcher) addWorker(id WorkerID) *worker {
 	joined := &worker{limit: newConcurrencyLimit(), placements: map[*queue]*placement{}}
 	joined.member = ring.Member[*worker]{ID: uint64(id), Value: joined}
 	d.workers[id] = joined
@@ -76,9 +76,9 @@
 	return joined
 }
 
-// depart takes a worker out that is gone, but for what is outstanding there. SortWorkers drops it from the
-// order.
-func (d *Dispatcher) depart(worker *worker) {
+// removeWorker takes a worker out that is gone, but for what is outstanding there. SortWorkers
+// drops it from the order.
+func (d *Dispatcher) removeWorker(worker *worker) {
 	if worker == nil {
 		return
 	}
@@ -88,7 +88,7 @@
 	d.ring.Place(&worker.member, 0, 0)
 	d.watchList.update(worker)
 	d.outliers.untrack(&worker.workerHealth)
-	d.peerLatency.forget(&worker.limit)
+	d.peerLatency.remove(&worker.limit)
 	for queue, placed := range worker.placements { // each by itself: their order does not matter
 		if placed.outstanding == 0 {
 			delete(queue.placements, worker)
@@ -109,15 +109,16 @@
 		return
 	}
 	if d.watchList.active {
-		// It counts as it was so far; those after it count with one more that is ejected, or one less.
+		// It counts as it was so far; those after it count with one more that is ejected, or one
+		// less.
 		d.sumCapacity(worker)
 	}
 	d.outliers.setEjected(&worker.workerHealth, ejected)
 	d.watchList.update(worker)
 }
 
-// A watchList has the listed workers whose health has to be examined, by id: those that are ejected, and
-// those with an attempt outstanding.
+// A watchList has the listed workers whose health has to be examined, by id: those that are
+// ejected, and those with an attempt outstanding.
 type watchList struct {
 	workers  []*worker
 	round    []*worker // those that are examined in this step
@@ -128,7 +129,7 @@
 // update puts a worker on the list, or takes it off.
 func (l *watchList) update(worker *worker) {
 	watched := worker.State != Removed && (worker.ejected || worker.outstanding > 0)
-	i, found := slices.BinarySearchFunc(l.workers, worker.ID, compareID)
+	i, found := slices.BinarySearchFunc(l.workers, worker.ID, compareWorkerID)
 	found = found && l.workers[i] == worker
 	switch {
 	case watched && !found:
@@ -138,8 +139,8 @@
 	}
 }
 
-// compareID compares a worker with an ID.
-func compareID(w *worker, id WorkerID) int { return cmp.Compare(w.ID, id) }
+// compareWorkerID compares a worker with an ID.
+func compareWorkerID(w *worker, id WorkerID) int { return cmp.Compare(w.ID, id) }
 
 // all yields the workers that are on the list as it begins: what is yielded may leave it.
 func (l *watchList) all() iter.Seq[*worker] {
@@ -157,9 +158,9 @@
 	}
 }
 
-// A capacitySum is the number of workers that are ready, warming ones by their fraction. It is added up in
-// a step only when a warming worker is considered, in the order of the workers, as a sum of fractions
-// depends on it. Each counts as it was when its health was examined in this step.
+// A capacitySum is the number of workers that are ready, warming ones by their fraction. It is
+// added up in a step only when a warming worker is considered, in the order of the workers, as a
+// sum of fractions depends on it. Each counts as it was when its health was examined in this step.
 type capacitySum struct {
 	total float64
 	next  int    // in the order of workers: those before are in the total
--- a/scheduler/index/index.go
+++ b/scheduler/index/index.go
@@ -87,48 +87,48 @@
 	return e
 }
 
-// Numbers are a sorted list of numbers, of which some may be equal. The zero value is empty.
-type Numbers struct{ sorted []float64 }
+// SortedFloats are a sorted list of numbers, of which some may be equal. The zero value is empty.
+type SortedFloats struct{ sorted []float64 }
 
 // Len returns how many there are.
-func (n *Numbers) Len() int { return len(n.sorted) }
+func (n *SortedFloats) Len() int { return len(n.sorted) }
 
 // Add puts a number in.
-func (n *Numbers) Add(x float64) {
+func (n *SortedFloats) Add(x float64) {
 	i, _ := slices.BinarySearch(n.sorted, x)
 	n.sorted = slices.Insert(n.sorted, i, x)
 }
 
 // Remove takes one number of this value out, if there is one.
-func (n *Numbers) Remove(x float64) {
+func (n *SortedFloats) Remove(x float64) {
 	if i, found := slices.BinarySearch(n.sorted, x); found {
 		n.sorted = slices.Delete(n.sorted, i, i+1)
 	}
 }
 
 // Median returns the middle one, of an even count the higher of both, or otherwise if there are none.
-func (n *Numbers) Median(otherwise float64) float64 {
+func (n *SortedFloats) Median(otherwise float64) float64 {
 	if len(n.sorted) == 0 {
 		return otherwise
 	}
 	return n.sorted[len(n.sorted)/2]
 }
 
-// Times are a sorted list of times that mostly grows at its end and is forgotten from its beginning. The zero value
+// SortedTimes are a sorted list of times that mostly grows at its end and is forgotten from its beginning. The zero value
 // is empty.
-type Times struct {
+type SortedTimes struct {
 	sorted []time.Duration
 	start  int // the first that is not forgotten
 }
 
 // Len returns how many there are.
-func (t *Times) Len() int { return len(t.sorted) - t.start }
+func (t *SortedTimes) Len() int { return len(t.sorted) - t.start }
 
 // All returns a copy of them, the earliest first.
-func (t *Times) All() []time.Duration { return slices.Clone(t.sorted[t.start:]) }
+func (t *SortedTimes) All() []time.Duration { return slices.Clone(t.sorted[t.start:]) }
 
 // Add puts times in.
-func (t *Times) Add(times ...time.Duration) {
+func (t *SortedTimes) Add(times ...time.Duration) {
 	for _, at := range times {
 		i := len(t.sorted)
 		if i > t.start && t.sorted[i-1] > at {
@@ -140,7 +140,7 @@
 }
 
 // ForgetBefore takes all out that are earlier.
-func (t *Times) ForgetBefore(at time.Duration) {
+func (t *SortedTimes) ForgetBefore(at time.Duration) {
 	for t.start < len(t.sorted) && t.sorted[t.start] < at {
 		t.start++
 	}
--- a/scheduler/index/index_test.go
+++ b/scheduler/index/index_test.go
@@ -73,7 +73,7 @@
 func TestMedian(t *testing.T) {
 	for seed := uint64(1); seed <= 20; seed++ {
 		random := rand.New(rand.NewPCG(seed, 2))
-		var n Numbers
+		var n SortedFloats
 		var plain []float64
 		if n.Median(7) != 7 {
 			t.Fatal("the median of none is not what was asked for")
@@ -104,7 +104,7 @@
 func TestTimesAgainstSort(t *testing.T) {
 	for seed := uint64(1); seed <= 20; seed++ {
 		random := rand.New(rand.NewPCG(seed, 3))
-		var times Times
+		var times SortedTimes
 		var plain []time.Duration
 		for now := time.Duration(0); now < 2000; now += time.Duration(random.IntN(3)) {
 			at := now
--- a/scheduler/loadbudget_test.go
+++ b/scheduler/loadbudget_test.go
@@ -82,16 +82,16 @@
 	var b loadBackoff
 	now := time.Minute
 	for _, want := range []time.Duration{500 * ms, time.Second, 2 * time.Second, 3 * time.Second, 3 * time.Second} {
-		b.rejected(now, 1, 3*time.Second)
+		b.onRejected(now, 1, 3*time.Second)
 		if b.until != now+want || b.allows(now+want-1) || !b.allows(now+want) {
 			t.Errorf("backoff to %v, want %v", b.until-now, want)
 		}
 	}
-	b.loaded()
+	b.onLoaded()
 	if b.allows(now) {
 		t.Error("a load ends the backoff that has begun")
 	}
-	b.rejected(now, 1, 3*time.Second)
+	b.onRejected(now, 1, 3*time.Second)
 	if b.until != now+500*ms {
 		t.Errorf("backoff to %v after a load, want to begin anew", b.until-now)
 	}
--- a/scheduler/outlier.go
+++ b/scheduler/outlier.go
@@ -12,41 +12,44 @@
 const (
 	// maxConsecutiveFailures is the number of failures in a row that ejects a worker.
 	maxConsecutiveFailures = 2
-	// ejectDialTimeouts is the time of a first ejection, in dial timeouts. It doubles for each further one.
-	ejectDialTimeouts = 4.0
-	// maxEjectWarmups is the longest time of an ejection, in warmup times.
-	maxEjectWarmups = 0.5
-	// maxEjectDoublings bounds the exponent of the time of an ejection.
-	maxEjectDoublings = 10
-	// errorRateExcess is how far a worker's error rate is above its peers' median when it is the worker that
-	// fails, and not the requests.
+	// baseEjectionDialTimeouts is the time of a first ejection, in dial timeouts. It doubles for
+	// each further one.
+	baseEjectionDialTimeouts = 4.0
+	// maxEjectionWarmups is the longest time of an ejection, in warmup times.
+	maxEjectionWarmups = 0.5
+	// maxEjectionDoublings bounds the exponent of the time of an ejection.
+	maxEjectionDoublings = 10
+	// errorRateExcess is how far a worker's error rate is above its peers' median when it is the
+	// worker that fails, and not the requests.
 	errorRateExcess = 0.5
-	// silentRunTimes is the silence of a worker with requests, in mean run times, after which it is probed.
+	// silentRunTimes is the silence of a worker with requests, in mean run times, after which it is
+	// probed.
 	silentRunTimes = 3.0
-	// probeDialTimeouts is how long a probe may go without an answer, in dial timeouts: a busy worker is
-	// slow to answer probes as well.
+	// probeDialTimeouts is how long a probe may go without an answer, in dial timeouts: a busy
+	// worker is slow to answer probes as well.
 	probeDialTimeouts = 3.0
 )
 
 // outlierDetector finds workers that are dead, silent or broken before the list of workers says so.
 //
-// Ejection: a worker that fails twice in a row without an answer, or leaves a probe unanswered, gets
-// nothing new for a time that doubles, and what waits there is sent elsewhere where the rules allow it. Any
-// answer, at the latest that of the probe at the end of that time, ends the ejection. While more than half
-// of the workers are ejected all ejections are ignored: the fault is then more likely the controller's own
-// or the network's.
+// Ejection: a worker that fails twice in a row without an answer, or leaves a probe unanswered,
+// gets nothing new for a time that doubles, and what waits there is sent elsewhere where the rules
+// allow it. Any answer, at the latest that of the probe at the end of that time, ends the ejection.
+// While more than half of the workers are ejected all ejections are ignored: the fault is then more
+// likely the controller's own or the network's.
 //
-// Avoidance: a worker that answers with errors has tokens to spare, and so draws in more. What cannot be
-// repeated freely would be lost there. It passes the worker by for a growing time, unless its peers fail as
-// much, which makes it the requests' fault. Idempotent requests go on, and show when it is over.
+// Avoidance: a worker that answers with errors has tokens to spare, and so draws in more. What
+// cannot be repeated freely would be lost there. It passes the worker by for a growing time, unless
+// its peers fail as much, which makes it the requests' fault. Idempotent requests go on, and show
+// when it is over.
 //
 // Times are drawn with jitter, so that controllers that saw the same do not return in step.
 type outlierDetector struct {
 	dialTimeout time.Duration
 	warmupTime  time.Duration
 	random      *rand.Rand
-	ejected     int           // workers that are tracked and ejected
-	errorRates  index.Numbers // of those tracked
+	ejected     int                // workers that are tracked and ejected
+	errorRates  index.SortedFloats // of those tracked
 }
 
 func newOutlierDetector(settings *Settings, random *rand.Rand) outlierDetector {
@@ -59,16 +62,16 @@
 
 // A workerHealth is what the outlier detector knows of one worker.
 type workerHealth struct {
-	tracked             bool          // the list has it
-	lastAnswerAt        time.Duration // its last answer
-	waitingSince        time.Duration // since when something is outstanding without an answer
-	probedAt            time.Duration // of a probe that has no answer; 0: none
-	consecutiveFailures int           // without an answer
-	ejected             bool
-	ejectedUntil        time.Duration
-	ejections           int           // in a row, avoidances included
-	errorRate           float64       // mean part of errors among its answers
-	avoidUntil          time.Duration // requests that are not idempotent pass it by until then
+	tracked              bool          // the list has it
+	lastResponseAt       time.Duration // its last answer
+	waitingSince         time.Duration // since when something is outstanding without an answer
+	probedAt             time.Duration // of a probe that has no answer; 0: none
+	consecutiveFailures  int           // without an answer
+	ejected              bool
+	ejectedUntil         time.Duration
+	consecutiveEjections int           // in a row, avoidances included
+	errorRate            float64       // mean part of errors among its answers
+	avoidedUntil         time.Duration // requests that are not idempotent pass it by until then
 }
 
 // track begins to count a worker that the list has.
@@ -86,8 +89,8 @@
 	}
 }
 
-// suspicious tells whether ejections are to be ignored, of so many workers that are listed.
-func (o *outlierDetector) suspicious(listed int) bool { return 2*o.ejected > listed }
+// ignoresEjections tells whether ejections are to be ignored, of so many workers that are listed.
+func (o *outlierDetector) ignoresEjections(listed int) bool { return 2*o.ejected > listed }
 
 // onFailure notes that a worker gave no answer, and tells whether it is to be ejected for it.
 func (o *outlierDetector) onFailure(h *workerHealth, now time.Duration) bool {
@@ -98,18 +101,19 @@
 // onSuccess notes an answer without error.
 func (o *outlierDetector) onSuccess(health *workerHealth) {
 	health.consecutiveFailures = 0
-	health.ejections = 0
+	health.consecutiveEjections = 0
 	o.setErrorRate(health, health.errorRate*(1-meanWeight))
 }
 
-// onError notes that an attempt ended otherwise. It counts as an error if it was one of the worker's own.
+// onError notes that an attempt ended otherwise. It counts as an error if it was one of the
+// worker's own.
 func (o *outlierDetector) onError(health *workerHealth, counts bool, now time.Duration) {
 	if counts {
 		o.setErrorRate(health, health.errorRate+meanWeight*(1-health.errorRate))
 	}
-	if now >= health.avoidUntil && health.errorRate > errorRateExcess+o.errorRates.Median(0) {
-		health.avoidUntil = now + o.ejectionDuration(health.ejections)
-		health.ejections++
+	if now >= health.avoidedUntil && health.errorRate > errorRateExcess+o.errorRates.Median(0) {
+		health.avoidedUntil = now + o.ejectionDuration(health.consecutiveEjections)
+		health.consecutiveEjections++
 	}
 }
 
@@ -117,15 +121,15 @@
 func (o *outlierDetector) eject(health *workerHealth, now time.Duration) {
 	o.setEjected(health, true)
 	health.probedAt = 0
-	health.ejectedUntil = now + o.ejectionDuration(health.ejections)
-	health.ejections++
+	health.ejectedUntil = now + o.ejectionDuration(health.consecutiveEjections)
+	health.consecutiveEjections++
 }
 
 // ejectionDuration is the time of an ejection after so many others, with jitter.
 func (o *outlierDetector) ejectionDuration(before int) time.Duration {
-	doublings := float64(min(before, maxEjectDoublings))
-	span := ejectDialTimeouts * float64(o.dialTimeout) * math.Pow(2, doublings)
-	span = min(span, maxEjectWarmups*float64(o.warmupTime))
+	doublings := float64(min(before, maxEjectionDoublings))
+	span := baseEjectionDialTimeouts * float64(o.dialTimeout) * math.Pow(2, doublings)
+	span = min(span, maxEjectionWarmups*float64(o.warmupTime))
 	return time.Duration(span * (1 + jitter*(o.random.Float64()-0.5)))
 }
 
@@ -148,50 +152,50 @@
 	health.errorRate = rate
 }
 
-// A healthCheck is what the silence of a worker, or the end of its ejection, calls for.
-type healthCheck int
+// A healthAction is what the silence of a worker, or the end of its ejection, calls for.
+type healthAction int
 
 const (
-	noCheck      healthCheck = iota
-	probeSilent              // probe it
-	probeEjected             // probe it, or end the ejection where probes are not possible
-	ejectSilent              // eject it
+	noHealthAction healthAction = iota
+	probeSilent                 // probe it
+	probeEjected                // probe it, or end the ejection where probes are not possible
+	ejectSilent                 // eject it
 )
 
-// check returns what is due at a worker with so many attempts outstanding. Silence is the time without an
-// answer after which a worker is probed, patience the time that a probe may take.
-func (h *workerHealth) check(
+// dueAction returns what is due at a worker with so many attempts outstanding. Silence is the time
+// without an answer after which a worker is probed, patience the time that a probe may take.
+func (h *workerHealth) dueAction(
 	now time.Duration, outstanding int, silence, patience time.Duration,
-) healthCheck {
+) healthAction {
 	overdue := h.probedAt > 0 && now-h.probedAt > patience
 	switch {
 	case h.ejected && now >= h.ejectedUntil && h.probedAt == 0:
 		return probeEjected
 	case h.ejected && overdue:
 		return ejectSilent
-	case h.ejected || outstanding == 0 || now-max(h.waitingSince, h.lastAnswerAt) <= silence:
-		return noCheck
+	case h.ejected || outstanding == 0 || now-max(h.waitingSince, h.lastResponseAt) <= silence:
+		return noHealthAction
 	case h.probedAt == 0:
 		return probeSilent
-	case overdue && h.lastAnswerAt < h.probedAt:
+	case overdue && h.lastResponseAt < h.probedAt:
 		return ejectSilent
 	}
-	return noCheck
+	return noHealthAction
 }
 
-// checkHealth probes workers that are silent with something outstanding, ejects those that stay so, and
-// probes ejected workers at the end of their time.
+// checkHealth probes workers that are silent with something outstanding, ejects those that stay so,
+// and probes ejected workers at the end of their time.
 func (d *Dispatcher) checkHealth() {
 	silence := max(d.settings.Limits.DialTimeout, seconds(silentRunTimes*slices.Max(d.classRunTime)))
 	patience := seconds(probeDialTimeouts * d.settings.Limits.DialTimeout.Seconds())
 	d.capacity.reset()
 	for worker := range d.watchList.all() {
-		switch worker.check(d.now, worker.outstanding, silence, patience) {
+		switch worker.dueAction(d.now, worker.outstanding, silence, patience) {
 		case probeSilent:
 			d.probe(worker)
 		case probeEjected:
 			if !d.probe(worker) {
-				d.workerAnswered(worker, OK)
+				d.workerResponded(worker, OK)
 			}
 		case ejectSilent:
 			d.eject(worker)
@@ -199,8 +203,8 @@
 	}
 }
 
-// probe asks a worker something that costs it little, how many copies it has or a probe, and tells whether it
-// could.
+// probe asks a worker something that costs it little, how many copies it has or a probe, and tells
+// whether it could.
 func (d *Dispatcher) probe(worker *worker) bool {
 	switch {
 	case d.settings.Loading.Orders && worker.lastFunction != 0:
@@ -216,11 +220,12 @@
 
 // ready tells whether a worker may be sent anything new.
 func (d *Dispatcher) ready(w *worker) bool {
-	return w.State == Ready && (!w.ejected || d.outliers.suspicious(len(d.order)))
+	return w.State == Ready && (!w.ejected || d.outliers.ignoresEjections(len(d.order)))
 }
 
-// workerAnswered notes the outcome of anything that was asked of a worker: any answer is a sign of life.
-func (d *Dispatcher) workerAnswered(worker *worker, outcome Outcome) {
+// workerResponded notes the outcome of anything that was asked of a worker: any answer is a sign of
+// life.
+func (d *Dispatcher) workerResponded(worker *worker, outcome Outcome) {
 	if worker == nil || outcome == Cancelled || outcome == NotStarted {
 		return
 	}
@@ -231,11 +236,11 @@
 		}
 		return
 	}
-	worker.lastAnswerAt = d.now
+	worker.lastResponseAt = d.now
 	if worker.ejected { // it may have started anew before the list says so
 		d.setEjected(worker, false)
 		worker.consecutiveFailures = 0
-		worker.limit.distrust()
+		worker.limit.restrictToOne()
 	}
 }
 
--- a/scheduler/outlier_step_test.go
+++ b/scheduler/outlier_step_test.go
@@ -62,23 +62,23 @@
 	w := d.workers[1]
 	var spans []time.Duration
 	for len(spans) < 3 {
-		d.now = max(d.now, w.avoidUntil)
-		before := w.avoidUntil
-		for w.avoidUntil == before {
+		d.now = max(d.now, w.avoidedUntil)
+		before := w.avoidedUntil
+		for w.avoidedUntil == before {
 			d.outliers.onError(&w.workerHealth, true, d.now)
 		}
-		spans = append(spans, w.avoidUntil-d.now)
+		spans = append(spans, w.avoidedUntil-d.now)
 	}
 	if spans[1] <= spans[0] || spans[2] <= spans[1] {
 		t.Errorf("%v, want each longer than the one before", spans)
 	}
 	r := arrival(1, 2, 7)
-	d.Step(w.avoidUntil+time.Second, []Event{r})
+	d.Step(w.avoidedUntil+time.Second, []Event{r})
 	for range 10 {
 		w.errorRate *= 1 - meanWeight // as ten answers do
 	}
 	d.outliers.onError(&w.workerHealth, true, d.now)
-	if d.now < w.avoidUntil {
+	if d.now < w.avoidedUntil {
 		t.Error("one error after ten answers is enough")
 	}
 }
--- a/scheduler/outlier_test.go
+++ b/scheduler/outlier_test.go
@@ -58,13 +58,13 @@
 	for i, want := range []bool{false, false, true} {
 		o.eject(workers[i], time.Minute)
 		o.eject(workers[i], time.Minute) // again: it counts once
-		if got := o.suspicious(4); got != want {
+		if got := o.ignoresEjections(4); got != want {
 			t.Errorf("%d of 4 ejected: suspicious %v, want %v", i+1, got, want)
 		}
 	}
 	o.untrack(workers[0])
 	o.setEjected(workers[0], false)
-	if o.ejected != 2 || o.suspicious(4) {
+	if o.ejected != 2 || o.ignoresEjections(4) {
 		t.Errorf("%d ejected after one of three left, want two", o.ejected)
 	}
 }
@@ -90,7 +90,7 @@
 				}
 			}
 		}
-		if got := workers[0].avoidUntil > time.Minute; got != tt.want {
+		if got := workers[0].avoidedUntil > time.Minute; got != tt.want {
 			t.Errorf("%s: avoided %v, want %v", tt.name, got, tt.want)
 		}
 	}
@@ -103,24 +103,24 @@
 		name        string
 		health      workerHealth
 		outstanding int
-		want        healthCheck
+		want        healthAction
 	}{
-		{"nothing outstanding", workerHealth{}, 0, noCheck},
-		{"answered not long ago", workerHealth{lastAnswerAt: now - silence}, 1, noCheck},
-		{"waiting not long", workerHealth{waitingSince: now - silence}, 1, noCheck},
-		{"silent", workerHealth{lastAnswerAt: now - silence - 1}, 1, probeSilent},
-		{"probed not long ago", workerHealth{probedAt: now - patience}, 1, noCheck},
+		{"nothing outstanding", workerHealth{}, 0, noHealthAction},
+		{"answered not long ago", workerHealth{lastResponseAt: now - silence}, 1, noHealthAction},
+		{"waiting not long", workerHealth{waitingSince: now - silence}, 1, noHealthAction},
+		{"silent", workerHealth{lastResponseAt: now - silence - 1}, 1, probeSilent},
+		{"probed not long ago", workerHealth{probedAt: now - patience}, 1, noHealthAction},
 		{"probe unanswered", workerHealth{probedAt: now - patience - 1}, 1, ejectSilent},
 		{"heard since the probe, then silent", workerHealth{probedAt: now - 10*time.Second,
-			lastAnswerAt: now - 9*time.Second}, 1, noCheck},
-		{"ejected", workerHealth{ejected: true, ejectedUntil: now + 1}, 1, noCheck},
+			lastResponseAt: now - 9*time.Second}, 1, noHealthAction},
+		{"ejected", workerHealth{ejected: true, ejectedUntil: now + 1}, 1, noHealthAction},
 		{"ejection over", workerHealth{ejected: true, ejectedUntil: now}, 0, probeEjected},
 		{"ejection over, probed", workerHealth{ejected: true, ejectedUntil: now - 1, probedAt: now - patience},
-			0, noCheck},
+			0, noHealthAction},
 		{"ejection over, probe unanswered", workerHealth{ejected: true, ejectedUntil: now - 9,
 			probedAt: now - patience - 1}, 0, ejectSilent},
 	} {
-		if got := tt.health.check(now, tt.outstanding, silence, patience); got != tt.want {
+		if got := tt.health.dueAction(now, tt.outstanding, silence, patience); got != tt.want {
 			t.Errorf("%s: check %d, want %d", tt.name, got, tt.want)
 		}
 	}
@@ -139,7 +139,7 @@
 		t.Errorf("median %v of 2 and 3, want the higher", p.median())
 	}
 	p.set(&b, 1, true)
-	p.forget(&a)
+	p.remove(&a)
 	if p.median() != 1 {
 		t.Errorf("median %v of 1 alone", p.median())
 	}
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -165,7 +165,7 @@
 
 // avoids tells whether a request passes a worker by for its errors: one that may run twice does not.
 func (d *Dispatcher) avoids(r *request, w *worker) bool {
-	return d.now < w.avoidUntil && d.class(r).Idempotency != Idempotent
+	return d.now < w.avoidedUntil && d.class(r).Idempotency != Idempotent
 }
 
 // mayWaitForLoad tells whether a worker may be sent a request that has to wait for a load there.
--- a/scheduler/queueindex_test.go
+++ b/scheduler/queueindex_test.go
@@ -85,12 +85,12 @@
 
 // After each step of days with every kind of fault, the indexes hold what examining everything finds.
 func TestIndexesHoldWhatExaminingAllFinds(t *testing.T) {
-	for i, c := range streamCases() {
+	for i, c := range simulationCases() {
 		if c.workers > 60 || c.functions > 300 {
 			continue
 		}
 		c.span = min(c.span, 20*time.Second)
-		playStreamWith(t, c, uint64(100+i), func(d *Dispatcher) { checkIndexes(t, d) })
+		simulateWith(t, c, uint64(100+i), func(d *Dispatcher) { checkIndexes(t, d) })
 	}
 }
 
--- a/scheduler/snapshot.go
+++ b/scheduler/snapshot.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Snapshot is the state of a worker and a function as the dispatcher sees it, for people to read. Nothing
-// is decided by it.
+// Snapshot is the state of a worker and a function as the dispatcher sees it, for people to read.
+// Nothing is decided by it.
 type Snapshot struct {
 	RingPosition     int     `json:"Place"`    // of the worker in the function's walk; -1: not on it
 	RingSize         int     `json:"Ring"`     // workers on the ring
@@ -17,9 +17,9 @@
 	HasCopy          bool    `json:"Warm"`     // a copy is believed to be loaded
 	Rank             int     `json:"Rank"`     // as advised
 	Tokens           float64 `json:"Tokens"`   // concurrency limit at the worker
-	Busy             int     `json:"Busy"`     // tokens in use
+	TokensInUse      int     `json:"Busy"`     // tokens in use
 	LatencyRatio     float64 `json:"Pace"`     // mean of its run times over its classes' means; 0: not known
-	Loads            int     `json:"Loads"`    // attempts there that may wait for a load
+	AwaitingLoad     int     `json:"Loads"`    // attempts there that may wait for a load
 	AdmittedFraction float64 `json:"Pass"`     // of new requests
 	Queued           int     `json:"Waiting"`  // requests of the function in its queue
 	InFlight         int     `json:"InFlight"` // attempts of the function without an outcome
@@ -43,8 +43,8 @@
 	warmAt := worker.warmingSince + d.settings.Guarantees.WarmupTime
 	snapshot.WarmingUp = worker.warmingSince > 0 && d.now < warmAt
 	snapshot.Tokens = worker.limit.tokens
-	snapshot.Busy = worker.limit.inUse
-	snapshot.Loads = worker.awaitingLoad
+	snapshot.TokensInUse = worker.limit.inUse
+	snapshot.AwaitingLoad = worker.awaitingLoad
 	snapshot.LatencyRatio = worker.limit.latencyRatio
 	if queue != nil {
 		snapshot.HasCopy = d.hasCopy(queue.placements[worker], worker)
@@ -64,24 +64,24 @@
 
 // WorkerSnapshot is a worker as the dispatcher sees it.
 type WorkerSnapshot struct {
-	ID              WorkerID      `json:"ID"`
-	State           WorkerState   `json:"State"`
-	Snapshot        Snapshot      `json:"Look"`   // of no function
-	SinceLastAnswer time.Duration `json:"Heard"`  // -1: none yet
-	Copies          int           `json:"Copies"` // functions believed to be loaded there
+	ID                WorkerID      `json:"ID"`
+	State             WorkerState   `json:"State"`
+	Snapshot          Snapshot      `json:"Look"`   // of no function
+	SinceLastResponse time.Duration `json:"Heard"`  // -1: none yet
+	Copies            int           `json:"Copies"` // functions believed to be loaded there
 }
 
 // Workers returns all workers that are listed, by id.
 func (d *Dispatcher) Workers() (snapshots []WorkerSnapshot) {
 	for _, worker := range d.order {
 		snapshot := WorkerSnapshot{
-			ID:              worker.ID,
-			State:           worker.State,
-			Snapshot:        d.Snapshot(0, worker.ID),
-			SinceLastAnswer: -1,
+			ID:                worker.ID,
+			State:             worker.State,
+			Snapshot:          d.Snapshot(0, worker.ID),
+			SinceLastResponse: -1,
 		}
-		if worker.lastAnswerAt > 0 {
-			snapshot.SinceLastAnswer = d.now - worker.lastAnswerAt
+		if worker.lastResponseAt > 0 {
+			snapshot.SinceLastResponse = d.now - worker.lastResponseAt
 		}
 		for _, placed := range worker.placements {
 			if d.hasCopy(placed, worker) {
--- a/scheduler/step.go
+++ b/scheduler/step.go
@@ -110,7 +110,7 @@
 	case LoadOrderEnded:
 		d.loadOrderEnded(event)
 	case ProbeEnded:
-		d.workerAnswered(d.workers[event.Worker], event.Outcome)
+		d.workerResponded(d.workers[event.Worker], event.Outcome)
 	case StagedCopies:
 		d.stageCopies(event)
 	case BudgetHandover:
--- a/scheduler/streams_play_test.go
+++ b/scheduler/streams_play_test.go
@@ -39,10 +39,10 @@
 	function FunctionID
 }
 
-// A streamPlay is one day under way: the dispatcher and a plain model of what answers it.
-type streamPlay struct {
+// A simulation is one day under way: the dispatcher and a plain model of what answers it.
+type simulation struct {
 	test       *testing.T
-	day        streamCase
+	day        simulationCase
 	settings   Settings
 	dispatcher *Dispatcher
 	rnd        *rand.Rand
@@ -61,12 +61,12 @@
 	counts     map[string]int // of actions, by the first word of their encoding
 }
 
-func playStream(t *testing.T, c streamCase, seed uint64) *streamPlay {
-	return playStreamWith(t, c, seed, func(*Dispatcher) {})
+func simulate(t *testing.T, c simulationCase, seed uint64) *simulation {
+	return simulateWith(t, c, seed, func(*Dispatcher) {})
 }
 
-// playStreamWith plays a day, calls after each step what is to be looked at, and returns the play.
-func playStreamWith(t *testing.T, c streamCase, seed uint64, after func(*Dispatcher)) *streamPlay {
+// simulateWith plays a day, calls after each step what is to be looked at, and returns the play.
+func simulateWith(t *testing.T, c simulationCase, seed uint64, after func(*Dispatcher)) *simulation {
 	s := base()
 	s.Tick, s.Loading.IdleCopyTTL = c.tick, c.idleCopyTTL
 	if c.adjust != nil {
@@ -76,7 +76,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &streamPlay{test: t, day: c, settings: s, dispatcher: d, rnd: rand.New(rand.NewPCG(seed, 11)), now: time.Hour, nextCall: 1,
+	p := &simulation{test: t, day: c, settings: s, dispatcher: d, rnd: rand.New(rand.NewPCG(seed, 11)), now: time.Hour, nextCall: 1,
 		nextID:   1,
 		function: map[RequestID]FunctionID{}, attempts: map[RequestID]int{}, sent: map[RequestID][]WorkerID{},
 		copies: map[workerFunction]time.Duration{}, encoded: sha256.New(), counts: map[string]int{}}
@@ -100,7 +100,7 @@
 }
 
 // addState adds what the dispatcher shows of its workers and functions to the sum.
-func (p *streamPlay) addState() {
+func (p *simulation) addState() {
 	for _, l := range p.dispatcher.Workers() {
 		fmt.Fprintln(p.encoded, encodeWorkerSnapshot(l))
 	}
@@ -114,17 +114,17 @@
 }
 
 // encodedLine describes the play by the hash of its encoded actions, and counts of them.
-func (p *streamPlay) encodedLine() string {
+func (p *simulation) encodedLine() string {
 	return fmt.Sprintf("%s %x actions %d sends %d loads %d probes %d rejected %d failed %d cancelled %d",
 		p.day.name, p.encoded.Sum(nil)[:16],
 		p.actions, p.counts["send"], p.counts["load"], p.counts["probe"], p.counts["reject"], p.counts["fail"], p.counts["cancel"])
 }
 
-func (p *streamPlay) chance(perSecond float64) bool {
+func (p *simulation) chance(perSecond float64) bool {
 	return p.rnd.Float64() < perSecond*p.day.tick.Seconds()
 }
 
-func (p *streamPlay) tick() {
+func (p *simulation) tick() {
 	switch {
 	case p.day.jumps && p.rnd.IntN(200) == 0: // the clock does not move
 	case p.day.jumps && p.rnd.IntN(1500) == 0:
@@ -134,7 +134,7 @@
 	}
 }
 
-func (p *streamPlay) newWorker(later bool) WorkerInfo {
+func (p *simulation) newWorker(later bool) WorkerInfo {
 	w := WorkerInfo{ID: p.nextID, State: Ready, Group: int(p.nextID) / 3, Zone: int(p.nextID) % 3,
 		Kind: int(p.nextID) % 3}
 	p.nextID++
@@ -145,7 +145,7 @@
 }
 
 // events returns what comes from outside: calls, clients that leave, lists, advice.
-func (p *streamPlay) events() (events []Event) {
+func (p *simulation) events() (events []Event) {
 	for n := p.day.rate * p.day.tick.Seconds(); n > 0; n-- {
 		if p.rnd.Float64() < n {
 			events = append(events, p.call())
@@ -164,7 +164,7 @@
 }
 
 // call draws a function by a Zipf law.
-func (p *streamPlay) call() Event {
+func (p *simulation) call() Event {
 	x := math.Pow(float64(p.day.functions), p.rnd.Float64())
 	fn := FunctionID(min(int(x), p.day.functions))
 	a := Arrival{Request: p.nextCall, Class: p.rnd.IntN(3), Function: fn, Lanes: float64(1 + fn%3),
@@ -182,7 +182,7 @@
 	return a
 }
 
-func (p *streamPlay) listChange() []Event {
+func (p *simulation) listChange() []Event {
 	if p.day.replaced && p.rnd.IntN(6) == 0 {
 		for i := range p.list {
 			p.list[i] = p.newWorker(true)
@@ -227,7 +227,7 @@
 	return []Event{ListUpdate{Kind: ListDelta, Workers: []WorkerInfo{old, p.list[i]}}}
 }
 
-func (p *streamPlay) advise() Event {
+func (p *simulation) advise() Event {
 	fn := FunctionID(1 + p.rnd.IntN(p.day.functions))
 	until := p.now + time.Duration(p.rnd.IntN(8000))*ms
 	switch p.rnd.IntN(8) {
@@ -248,7 +248,7 @@
 }
 
 // step plays one step, adds its actions to the sum, and has the model answer them.
-func (p *streamPlay) step(events []Event) {
+func (p *simulation) step(events []Event) {
 	actions := p.dispatcher.Step(p.now, events)
 	for _, a := range actions {
 		p.actions++
@@ -263,13 +263,13 @@
 	}
 }
 
-func (p *streamPlay) later(after time.Duration, e Event) {
+func (p *simulation) later(after time.Duration, e Event) {
 	p.seq++
 	heap.Push(&p.due, dueEvent{p.now + max(after, 1), p.seq, e})
 }
 
 // answer models a worker: faults by its id, loads where no copy is loaded, copies that go after their idle time to live.
-func (p *streamPlay) answer(a Action) {
+func (p *simulation) answer(a Action) {
 	switch a := a.(type) {
 	case Send:
 		p.answerSend(a)
@@ -297,11 +297,11 @@
 	}
 }
 
-func (p *streamPlay) faulty(w WorkerID) bool {
+func (p *simulation) faulty(w WorkerID) bool {
 	return unit(mix(uint64(w)*7+uint64(p.now/(7*time.Second)))) < p.day.fault
 }
 
-func (p *streamPlay) answerSend(a Send) {
+func (p *simulation) answerSend(a Send) {
 	attempt := p.attempts[a.Request]
 	p.attempts[a.Request]++
 	key := workerFunction{a.Worker, p.function[a.Request]}
--- a/scheduler/streams_test.go
+++ b/scheduler/streams_test.go
@@ -15,8 +15,8 @@
 // actionsFile has the hash of each day's encoded actions.
 const actionsFile = "testdata/actions.txt"
 
-// A streamCase is one seeded day: an installation and its faults.
-type streamCase struct {
+// A simulationCase is one seeded day: an installation and its faults.
+type simulationCase struct {
 	name               string
 	workers, functions int
 	rate               float64 // calls a second
@@ -32,7 +32,7 @@
 	adjust             func(*Settings)
 }
 
-func streamCases() []streamCase {
+func simulationCases() []simulationCase {
 	budget := func(s *Settings) {
 		setBudget(s, 5*time.Second, 4, 0.3)
 	}
@@ -56,7 +56,7 @@
 		setBudget(s, 5*time.Second, 20, 1)
 		s.Loading.MemoryMB = []float64{4000, 8000}
 	}
-	return []streamCase{
+	return []simulationCase{
 		{name: "none", workers: 0, functions: 5, rate: 20, span: 20 * time.Second, tick: 10 * ms,
 			idleCopyTTL: 4 * time.Second},
 		{name: "one", workers: 1, functions: 5, rate: 30, span: 20 * time.Second, tick: 10 * ms,
@@ -105,8 +105,8 @@
 // change of decisions that is meant records anew with -record-streams and says why.
 func TestStreamsEqual(t *testing.T) {
 	var encoded []string
-	for _, c := range streamCases() {
-		p := playStream(t, c, uint64(len(encoded)+1))
+	for _, c := range simulationCases() {
+		p := simulate(t, c, uint64(len(encoded)+1))
 		encoded = append(encoded, p.encodedLine())
 	}
 	if *recordStreams {
