--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -43,7 +43,7 @@
 	ProbeTimeout time.Duration
 
 	// ReportFields are the load report fields to extract, in the order of the extracted values.
-	ReportFields []scheduler.ReportField
+	ReportFields []scheduler.LoadReportField
 }
 
 const defaultMaxIdle = 64 // connections per worker
--- a/internal/backend/frame/backend.go
+++ b/internal/backend/frame/backend.go
@@ -31,8 +31,8 @@
 	// it may arrive.
 	MaxResponseDelay time.Duration
 
-	OrderTimeout time.Duration           // timeout of a load order
-	ReportFields []scheduler.ReportField // load report fields to extract
+	OrderTimeout time.Duration               // timeout of a load order
+	ReportFields []scheduler.LoadReportField // load report fields to extract
 	Log          zerolog.Logger
 }
 
--- a/internal/backend/frame/codec_test.go
+++ b/internal/backend/frame/codec_test.go
@@ -19,7 +19,7 @@
 		if readResponse(bufio.NewReader(bytes.NewReader(in)), 1000, &resp) != nil {
 			return
 		}
-		parseFields(resp.fields, []scheduler.ReportField{scheduler.FieldUtilization})
+		parseFields(resp.fields, []scheduler.LoadReportField{scheduler.FieldUtilization})
 		framed := fakeplatform.Reply(resp.code, resp.id, resp.fields, string(resp.body))
 		if !bytes.HasPrefix(in, framed) {
 			t.Errorf("%x was parsed as %x", in, framed)
--- a/internal/backend/frame/fields.go
+++ b/internal/backend/frame/fields.go
@@ -18,7 +18,7 @@
 
 // parseFields parses fields like "note=resident,company=3". Unknown fields are ignored, and
 // malformed ones count as missing.
-func parseFields(text string, report []scheduler.ReportField) (f responseFields) {
+func parseFields(text string, report []scheduler.LoadReportField) (f responseFields) {
 	for pair := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(pair, "=")
 		switch name {
@@ -55,7 +55,7 @@
 
 // reportFields maps the names of load report fields: those of the platform and those of the
 // settings.
-var reportFields = map[string]scheduler.ReportField{
+var reportFields = map[string]scheduler.LoadReportField{
 	"inflight":     scheduler.FieldInFlight,
 	"outstanding":  scheduler.FieldInFlight,
 	"queue":        scheduler.FieldQueue,
@@ -74,7 +74,7 @@
 
 // parseReport parses a load report like "inflight:7;util:0.61" and returns the values of the given
 // fields, in that order. It returns nil if a field is missing or is not a non-negative number.
-func parseReport(text string, fields []scheduler.ReportField) []float64 {
+func parseReport(text string, fields []scheduler.LoadReportField) []float64 {
 	if len(fields) == 0 {
 		return nil
 	}
--- a/internal/backend/report.go
+++ b/internal/backend/report.go
@@ -76,7 +76,7 @@
 
 // values returns the values of the given fields, in that order, with 0 for a field that is missing.
 // It returns nil if the load report has none of them.
-func (r loadReport) values(fields []scheduler.ReportField) []float64 {
+func (r loadReport) values(fields []scheduler.LoadReportField) []float64 {
 	values := make([]float64, len(fields))
 	found := false
 	for i, field := range fields {
@@ -96,7 +96,7 @@
 	named bool // a named metric instead of an ORCA field
 }
 
-var reportKeys = map[scheduler.ReportField]reportKey{
+var reportKeys = map[scheduler.LoadReportField]reportKey{
 	scheduler.FieldUtilization: {name: "cpu_utilization"},
 	scheduler.FieldRate:        {name: "rps_fractional"},
 	scheduler.FieldErrorRate:   {name: "eps"},
@@ -107,7 +107,7 @@
 	scheduler.FieldX1:          {name: "x1", named: true},
 }
 
-func (r loadReport) value(field scheduler.ReportField) (value float64, ok bool) {
+func (r loadReport) value(field scheduler.LoadReportField) (value float64, ok bool) {
 	key, known := reportKeys[field]
 	switch {
 	case !known:
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -18,7 +18,7 @@
 // the notification, or 0 for a cached list. An error rejects the update: the previous list stays in
 // force.
 type Sink interface {
-	Workers(kind scheduler.ListKind, version uint32, workers []gateway.Worker) error
+	UpdateWorkers(kind scheduler.ListKind, version uint32, workers []gateway.Worker) error
 }
 
 // Config configures a Watcher, which watches a file or, if File is empty, a server.
@@ -86,7 +86,7 @@
 	if err != nil || event == nil {
 		return err
 	}
-	if err := w.cfg.Sink.Workers(event.Kind, event.Version, event.Workers); err != nil {
+	if err := w.cfg.Sink.UpdateWorkers(event.Kind, event.Version, event.Workers); err != nil {
 		w.state = previous
 		return err
 	}
--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -23,7 +23,7 @@
 	if !arrival.Resubmitted {
 		d.loadBudget.recordArrival(d.now)
 	}
-	queue := d.queues.get(arrival.Function)
+	queue := d.queues.getOrCreate(arrival.Function)
 	d.queues.arrive(queue, d.now)
 	request := &request{
 		Arrival:   arrival,
@@ -104,7 +104,7 @@
 	noTime := d.cannotMeetDeadline(request)
 	if noTime && d.now == request.arrivedAt {
 		// The mean run time rejects even a new request. Lower it, or a wrong one would never be corrected.
-		request.queue.meanRunTime = mean(request.queue.meanRunTime, 0)
+		request.queue.meanRunTime = ewma(request.queue.meanRunTime, 0)
 	}
 	switch {
 	case request.hasOutstanding():
@@ -145,9 +145,9 @@
 		if limits := &d.settings.Limits; limits.RetryAfter && d.admission.shedding() {
 			reject.RetryAfter = d.admission.retryAfter(limits.MaxRetryAfter, d.random)
 		}
-		d.do(reject)
+		d.emit(reject)
 	} else {
-		d.do(Fail{Request: request.Request})
+		d.emit(Fail{Request: request.Request})
 	}
 	d.end(request)
 }
@@ -168,7 +168,7 @@
 func (d *Dispatcher) cancel(request *request, i int) {
 	if a := &request.attempts[i]; d.settings.Limits.Cancel && !a.done && !a.abandoned {
 		a.abandoned = true
-		d.do(Cancel{Request: request.Request, Attempt: i})
+		d.emit(Cancel{Request: request.Request, Attempt: i})
 	}
 }
 
@@ -178,7 +178,7 @@
 	work := d.classRunTime[request.Class]
 	d.queues.dequeue(request)
 	request.mayHedge = false
-	d.queues.sent(queue, d.runTime(request), d.now)
+	d.queues.charge(queue, d.runTime(request), d.now)
 	if worker.outstanding == 0 {
 		worker.waitingSince = d.now
 	}
@@ -187,7 +187,7 @@
 	placed.outstanding++
 	if awaitsLoad {
 		worker.awaitingLoad++
-		placed.leaders++
+		placed.awaitingLoad++
 		placed.loadStartedAt = d.now
 		request.loadAllowance = d.loadTime(request)
 	} else {
@@ -206,7 +206,7 @@
 		awaitsLoad: awaitsLoad,
 	})
 	timeout := max(request.answerBy-d.now, d.settings.Tick)
-	d.do(Send{Request: request.Request, Worker: worker.ID, Timeout: timeout})
+	d.emit(Send{Request: request.Request, Worker: worker.ID, Timeout: timeout})
 }
 
 // release ends an attempt's hold on its worker and notes whether it may have run.
@@ -220,7 +220,7 @@
 	placed.outstanding--
 	if attempt.awaitsLoad {
 		worker.awaitingLoad--
-		placed.leaders--
+		placed.awaitingLoad--
 	} else {
 		worker.limit.release()
 	}
@@ -229,7 +229,7 @@
 		delete(request.queue.placements, worker)
 	}
 	worker.waitingSince = d.now
-	d.queues.ended(request.queue, d.now)
+	d.queues.recordOutcome(request.queue, d.now)
 	d.slowStart.ended(&worker.warmup, attempt.work, outcome)
 }
 
@@ -253,10 +253,10 @@
 		d.afterRejection(request, attempt, ended)
 	case TimedOut:
 		worker.limit.onTimeout(tokenStep(d.settings.Controllers))
-		d.workerAnswered(worker, TimedOut)
+		d.workerResponded(worker, TimedOut)
 		d.observeCrowding(request.queue, int(2*request.Lanes), request.Lanes, d.isWarm(worker))
 	default:
-		d.workerAnswered(worker, ended.Outcome)
+		d.workerResponded(worker, ended.Outcome)
 		ownError := ended.Outcome == Error && ended.Note != LoadFailed
 		d.outliers.onError(&worker.workerHealth, ownError, d.now)
 	}
@@ -271,10 +271,10 @@
 func (d *Dispatcher) afterSuccess(request *request, attempt *attempt, placed *placement, ended AttemptEnded) {
 	worker := attempt.worker
 	late := ended.Took > d.class(request).LatencyObjective
-	d.workerAnswered(worker, OK)
+	d.workerResponded(worker, OK)
 	d.observe(request, !d.overdue(request))
 	if ended.Note == StartedLoad {
-		worker.loadBackoff.loaded()
+		worker.loadBackoff.onLoaded()
 	}
 	d.outliers.onSuccess(&worker.workerHealth)
 	placed.lastSeenAt = d.now
@@ -292,23 +292,23 @@
 // learnRunTime follows the run times of the function, its class and the worker, in seconds, and with them the
 // worker's concurrency limit.
 func (d *Dispatcher) learnRunTime(request *request, worker *worker, took float64, late bool) {
-	request.queue.meanRunTime = mean(request.queue.meanRunTime, took)
-	d.classRunTime[request.Class] = mean(d.classRunTime[request.Class], took)
-	ratio := mean(worker.limit.latencyRatio, took/d.classRunTime[request.Class])
+	request.queue.meanRunTime = ewma(request.queue.meanRunTime, took)
+	d.classRunTime[request.Class] = ewma(d.classRunTime[request.Class], took)
+	ratio := ewma(worker.limit.latencyRatio, took/d.classRunTime[request.Class])
 	d.peerLatency.set(&worker.limit, ratio, worker.State != Removed)
 	headroom := d.slowRatio(request) / worker.limit.latencyRatio
-	worker.limit.onAnswer(headroom, late, tokenStep(d.settings.Controllers))
+	worker.limit.onResponse(headroom, late, tokenStep(d.settings.Controllers))
 }
 
 // slowRatio is the latency ratio from which a worker counts as slow.
 func (d *Dispatcher) slowRatio(r *request) float64 {
-	return slowFrom(d.settings.Controllers, r.Lanes) * d.peerLatency.median()
+	return slowThreshold(d.settings.Controllers, r.Lanes) * d.peerLatency.median()
 }
 
 // afterRejection learns from a worker that was at its capacity.
 func (d *Dispatcher) afterRejection(request *request, attempt *attempt, ended AttemptEnded) {
 	worker := attempt.worker
-	d.workerAnswered(worker, OK)
+	d.workerResponded(worker, OK)
 	worker.limit.onRejection()
 	d.observeCrowding(request.queue, ended.SameFunction, request.Lanes, d.isWarm(worker))
 	if len(request.attempts) >= d.settings.Limits.MaxAttempts {
@@ -321,5 +321,5 @@
 
 // observeCrowding follows how many workers a function needs, by what a request met at one.
 func (d *Dispatcher) observeCrowding(q *queue, met int, lanes float64, slow bool) {
-	q.spread.observe(met, lanes, slow, manyControllers(d.settings.Controllers, lanes), len(d.order))
+	q.spread.observe(met, lanes, slow, manyControllers(d.settings.Controllers, lanes), len(d.listed))
 }
