--- a/internal/gateway/answer_test.go
+++ b/internal/gateway/answer_test.go
@@ -10,95 +10,96 @@
 	"kitehub/scheduler"
 )
 
-// A request is sent, answered once and logged in one line.
+// A request is sent to a worker, answered once and logged in one line.
 func TestServedRequestIsAnsweredOnceAndLogged(t *testing.T) {
-	g, transport, clk, log := newManual(t)
+	g, transport, clk, log := newManualGateway(t)
 	var got []Answer
 	submit(t, g, 0, &got)
 	g.step(clk.Now())
-	if transport.result(0) == nil {
-		t.Fatal("nothing sent")
+	if transport.callback(0) == nil {
+		t.Fatal("no attempt was sent")
 	}
 	clk.Advance(30 * ms)
-	transport.result(0)(backend.Result{Outcome: scheduler.OK, Took: 30 * ms, Body: []byte("yes")})
+	transport.callback(0)(backend.Result{Outcome: scheduler.OK, Took: 30 * ms, Body: []byte("yes")})
 	g.step(clk.Now())
 	if len(got) != 1 || got[0].Kind != Served || string(got[0].Body) != "yes" || g.OpenRequests() != 0 || len(g.inFlight) != 0 {
-		t.Errorf("%+v, %d open, %d in flight", got, g.OpenRequests(), len(g.inFlight))
+		t.Errorf("answers %+v, %d open, %d in flight", got, g.OpenRequests(), len(g.inFlight))
 	}
 	if !strings.Contains(log.String(), `"answer":"served"`) || !strings.Contains(log.String(), `ok 30ms"]`) {
-		t.Errorf("closing line: %s", log)
+		t.Errorf("request log line: %s", log)
 	}
 }
 
-// Beyond Limits.MaxOpenRequests a call is not admitted; an answer frees its slot.
+// Submit rejects calls beyond Limits.MaxOpenRequests. An answer frees its slot.
 func TestSubmitRejectsBeyondCapacity(t *testing.T) {
-	g, transport, clk, _ := newManual(t)
+	g, transport, clk, _ := newManualGateway(t)
 	var got []Answer
 	for range 10 {
 		submit(t, g, 0, &got)
 	}
 	if _, ok := g.Submit(&Call{Function: &Function{}}); ok {
-		t.Error("an eleventh call was admitted")
+		t.Error("an eleventh call was admitted with a limit of 10")
 	}
 	g.step(clk.Now())
-	transport.result(0)(backend.Result{Outcome: scheduler.OK, Took: ms})
+	transport.callback(0)(backend.Result{Outcome: scheduler.OK, Took: ms})
 	g.step(clk.Now())
 	submit(t, g, 0, &got)
 	if g.OpenRequests() != 10 {
-		t.Errorf("%d open", g.OpenRequests())
+		t.Errorf("%d requests open after an answer and a new call, want 10", g.OpenRequests())
 	}
 }
 
-// The answer of an attempt whose request has already been answered is dropped.
+// A worker's answer is dropped if the request has already been answered, here at its deadline.
 func TestLateAnswerIsDropped(t *testing.T) {
-	g, transport, clk, _ := newManual(t)
+	g, transport, clk, _ := newManualGateway(t)
 	var got []Answer
 	submit(t, g, 1, &got)
 	g.step(clk.Now())
-	for range 250 { // to the deadline
+	for range 250 { // until past the deadline of 2 s
 		clk.Advance(10 * ms)
 		g.step(clk.Now())
 	}
 	if len(got) != 1 || got[0].Kind != Failed || !got[0].DeadlineExceeded {
-		t.Fatalf("%+v", got)
+		t.Fatalf("answers %+v, want one Failed with the deadline exceeded", got)
 	}
-	transport.result(0)(backend.Result{Outcome: scheduler.OK, Took: 3 * time.Second, Body: []byte("late")})
+	transport.callback(0)(backend.Result{Outcome: scheduler.OK, Took: 3 * time.Second, Body: []byte("late")})
 	g.step(clk.Now())
 	if len(got) != 1 || len(g.inFlight) != 0 {
-		t.Errorf("%+v, %d in flight", got, len(g.inFlight))
+		t.Errorf("after the late answer: answers %+v, %d in flight", got, len(g.inFlight))
 	}
 }
 
-// When the worker answers as the client closes, the request has one end: whichever is first.
+// If a worker answers while the client closes, the request gets one answer, from whichever comes
+// first.
 func TestAnswerAndCancelRaceToOneEnd(t *testing.T) {
 	for _, closedFirst := range []bool{false, true} {
-		g, transport, clk, _ := newManual(t)
+		g, transport, clk, _ := newManualGateway(t)
 		var got []Answer
 		id := submit(t, g, 1, &got)
 		g.step(clk.Now())
-		ok := func() { transport.result(0)(backend.Result{Outcome: scheduler.OK, Took: ms, Body: []byte("x")}) }
+		serve := func() { transport.callback(0)(backend.Result{Outcome: scheduler.OK, Took: ms, Body: []byte("x")}) }
 		want := Served
 		if closedFirst {
 			g.Cancel(id)
 			g.step(clk.Now())
-			ok()
+			serve()
 			want = ClientClosed
 		} else {
-			ok()
+			serve()
 			g.Cancel(id)
 		}
 		g.step(clk.Now())
 		if len(got) != 1 || got[0].Kind != want || g.OpenRequests() != 0 || len(g.inFlight) != 0 {
-			t.Errorf("%+v, want one %v; %d open, %d in flight", got, want, g.OpenRequests(), len(g.inFlight))
+			t.Errorf("answers %+v, want one %v; %d open, %d in flight", got, want, g.OpenRequests(), len(g.inFlight))
 		}
 		if want == ClientClosed && !got[0].MayHaveRun {
-			t.Error("a running attempt did not count as one that may have run")
+			t.Error("MayHaveRun is false though an attempt was running")
 		}
 	}
 }
 
 func TestEachActionIsExecuted(t *testing.T) {
-	g, transport, clk, log := newManual(t)
+	g, transport, clk, log := newManualGateway(t)
 	fn, err := g.AddFunction("f")
 	if err != nil {
 		t.Fatal(err)
@@ -113,57 +114,60 @@
 		scheduler.Fetch{},
 		scheduler.Log{Text: "note"},
 		scheduler.LoadOrder{Worker: w, Function: fn, Copies: 2},
-		scheduler.LoadOrder{Worker: w, Function: 99}, // not known: not sent
+		scheduler.LoadOrder{Worker: w, Function: 99}, // unknown function: not sent
 		scheduler.Wake{At: clk.Now() + ms, Token: 7},
-		scheduler.Reject{Request: 12345}, // not open: logged
+		scheduler.Reject{Request: 12345}, // not an open request: logged
 		scheduler.Cancel{Request: 12345},
 	} {
 		g.execute(a, clk.Now())
 	}
 	if s := strings.Join(transport.actions, ", "); s != "unload f, probe, close, load f 2" {
-		t.Errorf("on workers: %q", s)
+		t.Errorf("actions on workers: %q", s)
 	}
 	if s := fmt.Sprint(g.cfg.Peers.(*fakePeers).messages); s != "[2 hi]" {
-		t.Errorf("sent to peers: %s", s)
+		t.Errorf("peer messages: %s", s)
 	}
 	if s := fmt.Sprint(g.cfg.Lister.(*fakeLister).requests); s != "[watch true fetch]" {
-		t.Errorf("asked of the lister: %s", s)
+		t.Errorf("requests to the lister: %s", s)
 	}
 	if !strings.Contains(log.String(), `"text":"note"`) || !strings.Contains(log.String(), errUnknownRequest.Error()) {
-		t.Errorf("logged %s", log)
+		t.Errorf("log: %s", log)
 	}
 	if len(g.wakeups) != 1 || g.wakeups[0].Token != 7 {
-		t.Errorf("tokens %v", g.wakeups)
+		t.Errorf("wakeups %v, want one with token 7", g.wakeups)
 	}
 }
 
-// A request that is served while the dispatcher decides is neither answered again nor sent again.
+// A request that is served while the dispatcher decides on it is not answered again and not sent
+// again.
 func TestServedWhileTheDispatcherDecides(t *testing.T) {
-	g, transport, clk, _ := newManual(t)
+	g, transport, clk, _ := newManualGateway(t)
 	var got []Answer
 	id := submit(t, g, 0, &got)
 	g.step(clk.Now())
-	transport.result(0)(backend.Result{Outcome: scheduler.OK, Took: ms, Body: []byte("x")})
+	transport.callback(0)(backend.Result{Outcome: scheduler.OK, Took: ms, Body: []byte("x")})
 	g.execute(scheduler.Reject{Request: id}, clk.Now())
 	g.execute(scheduler.Send{Request: id, Worker: WorkerID("w2"), Timeout: time.Second}, clk.Now())
-	if transport.result(1) != nil {
-		t.Error("sent after it was served")
+	if transport.callback(1) != nil {
+		t.Error("another attempt was sent after the request was served")
 	}
-	g.step(clk.Now()) // the event of the attempt that served it
-	g.step(clk.Now()) // that of the attempt which was not started
+	g.step(clk.Now()) // receives the end of the attempt that served the request
+	g.step(clk.Now()) // receives the end of the attempt that was not started
 	if len(got) != 1 || got[0].Kind != Served || g.OpenRequests() != 0 || len(g.inFlight) != 0 {
-		t.Errorf("%+v, %d open, %d in flight", got, g.OpenRequests(), len(g.inFlight))
+		t.Errorf("answers %+v, %d open, %d in flight", got, g.OpenRequests(), len(g.inFlight))
 	}
 }
 
-// A call with an idempotency key of which other bytes ran takes no later answer: the workers drop the duplicate and
-// answer what those bytes did, under the right digest. An idempotent one takes the answer of the right bytes.
+// A result of other bytes than the registry names is never delivered. For a request with an
+// idempotency key, no later result is delivered either: workers drop the duplicate and answer with
+// the result of the wrong bytes, under the right digest. An idempotent request is served by the
+// next attempt that runs the right bytes.
 func TestDigestMismatchIsNeverDelivered(t *testing.T) {
 	for _, tt := range []struct {
 		idempotency scheduler.Idempotency
 		want        AnswerKind
 	}{{scheduler.Idempotent, Served}, {scheduler.IdempotentWithKey, Failed}} {
-		g, transport, clk, _ := newManual(t)
+		g, transport, clk, _ := newManualGateway(t)
 		class := &g.cfg.Settings.Classes[0]
 		class.Idempotency = tt.idempotency
 		class.DedupScope = scheduler.AllWorkers
@@ -190,14 +194,14 @@
 		for i := 0; len(got) == 0 && i < 1000; i++ {
 			g.step(clk.Now())
 			clk.Advance(10 * ms)
-			if n := len(digests); n > 0 && transport.result(5-n) != nil {
+			if n := len(digests); n > 0 && transport.callback(5-n) != nil {
 				res := backend.Result{Outcome: scheduler.OK, Took: 10 * ms, Digest: digests[0], Body: []byte("x")}
-				transport.result(5 - n)(res)
+				transport.callback(5 - n)(res)
 				digests = digests[1:]
 			}
 		}
 		if len(got) != 1 || got[0].Kind != tt.want && !(tt.want == Failed && got[0].Kind == Rejected) || len(digests) > 3 {
-			t.Errorf("idempotency %d: %+v after %d attempts, want %v", tt.idempotency, got, 5-len(digests), tt.want)
+			t.Errorf("idempotency %d: answers %+v after %d attempts, want one %v", tt.idempotency, got, 5-len(digests), tt.want)
 		}
 	}
 }
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -9,8 +9,8 @@
 	"kitehub/scheduler"
 )
 
-// dispatch sends a request to a worker, unless it has been answered meanwhile or its version was superseded: then the
-// dispatcher is notified that the attempt was not started.
+// dispatch sends a request to a worker. If the request has been answered meanwhile or its version
+// was superseded, nothing is sent and the dispatcher is notified that the attempt was not started.
 func (g *Gateway) dispatch(a scheduler.Send, now time.Duration) {
 	r := g.inFlight[a.Request]
 	if r == nil || r.recorded {
@@ -23,7 +23,7 @@
 	}
 	v := g.verdict(r.call)
 	if v == registry.BeingSuperseded && (r.mayHaveRun() || r.call.Binding.Restarts >= registry.MaxRestarts) {
-		v = registry.Allowed // it goes on under what it began with
+		v = registry.Allowed // it finishes under the version that it began with
 	}
 	if v != registry.Allowed {
 		g.recordNotStarted(r, a, now)
@@ -35,7 +35,7 @@
 	g.startAttempt(r, a, now)
 }
 
-// recordNotStarted counts an attempt of which nothing is sent, and ends it.
+// recordNotStarted records an attempt of which nothing is sent, and enqueues its end.
 func (g *Gateway) recordNotStarted(r *request, a scheduler.Send, now time.Duration) {
 	g.enqueue(scheduler.AttemptEnded{
 		Request: a.Request, Attempt: len(r.attempts), Worker: a.Worker, Outcome: scheduler.NotStarted,
@@ -46,19 +46,19 @@
 	r.outstanding++
 }
 
-// startAttempt hands an attempt to the transport.
+// startAttempt hands an attempt to the transport, and records it.
 func (g *Gateway) startAttempt(r *request, a scheduler.Send, now time.Duration) {
 	number := len(r.attempts)
 	call := r.call
-	t := attempt{worker: g.workerName(a.Worker), sentAt: now}
+	started := attempt{worker: g.workerName(a.Worker), sentAt: now}
 	if g.answered.capacity > 0 || call.Progress != nil {
-		t.snapshot = g.dispatcher.Snapshot(call.Function.ID, a.Worker)
+		started.snapshot = g.dispatcher.Snapshot(call.Function.ID, a.Worker)
 	}
 	if call.Progress != nil {
-		call.Progress(number, t.worker, !t.snapshot.HasCopy)
+		call.Progress(number, started.worker, !started.snapshot.HasCopy)
 	}
 	r.outstanding++
-	out := backend.Attempt{
+	outgoing := backend.Attempt{
 		Worker:   a.Worker,
 		Call:     call.ID,
 		Class:    g.class(call).Name,
@@ -70,16 +70,21 @@
 		Timeout:  a.Timeout,
 		MayStart: func() bool { return r.claimed.Load() == 0 },
 	}
-	t.running = g.cfg.Transport.Send(out, func(res backend.Result) { g.attemptEnded(r, call, a, number, res) })
-	r.attempts = append(r.attempts, t)
+	started.running = g.cfg.Transport.Send(outgoing, func(res backend.Result) { g.attemptEnded(r, call, a, number, res) })
+	r.attempts = append(r.attempts, started)
 }
 
-// attemptEnded takes an attempt's result, on a goroutine of the back end or, after a cancel, on the loop's.
+// attemptEnded receives an attempt's result, on a backend goroutine or, after a cancel, on the
+// loop's.
 //
-// A served answer is delivered here, not a tick later: by this very event the dispatcher ends the request, and whoever
-// claims it first, this goroutine or the loop, gives the one answer. If no other request is open there is nothing to
-// decide by the event: it is taken in with the next step, which the dispatcher's Wake brings at the latest. The call is
-// a parameter because request.call is the loop's, which clears it with the answer.
+// A served answer is delivered here rather than a tick later. The dispatcher ends the request when
+// it receives this event, and whichever goroutine claims the request first, this one or the loop,
+// gives the final answer. If no other request is open, the event leaves nothing to decide. The loop
+// is then not woken: the event waits for the next step, which the dispatcher's Wake brings at the
+// latest.
+//
+// The call is a parameter because request.call belongs to the loop, which clears it with the
+// answer.
 func (g *Gateway) attemptEnded(r *request, call *Call, a scheduler.Send, number int, res backend.Result) {
 	if g.hasDigestMismatch(r, call, res) {
 		g.Counts.DigestMismatches.Add(1)
@@ -87,9 +92,9 @@
 			Str("wanted", call.Function.Digest).Str("ran", res.Digest).Msg("answer dropped, worker ran another digest")
 		res.Outcome = scheduler.Error
 	}
-	wasLast := false
+	wasLastOpen := false
 	if res.Outcome == scheduler.OK {
-		wasLast = g.deliver(r, call, res.Body) && g.openCount.Load() == 1
+		wasLastOpen = g.deliver(r, call, res.Body) && g.openCount.Load() == 1
 	}
 	res.Body = nil
 	e := scheduler.AttemptEnded{
@@ -106,15 +111,16 @@
 	g.mu.Lock()
 	g.pendingResults[attemptKey{a.Request, number}] = res
 	g.pendingEvents = append(g.pendingEvents, e)
-	canWait := wasLast && !g.stopped
+	canWait := wasLastOpen && !g.stopped
 	g.mu.Unlock()
 	if !canWait {
 		g.wakeLoop()
 	}
 }
 
-// hasDigestMismatch tells whether an answer is of other bytes than the registry names for the version, or of an
-// idempotency key under which other bytes have run: a worker that drops duplicates may answer with the result of those.
+// hasDigestMismatch tells whether a result must not be delivered: it comes from other bytes than
+// the registry names for the version, or other bytes have run under its idempotency key. In the
+// second case a worker that drops duplicates may answer with the result of those bytes.
 func (g *Gateway) hasDigestMismatch(r *request, call *Call, res backend.Result) bool {
 	want := call.Function.Digest
 	if want == "" || res.Outcome != scheduler.OK || res.Digest == want && !r.digestMismatch.Load() {
@@ -124,7 +130,9 @@
 	return true
 }
 
-// deliver gives a worker's answer to the client, or notifies it that its version was superseded; true if it was served.
+// deliver gives a worker's answer to the client and returns true, unless the request has been
+// answered already or its version was superseded. A superseded request is handed back to its
+// ingress.
 func (g *Gateway) deliver(r *request, call *Call, body []byte) bool {
 	if v := g.verdict(call); v != registry.Allowed && v != registry.BeingSuperseded {
 		if r.claim(Superseded) {
@@ -139,7 +147,8 @@
 	return true
 }
 
-// traceparent returns a W3C Trace Context header: the request's trace id with a span id of the attempt.
+// traceparent returns a W3C Trace Context header value with the request's trace id and the
+// attempt's span id.
 func traceparent(trace [16]byte, span uint64) string {
 	var b [55]byte
 	copy(b[:], "00-")
--- a/internal/gateway/directory.go
+++ b/internal/gateway/directory.go
@@ -12,26 +12,27 @@
 	"kitehub/scheduler"
 )
 
-// FunctionID returns the id of a function's name. It is a hash, so that all controllers place a function alike.
+// FunctionID returns the id for a function's name. It is a hash of the name, so all controllers
+// place the function alike.
 func FunctionID(name string) scheduler.FunctionID {
 	return scheduler.FunctionID(max(1, xxhash.Sum64String("function "+name)))
 }
 
-// WorkerID returns the id of a worker's name, a hash likewise.
+// WorkerID returns the id for a worker's name, which is a hash of the name as well.
 func WorkerID(name string) scheduler.WorkerID {
 	return scheduler.WorkerID(max(1, xxhash.Sum64String("worker "+name)))
 }
 
-// A directory maps between the names of the endpoint list and the configuration and the numbers of the dispatcher. It
-// is guarded by Gateway.mu.
+// A directory maps the names in the endpoint list and the configuration to the ids that the
+// dispatcher uses. It is guarded by Gateway.mu.
 type directory struct {
 	functions    map[scheduler.FunctionID]string
-	digests      map[scheduler.FunctionID]string // of the versions of models
-	adviceOnly   map[scheduler.FunctionID]bool   // known by advice alone: forgotten with it
+	digests      map[scheduler.FunctionID]string // digests of the versions of models
+	adviceOnly   map[scheduler.FunctionID]bool   // functions known through advice alone
 	workers      map[scheduler.WorkerID]Worker   // the endpoint list
 	listVersion  uint32
-	labelIndexes map[string]int // of zones, groups and kinds, by "zone name", "group name" and "kind name"
-	// clockOffset is the gateway's clock minus the time of day, as it was with the last list.
+	labelIndexes map[string]int // keys are "zone name", "group name" and "kind name"
+	// clockOffset is the gateway's clock minus the time of day, taken when the last list arrived.
 	clockOffset time.Duration
 }
 
@@ -52,11 +53,12 @@
 	return d
 }
 
-// firstUnknownLabel is the lowest index of a label that the settings do not name: past all that they do.
+// firstUnknownLabel is the lowest index for labels that the settings do not name. It is above the
+// index of every label in the settings.
 const firstUnknownLabel = 1 << 20
 
-// labelIndex returns the index of a zone, group or kind. A name that the settings do not know gets an index that equals
-// itself and nothing else.
+// labelIndex returns the index of a zone, group or kind. A name that the settings do not contain
+// gets an index of its own, which equals no other.
 func (d *directory) labelIndex(label, name string) int {
 	key := label + " " + name
 	i, ok := d.labelIndexes[key]
@@ -67,7 +69,7 @@
 	return i
 }
 
-// fullUpdate returns the endpoint list as the dispatcher takes it, sorted by id.
+// fullUpdate returns the endpoint list in the dispatcher's form, sorted by id.
 func (d *directory) fullUpdate(kind scheduler.ListKind) scheduler.ListUpdate {
 	update := scheduler.ListUpdate{Kind: kind, Version: d.listVersion}
 	for _, id := range sortedKeys(d.workers) {
@@ -88,7 +90,8 @@
 	return update
 }
 
-// AddFunction makes a function known, so that load orders can name it. Two names with one hash are an error.
+// AddFunction makes a function known, so that load orders can name it. Two names with the same hash
+// are an error.
 func (g *Gateway) AddFunction(name string) (scheduler.FunctionID, error) {
 	id := FunctionID(name)
 	g.mu.Lock()
@@ -112,7 +115,8 @@
 	return id, err
 }
 
-// dropVersion forgets one. Load orders that the dispatcher still makes for it are not sent.
+// dropVersion makes a version unknown again. Load orders that the dispatcher still issues for it
+// are not sent.
 func (g *Gateway) dropVersion(id scheduler.FunctionID) {
 	g.mu.Lock()
 	delete(g.directory.functions, id)
--- a/internal/gateway/path_test.go
+++ b/internal/gateway/end_to_end_test.go
@@ -24,7 +24,7 @@
 
 const ms = time.Millisecond
 
-// startWorker starts a fake worker w1 on a socket, which can load the function quote.
+// startWorker starts a fake worker w1 on a socket. It can load the function quote.
 func startWorker(t *testing.T, clk clock.Clock) *fakeworker.Host {
 	t.Helper()
 	host, err := fakeworker.Start(fakeworker.Config{
@@ -48,7 +48,7 @@
 	return host
 }
 
-func pathSettings() scheduler.Settings {
+func quoteSettings() scheduler.Settings {
 	return scheduler.Settings{
 		Controllers: 1,
 		Tick:        ms,
@@ -71,10 +71,11 @@
 	}
 }
 
-// startIngress serves the function by signed webhooks on a socket, and returns its address.
+// startIngress serves the function as signed webhooks on a socket, and returns the socket's
+// address.
 func startIngress(t *testing.T, g *gateway.Gateway, clk clock.Clock, quote *gateway.Function, key *signing.Key) string {
 	t.Helper()
-	front, err := webhook.New(webhook.Config{
+	ingress, err := webhook.New(webhook.Config{
 		Prefix: "/call/", Gateway: g, Clock: clk, Mark: webhook.File(t.TempDir() + "/mark"),
 		Functions: func(name string) *gateway.Function {
 			if name == "quote" {
@@ -92,12 +93,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { front.Close() })
+	t.Cleanup(func() { ingress.Close() })
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	srv := &http1.Server{Handler: front}
+	srv := &http1.Server{Handler: ingress}
 	go srv.Serve(ln)
 	t.Cleanup(func() {
 		ln.Close()
@@ -106,17 +107,18 @@
 	return ln.Addr().String()
 }
 
-// A signed call passes real sockets to a fake worker and back: the answer is signed, and the same message is a replay.
+// A signed call goes over real sockets to a fake worker and back. The answer is signed, and sending
+// the same message again is detected as a replay.
 func TestSignedCallThroughSockets(t *testing.T) {
 	clk := clock.System()
 	host := startWorker(t, clk)
-	be := backend.New(backend.Config{
+	workerBackend := backend.New(backend.Config{
 		Controller: "c1", Clock: clk, DialTimeout: 250 * ms, IdleTimeout: 5 * time.Second,
 		OrderTimeout: 5 * time.Second, ProbeTimeout: time.Second,
 	})
-	t.Cleanup(func() { be.Close() })
+	t.Cleanup(func() { workerBackend.Close() })
 	g, err := gateway.New(gateway.Config{
-		Name: "c1", Settings: pathSettings(), Seed: 1, Clock: clk, Transport: be,
+		Name: "c1", Settings: quoteSettings(), Seed: 1, Clock: clk, Transport: workerBackend,
 		Log: zerolog.New(zerolog.NewTestWriter(t)),
 	})
 	if err != nil {
@@ -159,13 +161,13 @@
 	got := make([]byte, 100)
 	n, _ := resp.Body.Read(got)
 	if resp.StatusCode != 200 || string(got[:n]) != body {
-		t.Fatalf("%d %q", resp.StatusCode, got[:n])
+		t.Fatalf("status %d, body %q", resp.StatusCode, got[:n])
 	}
 	a := signing.Message{ID: resp.Header.Get("webhook-id"), Stamp: resp.Header.Get("webhook-timestamp"), Body: got[:n]}
 	if a.ID != signing.AnswerID("served", "msg_1") || !key.Verify(a, resp.Header.Get("webhook-signature")) {
-		t.Errorf("the answer's signature does not verify: %q", a.ID)
+		t.Errorf("the id or signature of answer %q is wrong", a.ID)
 	}
 	if resp := post(); resp.StatusCode != 409 {
-		t.Errorf("the same message again: %d, want 409", resp.StatusCode)
+		t.Errorf("the same message again: status %d, want 409", resp.StatusCode)
 	}
 }
--- a/internal/gateway/execute.go
+++ b/internal/gateway/execute.go
@@ -10,7 +10,7 @@
 	"kitehub/scheduler"
 )
 
-// errUnknownRequest is a fault of the dispatcher: it must act on open requests only.
+// errUnknownRequest means a fault in the dispatcher, which must act on open requests only.
 var errUnknownRequest = errors.New("action on a request that is not open")
 
 // execute carries out one action of the dispatcher.
@@ -19,10 +19,10 @@
 	case scheduler.Send:
 		g.dispatch(a, now)
 	case scheduler.Reject:
-		g.conclude(a.Request, Answer{Kind: Rejected, RetryAfter: a.RetryAfter}, now)
+		g.answerDecided(a.Request, Answer{Kind: Rejected, RetryAfter: a.RetryAfter}, now)
 	case scheduler.Fail:
 		r := g.inFlight[a.Request]
-		g.conclude(a.Request, Answer{Kind: Failed, DeadlineExceeded: r != nil && r.outstanding > 0}, now)
+		g.answerDecided(a.Request, Answer{Kind: Failed, DeadlineExceeded: r != nil && r.outstanding > 0}, now)
 	case scheduler.Cancel:
 		g.cancelAttempt(a)
 	case scheduler.Wake:
@@ -34,7 +34,8 @@
 	}
 }
 
-// executeOnWorkers carries out an action that is of workers, their list or other controllers rather than of a request.
+// executeOnWorkers carries out an action that concerns workers, the endpoint list or other
+// controllers rather than a request.
 func (g *Gateway) executeOnWorkers(a scheduler.Action) {
 	switch a := a.(type) {
 	case scheduler.LoadOrder:
@@ -64,9 +65,9 @@
 	}
 }
 
-// conclude gives the final answer that the dispatcher has decided on, unless a worker's answer was faster: then the
-// event of that attempt comes with the next step.
-func (g *Gateway) conclude(id scheduler.RequestID, a Answer, now time.Duration) {
+// answerDecided gives the final answer that the dispatcher has decided on. If a worker's answer was
+// faster, it does nothing: the event of that attempt comes with the next step.
+func (g *Gateway) answerDecided(id scheduler.RequestID, a Answer, now time.Duration) {
 	r := g.inFlight[id]
 	if r == nil || r.recorded {
 		g.cfg.Log.Error().Uint64("request", uint64(id)).Err(errUnknownRequest).Msg("answer dropped")
@@ -90,7 +91,8 @@
 	})
 }
 
-// orderLoad has a worker hold copies of a function. One that is no longer known is not ordered.
+// orderLoad orders a worker to hold copies of a function. An order for a function that is no longer
+// known is not sent.
 func (g *Gateway) orderLoad(a scheduler.LoadOrder) {
 	name, digest, ok := g.functionName(a.Function)
 	if !ok {
@@ -106,7 +108,8 @@
 	})
 }
 
-// loadEnded notifies the registry and the hooks. It runs on a goroutine of the back end.
+// loadEnded notifies the registry and the hooks of a finished load order. It runs on a backend
+// goroutine.
 func (g *Gateway) loadEnded(order backend.LoadOrder, o scheduler.Outcome, copies int, took time.Duration) {
 	if order.Digest != "" && o == scheduler.OK && g.cfg.Versions != nil {
 		g.cfg.Versions.CopiesReady(order.Function, g.workerName(order.Worker), copies)
--- a/internal/gateway/explain.go
+++ b/internal/gateway/explain.go
@@ -8,31 +8,32 @@
 	"kitehub/scheduler"
 )
 
-// An Explanation is why a call went where it went, from what the dispatcher saw as it sent, and what came of it.
+// An Explanation tells why a call went to the workers that it went to: what the dispatcher knew
+// when it sent each attempt, and how the attempt ended.
 type Explanation struct {
 	ID       string   `json:"id"`
-	Request  uint64   `json:"request"` // the gateway's own number
+	Request  uint64   `json:"request"` // the RequestID
 	Function string   `json:"function"`
 	Tenant   string   `json:"tenant,omitempty"`
 	Class    string   `json:"class"`
-	Answer   string   `json:"answer"` // "" while it runs
+	Answer   string   `json:"answer"` // "" while the call is in flight
 	TookMS   float64  `json:"took_ms"`
-	Reason   string   `json:"why,omitempty"` // a hook's reason to advise against it
-	Lines    []string `json:"lines"`         // the explanation, a sentence each
+	Reason   string   `json:"why,omitempty"` // given by a hook that advised to shed the call
+	Lines    []string `json:"lines"`         // the explanation, one sentence per line
 }
 
-// Explain returns why a call went where it went: one that is open, or one of the last that were answered; the newest
-// of its id. It returns false if there is none, and an error if the loop has ended.
+// Explain explains a call that is open or one of the last answered. If several have the id, it
+// explains the newest. It returns false if there is none, and an error if the loop has ended.
 func (g *Gateway) Explain(id string) (x Explanation, ok bool, err error) {
 	err = g.runOnLoop(func() { x, ok = g.findExplanation(id) })
 	return x, ok, err
 }
 
 func (g *Gateway) findExplanation(id string) (x Explanation, ok bool) {
-	for _, number := range sortedKeys(g.inFlight) {
-		if r := g.inFlight[number]; r.call != nil && r.call.ID == id {
-			answer := r.claimedAs().String() // it may be answered, and the event of its attempt not received
-			x = explain(number, r, answer, g.cfg.Clock.Now())
+	for _, requestID := range sortedKeys(g.inFlight) {
+		if r := g.inFlight[requestID]; r.call != nil && r.call.ID == id {
+			answer := r.claimedAs().String() // claimed before the event arrives
+			x = explain(requestID, r, answer, g.cfg.Clock.Now())
 			ok = true
 		}
 	}
@@ -45,11 +46,11 @@
 	return x, ok
 }
 
-// An explanationRing keeps the explanations of the last calls that were answered. It is the loop's.
+// An explanationRing keeps the explanations of the calls answered last. It belongs to the loop.
 type explanationRing struct {
 	capacity int
 	entries  []Explanation
-	next     int // index of the oldest, once it is full
+	next     int // index of the oldest entry once the ring is full
 }
 
 func (ring *explanationRing) add(id scheduler.RequestID, r *request, a Answer, now time.Duration) {
@@ -66,9 +67,9 @@
 }
 
 func (ring *explanationRing) oldestFirst() []Explanation {
-	l := make([]Explanation, 0, len(ring.entries))
-	l = append(l, ring.entries[ring.next:]...)
-	return append(l, ring.entries[:ring.next]...)
+	ordered := make([]Explanation, 0, len(ring.entries))
+	ordered = append(ordered, ring.entries[ring.next:]...)
+	return append(ordered, ring.entries[:ring.next]...)
 }
 
 func explain(id scheduler.RequestID, r *request, answer string, now time.Duration) Explanation {
@@ -112,14 +113,14 @@
 }
 
 func describeAttempt(number int, r *request) []string {
-	t := &r.attempts[number]
-	sent := fmt.Sprintf("attempt %d, after %v: %s, %s", number+1, (t.sentAt - r.submittedAt).Round(shownPrecision),
-		t.worker, describeSnapshot(t.snapshot))
-	if t.outcome == 0 {
+	a := &r.attempts[number]
+	sent := fmt.Sprintf("attempt %d, after %v: %s, %s", number+1, (a.sentAt - r.submittedAt).Round(displayPrecision),
+		a.worker, describeSnapshot(a.snapshot))
+	if a.outcome == 0 {
 		return []string{sent, "  no outcome yet"}
 	}
-	took := t.took.Round(shownPrecision)
-	ended := fmt.Sprintf("  %s after %v%s", outcomeNames[t.outcome], took, loadNoteTexts[t.loadNote])
+	took := a.took.Round(displayPrecision)
+	ended := fmt.Sprintf("  %s after %v%s", outcomeNames[a.outcome], took, loadNoteTexts[a.loadNote])
 	return []string{sent, ended}
 }
 
--- a/internal/gateway/functions.go
+++ b/internal/gateway/functions.go
@@ -12,71 +12,75 @@
 
 // A Function is what calls name. It must not be changed.
 type Function struct {
-	// Name is the configured one, one that matches a pattern, or "model@version".
+	// Name is a configured name, a name that matches a pattern, or "model@version".
 	Name string
-	// Digest of the bytes, where the registry names them: only answers of these are delivered.
+	// Digest identifies the bytes of the function, if the registry names them. Only answers that
+	// come from these bytes are delivered.
 	Digest string
-	// IsModel says that it is a model: its versions are called, not it.
+	// IsModel is set for a model. Calls run its versions, never the model itself.
 	IsModel bool
 	// ID is the hash of the name; 0 for a model.
 	ID scheduler.FunctionID
-	// Class is an index of Settings.Classes.
+	// Class is an index into Settings.Classes.
 	Class int
-	// MemoryMB is how much memory one copy takes.
+	// MemoryMB is the memory that one copy uses.
 	MemoryMB float64
-	// Lanes is how many calls one copy runs at a time.
+	// Lanes is how many requests one copy runs at a time.
 	Lanes float64
 	// LoadTime is how long a load takes.
 	LoadTime time.Duration
 }
 
-// A FunctionSpec is what the configuration says of a function, or of all whose names have a prefix. The fields that Function
-// has as well mean the same.
+// A FunctionSpec is the configuration of a function, or of all functions whose names have a prefix.
+// The fields that Function has as well mean the same.
 type FunctionSpec struct {
-	Name     string // a name, or a prefix and a star
+	Name     string // a name, or a prefix followed by a star
 	Class    int
 	MemoryMB float64
 	Lanes    float64
 	LoadTime time.Duration
-	MaxNames int // names that may become known under a star
+	MaxNames int // bound on the names that match a star
 	IsModel  bool
 }
 
 const (
-	// maxVersions is how many versions of models are kept.
+	// maxVersions is how many versions of models are cached.
 	maxVersions = 1000
 	// maxPatternName is the length in bytes of the longest name that a pattern matches.
 	maxPatternName = 128
 )
 
-// Functions finds functions by name. Names under a star become known when they are first called, up to a bound: an
-// unbounded set of names would let a client fill the dispatcher's memory. It is safe for concurrent use.
+// Functions finds functions by name. A name that matches a star becomes known at its first call, up
+// to a bound: without the bound a client could fill the dispatcher's memory with new names.
+// Functions is safe for concurrent use.
 type Functions struct {
 	gateway *Gateway
 
 	mu       sync.RWMutex // guards the fields below
 	known    map[string]*Function
 	patterns []namePattern
-	// versions in use, at most maxVersions: beyond it the least recently used is forgotten.
+	// versions holds the versions in use. Beyond maxVersions the least recently used one is
+	// evicted.
 	versions    map[versionKey]*version
 	maxVersions int
 
-	useCount atomic.Int64 // a logical clock of uses of versions
+	useCount atomic.Int64 // logical clock for the uses of versions
 }
 
 type namePattern struct {
 	FunctionSpec     // Name is the prefix
-	taken        int // names that have become known
+	matched      int // names that have become known
 }
 
 type versionKey struct{ model, version string }
 
 type version struct {
 	Function
-	lastUse atomic.Int64 // by Functions.useCount
+	lastUse atomic.Int64 // on the clock Functions.useCount
 }
 
-// NewFunctions makes the functions named by the specs known to the gateway. Two names with one hash are an error.
+// NewFunctions makes the functions that the specs name known to the gateway. Two names with the
+// same hash are an error.
 func NewFunctions(g *Gateway, specs []FunctionSpec) (*Functions, error) {
 	f := &Functions{
 		gateway:     g,
@@ -97,7 +101,7 @@
 	return f, nil
 }
 
-// add makes a function known. The caller holds f.mu, or is alone.
+// add makes a function known. The caller holds f.mu, or has the only reference to f.
 func (f *Functions) add(name string, s FunctionSpec) (*Function, error) {
 	fn := &Function{
 		Name:     name,
@@ -117,7 +121,8 @@
 	return fn, nil
 }
 
-// Find returns the function of a name, or nil if there is none or the bound of its pattern is reached.
+// Find returns the function with the given name. It returns nil if there is none or if the pattern
+// that matches the name has reached its bound.
 func (f *Functions) Find(name string) *Function {
 	f.mu.RLock()
 	fn := f.known[name]
@@ -132,21 +137,21 @@
 	}
 	for i := range f.patterns {
 		p := &f.patterns[i]
-		if strings.HasPrefix(name, p.Name) && p.taken < p.MaxNames {
+		if strings.HasPrefix(name, p.Name) && p.matched < p.MaxNames {
 			fn, err := f.add(name, p.FunctionSpec)
 			if err != nil {
 				f.gateway.cfg.Log.Error().Err(err).Msg("function rejected")
 				return nil
 			}
-			p.taken++
+			p.matched++
 			return fn
 		}
 	}
 	return nil
 }
 
-// Spec returns what is configured for a name, known or not. Unlike Find it makes no name known: advice must not use up
-// the bound of a pattern.
+// Spec returns the configuration that applies to a name. Unlike Find it does not make the name
+// known, as advice must not use up the bound of a pattern.
 func (f *Functions) Spec(name string) (FunctionSpec, bool) {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
@@ -168,8 +173,9 @@
 	return FunctionSpec{}, false
 }
 
-// Version returns a version of a model as a function of its own, named "model@version". All controllers name it alike,
-// so its home is the same for all. Two names with one hash are an error.
+// Version returns a version of a model as a function of its own, named "model@version". All
+// controllers use this name, so the version has the same home on all of them. Two names with the
+// same hash are an error.
 func (f *Functions) Version(model *Function, name, digest string) (*Function, error) {
 	key := versionKey{model.Name, name}
 	f.mu.RLock()
@@ -197,10 +203,10 @@
 	return &v.Function, nil
 }
 
-// touch notes a use of a version.
+// touch marks a version as the most recently used one.
 func (f *Functions) touch(v *version) { v.lastUse.Store(f.useCount.Add(1)) }
 
-// evictVersion forgets the version that was used longest ago. The caller holds f.mu.
+// evictVersion removes the least recently used version. The caller holds f.mu.
 func (f *Functions) evictVersion() {
 	var oldest versionKey
 	lastUse := int64(math.MaxInt64)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,21 +1,26 @@
-// Package gateway runs the scheduler's Dispatcher, a pure state machine, on real time and real sockets. It exists so
-// that everything about goroutines, locks and clocks is here, and everything about decisions is in the scheduler:
-// which worker, which retry and which rejection is never decided in this package.
+// Package gateway runs the scheduler's Dispatcher, a pure state machine, in real time and on real
+// sockets. It owns everything that involves goroutines, locks and clocks. The scheduler owns every
+// decision: this package never chooses a worker, a retry or a rejection.
 //
 // # Goroutines and locks
 //
-// One goroutine, the loop (Run), owns the Dispatcher and the requests in flight. Ingresses, back ends and discovery
-// enqueue events under Gateway.mu from goroutines of their own; the loop takes all of them at most once a tick, steps
-// the Dispatcher and executes the actions that it returns. Operators' questions run on the loop between two steps.
-// Only a served answer does not wait for the loop: it is delivered on the goroutine of the back end that received it.
-// An atomic claim on the request decides who gives the one final answer.
+// One goroutine, the loop (Run), owns the Dispatcher and the requests in flight. Ingresses,
+// backends and discovery enqueue events under Gateway.mu from their own goroutines. At most once
+// per tick the loop takes all pending events, steps the Dispatcher and executes the actions that it
+// returns. Queries of operators run on the loop between two steps.
+//
+// Only a served answer does not wait for the loop: the backend goroutine that received it delivers
+// it. An atomic claim on the request decides which goroutine gives the one final answer.
 //
 // # Bounds
 //
-// Requests in flight: Settings.Limits.MaxOpenRequests, beyond which Submit rejects at once. Outcomes: one for each
-// attempt, load order or health check in flight, so the Dispatcher's own limits bound them; they are never dropped.
-// Endpoint lists: one pending; a newer complete list replaces it, deltas are merged into it. So no sender ever waits
-// for the loop, and the loop waits for nobody.
+//   - Requests in flight: Settings.Limits.MaxOpenRequests, beyond which Submit rejects at once.
+//   - Outcomes: one for each attempt, load order or probe in flight, so the Dispatcher's own limits
+//     bound them. They are never dropped.
+//   - Endpoint lists: at most one is pending. A newer complete list replaces it; deltas are merged
+//     into it.
+//
+// So no sender ever waits for the loop, and the loop waits for no sender.
 package gateway
 
 import (
@@ -30,61 +35,64 @@
 	"kitehub/scheduler"
 )
 
-// Counts of what was answered, and of the loop, since the start.
+// Counts holds the gateway's counters since its start.
 type Counts struct {
 	// Served, Rejected, Failed, ClientClosed and Superseded count final answers by AnswerKind.
 	Served, Rejected, Failed, ClientClosed, Superseded atomic.Int64
-	// OverCapacity counts calls that Submit did not take.
+	// OverCapacity counts calls that Submit did not admit.
 	OverCapacity atomic.Int64
 	// Steps counts steps of the Dispatcher, Panics those that panicked.
 	Steps, Panics atomic.Int64
-	// DigestMismatches counts answers of workers that ran another digest than they were asked to: none is delivered.
+	// DigestMismatches counts results of workers that ran another digest than the attempt named.
+	// None of them is delivered.
 	DigestMismatches atomic.Int64
-	// StepNanos is the time spent in the Dispatcher, MaxStepDelayNanos the longest that a step was late.
+	// StepNanos is the total time spent in the Dispatcher. MaxStepDelayNanos is the longest delay
+	// of a step after the time that the Dispatcher asked for.
 	StepNanos, MaxStepDelayNanos atomic.Int64
 }
 
-// A Gateway is the core of one controller: it takes calls and has them run on workers. It is safe for concurrent use.
+// A Gateway is the core of one controller: it admits calls and has workers run them. It is safe for
+// concurrent use.
 type Gateway struct {
 	cfg    Config
 	Counts Counts
 
 	openCount atomic.Int64  // requests without a final answer
-	nextID    atomic.Uint64 // of the last RequestID
+	nextID    atomic.Uint64 // the last RequestID given out
 	killed    atomic.Bool
 
 	mu             sync.Mutex // guards the fields up to the empty line
 	pendingEvents  []scheduler.Event
-	pendingCalls   map[scheduler.RequestID]*Call // of each Arrival in pendingEvents
-	pendingResults map[attemptKey]backend.Result // of each AttemptEnded in pendingEvents
+	pendingCalls   map[scheduler.RequestID]*Call // the call of each Arrival in pendingEvents
+	pendingResults map[attemptKey]backend.Result // the result of each AttemptEnded in pendingEvents
 	pendingList    *scheduler.ListUpdate
-	endpoints      []backend.Endpoint // reused from update to update
+	endpoints      []backend.Endpoint // buffer, reused for each update of the transport
 	directory      directory
 	stopped        bool
-	recheckPending bool // aliases have migrated: see RecheckVersions
+	recheckPending bool // an alias has migrated: see RecheckVersions
 
-	wake      chan struct{} // holds one token while something is pending
+	wake      chan struct{} // buffered: holds one token while something is pending
 	stop      chan struct{} // closed to end the loop
 	done      chan struct{} // closed when the loop has ended
-	loopTasks chan func()   // run by the loop between two steps
+	loopTasks chan func()   // functions that the loop runs between two steps
 
-	// The loop's own: no other goroutine reads or writes these while Run runs.
+	// The fields below belong to the loop: no other goroutine reads or writes them while Run runs.
 	dispatcher *scheduler.Dispatcher
 	inFlight   map[scheduler.RequestID]*request
 	nextWake   time.Duration // the earliest of wakeups; 0: none
 	wakeups    []scheduler.Wake
-	rng        *rand.Rand // of span ids
-	restarts   uint64     // of the dispatcher, after crashes
+	rng        *rand.Rand // for span ids
+	restarts   uint64     // of the dispatcher, after panics
 	answered   explanationRing
 }
 
-// New returns a gateway that does not run yet. It returns an error if the settings cannot be worked with.
+// New returns a gateway that is not running yet. It returns an error if the settings are invalid.
 func New(cfg Config) (*Gateway, error) {
 	if cfg.Settings.Limits.MaxOpenRequests < 1 {
-		return nil, fmt.Errorf("gateway: Limits.Open: %d is under 1", cfg.Settings.Limits.MaxOpenRequests)
+		return nil, fmt.Errorf("gateway: Limits.MaxOpenRequests: %d is less than 1", cfg.Settings.Limits.MaxOpenRequests)
 	}
 	if cfg.Settings.Tick <= 0 {
-		return nil, fmt.Errorf("gateway: Tick: %v is not above 0", cfg.Settings.Tick)
+		return nil, fmt.Errorf("gateway: Tick: %v is not positive", cfg.Settings.Tick)
 	}
 	dispatcher, err := scheduler.New(cfg.Settings, cfg.Seed)
 	if err != nil {
@@ -104,13 +112,14 @@
 		rng:            rand.New(rand.NewPCG(cfg.Seed, 1)),
 		answered:       explanationRing{capacity: cfg.MaxExplanations},
 	}
-	// The dispatcher draws by hash of the request's number: two controllers must not count alike.
+	// The dispatcher derives its random draws from a hash of the request id, so two controllers
+	// must not use the same ids.
 	g.nextID.Store(g.rng.Uint64() >> 24 << 8)
 	return g, nil
 }
 
-// Submit hands a call over. It returns false if the gateway is at capacity or stops: nothing has run then, and
-// Deliver is not called.
+// Submit submits a call. It returns false if the gateway is at capacity or stopping. In that case
+// nothing has run and Deliver is not called.
 func (g *Gateway) Submit(c *Call) (scheduler.RequestID, bool) {
 	if g.openCount.Add(1) > int64(g.cfg.Settings.Limits.MaxOpenRequests) {
 		g.releaseSlot()
@@ -131,7 +140,7 @@
 	return id, true
 }
 
-// releaseSlot gives back the slot of a call that is not admitted.
+// releaseSlot frees the slot of a call that was not admitted, and counts the call.
 func (g *Gateway) releaseSlot() {
 	g.openCount.Add(-1)
 	g.Counts.OverCapacity.Add(1)
@@ -150,7 +159,7 @@
 	}
 }
 
-// enqueueArrival returns false if the gateway stops.
+// enqueueArrival enqueues a call for the loop. It returns false if the gateway is stopping.
 func (g *Gateway) enqueueArrival(id scheduler.RequestID, c *Call) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -183,17 +192,19 @@
 	}
 }
 
-// Cancel reports that the client of a call has closed. Deliver is still called, unless it was already.
+// Cancel reports that the client of a call has closed. Deliver is still called unless it already
+// was.
 func (g *Gateway) Cancel(id scheduler.RequestID) { g.enqueue(scheduler.ClientClosed{Request: id}) }
 
-// ReceivePeerMessage hands over a message of the controller with index from. It is dropped where Limits.Peers is not set.
+// ReceivePeerMessage receives a peer message from the controller with index from. It is dropped if
+// Limits.Peers is not set.
 func (g *Gateway) ReceivePeerMessage(from int, payload []byte) {
 	if g.cfg.Settings.Limits.Peers {
 		g.enqueue(scheduler.GossipMessage{From: from, Payload: payload})
 	}
 }
 
-// enqueue leaves an event to the loop's next step.
+// enqueue adds an event for the loop's next step.
 func (g *Gateway) enqueue(e scheduler.Event) {
 	g.mu.Lock()
 	g.pendingEvents = append(g.pendingEvents, e)
@@ -204,7 +215,7 @@
 func (g *Gateway) wakeLoop() {
 	select {
 	case g.wake <- struct{}{}:
-	default: // it is to wake already
+	default: // a wakeup is already pending
 	}
 }
 
@@ -214,7 +225,7 @@
 // class returns the class of a call's function.
 func (g *Gateway) class(c *Call) *scheduler.Class { return &g.cfg.Settings.Classes[c.Function.Class] }
 
-// tenantName returns the name of a tenant, "" for none.
+// tenantName returns the name of the tenant with index i, or "" if there is none.
 func (g *Gateway) tenantName(i int) string {
 	if i < 0 || i >= len(g.cfg.Settings.Tenants) {
 		return ""
--- a/internal/gateway/golden_test.go
+++ b/internal/gateway/golden_test.go
@@ -10,13 +10,14 @@
 	"kitehub/scheduler"
 )
 
-// Operators and their tools read what the gateway shows of workers, functions and calls.
+// Operators and their tools read the JSON of workers, functions and explanations, so it must not
+// change.
 func TestViewsKeepTheirFormat(t *testing.T) {
 	snapshot := scheduler.Snapshot{
 		RingPosition: 1, RingSize: 2, Ready: true, Ejected: true, WarmingUp: true, HasCopy: true, Rank: -1,
 		Tokens: 2.5, Busy: 3, LatencyRatio: 0.5, Loads: 4, AdmittedFraction: 0.25, Queued: 5, InFlight: 6,
 	}
-	for name, shown := range map[string]any{
+	for name, view := range map[string]any{
 		"workers.json": &[]WorkerView{
 			{"w1", scheduler.WorkerSnapshot{
 				ID: 1, State: scheduler.Draining, Snapshot: snapshot, SinceLastAnswer: 2 * time.Second, Copies: 3,
@@ -38,23 +39,23 @@
 			{Lines: []string{}},
 		},
 	} {
-		written, err := json.Marshal(shown)
+		written, err := json.Marshal(view)
 		if err != nil {
 			t.Fatal(err)
 		}
 		goldenfile.Compare(t, name, written)
 
-		read := reflect.New(reflect.TypeOf(shown).Elem()).Interface()
+		read := reflect.New(reflect.TypeOf(view).Elem()).Interface()
 		if err := json.Unmarshal(goldenfile.Read(t, name), read); err != nil {
 			t.Fatal(err)
 		}
-		if !reflect.DeepEqual(read, shown) {
-			t.Errorf("%s: read %+v, want %+v", name, read, shown)
+		if !reflect.DeepEqual(read, view) {
+			t.Errorf("%s: read %+v, want %+v", name, read, view)
 		}
 	}
 }
 
-// Each field that is stored or sent has a key of its own: what it is called in Go may change, the format may not.
+// Each field has a JSON key in its tag, so renaming a Go field does not change the format.
 func TestKeysDoNotFollowFieldNames(t *testing.T) {
 	goldenfile.Tagged(t, WorkerView{}, FunctionView{}, Explanation{})
 }
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -44,13 +44,14 @@
 	}
 }
 
-// A fakeTransport records what is sent and ordered. Attempts end when the test says so, orders and probes at once.
+// A fakeTransport records attempts and actions. Attempts end when the test calls their callback.
+// Load orders and probes succeed at once.
 type fakeTransport struct {
 	mu        sync.Mutex             // guards the fields below
 	results   []func(backend.Result) // callbacks of the attempts, in the order sent
-	workers   []scheduler.WorkerID   // of the same attempts
+	workers   []scheduler.WorkerID   // workers of the attempts, in the same order
 	endpoints []backend.Endpoint
-	actions   []string // other than attempts
+	actions   []string // actions other than attempts
 }
 
 type noCancel struct{}
@@ -93,8 +94,8 @@
 	f.actions = append(f.actions, fmt.Sprintf(format, args...))
 }
 
-// result returns the callback of the i-th attempt, nil if there is none.
-func (f *fakeTransport) result(i int) func(backend.Result) {
+// callback returns the callback of the i-th attempt, or nil if there is none.
+func (f *fakeTransport) callback(i int) func(backend.Result) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if i < len(f.results) {
@@ -118,8 +119,9 @@
 	return Worker{Name: name, Network: "tcp", Addr: addr, State: scheduler.Ready}
 }
 
-// newManual returns a gateway with the workers w1 and w2 on a clock that the test moves; its loop does not run.
-func newManual(t *testing.T) (*Gateway, *fakeTransport, *clock.Manual, *strings.Builder) {
+// newManualGateway returns a gateway with the workers w1 and w2 and a manual clock. Its loop does
+// not run: the test calls step.
+func newManualGateway(t *testing.T) (*Gateway, *fakeTransport, *clock.Manual, *strings.Builder) {
 	t.Helper()
 	transport := &fakeTransport{}
 	clk := clock.NewManual(time.Unix(1700000000, 0))
@@ -138,7 +140,7 @@
 	return g, transport, clk, log
 }
 
-// submit has the gateway take a call of a function of the class, and appends its answer to answers.
+// submit submits a call of a function of the given class, and appends its answer to answers.
 func submit(t *testing.T, g *Gateway, class int, answers *[]Answer) scheduler.RequestID {
 	t.Helper()
 	name := fmt.Sprint("f", class)
@@ -153,7 +155,7 @@
 		Deliver:  func(a Answer) { *answers = append(*answers, a) },
 	})
 	if !ok {
-		t.Fatal("the call is not admitted")
+		t.Fatal("the call was not admitted")
 	}
 	return request
 }
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -9,19 +9,20 @@
 	"kitehub/scheduler"
 )
 
-// Run steps the dispatcher until Stop or Kill. It is the loop: it must be called once, on a goroutine of its own.
+// Run steps the dispatcher until Stop or Kill. It is the loop: call it once, on its own goroutine.
 //
-// It makes at most one step a tick: what comes meanwhile is decided together. The rest of a tick is waited for by the
-// runtime's timer, which may come up to a millisecond late. A thread that sleeps by itself would be on time, but where
-// there is one processor it holds that processor until the runtime takes it away some milliseconds later: readers and
-// answers would then wait between all steps.
+// The loop makes at most one step per tick, so events that arrive within a tick are decided
+// together. For the rest of a tick it waits on a runtime timer, which may fire up to a millisecond
+// late. A thread that sleeps in a system call would be on time, but on a machine with one processor
+// it holds that processor until the runtime retakes it some milliseconds later. Readers and answers
+// would then wait between any two steps.
 func (g *Gateway) Run() {
 	defer close(g.done)
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	tick := g.cfg.Settings.Tick
 	lastStep := g.cfg.Clock.Now() - tick
-	awaitingTick := false // events have come, and wait for the tick to be over
+	awaitingTick := false // an event has arrived and waits for the end of the tick
 	for {
 		wake := g.wake
 		if awaitingTick {
@@ -51,38 +52,39 @@
 	}
 }
 
-// untilNextStep returns how long the loop waits for something to come before it steps anyway.
+// untilNextStep returns how long the loop waits for an event before it steps anyway.
 func (g *Gateway) untilNextStep(lastStep time.Duration, awaitingTick bool) time.Duration {
 	now := g.cfg.Clock.Now()
-	tickOver := lastStep + g.cfg.Settings.Tick
+	tickEnd := lastStep + g.cfg.Settings.Tick
 	switch {
 	case awaitingTick:
-		return max(0, tickOver-now)
+		return max(0, tickEnd-now)
 	case g.nextWake > 0:
-		return max(0, max(g.nextWake, tickOver)-now)
+		return max(0, max(g.nextWake, tickEnd)-now)
 	}
 	return time.Hour
 }
 
-// recordStepDelay notes how much later than the dispatcher asked for a step comes.
+// recordStepDelay records by how much a step runs later than the dispatcher asked for.
 func (g *Gateway) recordStepDelay(now time.Duration) {
 	if delay := int64(now - g.nextWake); g.nextWake > 0 && delay > g.Counts.MaxStepDelayNanos.Load() {
 		g.Counts.MaxStepDelayNanos.Store(delay)
 	}
 }
 
-// step is one turn of the loop: events in, actions out.
+// step runs one iteration of the loop: it takes events in, steps the dispatcher and executes its
+// actions.
 func (g *Gateway) step(now time.Duration) {
 	events, calls, results := g.takePending()
 	for i := range events {
-		events[i] = g.receive(events[i], calls, results, now)
+		events[i] = g.applyEvent(events[i], calls, results, now)
 	}
 	if g.takeRecheckPending() {
 		events = append(events, g.supersedeStale(now)...)
 	}
 	events = append(events, g.dueTimers(now)...)
 	start := g.cfg.Clock.Now()
-	actions, err := g.decide(now, events)
+	actions, err := g.stepDispatcher(now, events)
 	g.Counts.StepNanos.Add(int64(g.cfg.Clock.Now() - start))
 	g.Counts.Steps.Add(1)
 	if err != nil {
@@ -99,7 +101,7 @@
 	}
 }
 
-// takePending empties the queue of events.
+// takePending removes and returns all pending events, with their calls and results.
 func (g *Gateway) takePending() ([]scheduler.Event, map[scheduler.RequestID]*Call, map[attemptKey]backend.Result) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -113,21 +115,22 @@
 	if len(results) > 0 {
 		g.pendingResults = make(map[attemptKey]backend.Result, len(results))
 	}
-	if g.pendingList != nil { // first, as the events that follow may be of its workers
+	if g.pendingList != nil { // goes first, as the events after it may concern its workers
 		events = append([]scheduler.Event{*g.pendingList}, events...)
 		g.pendingList = nil
 	}
 	return events, calls, results
 }
 
-// receive notes an event that has come, and returns it as the dispatcher is to have it.
-func (g *Gateway) receive(e scheduler.Event, calls map[scheduler.RequestID]*Call,
+// applyEvent updates the loop's state for an event, and returns the event to hand to the
+// dispatcher.
+func (g *Gateway) applyEvent(e scheduler.Event, calls map[scheduler.RequestID]*Call,
 	results map[attemptKey]backend.Result, now time.Duration) scheduler.Event {
 	switch e := e.(type) {
 	case scheduler.Arrival:
 		c := calls[e.Request]
 		g.inFlight[e.Request] = &request{call: c, submittedAt: c.submittedAt}
-		e.TimeLeft -= now - c.submittedAt // it has waited for the loop
+		e.TimeLeft -= now - c.submittedAt // minus the time that it waited for the loop
 		return e
 	case scheduler.ClientClosed:
 		if r := g.inFlight[e.Request]; r != nil && r.claim(ClientClosed) {
@@ -142,7 +145,8 @@
 	return e
 }
 
-// dueTimers returns the timers that have come due, and forgets them.
+// dueTimers removes the wakeups that are due and returns their timer events. It sets nextWake to 0:
+// step recomputes it.
 func (g *Gateway) dueTimers(now time.Duration) (due []scheduler.Event) {
 	g.nextWake = 0
 	later := g.wakeups[:0]
@@ -157,21 +161,21 @@
 	return due
 }
 
-// decide steps the dispatcher. A panic of it is an error.
-func (g *Gateway) decide(now time.Duration, events []scheduler.Event) (actions []scheduler.Action, err error) {
+// stepDispatcher steps the dispatcher, and returns a panic of it as an error.
+func (g *Gateway) stepDispatcher(now time.Duration, events []scheduler.Event) (actions []scheduler.Action, err error) {
 	defer func() {
 		if p := recover(); p != nil {
-			err = fmt.Errorf("dispatcher crashed: %v", p)
+			err = fmt.Errorf("dispatcher panicked: %v", p)
 		}
 	}()
 	return g.dispatcher.Step(now, events), nil
 }
 
-// errStopped is that the loop has ended.
+// errStopped means that the loop has ended.
 var errStopped = errors.New("gateway: stopped")
 
-// runOnLoop has the loop run a task between two steps, and waits for its end. It returns errStopped if the loop ends
-// first.
+// runOnLoop has the loop run a task between two steps, and waits until the task has finished. It
+// returns errStopped if the loop ends first.
 func (g *Gateway) runOnLoop(task func()) error {
 	finished := make(chan struct{})
 	select {
@@ -187,5 +191,5 @@
 	}
 }
 
-// Alive returns once the loop has taken a turn, or an error if it has ended.
+// Alive waits until the loop has run an empty task. It returns an error if the loop has ended.
 func (g *Gateway) Alive() error { return g.runOnLoop(func() {}) }
--- a/internal/gateway/loop_test.go
+++ b/internal/gateway/loop_test.go
@@ -14,37 +14,38 @@
 	"kitehub/scheduler"
 )
 
-// A dispatcher that crashes costs what it had learned: a request that may have run has failed, one that was never sent
-// is rejected, and the next call is served by a new dispatcher that knows the endpoint list.
-func TestDispatcherCrashAnswersOpenRequestsAndRestarts(t *testing.T) {
-	g, transport, clk, log := newManual(t)
+// When the dispatcher panics, a request that may have run fails, and one that was never sent is
+// rejected. A new dispatcher that knows the endpoint list serves the next call.
+func TestDispatcherPanicAnswersOpenRequestsAndRestarts(t *testing.T) {
+	g, transport, clk, log := newManualGateway(t)
 	var sent, queued, after []Answer
 	submit(t, g, 1, &sent)
 	g.step(clk.Now())
 	submit(t, g, 1, &queued)
-	g.dispatcher = nil // the next step is a crash
+	g.dispatcher = nil // makes the next step panic
 	g.step(clk.Now())
 	if len(sent) != 1 || sent[0].Kind != Failed || len(queued) != 1 || queued[0].Kind != Rejected {
-		t.Errorf("sent %+v, queued %+v", sent, queued)
+		t.Errorf("answers to the sent request %+v, to the queued one %+v", sent, queued)
 	}
-	if g.Counts.Panics.Load() != 1 || !strings.Contains(log.String(), "dispatcher crashed") {
-		t.Error("the crash is neither counted nor logged")
+	if g.Counts.Panics.Load() != 1 || !strings.Contains(log.String(), "dispatcher panicked") {
+		t.Error("the panic was not both counted and logged")
 	}
 	clk.Advance(ms)
-	transport.result(0)(backend.Result{Outcome: scheduler.OK, Took: ms}) // of the attempt before the crash
+	transport.callback(0)(backend.Result{Outcome: scheduler.OK, Took: ms}) // the attempt sent before the panic
 	submit(t, g, 1, &after)
 	g.step(clk.Now())
-	if transport.result(1) == nil {
-		t.Fatal("nothing sent after the crash")
+	if transport.callback(1) == nil {
+		t.Fatal("no attempt was sent after the panic")
 	}
-	transport.result(1)(backend.Result{Outcome: scheduler.OK, Took: ms})
+	transport.callback(1)(backend.Result{Outcome: scheduler.OK, Took: ms})
 	g.step(clk.Now())
 	if len(after) != 1 || after[0].Kind != Served || len(sent) != 1 {
-		t.Errorf("after %+v, sent %+v", after, sent)
+		t.Errorf("answers to the call after the panic %+v, to the one before it %+v", after, sent)
 	}
 }
 
-// BenchmarkStep measures the CPU of a step with a call in and an answer out, at 50 requests in flight on 12 workers.
+// BenchmarkStep measures the CPU time of a step that takes in one call and gives one answer, with
+// 50 requests in flight on 12 workers.
 func BenchmarkStep(b *testing.B) {
 	s := settings()
 	s.Limits.MaxOpenRequests = 1000
@@ -56,11 +57,11 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	var l []Worker
+	var workers []Worker
 	for i := range 12 {
-		l = append(l, readyWorker(fmt.Sprint("w", i), fmt.Sprint("a:", i)))
+		workers = append(workers, readyWorker(fmt.Sprint("w", i), fmt.Sprint("a:", i)))
 	}
-	g.UpdateWorkers(scheduler.FullList, 1, l)
+	g.UpdateWorkers(scheduler.FullList, 1, workers)
 	var fns []*Function
 	for i := range 20 {
 		name := fmt.Sprint("f", i)
@@ -68,72 +69,73 @@
 		fns = append(fns, &Function{Name: name, ID: id, Lanes: 8})
 	}
 	answered := 0
-	next := func(i int) {
+	submitNext := func(i int) {
 		g.Submit(&Call{Function: fns[i%len(fns)], TimeLeft: time.Second, Deliver: func(Answer) { answered++ }})
 	}
 	for i := range 50 {
-		next(i)
+		submitNext(i)
 	}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		clk.Advance(ms)
 		g.step(clk.Now())
 		transport.mu.Lock()
-		sends := transport.results
+		callbacks := transport.results
 		transport.results, transport.workers = nil, nil
 		transport.mu.Unlock()
-		for _, done := range sends {
+		for _, done := range callbacks {
 			done(backend.Result{Outcome: scheduler.OK, Took: 20 * ms, Note: scheduler.FoundWarm})
-			next(i)
+			submitNext(i)
 		}
 	}
 	b.ReportMetric(float64(answered)/float64(b.N), "calls/step")
 }
 
-// A loop that comes late to a call takes the delay off the time that the client still waits.
+// If the loop takes a call late, the delay is subtracted from the time that the client still waits.
 func TestLoopDelayCountsAgainstTheTimeLeft(t *testing.T) {
-	g, _, clk, _ := newManual(t)
+	g, _, clk, _ := newManualGateway(t)
 	var got []Answer
-	submit(t, g, 0, &got) // for 2 s
+	submit(t, g, 0, &got) // with 2 s left
 	clk.Advance(1500 * ms)
 	for at := 1500 * ms; at <= 2*time.Second; at += 10 * ms {
 		g.step(clk.Now())
 		clk.Advance(10 * ms)
 	}
 	if len(got) != 1 {
-		t.Errorf("%d answers after 2 s, where the loop came 1.5 s late", len(got))
+		t.Errorf("%d answers after 2 s, with the loop 1.5 s late", len(got))
 	}
 	got = nil
 	submit(t, g, 0, &got)
 	clk.Advance(3 * time.Second)
 	g.step(clk.Now())
 	if len(got) != 1 || got[0].Kind != Rejected {
-		t.Errorf("%+v to a call whose time was up before the loop came, want it rejected at once", got)
+		t.Errorf("answers %+v to a call that expired before the loop took it, want one Rejected at once", got)
 	}
 }
 
-// What is open when the loop ends is rejected where another attempt does no harm, and has failed where it may have run.
+// When the loop ends, an open request is rejected if a retry does no harm, and has failed if it may
+// have run.
 func TestShutdownRejectsOrFailsOpenRequests(t *testing.T) {
 	for class, want := range map[int]AnswerKind{0: Rejected, 1: Failed} {
-		g, transport, clk, _ := newManual(t)
+		g, transport, clk, _ := newManualGateway(t)
 		idempotency := g.cfg.Settings.Classes[class].Idempotency
 		if (idempotency == scheduler.Idempotent) != (want == Rejected) {
-			t.Fatalf("class %d is %v", class, idempotency)
+			t.Fatalf("class %d has idempotency %v", class, idempotency)
 		}
-		var out, full []Answer
-		submit(t, g, class, &out)
+		var running, neverRan []Answer
+		submit(t, g, class, &running)
 		g.step(clk.Now())
-		if transport.result(0) == nil {
+		if transport.callback(0) == nil {
 			t.Fatal("no attempt is running")
 		}
 		g.answerAll(clk.Now())
-		if len(out) != 1 || out[0].Kind != want {
-			t.Errorf("class %d, with an attempt out: %+v, want %v", class, out, want)
+		if len(running) != 1 || running[0].Kind != want {
+			t.Errorf("class %d, with an attempt in flight: answers %+v, want one %v", class, running, want)
 		}
-		g, transport, clk, _ = newManual(t)
-		submit(t, g, class, &full)
+		g, transport, clk, _ = newManualGateway(t)
+		submit(t, g, class, &neverRan)
 		g.step(clk.Now())
-		transport.result(0)(backend.Result{Outcome: scheduler.AtCapacity, Took: ms})
+		transport.callback(0)(backend.Result{Outcome: scheduler.AtCapacity, Took: ms})
 		events, _, results := g.takePending()
 		for _, e := range events {
 			if e, ok := e.(scheduler.AttemptEnded); ok {
@@ -141,15 +143,16 @@
 			}
 		}
 		g.answerAll(clk.Now())
-		if len(full) != 1 || full[0].Kind != Rejected {
-			t.Errorf("class %d, with an attempt that never ran: %+v, want a rejection", class, full)
+		if len(neverRan) != 1 || neverRan[0].Kind != Rejected {
+			t.Errorf("class %d, with an attempt that never ran: answers %+v, want one Rejected", class, neverRan)
 		}
 	}
 }
 
-// While the loop waits for its tick to be over, with something to decide, it still runs tasks, and ends on Stop.
+// While the loop has events pending and waits for the end of the tick, it still runs tasks and ends
+// on Stop.
 func TestLoopTasksAndStopDoNotWaitForTheTick(t *testing.T) {
-	g, _, _, _ := newManual(t)
+	g, _, _, _ := newManualGateway(t)
 	g.cfg.Settings.Tick = time.Hour
 	go g.Run()
 	steps := func() uint64 {
@@ -158,7 +161,7 @@
 		case g.loopTasks <- func() { count <- uint64(g.Counts.Steps.Load()) }:
 			return <-count
 		case <-time.After(20 * time.Second):
-			t.Fatal("the loop does not run the task")
+			t.Fatal("the loop did not run the task within 20 s")
 			return 0
 		}
 	}
@@ -167,11 +170,11 @@
 	}
 	var answers []Answer
 	submit(t, g, 0, &answers)
-	for len(g.wake) > 0 { // until the loop has noticed the call
+	for len(g.wake) > 0 { // until the loop has received the wakeup
 		runtime.Gosched()
 	}
 	if n := steps(); n != 1 {
-		t.Errorf("%d steps in a tick", n)
+		t.Errorf("%d steps within a tick, want 1", n)
 	}
 	stopped := make(chan struct{})
 	go func() {
@@ -181,9 +184,9 @@
 	select {
 	case <-stopped:
 	case <-time.After(20 * time.Second):
-		t.Fatal("it does not end before its tick is over")
+		t.Fatal("Stop did not end the loop before the end of the tick")
 	}
 	if len(answers) != 1 || answers[0].Kind != Rejected {
-		t.Errorf("%+v", answers)
+		t.Errorf("answers %+v, want one Rejected", answers)
 	}
 }
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -10,46 +10,48 @@
 	"kitehub/scheduler"
 )
 
-// A request is a call in flight: from its arrival until it is answered and all its attempts have ended. It is the
-// loop's, but for the two atomics: these the goroutines of the back end use as well.
+// A request is a call in flight, from its arrival until it is answered and all its attempts have
+// ended. Its fields belong to the loop, except the two atomics, which backend goroutines use as
+// well.
 type request struct {
-	call        *Call // nil once it is answered: the body is freed, though attempts may still be out
+	call        *Call // nil once answered, to free the body while attempts may still be in flight
 	submittedAt time.Duration
 	attempts    []attempt
 	outstanding int  // attempts that have not ended
-	recorded    bool // the answer is counted and logged
+	recorded    bool // the answer has been counted and logged
 
-	claimed atomic.Int32 // the AnswerKind of the one final answer: whoever sets it from 0 gives it
-	// digestMismatch is that other bytes ran under the idempotency key: workers that drop its duplicates would give the
-	// answer of those.
+	claimed atomic.Int32 // the AnswerKind of the final answer; whoever sets it from 0 gives the answer
+	// digestMismatch is set once other bytes than the registry names have run under the idempotency
+	// key. Workers that drop duplicates of the key would answer later attempts with the result of
+	// those bytes.
 	digestMismatch atomic.Bool
 }
 
-// An attempt is one that was made to run a request on a worker. It is the loop's.
+// An attempt is one sending of a request to a worker. Its fields belong to the loop.
 type attempt struct {
 	worker   string
-	running  backend.Running // nil once it has ended
+	running  backend.Running // nil once the attempt has ended
 	sentAt   time.Duration
-	outcome  scheduler.Outcome // 0 until it has ended
+	outcome  scheduler.Outcome // 0 until the attempt has ended
 	took     time.Duration
 	status   int
 	loadNote scheduler.LoadNote
-	snapshot scheduler.Snapshot // the dispatcher's view as it sent, where calls are explained
+	snapshot scheduler.Snapshot // the dispatcher's view at the send, for Explain and Progress
 }
 
-// An attemptKey names an attempt.
+// An attemptKey identifies an attempt.
 type attemptKey struct {
 	request scheduler.RequestID
 	attempt int
 }
 
-// claim takes the right to give the one final answer.
+// claim takes the right to give the final answer. It returns false if that right was already taken.
 func (r *request) claim(k AnswerKind) bool { return r.claimed.CompareAndSwap(0, int32(k)) }
 
-// claimedAs returns the kind of the final answer, 0 while there is none.
+// claimedAs returns the kind of the final answer, or 0 while there is none.
 func (r *request) claimedAs() AnswerKind { return AnswerKind(r.claimed.Load()) }
 
-// mayHaveRun tells whether an attempt of a request may have run, or may yet.
+// mayHaveRun tells whether an attempt of the request may have run, or may still run.
 func (r *request) mayHaveRun() bool {
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool {
 		switch a.outcome {
@@ -60,12 +62,12 @@
 	})
 }
 
-// hasRunning tells whether an attempt is out.
+// hasRunning tells whether an attempt is in flight.
 func (r *request) hasRunning() bool {
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.running != nil })
 }
 
-// cancelAttempts withdraws what is out. The attempts still end, each with an event.
+// cancelAttempts cancels the attempts in flight. Each of them still ends with an event.
 func (r *request) cancelAttempts() {
 	for i := range r.attempts {
 		if running := r.attempts[i].running; running != nil {
@@ -74,7 +76,8 @@
 	}
 }
 
-// recordAttemptEnd notes how an attempt ended. If it served the request, the answer is out already: see attemptEnded.
+// recordAttemptEnd records how an attempt ended. If the attempt served the request, its answer has
+// already been delivered: see attemptEnded.
 func (g *Gateway) recordAttemptEnd(e scheduler.AttemptEnded, res backend.Result, now time.Duration) {
 	r := g.inFlight[e.Request]
 	if r == nil || e.Attempt >= len(r.attempts) {
@@ -96,14 +99,14 @@
 	}
 }
 
-// answer gives the final answer of a request that the loop has claimed.
+// answer gives the final answer to a request that the loop has claimed.
 func (g *Gateway) answer(id scheduler.RequestID, r *request, a Answer, now time.Duration) {
 	a.MayHaveRun = r.mayHaveRun()
 	r.call.Deliver(a)
 	g.recordAnswer(id, r, a, now)
 }
 
-// recordAnswer counts and logs an answer that was given, and forgets the request if no attempt is out.
+// recordAnswer counts and logs a final answer, and drops the request if no attempt is in flight.
 func (g *Gateway) recordAnswer(id scheduler.RequestID, r *request, a Answer, now time.Duration) {
 	r.recorded = true
 	g.openCount.Add(-1)
--- a/internal/gateway/requestlog.go
+++ b/internal/gateway/requestlog.go
@@ -7,7 +7,8 @@
 	"kitehub/scheduler"
 )
 
-// outcomeNames are the words for outcomes in logs, explanations and hooks. Operators' tools read them.
+// outcomeNames are the names of outcomes in logs, explanations and hooks. Operators' tools read
+// them.
 var outcomeNames = map[scheduler.Outcome]string{
 	0:                       "out",
 	scheduler.OK:            "ok",
@@ -21,10 +22,11 @@
 	scheduler.NotLoaded:     "miss",
 }
 
-// shownPrecision is what times are rounded to where they are shown.
-const shownPrecision = 100 * time.Microsecond
+// displayPrecision is the precision to which displayed durations are rounded.
+const displayPrecision = 100 * time.Microsecond
 
-// logRequest writes a request's one line. It holds names and numbers, never bodies, headers or keys.
+// logRequest writes the one log line of a request. It contains names and numbers, never bodies,
+// headers or keys.
 func (g *Gateway) logRequest(id scheduler.RequestID, r *request, a Answer, now time.Duration) {
 	if g.cfg.OmitRequestLog {
 		return
@@ -52,8 +54,8 @@
 	}
 	attempts := make([]string, 0, 4)
 	for i := range r.attempts {
-		t := &r.attempts[i]
-		attempts = append(attempts, t.worker+" "+outcomeNames[t.outcome]+" "+t.took.Round(shownPrecision).String())
+		attempt := &r.attempts[i]
+		attempts = append(attempts, attempt.worker+" "+outcomeNames[attempt.outcome]+" "+attempt.took.Round(displayPrecision).String())
 	}
 	e.Strs("attempts", attempts).Msg("request")
 }
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -6,21 +6,23 @@
 	"kitehub/scheduler"
 )
 
-// Stop shuts down gracefully: it takes no further call, waits until all open requests are answered or the time is up,
-// answers the rest, and ends Run. It must be called at most once, and not after Kill.
+// Stop shuts down gracefully. It admits no further calls, waits at most the given time until all
+// open requests are answered, answers the rest, and ends Run. It must be called at most once, and
+// not after Kill.
 func (g *Gateway) Stop(within time.Duration) {
 	g.mu.Lock()
 	g.stopped = true
 	g.mu.Unlock()
-	end := time.Now().Add(within)
-	for g.openCount.Load() > 0 && time.Now().Before(end) {
+	deadline := time.Now().Add(within)
+	for g.openCount.Load() > 0 && time.Now().Before(deadline) {
 		time.Sleep(g.cfg.Settings.Tick)
 	}
 	close(g.stop)
 	<-g.done
 }
 
-// Kill ends Run with no open request answered, as the end of the process would. It does not wait for the loop.
+// Kill ends Run without answering open requests, as if the process had been killed. It does not
+// wait for the loop.
 func (g *Gateway) Kill() {
 	g.mu.Lock()
 	g.stopped = true
@@ -29,7 +31,8 @@
 	close(g.stop)
 }
 
-// shutDown ends the loop: what arrived last is received and answered too.
+// shutDown answers all open requests before the loop ends, including those in the events still
+// pending.
 func (g *Gateway) shutDown() {
 	now := g.cfg.Clock.Now()
 	events, calls, results := g.takePending()
@@ -45,8 +48,8 @@
 	g.answerAll(now)
 }
 
-// restartDispatcher answers all that is open and goes on with a new dispatcher: a fault in the scheduler costs what it
-// had learned, not the process.
+// restartDispatcher answers all open requests and continues with a new dispatcher. A panic in the
+// scheduler thus costs the state that it had learned, not the process.
 func (g *Gateway) restartDispatcher(cause error, now time.Duration) {
 	g.Counts.Panics.Add(1)
 	g.cfg.Log.Error().Err(cause).Int("open", g.OpenRequests()).Msg("dispatcher restarted, open requests answered")
@@ -54,19 +57,19 @@
 	g.restarts++
 	dispatcher, err := scheduler.New(g.cfg.Settings, g.cfg.Seed+g.restarts)
 	if err != nil {
-		panic(err) // it took these settings before
+		panic(err) // cannot happen: New accepted these settings before
 	}
 	g.dispatcher = dispatcher
 	g.wakeups = nil
 	g.mu.Lock()
-	l := g.directory.fullUpdate(scheduler.CachedList)
-	g.pendingList = &l
+	list := g.directory.fullUpdate(scheduler.CachedList)
+	g.pendingList = &list
 	g.mu.Unlock()
 	g.wakeLoop()
 }
 
-// answerAll answers all that is open: rejected where another attempt does no harm, as the request is known never to
-// have run or is idempotent; failed otherwise.
+// answerAll answers all open requests. A request is rejected if a retry does no harm, because it
+// never ran or is idempotent; otherwise it has failed.
 func (g *Gateway) answerAll(now time.Duration) {
 	for _, id := range sortedKeys(g.inFlight) {
 		r := g.inFlight[id]
@@ -80,7 +83,7 @@
 		}
 		if r.claim(kind) {
 			g.answer(id, r, Answer{Kind: kind}, now)
-		} else { // answered, and the event of its attempt was not received
+		} else { // answered already, but the event of its attempt has not been received
 			g.recordAnswer(id, r, Answer{Kind: r.claimedAs()}, now)
 		}
 	}
--- a/internal/gateway/workers.go
+++ b/internal/gateway/workers.go
@@ -11,30 +11,32 @@
 	"kitehub/scheduler"
 )
 
-// A Worker is one entry of an endpoint list as discovery gives it.
+// A Worker is one entry of an endpoint list.
 type Worker struct {
-	// Name identifies the worker: its id is a hash of it.
+	// Name identifies the worker. The worker's id is a hash of it.
 	Name string
-	// Network and Addr are where it listens, as for net.Dial.
+	// Network and Addr are the address on which the worker listens, as for net.Dial.
 	Network, Addr string
-	// Zone, Group and Kind are compared with those of other workers and of the settings.
+	// Zone, Group and Kind are compared with those of other workers and those in the settings.
 	Zone, Group, Kind string
 	State             scheduler.WorkerState
-	// Size is its weight relative to other workers; 0: 1.
+	// Size is the worker's weight relative to other workers; 0 means 1.
 	Size float64
-	// Started is when its process started, by the time of day; zero: long ago.
+	// Started is the time of day at which the worker's process started; zero: long ago.
 	Started time.Time
 }
 
-// UpdateWorkers takes a watch event of the endpoint list: a full or cached list replaces the one known, a delta changes the
-// workers that it names. The back end is notified at once, so that nothing which is still unsent goes to a draining
-// worker; the dispatcher learns of it in its next step. On an error, which is that two names have one hash, the list
-// stays as it was.
+// UpdateWorkers applies a watch event of the endpoint list. A full or cached list replaces the
+// current list; a delta changes the workers that it names. The backend is notified at once, so that
+// nothing that is still unsent goes to a draining worker. The dispatcher is notified in its next
+// step.
+//
+// It returns an error if two names have the same hash; the list then stays as it was.
 func (g *Gateway) UpdateWorkers(kind scheduler.ListKind, version uint32, event []Worker) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	old := g.directory.workers
-	next, gone, err := mergeWorkers(old, kind, event)
+	next, removed, err := mergeWorkers(old, kind, event)
 	if err != nil {
 		return err
 	}
@@ -45,20 +47,21 @@
 	if g.cfg.Hooks != nil {
 		g.notifyHooks(old, next)
 	}
-	// A pending list and this one become one full list: the dispatcher gets what holds, not how it came.
+	// A pending list and this one are merged into one full list: the dispatcher needs the current
+	// state, not its history.
 	if kind == scheduler.ListDelta || g.pendingList != nil && g.pendingList.Kind == scheduler.FullList {
 		kind = scheduler.FullList
 	}
 	update := g.directory.fullUpdate(kind)
-	update.Workers = append(update.Workers, gone...)
+	update.Workers = append(update.Workers, removed...)
 	g.pendingList = &update
 	g.wakeLoop()
 	return nil
 }
 
-// mergeWorkers returns the list that holds after a watch event, and the workers that the event says are gone.
+// mergeWorkers returns the list after a watch event, and the workers that the event removes.
 func mergeWorkers(old map[scheduler.WorkerID]Worker, kind scheduler.ListKind, event []Worker) (
-	next map[scheduler.WorkerID]Worker, gone []scheduler.WorkerInfo, err error) {
+	next map[scheduler.WorkerID]Worker, removed []scheduler.WorkerInfo, err error) {
 	next = map[scheduler.WorkerID]Worker{}
 	if kind == scheduler.ListDelta {
 		next = maps.Clone(old)
@@ -70,15 +73,15 @@
 		}
 		if w.State == scheduler.Removed {
 			delete(next, id)
-			gone = append(gone, scheduler.WorkerInfo{ID: id, State: scheduler.Removed})
+			removed = append(removed, scheduler.WorkerInfo{ID: id, State: scheduler.Removed})
 			continue
 		}
 		next[id] = w
 	}
-	return next, gone, nil
+	return next, removed, nil
 }
 
-// updateEndpoints notifies the back end of the list. The caller holds g.mu.
+// updateEndpoints passes the list to the backend. The caller holds g.mu.
 func (g *Gateway) updateEndpoints() {
 	g.endpoints = g.endpoints[:0]
 	for _, id := range sortedKeys(g.directory.workers) {
@@ -96,7 +99,8 @@
 	scheduler.Removed:  "gone",
 }
 
-// notifyHooks posts which workers became ready or ceased to be, and hands over the list. The caller holds g.mu.
+// notifyHooks posts an event for each worker that became ready or ceased to be ready, and passes
+// the list to the hooks. The caller holds g.mu.
 func (g *Gateway) notifyHooks(old, next map[scheduler.WorkerID]Worker) {
 	post := func(point string, w Worker, state scheduler.WorkerState) {
 		g.cfg.Hooks.Post(point, hooklang.Worker{Name: w.Name, Group: w.Group, Zone: w.Zone, State: stateNames[state]})
@@ -122,7 +126,7 @@
 	g.cfg.Hooks.SetWorkers(advisable)
 }
 
-// advisableWorker returns what advice on a worker is checked against.
+// advisableWorker returns the properties of a worker that advice is checked against.
 func (g *Gateway) advisableWorker(w Worker) hookadvice.Worker {
 	a := hookadvice.Worker{Name: w.Name, Ready: w.State == scheduler.Ready}
 	memory := g.cfg.Settings.Loading.MemoryMB
