--- a/internal/relay/budget.go
+++ b/internal/relay/budget.go
@@ -7,24 +7,31 @@
 	"kitehub/scheduler"
 )
 
-// A budget divides the machine's limits among the parts.
+// A budget divides the limits of the machine among the parts of the relay.
 type budget struct {
-	maxProcs    int   // threads that run Go code
-	heapBytes   int64 // the garbage collector's soft limit
-	clientConns int   // connections of clients
+	maxProcs    int   // threads that may run Go code at a time
+	heapBytes   int64 // soft memory limit of the garbage collector
+	clientConns int   // connections from clients
 	workerConns int   // connections to workers
-	answerBytes int   // of the body of a worker's answer
+	answerBytes int   // body size of a worker's answer
 }
 
 // Ratios of the machine's limits.
 const (
-	heapFraction           = 0.5 // of the memory; the rest: program text, kernel stacks, what is not counted
-	reservedSocketsDivisor = 16  // part of the descriptors for the log, listener, directory, gossip and runtime
-	clientConnFraction     = 0.5 // of the other descriptors; the platform's clients hold a third of all
-	answerBytesDivisor     = 256 // part of the memory for the body of one answer
+	// heapFraction is the part of the memory for the Go heap. The rest is for the program text,
+	// kernel stacks and what the runtime does not count.
+	heapFraction = 0.5
+	// reservedSocketsDivisor gives the part of the descriptors that is reserved for the log, the
+	// listener, the directory, peer messages and the runtime.
+	reservedSocketsDivisor = 16
+	// clientConnFraction is the clients' part of the remaining descriptors. The platform's clients
+	// hold a third of all descriptors.
+	clientConnFraction = 0.5
+	// answerBytesDivisor gives the part of the memory that the body of one answer may take.
+	answerBytesDivisor = 256
 )
 
-// Bounds on what the ratios give.
+// Bounds on the results of the ratios.
 const (
 	minSockets         = 64
 	minReservedSockets = 16
@@ -45,20 +52,28 @@
 	}
 }
 
-// Times of the relay, as ratios of the settings.
+// Ratios that derive the relay's own timeouts from the settings.
 const (
-	firstMessageDials   = 6.0 // dial time-outs within which a new client must have sent a whole message
-	stalledReaderDials  = 4.0 // dial time-outs without progress after which a reader is disconnected
-	pollFraction        = 0.5 // poll interval of the directory, of the drain grace: a drain is known within it
-	lateAnswerDeadlines = 2.0 // longest deadlines after which no answer to an attempt can come any more
+	// firstMessageDials is the number of dial timeouts within which a new client must send a
+	// complete message.
+	firstMessageDials = 6.0
+	// stalledReaderDials is the number of dial timeouts after which a client that reads nothing is
+	// disconnected.
+	stalledReaderDials = 4.0
+	// pollFraction is the poll interval of the directory as a fraction of the drain grace. It is
+	// below 1 so that a drain is noticed within the grace.
+	pollFraction = 0.5
+	// lateAnswerDeadlines is the number of longest deadlines after which no answer to an attempt
+	// can arrive any more.
+	lateAnswerDeadlines = 2.0
 )
 
-// dialTimeouts returns n times the dial time-out.
+// dialTimeouts returns n times the dial timeout.
 func dialTimeouts(s scheduler.Settings, n float64) time.Duration {
 	return time.Duration(n * float64(s.Limits.DialTimeout))
 }
 
-// longestDeadline returns the longest deadline of a class.
+// longestDeadline returns the longest deadline of all classes.
 func longestDeadline(s scheduler.Settings) (d time.Duration) {
 	for _, c := range s.Classes {
 		d = max(d, c.Deadline)
@@ -66,19 +81,21 @@
 	return d
 }
 
-// lameDuck is how long after SIGTERM requests may still come, by the platform's PROTOCOL page: new connections for up
-// to 0.4 s, requests on open ones for 0.2 s more, and 0.1 s for the way. No answer is owed to what comes later.
-const lameDuck = 700 * time.Millisecond
+// lameDuckPeriod is how long after SIGTERM requests may still arrive, by the platform's PROTOCOL
+// page: new connections for up to 0.4 s, requests on open connections for 0.2 s more, and 0.1 s of
+// network delay. Requests that arrive later are owed no answer.
+const lameDuckPeriod = 700 * time.Millisecond
 
-// maxCountedDeadline is the most that the platform counts of the longest deadline (PROTOCOL): it kills a controller
-// that stops once lameDuck and that time are over, and what is not answered by then is answered by nobody.
+// maxCountedDeadline caps how much of the longest deadline the platform grants a stopping
+// controller (PROTOCOL page). The platform kills the controller once lameDuckPeriod and that time
+// have passed, and requests that are still open then get no answer.
 const maxCountedDeadline = 3 * time.Second
 
-// deliveryFraction is the part of the time for answers that is kept for those given at its end to be written and read,
-// and for the process to end by itself before it is killed.
+// deliveryFraction is the part of the answer timeout that is reserved at its end: for the last
+// answers to be written and read, and for the process to exit by itself before it is killed.
 const deliveryFraction = 1.0 / 8
 
-// answerTimeout returns how long after lameDuck open requests may still be answered.
+// answerTimeout returns how long after lameDuckPeriod open requests may still be answered.
 func answerTimeout(s scheduler.Settings) time.Duration {
 	return min(longestDeadline(s), maxCountedDeadline)
 }
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -14,36 +14,37 @@
 	"kitehub/scheduler"
 )
 
-// Variables of the environment. A name or address there goes before that of the file.
+// Environment variables. The name and the address there override those in the file.
 const (
 	EnvName   = "RELAY_NAME"   // the controller's name
-	EnvListen = "RELAY_LISTEN" // host and port for clients
+	EnvListen = "RELAY_LISTEN" // host and port on which clients connect
 	EnvConfig = "RELAY_CONFIG" // path of the JSON file
 )
 
-// A ConfigError is a wrong or missing setting. Its text is the one line by which the platform finds the field.
+// A ConfigError is an invalid or missing setting. The platform finds the field by the one line of
+// its text.
 type ConfigError struct {
-	Field string // a path in the JSON file, or a variable of the environment
-	Err   error  // what is wrong
+	Field string // a path in the JSON file, or an environment variable
+	Err   error  // the reason
 }
 
-// Error names the field and what is wrong.
-func (p *ConfigError) Error() string { return fmt.Sprintf("relay: %s: %v", p.Field, p.Err) }
+// Error names the field and the reason.
+func (e *ConfigError) Error() string { return fmt.Sprintf("relay: %s: %v", e.Field, e.Err) }
 
-// Unwrap returns what is wrong.
-func (p *ConfigError) Unwrap() error { return p.Err }
+// Unwrap returns the reason.
+func (e *ConfigError) Unwrap() error { return e.Err }
 
-func configError(field, format string, a ...any) error {
-	return &ConfigError{field, fmt.Errorf(format, a...)}
+func configError(field, format string, args ...any) error {
+	return &ConfigError{field, fmt.Errorf(format, args...)}
 }
 
-// IsConfigError tells whether an error is one of configuration.
+// IsConfigError tells whether an error is a *ConfigError.
 func IsConfigError(err error) bool {
-	var p *ConfigError
-	return errors.As(err, &p)
+	var configErr *ConfigError
+	return errors.As(err, &configErr)
 }
 
-// Limits of a controller's machine.
+// Limits are the limits of a controller's machine.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB float64 `json:"memory_mb"`
@@ -53,18 +54,18 @@
 // A Config is the platform's configuration of one controller.
 type Config struct {
 	Name          string
-	Listen        string // host and port for clients
+	Listen        string // host and port on which clients connect
 	Seed          uint64
 	Limits        Limits
-	PeerListen    string         // host and port for messages of other controllers
+	PeerListen    string         // host and port for peer messages
 	Peers         map[int]string // addresses of all controllers by index
-	DirectoryAddr string         // of the DNS server that names the workers
-	Serial        uint32         // of the last event that KnownWorkers holds
+	DirectoryAddr string         // address of the DNS server that lists the workers
+	Serial        uint32         // serial of the last directory event in KnownWorkers
 	KnownWorkers  []gateway.Worker
 	Settings      scheduler.Settings
 }
 
-// configFile mirrors the JSON.
+// configFile mirrors the JSON file.
 type configFile struct {
 	Name       string   `json:"name"`
 	Listen     string   `json:"listen"`
@@ -82,7 +83,7 @@
 
 const maxConfigBytes = 16 << 20
 
-// Load reads the configuration that the environment names. Its error is a *ConfigError.
+// Load reads the configuration file that the environment names. Any error is a *ConfigError.
 func Load(env func(string) string) (*Config, error) {
 	path := env(EnvConfig)
 	if path == "" {
@@ -90,7 +91,7 @@
 	}
 	info, err := os.Stat(path)
 	if err == nil && info.Size() > maxConfigBytes {
-		err = fmt.Errorf("%s has %d bytes, at most %d", path, info.Size(), maxConfigBytes)
+		err = fmt.Errorf("%s has %d bytes, more than %d", path, info.Size(), maxConfigBytes)
 	}
 	if err != nil {
 		return nil, &ConfigError{EnvConfig, err}
@@ -112,7 +113,7 @@
 	return c, c.check()
 }
 
-// Parse reads a configuration from JSON. Unknown fields are ignored. Its error is a *ConfigError.
+// Parse reads a configuration from JSON. It ignores unknown fields. Any error is a *ConfigError.
 func Parse(text []byte) (*Config, error) {
 	var f configFile
 	if err := json.Unmarshal(text, &f); err != nil {
@@ -132,7 +133,7 @@
 	}
 	var err error
 	if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
-		return nil, configError("seed", "%.32q is no number in hex", f.Seed)
+		return nil, configError("seed", "%.32q is not a hexadecimal number", f.Seed)
 	}
 	if len(f.Settings) == 0 {
 		return nil, configError("settings", "missing")
@@ -146,7 +147,7 @@
 	return c, nil
 }
 
-// check returns the first field that cannot be worked with, as a *ConfigError.
+// check returns a *ConfigError for the first invalid field, or nil.
 func (c *Config) check() error {
 	if c.Name == "" {
 		return configError(EnvName, "not set")
@@ -160,22 +161,22 @@
 	l := c.Limits
 	switch {
 	case !(l.Cores > 0):
-		return configError("limits.cores", "%v is not above 0", l.Cores)
+		return configError("limits.cores", "%v is not positive", l.Cores)
 	case !(l.MemoryMB > 0):
-		return configError("limits.memory_mb", "%v is not above 0", l.MemoryMB)
+		return configError("limits.memory_mb", "%v is not positive", l.MemoryMB)
 	case l.Sockets < minSockets:
-		return configError("limits.sockets", "%d is under %d", l.Sockets, minSockets)
+		return configError("limits.sockets", "%d is less than %d", l.Sockets, minSockets)
 	case c.Settings.Limits.MaxOpenRequests < 1:
-		return configError("settings.limits.maxOpen", "%d is under 1", c.Settings.Limits.MaxOpenRequests)
+		return configError("settings.limits.maxOpen", "%d is less than 1", c.Settings.Limits.MaxOpenRequests)
 	case c.Settings.Limits.DialTimeout <= 0:
-		return configError("settings.limits.dialTimeoutMs", "not above 0")
+		return configError("settings.limits.dialTimeoutMs", "not positive")
 	case c.Settings.Limits.IdleConnectionTimeout <= 0:
-		return configError("settings.limits.keepaliveMs", "not above 0")
+		return configError("settings.limits.keepaliveMs", "not positive")
 	case c.Settings.Guarantees.DrainGrace <= 0:
-		return configError("settings.guarantees.drainGraceMs", "not above 0")
+		return configError("settings.guarantees.drainGraceMs", "not positive")
 	}
 	if c.Settings.Limits.Peers && c.PeerListen == "" {
-		return configError("peer_listen", "missing, though the settings allow words between controllers")
+		return configError("peer_listen", "missing, but the settings enable peer messages")
 	}
 	return nil
 }
--- a/internal/relay/config_test.go
+++ b/internal/relay/config_test.go
@@ -20,14 +20,15 @@
 	"kitehub/scheduler"
 )
 
-// One log line a worker sets the estimates beside the sockets; the sum of what they differ is returned.
+// A log line for each worker puts the estimates beside the traffic on the sockets. The sum of their
+// differences is returned.
 func TestEstimatesAreComparedWithTheSockets(t *testing.T) {
-	seen := []frame.Traffic{
+	current := []frame.Traffic{
 		{Worker: 1, Name: "a", Open: 3, Answered: 30, Took: 3 * time.Second, Conns: 4},
 		{Worker: 2, Name: "b", Open: 0, Lost: 2},
 		{Worker: 3, Name: "c"},
 	}
-	before := map[scheduler.WorkerID]frame.Traffic{1: {Answered: 10, Took: time.Second}}
+	previous := map[scheduler.WorkerID]frame.Traffic{1: {Answered: 10, Took: time.Second}}
 	view := func(name string, s scheduler.Snapshot) gateway.WorkerView {
 		return gateway.WorkerView{Name: name, WorkerSnapshot: scheduler.WorkerSnapshot{Snapshot: s}}
 	}
@@ -35,18 +36,18 @@
 		view("a", scheduler.Snapshot{Busy: 2, Loads: 1, Tokens: 4, LatencyRatio: 1.5}),
 		view("b", scheduler.Snapshot{Busy: 2, Ejected: true}),
 	}
-	lines, differ := compareEstimates(seen, before, views)
+	lines, difference := compareEstimates(current, previous, views)
 	want := []string{
 		"a out 3/3 conns 4 served 20 in 100ms lost 0; well pace 1.50 tokens 4.0",
 		"b out 2/0 conns 0 served 0 in 0ms lost 2; ejected pace 0.00 tokens 0.0",
 		"c out 0/0 conns 0 served 0 in 0ms lost 0; not known pace 0.00 tokens 0.0",
 	}
-	if differ != 2 || !slices.Equal(lines, want) {
-		t.Errorf("%d, %q", differ, lines)
+	if difference != 2 || !slices.Equal(lines, want) {
+		t.Errorf("difference %d, want 2; lines %q", difference, lines)
 	}
 }
 
-// The limits that the configuration sets to the machine hold for the process.
+// The machine's limits in the configuration are applied to the process.
 func TestLimitsHoldForTheProcess(t *testing.T) {
 	procs, memory := runtime.GOMAXPROCS(0), debug.SetMemoryLimit(-1)
 	var files syscall.Rlimit
@@ -62,7 +63,7 @@
 	var now syscall.Rlimit
 	syscall.Getrlimit(syscall.RLIMIT_NOFILE, &now)
 	if p, m := runtime.GOMAXPROCS(0), debug.SetMemoryLimit(-1); p != 2 || m != 32<<20 || now.Cur != 300 {
-		t.Errorf("%d processors, %d bytes, %d descriptors", p, m, now.Cur)
+		t.Errorf("%d processors, %d bytes of heap, %d descriptors", p, m, now.Cur)
 	}
 }
 
@@ -81,17 +82,17 @@
 		return l
 	}
 	tests := []struct {
-		name, field string // at fault; "": none
+		name, field string // field: the invalid one; "" if none
 		change      func(map[string]any)
 	}{
-		{"good", "", func(map[string]any) {}},
+		{"valid", "", func(map[string]any) {}},
 		{"no listen", EnvListen, func(m map[string]any) { delete(m, "listen") }},
 		{"no name", EnvName, func(m map[string]any) { delete(m, "name") }},
-		{"no names", "names", func(m map[string]any) { delete(m, "names") }},
-		{"names without an address", "names", func(m map[string]any) { m["names"] = "names.cluster:53" }},
+		{"no directory", "names", func(m map[string]any) { delete(m, "names") }},
+		{"directory without an address", "names", func(m map[string]any) { m["names"] = "names.cluster:53" }},
 		{"seed", "seed", func(m map[string]any) { m["seed"] = "xyz" }},
 		{"no settings", "settings", func(m map[string]any) { delete(m, "settings") }},
-		{"settings that are no object", "settings", func(m map[string]any) { m["settings"] = 7 }},
+		{"settings that are not an object", "settings", func(m map[string]any) { m["settings"] = 7 }},
 		{"sockets", "limits.sockets", func(m map[string]any) { m["limits"] = limits(1, 64, 3) }},
 		{"memory", "limits.memory_mb", func(m map[string]any) { m["limits"] = limits(1, nil, 300) }},
 		{"cores", "limits.cores", func(m map[string]any) { m["limits"] = limits(-1, 64, 300) }},
@@ -100,20 +101,20 @@
 			targets := `[{"uid": "a", "endpoint": "a:1", "state": "asleep"}]`
 			m["known"] = json.RawMessage(`{"cmds": [{"nodes": {"targets": ` + targets + `}}]}`)
 		}},
-		{"peer messages, and nowhere to listen for them", "peer_listen", func(m map[string]any) {
+		{"peer messages without a listen address", "peer_listen", func(m map[string]any) {
 			m["settings"] = json.RawMessage(strings.Replace(settingsText, `"cancel": true`, `"peerMessages": true`, 1))
 		}},
 	}
-	file := filepath.Join(t.TempDir(), "config.json")
-	env := func(k string) string { return map[string]string{EnvConfig: file}[k] }
+	path := filepath.Join(t.TempDir(), "config.json")
+	env := func(k string) string { return map[string]string{EnvConfig: path}[k] }
 	for _, tt := range tests {
 		m := base()
 		tt.change(m)
 		b, _ := json.Marshal(m)
-		os.WriteFile(file, b, 0o600)
+		os.WriteFile(path, b, 0o600)
 		c, err := Load(env)
-		var p *ConfigError
-		if errors.As(err, &p); tt.field == "" && err != nil || tt.field != "" && (p == nil || p.Field != tt.field) {
+		var configErr *ConfigError
+		if errors.As(err, &configErr); tt.field == "" && err != nil || tt.field != "" && (configErr == nil || configErr.Field != tt.field) {
 			t.Errorf("%s: %v, want field %q", tt.name, err, tt.field)
 		}
 		if err != nil {
@@ -131,7 +132,7 @@
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	os.WriteFile(file, bytes.Repeat([]byte("["), 100), 0o600)
+	os.WriteFile(path, bytes.Repeat([]byte("["), 100), 0o600)
 	if _, err := Load(env); !IsConfigError(err) {
 		t.Errorf("no JSON: %v", err)
 	}
--- a/internal/relay/directory.go
+++ b/internal/relay/directory.go
@@ -13,21 +13,21 @@
 type directoryEvent struct {
 	Cursor uint32 `json:"cursor"`
 	Nodes  *struct {
-		All     bool     `json:"all"` // the targets are the complete list
+		All     bool     `json:"all"` // the targets are the complete list of workers
 		Targets []target `json:"targets"`
 	} `json:"nodes"`
 }
 
-// A target is a worker of the directory; the platform calls it an invoker.
+// A target is a worker in the directory. The platform calls it an invoker.
 type target struct {
 	UID      string  `json:"uid"`
 	Endpoint string  `json:"endpoint"` // host and port
 	Zone     string  `json:"az"`
-	Model    string  `json:"model"` // the kind of its machine
+	Model    string  `json:"model"` // kind of the machine
 	Group    any     `json:"pod_group"`
 	State    string  `json:"state"`
 	Size     float64 `json:"capacity_hint"`
-	BootMS   int64   `json:"boot_ms"` // Unix time in milliseconds; 0: not known
+	BootMS   int64   `json:"boot_ms"` // Unix time in milliseconds; 0: unknown
 }
 
 var statesByName = map[string]scheduler.WorkerState{
@@ -36,11 +36,11 @@
 	"gone":     scheduler.Removed,
 }
 
-// replayEvents returns the workers that hold after the events, in the order in which they were first named. Its error
-// is a *ConfigError.
+// replayEvents returns the workers that exist after the events, in the order in which they were
+// first named. Any error is a *ConfigError.
 func replayEvents(events []directoryEvent) ([]gateway.Worker, error) {
 	workers := map[string]gateway.Worker{}
-	var order []string // of UIDs; one that was gone meanwhile may be there twice
+	var order []string // UIDs; one that was removed and named again is there twice
 	for i, e := range events {
 		if e.Nodes == nil {
 			continue
@@ -63,25 +63,25 @@
 			workers[t.UID] = w
 		}
 	}
-	var l []gateway.Worker
+	var list []gateway.Worker
 	for _, uid := range order {
 		if w, ok := workers[uid]; ok {
-			l = append(l, w)
+			list = append(list, w)
 			delete(workers, uid)
 		}
 	}
-	return l, nil
+	return list, nil
 }
 
-// worker returns the target as discovery gives workers. Of one that is gone only name and state are checked. field is
-// the target's path, for the error.
+// worker converts a target to a gateway.Worker. Of a removed worker only the name and the state are
+// checked. field is the target's path in the configuration, for errors.
 func (t target) worker(field string) (w gateway.Worker, err error) {
 	state, ok := statesByName[t.State]
 	switch {
 	case t.UID == "":
 		return w, configError(field+".uid", "missing")
 	case !ok:
-		return w, configError(field+".state", "%.32q is no state", t.State)
+		return w, configError(field+".state", "%.32q is not a state", t.State)
 	case state == scheduler.Removed:
 		return gateway.Worker{Name: t.UID, State: state}, nil
 	}
--- a/internal/relay/estimates.go
+++ b/internal/relay/estimates.go
@@ -9,35 +9,41 @@
 	"kitehub/scheduler"
 )
 
-// maxReportedWorkers bounds the workers of one log line.
+// maxReportedWorkers bounds the workers in one log line.
 const maxReportedWorkers = 32
 
-// compareEstimates sets what the dispatcher estimates of each worker beside what passed on its sockets since before. It
-// returns a text for each worker, and by how many calls in flight the two differ in all. They are read one after the
-// other, so what is on its way between them counts as a difference for a moment; one that stays is a fault.
-func compareEstimates(now []frame.Traffic, before map[scheduler.WorkerID]frame.Traffic, views []gateway.WorkerView) (
-	lines []string, differ int) {
-	viewOf := map[string]gateway.WorkerView{}
+// compareEstimates compares, for each worker, the dispatcher's estimate with the traffic on the
+// worker's sockets since the previous report. It returns a text per worker, and the sum over all
+// workers of the difference in requests in flight.
+//
+// The two sides are not read at the same instant, so a request that is just being sent or answered
+// counts as a difference for a moment. A difference that persists is a fault.
+func compareEstimates(current []frame.Traffic, previous map[scheduler.WorkerID]frame.Traffic, views []gateway.WorkerView) (
+	lines []string, difference int) {
+	viewsByName := map[string]gateway.WorkerView{}
 	for _, v := range views {
-		viewOf[v.Name] = v
+		viewsByName[v.Name] = v
 	}
-	for _, seen := range now {
-		view, known := viewOf[seen.Name]
-		estimated := view.Snapshot.Busy + view.Snapshot.Loads
-		differ += max(estimated-seen.Open, seen.Open-estimated)
+	for _, traffic := range current {
+		view, known := viewsByName[traffic.Name]
+		estimate := view.Snapshot.Busy + view.Snapshot.Loads
+		difference += max(estimate-traffic.Open, traffic.Open-estimate)
 		if len(lines) < maxReportedWorkers {
-			lines = append(lines, describeWorker(seen, before[seen.Worker], view, known))
+			lines = append(lines, describeWorker(traffic, previous[traffic.Worker], view, known))
 		}
 	}
-	return lines, differ
+	return lines, difference
 }
 
-func describeWorker(now, before frame.Traffic, view gateway.WorkerView, known bool) string {
+// describeWorker returns the text of one worker: estimated/actual requests in flight, traffic since
+// the previous report, and the dispatcher's view. known is false if the dispatcher does not know
+// the worker.
+func describeWorker(current, previous frame.Traffic, view gateway.WorkerView, known bool) string {
 	snapshot := view.Snapshot
-	served := now.Answered - before.Answered
+	served := current.Answered - previous.Answered
 	meanRunTime := time.Duration(0)
 	if served > 0 {
-		meanRunTime = (now.Took - before.Took) / time.Duration(served)
+		meanRunTime = (current.Took - previous.Took) / time.Duration(served)
 	}
 	state := "not known"
 	switch {
@@ -49,6 +55,6 @@
 		state = "well"
 	}
 	return fmt.Sprintf("%s out %d/%d conns %d served %d in %dms lost %d; %s pace %.2f tokens %.1f",
-		now.Name, snapshot.Busy+snapshot.Loads, now.Open, now.Conns, served, meanRunTime.Milliseconds(),
-		now.Lost-before.Lost, state, snapshot.LatencyRatio, snapshot.Tokens)
+		current.Name, snapshot.Busy+snapshot.Loads, current.Open, current.Conns, served, meanRunTime.Milliseconds(),
+		current.Lost-previous.Lost, state, snapshot.LatencyRatio, snapshot.Tokens)
 }
--- a/internal/relay/harness_test.go
+++ b/internal/relay/harness_test.go
@@ -25,8 +25,8 @@
 	"domain": {"onMiss": "load", "idleLifeMs": 8500, "warmNotes": true}, "guarantees": {"drainGraceMs": 200},
 	"limits": {"mostTries": 3, "dialTimeoutMs": 250, "maxOpen": 100, "keepaliveMs": 15000, "streamsPerConn": 100, "cancel": true}}`
 
-// newInvoker starts a worker that answers after a delay with the body that it got. code, where set, gives the status of
-// its n-th answer.
+// newInvoker starts a worker that answers after a delay with the body that it received. code, if
+// set, returns the status code of the n-th answer.
 func newInvoker(t testing.TB, delay time.Duration, code func(n int64) byte) *fakeplatform.Echo {
 	t.Helper()
 	v, err := fakeplatform.NewEcho(delay, code)
@@ -47,7 +47,7 @@
 	return d
 }
 
-// A harness is a relay that runs as the command would run it.
+// A harness is a relay that runs as the command runs it.
 type harness struct {
 	t      testing.TB
 	file   string
@@ -60,7 +60,7 @@
 	addr   string
 }
 
-// logBuffer is a log that can be waited for.
+// A logBuffer is a log whose lines a test can wait for.
 type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -78,10 +78,10 @@
 	return len(b), nil
 }
 
-// wait returns the first line that holds a text.
+// wait waits for a line that contains a text, and returns the first such line.
 func (l *logBuffer) wait(t testing.TB, text string) string {
 	t.Helper()
-	end := time.After(20 * time.Second)
+	timeout := time.After(20 * time.Second)
 	for {
 		l.mu.Lock()
 		all := l.text.String()
@@ -93,13 +93,13 @@
 		}
 		select {
 		case <-l.more:
-		case <-end:
-			t.Fatalf("no %q in the log:\n%s", text, all)
+		case <-timeout:
+			t.Fatalf("no %q in the log after 20 s:\n%s", text, all)
 		}
 	}
 }
 
-// start runs a controller that finds the signals waiting as it starts.
+// start runs a controller. The signals in stop are pending when it starts.
 func start(t testing.TB, v *fakeplatform.Echo, names string, stop ...os.Signal) *harness {
 	t.Helper()
 	r := &harness{
@@ -132,7 +132,7 @@
 	}
 	r.addr = m.Listen
 	t.Cleanup(func() {
-		for range 2 { // the second ends it at once, if the first has not
+		for range 2 { // the second one ends it at once if the first has not
 			select {
 			case r.stop <- os.Interrupt:
 			default:
@@ -142,7 +142,7 @@
 	return r
 }
 
-// known is the directory so far, with the one worker s-1.
+// known returns the directory events so far, after which s-1 is the one worker.
 func known(addr string) json.RawMessage {
 	return json.RawMessage(fmt.Sprintf(`{"cursor": 2, "cmds": [{"cursor": 1, "nodes": {"rev": 1, "all": true, "targets": [
 		{"uid": "s-0", "endpoint": "127.0.0.1:1", "az": "east", "model": "std", "pod_group": 0, "state": "ready", "capacity_hint": 1, "boot_ms": 0}]}},
@@ -150,7 +150,7 @@
 		{"uid": "s-1", "endpoint": %q, "az": "east", "model": "std", "pod_group": 0, "state": "ready", "capacity_hint": 1, "boot_ms": 0}]}}]}`, addr))
 }
 
-// write writes the configuration that the next load reads.
+// write writes the configuration file that the next load reads.
 func (r *harness) write() {
 	b, err := json.Marshal(r.fields)
 	if err == nil {
@@ -183,16 +183,16 @@
 	c.Write(fakeplatform.Request(id, method, fields, []byte(fmt.Sprint("body ", id))))
 }
 
-// answers reads n answers, by msgid: "served BODY", or the words of errors.
+// answers reads n answers. It returns them by msgid, as "served BODY" or the name of the error.
 func (c *testClient) answers(n int) map[string]string {
 	c.t.Helper()
 	got := map[string]string{}
 	for range n {
-		id, what := c.Answer()
+		id, text := c.Answer()
 		if id < 0 {
-			c.t.Fatalf("%d answers of %d: %s", len(got), n, what)
+			c.t.Fatalf("%d answers of %d: %s", len(got), n, text)
 		}
-		got[fmt.Sprint(id)] = what
+		got[fmt.Sprint(id)] = text
 	}
 	return got
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,12 +1,14 @@
-// Package relay is a controller for a platform that configures by environment and JSON: the MessagePack-RPC ingress,
-// the gateway, the framed back end and the directory over DNS, within the limits that the platform sets to the machine.
-// It exists beside package controller because that platform fixes the protocols and the way a process starts and ends;
-// it makes no decision about calls.
+// Package relay is a controller for a platform that configures it by environment variables and a
+// JSON file. It joins the MessagePack-RPC ingress, the gateway, the framed backend and the
+// directory over DNS, within the limits that the platform sets for the machine. It exists beside
+// package controller because the platform fixes the protocols and the way in which a process starts
+// and stops. It makes no decision about calls.
 //
 // # Goroutines
 //
-// Run, on the goroutine of the command, reads the signals. Start adds one goroutine each for the gateway's loop, the
-// ingress, the reports and, if there are other controllers, their messages; the parts have their own besides.
+// Run handles the signals on the goroutine of its caller. Start adds one goroutine each for the
+// gateway's loop, the ingress, the periodic log lines and, if there are other controllers, their
+// messages. The components start further goroutines of their own.
 package relay
 
 import (
@@ -24,20 +26,21 @@
 	"kitehub/scheduler"
 )
 
-// Bounds of the platform's protocol: its PROTOCOL page.
+// Limits of the platform's protocol, from its PROTOCOL page.
 const (
-	maxBodyBytes     = 16 << 10 // of a client's body
-	maxOpenPerConn   = 32       // requests open on one connection
+	maxBodyBytes     = 16 << 10 // of the body of a call
+	maxOpenPerConn   = 32       // open requests on one connection
 	directoryService = "_app._tcp.cluster.lan"
 )
 
-// Options are what a configuration does not say. Both fields are required.
+// Options holds what the configuration does not contain. Both fields are required.
 type Options struct {
 	Clock clock.Clock
 	Log   zerolog.Logger
 }
 
-// A Relay is a running controller, until Stop. Its fields are set by Start and must not be changed.
+// A Relay is a running controller, until Stop. Start sets its exported fields, which must not be
+// changed.
 type Relay struct {
 	Gateway *gateway.Gateway
 	Ingress *msgpackrpc.Front
@@ -48,13 +51,13 @@
 	options  Options
 	budget   budget
 	listener net.Listener
-	peers    *controller.Peers // nil: there are no other controllers
-	undo     []func()          // of the start, in the order of its steps
-	done     chan struct{}     // closed to end the reports
+	peers    *controller.Peers // nil if there are no other controllers
+	undo     []func()          // undo functions of the start steps that have run, in their order
+	done     chan struct{}     // closed to end reportLoop
 }
 
-// Start runs a controller. Its listener is open and its endpoint list known when it returns. A setting that cannot be
-// worked with is a *ConfigError; nothing is left running then.
+// Start starts a controller. When it returns, the listener is open and the endpoint list is known.
+// An invalid setting is a *ConfigError; nothing is left running then.
 func Start(c *Config, o Options) (*Relay, error) {
 	r := &Relay{cfg: c, options: o, budget: divideLimits(c.Limits), done: make(chan struct{})}
 	steps := []func() error{
@@ -74,7 +77,7 @@
 	return r, nil
 }
 
-// undoStart undoes the steps that have run, the last one first.
+// undoStart undoes the start steps that have run, in reverse order.
 func (r *Relay) undoStart() {
 	for i := len(r.undo) - 1; i >= 0; i-- {
 		r.undo[i]()
@@ -114,10 +117,11 @@
 	return nil
 }
 
-// newGateway makes the gateway with the endpoint list that the configuration holds, and the ingress. Neither runs yet.
+// newGateway creates the gateway, with the endpoint list from the configuration, and the ingress.
+// Neither runs yet.
 func (r *Relay) newGateway() (err error) {
 	c := r.cfg
-	gc := gateway.Config{
+	gatewayConfig := gateway.Config{
 		Name:           c.Name,
 		Settings:       c.Settings,
 		Seed:           c.Seed,
@@ -128,9 +132,9 @@
 		OmitRequestLog: true,
 	}
 	if r.peers != nil {
-		gc.Peers = r.peers
+		gatewayConfig.Peers = r.peers
 	}
-	if r.Gateway, err = gateway.New(gc); err != nil {
+	if r.Gateway, err = gateway.New(gatewayConfig); err != nil {
 		return &ConfigError{"settings", err}
 	}
 	if err = r.Gateway.UpdateWorkers(scheduler.CachedList, c.Serial, c.KnownWorkers); err != nil {
@@ -160,7 +164,8 @@
 	return nil
 }
 
-// watchDirectory keeps the endpoint list up to date. It is the last step that may fail: nothing undoes it.
+// watchDirectory starts to keep the endpoint list up to date. It must be the last step that can
+// fail, as it adds no undo function.
 func (r *Relay) watchDirectory() error {
 	watcher, err := dns.Start(dns.Config{
 		Service: directoryService,
@@ -177,7 +182,7 @@
 	return nil
 }
 
-// serve starts what cannot fail.
+// serve starts the parts whose start cannot fail.
 func (r *Relay) serve() {
 	go r.Gateway.Run()
 	if r.peers != nil {
@@ -185,31 +190,32 @@
 	}
 	go func() {
 		if err := r.Ingress.Serve(r.listener); err != nil {
-			r.options.Log.Error().Err(err).Msg("listener")
+			r.options.Log.Error().Err(err).Msg("listener failed")
 		}
 	}()
 	go r.reportLoop()
 }
 
-// Addr returns where clients connect.
+// Addr returns the address on which clients connect.
 func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
-// Reload takes from a configuration that was reloaded what may change in service: where the directory is. It is safe
-// while Stop runs.
-func (r *Relay) Reload(c *Config) {
-	if err := r.Watcher.SetServer(c.DirectoryAddr); err != nil {
+// Reload applies the part of a new configuration that may change while the relay runs: the address
+// of the directory. It may be called while Stop runs.
+func (r *Relay) Reload(next *Config) {
+	if err := r.Watcher.SetServer(next.DirectoryAddr); err != nil {
 		r.options.Log.Error().Err(err).Msg(configRejected)
 		return
 	}
-	r.options.Log.Info().Str("names", c.DirectoryAddr).Msg("configuration read anew")
+	r.options.Log.Info().Str("names", next.DirectoryAddr).Msg("configuration reloaded")
 }
 
-// Stop shuts down gracefully. It goes on admitting requests for lameDuck, as long as the platform may still send any,
-// then admits no more and answers what is open within the time. The last part of that time is for answers to reach
-// their clients. It must be called once.
-func (r *Relay) Stop(lameDuck, within time.Duration) {
+// Stop shuts down gracefully. It continues to admit requests for the lame duck period, during which
+// the platform may still send some. Then it admits no more, and answers the open requests within
+// the given time. The last part of that time is left for answers to reach their clients. Stop must
+// be called at most once.
+func (r *Relay) Stop(lameDuckPeriod, within time.Duration) {
 	r.Ingress.Drain()
-	time.Sleep(lameDuck)
+	time.Sleep(lameDuckPeriod)
 	delivery := time.Duration(deliveryFraction * float64(within))
 	r.Gateway.Stop(within - delivery)
 	r.Ingress.Finish(delivery)
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -13,7 +13,7 @@
 	"kitehub/internal/harness/fakeplatform"
 )
 
-// Calls are run by the worker and answered by id.
+// Calls are run by the worker, and each answer has the id of its call.
 func TestServes(t *testing.T) {
 	v := newInvoker(t, 0, nil)
 	r := start(t, v, newDirectory(t).LocalAddr().String())
@@ -21,29 +21,29 @@
 	for i := range 10 {
 		c.call(i, []string{"lookup", "move"}[i%2])
 		if got := c.answers(1)[fmt.Sprint(i)]; got != fmt.Sprint("served body ", i) {
-			t.Errorf("call %d: %q", i, got)
+			t.Errorf("answer to call %d: %q", i, got)
 		}
 	}
 	if n := v.Calls.Load(); n != 10 {
-		t.Errorf("%d calls came to the worker, want 10", n)
+		t.Errorf("%d calls reached the worker, want 10", n)
 	}
 }
 
-// A request that may have run is retried only where that does no harm.
+// A request that may have run is retried only if that does no harm.
 func TestRetriesFollowIdempotency(t *testing.T) {
 	tests := []struct {
 		method string
-		code   byte // of the first answer
+		code   byte // status code of the first response
 		want   string
 		calls  int64
 	}{
-		{"lookup", 68, "served body 1", 2}, // an error: it may have run, which an idempotent request may twice
+		{"lookup", 68, "served body 1", 2}, // an error: it may have run, and may run again
 		{"move", 68, "Failed", 1},
-		{"move", 69, "served body 1", 2}, // over already: it never ran
+		{"move", 69, "served body 1", 2}, // deadline already over: it never ran
 		{"move", 67, "served body 1", 2},
 		{"lookup", 0, "served body 1", 2},
 		{"move", 0, "Failed", 1},
-		{"update", 0, "served body 1", 2}, // to workers that drop duplicates of its key
+		{"update", 0, "served body 1", 2}, // retried at workers that drop duplicates of its key
 	}
 	for _, tt := range tests {
 		v := newInvoker(t, 0, func(n int64) byte {
@@ -56,13 +56,13 @@
 		c := r.dial()
 		c.call(1, tt.method)
 		if got := c.answers(1)["1"]; got != tt.want || v.Calls.Load() != tt.calls {
-			t.Errorf("%s after %d: %q by %d attempts, want %q by %d", tt.method, tt.code, got, v.Calls.Load(), tt.want, tt.calls)
+			t.Errorf("%s after status %d: %q with %d attempts, want %q with %d", tt.method, tt.code, got, v.Calls.Load(), tt.want, tt.calls)
 		}
 	}
 }
 
-// A configuration that cannot be read changes nothing; one that can has calls go where its directory says, with none
-// lost.
+// A configuration that cannot be read changes nothing. After a valid one, calls go to the workers
+// that its directory lists, and none is lost.
 func TestReload(t *testing.T) {
 	v, w := newInvoker(t, 0, nil), newInvoker(t, 0, nil)
 	first, second := newDirectory(t), newDirectory(t)
@@ -71,29 +71,29 @@
 	if err := os.WriteFile(r.file, []byte(`{"name": "n3", "listen"`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	stop, loaded := make(chan struct{}), make(chan error, 1)
-	go func() { loaded <- load(r.dial(), stop) }()
-	for v.Calls.Load() == 0 { // else the first worker may be gone before it is called
+	stop, loadResult := make(chan struct{}), make(chan error, 1)
+	go func() { loadResult <- load(r.dial(), stop) }()
+	for v.Calls.Load() == 0 { // otherwise the first worker may be removed before it is called
 		runtime.Gosched()
 	}
 	r.reload <- syscall.SIGHUP
-	r.log.wait(t, "the old one stays")
+	r.log.wait(t, "the current one stays in force")
 	second.Set(fakeplatform.List{Serial: 3, Workers: []string{"s-2"}, Addrs: []netip.AddrPort{addrPort(w.Addr())}})
 	r.fields["names"] = second.LocalAddr().String()
 	r.write()
 	r.reload <- syscall.SIGHUP
 	r.log.wait(t, `"version":3`)
-	for i := 2; w.Calls.Load() == 0; i++ { // the dispatcher learns of the list in its next step
+	for i := 2; w.Calls.Load() == 0; i++ { // the dispatcher gets the list in its next step
 		c.call(i, "lookup")
 		c.answers(1)
 	}
 	close(stop)
-	if err := <-loaded; err != nil || v.Calls.Load() == 0 {
-		t.Errorf("under load: %v, %d calls at the first worker", err, v.Calls.Load())
+	if err := <-loadResult; err != nil || v.Calls.Load() == 0 {
+		t.Errorf("under load: error %v, %d calls at the first worker", err, v.Calls.Load())
 	}
 }
 
-// load calls until it is stopped; an error if any call is not served.
+// load calls until stop is closed. It returns an error if a call is not served.
 func load(c *testClient, stop chan struct{}) error {
 	for {
 		select {
@@ -103,13 +103,14 @@
 		}
 		c.call(1, "move")
 		if id, got := c.Answer(); id != 1 || got != "served body 1" {
-			return fmt.Errorf("%d: %s", id, got)
+			return fmt.Errorf("answer to %d: %s, want call 1 served", id, got)
 		}
 	}
 }
 
-// BenchmarkRelay measures what one call costs a relay, with clients and worker on loopback in the same process: sixteen
-// clients that each have one call open, one worker that answers at once.
+// BenchmarkRelay measures the cost of one call through a relay, with clients and the worker on
+// loopback in the same process: sixteen clients with one open call each, and one worker that
+// answers at once.
 func BenchmarkRelay(b *testing.B) {
 	v := newInvoker(b, 0, nil)
 	r := start(b, v, newDirectory(b).LocalAddr().String())
--- a/internal/relay/report.go
+++ b/internal/relay/report.go
@@ -12,46 +12,47 @@
 
 const reportInterval = 5 * time.Second
 
-// reportLoop logs at intervals what was done, until Stop.
+// reportLoop logs estimates and counts at intervals, until Stop.
 func (r *Relay) reportLoop() {
 	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
-	before := map[scheduler.WorkerID]frame.Traffic{}
+	previous := map[scheduler.WorkerID]frame.Traffic{}
 	for {
 		select {
 		case <-r.done:
 			return
 		case <-ticker.C:
 		}
-		r.reportEstimates(before)
+		r.reportEstimates(previous)
 		r.reportCounts()
 	}
 }
 
-// reportEstimates logs the dispatcher's estimates beside what passed on the sockets since before, and updates before.
-func (r *Relay) reportEstimates(before map[scheduler.WorkerID]frame.Traffic) {
+// reportEstimates logs the dispatcher's estimates beside the traffic on the sockets since the
+// previous report, and updates previous.
+func (r *Relay) reportEstimates(previous map[scheduler.WorkerID]frame.Traffic) {
 	views, _, err := r.Gateway.View()
 	if err != nil {
 		return // the gateway has stopped
 	}
-	seen := r.Backend.Seen()
-	lines, differ := compareEstimates(seen, before, views)
-	clear(before)
-	for _, s := range seen {
-		before[s.Worker] = s
+	traffic := r.Backend.Seen()
+	lines, differ := compareEstimates(traffic, previous, views)
+	clear(previous)
+	for _, s := range traffic {
+		previous[s.Worker] = s
 	}
 	r.options.Log.Info().Int("differ", differ).Strs("workers", lines).Msg("beliefs")
 }
 
-// reportCounts logs the counts since the start. What each field means is in docs/relay.md.
+// reportCounts logs the counts since the start. docs/relay.md explains each field.
 func (r *Relay) reportCounts() {
 	e := r.options.Log.Info()
 	r.addGatewayCounts(e)
-	r.addFrontCounts(e)
+	r.addIngressCounts(e)
 	r.addBackendCounts(e)
 	r.addDirectoryCounts(e)
 	addProcessCounts(e)
-	e.Msg("so far")
+	e.Msg("counts since start")
 }
 
 func (r *Relay) addGatewayCounts(e *zerolog.Event) {
@@ -63,7 +64,7 @@
 		Int64("step_us", counts.StepNanos.Load()/1000).Int64("late_us", counts.MaxStepDelayNanos.Load()/1000)
 }
 
-func (r *Relay) addFrontCounts(e *zerolog.Event) {
+func (r *Relay) addIngressCounts(e *zerolog.Event) {
 	counts := &r.Ingress.Counts
 	e.Int("clients", r.Ingress.Conns()).Int64("accepted", counts.Accepted.Load()).
 		Int64("evicted", counts.Evicted.Load()).Int64("shut", counts.Shut.Load()).
--- a/internal/relay/run.go
+++ b/internal/relay/run.go
@@ -12,19 +12,19 @@
 	"kitehub/internal/clock"
 )
 
-// configRejected is the log line of a reload that was rejected.
-const configRejected = "the new configuration is not taken, the old one stays"
+// configRejected is the log message for a reload whose configuration was rejected.
+const configRejected = "new configuration rejected, the current one stays in force"
 
-// Signals are what the platform sends to a controller. They come on two channels: one that is full of reloads must not
-// cost the request to stop.
+// Signals are the signals that the platform sends to a controller. They arrive on two channels so
+// that pending reloads cannot make a stop signal be dropped.
 type Signals struct {
 	Reload <-chan os.Signal // read the configuration again
-	Stop   <-chan os.Signal // shut down; os.Interrupt twice: end at once
+	Stop   <-chan os.Signal // shut down; a second os.Interrupt ends the process at once
 }
 
-// Run is the whole life of a controller, until it has been stopped and has answered what it admitted. It reloads the
-// configuration on request, also while it stops: draining workers must still be learned while requests are open. A
-// configuration that cannot be worked with is a *ConfigError.
+// Run runs a controller until it has been stopped and has answered the requests that it admitted.
+// It reloads the configuration on request, also while it stops, as it must still learn of draining
+// workers while requests are open. An invalid configuration is a *ConfigError.
 func Run(env func(string) string, log zerolog.Logger, signals Signals) error {
 	c, err := Load(env)
 	if err != nil {
@@ -41,10 +41,10 @@
 	return r.handleSignals(env, signals)
 }
 
-// handleSignals returns once the relay has stopped, or at once with an error on a second interrupt.
+// handleSignals returns when the relay has stopped, or at once with an error on a second interrupt.
 func (r *Relay) handleSignals(env func(string) string, signals Signals) error {
 	log := r.options.Log
-	var stopped chan struct{} // nil until the first signal to stop; closed when that is carried out
+	var stopped chan struct{} // nil until the first stop signal; closed when Stop has returned
 	for {
 		select {
 		case <-stopped:
@@ -58,12 +58,12 @@
 				log.Info().Str("signal", sig.String()).Msg("stopping")
 				stopped = make(chan struct{})
 				go func() {
-					r.Stop(lameDuck, answerTimeout(r.cfg.Settings))
+					r.Stop(lameDuckPeriod, answerTimeout(r.cfg.Settings))
 					close(stopped)
 				}()
-			case sig == os.Interrupt: // somebody at a terminal who will not wait
+			case sig == os.Interrupt: // an operator at a terminal does not want to wait
 				return fmt.Errorf("relay: ended by a second %s with %d requests open", sig, r.Gateway.OpenRequests())
-			default: // a repeated signal changes nothing: the open requests are worth as much as before
+			default: // a repeated SIGTERM changes nothing: the open requests still need their answers
 				log.Info().Str("signal", sig.String()).Int("open", r.Gateway.OpenRequests()).Msg("stopping already")
 			}
 		}
@@ -79,7 +79,7 @@
 	r.Reload(next)
 }
 
-// applyLimits enforces the limits on this process.
+// applyLimits applies the limits to this process.
 func applyLimits(l Limits) {
 	b := divideLimits(l)
 	runtime.GOMAXPROCS(b.maxProcs)
@@ -88,6 +88,7 @@
 	var files syscall.Rlimit
 	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files) == nil && files.Cur != sockets && sockets <= files.Max {
 		files.Cur = sockets
-		syscall.Setrlimit(syscall.RLIMIT_NOFILE, &files) // an error costs nothing: the budget bounds the descriptors
+		// An error does no harm: the budget bounds the descriptors anyway.
+		syscall.Setrlimit(syscall.RLIMIT_NOFILE, &files)
 	}
 }
--- a/internal/relay/start_test.go
+++ b/internal/relay/start_test.go
@@ -10,15 +10,15 @@
 	"kitehub/internal/clock"
 )
 
-// A start that fails names the field at fault.
+// If Start fails, its error names the invalid field.
 func TestStartErrorNamesItsField(t *testing.T) {
-	taken, err := net.Listen("tcp", "127.0.0.1:0")
+	occupied, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer taken.Close()
+	defer occupied.Close()
 	for field, change := range map[string]func(*Config){
-		EnvListen:     func(c *Config) { c.Listen = taken.Addr().String() },
+		EnvListen:     func(c *Config) { c.Listen = occupied.Addr().String() },
 		"names":       func(c *Config) { c.DirectoryAddr = "nowhere" },
 		"peer_listen": func(c *Config) { c.PeerListen = "nowhere" },
 		"settings":    func(c *Config) { c.Settings.Tick = 0 },
@@ -31,7 +31,7 @@
 		r, err := Start(c, Options{Clock: clock.System(), Log: zerolog.Nop()})
 		var configErr *ConfigError
 		if !errors.As(err, &configErr) || configErr.Field != field || r != nil {
-			t.Errorf("%v, want an error of %s", err, field)
+			t.Errorf("error %v, want one that names %s", err, field)
 		}
 	}
 }
--- a/internal/relay/stop_test.go
+++ b/internal/relay/stop_test.go
@@ -19,8 +19,9 @@
 	"kitehub/scheduler"
 )
 
-// After SIGTERM requests are still admitted for a while, all are answered, and the process ends without an error.
-func TestSigtermAnswersWhatIsInFlight(t *testing.T) {
+// After SIGTERM requests are still admitted for a while, all are answered, and the process ends
+// without an error.
+func TestSigtermAnswersRequestsInFlight(t *testing.T) {
 	v := newInvoker(t, 300*time.Millisecond, nil)
 	r := start(t, v, newDirectory(t).LocalAddr().String())
 	c := r.dial()
@@ -29,7 +30,7 @@
 	}
 	r.stop <- syscall.SIGTERM
 	r.log.wait(t, `"stopping"`)
-	late := r.dial() // connections and requests still come for a while
+	late := r.dial() // connections and requests may still arrive for a while
 	late.call(1, "move")
 	if got := late.answers(1)["1"]; got != "served body 1" {
 		t.Errorf("a request after SIGTERM: %q", got)
@@ -43,19 +44,19 @@
 		t.Errorf("ended with %v", err)
 	}
 	if _, err := net.Dial("tcp", r.addr); err == nil {
-		t.Error("it still listens")
+		t.Error("the relay still listens after it has ended")
 	}
 }
 
-// What is open when the time for answers is over is answered, by a rejection where another attempt does no harm, and
-// the connection ends in order after it.
-func TestStopAnswersWhatIsStillOpen(t *testing.T) {
-	came := make(chan struct{}, 3)
+// Requests that are still open when the answer timeout is over get an answer, which is a rejection
+// if a retry does no harm. The connection is closed cleanly after it.
+func TestStopAnswersRequestsStillOpen(t *testing.T) {
+	received := make(chan struct{}, 3)
 	ln, err := fakeplatform.Invoke(func(_ int, c *net.TCPConn) {
 		fakeplatform.Commands(c, func(cmd fakeplatform.Command) bool {
 			switch cmd.Code {
 			case fakeplatform.Call:
-				came <- struct{}{} // and never an answer
+				received <- struct{}{} // without an answer
 			case fakeplatform.Ping:
 				c.Write(fakeplatform.Reply(fakeplatform.Pong, cmd.ID, "", ""))
 			}
@@ -66,38 +67,38 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	cfg := parse(t, newDirectory(t).LocalAddr().String(), ln.Addr().String())
-	r, err := Start(cfg, Options{Clock: clock.System(), Log: zerolog.Nop()})
+	config := parse(t, newDirectory(t).LocalAddr().String(), ln.Addr().String())
+	r, err := Start(config, Options{Clock: clock.System(), Log: zerolog.Nop()})
 	if err != nil {
 		t.Fatal(err)
 	}
-	pc, err := fakeplatform.Dial(r.Addr(), time.Minute)
+	conn, err := fakeplatform.Dial(r.Addr(), time.Minute)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer pc.Close()
-	c := &testClient{pc, t}
+	defer conn.Close()
+	c := &testClient{conn, t}
 	for i, method := range []string{"lookup", "update", "move"} {
 		c.call(i, method)
-		<-came
+		<-received
 	}
 	stopped := make(chan struct{})
 	go func() {
 		defer close(stopped)
 		r.Stop(0, 100*time.Millisecond)
 	}()
-	want := map[string]string{"0": "Rejected", "1": "Failed", "2": "Failed"} // these two may have run
+	want := map[string]string{"0": "Rejected", "1": "Failed", "2": "Failed"} // 1 and 2 may have run
 	if got := c.answers(3); !maps.Equal(got, want) {
-		t.Errorf("%v, want %v", got, want)
+		t.Errorf("answers %v, want %v", got, want)
 	}
 	if n, err := c.Read(make([]byte, 1)); n != 0 || err != io.EOF {
-		t.Errorf("after the answers %d bytes, %v; want the end", n, err)
+		t.Errorf("after the answers: %d bytes, %v; want EOF", n, err)
 	}
 	c.Close()
 	<-stopped
 }
 
-// The platform waits no longer than its own bound, however long a deadline is.
+// The answer timeout is bounded by what the platform waits, however long a deadline is.
 func TestAnswerTimeoutIsBounded(t *testing.T) {
 	for deadline, want := range map[time.Duration]time.Duration{
 		400 * time.Millisecond: 400 * time.Millisecond,
@@ -106,12 +107,13 @@
 	} {
 		classes := []scheduler.Class{{Deadline: 100 * time.Millisecond}, {Deadline: deadline}}
 		if got := answerTimeout(scheduler.Settings{Classes: classes}); got != want {
-			t.Errorf("%v for a deadline of %v, want %v", got, deadline, want)
+			t.Errorf("answer timeout %v for a deadline of %v, want %v", got, deadline, want)
 		}
 	}
 }
 
-// While a request is open, a reload is still carried out and a second SIGTERM costs nothing.
+// While a request is open after SIGTERM, a reload is still carried out, and a second SIGTERM
+// changes nothing.
 func TestReloadAndSecondSigtermWhileStopping(t *testing.T) {
 	answer := make(chan struct{})
 	v := newInvoker(t, 0, func(int64) byte { <-answer; return fakeplatform.Served })
@@ -135,14 +137,14 @@
 	r.log.wait(t, "stopping already")
 	close(answer)
 	if got := c.answers(1)["1"]; got != "served body 1" {
-		t.Errorf("the request in hand: %q", got)
+		t.Errorf("answer to the request in flight: %q", got)
 	}
 	if err := <-r.ended; err != nil {
 		t.Errorf("ended with %v", err)
 	}
 }
 
-// A SIGTERM that comes while the controller starts is carried out once it has.
+// A SIGTERM that arrives while the controller starts is carried out after the start.
 func TestSigtermDuringStartIsCarriedOut(t *testing.T) {
 	v := newInvoker(t, 0, nil)
 	r := start(t, v, newDirectory(t).LocalAddr().String(), syscall.SIGTERM)
@@ -152,48 +154,50 @@
 	}
 }
 
-// status asks, and returns once what came before on the connection has been taken in.
+// status sends a status request and waits for its response. By then the relay has processed
+// everything that was sent before on the connection.
 func (c *testClient) status(id int) {
 	c.t.Helper()
 	c.Write(fakeplatform.Request(id, "status", map[string]string{}))
-	if got, what := c.Answer(); got != int64(id) {
-		c.t.Fatalf("answer to %d: %s, want that of %d", got, what, id)
+	if got, text := c.Answer(); got != int64(id) {
+		c.t.Fatalf("response to %d: %s, want the one to %d", got, text, id)
 	}
 }
 
-// A call whose client withdrew it or closed while no worker was there is never sent; nor does a list that names no
-// worker end the watch.
+// A call that its client withdraws, or whose client closes, while there is no worker is never sent.
+// A list without workers does not end the watch.
 func TestCancelledWhileQueuedIsNeverSent(t *testing.T) {
 	v := newInvoker(t, 0, nil)
 	d := newDirectory(t)
 	r := start(t, v, d.LocalAddr().String())
 	d.Set(fakeplatform.List{Serial: 3})
 	r.log.wait(t, `"version":3`)
-	stays, leaves := r.dial(), r.dial()
-	stays.call(1, "move")
-	stays.call(2, "move")
-	stays.Write(fakeplatform.Withdraw(1))
-	stays.status(3)
-	leaves.call(1, "lookup")
-	leaves.status(2)
-	if err := leaves.Conn.(*net.TCPConn).CloseWrite(); err != nil {
+	staying, leaving := r.dial(), r.dial()
+	staying.call(1, "move")
+	staying.call(2, "move")
+	staying.Write(fakeplatform.Withdraw(1))
+	staying.status(3)
+	leaving.call(1, "lookup")
+	leaving.status(2)
+	if err := leaving.Conn.(*net.TCPConn).CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
-	if n, err := leaves.Read(make([]byte, 1)); n != 0 || err != io.EOF { // the ingress closes once it has withdrawn the call
-		t.Errorf("%d bytes, %v to a client that left", n, err)
+	// The ingress closes the connection after it has withdrawn the call.
+	if n, err := leaving.Read(make([]byte, 1)); n != 0 || err != io.EOF {
+		t.Errorf("%d bytes, %v to a client that closed", n, err)
 	}
 	d.Set(fakeplatform.List{Serial: 4, Workers: []string{"s-1"}, Addrs: []netip.AddrPort{addrPort(v.Addr())}})
-	if got := stays.answers(1)["2"]; got != "served body 2" {
-		t.Errorf("the call that waited: %q", got)
+	if got := staying.answers(1)["2"]; got != "served body 2" {
+		t.Errorf("answer to the call that kept waiting: %q", got)
 	}
-	stays.call(4, "lookup") // what was to follow would have come before it
-	stays.answers(1)
+	staying.call(4, "lookup") // a withdrawn call that was sent would reach the worker first
+	staying.answers(1)
 	if n := v.Calls.Load(); n != 2 {
-		t.Errorf("%d calls came to the worker, want the two that were waited for", n)
+		t.Errorf("%d calls reached the worker, want the two whose client still waited", n)
 	}
 }
 
-// Somebody at a terminal need not wait.
+// A second interrupt ends the relay at once, so an operator at a terminal need not wait.
 func TestSecondInterruptEndsAtOnce(t *testing.T) {
 	never := make(chan struct{})
 	defer close(never)
