--- a/internal/gateway/advice.go
+++ b/internal/gateway/advice.go
@@ -55,8 +55,8 @@
 	return h, err
 }
 
-// InheritBudget starts with the load budget that a predecessor process has left. It must be called
-// before Run.
+// InheritBudget has the gateway start with the load budget that a predecessor process has left. It
+// must be called before Run.
 func (g *Gateway) InheritBudget(h scheduler.BudgetHandover) { g.enqueue(h) }
 
 // SetBudgetHandedOver has the gateway finish its open requests without load orders and without
--- a/internal/gateway/execute.go
+++ b/internal/gateway/execute.go
@@ -10,7 +10,7 @@
 	"kitehub/scheduler"
 )
 
-// errUnknownRequest means a fault in the dispatcher, which must act on open requests only.
+// errUnknownRequest indicates a fault in the dispatcher, which must act on open requests only.
 var errUnknownRequest = errors.New("action on a request that is not open")
 
 // execute carries out one action of the dispatcher.
--- a/internal/gateway/explain.go
+++ b/internal/gateway/explain.go
@@ -32,7 +32,7 @@
 func (g *Gateway) findExplanation(id string) (x Explanation, ok bool) {
 	for _, requestID := range sortedKeys(g.inFlight) {
 		if r := g.inFlight[requestID]; r.call != nil && r.call.ID == id {
-			answer := r.claimedAs().String() // claimed before the event arrives
+			answer := r.claimedAs().String() // claimed before its attempt's event arrives
 			x = explain(requestID, r, answer, g.cfg.Clock.Now())
 			ok = true
 		}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -7,7 +7,7 @@
 // One goroutine, the loop (Run), owns the Dispatcher and the requests in flight. Ingresses,
 // backends and discovery enqueue events under Gateway.mu from their own goroutines. At most once
 // per tick the loop takes all pending events, steps the Dispatcher and executes the actions that it
-// returns. Queries of operators run on the loop between two steps.
+// returns. Operators' queries run on the loop between two steps.
 //
 // Only a served answer does not wait for the loop: the backend goroutine that received it delivers
 // it. An atomic claim on the request decides which goroutine gives the one final answer.
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -130,7 +130,7 @@
 	case scheduler.Arrival:
 		c := calls[e.Request]
 		g.inFlight[e.Request] = &request{call: c, submittedAt: c.submittedAt}
-		e.TimeLeft -= now - c.submittedAt // minus the time that it waited for the loop
+		e.TimeLeft -= now - c.submittedAt // time spent waiting for the loop
 		return e
 	case scheduler.ClientClosed:
 		if r := g.inFlight[e.Request]; r != nil && r.claim(ClientClosed) {
@@ -161,7 +161,7 @@
 	return due
 }
 
-// stepDispatcher steps the dispatcher, and returns a panic of it as an error.
+// stepDispatcher steps the dispatcher and turns a panic into an error.
 func (g *Gateway) stepDispatcher(now time.Duration, events []scheduler.Event) (actions []scheduler.Action, err error) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/internal/gateway/versions.go
+++ b/internal/gateway/versions.go
@@ -54,8 +54,9 @@
 }
 
 // supersede hands a request whose version was superseded, or may have been, back to its ingress and
-// cancels its attempts. If the attempts in flight must be waited for, it does nothing. It returns
-// whether the request was handed back; the caller then removes it from the dispatcher.
+// cancels its attempts. It does nothing if the attempts in flight must be waited for, or if another
+// goroutine has claimed the request. It returns whether the request was handed back; the caller
+// then removes it from the dispatcher.
 func (g *Gateway) supersede(id scheduler.RequestID, r *request, v registry.Verdict, now time.Duration) bool {
 	idempotency := g.class(r.call).Idempotency
 	mayHaveRun := r.mayHaveRun()
