--- a/internal/gateway/explain.go
+++ b/internal/gateway/explain.go
@@ -18,7 +18,7 @@
 	Class    string   `json:"class"`
 	Answer   string   `json:"answer"` // "" while the call is in flight
 	TookMS   float64  `json:"took_ms"`
-	Reason   string   `json:"why,omitempty"` // given by a hook that advised to shed the call
+	Reason   string   `json:"why,omitempty"` // why the call is shed, if a hook or cap advises it
 	Lines    []string `json:"lines"`         // the explanation, one sentence per line
 }
 
