--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -52,11 +52,11 @@
 //
 // All methods except Update are called on the loop's goroutine. Gateway.UpdateWorkers calls Update
 // on its caller's goroutine, under the gateway's lock. No method may wait for the network. Each
-// callback is called exactly once, on another goroutine; only Running.Cancel may call back on the
-// goroutine that cancels.
+// callback is called exactly once, on another goroutine; only RunningAttempt.Cancel may call back
+// on the goroutine that cancels.
 type Transport interface {
 	// Send starts an attempt. The callback receives its result.
-	Send(backend.Attempt, func(backend.Result)) backend.Running
+	Send(backend.Attempt, func(backend.Result)) backend.RunningAttempt
 	// LoadCopies orders a worker to hold copies of a function. The callback receives the outcome,
 	// the number of copies that the worker then holds, and how long the order took.
 	LoadCopies(backend.LoadOrder, func(outcome scheduler.Outcome, copies int, took time.Duration))
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -30,7 +30,7 @@
 // An attempt is one sending of a request to a worker. Its fields belong to the loop.
 type attempt struct {
 	worker   string
-	running  backend.Running // nil once the attempt has ended
+	running  backend.RunningAttempt // nil once the attempt has ended
 	sentAt   time.Duration
 	outcome  scheduler.Outcome // 0 until the attempt has ended
 	took     time.Duration
--- a/internal/relay/estimates.go
+++ b/internal/relay/estimates.go
@@ -27,7 +27,7 @@
 	for _, traffic := range current {
 		view, known := viewsByName[traffic.Name]
 		estimate := view.Snapshot.Busy + view.Snapshot.Loads
-		difference += max(estimate-traffic.Open, traffic.Open-estimate)
+		difference += max(estimate-traffic.InFlight, traffic.InFlight-estimate)
 		if len(lines) < maxReportedWorkers {
 			lines = append(lines, describeWorker(traffic, previous[traffic.Worker], view, known))
 		}
@@ -40,10 +40,10 @@
 // the worker.
 func describeWorker(current, previous frame.Traffic, view gateway.WorkerView, known bool) string {
 	snapshot := view.Snapshot
-	served := current.Answered - previous.Answered
+	served := current.Served - previous.Served
 	meanRunTime := time.Duration(0)
 	if served > 0 {
-		meanRunTime = (current.Took - previous.Took) / time.Duration(served)
+		meanRunTime = (current.TotalTime - previous.TotalTime) / time.Duration(served)
 	}
 	state := "not known"
 	switch {
@@ -55,6 +55,6 @@
 		state = "well"
 	}
 	return fmt.Sprintf("%s out %d/%d conns %d served %d in %dms lost %d; %s pace %.2f tokens %.1f",
-		current.Name, snapshot.Busy+snapshot.Loads, current.Open, current.Conns, served, meanRunTime.Milliseconds(),
+		current.Name, snapshot.Busy+snapshot.Loads, current.InFlight, current.Conns, served, meanRunTime.Milliseconds(),
 		current.Lost-previous.Lost, state, snapshot.LatencyRatio, snapshot.Tokens)
 }
