--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -21,8 +21,8 @@
 	EnvConfig = "RELAY_CONFIG" // path of the JSON file
 )
 
-// A ConfigError is an invalid or missing setting. The platform finds the field by the one line of
-// its text.
+// A ConfigError is an invalid or missing setting. The platform reads the field from its text, which
+// is a single line.
 type ConfigError struct {
 	Field string // a path in the JSON file, or an environment variable
 	Err   error  // the reason
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -39,7 +39,7 @@
 	}{
 		{"lookup", 68, "served body 1", 2}, // an error: it may have run, and may run again
 		{"move", 68, "Failed", 1},
-		{"move", 69, "served body 1", 2}, // deadline already over: it never ran
+		{"move", 69, "served body 1", 2}, // ended already: it never ran
 		{"move", 67, "served body 1", 2},
 		{"lookup", 0, "served body 1", 2},
 		{"move", 0, "Failed", 1},
