--- a/internal/backend/frame/backend.go
+++ b/internal/backend/frame/backend.go
@@ -25,7 +25,7 @@
 	PingAfter           time.Duration    // silence after which a busy connection gets a ping, and as long again for its answer
 	MaxResponseDelay    time.Duration    // no answer comes later than this after its exchange has ended
 	OrderTimeout        time.Duration    // longest wait for the answer to a load order
-	ReportFields        []scheduler.ReportField
+	ReportFields        []scheduler.LoadReportField
 	Log                 zerolog.Logger
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -200,7 +200,7 @@
 // Limits.Peers is not set.
 func (g *Gateway) ReceivePeerMessage(from int, payload []byte) {
 	if g.cfg.Settings.Limits.Peers {
-		g.enqueue(scheduler.GossipMessage{From: from, Payload: payload})
+		g.enqueue(scheduler.PeerMessageReceived{From: from, Payload: payload})
 	}
 }
 
--- a/internal/relay/estimates.go
+++ b/internal/relay/estimates.go
@@ -26,7 +26,7 @@
 	}
 	for _, traffic := range current {
 		view, known := viewsByName[traffic.Name]
-		estimate := view.Snapshot.Busy + view.Snapshot.Loads
+		estimate := view.Snapshot.TokensInUse + view.Snapshot.AwaitingLoad
 		difference += max(estimate-traffic.InFlight, traffic.InFlight-estimate)
 		if len(lines) < maxReportedWorkers {
 			lines = append(lines, describeWorker(traffic, previous[traffic.Worker], view, known))
@@ -55,6 +55,6 @@
 		state = "well"
 	}
 	return fmt.Sprintf("%s out %d/%d conns %d served %d in %dms lost %d; %s pace %.2f tokens %.1f",
-		current.Name, snapshot.Busy+snapshot.Loads, current.InFlight, current.Conns, served, meanRunTime.Milliseconds(),
+		current.Name, snapshot.TokensInUse+snapshot.AwaitingLoad, current.InFlight, current.Conns, served, meanRunTime.Milliseconds(),
 		current.Lost-previous.Lost, state, snapshot.LatencyRatio, snapshot.Tokens)
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -96,7 +96,7 @@
 		PingAfter:           s.Limits.DialTimeout,
 		MaxResponseDelay:    time.Duration(lateAnswerDeadlines * float64(longestDeadline(s))),
 		OrderTimeout:        s.Loading.OrderTimeout,
-		ReportFields:        s.Report,
+		ReportFields:        s.LoadReportFields,
 		Log:                 r.options.Log,
 	})
 	r.undo = append(r.undo, func() { r.Backend.Close() })
