--- a/scheduler/actions.go
+++ b/scheduler/actions.go
@@ -2,38 +2,38 @@
 
 import "time"
 
-// An Action is what a step asks its caller to do: one of the types of this file.
+// Action is a request of Step to its caller: one of the types of this file.
 type Action interface{ action() }
 
-// Send gives a request to a worker: a new attempt, which ends with an AttemptEnded.
+// Send starts an attempt: it sends a request to a worker. The attempt ends with an AttemptEnded.
 type Send struct {
 	Request RequestID
 	Worker  WorkerID
-	Timeout time.Duration // the attempt is given up then; 0: when the client leaves
+	Timeout time.Duration // of the attempt; 0: it lasts until the client leaves
 }
 
-// Reject is a final answer: the request did no harm, and the client may send it again.
+// Reject is the answer to a request that the client may safely send again.
 type Reject struct {
 	Request    RequestID
-	RetryAfter time.Duration // how long the client should wait before that; 0: no advice
+	RetryAfter time.Duration // how long the client should wait before it retries; 0: not specified
 }
 
-// Fail is a final answer that promises nothing: the request may have run.
+// Fail is the answer to a request that may have run.
 type Fail struct{ Request RequestID }
 
-// Cancel gives up one attempt. An AttemptEnded still follows.
+// Cancel cancels one attempt. An AttemptEnded still follows.
 type Cancel struct {
 	Request RequestID
 	Attempt int
 }
 
-// Wake asks for a Timer.
+// Wake requests a Timer event.
 type Wake struct {
 	At    time.Duration // on the clock of Step
-	Token uint64
+	Token uint64        // returned in the Timer
 }
 
-// Probe asks a worker for a health check, which ends with a ProbeEnded.
+// Probe sends a health-check probe to a worker. It ends with a ProbeEnded.
 type Probe struct{ Worker WorkerID }
 
 // CloseIdleConnections closes the idle connections to a worker.
@@ -48,24 +48,24 @@
 	Payload []byte
 }
 
-// Log is a line for the operators.
+// Log writes a line to the log.
 type Log struct{ Text string }
 
-// WatchEndpoints subscribes to the list of workers, or ends the subscription.
+// WatchEndpoints subscribes to the endpoint list, or ends the subscription.
 type WatchEndpoints struct{ On bool }
 
-// FetchEndpoints asks once for the full list of workers.
+// FetchEndpoints requests the full endpoint list once.
 type FetchEndpoints struct{}
 
-// LoadOrder asks a worker to have at least Copies of a function loaded; 0 only asks how many are. It ends
-// with a LoadOrderEnded.
+// LoadOrder asks a worker to have at least Copies copies of a function loaded. With 0 it only asks
+// how many are. It ends with a LoadOrderEnded.
 type LoadOrder struct {
 	Worker   WorkerID
 	Function FunctionID
 	Copies   int
 }
 
-// Unload drops the idle copies of a function.
+// Unload asks a worker to drop the idle copies of a function.
 type Unload struct {
 	Worker   WorkerID
 	Function FunctionID
--- a/scheduler/doc.go
+++ b/scheduler/doc.go
@@ -1,35 +1,39 @@
-// Package scheduler decides, for one controller, which worker runs which request of which function, and when.
+// Package scheduler decides, for one controller, which worker runs each request, and when.
 //
-// The mechanism is MQFQ-Sticky at a front end: one queue per function, released in the order of virtual time
-// (fairness), each sent to a home on a consistent-hash ring (locality, so that loaded copies are used again).
-// docs/design.md gives the reasons and the figures.
+// It implements MQFQ-Sticky at a front end. Each function has a queue, and the queues are served in
+// the order of their virtual times, which gives fairness. Each function has a home on a
+// consistent-hash ring, where its requests go first, which gives locality: loaded copies are
+// reused. docs/design.md has the reasons and the figures.
 //
 // # Use
 //
-// A Dispatcher is a state machine without I/O. Its caller owns the connections and the clock: it collects
-// what happened as events, calls Step, and carries out the actions that Step returns. Between steps nothing
-// happens. The same settings, seed, times and events give the same actions: there are no goroutines, no
-// clock, no global state, and no order of a map shows. A Dispatcher is not safe for concurrent use.
+// A Dispatcher is a state machine without I/O. Its caller owns the connections and the clock: it
+// collects events, calls Step, and carries out the actions that Step returns. State changes only in
+// Step. Equal settings, seeds, times and events give equal actions: the package has no goroutines,
+// no clock and no global state, and no action depends on the iteration order of a map. A Dispatcher
+// is not safe for concurrent use.
 //
-// # Where to find what
+// # Files
 //
-// The interface is in settings.go, events.go and actions.go; snapshot.go has views for people. Step, in
-// step.go, is the entry point. Each mechanism has a type and a file of its own:
+// The interface is in settings.go, events.go and actions.go, and snapshot.go has read-only views
+// for operators. Step, in step.go, is the entry point. Each mechanism has its own type and file:
 //
-//   - queues.go: queues by function, virtual time, activation and expiry
+//   - queues.go: the queue of each function, with its virtual time, activation and expiry
 //   - admission.go: the fraction of new requests that is admitted, so that overload is shed early
-//   - placement.go: the choice of a worker for a request, along the ring from its home
-//   - spread.go: how many workers of the ring a function starts at
-//   - concurrency.go: the concurrency limit of a worker, by additive increase and multiplicative decrease
+//   - placement.go: the choice of a worker for a request, along the ring from the function's home
+//   - spread.go: the number of workers among which a function's requests start their walk
+//   - concurrency.go: the concurrency limit of a worker, by additive increase and multiplicative
+//     decrease
 //   - outlier.go: health checks, ejection, and avoidance of workers that answer with errors
-//   - slowstart.go: the bound on what a warming worker is sent by all controllers together
-//   - copies.go, loadbudget.go: which copies are believed to be loaded, and the budget of orders for more
+//   - slowstart.go: the bound on what all controllers together send to a worker that is warming up
+//   - copies.go, loadbudget.go: the copies that are believed to be loaded, and the load budget
 //   - advice.go, ranks.go: advice on copies and workers
-//   - retry.go: which further attempt keeps the rules on idempotency
-//   - attempts.go: the life of a request and its attempts, and what is learnt from outcomes
-//   - fleet.go: the list of workers, and what health checks and slow start need of all of them
-//   - numbers.go: means, hashes, and the tuned constants that several mechanisms share
+//   - retry.go: the attempts that the rules on idempotency allow
+//   - attempts.go: the life cycle of requests and attempts, and what is learnt from outcomes
+//   - fleet.go: the endpoint list, and sums over all workers for health checks and slow start
+//   - numbers.go: means, hashes, and constants that several mechanisms share
 //
-// Any other tuned constant is next to the type that uses it. The rest decides nothing: request.go has the
-// state of a request, and queueindex.go and walk.go find what a step has to examine without examining all.
+// Other constants are next to the type that uses them. The remaining files make no decisions:
+// request.go has the state of a request, and queueindex.go and walk.go find the queues and workers
+// that a step has to examine, so that a step need not examine all of them.
 package scheduler
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -2,119 +2,120 @@
 
 import "time"
 
-// A WorkerID names a worker. It has no meaning beyond identity and order.
+// WorkerID identifies a worker. An ID has no meaning beyond identity and order.
 type WorkerID uint64
 
-// A RequestID names one request of a client. No two requests of a dispatcher share one while either is open.
+// RequestID identifies a request. No two open requests of a dispatcher have the same ID.
 type RequestID uint64
 
-// A FunctionID names a function (a model, a handler): that of which workers load copies.
+// FunctionID identifies a function, for example a model or a handler, of which workers load copies.
 type FunctionID uint64
 
-// An Event reports something to a dispatcher in a step: it is one of the types of this file. Events about
-// requests, attempts, workers and functions that it does not know are ignored.
+// Event is an input of Step: one of the types of this file. Events about unknown requests,
+// attempts, workers or functions are ignored.
 type Event interface{ event() }
 
-// ListUpdate brings the list of workers, or changes of it.
+// ListUpdate has the endpoint list, or changes to it.
 type ListUpdate struct {
 	Kind    ListKind
 	Version uint32
 	Workers []WorkerInfo
 }
 
-// ListKind says how complete a ListUpdate is, and how far it can be trusted.
+// ListKind says whether a ListUpdate is complete and current.
 type ListKind int
 
 // Kinds of ListUpdate.
 const (
 	ListDelta  ListKind = iota + 1 // only the workers that changed
-	FullList                       // all workers: those missing are gone
-	CachedList                     // all workers as last known: it may be out of date
-	ListFailed                     // the list could not be had: nothing changes
+	FullList                       // all workers: missing ones are removed
+	CachedList                     // all workers from a cache that may be out of date
+	ListFailed                     // the list could not be obtained: nothing changes
 )
 
-// WorkerInfo is one line of the list of workers.
+// WorkerInfo is one entry of the endpoint list.
 type WorkerInfo struct {
 	ID        WorkerID
 	Size      float64       // see Settings.SizeSource
 	StartedAt time.Duration // on the clock of Step; 0: long ago
-	Group     int           // workers that share an idempotency store: see SameGroup
+	Group     int           // workers that share a store of idempotency keys: see SameGroup
 	Zone      int           // an index into Settings.Zones
 	Kind      int           // an index into Settings.Kinds
 	State     WorkerState
 }
 
-// WorkerState is what the list says of a worker.
+// WorkerState is the state of a worker in the endpoint list.
 type WorkerState int
 
-// States of a worker. One that is missing from a full list is Gone as well.
+// States of a worker. A worker that is missing from a full list is Removed as well.
 const (
-	Ready    WorkerState = iota + 1 // takes requests
-	Draining                        // finishes what it has and takes nothing new
-	Removed                         // it is no longer there
+	Ready    WorkerState = iota + 1 // accepts requests
+	Draining                        // finishes its requests and accepts no new ones
+	Removed                         // no longer exists
 )
 
-// Arrival is a request that the controller has accepted from a client.
+// Arrival is a new request that the controller has taken from a client.
 type Arrival struct {
 	Request        RequestID
 	Class          int // an index into Settings.Classes
 	Tenant         int // an index into Settings.Tenants
 	Function       FunctionID
-	TimeLeft       time.Duration // how long the client still waits for this request
-	RunTimeHint    time.Duration // an estimate of its run time
-	HasRunTimeHint bool
+	TimeLeft       time.Duration // until the client's deadline
+	RunTimeHint    time.Duration // an estimate of the run time
+	HasRunTimeHint bool          // RunTimeHint is set
 	MemoryMB       float64       // of one copy of the function
 	Lanes          float64       // requests that one copy runs at a time
-	LoadTime       time.Duration // of one copy; 0: not known
-	ClientRetry    bool          // the client has sent it before
-	Resubmitted    bool          // accepted before, under another function: it earns no load budget
-	Write          bool
-	ShedAdvised    bool    // advice is to reject it
-	Weight         float64 // of its tenant while load is shed: above 1 is admitted more often; 0 counts as 1
+	LoadTime       time.Duration // of one copy; 0: unknown
+	ClientRetry    bool          // the client has sent the request before
+	Resubmitted    bool          // arrived before under another function, and so earns no load budget
+	Write          bool          // the request writes; no decision depends on it
+	ShedAdvised    bool          // advice says to reject it
+	Weight         float64       // admission weight of its tenant: see admission.admits; 0 counts as 1
 }
 
-// AttemptEnded ends one attempt of a request. Attempts are numbered from 0 in the order of their Sends.
+// AttemptEnded reports the outcome of an attempt. The attempts of a request are numbered from 0 in
+// the order of their Sends.
 type AttemptEnded struct {
 	Request      RequestID
 	Attempt      int
 	Worker       WorkerID
 	Outcome      Outcome
 	Took         time.Duration // from the Send to this outcome
-	Complete     bool          // the client has its answer: nothing more is to be done
+	Complete     bool          // the client has its answer, and the request needs nothing more
 	Note         LoadNote
-	SameFunction int       // requests of the function that the worker already had
+	SameFunction int       // other requests of the function in flight at the worker
 	LoadReport   []float64 // by Settings.LoadReportFields
 }
 
-// Outcome is how an attempt, a probe or an order ended.
+// Outcome is how an attempt, a probe or a load order ended.
 type Outcome int
 
-// Outcomes. Those that say never ran leave any request free to be sent again.
+// Outcomes. After one that is marked "never ran", any request may be sent again.
 const (
 	OK            Outcome = iota + 1 // answered
-	Error                            // answered, with an error
+	Error                            // answered with an error
 	AtCapacity                       // rejected by the worker: never ran
-	TimedOut                         // no answer in time: it may have run
+	TimedOut                         // no response in time: may have run
 	ConnectFailed                    // never ran
-	Reset                            // the connection broke: it may have run
-	Cancelled                        // by us: it may have run
-	NotStarted                       // never sent
+	Reset                            // the connection broke: may have run
+	Cancelled                        // cancelled by the controller: may have run
+	NotStarted                       // never sent: never ran
 	NotLoaded                        // the worker has no copy and loads none: never ran
 )
 
-// LoadNote says whether an answered attempt met a loaded copy.
+// LoadNote says whether an attempt found a loaded copy.
 type LoadNote int
 
-// Notes on loads. They are given only with Loading.ReportsLoadNotes.
+// Values of AttemptEnded.Note, which is set only with Loading.ReportsLoadNotes.
 const (
-	NoLoadNote  LoadNote = iota // nothing is known
+	NoLoadNote  LoadNote = iota // unknown
 	FoundWarm                   // a copy was loaded
-	StartedLoad                 // this request began a load
-	AwaitedLoad                 // it waited for a load that was under way
+	StartedLoad                 // the attempt started a load
+	AwaitedLoad                 // the attempt waited for a load that had started before
 	LoadFailed                  // with NotLoaded or Error: a load failed
 )
 
-// ResponseStarted says that the answer of an attempt has begun to stream.
+// ResponseStarted says that the response to an attempt has begun to stream.
 type ResponseStarted struct {
 	Request RequestID
 	Attempt int
@@ -122,13 +123,13 @@
 	Took    time.Duration // from the Send
 }
 
-// ClientClosed says that the client of a request has left: nobody waits for its answer.
+// ClientClosed says that the client of a request has left and no longer waits for an answer.
 type ClientClosed struct{ Request RequestID }
 
-// Timer is a Wake that is due.
+// Timer is the event that a Wake requested.
 type Timer struct{ Token uint64 }
 
-// ProbeEnded answers a Probe.
+// ProbeEnded reports the outcome of a Probe.
 type ProbeEnded struct {
 	Worker     WorkerID
 	Outcome    Outcome
@@ -136,55 +137,55 @@
 	LoadReport []float64 // by Settings.LoadReportFields
 }
 
-// PeerMessageReceived comes from another controller.
+// PeerMessageReceived is a PeerMessage from another controller.
 type PeerMessageReceived struct {
 	From    int // its ControllerIndex
 	Payload []byte
 }
 
-// LoadOrderEnded answers a LoadOrder.
+// LoadOrderEnded reports the outcome of a LoadOrder.
 type LoadOrderEnded struct {
 	Worker   WorkerID
 	Function FunctionID
 	Outcome  Outcome
 	Took     time.Duration
-	Copies   int // loaded now
+	Copies   int // copies that are loaded now
 }
 
-// StagedCopies asks for copies of a function before it is called for the first time. The caller repeats it
-// until they are loaded.
+// StagedCopies asks for copies of a function before its first call. The caller of Step repeats the
+// event until the copies are loaded.
 type StagedCopies struct {
 	Function FunctionID
 	Copies   int
 }
 
-// DesiredCopies advises that copies of a function are kept loaded until a time, called or not. It replaces
-// earlier advice on the function.
+// DesiredCopies advises to keep copies of a function loaded until a time, whether it is called or
+// not. It replaces earlier advice on the function.
 type DesiredCopies struct {
 	Function FunctionID
-	Copies   int           // 0 withdraws the advice
+	Copies   int           // 0: withdraws the advice
 	Until    time.Duration // on the clock of Step
 }
 
-// WorkerRank advises how a worker compares with the others until a time. It replaces earlier advice on the
+// WorkerRank advises to prefer or avoid a worker until a time. It replaces earlier advice on the
 // worker.
 type WorkerRank struct {
 	Worker WorkerID
-	Rank   int           // above 0: preferred; below 0: after all others; 0 withdraws the advice
+	Rank   int           // above 0: preferred; below 0: after all others; 0: withdraws the advice
 	Until  time.Duration // on the clock of Step
 }
 
-// BudgetHandover is what a process that takes over a controller begins with: the part of the load budget that
-// its predecessor has earned and used.
+// BudgetHandover is the state of the load budget that a process takes over from its predecessor.
 type BudgetHandover struct {
-	Orders   []time.Duration `json:"Orders"`   // times of load orders, the earliest first
-	Arrivals []time.Duration `json:"Arrivals"` // times of requests, the earliest first
+	Orders   []time.Duration `json:"Orders"`   // times of load orders, earliest first
+	Arrivals []time.Duration `json:"Arrivals"` // times of requests, earliest first
 }
 
-// Superseded says that another process takes over this controller. What is in flight is finished, but without
-// load orders and without sends to warming workers, as the successor now has the budgets for both.
+// Superseded says that another process takes over this controller. Requests in flight are finished,
+// but without load orders and without sends to workers that are warming up, because the budgets for
+// both have passed to the successor.
 type Superseded struct {
-	On bool // false: the takeover was called off
+	On bool // false: the takeover was cancelled
 }
 
 func (ListUpdate) event()          {}
--- a/scheduler/settings_check.go
+++ b/scheduler/settings_check.go
@@ -5,17 +5,18 @@
 	"math"
 )
 
-// check returns an error that names the first setting that is missing, out of range or contradicts another.
+// check returns an error that names the first setting that is missing, out of range, or contradicts
+// another.
 func (s *Settings) check() error {
 	switch {
 	case len(s.Classes) == 0:
-		return fmt.Errorf("settings: Classes: none given")
+		return fmt.Errorf("settings: Classes: at least one is required")
 	case s.Controllers < 1:
 		return fmt.Errorf("settings: Controllers: %d is under 1", s.Controllers)
 	case s.Limits.MaxAttempts < 1:
 		return fmt.Errorf("settings: Limits.MaxAttempts: %d is under 1", s.Limits.MaxAttempts)
 	case !s.Loading.OnMissKnown:
-		return fmt.Errorf("settings: Loading.LoadsOnMiss: unknown what a worker does on a miss")
+		return fmt.Errorf("settings: Loading.LoadsOnMiss: not set")
 	}
 	if err := s.checkNumbers(); err != nil {
 		return err
@@ -55,14 +56,14 @@
 		{"Prices.Origin", s.Prices.Origin},
 	}
 	for _, number := range numbers {
-		if !finite(number.value) {
+		if !finiteNonNegative(number.value) {
 			return fmt.Errorf("settings: %s: %v is negative or not finite", number.name, number.value)
 		}
 	}
 	return nil
 }
 
-// check returns an error that begins with the path below the class of the first field that is wrong.
+// check returns an error that begins with the name of the first invalid field, after a period.
 func (c *Class) check() error {
 	switch {
 	case c.Idempotency < Idempotent || c.Idempotency > NonIdempotent:
@@ -70,18 +71,18 @@
 	case c.Idempotency == IdempotentWithKey && (c.DedupScope < AllWorkers || c.DedupScope > SameGroup):
 		return fmt.Errorf(".DedupScope: unknown value %d", c.DedupScope)
 	case c.LatencyObjective <= 0:
-		return fmt.Errorf(".LatencyObjective: %v must be above 0", c.LatencyObjective)
+		return fmt.Errorf(".LatencyObjective: %v is not above 0", c.LatencyObjective)
 	case c.Deadline <= 0:
-		return fmt.Errorf(".Deadline: %v must be above 0", c.Deadline)
+		return fmt.Errorf(".Deadline: %v is not above 0", c.Deadline)
 	case c.DedupWindow < 0:
 		return fmt.Errorf(".DedupWindow: %v is negative", c.DedupWindow)
-	case !finite(c.PriorityWeight):
+	case !finiteNonNegative(c.PriorityWeight):
 		return fmt.Errorf(".PriorityWeight: %v is negative or not finite", c.PriorityWeight)
-	case !finite(c.LateValue):
+	case !finiteNonNegative(c.LateValue):
 		return fmt.Errorf(".LateValue: %v is negative or not finite", c.LateValue)
 	}
 	return nil
 }
 
-// finite tells whether a number is 0 or above, and neither infinite nor NaN.
-func finite(x float64) bool { return x >= 0 && !math.IsInf(x, 0) }
+// finiteNonNegative reports whether a number is 0 or above, and neither infinite nor NaN.
+func finiteNonNegative(x float64) bool { return x >= 0 && !math.IsInf(x, 0) }
--- a/scheduler/settings_check_test.go
+++ b/scheduler/settings_check_test.go
@@ -6,10 +6,11 @@
 	"testing"
 )
 
+// The error of New names the invalid setting.
 func TestNewNamesTheWrongSetting(t *testing.T) {
 	tests := []struct {
-		field string
-		spoil func(*Settings)
+		field   string
+		corrupt func(*Settings)
 	}{
 		{"Classes", func(s *Settings) { s.Classes = nil }},
 		{"Classes[0].Idempotency", func(s *Settings) { s.Classes[0].Idempotency = 0 }},
@@ -27,9 +28,9 @@
 	}
 	for _, tt := range tests {
 		s := testSettings()
-		tt.spoil(&s)
+		tt.corrupt(&s)
 		if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), tt.field) {
-			t.Errorf("spoilt %s: error %v does not name it", tt.field, err)
+			t.Errorf("invalid %s: error %v does not name it", tt.field, err)
 		}
 	}
 }
