--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -7,39 +7,41 @@
 )
 
 const (
-	// admissionIncrease is added to the admitted fraction for each request answered on time.
+	// admissionIncrease is added to the admitted fraction for each request that is answered on
+	// time.
 	admissionIncrease = 0.02
-	// admissionDecrease multiplies the fraction for each request that was not. Together with the increase it
-	// is in balance where some three in ten requests are late.
+	// admissionDecrease multiplies the admitted fraction for each request that is not answered on
+	// time. Increase and decrease balance where about three in ten requests are late.
 	admissionDecrease = 0.95
-	// minAdmittedFraction is the least that is admitted: enough to notice that an overload has ended.
+	// minAdmittedFraction is the lower bound of the admitted fraction. It admits enough requests to
+	// notice that an overload has ended.
 	minAdmittedFraction = 0.05
-	// clientRetryPower is the power of the fraction that applies to a client's retry. Retries are shed first
-	// because most of them have no time left to be answered within their objective.
+	// clientRetryPower is the power to which the admitted fraction is raised for a client's retry.
+	// Retries are shed first because most of them can no longer be answered within their objective.
 	clientRetryPower = 3.0
-	// admissionRecovery is the number of deadlines without any answer after which all requests are admitted
-	// again: old observations say nothing about the present.
+	// admissionRecovery is the time, in deadlines, after which all requests are admitted again if
+	// nothing is observed: old observations say nothing about the present load.
 	admissionRecovery = 60.0
 )
 
-// admission sheds load where answers come too late, whatever the cause: overload, lost workers, workers
-// that are warming up or slow, a network or a store that stalls. Sending more would make the remaining
-// answers late as well.
+// admission sheds load when answers are late, whatever the cause: overload, lost workers, workers
+// that are warming up or slow, or a network or store that stalls. Sending more would make the
+// remaining answers late as well.
 //
-// The concurrency limits of the workers cannot notice this where there are many controllers, as each sees
-// few answers of each worker. All answers of a controller together do. The fraction of new requests that is
-// admitted therefore follows, with additive increase and multiplicative decrease, how many of the requests
-// that were sent got their answer on time.
+// With many controllers the concurrency limits of the workers cannot detect this, because each
+// controller sees few answers of each worker. The answers of all workers together show it. The
+// admitted fraction of new requests therefore follows, with additive increase and multiplicative
+// decrease, how many of the requests that were sent are answered on time.
 //
-// It could do harm where sending less does not help. So the time that a load takes is allowed for by the
-// caller, and errors are not observed at all.
+// Shedding does harm where sending less does not help. Therefore the caller of observe allows for
+// the time that a load takes, and errors are not observed at all.
 type admission struct {
-	fraction float64 // of new requests that are admitted: minAdmittedFraction to 1
+	fraction float64 // admitted fraction of new requests: minAdmittedFraction to 1
 }
 
 func newAdmission() admission { return admission{fraction: 1} }
 
-// observe notes whether a request that was sent had its answer on time.
+// observe updates the fraction with a request that was sent and answered on time, or not on time.
 func (a *admission) observe(onTime bool) {
 	if onTime {
 		a.fraction = min(1, a.fraction+admissionIncrease)
@@ -48,15 +50,16 @@
 	}
 }
 
-// recover raises the fraction with the time that passes between steps.
+// recover raises the fraction in proportion to the time since the last step.
 func (a *admission) recover(elapsed, deadline time.Duration) {
 	recovered := max(0, elapsed).Seconds() / (admissionRecovery * deadline.Seconds())
 	a.fraction = min(1, a.fraction+recovered)
 }
 
-// admits tells whether a new request is admitted. It depends on a hash of the request's ID alone, so that the
-// same request gets the same verdict in every step until the fraction changes. A tenant's weight above 1 has
-// more of its requests admitted, one below fewer; 0 counts as 1.
+// admits reports whether a new request is admitted. The result depends on a hash of the request's
+// ID and not on a random draw, so that a request gets the same result in every step until the
+// fraction changes. With a tenant's weight above 1 more of its requests are admitted, with one
+// below 1 fewer; 0 counts as 1.
 func (a *admission) admits(request RequestID, weight float64, clientRetry bool) bool {
 	fraction := a.fraction
 	if weight > 0 {
@@ -68,11 +71,12 @@
 	return unitInterval(mix(^uint64(request))) < fraction
 }
 
-// shedding tells whether less than everything is admitted.
+// shedding reports whether some requests are not admitted.
 func (a *admission) shedding() bool { return a.fraction < 1 }
 
-// retryAfter advises a rejected client how long to wait: the longer, the less is admitted, up to the longest
-// time that clients follow. It draws once, so that clients rejected together do not return together.
+// retryAfter returns the time after which a rejected client should retry: the longer, the less is
+// admitted, up to the longest delay that clients follow. It makes one random draw, so that clients
+// that are rejected together do not return together.
 func (a *admission) retryAfter(longest time.Duration, random *rand.Rand) time.Duration {
 	return seconds(longest.Seconds() * (1 - a.fraction) * (1 - jitter*random.Float64()))
 }
--- a/scheduler/admission_step_test.go
+++ b/scheduler/admission_step_test.go
@@ -5,18 +5,19 @@
 	"time"
 )
 
-// From issue 10: where answers are overdue, whatever the cause, less is admitted. The rest is rejected in the step of
-// its arrival, with a time to retry after. Once answers are on time again, everything is admitted again.
+// Late answers, whatever their cause, reduce the admitted fraction. The other requests are rejected
+// in the step of their arrival, with a RetryAfter. Once answers are on time, all requests are
+// admitted again (issue 10).
 func TestOverdueAnswersReduceAdmission(t *testing.T) {
 	s := testSettings()
 	s.Limits.RetryAfter, s.Limits.MaxRetryAfter = true, time.Second
 	d := start(t, s, ready(1, 2, 3, 4, 5, 6)...)
-	now := playAnswersAfter(t, d, 2*time.Second, 60, 2*time.Second, OK)
+	now := playRequests(t, d, 2*time.Second, 60, 2*time.Second, OK)
 	if d.admission.fraction > 0.6 {
-		t.Fatalf("share let pass %v after 60 late answers, want under 0.6", d.admission.fraction)
+		t.Fatalf("admitted fraction %v after 60 late answers, want at most 0.6", d.admission.fraction)
 	}
-	count := func(retry bool) (refused int, afters map[time.Duration]bool) {
-		afters = map[time.Duration]bool{}
+	countRejected := func(retry bool) (rejected int, retryAfters map[time.Duration]bool) {
+		retryAfters = map[time.Duration]bool{}
 		for i := 0; i < 200; i++ {
 			a := arrival(RequestID(1e9+i), 0, 5)
 			if a.ClientRetry = retry; retry {
@@ -25,26 +26,27 @@
 			now += s.Tick
 			for _, f := range actionsOf[Reject](d.Step(now, []Event{a})) {
 				if f.Request != a.Request || f.RetryAfter <= 0 || f.RetryAfter > s.Limits.MaxRetryAfter {
-					t.Fatalf("%+v, want request %d refused, to come back within a second", f, a.Request)
+					t.Fatalf("%+v, want request %d rejected, with a RetryAfter of at most 1 s", f, a.Request)
 				}
-				refused++
-				afters[f.RetryAfter] = true
+				rejected++
+				retryAfters[f.RetryAfter] = true
 			}
 		}
-		return refused, afters
+		return rejected, retryAfters
 	}
-	first, afters := count(false)
-	again, _ := count(true)
-	if first < 40 || first > 190 || again < first || len(afters) < first/2 {
-		t.Errorf("refused %d of 200, repeats %d, %d different times to come back", first, again, len(afters))
+	first, retryAfters := countRejected(false)
+	retries, _ := countRejected(true)
+	if first < 40 || first > 190 || retries < first || len(retryAfters) < first/2 {
+		t.Errorf("rejected %d of 200, %d of 200 retries, with %d different values of RetryAfter", first, retries,
+			len(retryAfters))
 	}
-	playAnswersAfter(t, d, now+10*time.Second, 400, 50*ms, OK)
+	playRequests(t, d, now+10*time.Second, 400, 50*ms, OK)
 	if d.admission.fraction != 1 {
-		t.Errorf("share let pass %v after answers in time, want 1", d.admission.fraction)
+		t.Errorf("admitted fraction %v after answers on time, want 1", d.admission.fraction)
 	}
 }
 
-// A missing answer counts as soon as it is overdue, not at the timeout.
+// A missing answer counts as soon as it is overdue, before the attempt times out.
 func TestUnansweredRequestsReduceAdmission(t *testing.T) {
 	d := start(t, testSettings(), ready(1, 2, 3, 4, 5, 6)...)
 	for i := 0; i < 60; i++ {
@@ -52,52 +54,55 @@
 	}
 	d.Step(3900*ms, nil)
 	if d.admission.fraction > 0.8 {
-		t.Errorf("share %v with sent requests past aim and load unanswered, want under 0.8", d.admission.fraction)
+		t.Errorf("admitted fraction %v with unanswered requests past objective and load time, want at most 0.8",
+			d.admission.fraction)
 	}
 }
 
-// What sending less does not help does not reduce admission: loads within their time, and errors.
+// Loads within their time and errors do not reduce admission, because sending less would not help.
 func TestLoadsAndErrorsDoNotReduceAdmission(t *testing.T) {
 	d := start(t, testSettings(), ready(1, 2, 3, 4, 5, 6)...)
-	playAnswersAfter(t, d, 2*time.Second, 1, 900*ms, OK) // its first call waits for the load: objective 500 ms, load 750
+	playRequests(t, d, 2*time.Second, 1, 900*ms, OK) // the first call waits for a load: objective 500 ms, load 750 ms
 	if d.admission.fraction != 1 {
-		t.Errorf("share %v after a load, want 1", d.admission.fraction)
+		t.Errorf("admitted fraction %v after a load, want 1", d.admission.fraction)
 	}
-	playAnswersAfter(t, d, 10*time.Second, 60, 20*ms, Error)
+	playRequests(t, d, 10*time.Second, 60, 20*ms, Error)
 	if d.admission.fraction != 1 {
-		t.Errorf("share %v after errors, want 1", d.admission.fraction)
+		t.Errorf("admitted fraction %v after errors, want 1", d.admission.fraction)
 	}
 }
 
-// A controller with hardly any requests admits all again after a while, although no answer shows that it may.
+// A controller with hardly any requests admits all requests again after a while, although it sees
+// no answers.
 func TestAdmissionRecoversWithoutAnswers(t *testing.T) {
 	d := start(t, testSettings(), ready(1, 2)...)
 	d.admission.fraction = minAdmittedFraction
 	d.Step(241*time.Second, nil)
 	if d.admission.fraction != 1 {
-		t.Errorf("share %v after 60 deadlines of quiet, want 1", d.admission.fraction)
+		t.Errorf("admitted fraction %v after 60 deadlines without requests, want 1", d.admission.fraction)
 	}
 }
 
+// Advice rejects a request, and the weight of its tenant changes the probability of admission.
 func TestAdviceAndWeightDecideAdmission(t *testing.T) {
 	d := start(t, testSettings(), ready(1, 2)...)
 	a := arrival(1, 0, 7)
 	a.ShedAdvised = true
-	l := d.Step(2*time.Second, []Event{a, arrival(2, 0, 7)})
-	if r, s := actionsOf[Reject](l), actionsOf[Send](l); len(r) != 1 || r[0].Request != 1 || len(s) != 1 ||
+	actions := d.Step(2*time.Second, []Event{a, arrival(2, 0, 7)})
+	if r, s := actionsOf[Reject](actions), actionsOf[Send](actions); len(r) != 1 || r[0].Request != 1 || len(s) != 1 ||
 		s[0].Request != 2 {
-		t.Errorf("%v", l)
+		t.Errorf("%v, want request 1 rejected and request 2 sent", actions)
 	}
 	d.admission.fraction = 0.25
-	pass := [3]int{}
+	admitted := [3]int{}
 	for i := range 4000 {
 		for k, w := range []float64{0.5, 0, 2} {
 			if d.admits(&request{Arrival: Arrival{Request: RequestID(i), Weight: w}}) {
-				pass[k]++
+				admitted[k]++
 			}
 		}
 	}
-	if pass[0] > 350 || pass[1] < 900 || pass[1] > 1100 || pass[2] < 1850 || pass[2] > 2150 {
-		t.Errorf("%v of 4000 pass: 1/16, 1/4 and 1/2 are wanted", pass)
+	if admitted[0] > 350 || admitted[1] < 900 || admitted[1] > 1100 || admitted[2] < 1850 || admitted[2] > 2150 {
+		t.Errorf("admitted %v of 4000, want about 1/16, 1/4 and 1/2", admitted)
 	}
 }
--- a/scheduler/admission_test.go
+++ b/scheduler/admission_test.go
@@ -6,6 +6,7 @@
 	"time"
 )
 
+// The admitted fraction stays between minAdmittedFraction and 1.
 func TestAdmissionFallsToItsMinimumAndRisesToAll(t *testing.T) {
 	a := newAdmission()
 	if a.shedding() {
@@ -25,7 +26,8 @@
 	}
 }
 
-// Three late answers in ten are about what the increase makes up for; four are too many, two are not.
+// The fraction falls with four late answers in ten, but not with two: the balance is at about
+// three.
 func TestAdmissionBalancesAtThreeInTen(t *testing.T) {
 	for _, tt := range []struct {
 		late int
@@ -41,6 +43,7 @@
 	}
 }
 
+// Without observations the fraction recovers in proportion to the time.
 func TestAdmissionRecoversWithTime(t *testing.T) {
 	const deadline = 2 * time.Second
 	a := admission{fraction: 0.25}
@@ -58,6 +61,7 @@
 	}
 }
 
+// Fewer client retries are admitted than new requests.
 func TestAdmissionShedsRetriesFirst(t *testing.T) {
 	a := admission{fraction: 0.5}
 	first, retries := 0, 0
@@ -68,15 +72,16 @@
 		if a.admits(id, 0, true) {
 			retries++
 			if !a.admits(id, 0, false) {
-				t.Fatalf("request %d is admitted as a retry only", id)
+				t.Fatalf("request %d is admitted only as a retry", id)
 			}
 		}
 	}
 	if first < 1900 || first > 2100 || retries < 430 || retries > 570 {
-		t.Errorf("%d of 4000 admitted, as retries %d; want about a half and an eighth", first, retries)
+		t.Errorf("admitted %d of 4000, and %d as retries, want about a half and an eighth", first, retries)
 	}
 }
 
+// RetryAfter is longer the less is admitted, and varies by up to one half.
 func TestRetryAfterGrowsAsLessIsAdmitted(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	for _, fraction := range []float64{0.05, 0.5, 0.9} {
@@ -84,7 +89,7 @@
 		longest := seconds(10 * (1 - fraction))
 		for range 100 {
 			if got := a.retryAfter(10*time.Second, random); got > longest || got < longest/2 {
-				t.Fatalf("admitting %v: retry after %v, want %v to %v", fraction, got, longest/2, longest)
+				t.Fatalf("admitted fraction %v: retry after %v, want %v to %v", fraction, got, longest/2, longest)
 			}
 		}
 	}
--- a/scheduler/advice.go
+++ b/scheduler/advice.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// An advice list holds what operators' scripts advise on functions or workers, one entry for each, until its
-// time is over. Advice chooses among what is allowed anyway: never a draining worker, nor a load beyond the
-// budget.
+// adviceList holds the advice of operators' scripts on functions or workers: one entry for each
+// function or worker, until the entry expires. Advice only chooses among permitted actions: it
+// never sends to a draining worker or exceeds the load budget.
 type adviceList[T any] struct {
-	entries []T // by id
+	entries []T // sorted by ID
 	id      func(T) uint64
 	until   func(T) time.Duration
 }
 
-// set replaces the entry with the id of this one; without keep it only takes that entry out.
+// set replaces the entry that has the same ID. Without keep it only removes that entry.
 func (l *adviceList[T]) set(entry T, keep bool) {
 	i, found := l.search(l.id(entry))
 	if found {
@@ -26,14 +26,14 @@
 	}
 }
 
-// expire takes the entries out whose time is over, and tells whether there were any.
+// expire removes the entries that have expired, and reports whether there were any.
 func (l *adviceList[T]) expire(now time.Duration) bool {
 	before := len(l.entries)
 	l.entries = slices.DeleteFunc(l.entries, func(entry T) bool { return l.until(entry) <= now })
 	return len(l.entries) < before
 }
 
-// find returns the entry with an id.
+// find returns the entry with an ID.
 func (l *adviceList[T]) find(id uint64) (entry T, found bool) {
 	i, found := l.search(id)
 	if found {
@@ -42,6 +42,7 @@
 	return entry, found
 }
 
+// search returns the index of the entry with an ID, or the index at which to insert it.
 func (l *adviceList[T]) search(id uint64) (int, bool) {
 	return slices.BinarySearchFunc(l.entries, id, func(entry T, id uint64) int {
 		return cmp.Compare(l.id(entry), id)
--- a/scheduler/advice_test.go
+++ b/scheduler/advice_test.go
@@ -6,85 +6,91 @@
 	"time"
 )
 
+// Desired copies are loaded at as many workers, and renewed until the advice expires.
 func TestDesiredCopiesAreLoadedAndRenewedUntilTheirTime(t *testing.T) {
 	d := start(t, testSettings(), ready(1, 2, 3, 4)...)
-	begin := d.Step(2*time.Second, []Event{DesiredCopies{Function: 7, Copies: 2, Until: 40 * time.Second}})
-	holds := map[WorkerID]int{}
-	var out []LoadOrder
-	take := func(l []Action) {
-		for _, h := range actionsOf[LoadOrder](l) {
-			holds[h.Worker]++
-			out = append(out, h)
+	first := d.Step(2*time.Second, []Event{DesiredCopies{Function: 7, Copies: 2, Until: 40 * time.Second}})
+	orders := map[WorkerID]int{}
+	var outstanding []LoadOrder
+	record := func(actions []Action) {
+		for _, order := range actionsOf[LoadOrder](actions) {
+			orders[order.Worker]++
+			outstanding = append(outstanding, order)
 		}
 	}
-	take(begin)
-	most := time.Duration(0)
+	record(first)
+	lastOrder := time.Duration(0)
 	for now := 2 * time.Second; now < 60*time.Second; now += 100 * ms {
-		var in []Event
-		for _, h := range out {
-			in = append(in, LoadOrderEnded{Worker: h.Worker, Function: h.Function, Outcome: OK, Copies: 1})
-			most = now
+		var events []Event
+		for _, order := range outstanding {
+			events = append(events, LoadOrderEnded{Worker: order.Worker, Function: order.Function, Outcome: OK,
+				Copies: 1})
+			lastOrder = now
 		}
-		out = nil
-		take(d.Step(now, in))
+		outstanding = nil
+		record(d.Step(now, events))
 	}
-	if len(holds) != 2 {
-		t.Errorf("copies at %v: two workers are wanted", holds)
+	if len(orders) != 2 {
+		t.Errorf("load orders by worker %v, want two workers", orders)
 	}
-	for w, n := range holds {
+	for worker, n := range orders {
 		if n < 5 || n > 10 { // 38 s, renewed every 4.8 s
-			t.Errorf("%d orders at %d", n, w)
+			t.Errorf("%d load orders at worker %d, want 5 to 10", n, worker)
 		}
 	}
-	if most > 41*time.Second {
-		t.Errorf("an order at %v, after its time", most)
+	if lastOrder > 41*time.Second {
+		t.Errorf("a load order at %v, after the advice expired", lastOrder)
 	}
 }
 
+// Advice may use at most half of the load budget. The rest is left to requests.
 func TestAdviceLeavesLoadBudgetToRequests(t *testing.T) {
 	s := testSettings()
 	setBudget(&s, 10*time.Second, 8, 0)
 	d := start(t, s, ready(1, 2, 3, 4)...)
-	var in []Event
+	var events []Event
 	for f := range 100 {
-		in = append(in, DesiredCopies{Function: FunctionID(f + 1), Copies: 4, Until: time.Hour})
+		events = append(events, DesiredCopies{Function: FunctionID(f + 1), Copies: 4, Until: time.Hour})
 	}
-	n, first := 0, 0
+	total, first := 0, 0
 	for now := 2 * time.Second; now < 12*time.Second; now += 100 * ms {
-		l := actionsOf[LoadOrder](d.Step(now, in))
-		if in = nil; n == 0 {
-			first = len(l)
+		orders := actionsOf[LoadOrder](d.Step(now, events))
+		if events = nil; total == 0 {
+			first = len(orders)
 		}
-		n += len(l)
-		for _, h := range l {
-			in = append(in, LoadOrderEnded{Worker: h.Worker, Function: h.Function, Outcome: OK, Copies: 1})
+		total += len(orders)
+		for _, order := range orders {
+			events = append(events, LoadOrderEnded{Worker: order.Worker, Function: order.Function, Outcome: OK,
+				Copies: 1})
 		}
 	}
-	if first != 4 || n != 4 {
-		t.Errorf("%d orders at once, %d in a window of 8: four are for advice", first, n)
+	if first != 4 || total != 4 {
+		t.Errorf("%d load orders at once and %d in the window, want 4 of the budget of 8", first, total)
 	}
 	if !d.loadBudget.allows(d.now) {
-		t.Error("calls have none left")
+		t.Error("advice has used up the load budget of requests")
 	}
 }
 
+// A draining worker gets no load orders, although advice prefers it and desires copies.
 func TestAdviceLoadsNothingAtADrainingWorker(t *testing.T) {
 	d := start(t, testSettings(), ready(1, 2)...)
 	d.Step(2*time.Second, []Event{WorkerRank{Worker: 1, Rank: 1, Until: time.Hour},
 		DesiredCopies{Function: 7, Copies: 2, Until: time.Hour}})
-	drained := ready(1, 2)
-	drained[0].State = Draining
+	list := ready(1, 2)
+	list[0].State = Draining
 	for now := 2 * time.Second; now < 30*time.Second; now += 100 * ms {
-		for _, h := range actionsOf[LoadOrder](d.Step(now,
-			[]Event{ListUpdate{Kind: FullList, Workers: drained},
+		for _, order := range actionsOf[LoadOrder](d.Step(now,
+			[]Event{ListUpdate{Kind: FullList, Workers: list},
 				Arrival{Request: RequestID(now), Function: 7, TimeLeft: time.Second, Lanes: 2}})) {
-			if h.Worker == 1 {
-				t.Fatal("an order to a drained worker")
+			if order.Worker == 1 {
+				t.Fatal("a load order to a draining worker")
 			}
 		}
 	}
 }
 
+// Advice on a worker replaces earlier advice, and is removed when it is withdrawn or expires.
 func TestAdviceIsReplacedWithdrawnAndExpires(t *testing.T) {
 	l := newWorkerRanks()
 	for _, rank := range []WorkerRank{{5, 1, time.Minute}, {2, 1, time.Minute}, {9, 1, time.Hour}, {5, -1, time.Hour}} {
@@ -97,15 +103,15 @@
 	l.set(WorkerRank{Worker: 9}, false)
 	l.set(WorkerRank{Worker: 7}, false)
 	if _, found := l.find(9); found {
-		t.Error("advice that was withdrawn is found")
+		t.Error("withdrawn advice is found")
 	}
 	if l.expire(time.Minute - 1) {
-		t.Error("advice expires before its time")
+		t.Error("advice expired too early")
 	}
 	if !l.expire(time.Minute) || l.expire(time.Minute) {
-		t.Error("want one entry to expire, once")
+		t.Error("want advice to expire exactly once")
 	}
 	if rank, found := l.find(5); !found || rank.Rank != -1 || len(l.entries) != 1 {
-		t.Errorf("%v is left, want the advice on worker 5", l.entries)
+		t.Errorf("entries %v, want only the advice on worker 5", l.entries)
 	}
 }
--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -6,15 +6,16 @@
 )
 
 const (
-	// guessRun is the run time that is expected before the first answer, in latency objectives of the
-	// class. The same part of a request's time is the most that is expected of a function that was never
-	// served.
-	guessRun = 0.25
-	// answerTicks is how many ticks before its client leaves a request gets our own answer.
-	answerTicks = 2
+	// initialRunTime is the run time that is expected of a class before its first answer, as a
+	// fraction of its latency objective. For a function that was never served, the expected run
+	// time is also at most this fraction of the time that the request has left.
+	initialRunTime = 0.25
+	// answerLeadTicks is the number of ticks before the client's deadline at which the dispatcher
+	// rejects or fails a request that has no answer.
+	answerLeadTicks = 2
 )
 
-// arrive queues a request that has come in.
+// arrive queues a new request.
 func (d *Dispatcher) arrive(arrival Arrival) {
 	_, known := d.requests[arrival.Request]
 	if known || arrival.Class < 0 || arrival.Class >= len(d.settings.Classes) {
@@ -26,10 +27,10 @@
 	queue := d.queues.getOrCreate(arrival.Function)
 	d.queues.arrive(queue, d.now)
 	request := &request{
-		Arrival:   arrival,
-		queue:     queue,
-		arrivedAt: d.now,
-		answerBy:  d.now + arrival.TimeLeft - answerTicks*d.settings.Tick,
+		Arrival:        arrival,
+		queue:          queue,
+		arrivedAt:      d.now,
+		answerDeadline: d.now + arrival.TimeLeft - answerLeadTicks*d.settings.Tick,
 	}
 	d.requests[arrival.Request] = request
 	d.openRequests = append(d.openRequests, request)
@@ -39,12 +40,13 @@
 // class returns the class of a request.
 func (d *Dispatcher) class(r *request) *Class { return &d.settings.Classes[r.Class] }
 
-// runTime is how long a request is likely to run, in seconds.
+// runTime returns the expected run time of a request, in seconds.
 func (d *Dispatcher) runTime(r *request) float64 {
 	return cmp.Or(r.queue.meanRunTime, max(0, r.RunTimeHint.Seconds()), d.classRunTime[r.Class])
 }
 
-// meetsObjective tells whether a waiting request can still be answered within its latency objective.
+// meetsObjective reports whether a waiting request can still be answered within its latency
+// objective.
 func (d *Dispatcher) meetsObjective(request *request) bool {
 	class := d.class(request)
 	stretch := time.Duration(class.ObjectiveStretch * float64(request.RunTimeHint))
@@ -52,28 +54,29 @@
 	return d.now+seconds(d.runTime(request)) < request.arrivedAt+objective
 }
 
-// overdue tells whether a request is past its objective and the load that it may have waited for.
+// overdue reports whether a request is past its latency objective, extended by the time of a load
+// that it may have waited for.
 func (d *Dispatcher) overdue(r *request) bool {
 	return d.now > r.arrivedAt+d.class(r).LatencyObjective+r.loadAllowance
 }
 
-// advanceRequests decides what follows the events of the step: retries, answers of our own, and the end of
-// requests that need nothing more. It waits for all events, as the one after an outcome may be that the
-// client has left.
+// advanceRequests queues retries, rejects or fails requests, and drops requests that need nothing
+// more. It runs after all events of the step, because an outcome may be followed by the event that
+// the client has left.
 func (d *Dispatcher) advanceRequests() {
 	kept := d.openRequests[:0]
 	for _, request := range d.openRequests {
-		if request.undecided && !request.ended {
+		if request.retryPending && !request.ended {
 			d.retry(request)
 		}
-		request.undecided = false
+		request.retryPending = false
 		if d.overdue(request) {
-			d.observe(request, false)
+			d.observeAdmission(request, false)
 		}
-		if !request.ended && (d.now >= request.answerBy || request.queued && d.mustAnswerNow(request)) {
-			d.answer(request)
+		if !request.ended && (d.now >= request.answerDeadline || request.queued && d.mustAnswerNow(request)) {
+			d.rejectOrFail(request)
 		}
-		if outstanding := d.releaseLost(request); request.ended && !outstanding {
+		if outstanding := d.releaseLostAttempts(request); request.ended && !outstanding {
 			delete(d.requests, request.Request)
 			continue
 		}
@@ -83,13 +86,14 @@
 	d.openRequests = kept
 }
 
-// releaseLost releases the attempts whose outcome is long overdue, as it must not hold memory or a token
-// for ever, and tells whether others are outstanding.
-func (d *Dispatcher) releaseLost(request *request) (outstanding bool) {
+// releaseLostAttempts releases the attempts of an ended request whose outcome is long overdue, so
+// that they do not hold memory or a token for ever. It reports whether other attempts are
+// outstanding.
+func (d *Dispatcher) releaseLostAttempts(request *request) (outstanding bool) {
 	for i := range request.attempts {
 		switch {
 		case request.attempts[i].done:
-		case request.ended && d.now > request.answerBy+request.TimeLeft+d.class(request).Deadline:
+		case request.ended && d.now > request.answerDeadline+request.TimeLeft+d.class(request).Deadline:
 			d.release(request, &request.attempts[i], TimedOut)
 		default:
 			outstanding = true
@@ -98,12 +102,13 @@
 	return outstanding
 }
 
-// mustAnswerNow tells whether a queued request is to be answered at once: nothing is outstanding, and it is
-// not admitted, or no worker may have it again, or no run fits its time.
+// mustAnswerNow reports whether a queued request is rejected or failed now: it has no outstanding
+// attempt, and it is not admitted, no worker may retry it, or no run can end before its deadline.
 func (d *Dispatcher) mustAnswerNow(request *request) bool {
 	noTime := d.cannotMeetDeadline(request)
 	if noTime && d.now == request.arrivedAt {
-		// The mean run time rejects even a new request. Lower it, or a wrong one would never be corrected.
+		// The mean run time rejects even a new request. Lower the mean, as it is only corrected by
+		// runs, and there would be none.
 		request.queue.meanRunTime = ewma(request.queue.meanRunTime, 0)
 	}
 	switch {
@@ -115,31 +120,33 @@
 	return len(request.attempts) > 0 && !d.mayRetry(request)
 }
 
-// cannotMeetDeadline tells whether a run that begins now ends after the request's time. For a function that
-// was never served its class's mean counts.
+// cannotMeetDeadline reports whether a run that begins now is expected to end after the request's
+// deadline. For a function that was never served the mean of the class is used.
 func (d *Dispatcher) cannotMeetDeadline(request *request) bool {
-	guess := min(d.classRunTime[request.Class], guessRun*request.TimeLeft.Seconds())
-	run := cmp.Or(request.queue.meanRunTime, guess)
-	return d.now+seconds(run) >= request.answerBy
+	estimate := min(d.classRunTime[request.Class], initialRunTime*request.TimeLeft.Seconds())
+	run := cmp.Or(request.queue.meanRunTime, estimate)
+	return d.now+seconds(run) >= request.answerDeadline
 }
 
-// admits tells whether a request may be sent at all. What was sent once is past admission.
+// admits reports whether a request may be sent. A request that was sent before is always admitted.
 func (d *Dispatcher) admits(r *request) bool {
 	return len(r.attempts) > 0 ||
 		!r.ShedAdvised && d.admission.admits(r.Request, r.Weight, r.ClientRetry)
 }
 
-// observe reports each request that was sent to the admission once: when it is answered, or overdue.
-func (d *Dispatcher) observe(request *request, onTime bool) {
-	if request.observed || len(request.attempts) == 0 {
+// observeAdmission counts a request that was sent in the admission, once: when it is answered or
+// overdue.
+func (d *Dispatcher) observeAdmission(request *request, onTime bool) {
+	if request.admissionObserved || len(request.attempts) == 0 {
 		return
 	}
 	d.admission.observe(onTime)
-	request.observed = true
+	request.admissionObserved = true
 }
 
-// answer gives our own final answer, and cancels what is outstanding.
-func (d *Dispatcher) answer(request *request) {
+// rejectOrFail answers a request with a Reject if the client may safely send it again, else with a
+// Fail, and cancels its outstanding attempts.
+func (d *Dispatcher) rejectOrFail(request *request) {
 	if d.retryRules.mayReject(request) {
 		reject := Reject{Request: request.Request}
 		if limits := &d.settings.Limits; limits.RetryAfter && d.admission.shedding() {
@@ -152,7 +159,8 @@
 	d.end(request)
 }
 
-// end notes that a request needs nothing more, and cancels what is outstanding.
+// end marks a request that has its answer or whose client has left, and cancels its outstanding
+// attempts.
 func (d *Dispatcher) end(request *request) {
 	if request.ended {
 		return
@@ -164,15 +172,15 @@
 	}
 }
 
-// cancel gives up an attempt, where that is allowed.
+// cancel cancels an attempt, if the deployment allows it.
 func (d *Dispatcher) cancel(request *request, i int) {
-	if a := &request.attempts[i]; d.settings.Limits.Cancel && !a.done && !a.abandoned {
-		a.abandoned = true
+	if a := &request.attempts[i]; d.settings.Limits.Cancel && !a.done && !a.cancelRequested {
+		a.cancelRequested = true
 		d.emit(Cancel{Request: request.Request, Attempt: i})
 	}
 }
 
-// send sends a request to a worker: a new attempt.
+// send starts an attempt of a request at a worker.
 func (d *Dispatcher) send(request *request, worker *worker) {
 	queue := request.queue
 	work := d.classRunTime[request.Class]
@@ -205,11 +213,11 @@
 		work:       work,
 		awaitsLoad: awaitsLoad,
 	})
-	timeout := max(request.answerBy-d.now, d.settings.Tick)
+	timeout := max(request.answerDeadline-d.now, d.settings.Tick)
 	d.emit(Send{Request: request.Request, Worker: worker.ID, Timeout: timeout})
 }
 
-// release ends an attempt's hold on its worker and notes whether it may have run.
+// release marks an attempt as done, and frees its token and its part of the worker's counts.
 func (d *Dispatcher) release(request *request, attempt *attempt, outcome Outcome) {
 	worker := attempt.worker
 	attempt.done = true
@@ -225,7 +233,8 @@
 		worker.limit.release()
 	}
 	if placed.outstanding == 0 && worker.State == Removed {
-		// Else a hot function gathers those of all workers that ever were.
+		// Otherwise a frequently called function would keep a placement for every worker that it
+		// ever had.
 		delete(request.queue.placements, worker)
 	}
 	worker.waitingSince = d.now
@@ -233,7 +242,7 @@
 	d.slowStart.ended(&worker.warmup, attempt.work, outcome)
 }
 
-// attemptEnded ends an attempt and learns from its outcome.
+// attemptEnded applies the outcome of an attempt.
 func (d *Dispatcher) attemptEnded(ended AttemptEnded) {
 	request := d.requests[ended.Request]
 	if request == nil || ended.Attempt < 0 || ended.Attempt >= len(request.attempts) {
@@ -254,7 +263,7 @@
 	case TimedOut:
 		worker.limit.onTimeout(tokenStep(d.settings.Controllers))
 		d.workerAnswered(worker, TimedOut)
-		d.observeCrowding(request.queue, int(2*request.Lanes), request.Lanes, d.isWarm(worker))
+		d.updateSpread(request.queue, int(2*request.Lanes), request.Lanes, d.isWarm(worker))
 	default:
 		d.workerAnswered(worker, ended.Outcome)
 		ownError := ended.Outcome == Error && ended.Note != LoadFailed
@@ -264,15 +273,16 @@
 		d.end(request)
 		return
 	}
-	request.undecided = true
+	request.retryPending = true
 }
 
-// afterSuccess learns from an answer. Only a run that met a loaded copy says something about run times.
+// afterSuccess applies a successful outcome. Only a run that found a loaded copy updates the run
+// times, because another one includes the load.
 func (d *Dispatcher) afterSuccess(request *request, attempt *attempt, placed *placement, ended AttemptEnded) {
 	worker := attempt.worker
 	late := ended.Took > d.class(request).LatencyObjective
 	d.workerAnswered(worker, OK)
-	d.observe(request, !d.overdue(request))
+	d.observeAdmission(request, !d.overdue(request))
 	if ended.Note == StartedLoad {
 		worker.loadBackoff.loaded()
 	}
@@ -282,15 +292,15 @@
 		d.evictions.observe(ended.Note == StartedLoad && ended.SameFunction == 0)
 	}
 	slow := late || ended.Took.Seconds() > d.slowRatio(request)*d.classRunTime[request.Class]
-	d.observeCrowding(request.queue, ended.SameFunction, request.Lanes, slow && d.isWarm(worker))
+	d.updateSpread(request.queue, ended.SameFunction, request.Lanes, slow && d.isWarm(worker))
 	waited := ended.Note == StartedLoad || ended.Note == AwaitedLoad
 	if !waited && (ended.Note == FoundWarm || !attempt.awaitsLoad) {
 		d.learnRunTime(request, worker, ended.Took.Seconds(), late)
 	}
 }
 
-// learnRunTime follows the run times of the function, its class and the worker, in seconds, and with them the
-// worker's concurrency limit.
+// learnRunTime updates the mean run times of the function and its class, in seconds, and the
+// latency ratio and concurrency limit of the worker.
 func (d *Dispatcher) learnRunTime(request *request, worker *worker, took float64, late bool) {
 	request.queue.meanRunTime = ewma(request.queue.meanRunTime, took)
 	d.classRunTime[request.Class] = ewma(d.classRunTime[request.Class], took)
@@ -300,26 +310,29 @@
 	worker.limit.onAnswer(headroom, late, tokenStep(d.settings.Controllers))
 }
 
-// slowRatio is the latency ratio from which a worker counts as slow.
+// slowRatio returns the latency ratio from which a worker counts as slow.
 func (d *Dispatcher) slowRatio(r *request) float64 {
 	return slowFrom(d.settings.Controllers, r.Lanes) * d.peerLatency.median()
 }
 
-// afterRejection learns from a worker that was at its capacity.
+// afterRejection applies the outcome of a worker that rejected an attempt because it was at
+// capacity.
 func (d *Dispatcher) afterRejection(request *request, attempt *attempt, ended AttemptEnded) {
 	worker := attempt.worker
 	d.workerAnswered(worker, OK)
 	worker.limit.onRejection()
-	d.observeCrowding(request.queue, ended.SameFunction, request.Lanes, d.isWarm(worker))
+	d.updateSpread(request.queue, ended.SameFunction, request.Lanes, d.isWarm(worker))
 	if len(request.attempts) >= d.settings.Limits.MaxAttempts {
-		d.observe(request, false)
+		d.observeAdmission(request, false)
 	}
 	if attempt.awaitsLoad {
 		d.loadRejected(worker)
 	}
 }
 
-// observeCrowding follows how many workers a function needs, by what a request met at one.
-func (d *Dispatcher) observeCrowding(q *queue, met int, lanes float64, slow bool) {
-	q.spread.observe(met, lanes, slow, manyControllers(d.settings.Controllers, lanes), len(d.listed))
+// updateSpread updates the spread of a function by the number of other requests of the function
+// that were in flight at the worker.
+func (d *Dispatcher) updateSpread(q *queue, othersInFlight int, lanes float64, slow bool) {
+	q.spread.observe(othersInFlight, lanes, slow, manyControllers(d.settings.Controllers, lanes),
+		len(d.listed))
 }
--- a/scheduler/attempts_test.go
+++ b/scheduler/attempts_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A request gets one answer before its time is over, also when no worker can take it.
+// A request gets exactly one answer before its deadline, even when there is no worker.
 func TestEveryRequestGetsOneAnswerInTime(t *testing.T) {
 	for _, class := range []int{0, 1, 2} {
 		d := start(t, testSettings())
@@ -18,7 +18,7 @@
 			actions := d.Step(now, events)
 			n := len(actionsOf[Reject](actions)) + len(actionsOf[Fail](actions))
 			if n > 0 && now >= 4*time.Second {
-				t.Errorf("class %d: answered at %v, the client left at 4s", class, now)
+				t.Errorf("class %d: answered at %v, after the client's deadline at 4s", class, now)
 			}
 			answers += n
 		}
@@ -26,51 +26,53 @@
 			t.Errorf("class %d: %d answers, want 1", class, answers)
 		}
 		if len(d.requests) != 0 || len(d.openRequests) != 0 {
-			t.Errorf("class %d: request kept after its answer", class)
+			t.Errorf("class %d: the request is still open after its answer", class)
 		}
 	}
 }
 
+// A request that arrives at its deadline is rejected in that step.
 func TestRequestWithoutTimeIsRejectedAtOnce(t *testing.T) {
 	d := start(t, testSettings(), ready(1)...)
 	a := arrival(1, 2, 7)
 	a.TimeLeft = 0
 	got := d.Step(time.Second, []Event{a})
 	if len(actionsOf[Reject](got)) != 1 || len(actionsOf[Send](got)) != 0 {
-		t.Errorf("got %v, want one Refuse and no Send", got)
+		t.Errorf("got %v, want one Reject and no Send", got)
 	}
 }
 
-// A request of a function that was never served is rejected a run time of its class before its time is over, not at
-// the last moment at which an answer can still arrive. One with little time is not rejected as it arrives.
-func TestUnservedRequestIsRejectedARunTimeBeforeItsEnd(t *testing.T) {
+// A request of a function that was never served is rejected one run time of its class before its
+// deadline, not at the last moment. One with little time left is not rejected on arrival.
+func TestUnservedRequestIsRejectedARunTimeBeforeItsDeadline(t *testing.T) {
 	d := start(t, testSettings()) // no worker is known
 	now := 2 * time.Second
-	if l := d.Step(now, []Event{arrival(1, 0, 7), Arrival{Request: 2, Function: 8, TimeLeft: 100 * ms,
-		Lanes: 2}}); len(actionsOf[Reject](l)) > 0 {
-		t.Fatal("given up as they came")
+	if actions := d.Step(now, []Event{arrival(1, 0, 7), Arrival{Request: 2, Function: 8, TimeLeft: 100 * ms,
+		Lanes: 2}}); len(actionsOf[Reject](actions)) > 0 {
+		t.Fatal("rejected on arrival")
 	}
-	run := seconds(guessRun * 0.5) // of the objective
-	at := map[RequestID]time.Duration{}
+	run := seconds(initialRunTime * 0.5) // the objective is 0.5 s
+	rejectedAfter := map[RequestID]time.Duration{}
 	for end := now + 4*time.Second; now < end; now += 2 * ms {
 		for _, r := range actionsOf[Reject](d.Step(now, nil)) {
-			at[r.Request] = now - 2*time.Second
+			rejectedAfter[r.Request] = now - 2*time.Second
 		}
 	}
-	if got, latest := at[1], 3*time.Second-run; got == 0 || got > latest || got < latest-10*ms {
-		t.Errorf("given up after %v of 3s, want a run of %v before its end", got, run)
+	if got, latest := rejectedAfter[1], 3*time.Second-run; got == 0 || got > latest || got < latest-10*ms {
+		t.Errorf("rejected after %v of 3s, want a run time of %v before the deadline", got, run)
 	}
-	if got := at[2]; got < 60*ms || got > 75*ms {
-		t.Errorf("given up after %v of 100ms, want a quarter of it before its end", got)
+	if got := rejectedAfter[2]; got < 60*ms || got > 75*ms {
+		t.Errorf("rejected after %v of 100ms, want a quarter of it before the deadline", got)
 	}
 }
 
-// A request that cannot be served has its answer in that step, long before its time is over.
+// A request that can no longer be served is answered in that step, well before its deadline.
 func TestRequestThatCannotBeServedIsAnsweredAtOnce(t *testing.T) {
-	// keyed starts a keyed request that may have run and is queued for its only mate, which is off the ring.
-	keyed := func(t *testing.T, duplicate bool) (d *Dispatcher, home WorkerID, sent time.Duration) {
+	// keyed starts a request with an idempotency key at a worker that then drains. The only other
+	// worker of the group is ejected.
+	keyed := func(t *testing.T, hedged bool) (d *Dispatcher, home WorkerID, sent time.Duration) {
 		s := testSettings()
-		s.Limits.HedgedRequests = duplicate
+		s.Limits.HedgedRequests = hedged
 		d = start(t, s, ready(1, 2, 3, 4)...)
 		home = actionsOf[Send](d.Step(time.Second, []Event{arrival(1, 1, 7)}))[0].Worker
 		for _, w := range d.listed {
@@ -87,34 +89,37 @@
 	tests := []struct {
 		name string
 		run  func(t *testing.T) (d *Dispatcher, before, at time.Duration, events []Event)
-		fail bool // else a refusal
+		fail bool // want a Fail, else a Reject
 	}{
-		{"window closes in the queue", func(t *testing.T) (*Dispatcher, time.Duration, time.Duration, []Event) {
+		{"dedup window ends while the request is queued", func(t *testing.T) (*Dispatcher, time.Duration,
+			time.Duration, []Event) {
 			d, home, sent := keyed(t, false)
 			d.Step(1020*ms, []Event{AttemptEnded{Request: 1, Worker: home, Outcome: Error}})
 			return d, sent + 1990*ms, sent + 2*time.Second, nil
 		}, true},
-		{"group leaves the list", func(t *testing.T) (*Dispatcher, time.Duration, time.Duration, []Event) {
+		{"group is removed from the endpoint list", func(t *testing.T) (*Dispatcher, time.Duration,
+			time.Duration, []Event) {
 			d, home, _ := keyed(t, false)
 			d.Step(1020*ms, []Event{AttemptEnded{Request: 1, Worker: home, Outcome: Error}})
-			var gone []WorkerInfo
+			var removed []WorkerInfo
 			for _, w := range d.listed {
 				if w.Group == int(home) {
-					gone = append(gone, WorkerInfo{ID: w.ID, State: Removed})
+					removed = append(removed, WorkerInfo{ID: w.ID, State: Removed})
 				}
 			}
-			return d, 1030 * ms, 1040 * ms, []Event{ListUpdate{Kind: ListDelta, Workers: gone}}
+			return d, 1030 * ms, 1040 * ms, []Event{ListUpdate{Kind: ListDelta, Workers: removed}}
 		}, true},
-		{"queued beside an attempt that fails after the window", func(t *testing.T) (*Dispatcher, time.Duration,
+		{"queued beside an attempt that fails after the dedup window", func(t *testing.T) (*Dispatcher, time.Duration,
 			time.Duration, []Event) {
 			d, home, sent := keyed(t, true)
 			d.reassign(d.workers[home])
 			if !d.requests[1].queued {
-				t.Fatal("not queued for a second copy")
+				t.Fatal("the request is not queued for a second attempt")
 			}
 			return d, sent + 2100*ms, sent + 2200*ms, []Event{AttemptEnded{Request: 1, Worker: home, Outcome: Reset}}
 		}, true},
-		{"too late for any answer", func(t *testing.T) (*Dispatcher, time.Duration, time.Duration, []Event) {
+		{"too late for a run before the deadline", func(t *testing.T) (*Dispatcher, time.Duration,
+			time.Duration, []Event) {
 			d := start(t, testSettings(), ready(1, 2)...)
 			for _, w := range d.listed {
 				w.limit.tokens, w.limit.inUse, w.awaitingLoad = 1, 1, 9
@@ -123,8 +128,8 @@
 			d.Step(time.Second, []Event{arrival(1, 0, 7)})
 			return d, 3580 * ms, 3600 * ms, nil
 		}, false},
-		{"past its aim, home barred for loads beyond its time", func(t *testing.T) (*Dispatcher, time.Duration,
-			time.Duration, []Event) {
+		{"past its objective, with loads backed off until after its deadline", func(t *testing.T) (*Dispatcher,
+			time.Duration, time.Duration, []Event) {
 			d := start(t, testSettings(), ready(1, 2)...)
 			for _, w := range d.listed {
 				w.loadBackoff.until = 8 * time.Second
@@ -132,7 +137,7 @@
 			d.Step(time.Second, []Event{arrival(1, 0, 7)})
 			return d, 1300 * ms, 1500 * ms, []Event{Timer{}}
 		}, false},
-		{"does not pass", func(t *testing.T) (*Dispatcher, time.Duration, time.Duration, []Event) {
+		{"not admitted", func(t *testing.T) (*Dispatcher, time.Duration, time.Duration, []Event) {
 			d := start(t, testSettings(), ready(1, 2)...)
 			d.admission.fraction = 0
 			return d, time.Second, time.Second, []Event{arrival(1, 0, 7)}
@@ -142,32 +147,33 @@
 		d, before, at, events := tt.run(t)
 		got := d.Step(before, nil)
 		if n := len(actionsOf[Fail](got)) + len(actionsOf[Reject](got)); n > 0 {
-			t.Errorf("%s: answered before: %v", tt.name, got)
+			t.Errorf("%s: answered too early: %v", tt.name, got)
 		}
 		got = d.Step(at, events)
-		fails, refusals := len(actionsOf[Fail](got)), len(actionsOf[Reject](got))
-		if tt.fail && (fails != 1 || refusals != 0) || !tt.fail && (fails != 0 || refusals != 1) {
-			t.Errorf("%s: %d failures, %d refusals in that step", tt.name, fails, refusals)
+		fails, rejects := len(actionsOf[Fail](got)), len(actionsOf[Reject](got))
+		if tt.fail && (fails != 1 || rejects != 0) || !tt.fail && (fails != 0 || rejects != 1) {
+			t.Errorf("%s: %d fails and %d rejects in that step", tt.name, fails, rejects)
 		}
 	}
 }
 
-// A mean run time that is longer than any client waits must not exclude a function for good.
+// A mean run time that is longer than any deadline does not exclude a function for good: rejections
+// on arrival lower it until a request is sent.
 func TestTooLongMeanRunTimeIsCorrected(t *testing.T) {
 	d := start(t, testSettings(), ready(1, 2)...)
 	d.queues.getOrCreate(7).meanRunTime = 60
 	for i := 1; i <= 100; i++ {
 		got := d.Step(time.Second+time.Duration(i)*10*ms, []Event{arrival(RequestID(i), 0, 7)})
 		if n := len(actionsOf[Send](got)); i == 1 && n > 0 {
-			t.Error("the first is sent, want it refused: it cannot be answered in its time")
+			t.Error("the first request is sent, want it rejected: it cannot meet its deadline")
 		} else if n > 0 {
 			return
 		}
 	}
-	t.Error("no send in 100 requests")
+	t.Error("none of 100 requests is sent")
 }
 
-// A request that waits for a second copy is not answered while its first attempt is outstanding.
+// A request that is queued for a second attempt is not answered while its first one is outstanding.
 func TestRequestThatMayYetBeServedWaits(t *testing.T) {
 	s := testSettings()
 	s.Limits.HedgedRequests = true
@@ -180,10 +186,10 @@
 	d.admission.fraction = 0
 	for now := 1010 * ms; now < 3900*ms; now += 10 * ms {
 		if got := d.Step(now, nil); len(actionsOf[Reject](got))+len(actionsOf[Fail](got)) > 0 {
-			t.Fatalf("%v: %v, want the outcome awaited", now, got)
+			t.Fatalf("at %v: %v, want the request to wait for the outcome", now, got)
 		}
 	}
 	if got := d.Step(4*time.Second, nil); len(actionsOf[Reject](got)) != 1 {
-		t.Errorf("at its end: %v, want a refusal", got)
+		t.Errorf("at the deadline: %v, want a Reject", got)
 	}
 }
--- a/scheduler/encoding_test.go
+++ b/scheduler/encoding_test.go
@@ -9,9 +9,10 @@
 	"time"
 )
 
-// encodeAction writes an action as one line of text that names no Go identifier, so that the record of decisions in
-// testdata/actions.txt outlives renames. It has every field of every action, exactly: whole numbers and durations in
-// decimal (durations in nanoseconds), bytes and texts in hexadecimal. A type that is not listed is an error.
+// encodeAction encodes an action as one line of text without Go identifiers, so that the hashes in
+// testdata/actions.txt do not depend on names. The line has every field exactly: integers and
+// durations in decimal (durations in nanoseconds), bytes and strings in hexadecimal. An action of
+// an unknown type is an error.
 func encodeAction(a Action) (string, error) {
 	switch a := a.(type) {
 	case Send:
@@ -45,9 +46,10 @@
 	return "", fmt.Errorf("no encoding of action %T", a)
 }
 
-// exactFloat writes a number in hexadecimal, with every bit of it.
+// exactFloat formats a number in hexadecimal without loss of precision.
 func exactFloat(x float64) string { return strconv.FormatFloat(x, 'x', -1, 64) }
 
+// encodeSnapshot encodes a snapshot on one line without Go identifiers.
 func encodeSnapshot(l Snapshot) string {
 	const format = "place=%d ring=%d ready=%t ejected=%t warming=%t copy=%t rank=%d tokens=%s busy=%d pace=%s " +
 		"loads=%d admitted=%s waiting=%d out=%d"
@@ -56,17 +58,19 @@
 		l.InFlight)
 }
 
+// encodeWorkerSnapshot encodes the snapshot of a worker on one line without Go identifiers.
 func encodeWorkerSnapshot(l WorkerSnapshot) string {
 	return fmt.Sprintf("worker=%d state=%d heard=%d copies=%d %s", uint64(l.ID), int(l.State),
 		int64(l.SinceLastAnswer), l.Copies, encodeSnapshot(l.Snapshot))
 }
 
+// encodeFunctionSnapshot encodes the snapshot of a function on one line without Go identifiers.
 func encodeFunctionSnapshot(l FunctionSnapshot) string {
 	return fmt.Sprintf("function=%d home=%d waiting=%d out=%d run=%d gap=%d copies=%d advised=%t", uint64(l.ID),
 		uint64(l.Home), l.Queued, l.InFlight, int64(l.MeanRunTime), int64(l.MeanInterarrival), l.Copies, l.Desired)
 }
 
-// Every type of action has an encoding of its own, in which each field shows.
+// Actions of different types or with different fields have different encodings.
 func TestActionEncodingShowsEveryField(t *testing.T) {
 	variants := [][]Action{
 		{Send{}, Send{Request: 1}, Send{Worker: 1}, Send{Timeout: time.Nanosecond}},
@@ -76,7 +80,8 @@
 		{Wake{}, Wake{At: time.Nanosecond}, Wake{Token: 1}},
 		{Probe{}, Probe{Worker: 1}},
 		{CloseIdleConnections{}, CloseIdleConnections{Worker: 1}},
-		{PeerMessage{}, PeerMessage{To: AllControllers}, PeerMessage{Payload: []byte{0}}, PeerMessage{Payload: []byte{1}}},
+		{PeerMessage{}, PeerMessage{To: AllControllers}, PeerMessage{Payload: []byte{0}},
+			PeerMessage{Payload: []byte{1}}},
 		{Log{}, Log{Text: "a"}},
 		{WatchEndpoints{}, WatchEndpoints{On: true}},
 		{FetchEndpoints{}},
@@ -91,10 +96,10 @@
 				t.Fatal(err)
 			}
 			if other, ok := seen[line]; ok {
-				t.Errorf("%#v and %#v are both %q", a, other, line)
+				t.Errorf("%#v and %#v have the same encoding %q", a, other, line)
 			}
 			if strings.ContainsAny(line, "\n") {
-				t.Errorf("%#v is more than one line", a)
+				t.Errorf("the encoding of %#v has more than one line", a)
 			}
 			seen[line] = a
 		}
--- a/scheduler/helpers_test.go
+++ b/scheduler/helpers_test.go
@@ -8,7 +8,7 @@
 
 const ms = time.Millisecond
 
-// testSettings returns settings of a small deployment with one class of each idempotency.
+// testSettings returns the settings of a small deployment with one class of each idempotency.
 func testSettings() Settings {
 	return Settings{Controllers: 1, Tick: 2 * ms,
 		Classes: []Class{
@@ -27,14 +27,15 @@
 			CollapseWindow: 2 * time.Second}}
 }
 
-// setBudget sets the load budget: its window, the orders that are always allowed, and those for each request.
+// setBudget sets the load budget: its window, the load orders that are always allowed, and those
+// that each request adds.
 func setBudget(s *Settings, window time.Duration, free, ratio float64) {
 	s.Loading.BudgetWindow = window
 	s.Loading.BudgetFree = free
 	s.Loading.BudgetRatio = ratio
 }
 
-// start returns a dispatcher that got a cached list of these workers at one second.
+// start returns a dispatcher that received a cached endpoint list with these workers at 1 s.
 func start(t *testing.T, s Settings, workers ...WorkerInfo) *Dispatcher {
 	t.Helper()
 	d, err := New(s, 1)
@@ -45,7 +46,7 @@
 	return d
 }
 
-// ready returns lines of the list for ready workers, each in a group of its own.
+// ready returns endpoint list entries of ready workers, each in its own group.
 func ready(ids ...WorkerID) (l []WorkerInfo) {
 	for _, id := range ids {
 		l = append(l, WorkerInfo{ID: id, State: Ready, Group: int(id)})
@@ -53,7 +54,7 @@
 	return l
 }
 
-// arrival returns a request with three seconds left, of a function whose copies have two lanes.
+// arrival returns a request with 3 s left, of a function whose copies have two lanes.
 func arrival(id RequestID, class int, fn FunctionID) Arrival {
 	return Arrival{Request: id, Class: class, Function: fn, TimeLeft: 3 * time.Second, Lanes: 2}
 }
@@ -76,31 +77,34 @@
 	return l
 }
 
-// playAnswersAfter steps a dispatcher through n requests, one each 100 ms, and answers each attempt after a time.
-func playAnswersAfter(t *testing.T, d *Dispatcher, from time.Duration, n int, took time.Duration,
-	o Outcome) (now time.Duration) {
+// playRequests steps a dispatcher through n requests, one every 100 ms, and ends each attempt with
+// an outcome after a time. It returns the time of the last step.
+func playRequests(t *testing.T, d *Dispatcher, from time.Duration, n int, took time.Duration,
+	outcome Outcome) (now time.Duration) {
 	t.Helper()
-	type out struct {
-		r AttemptEnded
-		t time.Duration
+	type timedOutcome struct {
+		ended AttemptEnded
+		at    time.Duration
 	}
-	var pending []out
+	var pending []timedOutcome
 	for i := 0; i < n || len(pending) > 0; i++ {
 		now = from + time.Duration(i)*100*ms
 		var events []Event
-		for len(pending) > 0 && pending[0].t <= now {
-			events = append(events, pending[0].r)
+		for len(pending) > 0 && pending[0].at <= now {
+			events = append(events, pending[0].ended)
 			pending = pending[1:]
 		}
 		if i < n {
 			events = append(events, arrival(RequestID(from)+RequestID(i), 0, FunctionID(i%3)))
 		}
 		for _, a := range actionsOf[Send](d.Step(now, events)) {
-			pending = append(pending, out{AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: o, Took: took,
-				Complete: o == OK, Attempt: len(d.requests[a.Request].attempts) - 1}, now + took})
+			pending = append(pending, timedOutcome{AttemptEnded{Request: a.Request, Worker: a.Worker,
+				Outcome: outcome, Took: took,
+				Complete: outcome == OK, Attempt: len(d.requests[a.Request].attempts) - 1}, now + took})
 		}
 	}
 	return now
 }
 
+// byID compares two workers by ID.
 func byID(a, b *worker) int { return cmp.Compare(a.ID, b.ID) }
--- a/scheduler/numbers.go
+++ b/scheduler/numbers.go
@@ -3,25 +3,30 @@
 import "time"
 
 const (
-	// ewmaWeight is the weight of a new sample in its mean: it follows a change within some five samples.
+	// ewmaWeight is the weight of a new sample in a mean, which follows a change within about five
+	// samples.
 	ewmaWeight = 0.2
-	// maxMeanMultiple is how many times its mean a sample counts at most: one rare long run is not the rule.
-	maxMeanMultiple = 4.0
-	// jitter is the part of a time by which it is varied, so that those who saw the same do not act in step.
+	// maxSampleMultiple caps a sample at this multiple of the mean, so that one rare long run does
+	// not dominate the mean.
+	maxSampleMultiple = 4.0
+	// jitter is the fraction by which a duration is varied, so that controllers or clients that saw
+	// the same event do not act at the same time.
 	jitter = 0.5
 )
 
-// ewma returns an exponentially weighted ewma with a new sample. A ewma of 0 has no sample yet.
+// ewma returns an exponentially weighted moving average after a new sample. An average of 0 has no
+// sample yet.
 func ewma(old, sample float64) float64 {
 	if old == 0 {
 		return sample
 	}
-	return old + ewmaWeight*(min(sample, maxMeanMultiple*old)-old)
+	return old + ewmaWeight*(min(sample, maxSampleMultiple*old)-old)
 }
 
+// seconds converts a number of seconds to a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// mix spreads the bits of a number (the finalizer of SplitMix64).
+// mix hashes a number with the finalizer of SplitMix64.
 func mix(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
@@ -29,5 +34,5 @@
 	return x ^ x>>31
 }
 
-// unitInterval maps a number to [0, 1).
+// unitInterval maps a hash to [0, 1).
 func unitInterval(x uint64) float64 { return float64(x>>11) / (1 << 53) }
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -6,26 +6,27 @@
 )
 
 const (
-	// maxLoadsAtWorker is how many sends to one worker may wait for a load at a time: the store is shared
-	// by all.
+	// maxLoadsAtWorker is the number of attempts at one worker that may wait for a load at a time.
+	// It is small because all workers load from one store.
 	maxLoadsAtWorker = 2
-	// spillAfter is how long a request waits for its busy home, in latency objectives, before a further
-	// copy is worth its load.
-	spillAfter = 0.25
-	// spillEvictions is what each evicted fraction of copies adds to it: memory is short then.
-	spillEvictions = 10.0
+	// spillDelay is how long a request waits for its busy home before a further copy is worth its
+	// load, as a fraction of the latency objective.
+	spillDelay = 0.25
+	// spillDelayPerEviction is added to spillDelay in proportion to the evicted fraction of copies,
+	// because memory is short where copies are evicted.
+	spillDelayPerEviction = 10.0
 )
 
-// dispatch sends what can be sent. Requests past their latency objective wait behind all others, or a stall
-// would make every later answer late as well.
+// dispatch sends all requests that can be sent now. Requests that can no longer meet their latency
+// objective go after all others; otherwise a stall would make every later answer late as well.
 func (d *Dispatcher) dispatch() {
 	d.queues.expire(d.now)
 	d.dispatchRound(true)
 	d.dispatchRound(false)
 }
 
-// dispatchRound sends requests that can meet their objective, or those that cannot, in the order of their
-// queues.
+// dispatchRound sends either the requests that can meet their objective or those that cannot, in
+// the order of their queues.
 func (d *Dispatcher) dispatchRound(meetObjective bool) {
 	var waiting []*queue
 	for _, queue := range d.queues.withPending() {
@@ -48,50 +49,53 @@
 	}
 }
 
-// dispatchOne sends the first eligible request of a queue that some worker can take, or answers one that
-// none can take in its time, and tells whether there was one.
+// dispatchOne sends the first eligible request of a queue that some worker can take, or rejects or
+// fails one that no worker can take before its deadline. It reports whether there was such a
+// request.
 func (d *Dispatcher) dispatchOne(queue *queue, meetObjective bool) bool {
 	for _, request := range queue.pending {
 		if d.meetsObjective(request) != meetObjective {
 			continue
 		}
-		if w := d.pick(queue, request); w != nil {
+		if w := d.selectWorker(queue, request); w != nil {
 			d.send(request, w)
 			return true
 		}
 		if request.unplaceable {
-			d.answer(request)
+			d.rejectOrFail(request)
 			return true
 		}
 	}
 	return false
 }
 
-// A search is what the walk for one request has found so far.
-type search struct {
+// placementSearch is the state of the walk along the ring for one request.
+type placementSearch struct {
 	queue     *queue
 	request   *request
-	home      *worker // the first that may have the request
-	spare     *worker // the first that may load a copy for it
-	loading   bool    // a copy is on its way
-	placeable bool    // some worker may yet take it in its time
-	narrow    bool    // home and spare are known: of the others only those that may have a copy matter
+	home      *worker // the first worker that may take the request
+	loader    *worker // the first worker that may load a copy for the request
+	loading   bool    // a copy is being loaded
+	placeable bool    // some worker may still take the request before its deadline
+	narrow    bool    // home and loader are known: only workers with a placement are still considered
 }
 
-// pick returns the worker that a request is sent to now, or nil if it has to wait.
+// selectWorker returns the worker to which a request is sent now, or nil if the request has to
+// wait.
 //
-// It goes along the ring from the function's home, or from the start that the spread gives, and takes the
-// first worker that is believed to have a copy, and has a token. A worker beyond home without a copy is
-// ordered to load one and sent to once it is loaded. A home without a token is waited for, before a further
-// copy is loaded.
-func (d *Dispatcher) pick(queue *queue, request *request) *worker {
-	found := search{queue: queue, request: request, placeable: len(d.listed) == 0}
-	from := queue.spread.start(request.Request, len(d.listed))
+// It walks along the ring from the function's home, or from the start that the spread gives, to the
+// first worker that is believed to have a copy and has a token. If there is none, the request is
+// sent to home, where it waits for a load. If home is busy, the request waits for some time; then a
+// further worker is ordered to load a copy, and the request is sent there once the copy is loaded,
+// or at once if the order is not possible.
+func (d *Dispatcher) selectWorker(queue *queue, request *request) *worker {
+	found := placementSearch{queue: queue, request: request, placeable: len(d.listed) == 0}
+	from := queue.spread.startIndex(request.Request, len(d.listed))
 	for worker := range d.candidates(queue, from, &found.narrow) {
 		if d.consider(&found, worker) {
 			return worker
 		}
-		found.narrow = found.home != nil && found.spare != nil
+		found.narrow = found.home != nil && found.loader != nil
 	}
 	placeable := found.placeable || d.outliers.ejected > 0
 	request.unplaceable = !placeable && !found.loading && !d.meetsObjective(request) &&
@@ -99,29 +103,30 @@
 	if found.loading {
 		return nil
 	}
-	if found.spare == found.home {
-		return found.spare
+	if found.loader == found.home {
+		return found.loader
 	}
-	if found.spare != nil && d.maySpill(request) && !d.ensureCopy(queue, found.spare) {
-		return found.spare
+	if found.loader != nil && d.maySpill(request) && !d.ensureCopy(queue, found.loader) {
+		return found.loader
 	}
 	return nil
 }
 
-// maySpill tells whether a request has waited long enough for its home to be worth a further copy.
+// maySpill reports whether a request has waited long enough for its home to be worth a further
+// copy.
 func (d *Dispatcher) maySpill(request *request) bool {
-	wait := min(1, spillAfter+spillEvictions*d.evictions.fraction)
+	wait := min(1, spillDelay+spillDelayPerEviction*d.evictions.fraction)
 	due := request.arrivedAt + seconds(wait*d.class(request).LatencyObjective.Seconds())
 	return d.now >= due && d.meetsObjective(request)
 }
 
-// consider tells whether the request goes to this worker of the walk, and notes what else the worker is
-// good for.
-func (d *Dispatcher) consider(found *search, worker *worker) bool {
+// consider reports whether the request is sent to this worker of the walk. Otherwise it records in
+// found whether the worker is home, may load a copy, or is loading one.
+func (d *Dispatcher) consider(found *placementSearch, worker *worker) bool {
 	request := found.request
 	placed := found.queue.placements[worker]
 	hasCopy := d.hasCopy(placed, worker)
-	mayLoadInTime := found.home == nil && worker.loadBackoff.until < request.answerBy
+	mayLoadInTime := found.home == nil && worker.loadBackoff.until < request.answerDeadline
 	found.placeable = found.placeable || hasCopy || worker.ejected || mayLoadInTime
 	if !d.ready(worker) || !d.retryRules.maySend(request, worker, d.now) || d.avoids(request, worker) {
 		return false
@@ -140,17 +145,19 @@
 		found.loading = true
 	case !d.accepts(request, worker):
 		return false
-	case found.spare == nil && d.mayWaitForLoad(worker):
-		found.spare = worker
+	case found.loader == nil && d.mayWaitForLoad(worker):
+		found.loader = worker
 	}
 	found.home = cmp.Or(found.home, worker)
 	return false
 }
 
-// considerWarming is consider for a warming worker that is not believed to have a copy. A warming home is
-// sent what its slow start admits: other controllers may have had the copy loaded. The rest waits for a
-// copy that is ordered there, or goes on: waiting for loads of all functions would fill its small capacity.
-func (d *Dispatcher) considerWarming(found *search, worker *worker) bool {
+// considerWarming is consider for a worker that is warming up and is not believed to have a copy.
+// If the worker is home, it is sent as much as its slow start admits, because another controller
+// may have had the copy loaded. Otherwise the request waits for a copy that is ordered there, or
+// the walk goes on: requests that wait for the loads of all functions would fill the worker's small
+// capacity.
+func (d *Dispatcher) considerWarming(found *placementSearch, worker *worker) bool {
 	switch {
 	case found.home != nil:
 	case d.mayWaitForLoad(worker) && d.accepts(found.request, worker) &&
@@ -163,26 +170,29 @@
 	return false
 }
 
-// avoids tells whether a request passes a worker by for its errors: one that may run twice does not.
+// avoids reports whether a request avoids a worker because of its errors. Idempotent requests do
+// not.
 func (d *Dispatcher) avoids(r *request, w *worker) bool {
 	return d.now < w.avoidUntil && d.class(r).Idempotency != Idempotent
 }
 
-// mayWaitForLoad tells whether a worker may be sent a request that has to wait for a load there.
+// mayWaitForLoad reports whether a worker may be sent a request that has to wait for a load there.
 func (d *Dispatcher) mayWaitForLoad(w *worker) bool {
 	return w.awaitingLoad < maxLoadsAtWorker && w.loadBackoff.allows(d.now)
 }
 
-// hasCapacity tells whether a worker has a token for a request of a function that it has loaded, and a lane.
-// Past the lanes of its copies it starts another by itself, which evicts others.
+// hasCapacity reports whether a worker that has copies of a function has a free lane and a token
+// for a request of it. With more requests than lanes the worker would load a further copy by
+// itself, which evicts other copies.
 func (d *Dispatcher) hasCapacity(r *request, w *worker, placed *placement) bool {
 	lanes := max(1, r.Lanes*float64(max(1, placed.copies)))
 	return float64(placed.outstanding) < lanes && w.limit.available() && d.accepts(r, w)
 }
 
-// accepts tells whether a worker's concurrency limit accepts a request: below one token it accepts a part
-// of them. The position of a request is a hash, which falls as it waits, so that it comes to be accepted.
-// One that the worker had before is the last to be accepted.
+// accepts reports whether a worker's concurrency limit accepts a request. A limit below one token
+// accepts a fraction of the requests, those with the lowest positions. The position of a request is
+// a hash, scaled down the longer the request waits, so that it is accepted in the end. A request
+// that the worker had before has the highest position.
 func (d *Dispatcher) accepts(request *request, worker *worker) bool {
 	position := unitInterval(mix(uint64(request.Request) ^ uint64(worker.ID)))
 	if slices.ContainsFunc(request.attempts, func(a attempt) bool { return a.worker == worker }) {
--- a/scheduler/placement_test.go
+++ b/scheduler/placement_test.go
@@ -5,18 +5,19 @@
 	"time"
 )
 
-// From buchung big-1: a request past its objective goes behind those that can still meet theirs.
+// A request past its latency objective goes after those that can still meet theirs. Otherwise a
+// stall makes every later answer late as well.
 func TestRequestsPastTheirObjectiveGoLast(t *testing.T) {
 	d := start(t, testSettings())
 	d.Step(time.Second, []Event{arrival(1, 0, 7)})
 	d.Step(2*time.Second, []Event{arrival(2, 0, 7)})
 	sent := actionsOf[Send](d.Step(2002*ms, []Event{ListUpdate{Kind: FullList, Workers: ready(1)}}))
 	if len(sent) != 1 || sent[0].Request != 2 {
-		t.Errorf("sent %v, want request 2 first: 1 is past its aim", sent)
+		t.Errorf("sent %v, want only request 2: request 1 is past its objective", sent)
 	}
 }
 
-// From i45c260: where copies prove to be evicted, a further copy waits longer.
+// A further copy is ordered later where copies are evicted, as it would evict others.
 func TestFurtherCopyWaitsLongerWhereCopiesAreEvicted(t *testing.T) {
 	for _, note := range []LoadNote{FoundWarm, StartedLoad} {
 		d := start(t, testSettings(), ready(1, 2)...)
@@ -34,9 +35,9 @@
 			events = append(events, arrival(id, 0, 7))
 		}
 		d.Step(now, events)
-		orders := len(actionsOf[LoadOrder](d.Step(now+150*ms, []Event{Timer{}}))) // a quarter of the objective is over
+		orders := len(actionsOf[LoadOrder](d.Step(now+150*ms, []Event{Timer{}}))) // after a quarter of the objective
 		if want := note == FoundWarm; (orders > 0) != want {
-			t.Errorf("note %d: %d orders for a further copy, want some: %v", note, orders, want)
+			t.Errorf("note %d: %d load orders for a further copy, want any: %v", note, orders, want)
 		}
 	}
 }
--- a/scheduler/policy_test.go
+++ b/scheduler/policy_test.go
@@ -9,23 +9,23 @@
 	"unicode/utf8"
 )
 
-// maxColumns is the width of a line in files that decide, a tab counting as four.
+// maxColumns is the maximum line width of policy files. A tab counts as four columns.
 const maxColumns = 110
 
-// notPolicy are the files of this package that decide nothing, with the reason.
-var notPolicy = map[string]string{
+// nonPolicyFiles has the files of this package that make no decisions, with the reason.
+var nonPolicyFiles = map[string]string{
 	"doc.go":            "the package comment",
 	"settings.go":       "types of the interface",
-	"settings_check.go": "rejects settings at the start; no step depends on it",
+	"settings_check.go": "validates the settings at the start; no step depends on it",
 	"events.go":         "types of the interface",
 	"actions.go":        "types of the interface",
 	"request.go":        "the state of a request",
-	"queueindex.go":     "finds queues, in the order in which examining all would find them",
-	"walk.go":           "finds workers, in the order in which examining all would find them",
-	"snapshot.go":       "views for people",
+	"queueindex.go":     "finds queues, in the order in which a scan of all queues would find them",
+	"walk.go":           "finds workers, in the order in which a scan of all workers would find them",
+	"snapshot.go":       "read-only views for operators",
 }
 
-// policyFiles returns the paths on the policy line of deploy/balancer.toml.
+// policyFiles returns the paths in the policy list of deploy/balancer.toml.
 func policyFiles(t *testing.T) (paths []string) {
 	t.Helper()
 	text, err := os.ReadFile("../deploy/balancer.toml")
@@ -34,18 +34,19 @@
 	}
 	list := regexp.MustCompile(`(?m)^policy *= *\[([^\]]*)\]`).FindSubmatch(text)
 	if list == nil {
-		t.Fatal("deploy/balancer.toml names no policy")
+		t.Fatal("deploy/balancer.toml has no policy list")
 	}
 	for _, quoted := range regexp.MustCompile(`"([^"]+)"`).FindAllSubmatch(list[1], -1) {
 		paths = append(paths, string(quoted[1]))
 	}
 	if len(paths) == 0 {
-		t.Error("deploy/balancer.toml names no file of policy")
+		t.Error("the policy list of deploy/balancer.toml is empty")
 	}
 	return paths
 }
 
-// All policy files of deploy/balancer.toml exist, and have lines that are read without scrolling.
+// All files in the policy list of deploy/balancer.toml exist, and their lines are at most
+// maxColumns wide.
 func TestPolicyFiles(t *testing.T) {
 	for _, name := range policyFiles(t) {
 		text, err := os.ReadFile(filepath.Join("..", name))
@@ -60,12 +61,12 @@
 	}
 }
 
-// Every file of this package that decides is on the policy line, once; those that decide nothing are not.
+// Each file of this package is either in the policy list once or in nonPolicyFiles.
 func TestEveryFileThatDecidesIsPolicy(t *testing.T) {
-	onLine := map[string]int{}
+	listed := map[string]int{}
 	for _, path := range policyFiles(t) {
 		if filepath.Dir(path) == "scheduler" {
-			onLine[filepath.Base(path)]++
+			listed[filepath.Base(path)]++
 		}
 	}
 	entries, err := os.ReadDir(".")
@@ -79,16 +80,16 @@
 			continue
 		}
 		present[name] = true
-		switch reason := notPolicy[name]; {
-		case reason != "" && onLine[name] > 0:
-			t.Errorf("%s is on the policy line and is excepted: %s", name, reason)
-		case reason == "" && onLine[name] != 1:
-			t.Errorf("%s is %d times on the policy line of deploy/balancer.toml, want once", name, onLine[name])
+		switch reason := nonPolicyFiles[name]; {
+		case reason != "" && listed[name] > 0:
+			t.Errorf("%s is in the policy list, but it is not policy: %s", name, reason)
+		case reason == "" && listed[name] != 1:
+			t.Errorf("%s is %d times in the policy list of deploy/balancer.toml, want once", name, listed[name])
 		}
 	}
-	for name := range notPolicy {
+	for name := range nonPolicyFiles {
 		if !present[name] {
-			t.Errorf("%s is excepted from the policy line and does not exist", name)
+			t.Errorf("%s is in nonPolicyFiles and does not exist", name)
 		}
 	}
 }
--- a/scheduler/property_test.go
+++ b/scheduler/property_test.go
@@ -6,20 +6,22 @@
 	"time"
 )
 
-// sender is what an independent checker remembers of one request.
-type sender struct {
+// trackedRequest is the state of one request, which the test tracks independently of the
+// dispatcher.
+type trackedRequest struct {
 	arrival   Arrival
 	arrivedAt time.Duration
 	sentAt    []time.Duration
 	groups    []int
 	workers   []WorkerID
-	outcome   []Outcome // 0: out
+	outcome   []Outcome // by attempt; 0: outstanding
 	answers   int
-	finished  bool // by an answer of ours, an outcome or a hang-up
+	finished  bool // by a Reject or Fail, an outcome, or because the client has left
 }
 
-func (s *sender) out() (n int) {
-	for _, o := range s.outcome {
+// outstanding returns the number of attempts without an outcome.
+func (r *trackedRequest) outstanding() (n int) {
+	for _, o := range r.outcome {
 		if o == 0 {
 			n++
 		}
@@ -27,9 +29,9 @@
 	return n
 }
 
-// mayHaveRun returns the index of the first attempt that may have run or is out, or -1.
-func (s *sender) mayHaveRun() int {
-	for i, o := range s.outcome {
+// mayHaveRun returns the index of the first attempt that may have run or is outstanding, or -1.
+func (r *trackedRequest) mayHaveRun() int {
+	for i, o := range r.outcome {
 		if o != AtCapacity && o != ConnectFailed && o != NotStarted && o != NotLoaded {
 			return i
 		}
@@ -37,22 +39,24 @@
 	return -1
 }
 
-// Whatever happens, in any legal order, the rules hold: one answer in time, nothing run twice that must not be,
-// nothing sent to draining workers, loads within the budget. The events follow no model of timing or load.
+// The guarantees hold under random events in any valid order: each request gets one answer in time,
+// no request runs twice that must not, draining workers get nothing new, and load orders keep to
+// the load budget. The events follow no model of timing or load.
 func TestRulesUnderAnyEvents(t *testing.T) {
 	seen := map[string]int{}
 	for seed := uint64(1); seed <= 40; seed++ {
-		rules(t, seed, seen)
+		checkRules(t, seed, seen)
 	}
-	for _, what := range []string{"sends", "second attempts", "holds", "refusals", "failures", "drained"} {
+	for _, what := range []string{"sends", "retries", "load orders", "rejects", "fails", "drains"} {
 		if seen[what] == 0 {
-			t.Errorf("no %s at all: the test tests too little", what)
+			t.Errorf("no %s in any run: the events do not cover them", what)
 		}
 	}
 }
 
-func rules(t *testing.T, seed uint64, seen map[string]int) {
-	rnd := rand.New(rand.NewPCG(seed, 7))
+// checkRules runs a dispatcher on random events from one seed, and counts in seen what happened.
+func checkRules(t *testing.T, seed uint64, seen map[string]int) {
+	random := rand.New(rand.NewPCG(seed, 7))
 	s := testSettings()
 	s.Limits.HedgedRequests = seed%2 == 0
 	s.Limits.Cancel = seed%3 != 0
@@ -63,74 +67,75 @@
 		t.Fatal(err)
 	}
 	list := map[WorkerID]WorkerInfo{}
-	barred := map[WorkerID]time.Duration{} // since when a worker drains or is gone
-	requests := map[RequestID]*sender{}
+	unavailableSince := map[WorkerID]time.Duration{} // when a worker began to drain or was removed
+	requests := map[RequestID]*trackedRequest{}
 	var open []RequestID
-	var taken, orders []time.Duration
-	var holds []LoadOrder
+	var arrivals, orders []time.Duration
+	var outstandingOrders []LoadOrder
 	now, next := time.Hour, RequestID(1)
 	for step := 0; step < 1500; step++ {
-		now += time.Duration(rnd.IntN(12)) * s.Tick / 2
+		now += time.Duration(random.IntN(12)) * s.Tick / 2
 		var events []Event
-		if step == 0 || rnd.IntN(60) == 0 {
+		if step == 0 || random.IntN(60) == 0 {
 			l := ListUpdate{Kind: ListDelta}
 			if step == 0 {
 				l.Kind = CachedList
 			}
 			for id := WorkerID(1); id <= 8; id++ {
-				if step > 0 && rnd.IntN(4) > 0 {
+				if step > 0 && random.IntN(4) > 0 {
 					continue
 				}
 				w := WorkerInfo{ID: id, Group: int(id % 3), Zone: int(id % 2), State: Ready}
 				if step > 0 {
-					w.State = WorkerState(1 + rnd.IntN(3))
+					w.State = WorkerState(1 + random.IntN(3))
 				}
 				if w.State == Ready {
-					delete(barred, id)
-					if rnd.IntN(2) == 0 {
+					delete(unavailableSince, id)
+					if random.IntN(2) == 0 {
 						w.StartedAt = now - time.Second
 					}
-				} else if _, was := barred[id]; !was {
-					barred[id] = now
-					seen["drained"]++
+				} else if _, was := unavailableSince[id]; !was {
+					unavailableSince[id] = now
+					seen["drains"]++
 				}
 				list[id] = w
 				l.Workers = append(l.Workers, w)
 			}
 			events = append(events, l)
 		}
-		for n := rnd.IntN(3); n > 0; n-- {
-			a := Arrival{Request: next, Class: rnd.IntN(3), Function: FunctionID(rnd.IntN(12)), Lanes: 2,
-				TimeLeft: time.Duration(rnd.IntN(3000)) * ms}
-			requests[next] = &sender{arrival: a, arrivedAt: now}
+		for n := random.IntN(3); n > 0; n-- {
+			a := Arrival{Request: next, Class: random.IntN(3), Function: FunctionID(random.IntN(12)), Lanes: 2,
+				TimeLeft: time.Duration(random.IntN(3000)) * ms}
+			requests[next] = &trackedRequest{arrival: a, arrivedAt: now}
 			open = append(open, next)
-			taken = append(taken, now)
+			arrivals = append(arrivals, now)
 			events = append(events, a)
 			next++
 		}
 		for _, id := range open {
 			q := requests[id]
 			for i, o := range q.outcome {
-				if o == 0 && rnd.IntN(40) == 0 {
-					r := AttemptEnded{Request: id, Attempt: i, Worker: q.workers[i], Outcome: Outcome(1 + rnd.IntN(9)),
-						Took: now - q.sentAt[i], Note: LoadNote(rnd.IntN(4))}
+				if o == 0 && random.IntN(40) == 0 {
+					r := AttemptEnded{Request: id, Attempt: i, Worker: q.workers[i],
+						Outcome: Outcome(1 + random.IntN(9)),
+						Took:    now - q.sentAt[i], Note: LoadNote(random.IntN(4))}
 					q.outcome[i] = r.Outcome
 					q.finished = q.finished || r.Outcome == OK
 					r.Complete = q.finished
 					events = append(events, r)
 				}
 			}
-			if !q.finished && rnd.IntN(900) == 0 {
+			if !q.finished && random.IntN(900) == 0 {
 				q.finished = true
 				events = append(events, ClientClosed{id})
 			}
 		}
-		for len(holds) > 0 && rnd.IntN(2) == 0 {
-			h := holds[0]
-			holds = holds[1:]
-			events = append(events, LoadOrderEnded{Worker: h.Worker, Function: h.Function,
-				Outcome: Outcome(1 + rnd.IntN(6)),
-				Copies:  rnd.IntN(2)})
+		for len(outstandingOrders) > 0 && random.IntN(2) == 0 {
+			order := outstandingOrders[0]
+			outstandingOrders = outstandingOrders[1:]
+			events = append(events, LoadOrderEnded{Worker: order.Worker, Function: order.Function,
+				Outcome: Outcome(1 + random.IntN(6)),
+				Copies:  random.IntN(2)})
 		}
 		for _, a := range d.Step(now, events) {
 			switch a := a.(type) {
@@ -138,53 +143,53 @@
 				q, c := requests[a.Request], s.Classes[requests[a.Request].arrival.Class]
 				seen["sends"]++
 				if len(q.sentAt) > 0 {
-					seen["second attempts"]++
+					seen["retries"]++
 				}
 				first := q.mayHaveRun()
 				switch {
 				case q.finished:
-					t.Fatalf("seed %d: request %d sent after its end", seed, a.Request)
+					t.Fatalf("seed %d: request %d sent after its answer or its client's departure", seed, a.Request)
 				case len(q.sentAt) >= s.Limits.MaxAttempts:
-					t.Fatalf("seed %d: attempt %d", seed, len(q.sentAt)+1)
-				case q.out() > 0 && !s.Limits.HedgedRequests:
-					t.Fatalf("seed %d: two attempts out", seed)
+					t.Fatalf("seed %d: attempt %d exceeds the maximum", seed, len(q.sentAt)+1)
+				case q.outstanding() > 0 && !s.Limits.HedgedRequests:
+					t.Fatalf("seed %d: two outstanding attempts of a request", seed)
 				case first >= 0 && c.Idempotency == NonIdempotent:
-					t.Fatalf("seed %d: unsafe request sent again", seed)
+					t.Fatalf("seed %d: non-idempotent request sent again", seed)
 				case first >= 0 && c.Idempotency == IdempotentWithKey && now >= q.sentAt[first]+c.DedupWindow:
-					t.Fatalf("seed %d: keyed request sent after its window", seed)
+					t.Fatalf("seed %d: request with a key sent after its dedup window", seed)
 				case first >= 0 && c.Idempotency == IdempotentWithKey &&
-					group(c.DedupScope, list[a.Worker]) != q.groups[first]:
-					t.Fatalf("seed %d: keyed request left its group", seed)
+					dedupGroup(c.DedupScope, list[a.Worker]) != q.groups[first]:
+					t.Fatalf("seed %d: request with a key sent outside its dedup scope", seed)
 				}
-				if since, is := barred[a.Worker]; is && now > since+s.Guarantees.DrainGrace {
-					t.Fatalf("seed %d: send to a worker that drains", seed)
+				if since, is := unavailableSince[a.Worker]; is && now > since+s.Guarantees.DrainGrace {
+					t.Fatalf("seed %d: send to a draining worker", seed)
 				}
 				q.sentAt, q.outcome = append(q.sentAt, now), append(q.outcome, 0)
 				q.workers = append(q.workers, a.Worker)
-				q.groups = append(q.groups, group(c.DedupScope, list[a.Worker]))
+				q.groups = append(q.groups, dedupGroup(c.DedupScope, list[a.Worker]))
 			case Reject:
 				q, c := requests[a.Request], s.Classes[requests[a.Request].arrival.Class]
-				seen["refusals"]++
+				seen["rejects"]++
 				if c.Idempotency != Idempotent && q.mayHaveRun() >= 0 &&
 					!(c.Idempotency == IdempotentWithKey && c.DedupScope == AllWorkers) {
-					t.Fatalf("seed %d: refused a request that may have run", seed)
+					t.Fatalf("seed %d: rejected a request that may have run", seed)
 				}
-				answer(t, seed, q)
+				recordAnswer(t, seed, q)
 			case Fail:
-				seen["failures"]++
-				answer(t, seed, requests[a.Request])
+				seen["fails"]++
+				recordAnswer(t, seed, requests[a.Request])
 			case LoadOrder:
-				holds = append(holds, a)
+				outstandingOrders = append(outstandingOrders, a)
 				if a.Copies == 0 {
 					continue
 				}
-				seen["holds"]++
-				if since, is := barred[a.Worker]; is && now > since+s.Guarantees.DrainGrace {
-					t.Fatalf("seed %d: order to a worker that drains", seed)
+				seen["load orders"]++
+				if since, is := unavailableSince[a.Worker]; is && now > since+s.Guarantees.DrainGrace {
+					t.Fatalf("seed %d: load order to a draining worker", seed)
 				}
 				orders = append(orders, now)
-				if n, m := within(orders, now), within(taken, now); float64(n) > 3+0.2*float64(m) {
-					t.Fatalf("seed %d: %d orders with %d requests in the window", seed, n, m)
+				if n, m := within(orders, now), within(arrivals, now); float64(n) > 3+0.2*float64(m) {
+					t.Fatalf("seed %d: %d load orders with %d requests in the window", seed, n, m)
 				}
 			}
 		}
@@ -192,9 +197,10 @@
 		for _, id := range open {
 			q := requests[id]
 			if !q.finished && now > q.arrivedAt+q.arrival.TimeLeft+6*s.Tick {
-				t.Fatalf("seed %d: request %d has no answer %v after its time", seed, id, now-q.arrivedAt-q.arrival.TimeLeft)
+				t.Fatalf("seed %d: request %d has no answer %v after its deadline", seed, id,
+					now-q.arrivedAt-q.arrival.TimeLeft)
 			}
-			if !q.finished || q.out() > 0 {
+			if !q.finished || q.outstanding() > 0 {
 				kept = append(kept, id)
 			}
 		}
@@ -202,16 +208,18 @@
 	}
 }
 
-// answer notes our own answer to a request, which must be the only one.
-func answer(t *testing.T, seed uint64, q *sender) {
+// recordAnswer records the Reject or Fail of a request, which must be its only answer.
+func recordAnswer(t *testing.T, seed uint64, q *trackedRequest) {
 	if q.finished {
-		t.Fatalf("seed %d: request %d answered after its end", seed, q.arrival.Request)
+		t.Fatalf("seed %d: request %d answered after its answer or its client's departure", seed, q.arrival.Request)
 	}
 	q.finished = true
 	q.answers++
 }
 
-func group(s DedupScope, w WorkerInfo) int {
+// dedupGroup returns the zone or group of a worker, by the dedup scope. Repeats are dropped within
+// it.
+func dedupGroup(s DedupScope, w WorkerInfo) int {
 	switch s {
 	case SameZone:
 		return w.Zone
@@ -221,6 +229,7 @@
 	return 0
 }
 
+// within returns how many of the times are in the window of the load budget.
 func within(l []time.Duration, now time.Duration) (n int) {
 	for _, t := range l {
 		if t > now-5*time.Second {
--- a/scheduler/queueindex.go
+++ b/scheduler/queueindex.go
@@ -8,25 +8,25 @@
 	"kitehub/scheduler/ring"
 )
 
-// A queueIndex finds the queues that a step has to examine without examining all. It decides nothing: what
-// it finds is what examining all would find, in the same order.
+// queueIndex finds the queues that a step has to examine without examining all queues. It makes no
+// decisions: it finds the same queues, in the same order, as a scan of all queues would.
 //
-// Whatever changes something of a queue on which its places depend touches it. Reindex, which is called
-// before the places are used, puts those that were touched where they belong.
+// Code that changes a queue in a way that affects its index entries calls markDirty. Before the
+// entries are used, reindex updates those of all dirty queues.
 type queueIndex struct {
-	touched      []*queue                          // since the last reindex
-	waiting      []*queue                          // all with pending requests, and some that had
+	dirty        []*queue                          // queues that changed since the last reindex
+	waiting      []*queue                          // all queues with pending requests, and some that had
 	virtualTimes index.Heap[float64, *queue]       // of active queues
-	expiries     index.Heap[time.Duration, *queue] // when idle queues become inactive, or are forgotten
-	renewals     index.Heap[time.Duration, *queue] // when active, idle queues need a renewal
-	renewable    index.Heap[FunctionID, *queue]    // of them, those that did when last examined
-	examined     uint64                            // see Effort
+	expiries     index.Heap[time.Duration, *queue] // when idle queues become inactive or are forgotten
+	renewals     index.Heap[time.Duration, *queue] // when the copies of active, idle queues are renewed
+	renewable    index.Heap[FunctionID, *queue]    // queues whose renewal is due, moved from renewals
+	examined     uint64                            // see Effort.Queues
 }
 
-// queueEntries are a queue's places in the index.
+// queueEntries are the entries of a queue in the index.
 type queueEntries struct {
 	walk             ring.Walk[*worker]
-	isTouched        bool
+	isDirty          bool
 	isWaiting        bool
 	isForgotten      bool
 	virtualTimeEntry index.Entry[float64, *queue]
@@ -35,22 +35,23 @@
 	renewableEntry   index.Entry[FunctionID, *queue]
 }
 
-func (q *queue) setEntries() {
+// initEntries sets the values of the entries, which stay the same.
+func (q *queue) initEntries() {
 	q.virtualTimeEntry.Value = q
 	q.expiryEntry.Value = q
 	q.renewalEntry.Value = q
 	q.renewableEntry.Value = q
 }
 
-// markDirty notes that something of a queue changes on which its places depend.
+// markDirty records that the index entries of a queue have to be updated.
 func (x *queueIndex) markDirty(queue *queue) {
-	if !queue.isTouched && !queue.isForgotten {
-		queue.isTouched = true
-		x.touched = append(x.touched, queue)
+	if !queue.isDirty && !queue.isForgotten {
+		queue.isDirty = true
+		x.dirty = append(x.dirty, queue)
 	}
 }
 
-// remove takes a queue out for good.
+// remove removes a queue from the index for good.
 func (x *queueIndex) remove(queue *queue) {
 	queue.isForgotten = true
 	x.virtualTimes.Remove(&queue.virtualTimeEntry)
@@ -59,18 +60,19 @@
 	x.renewable.Remove(&queue.renewableEntry)
 }
 
-// reindex puts the queues that were touched where they belong.
+// reindex updates the entries of all dirty queues.
 func (f *fairQueues) reindex() {
-	for i, queue := range f.touched {
-		f.touched[i] = nil
-		queue.isTouched = false
+	for i, queue := range f.dirty {
+		f.dirty[i] = nil
+		queue.isDirty = false
 		f.examined++
-		f.place(queue)
+		f.updateEntries(queue)
 	}
-	f.touched = f.touched[:0]
+	f.dirty = f.dirty[:0]
 }
 
-func (f *fairQueues) place(queue *queue) {
+// updateEntries sets or removes the entries of one queue by its present state.
+func (f *fairQueues) updateEntries(queue *queue) {
 	if len(queue.pending) > 0 && !queue.isWaiting {
 		queue.isWaiting = true
 		f.waiting = append(f.waiting, queue)
@@ -105,7 +107,8 @@
 	return x.waiting
 }
 
-// nextRenewal returns, of the queues that need a renewal now, the one of the lowest function, or nil.
+// nextRenewal returns, of the queues whose renewal is due, the one with the lowest function ID, or
+// nil.
 func (f *fairQueues) nextRenewal(now time.Duration) *queue {
 	f.reindex()
 	for e := f.renewals.Min(); e != nil && e.Key() <= now; e = f.renewals.Min() {
--- a/scheduler/queues.go
+++ b/scheduler/queues.go
@@ -9,25 +9,27 @@
 )
 
 const (
-	// activeInterarrivals is how long an empty queue stays active, in its mean times between arrivals (the
-	// alpha of MQFQ-Sticky): it keeps a function's copy while calls are likely.
+	// activeInterarrivals is how long an empty queue stays active, in its mean interarrival times
+	// (the alpha of MQFQ-Sticky). The function keeps its copy while calls are likely.
 	activeInterarrivals = 2.0
-	// maxLead is how far a queue's virtual time may lead the global one before others go first, in seconds of
-	// run time (the T of MQFQ-Sticky): enough for batches, yet no monopoly.
+	// maxLead is how far a queue's virtual time may lead the global one before other queues go
+	// first, in seconds of run time (the T of MQFQ-Sticky). It allows batches of one function, but
+	// no monopoly.
 	maxLead = 10.0
 )
 
-// fairQueues share the workers among functions, by MQFQ-Sticky's start-time fair queueing.
+// fairQueues shares the workers among functions with the start-time fair queueing of MQFQ-Sticky.
 //
-// Each function has a queue with a virtual time, which grows with each dispatch by the run time that is
-// expected of the request. The global virtual time is the lowest of an active queue, and never falls. A
-// queue is active while it has requests, and for some time after; one that becomes active begins at the
-// global virtual time at least, so that nobody saves up a claim by being idle.
+// Each function has a queue with a virtual time. Each dispatch adds the expected run time of the
+// request to it. The global virtual time is the lowest virtual time of all active queues, and never
+// falls. A queue is active while it has requests and for some time after. A queue that becomes
+// active starts at the global virtual time or later, so that a function cannot accumulate credit
+// while idle.
 //
-// A queue that leads the global virtual time by less than maxLead may send. Among those the longest goes
-// first, then the one with the fewest requests in flight, as both keep a function's requests together at
-// its home, where its copy is. Queues beyond maxLead follow, the lowest virtual time first, so that no free
-// worker stays unused.
+// Queues that lead the global virtual time by less than maxLead go first: the longest of them, then
+// the one with the fewest requests in flight, because both keep a function's requests together at
+// its home, where its copy is. Queues beyond maxLead follow, the lowest virtual time first, so that
+// no free worker stays unused.
 type fairQueues struct {
 	tick              time.Duration
 	idleCopyTTL       time.Duration
@@ -39,21 +41,21 @@
 	queueIndex
 }
 
-// A queue has the requests of one function, and what is known of the function.
+// queue holds the pending requests of one function, and the dispatcher's state of the function.
 type queue struct {
 	function         FunctionID
-	hash             uint64 // its home is the first worker after this place of the ring
+	hash             uint64 // position on the ring: the first worker after it is the home
 	virtualTime      float64
 	active           bool
-	pending          []*request // the oldest first
-	eligible         int        // of them, those that compete in this round of dispatch
+	pending          []*request // oldest first
+	eligible         int        // pending requests that may be sent in this round of dispatch
 	inFlight         int        // attempts without an outcome
-	meanRunTime      float64    // seconds; 0: not known
-	meanInterarrival float64    // seconds; 0: not known
+	meanRunTime      float64    // seconds; 0: unknown
+	meanInterarrival float64    // seconds; 0: unknown
 	lastArrivalAt    time.Duration
-	lastActiveAt     time.Duration // when an attempt last began or ended
+	lastActiveAt     time.Duration // when an attempt last started or ended
 	lastRenewalAt    time.Duration // of the copy at its home
-	desiredUntil     time.Duration // copies are advised until then
+	desiredUntil     time.Duration // end of the advice to keep copies loaded
 	spread           spread
 	placements       map[*worker]*placement
 
@@ -70,7 +72,7 @@
 	}
 }
 
-// getOrCreate returns the queue of a function, a new one where none is kept.
+// getOrCreate returns the queue of a function, and creates it if there is none.
 func (f *fairQueues) getOrCreate(function FunctionID) *queue {
 	if known := f.byFunction[function]; known != nil {
 		return known
@@ -82,13 +84,13 @@
 		placements: map[*worker]*placement{},
 	}
 	added.walk = ring.Walk[*worker]{Ring: f.ring, From: added.hash}
-	added.setEntries()
+	added.initEntries()
 	f.byFunction[function] = added
 	f.markDirty(added)
 	return added
 }
 
-// forget drops a queue that is idle.
+// forget deletes an idle queue.
 func (f *fairQueues) forget(queue *queue) {
 	f.remove(queue)
 	for w := range queue.placements {
@@ -97,7 +99,7 @@
 	delete(f.byFunction, queue.function)
 }
 
-// arrive notes a request of a function.
+// arrive records the arrival of a request of a function.
 func (f *fairQueues) arrive(queue *queue, now time.Duration) {
 	if queue.lastArrivalAt > 0 {
 		since := max((now - queue.lastArrivalAt).Seconds(), f.tick.Seconds())
@@ -108,7 +110,7 @@
 	f.activate(queue)
 }
 
-// activate has a queue compete, from the global virtual time on.
+// activate makes a queue active. Its virtual time is raised to the global one if it is lower.
 func (f *fairQueues) activate(queue *queue) {
 	if !queue.active {
 		f.markDirty(queue)
@@ -117,7 +119,7 @@
 	}
 }
 
-// enqueue puts a request in its queue, in order of arrival.
+// enqueue inserts a request into its queue in order of arrival, unless it is queued or has ended.
 func (f *fairQueues) enqueue(request *request) {
 	if request.queued || request.ended {
 		return
@@ -130,10 +132,10 @@
 	request.queue.pending = slices.Insert(pending, i, request)
 }
 
-// compareArrival compares the arrival of a request with a time.
+// compareArrival compares the arrival time of a request with a time.
 func compareArrival(r *request, at time.Duration) int { return cmp.Compare(r.arrivedAt, at) }
 
-// dequeue takes a request out of its queue, if it is in.
+// dequeue removes a request from its queue, if it is queued.
 func (f *fairQueues) dequeue(request *request) {
 	if request.queued {
 		request.queued = false
@@ -143,7 +145,8 @@
 	}
 }
 
-// charge charges a queue for a request that is charge, by its expected run time in seconds.
+// charge records that a request is sent, and adds its expected run time, in seconds, to the virtual
+// time of its queue.
 func (f *fairQueues) charge(queue *queue, runTime float64, now time.Duration) {
 	queue.virtualTime += runTime
 	f.markDirty(queue)
@@ -151,15 +154,15 @@
 	queue.lastActiveAt = now
 }
 
-// recordOutcome notes the outcome of an attempt.
+// recordOutcome records that an attempt has ended.
 func (f *fairQueues) recordOutcome(queue *queue, now time.Duration) {
 	f.markDirty(queue)
 	queue.inFlight--
 	queue.lastActiveAt = now
 }
 
-// expire ends the activity of queues that nobody calls, forgets those of which nothing is of use any more,
-// and moves the global virtual time to the lowest of an active queue.
+// expire deactivates queues that have been idle for their time to live, forgets queues whose state
+// is no longer of use, and raises the global virtual time to the lowest one of an active queue.
 func (f *fairQueues) expire(now time.Duration) {
 	f.reindex()
 	for e := f.expiries.Min(); e != nil && e.Key() <= now; e = f.expiries.Min() {
@@ -177,27 +180,28 @@
 	}
 }
 
-// timeToLive is how long an empty queue stays active: until a second call, as long as an idle copy stays
-// loaded.
+// timeToLive returns how long an empty queue stays active. Before the second call it is as long as
+// an idle copy stays loaded.
 func (f *fairQueues) timeToLive(q *queue) time.Duration {
 	return cmp.Or(seconds(activeInterarrivals*q.meanInterarrival), f.idleCopyTTL)
 }
 
-// forgetAt is when nothing that is known of an idle queue is of use any more.
+// forgetAt returns the time from which the state of an idle queue is no longer of use.
 func (f *fairQueues) forgetAt(q *queue) time.Duration {
 	kept := f.timeToLive(q) + f.idleCopyTTL + f.warmupTime
 	return max(q.idleSince()+kept+1, q.desiredUntil)
 }
 
-// renewAt is when an active, idle queue needs the copy at its home renewed.
+// renewAt returns the time at which the copy at the home of an active, idle queue has to be
+// renewed.
 func (f *fairQueues) renewAt(q *queue) time.Duration {
 	return max(max(q.lastActiveAt, q.lastRenewalAt)+renewalInterval(f.idleCopyTTL), q.desiredUntil)
 }
 
-// idleSince is when a queue was last called or served.
+// idleSince returns the time of the last arrival, or start or end of an attempt, of a queue.
 func (q *queue) idleSince() time.Duration { return max(q.lastArrivalAt, q.lastActiveAt) }
 
-// precedes tells whether one queue sends before another.
+// precedes reports whether queue a sends before queue b.
 func (f *fairQueues) precedes(a, b *queue) bool {
 	limit := f.globalVirtualTime + maxLead
 	withinA, withinB := a.virtualTime < limit, b.virtualTime < limit
@@ -212,7 +216,7 @@
 		cmp.Compare(a.function, b.function)) < 0
 }
 
-// next returns the queue that sends first of those with eligible requests, or nil.
+// next returns the queue that sends first among those with eligible requests, or nil.
 func (f *fairQueues) next(waiting []*queue) *queue {
 	var best *queue
 	for _, queue := range waiting {
@@ -223,11 +227,11 @@
 	return best
 }
 
-// worker returns the i-th worker of the queue's walk along the ring, of as many as are listed. The first is
-// the function's home.
+// worker returns the i-th worker of the queue's walk along the ring, which visits every listed
+// worker once. The first one is the function's home.
 func (q *queue) worker(i int) *worker { return q.walk.At(i).Value }
 
-// placement returns what is known of the function at a worker, which is nothing at first.
+// placement returns the state of the function at a worker, and creates it if there is none.
 func (q *queue) placement(worker *worker) *placement {
 	placed := q.placements[worker]
 	if placed == nil {
--- a/scheduler/queues_test.go
+++ b/scheduler/queues_test.go
@@ -8,8 +8,9 @@
 	"kitehub/scheduler/ring"
 )
 
-// A queue within the lead goes before one beyond it, then the longest, then the one with the fewest requests in
-// flight.
+// Queues within maxLead go before those beyond it. Among the former the longest goes first, then
+// the one with the fewest requests in flight; among the latter the one with the lowest virtual
+// time.
 func TestQueuesGoByLeadLengthAndRequestsInFlight(t *testing.T) {
 	d := start(t, testSettings(), ready(1)...)
 	tests := []struct {
@@ -17,10 +18,12 @@
 		a, b queue
 		want bool
 	}{
-		{"within T first", queue{virtualTime: 1, eligible: 1}, queue{virtualTime: maxLead + 1, eligible: 9}, true},
+		{"within maxLead first", queue{virtualTime: 1, eligible: 1},
+			queue{virtualTime: maxLead + 1, eligible: 9}, true},
 		{"longest first", queue{eligible: 1}, queue{eligible: 2}, false},
 		{"fewest in flight", queue{eligible: 2, inFlight: 1}, queue{eligible: 2, inFlight: 2}, true},
-		{"beyond T the lowest VT", queue{virtualTime: 30, eligible: 9}, queue{virtualTime: 20, eligible: 1}, false},
+		{"beyond maxLead the lowest virtual time", queue{virtualTime: 30, eligible: 9},
+			queue{virtualTime: 20, eligible: 1}, false},
 	}
 	for _, tt := range tests {
 		if got := d.queues.precedes(&tt.a, &tt.b); got != tt.want {
@@ -29,42 +32,42 @@
 	}
 }
 
-// A dispatch charges the queue with the function's mean run time. A newly active queue starts at the global virtual
-// time.
+// A dispatch adds the function's mean run time to the virtual time of its queue. A queue that
+// becomes active starts at the global virtual time.
 func TestDispatchChargesVirtualTime(t *testing.T) {
 	d := start(t, testSettings(), ready(1, 2)...)
 	q := d.queues.getOrCreate(7)
 	q.meanRunTime = 0.2
 	d.Step(time.Second, []Event{arrival(1, 0, 7)})
 	if q.virtualTime != 0.2 {
-		t.Errorf("VT %v after one dispatch of 0.2 s", q.virtualTime)
+		t.Errorf("virtual time %v after one dispatch, want 0.2", q.virtualTime)
 	}
 	d.Step(1001*ms, nil)
 	if d.queues.globalVirtualTime != 0.2 {
-		t.Errorf("Global_VT %v, want the lowest active VT 0.2", d.queues.globalVirtualTime)
+		t.Errorf("global virtual time %v, want that of the active queue, 0.2", d.queues.globalVirtualTime)
 	}
 	fresh := d.queues.getOrCreate(8)
 	d.queues.activate(fresh)
 	if fresh.virtualTime != d.queues.globalVirtualTime {
-		t.Errorf("new queue at %v, want Global_VT %v", fresh.virtualTime, d.queues.globalVirtualTime)
+		t.Errorf("new queue at %v, want the global virtual time %v", fresh.virtualTime, d.queues.globalVirtualTime)
 	}
 }
 
-// An empty queue stays active for two of its mean interarrival times, and before a second request for as long as an
-// idle copy stays loaded.
+// An empty queue stays active for two mean interarrival times, or before the second request as long
+// as an idle copy stays loaded.
 func TestEmptyQueueStaysActiveForTwoInterarrivals(t *testing.T) {
 	d := start(t, testSettings(), ready(1)...)
 	q := d.queues.getOrCreate(7)
 	if got := d.queues.timeToLive(q); got != 8*time.Second {
-		t.Errorf("before a second call: %v, want the keep-alive", got)
+		t.Errorf("before a second request: %v, want the time to live of an idle copy", got)
 	}
 	q.meanInterarrival = 3
 	if got := d.queues.timeToLive(q); got != 6*time.Second {
-		t.Errorf("at a gap of 3 s: %v, want 6 s", got)
+		t.Errorf("with a mean interarrival time of 3 s: %v, want 6 s", got)
 	}
 }
 
-// Every controller finds the same home, and the loss of another worker does not move it.
+// All controllers choose the same home, and the removal of another worker does not change it.
 func TestHomesAgreeAndStay(t *testing.T) {
 	a, b := start(t, testSettings(), ready(1, 2, 3, 4)...), start(t, testSettings(), ready(4, 3, 2, 1)...)
 	for fn := FunctionID(1); fn < 50; fn++ {
@@ -75,21 +78,23 @@
 		if home.ID != 4 {
 			c := start(t, testSettings(), ready(1, 2, 3)...)
 			if got := walk(c, c.queues.getOrCreate(fn))[0]; got.ID != home.ID {
-				t.Errorf("function %d moved from %d to %d as worker 4 left", fn, home.ID, got.ID)
+				t.Errorf("function %d: home changed from %d to %d when worker 4 was removed", fn, home.ID, got.ID)
 			}
 		}
 	}
 }
 
-// queuesOf returns fair queues without workers, with a tick of 10 ms and idle copies that stay for eight seconds.
-func queuesOf() *fairQueues {
+// newTestQueues returns fair queues without workers, with a tick of 10 ms and idle copies that stay
+// loaded for 8 s.
+func newTestQueues() *fairQueues {
 	f := newFairQueues(&Settings{Tick: 10 * ms, Loading: Loading{IdleCopyTTL: 8 * time.Second}},
-		&ring.Ring[*worker]{Hash: ringPoint})
+		&ring.Ring[*worker]{Hash: ringPointPosition})
 	return &f
 }
 
+// The global virtual time is the lowest one of the active queues, but does not fall.
 func TestGlobalVirtualTimeIsTheLowestAndNeverFalls(t *testing.T) {
-	f := queuesOf()
+	f := newTestQueues()
 	a, b := f.getOrCreate(1), f.getOrCreate(2)
 	f.arrive(a, time.Second)
 	f.arrive(b, time.Second)
@@ -102,7 +107,7 @@
 	late := f.getOrCreate(3)
 	f.arrive(late, 2*time.Second)
 	if late.virtualTime != 2 {
-		t.Errorf("a queue that becomes active begins at %v, want the global virtual time 2", late.virtualTime)
+		t.Errorf("a queue that becomes active starts at %v, want the global virtual time 2", late.virtualTime)
 	}
 	a.virtualTime, b.virtualTime, late.virtualTime = 1, 1, 1
 	f.markDirty(a)
@@ -110,14 +115,14 @@
 	f.markDirty(late)
 	f.expire(2 * time.Second)
 	if f.globalVirtualTime != 2 {
-		t.Errorf("global virtual time fell to %v", f.globalVirtualTime)
+		t.Errorf("global virtual time fell to %v, want 2", f.globalVirtualTime)
 	}
 }
 
-// A queue with a request in flight does not expire; an empty one does after its time to live, and is forgotten once
-// nothing of it is of use.
+// A queue with a request in flight does not expire. An idle one becomes inactive after its time to
+// live, and is forgotten once its state is no longer of use.
 func TestQueueExpiresAndIsForgotten(t *testing.T) {
-	f := queuesOf()
+	f := newTestQueues()
 	q := f.getOrCreate(1)
 	f.arrive(q, time.Second)
 	f.charge(q, 1, time.Second)
@@ -132,23 +137,25 @@
 	}
 	f.expire(time.Hour + 8*time.Second)
 	if q.active || f.byFunction[1] != q {
-		t.Errorf("active %v, remembered %v at the end of its time to live", q.active, f.byFunction[1] == q)
+		t.Errorf("active %v, kept %v at the end of its time to live, want inactive and kept",
+			q.active, f.byFunction[1] == q)
 	}
 	f.expire(time.Hour + 16*time.Second + 1)
 	if len(f.byFunction) != 0 || f.expiries.Len() != 0 {
-		t.Error("remembered once nothing of it is of use")
+		t.Error("the queue is kept after its state is of no use")
 	}
 }
 
+// A queue orders its requests by arrival, ignores repeated operations, and takes no ended request.
 func TestQueueKeepsRequestsInOrderOfArrival(t *testing.T) {
-	f := queuesOf()
+	f := newTestQueues()
 	q := f.getOrCreate(1)
 	var all []*request
 	for _, at := range []time.Duration{3, 1, 2, 1} {
 		r := &request{queue: q, arrivedAt: at}
 		all = append(all, r)
 		f.enqueue(r)
-		f.enqueue(r) // again: once is enough
+		f.enqueue(r) // a repeat has no effect
 	}
 	if want := []*request{all[1], all[3], all[2], all[0]}; !slices.Equal(q.pending, want) {
 		t.Error("the requests are not in order of arrival")
@@ -158,6 +165,6 @@
 	f.dequeue(all[3])
 	f.dequeue(all[3])
 	if len(q.pending) != 3 || all[3].queued || ended.queued {
-		t.Errorf("%d requests are queued, want three", len(q.pending))
+		t.Errorf("%d requests are queued, want 3", len(q.pending))
 	}
 }
--- a/scheduler/request.go
+++ b/scheduler/request.go
@@ -5,37 +5,37 @@
 	"time"
 )
 
-// A request is open from its arrival until it has its final answer and the last of its attempts has an
-// outcome.
+// request is the state of a request, from its arrival until it has ended and each of its attempts has
+// an outcome.
 type request struct {
 	Arrival
-	queue         *queue
-	arrivedAt     time.Duration
-	answerBy      time.Duration // our own answer goes out at this time
-	attempts      []attempt
-	queued        bool          // it waits to be sent
-	ended         bool          // it needs nothing more
-	undecided     bool          // what follows an outcome is decided after the events of the step
-	unplaceable   bool          // after its objective, and no worker can take it before its end
-	observed      bool          // the admission has counted it
-	loadAllowance time.Duration // time allowed for a load that it may wait for
-	mayHedge      bool          // an attempt is given up on: another may go out beside it
+	queue             *queue
+	arrivedAt         time.Duration
+	answerDeadline    time.Duration // without an answer by then, the dispatcher rejects or fails it
+	attempts          []attempt
+	queued            bool          // waits in its queue to be sent
+	ended             bool          // answered, or its client has left
+	retryPending      bool          // an attempt has ended; whether to retry is decided after all events
+	unplaceable       bool          // past its objective, and no worker can take it before its deadline
+	admissionObserved bool          // counted by the admission
+	loadAllowance     time.Duration // added to its objective for a load that it may wait for
+	mayHedge          bool          // an attempt is given up on, and another may start beside it
 }
 
-// An attempt is one sending of a request to a worker.
+// attempt is one sending of a request to a worker.
 type attempt struct {
-	worker     *worker
-	group      int // of the worker then
-	zone       int // of the worker then
-	sentAt     time.Duration
-	work       float64 // seconds of run time that were expected
-	done       bool    // it has an outcome
-	mayHaveRun bool    // with done
-	awaitsLoad bool    // it may wait for a load: it holds no token
-	abandoned  bool    // cancelled by us
+	worker          *worker
+	group           int // group of the worker at that time
+	zone            int // zone of the worker at that time
+	sentAt          time.Duration
+	work            float64 // expected run time, seconds
+	done            bool    // has an outcome
+	mayHaveRun      bool    // valid once done is set
+	awaitsLoad      bool    // may wait for a load, and therefore holds no token of the concurrency limit
+	cancelRequested bool    // a Cancel was issued
 }
 
-// hasOutstanding tells whether an attempt has no outcome yet.
+// hasOutstanding reports whether an attempt has no outcome yet.
 func (r *request) hasOutstanding() bool {
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return !a.done })
 }
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// retryRules say which further attempt of a request keeps the promises on idempotency. They depend on what
-// is known of its attempts alone, never on load.
+// retryRules decide which attempts of a request keep the guarantees on idempotency. They depend
+// only on the request and its earlier attempts, never on load.
 //
-// An attempt that was rejected, or never reached its worker, changes nothing: any request may be sent
-// again. After one that may have run, an idempotent request may still go anywhere, and one that is not
-// idempotent nowhere. A request with an idempotency key may go to the workers that share its first
-// attempt's store of keys, while that store remembers.
+// After an attempt that was rejected or never reached its worker, any request may be sent again.
+// After an attempt that may have run, an idempotent request may be sent to any worker, and a
+// non-idempotent one to none. A request with an idempotency key may be sent to the workers that
+// share a store of keys with the first such attempt, until the dedup window ends.
 type retryRules struct {
 	classes []Class
 	limits  Limits
@@ -22,52 +22,53 @@
 	return retryRules{classes: settings.Classes, limits: settings.Limits, tick: settings.Tick}
 }
 
-// mayReject tells whether a Reject may answer a request, which tells the client that sending it again does
-// no harm.
-func (p *retryRules) mayReject(request *request) bool {
-	class := &p.classes[request.Class]
+// mayReject reports whether a request may be answered with a Reject, which tells the client that it
+// may safely send the request again.
+func (r *retryRules) mayReject(request *request) bool {
+	class := &r.classes[request.Class]
 	return class.Idempotency == Idempotent || request.firstThatMayHaveRun() == nil ||
 		class.Idempotency == IdempotentWithKey && class.DedupScope == AllWorkers
 }
 
-// maySend tells whether one more attempt of a request may go to a worker.
-func (p *retryRules) maySend(request *request, worker *worker, now time.Duration) bool {
-	if request.ended || worker.State != Ready || now >= request.answerBy {
+// maySend reports whether one more attempt of a request may go to a worker.
+func (r *retryRules) maySend(request *request, worker *worker, now time.Duration) bool {
+	if request.ended || worker.State != Ready || now >= request.answerDeadline {
 		return false
 	}
-	if len(request.attempts) >= p.limits.MaxAttempts {
+	if len(request.attempts) >= r.limits.MaxAttempts {
 		return false
 	}
-	return p.mayJoinOutstanding(request, worker) && p.keepsIdempotency(request, worker, now)
+	return r.mayHedgeAt(request, worker) && r.keepsIdempotency(request, worker, now)
 }
 
-// mayJoinOutstanding tells whether an attempt may go out beside those that have no outcome yet: only where
-// hedged requests are allowed, beside one that is given up on, and at another worker.
-func (p *retryRules) mayJoinOutstanding(request *request, worker *worker) bool {
+// mayHedgeAt reports whether an attempt may start at a worker beside the outstanding ones, if there
+// are any: hedged requests have to be allowed, and each outstanding attempt has to be given up on
+// and at another worker.
+func (r *retryRules) mayHedgeAt(request *request, worker *worker) bool {
 	for i := range request.attempts {
 		attempt := &request.attempts[i]
 		if attempt.done {
 			continue
 		}
-		givenUp := attempt.abandoned || request.mayHedge
-		if !p.limits.HedgedRequests || !givenUp || attempt.worker == worker {
+		givenUp := attempt.cancelRequested || request.mayHedge
+		if !r.limits.HedgedRequests || !givenUp || attempt.worker == worker {
 			return false
 		}
 	}
 	return true
 }
 
-// keepsIdempotency tells whether a request may run at a worker, considering that an earlier attempt may
+// keepsIdempotency reports whether a request may run at a worker although an earlier attempt may
 // have run.
-func (p *retryRules) keepsIdempotency(request *request, worker *worker, now time.Duration) bool {
+func (r *retryRules) keepsIdempotency(request *request, worker *worker, now time.Duration) bool {
 	first := request.firstThatMayHaveRun()
-	class := &p.classes[request.Class]
+	class := &r.classes[request.Class]
 	switch {
 	case first == nil || class.Idempotency == Idempotent:
 		return true
 	case class.Idempotency == NonIdempotent:
 		return false
-	case now >= first.sentAt+class.DedupWindow-p.tick:
+	case now >= first.sentAt+class.DedupWindow-r.tick:
 		return false
 	}
 	return class.DedupScope == AllWorkers ||
@@ -75,7 +76,7 @@
 		class.DedupScope == SameGroup && worker.Group == first.group
 }
 
-// firstThatMayHaveRun returns the first attempt that may have run, or may yet; nil if there is none.
+// firstThatMayHaveRun returns the first attempt that is outstanding or may have run, or nil.
 func (r *request) firstThatMayHaveRun() *attempt {
 	for i := range r.attempts {
 		if a := &r.attempts[i]; !a.done || a.mayHaveRun {
@@ -85,27 +86,29 @@
 	return nil
 }
 
-// mayHaveRun tells whether an attempt with this outcome may have run.
+// mayHaveRun reports whether an attempt with this outcome may have run.
 func (o Outcome) mayHaveRun() bool {
 	return o != AtCapacity && o != ConnectFailed && o != NotStarted && o != NotLoaded
 }
 
-// mayRetry tells whether the rules leave any worker for another attempt.
+// mayRetry reports whether the retry rules allow another attempt at any listed worker.
 func (d *Dispatcher) mayRetry(r *request) bool {
 	return slices.ContainsFunc(d.listed, func(w *worker) bool { return d.retryRules.maySend(r, w, d.now) })
 }
 
-// retry queues a request for another attempt, waits for one that is outstanding, or answers.
+// retry queues a request for another attempt, if one is allowed. Otherwise it rejects or fails the
+// request, unless an attempt is outstanding.
 func (d *Dispatcher) retry(request *request) {
 	if d.mayRetry(request) && (!request.hasOutstanding() || request.mayHedge) {
 		d.queues.enqueue(request)
 	} else if !request.hasOutstanding() {
-		d.answer(request)
+		d.rejectOrFail(request)
 	}
 }
 
-// reassign finds another worker for what waits at one that no longer answers. Where hedged requests are
-// allowed another attempt goes out beside it; otherwise it is cancelled first.
+// reassign looks for another worker for the outstanding attempts of one that no longer answers.
+// Where hedged requests are allowed, another attempt starts beside the outstanding one; otherwise
+// the outstanding one is cancelled first.
 func (d *Dispatcher) reassign(worker *worker) {
 	if worker.outstanding == 0 {
 		return
@@ -119,6 +122,7 @@
 	}
 }
 
+// reassignAttempt is reassign for one attempt of a request.
 func (d *Dispatcher) reassignAttempt(request *request, i int) {
 	limits := &d.settings.Limits
 	if request.ended || request.queued || d.class(request).Idempotency == NonIdempotent {
--- a/scheduler/retry_test.go
+++ b/scheduler/retry_test.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// What may follow an outcome, for each idempotency: another attempt, a Reject or a Fail.
+// After an outcome, the idempotency of the class decides whether there is another attempt or a
+// Fail.
 func TestOutcomeDecidesBetweenRetryRejectAndFail(t *testing.T) {
-	type want struct{ sends, refuses, fails int }
+	type want struct{ sends, rejects, fails int }
 	tests := []struct {
 		class   int
 		outcome Outcome
@@ -27,14 +28,14 @@
 			t.Fatalf("class %d: %d sends on arrival, want 1", tt.class, len(sent))
 		}
 		var got want
-		e := Event(AttemptEnded{Request: 1, Worker: sent[0].Worker, Outcome: tt.outcome, Took: 20 * ms,
+		event := Event(AttemptEnded{Request: 1, Worker: sent[0].Worker, Outcome: tt.outcome, Took: 20 * ms,
 			Complete: tt.outcome == OK})
 		for now := 1020 * ms; now < 3500*ms && got == (want{}); now += 20 * ms {
-			actions := d.Step(now, []Event{e})
+			actions := d.Step(now, []Event{event})
 			got.sends += len(actionsOf[Send](actions))
-			got.refuses += len(actionsOf[Reject](actions))
+			got.rejects += len(actionsOf[Reject](actions))
 			got.fails += len(actionsOf[Fail](actions))
-			e = Timer{}
+			event = Timer{}
 		}
 		if got != tt.want {
 			t.Errorf("class %d after outcome %d: %+v, want %+v", tt.class, tt.outcome, got, tt.want)
@@ -42,54 +43,55 @@
 	}
 }
 
-// A request with an idempotency key that may have run goes only to the group of its worker, and only within the
-// window.
+// A request with an idempotency key that may have run is only retried in the group of its worker.
 func TestKeyedRequestIsRetriedInItsGroupOnly(t *testing.T) {
-	for _, mate := range []bool{true, false} {
+	for _, hasPeer := range []bool{true, false} {
 		d := start(t, testSettings(), ready(1, 2, 3, 4)...)
 		sent := actionsOf[Send](d.Step(time.Second, []Event{arrival(1, 1, 7)}))
 		home := sent[0].Worker
-		var news []WorkerInfo
+		var peers []WorkerInfo
 		for _, w := range ready(1, 2, 3, 4) {
-			if mate && w.ID != home && len(news) == 0 {
+			if hasPeer && w.ID != home && len(peers) == 0 {
 				w.Group = int(home)
-				news = append(news, w)
+				peers = append(peers, w)
 			}
 		}
 		d.Step(1001*ms, []Event{ListUpdate{Kind: ListDelta,
-			Workers: append(news, WorkerInfo{ID: home, State: Draining})}})
+			Workers: append(peers, WorkerInfo{ID: home, State: Draining})}})
 		actions := d.Step(1020*ms, []Event{AttemptEnded{Request: 1, Worker: home, Outcome: Reset, Took: 20 * ms}})
-		again, fails := actionsOf[Send](actions), actionsOf[Fail](actions)
-		if mate && (len(again) != 1 || again[0].Worker != news[0].ID) {
-			t.Errorf("with a mate: sends %v, want one to %d", again, news[0].ID)
+		retries, fails := actionsOf[Send](actions), actionsOf[Fail](actions)
+		if hasPeer && (len(retries) != 1 || retries[0].Worker != peers[0].ID) {
+			t.Errorf("with a worker in the group: sends %v, want one to %d", retries, peers[0].ID)
 		}
-		if !mate && (len(again) != 0 || len(fails) != 1 || len(actionsOf[Reject](actions)) != 0) {
-			t.Errorf("without a mate: %v, want one Fail and nothing else", actions)
+		if !hasPeer && (len(retries) != 0 || len(fails) != 1 || len(actionsOf[Reject](actions)) != 0) {
+			t.Errorf("without a worker in the group: %v, want one Fail and no Send or Reject", actions)
 		}
 	}
 }
 
-// A request with an idempotency key that may have run is not sent again after its window, counted from that send.
+// A request with an idempotency key that may have run is not retried after its dedup window, which
+// starts with the first send.
 func TestKeyedRequestIsNotRetriedAfterItsWindow(t *testing.T) {
-	for _, at := range []time.Duration{2900 * ms, 3100 * ms} { // sent at 1 s, window 2 s
+	for _, at := range []time.Duration{2900 * ms, 3100 * ms} { // sent at 1 s, with a window of 2 s
 		s := testSettings()
 		s.Classes[1].DedupScope = AllWorkers
 		d := start(t, s, ready(1, 2)...)
 		home := actionsOf[Send](d.Step(time.Second, []Event{arrival(1, 1, 7)}))[0].Worker
-		e := []Event{AttemptEnded{Request: 1, Worker: home, Outcome: Reset}}
-		if sent := len(actionsOf[Send](d.Step(at, e))); (sent == 1) != (at < 3*time.Second) {
-			t.Errorf("reset at %v: %d further sends", at, sent)
+		events := []Event{AttemptEnded{Request: 1, Worker: home, Outcome: Reset}}
+		if sent := len(actionsOf[Send](d.Step(at, events))); (sent == 1) != (at < 3*time.Second) {
+			t.Errorf("reset at %v: %d retries", at, sent)
 		}
 	}
 }
 
-// The rules alone: which worker may have one more attempt, after attempts that may have run or not.
+// Tests maySend by itself: after earlier attempts in various states, which worker may get another
+// one.
 func TestRetryRulesKeepIdempotency(t *testing.T) {
 	s := testSettings()
 	s.Limits.HedgedRequests = true
 	rules := newRetryRules(&s)
 	first := &worker{WorkerInfo: WorkerInfo{ID: 1, State: Ready, Group: 1, Zone: 1}}
-	mate := &worker{WorkerInfo: WorkerInfo{ID: 2, State: Ready, Group: 1, Zone: 2}}
+	peer := &worker{WorkerInfo: WorkerInfo{ID: 2, State: Ready, Group: 1, Zone: 2}}
 	other := &worker{WorkerInfo: WorkerInfo{ID: 3, State: Ready, Group: 2, Zone: 1}}
 	draining := &worker{WorkerInfo: WorkerInfo{ID: 4, State: Draining, Group: 1, Zone: 1}}
 	const sentAt = 10 * time.Second
@@ -97,9 +99,9 @@
 	mayHaveRun := neverRan
 	mayHaveRun.mayHaveRun = true
 	outstanding := attempt{worker: first, group: 1, zone: 1, sentAt: sentAt}
-	givenUp := outstanding
-	givenUp.abandoned = true
-	const safe, keyed, unsafe = 0, 1, 2 // keyed: in a group, for two seconds
+	cancelled := outstanding
+	cancelled.cancelRequested = true
+	const safe, keyed, unsafe = 0, 1, 2 // keyed: same group, for 2 s
 	for _, tt := range []struct {
 		name   string
 		class  int
@@ -113,24 +115,25 @@
 		{"no time left", safe, nil, first, time.Hour, false},
 		{"never ran", unsafe, []attempt{neverRan}, first, 0, true},
 		{"idempotent that may have run", safe, []attempt{mayHaveRun}, other, 0, true},
-		{"not idempotent that may have run", unsafe, []attempt{mayHaveRun}, mate, 0, false},
-		{"with a key, in its group", keyed, []attempt{mayHaveRun}, mate, 0, true},
+		{"not idempotent that may have run", unsafe, []attempt{mayHaveRun}, peer, 0, false},
+		{"with a key, in its group", keyed, []attempt{mayHaveRun}, peer, 0, true},
 		{"with a key, outside its group", keyed, []attempt{mayHaveRun}, other, 0, false},
-		{"with a key, at the end of its window", keyed, []attempt{mayHaveRun}, mate, 2*time.Second - s.Tick, false},
+		{"with a key, at the end of its window", keyed, []attempt{mayHaveRun}, peer, 2*time.Second - s.Tick, false},
 		{"with a key that never ran, outside its group", keyed, []attempt{neverRan}, other, 0, true},
 		{"one outstanding", safe, []attempt{outstanding}, other, 0, false},
-		{"one outstanding that is given up on", safe, []attempt{givenUp}, other, 0, true},
-		{"the same worker again, with one outstanding there", safe, []attempt{givenUp}, first, 0, false},
-		{"not idempotent, one outstanding that is given up on", unsafe, []attempt{givenUp}, other, 0, false},
-		{"as many attempts as are allowed", safe, []attempt{neverRan, neverRan, neverRan}, other, 0, false},
+		{"one outstanding that was cancelled", safe, []attempt{cancelled}, other, 0, true},
+		{"one outstanding that was cancelled, at the same worker", safe, []attempt{cancelled}, first, 0, false},
+		{"not idempotent, one outstanding that was cancelled", unsafe, []attempt{cancelled}, other, 0, false},
+		{"maximum number of attempts", safe, []attempt{neverRan, neverRan, neverRan}, other, 0, false},
 	} {
-		r := &request{Arrival: Arrival{Class: tt.class}, attempts: tt.before, answerBy: sentAt + time.Minute}
+		r := &request{Arrival: Arrival{Class: tt.class}, attempts: tt.before, answerDeadline: sentAt + time.Minute}
 		if got := rules.maySend(r, tt.worker, sentAt+tt.after); got != tt.want {
 			t.Errorf("%s: may send %v, want %v", tt.name, got, tt.want)
 		}
 	}
 }
 
+// A request is answered with a Reject only if the client may safely send it again.
 func TestOnlyHarmlessRequestsAreRejected(t *testing.T) {
 	s := testSettings()
 	mayHaveRun := []attempt{{done: true, mayHaveRun: true}}
--- a/scheduler/spread_step_test.go
+++ b/scheduler/spread_step_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// From buchung-main: with few controllers to a lane their own limits bound what meets at a home, and spreading a
-// function on top scatters its copies.
+// With few controllers per lane, their concurrency limits bound the requests in flight at a home. A
+// spread in addition would scatter the copies of the function.
 func TestFewControllersDoNotSpreadAFunction(t *testing.T) {
 	for _, n := range []int{3, 100} {
 		s := testSettings()
@@ -22,56 +22,57 @@
 			}
 		}
 		if spread := d.queues.byFunction[7].spread.workers; (spread > 1) != (n == 100) {
-			t.Errorf("%d controllers: the function spreads over %v workers", n, spread)
+			t.Errorf("%d controllers: spread of %v workers", n, spread)
 		}
 	}
 }
 
-// From the full-size quiet days: a hot function's home is filled by many controllers, each with little outstanding,
-// so that whole tokens limit none of them. Answers that met all lanes taken move a part of the requests to the next
-// copy, and answers that did not bring them back.
-func TestCrowdedHomeSharesItsRequests(t *testing.T) {
+// Many controllers overload the home of a frequently called function, although each has too few
+// requests outstanding for its concurrency limit to apply. Slow answers from workers without a free
+// lane make a part of the requests start at further workers, and other answers bring them back.
+func TestBusyHomeSharesItsRequests(t *testing.T) {
 	s := testSettings()
 	s.Controllers, s.Loading.ReportsSameFunction = 100, true
 	d := start(t, s, ready(1, 2, 3, 4, 5, 6)...)
 	now, id, home := time.Second, RequestID(1), WorkerID(0)
-	run := func(calls, alike int) (away int) {
+	run := func(calls, othersInFlight int) (away int) {
 		for range calls {
 			now += 200 * ms
 			actions := d.Step(now, []Event{arrival(id, 0, 7)})
 			for i := 0; i < 5 && len(actionsOf[Send](actions)) == 0; i++ {
-				var held []Event
+				var loaded []Event
 				for _, a := range actionsOf[LoadOrder](actions) {
-					held = append(held, LoadOrderEnded{Worker: a.Worker, Function: a.Function, Outcome: OK, Copies: 1})
+					loaded = append(loaded, LoadOrderEnded{Worker: a.Worker, Function: a.Function, Outcome: OK,
+						Copies: 1})
 				}
 				now += 100 * ms
-				actions = d.Step(now, held)
+				actions = d.Step(now, loaded)
 			}
 			sent := actionsOf[Send](actions)
 			if len(sent) != 1 {
 				t.Fatalf("request %d: %d sends, want 1", id, len(sent))
 			}
 			home = max(home, sent[0].Worker*WorkerID(1-min(1, int(home))))
-			e := AttemptEnded{Request: id, Worker: sent[0].Worker, Outcome: OK, Took: 20 * ms, Complete: true,
+			ended := AttemptEnded{Request: id, Worker: sent[0].Worker, Outcome: OK, Took: 20 * ms, Complete: true,
 				Note: FoundWarm}
 			if id++; sent[0].Worker != home {
 				away++
-			} else if alike > 0 {
-				e.SameFunction, e.Took = alike, 600*ms
+			} else if othersInFlight > 0 {
+				ended.SameFunction, ended.Took = othersInFlight, 600*ms
 			}
 			now += 20 * ms
-			d.Step(now, []Event{e})
+			d.Step(now, []Event{ended})
 		}
 		return away
 	}
 	if away := run(20, 0); away != 0 {
-		t.Errorf("%d of 20 calls left an empty home", away)
+		t.Errorf("%d of 20 requests were sent away from an idle home, want none", away)
 	}
 	if away := run(40, 5); away < 15 {
-		t.Errorf("%d of 40 calls left a crowded home, want most", away)
+		t.Errorf("%d of 40 requests were sent away from a busy home, want at least 15", away)
 	}
 	run(60, 0)
 	if away := run(20, 0); away > 2 {
-		t.Errorf("%d of 20 calls still away from a home with room", away)
+		t.Errorf("%d of 20 requests were sent away from a home that is idle again, want at most 2", away)
 	}
 }
--- a/scheduler/step.go
+++ b/scheduler/step.go
@@ -7,21 +7,21 @@
 	"kitehub/scheduler/ring"
 )
 
-// A Dispatcher decides for one controller. It is not safe for concurrent use.
+// Dispatcher is the scheduler of one controller. It is not safe for concurrent use.
 type Dispatcher struct {
 	settings   Settings
 	retryRules retryRules
-	random     *rand.Rand // all draws, in the order in which decisions need them
+	random     *rand.Rand // source of all random draws
 
-	now     time.Duration // of the step
-	actions []Action      // of the step
-	wakeAt  time.Duration // last asked for
+	now     time.Duration // time of the current step
+	actions []Action      // actions of the current step
+	wakeAt  time.Duration // time of the last Wake
 
 	workers        map[WorkerID]*worker
-	listed         []*worker // listed, by id
+	listed         []*worker // workers on the endpoint list, by ID
 	ring           ring.Ring[*worker]
-	listGeneration int  // lists that came
-	ranksStale     bool // the list or the advice on workers has changed
+	listGeneration int  // number of list updates
+	ranksStale     bool // the endpoint list or the advice on workers has changed
 
 	queues       fairQueues
 	requests     map[RequestID]*request
@@ -42,8 +42,8 @@
 	candidatesExamined uint64 // see Effort
 }
 
-// New returns a dispatcher for one controller, or an error that names the setting that is wrong. All its
-// draws come from the seed.
+// New returns a dispatcher for one controller, or an error that names the invalid setting. All
+// random draws derive from the seed.
 func New(settings Settings, seed uint64) (*Dispatcher, error) {
 	if err := settings.check(); err != nil {
 		return nil, err
@@ -54,7 +54,7 @@
 		retryRules:    newRetryRules(&settings),
 		random:        random,
 		workers:       map[WorkerID]*worker{},
-		ring:          ring.Ring[*worker]{Hash: ringPoint},
+		ring:          ring.Ring[*worker]{Hash: ringPointPosition},
 		requests:      map[RequestID]*request{},
 		admission:     newAdmission(),
 		loadBudget:    newLoadBudget(settings.Loading),
@@ -65,13 +65,14 @@
 	}
 	d.queues = newFairQueues(&settings, &d.ring)
 	for _, class := range settings.Classes {
-		d.classRunTime = append(d.classRunTime, guessRun*class.LatencyObjective.Seconds())
+		d.classRunTime = append(d.classRunTime, initialRunTime*class.LatencyObjective.Seconds())
 	}
 	return d, nil
 }
 
-// Step takes the events since the last step, in their order, and returns what to do, in order. The time is
-// one of the caller's clock; one before the last step's counts as that. Between steps nothing happens.
+// Step processes the events since the last step, in order, and returns the actions to carry out, in
+// order. The time is read from the caller's clock; a time before that of the last step counts as
+// the time of the last step.
 func (d *Dispatcher) Step(now time.Duration, events []Event) []Action {
 	d.begin(now)
 	for _, event := range events {
@@ -87,14 +88,15 @@
 	return d.actions
 }
 
-// begin moves the clock.
+// begin sets the clock to the time of the step.
 func (d *Dispatcher) begin(now time.Duration) {
 	d.admission.recover(now-d.now, d.settings.Classes[0].Deadline)
 	d.now = max(now, d.now)
 	d.actions = nil
 }
 
-// apply takes in one event. Most of what follows from it is decided after all events of the step.
+// apply processes one event. Most decisions that depend on it are made after all events of the
+// step.
 func (d *Dispatcher) apply(event Event) {
 	switch event := event.(type) {
 	case ListUpdate:
@@ -128,36 +130,38 @@
 // emit adds an action to those of the step.
 func (d *Dispatcher) emit(a Action) { d.actions = append(d.actions, a) }
 
-// requestWake asks for the next step: after a tick or so, by the time of the next answer of our own. It
-// asks for none where nothing is open or remembered, or an earlier one is still to come.
+// requestWake requests the next step: after a tick or a tenth of the dial timeout, whichever is
+// longer, or earlier if the dispatcher has to answer a request before. It requests none if no
+// request is open and no function is remembered, or if an earlier Wake is still pending.
 func (d *Dispatcher) requestWake() {
 	at := d.now + max(d.settings.Tick, d.settings.Limits.DialTimeout/10)
 	for _, request := range d.openRequests {
 		if !request.ended {
-			at = min(at, max(request.answerBy, d.now+1))
+			at = min(at, max(request.answerDeadline, d.now+1))
 		}
 	}
-	asked := d.wakeAt > d.now && d.wakeAt <= at
+	pending := d.wakeAt > d.now && d.wakeAt <= at
 	idle := len(d.openRequests) == 0 && len(d.queues.byFunction) == 0
-	if asked || idle {
+	if pending || idle {
 		return
 	}
 	d.wakeAt = at
 	d.emit(Wake{At: at})
 }
 
-// BudgetHandover returns what a process that takes over this controller begins with.
+// BudgetHandover returns the state of the load budget for a process that takes over this
+// controller.
 func (d *Dispatcher) BudgetHandover() BudgetHandover { return d.loadBudget.handover() }
 
-// Effort counts what steps have examined: a measure of their cost that depends on no clock.
+// Effort counts what all steps have examined. It measures their cost independently of any clock.
 type Effort struct {
 	RingPoints    uint64 // points of the ring that were visited
 	Workers       uint64 // as candidates for a request, or for a health check
-	Queues        uint64
+	Queues        uint64 // whose index entries were updated, or that had pending requests in a dispatch
 	SummedWorkers uint64 // whose capacity was added up while a worker that is warming up was considered
 }
 
-// Effort returns the sums since the start.
+// Effort returns the counts since the dispatcher was created.
 func (d *Dispatcher) Effort() Effort {
 	return Effort{
 		RingPoints:    d.ring.Visited,
--- a/scheduler/step_test.go
+++ b/scheduler/step_test.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// The same events give the same actions, and another instance beside it changes nothing.
+// Equal events give equal actions, even with another dispatcher in the same process.
 func TestEqualEventsGiveEqualActions(t *testing.T) {
-	run := func(beside bool) (all [][]Action) {
+	run := func(withOther bool) (all [][]Action) {
 		d := start(t, testSettings(), ready(5, 3, 9, 1)...)
 		other := start(t, testSettings(), ready(1, 2)...)
 		for i := 0; i < 2000; i++ {
 			now := time.Second + time.Duration(i)*5*ms
-			e := []Event{arrival(RequestID(i+1), i%3, FunctionID(i*i%17))}
-			all = append(all, d.Step(now, e))
-			if beside {
+			events := []Event{arrival(RequestID(i+1), i%3, FunctionID(i*i%17))}
+			all = append(all, d.Step(now, events))
+			if withOther {
 				other.Step(now, []Event{arrival(RequestID(i+1), 0, FunctionID(i%5))})
 			}
 		}
@@ -28,8 +28,8 @@
 	}
 }
 
-// Functions, requests and workers that are gone leave nothing behind.
-func TestNothingIsKeptOfWhatIsOver(t *testing.T) {
+// Functions, requests and workers that are no longer in use leave no state behind.
+func TestNoStateIsLeftOfEndedWork(t *testing.T) {
 	d := start(t, testSettings(), ready(1, 2, 3)...)
 	id := RequestID(0)
 	for round := 0; round < 20; round++ {
@@ -47,27 +47,29 @@
 			for _, a := range actionsOf[Send](actions) {
 				events = append(events, AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: OK, Complete: true})
 			}
-			for _, h := range actionsOf[LoadOrder](actions) {
-				events = append(events, LoadOrderEnded{Worker: h.Worker, Function: h.Function, Outcome: OK,
-					Copies: h.Copies})
+			for _, order := range actionsOf[LoadOrder](actions) {
+				events = append(events, LoadOrderEnded{Worker: order.Worker, Function: order.Function, Outcome: OK,
+					Copies: order.Copies})
 			}
 		}
 	}
-	if len(d.queues.byFunction) > 0 || len(d.requests) > 0 || indexed(d) > 0 || len(d.workers) != 2 ||
+	if len(d.queues.byFunction) > 0 || len(d.requests) > 0 || indexEntries(d) > 0 || len(d.workers) != 2 ||
 		len(d.listed) != 2 {
-		t.Errorf("kept %d queues, %d requests, %d workers", len(d.queues.byFunction), len(d.requests), len(d.workers))
+		t.Errorf("left: %d queues, %d requests, %d workers, want 0, 0, 2", len(d.queues.byFunction),
+			len(d.requests), len(d.workers))
 	}
 }
 
-// Events about what is not known are ignored.
+// Events about unknown requests, workers, functions and classes cause no actions.
 func TestEventsAboutUnknownThingsAreIgnored(t *testing.T) {
 	d := start(t, testSettings(), ready(1)...)
 	got := d.Step(time.Second, []Event{AttemptEnded{Request: 9}, ClientClosed{9}, Timer{4},
-		LoadOrderEnded{Worker: 8, Function: 3}, ProbeEnded{Worker: 8}, ResponseStarted{Request: 9}, PeerMessageReceived{},
+		LoadOrderEnded{Worker: 8, Function: 3}, ProbeEnded{Worker: 8}, ResponseStarted{Request: 9},
+		PeerMessageReceived{},
 		ListUpdate{Kind: ListFailed}, Arrival{Request: 1, Class: 99}})
 	for _, a := range got {
 		if _, ok := a.(Wake); !ok {
-			t.Errorf("acted on unknown things: %#v", a)
+			t.Errorf("unexpected action %#v", a)
 		}
 	}
 }
--- a/scheduler/walk.go
+++ b/scheduler/walk.go
@@ -5,8 +5,9 @@
 	"slices"
 )
 
-// candidates yields the listed workers from a place of the queue's walk on, once around. Once narrow is set
-// it yields of the rest only those of which something is known of the function: no other can still matter.
+// candidates yields the listed workers of the queue's walk from an index on, once around. Once
+// narrow is set, it yields only the remaining workers that have a placement of the function, as no
+// other worker can still be selected.
 func (d *Dispatcher) candidates(queue *queue, from int, narrow *bool) iter.Seq[*worker] {
 	return func(yield func(*worker) bool) {
 		var last *worker
@@ -20,7 +21,7 @@
 		if last == nil {
 			return
 		}
-		for _, worker := range queue.knownAfter(from, last) {
+		for _, worker := range queue.placedAfter(from, last) {
 			d.candidatesExamined++
 			if !yield(worker) {
 				return
@@ -29,9 +30,9 @@
 	}
 }
 
-// knownAfter returns the listed workers of which something is known of the function and that come after one
-// in the walk that begins at a place and goes once around.
-func (q *queue) knownAfter(from int, last *worker) (known []*worker) {
+// placedAfter returns the listed workers that have a placement of the function and come after the
+// worker last in the walk that starts at index from and goes once around.
+func (q *queue) placedAfter(from int, last *worker) (placed []*worker) {
 	start := q.worker(from).member.Position(q.hash)
 	compare := func(a, b *worker) int {
 		positionA, positionB := a.member.Position(q.hash), b.member.Position(q.hash)
@@ -44,11 +45,11 @@
 		}
 		return positionA.Compare(positionB)
 	}
-	for worker := range q.placements { // sorted below: the map's order does not show
+	for worker := range q.placements { // sorted below, so that the map's order has no effect
 		if worker.State != Removed && compare(last, worker) < 0 {
-			known = append(known, worker)
+			placed = append(placed, worker)
 		}
 	}
-	slices.SortFunc(known, compare)
-	return known
+	slices.SortFunc(placed, compare)
+	return placed
 }
--- a/scheduler/walk_test.go
+++ b/scheduler/walk_test.go
@@ -7,12 +7,13 @@
 	"time"
 )
 
-// A walk finds what sorting all points finds, in any order of ranks.
+// A walk visits avoided workers last, the lowest rank at the very end, and otherwise keeps its
+// order.
 func TestWalkGoesByRank(t *testing.T) {
 	d := start(t, testSettings(), ready(1, 2, 3, 4, 5, 6, 7, 8)...)
 	q := d.queues.getOrCreate(7)
-	if q.worker(0) == nil || q.worker(1) == nil { // half of a walk
-		t.Fatal("no walk")
+	if q.worker(0) == nil || q.worker(1) == nil { // begins a walk without completing it
+		t.Fatal("the walk has no workers")
 	}
 	plain := walk(d, q)
 	d.Step(2*time.Second, []Event{WorkerRank{Worker: plain[0].ID, Rank: -2, Until: 4 * time.Second},
@@ -20,20 +21,20 @@
 	want := append(slices.Clone(plain[1:2]), plain[3:]...)
 	want = append(want, plain[2], plain[0])
 	if got := walk(d, q); !slices.Equal(got, want) {
-		t.Errorf("the walk does not begin with those that nothing is said of")
+		t.Errorf("the walk does not end with the avoided workers, in order of rank")
 	}
 	d.Step(4*time.Second, nil)
 	if got := walk(d, q); got[0] != plain[0] || got[7] != plain[2] {
-		t.Errorf("advice that ended for one worker did not end, or ended for another")
+		t.Errorf("the advice on one worker did not expire, or that on the other expired with it")
 	}
 	d.Step(5*time.Second, nil)
 	if !slices.Equal(walk(d, q), plain) {
-		t.Error("the walk is not what it was once the advice has ended")
+		t.Error("the walk differs from the first one after all advice has expired")
 	}
 }
 
-// Candidates are, once narrowed, the workers of which something is known, in the order of the whole walk from the
-// same place on.
+// Once narrowed, the candidates are the remaining workers that have a placement, in the order of
+// the walk.
 func TestNarrowedCandidatesAreThoseWithAPlacement(t *testing.T) {
 	random := rand.New(rand.NewPCG(5, 5))
 	for range 200 {
@@ -48,12 +49,12 @@
 				q.placement(w)
 			}
 		}
-		from, looked := random.IntN(len(d.listed)), 1+random.IntN(len(d.listed))
+		from, visited := random.IntN(len(d.listed)), 1+random.IntN(len(d.listed))
 		whole := walk(d, q)
 		whole = append(slices.Clone(whole[from:]), whole[:from]...)
 		var want []*worker
 		for i, w := range whole {
-			if i < looked || q.placements[w] != nil {
+			if i < visited || q.placements[w] != nil {
 				want = append(want, w)
 			}
 		}
@@ -61,11 +62,11 @@
 		narrow := false
 		for w := range d.candidates(q, from, &narrow) {
 			got = append(got, w)
-			narrow = len(got) >= looked
+			narrow = len(got) >= visited
 		}
 		if !slices.Equal(got, want) {
-			t.Fatalf("%d workers from %d, narrowed after %d: %d candidates, want %d", len(ids), from, looked,
-				len(got), len(want))
+			t.Fatalf("%d workers, start at %d, narrowed after %d: %d candidates, want %d, or another order",
+				len(ids), from, visited, len(got), len(want))
 		}
 	}
 }
