--- a/scheduler/queueindex_test.go
+++ b/scheduler/queueindex_test.go
@@ -219,7 +219,7 @@
 	past := 1100*ms + (8+8+16)*time.Second + 1 // the queue's time to live, that of an idle copy, and the warmup time
 	d.Step(past-1, nil)
 	if d.queues.byFunction[7] != q || d.queues.byFunction[8] == nil {
-		t.Fatal("forgotten before the time")
+		t.Fatal("forgotten too early")
 	}
 	d.Step(past, []Event{arrival(70, 0, 7)})
 	if d.queues.byFunction[7] != q || d.queues.byFunction[8] != nil {
