--- a/internal/harness/proxybench/bench_test.go
+++ b/internal/harness/proxybench/bench_test.go
@@ -81,7 +81,7 @@
 	for i, a := range addrs {
 		l = append(l, gateway.Worker{Name: fmt.Sprint("w", i), Network: "tcp", Addr: a, State: scheduler.Ready, Size: 1})
 	}
-	list, err := discovery.Render("c", l)
+	list, err := discovery.MarshalAssignment("c", l)
 	if err == nil {
 		err = os.WriteFile(filepath.Join(dir, "list.json"), list, 0o600)
 	}
@@ -108,7 +108,7 @@
 // unsigned is the gateway behind a front that verifies nothing: what signatures cost is the difference.
 func unsigned(t testing.TB, addrs []string) string {
 	ctl := start(t, addrs)
-	fns, err := gateway.NewFunctions(ctl.Gateway, []gateway.Spec{{Name: "g-*", Lanes: 1000, MemoryMB: 1, MaxNames: 100}})
+	fns, err := gateway.NewFunctions(ctl.Gateway, []gateway.FunctionSpec{{Name: "g-*", Lanes: 1000, MemoryMB: 1, MaxNames: 100}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/harness/scalebench/list.go
+++ b/internal/harness/scalebench/list.go
@@ -45,7 +45,7 @@
 	}
 	state := discovery.State{Cluster: "workers"}
 	for i := range load.Changes {
-		text, err := discovery.Render("workers", workers)
+		text, err := discovery.MarshalAssignment("workers", workers)
 		if err != nil {
 			return c, err
 		}
@@ -58,7 +58,7 @@
 		before := append([]gateway.Worker(nil), workers...)
 		workers[i%len(workers)] = listedWorker(load.Workers + i)
 		version := strconv.Itoa(2*i + 2)
-		changed, removed, err := discovery.Difference(before, workers, version)
+		changed, removed, err := discovery.Delta(before, workers, version)
 		if err != nil {
 			return c, err
 		}
@@ -77,7 +77,7 @@
 // noCarrier carries nothing.
 type noCarrier struct{}
 
-func (noCarrier) Send(backend.Attempt, func(backend.Result)) backend.Running                { return nil }
+func (noCarrier) Send(backend.Attempt, func(backend.Result)) backend.RunningAttempt         { return nil }
 func (noCarrier) LoadCopies(backend.LoadOrder, func(scheduler.Outcome, int, time.Duration)) {}
 func (noCarrier) Unload(scheduler.WorkerID, string)                                         {}
 func (noCarrier) Probe(scheduler.WorkerID, func(scheduler.Outcome, time.Duration, []float64)) {
@@ -92,7 +92,7 @@
 	if err != nil {
 		return err
 	}
-	if err := g.Workers(scheduler.FullList, 1, workers); err != nil {
+	if err := g.UpdateWorkers(scheduler.FullList, 1, workers); err != nil {
 		return err
 	}
 	began := processTime()
@@ -100,7 +100,7 @@
 		gone, come := workers[i%len(workers)], listedWorker(2*len(workers)+i)
 		gone.State = scheduler.Removed
 		workers[i%len(workers)] = come
-		if err := g.Workers(scheduler.ListDelta, uint32(i+2), []gateway.Worker{gone, come}); err != nil {
+		if err := g.UpdateWorkers(scheduler.ListDelta, uint32(i+2), []gateway.Worker{gone, come}); err != nil {
 			return err
 		}
 	}
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -173,7 +173,7 @@
 // avoids reports whether a request avoids a worker because of its errors. Idempotent requests do
 // not.
 func (d *Dispatcher) avoids(r *request, w *worker) bool {
-	return d.now < w.avoidUntil && d.class(r).Idempotency != Idempotent
+	return d.now < w.avoidedUntil && d.class(r).Idempotency != Idempotent
 }
 
 // mayWaitForLoad reports whether a worker may be sent a request that has to wait for a load there.
--- a/scheduler/queueindex_test.go
+++ b/scheduler/queueindex_test.go
@@ -89,12 +89,12 @@
 
 // After each step of streams with every kind of fault, the indexes equal a scan of everything.
 func TestIndexesHoldWhatExaminingAllFinds(t *testing.T) {
-	for i, c := range streamCases() {
+	for i, c := range simulationCases() {
 		if c.workers > 60 || c.functions > 300 {
 			continue
 		}
 		c.span = min(c.span, 20*time.Second)
-		playStreamWith(t, c, uint64(100+i), func(d *Dispatcher) { checkIndexes(t, d) })
+		simulateWith(t, c, uint64(100+i), func(d *Dispatcher) { checkIndexes(t, d) })
 	}
 }
 
