--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -29,7 +29,7 @@
 // remaining answers late as well.
 //
 // With many controllers the concurrency limits of the workers cannot detect this, because each
-// controller sees few answers of each worker. The answers of all workers together show it. The
+// controller sees few responses of each worker. The responses of all workers together show it. The
 // admitted fraction of new requests therefore follows, with additive increase and multiplicative
 // decrease, how many of the requests that were sent are answered on time.
 //
--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	// initialRunTime is the run time that is expected of a class before its first answer, as a
+	// initialRunTime is the run time that is expected of a class before its first response, as a
 	// fraction of its latency objective. For a function that was never served, the expected run
 	// time is also at most this fraction of the time that the request has left.
 	initialRunTime = 0.25
--- a/scheduler/doc.go
+++ b/scheduler/doc.go
@@ -24,7 +24,7 @@
 //   - spread.go: the number of workers among which a function's requests start their walk
 //   - concurrency.go: the concurrency limit of a worker, by additive increase and multiplicative
 //     decrease
-//   - outlier.go: health checks, ejection, and avoidance of workers that answer with errors
+//   - outlier.go: health checks, ejection, and avoidance of workers that respond with errors
 //   - slowstart.go: the bound on what all controllers together send to a worker that is warming up
 //   - copies.go, loadbudget.go: the copies that are believed to be loaded, and the load budget
 //   - advice.go, ranks.go: advice on copies and workers
--- a/scheduler/encoding_test.go
+++ b/scheduler/encoding_test.go
@@ -54,8 +54,8 @@
 	const format = "place=%d ring=%d ready=%t ejected=%t warming=%t copy=%t rank=%d tokens=%s busy=%d pace=%s " +
 		"loads=%d admitted=%s waiting=%d out=%d"
 	return fmt.Sprintf(format, l.RingPosition, l.RingSize, l.Ready, l.Ejected, l.WarmingUp, l.HasCopy, l.Rank,
-		exactFloat(l.Tokens), l.TokensInUse, exactFloat(l.LatencyRatio), l.AwaitingLoad, exactFloat(l.AdmittedFraction), l.Queued,
-		l.InFlight)
+		exactFloat(l.Tokens), l.TokensInUse, exactFloat(l.LatencyRatio), l.AwaitingLoad,
+		exactFloat(l.AdmittedFraction), l.Queued, l.InFlight)
 }
 
 // encodeWorkerSnapshot encodes the snapshot of a worker on one line without Go identifiers.
--- a/scheduler/events.go
+++ b/scheduler/events.go
@@ -92,8 +92,8 @@
 
 // Outcomes. After one that is marked "never ran", any request may be sent again.
 const (
-	OK            Outcome = iota + 1 // answered
-	Error                            // answered with an error
+	OK            Outcome = iota + 1 // the response was a success
+	Error                            // the response was an error
 	AtCapacity                       // rejected by the worker: never ran
 	TimedOut                         // no response in time: may have run
 	ConnectFailed                    // never ran
--- a/scheduler/queueindex_test.go
+++ b/scheduler/queueindex_test.go
@@ -110,22 +110,22 @@
 }
 
 // startAndServe returns a dispatcher that sent one request of each function at 1 s. The requests
-// were answered at 1.1 s.
+// had their responses at 1.1 s.
 func startAndServe(t *testing.T, s Settings, functions ...FunctionID) *Dispatcher {
 	t.Helper()
 	d := start(t, s, ready(1, 2, 3)...)
-	var arrivals, answers []Event
+	var arrivals, outcomes []Event
 	for i, fn := range functions {
 		arrivals = append(arrivals, arrival(RequestID(i+1), 0, fn))
 	}
 	for _, a := range actionsOf[Send](d.Step(time.Second, arrivals)) {
-		answers = append(answers, AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: OK, Complete: true,
+		outcomes = append(outcomes, AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: OK, Complete: true,
 			Note: StartedLoad, Took: 100 * ms})
 	}
-	if len(answers) != len(functions) {
-		t.Fatalf("%d of %d requests sent", len(answers), len(functions))
+	if len(outcomes) != len(functions) {
+		t.Fatalf("%d of %d requests sent", len(outcomes), len(functions))
 	}
-	d.Step(1100*ms, answers)
+	d.Step(1100*ms, outcomes)
 	return d
 }
 
@@ -266,16 +266,16 @@
 			id++
 			events = append(events, arrival(id, 0, FunctionID(id)))
 		}
-		answers := []Event{}
+		outcomes := []Event{}
 		for _, a := range actionsOf[Send](d.Step(now, events)) {
-			answers = append(answers, AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: OK,
+			outcomes = append(outcomes, AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: OK,
 				Complete: true, Note: FoundWarm, Took: ms})
 		}
-		for len(answers) > 0 { // waiting requests are sent as tokens are released
-			actions := d.Step(now, answers)
-			answers = answers[:0]
+		for len(outcomes) > 0 { // waiting requests are sent as tokens are released
+			actions := d.Step(now, outcomes)
+			outcomes = outcomes[:0]
 			for _, a := range actionsOf[Send](actions) {
-				answers = append(answers, AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: OK,
+				outcomes = append(outcomes, AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: OK,
 					Complete: true, Note: FoundWarm, Took: ms})
 			}
 		}
--- a/scheduler/request.go
+++ b/scheduler/request.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// request is the state of a request, from its arrival until it has ended and each of its attempts has
-// an outcome.
+// request is the state of a request, from its arrival until it has ended and each of its attempts
+// has an outcome.
 type request struct {
 	Arrival
 	queue             *queue
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -106,7 +106,7 @@
 	}
 }
 
-// reassign looks for another worker for the outstanding attempts of one that no longer answers.
+// reassign looks for another worker for the outstanding attempts of one that no longer responds.
 // Where hedged requests are allowed, another attempt starts beside the outstanding one; otherwise
 // the outstanding one is cancelled first.
 func (d *Dispatcher) reassign(worker *worker) {
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -164,7 +164,7 @@
 	FieldQueue                              // requests that wait at the worker
 	FieldUtilization                        // utilization, 0 to 1
 	FieldLatencyMS                          // recent latency, milliseconds
-	FieldRate                               // answers per second
+	FieldRate                               // responses per second
 	FieldErrorRate                          // errors per second
 	FieldX0                                 // see Loading.X0
 	FieldX1                                 // see Loading.X1
--- a/scheduler/spread.go
+++ b/scheduler/spread.go
@@ -3,7 +3,7 @@
 const (
 	// maxSpreadIncrease is the largest factor by which one outcome increases the spread.
 	maxSpreadIncrease = 4.0
-	// spreadDecrease multiplies the spread for each answer that is not slow.
+	// spreadDecrease multiplies the spread for each response that is not slow.
 	spreadDecrease = 0.95
 )
 
@@ -12,10 +12,11 @@
 //
 // All controllers send the requests of a function to the same home. A function with more calls than
 // one worker can serve overloads its home, although each controller keeps to its own limit. Each
-// answer tells how many other requests of the function were in flight at the worker. If the copies
-// there had too few lanes for them and the answer was slow, the spread increases. Each answer that
-// is not slow decreases it, because every further worker needs its own copy. Where few controllers
-// share a copy, their concurrency limits handle this better, and a spread would scatter the copies.
+// response tells how many other requests of the function were in flight at the worker. If the
+// copies there had too few lanes for them and the response was slow, the spread increases. Each
+// response that is not slow decreases it, because every further worker needs its own copy. Where
+// few controllers share a copy, their concurrency limits handle this better, and a spread would
+// scatter the copies.
 type spread struct {
 	workers float64 // at least 1, which is home alone
 }
--- a/scheduler/spread_step_test.go
+++ b/scheduler/spread_step_test.go
@@ -28,8 +28,9 @@
 }
 
 // Many controllers overload the home of a frequently called function, although each has too few
-// requests outstanding for its concurrency limit to apply. Slow answers from workers without a free
-// lane make a part of the requests start at further workers, and other answers bring them back.
+// requests outstanding for its concurrency limit to apply. Slow responses from workers without a
+// free lane make a part of the requests start at further workers, and other responses bring them
+// back.
 func TestBusyHomeSharesItsRequests(t *testing.T) {
 	s := testSettings()
 	s.Controllers, s.Loading.ReportsSameFunction = 100, true
--- a/scheduler/spread_test.go
+++ b/scheduler/spread_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// The spread increases with the number of requests in flight if answers are slow, and decreases
+// The spread increases with the number of requests in flight if responses are slow, and decreases
 // otherwise.
 func TestSpreadFollowsRequestsInFlight(t *testing.T) {
 	for _, tt := range []struct {
