--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -116,7 +116,7 @@
 	WarmupFraction  float64       // fraction of its capacity that a worker has at its start
 	WarmupTime      time.Duration // a worker has its whole capacity after this time
 	CollapseFactor  float64       // a worker that is warming up collapses above this multiple of its capacity
-	CollapseWindow  time.Duration // if it is sent as much for this long
+	CollapseWindow  time.Duration // time for which it has to be sent that much to collapse
 }
 
 // Goal has the weights of the values by which a deployment is judged.
@@ -127,8 +127,8 @@
 	WorstTenant float64 // value of the worst served tenant
 }
 
-// Prices are the costs that reduce the value of the answers, each for one unit of what it names as
-// the deployment counts it.
+// Prices are deducted from the value of the answers. Each is the price of one unit, as the
+// deployment counts them.
 type Prices struct {
 	Connection, CrossZone, LateFail, Discovery, Handshake, Moves, Origin, Peer, Probe, Waste float64
 }
