--- a/scheduler/concurrency.go
+++ b/scheduler/concurrency.go
@@ -7,43 +7,45 @@
 )
 
 const (
-	// initialTokens is the limit at a worker that nobody has measured yet: it does little harm
-	// there.
+	// initialTokens is the limit at a worker that has not been measured yet. It is low, so that it
+	// does little harm at a worker with a small capacity.
 	initialTokens = 2.0
 	// slowThresholdMany and slowThresholdFew are the multiples of the peers' median latency ratio
-	// from which a worker counts as slow: it has too much in flight, or a fault. Where few
-	// controllers share a copy, what each of them holds back is soon felt, so that less is enough.
+	// from which a worker counts as slow, that is, overloaded or faulty. The lower one applies
+	// where few controllers share a copy, as each controller that holds requests back then has a
+	// noticeable effect.
 	slowThresholdMany = 1.5
 	slowThresholdFew  = 1.25
-	// fewControllersPerLane is the number of controllers to one lane of a copy up to which they
-	// count as few. Above it the sum of all limits is not bounded by whole tokens: see spread.
+	// fewControllersPerLane is the number of controllers per lane of a copy up to which they count
+	// as few. With more of them, limits of whole tokens do not bound the sum of their requests: see
+	// spread.
 	fewControllersPerLane = 4.0
-	// slowDecrease multiplies the limit for each slow answer. Ten of them weigh more than the
-	// halving after a rejection.
-	slowDecrease = 0.9
-	// minSlowDecrease is the least factor for one answer, however slow, once the limit is at a
-	// token or below.
-	minSlowDecrease = 0.5
-	// minTokenStep is the least limit, and the least step of increase below one token. Where there
-	// are few controllers the step is an equal part of one token.
+	// slowDecreaseFactor multiplies the limit for each slow response. Ten of them weigh more than
+	// the halving after a rejection.
+	slowDecreaseFactor = 0.9
+	// minSlowDecreaseFactor is the lowest factor for one response, however slow, once the limit is
+	// at one token or below.
+	minSlowDecreaseFactor = 0.5
+	// minTokenStep is the lowest value both of the limit and of its increase below one token. Where
+	// there are few controllers, both are an equal part of one token: see tokenStep.
 	minTokenStep = 0.05
 )
 
-// A concurrencyLimit bounds the requests that this controller has running at one worker. Each takes
-// a token, but for those that wait for a load.
+// A concurrencyLimit bounds the requests that this controller has running at one worker. Each
+// request takes a token, except those that wait for a load.
 //
-// The worker's own limit is not known, nor what other controllers send there. So the limit follows
-// the answers, with additive increase and multiplicative decrease. An answer is slow if it came
-// after its class's objective, or if the worker's run times, compared with those usual for the
-// class, are over its peers': what slows all workers alike is no reason to send this one less.
+// The worker's own limit and the load from other controllers are not known, so the limit follows
+// the responses, with additive increase and multiplicative decrease. A response is slow if it came
+// after the latency objective of its class, or if the worker's latency ratio is too far above its
+// peers'. A slowdown of all workers alike is no reason to send less to this one.
 //
-// Below one token the worker accepts only that part of the requests, chosen by hash. That matters
-// where many controllers send a little each: one request at a time from every one of them may
+// Below one token the limit accepts only that fraction of the requests, chosen by hash. This
+// matters where many controllers send a little each: one request at a time from each of them may
 // already be too much.
 type concurrencyLimit struct {
-	tokens       float64 // requests at a time; below 1 the part of requests that is accepted
+	tokens       float64 // concurrent requests; below 1: the fraction of requests that is accepted
 	inUse        int
-	latencyRatio float64 // mean of run times over the mean of their class; 0: not known
+	latencyRatio float64 // mean run time, relative to the mean of the class; 0: not known
 }
 
 func newConcurrencyLimit() concurrencyLimit { return concurrencyLimit{tokens: initialTokens} }
@@ -52,22 +54,23 @@
 
 func (l *concurrencyLimit) release() { l.inUse-- }
 
-// available tells whether a token is free. Of a limit below 1 there is one: see accepts.
+// available reports whether a token is free. A limit below 1 has one token: see accepts.
 func (l *concurrencyLimit) available() bool { return float64(l.inUse) < max(1, math.Floor(l.tokens)) }
 
-// accepts tells whether the limit lets a request of this position, from 0 to 1, through at all.
+// accepts reports whether the limit lets a request through, given the request's hash position from
+// 0 to 1.
 func (l *concurrencyLimit) accepts(position float64) bool { return position < min(1, l.tokens) }
 
-// onResponse follows an answer after its token was released. The headroom is the latency ratio from
-// which the worker counts as slow over its present one: below 1 it is slow. Only a limit that was
-// used up is raised.
+// onResponse adjusts the limit to a response whose token has been released. The headroom is the
+// latency ratio from which the worker counts as slow, divided by its present one: below 1 the
+// worker is slow. The limit grows only if it was used up.
 func (l *concurrencyLimit) onResponse(headroom float64, late bool, step float64) {
 	slow := late || headroom < 1
 	switch {
 	case slow && l.tokens > initialTokens:
-		l.tokens *= slowDecrease
+		l.tokens *= slowDecreaseFactor
 	case slow:
-		l.tokens = max(step, min(1, l.tokens)*max(minSlowDecrease, min(slowDecrease, headroom)))
+		l.tokens = max(step, min(1, l.tokens)*max(minSlowDecreaseFactor, min(slowDecreaseFactor, headroom)))
 	case l.tokens < 1:
 		l.tokens = min(1, l.tokens+step)
 	case float64(l.inUse+1) >= math.Floor(l.tokens):
@@ -75,29 +78,31 @@
 	}
 }
 
-// onRejection halves the limit, to one token at the least: a worker at its capacity is not faulty.
+// onRejection halves the limit, but not below one token: a worker at its capacity is not faulty.
 func (l *concurrencyLimit) onRejection() { l.tokens = max(min(1, l.tokens), l.tokens/2) }
 
-// onTimeout halves the limit.
+// onTimeout halves the limit, but not below one step.
 func (l *concurrencyLimit) onTimeout(step float64) { l.tokens = max(step, l.tokens/2) }
 
-// onRestart takes back what was learnt of a worker before it started anew.
+// onRestart lowers the limit to the initial one: what was learned before the worker restarted no
+// longer holds.
 func (l *concurrencyLimit) onRestart() { l.tokens = min(l.tokens, initialTokens) }
 
-// restrictToOne begins with one token, where the worker may not be what it was.
+// restrictToOne sets the limit to one token, for a worker that may have changed since it was last
+// seen.
 func (l *concurrencyLimit) restrictToOne() { l.tokens = 1 }
 
-// tokenStep is the least limit, and the step of increase below one token.
+// tokenStep returns the lowest value of a limit, which is also its increase below one token.
 func tokenStep(controllers int) float64 { return max(minTokenStep, 1/float64(controllers)) }
 
-// manyControllers tells whether so many controllers share the lanes of a copy that the limits of
-// each do not bound the sum.
+// manyControllers reports whether so many controllers share the lanes of a copy that their limits
+// do not bound the sum of their requests.
 func manyControllers(controllers int, lanes float64) bool {
 	return float64(controllers) > fewControllersPerLane*lanes
 }
 
-// slowThreshold is the multiple of the peers' median latency ratio from which a worker counts as
-// slow.
+// slowThreshold returns the multiple of the peers' median latency ratio from which a worker counts
+// as slow.
 func slowThreshold(controllers int, lanes float64) float64 {
 	if manyControllers(controllers, lanes) {
 		return slowThresholdMany
@@ -105,15 +110,16 @@
 	return slowThresholdFew
 }
 
-// peerLatency compares a worker with its peers, by the latency ratios of all workers that are
-// listed and have answered. A slow answer of one worker among its peers is that worker's load or
-// fault; of all of them it is due to the functions or to the whole system.
+// peerLatency compares a worker with its peers, by the latency ratios of all listed workers that
+// have responded. If one worker is slower than its peers, the cause is its load or a fault of its
+// own. If all of them are slow, the cause is the functions or the whole system.
 type peerLatency struct{ ratios index.SortedFloats }
 
-// median is the usual latency ratio: 1 where none is known.
+// median returns the median latency ratio, or 1 if none is known.
 func (p *peerLatency) median() float64 { return p.ratios.Median(1) }
 
-// set changes the latency ratio of a worker, which counts for its peers only while it is listed.
+// set changes the latency ratio of a worker. It counts towards the median only while the worker is
+// listed.
 func (p *peerLatency) set(limit *concurrencyLimit, ratio float64, listed bool) {
 	if listed {
 		p.remove(limit)
@@ -124,7 +130,7 @@
 	limit.latencyRatio = ratio
 }
 
-// remove takes out a worker that leaves the list.
+// remove takes a worker that leaves the list out of the median.
 func (p *peerLatency) remove(limit *concurrencyLimit) {
 	if limit.latencyRatio > 0 {
 		p.ratios.Remove(limit.latencyRatio)
--- a/scheduler/copies.go
+++ b/scheduler/copies.go
@@ -6,42 +6,46 @@
 )
 
 const (
-	// renewalTTLFraction is the idle part of an idle copy's time to live after which an order of
-	// one copy renews it: 5 s of 8.4 s, which leaves time for an order that is late.
+	// renewalTTLFraction is the fraction of an idle copy's time to live after which an order of one
+	// copy renews it: 5 s of 8.4 s, which leaves time for an order that is late.
 	renewalTTLFraction = 0.6
-	// defaultLoadObjectives is the load time of a function that states none, in latency objectives.
+	// defaultLoadObjectives is the assumed load time of a function that states none, in latency
+	// objectives.
 	defaultLoadObjectives = 1.5
-	// maxLoadTimes is how many load times other requests wait for the request that began a load.
+	// maxLoadTimes is how long other requests wait for the request or order that began a load, in
+	// load times.
 	maxLoadTimes = 2
-	// evictionWeight is the weight of one answer in the evicted fraction.
+	// evictionWeight is the weight of one response in the evicted fraction.
 	evictionWeight = 0.02
-	// maxAdviceEvictions is the evicted fraction from which nothing more is loaded on advice alone.
+	// maxAdviceEvictions is the evicted fraction from which no copy is loaded on advice alone.
 	maxAdviceEvictions = 0.1
 )
 
-// A placement is what is known of a function at one worker. Copies are never reported: they are
-// concluded from answers, which prove one, and from the time that an idle copy stays loaded.
+// A placement is what is known of a function at one worker. Workers do not report their copies.
+// They are inferred from responses, which prove that one is loaded, and from the time that an idle
+// copy stays loaded.
 type placement struct {
-	lastSeenAt    time.Duration // when a copy last proved to be loaded; 0: never
+	lastSeenAt    time.Duration // when a copy was last known to be loaded; 0: never
 	outstanding   int           // attempts without an outcome
-	awaitingLoad  int           // of them, those that may wait for a load: the leaders of a load
-	copies        int           // loaded, as the last order reported; 0: not known
-	pendingOrders int           // orders without an answer
-	loadStartedAt time.Duration // of the last such attempt or order
+	awaitingLoad  int           // of them, those that may wait for a load
+	copies        int           // loaded copies, as the last order reported; 0: not known
+	pendingOrders int           // load orders without an outcome
+	loadStartedAt time.Duration // when the last such attempt or order was sent
 }
 
-// loading tells whether a load is under way, for a while that loads of this time may take.
+// loading reports whether a load is under way: an attempt or an order waits for one, and
+// maxLoadTimes load times have not passed since it was sent.
 func (p *placement) loading(now, loadTime time.Duration) bool {
-	begun := p != nil && (p.awaitingLoad > 0 || p.pendingOrders > 0)
-	return begun && now < p.loadStartedAt+loadTime*maxLoadTimes
+	waiting := p != nil && (p.awaitingLoad > 0 || p.pendingOrders > 0)
+	return waiting && now < p.loadStartedAt+loadTime*maxLoadTimes
 }
 
 // evictions estimates how short of memory the workers are.
 type evictions struct {
-	fraction float64 // of copies believed to be loaded that proved to be evicted
+	fraction float64 // of the copies believed to be loaded, those that turned out to be evicted
 }
 
-// observe follows an answer of a worker at which a copy was believed to be loaded.
+// observe takes in a response from a worker at which a copy was believed to be loaded.
 func (e *evictions) observe(evicted bool) {
 	e.fraction *= 1 - evictionWeight
 	if evicted {
@@ -49,27 +53,28 @@
 	}
 }
 
-// loadTime is how long a load for the request is likely to take.
+// loadTime returns how long a load for the request is expected to take.
 func (d *Dispatcher) loadTime(r *request) time.Duration {
 	return cmp.Or(r.LoadTime, seconds(defaultLoadObjectives*d.class(r).LatencyObjective.Seconds()))
 }
 
-// hasCopy tells whether a copy is believed to be loaded: one was seen, not longer ago than an idle
-// copy stays, and the worker has not started since.
+// hasCopy reports whether a copy is believed to be loaded: one was seen since the worker started,
+// and is either in use or has been idle for less than its time to live.
 func (d *Dispatcher) hasCopy(placed *placement, w *worker) bool {
 	return placed != nil && placed.lastSeenAt > 0 && placed.lastSeenAt >= w.warmingSince &&
 		(placed.outstanding > 0 || d.now-placed.lastSeenAt < d.settings.Loading.IdleCopyTTL)
 }
 
-// ensureCopy orders a copy where one will be needed soon, and tells whether one is loaded or on its
-// way.
+// ensureCopy orders a copy where one will be needed soon, and reports whether one is loaded or
+// ordered.
 func (d *Dispatcher) ensureCopy(queue *queue, worker *worker) bool {
 	placed := queue.placement(worker)
 	return placed.pendingOrders > 0 || d.hasCopy(placed, worker) ||
 		worker.loadBackoff.allows(d.now) && d.orderLoad(worker, queue.function)
 }
 
-// orderLoad orders one copy, if the budget allows it. The caller has seen that the worker is ready.
+// orderLoad orders one copy if the budget allows it, and reports whether it did. The caller has
+// checked that the worker is ready.
 func (d *Dispatcher) orderLoad(worker *worker, function FunctionID) bool {
 	if !d.loadBudget.take(d.now) {
 		return false
@@ -81,8 +86,8 @@
 	return true
 }
 
-// loadOrderEnded notes which copies are loaded. An order that failed says nothing of the worker's
-// health, but for its silence.
+// loadOrderEnded records which copies are loaded. An order that failed does not count against the
+// worker's health, unless the worker did not respond.
 func (d *Dispatcher) loadOrderEnded(ended LoadOrderEnded) {
 	worker, queue := d.workers[ended.Worker], d.queues.byFunction[ended.Function]
 	d.workerResponded(worker, ended.Outcome)
@@ -105,11 +110,11 @@
 
 // loadRejected begins a backoff at a worker that had no capacity for a copy, or failed to load it.
 func (d *Dispatcher) loadRejected(w *worker) {
-	first := defaultLoadObjectives * d.settings.Classes[0].LatencyObjective.Seconds()
-	w.loadBackoff.onRejected(d.now, first, d.settings.Loading.IdleCopyTTL)
+	base := defaultLoadObjectives * d.settings.Classes[0].LatencyObjective.Seconds()
+	w.loadBackoff.onRejected(d.now, base, d.settings.Loading.IdleCopyTTL)
 }
 
-// stageCopies orders the copies of a function that is about to be called, at the first workers of
+// stageCopies orders copies of a function that is about to be called, at the first ready workers of
 // its walk.
 func (d *Dispatcher) stageCopies(staged StagedCopies) {
 	queue := d.queues.get(staged.Function)
@@ -121,8 +126,8 @@
 	}
 }
 
-// renewCopies renews the home copies of functions that are likely to be called again, in the order
-// of the functions, as far as the budget goes.
+// renewCopies renews the home copies of functions that are likely to be called again, by function
+// ID, as far as the budget allows.
 func (d *Dispatcher) renewCopies() {
 	for queue := d.queues.nextRenewal(d.now); queue != nil; queue = d.queues.nextRenewal(d.now) {
 		i := 0
@@ -130,22 +135,22 @@
 			i++
 		}
 		if i == len(d.order) || !d.orderLoad(queue.worker(i), queue.function) {
-			return // no worker is ready, or there is no budget: for no function
+			return // no worker is ready, or the budget is used up: neither depends on the function
 		}
 		queue.lastRenewalAt = d.now
 		d.queues.touch(queue)
 	}
 }
 
-// renewalInterval is how long a copy may be idle before it is renewed.
+// renewalInterval returns how long a copy may be idle before it is renewed.
 func renewalInterval(idleCopyTTL time.Duration) time.Duration {
 	return time.Duration(renewalTTLFraction * float64(idleCopyTTL))
 }
 
-// loadDesiredCopies orders the copies that are advised: one order at a worker at a time, within
-// advice's part of the budget, and none while copies are evicted already. A copy that is loaded is
-// renewed like one that requests keep. The first pass only notes the workers that have an order,
-// whatever function it is for.
+// loadDesiredCopies orders the copies that are advised: one order per worker at a time, within the
+// fraction of the budget that advice may use, and none while too many copies are evicted. A loaded
+// copy is renewed like one that requests use. Of the two passes, the first only records which
+// workers have a pending order, for whatever function.
 func (d *Dispatcher) loadDesiredCopies() {
 	d.desiredCopies.expire(d.now)
 	for _, mayOrder := range []bool{false, true} {
@@ -155,8 +160,8 @@
 	}
 }
 
-// loadDesired goes along the walk of one function, until as many workers as copies are desired have
-// been found.
+// loadDesired follows the walk of one function until it has found as many workers as copies are
+// desired.
 func (d *Dispatcher) loadDesired(desired DesiredCopies, mayOrder bool) {
 	queue := d.queues.get(desired.Function)
 	queue.desiredUntil = desired.Until
@@ -176,7 +181,7 @@
 			worker.advisedLoadAt = thisStep
 		case d.hasCopy(placed, worker) && (placed.outstanding > 0 || d.now-lastUse < interval):
 		case !worker.loadBackoff.allows(d.now):
-			continue // the next of the walk may have capacity
+			continue // a worker further along the walk may have capacity
 		case mayOrder && worker.advisedLoadAt != thisStep && d.adviceMayLoad() &&
 			d.orderLoad(worker, queue.function):
 			worker.advisedLoadAt = thisStep
@@ -185,7 +190,7 @@
 	}
 }
 
-// adviceMayLoad tells whether a copy may be loaded on advice alone.
+// adviceMayLoad reports whether a copy may be loaded on advice alone.
 func (d *Dispatcher) adviceMayLoad() bool {
 	return d.evictions.fraction < maxAdviceEvictions && d.loadBudget.allowsAdvice(d.now)
 }
--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -9,7 +9,7 @@
 	"kitehub/scheduler/ring"
 )
 
-// A worker is one that the list has, or one that is gone with attempts outstanding.
+// A worker is a listed worker, or one that has left the list with attempts outstanding.
 type worker struct {
 	WorkerInfo
 	limit        concurrencyLimit
@@ -19,14 +19,14 @@
 	workerHealth
 	warmup
 	rank           int                   // as advised: see WorkerRank
-	advisedLoadAt  time.Duration         // the step in which it was last seen to have an order on advice
-	lastFunction   FunctionID            // that it was sent: a probe can ask for its copies
+	advisedLoadAt  time.Duration         // last step in which loadDesiredCopies saw an order there
+	lastFunction   FunctionID            // last one that it was sent: a probe can ask for its copies
 	listGeneration int                   // of the last list that named it
-	member         ring.Member[*worker]  // its place on the ring
-	placements     map[*queue]*placement // the same as the queues'
+	member         ring.Member[*worker]  // its points on the ring
+	placements     map[*queue]*placement // the same as in queue.placements
 }
 
-// updateList follows the list of workers.
+// updateList applies an update of the endpoint list.
 func (d *Dispatcher) updateList(update ListUpdate) {
 	if update.Kind == ListFailed {
 		return
@@ -49,13 +49,13 @@
 	d.buildRing()
 }
 
-// updateWorker follows one line of the list.
+// updateWorker applies one entry of the endpoint list.
 func (d *Dispatcher) updateWorker(info WorkerInfo, kind ListKind) {
 	worker := d.workers[info.ID]
 	if worker == nil {
 		worker = d.addWorker(info.ID)
 		if kind == CachedList {
-			worker.limit.restrictToOne() // the list may be out of date
+			worker.limit.restrictToOne() // the cached list may be out of date
 		}
 	}
 	if info.StartedAt > worker.StartedAt && info.StartedAt > worker.warmingSince {
@@ -76,8 +76,8 @@
 	return joined
 }
 
-// removeWorker takes a worker out that is gone, but for what is outstanding there. SortWorkers
-// drops it from the order.
+// removeWorker drops a worker that has left the list, except for its outstanding attempts. It stays
+// in the order until sortWorkers drops it.
 func (d *Dispatcher) removeWorker(worker *worker) {
 	if worker == nil {
 		return
@@ -89,7 +89,7 @@
 	d.watchList.update(worker)
 	d.outliers.untrack(&worker.workerHealth)
 	d.peerLatency.remove(&worker.limit)
-	for queue, placed := range worker.placements { // each by itself: their order does not matter
+	for queue, placed := range worker.placements { // the map's order does not matter
 		if placed.outstanding == 0 {
 			delete(queue.placements, worker)
 			delete(worker.placements, queue)
@@ -97,7 +97,8 @@
 	}
 }
 
-// sortWorkers puts the workers in order after a list, without those that are gone.
+// sortWorkers sorts the workers by ID after a change of the list, and drops those that have left
+// it.
 func (d *Dispatcher) sortWorkers() {
 	d.order = slices.DeleteFunc(d.order, func(w *worker) bool { return w.State == Removed })
 	slices.SortFunc(d.order, func(a, b *worker) int { return cmp.Compare(a.ID, b.ID) })
@@ -108,25 +109,25 @@
 	if worker.ejected == ejected {
 		return
 	}
-	if d.watchList.active {
-		// It counts as it was so far; those after it count with one more that is ejected, or one
-		// less.
+	if d.watchList.iterating {
+		// Count the workers up to this one by the old state. Those after it are counted by the new
+		// number of ejected workers.
 		d.sumCapacity(worker)
 	}
 	d.outliers.setEjected(&worker.workerHealth, ejected)
 	d.watchList.update(worker)
 }
 
-// A watchList has the listed workers whose health has to be examined, by id: those that are
+// A watchList holds the listed workers whose health has to be examined, by ID: those that are
 // ejected, and those with an attempt outstanding.
 type watchList struct {
-	workers  []*worker
-	round    []*worker // those that are examined in this step
-	active   bool      // a round is under way
-	examined uint64    // see Effort
+	workers   []*worker
+	current   []*worker // those that are examined in this step
+	iterating bool      // all is yielding them
+	examined  uint64    // see Effort
 }
 
-// update puts a worker on the list, or takes it off.
+// update adds a worker to the list or removes it, as its state requires.
 func (l *watchList) update(worker *worker) {
 	watched := worker.State != Removed && (worker.ejected || worker.outstanding > 0)
 	i, found := slices.BinarySearchFunc(l.workers, worker.ID, compareWorkerID)
@@ -139,31 +140,33 @@
 	}
 }
 
-// compareWorkerID compares a worker with an ID.
+// compareWorkerID compares the ID of a worker with another ID.
 func compareWorkerID(w *worker, id WorkerID) int { return cmp.Compare(w.ID, id) }
 
-// all yields the workers that are on the list as it begins: what is yielded may leave it.
+// all yields the workers that are on the list as the iteration begins. They may leave the list
+// meanwhile.
 func (l *watchList) all() iter.Seq[*worker] {
 	return func(yield func(*worker) bool) {
-		l.round = append(l.round[:0], l.workers...)
-		l.active = true
-		defer func() { l.active = false }()
-		l.examined += uint64(len(l.round))
-		for _, worker := range l.round {
+		l.current = append(l.current[:0], l.workers...)
+		l.iterating = true
+		defer func() { l.iterating = false }()
+		l.examined += uint64(len(l.current))
+		for _, worker := range l.current {
 			if !yield(worker) {
 				return
 			}
 		}
-		clear(l.round)
+		clear(l.current)
 	}
 }
 
-// A capacitySum is the number of workers that are ready, warming ones by their fraction. It is
-// added up in a step only when a warming worker is considered, in the order of the workers, as a
-// sum of fractions depends on it. Each counts as it was when its health was examined in this step.
+// A capacitySum is the number of ready workers, where a warming worker counts by the fraction of
+// its capacity. It is computed only in steps that consider a warming worker, and always in the
+// order of the workers, as a sum of fractions depends on the order. Each worker counts as its
+// health check found it in this step.
 type capacitySum struct {
 	total float64
-	next  int    // in the order of workers: those before are in the total
+	next  int    // index into the order of workers: those before it are in the total
 	added uint64 // see Effort
 }
 
@@ -179,7 +182,7 @@
 	return d.capacity.total
 }
 
-// sumCapacity goes on adding up, to the last one given and including it, or to the end.
+// sumCapacity continues the sum up to and including the given worker, or over all workers for nil.
 func (d *Dispatcher) sumCapacity(last *worker) {
 	for ; d.capacity.next < len(d.order); d.capacity.next++ {
 		worker := d.order[d.capacity.next]
--- a/scheduler/index/index.go
+++ b/scheduler/index/index.go
@@ -1,6 +1,8 @@
-// Package index has the containers by which a step finds what it has to examine without examining all: a heap whose
-// entries can move, a sorted list of numbers with its median, and the times within a window. They are kept as things
-// change, so that a step costs by what changed. None has a lock or a clock.
+// Package index has the containers by which a step of the scheduler finds what it has to examine
+// without examining everything: a heap whose entries can change their keys, a sorted list of
+// numbers with its median, and a sorted list of times for sliding windows. They are updated with
+// each change, so that the cost of a step grows with what has changed. None of them has a lock or a
+// clock.
 package index
 
 import (
@@ -10,24 +12,25 @@
 	"time"
 )
 
-// An Entry is a value's place in one heap. The zero value is in none. An entry is never in two heaps.
+// An Entry is a value's position in a heap. The zero value is in no heap. An entry must not be in
+// two heaps at a time.
 type Entry[K cmp.Ordered, V any] struct {
-	Value V // of the caller
+	Value V // set by the caller
 	key   K
 	slot  int // index in the heap plus 1; 0: not in it
 }
 
-// Key returns the key under which the entry is in its heap, or was last.
+// Key returns the key of the entry in its heap, or the last one that it had.
 func (e *Entry[K, V]) Key() K { return e.key }
 
-// A Heap finds the entry with the lowest key. Which of several with one key comes first is not defined. The zero
-// value is empty.
+// A Heap finds the entry with the lowest key. The order of entries with equal keys is not defined.
+// The zero value is empty.
 type Heap[K cmp.Ordered, V any] struct{ entries entries[K, V] }
 
 // Len returns the number of entries.
 func (h *Heap[K, V]) Len() int { return len(h.entries) }
 
-// Min returns the entry with the lowest key, or nil.
+// Min returns the entry with the lowest key, or nil if the heap is empty.
 func (h *Heap[K, V]) Min() *Entry[K, V] {
 	if len(h.entries) == 0 {
 		return nil
@@ -35,7 +38,7 @@
 	return h.entries[0]
 }
 
-// Set puts an entry in, or moves the one that is in, under a key.
+// Set adds an entry with a key, or changes the key of an entry that is in the heap.
 func (h *Heap[K, V]) Set(e *Entry[K, V], key K) {
 	switch {
 	case e.slot == 0:
@@ -47,17 +50,17 @@
 	}
 }
 
-// Remove takes an entry out, if it is in.
+// Remove removes an entry if it is in the heap.
 func (h *Heap[K, V]) Remove(e *Entry[K, V]) {
 	if e.slot > 0 {
 		heap.Remove(&h.entries, e.slot-1)
 	}
 }
 
-// minShrinkCapacity is the capacity up to which a heap that has shrunk keeps its memory.
+// minShrinkCapacity is the capacity up to which a heap keeps its memory when entries are removed.
 const minShrinkCapacity = 64
 
-// entries implements heap.Interface, and keeps each entry's slot.
+// entries implements heap.Interface and keeps the slot of each entry up to date.
 type entries[K cmp.Ordered, V any] []*Entry[K, V]
 
 func (all entries[K, V]) Len() int           { return len(all) }
@@ -87,47 +90,48 @@
 	return e
 }
 
-// SortedFloats are a sorted list of numbers, of which some may be equal. The zero value is empty.
+// SortedFloats is a sorted list of numbers, which may contain duplicates. The zero value is empty.
 type SortedFloats struct{ sorted []float64 }
 
-// Len returns how many there are.
+// Len returns the number of elements.
 func (n *SortedFloats) Len() int { return len(n.sorted) }
 
-// Add puts a number in.
+// Add inserts a number.
 func (n *SortedFloats) Add(x float64) {
 	i, _ := slices.BinarySearch(n.sorted, x)
 	n.sorted = slices.Insert(n.sorted, i, x)
 }
 
-// Remove takes one number of this value out, if there is one.
+// Remove removes one number of this value, if there is one.
 func (n *SortedFloats) Remove(x float64) {
 	if i, found := slices.BinarySearch(n.sorted, x); found {
 		n.sorted = slices.Delete(n.sorted, i, i+1)
 	}
 }
 
-// Median returns the middle one, of an even count the higher of both, or otherwise if there are none.
-func (n *SortedFloats) Median(otherwise float64) float64 {
+// Median returns the median, for an even count the higher of the two middle numbers. If the list is
+// empty, it returns the fallback.
+func (n *SortedFloats) Median(fallback float64) float64 {
 	if len(n.sorted) == 0 {
-		return otherwise
+		return fallback
 	}
 	return n.sorted[len(n.sorted)/2]
 }
 
-// SortedTimes are a sorted list of times that mostly grows at its end and is forgotten from its beginning. The zero value
-// is empty.
+// SortedTimes is a sorted list of times, to which most are appended in order and from which the
+// earliest are removed. The zero value is empty.
 type SortedTimes struct {
 	sorted []time.Duration
-	start  int // the first that is not forgotten
+	start  int // index of the first element; those before it have been removed
 }
 
-// Len returns how many there are.
+// Len returns the number of elements.
 func (t *SortedTimes) Len() int { return len(t.sorted) - t.start }
 
-// All returns a copy of them, the earliest first.
+// All returns a copy of the elements, the earliest first.
 func (t *SortedTimes) All() []time.Duration { return slices.Clone(t.sorted[t.start:]) }
 
-// Add puts times in.
+// Add inserts times.
 func (t *SortedTimes) Add(times ...time.Duration) {
 	for _, at := range times {
 		i := len(t.sorted)
@@ -139,7 +143,7 @@
 	}
 }
 
-// ForgetBefore takes all out that are earlier.
+// ForgetBefore removes all times before the given one.
 func (t *SortedTimes) ForgetBefore(at time.Duration) {
 	for t.start < len(t.sorted) && t.sorted[t.start] < at {
 		t.start++
--- a/scheduler/index/index_test.go
+++ b/scheduler/index/index_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// Entries come in the order of their keys, whichever were added, moved earlier, later or to never, or taken out.
+// The heap returns entries in the order of their keys, whichever of them were added, removed, or
+// given a lower, higher or maximal key.
 func TestHeapAgainstSort(t *testing.T) {
 	for seed := uint64(1); seed <= 50; seed++ {
 		random := rand.New(rand.NewPCG(seed, 1))
@@ -31,32 +32,33 @@
 				h.Set(&all[i], key)
 				in[i] = key
 			}
-			least := math.MaxInt
+			lowest := math.MaxInt
 			for _, k := range in {
-				least = min(least, k)
+				lowest = min(lowest, k)
 			}
 			if m := h.Min(); h.Len() != len(in) || len(in) == 0 != (m == nil) || m != nil &&
-				(m.Key() != least || in[m.Value] != least) {
-				t.Fatalf("seed %d: the least of %d is %+v, want key %d", seed, len(in), m, least)
+				(m.Key() != lowest || in[m.Value] != lowest) {
+				t.Fatalf("seed %d: the lowest of %d entries is %+v, want key %d", seed, len(in), m, lowest)
 			}
 		}
 		last := math.MinInt
 		for h.Len() > 0 {
 			m := h.Min()
 			if m.Key() < last || in[m.Value] != m.Key() {
-				t.Fatalf("seed %d: %d under key %d after %d, want key %d", seed, m.Value, m.Key(), last, in[m.Value])
+				t.Fatalf("seed %d: entry %d has key %d after %d, want key %d",
+					seed, m.Value, m.Key(), last, in[m.Value])
 			}
 			last = m.Key()
 			h.Remove(m)
 			delete(in, m.Value)
 		}
 		if len(in) > 0 || h.Min() != nil {
-			t.Fatalf("seed %d: %d entries never came", seed, len(in))
+			t.Fatalf("seed %d: %d entries were never returned", seed, len(in))
 		}
 	}
 }
 
-func TestHeapGivesMemoryBack(t *testing.T) {
+func TestHeapFreesMemory(t *testing.T) {
 	var h Heap[int, int]
 	all := make([]Entry[int, int], 100000)
 	for i := range all {
@@ -66,65 +68,65 @@
 		h.Remove(&all[i])
 	}
 	if c := cap(h.entries); h.Len() != 0 || c > minShrinkCapacity {
-		t.Errorf("an empty heap keeps room for %d of 100,000 entries", c)
+		t.Errorf("an empty heap has a capacity of %d after 100,000 entries", c)
 	}
 }
 
-func TestMedian(t *testing.T) {
+func TestMedianAgainstSort(t *testing.T) {
 	for seed := uint64(1); seed <= 20; seed++ {
 		random := rand.New(rand.NewPCG(seed, 2))
 		var n SortedFloats
-		var plain []float64
+		var reference []float64
 		if n.Median(7) != 7 {
-			t.Fatal("the median of none is not what was asked for")
+			t.Fatal("the median of an empty list is not the fallback")
 		}
 		for range 1000 {
 			x := float64(random.IntN(30)) / 7
-			if i := slices.Index(plain, x); i >= 0 && random.IntN(2) == 0 {
+			if i := slices.Index(reference, x); i >= 0 && random.IntN(2) == 0 {
 				n.Remove(x)
-				plain = slices.Delete(plain, i, i+1)
+				reference = slices.Delete(reference, i, i+1)
 			} else {
 				n.Add(x)
-				plain = append(plain, x)
+				reference = append(reference, x)
 			}
-			n.Remove(99) // not there
-			slices.Sort(plain)
+			n.Remove(99) // not in the list
+			slices.Sort(reference)
 			want := -1.0
-			if len(plain) > 0 {
-				want = plain[len(plain)/2]
+			if len(reference) > 0 {
+				want = reference[len(reference)/2]
 			}
-			if got := n.Median(-1); got != want || n.Len() != len(plain) {
+			if got := n.Median(-1); got != want || n.Len() != len(reference) {
 				t.Fatalf("seed %d: median of %d is %v, want %v", seed, n.Len(), got, want)
 			}
 		}
 	}
 }
 
-// Times come out as they went in, sorted, but for those that were forgotten.
-func TestTimesAgainstSort(t *testing.T) {
+// The list holds the times that were added, sorted, except those that were removed as too early.
+func TestSortedTimesAgainstSort(t *testing.T) {
 	for seed := uint64(1); seed <= 20; seed++ {
 		random := rand.New(rand.NewPCG(seed, 3))
 		var times SortedTimes
-		var plain []time.Duration
+		var reference []time.Duration
 		for now := time.Duration(0); now < 2000; now += time.Duration(random.IntN(3)) {
 			at := now
 			if random.IntN(10) == 0 {
-				at = time.Duration(random.IntN(2100)) // from elsewhere: earlier or later
+				at = time.Duration(random.IntN(2100)) // out of order: earlier or later
 			}
 			times.Add(at)
-			plain = append(plain, at)
+			reference = append(reference, at)
 			if random.IntN(4) == 0 {
 				from := now - 50
 				times.ForgetBefore(from)
-				plain = slices.DeleteFunc(plain, func(at time.Duration) bool { return at < from })
+				reference = slices.DeleteFunc(reference, func(at time.Duration) bool { return at < from })
 			}
-			slices.Sort(plain)
-			if times.Len() != len(plain) || !slices.Equal(times.All(), plain) {
-				t.Fatalf("seed %d: %v, want %v", seed, times.All(), plain)
+			slices.Sort(reference)
+			if times.Len() != len(reference) || !slices.Equal(times.All(), reference) {
+				t.Fatalf("seed %d: %v, want %v", seed, times.All(), reference)
 			}
 		}
 		if cap(times.sorted) > 1000 {
-			t.Errorf("seed %d: room for %d times is kept for %d", seed, cap(times.sorted), times.Len())
+			t.Errorf("seed %d: a capacity of %d is kept for %d times", seed, cap(times.sorted), times.Len())
 		}
 	}
 }
--- a/scheduler/loadbudget.go
+++ b/scheduler/loadbudget.go
@@ -8,43 +8,43 @@
 )
 
 const (
-	// adviceBudgetFraction is the part of the load budget that advice may use. The rest is kept for
-	// loads that requests need.
+	// adviceBudgetFraction is the fraction of the load budget that advice may use. The rest is
+	// reserved for loads that requests need.
 	adviceBudgetFraction = 0.5
 	// maxBackoffDoublings bounds the exponent of the backoff after loads that a worker rejected.
 	maxBackoffDoublings = 10
 )
 
-// A loadBudget limits how many loads this controller orders. Workers load from a store that all
-// share, so each controller keeps to a number of orders within a moving window: some that are
-// always allowed, and more for each request that came within the same window. Both are counted
+// A loadBudget limits how many loads this controller orders. Workers load from a store that all of
+// them share, so each controller keeps to a number of orders within a sliding window: some that are
+// always allowed, and more for each request that arrived within the same window. Both are counted
 // exactly, by their times.
 //
 // A process that takes over a controller continues the budget of its predecessor, which orders
 // nothing more.
 type loadBudget struct {
-	ordered    bool          // orders are allowed by the deployment at all
+	enabled    bool          // the deployment permits load orders
 	window     time.Duration // 0: no limit
-	free       float64       // orders within a window
+	free       float64       // orders that are always allowed within a window
 	ratio      float64       // further orders for each request within a window
 	arrivals   index.SortedTimes
 	orders     index.SortedTimes
-	superseded bool // another process has the budget
+	superseded bool // another process has taken over the budget
 }
 
 func newLoadBudget(loading Loading) loadBudget {
-	return loadBudget{ordered: loading.Orders, window: loading.BudgetWindow, free: loading.BudgetFree,
+	return loadBudget{enabled: loading.Orders, window: loading.BudgetWindow, free: loading.BudgetFree,
 		ratio: loading.BudgetRatio}
 }
 
-// recordArrival notes a request that earns a part of an order.
+// recordArrival counts a request, which earns a fraction of an order.
 func (b *loadBudget) recordArrival(now time.Duration) {
 	if b.window > 0 {
 		b.arrivals.Add(now)
 	}
 }
 
-// take uses up one order, if one is allowed, and tells whether it was.
+// take uses up one order if one is allowed, and reports whether it did.
 func (b *loadBudget) take(now time.Duration) bool {
 	if !b.allows(now) {
 		return false
@@ -55,11 +55,11 @@
 	return true
 }
 
-// allows tells whether an order is allowed now. It forgets what has left the window. An order
-// counts up to the end of its window and a request just short of it, so that the count errs on the
-// strict side.
+// allows reports whether an order is allowed now. It drops what has left the window. An order
+// counts up to the end of its window and a request until just before it, so that the count errs on
+// the strict side.
 func (b *loadBudget) allows(now time.Duration) bool {
-	if !b.ordered || b.superseded {
+	if !b.enabled || b.superseded {
 		return false
 	}
 	if b.window == 0 {
@@ -70,17 +70,17 @@
 	return float64(b.orders.Len()+1) <= b.limit()
 }
 
-// allowsAdvice tells whether an order on advice alone is allowed now. Its part is taken of the
-// limit as the last use of the budget left it.
+// allowsAdvice reports whether an order on advice alone is allowed now. Its fraction applies to the
+// limit as the last use of the budget left it, before expired requests are dropped.
 func (b *loadBudget) allowsAdvice(now time.Duration) bool {
-	most := adviceBudgetFraction * b.limit()
+	adviceLimit := adviceBudgetFraction * b.limit()
 	if !b.allows(now) {
 		return false
 	}
-	return b.window == 0 || float64(b.orders.Len()+1) <= most
+	return b.window == 0 || float64(b.orders.Len()+1) <= adviceLimit
 }
 
-// limit is how many orders the requests that are remembered allow within a window.
+// limit returns how many orders are allowed within a window, given the requests counted in it.
 func (b *loadBudget) limit() float64 { return b.free + b.ratio*float64(b.arrivals.Len()) }
 
 // handover returns what a process that takes over begins with.
@@ -94,23 +94,23 @@
 	b.arrivals.Add(handover.Arrivals...)
 }
 
-// A loadBackoff keeps further loads from a worker that rejected one, or failed at it, for a time
-// that doubles. Without it an order or a send that is rejected at once would be repeated at once.
+// A loadBackoff keeps further loads from a worker that rejected or failed one, for a time that
+// doubles. Without it, an order or a request that is rejected at once would be repeated at once.
 type loadBackoff struct {
 	until      time.Duration
 	rejections int // in a row
 }
 
-// allows tells whether the worker may be asked for a load at a time.
+// allows reports whether the worker may be asked for a load at the given time.
 func (b *loadBackoff) allows(at time.Duration) bool { return at >= b.until }
 
-// onRejected begins a backoff: half of first, then first, then twice as long and so on, up to the
-// longest.
-func (b *loadBackoff) onRejected(now time.Duration, first float64, longest time.Duration) {
-	span := first * math.Pow(2, float64(b.rejections)-1)
-	b.until = now + min(seconds(span), longest)
+// onRejected begins a backoff. The first lasts half of base, in seconds, and each further one twice
+// as long as the one before, up to a maximum.
+func (b *loadBackoff) onRejected(now time.Duration, base float64, maximum time.Duration) {
+	span := base * math.Pow(2, float64(b.rejections)-1)
+	b.until = now + min(seconds(span), maximum)
 	b.rejections = min(b.rejections+1, maxBackoffDoublings)
 }
 
-// onLoaded ends the row of rejections. A backoff that has begun still runs to its end.
+// onLoaded resets the doubling. A backoff that has begun still runs to its end.
 func (b *loadBackoff) onLoaded() { b.rejections = 0 }
--- a/scheduler/outlier.go
+++ b/scheduler/outlier.go
@@ -12,44 +12,46 @@
 const (
 	// maxConsecutiveFailures is the number of failures in a row that ejects a worker.
 	maxConsecutiveFailures = 2
-	// baseEjectionDialTimeouts is the time of a first ejection, in dial timeouts. It doubles for
-	// each further one.
+	// baseEjectionDialTimeouts is the duration of a first ejection, in dial timeouts. Each further
+	// one lasts twice as long.
 	baseEjectionDialTimeouts = 4.0
-	// maxEjectionWarmups is the longest time of an ejection, in warmup times.
+	// maxEjectionWarmups is the longest duration of an ejection, in warmup times.
 	maxEjectionWarmups = 0.5
-	// maxEjectionDoublings bounds the exponent of the time of an ejection.
+	// maxEjectionDoublings bounds the exponent of the duration of an ejection.
 	maxEjectionDoublings = 10
-	// errorRateExcess is how far a worker's error rate is above its peers' median when it is the
-	// worker that fails, and not the requests.
+	// errorRateExcess is how far a worker's error rate must be above its peers' median for the
+	// worker, and not the requests, to count as the cause.
 	errorRateExcess = 0.5
-	// silentRunTimes is the silence of a worker with requests, in mean run times, after which it is
-	// probed.
+	// silentRunTimes is how long a worker with outstanding attempts may be silent before it is
+	// probed, in mean run times.
 	silentRunTimes = 3.0
-	// probeDialTimeouts is how long a probe may go without an answer, in dial timeouts: a busy
-	// worker is slow to answer probes as well.
+	// probeDialTimeouts is how long a probe may go without a response, in dial timeouts. A busy
+	// worker is slow to respond to probes as well.
 	probeDialTimeouts = 3.0
 )
 
-// outlierDetector finds workers that are dead, silent or broken before the list of workers says so.
+// An outlierDetector finds workers that are dead, silent or faulty before the endpoint list says
+// so.
 //
-// Ejection: a worker that fails twice in a row without an answer, or leaves a probe unanswered,
-// gets nothing new for a time that doubles, and what waits there is sent elsewhere where the rules
-// allow it. Any answer, at the latest that of the probe at the end of that time, ends the ejection.
-// While more than half of the workers are ejected all ejections are ignored: the fault is then more
-// likely the controller's own or the network's.
+// Ejection: a worker that fails twice in a row without a response, or leaves a probe unanswered, is
+// sent nothing new for a time that doubles, and its outstanding requests are sent to other workers
+// where the rules allow it. Any response ends the ejection, at the latest the response to the probe
+// at the end of that time. While more than half of the workers are ejected, all ejections are
+// ignored: the fault is then more likely in the controller itself or in the network.
 //
-// Avoidance: a worker that answers with errors has tokens to spare, and so draws in more. What
-// cannot be repeated freely would be lost there. It passes the worker by for a growing time, unless
-// its peers fail as much, which makes it the requests' fault. Idempotent requests go on, and show
-// when it is over.
+// Avoidance: a worker that responds with errors has free tokens, and so attracts more requests.
+// Those that cannot be repeated freely would be lost there. They avoid the worker for a time that
+// grows, unless its peers fail as often, which makes the requests the cause. Idempotent requests
+// are still sent there, and show when the fault is over.
 //
-// Times are drawn with jitter, so that controllers that saw the same do not return in step.
+// Durations have jitter, so that controllers that saw the same failure do not return at the same
+// time.
 type outlierDetector struct {
 	dialTimeout time.Duration
 	warmupTime  time.Duration
 	random      *rand.Rand
-	ejected     int                // workers that are tracked and ejected
-	errorRates  index.SortedFloats // of those tracked
+	ejected     int                // tracked workers that are ejected
+	errorRates  index.SortedFloats // of the tracked workers
 }
 
 func newOutlierDetector(settings *Settings, random *rand.Rand) outlierDetector {
@@ -62,25 +64,26 @@
 
 // A workerHealth is what the outlier detector knows of one worker.
 type workerHealth struct {
-	tracked              bool          // the list has it
-	lastResponseAt       time.Duration // its last answer
-	waitingSince         time.Duration // since when something is outstanding without an answer
-	probedAt             time.Duration // of a probe that has no answer; 0: none
-	consecutiveFailures  int           // without an answer
+	tracked              bool          // the worker is listed
+	lastResponseAt       time.Duration // 0: it has not responded yet
+	waitingSince         time.Duration // since when outstanding attempts have had no response
+	probedAt             time.Duration // when the probe without a response was sent; 0: there is none
+	consecutiveFailures  int           // without a response
 	ejected              bool
 	ejectedUntil         time.Duration
-	consecutiveEjections int           // in a row, avoidances included
-	errorRate            float64       // mean part of errors among its answers
-	avoidedUntil         time.Duration // requests that are not idempotent pass it by until then
+	consecutiveEjections int           // including avoidances
+	errorRate            float64       // mean fraction of errors among its responses
+	avoidedUntil         time.Duration // until then requests that are not idempotent avoid it
 }
 
-// track begins to count a worker that the list has.
-func (o *outlierDetector) track(h *workerHealth) {
-	h.tracked = true
-	o.errorRates.Add(h.errorRate)
+// track starts counting a worker that is listed.
+func (o *outlierDetector) track(health *workerHealth) {
+	health.tracked = true
+	o.errorRates.Add(health.errorRate)
 }
 
-// untrack ends that. What is still outstanding there may change its health, but counts no more.
+// untrack stops counting a worker. Attempts outstanding there may still change its health, but no
+// longer the counts.
 func (o *outlierDetector) untrack(health *workerHealth) {
 	health.tracked = false
 	o.errorRates.Remove(health.errorRate)
@@ -89,26 +92,26 @@
 	}
 }
 
-// ignoresEjections tells whether ejections are to be ignored, of so many workers that are listed.
+// ignoresEjections reports whether ejections are ignored, given the number of listed workers.
 func (o *outlierDetector) ignoresEjections(listed int) bool { return 2*o.ejected > listed }
 
-// onFailure notes that a worker gave no answer, and tells whether it is to be ejected for it.
+// onFailure records that a worker did not respond, and reports whether it is to be ejected.
 func (o *outlierDetector) onFailure(h *workerHealth, now time.Duration) bool {
 	h.consecutiveFailures++
 	return h.consecutiveFailures >= maxConsecutiveFailures && (!h.ejected || now >= h.ejectedUntil)
 }
 
-// onSuccess notes an answer without error.
+// onSuccess records a response without an error.
 func (o *outlierDetector) onSuccess(health *workerHealth) {
 	health.consecutiveFailures = 0
 	health.consecutiveEjections = 0
 	o.setErrorRate(health, health.errorRate*(1-meanWeight))
 }
 
-// onError notes that an attempt ended otherwise. It counts as an error if it was one of the
-// worker's own.
-func (o *outlierDetector) onError(health *workerHealth, counts bool, now time.Duration) {
-	if counts {
+// onError records an attempt that ended otherwise. It raises the error rate only if the error is
+// the worker's own.
+func (o *outlierDetector) onError(health *workerHealth, ownError bool, now time.Duration) {
+	if ownError {
 		o.setErrorRate(health, health.errorRate+meanWeight*(1-health.errorRate))
 	}
 	if now >= health.avoidedUntil && health.errorRate > errorRateExcess+o.errorRates.Median(0) {
@@ -125,9 +128,10 @@
 	health.consecutiveEjections++
 }
 
-// ejectionDuration is the time of an ejection after so many others, with jitter.
-func (o *outlierDetector) ejectionDuration(before int) time.Duration {
-	doublings := float64(min(before, maxEjectionDoublings))
+// ejectionDuration returns the duration of an ejection, given the number of previous ones, with
+// jitter.
+func (o *outlierDetector) ejectionDuration(previous int) time.Duration {
+	doublings := float64(min(previous, maxEjectionDoublings))
 	span := baseEjectionDialTimeouts * float64(o.dialTimeout) * math.Pow(2, doublings)
 	span = min(span, maxEjectionWarmups*float64(o.warmupTime))
 	return time.Duration(span * (1 + jitter*(o.random.Float64()-0.5)))
@@ -152,45 +156,45 @@
 	health.errorRate = rate
 }
 
-// A healthAction is what the silence of a worker, or the end of its ejection, calls for.
+// A healthAction is what a worker's silence, or the end of its ejection, calls for.
 type healthAction int
 
 const (
 	noHealthAction healthAction = iota
-	probeSilent                 // probe it
-	probeEjected                // probe it, or end the ejection where probes are not possible
-	ejectSilent                 // eject it
+	probeSilent                 // probe a worker that is silent
+	probeEjected                // probe a worker after its ejection, or end the ejection without a probe
+	ejectSilent                 // eject a worker that left a probe unanswered
 )
 
-// dueAction returns what is due at a worker with so many attempts outstanding. Silence is the time
-// without an answer after which a worker is probed, patience the time that a probe may take.
+// dueAction returns what is due at a worker, given its number of outstanding attempts. A worker
+// without a response for the silence timeout is probed; a probe may take the probe timeout.
 func (h *workerHealth) dueAction(
-	now time.Duration, outstanding int, silence, patience time.Duration,
+	now time.Duration, outstanding int, silenceTimeout, probeTimeout time.Duration,
 ) healthAction {
-	overdue := h.probedAt > 0 && now-h.probedAt > patience
+	probeOverdue := h.probedAt > 0 && now-h.probedAt > probeTimeout
 	switch {
 	case h.ejected && now >= h.ejectedUntil && h.probedAt == 0:
 		return probeEjected
-	case h.ejected && overdue:
+	case h.ejected && probeOverdue:
 		return ejectSilent
-	case h.ejected || outstanding == 0 || now-max(h.waitingSince, h.lastResponseAt) <= silence:
+	case h.ejected || outstanding == 0 || now-max(h.waitingSince, h.lastResponseAt) <= silenceTimeout:
 		return noHealthAction
 	case h.probedAt == 0:
 		return probeSilent
-	case overdue && h.lastResponseAt < h.probedAt:
+	case probeOverdue && h.lastResponseAt < h.probedAt:
 		return ejectSilent
 	}
 	return noHealthAction
 }
 
-// checkHealth probes workers that are silent with something outstanding, ejects those that stay so,
-// and probes ejected workers at the end of their time.
+// checkHealth probes silent workers that have attempts outstanding, ejects those that remain
+// silent, and probes ejected workers at the end of their ejection.
 func (d *Dispatcher) checkHealth() {
-	silence := max(d.settings.Limits.DialTimeout, seconds(silentRunTimes*slices.Max(d.classRunTime)))
-	patience := seconds(probeDialTimeouts * d.settings.Limits.DialTimeout.Seconds())
+	silenceTimeout := max(d.settings.Limits.DialTimeout, seconds(silentRunTimes*slices.Max(d.classRunTime)))
+	probeTimeout := seconds(probeDialTimeouts * d.settings.Limits.DialTimeout.Seconds())
 	d.capacity.reset()
 	for worker := range d.watchList.all() {
-		switch worker.dueAction(d.now, worker.outstanding, silence, patience) {
+		switch worker.dueAction(d.now, worker.outstanding, silenceTimeout, probeTimeout) {
 		case probeSilent:
 			d.probe(worker)
 		case probeEjected:
@@ -203,8 +207,8 @@
 	}
 }
 
-// probe asks a worker something that costs it little, how many copies it has or a probe, and tells
-// whether it could.
+// probe asks a worker for something that costs it little, either the number of its copies or a
+// health check, and reports whether it could.
 func (d *Dispatcher) probe(worker *worker) bool {
 	switch {
 	case d.settings.Loading.Orders && worker.lastFunction != 0:
@@ -218,13 +222,13 @@
 	return true
 }
 
-// ready tells whether a worker may be sent anything new.
+// ready reports whether a worker may be sent anything new.
 func (d *Dispatcher) ready(w *worker) bool {
 	return w.State == Ready && (!w.ejected || d.outliers.ignoresEjections(len(d.order)))
 }
 
-// workerResponded notes the outcome of anything that was asked of a worker: any answer is a sign of
-// life.
+// workerResponded records the outcome of anything that was asked of a worker. Any response shows
+// that the worker is alive.
 func (d *Dispatcher) workerResponded(worker *worker, outcome Outcome) {
 	if worker == nil || outcome == Cancelled || outcome == NotStarted {
 		return
@@ -237,14 +241,14 @@
 		return
 	}
 	worker.lastResponseAt = d.now
-	if worker.ejected { // it may have started anew before the list says so
+	if worker.ejected { // it may have restarted before the list says so
 		d.setEjected(worker, false)
 		worker.consecutiveFailures = 0
 		worker.limit.restrictToOne()
 	}
 }
 
-// eject ejects a worker and reassigns what waits there.
+// eject ejects a worker and reassigns its outstanding requests.
 func (d *Dispatcher) eject(worker *worker) {
 	d.setEjected(worker, true)
 	d.outliers.eject(&worker.workerHealth, d.now)
--- a/scheduler/ring/ring_test.go
+++ b/scheduler/ring/ring_test.go
@@ -15,9 +15,9 @@
 	return x ^ x>>31
 }
 
-func place(id uint64, i int) uint64 { return mix(mix(id) + uint64(i)) }
+func pointPosition(id uint64, i int) uint64 { return mix(mix(id) + uint64(i)) }
 
-func newRing() *Ring[int] { return &Ring[int]{Hash: place} }
+func newRing() *Ring[int] { return &Ring[int]{Hash: pointPosition} }
 
 // fullRing returns a ring of members with 48 points each.
 func fullRing(members int) (*Ring[int], []*Member[int]) {
@@ -30,12 +30,13 @@
 	return r, all
 }
 
-// plainWalk is what a walk has to find, the slow way: all points sorted, each member at its first.
-func plainWalk(members []*Member[int], from uint64) (ids []uint64) {
+// referenceWalk returns what a walk has to find, by sorting all points and taking each member at
+// its first one.
+func referenceWalk(members []*Member[int], from uint64) (ids []uint64) {
 	var all []point[int]
 	for _, m := range members {
 		for i := range m.points {
-			all = append(all, point[int]{place(m.ID, i), m})
+			all = append(all, point[int]{pointPosition(m.ID, i), m})
 		}
 	}
 	slices.SortFunc(all, func(a, b point[int]) int {
@@ -54,7 +55,8 @@
 	return ids
 }
 
-func taken(w *Walk[int], n int) (ids []uint64) {
+// firstMembers returns the IDs of the first n members of a walk, or of all for a negative n.
+func firstMembers(w *Walk[int], n int) (ids []uint64) {
 	for i := 0; n < 0 || i < n; i++ {
 		m := w.At(i)
 		if m == nil {
@@ -65,7 +67,7 @@
 	return ids
 }
 
-func TestEmptyAndOne(t *testing.T) {
+func TestEmptyRingAndSingleMember(t *testing.T) {
 	r := newRing()
 	w := Walk[int]{Ring: r, From: 7}
 	if w.At(0) != nil || w.At(3) != nil || r.Len() != 0 {
@@ -78,19 +80,18 @@
 	}
 	r.Commit()
 	if w.At(0) != m || w.At(1) != nil || r.Len() != 1 {
-		t.Fatal("the one member is not all of the walk")
+		t.Fatal("the walk does not consist of the one member")
 	}
 	r.Place(m, 0, 0)
 	r.Commit()
 	if w.At(0) != nil || r.Len() != 0 || r.pointCount != 0 {
-		t.Fatal("a member that left is found")
+		t.Fatal("a member that was removed is found")
 	}
 }
 
-// Whatever changes, walks that are kept find what a walk laid out anew finds; also those that were half done, and
-// where members
-// go and come under one ID, or change their tier.
-func TestWalksFollowChanges(t *testing.T) {
+// After any changes, a walk that is used again finds what a new walk finds, also if it was only
+// partly walked, or if members leave and join with the same ID or change their tier.
+func TestWalksAcrossChangesEqualNewWalks(t *testing.T) {
 	for seed := uint64(1); seed <= 30; seed++ {
 		random := rand.New(rand.NewPCG(seed, 3))
 		r := newRing()
@@ -112,7 +113,7 @@
 					i := random.IntN(len(members))
 					r.Place(members[i], 0, 0)
 					members = slices.Delete(members, i, i+1)
-				case k == 3: // goes and returns under one ID, within one commit
+				case k == 3: // leaves and returns with the same ID within one commit
 					i := random.IntN(len(members))
 					r.Place(members[i], 0, 0)
 					members[i] = &Member[int]{ID: members[i].ID}
@@ -135,20 +136,20 @@
 			}
 			for _, w := range walks {
 				n := random.IntN(len(members)+2) - 1 // -1: all
-				want := plainWalk(members, w.From)
+				want := referenceWalk(members, w.From)
 				if n >= 0 {
 					want = want[:min(n, len(want))]
 				}
-				if got := taken(w, n); !slices.Equal(got, want) {
-					t.Fatalf("seed %d, step %d: %d members from %x: %v, want %v", seed, step, n, w.From, got, want)
+				if got := firstMembers(w, n); !slices.Equal(got, want) {
+					t.Fatalf("seed %d, step %d: %d members from %x: got %v, want %v",
+						seed, step, n, w.From, got, want)
 				}
 			}
 		}
 	}
 }
 
-// Position compares as the walk orders.
-func TestPosition(t *testing.T) {
+func TestPositionsCompareInWalkOrder(t *testing.T) {
 	r := newRing()
 	for id := uint64(1); id <= 40; id++ {
 		r.Place(&Member[int]{ID: id}, 5, int(id%3))
@@ -163,56 +164,57 @@
 	}
 }
 
-// A walk asked for few passes few points, whatever the ring's size; a change elsewhere costs it nothing.
+// A walk that is asked for few members passes few points, whatever the size of the ring, and none
+// again after a change of other points.
 func TestWalkIsLazy(t *testing.T) {
 	for _, members := range []int{36, 1000, 10000} {
 		r, all := fullRing(members)
 		w := Walk[int]{Ring: r, From: 99}
 		w.At(1)
 		if r.Visited > 40 {
-			t.Errorf("%d members: two of a walk passed %d points", members, r.Visited)
+			t.Errorf("%d members: a walk to the second member passed %d points", members, r.Visited)
 		}
-		far := all[slices.IndexFunc(all, func(m *Member[int]) bool { return !r.touchedBy(m, &w) })]
-		r.Place(far, 0, 0)
+		unpassed := all[slices.IndexFunc(all, func(m *Member[int]) bool { return !r.hasPointPassedBy(m, &w) })]
+		r.Place(unpassed, 0, 0)
 		r.Commit()
 		before := r.Visited
 		w.At(1)
 		if r.Visited != before {
-			t.Errorf("%d members: a change elsewhere had the walk pass %d points again", members, r.Visited-before)
+			t.Errorf("%d members: after a change of other points the walk passed %d points again",
+				members, r.Visited-before)
 		}
 		r.Place(w.At(0), 0, 0)
-		gone, second := w.At(0), w.At(1)
+		removed, second := w.At(0), w.At(1)
 		r.Commit()
-		if w.At(0) == gone || w.At(0) != second {
-			t.Errorf("%d members: the first left and is still found", members)
+		if w.At(0) == removed || w.At(0) != second {
+			t.Errorf("%d members: the first member of the walk was removed and is still found", members)
 		}
 	}
 }
 
-// touchedBy tells whether a member has a point within what a walk has passed.
-func (r *Ring[T]) touchedBy(m *Member[T], w *Walk[T]) bool {
+// hasPointPassedBy reports whether a member has a point within the range that a walk has passed.
+func (r *Ring[T]) hasPointPassedBy(m *Member[T], w *Walk[T]) bool {
 	return m.firstPoint(w.From)-w.From <= w.reach
 }
 
-// A ring that shrinks gives its buckets back.
-func TestShrinks(t *testing.T) {
+func TestShrinkingRingFreesBuckets(t *testing.T) {
 	r, members := fullRing(1000)
-	large := len(r.buckets)
+	initial := len(r.buckets)
 	for _, m := range members[2:] {
 		r.Place(m, 0, 0)
 		r.Commit()
 	}
-	if r.pointCount != 2*48 || len(r.buckets) > 96/minPerBucket || len(r.buckets) >= large {
-		t.Errorf("%d points in %d buckets, %d at first", r.pointCount, len(r.buckets), large)
+	if r.pointCount != 2*48 || len(r.buckets) > 96/minPointsPerBucket || len(r.buckets) >= initial {
+		t.Errorf("%d points in %d buckets, initially %d buckets", r.pointCount, len(r.buckets), initial)
 	}
 	w := Walk[int]{Ring: r, From: 12345}
-	if got, want := taken(&w, -1), plainWalk(members[:2], w.From); !slices.Equal(got, want) {
+	if got, want := firstMembers(&w, -1), referenceWalk(members[:2], w.From); !slices.Equal(got, want) {
 		t.Errorf("%v, want %v", got, want)
 	}
 }
 
-// The memory of a ring is that of its points, after any number of changes.
-func TestWhollyReplaced(t *testing.T) {
+// The memory of a ring is in proportion to its points, after any number of changes.
+func TestReplacedMembersFreeMemory(t *testing.T) {
 	r := newRing()
 	var members []*Member[int]
 	for round := range 3 {
@@ -226,16 +228,16 @@
 			r.Place(m, 48, 0)
 		}
 		r.Commit()
-		room := 0
+		capacity := 0
 		for _, b := range r.buckets {
-			room += cap(b)
+			capacity += cap(b)
 		}
-		if r.pointCount != 2000*48 || room > 4*2000*48 || r.Len() != 2000 {
-			t.Fatalf("round %d: %d points, room for %d, %d members", round, r.pointCount, room, r.Len())
+		if r.pointCount != 2000*48 || capacity > 4*2000*48 || r.Len() != 2000 {
+			t.Fatalf("round %d: %d points, capacity for %d, %d members", round, r.pointCount, capacity, r.Len())
 		}
 	}
 	w := Walk[int]{Ring: r, From: 12345}
-	if got, want := taken(&w, 50), plainWalk(members, w.From)[:50]; !slices.Equal(got, want) {
+	if got, want := firstMembers(&w, 50), referenceWalk(members, w.From)[:50]; !slices.Equal(got, want) {
 		t.Errorf("%v, want %v", got, want)
 	}
 }
--- a/scheduler/ring/walk.go
+++ b/scheduler/ring/walk.go
@@ -5,26 +5,27 @@
 	"slices"
 )
 
-// A Walk lists a ring's members in the order in which their points come after a position, as far as it was asked. It
-// outlives the changes that move no point it has passed. The zero value with Ring and From set is ready.
+// A Walk lists the members of a ring in the order in which their points follow a position, as far
+// as it is asked for. It stays valid across changes that move none of the points that it has
+// passed. It is ready to use once Ring and From are set.
 type Walk[T any] struct {
 	Ring *Ring[T]
-	From uint64 // the position at which it starts
+	From uint64 // position at which the walk starts
 
-	found       []*Member[T] // so far
-	version     uint64       // of the ring for which they hold
+	found       []*Member[T] // members found so far
+	version     uint64       // of the ring for which they are valid
 	started     bool
-	tier        int      // of the members of this round
-	passed      int      // points of this round
-	reach       uint64   // distance of the last point passed from the start
-	last        point[T] // passed
-	cursor      cursor   // the next point
-	cursorStale bool     // the ring has changed since, beyond what was passed
-	wrapped     bool     // a round has ended: every change touches it
-	ended       bool     // all members are found
+	tier        int      // of the members found in this round
+	passed      int      // number of points passed in this round
+	reach       uint64   // distance from the start to the last point passed
+	last        point[T] // last point passed
+	cursor      cursor   // at the next point
+	cursorStale bool     // the ring has changed beyond the points passed
+	wrapped     bool     // a round has ended, so that every change affects the walk
+	ended       bool     // all members have been found
 }
 
-// At returns the i-th member of the walk, or nil past the last.
+// At returns the i-th member of the walk, or nil if it has fewer.
 func (w *Walk[T]) At(i int) *Member[T] {
 	w.refresh()
 	for len(w.found) <= i && !w.ended {
@@ -36,15 +37,15 @@
 	return w.found[i]
 }
 
-// refresh starts anew where the ring has changed within what was passed.
+// refresh starts the walk again if the ring has changed within the points passed.
 func (w *Walk[T]) refresh() {
 	r := w.Ring
 	if w.started && w.version == r.version {
 		return
 	}
 	lowest, none := r.tierAfter(-1)
-	mayKeep := w.started && !w.wrapped && w.passed > 0 && lowest == w.tier
-	if mayKeep && !r.changedWithin(w.version, w.From, w.reach) {
+	keepable := w.started && !w.wrapped && w.passed > 0 && lowest == w.tier
+	if keepable && !r.changedWithin(w.version, w.From, w.reach) {
 		w.version = r.version
 		w.cursorStale = true
 		return
@@ -56,11 +57,12 @@
 	w.ended = none
 }
 
-// extend passes points until one is the first of a member of the tier, or a round ends.
+// extend passes points until one of them is the first of a member of the current tier, or until the
+// round ends.
 func (w *Walk[T]) extend() {
 	r := w.Ring
 	if w.cursorStale {
-		// The points that were passed have not moved: the next is the one after them.
+		// The points passed have not moved: the next point is the one after the last of them.
 		w.cursor = r.cursorAfter(w.last)
 		w.cursorStale = false
 	}
@@ -80,10 +82,10 @@
 	w.tier, w.ended = r.tierAfter(w.tier)
 }
 
-// A cursor is where a point is in the buckets, or one behind the last of its bucket.
+// A cursor locates a point in the buckets, or the end of a bucket.
 type cursor struct{ bucket, offset int }
 
-// cursorAt returns where the points at or after a position begin.
+// cursorAt returns the cursor of the first point at or after a position.
 func (r *Ring[T]) cursorAt(position uint64) cursor {
 	if len(r.buckets) == 0 {
 		return cursor{}
@@ -94,14 +96,15 @@
 	return cursor{bucket, offset}
 }
 
-// cursorAfter returns where the points after one that the ring has begin.
+// cursorAfter returns the cursor of the point that follows p, which is on the ring.
 func (r *Ring[T]) cursorAfter(p point[T]) cursor {
 	bucket := int(p.position >> r.shift)
 	offset, _ := slices.BinarySearchFunc(r.buckets[bucket], p, point[T].compare)
 	return cursor{bucket, offset + 1}
 }
 
-// next returns the point at a cursor and moves the cursor behind it, going round. The ring has a point.
+// next returns the point at a cursor and advances the cursor, wrapping around. The ring must have a
+// point.
 func (r *Ring[T]) next(c *cursor) point[T] {
 	for c.offset >= len(r.buckets[c.bucket]) {
 		*c = cursor{(c.bucket + 1) % len(r.buckets), 0}
@@ -110,10 +113,11 @@
 	return r.buckets[c.bucket][c.offset-1]
 }
 
-// tierAfter returns the lowest tier above one that has members; none if there is no such tier.
+// tierAfter returns the lowest tier above the given one that has members, or none if there is no
+// such tier.
 func (r *Ring[T]) tierAfter(tier int) (next int, none bool) {
 	none = true
-	for t := range r.membersByTier { // the lowest of them: their order does not matter
+	for t := range r.membersByTier { // the lowest of them: the map's order does not matter
 		if t > tier && (none || t < next) {
 			next, none = t, false
 		}
@@ -121,14 +125,15 @@
 	return next, none
 }
 
-// changedWithin tells whether a commit after a version moved a point at most reach after a position.
+// changedWithin reports whether a commit after the given version moved a point that is at most
+// reach after a position.
 func (r *Ring[T]) changedWithin(version, position, reach uint64) bool {
 	commits := r.version - version
 	if commits > uint64(len(r.changes)) {
 		return true
 	}
 	for _, c := range r.changes[uint64(len(r.changes))-commits:] {
-		if c.everything {
+		if c.allWalks {
 			return true
 		}
 		i, _ := slices.BinarySearch(c.points, position)
--- a/scheduler/slowstart_step_test.go
+++ b/scheduler/slowstart_step_test.go
@@ -94,7 +94,7 @@
 		next := RequestID(seed * 1000)
 		for now := begin + 6*time.Second; now < begin+15*time.Second; now += 4 * time.Second {
 			next++
-			d.slowStart.answeredWork += 0.1 // seconds of work that the others answered
+			d.slowStart.completedWork += 0.1 // seconds of work that the others answered
 			for _, a := range pickOut[Send](d.Step(now, []Event{arrival(next, 0, 7)})) {
 				if total++; a.Worker == home {
 					sent++
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -62,8 +62,8 @@
 		s, w := warmingUp(3)
 		s.sent(w, 0.5)
 		s.ended(w, 0.5, outcome)
-		if w.outstandingWork != 0 || w.credit != want.credit || s.answeredWork != want.answered {
-			t.Errorf("outcome %d: credit %v, answered %v, want %+v", outcome, w.credit, s.answeredWork, want)
+		if w.outstandingWork != 0 || w.credit != want.credit || s.completedWork != want.answered {
+			t.Errorf("outcome %d: credit %v, answered %v, want %+v", outcome, w.credit, s.completedWork, want)
 		}
 	}
 }
@@ -91,7 +91,7 @@
 		s.random = random
 		s.sent(w, 1) // more than may be outstanding
 		for now := time.Minute; now < time.Minute+5*time.Second; now += 100 * ms {
-			s.answeredWork += 0.001 // a hundredth of a core, as all hundred controllers see it: one core in all
+			s.completedWork += 0.001 // a hundredth of a core, as all hundred controllers see it: one core in all
 			before := w.credit
 			if s.admit(w, now, work, one) {
 				admitted += work
--- a/scheduler/snapshot.go
+++ b/scheduler/snapshot.go
@@ -7,25 +7,25 @@
 )
 
 // Snapshot is the state of a worker and a function as the dispatcher sees it, for people to read.
-// Nothing is decided by it.
+// No decision depends on it.
 type Snapshot struct {
 	RingPosition     int     `json:"Place"`    // of the worker in the function's walk; -1: not on it
-	RingSize         int     `json:"Ring"`     // workers on the ring
-	Ready            bool    `json:"Ready"`    // may be sent something new
+	RingSize         int     `json:"Ring"`     // number of workers on the ring
+	Ready            bool    `json:"Ready"`    // may be sent anything new
 	Ejected          bool    `json:"Ejected"`  // for failures
-	WarmingUp        bool    `json:"Cold"`     // started not long ago: in slow start
+	WarmingUp        bool    `json:"Cold"`     // started recently: in slow start
 	HasCopy          bool    `json:"Warm"`     // a copy is believed to be loaded
 	Rank             int     `json:"Rank"`     // as advised
 	Tokens           float64 `json:"Tokens"`   // concurrency limit at the worker
-	TokensInUse      int     `json:"Busy"`     // tokens in use
-	LatencyRatio     float64 `json:"Pace"`     // mean of its run times over its classes' means; 0: not known
-	AwaitingLoad     int     `json:"Loads"`    // attempts there that may wait for a load
-	AdmittedFraction float64 `json:"Pass"`     // of new requests
-	Queued           int     `json:"Waiting"`  // requests of the function in its queue
+	TokensInUse      int     `json:"Busy"`     // by attempts of this controller
+	LatencyRatio     float64 `json:"Pace"`     // mean run time, relative to its classes' means; 0: not known
+	AwaitingLoad     int     `json:"Loads"`    // attempts at the worker that may wait for a load
+	AdmittedFraction float64 `json:"Pass"`     // of new requests, at this controller
+	Queued           int     `json:"Waiting"`  // requests in the function's queue
 	InFlight         int     `json:"InFlight"` // attempts of the function without an outcome
 }
 
-// Snapshot returns the state of a worker and a function now. Either may be unknown.
+// Snapshot returns the current state of a worker and a function. Either may be unknown.
 func (d *Dispatcher) Snapshot(function FunctionID, id WorkerID) Snapshot {
 	snapshot := Snapshot{RingPosition: -1, RingSize: len(d.order), AdmittedFraction: d.admission.fraction}
 	worker, queue := d.workers[id], d.queues.byFunction[function]
@@ -52,7 +52,7 @@
 	return snapshot
 }
 
-// ringPosition is the place of a worker in a function's walk, or -1.
+// ringPosition returns the position of a worker in a function's walk, or -1.
 func (d *Dispatcher) ringPosition(queue *queue, id WorkerID) int {
 	for i := range d.order {
 		if queue.worker(i).ID == id {
@@ -62,7 +62,7 @@
 	return -1
 }
 
-// WorkerSnapshot is a worker as the dispatcher sees it.
+// WorkerSnapshot is the state of a worker as the dispatcher sees it.
 type WorkerSnapshot struct {
 	ID                WorkerID      `json:"ID"`
 	State             WorkerState   `json:"State"`
@@ -71,7 +71,7 @@
 	Copies            int           `json:"Copies"` // functions believed to be loaded there
 }
 
-// Workers returns all workers that are listed, by id.
+// Workers returns all listed workers, by ID.
 func (d *Dispatcher) Workers() (snapshots []WorkerSnapshot) {
 	for _, worker := range d.order {
 		snapshot := WorkerSnapshot{
@@ -93,19 +93,19 @@
 	return snapshots
 }
 
-// FunctionSnapshot is a function as the dispatcher sees it.
+// FunctionSnapshot is the state of a function as the dispatcher sees it.
 type FunctionSnapshot struct {
 	ID               FunctionID    `json:"ID"`
-	Home             WorkerID      `json:"Home"`     // the first of its walk that is ready; 0: none is
+	Home             WorkerID      `json:"Home"`     // first ready worker of its walk; 0: none
 	Queued           int           `json:"Waiting"`  // requests in its queue
 	InFlight         int           `json:"InFlight"` // attempts without an outcome
 	MeanRunTime      time.Duration `json:"Run"`      // 0: not known
 	MeanInterarrival time.Duration `json:"Gap"`      // 0: not known
 	Copies           int           `json:"Copies"`   // workers where one is believed to be loaded
-	Desired          bool          `json:"Wanted"`   // advice wants copies
+	Desired          bool          `json:"Wanted"`   // copies are advised
 }
 
-// Functions returns the functions that are remembered, by id.
+// Functions returns the functions that the dispatcher remembers, by ID.
 func (d *Dispatcher) Functions() (snapshots []FunctionSnapshot) {
 	for _, function := range slices.Sorted(maps.Keys(d.queues.byFunction)) {
 		queue := d.queues.byFunction[function]
