--- a/scheduler/concurrency_test.go
+++ b/scheduler/concurrency_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestConcurrencyLimitFollowsAnswers(t *testing.T) {
+func TestConcurrencyLimitFollowsResponses(t *testing.T) {
 	const step = 0.1
 	for _, tt := range []struct {
 		name     string
@@ -11,16 +11,16 @@
 		late     bool
 		want     float64
 	}{
-		{"used up and fast: one more", concurrencyLimit{tokens: 4, inUse: 3}, 1.2, false, 5},
+		{"used up and fast: one token more", concurrencyLimit{tokens: 4, inUse: 3}, 1.2, false, 5},
 		{"not used up: unchanged", concurrencyLimit{tokens: 4, inUse: 2}, 1.2, false, 4},
 		{"slow: a tenth less", concurrencyLimit{tokens: 10, inUse: 9}, 0.99, false, 9},
 		{"after the objective: a tenth less", concurrencyLimit{tokens: 10, inUse: 9}, 2, true, 9},
-		{"slow at the start: below one token", concurrencyLimit{tokens: 2}, 0.7, false, 0.7},
-		{"very slow: by half at most", concurrencyLimit{tokens: 1}, 0.01, false, 0.5},
-		{"after the objective, not slower: a tenth", concurrencyLimit{tokens: 1}, 3, true, 0.9},
-		{"slow at the least: the least", concurrencyLimit{tokens: 0.1}, 0.5, false, step},
-		{"fast below one token: a step", concurrencyLimit{tokens: 0.5}, 1.2, false, 0.6},
-		{"fast just below one token: one", concurrencyLimit{tokens: 0.95}, 1.2, false, 1},
+		{"slow at the initial limit: below one token", concurrencyLimit{tokens: 2}, 0.7, false, 0.7},
+		{"very slow: half at the lowest", concurrencyLimit{tokens: 1}, 0.01, false, 0.5},
+		{"after the objective, not slower than its peers: a tenth less", concurrencyLimit{tokens: 1}, 3, true, 0.9},
+		{"slow near the lowest limit: the lowest limit", concurrencyLimit{tokens: 0.1}, 0.5, false, step},
+		{"fast below one token: one step more", concurrencyLimit{tokens: 0.5}, 1.2, false, 0.6},
+		{"fast just below one token: one token", concurrencyLimit{tokens: 0.95}, 1.2, false, 1},
 	} {
 		limit := tt.before
 		limit.onResponse(tt.headroom, tt.late, step)
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestConcurrencyLimitHalves(t *testing.T) {
+func TestConcurrencyLimitHalvesOnRejectionAndTimeout(t *testing.T) {
 	for _, tt := range []struct{ before, rejected, timedOut float64 }{
 		{8, 4, 4}, {1.5, 1, 0.75}, {0.5, 0.5, 0.25}, {0.1, 0.1, 0.1},
 	} {
@@ -44,25 +44,25 @@
 	}
 }
 
-func TestConcurrencyLimitHasTokens(t *testing.T) {
+func TestConcurrencyLimitCountsTokensInUse(t *testing.T) {
 	limit := newConcurrencyLimit()
 	limit.acquire()
 	if !limit.available() {
-		t.Error("no token at one of two in use")
+		t.Error("no token is available with one of two in use")
 	}
 	limit.acquire()
 	if limit.available() {
-		t.Error("a token at two of two in use")
+		t.Error("a token is available with two of two in use")
 	}
 	limit.release()
 	limit.tokens = 1.9
 	if limit.available() {
-		t.Error("a part of a token is free")
+		t.Error("a token is available with one in use at a limit of 1.9")
 	}
 	limit.release()
 	limit.tokens = 0.3
 	if !limit.available() || !limit.accepts(0.29) || limit.accepts(0.3) {
-		t.Error("below one token, one request at a time of that part is accepted")
+		t.Error("at a limit of 0.3, want one token and the positions below 0.3 accepted")
 	}
 	limit.onRestart()
 	if limit.tokens != 0.3 {
@@ -83,10 +83,10 @@
 	}
 }
 
-func TestFewControllersCountAsSlowEarlier(t *testing.T) {
+func TestSlowThresholdIsLowerForFewControllers(t *testing.T) {
 	for controllers, want := range map[int]float64{8: slowThresholdFew, 9: slowThresholdMany} { // two lanes
 		if got := slowThreshold(controllers, 2); got != want {
-			t.Errorf("%d controllers: slow from %v, want %v", controllers, got, want)
+			t.Errorf("%d controllers: slow threshold %v, want %v", controllers, got, want)
 		}
 	}
 }
--- a/scheduler/copies_test.go
+++ b/scheduler/copies_test.go
@@ -5,26 +5,28 @@
 	"time"
 )
 
-// An idle active queue renews the copy at its home by an order of one copy.
+// The idle copy at a function's home is renewed by an order of one copy, once, while its queue is
+// active.
 func TestIdleCopyAtHomeIsRenewedOnce(t *testing.T) {
 	d := start(t, base(), ready(1, 2)...)
 	home := pickOut[Send](d.Step(time.Second, []Event{arrival(1, 0, 7)}))[0].Worker
 	d.Step(1100*ms, []Event{AttemptEnded{Request: 1, Worker: home, Outcome: OK, Complete: true, Note: FoundWarm}})
-	holds := 0
+	orders := 0
 	for now := 1200 * ms; now < 8*time.Second; now += 20 * ms {
 		for _, h := range pickOut[LoadOrder](d.Step(now, nil)) {
 			if h != (LoadOrder{Worker: home, Function: 7, Copies: 1}) || now < 1100*ms+4800*ms {
-				t.Errorf("%v: %+v", now, h)
+				t.Errorf("%v: order %+v, want one copy at the home, and none before 5.9s", now, h)
 			}
-			holds++
+			orders++
 		}
 	}
-	if holds != 1 {
-		t.Errorf("%d holds, want 1", holds)
+	if orders != 1 {
+		t.Errorf("%d load orders, want 1", orders)
 	}
 }
 
-// Staged copies are ordered within the budget, at ready workers only, and once.
+// Staged copies are ordered within the budget, at ready workers only, and not again while they are
+// being loaded or are loaded.
 func TestStagedCopiesAreOrderedOnceWithinTheBudget(t *testing.T) {
 	s := base()
 	setBudget(&s, 5*time.Second, 3, 0)
@@ -38,60 +40,61 @@
 		t.Fatalf("%+v, want two orders at two ready workers", first)
 	}
 	if l := pickOut[LoadOrder](d.Step(time.Second, []Event{StagedCopies{Function: 7, Copies: 2}})); len(l) != 0 {
-		t.Errorf("told again while they load: %+v", l)
+		t.Errorf("ordered again while they are being loaded: %+v", l)
 	}
-	var held []Event
+	var ended []Event
 	for _, h := range first {
-		held = append(held, LoadOrderEnded{Worker: h.Worker, Function: 7, Outcome: OK, Copies: 1})
+		ended = append(ended, LoadOrderEnded{Worker: h.Worker, Function: 7, Outcome: OK, Copies: 1})
 	}
-	if l := pickOut[LoadOrder](d.Step(2*time.Second, append(held, StagedCopies{Function: 7, Copies: 2}))); len(l) != 0 {
-		t.Errorf("told again while they stand: %+v", l)
+	if l := pickOut[LoadOrder](d.Step(2*time.Second,
+		append(ended, StagedCopies{Function: 7, Copies: 2}))); len(l) != 0 {
+		t.Errorf("ordered again while they are loaded: %+v", l)
 	}
 	if l := pickOut[LoadOrder](d.Step(2*time.Second, []Event{StagedCopies{Function: 8, Copies: 3}})); len(l) != 1 {
-		t.Errorf("%d orders, want the one that the limit leaves", len(l))
+		t.Errorf("%d orders, want the one that the budget leaves", len(l))
 	}
 }
 
-// From incident i45c260: an order that is rejected at once must not be repeated at once.
+// Incident i45c260: an order that is rejected at once must not be repeated at once.
 func TestRejectedLoadOrderBacksOff(t *testing.T) {
 	d := start(t, base(), ready(1, 2)...)
 	var events []Event
 	for i := 0; i < 8; i++ {
 		events = append(events, arrival(RequestID(i+1), 0, 7))
 	}
-	holds := 0
+	orders := 0
 	for now := time.Second; now < 2*time.Second; now += 10 * ms {
 		actions := d.Step(now, events)
 		events = nil
 		for _, h := range pickOut[LoadOrder](actions) {
 			if h.Copies > 0 {
-				holds++
+				orders++
 			}
 			events = append(events, LoadOrderEnded{Worker: h.Worker, Function: h.Function, Outcome: AtCapacity})
 		}
 	}
-	if holds > 4 {
-		t.Errorf("%d holds in a second to workers without room, want 4 at most", holds)
+	if orders > 4 {
+		t.Errorf("%d orders in a second to workers without capacity, want at most 4", orders)
 	}
 }
 
-func TestEvictionsFollowAnswersOfLoadedCopies(t *testing.T) {
+func TestEvictedFractionFollowsResponses(t *testing.T) {
 	var e evictions
 	for range 500 {
 		e.observe(true)
 	}
 	if e.fraction < 0.99 || e.fraction > 1 {
-		t.Errorf("%v where every copy was evicted, want nearly 1", e.fraction)
+		t.Errorf("evicted fraction %v where every copy was evicted, want nearly 1", e.fraction)
 	}
 	for range 500 {
 		e.observe(false)
 	}
 	if e.fraction > 0.01 {
-		t.Errorf("%v where no copy was evicted, want nearly 0", e.fraction)
+		t.Errorf("evicted fraction %v where no copy was evicted, want nearly 0", e.fraction)
 	}
 }
 
-func TestLoadIsUnderWayForTwoLoadTimesAtMost(t *testing.T) {
+func TestLoadIsUnderWayForAtMostTwoLoadTimes(t *testing.T) {
 	for _, tt := range []struct {
 		placed *placement
 		want   bool
@@ -103,7 +106,7 @@
 		{&placement{awaitingLoad: 1, loadStartedAt: 8 * time.Second}, false},
 	} {
 		if got := tt.placed.loading(10*time.Second, time.Second); got != tt.want {
-			t.Errorf("%+v: under way %v, want %v", tt.placed, got, tt.want)
+			t.Errorf("%+v: loading %v, want %v", tt.placed, got, tt.want)
 		}
 	}
 }
--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Nothing new, request or order, goes to a draining worker.
+// A draining worker is sent neither requests nor load orders.
 func TestDrainingWorkerGetsNothingNew(t *testing.T) {
 	d := start(t, base(), ready(1, 2)...)
 	home := pickOut[Send](d.Step(time.Second, []Event{arrival(1, 0, 7)}))[0].Worker
@@ -16,26 +16,25 @@
 	for i := 1; i < 3000; i++ {
 		now := 1200*ms + time.Duration(i)*10*ms
 		var events []Event
-		if i%600 == 0 { // far enough apart for renewals between
-
+		if i%600 == 0 { // rarely enough for renewals in between
 			events = append(events, arrival(RequestID(100+i), 0, 7))
 		}
 		actions := d.Step(now, events)
 		for _, a := range pickOut[Send](actions) {
 			if a.Worker == home {
-				t.Fatalf("%v: send to a draining worker", now)
+				t.Fatalf("%v: a request is sent to a draining worker", now)
 			}
 		}
 		for _, a := range pickOut[LoadOrder](actions) {
 			if a.Worker == home && a.Copies > 0 {
-				t.Fatalf("%v: order to a draining worker", now)
+				t.Fatalf("%v: a load order is sent to a draining worker", now)
 			}
 		}
 	}
 }
 
-// A function that is always called keeps nothing of workers that are gone, also of those that went with its requests
-// outstanding.
+// A function that is called all the time keeps nothing about workers that were removed, even if its
+// requests were outstanding there.
 func TestRemovedWorkersAreForgotten(t *testing.T) {
 	d := start(t, base(), ready(1)...)
 	for i := RequestID(1); i <= 50; i++ {
@@ -43,47 +42,48 @@
 		d.Step(time.Second, []Event{ListUpdate{Kind: FullList, Workers: ready(id)}})
 		sends := pickOut[Send](d.Step(time.Second, []Event{arrival(i, 0, 7)}))
 		if len(sends) != 1 || sends[0].Worker != id {
-			t.Fatalf("%+v", sends)
+			t.Fatalf("sends %+v, want one to worker %d", sends, id)
 		}
 		d.Step(time.Second, []Event{ListUpdate{Kind: FullList, Workers: ready(id + 1)}})
 		d.Step(time.Second, []Event{AttemptEnded{Request: i, Worker: id, Outcome: OK, Complete: true, Note: FoundWarm}})
 	}
 	if n := len(d.queues.byFunction[7].placements); n > 1 {
-		t.Errorf("%d workers remembered, one is there", n)
+		t.Errorf("%d placements, want at most one for the one listed worker", n)
 	}
 }
 
-// A worker that goes and returns under one ID within one step is another one: nothing is known of it, and what was
-// outstanding at the first does not count for the second.
-func TestWorkerThatReturnsUnderItsIDIsAnother(t *testing.T) {
-	for _, one := range []bool{true, false} {
+// A worker that leaves and returns with the same ID within one step is a new worker: nothing is
+// known about it, and attempts outstanding at the old one do not count for it.
+func TestWorkerThatReturnsWithItsIDIsNew(t *testing.T) {
+	for _, oneUpdate := range []bool{true, false} {
 		d := called(t, base(), 7)
 		sent := pickOut[Send](d.Step(2*time.Second, []Event{arrival(90, 0, 7)}))
 		old := d.workers[sent[0].Worker]
-		gone, back := old.WorkerInfo, old.WorkerInfo
-		gone.State = Removed
-		events := []Event{ListUpdate{Kind: ListDelta, Workers: []WorkerInfo{gone, back}}}
-		if !one {
-			events = []Event{ListUpdate{Kind: ListDelta, Workers: []WorkerInfo{gone}},
-				ListUpdate{Kind: ListDelta, Workers: []WorkerInfo{back}}}
+		removed, returned := old.WorkerInfo, old.WorkerInfo
+		removed.State = Removed
+		events := []Event{ListUpdate{Kind: ListDelta, Workers: []WorkerInfo{removed, returned}}}
+		if !oneUpdate {
+			events = []Event{ListUpdate{Kind: ListDelta, Workers: []WorkerInfo{removed}},
+				ListUpdate{Kind: ListDelta, Workers: []WorkerInfo{returned}}}
 		}
 		d.Step(2010*ms, events)
-		now := d.workers[old.ID]
-		if now == old || now == nil || len(now.placements) != 0 || len(d.order) != 3 {
-			t.Fatalf("in one list %v: the same worker %v, of which %d functions are known", one, now == old,
-				len(now.placements))
+		current := d.workers[old.ID]
+		if current == old || current == nil || len(current.placements) != 0 || len(d.order) != 3 {
+			t.Fatalf("in one update %v: same worker %v, with %d placements", oneUpdate, current == old,
+				len(current.placements))
 		}
 		checkIndexes(t, d)
 		d.Step(2100*ms, []Event{AttemptEnded{Request: 90, Worker: old.ID, Outcome: OK, Complete: true,
 			Note: FoundWarm, Took: 100 * ms}})
-		if now.outstanding != 0 && !slices.Contains(d.watchList.workers, now) || old.outstanding != 0 {
-			t.Errorf("in one list %v: %d out at the new one, %d at the old", one, now.outstanding, old.outstanding)
+		if current.outstanding != 0 && !slices.Contains(d.watchList.workers, current) || old.outstanding != 0 {
+			t.Errorf("in one update %v: %d attempts outstanding at the new worker, %d at the old",
+				oneUpdate, current.outstanding, old.outstanding)
 		}
 		checkIndexes(t, d)
 	}
 }
 
-// A list of 2,000 workers that is replaced completely leaves nothing of the old one.
+// After a list of 2,000 workers is replaced completely, nothing of the old one is left.
 func TestReplacedListLeavesNothingOfTheOldOne(t *testing.T) {
 	many := func(from WorkerID) (l []WorkerInfo) {
 		for id := from; id < from+2000; id++ {
@@ -97,11 +97,12 @@
 		sent = append(sent, pickOut[Send](d.Step(2*time.Second, []Event{arrival(i+1, 0, FunctionID(i+1))}))...)
 	}
 	if len(sent) < 290 {
-		t.Fatalf("%d of 300 sent: the test tests too little", len(sent))
+		t.Fatalf("%d of 300 requests sent, want at least 290 for the test to mean anything", len(sent))
 	}
 	d.Step(3*time.Second, []Event{ListUpdate{Kind: FullList, Workers: many(5000)}})
 	if len(d.order) != 2000 || d.order[0].ID != 5000 || d.ring.Len() != 2000 {
-		t.Errorf("%d listed from %d on, %d on the ring", len(d.order), d.order[0].ID, d.ring.Len())
+		t.Errorf("%d workers listed from ID %d on, %d on the ring, want 2000 from 5000 on",
+			len(d.order), d.order[0].ID, d.ring.Len())
 	}
 	checkIndexes(t, d)
 	var answers []Event
@@ -113,29 +114,29 @@
 	for fn, q := range d.queues.byFunction {
 		for w := range q.placements {
 			if w.State == Removed {
-				t.Fatalf("function %d: worker %d is still known", fn, w.ID)
+				t.Fatalf("function %d has a placement at removed worker %d", fn, w.ID)
 			}
 		}
 	}
 	checkIndexes(t, d)
 }
 
-// Workers are in the order of their IDs, whatever order they came in.
+// Workers are in the order of their IDs, whatever order they were listed in.
 func TestWorkersAreOrderedByID(t *testing.T) {
 	d := start(t, base(), ready(5, 2, 9)...)
 	d.Step(2*time.Second, []Event{ListUpdate{Kind: ListDelta, Workers: ready(1, 7, 3)}})
 	if !slices.IsSortedFunc(d.order, byID) || len(d.order) != 6 {
-		t.Errorf("%d workers, sorted %v", len(d.order), slices.IsSortedFunc(d.order, byID))
+		t.Errorf("%d workers, sorted by ID %v, want 6 that are", len(d.order), slices.IsSortedFunc(d.order, byID))
 	}
 	checkIndexes(t, d)
 }
 
-// The capacity of ready workers is that which the health checks found as they came to each, though it is added up
-// later: a check may end an ejection on the way, and with it the others are no longer more than the half from which
-// ejections are ignored.
-func TestCapacityCountsWorkersAsHealthChecksFoundThem(t *testing.T) {
+// The capacity of ready workers counts each worker as its health check found it, although it is
+// added up later. A health check may end an ejection, after which no more than half of the workers
+// are ejected and the ejections of the others are no longer ignored.
+func TestCapacityCountsWorkersAsTheirHealthCheckFoundThem(t *testing.T) {
 	s := base()
-	s.Loading.Orders, s.Limits.Probe = false, false // a worker that cannot be asked is taken back when its time is over
+	s.Loading.Orders, s.Limits.Probe = false, false // without a probe, an ejection ends when its time is over
 	d := called(t, s, 7)
 	first, second := d.order[0], d.order[1]
 	d.setEjected(first, true)
@@ -144,15 +145,15 @@
 	d.now = time.Minute
 	d.checkHealth()
 	if !first.ejected || second.ejected || d.Effort().Summed > 2 {
-		t.Fatalf("ejected %v and %v, want the first only; %d shares added up on the way, want 2 at the most",
+		t.Fatalf("ejected %v and %v, want only the first; %d workers added up meanwhile, want at most 2",
 			first.ejected, second.ejected, d.Effort().Summed)
 	}
 	if got := d.readyCapacity(); got != 3 {
-		t.Errorf("%v ready, want all 3: two of three were under suspicion when health came to the first two", got)
+		t.Errorf("capacity %v, want 3: ejections were ignored at the health checks of the first two workers", got)
 	}
 	d.checkHealth()
 	if got := d.readyCapacity(); got != 2 {
-		t.Errorf("%v ready in the next step, want 2", got)
+		t.Errorf("capacity %v in the next step, want 2", got)
 	}
 	checkWorkers(t, d)
 }
--- a/scheduler/loadbudget_test.go
+++ b/scheduler/loadbudget_test.go
@@ -9,21 +9,21 @@
 	b := newLoadBudget(Loading{Orders: true, BudgetWindow: 10 * time.Second, BudgetFree: 1, BudgetRatio: 0.5})
 	now := time.Minute
 	if !b.take(now) || b.take(now) {
-		t.Fatal("one order is free, and no more")
+		t.Fatal("want one order that is always allowed, and no more")
 	}
 	b.recordArrival(now)
 	if b.take(now) {
-		t.Error("half of an order is taken for a whole")
+		t.Error("an order is allowed for one request, which earns half of one")
 	}
 	b.recordArrival(now + time.Second)
 	if !b.take(now + time.Second) {
-		t.Error("two requests earn an order")
+		t.Error("no order is allowed for two requests, which earn one")
 	}
 	if b.take(now + 10*time.Second) {
-		t.Error("an order does not count up to the end of its window, or a request longer")
+		t.Error("an order is allowed at the end of a window, where the order in it counts and the request does not")
 	}
 	if b.take(now+10*time.Second+1) || !b.take(now+11*time.Second+1) {
-		t.Error("want the second order to count to the end of its own window, and no longer")
+		t.Error("want the second order to count until the end of its own window, and no longer")
 	}
 }
 
@@ -36,22 +36,22 @@
 		}
 	}
 	if h := b.handover(); len(h.Orders)+len(h.Arrivals) > 0 {
-		t.Errorf("%d orders and %d arrivals are kept for no window", len(h.Orders), len(h.Arrivals))
+		t.Errorf("%d orders and %d arrivals are kept without a window", len(h.Orders), len(h.Arrivals))
 	}
 }
 
-func TestLoadBudgetAllowsNothingWithoutOrdersOrToTheSuperseded(t *testing.T) {
-	none := newLoadBudget(Loading{BudgetWindow: time.Second, BudgetFree: 9})
+func TestLoadBudgetAllowsNothingIfDisabledOrSuperseded(t *testing.T) {
+	disabled := newLoadBudget(Loading{BudgetWindow: time.Second, BudgetFree: 9})
 	superseded := newLoadBudget(Loading{Orders: true, BudgetWindow: time.Second, BudgetFree: 9})
 	superseded.superseded = true
-	for _, b := range []loadBudget{none, superseded} {
+	for _, b := range []loadBudget{disabled, superseded} {
 		if b.allows(time.Minute) || b.allowsAdvice(time.Minute) || b.take(time.Minute) {
 			t.Errorf("an order is allowed: %+v", b)
 		}
 	}
 }
 
-func TestAdviceUsesHalfOfTheLoadBudget(t *testing.T) {
+func TestAdviceUsesAtMostHalfOfTheLoadBudget(t *testing.T) {
 	b := newLoadBudget(Loading{Orders: true, BudgetWindow: 10 * time.Second, BudgetFree: 4})
 	advised := 0
 	for b.allowsAdvice(time.Minute) && b.take(time.Minute) {
@@ -62,37 +62,37 @@
 		rest++
 	}
 	if advised != 2 || rest != 2 {
-		t.Errorf("%d orders on advice and %d more, want two and two", advised, rest)
+		t.Errorf("%d orders on advice and %d others, want two and two", advised, rest)
 	}
 }
 
 func TestLoadBudgetIsHandedOver(t *testing.T) {
 	loading := Loading{Orders: true, BudgetWindow: 10 * time.Second, BudgetFree: 2, BudgetRatio: 1}
-	old, next := newLoadBudget(loading), newLoadBudget(loading)
-	old.recordArrival(time.Minute)
-	old.take(time.Minute)
-	old.take(time.Minute)
-	next.inherit(old.handover())
-	if !next.take(time.Minute+time.Second) || next.take(time.Minute+time.Second) {
-		t.Error("want one order left of two free ones and one that was earned")
+	predecessor, successor := newLoadBudget(loading), newLoadBudget(loading)
+	predecessor.recordArrival(time.Minute)
+	predecessor.take(time.Minute)
+	predecessor.take(time.Minute)
+	successor.inherit(predecessor.handover())
+	if !successor.take(time.Minute+time.Second) || successor.take(time.Minute+time.Second) {
+		t.Error("want one more order after two: two are always allowed and one was earned")
 	}
 }
 
-func TestLoadBackoffDoublesUpToTheLongest(t *testing.T) {
+func TestLoadBackoffDoublesUpToItsMaximum(t *testing.T) {
 	var b loadBackoff
 	now := time.Minute
 	for _, want := range []time.Duration{500 * ms, time.Second, 2 * time.Second, 3 * time.Second, 3 * time.Second} {
 		b.onRejected(now, 1, 3*time.Second)
 		if b.until != now+want || b.allows(now+want-1) || !b.allows(now+want) {
-			t.Errorf("backoff to %v, want %v", b.until-now, want)
+			t.Errorf("backoff of %v, want %v", b.until-now, want)
 		}
 	}
 	b.onLoaded()
 	if b.allows(now) {
-		t.Error("a load ends the backoff that has begun")
+		t.Error("a successful load ends the backoff that has begun")
 	}
 	b.onRejected(now, 1, 3*time.Second)
 	if b.until != now+500*ms {
-		t.Errorf("backoff to %v after a load, want to begin anew", b.until-now)
+		t.Errorf("backoff of %v after a successful load, want 500ms", b.until-now)
 	}
 }
--- a/scheduler/outlier_step_test.go
+++ b/scheduler/outlier_step_test.go
@@ -5,32 +5,33 @@
 	"time"
 )
 
-// From r6f1dac: a worker that answers most requests with errors at once gets none that cannot be repeated freely, for
-// a growing time. Idempotent ones go on, and show when it is over. Where its peers fail as much the requests are the
-// cause, and nothing changes.
+// From r6f1dac: a worker that responds to most requests with errors at once is sent no requests
+// that cannot be repeated freely, for a time that grows. Idempotent requests are still sent there,
+// and show when the fault is over. If its peers fail as often, the requests are the cause and
+// nothing is avoided.
 func TestNonIdempotentRequestsAvoidAWorkerWithErrors(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
 		fails func(WorkerID, RequestID) bool
-		stays bool // unsafe calls go on to worker 1
+		stays bool // requests that are not idempotent are still sent to worker 1
 	}{
-		{"one worker, most calls", func(w WorkerID, i RequestID) bool { return w == 1 && i%5 > 0 }, false},
+		{"one worker, most requests", func(w WorkerID, i RequestID) bool { return w == 1 && i%5 > 0 }, false},
 		{"all workers", func(_ WorkerID, i RequestID) bool { return i%5 > 0 }, true},
 		{"none", func(WorkerID, RequestID) bool { return false }, true},
 	} {
 		d := start(t, base(), ready(1, 2, 3)...)
-		now, tries := time.Second, map[RequestID]int{}
+		now, attempts := time.Second, map[RequestID]int{}
 		sent := map[bool]int{} // at worker 1 from request 101 on, by whether the request was idempotent
 		for i := RequestID(1); i <= 400; i++ {
 			now += 10 * ms
 			class := int(i%2) * 2
-			todo := d.Step(now, []Event{arrival(i, class, FunctionID(class*100)+FunctionID(i%24))})
-			for ; len(todo) > 0; todo = todo[1:] {
-				if h, ok := todo[0].(LoadOrder); ok {
-					todo = append(todo, d.Step(now,
+			pending := d.Step(now, []Event{arrival(i, class, FunctionID(class*100)+FunctionID(i%24))})
+			for ; len(pending) > 0; pending = pending[1:] {
+				if h, ok := pending[0].(LoadOrder); ok {
+					pending = append(pending, d.Step(now,
 						[]Event{LoadOrderEnded{Worker: h.Worker, Function: h.Function, Outcome: OK, Copies: 1}})...)
 				}
-				a, ok := todo[0].(Send)
+				a, ok := pending[0].(Send)
 				if !ok {
 					continue
 				}
@@ -41,22 +42,23 @@
 				if tt.fails(a.Worker, a.Request) {
 					o = Error
 				}
-				todo = append(todo, d.Step(now, []Event{AttemptEnded{Request: a.Request,
-					Attempt: tries[a.Request], Worker: a.Worker, Outcome: o,
+				pending = append(pending, d.Step(now, []Event{AttemptEnded{Request: a.Request,
+					Attempt: attempts[a.Request], Worker: a.Worker, Outcome: o,
 					Complete: o == OK, Took: 5 * ms, Note: FoundWarm}})...)
-				tries[a.Request]++
+				attempts[a.Request]++
 			}
 		}
 		if sent[true] == 0 {
-			t.Errorf("%s: no safe call goes to worker 1", tt.name)
+			t.Errorf("%s: no idempotent request is sent to worker 1", tt.name)
 		}
 		if (sent[false] > 0) != tt.stays {
-			t.Errorf("%s: %d unsafe calls went to worker 1", tt.name, sent[false])
+			t.Errorf("%s: %d requests that are not idempotent are sent to worker 1", tt.name, sent[false])
 		}
 	}
 }
 
-// The time of avoidance grows while every answer is an error, and ends with the errors.
+// The duration of avoidance grows while every response is an error. Once errors are rare, a single
+// one no longer starts it.
 func TestAvoidanceGrowsAndEnds(t *testing.T) {
 	d := start(t, base(), ready(1, 2, 3)...)
 	w := d.workers[1]
@@ -70,26 +72,27 @@
 		spans = append(spans, w.avoidedUntil-d.now)
 	}
 	if spans[1] <= spans[0] || spans[2] <= spans[1] {
-		t.Errorf("%v, want each longer than the one before", spans)
+		t.Errorf("avoided for %v, want each longer than the one before", spans)
 	}
 	r := arrival(1, 2, 7)
 	d.Step(w.avoidedUntil+time.Second, []Event{r})
 	for range 10 {
-		w.errorRate *= 1 - meanWeight // as ten answers do
+		w.errorRate *= 1 - meanWeight // as one response without an error does
 	}
 	d.outliers.onError(&w.workerHealth, true, d.now)
 	if d.now < w.avoidedUntil {
-		t.Error("one error after ten answers is enough")
+		t.Error("one error after ten responses without one starts an avoidance")
 	}
 }
 
-// An ejected worker that fails the probe at the end of its time is not probed again in every step.
+// An ejected worker that fails the probe at the end of its ejection is not probed again in every
+// step.
 func TestEjectedWorkerIsNotProbedInEveryStep(t *testing.T) {
 	d := start(t, base(), ready(1, 2, 3)...)
 	for i := RequestID(1); i <= 8; i++ {
 		d.Step(time.Second, []Event{arrival(i, 0, FunctionID(i))})
 	}
-	asked := 0
+	orders := 0
 	var events []Event
 	for now := time.Second; now < 10*time.Second; now += 10 * ms {
 		actions := d.Step(now, events)
@@ -99,16 +102,16 @@
 				Worker: a.Worker, Outcome: ConnectFailed})
 		}
 		for _, a := range pickOut[LoadOrder](actions) {
-			asked++
+			orders++
 			events = append(events, LoadOrderEnded{Worker: a.Worker, Function: a.Function, Outcome: ConnectFailed})
 		}
 	}
-	if asked > 40 {
-		t.Errorf("%d orders in 9 s to three dead workers", asked)
+	if orders > 40 {
+		t.Errorf("%d orders in 9 s to three dead workers, want at most 40", orders)
 	}
 }
 
-// Ejections never leave no worker ready.
+// If connections to all workers fail, ejections do not leave all of them unavailable.
 func TestEjectionsLeaveWorkersReady(t *testing.T) {
 	d := start(t, base(), ready(1, 2, 3)...)
 	for i := RequestID(1); i < 30; i++ {
@@ -117,13 +120,13 @@
 			d.Step(now, []Event{AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: ConnectFailed}})
 		}
 	}
-	up := 0
+	ready := 0
 	for _, w := range d.order {
 		if d.ready(w) {
-			up++
+			ready++
 		}
 	}
-	if up == 0 {
-		t.Error("no worker is left on the ring")
+	if ready == 0 {
+		t.Error("no worker is ready")
 	}
 }
--- a/scheduler/slowstart_fleet_test.go
+++ b/scheduler/slowstart_fleet_test.go
@@ -16,34 +16,35 @@
 
 const ms = time.Millisecond
 
-// A warmupCase is an installation in overload after most of its workers were killed at once.
+// A warmupCase is an overloaded deployment, most of whose workers are killed at the same time.
 type warmupCase struct {
 	controllers, workers   int
 	rate, fraction, factor float64
 	window, warmupTime     time.Duration
-	killed                 float64
+	killed                 float64 // fraction of the workers
 	work, load             time.Duration
-	burst                  float64       // times the rate, once the first copies may be loaded
-	uneven                 float64       // exponent of the Zipf law by which calls come to controllers; 0: evenly
-	lateBy                 time.Duration // half of the controllers hear so much later that the workers are back
-	restarted              bool          // every third controller starts anew as they come back, and knows nothing else
+	burst                  float64       // factor of the rate once the first copies may be loaded
+	uneven                 float64       // exponent of the Zipf distribution of calls over controllers; 0: even
+	lateBy                 time.Duration // delay with which half of the controllers learn that the workers are back
+	restarted              bool          // every third controller restarts without state as the workers come back
 }
 
-// A warmupResult is what came of a warmupCase.
+// A warmupResult is the outcome of a warmupCase.
 type warmupResult struct {
-	peak float64 // most that a warming worker was sent in a window, as a part of what the settings allow
-	// the same as a part of the N + 2 x root of N + 2 calls of mean work that it can take, N being what they allow
+	peak float64 // highest number of calls sent to a warming worker in a window, as a fraction of the bound
+	// the same as a fraction of the N + 2 x root of N + 2 calls of mean work that it can take, where N is the bound
 	overCapacity      float64
-	toWarming, served int // calls that warming workers were sent, and that were answered by any
+	toWarming, served int // calls sent to warming workers, and calls completed by any worker
 }
 
-// playWarmup plays it in virtual time against the model of workers.
-func playWarmup(t *testing.T, c warmupCase, seed uint64) (p warmupResult) {
+// simulateWarmup runs a case in virtual time against the worker model.
+func simulateWarmup(t *testing.T, c warmupCase, seed uint64) (p warmupResult) {
 	t.Helper()
 	const tick, functions = 2 * ms, 24
 	rng := rand.New(rand.NewPCG(seed, 5))
 	cfg := workersim.Config{DedupWindow: 4 * time.Second, Store: workersim.Store{FullRateFetches: 6, MaxFetches: 30},
-		SlowStart: workersim.SlowStart{WarmupFraction: c.fraction, WarmupTime: c.warmupTime, CollapseFactor: 100, CollapseWindow: c.window}}
+		SlowStart: workersim.SlowStart{WarmupFraction: c.fraction, WarmupTime: c.warmupTime,
+			CollapseFactor: 100, CollapseWindow: c.window}}
 	var list []scheduler.WorkerInfo
 	for i := range c.workers {
 		cfg.Workers = append(cfg.Workers, workersim.Spec{Name: fmt.Sprint("w", i), Cores: 2,
@@ -71,11 +72,11 @@
 			CollapseFactor: c.factor, CollapseWindow: c.window}}
 	now := time.Hour
 	f := workersim.New(cfg, now)
-	portions := make([]float64, c.controllers) // of the calls, up to and with each controller
-	for i := range portions {
-		portions[i] = math.Pow(float64(i+1), -c.uneven)
+	cumulativeShares := make([]float64, c.controllers) // of the calls, up to and including each controller
+	for i := range cumulativeShares {
+		cumulativeShares[i] = math.Pow(float64(i+1), -c.uneven)
 		if i > 0 {
-			portions[i] += portions[i-1]
+			cumulativeShares[i] += cumulativeShares[i-1]
 		}
 	}
 	ds, inbox := make([]*scheduler.Dispatcher, c.controllers), make([][]scheduler.Event, c.controllers)
@@ -94,10 +95,10 @@
 		attempt    int
 		worker     int
 		sent       time.Duration
-		hold       int // function and 1 if an order
+		order      int // ID of the function for a load order; 0: a call
 	}
 	calls, wakes := map[uint64]call{}, &wakes{}
-	tries, functionOf := map[scheduler.RequestID]int{}, map[scheduler.RequestID]int{}
+	attempts, functionOf := map[scheduler.RequestID]int{}, map[scheduler.RequestID]int{}
 	sent := make([][]time.Duration, c.workers)
 	next, request, arrive := uint64(1), scheduler.RequestID(0), now
 	killAt, backAt, end := now+4*time.Second, now+4500*ms, now+4500*ms+c.warmupTime
@@ -117,7 +118,8 @@
 				}
 				inbox[k.controller] = append(inbox[k.controller],
 					scheduler.AttemptEnded{Request: k.request, Attempt: k.attempt,
-						Worker: scheduler.WorkerID(k.worker + 1), Outcome: o, Took: now - k.sent, Note: scheduler.LoadNote(e.Note), SameFunction: e.SameFunction})
+						Worker: scheduler.WorkerID(k.worker + 1), Outcome: o, Took: now - k.sent,
+						Note: scheduler.LoadNote(e.Note), SameFunction: e.SameFunction})
 				delete(calls, e.ID)
 			case workersim.OrderEnded:
 				o := scheduler.OK
@@ -126,18 +128,18 @@
 				}
 				inbox[k.controller] = append(inbox[k.controller],
 					scheduler.LoadOrderEnded{Worker: scheduler.WorkerID(k.worker + 1),
-						Function: scheduler.FunctionID(k.hold), Outcome: o, Took: now - k.sent, Copies: e.Copies})
+						Function: scheduler.FunctionID(k.order), Outcome: o, Took: now - k.sent, Copies: e.Copies})
 				delete(calls, e.ID)
 			}
 		}
-		dead := int(c.killed * float64(c.workers))
+		killed := int(c.killed * float64(c.workers))
 		if now == killAt {
-			for w := range dead {
+			for w := range killed {
 				f.Kill(w)
 			}
 		}
 		if now == backAt {
-			for w := range dead {
+			for w := range killed {
 				f.Start(w)
 				list[w].StartedAt = now
 			}
@@ -153,13 +155,13 @@
 			}
 		}
 		for i := range inbox {
-			told := backAt
+			notifiedAt := backAt
 			if i%2 == 1 {
-				told += c.lateBy
+				notifiedAt += c.lateBy
 			}
-			if now == told {
+			if now == notifiedAt {
 				inbox[i] = append(inbox[i], scheduler.ListUpdate{Kind: scheduler.ListDelta,
-					Workers: slices.Clone(list[:dead])})
+					Workers: slices.Clone(list[:killed])})
 			}
 		}
 		rate := c.rate
@@ -169,7 +171,8 @@
 		for ; arrive <= now; arrive += time.Duration(rng.ExpFloat64() / rate * float64(time.Second)) {
 			request++
 			n, _ := slices.BinarySearch(weights, rng.Float64()*weights[functions-1])
-			i := min(sort.SearchFloat64s(portions, rng.Float64()*portions[c.controllers-1]), c.controllers-1)
+			i := min(sort.SearchFloat64s(cumulativeShares, rng.Float64()*cumulativeShares[c.controllers-1]),
+				c.controllers-1)
 			functionOf[request] = n
 			inbox[i] = append(inbox[i], scheduler.Arrival{Request: request,
 				Function: scheduler.FunctionID(n + 1), TimeLeft: 2500 * ms, Lanes: 2,
@@ -189,8 +192,8 @@
 				switch a := a.(type) {
 				case scheduler.Send:
 					w := int(a.Worker) - 1
-					k := call{controller: i, request: a.Request, attempt: tries[a.Request], worker: w, sent: now}
-					tries[a.Request]++
+					k := call{controller: i, request: a.Request, attempt: attempts[a.Request], worker: w, sent: now}
+					attempts[a.Request]++
 					if !f.Up(w) {
 						inbox[i] = append(inbox[i],
 							scheduler.AttemptEnded{Request: a.Request, Attempt: k.attempt, Worker: a.Worker,
@@ -201,11 +204,11 @@
 						p.toWarming++
 						sent[w] = append(slices.DeleteFunc(sent[w],
 							func(at time.Duration) bool { return at <= now-c.window }), now)
-						share := c.fraction + (1-c.fraction)*float64(now-at)/float64(c.warmupTime)
-						can := cfg.Workers[w].Cores * cfg.Workers[w].Speed * share * c.window.Seconds()
-						n := c.factor * can / c.work.Seconds()
-						p.peak = max(p.peak, float64(len(sent[w]))/n)
-						p.overCapacity = max(p.overCapacity, float64(len(sent[w]))/(n+2*math.Sqrt(n)+2))
+						fraction := c.fraction + (1-c.fraction)*float64(now-at)/float64(c.warmupTime)
+						capacity := cfg.Workers[w].Cores * cfg.Workers[w].Speed * fraction * c.window.Seconds()
+						bound := c.factor * capacity / c.work.Seconds()
+						p.peak = max(p.peak, float64(len(sent[w]))/bound)
+						p.overCapacity = max(p.overCapacity, float64(len(sent[w]))/(bound+2*math.Sqrt(bound)+2))
 					}
 					calls[next] = k
 					f.Call(w, workersim.Call{ID: next, Function: &fns[functionOf[a.Request]],
@@ -219,7 +222,7 @@
 								Outcome: scheduler.ConnectFailed})
 						continue
 					}
-					calls[next] = call{controller: i, worker: w, sent: now, hold: int(a.Function)}
+					calls[next] = call{controller: i, worker: w, sent: now, order: int(a.Function)}
 					f.Hold(w, next, &fns[a.Function-1], a.Copies)
 					next++
 				case scheduler.Probe:
@@ -230,11 +233,12 @@
 					inbox[i] = append(inbox[i], scheduler.ProbeEnded{Worker: a.Worker, Outcome: o})
 				case scheduler.Cancel:
 					for id, k := range calls {
-						if k.hold == 0 && k.request == a.Request && k.attempt == a.Attempt {
+						if k.order == 0 && k.request == a.Request && k.attempt == a.Attempt {
 							f.Cancel(k.worker, id)
 							delete(calls, id)
 							inbox[i] = append(inbox[i], scheduler.AttemptEnded{Request: a.Request, Attempt: a.Attempt,
-								Worker: scheduler.WorkerID(k.worker + 1), Outcome: scheduler.Cancelled, Took: now - k.sent})
+								Worker: scheduler.WorkerID(k.worker + 1), Outcome: scheduler.Cancelled,
+								Took: now - k.sent})
 							break
 						}
 					}
@@ -247,13 +251,14 @@
 	return p
 }
 
-// Wakes asked for, in the order of their times.
+// A wake is a Wake action of a controller that is not due yet.
 type wake struct {
 	due        time.Duration
 	token      uint64
 	controller int
 }
 
+// wakes is a heap of wakes by the time at which they are due.
 type wakes []wake
 
 func (w wakes) Len() int           { return len(w) }
@@ -262,9 +267,9 @@
 func (w *wakes) Push(x any)        { *w = append(*w, x.(wake)) }
 func (w *wakes) Pop() any          { l := *w; x := l[len(l)-1]; *w = l[:len(l)-1]; return x }
 
-// Together the controllers keep the bound of a warming worker in overload, also where a window holds few requests or
-// one.
-func TestColdBoundInOverload(t *testing.T) {
+// In overload, all controllers together keep the bound of a warming worker, also if a window holds
+// only a few requests or one.
+func TestWarmupBoundInOverload(t *testing.T) {
 	for _, c := range []warmupCase{
 		{controllers: 3, workers: 12, rate: 600, fraction: 0.05, factor: 1.2, window: 300 * ms,
 			warmupTime: 4 * time.Second, killed: 0.6, work: 37 * ms, load: 150 * ms},
@@ -288,27 +293,28 @@
 				var over, sent, served int
 				const seeds = 4
 				for seed := range uint64(seeds) {
-					p := playWarmup(t, c, seed+1)
+					p := simulateWarmup(t, c, seed+1)
 					most, sent, served = max(most, p.peak), sent+p.toWarming, served+p.served
 					if p.peak > 1 {
 						over++
 					}
 				}
-				t.Logf("most sent %.2f of the bound; %d calls to cold workers, %d served in all", most, sent, served)
+				t.Logf("peak %.2f of the bound; %d calls to warming workers, %d calls completed", most, sent, served)
 				if over > 0 {
-					t.Errorf("passed in %d days of %d", over, seeds)
+					t.Errorf("the bound was exceeded with %d of %d seeds", over, seeds)
 				}
 				if sent < 20*seeds {
-					t.Errorf("%d calls to cold workers, want them used", sent)
+					t.Errorf("%d calls to warming workers, want at least %d", sent, 20*seeds)
 				}
 			})
 	}
 }
 
-// The sum of many controllers that exchange nothing stays within what a warming worker can take, N + 2 x root of N +
-// 2 requests, however unevenly requests come to them, and though some hear of the start late or have just started
-// themselves; and warming workers are used.
-func TestColdBoundOfManyControllers(t *testing.T) {
+// Many controllers that do not communicate send a warming worker no more in total than it can take,
+// N + 2 x root of N + 2 requests, however unevenly the calls arrive at them, and even if some of
+// them learn of the start late or have just started themselves. Warming workers are used
+// nevertheless.
+func TestWarmupBoundOfManyControllers(t *testing.T) {
 	for _, n := range []int{20, 30, 300} {
 		for _, c := range []warmupCase{
 			{rate: 60, fraction: 0.2, factor: 3, window: 3 * time.Second, warmupTime: 9 * time.Second, killed: 0.5,
@@ -321,22 +327,22 @@
 			c.controllers, c.workers = n, 12
 			for _, uneven := range []float64{0, 1} {
 				c.uneven, c.lateBy, c.restarted = uneven, 1500*ms, uneven > 0
-				t.Run(fmt.Sprintf("%d controllers, %v calls a second, uneven %v", n, c.rate, uneven),
+				t.Run(fmt.Sprintf("%d controllers, %v calls per second, uneven %v", n, c.rate, uneven),
 					func(t *testing.T) {
 						t.Parallel()
 						var over float64
 						sent := 0
 						const seeds = 3
 						for seed := range uint64(seeds) {
-							p := playWarmup(t, c, seed+1)
+							p := simulateWarmup(t, c, seed+1)
 							over, sent = max(over, p.overCapacity), sent+p.toWarming
 						}
-						t.Logf("most %.2f of what it stands; %d calls to cold workers", over, sent)
+						t.Logf("peak %.2f of the capacity; %d calls to warming workers", over, sent)
 						if over > 1 {
-							t.Errorf("a cold worker was sent %.2f of what it stands", over)
+							t.Errorf("a warming worker was sent %.2f of what it can take", over)
 						}
 						if sent < 20*seeds {
-							t.Errorf("%d calls to cold workers, want them used", sent)
+							t.Errorf("%d calls to warming workers, want at least %d", sent, 20*seeds)
 						}
 					})
 			}
--- a/scheduler/slowstart_step_test.go
+++ b/scheduler/slowstart_step_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// From the first full-size days: 100 controllers, each with little traffic, push a warming worker over by one request
-// each. All together they keep to the bound in every window, and still use the worker.
+// Found in the first full-size simulations: 100 controllers, each with little traffic, overloaded a
+// warming worker by one request each. Together they must keep to the bound in every window, and
+// still use the worker.
 func TestControllersTogetherKeepTheBoundOfAWarmingWorker(t *testing.T) {
 	const n, workers, run = 100, 10, 100 * ms
 	s := base()
@@ -23,8 +24,8 @@
 		d.Step(begin-20*time.Second, []Event{ListUpdate{Kind: CachedList, Workers: list}})
 		ds[i] = d
 	}
-	var cold []time.Duration // sends to the warming worker
-	answered, next := 0, RequestID(1)
+	var sends []time.Duration // sends to the warming worker
+	total, next := 0, RequestID(1)
 	for now := begin - 10*time.Second; now < begin+10*time.Second; now += run {
 		for i, d := range ds {
 			events := pending[i]
@@ -33,7 +34,7 @@
 				list[0].StartedAt = begin
 				events = append(events, ListUpdate{Kind: ListDelta, Workers: list[:1]})
 			}
-			if (int(now/run)+i)%2 == 0 { // five calls a second at each controller
+			if (int(now/run)+i)%2 == 0 { // five calls per second at each controller
 				events = append(events, Arrival{Request: next, Function: FunctionID(next%40 + 1),
 					TimeLeft: 3 * time.Second, Lanes: 8})
 				next++
@@ -41,8 +42,8 @@
 			for _, a := range d.Step(now, events) {
 				switch a := a.(type) {
 				case Send:
-					if answered++; a.Worker == 1 && now >= begin {
-						cold = append(cold, now)
+					if total++; a.Worker == 1 && now >= begin {
+						sends = append(sends, now)
 					}
 					pending[i] = append(pending[i], AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: OK,
 						Took: run, Complete: true, Note: FoundWarm})
@@ -53,29 +54,30 @@
 			}
 		}
 	}
-	even := float64(answered) / 20 / workers // calls a second of one worker
+	evenRate := float64(total) / 20 / workers // calls per second of each worker if spread evenly
 	g, window := s.Guarantees, s.Guarantees.CollapseWindow
 	for at := begin; at < begin+8*time.Second; at += run {
 		sent := 0
-		for _, c := range cold {
-			if c >= at && c < at+window {
+		for _, sentAt := range sends {
+			if sentAt >= at && sentAt < at+window {
 				sent++
 			}
 		}
 		mid := float64(at+window/2-begin) / float64(g.WarmupTime)
-		limit := g.CollapseFactor * (g.WarmupFraction + (1-g.WarmupFraction)*mid) * even * window.Seconds()
+		limit := g.CollapseFactor * (g.WarmupFraction + (1-g.WarmupFraction)*mid) * evenRate * window.Seconds()
 		if float64(sent) > limit {
-			t.Errorf("%v after the start: %d sends in a window, the budget is %.0f", at-begin, sent, limit)
+			t.Errorf("%v after the start: %d requests sent in a window, want at most %.0f", at-begin, sent, limit)
 		}
 	}
-	if len(cold) < 40 {
-		t.Errorf("%d sends to the warming worker in 10 s, want it used", len(cold))
+	if len(sends) < 40 {
+		t.Errorf("%d requests sent to the warming worker in 10 s, want at least 40", len(sends))
 	}
 }
 
-// From issue 10: with many controllers few may order the copy at a home that has just started. Requests that its slow
-// start admits go there all the same, also where each controller has one in several windows; or workers that a
-// release brings would be idle until they are warm.
+// Issue 10: with many controllers, few of them have the budget to order a copy at a home that has
+// just started. Requests that its slow start admits must be sent there all the same, even if each
+// controller has only one request in several windows. Otherwise the workers that a release adds
+// would be idle until they have warmed up.
 func TestWarmingHomeIsUsedWithoutOrders(t *testing.T) {
 	s := base()
 	s.Controllers = 50
@@ -94,7 +96,7 @@
 		next := RequestID(seed * 1000)
 		for now := begin + 6*time.Second; now < begin+15*time.Second; now += 4 * time.Second {
 			next++
-			d.slowStart.completedWork += 0.1 // seconds of work that the others answered
+			d.slowStart.completedWork += 0.1 // seconds of work that the other workers completed
 			for _, a := range pickOut[Send](d.Step(now, []Event{arrival(next, 0, 7)})) {
 				if total++; a.Worker == home {
 					sent++
@@ -104,7 +106,7 @@
 			}
 		}
 	}
-	if sent < total/2 || sent == total { // with credit that fades in one window two fifths do
-		t.Errorf("%d of %d calls went to the cold home, want more than half and not all", sent, total)
+	if sent < total/2 || sent == total { // two fifths are sent there if credit decays within one window
+		t.Errorf("%d of %d calls were sent to the warming home, want more than half and not all", sent, total)
 	}
 }
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// warmingUp returns the slow start of one of so many controllers, with a worker that started at a minute. Warming
-// up takes ten seconds from a fifth of the capacity; a worker collapses at twice its capacity for two seconds.
+// warmingUp returns the slow start of one of the given number of controllers, and a worker that
+// started at one minute. It takes ten seconds to warm up from a fifth of its capacity, and
+// collapses if it is sent twice its capacity for two seconds.
 func warmingUp(controllers float64) (*slowStart, *warmup) {
 	s := &slowStart{controllers: controllers, random: rand.New(rand.NewPCG(3, 3)),
 		guarantees: Guarantees{WarmupFraction: 0.2, WarmupTime: 10 * time.Second,
@@ -31,17 +32,19 @@
 	}
 }
 
-func one() float64 { return 1 }
+// oneReady returns the number of ready workers.
+func oneReady() float64 { return 1 }
 
-// Without credit a controller may have outstanding at a worker what it may be sent beyond its capacity in a window:
-// 0.2 of a core for two seconds here, in equal parts for each controller.
-func TestSlowStartBoundsWhatIsOutstanding(t *testing.T) {
-	for controllers, want := range map[float64]int{1: 6, 2: 3, 8: 0} { // of 0.4 s, 0.2 s, 0.05 s
+// Without credit, a controller may have work outstanding at a worker up to its equal part of what
+// the worker may be sent beyond its capacity in a window, which is 0.2 of a core for two seconds
+// here.
+func TestSlowStartBoundsOutstandingWork(t *testing.T) {
+	for controllers, want := range map[float64]int{1: 6, 2: 3, 8: 0} { // of 0.4 s, 0.2 s and 0.05 s of work
 		s, w := warmingUp(controllers)
 		const work = 0.0625
 		sent := 0
 		for range 20 {
-			if s.admit(w, time.Minute, work, one) {
+			if s.admit(w, time.Minute, work, oneReady) {
 				s.sent(w, work)
 				sent++
 			}
@@ -52,59 +55,60 @@
 	}
 }
 
-// Work that failed at the worker counts against its credit, as it has weighed on it; work that never reached it
-// does not. Only answered work earns credit anywhere.
+// Work that failed at a worker counts against its credit, as it has used the worker's capacity;
+// work that did not reach it does not. Only completed work earns credit.
 func TestSlowStartChargesWorkThatMayHaveRun(t *testing.T) {
-	for outcome, want := range map[Outcome]struct{ credit, answered float64 }{
+	for outcome, want := range map[Outcome]struct{ credit, completed float64 }{
 		OK: {0, 0.5}, ConnectFailed: {}, NotStarted: {},
 		TimedOut: {-0.5, 0}, Reset: {-0.5, 0}, Error: {-0.5, 0}, Cancelled: {-0.5, 0}, AtCapacity: {-0.5, 0},
 	} {
 		s, w := warmingUp(3)
 		s.sent(w, 0.5)
 		s.ended(w, 0.5, outcome)
-		if w.outstandingWork != 0 || w.credit != want.credit || s.completedWork != want.answered {
-			t.Errorf("outcome %d: credit %v, answered %v, want %+v", outcome, w.credit, s.completedWork, want)
+		if w.outstandingWork != 0 || w.credit != want.credit || s.completedWork != want.completed {
+			t.Errorf("outcome %d: credit %v, completed work %v, want %+v", outcome, w.credit, s.completedWork, want)
 		}
 	}
 }
 
-// Where a window holds fewer requests than the margin, nothing is sent, and credit is not saved up for it.
+// If a window holds fewer requests than the margin, nothing is sent, and credit is not saved up.
 func TestSlowStartSendsNothingWhereAWindowHoldsTooFewRequests(t *testing.T) {
 	s, w := warmingUp(1)
 	w.credit = 100
-	if s.admit(w, time.Minute, 1, one) { // the window holds 0.8 requests of a second
-		t.Error("a request is sent")
+	if s.admit(w, time.Minute, 1, oneReady) { // the window holds 0.8 requests of one second
+		t.Error("a request is admitted")
 	}
 	if w.credit != 0 {
-		t.Errorf("credit %v is kept", w.credit)
+		t.Errorf("credit %v is kept, want 0", w.credit)
 	}
 }
 
-// Over a long time the work that is admitted follows the credit: here nothing may be outstanding beyond it, as
-// there are so many controllers, and what one of them sees answered is small.
-func TestSlowStartWagersCreditForParts(t *testing.T) {
+// Over a long time, the work that is admitted is in proportion to the credit, even if the credit of
+// each controller never covers a request: here no work may be outstanding beyond the credit, as
+// there are many controllers, and each of them sees little work completed.
+func TestSlowStartSpendsPartialCreditByChance(t *testing.T) {
 	const controllers, work = 100, 0.02
-	admitted, wagered := 0.0, false
+	admitted, byChance := 0.0, false
 	random := rand.New(rand.NewPCG(3, 3))
 	for range 200 {
 		s, w := warmingUp(controllers)
 		s.random = random
 		s.sent(w, 1) // more than may be outstanding
 		for now := time.Minute; now < time.Minute+5*time.Second; now += 100 * ms {
-			s.completedWork += 0.001 // a hundredth of a core, as all hundred controllers see it: one core in all
+			s.completedWork += 0.001 // a hundredth of a core at each of a hundred controllers: one core in all
 			before := w.credit
-			if s.admit(w, now, work, one) {
+			if s.admit(w, now, work, oneReady) {
 				admitted += work
-				wagered = wagered || before < work
+				byChance = byChance || before < work
 			}
 		}
 	}
-	// One core's even part for 5 s, at an average fraction of 0.4 and 1 to 1.5 times it, over the controllers.
+	// One core for 5 s at an average fraction of 0.4, and 1 to 1.5 times that, over all controllers.
 	rate := admitted / 200 * controllers / 5
 	if rate < 0.2 || rate > 0.6 {
-		t.Errorf("%v s of work a second by all controllers, want about 0.4", rate)
+		t.Errorf("%v s of work per second by all controllers, want about 0.4", rate)
 	}
-	if !wagered {
-		t.Error("no part of a request was wagered: nothing was tested")
+	if !byChance {
+		t.Error("no request was admitted on partial credit, so nothing was tested")
 	}
 }
