--- a/scheduler/concurrency.go
+++ b/scheduler/concurrency.go
@@ -61,9 +61,9 @@
 // 0 to 1.
 func (l *concurrencyLimit) accepts(position float64) bool { return position < min(1, l.tokens) }
 
-// onResponse adjusts the limit to a response whose token has been released. The headroom is the
-// latency ratio from which the worker counts as slow, divided by its present one: below 1 the
-// worker is slow. The limit grows only if it was used up.
+// onResponse adjusts the limit after a response, whose token has already been released. The
+// headroom is the latency ratio from which the worker counts as slow, divided by its present one:
+// below 1 the worker is slow. The limit grows only if it was used up.
 func (l *concurrencyLimit) onResponse(headroom float64, late bool, step float64) {
 	slow := late || headroom < 1
 	switch {
--- a/scheduler/concurrency_test.go
+++ b/scheduler/concurrency_test.go
@@ -84,8 +84,8 @@
 }
 
 func TestSlowThresholdIsLowerForFewControllers(t *testing.T) {
-	for controllers, want := range map[int]float64{8: slowThresholdFew, 9: slowThresholdMany} { // two lanes
-		if got := slowThreshold(controllers, 2); got != want {
+	for controllers, want := range map[int]float64{8: slowThresholdFew, 9: slowThresholdMany} {
+		if got := slowThreshold(controllers, 2); got != want { // two lanes
 			t.Errorf("%d controllers: slow threshold %v, want %v", controllers, got, want)
 		}
 	}
--- a/scheduler/copies.go
+++ b/scheduler/copies.go
@@ -21,8 +21,8 @@
 	maxAdviceEvictions = 0.1
 )
 
-// A placement is what is known of a function at one worker. Workers do not report their copies.
-// They are inferred from responses, which prove that one is loaded, and from the time that an idle
+// A placement is what is known of a function at one worker. Workers do not report their copies. A
+// copy is inferred from responses, which prove that it is loaded, and from the time that an idle
 // copy stays loaded.
 type placement struct {
 	lastSeenAt    time.Duration // when a copy was last known to be loaded; 0: never
@@ -126,8 +126,8 @@
 	}
 }
 
-// renewCopies renews the home copies of functions that are likely to be called again, by function
-// ID, as far as the budget allows.
+// renewCopies renews the home copies of functions that are likely to be called again, in the order
+// of the function IDs, as far as the budget allows.
 func (d *Dispatcher) renewCopies() {
 	for queue := d.queues.nextRenewal(d.now); queue != nil; queue = d.queues.nextRenewal(d.now) {
 		i := 0
@@ -148,9 +148,9 @@
 }
 
 // loadDesiredCopies orders the copies that are advised: one order per worker at a time, within the
-// fraction of the budget that advice may use, and none while too many copies are evicted. A loaded
-// copy is renewed like one that requests use. Of the two passes, the first only records which
-// workers have a pending order, for whatever function.
+// fraction of the budget that advice may use, and none while too many copies are being evicted. A
+// loaded copy is renewed like one that requests use. Of the two passes, the first only records
+// which workers have a pending order, for whatever function.
 func (d *Dispatcher) loadDesiredCopies() {
 	d.desiredCopies.expire(d.now)
 	for _, mayOrder := range []bool{false, true} {
--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -20,7 +20,7 @@
 	warmup
 	rank           int                   // as advised: see WorkerRank
 	advisedLoadAt  time.Duration         // last step in which loadDesiredCopies saw an order there
-	lastFunction   FunctionID            // last one that it was sent: a probe can ask for its copies
+	lastFunction   FunctionID            // last one that it was sent; a probe asks for its copies
 	listGeneration int                   // of the last list that named it
 	member         ring.Member[*worker]  // its points on the ring
 	placements     map[*queue]*placement // the same as in queue.placements
@@ -182,7 +182,8 @@
 	return d.capacity.total
 }
 
-// sumCapacity continues the sum up to and including the given worker, or over all workers for nil.
+// sumCapacity continues the sum up to and including the last worker, or over all workers if last is
+// nil.
 func (d *Dispatcher) sumCapacity(last *worker) {
 	for ; d.capacity.next < len(d.order); d.capacity.next++ {
 		worker := d.order[d.capacity.next]
--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -105,12 +105,12 @@
 			len(d.order), d.order[0].ID, d.ring.Len())
 	}
 	checkIndexes(t, d)
-	var answers []Event
+	var responses []Event
 	for _, a := range sent {
-		answers = append(answers, AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: OK, Complete: true,
+		responses = append(responses, AttemptEnded{Request: a.Request, Worker: a.Worker, Outcome: OK, Complete: true,
 			Note: StartedLoad, Took: time.Second})
 	}
-	d.Step(4*time.Second, answers)
+	d.Step(4*time.Second, responses)
 	for fn, q := range d.queues.byFunction {
 		for w := range q.placements {
 			if w.State == Removed {
@@ -136,7 +136,7 @@
 // are ejected and the ejections of the others are no longer ignored.
 func TestCapacityCountsWorkersAsTheirHealthCheckFoundThem(t *testing.T) {
 	s := base()
-	s.Loading.Orders, s.Limits.Probe = false, false // without a probe, an ejection ends when its time is over
+	s.Loading.Orders, s.Limits.Probe = false, false // ejections end without a probe
 	d := called(t, s, 7)
 	first, second := d.order[0], d.order[1]
 	d.setEjected(first, true)
--- a/scheduler/outlier.go
+++ b/scheduler/outlier.go
@@ -67,7 +67,7 @@
 	tracked              bool          // the worker is listed
 	lastResponseAt       time.Duration // 0: it has not responded yet
 	waitingSince         time.Duration // since when outstanding attempts have had no response
-	probedAt             time.Duration // when the probe without a response was sent; 0: there is none
+	probedAt             time.Duration // when the probe without a response was sent; 0: none
 	consecutiveFailures  int           // without a response
 	ejected              bool
 	ejectedUntil         time.Duration
@@ -162,7 +162,7 @@
 const (
 	noHealthAction healthAction = iota
 	probeSilent                 // probe a worker that is silent
-	probeEjected                // probe a worker after its ejection, or end the ejection without a probe
+	probeEjected                // probe a worker after its ejection, or just end the ejection
 	ejectSilent                 // eject a worker that left a probe unanswered
 )
 
--- a/scheduler/outlier_step_test.go
+++ b/scheduler/outlier_step_test.go
@@ -21,7 +21,7 @@
 	} {
 		d := start(t, base(), ready(1, 2, 3)...)
 		now, attempts := time.Second, map[RequestID]int{}
-		sent := map[bool]int{} // at worker 1 from request 101 on, by whether the request was idempotent
+		sent := map[bool]int{} // to worker 1 from request 101 on, by idempotency
 		for i := RequestID(1); i <= 400; i++ {
 			now += 10 * ms
 			class := int(i%2) * 2
--- a/scheduler/recorded_actions_test.go
+++ b/scheduler/recorded_actions_test.go
@@ -25,7 +25,7 @@
 	idleCopyTTL        time.Duration
 	change             float64 // list changes per second
 	fault              float64 // fraction of workers that have a fault
-	started            float64 // fraction of new workers that state a recent start, and so are warming up
+	started            float64 // fraction of new workers that state a recent start
 	advice             float64 // advice and staging events per second
 	jumps              bool    // the clock stands still or jumps at times
 	replaced           bool    // the whole list is replaced at times
--- a/scheduler/ring/ring.go
+++ b/scheduler/ring/ring.go
@@ -93,7 +93,7 @@
 	// clock.
 	Visited uint64
 
-	buckets       [][]point[T] // by the leading bits of the position; each sorted with point.compare
+	buckets       [][]point[T] // by the leading bits of the position; each sorted
 	shift         uint         // number of bits by which a position is shifted to give its bucket
 	pointCount    int
 	staged        []*Member[T] // members placed since the last commit
--- a/scheduler/simulation_test.go
+++ b/scheduler/simulation_test.go
@@ -56,7 +56,7 @@
 	function   map[RequestID]FunctionID
 	attempts   map[RequestID]int
 	sent       map[RequestID][]WorkerID
-	copies     map[workerFunction]time.Duration // when each copy was last used; it may still be loading
+	copies     map[workerFunction]time.Duration // when a copy was last used; it may be loading
 	encoded    hash.Hash                        // of the encoded actions and the final state
 	actions    int
 	counts     map[string]int // number of actions by the first word of their encoding
@@ -279,8 +279,8 @@
 	heap.Push(&p.due, dueEvent{p.now + max(after, 1), p.seq, e})
 }
 
-// respond models a worker. Whether it has a fault depends on its ID and the time. It loads a function that has no loaded copy, and
-// evicts a copy after its idle time to live.
+// respond models a worker. Whether it has a fault depends on its ID and the time. It loads a
+// function that has no loaded copy, and evicts a copy after its idle time to live.
 func (p *simulation) respond(a Action) {
 	switch a := a.(type) {
 	case Send:
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -61,7 +61,7 @@
 	credit            float64       // work that may be sent to it; below 0: debt from failed work
 	creditAt          time.Duration // when credit was last added
 	completedAtCredit float64       // slowStart.completedWork at that time
-	fairRate          float64       // mean completed work per second and worker of this controller
+	fairRate          float64       // mean completed work per second and worker, for this controller
 }
 
 // begin records that a worker has started.
--- a/scheduler/slowstart_fleet_test.go
+++ b/scheduler/slowstart_fleet_test.go
@@ -24,15 +24,16 @@
 	killed                 float64 // fraction of the workers
 	work, load             time.Duration
 	burst                  float64       // factor of the rate once the first copies may be loaded
-	uneven                 float64       // exponent of the Zipf distribution of calls over controllers; 0: even
-	lateBy                 time.Duration // delay with which half of the controllers learn that the workers are back
-	restarted              bool          // every third controller restarts without state as the workers come back
+	uneven                 float64       // exponent of the Zipf law of calls by controller; 0: even
+	lateBy                 time.Duration // until half of the controllers learn that they are back
+	restarted              bool          // every third controller restarts then, without state
 }
 
 // A warmupResult is the outcome of a warmupCase.
 type warmupResult struct {
-	peak float64 // highest number of calls sent to a warming worker in a window, as a fraction of the bound
-	// the same as a fraction of the N + 2 x root of N + 2 calls of mean work that it can take, where N is the bound
+	peak float64 // most calls sent to a warming worker in a window, relative to the bound
+	// the same relative to what it can take: N + 2 x root of N + 2 calls of mean work, where N is
+	// the bound
 	overCapacity      float64
 	toWarming, served int // calls sent to warming workers, and calls completed by any worker
 }
@@ -72,7 +73,7 @@
 			CollapseFactor: c.factor, CollapseWindow: c.window}}
 	now := time.Hour
 	f := workersim.New(cfg, now)
-	cumulativeShares := make([]float64, c.controllers) // of the calls, up to and including each controller
+	cumulativeShares := make([]float64, c.controllers) // of the calls, up to each controller
 	for i := range cumulativeShares {
 		cumulativeShares[i] = math.Pow(float64(i+1), -c.uneven)
 		if i > 0 {
--- a/scheduler/slowstart_step_test.go
+++ b/scheduler/slowstart_step_test.go
@@ -106,7 +106,7 @@
 			}
 		}
 	}
-	if sent < total/2 || sent == total { // two fifths are sent there if credit decays within one window
+	if sent < total/2 || sent == total { // two fifths if credit decayed in one window
 		t.Errorf("%d of %d calls were sent to the warming home, want more than half and not all", sent, total)
 	}
 }
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -39,7 +39,7 @@
 // the worker may be sent beyond its capacity in a window, which is 0.2 of a core for two seconds
 // here.
 func TestSlowStartBoundsOutstandingWork(t *testing.T) {
-	for controllers, want := range map[float64]int{1: 6, 2: 3, 8: 0} { // of 0.4 s, 0.2 s and 0.05 s of work
+	for controllers, want := range map[float64]int{1: 6, 2: 3, 8: 0} { // of 0.4 s, 0.2 s, 0.05 s
 		s, w := warmingUp(controllers)
 		const work = 0.0625
 		sent := 0
@@ -95,7 +95,7 @@
 		s.random = random
 		s.sent(w, 1) // more than may be outstanding
 		for now := time.Minute; now < time.Minute+5*time.Second; now += 100 * ms {
-			s.completedWork += 0.001 // a hundredth of a core at each of a hundred controllers: one core in all
+			s.completedWork += 0.001 // one core in all: a hundredth of one for each controller
 			before := w.credit
 			if s.admit(w, now, work, oneReady) {
 				admitted += work
@@ -103,7 +103,7 @@
 			}
 		}
 	}
-	// One core for 5 s at an average fraction of 0.4, and 1 to 1.5 times that, over all controllers.
+	// One core for 5 s at a mean fraction of 0.4, and 1 to 1.5 times that, over all controllers.
 	rate := admitted / 200 * controllers / 5
 	if rate < 0.2 || rate > 0.6 {
 		t.Errorf("%v s of work per second by all controllers, want about 0.4", rate)
--- a/scheduler/snapshot.go
+++ b/scheduler/snapshot.go
@@ -9,7 +9,7 @@
 // Snapshot is the state of a worker and a function as the dispatcher sees it, for people to read.
 // No decision depends on it.
 type Snapshot struct {
-	RingPosition     int     `json:"Place"`    // of the worker in the function's walk; -1: not on it
+	RingPosition     int     `json:"Place"`    // of the worker in the function's walk; -1: none
 	RingSize         int     `json:"Ring"`     // number of workers on the ring
 	Ready            bool    `json:"Ready"`    // may be sent anything new
 	Ejected          bool    `json:"Ejected"`  // for failures
@@ -18,7 +18,7 @@
 	Rank             int     `json:"Rank"`     // as advised
 	Tokens           float64 `json:"Tokens"`   // concurrency limit at the worker
 	TokensInUse      int     `json:"Busy"`     // by attempts of this controller
-	LatencyRatio     float64 `json:"Pace"`     // mean run time, relative to its classes' means; 0: not known
+	LatencyRatio     float64 `json:"Pace"`     // mean run time over its classes'; 0: not known
 	AwaitingLoad     int     `json:"Loads"`    // attempts at the worker that may wait for a load
 	AdmittedFraction float64 `json:"Pass"`     // of new requests, at this controller
 	Queued           int     `json:"Waiting"`  // requests in the function's queue
