--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -61,7 +61,7 @@
 	}
 	datagram = append(datagram, payload...)
 	for index, addr := range p.addrs {
-		if index == to || to == scheduler.Everyone && index != p.self {
+		if index == to || to == scheduler.AllControllers && index != p.self {
 			p.conn.WriteToUDP(datagram, addr)
 		}
 	}
@@ -79,7 +79,7 @@
 			continue
 		}
 		if index, ok := p.sender(buf, from); ok {
-			g.ReceiveGossip(index, append([]byte(nil), buf[p.headerBytes:n]...))
+			g.ReceivePeerMessage(index, append([]byte(nil), buf[p.headerBytes:n]...))
 		}
 	}
 }
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -45,7 +45,7 @@
 
 func newRecordingSink() *recordingSink { return &recordingSink{notified: make(chan string, 10)} }
 
-func (s *recordingSink) Workers(kind scheduler.ListKind, _ uint32, workers []gateway.Worker) error {
+func (s *recordingSink) UpdateWorkers(kind scheduler.ListKind, _ uint32, workers []gateway.Worker) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.reject != nil {
@@ -130,13 +130,13 @@
 	sink := newRecordingSink()
 	log := newLogBuffer()
 	cfg := Config{
-		Node:    "n",
-		Cluster: "c",
-		File:    file,
-		Cache:   cache,
-		Poll:    time.Millisecond,
-		Sink:    sink,
-		Log:     zerolog.New(log),
+		Node:         "n",
+		Cluster:      "c",
+		File:         file,
+		CacheFile:    cache,
+		PollInterval: time.Millisecond,
+		Sink:         sink,
+		Log:          zerolog.New(log),
 	}
 
 	watcher := Start(cfg)
--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -39,7 +39,7 @@
 			d.updateWorker(info, update.Kind)
 		}
 	}
-	for _, worker := range d.order {
+	for _, worker := range d.listed {
 		if update.Kind != ListDelta && worker.listGeneration != d.listGeneration && worker.State != Removed {
 			d.removeWorker(worker)
 		}
@@ -71,7 +71,7 @@
 	joined := &worker{limit: newConcurrencyLimit(), placements: map[*queue]*placement{}}
 	joined.member = ring.Member[*worker]{ID: uint64(id), Value: joined}
 	d.workers[id] = joined
-	d.order = append(d.order, joined)
+	d.listed = append(d.listed, joined)
 	d.outliers.track(&joined.workerHealth)
 	return joined
 }
@@ -100,8 +100,8 @@
 // sortWorkers sorts the workers by ID after a change of the list, and drops those that have left
 // it.
 func (d *Dispatcher) sortWorkers() {
-	d.order = slices.DeleteFunc(d.order, func(w *worker) bool { return w.State == Removed })
-	slices.SortFunc(d.order, func(a, b *worker) int { return cmp.Compare(a.ID, b.ID) })
+	d.listed = slices.DeleteFunc(d.listed, func(w *worker) bool { return w.State == Removed })
+	slices.SortFunc(d.listed, func(a, b *worker) int { return cmp.Compare(a.ID, b.ID) })
 }
 
 // setEjected begins or ends the ejection of a worker.
@@ -185,8 +185,8 @@
 // sumCapacity continues the sum up to and including the last worker, or over all workers if last is
 // nil.
 func (d *Dispatcher) sumCapacity(last *worker) {
-	for ; d.capacity.next < len(d.order); d.capacity.next++ {
-		worker := d.order[d.capacity.next]
+	for ; d.capacity.next < len(d.listed); d.capacity.next++ {
+		worker := d.listed[d.capacity.next]
 		if last != nil && worker.ID > last.ID {
 			return
 		}
--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -8,8 +8,8 @@
 
 // A draining worker is sent neither requests nor load orders.
 func TestDrainingWorkerGetsNothingNew(t *testing.T) {
-	d := start(t, base(), ready(1, 2)...)
-	home := pickOut[Send](d.Step(time.Second, []Event{arrival(1, 0, 7)}))[0].Worker
+	d := start(t, testSettings(), ready(1, 2)...)
+	home := actionsOf[Send](d.Step(time.Second, []Event{arrival(1, 0, 7)}))[0].Worker
 	d.Step(1100*ms, []Event{AttemptEnded{Request: 1, Worker: home, Outcome: OK, Complete: true, Took: 100 * ms,
 		Note: FoundWarm}})
 	d.Step(1200*ms, []Event{ListUpdate{Kind: ListDelta, Workers: []WorkerInfo{{ID: home, State: Draining}}}})
@@ -20,12 +20,12 @@
 			events = append(events, arrival(RequestID(100+i), 0, 7))
 		}
 		actions := d.Step(now, events)
-		for _, a := range pickOut[Send](actions) {
+		for _, a := range actionsOf[Send](actions) {
 			if a.Worker == home {
 				t.Fatalf("%v: a request is sent to a draining worker", now)
 			}
 		}
-		for _, a := range pickOut[LoadOrder](actions) {
+		for _, a := range actionsOf[LoadOrder](actions) {
 			if a.Worker == home && a.Copies > 0 {
 				t.Fatalf("%v: a load order is sent to a draining worker", now)
 			}
@@ -36,11 +36,11 @@
 // A function that is called all the time keeps nothing about workers that were removed, even if its
 // requests were outstanding there.
 func TestRemovedWorkersAreForgotten(t *testing.T) {
-	d := start(t, base(), ready(1)...)
+	d := start(t, testSettings(), ready(1)...)
 	for i := RequestID(1); i <= 50; i++ {
 		id := WorkerID(i)
 		d.Step(time.Second, []Event{ListUpdate{Kind: FullList, Workers: ready(id)}})
-		sends := pickOut[Send](d.Step(time.Second, []Event{arrival(i, 0, 7)}))
+		sends := actionsOf[Send](d.Step(time.Second, []Event{arrival(i, 0, 7)}))
 		if len(sends) != 1 || sends[0].Worker != id {
 			t.Fatalf("sends %+v, want one to worker %d", sends, id)
 		}
@@ -56,8 +56,8 @@
 // known about it, and attempts outstanding at the old one do not count for it.
 func TestWorkerThatReturnsWithItsIDIsNew(t *testing.T) {
 	for _, oneUpdate := range []bool{true, false} {
-		d := called(t, base(), 7)
-		sent := pickOut[Send](d.Step(2*time.Second, []Event{arrival(90, 0, 7)}))
+		d := startAndServe(t, testSettings(), 7)
+		sent := actionsOf[Send](d.Step(2*time.Second, []Event{arrival(90, 0, 7)}))
 		old := d.workers[sent[0].Worker]
 		removed, returned := old.WorkerInfo, old.WorkerInfo
 		removed.State = Removed
@@ -68,7 +68,7 @@
 		}
 		d.Step(2010*ms, events)
 		current := d.workers[old.ID]
-		if current == old || current == nil || len(current.placements) != 0 || len(d.order) != 3 {
+		if current == old || current == nil || len(current.placements) != 0 || len(d.listed) != 3 {
 			t.Fatalf("in one update %v: same worker %v, with %d placements", oneUpdate, current == old,
 				len(current.placements))
 		}
@@ -91,18 +91,18 @@
 		}
 		return l
 	}
-	d := start(t, base(), many(1)...)
+	d := start(t, testSettings(), many(1)...)
 	var sent []Send
 	for i := range RequestID(300) {
-		sent = append(sent, pickOut[Send](d.Step(2*time.Second, []Event{arrival(i+1, 0, FunctionID(i+1))}))...)
+		sent = append(sent, actionsOf[Send](d.Step(2*time.Second, []Event{arrival(i+1, 0, FunctionID(i+1))}))...)
 	}
 	if len(sent) < 290 {
 		t.Fatalf("%d of 300 requests sent, want at least 290 for the test to mean anything", len(sent))
 	}
 	d.Step(3*time.Second, []Event{ListUpdate{Kind: FullList, Workers: many(5000)}})
-	if len(d.order) != 2000 || d.order[0].ID != 5000 || d.ring.Len() != 2000 {
+	if len(d.listed) != 2000 || d.listed[0].ID != 5000 || d.ring.Len() != 2000 {
 		t.Errorf("%d workers listed from ID %d on, %d on the ring, want 2000 from 5000 on",
-			len(d.order), d.order[0].ID, d.ring.Len())
+			len(d.listed), d.listed[0].ID, d.ring.Len())
 	}
 	checkIndexes(t, d)
 	var responses []Event
@@ -123,10 +123,10 @@
 
 // Workers are in the order of their IDs, whatever order they were listed in.
 func TestWorkersAreOrderedByID(t *testing.T) {
-	d := start(t, base(), ready(5, 2, 9)...)
+	d := start(t, testSettings(), ready(5, 2, 9)...)
 	d.Step(2*time.Second, []Event{ListUpdate{Kind: ListDelta, Workers: ready(1, 7, 3)}})
-	if !slices.IsSortedFunc(d.order, byID) || len(d.order) != 6 {
-		t.Errorf("%d workers, sorted by ID %v, want 6 that are", len(d.order), slices.IsSortedFunc(d.order, byID))
+	if !slices.IsSortedFunc(d.listed, byID) || len(d.listed) != 6 {
+		t.Errorf("%d workers, sorted by ID %v, want 6 that are", len(d.listed), slices.IsSortedFunc(d.listed, byID))
 	}
 	checkIndexes(t, d)
 }
@@ -135,18 +135,18 @@
 // added up later. A health check may end an ejection, after which no more than half of the workers
 // are ejected and the ejections of the others are no longer ignored.
 func TestCapacityCountsWorkersAsTheirHealthCheckFoundThem(t *testing.T) {
-	s := base()
+	s := testSettings()
 	s.Loading.Orders, s.Limits.Probe = false, false // ejections end without a probe
-	d := called(t, s, 7)
-	first, second := d.order[0], d.order[1]
+	d := startAndServe(t, s, 7)
+	first, second := d.listed[0], d.listed[1]
 	d.setEjected(first, true)
 	d.setEjected(second, true)
 	first.ejectedUntil, second.ejectedUntil = time.Hour, 0
 	d.now = time.Minute
 	d.checkHealth()
-	if !first.ejected || second.ejected || d.Effort().Summed > 2 {
+	if !first.ejected || second.ejected || d.Effort().SummedWorkers > 2 {
 		t.Fatalf("ejected %v and %v, want only the first; %d workers added up meanwhile, want at most 2",
-			first.ejected, second.ejected, d.Effort().Summed)
+			first.ejected, second.ejected, d.Effort().SummedWorkers)
 	}
 	if got := d.readyCapacity(); got != 3 {
 		t.Errorf("capacity %v, want 3: ejections were ignored at the health checks of the first two workers", got)
--- a/scheduler/loadbudget_step_test.go
+++ b/scheduler/loadbudget_step_test.go
@@ -7,14 +7,14 @@
 
 // A request that the controller had accepted before does not add to the load budget again.
 func TestResubmittedRequestEarnsNoLoad(t *testing.T) {
-	s := base()
+	s := testSettings()
 	setBudget(&s, 5*time.Second, 0, 1)
 	for _, resubmitted := range []bool{false, true} {
 		d := start(t, s, ready(1, 2)...)
 		a := arrival(1, 0, 5)
 		a.Resubmitted = resubmitted
 		d.Step(time.Second, []Event{a})
-		l := pickOut[LoadOrder](d.Step(time.Second, []Event{StagedCopies{Function: 9, Copies: 1}}))
+		l := actionsOf[LoadOrder](d.Step(time.Second, []Event{StagedCopies{Function: 9, Copies: 1}}))
 		if (len(l) == 1) == resubmitted {
 			t.Errorf("resubmitted %v: %d orders", resubmitted, len(l))
 		}
@@ -24,7 +24,7 @@
 // Two successive processes of one controller share one load budget, and the superseded one sends
 // nothing to warming workers.
 func TestTwoProcessesShareOneLoadBudget(t *testing.T) {
-	s := base()
+	s := testSettings()
 	setBudget(&s, 10*time.Second, 8, 0)
 	predecessor, successor := start(t, s, ready(1, 2, 3, 4)...), start(t, s, ready(1, 2, 3, 4)...)
 	desired := func(n int) (in []Event) {
@@ -33,18 +33,18 @@
 		}
 		return in
 	}
-	first := len(pickOut[LoadOrder](predecessor.Step(2*time.Second, desired(1))))
+	first := len(actionsOf[LoadOrder](predecessor.Step(2*time.Second, desired(1))))
 	predecessor.Step(3*time.Second, []Event{Superseded{On: true}})
 	for f := range 10 { // copies that requests need, which the part for advice does not limit
-		if predecessor.ensureCopy(predecessor.queues.get(FunctionID(100+f)), predecessor.order[0]) {
+		if predecessor.ensureCopy(predecessor.queues.getOrCreate(FunctionID(100+f)), predecessor.listed[0]) {
 			t.Fatal("the superseded process orders a load")
 		}
 	}
 	successor.Step(3*time.Second, []Event{predecessor.BudgetHandover()})
 	n := 0
 	for f := range 20 {
-		for _, w := range successor.order {
-			if successor.ensureCopy(successor.queues.get(FunctionID(200+f)), w) {
+		for _, w := range successor.listed {
+			if successor.ensureCopy(successor.queues.getOrCreate(FunctionID(200+f)), w) {
 				n++
 			}
 		}
@@ -60,7 +60,7 @@
 	if !predecessor.loadBudget.allows(predecessor.now) {
 		t.Error("the predecessor has no budget after the takeover was called off")
 	}
-	w := predecessor.order[0]
+	w := predecessor.listed[0]
 	w.warmingSince, w.StartedAt = 4*time.Second, 4*time.Second
 	predecessor.Step(5*time.Second, []Event{Superseded{On: true}})
 	w.credit = 100
@@ -75,7 +75,7 @@
 // Every load order is within the load budget, counted independently from the times of orders and
 // arrivals.
 func TestOrdersKeepTheLoadBudget(t *testing.T) {
-	s := base()
+	s := testSettings()
 	setBudget(&s, 5*time.Second, 2, 0.1)
 	d := start(t, s, ready(1, 2, 3)...)
 	var arrivals, orders []time.Duration
--- a/scheduler/outlier.go
+++ b/scheduler/outlier.go
@@ -105,14 +105,14 @@
 func (o *outlierDetector) onSuccess(health *workerHealth) {
 	health.consecutiveFailures = 0
 	health.consecutiveEjections = 0
-	o.setErrorRate(health, health.errorRate*(1-meanWeight))
+	o.setErrorRate(health, health.errorRate*(1-ewmaWeight))
 }
 
 // onError records an attempt that ended otherwise. It raises the error rate only if the error is
 // the worker's own.
 func (o *outlierDetector) onError(health *workerHealth, ownError bool, now time.Duration) {
 	if ownError {
-		o.setErrorRate(health, health.errorRate+meanWeight*(1-health.errorRate))
+		o.setErrorRate(health, health.errorRate+ewmaWeight*(1-health.errorRate))
 	}
 	if now >= health.avoidedUntil && health.errorRate > errorRateExcess+o.errorRates.Median(0) {
 		health.avoidedUntil = now + o.ejectionDuration(health.consecutiveEjections)
@@ -212,9 +212,9 @@
 func (d *Dispatcher) probe(worker *worker) bool {
 	switch {
 	case d.settings.Loading.Orders && worker.lastFunction != 0:
-		d.do(LoadOrder{Worker: worker.ID, Function: worker.lastFunction})
+		d.emit(LoadOrder{Worker: worker.ID, Function: worker.lastFunction})
 	case d.settings.Limits.Probe:
-		d.do(Probe{Worker: worker.ID})
+		d.emit(Probe{Worker: worker.ID})
 	default:
 		return false
 	}
@@ -224,7 +224,7 @@
 
 // ready reports whether a worker may be sent anything new.
 func (d *Dispatcher) ready(w *worker) bool {
-	return w.State == Ready && (!w.ejected || d.outliers.ignoresEjections(len(d.order)))
+	return w.State == Ready && (!w.ejected || d.outliers.ignoresEjections(len(d.listed)))
 }
 
 // workerResponded records the outcome of anything that was asked of a worker. Any response shows
--- a/scheduler/simulation_test.go
+++ b/scheduler/simulation_test.go
@@ -69,7 +69,7 @@
 // simulateWith runs a case, calls after at the end of each step, and returns the finished
 // simulation.
 func simulateWith(t *testing.T, c simulationCase, seed uint64, after func(*Dispatcher)) *simulation {
-	s := base()
+	s := testSettings()
 	s.Tick, s.Loading.IdleCopyTTL = c.tick, c.idleCopyTTL
 	if c.adjust != nil {
 		c.adjust(&s)
@@ -311,7 +311,7 @@
 
 // faulty reports whether a worker has a fault now. Faults change every seven seconds.
 func (p *simulation) faulty(w WorkerID) bool {
-	return unit(mix(uint64(w)*7+uint64(p.now/(7*time.Second)))) < p.config.fault
+	return unitInterval(mix(uint64(w)*7+uint64(p.now/(7*time.Second)))) < p.config.fault
 }
 
 // respondToSend schedules the outcome of a request that is sent to a worker, if there is one.
