--- a/scheduler/fleet.go
+++ b/scheduler/fleet.go
@@ -77,7 +77,7 @@
 }
 
 // removeWorker drops a worker that has left the list, except for its outstanding attempts. It stays
-// in the order until sortWorkers drops it.
+// among the listed workers until sortWorkers drops it.
 func (d *Dispatcher) removeWorker(worker *worker) {
 	if worker == nil {
 		return
@@ -166,7 +166,7 @@
 // health check found it in this step.
 type capacitySum struct {
 	total float64
-	next  int    // index into the order of workers: those before it are in the total
+	next  int    // index into the listed workers: those before it are in the total
 	added uint64 // see Effort
 }
 
