--- a/internal/registry/commands.go
+++ b/internal/registry/commands.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Push makes a version known. To push the same version again changes nothing and is no error; another digest or size
-// under a known name is one.
+// Push makes a version known. Pushing the same version again changes nothing and is not an error;
+// pushing another digest or size under a known name is one.
 type Push struct {
 	Model string `json:"Model"`
 	Version
@@ -23,7 +23,7 @@
 	m := s.Models[p.Model]
 	if m == nil {
 		if len(s.Models) >= s.Settings.MaxModels {
-			return nil, fmt.Errorf("model: %d are held, which is all", len(s.Models))
+			return nil, fmt.Errorf("model: the limit of %d models is reached", len(s.Models))
 		}
 		m = &Model{Name: p.Model, Versions: map[string]*Version{}, Aliases: map[string]*Alias{}}
 	}
@@ -34,9 +34,10 @@
 		return nil, nil
 	}
 	if len(m.Versions) >= s.Settings.MaxVersions {
-		return nil, fmt.Errorf("version: %d of %s are held, which is all: collect some", len(m.Versions), p.Model)
+		return nil, fmt.Errorf("version: the limit of %d versions of %s is reached: collect unused ones", len(m.Versions), p.Model)
 	}
-	// The same bytes under two names are two versions; condemned bytes are condemned under every name.
+	// Versions with the same bytes under two names are distinct, but condemned bytes are condemned
+	// under every name.
 	if _, condemned := s.Condemned[p.Digest]; condemned {
 		return nil, fmt.Errorf("digest: %s is condemned", p.Digest)
 	}
@@ -52,13 +53,13 @@
 		return err
 	}
 	if p.Size < 0 || !(p.MemoryMB >= 0) || p.Lanes < 0 || p.LoadTime < 0 {
-		return fmt.Errorf("version: %s: a size, memory, lanes or load time below 0", p.Name)
+		return fmt.Errorf("version: %s: size, memory, lanes and load time must not be below 0", p.Name)
 	}
 	return nil
 }
 
-// newVersion returns the version as pushed. What the registry itself keeps of a version starts afresh, whatever the
-// command holds.
+// newVersion returns the version as pushed. The state that the registry itself keeps of a version
+// starts afresh, whatever the command contains.
 func (p Push) newVersion(now time.Duration) *Version {
 	return &Version{
 		Name:       p.Name,
@@ -73,7 +74,8 @@
 	}
 }
 
-// CopiesReady reports how many copies of a version are ready at a worker, as the worker's answers say.
+// CopiesReady reports how many copies of a version are ready at a worker, according to the worker's
+// responses.
 type CopiesReady struct {
 	Model   string `json:"Model"`
 	Version string `json:"Version"`
@@ -94,7 +96,8 @@
 	return nil, nil
 }
 
-// CallsEnded adds to the calls of a version, by which its errors are judged after a migration.
+// CallsEnded adds to the calls of a version, from which its error rate is computed after a
+// migration.
 type CallsEnded struct {
 	Model   string `json:"Model"`
 	Version string `json:"Version"`
@@ -108,28 +111,28 @@
 		return nil, err
 	}
 	if c.Calls < 0 || c.Errors < 0 || c.Errors > c.Calls {
-		return nil, fmt.Errorf("calls: %d with %d errors", c.Calls, c.Errors)
+		return nil, fmt.Errorf("calls: %d calls with %d errors", c.Calls, c.Errors)
 	}
 	v.Calls += c.Calls
 	v.Errors += c.Errors
 	return nil, nil
 }
 
-// EpochConfirmed says that no controller can act by an epoch older than this one any more, as Leases.ConfirmedEpoch
-// found. It acknowledges the migrations up to it.
+// EpochConfirmed says that no controller can act under an epoch older than this one any more, as
+// determined by Leases.ConfirmedEpoch. It acknowledges the migrations up to this epoch.
 type EpochConfirmed struct {
 	Epoch uint64 `json:"Epoch"`
 }
 
 func (c EpochConfirmed) apply(s *State, _ time.Duration) ([]Effect, error) {
 	if c.Epoch > s.Epoch {
-		return nil, fmt.Errorf("epoch: %d, of which %d is the last", c.Epoch, s.Epoch)
+		return nil, fmt.Errorf("epoch: %d is newer than the latest, %d", c.Epoch, s.Epoch)
 	}
 	s.ConfirmedEpoch = max(s.ConfirmedEpoch, c.Epoch)
 	return nil, nil
 }
 
-// Policy says whether a controller without a lease may answer for a model: see Model.Stale.
+// Policy says whether a controller without a lease may answer for a model: see Model.AllowStale.
 type Policy struct {
 	Model      string `json:"Model"`
 	AllowStale bool   `json:"Stale"`
@@ -151,12 +154,13 @@
 	return []Effect{Published{s.Epoch}}, nil
 }
 
-// IdempotentCommand is a command with an idempotency key. The same command again changes nothing and has the effect
-// Replayed with the result of the first one; another command under the same key is ErrKeyReused. The newest
-// Settings.MaxRemembered keys are remembered. A command that fails does not use its key up.
+// IdempotentCommand is a command with an idempotency key. Repeating the same command changes
+// nothing and yields the effect Replayed with the result of the first execution; a different
+// command under the same key fails with ErrKeyReused. The newest Settings.MaxRemembered keys are
+// remembered. A command that fails does not consume its key.
 type IdempotentCommand struct {
 	Key      string // 1 to 128 bytes
-	Checksum string // of the command's text: by it the same command is told from another
+	Checksum string // of the text of the command, to tell the same command from another
 	Command  Command
 }
 
@@ -179,11 +183,11 @@
 	if s.LastMigration > lastMigration {
 		result.Migration = s.LastMigration
 	}
-	s.IdempotencyKeys = newest(append(s.IdempotencyKeys, result), s.Settings.MaxRemembered)
+	s.IdempotencyKeys = keepNewest(append(s.IdempotencyKeys, result), s.Settings.MaxRemembered)
 	return append([]Effect{MigrationStarted{result.Migration}}, effects...), nil
 }
 
-// Tick changes nothing by itself: Apply then takes the steps that are due by time.
+// Tick changes nothing by itself; Apply then takes the steps that are due.
 type Tick struct{}
 
 func (Tick) apply(*State, time.Duration) ([]Effect, error) { return nil, nil }
--- a/internal/registry/commands_alias.go
+++ b/internal/registry/commands_alias.go
@@ -5,14 +5,16 @@
 	"time"
 )
 
-// Promote starts the migration of an alias to a version, or creates the alias where IfRevision is 0. With Copies
-// above 0 it begins with staging, else with the fence.
+// Promote starts the migration of an alias to a version, or creates the alias if IfRevision is 0.
+// The migration begins with staging if Copies is above 0, and otherwise with the fence.
 type Promote struct {
-	Model      string `json:"Model"`
-	Alias      string `json:"Alias"`
-	To         string `json:"To"`         // the version
-	IfRevision uint64 `json:"IfRevision"` // the revision that the alias must have, or ErrRevisionChanged
-	Copies     int    `json:"Copies"`     // that must be ready before the alias names the version
+	Model string `json:"Model"`
+	Alias string `json:"Alias"`
+	To    string `json:"To"` // version
+	// IfRevision is the revision that the alias must have; otherwise the command fails with
+	// ErrRevisionChanged.
+	IfRevision uint64 `json:"IfRevision"`
+	Copies     int    `json:"Copies"` // number that must be ready before the alias names the version
 	By         string `json:"By"`
 	Reason     string `json:"Why"`
 }
@@ -26,7 +28,7 @@
 		return nil, err
 	}
 	a := m.Aliases[p.Alias]
-	if err := p.check(s, m, v, a); err != nil {
+	if err := p.checkPreconditions(s, m, v, a); err != nil {
 		return nil, err
 	}
 	if a == nil {
@@ -45,35 +47,39 @@
 	return nil, nil
 }
 
-// check returns why the promotion is not possible. The alias is nil where there is none yet.
-func (p Promote) check(s *State, m *Model, v *Version, a *Alias) error {
+// checkPreconditions returns an error if the promotion is not possible. The alias is nil if it does
+// not exist yet.
+func (p Promote) checkPreconditions(s *State, m *Model, v *Version, a *Alias) error {
 	switch {
 	case v.Phase == Condemned:
 		return fmt.Errorf("version: %s of %s is condemned", p.To, p.Model)
 	case p.Copies < 0:
 		return fmt.Errorf("copies: %d is below 0", p.Copies)
 	case revisionOf(a) != p.IfRevision:
-		return errRevision(p.Model, p.Alias, revisionOf(a), p.IfRevision)
+		return revisionMismatch(p.Model, p.Alias, revisionOf(a), p.IfRevision)
 	case a != nil && a.staging():
-		return fmt.Errorf("%w: %s of %s is being moved to %s: roll that back first",
+		return fmt.Errorf("%w: %s of %s is migrating to %s: roll that back first",
 			ErrRevisionChanged, p.Alias, p.Model, a.Migration.To)
 	case a == nil && len(m.Aliases) >= s.Settings.MaxAliases:
-		return fmt.Errorf("alias: %d of %s are held, which is all", len(m.Aliases), p.Model)
+		return fmt.Errorf("alias: the limit of %d aliases of %s is reached", len(m.Aliases), p.Model)
 	}
 	return nil
 }
 
-// errRevision says that an alias has another revision than a command names.
-func errRevision(model, alias string, have, want uint64) error {
+// revisionMismatch returns the error of a command that requires another revision than the alias
+// has.
+func revisionMismatch(model, alias string, have, want uint64) error {
 	return fmt.Errorf("%w: %s of %s is at revision %d, not %d", ErrRevisionChanged, alias, model, have, want)
 }
 
-// Rollback aborts a migration that is still staging, or else migrates an alias back to the version that it named
-// before.
+// Rollback aborts a migration that is still staging; otherwise it migrates an alias back to the
+// version that it named before.
 type Rollback struct {
-	Model      string `json:"Model"`
-	Alias      string `json:"Alias"`
-	IfRevision uint64 `json:"IfRevision"` // the revision that the alias must have, or ErrRevisionChanged
+	Model string `json:"Model"`
+	Alias string `json:"Alias"`
+	// IfRevision is the revision that the alias must have; otherwise the command fails with
+	// ErrRevisionChanged.
+	IfRevision uint64 `json:"IfRevision"`
 	By         string `json:"By"`
 	Reason     string `json:"Why"`
 }
@@ -85,14 +91,14 @@
 	}
 	a := m.Aliases[r.Alias]
 	if a.Revision != r.IfRevision {
-		return nil, errRevision(r.Model, r.Alias, a.Revision, r.IfRevision)
+		return nil, revisionMismatch(r.Model, r.Alias, a.Revision, r.IfRevision)
 	}
 	if a.staging() {
 		s.appendHistory(now, r.By, fmt.Sprintf("give up move %d", a.Migration.ID), r.Reason)
 		return s.abort(m, a, "rolled back: "+r.Reason, now), nil
 	}
 	if a.PreviousVersion == "" {
-		return nil, fmt.Errorf("alias: %s of %s has no version before", r.Alias, r.Model)
+		return nil, fmt.Errorf("alias: %s of %s has no previous version", r.Alias, r.Model)
 	}
 	return Promote{
 		Model:      r.Model,
--- a/internal/registry/commands_remove.go
+++ b/internal/registry/commands_remove.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Condemn forbids the bytes of a version for ever, under every name. Aliases that name them name none from now on.
+// Condemn permanently forbids the bytes of a version, under every name. Aliases that name such a
+// version stop naming any version.
 type Condemn struct {
 	Model   string `json:"Model"`
 	Version string `json:"Version"`
@@ -22,10 +23,10 @@
 	digest := v.Digest
 	_, known := s.Condemned[digest]
 	if !known && len(s.Condemned) >= s.Settings.MaxModels*s.Settings.MaxVersions {
-		return nil, fmt.Errorf("digest: %d are condemned, which is all that are remembered", len(s.Condemned))
+		return nil, fmt.Errorf("digest: the limit of %d condemned digests is reached", len(s.Condemned))
 	}
 	s.Condemned[digest] = c.Reason
-	s.Epoch++ // also where no alias names it: calls may still run under it
+	s.Epoch++ // even if no alias names the version: calls may still run under it
 	effects := []Effect{Published{s.Epoch}}
 	s.appendHistory(now, c.By, "condemn "+c.Model+" "+c.Version+" "+digest, c.Reason)
 	for _, m := range sortedByName(s.Models) {
@@ -42,7 +43,8 @@
 	return effects, nil
 }
 
-// withdraw makes an alias name no version where it names condemned bytes, and ends its migration to them.
+// withdraw makes an alias name no version if it names condemned bytes, and aborts a migration of
+// the alias to them.
 func (c Condemn) withdraw(s *State, m *Model, a *Alias, digest string, now time.Duration) (effects []Effect) {
 	condemned := func(version string) bool {
 		v := m.Versions[version]
@@ -61,9 +63,10 @@
 	return effects
 }
 
-// Collect removes the versions that nothing refers to any more.
+// Collect removes the versions that are no longer referenced.
 type Collect struct {
-	// Except are versions under which calls may still run, as the controllers reported. They stay.
+	// Except are versions under which calls may still run, as the controllers reported. They are
+	// not removed.
 	Except []VersionRef `json:"Except"`
 	By     string       `json:"By"`
 	Reason string       `json:"Why"`
@@ -83,15 +86,16 @@
 	return effects, nil
 }
 
-// isRetained tells whether a version must stay. It must while an alias names it or would after a rollback, while a
-// migration from or to it is not acknowledged, and until Settings.Retention is over since it was retired. A version
-// that was never used stays until it is condemned: it may be about to be used.
+// isRetained reports whether a version must be kept. It must be while an alias names it or would
+// name it after a rollback, while a migration from or to it is not acknowledged, and until
+// Settings.Retention has passed since it was retired. A version that was never used is kept until
+// it is condemned, as it may be about to be used.
 func (s *State) isRetained(m *Model, v *Version, now time.Duration) bool {
 	for _, a := range m.Aliases {
 		if a.Version == v.Name || a.PreviousVersion == v.Name {
 			return true
 		}
-		if mv := a.Migration; mv != nil && (mv.To == v.Name || mv.From == v.Name) {
+		if migration := a.Migration; migration != nil && (migration.To == v.Name || migration.From == v.Name) {
 			return true
 		}
 	}
--- a/internal/registry/effect.go
+++ b/internal/registry/effect.go
@@ -1,37 +1,41 @@
 package registry
 
-// An Effect is what a command brought about, in the order in which it happened: one of the types below.
+// An Effect is a result of a command: one of the types below. Effects are listed in the order in
+// which they happened.
 type Effect interface{ effect() }
 
-// Stage requests copies of a version to be loaded. The controller that Leases.Stager names orders them, within its
-// budget and its bounds.
+// Stage requests that copies of a version be loaded. The controller that Leases.StagingController
+// names orders the loads, within its load budget and its other limits.
 type Stage struct {
 	Model, Version string
 	Copies         int
 }
 
-// Unstage says that the copies of a version need not be kept.
+// Unstage says that the copies of a version are no longer needed.
 type Unstage struct{ Model, Version string }
 
-// Published says that controllers must learn of a new epoch.
+// Published announces a new epoch that controllers must learn.
 type Published struct{ Epoch uint64 }
 
 // Acknowledged says that a migration has taken effect at every controller.
 type Acknowledged struct{ Migration uint64 }
 
-// Aborted ends a migration that did not take effect.
+// Aborted says that a migration ended without taking effect.
 type Aborted struct {
 	Migration uint64
 	Reason    string
 }
 
-// MigrationStarted says which migration a command with an idempotency key started; 0: none.
+// MigrationStarted names the migration that a command with an idempotency key started; 0 if it
+// started none.
 type MigrationStarted struct{ Migration uint64 }
 
-// Replayed says that a command was a repetition, and which migration the first one started; 0: none.
+// Replayed says that a command repeats an earlier one, and names the migration that the earlier one
+// started; 0 if it started none.
 type Replayed struct{ Migration uint64 }
 
-// Collected says that a version was removed. Its bytes may be deleted if no other version has the same digest.
+// Collected says that a version was removed. Its bytes may be deleted if no other version has the
+// same digest.
 type Collected struct{ Model, Version, Digest string }
 
 func (Stage) effect()            {}
--- a/internal/registry/guarantee_test.go
+++ b/internal/registry/guarantee_test.go
@@ -10,12 +10,12 @@
 	"pgregory.net/rapid"
 )
 
-// Draws are the same in every run. Seek further with -rapid.seed.
+// The fixed seed makes every run draw the same values. Pass -rapid.seed to explore others.
 func init() { flag.Set("rapid.seed", "1") }
 
-// After a migration is acknowledged no controller hands out an answer of a superseded target: whatever is lost,
-// delayed or out of order between them and the registry, however their clocks drift within the bound, and when they
-// restart.
+// After a migration is acknowledged, no controller returns an answer of a superseded target. This
+// must hold when messages between controllers and the registry are lost, delayed or reordered, when
+// clocks drift within the bound, and when processes restart.
 func TestGuarantee(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := newGuaranteeModel(t)
@@ -34,12 +34,12 @@
 			default:
 				g.apply(Tick{})
 			}
-			g.check()
+			g.checkGuarantee()
 		}
 	})
 }
 
-// A guaranteeModel is a registry, its controllers, and the messages between them.
+// A guaranteeModel is a registry, its controllers, and the messages in flight between them.
 type guaranteeModel struct {
 	t           *rapid.T
 	registry    *testRegistry
@@ -48,15 +48,15 @@
 	controllers []*controllerModel
 	polls       []*poll // in flight
 
-	pending      map[uint64][]Target // superseded by a migration that is not acknowledged
-	acknowledged map[Target]bool     // superseded by one that is
+	pending      map[uint64][]Target // targets superseded by a migration that is not acknowledged
+	acknowledged map[Target]bool     // targets superseded by an acknowledged migration
 }
 
-// A controllerModel is a controller whose clock runs at a rate of its own from an offset of its own.
+// A controllerModel is a controller whose clock has its own rate and offset.
 type controllerModel struct {
 	name      string
 	view      View
-	confirmed uint64 // epoch that it confirms
+	confirmed uint64 // epoch
 	rate      float64
 	offset    time.Duration
 }
@@ -69,8 +69,8 @@
 // A poll is a request in flight to the registry, or its response in flight to the controller.
 type poll struct {
 	controller *controllerModel
-	sentAt     time.Duration // by its clock
-	epoch      uint64        // that it confirms
+	sentAt     time.Duration // by the controller's clock
+	epoch      uint64        // confirmed by the request
 	response   *ViewUpdate   // nil: the registry has not received the request
 }
 
@@ -79,7 +79,7 @@
 
 func newGuaranteeModel(t *rapid.T) *guaranteeModel {
 	settings := settings
-	settings.MaxClockDrift = 0.3 // large, so that to forget it shows
+	settings.MaxClockDrift = 0.3 // large, so that code that ignores the drift fails the test
 	r, err := newTestRegistry(settings)
 	if err != nil {
 		t.Fatal(err)
@@ -107,7 +107,8 @@
 	return g
 }
 
-// apply applies a command and notes which targets it supersedes and which migrations it acknowledges.
+// apply applies a command and records which targets it supersedes and which migrations it
+// acknowledges.
 func (g *guaranteeModel) apply(c Command) {
 	state := g.registry.state
 	before := state.ViewSince(0).Targets[guarded]
@@ -126,7 +127,7 @@
 	}
 }
 
-// acknowledge notes that a migration and all before it are acknowledged.
+// acknowledge records that a migration and all earlier ones are acknowledged.
 func (g *guaranteeModel) acknowledge(migration uint64) {
 	for id, targets := range g.pending {
 		if id > migration {
@@ -139,7 +140,8 @@
 	}
 }
 
-// deliver delivers one message in flight, in any order: a request to the registry, or a response to its controller.
+// deliver delivers a random message in flight: a request to the registry, or a response to its
+// controller.
 func (g *guaranteeModel) deliver() {
 	if len(g.polls) == 0 {
 		return
@@ -154,7 +156,7 @@
 	}
 	c := p.controller
 	c.view.Update(p.sentAt, *p.response)
-	if rapid.IntRange(0, 2).Draw(g.t, "settle") > 0 { // else calls go on, and it does not confirm
+	if rapid.IntRange(0, 2).Draw(g.t, "settle") > 0 { // otherwise calls continue, and it does not confirm
 		c.view = c.view.Settled()
 		c.confirmed = c.view.Epoch()
 	}
@@ -163,7 +165,7 @@
 
 // disturb lets a controller's clock jump, restarts the controller, or loses the oldest message.
 func (g *guaranteeModel) disturb(c *controllerModel) {
-	if rapid.IntRange(0, 3).Draw(g.t, "jump") == 0 { // its machine slept, and its clock counts that
+	if rapid.IntRange(0, 3).Draw(g.t, "jump") == 0 { // its machine was suspended, and its clock counts that time
 		c.offset += time.Duration(rapid.IntRange(0, 10_000).Draw(g.t, "slept")) * time.Millisecond
 		return
 	}
@@ -178,7 +180,8 @@
 	}
 }
 
-// migrate starts a migration, with a wrong revision at times, and before it restarts the registry at times.
+// migrate starts a migration, sometimes with a wrong revision and sometimes after a restart of the
+// registry.
 func (g *guaranteeModel) migrate() {
 	if rapid.IntRange(0, 9).Draw(g.t, "restart") == 0 { // the leases are lost with the process
 		g.registry.leases = NewLeases(g.settings, g.now, false)
@@ -192,13 +195,14 @@
 	g.apply(Promote{Model: guarded.Model, Alias: guarded.Alias, To: to, IfRevision: revision + off})
 }
 
-// check checks the guarantee at every controller.
-func (g *guaranteeModel) check() {
+// checkGuarantee fails the test if a controller would return an answer of a target that an
+// acknowledged migration superseded.
+func (g *guaranteeModel) checkGuarantee() {
 	for i, c := range g.controllers {
 		for target := range g.acknowledged {
 			verdict := c.view.MayAnswer(c.clock(g.now), guarded, target)
 			if verdict == Allowed || verdict == BeingSuperseded {
-				g.t.Fatalf("at %v controller %d hands out %v, superseded by an acknowledged migration", g.now, i, target)
+				g.t.Fatalf("at %v controller %d would answer under %v, which an acknowledged migration superseded", g.now, i, target)
 			}
 		}
 	}
--- a/internal/registry/lease.go
+++ b/internal/registry/lease.go
@@ -8,67 +8,75 @@
 	"time"
 )
 
-// Leases are the registry's side of the controllers' permission to answer. Not safe for concurrent use.
+// Leases are the registry's side of the controllers' permission to answer. They are not safe for
+// concurrent use.
 //
-// They are no part of a State and are not stored: a lease lives as long as the process that granted it, and a new
-// process waits for the time of one lease before it assumes that no earlier one is left. So no answer to a controller
-// waits for a disk, and a full disk stops migrations but not calls.
+// They are not part of a State and are not stored. A lease lives as long as the process that
+// granted it, and a new process assumes for the duration of one lease that controllers may still
+// hold leases of the previous process. So a response to a controller never waits for a disk, and a
+// full disk stops migrations but not calls.
 type Leases struct {
-	settings   Settings
-	graceUntil time.Duration // until then an unknown controller may hold a lease of the previous process
+	settings Settings
+	// Until graceUntil, controllers may hold leases of the previous process that this process does
+	// not know.
+	graceUntil time.Duration
 	holders    map[string]*leaseHolder
 }
 
 type leaseHolder struct {
-	epoch     uint64        // confirmed
-	expiresAt time.Duration // by the registry's clock, drift included
-	uses      []VersionRef
+	epoch         uint64        // confirmed
+	expiresAt     time.Duration // by the registry's clock, drift included
+	versionsInUse []VersionRef
 }
 
-// NewLeases returns the leases of a process that started now. fresh says that no process ran on this registry before.
-func NewLeases(settings Settings, now time.Duration, fresh bool) *Leases {
+// NewLeases returns the leases of a process that started now. firstStart says that no earlier
+// process ran on this registry.
+func NewLeases(settings Settings, now time.Duration, firstStart bool) *Leases {
 	l := &Leases{settings: settings, holders: map[string]*leaseHolder{}}
-	if !fresh {
+	if !firstStart {
 		l.graceUntil = now + l.ttlWithDrift()
 	}
 	return l
 }
 
-// ttlWithDrift is how long a lease may last by the registry's clock, if that clock runs as fast and the
-// controller's as slowly as the bound on their drift permits.
+// ttlWithDrift is how long a lease may last by the registry's clock, if that clock runs as fast,
+// and the controller's as slowly, as the bound on their drift permits.
 func (l *Leases) ttlWithDrift() time.Duration {
 	drift := l.settings.MaxClockDrift
 	return time.Duration(float64(l.settings.LeaseDuration)*(1+drift)/(1-drift)) + 1
 }
 
-// Renew grants a controller a new lease. The controller confirms by it that it acts by an epoch, of which last is the
-// newest there is. uses are the versions under which its calls still run, other than those that aliases name.
+// Renew grants a controller a new lease. The controller thereby confirms that it acts under an
+// epoch; latest is the newest epoch of the registry. versionsInUse are the versions under which
+// calls of the controller still run, except those that aliases name.
 //
-// The lease counts from now; the controller counts it from when it sent its request, which is earlier. Errors are a
-// bad name, an epoch that this registry never had, and too many controllers.
-func (l *Leases) Renew(now time.Duration, controller string, epoch, last uint64, uses []VersionRef) error {
+// The lease counts from now; the controller counts it from the time at which it sent its request,
+// which is earlier. Renew fails if the name is invalid, the registry never had the epoch, or too
+// many controllers hold leases.
+func (l *Leases) Renew(now time.Duration, controller string, epoch, latest uint64, versionsInUse []VersionRef) error {
 	if err := validateName("controller", controller); err != nil {
 		return err
 	}
-	if epoch > last {
-		return fmt.Errorf("epoch: %d, of which %d is the last: this is another registry's", epoch, last)
+	if epoch > latest {
+		return fmt.Errorf("epoch: %d, of which %d is the last: this is another registry's", epoch, latest)
 	}
 	holder := l.holders[controller]
 	if holder == nil {
 		l.expire(now)
 		if len(l.holders) >= l.settings.MaxControllers {
-			return fmt.Errorf("controller: %d have a lease, which is all", len(l.holders))
+			return fmt.Errorf("controller: all %d leases are taken", len(l.holders))
 		}
 		holder = &leaseHolder{}
 		l.holders[controller] = holder
 	}
-	holder.epoch = epoch // may go back: a controller that restarted knows less than it once confirmed
+	// The epoch may decrease: a controller that restarted knows less than it once confirmed.
+	holder.epoch = epoch
 	holder.expiresAt = now + l.ttlWithDrift()
-	holder.uses = uses
+	holder.versionsInUse = versionsInUse
 	return nil
 }
 
-// expire removes the leases that have ended. Their controllers may ask for new ones at any time.
+// expire removes the leases that have ended. Their controllers may request new ones at any time.
 func (l *Leases) expire(now time.Duration) {
 	for name, holder := range l.holders {
 		if now >= holder.expiresAt {
@@ -77,9 +85,9 @@
 	}
 }
 
-// ConfirmedEpoch returns the newest epoch such that no controller can act by an older one any more: the oldest one
-// that a lease holder confirmed. It is 0 while a lease of the previous process may be left, and the largest uint64
-// when nobody holds a lease.
+// ConfirmedEpoch returns the newest epoch such that no controller can act under an older one any
+// more: the oldest epoch that a lease holder confirmed. It is 0 while a lease of the previous
+// process may still be valid, and the largest uint64 if there are no lease holders.
 func (l *Leases) ConfirmedEpoch(now time.Duration) uint64 {
 	l.expire(now)
 	if now < l.graceUntil {
@@ -92,7 +100,7 @@
 	return oldest
 }
 
-// NextExpiry returns when time alone may raise ConfirmedEpoch; 0: never.
+// NextExpiry returns when the passage of time alone may raise ConfirmedEpoch; 0 if it cannot.
 func (l *Leases) NextExpiry(now time.Duration) (next time.Duration) {
 	if now < l.graceUntil {
 		next = l.graceUntil
@@ -105,14 +113,15 @@
 	return next
 }
 
-// VersionsInUse returns the versions, other than those that aliases name, under which calls may still run. known is false
-// while a controller of the previous process may not have reported its own.
-func (l *Leases) VersionsInUse(now time.Duration) (uses []VersionRef, known bool) {
+// VersionsInUse returns the versions under which calls may still run, except those that aliases
+// name. known is false while a controller of the previous process may not have reported its
+// versions yet.
+func (l *Leases) VersionsInUse(now time.Duration) (versions []VersionRef, known bool) {
 	l.expire(now)
 	for _, holder := range l.holders {
-		uses = append(uses, holder.uses...)
+		versions = append(versions, holder.versionsInUse...)
 	}
-	return uses, now >= l.graceUntil
+	return versions, now >= l.graceUntil
 }
 
 // Holders returns the controllers that hold a lease, each with the epoch that it confirmed.
@@ -125,20 +134,21 @@
 	return epochs
 }
 
-// StagingController returns the controller that orders the copies of a version, "" where none holds a lease. It is one alone,
-// so that the budget of loads is spent once. It is chosen by rendezvous hashing: when a controller comes or goes,
-// only the versions that are or were its own change hands.
-func (l *Leases) StagingController(now time.Duration, version VersionRef) (stager string) {
+// StagingController returns the controller that orders the copies of a version to be loaded, or ""
+// if no controller holds a lease. A single controller does so, so that the load budget is spent
+// only once. It is chosen by rendezvous hashing: when a controller joins or leaves, only the
+// versions assigned to it are reassigned.
+func (l *Leases) StagingController(now time.Duration, version VersionRef) (controller string) {
 	l.expire(now)
 	var highest uint64
 	for name := range l.holders {
 		h := fnv.New64a()
 		fmt.Fprintf(h, "%s\x00%s\x00%s", version.Model, version.Version, name)
 		weight := h.Sum64()
-		if stager == "" || cmp.Or(cmp.Compare(weight, highest), cmp.Compare(name, stager)) > 0 {
-			stager = name
+		if controller == "" || cmp.Or(cmp.Compare(weight, highest), cmp.Compare(name, controller)) > 0 {
+			controller = name
 			highest = weight
 		}
 	}
-	return stager
+	return controller
 }
--- a/internal/registry/migration.go
+++ b/internal/registry/migration.go
@@ -6,19 +6,22 @@
 	"time"
 )
 
-// automatic is who asked, in history and migrations, where the registry itself acted.
-const automatic = "registry"
+// registryActor stands for the registry itself, where history entries and migrations name an
+// operator.
+const registryActor = "registry"
 
-// startMigration begins a migration of an alias to a version ("": none) and returns it.
-func (s *State) startMigration(a *Alias, to, by, why string, now time.Duration) *Migration {
+// startMigration begins a migration of an alias to a version, or to none if to is empty, and
+// returns it.
+func (s *State) startMigration(a *Alias, to, by, reason string, now time.Duration) *Migration {
 	s.LastMigration++
-	a.Migration = &Migration{ID: s.LastMigration, From: a.Version, To: to, By: by, Reason: why, RequestedAt: now}
+	a.Migration = &Migration{ID: s.LastMigration, From: a.Version, To: to, By: by, Reason: reason, RequestedAt: now}
 	return a.Migration
 }
 
-// advance takes every step that is possible now: migrations with enough copies to their fence, fenced ones to their
-// acknowledgement, staging ones past their timeout to their abort, and aliases whose new version fails too often
-// back. Copies of versions past their retention are given free.
+// advance takes every step that is possible now. It fences migrations with enough ready copies,
+// acknowledges fenced migrations that every controller has confirmed, aborts staging migrations
+// past their timeout, and rolls back aliases whose new version fails too often. It also releases
+// the copies of versions past their retention.
 func (s *State) advance(now time.Duration) (effects []Effect) {
 	for _, m := range sortedByName(s.Models) {
 		for _, a := range sortedByName(m.Aliases) {
@@ -30,9 +33,9 @@
 	return append(effects, s.unstageRetired(now)...)
 }
 
-// advanceStaging takes a migration to its fence once enough copies are ready, or aborts it at its timeout. Where
-// memory cannot hold the old and the new version at once, that many copies never become ready: the migration ends
-// with the alias as it was.
+// advanceStaging fences a migration once enough copies are ready, or aborts it at its timeout.
+// Where memory cannot hold the old and the new version at the same time, that many copies never
+// become ready, and the migration ends with the alias unchanged.
 func (s *State) advanceStaging(m *Model, a *Alias, now time.Duration) []Effect {
 	if !a.staging() {
 		return nil
@@ -43,17 +46,18 @@
 	case ready >= migration.Copies:
 		return s.fence(m, a, now)
 	case now >= migration.RequestedAt+s.Settings.StagingTimeout:
-		why := fmt.Sprintf("%d of %d copies stood after %v", ready, migration.Copies, s.Settings.StagingTimeout)
-		return s.abort(m, a, why, now)
+		reason := fmt.Sprintf("%d of %d copies stood after %v", ready, migration.Copies, s.Settings.StagingTimeout)
+		return s.abort(m, a, reason, now)
 	}
 	return nil
 }
 
-// abort ends a migration that is staging. The alias never changed; one that the migration was to create is removed.
-func (s *State) abort(m *Model, a *Alias, why string, now time.Duration) []Effect {
+// abort ends a migration that is staging. The alias has not changed yet; an alias that the
+// migration was to create is removed.
+func (s *State) abort(m *Model, a *Alias, reason string, now time.Duration) []Effect {
 	migration := a.Migration
 	a.Migration = nil
-	effects := []Effect{Aborted{migration.ID, why}}
+	effects := []Effect{Aborted{migration.ID, reason}}
 	if v := m.Versions[migration.To]; v.Phase == Staged && !isReferenced(m, migration.To) {
 		v.enterPhase(Proposed, now)
 		clear(v.Copies)
@@ -65,7 +69,7 @@
 	return effects
 }
 
-// isReferenced tells whether an alias names a version, or a migration to it is staging.
+// isReferenced reports whether an alias names a version or a migration to it is staging.
 func isReferenced(m *Model, version string) bool {
 	for _, a := range m.Aliases {
 		if a.Version == version || a.staging() && a.Migration.To == version {
@@ -75,8 +79,9 @@
 	return false
 }
 
-// fence makes the alias name its new version in a new epoch. From here on the migration takes effect, controller by
-// controller; it is acknowledged when it has done so at every one.
+// fence makes the alias name its new version in a new epoch. From then on the migration takes
+// effect at one controller after the other; it is acknowledged once it has taken effect at all of
+// them.
 func (s *State) fence(m *Model, a *Alias, now time.Duration) []Effect {
 	migration := a.Migration
 	s.Epoch++
@@ -104,7 +109,8 @@
 	return []Effect{Published{s.Epoch}}
 }
 
-// acknowledgeFences acknowledges the migrations against which no controller can act any more.
+// acknowledgeFences acknowledges the migrations whose epoch is confirmed: no controller can act
+// against them any more.
 func (s *State) acknowledgeFences() (effects []Effect) {
 	s.Fences = slices.DeleteFunc(s.Fences, func(f Fence) bool {
 		if f.Epoch > s.ConfirmedEpoch {
@@ -120,7 +126,7 @@
 	return effects
 }
 
-// unstageRetired gives the copies of versions free that were retired for longer than the retention.
+// unstageRetired releases the copies of versions that have been retired for at least the retention.
 func (s *State) unstageRetired(now time.Duration) (effects []Effect) {
 	for _, m := range sortedByName(s.Models) {
 		for _, v := range sortedByName(m.Versions) {
@@ -133,35 +139,37 @@
 	return effects
 }
 
-// revertOnErrors migrates an alias back where its new version fails clearly more often than the previous one did.
-// It acts once a migration, within Settings.ErrorWatch and on at least Settings.MinCalls calls. It can be wrong
-// where the calls themselves changed at the same time.
+// revertOnErrors migrates an alias back if the error rate of its new version exceeds that of the
+// previous version by more than Settings.MaxErrorIncrease. It acts once per migration, within
+// Settings.AutoRollbackWindow and on at least Settings.MinCalls calls. The decision can be wrong if
+// the calls themselves changed at the same time.
 func (s *State) revertOnErrors(m *Model, a *Alias, now time.Duration) []Effect {
 	v := m.Versions[a.Version]
 	previous := m.Versions[a.PreviousVersion]
 	switch {
 	case v == nil || previous == nil || previous.Phase != Retired:
-		return nil // nothing to go back to
+		return nil // no version to roll back to
 	case a.staging():
 		return nil // an operator is already changing it
 	case now >= v.PhaseSince+s.Settings.AutoRollbackWindow:
 		return nil
 	case v.Calls < s.Settings.MinCalls || previous.Calls == 0:
-		return nil // nothing to compare
+		return nil // no error rates to compare
 	case v.errorRate() <= previous.errorRate()+s.Settings.MaxErrorIncrease:
 		return nil
 	}
-	why := fmt.Sprintf("%s fails in %d of %d calls, %s failed in %d of %d",
+	reason := fmt.Sprintf("%s fails in %d of %d calls, %s failed in %d of %d",
 		v.Name, v.Errors, v.Calls, previous.Name, previous.Errors, previous.Calls)
-	s.appendHistory(now, automatic, fmt.Sprintf("move %s %s back to %s", m.Name, a.Name, previous.Name), why)
-	s.startMigration(a, a.PreviousVersion, automatic, why, now)
+	s.appendHistory(now, registryActor, fmt.Sprintf("move %s %s back to %s", m.Name, a.Name, previous.Name), reason)
+	s.startMigration(a, a.PreviousVersion, registryActor, reason, now)
 	effects := s.fence(m, a, now)
-	a.PreviousVersion = "" // it must not go forth again by itself
+	a.PreviousVersion = "" // prevents an automatic migration forwards again
 	return effects
 }
 
-// NextDeadline returns when time alone will change something: a migration reaches its staging timeout, or a retired
-// version the end of its retention. 0: nothing is due. A Tick applied then takes the step.
+// NextDeadline returns when the passage of time alone will change something: a migration reaches
+// its staging timeout, or a retired version the end of its retention. It returns 0 if nothing is
+// due. A Tick applied at that time takes the step.
 func (s *State) NextDeadline() (next time.Duration) {
 	consider := func(deadline time.Duration) {
 		if next == 0 || deadline < next {
@@ -183,9 +191,10 @@
 	return next
 }
 
-// Status returns how far a migration is: "staging", "fenced", "acknowledged", "given up" with the reason, or
-// "forgotten" where it never was or is no longer remembered. The texts are part of the interface to operators.
-func (s *State) Status(migration uint64) (status, why string) {
+// Status returns the progress of a migration: "staging", "fenced", "acknowledged", "given up" with
+// the reason, or "forgotten" if the migration never existed or is no longer remembered. The texts
+// are part of the interface to operators.
+func (s *State) Status(migration uint64) (status, reason string) {
 	for _, end := range s.EndedMigrations {
 		if end.Migration == migration {
 			if end.Acknowledged {
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -1,26 +1,31 @@
-// Package registry decides which version of a model an alias names, when the migration of an alias to another version
-// takes effect, and when that migration may be acknowledged to the operator who asked for it.
+// Package registry decides which version of a model an alias names, when a migration of the alias
+// to another version takes effect, and when that migration may be acknowledged to the operator who
+// requested it.
 //
-// It is a deterministic state machine without I/O: a Command and the time go in, Effects come out. A State is rebuilt
-// by applying the same commands at the same times, which is how package service recovers it from its log. No type of
-// this package is safe for concurrent use; its owner holds a lock around it.
+// It is a deterministic state machine without I/O: a Command and the current time go in, Effects
+// come out. Applying the same commands at the same times rebuilds the same State, which is how
+// package service recovers it from its log. The types of this package are not safe for concurrent
+// use unless they say so; their owner guards them with a lock.
 //
 // # The guarantee
 //
-// Once a migration is acknowledged, no controller hands out an answer of the version that the alias named before.
+// Once a migration is acknowledged, no controller returns an answer that was computed by the
+// version that the alias named before.
 //
-// The argument has three parts. The fence gives the alias its new version in a new epoch. From then on, each
-// controller either confirms an epoch that includes the migration, and so stops answering by the old one, or its
-// lease expires. The registry counts a lease from when it received the request and adds the largest clock drift,
-// while the controller counts from when it sent the request, so that the lease ends at the controller first. And a
-// controller asks its View at the moment at which it hands an answer out; a View without a lease refuses. The
-// migration is acknowledged when Leases.ConfirmedEpoch reaches the epoch of its fence. docs/registry.md has the
-// argument in full and what it costs.
+// The argument has three parts. First, the fence switches the alias to its new version in a new
+// epoch. Second, each controller from then on either confirms an epoch that includes the migration,
+// and so stops answering under the old version, or loses its lease. The registry counts a lease
+// from the time at which it received the request and adds the largest clock drift, while the
+// controller counts from the time at which it sent the request, so the lease ends at the controller
+// first. Third, a controller consults its View at the moment at which it returns an answer, and a
+// View without a lease rejects the answer. The migration is acknowledged when Leases.ConfirmedEpoch
+// reaches the epoch of its fence. docs/registry.md has the complete argument and its costs.
 //
-// # Where to read
+// # Files
 //
-// state.go has the data, commands*.go what changes it, migration.go the steps of a migration, lease.go the registry's
-// side of the leases and view.go the controller's, supersede.go what becomes of calls whose alias has migrated.
+// state.go defines the data, and commands*.go the commands that change it. migration.go has the
+// steps of a migration, lease.go the registry's side of the leases, view.go the controller's side,
+// and supersede.go the handling of calls whose alias has migrated.
 package registry
 
 import (
@@ -29,7 +34,8 @@
 	"time"
 )
 
-// A Command changes a State. Its fields are what an operator, a controller or the registry's own process requests.
+// A Command changes a State. Its fields hold what an operator, a controller or the registry's own
+// process requests.
 type Command interface {
 	apply(s *State, now time.Duration) ([]Effect, error)
 }
@@ -42,11 +48,11 @@
 	return &State{Settings: settings, Models: map[string]*Model{}, Condemned: map[string]string{}}, nil
 }
 
-// Apply executes a command at a time, and every step of a migration that has become possible. Time never goes back:
-// an earlier now counts as the time of the last command.
+// Apply executes a command at a time, and then every step of a migration that has become possible.
+// Time never goes backwards: a now before the time of the last command counts as that time.
 //
-// On an error nothing has changed but the time. Errors that a caller tells apart are ErrRevisionChanged and
-// ErrKeyReused; every other one says what is wrong with the command.
+// After an error only the time has changed. Errors that callers distinguish wrap ErrRevisionChanged
+// or ErrKeyReused; every other error says what is wrong with the command.
 func (s *State) Apply(now time.Duration, c Command) ([]Effect, error) {
 	s.Now = max(s.Now, now)
 	effects, err := c.apply(s, s.Now)
@@ -62,26 +68,27 @@
 			s.EndedMigrations = append(s.EndedMigrations, MigrationEnd{Migration: e.Migration, Reason: e.Reason})
 		}
 	}
-	s.EndedMigrations = newest(s.EndedMigrations, s.Settings.MaxRemembered)
+	s.EndedMigrations = keepNewest(s.EndedMigrations, s.Settings.MaxRemembered)
 	return effects, nil
 }
 
-// appendHistory adds an entry to the history and forgets the oldest ones beyond the bound.
-func (s *State) appendHistory(now time.Duration, by, what, why string) {
-	s.History = append(s.History, HistoryEntry{At: now, By: by, Action: what, Reason: why})
-	s.History = newest(s.History, s.Settings.MaxRemembered)
+// appendHistory adds an entry to the history and drops the oldest entries beyond
+// Settings.MaxRemembered.
+func (s *State) appendHistory(now time.Duration, by, action, reason string) {
+	s.History = append(s.History, HistoryEntry{At: now, By: by, Action: action, Reason: reason})
+	s.History = keepNewest(s.History, s.Settings.MaxRemembered)
 }
 
-// newest removes the first elements of a list, so that at most limit are left.
-func newest[E any](list []E, limit int) []E {
+// keepNewest removes the first elements of a list so that at most limit remain.
+func keepNewest[E any](list []E, limit int) []E {
 	if excess := len(list) - limit; excess > 0 {
 		list = slices.Delete(list, 0, excess)
 	}
 	return list
 }
 
-// sortedByName returns the values of a map in the order of their names: applying a command must not depend on the
-// order in which Go ranges over a map.
+// sortedByName returns the values of a map in the order of their names. Applying a command must not
+// depend on the iteration order of Go's maps, which is random.
 func sortedByName[V any](m map[string]V) []V {
 	values := make([]V, 0, len(m))
 	for _, name := range slices.Sorted(maps.Keys(m)) {
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -29,19 +29,21 @@
 	MaxRemembered:      50,
 }
 
-// sha returns a digest of one repeated digit.
-func sha(c string) string { return "sha256:" + strings.Repeat(c, 64) }
+// digestOf returns a digest that repeats one digit.
+func digestOf(c string) string { return "sha256:" + strings.Repeat(c, 64) }
 
-// push returns the push of a version with a digest of one repeated digit.
-func push(v, d string) Push { return Push{Model: "m", Version: Version{Name: v, Digest: sha(d)}} }
+// push returns the push of a version whose digest repeats one digit.
+func push(version, digit string) Push {
+	return Push{Model: "m", Version: Version{Name: version, Digest: digestOf(digit)}}
+}
 
-// A testRegistry is a registry as package service runs it: a State with its Leases.
+// A testRegistry is a State with its Leases, as package service runs them.
 type testRegistry struct {
 	state  *State
 	leases *Leases
 }
 
-// renew is a controller's renewal of its lease, among the commands of a script.
+// renew is a controller's renewal of its lease, as a step among the commands of TestSteps.
 type renew struct {
 	Controller string
 	Epoch      uint64
@@ -54,34 +56,35 @@
 	return &testRegistry{st, NewLeases(s, 0, true)}, err
 }
 
-// apply applies a command and what follows from the leases.
-func (d *testRegistry) apply(now time.Duration, c Command) ([]Effect, error) {
-	if r, ok := c.(renew); ok {
-		if err := d.leases.Renew(now, r.Controller, r.Epoch, d.state.Epoch, nil); err != nil {
+// apply applies a command, and then the confirmation of an epoch if the leases permit it.
+func (r *testRegistry) apply(now time.Duration, c Command) ([]Effect, error) {
+	if renewal, ok := c.(renew); ok {
+		if err := r.leases.Renew(now, renewal.Controller, renewal.Epoch, r.state.Epoch, nil); err != nil {
 			return nil, err
 		}
 	}
-	out, err := d.state.Apply(now, c)
+	effects, err := r.state.Apply(now, c)
 	if err != nil {
 		return nil, err
 	}
-	if least := min(d.leases.ConfirmedEpoch(now), d.state.Epoch); least > d.state.ConfirmedEpoch {
-		more, err := d.state.Apply(now, EpochConfirmed{least})
-		return append(out, more...), err
+	if epoch := min(r.leases.ConfirmedEpoch(now), r.state.Epoch); epoch > r.state.ConfirmedEpoch {
+		more, err := r.state.Apply(now, EpochConfirmed{epoch})
+		return append(effects, more...), err
 	}
-	return out, nil
+	return effects, nil
 }
 
-// Each script says which command comes at which second, what its effects are, and what the alias names afterwards.
-func TestScript(t *testing.T) {
+// Each case applies commands at given seconds and compares the effects of each command, and what
+// the alias names afterwards.
+func TestSteps(t *testing.T) {
 	to := func(v string, rev uint64, copies int) Promote {
 		return Promote{Model: "m", Alias: "current", To: v, IfRevision: rev, Copies: copies, By: "op"}
 	}
 	type step struct {
-		at   int
-		do   Command
-		want string // effects, or the error
-		then string // version and revision of the alias
+		at        int // second
+		command   Command
+		want      string // effects, or the error
+		wantAlias string // version and revision
 	}
 	tests := map[string][]step{
 		"a migration waits for copies, then for controllers": {
@@ -98,7 +101,7 @@
 			{11, Tick{}, "[]", "v2@2"},
 			{13, Tick{}, "[]", "v2@2"},
 		},
-		"a controller that does not renew delays a migration until its lease is over": {
+		"a controller that does not renew delays a migration until its lease expires": {
 			{0, push("v1", "1"), "[]", ""},
 			{0, push("v2", "2"), "[]", ""},
 			{0, to("v1", 0, 0), "[{1} {1}]", "v1@1"},
@@ -112,7 +115,7 @@
 			{0, push("v2", "2"), "[]", ""},
 			{0, to("v1", 0, 0), "[{1} {1}]", "v1@1"},
 			{1, to("v2", 1, 2), "[{m v2 2}]", "v1@1"},
-			{2, to("v2", 1, 0), "the alias has moved since: current of m is being moved to v2: roll that back first", "v1@1"},
+			{2, to("v2", 1, 0), "the alias has moved since: current of m is migrating to v2: roll that back first", "v1@1"},
 			{11, Tick{}, "[{2 0 of 2 copies stood after 10s} {m v2}]", "v1@1"},
 		},
 		"a migration to B and back gives three revisions": {
@@ -130,15 +133,15 @@
 			{1, IdempotentCommand{"k", "other", to("v1", 1, 0)}, `key: used for another command: "k"`, "v1@1"},
 			{1, IdempotentCommand{"", "sum", to("v1", 1, 0)}, "key: 0 bytes, want 1 to 128", "v1@1"},
 		},
-		"condemned bytes are withdrawn from their alias for ever": {
+		"condemned bytes are permanently withdrawn from their alias": {
 			{0, push("v1", "1"), "[]", ""},
 			{0, to("v1", 0, 0), "[{1} {1}]", "v1@1"},
 			{0, push("same", "1"), "[]", "v1@1"},
 			{1, Condemn{Model: "m", Version: "same"}, "[{2} {m same} {m v1} {3} {2}]", "@2"},
 			{2, to("v1", 2, 0), "version: v1 of m is condemned", "@2"},
-			{2, push("again", "1"), "digest: " + sha("1") + " is condemned", "@2"},
+			{2, push("again", "1"), "digest: " + digestOf("1") + " is condemned", "@2"},
 		},
-		"a version that fails more than the previous one is rolled back": {
+		"a version with a higher error rate than the previous one is rolled back": {
 			{0, push("v1", "1"), "[]", ""},
 			{0, push("v2", "2"), "[]", ""},
 			{0, to("v1", 0, 0), "[{1} {1}]", "v1@1"},
@@ -148,7 +151,7 @@
 			{4, CallsEnded{"m", "v2", 1, 0}, "[{3} {3}]", "v1@3"},
 			{5, CallsEnded{"m", "v1", 100, 100}, "[]", "v1@3"},
 		},
-		"collection keeps what an alias names, named before, or a call still uses": {
+		"collection keeps versions that an alias names or named before, or that a call still uses": {
 			{0, push("v1", "1"), "[]", ""},
 			{0, push("v2", "2"), "[]", ""},
 			{0, push("v3", "3"), "[]", ""},
@@ -158,11 +161,11 @@
 			{21, renew{"c1", 2}, "[]", "v2@2"},
 			{21, to("v3", 2, 0), "[{3}]", "v3@3"},
 			{22, Collect{Except: []VersionRef{{"m", "v1"}}}, "[]", "v3@3"},
-			{22, Collect{}, "[{m v1 " + sha("1") + "}]", "v3@3"},
+			{22, Collect{}, "[{m v1 " + digestOf("1") + "}]", "v3@3"},
 			{27, Collect{}, "[{3}]", "v3@3"},
 			{40, Collect{}, "[]", "v3@3"},
 		},
-		"collection waits for controllers that may act by an older epoch": {
+		"collection waits for controllers that may act under an older epoch": {
 			{0, push("v1", "1"), "[]", ""},
 			{0, push("v2", "2"), "[]", ""},
 			{0, push("v3", "3"), "[]", ""},
@@ -174,7 +177,7 @@
 			{9, renew{"c1", 1}, "[]", "v3@3"},
 			{12, Collect{}, "[]", "v3@3"},
 			{13, renew{"c1", 3}, "[{2} {3}]", "v3@3"},
-			{13, Collect{}, "[{m v1 " + sha("1") + "}]", "v3@3"},
+			{13, Collect{}, "[{m v1 " + digestOf("1") + "}]", "v3@3"},
 		},
 		"a policy permits answers without a lease, once": {
 			{0, push("v1", "1"), "[]", ""},
@@ -183,12 +186,12 @@
 			{0, Policy{Model: "n"}, `model: "n" is not known`, ""},
 		},
 		"invalid commands are rejected and change nothing": {
-			{0, Push{Model: "a b", Version: Version{Name: "v", Digest: sha("1")}}, `model: "a b" has ' ' at byte 1`, ""},
-			{0, Push{Model: "m", Version: Version{Name: "", Digest: sha("1")}}, "version: 0 bytes, want 1 to 128", ""},
-			{0, Push{Model: "m", Version: Version{Name: "v", Digest: "sha256:12"}}, `digest: "sha256:12" is not sha256: and 64 small hexadecimal digits`, ""},
-			{0, push("v", "A"), `digest: "` + sha("A") + `" is not sha256: and 64 small hexadecimal digits`, ""},
+			{0, Push{Model: "a b", Version: Version{Name: "v", Digest: digestOf("1")}}, `model: "a b" has the invalid character ' ' at byte 1`, ""},
+			{0, Push{Model: "m", Version: Version{Name: "", Digest: digestOf("1")}}, "version: 0 bytes, want 1 to 128", ""},
+			{0, Push{Model: "m", Version: Version{Name: "v", Digest: "sha256:12"}}, `digest: "sha256:12" is not sha256: followed by 64 lowercase hexadecimal digits`, ""},
+			{0, push("v", "A"), `digest: "` + digestOf("A") + `" is not sha256: followed by 64 lowercase hexadecimal digits`, ""},
 			{0, push("v", "1"), "[]", ""},
-			{0, push("v", "2"), "version: v of m is " + sha("1") + " already: a version never changes", ""},
+			{0, push("v", "2"), "version: v of m is " + digestOf("1") + " already: a version never changes", ""},
 			{0, to("x", 0, 0), `version: "x" of m is not known`, ""},
 			{0, renew{"c", 9}, "epoch: 9, of which 0 is the last: this is another registry's", ""},
 			{0, Rollback{Model: "m", Alias: "current"}, `alias: "current" of m is not known`, ""},
@@ -196,26 +199,26 @@
 	}
 	for name, steps := range tests {
 		t.Run(name, func(t *testing.T) {
-			d, err := newTestRegistry(settings)
+			r, err := newTestRegistry(settings)
 			if err != nil {
 				t.Fatal(err)
 			}
-			s := d.state
-			for i, st := range steps {
-				effects, err := d.apply(time.Duration(st.at)*sec, st.do)
+			state := r.state
+			for i, step := range steps {
+				effects, err := r.apply(time.Duration(step.at)*sec, step.command)
 				got := fmt.Sprint(effects)
 				if err != nil {
 					got = err.Error()
 				}
-				if got != st.want {
-					t.Errorf("step %d, %T: got %s, want %s", i, st.do, got, st.want)
+				if got != step.want {
+					t.Errorf("step %d, %T: got %s, want %s", i, step.command, got, step.want)
 				}
-				then := ""
-				if m := s.Models["m"]; m != nil && m.Aliases["current"] != nil {
-					then = fmt.Sprintf("%s@%d", m.Aliases["current"].Version, m.Aliases["current"].Revision)
+				alias := ""
+				if m := state.Models["m"]; m != nil && m.Aliases["current"] != nil {
+					alias = fmt.Sprintf("%s@%d", m.Aliases["current"].Version, m.Aliases["current"].Revision)
 				}
-				if then != st.then {
-					t.Errorf("step %d, %T: alias %q, want %q", i, st.do, then, st.then)
+				if alias != step.wantAlias {
+					t.Errorf("step %d, %T: alias %q, want %q", i, step.command, alias, step.wantAlias)
 				}
 			}
 		})
@@ -225,7 +228,7 @@
 	}
 }
 
-// BenchmarkResolve is what each call costs: its alias resolved, its answer admitted.
+// BenchmarkResolve measures the cost for each call: its alias is resolved and its answer admitted.
 func BenchmarkResolve(b *testing.B) {
 	v := View{current: ViewUpdate{Targets: map[AliasName]Target{}}, leaseEnd: time.Hour}
 	for i := range 1000 {
@@ -240,46 +243,46 @@
 	}
 }
 
-// What becomes of a call whose alias has migrated, and of one without a lease, by its idempotency and what may have
-// run.
+// TestNextStep checks the next step of a call whose alias has migrated, and of a call without a
+// lease, by its idempotency and by what may have run.
 func TestNextStep(t *testing.T) {
-	const safe, keyed, unsafe = scheduler.Idempotent, scheduler.IdempotentWithKey, scheduler.NonIdempotent
+	const idempotent, withKey, nonIdempotent = scheduler.Idempotent, scheduler.IdempotentWithKey, scheduler.NonIdempotent
 	for _, tt := range []struct {
 		idempotency          scheduler.Idempotency
 		inFlight, mayHaveRun bool
 		restarts             int
 		superseded, noLease  NextStep
 	}{
-		{safe, false, false, 0, Restart, Reject},
-		{safe, true, true, 0, Restart, Reject},
-		{safe, false, true, MaxRestarts, Reject, Reject},
-		{keyed, false, false, 0, Restart, Reject},
-		{keyed, true, true, 0, Wait, Wait},
-		{keyed, false, true, 0, Fail, Fail},
-		{unsafe, false, false, 0, Restart, Reject},
-		{unsafe, true, true, 0, Wait, Wait},
-		{unsafe, false, true, 0, Fail, Fail},
-		{unsafe, false, false, MaxRestarts, Reject, Reject},
+		{idempotent, false, false, 0, Restart, Reject},
+		{idempotent, true, true, 0, Restart, Reject},
+		{idempotent, false, true, MaxRestarts, Reject, Reject},
+		{withKey, false, false, 0, Restart, Reject},
+		{withKey, true, true, 0, Wait, Wait},
+		{withKey, false, true, 0, Fail, Fail},
+		{nonIdempotent, false, false, 0, Restart, Reject},
+		{nonIdempotent, true, true, 0, Wait, Wait},
+		{nonIdempotent, false, true, 0, Fail, Fail},
+		{nonIdempotent, false, false, MaxRestarts, Reject, Reject},
 	} {
 		if got := AfterSuperseded(tt.idempotency, tt.inFlight, tt.mayHaveRun, tt.restarts); got != tt.superseded {
-			t.Errorf("%+v: %d after the alias has migrated", tt, got)
+			t.Errorf("%+v: next step %d after the alias has migrated", tt, got)
 		}
 		if got := WithoutLease(tt.idempotency, tt.inFlight, tt.mayHaveRun); got != tt.noLease {
-			t.Errorf("%+v: %d without a lease", tt, got)
+			t.Errorf("%+v: next step %d without a lease", tt, got)
 		}
 	}
 }
 
-// BenchmarkMemory measures the memory that a thousand versions take.
+// BenchmarkMemory measures the memory that 1000 versions take.
 func BenchmarkMemory(b *testing.B) {
-	set := settings
-	set.MaxModels, set.MaxVersions = 1000, 1000
+	bounds := settings
+	bounds.MaxModels, bounds.MaxVersions = 1000, 1000
 	var s *State
 	var before, after runtime.MemStats
 	for b.Loop() {
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		s, _ = New(set)
+		s, _ = New(bounds)
 		for i := range 1000 {
 			version := Version{Name: fmt.Sprint("v", i%10), Digest: "sha256:" + fmt.Sprintf("%064x", i), Size: 1}
 			if _, err := s.Apply(0, Push{Model: fmt.Sprint("model-", i/10), Version: version}); err != nil {
@@ -293,18 +296,19 @@
 	runtime.KeepAlive(s)
 }
 
-// A call under a target that is being superseded may be answered, and no new one starts, until the view is settled,
-// the lease is over, or its bytes are condemned.
+// A call under a target that is being superseded may be answered, but no new call starts under it,
+// until the view is settled, the lease expires, or the bytes are condemned.
 func TestBeingSuperseded(t *testing.T) {
 	current := AliasName{"m", "current"}
 	withdrawn := AliasName{"m", "withdrawn"} // names no version from epoch 2 on
-	one := Target{"v1", sha("1"), 1}
-	two := Target{"v2", sha("2"), 2}
+	one := Target{"v1", digestOf("1"), 1}
+	two := Target{"v2", digestOf("2"), 2}
 	update := func(epoch uint64, target Target, condemned ...string) ViewUpdate {
 		targets := map[AliasName]Target{current: target, withdrawn: {Revision: epoch}}
 		return ViewUpdate{Epoch: epoch, Targets: targets, LeaseDuration: 10 * sec, SettleTimeout: sec, Condemned: condemned}
 	}
-	// migrated returns a view that saw the alias migrate from one to two at 1 s; its lease ends at 11 s.
+	// migrated returns a view in which the alias migrated from one to two at 1 s; its lease ends at
+	// 11 s.
 	migrated := func() *View {
 		v := &View{}
 		first := update(1, one)
@@ -314,23 +318,23 @@
 		}
 		return v
 	}
-	expect := func(what string, v *View, now time.Duration, alias AliasName, target Target, want Verdict) {
+	expect := func(name string, v *View, now time.Duration, alias AliasName, target Target, want Verdict) {
 		t.Helper()
 		if got := v.MayAnswer(now, alias, target); got != want {
-			t.Errorf("%s: %v, want %v", what, got, want)
+			t.Errorf("%s: %v, want %v", name, got, want)
 		}
 	}
 	v := migrated()
 	expect("the previous target", v, 5*sec, current, one, BeingSuperseded)
 	expect("the current target", v, 5*sec, current, two, Allowed)
 	expect("a target whose alias names no version", v, 5*sec, withdrawn, one, Superseded)
-	expect("the previous target after the lease", v, 11*sec, current, one, Superseded)
+	expect("the previous target after the lease expired", v, 11*sec, current, one, Superseded)
 	settled := v.Settled()
 	expect("the previous target in a settled view", &settled, 5*sec, current, one, Superseded)
 
 	v = migrated()
-	if !v.Update(2*sec, update(3, two, sha("1"))) {
-		t.Error("the update that condemns was rejected")
+	if !v.Update(2*sec, update(3, two, digestOf("1"))) {
+		t.Error("the update that condemns the version was rejected")
 	}
 	expect("condemned bytes", v, 5*sec, current, one, Superseded)
 
@@ -340,6 +344,6 @@
 	}
 	expect("the current target after an older update", v, 5*sec, current, two, Allowed)
 	if v.Update(3*sec, ViewUpdate{Epoch: 9, Since: 7, Targets: map[AliasName]Target{}, LeaseDuration: sec}) {
-		t.Error("changes since an epoch that the view does not hold were accepted")
+		t.Error("changes since an epoch newer than the view's were accepted")
 	}
 }
--- a/internal/registry/state.go
+++ b/internal/registry/state.go
@@ -5,93 +5,98 @@
 	"time"
 )
 
-// State is a complete registry. Its JSON is what snapshots and exports hold: the keys in the tags are a format, also
-// where they differ from the names of the fields. Durations in it are in nanoseconds, and times count from when the
-// registry was first started.
+// State is a complete registry. Snapshots and exports hold its JSON: the keys in the tags are a
+// storage format, also where they differ from the names of the fields. Durations are in
+// nanoseconds, and times count from the first start of the registry.
 type State struct {
-	Settings        Settings          `json:"-"`
-	Epoch           uint64            `json:"Epoch"`    // grows with every change that controllers must learn of
-	LastMigration   uint64            `json:"NextMove"` // id of the newest migration
-	Models          map[string]*Model `json:"Models"`   // by name
-	Fences          []Fence           `json:"Fences"`   // not acknowledged, oldest first
-	ConfirmedEpoch  uint64            `json:"Confirmed"`
-	IdempotencyKeys []KeyResult       `json:"Keys"`      // idempotency keys, oldest first
+	Settings Settings `json:"-"`
+	// Epoch grows by one with every change that controllers must learn.
+	Epoch           uint64            `json:"Epoch"`
+	LastMigration   uint64            `json:"NextMove"`  // ID of the newest migration
+	Models          map[string]*Model `json:"Models"`    // by name
+	Fences          []Fence           `json:"Fences"`    // not yet acknowledged, oldest first
+	ConfirmedEpoch  uint64            `json:"Confirmed"` // no controller acts under an older epoch
+	IdempotencyKeys []KeyResult       `json:"Keys"`      // oldest first
 	History         []HistoryEntry    `json:"History"`   // oldest first
-	Condemned       map[string]string `json:"Condemned"` // the reason by digest; never removed
-	// EndedMigrations are the newest migrations that have ended, oldest first.
+	Condemned       map[string]string `json:"Condemned"` // reason by digest; entries are never removed
+	// EndedMigrations are the most recently ended migrations, oldest first.
 	EndedMigrations []MigrationEnd `json:"Moves"`
 	Now             time.Duration  `json:"Now"` // time of the last command
 }
 
-// A Model has versions and aliases, each by name.
+// A Model has versions and aliases, each indexed by name.
 type Model struct {
 	Name string `json:"Name"`
-	// AllowStale permits answers while a controller has no lease: for this model, one by an alias that may have migrated
-	// is better than none.
+	// AllowStale permits answers while a controller has no lease: for this model an answer under an
+	// alias that may have migrated is better than none.
 	AllowStale bool                `json:"Stale"`
 	Versions   map[string]*Version `json:"Versions"`
 	Aliases    map[string]*Alias   `json:"Aliases"`
 }
 
-// Phase is a version's stage of life. The numbers are stored.
+// Phase is the stage of a version's life cycle. The numbers are stored in snapshots.
 type Phase int
 
 // The phases of a version.
 const (
 	Proposed  Phase = iota + 1 // known by its digest
-	Staged                     // copies of it are ready or are being loaded
-	Live                       // an alias names it
-	Retired                    // no alias names it any more
+	Staged                     // its copies are ready or being loaded
+	Live                       // named by an alias
+	Retired                    // no longer named by any alias
 	Condemned                  // never to be used again
 )
 
-// String returns the phase's name in lower case.
+// String returns the name of the phase in lower case.
 func (p Phase) String() string {
 	return [...]string{"", "proposed", "staged", "live", "retired", "condemned"}[p]
 }
 
-// A Version of a model. What a push says of it never changes; its phase and its counters do.
+// A Version of a model. The properties that a push sets never change; the phase and the counters
+// do.
 type Version struct {
-	Name     string        `json:"Name"`
-	Digest   string        `json:"Digest"` // "sha256:" and 64 hexadecimal digits, as in the OCI image specification
-	Size     int64         `json:"Size"`   // bytes
+	Name string `json:"Name"`
+	// Digest is "sha256:" and 64 hexadecimal digits, as in the OCI image specification.
+	Digest   string        `json:"Digest"`
+	Size     int64         `json:"Size"` // bytes
 	MemoryMB float64       `json:"MemoryMB"`
-	Lanes    int           `json:"Lanes"` // calls that one copy runs at once
+	Lanes    int           `json:"Lanes"` // calls that one copy runs at a time
 	LoadTime time.Duration `json:"Load"`
 
 	Phase      Phase          `json:"Phase"`
 	PhaseSince time.Duration  `json:"Since"`  // time at which the phase began
 	Copies     map[string]int `json:"Copies"` // ready copies by worker
-	Calls      int            `json:"Calls"`  // calls that ended since it became live
-	Errors     int            `json:"Errors"` // how many of them failed
-	// ReplacedInEpoch is the epoch in which an alias last stopped naming it; 0: never.
+	Calls      int            `json:"Calls"`  // calls that ended since the version became live
+	Errors     int            `json:"Errors"` // how many of these calls failed
+	// ReplacedInEpoch is the epoch in which an alias last stopped naming the version; 0 if that
+	// never happened.
 	ReplacedInEpoch uint64 `json:"Left"`
 }
 
 // An Alias names a version of its model.
 type Alias struct {
 	Name    string `json:"Name"`
-	Version string `json:"Version"` // "": calls are refused
-	// Revision grows by one with every migration that took effect. A migration from A to B and back gives three
-	// revisions, so that an answer of the first A is told from one of the second.
+	Version string `json:"Version"` // if empty, calls are rejected
+	// Revision grows by one with every migration that takes effect. A migration from A to B and
+	// back yields three revisions, so an answer of the first A can be told from one of the second.
 	Revision        uint64     `json:"Revision"`
-	PreviousVersion string     `json:"Before"` // the target of a rollback; "": none
-	Epoch           uint64     `json:"Epoch"`  // in which it last changed
-	Migration       *Migration `json:"Move"`   // in progress; nil: none
+	PreviousVersion string     `json:"Before"` // target of a rollback; empty if there is none
+	Epoch           uint64     `json:"Epoch"`  // in which the alias last changed
+	Migration       *Migration `json:"Move"`   // in progress; nil if there is none
 }
 
-// A Migration of an alias from one version to another has two steps: staging, until enough copies are ready, then the
-// fence, until no controller can answer by the old version any more.
+// A Migration of an alias from one version to another has two steps: staging, until enough copies
+// are ready, and then the fence, until no controller can answer under the old version any more.
 type Migration struct {
 	ID          uint64        `json:"ID"`
-	From        string        `json:"From"` // "": the alias is new
-	To          string        `json:"To"`   // "": the alias's version was condemned
-	By          string        `json:"By"`   // operator, or "registry"
+	From        string        `json:"From"` // empty if the alias is new
+	To          string        `json:"To"`   // empty if the version of the alias was condemned
+	By          string        `json:"By"`   // operator, or registryActor
 	Reason      string        `json:"Why"`
-	Copies      int           `json:"Copies"` // that must be ready before the fence
+	Copies      int           `json:"Copies"` // number that must be ready before the fence
 	RequestedAt time.Duration `json:"Asked"`
-	Fenced      bool          `json:"Fenced"` // the alias names To; the acknowledgement waits for controllers
-	Epoch       uint64        `json:"Epoch"`  // of the fence, once Fenced
+	// Fenced says that the alias names To; the acknowledgement then waits for controllers.
+	Fenced bool   `json:"Fenced"`
+	Epoch  uint64 `json:"Epoch"` // of the fence, once Fenced
 }
 
 // A Fence is a migration that has changed its alias and is not acknowledged yet.
@@ -105,11 +110,11 @@
 // A MigrationEnd is the result of a migration.
 type MigrationEnd struct {
 	Migration    uint64 `json:"Move"`
-	Acknowledged bool   `json:"Acknowledged"` // else it was aborted
-	Reason       string `json:"Why"`          // it was aborted
+	Acknowledged bool   `json:"Acknowledged"` // false if it was aborted
+	Reason       string `json:"Why"`          // why it was aborted
 }
 
-// A HistoryEntry says who did what, when and why.
+// A HistoryEntry records who did what, when and why.
 type HistoryEntry struct {
 	At     time.Duration `json:"At"`
 	By     string        `json:"By"`
@@ -120,8 +125,8 @@
 // A KeyResult is the result of a command that carried an idempotency key.
 type KeyResult struct {
 	Key       string `json:"Key"`
-	Checksum  string `json:"Sum"`  // of the command's text
-	Migration uint64 `json:"Move"` // that the command started; 0: none
+	Checksum  string `json:"Sum"`  // of the text of the command
+	Migration uint64 `json:"Move"` // started by the command; 0 if none
 }
 
 // VersionRef names a version of a model.
@@ -130,7 +135,8 @@
 	Version string `json:"Version"`
 }
 
-// lookupVersion returns a version with its model, or an error that says which of the two is not known.
+// lookupVersion returns a version and its model, or an error that says which of the two is not
+// known.
 func (s *State) lookupVersion(model, version string) (*Model, *Version, error) {
 	m := s.Models[model]
 	if m == nil {
@@ -143,7 +149,7 @@
 	return m, v, nil
 }
 
-// enterPhase puts a version into a phase as of now.
+// enterPhase puts the version into a phase that begins now.
 func (v *Version) enterPhase(phase Phase, now time.Duration) {
 	v.Phase = phase
 	v.PhaseSince = now
@@ -161,10 +167,11 @@
 // errorRate returns the fraction of calls that failed.
 func (v *Version) errorRate() float64 { return float64(v.Errors) / float64(max(1, v.Calls)) }
 
-// staging tells whether a migration of the alias waits for copies: the alias still names its old version.
+// staging reports whether a migration of the alias waits for copies. The alias still names its old
+// version.
 func (a *Alias) staging() bool { return a.Migration != nil && !a.Migration.Fenced }
 
-// revisionOf returns the revision of an alias, 0 for one that does not exist.
+// revisionOf returns the revision of an alias, or 0 if the alias does not exist.
 func revisionOf(a *Alias) uint64 {
 	if a == nil {
 		return 0
--- a/internal/registry/view.go
+++ b/internal/registry/view.go
@@ -6,34 +6,34 @@
 	"time"
 )
 
-// AliasName is what a call names: an alias of a model.
+// AliasName identifies an alias of a model. Calls name their version by it.
 type AliasName struct{ Model, Alias string }
 
-// A Target is what an alias names at some time. Two targets of the same version can differ in their revision: the
-// alias migrated to another version and back in between, and an answer by the earlier target is one of a superseded
-// version.
+// A Target is what an alias names at some time. Two targets of the same version can differ in their
+// revision: the alias migrated to another version and back in between, so the earlier target is
+// superseded.
 type Target struct {
-	Version  string // "": the alias names none
+	Version  string // empty if the alias names no version
 	Digest   string
 	Revision uint64
 }
 
-// A ViewUpdate is what the registry sends to a controller: every alias as of an epoch, or those that changed since
-// another epoch.
+// A ViewUpdate is what the registry sends to a controller: all aliases as of an epoch, or those
+// that changed since an earlier epoch.
 type ViewUpdate struct {
 	Epoch         uint64
-	Since         uint64 // Targets are the changes since this epoch; 0: Targets are complete
+	Since         uint64 // Targets are the changes since this epoch; 0 if they are complete
 	Targets       map[AliasName]Target
-	AllowStale    map[string]bool // every model that permits answers without a lease; nil: none
+	AllowStale    map[string]bool // every model that permits answers without a lease; nil if there is none
 	Condemned     []string        // every condemned digest, sorted
-	LeaseDuration time.Duration   // from when the controller sent its request
-	SettleTimeout time.Duration   // how long calls under a superseded target may go on
+	LeaseDuration time.Duration   // counted from the time at which the controller sent its request
+	SettleTimeout time.Duration   // how long calls under a superseded target may continue
 }
 
-// ViewSince returns the update for a controller that holds an epoch; 0: it holds nothing. An alias that names no version
-// is sent as a target with only a revision.
+// ViewSince returns the update for a controller that has the given epoch, or 0 if it has none. An
+// alias that names no version is included as a target that has only a revision.
 func (s *State) ViewSince(since uint64) ViewUpdate {
-	if since > s.Epoch { // of another registry: send everything
+	if since > s.Epoch { // from another registry: send everything
 		since = 0
 	}
 	update := ViewUpdate{
@@ -72,46 +72,50 @@
 	return target
 }
 
-// A View is what one controller knows of the registry. The zero value knows nothing and permits nothing.
+// A View is what one controller knows of the registry. The zero value knows no alias and permits
+// nothing.
 //
-// Its methods may be called concurrently but for Update. A copy of a View is independent of the original: Update
-// replaces the maps that the two share and never changes them.
+// Its methods may be called concurrently, except Update. A copy of a View is independent of the
+// original: Update replaces the maps that the two share and never changes them.
 type View struct {
 	current  ViewUpdate    // complete: Since is 0
 	leaseEnd time.Duration // by the controller's own clock
-	// superseded are the targets of migrations that this controller has not confirmed yet. No such migration is
-	// acknowledged, so calls that already run under these targets may still be answered; no new ones start.
+	// superseded are the targets of migrations that this controller has not confirmed yet. These
+	// migrations are not acknowledged, so calls that already run under the targets may still be
+	// answered, but no new calls start under them.
 	superseded map[AliasName][]Target
 }
 
-// Update applies what the registry sent and tells whether it fits what the View holds. It does not when its epoch is
-// older, or when it holds changes since a newer epoch: the controller then asks for everything.
+// Update applies an update from the registry and reports whether it fits the View. It does not fit
+// if its epoch is older than that of the View, or if it holds changes since a newer epoch; the
+// controller then requests everything.
 //
-// sentAt is when the controller sent its request, by its own clock. The lease counts from there; the registry
-// counts it from when the request came in, which is later.
+// sentAt is when the controller sent its request, by its own clock. The lease counts from there;
+// the registry counts it from the time at which the request arrived, which is later.
 func (v *View) Update(sentAt time.Duration, update ViewUpdate) bool {
 	if update.Epoch < v.current.Epoch || update.Since > v.current.Epoch {
 		return false
 	}
 	if update.Since > 0 {
 		targets := v.current.Targets
-		if len(update.Targets) > 0 { // changes since an older epoch include those since the held one
+		if len(update.Targets) > 0 { // changes since an older epoch include those since the View's
 			targets = maps.Clone(targets)
 			maps.Copy(targets, update.Targets)
 		}
 		update.Targets = targets
 		update.Since = 0
 	}
-	v.superseded = v.supersededBy(update)
+	v.superseded = v.supersededAfter(update)
 	v.leaseEnd = max(v.leaseEnd, sentAt+update.LeaseDuration)
 	v.current = update
 	return true
 }
 
-// supersededBy returns the targets under which calls may still finish once a complete update holds: those under
-// which they may now, and those that the update replaces. Condemned bytes, and targets of an alias that names no
-// version any more, are superseded without that grace.
-func (v *View) supersededBy(update ViewUpdate) map[AliasName][]Target {
+// supersededAfter returns the targets under which calls may still finish once a complete update is
+// in effect: those under which they may finish now, and those that the update replaces. Targets
+// with condemned bytes, and targets of an alias that no longer names a version, are excluded: their
+// calls get no time to finish.
+func (v *View) supersededAfter(update ViewUpdate) map[AliasName][]Target {
 	superseded := map[AliasName][]Target{}
 	for name, targets := range v.superseded {
 		superseded[name] = slices.Clone(targets)
@@ -136,8 +140,8 @@
 	return superseded
 }
 
-// Epoch returns the epoch that the view is of. The controller confirms it by its next request once nothing acts by an
-// older one.
+// Epoch returns the epoch of the view. The controller confirms it with its next request once
+// nothing acts under an older epoch.
 func (v *View) Epoch() uint64 { return v.current.Epoch }
 
 // Verdict says whether a call may start or be answered under an alias.
@@ -147,33 +151,34 @@
 const (
 	// Allowed means that the alias names the target.
 	Allowed Verdict = iota + 1
-	// Superseded means that the alias has migrated: an answer by the target is not handed out.
+	// Superseded means that the alias has migrated: an answer of the target must not be returned.
 	Superseded
-	// NoLease means that the lease has expired: the alias may have migrated.
+	// NoLease means that the lease has expired, so the alias may have migrated.
 	NoLease
-	// Unknown means that there is no such alias, or that it names no version.
+	// Unknown means that the alias does not exist or names no version.
 	Unknown
-	// BeingSuperseded means that the alias has migrated, and that the migration is not acknowledged: a call that
-	// already runs may be answered, a new one may not start.
+	// BeingSuperseded means that the alias has migrated and the migration is not acknowledged yet:
+	// a call that already runs may be answered, but a new one may not start.
 	BeingSuperseded
 )
 
-// BeingSuperseded returns the targets under which calls may still be answered and may not start any more. The caller
-// must not change the map.
+// BeingSuperseded returns the targets under which calls may still be answered but not started. The
+// caller must not change the map.
 func (v *View) BeingSuperseded() map[AliasName][]Target { return v.superseded }
 
-// Settled returns the view without targets that are being superseded. A controller that acts by it may confirm its
-// epoch.
+// Settled returns the view without the targets that are being superseded. A controller that acts
+// under it may confirm its epoch.
 func (v *View) Settled() View {
 	settled := *v
 	settled.superseded = nil
 	return settled
 }
 
-// SettleTimeout returns how long the registry lets calls under superseded targets go on.
+// SettleTimeout returns how long the registry lets calls under superseded targets continue.
 func (v *View) SettleTimeout() time.Duration { return v.current.SettleTimeout }
 
-// Resolve returns what an alias names now, with Allowed, NoLease or Unknown. A call keeps its target to the end.
+// Resolve returns what an alias names now, with Allowed, NoLease or Unknown. A call keeps its
+// target until it ends.
 func (v *View) Resolve(now time.Duration, alias AliasName) (Target, Verdict) {
 	target, ok := v.current.Targets[alias]
 	switch {
@@ -188,18 +193,18 @@
 // LeaseEnd returns when the lease ends, by the controller's own clock.
 func (v *View) LeaseEnd() time.Duration { return v.leaseEnd }
 
-// AllowsStale tells whether a model permits answers without a lease.
+// AllowsStale reports whether a model permits answers without a lease.
 func (v *View) AllowsStale(model string) bool { return v.current.AllowStale[model] }
 
-// MayAnswer tells whether an answer by a target may be handed out at this very moment. One by a target that is
-// known to be superseded may not, also where the model permits answers without a lease.
+// MayAnswer reports whether an answer of a target may be returned at this moment. An answer of a
+// target that is known to be superseded may not, even if the model permits answers without a lease.
 func (v *View) MayAnswer(now time.Duration, alias AliasName, target Target) Verdict {
-	held, known := v.current.Targets[alias]
-	isCurrent := known && held == target
+	named, known := v.current.Targets[alias]
+	isCurrent := known && named == target
 	hasLease := now < v.leaseEnd
 	switch {
 	case !isCurrent && hasLease && slices.Contains(v.superseded[alias], target):
-		return BeingSuperseded // only with a lease: without one the migration may be acknowledged
+		return BeingSuperseded // requires a lease: without one the migration may already be acknowledged
 	case !isCurrent:
 		return Superseded
 	case !hasLease && !v.current.AllowStale[alias.Model]:
