--- a/internal/registry/agent/agent_test.go
+++ b/internal/registry/agent/agent_test.go
@@ -45,15 +45,16 @@
 	}
 }
 
-// A generation is idle once it was replaced and the answers that it admitted are written; it admits none afterwards.
+// A generation becomes idle once it was replaced and the answers that it admitted are written. It
+// admits no answers afterwards.
 func TestGenerationBecomesIdle(t *testing.T) {
 	g := newGeneration(registry.View{})
 	if !g.acquire() {
 		t.Fatal("the current generation admits no answer")
 	}
-	g.release() // replaced
+	g.release() // as if replaced
 	if g.isIdle() {
-		t.Error("idle while an answer is written")
+		t.Error("idle while an answer is being written")
 	}
 	if !g.acquire() {
 		t.Error("a replaced generation that is not idle admits no answer")
@@ -65,7 +66,8 @@
 	}
 }
 
-// Reports are taken by a poll, and put back where it fails; newer ones about copies are not overwritten.
+// A poll takes the reports, and they are restored if it fails. Newer reports of ready copies are
+// not overwritten.
 func TestReportsOfFailedPoll(t *testing.T) {
 	a := &Agent{cfg: Config{Clock: clock.System()}, reports: newReports()}
 	a.current.Store(newGeneration(registry.View{}))
@@ -100,8 +102,8 @@
 	}
 }
 
-// BenchmarkPath is what versions cost a call: its alias resolved, its target checked at send and answer, its answer
-// admitted.
+// BenchmarkPath measures the cost of versions for each call: its alias is resolved, its target is
+// checked when the call is sent and when it is answered, and its answer is admitted.
 func BenchmarkPath(b *testing.B) {
 	a := &Agent{cfg: Config{Clock: clock.System()}, reports: newReports()}
 	alias := registry.AliasName{Model: "model-500", Alias: "current"}
--- a/internal/registry/agent/generation.go
+++ b/internal/registry/agent/generation.go
@@ -6,25 +6,25 @@
 	"kitehub/internal/registry"
 )
 
-// A Ticket stands for one answer that is being written: see Agent.Begin.
+// A Ticket is held for one answer while it is being written: see Agent.BeginAnswer.
 type Ticket struct{ generation *generation }
 
-// A generation is one view, which never changes, with a count of references to it: one for each Ticket, and one for
-// being the current generation. A generation without references is idle for ever.
+// A generation is one immutable view with a count of references to it: one for each Ticket, and one
+// while it is the current generation. A generation without references is idle and stays so.
 type generation struct {
 	view       registry.View
 	references atomic.Int64
-	idle       chan struct{} // closed when references is 0
+	idle       chan struct{} // closed when references reaches 0
 }
 
-// newGeneration returns a generation with one reference, of being the current one.
+// newGeneration returns a generation with one reference, for being the current one.
 func newGeneration(view registry.View) *generation {
 	g := &generation{view: view, idle: make(chan struct{})}
 	g.references.Store(1)
 	return g
 }
 
-// acquire adds a reference, or returns false where none is left.
+// acquire adds a reference, or returns false if no reference is left.
 func (g *generation) acquire() bool {
 	for {
 		n := g.references.Load()
@@ -37,14 +37,14 @@
 	}
 }
 
-// release gives a reference back.
+// release drops a reference.
 func (g *generation) release() {
 	if g.references.Add(-1) == 0 {
 		close(g.idle)
 	}
 }
 
-// isIdle tells whether no reference is left.
+// isIdle reports whether no reference is left.
 func (g *generation) isIdle() bool {
 	select {
 	case <-g.idle:
--- a/internal/registry/agent/poll.go
+++ b/internal/registry/agent/poll.go
@@ -13,25 +13,27 @@
 )
 
 const (
-	// pollsPerLease is how often in a lease's time the lease is renewed while an epoch waits to be confirmed.
+	// pollsPerLease is how often the lease is renewed within its duration while an epoch waits to
+	// be confirmed.
 	pollsPerLease = 4
-	// firstPollTimeout bounds the wait for a response while no lease is known; afterwards it is the lease.
+	// firstPollTimeout bounds the wait for a response while no lease duration is known; afterwards
+	// that duration does.
 	firstPollTimeout = 5 * time.Second
-	// minBackoff and maxBackoff bound the pause after a failed poll, without its jitter.
+	// minBackoff and maxBackoff bound the pause after a failed poll, jitter not included.
 	minBackoff = 20 * time.Millisecond
 	maxBackoff = time.Second
 )
 
 // A poller is the state of an agent's polling goroutine, which alone uses it.
 type poller struct {
-	agent     *Agent
-	confirmed uint64            // newest epoch by which everything acts
-	nonce     string            // of the last response; "": the registry sends everything
-	nack      *wire.ErrorDetail // why the last response was rejected; nil: it was not
-	failures  int               // polls in a row that failed or were rejected
-	lease     time.Duration
-	settleBy  time.Duration // when calls under superseded targets are abandoned; 0: there are none
-	older     []*generation // replaced ones under which answers may still be written
+	agent          *Agent
+	confirmed      uint64            // newest epoch such that nothing acts under an older one
+	nonce          string            // of the last response; if empty, the registry sends everything
+	nack           *wire.ErrorDetail // why the last response was rejected; nil if it was accepted
+	failures       int               // consecutive polls that failed or were rejected
+	lease          time.Duration     // duration of the lease, or firstPollTimeout
+	settleDeadline time.Duration     // when calls under superseded targets are abandoned; 0 if there are none
+	older          []*generation     // replaced generations under which answers may still be written
 }
 
 // run polls until the agent is stopped.
@@ -46,7 +48,7 @@
 	}
 }
 
-// poll sends one request and acts on its outcome. It returns when the next one may be sent.
+// poll sends one request and acts on its outcome. It returns when the next request may be sent.
 func (p *poller) poll() {
 	sentAt := p.agent.cfg.Clock.Now()
 	request := p.agent.newRequest(p.confirmed, p.nonce, p.nack)
@@ -55,7 +57,7 @@
 		p.retryLater(request, err)
 		return
 	}
-	if newConnection && p.nonce != "" { // the response may be another process's: ask it for everything
+	if newConnection && p.nonce != "" { // the response may be another process's: request everything
 		p.nonce = ""
 		return
 	}
@@ -67,8 +69,8 @@
 	p.accept(sentAt, update, resp)
 }
 
-// send sends a request and waits for its response, for a lease at most. newConnection tells whether a connection was
-// opened for it.
+// send sends a request and waits for its response, at most for the duration of a lease.
+// newConnection reports whether a connection was opened for the request.
 func (p *poller) send(request *wire.DiscoveryRequest) (_ *wire.DiscoveryResponse, newConnection bool, _ error) {
 	body, err := json.Marshal(request)
 	if err != nil {
@@ -80,13 +82,14 @@
 	}
 	var resp wire.DiscoveryResponse
 	if err := json.Unmarshal(text, &resp); err != nil {
-		return nil, newConnection, fmt.Errorf("not a discovery response: %w", err)
+		return nil, newConnection, fmt.Errorf("invalid discovery response: %w", err)
 	}
 	return &resp, newConnection, nil
 }
 
-// retryLater backs off after a poll without a valid response. The pause doubles with each failure and has up to as
-// much jitter, so that controllers do not all come back at once.
+// retryLater backs off after a poll without a valid response. The pause doubles with each failure
+// and has jitter of up to its own length, so that controllers do not all reconnect at the same
+// time.
 func (p *poller) retryLater(request *wire.DiscoveryRequest, err error) {
 	p.failures++
 	if p.agent.cfg.Clock.Now() >= p.agent.current.Load().view.LeaseEnd() {
@@ -100,25 +103,26 @@
 	p.sleep(backoff)
 }
 
-// reject keeps the view as it is and tells the registry why with the next poll, which asks for everything.
-func (p *poller) reject(why error) {
+// reject keeps the view and tells the registry the reason with the next poll, which requests
+// everything.
+func (p *poller) reject(reason error) {
 	p.agent.Nacks.Add(1)
-	p.nack = &wire.ErrorDetail{Code: codeInvalidArgument, Message: why.Error()}
+	p.nack = &wire.ErrorDetail{Code: codeInvalidArgument, Message: reason.Error()}
 	p.nonce = ""
-	p.agent.cfg.Log.Warn().Err(why).Msg("registry update rejected, keeping previous view until lease ends")
+	p.agent.cfg.Log.Warn().Err(reason).Msg("registry update rejected, keeping previous view until lease ends")
 	p.sleep(minBackoff << min(p.failures, 5))
 	p.failures++
 }
 
-// accept replaces the view by an updated one, and confirms its epoch if that becomes possible before the lease is
-// to be renewed.
+// accept installs the updated view, and confirms its epoch if that becomes possible before the
+// lease must be renewed.
 func (p *poller) accept(sentAt time.Duration, update registry.ViewUpdate, resp *wire.DiscoveryResponse) {
 	p.failures = 0
 	p.nack = nil
 	p.lease = update.LeaseDuration
 	view := p.agent.current.Load().view
 	previousEpoch := view.Epoch()
-	if !view.Update(sentAt, update) { // of another registry process, or out of order: ask for everything
+	if !view.Update(sentAt, update) { // from another registry process, or out of order: request everything
 		p.nonce = ""
 		p.sleep(minBackoff)
 		return
@@ -130,9 +134,9 @@
 	}
 	p.agent.setStaged(resp.Stage)
 	if len(view.BeingSuperseded()) == 0 {
-		p.settleBy = 0
-	} else if p.settleBy == 0 {
-		p.settleBy = p.agent.cfg.Clock.Now() + view.SettleTimeout()
+		p.settleDeadline = 0
+	} else if p.settleDeadline == 0 {
+		p.settleDeadline = p.agent.cfg.Clock.Now() + view.SettleTimeout()
 	}
 	p.confirm(view)
 	p.removeIdle()
@@ -151,18 +155,19 @@
 	}
 }
 
-// confirm waits until nothing acts by an epoch older than the view's, and notes that the next poll may confirm it.
-// First, calls under superseded targets may finish, until settleBy; then answers that older views admitted must be
-// written. It returns without the epoch confirmed when the lease is to be renewed, which goes on under the old
-// epoch, or when the agent is stopped.
+// confirm waits until nothing acts under an epoch older than the view's, and records that the next
+// poll may confirm that epoch. First, calls under superseded targets may finish, until
+// settleDeadline; then the answers that older views admitted must be written. confirm returns
+// without the epoch confirmed if the lease must be renewed, which is done under the old epoch, or
+// if the agent is stopped.
 func (p *poller) confirm(view registry.View) {
 	renewal := time.NewTimer(p.lease / pollsPerLease)
 	defer renewal.Stop()
 	for p.confirmed < view.Epoch() {
 		if len(view.BeingSuperseded()) > 0 {
-			left := p.settleBy - p.agent.cfg.Clock.Now()
-			if left > 0 && p.agent.reports.hasCallsUnder(view.BeingSuperseded()) {
-				if !p.waitForCalls(left, renewal) {
+			remaining := p.settleDeadline - p.agent.cfg.Clock.Now()
+			if remaining > 0 && p.agent.reports.hasCallsUnder(view.BeingSuperseded()) {
+				if !p.waitForCalls(remaining, renewal) {
 					return
 				}
 				continue
@@ -184,14 +189,14 @@
 	}
 }
 
-// waitForCalls waits until a target has no calls left, or for a time, and returns true; or returns false when the
-// lease is to be renewed or the agent is stopped.
-func (p *poller) waitForCalls(within time.Duration, renewal *time.Timer) bool {
-	timeout := time.NewTimer(within)
-	defer timeout.Stop()
+// waitForCalls waits until a target has no calls left or the timeout has passed, and returns true.
+// It returns false if the lease must be renewed or the agent is stopped.
+func (p *poller) waitForCalls(timeout time.Duration, renewal *time.Timer) bool {
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	select {
 	case <-p.agent.reports.lastUseEnded:
-	case <-timeout.C:
+	case <-timer.C:
 	case <-renewal.C:
 		return false
 	case <-p.agent.stop:
@@ -200,18 +205,19 @@
 	return true
 }
 
-// settle replaces the view by one under which nothing is answered by a superseded target any more, and returns that.
-// Calls that still run learn of it by Config.AliasesChanged.
+// settle installs and returns a view under which no superseded target is answered any more. Calls
+// that still run learn of it through Config.OnAliasesChanged.
 func (p *poller) settle(view registry.View) registry.View {
 	view = view.Settled()
-	p.settleBy = 0
+	p.settleDeadline = 0
 	p.replaceView(view)
 	p.aliasesChanged()
 	return view
 }
 
-// olderThan returns a replaced generation that keeps the epoch of a settled view from being confirmed, as answers
-// that the view would not admit may still be written under it; nil: there is none.
+// olderThan returns a replaced generation that prevents the epoch of a settled view from being
+// confirmed, as answers that the view would not admit may still be written under it. It returns nil
+// if there is none.
 func (p *poller) olderThan(view registry.View) *generation {
 	p.removeIdle()
 	i := slices.IndexFunc(p.older, func(g *generation) bool {
@@ -223,12 +229,12 @@
 	return p.older[i]
 }
 
-// removeIdle forgets replaced generations under which nothing is written any more.
+// removeIdle drops replaced generations under which no answer is being written any more.
 func (p *poller) removeIdle() {
 	p.older = slices.DeleteFunc(p.older, (*generation).isIdle)
 }
 
-// sleep waits for a time, or until the agent is stopped.
+// sleep waits for a duration or until the agent is stopped.
 func (p *poller) sleep(d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/registry/agent/reports.go
+++ b/internal/registry/agent/reports.go
@@ -9,24 +9,24 @@
 	"kitehub/internal/registry/wire"
 )
 
-// reports are what the controller's calls and workers say, gathered for the next poll. Calls write them on their own
-// goroutines, the polling goroutine takes them.
+// reports are what calls and workers of the controller report, collected for the next poll. Calls
+// add to them on their own goroutines, and the polling goroutine takes them.
 type reports struct {
 	mu           sync.Mutex // guards all but lastUseEnded
 	uses         map[aliasTarget]int
-	endedCalls   map[registry.VersionRef]wire.CallsEnded // not reported yet
-	readyCopies  map[copiesAt]int                        // of staged versions, not reported yet
-	staged       []wire.Stage                            // as the registry last said
-	lastUseEnded chan struct{}                           // signals that some target has no calls left; holds one signal
+	endedCalls   map[registry.VersionRef]wire.CallsEnded // not yet reported
+	readyCopies  map[copiesAt]int                        // of staged versions, not yet reported
+	staged       []wire.Stage                            // as in the last response of the registry
+	lastUseEnded chan struct{}                           // signals that some target has no calls left; buffers one signal
 }
 
-// aliasTarget is what a running call is bound to.
+// aliasTarget identifies what a running call is bound to.
 type aliasTarget struct {
 	registry.AliasName
 	registry.Target
 }
 
-// copiesAt names the copies of a version at a worker.
+// copiesAt identifies the copies of a version at a worker.
 type copiesAt struct{ model, version, worker string }
 
 func newReports() reports {
@@ -38,31 +38,33 @@
 	}
 }
 
-// BeginCall counts a call that starts to run under a target, until Unuse. While it runs, the registry does not collect the
-// version, and a migration away from it waits for the call until the settle time is over.
-func (a *Agent) BeginCall(n registry.AliasName, t registry.Target) {
+// BeginCall counts a call that starts to run under a target, until EndCall. While the call runs,
+// the registry does not collect the version, and a migration away from the version waits for the
+// call until the settle timeout.
+func (a *Agent) BeginCall(alias registry.AliasName, target registry.Target) {
 	r := &a.reports
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.uses[aliasTarget{n, t}]++
+	r.uses[aliasTarget{alias, target}]++
 }
 
-// EndCall ends a Use. ran says that a worker answered the call, failed that the answer was an error.
-func (a *Agent) EndCall(n registry.AliasName, t registry.Target, ran, failed bool) {
+// EndCall ends the count of a BeginCall. ran says that a worker answered the call, and failed that
+// the answer was an error.
+func (a *Agent) EndCall(alias registry.AliasName, target registry.Target, ran, failed bool) {
 	r := &a.reports
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	use := aliasTarget{n, t}
+	use := aliasTarget{alias, target}
 	r.uses[use]--
 	if r.uses[use] <= 0 {
 		delete(r.uses, use)
 		select {
 		case r.lastUseEnded <- struct{}{}:
-		default: // a signal is pending already
+		default: // a signal is already pending
 		}
 	}
 	if ran {
-		r.countCall(registry.VersionRef{Model: n.Model, Version: t.Version}, failed)
+		r.countCall(registry.VersionRef{Model: alias.Model, Version: target.Version}, failed)
 	}
 }
 
@@ -78,8 +80,8 @@
 	r.endedCalls[version] = count
 }
 
-// ReportCopies notes how many copies of a version a worker said to have ready. It matters, and is kept, only while the
-// version is staged.
+// ReportCopies records how many copies of a version a worker reported as ready. The number matters,
+// and is stored, only while the version is staged.
 func (a *Agent) ReportCopies(version registry.VersionRef, worker string, copies int) {
 	r := &a.reports
 	r.mu.Lock()
@@ -92,7 +94,7 @@
 	}
 }
 
-// hasCallsUnder tells whether a call runs under one of the targets.
+// hasCallsUnder reports whether a call runs under one of the targets.
 func (r *reports) hasCallsUnder(targets map[registry.AliasName][]registry.Target) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -106,7 +108,7 @@
 	return false
 }
 
-// setStaged takes what the registry wants staged, and passes it on.
+// setStaged stores which versions the registry wants staged and passes them to Config.OnStage.
 func (a *Agent) setStaged(staged []wire.Stage) {
 	r := &a.reports
 	r.mu.Lock()
@@ -117,7 +119,8 @@
 	}
 }
 
-// newRequest returns a poll that confirms an epoch, with all reports since the last one: they are taken out.
+// newRequest returns a poll that confirms an epoch and carries all reports since the last poll,
+// which are removed here.
 func (a *Agent) newRequest(confirmed uint64, nonce string, nack *wire.ErrorDetail) *wire.DiscoveryRequest {
 	request := &wire.DiscoveryRequest{
 		VersionInfo:   strconv.FormatUint(confirmed, 10),
@@ -129,7 +132,7 @@
 	r := &a.reports
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	request.VersionsInUse = r.usesBesidesAliases(&a.current.Load().view)
+	request.VersionsInUse = r.supersededInUse(&a.current.Load().view)
 	for _, calls := range r.endedCalls {
 		request.CallsEnded = append(request.CallsEnded, calls)
 	}
@@ -143,15 +146,15 @@
 	return request
 }
 
-// usesBesidesAliases returns the versions under which calls run although their alias does not name them any more. The
-// caller holds mu.
-func (r *reports) usesBesidesAliases(view *registry.View) (versions []registry.VersionRef) {
+// supersededInUse returns the versions under which calls run although their alias no longer names
+// them. The caller holds mu.
+func (r *reports) supersededInUse(view *registry.View) (versions []registry.VersionRef) {
 	for use := range r.uses {
 		version := registry.VersionRef{Model: use.Model, Version: use.Version}
 		if slices.Contains(versions, version) {
 			continue
 		}
-		// At time 0 the lease counts as held: the question is only what the alias names.
+		// At time 0 no lease has expired, so that only the target of the alias decides.
 		if view.MayAnswer(0, use.AliasName, use.Target) != registry.Allowed {
 			versions = append(versions, version)
 		}
@@ -159,8 +162,8 @@
 	return versions
 }
 
-// restore puts the reports of a poll that failed back. The registry may have received them: calls can be counted
-// twice so, which distorts the judgement of a version's errors a little and breaks no guarantee.
+// restore puts the reports of a failed poll back. The registry may have received them, so calls can
+// be counted twice. That distorts the error rate of a version slightly and breaks no guarantee.
 func (r *reports) restore(request *wire.DiscoveryRequest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/registry/agent/response.go
+++ b/internal/registry/agent/response.go
@@ -10,15 +10,16 @@
 	"kitehub/internal/registry/wire"
 )
 
-// codeInvalidArgument is the code of google.rpc.Status for a response that was rejected.
+// codeInvalidArgument is the google.rpc.Code for a response that was rejected.
 const codeInvalidArgument = 3
 
-// parseResponse checks a response and returns the update that it holds. On an error all of it is to be rejected: the
-// error is one of the response's content, not of a lost response, and the registry is to be told.
+// parseResponse checks a response and returns the update that it contains. After an error the whole
+// response must be rejected, and the registry be told the reason: the content is invalid, as
+// opposed to a response that was lost.
 func parseResponse(resp *wire.DiscoveryResponse) (registry.ViewUpdate, error) {
 	epoch, err := strconv.ParseUint(resp.VersionInfo, 10, 64)
 	if err != nil {
-		return registry.ViewUpdate{}, fmt.Errorf("version_info: %q is no epoch", resp.VersionInfo)
+		return registry.ViewUpdate{}, fmt.Errorf("version_info: %q is not an epoch", resp.VersionInfo)
 	}
 	update := registry.ViewUpdate{
 		Epoch:         epoch,
@@ -29,15 +30,15 @@
 		SettleTimeout: fromMilliseconds(resp.SettleMS),
 	}
 	if resp.TypeURL != wire.TypeAlias || update.LeaseDuration <= 0 {
-		return update, errors.New("not a response about aliases with a lease")
+		return update, errors.New("type_url or lease_ms: not a response about aliases that grants a lease")
 	}
-	for i, x := range resp.Resources {
-		name := registry.AliasName{Model: x.Model, Alias: x.Alias}
-		_, twice := update.Targets[name]
-		if twice || x.Type != wire.TypeAlias || x.Model == "" || x.Alias == "" || x.Revision == 0 {
-			return update, fmt.Errorf("resources[%d]: %s of %s: twice, or not an alias", i, x.Alias, x.Model)
+	for i, alias := range resp.Resources {
+		name := registry.AliasName{Model: alias.Model, Alias: alias.Alias}
+		_, duplicate := update.Targets[name]
+		if duplicate || alias.Type != wire.TypeAlias || alias.Model == "" || alias.Alias == "" || alias.Revision == 0 {
+			return update, fmt.Errorf("resources[%d]: alias %s of %s is duplicated or invalid", i, alias.Alias, alias.Model)
 		}
-		update.Targets[name] = registry.Target{Version: x.Version, Digest: x.Digest, Revision: x.Revision}
+		update.Targets[name] = registry.Target{Version: alias.Version, Digest: alias.Digest, Revision: alias.Revision}
 	}
 	for _, model := range resp.AllowStale {
 		if update.AllowStale == nil {
--- a/internal/registry/client/client.go
+++ b/internal/registry/client/client.go
@@ -1,6 +1,6 @@
-// Package client sends signed requests to a registry over HTTP/1.1, for operators and controllers. It accepts only
-// responses that are signed for the request that they answer: a registry that is impersonated can be silent, and no
-// more.
+// Package client sends signed requests to a registry over HTTP/1.1, on behalf of operators and
+// controllers. It accepts only responses that are signed for their request, so an impostor of the
+// registry can withhold responses but not forge them.
 package client
 
 import (
@@ -19,49 +19,52 @@
 	"kitehub/internal/signing"
 )
 
-// A Client has one connection, which it opens when it needs one. Its fields must be set before the first request.
-// It is safe for concurrent use; requests are sent one after the other.
+// A Client has one connection, which it opens on demand. Its fields must be set before the first
+// request. It is safe for concurrent use; requests are sent one at a time.
 type Client struct {
 	Server string       // host:port
-	Name   string       // in the User-Agent, for the server's log
+	Name   string       // sent in the User-Agent, for the server's log
 	Key    *signing.Key // signs requests and verifies responses
-	// Dial opens connections; nil: by net.Dialer.
+	// Dial opens connections. If it is nil, net.Dialer does.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
-	Wall func() time.Time // for the timestamps of requests
+	Wall func() time.Time // wall clock for the timestamps of requests
 
-	requestMu sync.Mutex    // held for the whole of a request
+	requestMu sync.Mutex    // held for the duration of a request
 	reader    *bufio.Reader // of conn; guarded by requestMu
 
-	connMu sync.Mutex // guards the fields below, so that Close can end a request
-	conn   net.Conn   // nil: none is open; replaced only with requestMu held too
+	connMu sync.Mutex // guards the fields below, so that Close can interrupt a request
+	conn   net.Conn   // nil if no connection is open; replaced only while requestMu is also held
 	closed bool
 }
 
-// A StatusError is a signed response of another status than 200 and 202, or one of 401.
+// A StatusError is a signed response with a status other than 200 and 202, or a response with
+// status 401, signed or not.
 type StatusError struct {
-	Status int    // of HTTP
+	Status int    // HTTP status
 	Type   string // of the problem, "urn:kitehub:registry:..."
 	Detail string // of the problem
 }
 
-// Error returns the status and the problem's detail.
+// Error returns the status and the detail of the problem.
 func (e *StatusError) Error() string { return fmt.Sprintf("registry: %d: %s", e.Status, e.Detail) }
 
-// ErrUnsigned is returned for a response that is not signed for the request. It says nothing about the registry.
-var ErrUnsigned = errors.New("registry: the answer is not signed for the question")
+// ErrUnsigned is returned for a response that is not signed for its request. Such a response says
+// nothing about the registry.
+var ErrUnsigned = errors.New("registry: the response is not signed for the request")
 
-// NewID returns a new random id for a message.
+// NewID returns a random ID for a message. The ID begins with kind.
 func NewID(kind string) string { return kind + "_" + rand.Text() }
 
 var limits = http1.Limits{Body: 64 << 20, Headers: 16 << 10}.Filled()
 
-// Do sends a request under an id and returns the body of its response. newConnection tells whether a connection was
-// opened for it.
+// Do sends a request under an ID and returns the body of its response. newConnection reports
+// whether a connection was opened for the request.
 //
-// A *StatusError is the registry's answer. After any other error, such as ErrUnsigned or that of a connection, it
-// is not known whether the registry received the request; the connection is closed then.
+// A *StatusError is a response of the registry. After any other error, such as ErrUnsigned or that
+// of a connection, it is unknown whether the registry received the request; the connection is
+// closed in that case.
 func (c *Client) Do(path, id string, header http1.Header, body []byte, within time.Duration) (
-	answer []byte, newConnection bool, err error) {
+	response []byte, newConnection bool, err error) {
 	c.requestMu.Lock()
 	defer c.requestMu.Unlock()
 	req, err := c.newRequest(path, id, header, body)
@@ -111,38 +114,38 @@
 
 // exchange sends a request on the open connection and reads the response.
 func (c *Client) exchange(req *http1.Request, deadline time.Time) (*http1.Response, error) {
-	c.conn.SetDeadline(deadline) // on an error the connection fails at once
+	c.conn.SetDeadline(deadline) // after an error the write fails at once
 	if _, err := c.conn.Write(http1.AppendRequest(nil, req)); err != nil {
 		return nil, err
 	}
 	return http1.ReadResponse(c.reader, &limits, "POST")
 }
 
-// verify checks that a response is signed for the request of an id.
+// verify checks that a response is signed for the request with an ID.
 func (c *Client) verify(resp *http1.Response, id string) error {
 	m := signing.Message{
 		ID:    resp.Header.Get("webhook-id"),
 		Stamp: resp.Header.Get("webhook-timestamp"),
 		Body:  resp.Body,
 	}
-	isAnswer := m.ID == signing.AnswerID(strconv.Itoa(resp.Status), id)
-	if isAnswer && c.Key.Verify(m, resp.Header.Get("webhook-signature")) {
+	signedForRequest := m.ID == signing.AnswerID(strconv.Itoa(resp.Status), id)
+	if signedForRequest && c.Key.Verify(m, resp.Header.Get("webhook-signature")) {
 		return nil
 	}
-	if resp.Status == 401 { // the registry could not tell by which key to sign
-		return &StatusError{Status: 401, Type: "forged", Detail: "the registry does not take the signature: wrong key, or a clock that is off"}
+	if resp.Status == 401 { // the registry did not know with which key to sign
+		return &StatusError{Status: 401, Type: "forged", Detail: "the registry rejected the signature: the key is wrong or the clocks differ too much"}
 	}
 	return ErrUnsigned
 }
 
-// statusError returns the error of a signed response whose body is a problem.
+// statusError returns the error for a signed response whose body is a problem.
 func statusError(resp *http1.Response) error {
 	var p struct{ Type, Detail string }
-	json.Unmarshal(resp.Body, &p) // a body of another form leaves the status
+	json.Unmarshal(resp.Body, &p) // a body of another form leaves Type and Detail empty
 	return &StatusError{Status: resp.Status, Type: p.Type, Detail: p.Detail}
 }
 
-// open opens a connection where none is open. The caller holds requestMu.
+// open opens a connection if none is open. The caller holds requestMu.
 func (c *Client) open(deadline time.Time) (opened bool, err error) {
 	if c.conn != nil {
 		return false, nil
@@ -168,7 +171,7 @@
 	return true, nil
 }
 
-// closeConn closes the connection; the next request opens another. The caller holds requestMu.
+// closeConn closes the connection; the next request opens a new one. The caller holds requestMu.
 func (c *Client) closeConn() {
 	c.connMu.Lock()
 	defer c.connMu.Unlock()
@@ -178,7 +181,8 @@
 	}
 }
 
-// Close closes the connection, and so ends a request that is being sent or answered. No other connection is opened.
+// Close closes the connection, which interrupts a request in progress. No other connection is
+// opened afterwards.
 func (c *Client) Close() {
 	c.connMu.Lock()
 	defer c.connMu.Unlock()
--- a/internal/registry/client/operate.go
+++ b/internal/registry/client/operate.go
@@ -11,11 +11,12 @@
 	"kitehub/internal/registry/wire"
 )
 
-// waitMargin is how much longer than the wait that it asks for a request may take.
+// waitMargin is added to the wait that a request asks for, to give the timeout of the request.
 const waitMargin = 10 * time.Second
 
-// Command sends a command under an idempotency key and waits for its migration for up to cmd.WaitMS milliseconds.
-// After an error that is no *StatusError the same command may be sent again with the same key: it is executed once.
+// Command sends a command under an idempotency key and waits for its migration for at most
+// cmd.WaitMS milliseconds. After an error other than a *StatusError, the same command may be sent
+// again with the same key: it is executed only once.
 func (c *Client) Command(key string, cmd wire.Command) (*wire.Response, error) {
 	body, err := json.Marshal(cmd)
 	if err != nil {
@@ -31,7 +32,7 @@
 	return c.request(wire.CommandPath, key, header, body, cmd.WaitMS)
 }
 
-// Query sends a query, which changes nothing. Errors are those of Do.
+// Query sends a query, which changes nothing. Its errors are those of Do.
 func (c *Client) Query(q wire.Query) (*wire.Response, error) {
 	body, err := json.Marshal(q)
 	if err != nil {
@@ -40,8 +41,9 @@
 	return c.request(wire.QueryPath, NewID("query"), nil, body, q.WaitMS)
 }
 
-// request sends a request that may be sent twice, and once more on a new connection where an idle one has failed: the
-// registry may have closed it meanwhile.
+// request sends a request that may safely be sent twice. It sends the request again on a new
+// connection if an idle connection failed, as the registry may have closed that connection in the
+// meantime.
 func (c *Client) request(path, id string, header http1.Header, body []byte, waitMS int64) (*wire.Response, error) {
 	within := time.Duration(waitMS)*time.Millisecond + waitMargin
 	text, newConnection, err := c.Do(path, id, header, body, within)
@@ -52,9 +54,9 @@
 	if err != nil {
 		return nil, err
 	}
-	answer := &wire.Response{}
-	if err := json.Unmarshal(text, answer); err != nil {
-		return nil, fmt.Errorf("registry: its answer: %w", err)
+	response := &wire.Response{}
+	if err := json.Unmarshal(text, response); err != nil {
+		return nil, fmt.Errorf("registry: decode response: %w", err)
 	}
-	return answer, nil
+	return response, nil
 }
