--- a/internal/registry/service/codec.go
+++ b/internal/registry/service/codec.go
@@ -10,12 +10,12 @@
 	"kitehub/internal/registry"
 )
 
-// A record is one entry of the log: a command, of which exactly one is set, with the time at which it was applied.
-// Its JSON is the format of the log.
+// A record is one entry of the log: a command with the time at which it was applied. Exactly one
+// command is set. The JSON of a record is the format of the log.
 type record struct {
 	At             time.Duration            `json:"at"`
 	Key            string                   `json:"key,omitempty"` // idempotency key
-	Sum            string                   `json:"sum,omitempty"` // of the command's text, with a key
+	Checksum       string                   `json:"sum,omitempty"` // of the command's text; set if there is a key
 	Push           *registry.Push           `json:"push,omitempty"`
 	Promote        *registry.Promote        `json:"promote,omitempty"`
 	Rollback       *registry.Rollback       `json:"rollback,omitempty"`
@@ -28,7 +28,7 @@
 	Tick           *registry.Tick           `json:"tick,omitempty"`
 }
 
-// command returns the one command of a record, or an error where none or several are set.
+// command returns the command of a record, or an error unless exactly one is set.
 func (r *record) command() (registry.Command, error) {
 	var commands []registry.Command
 	commands = appendIfSet(commands, r.Push)
@@ -47,12 +47,12 @@
 	}
 	command := commands[0]
 	if r.Key != "" {
-		command = registry.IdempotentCommand{Key: r.Key, Checksum: r.Sum, Command: command}
+		command = registry.IdempotentCommand{Key: r.Key, Checksum: r.Checksum, Command: command}
 	}
 	return command, nil
 }
 
-// appendIfSet appends the command that a field holds, if it holds one.
+// appendIfSet appends the command in a field if the field is set.
 func appendIfSet[C registry.Command](commands []registry.Command, field *C) []registry.Command {
 	if field == nil {
 		return commands
@@ -65,7 +65,7 @@
 	switch c := c.(type) {
 	case registry.IdempotentCommand:
 		r.Key = c.Key
-		r.Sum = c.Checksum
+		r.Checksum = c.Checksum
 		r.set(c.Command)
 	case registry.Push:
 		r.Push = &c
@@ -90,8 +90,8 @@
 	}
 }
 
-// unmarshalStrict decodes one JSON value and nothing else. An unknown field is an error: a misspelt condition would
-// otherwise be no condition.
+// unmarshalStrict decodes exactly one JSON value. An unknown field is an error, as a misspelt
+// condition would otherwise be ignored.
 func unmarshalStrict(text []byte, v any) error {
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.DisallowUnknownFields()
@@ -99,7 +99,7 @@
 		return err
 	}
 	if _, err := decoder.Token(); err != io.EOF {
-		return fmt.Errorf("more behind the value, at byte %d", decoder.InputOffset())
+		return fmt.Errorf("unexpected data after the JSON value, at byte %d", decoder.InputOffset())
 	}
 	return nil
 }
--- a/internal/registry/service/command.go
+++ b/internal/registry/service/command.go
@@ -18,11 +18,12 @@
 // maxWait bounds how long a command or a query may wait.
 const maxWait = 30 * time.Second
 
-// waitTime returns how long a request waits that asks for so many milliseconds.
+// waitTime returns how long a request waits that asks for a number of milliseconds.
 func waitTime(ms int64) time.Duration { return min(time.Duration(ms)*time.Millisecond, maxWait) }
 
-// command commits an operator's command. The message's id is its idempotency key, among the caller's own.
-func (f *Handler) command(r *http1.Request, caller *Client, id string) *http1.Response {
+// command commits an operator's command. The ID of the message is the idempotency key; each client
+// has its own keys.
+func (h *Handler) command(r *http1.Request, client *Client, id string) *http1.Response {
 	var q wire.Command
 	if err := unmarshalStrict(r.Body, &q); err != nil {
 		return problem(400, "bad", err.Error())
@@ -30,13 +31,13 @@
 	if resp := checkRevision(r, &q); resp != nil {
 		return resp
 	}
-	if resp := f.complete(&q, caller.Name); resp != nil {
+	if resp := h.addServerFields(&q, client.Name); resp != nil {
 		return resp
 	}
-	sum := sha256.Sum256(r.Body)
+	checksum := sha256.Sum256(r.Body)
 	rec := record{
-		Key:      caller.Name + " " + id,
-		Sum:      hex.EncodeToString(sum[:]),
+		Key:      client.Name + " " + id,
+		Checksum: hex.EncodeToString(checksum[:]),
 		Push:     q.Push,
 		Promote:  q.Promote,
 		Rollback: q.Rollback,
@@ -48,23 +49,24 @@
 	if err != nil {
 		return problem(400, "bad", err.Error())
 	}
-	effects, err := f.service.Commit(c)
+	effects, err := h.service.Commit(c)
 	if err != nil {
 		return commitProblem(err)
 	}
-	a := answerOf(effects)
+	resp := commandResponse(effects)
 	status := 200
-	if a.Migration > 0 {
-		a.Status, a.Reason = f.service.AwaitMigration(a.Migration, waitTime(q.WaitMS))
-		if inProgress(a.Status) {
+	if resp.Migration > 0 {
+		resp.Status, resp.Reason = h.service.AwaitMigration(resp.Migration, waitTime(q.WaitMS))
+		if inProgress(resp.Status) {
 			status = 202
 		}
 	}
-	return answer(status, a)
+	return success(status, resp)
 }
 
-// checkRevision returns a problem where a command that starts a migration does not name one revision both in the
-// header If-Match and in its body. Only the body is signed: the header alone could be changed on the way.
+// checkRevision returns a problem if a command that starts a migration does not give the same
+// revision in the header If-Match and in its body. The signature covers only the body, so the
+// header alone could be changed in transit.
 func checkRevision(r *http1.Request, q *wire.Command) *http1.Response {
 	var revision uint64
 	switch {
@@ -81,7 +83,7 @@
 	condition := r.Header.Get("If-Match")
 	n, err := strconv.ParseUint(strings.Trim(condition, `"`), 10, 64)
 	if err != nil || condition != `"`+strconv.FormatUint(n, 10)+`"` {
-		return problem(400, "bad", "If-Match: "+strconv.Quote(condition)+` is not a revision in quotes, like "3"`)
+		return problem(400, "bad", "If-Match: "+strconv.Quote(condition)+` is not a quoted revision such as "3"`)
 	}
 	if n != revision {
 		return problem(400, "bad", fmt.Sprintf("If-Match is %d, if_revision in the body is %d", n, revision))
@@ -89,9 +91,10 @@
 	return nil
 }
 
-// complete puts into a command what the message does not decide: who sent it, and which versions are in use. A
-// message with several commands is rejected later, so only one of them is completed.
-func (f *Handler) complete(q *wire.Command, operator string) *http1.Response {
+// addServerFields sets the fields of a command that its message does not decide: who sent it, and
+// which versions are in use. A message with several commands is rejected later, so only one of them
+// is completed here.
+func (h *Handler) addServerFields(q *wire.Command, operator string) *http1.Response {
 	switch {
 	case q.Promote != nil:
 		q.Promote.By = operator
@@ -105,17 +108,17 @@
 		q.Policy.By = operator
 	case q.Collect != nil:
 		q.Collect.By = operator
-		return f.exceptVersionsInUse(q.Collect)
+		return h.exceptVersionsInUse(q.Collect)
 	}
 	return nil
 }
 
-// exceptVersionsInUse excepts the versions from collection under which calls may run, or returns a problem while that
-// is not known.
-func (f *Handler) exceptVersionsInUse(c *registry.Collect) *http1.Response {
+// exceptVersionsInUse excludes versions under which calls may run from a collection, or returns a
+// problem while these versions are not known.
+func (h *Handler) exceptVersionsInUse(c *registry.Collect) *http1.Response {
 	known := false
-	f.service.Inspect(func(now time.Duration, _ *registry.State, l *registry.Leases) {
-		c.Except, known = l.VersionsInUse(now)
+	h.service.Inspect(func(now time.Duration, _ *registry.State, leases *registry.Leases) {
+		c.Except, known = leases.VersionsInUse(now)
 	})
 	if !known {
 		return problem(503, "early", "not every controller can have told yet what its calls still name: ask again after a lease")
@@ -134,23 +137,23 @@
 	case errors.As(err, &rejected):
 		return problem(409, "refused", err.Error())
 	case errors.Is(err, store.ErrBroken), errors.Is(err, store.ErrClosed):
-		return problem(503, "broken", err.Error()+": whether the command was committed is not known, send it again with its key")
+		return problem(503, "broken", err.Error()+": whether the command was committed is unknown, send it again with the same key")
 	}
-	return problem(507, "storage", err.Error()+": not committed")
+	return problem(507, "storage", err.Error()+": the command was not committed")
 }
 
-// answerOf returns what an operator learns of a command's effects.
-func answerOf(effects []registry.Effect) (a wire.Response) {
+// commandResponse returns the response to a command with these effects.
+func commandResponse(effects []registry.Effect) (resp wire.Response) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case registry.MigrationStarted:
-			a.Migration = e.Migration
+			resp.Migration = e.Migration
 		case registry.Replayed:
-			a.Migration = e.Migration
-			a.Replayed = true
+			resp.Migration = e.Migration
+			resp.Replayed = true
 		case registry.Collected:
-			a.Collected = append(a.Collected, wire.Collected{Model: e.Model, Version: e.Version, Digest: e.Digest})
+			resp.Collected = append(resp.Collected, wire.Collected{Model: e.Model, Version: e.Version, Digest: e.Digest})
 		}
 	}
-	return a
+	return resp
 }
--- a/internal/registry/service/commit.go
+++ b/internal/registry/service/commit.go
@@ -10,22 +10,23 @@
 	"kitehub/internal/store"
 )
 
-// A RejectedError is that of a command which the registry rejected: it changed nothing, and would not if sent again.
-// Err is what registry.State.Apply returned.
+// A RejectedError is returned for a command that the registry rejected: it changed nothing and
+// would be rejected again. Err is the error of registry.State.Apply.
 type RejectedError struct{ Err error }
 
-// Error returns the text of the registry's error.
+// Error returns the text of the error of the registry.
 func (e *RejectedError) Error() string { return e.Err.Error() }
 
-// Unwrap returns the registry's error.
+// Unwrap returns the error of the registry.
 func (e *RejectedError) Unwrap() error { return e.Err }
 
-// Commit makes a command durable, applies it and returns its effects. It may be called concurrently: commands are
-// applied in the order in which the log has them.
+// Commit makes a command durable, applies it and returns its effects. It may be called
+// concurrently: commands are applied in the order of the log.
 //
-// A *RejectedError says that the command was committed and rejected. After store.ErrBroken it is not known whether
-// it was committed: an idempotent command can be sent again with its key. After any other error, such as
-// store.ErrClosed or that of a full disk, it was not.
+// A *RejectedError says that the command was committed and rejected. After store.ErrBroken it is
+// unknown whether the command was committed; an idempotent command can be sent again with its key.
+// After any other error, such as store.ErrClosed or that of a full disk, the command was not
+// committed.
 func (s *Service) Commit(c registry.Command) ([]registry.Effect, error) {
 	r := record{At: s.now()}
 	r.set(c)
@@ -38,14 +39,14 @@
 	}
 	seq, err := s.log.Append(context.Background(), text)
 	if err != nil {
-		s.noteBroken(err)
+		s.markBroken(err)
 		return nil, err
 	}
 	return s.applyInOrder(seq, r.At, c)
 }
 
-// noteBroken remembers the error of an append after which no other can succeed.
-func (s *Service) noteBroken(err error) {
+// markBroken stores the error of an append after which no other append can succeed.
+func (s *Service) markBroken(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if errors.Is(err, store.ErrBroken) && s.broken == nil {
@@ -55,12 +56,13 @@
 	}
 }
 
-// applyInOrder applies a durable command once all those before it in the log are applied, as recovery would.
+// applyInOrder applies a durable command once all earlier commands of the log are applied, in the
+// same order as recovery.
 func (s *Service) applyInOrder(seq uint64, at time.Duration, c registry.Command) ([]registry.Effect, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for s.applied+1 != seq {
-		s.appliedCond.Wait() // those before are durable too: their Appends have returned, or are about to
+		s.appliedCond.Wait() // earlier commands are durable too: their Append has returned or is about to
 	}
 	effects, err := s.state.Apply(at, c)
 	s.applied = seq
@@ -95,14 +97,14 @@
 	}
 }
 
-// startSnapshot encodes the state and starts a goroutine that writes it, beside what goes on. At most one snapshot
-// is being written: with a slow disk the log grows, not the number of copies of the state in memory. The caller
-// holds mu.
+// startSnapshot encodes the state and starts a goroutine that writes it in the background. At most
+// one snapshot is written at a time, so that with a slow disk the log grows, and not the number of
+// copies of the state in memory. The caller holds mu.
 func (s *Service) startSnapshot() {
 	s.sinceSnapshot = 0
 	text, err := json.Marshal(s.state)
 	if err != nil {
-		s.cfg.Log.Error().Err(err).Msg("snapshot not encoded")
+		s.cfg.Log.Error().Err(err).Msg("snapshot encoding failed")
 		return
 	}
 	s.snapshotting = true
--- a/internal/registry/service/controller_test.go
+++ b/internal/registry/service/controller_test.go
@@ -15,113 +15,114 @@
 	"kitehub/internal/store"
 )
 
-// An answer that an agent admitted under the old version delays the acknowledgement until it is written.
+// An answer that an agent admitted under the old version delays the acknowledgement of the
+// migration until the answer is written.
 func TestAnswerDelaysAcknowledgement(t *testing.T) {
-	d := open(t, store.Dir(t.TempDir()))
-	ann := d.client("ann")
+	r := open(t, store.Dir(t.TempDir()))
+	ann := r.client("ann")
 	must(t, ann, "p1", push("v1"))
 	must(t, ann, "p2", push("v2"))
 	must(t, ann, "k1", promote("v1", 0))
 	clk := clock.System()
-	a := agent.Start(agent.Config{Client: d.client("c1"), Node: "c1", Clock: clk, Log: zerolog.Nop()})
+	a := agent.Start(agent.Config{Client: r.client("c1"), Node: "c1", Clock: clk, Log: zerolog.Nop()})
 	defer a.Stop()
-	n := registry.AliasName{Model: "m", Alias: "current"}
-	until := func(what string, f func() bool) {
+	alias := registry.AliasName{Model: "m", Alias: "current"}
+	eventually := func(what string, condition func() bool) {
 		t.Helper()
-		for end := time.Now().Add(10 * time.Second); !f(); time.Sleep(ms) {
-			if time.Now().After(end) {
-				t.Fatalf("never: %s", what)
+		for deadline := time.Now().Add(10 * time.Second); !condition(); time.Sleep(ms) {
+			if time.Now().After(deadline) {
+				t.Fatalf("timeout waiting until %s", what)
 			}
 		}
 	}
 	var target registry.Target
-	until("resolved", func() bool {
-		var v registry.Verdict
-		target, v = a.Resolve(n)
-		return v == registry.Allowed
+	eventually("the alias resolves", func() bool {
+		var verdict registry.Verdict
+		target, verdict = a.Resolve(alias)
+		return verdict == registry.Allowed
 	})
-	ticket, _, v := a.BeginAnswer(n, target)
+	ticket, _, v := a.BeginAnswer(alias, target)
 	if v != registry.Allowed {
 		t.Fatal(v)
 	}
 	command := make(chan *wire.Response, 1)
 	go func() {
-		x, _ := ann.Command("k2", promote("v2", 1))
-		command <- x
+		resp, _ := ann.Command("k2", promote("v2", 1))
+		command <- resp
 	}()
-	until("the new version seen", func() bool { x, _ := a.Resolve(n); return x.Version == "v2" })
-	if v := a.MayAnswer(n, target); v != registry.Superseded && v != registry.BeingSuperseded {
-		t.Errorf("the old target: %v", v)
+	eventually("the agent resolves the new version", func() bool { current, _ := a.Resolve(alias); return current.Version == "v2" })
+	if v := a.MayAnswer(alias, target); v != registry.Superseded && v != registry.BeingSuperseded {
+		t.Errorf("the superseded target: %v", v)
 	}
 	select {
-	case x := <-command:
-		t.Errorf("acknowledged while an old answer is written: %+v", x)
-	case <-time.After(2 * settings.LeaseDuration): // renewed all the while, under the old epoch
+	case resp := <-command:
+		t.Errorf("acknowledged while an answer of the old version is being written: %+v", resp)
+	case <-time.After(2 * settings.LeaseDuration): // the lease is renewed under the old epoch
 	}
 	a.EndAnswer(ticket)
-	if x := <-command; x == nil || x.Status != "acknowledged" {
-		t.Errorf("%+v", x)
+	if resp := <-command; resp == nil || resp.Status != "acknowledged" {
+		t.Errorf("%+v", resp)
 	}
-	if v := a.MayAnswer(n, target); v != registry.Superseded {
+	if v := a.MayAnswer(alias, target); v != registry.Superseded {
 		t.Errorf("after the acknowledgement: %v", v)
 	}
 }
 
-// A controller that is disconnected resolves no alias once its lease is over, but for models that permit stale
-// answers.
+// A disconnected controller resolves no alias once its lease has expired, except for models that
+// permit stale answers.
 func TestDisconnectedController(t *testing.T) {
-	d := open(t, store.Dir(t.TempDir()))
-	ann := d.client("ann")
+	r := open(t, store.Dir(t.TempDir()))
+	ann := r.client("ann")
 	must(t, ann, "p1", push("v1"))
-	p := push("v1")
-	p.Push.Model = "s"
-	must(t, ann, "p2", p)
+	pushStale := push("v1")
+	pushStale.Push.Model = "s"
+	must(t, ann, "p2", pushStale)
 	must(t, ann, "pol", wire.Command{Policy: &registry.Policy{Model: "s", AllowStale: true}})
 	must(t, ann, "k1", promote("v1", 0))
-	q := promote("v1", 0)
-	q.Promote.Model = "s"
-	must(t, ann, "k2", q)
-	a := agent.Start(agent.Config{Client: d.client("c1"), Node: "c1", Clock: clock.System(), Log: zerolog.Nop()})
+	promoteStale := promote("v1", 0)
+	promoteStale.Promote.Model = "s"
+	must(t, ann, "k2", promoteStale)
+	a := agent.Start(agent.Config{Client: r.client("c1"), Node: "c1", Clock: clock.System(), Log: zerolog.Nop()})
 	defer a.Stop()
-	n, stale := registry.AliasName{Model: "m", Alias: "current"}, registry.AliasName{Model: "s", Alias: "current"}
-	verdict := func(n registry.AliasName) registry.Verdict { _, v := a.Resolve(n); return v }
-	for verdict(n) != registry.Allowed || verdict(stale) != registry.Allowed {
+	alias, stale := registry.AliasName{Model: "m", Alias: "current"}, registry.AliasName{Model: "s", Alias: "current"}
+	verdict := func(alias registry.AliasName) registry.Verdict { _, v := a.Resolve(alias); return v }
+	for verdict(alias) != registry.Allowed || verdict(stale) != registry.Allowed {
 		time.Sleep(ms)
 	}
-	d.kill()
-	end := time.Now().Add(settings.LeaseDuration)
+	r.kill()
+	leaseEnd := time.Now().Add(settings.LeaseDuration)
 	for {
 		at := time.Now()
-		if verdict(n) != registry.Allowed {
+		if verdict(alias) != registry.Allowed {
 			break
 		}
-		if at.After(end) {
-			t.Fatal("it resolves after its lease")
+		if at.After(leaseEnd) {
+			t.Fatal("the alias resolves after the lease has expired")
 		}
 		time.Sleep(ms)
 	}
-	if v := verdict(n); v != registry.NoLease {
+	if v := verdict(alias); v != registry.NoLease {
 		t.Errorf("%v", v)
 	}
 	if v := verdict(stale); v != registry.Allowed {
-		t.Errorf("where stale is fine: %v", v)
+		t.Errorf("a model that permits stale answers: %v", v)
 	}
-	d.start()
-	for verdict(n) != registry.Allowed {
+	r.start()
+	for verdict(alias) != registry.Allowed {
 		time.Sleep(ms)
 	}
 }
 
-// A controller that rejects updates delays a migration until its lease is over, not for ever.
+// A controller that rejects updates delays a migration only until its lease expires.
 func TestNack(t *testing.T) {
-	d := open(t, store.Dir(t.TempDir()))
-	ann, c1 := d.client("ann"), d.client("c1")
+	r := open(t, store.Dir(t.TempDir()))
+	ann, c1 := r.client("ann"), r.client("c1")
 	must(t, ann, "p1", push("v1"))
 	must(t, ann, "p2", push("v2"))
 	must(t, ann, "k1", promote("v1", 0))
-	poll := func(q wire.DiscoveryRequest) {
-		q.Node.ID, q.TypeURL = "c1", wire.TypeAlias
-		body, err := json.Marshal(q)
+	poll := func(request wire.DiscoveryRequest) {
+		request.Node.ID, request.TypeURL = "c1", wire.TypeAlias
+		body, err := json.Marshal(request)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -130,20 +131,20 @@
 		}
 	}
 	poll(wire.DiscoveryRequest{VersionInfo: "1"})
-	got := make(chan string, 1)
+	outcome := make(chan string, 1)
 	go func() {
-		a, err := ann.Command("k2", promote("v2", 1))
+		resp, err := ann.Command("k2", promote("v2", 1))
 		if err != nil {
-			got <- err.Error()
+			outcome <- err.Error()
 			return
 		}
-		got <- a.Status
+		outcome <- resp.Status
 	}()
 	for {
 		select {
-		case s := <-got:
-			if s != "acknowledged" {
-				t.Errorf("%s while a controller rejects updates", s)
+		case got := <-outcome:
+			if got != "acknowledged" {
+				t.Errorf("%s while a controller rejects updates", got)
 			}
 			return
 		default:
--- a/internal/registry/service/deadlines.go
+++ b/internal/registry/service/deadlines.go
@@ -6,11 +6,12 @@
 	"kitehub/internal/registry"
 )
 
-// maxIdle is how long deadlineLoop waits at most where nothing is due.
+// maxIdle bounds how long deadlineLoop waits if nothing is due.
 const maxIdle = time.Hour
 
-// deadlineLoop commits what time alone or a renewed lease brings about, until the service is closed: the confirmation
-// of an epoch by which no controller can act any more, and steps of migrations that are due.
+// deadlineLoop commits what the passage of time or a renewed lease causes, until the service is
+// closed: the confirmation of an epoch when no controller can act under an older one any more, and
+// steps of migrations that are due.
 func (s *Service) deadlineLoop() {
 	defer s.deadlineDone.Done()
 	timer := time.NewTimer(0)
@@ -26,8 +27,8 @@
 	}
 }
 
-// commitDue commits what is due now and returns how long nothing else will be. What cannot be committed is retried
-// after Config.Hold.
+// commitDue commits what is due now and returns how long nothing else will be due. A commit that
+// fails is retried after Config.LongPoll.
 func (s *Service) commitDue() (wait time.Duration) {
 	now := s.now()
 	s.mu.Lock()
@@ -56,10 +57,10 @@
 	return wait
 }
 
-// wakeDeadlineLoop makes deadlineLoop look again at what is due, without waiting for it.
+// wakeDeadlineLoop makes deadlineLoop check what is due. It does not wait for the check.
 func (s *Service) wakeDeadlineLoop() {
 	select {
 	case s.deadlineChanged <- struct{}{}:
-	default: // a signal is pending already
+	default: // a signal is already pending
 	}
 }
--- a/internal/registry/service/discovery.go
+++ b/internal/registry/service/discovery.go
@@ -14,53 +14,54 @@
 	"kitehub/internal/registry/wire"
 )
 
-// discovery answers a controller's long poll. It renews the lease first and reads what holds then, so that a
-// migration that is fenced in between waits for this controller.
-func (f *Handler) discovery(r *http1.Request, caller *Client) *http1.Response {
+// discovery serves a controller's long poll. It renews the lease before it reads the state, so that
+// a migration that is fenced in between waits for this controller.
+func (h *Handler) discovery(r *http1.Request, client *Client) *http1.Response {
 	var q wire.DiscoveryRequest
-	if err := json.Unmarshal(r.Body, &q); err != nil { // unknown fields are those of a later version
+	if err := json.Unmarshal(r.Body, &q); err != nil { // unknown fields may belong to a later version of the protocol
 		return problem(400, "bad", err.Error())
 	}
-	epoch, resp := checkDiscovery(&q, caller)
+	epoch, resp := checkDiscovery(&q, client)
 	if resp != nil {
 		return resp
 	}
-	renewedAt, err := f.service.renewLease(caller.Name, epoch, &q)
+	renewedAt, err := h.service.renewLease(client.Name, epoch, &q)
 	if err != nil {
 		return problem(409, "lease", err.Error())
 	}
-	f.service.wakeDeadlineLoop()
-	f.service.commitReports(&q)
-	end := time.Now().Add(f.service.cfg.LongPoll)
+	h.service.wakeDeadlineLoop()
+	h.service.commitReports(&q)
+	deadline := time.Now().Add(h.service.cfg.LongPoll)
 	for {
-		update, stage, changed := f.service.updateFor(caller.Name, epoch, &q)
-		isNews := q.ResponseNonce == "" || update.Epoch != epoch || !slices.Equal(stage, q.Staging)
-		if isNews || !f.service.waitForChange(changed, time.Until(end)) {
-			return answer(200, discoveryResponse(update, stage, renewedAt))
+		update, stage, changed := h.service.updateFor(client.Name, epoch, &q)
+		hasChanges := q.ResponseNonce == "" || update.Epoch != epoch || !slices.Equal(stage, q.Staging)
+		if hasChanges || !h.service.waitForChange(changed, time.Until(deadline)) {
+			return success(200, discoveryResponse(update, stage, renewedAt))
 		}
 	}
 }
 
 // checkDiscovery returns the epoch that a controller confirms, or a problem with its request.
-func checkDiscovery(q *wire.DiscoveryRequest, caller *Client) (epoch uint64, _ *http1.Response) {
+func checkDiscovery(q *wire.DiscoveryRequest, client *Client) (epoch uint64, _ *http1.Response) {
 	if q.TypeURL != wire.TypeAlias {
 		return 0, problem(400, "bad", fmt.Sprintf("type_url: %q is not %s", q.TypeURL, wire.TypeAlias))
 	}
-	if q.Node.ID != caller.Name {
-		return 0, problem(403, "forbidden", fmt.Sprintf("node.id: %q speaks with the key of %q", q.Node.ID, caller.Name))
+	if q.Node.ID != client.Name {
+		return 0, problem(403, "forbidden", fmt.Sprintf("node.id: %q speaks with the key of %q", q.Node.ID, client.Name))
 	}
 	if q.VersionInfo == "" {
 		return 0, nil
 	}
 	epoch, err := strconv.ParseUint(q.VersionInfo, 10, 64)
 	if err != nil {
-		return 0, problem(400, "bad", fmt.Sprintf("version_info: %q is no epoch", q.VersionInfo))
+		return 0, problem(400, "bad", fmt.Sprintf("version_info: %q is not an epoch", q.VersionInfo))
 	}
 	return epoch, nil
 }
 
-// renewLease renews the lease of a controller that accepted the last update, and returns the registry's time. One
-// that rejected it keeps its lease only until that expires: it must not delay migrations for ever.
+// renewLease renews the lease of a controller that accepted the last update, and returns the
+// registry's time. The lease of a controller that rejected the update is not renewed, as such a
+// controller must not delay migrations indefinitely.
 func (s *Service) renewLease(controller string, epoch uint64, q *wire.DiscoveryRequest) (now time.Duration, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -70,27 +71,28 @@
 			return now, err
 		}
 		delete(s.lastNack, controller)
-	} else if why := q.ErrorDetail.Message; s.lastNack[controller] != why { // logged once for each reason
-		s.lastNack[controller] = why
-		s.cfg.Log.Warn().Str("from", controller).Str("why", why).Msg("update rejected by controller, lease not renewed")
+	} else if reason := q.ErrorDetail.Message; s.lastNack[controller] != reason { // logged once for each reason
+		s.lastNack[controller] = reason
+		s.cfg.Log.Warn().Str("from", controller).Str("why", reason).Msg("update rejected by controller, lease not renewed")
 	}
 	return now, nil
 }
 
-// updateFor returns what a controller that confirms an epoch is to learn, the versions that it is to have copies
-// loaded of, and the channel that is closed when either may change.
+// updateFor returns the update for a controller that confirms an epoch, the versions of which it
+// must have copies loaded, and the channel that is closed when either may change.
 func (s *Service) updateFor(controller string, epoch uint64, q *wire.DiscoveryRequest) (
 	update registry.ViewUpdate, stage []wire.Stage, changed chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	since := epoch
 	if q.ResponseNonce == "" {
-		since = 0 // it has just connected: everything is sent
+		since = 0 // the controller has just connected: send everything
 	}
 	return s.state.ViewSince(since), s.stagedFor(controller), s.changed
 }
 
-// stagedFor returns the versions of which a controller is to have copies loaded, sorted. The caller holds mu.
+// stagedFor returns the versions of which a controller must have copies loaded, sorted. The caller
+// holds mu.
 func (s *Service) stagedFor(controller string) (stages []wire.Stage) {
 	now := s.now()
 	for _, m := range s.state.Models {
@@ -118,7 +120,8 @@
 	return slices.Compact(stages)
 }
 
-// discoveryResponse returns the response to a controller. Its nonce tells responses of the same epoch apart.
+// discoveryResponse returns the response to a controller. Its nonce distinguishes responses of the
+// same epoch.
 func discoveryResponse(update registry.ViewUpdate, stage []wire.Stage, renewedAt time.Duration) wire.DiscoveryResponse {
 	epoch := strconv.FormatUint(update.Epoch, 10)
 	return wire.DiscoveryResponse{
@@ -137,9 +140,9 @@
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// commitReports commits what a controller reports of ready copies and ended calls, where it matters to a migration.
-// A report that cannot be committed is dropped: copies are reported again while they are staged, and lost calls
-// only delay the judgement of a version's errors.
+// commitReports commits the ready copies and ended calls that a controller reports, if they matter
+// to a migration. A report that cannot be committed is dropped: copies are reported again while
+// they are staged, and lost calls only delay the evaluation of the error rate of a version.
 func (s *Service) commitReports(q *wire.DiscoveryRequest) {
 	for _, report := range q.CopiesReady {
 		if s.changesCopies(report) {
@@ -152,7 +155,7 @@
 		}
 	}
 	for _, report := range q.CallsEnded {
-		if s.watchesErrors(report) {
+		if s.countsErrors(report) {
 			s.Commit(registry.CallsEnded{
 				Model:   report.Model,
 				Version: report.Version,
@@ -163,7 +166,8 @@
 	}
 }
 
-// changesCopies tells whether a report differs from what is known of a version that may be used.
+// changesCopies reports whether a report changes the known copies of a version that is not
+// condemned.
 func (s *Service) changesCopies(report wire.CopiesReady) (changes bool) {
 	s.Inspect(func(_ time.Duration, state *registry.State, _ *registry.Leases) {
 		if v := versionOf(state, report.Model, report.Version); v != nil {
@@ -173,19 +177,19 @@
 	return changes
 }
 
-// watchesErrors tells whether calls of a version are still counted, which is until its errors have been judged or
-// could have been.
-func (s *Service) watchesErrors(report wire.CallsEnded) (watches bool) {
+// countsErrors reports whether calls of a version are still counted. They are until the error rate
+// of the version has been or could have been evaluated.
+func (s *Service) countsErrors(report wire.CallsEnded) (counts bool) {
 	s.Inspect(func(now time.Duration, state *registry.State, _ *registry.Leases) {
 		if v := versionOf(state, report.Model, report.Version); v != nil {
-			inWatch := now < v.PhaseSince+state.Settings.AutoRollbackWindow
-			watches = v.Phase == registry.Live && (inWatch || v.Calls < state.Settings.MinCalls)
+			inWindow := now < v.PhaseSince+state.Settings.AutoRollbackWindow
+			counts = v.Phase == registry.Live && (inWindow || v.Calls < state.Settings.MinCalls)
 		}
 	})
-	return watches
+	return counts
 }
 
-// versionOf returns a version of a model, or nil.
+// versionOf returns a version of a model, or nil if it is not known.
 func versionOf(state *registry.State, model, version string) *registry.Version {
 	if m := state.Models[model]; m != nil {
 		return m.Versions[version]
--- a/internal/registry/service/durability_test.go
+++ b/internal/registry/service/durability_test.go
@@ -23,7 +23,7 @@
 	"kitehub/internal/store"
 )
 
-// fullFS is a folder on a disk that can be full.
+// A fullFS is a directory on a disk that can be full.
 type fullFS struct {
 	store.FS
 	mu   sync.Mutex
@@ -35,14 +35,14 @@
 	fs *fullFS
 }
 
-func (f *fullFS) Append(name string) (store.File, error) {
-	w, err := f.FS.Append(name)
-	return &fullFile{w, f}, err
+func (fs *fullFS) Append(name string) (store.File, error) {
+	file, err := fs.FS.Append(name)
+	return &fullFile{file, fs}, err
 }
 
-func (f *fullFS) Create(name string) (store.File, error) {
-	w, err := f.FS.Create(name)
-	return &fullFile{w, f}, err
+func (fs *fullFS) Create(name string) (store.File, error) {
+	file, err := fs.FS.Create(name)
+	return &fullFile{file, fs}, err
 }
 
 func (f *fullFile) Write(b []byte) (int, error) {
@@ -56,11 +56,12 @@
 	return f.File.Write(b)
 }
 
-// On a full disk a command is rejected and nothing changes; once there is capacity, commands are committed again.
+// On a full disk a command is rejected and changes nothing. Once there is space again, commands are
+// committed.
 func TestDiskFull(t *testing.T) {
 	fs := &fullFS{FS: store.Dir(t.TempDir())}
-	d := open(t, fs)
-	ann := d.client("ann")
+	r := open(t, fs)
+	ann := r.client("ann")
 	must(t, ann, "p1", push("v1"))
 	must(t, ann, "p2", push("v2"))
 	must(t, ann, "k1", promote("v1", 0))
@@ -71,73 +72,76 @@
 		t.Errorf("with a full disk: %v, want 507", err)
 	}
 	if a, err := ann.Query(wire.Query{Kind: "watch"}); err != nil || len(a.Targets) != 1 || a.Targets[0].Version != "v1" {
-		t.Errorf("after it: %+v, %v", a, err)
+		t.Errorf("after the failure: %+v, %v", a, err)
 	}
 	fs.mu.Lock()
 	fs.full = false
 	fs.mu.Unlock()
 	if a := must(t, ann, "k2", promote("v2", 1)); a.Status != "acknowledged" {
-		t.Errorf("with room again: %+v", a)
+		t.Errorf("with space again: %+v", a)
 	}
-	d.kill()
-	d.start()
-	a, err := d.client("ann").Query(wire.Query{Kind: "watch"})
+	r.kill()
+	r.start()
+	a, err := r.client("ann").Query(wire.Query{Kind: "watch"})
 	if err != nil || a.Targets[0].Version != "v2" || a.Targets[0].Revision != 2 {
 		t.Errorf("after a restart: %+v, %v", a, err)
 	}
 }
 
-// After the process is killed between the log's write and its reply, the same key finds the migration.
-func TestKilledBeforeReply(t *testing.T) {
+// If the process is killed between the write of the log and the response, a retry with the same key
+// finds the migration.
+func TestKilledBeforeResponse(t *testing.T) {
 	dir := t.TempDir()
-	d := open(t, store.Dir(dir))
-	must(t, d.client("ann"), "p1", push("v1"))
+	r := open(t, store.Dir(dir))
+	must(t, r.client("ann"), "p1", push("v1"))
 	for i := range 10 {
 		key := fmt.Sprint("k", i)
-		got := make(chan error, 1)
+		done := make(chan error, 1)
 		go func() {
-			_, err := d.client("ann").Command(key, promote("v1", uint64(i)))
-			got <- err
+			_, err := r.client("ann").Command(key, promote("v1", uint64(i)))
+			done <- err
 		}()
-		for { // until it is in the log
-			n := 0
-			d.s.Inspect(func(_ time.Duration, st *registry.State, _ *registry.Leases) { n = int(st.LastMigration) })
-			if n > i {
+		for { // until the command is in the log
+			migrations := 0
+			r.s.Inspect(func(_ time.Duration, st *registry.State, _ *registry.Leases) { migrations = int(st.LastMigration) })
+			if migrations > i {
 				break
 			}
 		}
-		d.kill()
-		<-got
-		d.start()
-		a := must(t, d.client("ann"), key, promote("v1", uint64(i)))
+		r.kill()
+		<-done
+		r.start()
+		a := must(t, r.client("ann"), key, promote("v1", uint64(i)))
 		if a.Migration != uint64(i+1) || !a.Replayed || a.Status != "acknowledged" {
 			t.Fatalf("round %d: %+v", i, a)
 		}
 	}
 }
 
-// A new process assumes that a lease of the previous one may be left, and reads only its own files.
+// A new process assumes that controllers may hold leases of the previous one, and ignores files
+// that are not its own.
 func TestRestartWaitsForLeases(t *testing.T) {
-	d := open(t, store.Dir(t.TempDir()))
-	must(t, d.client("ann"), "p1", push("v1"))
-	must(t, d.client("ann"), "p2", push("v2"))
-	must(t, d.client("ann"), "k1", promote("v1", 0))
-	d.kill()
-	d.start()
+	r := open(t, store.Dir(t.TempDir()))
+	must(t, r.client("ann"), "p1", push("v1"))
+	must(t, r.client("ann"), "p2", push("v2"))
+	must(t, r.client("ann"), "k1", promote("v1", 0))
+	r.kill()
+	r.start()
 	begin := time.Now()
-	a := must(t, d.client("ann"), "k2", promote("v2", 1))
+	a := must(t, r.client("ann"), "k2", promote("v2", 1))
 	if took := time.Since(begin); a.Status != "acknowledged" || took < settings.LeaseDuration-50*ms {
-		t.Errorf("%+v after %v, before a lease of %v could have run out", a, took, settings.LeaseDuration)
+		t.Errorf("%+v after %v, before a lease of %v could have expired", a, took, settings.LeaseDuration)
 	}
-	if err := os.WriteFile(filepath.Join(string(d.fs.(store.Dir)), "junk"), []byte("x"), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(string(r.fs.(store.Dir)), "junk"), []byte("x"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	d.kill()
-	d.start() // a file that is not its own is left alone
+	r.kill()
+	r.start() // a file that is not its own is ignored
 }
 
-// Whatever commands are committed, and wherever the process ends, the recovered state is the one that was committed.
-func TestRecoveredIsTheSame(t *testing.T) {
+// The recovered state is the committed one, whatever commands were committed and wherever the
+// process ended.
+func TestRecoveredState(t *testing.T) {
 	flag.Set("rapid.seed", "1")
 	flag.Set("rapid.checks", "20")
 	rapid.Check(t, func(rt *rapid.T) {
@@ -145,30 +149,31 @@
 		if err != nil {
 			rt.Fatal(err)
 		}
-		r := &restarts{t: rt, dir: dir, clock: clock.NewManual(time.Unix(1_800_000_000, 0))}
-		r.open()
-		defer func() { r.service.Close() }()
+		run := &restartingService{t: rt, dir: dir, clock: clock.NewManual(time.Unix(1_800_000_000, 0))}
+		run.open()
+		defer func() { run.service.Close() }()
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
-			r.clock.Advance(time.Duration(rapid.IntRange(0, 400).Draw(rt, "dt")) * ms)
-			what := rapid.IntRange(0, 8).Draw(rt, "what")
-			if what == 8 {
-				r.restart()
+			run.clock.Advance(time.Duration(rapid.IntRange(0, 400).Draw(rt, "dt")) * ms)
+			kind := rapid.IntRange(0, 8).Draw(rt, "what")
+			if kind == 8 {
+				run.restart()
 				continue
 			}
-			r.service.Commit(r.drawCommand(what)) // rejected or not, the log holds it
+			run.service.Commit(run.drawCommand(kind)) // a rejected command is also in the log
 		}
 	})
 }
 
-// restarts is a service that is restarted on its folder, between commands that are drawn.
-type restarts struct {
+// A restartingService is a service that is restarted on its directory, between randomly drawn
+// commands.
+type restartingService struct {
 	t       *rapid.T
 	dir     string
 	clock   *clock.Manual
 	service *service.Service
 }
 
-func (r *restarts) open() {
+func (r *restartingService) open() {
 	s, _, err := service.Open(service.Config{
 		Settings:         settings,
 		Clock:            r.clock,
@@ -184,13 +189,13 @@
 }
 
 // stateText returns the state as JSON.
-func (r *restarts) stateText() (text []byte) {
+func (r *restartingService) stateText() (text []byte) {
 	r.service.Inspect(func(_ time.Duration, st *registry.State, _ *registry.Leases) { text, _ = json.Marshal(st) })
 	return text
 }
 
-// drawCommand draws a command of a kind, by its number.
-func (r *restarts) drawCommand(kind int) registry.Command {
+// drawCommand draws a command of a kind, given by number.
+func (r *restartingService) drawCommand(kind int) registry.Command {
 	model := func() string { return rapid.SampledFrom([]string{"m", "n"}).Draw(r.t, "m") }
 	version := func() string { return rapid.SampledFrom([]string{"v1", "v2", "v3"}).Draw(r.t, "v") }
 	revision := func() uint64 { return uint64(rapid.IntRange(0, 4).Draw(r.t, "rev")) }
@@ -227,9 +232,9 @@
 	}
 }
 
-// restart restarts the service and checks that nothing that was committed is lost. A new process may have gone on by
-// itself since: time passes, and nobody holds a lease.
-func (r *restarts) restart() {
+// restart restarts the service and checks that nothing that was committed is lost. The new process
+// may have taken further steps by itself, as time has passed and no controller holds a lease.
+func (r *restartingService) restart() {
 	r.service.Close()
 	before := r.stateText()
 	r.open()
@@ -249,7 +254,7 @@
 			}
 		}
 		for alias, old := range model.Aliases {
-			if old.Revision == 0 { // its migration was staging, and may have been aborted
+			if old.Revision == 0 { // its migration was staging and may have been aborted
 				continue
 			}
 			recovered := after.Models[name].Aliases[alias]
--- a/internal/registry/service/golden_test.go
+++ b/internal/registry/service/golden_test.go
@@ -21,24 +21,26 @@
 	"kitehub/internal/store"
 )
 
-const goldenFolder = "testdata/golden/folder"
+const goldenDir = "testdata/golden/folder"
 
-// goldenSettings are long beside any run of the tests, so that only the manual clock brings times about.
+// goldenSettings are longer than any run of the tests, so that only the manual clock makes anything
+// due.
 var goldenSettings = registry.Settings{LeaseDuration: time.Hour, MaxClockDrift: 0.01, SettleTimeout: time.Minute, StagingTimeout: time.Hour, Retention: time.Hour, AutoRollbackWindow: 2 * time.Hour, MinCalls: 10, MaxErrorIncrease: 0.2,
 	MaxModels: 10, MaxVersions: 20, MaxAliases: 5, MaxControllers: 5, MaxRemembered: 1000}
 
-// A script is a registry that is led through a life by a test, each step ended before the next begins. Its one
-// controller holds a lease, so that a move waits until the script has it confirm the move's epoch.
-type script struct {
-	t      *testing.T
-	clock  *clock.Manual
-	folder string
+// A scenario runs a registry through a sequence of steps, each of which ends before the next
+// begins. Its only controller holds a lease, so that a migration waits until the scenario makes the
+// controller confirm its epoch.
+type scenario struct {
+	t     *testing.T
+	clock *clock.Manual
+	dir   string
 	*Service
 }
 
-func (s *script) open(every int, renamed chan struct{}) *store.Recovered {
+func (s *scenario) open(snapshotInterval int, renamed chan struct{}) *store.Recovered {
 	s.t.Helper()
-	service, recovered, err := Open(Config{Settings: goldenSettings, Clock: s.clock, FS: watchedFolder{store.Dir(s.folder), renamed}, Log: zerolog.Nop(), SnapshotInterval: every, LongPoll: time.Minute})
+	service, recovered, err := Open(Config{Settings: goldenSettings, Clock: s.clock, FS: renameNotifier{store.Dir(s.dir), renamed}, Log: zerolog.Nop(), SnapshotInterval: snapshotInterval, LongPoll: time.Minute})
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -46,27 +48,28 @@
 	return recovered
 }
 
-// watchedFolder tells when a snapshot has got its name.
-type watchedFolder struct {
+// A renameNotifier is a directory that closes renamed once a snapshot has been renamed to its final
+// name.
+type renameNotifier struct {
 	store.FS
 	renamed chan struct{}
 }
 
-func (f watchedFolder) Rename(from, to string) error {
+func (f renameNotifier) Rename(from, to string) error {
 	defer close(f.renamed)
 	return f.FS.Rename(from, to)
 }
 
-// commit commits a command that is to be accepted.
-func (s *script) commit(c registry.Command) {
+// commit commits a command that must be accepted.
+func (s *scenario) commit(c registry.Command) {
 	s.t.Helper()
 	if _, err := s.Commit(c); err != nil {
 		s.t.Fatalf("%#v: %v", c, err)
 	}
 }
 
-// commitRejected commits a command that is to be rejected; the log holds it all the same.
-func (s *script) commitRejected(c registry.Command) {
+// commitRejected commits a command that must be rejected. The log has it all the same.
+func (s *scenario) commitRejected(c registry.Command) {
 	s.t.Helper()
 	var rejected *RejectedError
 	if _, err := s.Commit(c); !errors.As(err, &rejected) {
@@ -74,9 +77,9 @@
 	}
 }
 
-// confirm lets time pass and the controller confirm an epoch, at one moment for the service, which then does by
-// itself what is due.
-func (s *script) confirm(after time.Duration, epoch uint64) {
+// confirm advances the clock and makes the controller confirm an epoch. Both happen at once for the
+// service, which then does what is due by itself.
+func (s *scenario) confirm(after time.Duration, epoch uint64) {
 	s.t.Helper()
 	s.Inspect(func(_ time.Duration, state *registry.State, leases *registry.Leases) {
 		s.clock.Advance(after)
@@ -87,11 +90,11 @@
 	s.wakeDeadlineLoop()
 }
 
-// awaitEnd waits until a migration has ended.
-func (s *script) awaitEnd(migration uint64, want string) {
+// awaitEnd waits until a migration has ended with a status.
+func (s *scenario) awaitEnd(migration uint64, want string) {
 	s.t.Helper()
-	if status, why := s.AwaitMigration(migration, time.Minute); status != want {
-		s.t.Fatalf("migration %d is %s %s, want %s", migration, status, why, want)
+	if status, reason := s.AwaitMigration(migration, time.Minute); status != want {
+		s.t.Fatalf("migration %d is %s %s, want %s", migration, status, reason, want)
 	}
 }
 
@@ -113,18 +116,20 @@
 	}
 }
 
-// A text that JSON would write in another way if HTML were not escaped, and one that is not ASCII.
-const awkward = "why: <a> & \"b\" \u00e9"
+// unusualText has characters that JSON writes in another way if HTML is not escaped, and one that
+// is not ASCII.
+const unusualText = "why: <a> & \"b\" \u00e9"
 
-// beforeSnapshot is the part of the script that the snapshot holds: a move that is acknowledged, one that was rolled
-// back while staging, one that waits for the controller, one that is staging, and a version that is condemned.
-func (s *script) beforeSnapshot() {
+// runBeforeSnapshot is the part of the scenario that the snapshot contains: a migration that is
+// acknowledged, one that was rolled back while staging, one that waits for the controller, one that
+// is staging, and a version that is condemned.
+func (s *scenario) runBeforeSnapshot() {
 	s.confirm(time.Second, 0)
 	s.commit(registry.IdempotentCommand{Key: "ann p1", Checksum: "5a1", Command: goldenPush("m", "v1", "1")})
 	s.commit(goldenPush("m", "v2", "2"))
 	s.commit(goldenPush("m", "v3", "3"))
 	s.commit(goldenPush("n", "w1", "4"))
-	s.commit(registry.IdempotentCommand{Key: "ann k1", Checksum: "5a2", Command: registry.Promote{Model: "m", Alias: "current", To: "v1", By: "ann", Reason: awkward}})
+	s.commit(registry.IdempotentCommand{Key: "ann k1", Checksum: "5a2", Command: registry.Promote{Model: "m", Alias: "current", To: "v1", By: "ann", Reason: unusualText}})
 	s.confirm(time.Second, 1)
 	s.awaitEnd(1, "acknowledged")
 	s.commit(registry.CopiesReady{Model: "m", Version: "v1", Worker: "worker-1", Copies: 2})
@@ -143,16 +148,18 @@
 	s.commit(registry.Promote{Model: "n", Alias: "current", To: "w1", Copies: 3, By: "ann", Reason: "staging still"})
 }
 
-// recordsBeforeSnapshot counts those of beforeSnapshot, with the one that the service commits itself.
+// recordsBeforeSnapshot is the number of records of runBeforeSnapshot, including the one that the
+// service commits by itself.
 const recordsBeforeSnapshot = 18
 
-// behindSnapshot is the part of the script that the log holds behind the snapshot: every kind of command, keys that
-// were used before, a move that is rolled back while staging, and one that the time ends.
-func (s *script) behindSnapshot() {
-	s.commit(registry.IdempotentCommand{Key: "ann k1", Checksum: "5a2", Command: registry.Promote{Model: "m", Alias: "current", To: "v1", By: "ann", Reason: awkward}})
+// runAfterSnapshot is the part of the scenario that the log contains after the snapshot: every kind
+// of command, keys that were used before, a migration that is rolled back while staging, and one
+// that times out.
+func (s *scenario) runAfterSnapshot() {
+	s.commit(registry.IdempotentCommand{Key: "ann k1", Checksum: "5a2", Command: registry.Promote{Model: "m", Alias: "current", To: "v1", By: "ann", Reason: unusualText}})
 	s.commitRejected(registry.IdempotentCommand{Key: "ann k1", Checksum: "0ther", Command: registry.Policy{Model: "m", AllowStale: true, By: "ann"}})
 	s.commit(registry.IdempotentCommand{Key: "ann p4", Checksum: "5a3", Command: goldenPush("m", "v4", "6")})
-	s.commit(registry.Push{Model: "m", Version: registry.Version{Name: "v5", Digest: goldenDigest("7")}}) // all that may be empty is
+	s.commit(registry.Push{Model: "m", Version: registry.Version{Name: "v5", Digest: goldenDigest("7")}}) // all optional fields are empty
 	s.commit(registry.CopiesReady{Model: "n", Version: "w1", Worker: "worker-2", Copies: 3})
 	s.commit(registry.CallsEnded{Model: "n", Version: "w1", Calls: 3})
 	s.commit(registry.Policy{Model: "n", By: "bob", Reason: "not any more"})
@@ -161,17 +168,17 @@
 	s.awaitEnd(5, "given up")
 	s.commit(registry.Promote{Model: "m", Alias: "canary", To: "v3", Copies: 2, By: "ann", Reason: "no copies will stand"})
 	s.confirm(time.Hour, 2)
-	s.awaitEnd(6, "given up") // by the service's own tick
+	s.awaitEnd(6, "given up") // by a tick that the service commits itself
 	s.confirm(2*time.Minute, 5)
-	s.awaitEnd(4, "acknowledged") // by the service's own word of what the controller reached; the quiet time is over
-	s.commit(registry.Condemn{Model: "m", Version: "v4", By: "bob", Reason: awkward})
+	s.awaitEnd(4, "acknowledged") // the service confirms the epoch itself, as earlier leases have expired
+	s.commit(registry.Condemn{Model: "m", Version: "v4", By: "bob", Reason: unusualText})
 	s.commit(registry.Collect{Except: []registry.VersionRef{{Model: "m", Version: "v3"}, {Model: "m", Version: "gone"}}, By: "ann", Reason: "room"})
 	s.commit(registry.Collect{})
 	s.commitRejected(registry.Promote{Model: "m", Alias: "current", To: "v4", IfRevision: 2, By: "bob", Reason: "condemned"})
 	s.commit(registry.IdempotentCommand{Key: "bob r1", Checksum: "5a4", Command: registry.Rollback{Model: "m", Alias: "current", IfRevision: 2, By: "bob", Reason: "v2 is slow"}})
 }
 
-// stateOf returns the state of a service in the form in which it is stored, on lines of their own.
+// stateOf returns the state of a service in its stored form, indented.
 func stateOf(t *testing.T, s *Service) []byte {
 	t.Helper()
 	var text []byte
@@ -188,11 +195,11 @@
 	return lines.Bytes()
 }
 
-// payloads returns what the files of a folder hold, as text: the snapshot on the first line, and then each record.
-// The folder is copied, as opening it may change it.
-func payloads(t *testing.T, folder string) (snapshot []byte, records [][]byte) {
+// payloads returns the contents of the files of a directory: the snapshot and the records after it.
+// It opens a copy, as opening a directory may change it.
+func payloads(t *testing.T, dir string) (snapshot []byte, records [][]byte) {
 	t.Helper()
-	log, _, err := store.Open(store.Dir(copyOf(t, folder)), store.Options{}, func(_ uint64, text []byte) error {
+	log, _, err := store.Open(store.Dir(copyOf(t, dir)), store.Options{}, func(_ uint64, text []byte) error {
 		snapshot = bytes.Clone(text)
 		return nil
 	}, func(_ uint64, text []byte) error {
@@ -208,23 +215,24 @@
 	return snapshot, records
 }
 
-func copyOf(t *testing.T, folder string) string {
+func copyOf(t *testing.T, dir string) string {
 	t.Helper()
 	copied := t.TempDir()
-	if err := os.CopyFS(copied, os.DirFS(folder)); err != nil {
+	if err := os.CopyFS(copied, os.DirFS(dir)); err != nil {
 		t.Fatal(err)
 	}
 	return copied
 }
 
-// The same commands at the same times write the same folder, byte for byte, and lead to the same state.
+// The same commands at the same times write the same files, byte for byte, and result in the same
+// state.
 func TestGoldenBytes(t *testing.T) {
-	s := &script{t: t, clock: clock.NewManual(time.Unix(1_800_000_000, 0)), folder: t.TempDir()}
+	s := &scenario{t: t, clock: clock.NewManual(time.Unix(1_800_000_000, 0)), dir: t.TempDir()}
 	renamed := make(chan struct{})
 	s.open(recordsBeforeSnapshot, renamed)
-	s.beforeSnapshot()
+	s.runBeforeSnapshot()
 	select {
-	case <-renamed: // and Close waits for what is left of it
+	case <-renamed: // Close waits for the rest of the snapshot
 	case <-time.After(time.Minute):
 		t.Fatalf("no snapshot after %d records", s.log.Seq())
 	}
@@ -235,55 +243,56 @@
 	if recovered := s.open(1000, nil); *recovered != want {
 		t.Fatalf("before the snapshot: %+v", *recovered)
 	}
-	s.behindSnapshot()
+	s.runAfterSnapshot()
 	state := stateOf(t, s.Service)
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
 	if goldenfile.Updating() {
-		if err := errors.Join(os.RemoveAll(goldenFolder), os.CopyFS(goldenFolder, os.DirFS(s.folder))); err != nil {
+		if err := errors.Join(os.RemoveAll(goldenDir), os.CopyFS(goldenDir, os.DirFS(s.dir))); err != nil {
 			t.Fatal(err)
 		}
 	}
-	snapshot, records := payloads(t, s.folder)
+	snapshot, records := payloads(t, s.dir)
 	goldenfile.Compare(t, "snapshot.json", append(snapshot, '\n'))
 	goldenfile.Compare(t, "records.jsonl", append(bytes.Join(records, []byte("\n")), '\n'))
 	goldenfile.Compare(t, "state.json", state)
-	got := goldenfile.Files(t, s.folder)
-	golden := goldenfile.Files(t, goldenFolder)
+	got := goldenfile.Files(t, s.dir)
+	golden := goldenfile.Files(t, goldenDir)
 	for name := range golden {
 		if !bytes.Equal(got[name], golden[name]) {
-			t.Errorf("%s: other bytes than in %s", name, goldenFolder)
+			t.Errorf("%s: bytes differ from those in %s", name, goldenDir)
 		}
 	}
 	if names := slices.Sorted(maps.Keys(got)); len(names) != len(golden) {
-		t.Errorf("files %v, want as many as in %s", names, goldenFolder)
+		t.Errorf("files %v, want as many as in %s", names, goldenDir)
 	}
 }
 
-// A folder that was written before leads to the state that it led to, and opening it changes nothing in it.
+// A directory that was written earlier yields the same state as it did then, and opening it does
+// not change its files.
 func TestGoldenOpens(t *testing.T) {
-	s := &script{t: t, clock: clock.NewManual(time.Unix(1_900_000_000, 0)), folder: copyOf(t, goldenFolder)}
+	s := &scenario{t: t, clock: clock.NewManual(time.Unix(1_900_000_000, 0)), dir: copyOf(t, goldenDir)}
 	recovered := s.open(1000, nil)
 	goldenfile.Compare(t, "state.json", stateOf(t, s.Service))
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
-	_, records := payloads(t, goldenFolder)
+	_, records := payloads(t, goldenDir)
 	if recovered.Snapshot != recordsBeforeSnapshot || recovered.Records != len(records) || recovered.Cut != 0 {
-		t.Errorf("recovered: %+v, want %d records behind %d", *recovered, len(records), recordsBeforeSnapshot)
+		t.Errorf("recovered: %+v, want %d records after %d", *recovered, len(records), recordsBeforeSnapshot)
 	}
-	for name, old := range goldenfile.Files(t, goldenFolder) {
-		if !bytes.Equal(goldenfile.Files(t, s.folder)[name], old) {
-			t.Errorf("%s was changed by opening it", name)
+	for name, old := range goldenfile.Files(t, goldenDir) {
+		if !bytes.Equal(goldenfile.Files(t, s.dir)[name], old) {
+			t.Errorf("opening the directory changed %s", name)
 		}
 	}
 }
 
-// The snapshot alone leads to its own bytes again: nothing of it is passed over, as json.Unmarshal does with keys
-// that it does not know.
-func TestGoldenSnapshotComesBack(t *testing.T) {
-	snapshot, _ := payloads(t, goldenFolder)
+// The snapshot is encoded to the same bytes after it was decoded: no key is dropped, as
+// json.Unmarshal does with unknown ones.
+func TestGoldenSnapshotRoundTrip(t *testing.T) {
+	snapshot, _ := payloads(t, goldenDir)
 	var state registry.State
 	if err := json.Unmarshal(snapshot, &state); err != nil {
 		t.Fatal(err)
@@ -297,10 +306,10 @@
 	}
 }
 
-// Every kind of command is in the golden log, each record comes back as its own bytes, and so do its fields one by
-// one: a record that is read leads to the same command.
+// The golden log has every kind of command, and each record is encoded to the same bytes after it
+// was decoded to a command.
 func TestGoldenRecords(t *testing.T) {
-	_, records := payloads(t, goldenFolder)
+	_, records := payloads(t, goldenDir)
 	kinds := map[string]int{}
 	for _, text := range records {
 		var r record
@@ -332,8 +341,8 @@
 	}
 }
 
-// A key that is not known stops the start, in a record and in the command that it holds.
-func TestUnknownKeyStopsTheStart(t *testing.T) {
+// An unknown key prevents the start, both in a record and in the command that it contains.
+func TestUnknownKeyPreventsStart(t *testing.T) {
 	for _, text := range []string{
 		`{"at":1,"tick":{},"more":1}`,
 		`{"at":1,"tick":{"More":1}}`,
@@ -341,9 +350,9 @@
 		`{"at":1,"push":{"Model":"m","Name":"v1","Colour":"red"}}`,
 		`{"at":1,"collect":{"Except":[{"Model":"m","Versions":"v1"}]}}`,
 	} {
-		folder := copyOf(t, goldenFolder)
+		dir := copyOf(t, goldenDir)
 		ignore := func(uint64, []byte) error { return nil }
-		log, _, err := store.Open(store.Dir(folder), store.Options{}, ignore, ignore)
+		log, _, err := store.Open(store.Dir(dir), store.Options{}, ignore, ignore)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -356,7 +365,7 @@
 		s, _, err := Open(Config{
 			Settings:         goldenSettings,
 			Clock:            clock.NewManual(time.Unix(1_900_000_000, 0)),
-			FS:               store.Dir(folder),
+			FS:               store.Dir(dir),
 			Log:              zerolog.Nop(),
 			SnapshotInterval: 1000,
 			LongPoll:         time.Minute,
@@ -365,12 +374,12 @@
 			s.Close()
 		}
 		if err == nil || !strings.Contains(err.Error(), "unknown field") {
-			t.Errorf("%s: %v, want an error of an unknown field", text, err)
+			t.Errorf("%s: %v, want an error about an unknown field", text, err)
 		}
 	}
 }
 
-// Every field that is stored or sent has a key of its own, so that renames in Go change no format.
+// Every field that is stored or sent has a JSON tag, so that renames in Go change no format.
 func TestStoredFieldsAreTagged(t *testing.T) {
 	goldenfile.Tagged(t, record{}, registry.State{}, wire.Command{}, wire.Query{}, wire.Response{}, wire.DiscoveryRequest{}, wire.DiscoveryResponse{})
 }
--- a/internal/registry/service/handler.go
+++ b/internal/registry/service/handler.go
@@ -15,7 +15,7 @@
 // A Client may send signed requests to the registry.
 type Client struct {
 	Name       string
-	Keys       []*signing.Key // any of them verifies; the response is signed by the one that did
+	Keys       []*signing.Key // any of them verifies a request; the response is signed with that key
 	Operator   bool           // may send commands
 	Controller bool           // may hold a lease, under its own name
 }
@@ -23,65 +23,66 @@
 // A Handler serves signed requests over HTTP/1.1. It is safe for concurrent use.
 type Handler struct {
 	service *Service
-	callers []Client
+	clients []Client
 	maxSkew time.Duration
 }
 
-// NewHandler returns the front of a service for its callers. A request whose timestamp is more than maxSkew before or
-// after the service's wall clock is rejected.
-func NewHandler(s *Service, callers []Client, maxSkew time.Duration) *Handler {
-	return &Handler{service: s, callers: callers, maxSkew: maxSkew}
+// NewHandler returns a handler that serves the clients of a service. It rejects a request whose
+// timestamp differs from the service's wall clock by more than maxSkew.
+func NewHandler(s *Service, clients []Client, maxSkew time.Duration) *Handler {
+	return &Handler{service: s, clients: clients, maxSkew: maxSkew}
 }
 
-// maxIDLength bounds the id of a message, in bytes.
+// maxIDLength bounds the ID of a message, in bytes.
 const maxIDLength = 128
 
-// Serve implements http1.Handler: it verifies a request, routes it and signs its response.
-func (f *Handler) Serve(_ *http1.Conn, r *http1.Request) *http1.Response {
+// Serve implements http1.Handler: it verifies a request, routes it and signs the response.
+func (h *Handler) Serve(_ *http1.Conn, r *http1.Request) *http1.Response {
 	if r.Method != "POST" {
 		resp := problem(405, "method", "all is POSTed, as the signature covers the body")
 		resp.Header.Add("Allow", "POST")
 		return resp
 	}
 	message := signing.Message{ID: r.Header.Get("webhook-id"), Stamp: r.Header.Get("webhook-timestamp"), Body: r.Body}
-	caller, key := f.authenticate(message, r.Header.Get("webhook-signature"))
+	client, key := h.authenticate(message, r.Header.Get("webhook-signature"))
 	stamp, ok := signing.ParseStamp(message.Stamp)
-	if caller == nil || !ok || !validID(message.ID) {
+	if client == nil || !ok || !validID(message.ID) {
 		return problem(401, "forged", "no signature is valid")
 	}
-	if age := f.service.cfg.Clock.Wall().Sub(stamp); age > f.maxSkew || age < -f.maxSkew {
-		return problem(401, "forged", fmt.Sprintf("webhook-timestamp is %v off", age.Round(time.Second)))
+	if age := h.service.cfg.Clock.Wall().Sub(stamp); age > h.maxSkew || age < -h.maxSkew {
+		return problem(401, "forged", fmt.Sprintf("webhook-timestamp differs by %v from the clock of the registry", age.Round(time.Second)))
 	}
-	resp := f.route(r, caller, message.ID)
-	f.sign(resp, key, message.ID)
+	resp := h.route(r, client, message.ID)
+	h.sign(resp, key, message.ID)
 	return resp
 }
 
-// authenticate returns the caller who signed a message and the key that verifies it, or nil.
-func (f *Handler) authenticate(m signing.Message, signature string) (*Client, *signing.Key) {
-	for i := range f.callers {
-		for _, key := range f.callers[i].Keys {
+// authenticate returns the client that signed a message and the key that verifies it, or nil if
+// there is none.
+func (h *Handler) authenticate(m signing.Message, signature string) (*Client, *signing.Key) {
+	for i := range h.clients {
+		for _, key := range h.clients[i].Keys {
 			if key.Verify(m, signature) {
-				return &f.callers[i], key
+				return &h.clients[i], key
 			}
 		}
 	}
 	return nil, nil
 }
 
-// validID tells whether a request may have this id. It must not look like the id of a response, or a response could
-// be sent back as a request.
+// validID reports whether a request may have this ID. The ID must not look like that of a response;
+// otherwise a response could be sent back as a request.
 func validID(id string) bool {
 	return id != "" && len(id) <= maxIDLength && !strings.ContainsRune(id, '.') &&
 		!strings.HasPrefix(id, signing.AnswerPrefix)
 }
 
-// sign adds the signature of a response, which is bound to its request by the id. Without a signature the client
-// rejects the response.
-func (f *Handler) sign(resp *http1.Response, key *signing.Key, requestID string) {
+// sign adds the signature of a response, which is bound to its request by the ID. A client rejects
+// a response without a signature.
+func (h *Handler) sign(resp *http1.Response, key *signing.Key, requestID string) {
 	m := signing.Message{
 		ID:    signing.AnswerID(strconv.Itoa(resp.Status), requestID),
-		Stamp: strconv.FormatInt(f.service.cfg.Clock.Wall().Unix(), 10),
+		Stamp: strconv.FormatInt(h.service.cfg.Clock.Wall().Unix(), 10),
 		Body:  resp.Body,
 	}
 	signature, err := key.Sign(m)
@@ -93,20 +94,20 @@
 	resp.Header.Add("webhook-signature", signature)
 }
 
-func (f *Handler) route(r *http1.Request, caller *Client, id string) *http1.Response {
+func (h *Handler) route(r *http1.Request, client *Client, id string) *http1.Response {
 	switch r.Path() {
 	case wire.CommandPath:
-		if !caller.Operator {
-			return problem(403, "forbidden", caller.Name+" is no operator")
+		if !client.Operator {
+			return problem(403, "forbidden", client.Name+" is no operator")
 		}
-		return f.command(r, caller, id)
+		return h.command(r, client, id)
 	case wire.QueryPath:
-		return f.query(r)
+		return h.query(r)
 	case wire.DiscoveryPath:
-		if !caller.Controller {
-			return problem(403, "forbidden", caller.Name+" is no controller")
+		if !client.Controller {
+			return problem(403, "forbidden", client.Name+" is no controller")
 		}
-		return f.discovery(r, caller)
+		return h.discovery(r, client)
 	}
 	return problem(404, "unknown", "no such path")
 }
@@ -117,8 +118,8 @@
 	return jsonResponse(status, "application/problem+json", body)
 }
 
-// answer returns a response with v as JSON.
-func answer(status int, v any) *http1.Response {
+// success returns a response with v as JSON.
+func success(status int, v any) *http1.Response {
 	body, err := json.Marshal(v)
 	if err != nil {
 		return problem(500, "fault", err.Error())
--- a/internal/registry/service/linearizable_test.go
+++ b/internal/registry/service/linearizable_test.go
@@ -16,22 +16,23 @@
 	"kitehub/internal/store"
 )
 
-// An outage is the time during which the process is down. Clients wait at it as at a barrier.
+// An outage is the time during which the process is down. Clients wait for its end before they
+// retry.
 type outage struct{ running sync.RWMutex }
 
-// begin starts an outage; end ends it.
+// begin starts an outage, and end ends it.
 func (o *outage) begin() { o.running.Lock() }
 func (o *outage) end()   { o.running.Unlock() }
 
-// waitUntilOver returns at once while the process runs, and else at the end of the outage.
+// waitUntilOver returns at once while the process runs, and otherwise at the end of the outage.
 func (o *outage) waitUntilOver() {
 	o.running.RLock()
 	defer o.running.RUnlock()
 }
 
-// The history of operators' commands, while the process is killed and restarted, is that of one registry that
-// executes one command at a time: a command whose answer was lost is sent again with its key, and is executed once
-// between its first send and its answer.
+// The history of operators' commands, while the process is killed and restarted, is linearizable:
+// it is one of a registry that executes one command at a time. A command whose response was lost is
+// sent again with its key, and is executed once between its first send and its response.
 func TestLinearizable(t *testing.T) {
 	const clients, operations = 4, 150
 	r := open(t, store.Dir(t.TempDir()))
@@ -41,7 +42,7 @@
 	h := &history{addr: r.addr, begin: time.Now(), done: make(chan struct{}, clients*operations)}
 	var running sync.WaitGroup
 	for id := range clients {
-		key := secret(t, []string{"ann", "bob"}[id%2])
+		key := signingKey(t, []string{"ann", "bob"}[id%2])
 		running.Go(func() { h.runClient(id, key, operations) })
 	}
 	for range 12 {
@@ -65,18 +66,18 @@
 			migrations++
 		}
 	}
-	t.Logf("%d operations, %d migrations, %d sent again", len(h.operations), migrations, h.retries)
+	t.Logf("%d operations, %d migrations, %d retries", len(h.operations), migrations, h.retries)
 	if migrations < 5 {
-		t.Errorf("%d migrations: nothing is shown", migrations)
+		t.Errorf("only %d migrations: too few to be conclusive", migrations)
 	}
-	// The checker finds a planted fault: a read of a revision that nobody made yet.
-	planted := porcupine.Operation{ClientId: 9, Input: input{read: true}, Call: 0, Output: output{version: "v9", revision: 99}, Return: 1}
-	if porcupine.CheckOperations(model, append(h.operations, planted)) {
-		t.Error("a planted fault is not found")
+	// The checker must find an injected fault: a read of a revision that does not exist yet.
+	injected := porcupine.Operation{ClientId: 9, Input: input{read: true}, Call: 0, Output: output{version: "v9", revision: 99}, Return: 1}
+	if porcupine.CheckOperations(model, append(h.operations, injected)) {
+		t.Error("the checker does not find an injected fault")
 	}
 }
 
-// An input is a read of the alias, or a migration of it where it has a revision.
+// An input is a read of the alias, or a migration of it that requires a revision.
 type input struct {
 	read     bool
 	to       string
@@ -95,7 +96,7 @@
 	addr  string
 	begin time.Time
 	down  outage
-	done  chan struct{} // one signal an operation
+	done  chan struct{} // one signal per operation
 
 	mu         sync.Mutex // guards the fields below
 	operations []porcupine.Operation
@@ -129,7 +130,8 @@
 	}
 }
 
-// execute sends an operation until it is answered. counts is false for an answer of which the model knows nothing.
+// execute sends an operation until there is a response. counts is false if the model does not cover
+// the response.
 func (h *history) execute(c *client.Client, key string, in input, known *uint64) (out output, counts bool) {
 	for {
 		var err error
@@ -158,9 +160,9 @@
 }
 
 func readAlias(c *client.Client, out *output, known *uint64) error {
-	a, err := c.Query(wire.Query{Kind: "watch"})
-	if err == nil && len(a.Targets) == 1 {
-		*out = output{version: a.Targets[0].Version, revision: a.Targets[0].Revision}
+	resp, err := c.Query(wire.Query{Kind: "watch"})
+	if err == nil && len(resp.Targets) == 1 {
+		*out = output{version: resp.Targets[0].Version, revision: resp.Targets[0].Revision}
 		*known = out.revision
 	}
 	return err
--- a/internal/registry/service/query.go
+++ b/internal/registry/service/query.go
@@ -12,90 +12,91 @@
 	"kitehub/internal/registry/wire"
 )
 
-// query answers a request that changes nothing.
-func (f *Handler) query(r *http1.Request) *http1.Response {
+// query serves a request that changes nothing.
+func (h *Handler) query(r *http1.Request) *http1.Response {
 	var q wire.Query
 	if err := unmarshalStrict(r.Body, &q); err != nil {
 		return problem(400, "bad", err.Error())
 	}
-	a := wire.Response{}
+	resp := wire.Response{}
 	switch q.Kind {
 	case "list":
-		f.list(q, &a)
+		h.list(q, &resp)
 	case "history":
-		f.history(q, &a)
+		h.history(q, &resp)
 	case "move":
-		a.Migration = q.Migration
-		a.Status, a.Reason = f.service.AwaitMigration(q.Migration, waitTime(q.WaitMS))
+		resp.Migration = q.Migration
+		resp.Status, resp.Reason = h.service.AwaitMigration(q.Migration, waitTime(q.WaitMS))
 	case "watch":
-		f.watch(q, &a)
+		h.watch(q, &resp)
 	case "export":
-		if err := f.export(&a); err != nil {
+		if err := h.export(&resp); err != nil {
 			return problem(500, "fault", err.Error())
 		}
 	default:
 		return problem(400, "bad", fmt.Sprintf("what: %q is none of list, history, move, watch, export", q.Kind))
 	}
-	return answer(200, a)
+	return success(200, resp)
 }
 
-// list answers with the models, or the one that the query names, and with who holds a lease.
-func (f *Handler) list(q wire.Query, a *wire.Response) {
-	f.service.Inspect(func(now time.Duration, state *registry.State, leases *registry.Leases) {
-		a.Epoch = state.Epoch
-		a.ConfirmedEpoch = state.ConfirmedEpoch
-		a.Holders = leases.Holders(now)
+// list returns the models, or only the one that the query names, and the lease holders.
+func (h *Handler) list(q wire.Query, resp *wire.Response) {
+	h.service.Inspect(func(now time.Duration, state *registry.State, leases *registry.Leases) {
+		resp.Epoch = state.Epoch
+		resp.ConfirmedEpoch = state.ConfirmedEpoch
+		resp.Holders = leases.Holders(now)
 		for _, m := range state.Models {
 			if q.Model != "" && q.Model != m.Name {
 				continue
 			}
-			text, _ := json.Marshal(m) // encoded here, as the state changes once the lock is given free
-			a.Models = append(a.Models, text)
+			text, _ := json.Marshal(m) // encoded under the lock, as the state changes afterwards
+			resp.Models = append(resp.Models, text)
 		}
 	})
-	slices.SortFunc(a.Models, func(x, y json.RawMessage) int { return strings.Compare(string(x), string(y)) })
+	slices.SortFunc(resp.Models, func(x, y json.RawMessage) int { return strings.Compare(string(x), string(y)) })
 }
 
-// history answers with the entries of the history, or those that name the query's model.
-func (f *Handler) history(q wire.Query, a *wire.Response) {
-	f.service.Inspect(func(now time.Duration, state *registry.State, _ *registry.Leases) {
-		wall := f.service.cfg.Clock.Wall()
-		for _, h := range state.History {
-			if q.Model == "" || slices.Contains(strings.Fields(h.Action), q.Model) {
-				entry := wire.HistoryEntry{At: wall.Add(h.At - now), By: h.By, Action: h.Action, Reason: h.Reason}
-				a.History = append(a.History, entry)
+// history returns the entries of the history, or only those that name the query's model.
+func (h *Handler) history(q wire.Query, resp *wire.Response) {
+	h.service.Inspect(func(now time.Duration, state *registry.State, _ *registry.Leases) {
+		wall := h.service.cfg.Clock.Wall()
+		for _, entry := range state.History {
+			if q.Model == "" || slices.Contains(strings.Fields(entry.Action), q.Model) {
+				out := wire.HistoryEntry{At: wall.Add(entry.At - now), By: entry.By, Action: entry.Action, Reason: entry.Reason}
+				resp.History = append(resp.History, out)
 			}
 		}
 	})
 }
 
-// watch answers with the aliases that changed since the query's epoch, once there is a newer one or the time is up.
-func (f *Handler) watch(q wire.Query, a *wire.Response) {
-	end := time.Now().Add(waitTime(q.WaitMS))
+// watch returns the aliases that changed since the query's epoch, once there is a newer epoch or
+// the wait is over.
+func (h *Handler) watch(q wire.Query, resp *wire.Response) {
+	deadline := time.Now().Add(waitTime(q.WaitMS))
 	for {
 		var changed chan struct{}
-		f.service.Inspect(func(_ time.Duration, state *registry.State, _ *registry.Leases) {
-			changed = f.service.changed
-			a.Epoch = state.Epoch
+		h.service.Inspect(func(_ time.Duration, state *registry.State, _ *registry.Leases) {
+			changed = h.service.changed
+			resp.Epoch = state.Epoch
 			if state.Epoch > q.Since {
-				a.Targets = aliasesOf(state.ViewSince(q.Since))
+				resp.Targets = aliasesOf(state.ViewSince(q.Since))
 			}
 		})
-		if a.Epoch > q.Since || !f.service.waitForChange(changed, time.Until(end)) {
+		if resp.Epoch > q.Since || !h.service.waitForChange(changed, time.Until(deadline)) {
 			return
 		}
 	}
 }
 
-// export answers with the complete state, as a snapshot has it.
-func (f *Handler) export(a *wire.Response) (err error) {
-	f.service.Inspect(func(_ time.Duration, state *registry.State, _ *registry.Leases) {
-		a.State, err = json.Marshal(state)
+// export returns the complete state, in the form of a snapshot.
+func (h *Handler) export(resp *wire.Response) (err error) {
+	h.service.Inspect(func(_ time.Duration, state *registry.State, _ *registry.Leases) {
+		resp.State, err = json.Marshal(state)
 	})
 	return err
 }
 
-// aliasesOf returns the targets of an update in the form of the wire, sorted by model and alias.
+// aliasesOf returns the targets of an update in their wire form, sorted by model and alias.
 func aliasesOf(update registry.ViewUpdate) (aliases []wire.Alias) {
 	for name, target := range update.Targets {
 		aliases = append(aliases, wire.Alias{
--- a/internal/registry/service/service.go
+++ b/internal/registry/service/service.go
@@ -1,19 +1,20 @@
-// Package service runs a registry: a registry.State that is recovered from and committed to a store.Log, with leases
-// granted to controllers and commands accepted from operators, over HTTP/1.1 with signed messages. It decides nothing
-// about migrations; package registry does.
+// Package service runs a registry: a registry.State that is recovered from a store.Log and
+// committed to it, with leases granted to controllers and commands accepted from operators, over
+// HTTP/1.1 with signed messages. Decisions about migrations are made by package registry.
 //
 // # Durability
 //
-// A command is made durable first and applied then, in the order of the log. So nothing that anybody was told is
-// taken back by a crash. Leases are not logged: see registry.Leases. When the store breaks, which is when a sync
-// fails, commands fail from then on and migrations stop; controllers are still sent what holds, and the process is
-// to be restarted.
+// A command is first made durable and then applied, in the order of the log, so a crash takes back
+// nothing that a client was told. Leases are not logged: see registry.Leases. When the store
+// breaks, which means that a sync failed, all further commands fail and migrations stop.
+// Controllers still receive the current state, and the process must be restarted.
 //
 // # Concurrency
 //
-// A Service guards its state and leases by one mutex, which is never held while a record is written. Each request
-// runs on its connection's goroutine. The Service itself owns two more: deadlineLoop, from Open to Close, and one
-// that writes a snapshot, at most one at a time.
+// A Service guards its state and leases with one mutex, which is never held while a record is
+// written. Each request runs on the goroutine of its connection. The Service itself owns two more:
+// deadlineLoop, from Open to Close, and one that writes a snapshot, of which there is at most one
+// at a time.
 package service
 
 import (
@@ -29,21 +30,21 @@
 	"kitehub/internal/store"
 )
 
-// Config sets up a Service.
+// Config configures a Service.
 type Config struct {
 	Settings         registry.Settings
 	Clock            clock.Clock
-	FS               store.FS // folder of the log and the snapshots
+	FS               store.FS // directory of the log and the snapshots
 	Log              zerolog.Logger
 	SnapshotInterval int // records between two snapshots, at least 1
-	// LongPoll is how long a controller's request is held open while nothing changes (a long poll). It must be above 0
-	// and at most a third of a lease, so that one lost request costs no lease.
+	// LongPoll is how long a controller's request is held open while nothing changes. It must be
+	// above 0 and at most a third of a lease, so that one lost request does not cost the lease.
 	LongPoll time.Duration
 }
 
 func (c Config) validate() error {
 	if c.SnapshotInterval < 1 || c.LongPoll <= 0 || 3*c.LongPoll > c.Settings.LeaseDuration {
-		return fmt.Errorf("service: Every %d is under 1, or Hold %v is not under a third of the lease of %v",
+		return fmt.Errorf("service: snapshot interval %d is below 1, or long poll %v is not above 0 and at most a third of the lease of %v",
 			c.SnapshotInterval, c.LongPoll, c.Settings.LeaseDuration)
 	}
 	return nil
@@ -53,27 +54,28 @@
 type Service struct {
 	cfg         Config
 	log         *store.Log
-	clockOffset time.Duration // of the registry's time from the clock's: see now
+	clockOffset time.Duration // of the registry's time from that of the clock: see now
 
 	mu            sync.Mutex // guards the fields up to lastNack
 	state         *registry.State
 	leases        *registry.Leases
-	applied       uint64            // sequence number of the last record that was applied
+	applied       uint64            // sequence number of the last applied record
 	appliedCond   *sync.Cond        // signals that applied has grown; uses mu
-	changed       chan struct{}     // closed and replaced when watchers have something to learn
+	changed       chan struct{}     // closed and replaced when there are changes for watchers
 	sinceSnapshot int               // records applied since the last snapshot was started
 	snapshotting  bool              // a snapshot is being written
 	broken        error             // why nothing can be committed any more
 	lastNack      map[string]string // by controller: why it rejected the last update, while it does
 
-	deadlineChanged chan struct{} // wakes deadlineLoop; holds at most one signal
+	deadlineChanged chan struct{} // wakes deadlineLoop; buffers one signal
 	closed          chan struct{} // closed by Close
 	deadlineDone    sync.WaitGroup
 	closeOnce       sync.Once
 }
 
-// Open recovers a registry from its folder and starts to run it. Errors are a setting out of range, a folder that
-// cannot be read, damage (*store.CorruptError), and a record that this program does not know.
+// Open recovers a registry from its directory and starts to run it. It fails if a setting is out of
+// range, the directory cannot be read, its files are damaged (*store.CorruptError), or a record is
+// unknown to this program.
 func Open(cfg Config) (*Service, *store.Recovered, error) {
 	state, err := registry.New(cfg.Settings)
 	if err != nil {
@@ -104,7 +106,7 @@
 	return s, recovered, nil
 }
 
-// recoverState opens the log and fills state from the newest snapshot and the records behind it.
+// recoverState opens the log and restores state from the newest snapshot and the records after it.
 func recoverState(cfg Config, state *registry.State) (*store.Log, *store.Recovered, error) {
 	restore := func(_ uint64, snapshot []byte) error {
 		if err := json.Unmarshal(snapshot, state); err != nil {
@@ -122,14 +124,14 @@
 		if err != nil {
 			return fmt.Errorf("record %d: %w", seq, err)
 		}
-		state.Apply(r.At, c) // what was rejected then is rejected now: no reason to stop
+		state.Apply(r.At, c) // a command that was rejected then is rejected again now
 		return nil
 	}
 	return store.Open(cfg.FS, store.Options{}, restore, replay)
 }
 
-// Close stops the service, once; further calls do nothing. Requests that wait are answered with what holds. A
-// snapshot that is being written is written first, and none starts afterwards.
+// Close stops the service; only the first call has an effect. Waiting requests receive the current
+// state. A snapshot in progress is completed first, and no other starts afterwards.
 func (s *Service) Close() (err error) {
 	s.closeOnce.Do(func() {
 		close(s.closed)
@@ -146,11 +148,11 @@
 	return err
 }
 
-// now is the registry's time. It runs as the clock does and goes on where the previous process stopped, so that it
-// never goes back.
+// now returns the registry's time. It runs as fast as the clock and continues where the previous
+// process stopped, so that it never goes backwards.
 func (s *Service) now() time.Duration { return s.cfg.Clock.Now() + s.clockOffset }
 
-// notifyWatchers wakes everybody who waits for a change. The caller holds mu.
+// notifyWatchers wakes everything that waits for a change. The caller holds mu.
 func (s *Service) notifyWatchers() {
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -163,47 +165,47 @@
 	return s.broken
 }
 
-// Inspect runs f on the state and the leases under the service's lock. f must neither change nor keep them, and must not
-// call the Service.
-func (s *Service) Inspect(f func(now time.Duration, st *registry.State, l *registry.Leases)) {
+// Inspect runs f on the state and the leases under the service's lock. f must neither change nor
+// retain them, and must not call the Service.
+func (s *Service) Inspect(f func(now time.Duration, state *registry.State, leases *registry.Leases)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f(s.now(), s.state, s.leases)
 }
 
-// AwaitMigration waits until a migration has ended, the time is up, or the service is closed or broken, and returns the
-// migration's status: see registry.State.Status.
-func (s *Service) AwaitMigration(migration uint64, within time.Duration) (status, why string) {
-	timer := time.NewTimer(within)
+// AwaitMigration waits until a migration has ended, the timeout has passed, or the service is
+// closed or broken, and returns the migration's status: see registry.State.Status.
+func (s *Service) AwaitMigration(migration uint64, timeout time.Duration) (status, reason string) {
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	for {
 		s.mu.Lock()
-		status, why = s.state.Status(migration)
+		status, reason = s.state.Status(migration)
 		changed, broken := s.changed, s.broken
 		s.mu.Unlock()
 		if !inProgress(status) || broken != nil {
-			return status, why
+			return status, reason
 		}
 		select {
 		case <-changed:
 		case <-timer.C:
-			return status, why
+			return status, reason
 		case <-s.closed:
-			return status, why
+			return status, reason
 		}
 	}
 }
 
-// inProgress tells whether a migration of this status has yet to end.
+// inProgress reports whether a migration with this status has yet to end.
 func inProgress(status string) bool { return status == "staging" || status == "fenced" }
 
-// waitForChange waits until changed is closed and returns true, or until the time is up or the service is closed and
-// returns false.
-func (s *Service) waitForChange(changed chan struct{}, within time.Duration) bool {
-	if within <= 0 {
+// waitForChange waits until changed is closed and returns true, or until the timeout has passed or
+// the service is closed and returns false.
+func (s *Service) waitForChange(changed chan struct{}, timeout time.Duration) bool {
+	if timeout <= 0 {
 		return false
 	}
-	timer := time.NewTimer(within)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case <-changed:
--- a/internal/registry/service/service_test.go
+++ b/internal/registry/service/service_test.go
@@ -37,8 +37,8 @@
 	MaxRemembered:      1000,
 }
 
-// secret returns the key of a caller.
-func secret(t testing.TB, name string) *signing.Key {
+// signingKey returns the key of a client.
+func signingKey(t testing.TB, name string) *signing.Key {
 	t.Helper()
 	text, err := signing.Derive("whsec_MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw", name)
 	if err != nil {
@@ -51,7 +51,8 @@
 	return k
 }
 
-// A testRegistry is a registry's process that can be killed and restarted on its folder and port.
+// A testRegistry is a registry's process that can be killed and restarted on its directory and
+// port.
 type testRegistry struct {
 	t    testing.TB
 	fs   store.FS
@@ -61,75 +62,75 @@
 	srv  *http1.Server
 }
 
-// start runs the process, on the port that it had before.
-func (d *testRegistry) start() {
-	d.t.Helper()
+// start runs the process, on its previous port if it had one.
+func (r *testRegistry) start() {
+	r.t.Helper()
 	s, _, err := service.Open(service.Config{
 		Settings:         settings,
 		Clock:            clock.System(),
-		FS:               d.fs,
+		FS:               r.fs,
 		Log:              zerolog.Nop(),
 		SnapshotInterval: 50,
 		LongPoll:         100 * ms,
 	})
 	if err != nil {
-		d.t.Fatal(err)
+		r.t.Fatal(err)
 	}
-	if d.addr == "" {
-		d.addr = "127.0.0.1:0"
+	if r.addr == "" {
+		r.addr = "127.0.0.1:0"
 	}
-	if d.ln, err = net.Listen("tcp", d.addr); err != nil {
-		d.t.Fatal(err)
+	if r.ln, err = net.Listen("tcp", r.addr); err != nil {
+		r.t.Fatal(err)
 	}
-	var callers []service.Client
-	for _, n := range []string{"ann", "bob"} {
-		callers = append(callers, service.Client{Name: n, Keys: []*signing.Key{secret(d.t, n)}, Operator: true})
+	var clients []service.Client
+	for _, name := range []string{"ann", "bob"} {
+		clients = append(clients, service.Client{Name: name, Keys: []*signing.Key{signingKey(r.t, name)}, Operator: true})
 	}
-	callers = append(callers, service.Client{Name: "c1", Keys: []*signing.Key{secret(d.t, "c1")}, Controller: true})
-	d.s, d.addr = s, d.ln.Addr().String()
-	d.srv = &http1.Server{Handler: service.NewHandler(s, callers, time.Minute)}
-	go d.srv.Serve(d.ln)
+	clients = append(clients, service.Client{Name: "c1", Keys: []*signing.Key{signingKey(r.t, "c1")}, Controller: true})
+	r.s, r.addr = s, r.ln.Addr().String()
+	r.srv = &http1.Server{Handler: service.NewHandler(s, clients, time.Minute)}
+	go r.srv.Serve(r.ln)
 }
 
-// kill cuts all connections and stops the process.
-func (d *testRegistry) kill() {
-	d.ln.Close()
-	d.srv.Cut()
-	d.s.Close()
+// kill closes all connections and stops the process.
+func (r *testRegistry) kill() {
+	r.ln.Close()
+	r.srv.Cut()
+	r.s.Close()
 }
 
 // open starts a registry for a test.
 func open(t testing.TB, fs store.FS) *testRegistry {
-	d := &testRegistry{t: t, fs: fs}
-	d.start()
-	t.Cleanup(func() { d.kill() })
-	return d
+	r := &testRegistry{t: t, fs: fs}
+	r.start()
+	t.Cleanup(func() { r.kill() })
+	return r
 }
 
-func (d *testRegistry) client(name string) *client.Client {
-	return &client.Client{Server: d.addr, Name: name, Key: secret(d.t, name), Wall: time.Now}
+func (r *testRegistry) client(name string) *client.Client {
+	return &client.Client{Server: r.addr, Name: name, Key: signingKey(r.t, name), Wall: time.Now}
 }
 
-func push(v string) wire.Command {
-	digest := "sha256:" + strings.Repeat(v[1:], 64)[:64]
-	return wire.Command{Push: &registry.Push{Model: "m", Version: registry.Version{Name: v, Digest: digest, Size: 9}}}
+func push(version string) wire.Command {
+	digest := "sha256:" + strings.Repeat(version[1:], 64)[:64]
+	return wire.Command{Push: &registry.Push{Model: "m", Version: registry.Version{Name: version, Digest: digest, Size: 9}}}
 }
 
-func promote(v string, rev uint64) wire.Command {
-	return wire.Command{Promote: &registry.Promote{Model: "m", Alias: "current", To: v, IfRevision: rev}, WaitMS: 3000}
+func promote(version string, revision uint64) wire.Command {
+	return wire.Command{Promote: &registry.Promote{Model: "m", Alias: "current", To: version, IfRevision: revision}, WaitMS: 3000}
 }
 
-// must sends a command that is to succeed.
+// must sends a command that must succeed.
 func must(t testing.TB, c *client.Client, key string, cmd wire.Command) *wire.Response {
 	t.Helper()
-	a, err := c.Command(key, cmd)
+	resp, err := c.Command(key, cmd)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return a
+	return resp
 }
 
-// status returns the HTTP status of an error, 0 where it is none of the registry.
+// status returns the HTTP status of an error, or 0 if the error is not a response of the registry.
 func status(err error) int {
 	var s *client.StatusError
 	if errors.As(err, &s) {
@@ -138,10 +139,11 @@
 	return 0
 }
 
-// Operators push and promote with idempotency keys and revisions of their own; whoever may not is rejected.
+// Operators push and promote, each with their own idempotency keys, and with revisions. Clients
+// without the right to do so are rejected.
 func TestOperators(t *testing.T) {
-	d := open(t, store.Dir(t.TempDir()))
-	ann, bob := d.client("ann"), d.client("bob")
+	r := open(t, store.Dir(t.TempDir()))
+	ann, bob := r.client("ann"), r.client("bob")
 	must(t, ann, "p1", push("v1"))
 	must(t, ann, "p2", push("v2"))
 	if a := must(t, ann, "k1", promote("v1", 0)); a.Migration != 1 || a.Status != "acknowledged" {
@@ -151,24 +153,24 @@
 		t.Errorf("the same key again: %+v", a)
 	}
 	if _, err := ann.Command("k1", promote("v2", 1)); status(err) != 422 {
-		t.Errorf("the key for something else: %v", err)
+		t.Errorf("the key for another command: %v", err)
 	}
-	if a := must(t, bob, "k1", promote("v2", 1)); a.Migration != 2 { // keys are each operator's own
+	if a := must(t, bob, "k1", promote("v2", 1)); a.Migration != 2 { // each operator has its own keys
 		t.Errorf("%+v", a)
 	}
 	if _, err := ann.Command("k2", promote("v2", 1)); status(err) != 412 {
-		t.Errorf("an operator with an old revision: %v", err)
+		t.Errorf("an old revision: %v", err)
 	}
-	if _, err := d.client("c1").Command("k", push("v3")); status(err) != 403 {
-		t.Errorf("a controller gives commands: %v", err)
+	if _, err := r.client("c1").Command("k", push("v3")); status(err) != 403 {
+		t.Errorf("a command of a controller: %v", err)
 	}
-	eve := &client.Client{Server: d.addr, Key: secret(t, "eve"), Wall: time.Now}
-	if _, err := eve.Query(wire.Query{Kind: "list"}); status(err) != 401 {
-		t.Errorf("a stranger asks: %v", err)
+	unknown := &client.Client{Server: r.addr, Key: signingKey(t, "eve"), Wall: time.Now}
+	if _, err := unknown.Query(wire.Query{Kind: "list"}); status(err) != 401 {
+		t.Errorf("a query of an unknown client: %v", err)
 	}
 	inAnHour := func() time.Time { return time.Now().Add(time.Hour) }
-	early := &client.Client{Server: d.addr, Key: secret(t, "ann"), Wall: inAnHour}
-	if _, err := early.Query(wire.Query{Kind: "list"}); status(err) != 401 {
+	skewed := &client.Client{Server: r.addr, Key: signingKey(t, "ann"), Wall: inAnHour}
+	if _, err := skewed.Query(wire.Query{Kind: "list"}); status(err) != 401 {
 		t.Errorf("a timestamp an hour off: %v", err)
 	}
 	const promotion = `{"promote":{"Model":"m","Alias":"current","To":"v1","IfRevision":2}}`
--- a/internal/registry/service/snapshot_test.go
+++ b/internal/registry/service/snapshot_test.go
@@ -13,60 +13,61 @@
 	"kitehub/internal/store"
 )
 
-// stuckSnapshots is a folder in which the snapshot that is written first waits to be made durable until it is let go.
-type stuckSnapshots struct {
+// A blockingFS is a directory in which the sync of a snapshot blocks until release is closed.
+type blockingFS struct {
 	store.FS
-	begun, release chan struct{}
+	started, release chan struct{}
 }
 
-func (f stuckSnapshots) Create(name string) (store.File, error) {
-	file, err := f.FS.Create(name)
+func (fs blockingFS) Create(name string) (store.File, error) {
+	file, err := fs.FS.Create(name)
 	if name != "snapshot.new" || err != nil {
 		return file, err
 	}
-	return stuckFile{file, f}, nil
+	return blockingFile{file, fs}, nil
 }
 
-type stuckFile struct {
+type blockingFile struct {
 	store.File
-	folder stuckSnapshots
+	fs blockingFS
 }
 
-func (f stuckFile) Sync() error {
-	f.folder.begun <- struct{}{}
-	<-f.folder.release
+func (f blockingFile) Sync() error {
+	f.fs.started <- struct{}{}
+	<-f.fs.release
 	return f.File.Sync()
 }
 
-// While a snapshot is being written no other is begun: a slow disk lets the log grow, and no copies of the state
-// gather in memory. Closed twice the service ends once, after the snapshot.
+// While a snapshot is being written no other one is started, so that on a slow disk the log grows
+// and not the number of copies of the state in memory. Close waits for the snapshot, and a second
+// Close does nothing.
 func TestOneSnapshotAtATime(t *testing.T) {
-	const every = 5
-	folder := stuckSnapshots{FS: store.Dir(t.TempDir()), begun: make(chan struct{}, 100), release: make(chan struct{})}
-	s, _, err := service.Open(service.Config{Settings: settings, Clock: clock.NewManual(time.Unix(1_800_000_000, 0)), FS: folder, Log: zerolog.Nop(), SnapshotInterval: every, LongPoll: 100 * ms})
+	const snapshotInterval = 5
+	fs := blockingFS{FS: store.Dir(t.TempDir()), started: make(chan struct{}, 100), release: make(chan struct{})}
+	s, _, err := service.Open(service.Config{Settings: settings, Clock: clock.NewManual(time.Unix(1_800_000_000, 0)), FS: fs, Log: zerolog.Nop(), SnapshotInterval: snapshotInterval, LongPoll: 100 * ms})
 	if err != nil {
 		t.Fatal(err)
 	}
-	commit := func(records int) {
+	commit := func(count int) {
 		t.Helper()
-		for range records {
+		for range count {
 			if _, err := s.Commit(registry.Tick{}); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
-	commit(every)
-	<-folder.begun
+	commit(snapshotInterval)
+	<-fs.started
 	before := runtime.NumGoroutine()
-	commit(20 * every)
+	commit(20 * snapshotInterval)
 	if more := runtime.NumGoroutine() - before; more > 5 {
-		t.Errorf("%d goroutines more after 20 times the records of a snapshot, while one is being written", more)
+		t.Errorf("%d more goroutines after 20 times the snapshot interval, while one snapshot is being written", more)
 	}
-	close(folder.release)
+	close(fs.release)
 	if err := s.Close(); err != nil {
 		t.Error(err)
 	}
 	if err := s.Close(); err != nil {
-		t.Errorf("closed again: %v", err)
+		t.Errorf("second Close: %v", err)
 	}
 }
