--- a/internal/registry/agent/reports.go
+++ b/internal/registry/agent/reports.go
@@ -17,7 +17,7 @@
 	endedCalls   map[registry.VersionRef]wire.CallsEnded // not yet reported
 	readyCopies  map[copiesAt]int                        // of staged versions, not yet reported
 	staged       []wire.Stage                            // as in the last response of the registry
-	lastUseEnded chan struct{}                           // signals that some target has no calls left; buffers one signal
+	lastUseEnded chan struct{}                           // buffers a signal that some target has no calls left
 }
 
 // aliasTarget identifies what a running call is bound to.
--- a/internal/registry/client/client.go
+++ b/internal/registry/client/client.go
@@ -63,7 +63,7 @@
 // A *StatusError is a response of the registry. After any other error, such as ErrUnsigned or that
 // of a connection, it is unknown whether the registry received the request; the connection is
 // closed in that case.
-func (c *Client) Do(path, id string, header http1.Header, body []byte, within time.Duration) (
+func (c *Client) Do(path, id string, header http1.Header, body []byte, timeout time.Duration) (
 	response []byte, newConnection bool, err error) {
 	c.requestMu.Lock()
 	defer c.requestMu.Unlock()
@@ -71,7 +71,7 @@
 	if err != nil {
 		return nil, false, err
 	}
-	deadline := time.Now().Add(within)
+	deadline := time.Now().Add(timeout)
 	newConnection, err = c.open(deadline)
 	if err != nil {
 		return nil, newConnection, err
--- a/internal/registry/client/operate.go
+++ b/internal/registry/client/operate.go
@@ -11,7 +11,7 @@
 	"kitehub/internal/registry/wire"
 )
 
-// waitMargin is added to the wait that a request asks for, to give the timeout of the request.
+// waitMargin is added to the wait that a request asks for; the sum is the timeout of the request.
 const waitMargin = 10 * time.Second
 
 // Command sends a command under an idempotency key and waits for its migration for at most
@@ -45,11 +45,11 @@
 // connection if an idle connection failed, as the registry may have closed that connection in the
 // meantime.
 func (c *Client) request(path, id string, header http1.Header, body []byte, waitMS int64) (*wire.Response, error) {
-	within := time.Duration(waitMS)*time.Millisecond + waitMargin
-	text, newConnection, err := c.Do(path, id, header, body, within)
+	timeout := time.Duration(waitMS)*time.Millisecond + waitMargin
+	text, newConnection, err := c.Do(path, id, header, body, timeout)
 	var status *StatusError
 	if err != nil && !newConnection && !errors.As(err, &status) {
-		text, _, err = c.Do(path, id, header, body, within)
+		text, _, err = c.Do(path, id, header, body, timeout)
 	}
 	if err != nil {
 		return nil, err
--- a/internal/registry/guarantee_test.go
+++ b/internal/registry/guarantee_test.go
@@ -165,7 +165,7 @@
 
 // disturb lets a controller's clock jump, restarts the controller, or loses the oldest message.
 func (g *guaranteeModel) disturb(c *controllerModel) {
-	if rapid.IntRange(0, 3).Draw(g.t, "jump") == 0 { // its machine was suspended, and its clock counts that time
+	if rapid.IntRange(0, 3).Draw(g.t, "jump") == 0 { // the machine was suspended and the clock counts it
 		c.offset += time.Duration(rapid.IntRange(0, 10_000).Draw(g.t, "slept")) * time.Millisecond
 		return
 	}
--- a/internal/registry/migration.go
+++ b/internal/registry/migration.go
@@ -163,7 +163,7 @@
 	s.appendHistory(now, registryActor, fmt.Sprintf("move %s %s back to %s", m.Name, a.Name, previous.Name), reason)
 	s.startMigration(a, a.PreviousVersion, registryActor, reason, now)
 	effects := s.fence(m, a, now)
-	a.PreviousVersion = "" // prevents an automatic migration forwards again
+	a.PreviousVersion = "" // the registry must not migrate forward again by itself
 	return effects
 }
 
--- a/internal/registry/service/codec.go
+++ b/internal/registry/service/codec.go
@@ -15,7 +15,7 @@
 type record struct {
 	At             time.Duration            `json:"at"`
 	Key            string                   `json:"key,omitempty"` // idempotency key
-	Checksum       string                   `json:"sum,omitempty"` // of the command's text; set if there is a key
+	Checksum       string                   `json:"sum,omitempty"` // of the command's text, with a key
 	Push           *registry.Push           `json:"push,omitempty"`
 	Promote        *registry.Promote        `json:"promote,omitempty"`
 	Rollback       *registry.Rollback       `json:"rollback,omitempty"`
--- a/internal/registry/service/discovery.go
+++ b/internal/registry/service/discovery.go
@@ -18,7 +18,8 @@
 // a migration that is fenced in between waits for this controller.
 func (h *Handler) discovery(r *http1.Request, client *Client) *http1.Response {
 	var q wire.DiscoveryRequest
-	if err := json.Unmarshal(r.Body, &q); err != nil { // unknown fields may belong to a later version of the protocol
+	// Unknown fields are accepted, as they may belong to a later version of the protocol.
+	if err := json.Unmarshal(r.Body, &q); err != nil {
 		return problem(400, "bad", err.Error())
 	}
 	epoch, resp := checkDiscovery(&q, client)
@@ -71,7 +72,8 @@
 			return now, err
 		}
 		delete(s.lastNack, controller)
-	} else if reason := q.ErrorDetail.Message; s.lastNack[controller] != reason { // logged once for each reason
+	} else if reason := q.ErrorDetail.Message; s.lastNack[controller] != reason {
+		// Each reason is logged once.
 		s.lastNack[controller] = reason
 		s.cfg.Log.Warn().Str("from", controller).Str("why", reason).Msg("update rejected by controller, lease not renewed")
 	}
--- a/internal/registry/service/golden_test.go
+++ b/internal/registry/service/golden_test.go
@@ -159,7 +159,8 @@
 	s.commit(registry.IdempotentCommand{Key: "ann k1", Checksum: "5a2", Command: registry.Promote{Model: "m", Alias: "current", To: "v1", By: "ann", Reason: unusualText}})
 	s.commitRejected(registry.IdempotentCommand{Key: "ann k1", Checksum: "0ther", Command: registry.Policy{Model: "m", AllowStale: true, By: "ann"}})
 	s.commit(registry.IdempotentCommand{Key: "ann p4", Checksum: "5a3", Command: goldenPush("m", "v4", "6")})
-	s.commit(registry.Push{Model: "m", Version: registry.Version{Name: "v5", Digest: goldenDigest("7")}}) // all optional fields are empty
+	// A push whose optional fields are all empty.
+	s.commit(registry.Push{Model: "m", Version: registry.Version{Name: "v5", Digest: goldenDigest("7")}})
 	s.commit(registry.CopiesReady{Model: "n", Version: "w1", Worker: "worker-2", Copies: 3})
 	s.commit(registry.CallsEnded{Model: "n", Version: "w1", Calls: 3})
 	s.commit(registry.Policy{Model: "n", By: "bob", Reason: "not any more"})
--- a/internal/registry/service/service.go
+++ b/internal/registry/service/service.go
@@ -65,7 +65,7 @@
 	sinceSnapshot int               // records applied since the last snapshot was started
 	snapshotting  bool              // a snapshot is being written
 	broken        error             // why nothing can be committed any more
-	lastNack      map[string]string // by controller: why it rejected the last update, while it does
+	lastNack      map[string]string // reason of the last NACK of each controller that has not sent an ACK since
 
 	deadlineChanged chan struct{} // wakes deadlineLoop; buffers one signal
 	closed          chan struct{} // closed by Close
--- a/internal/registry/wire/wire.go
+++ b/internal/registry/wire/wire.go
@@ -105,7 +105,7 @@
 	// ResponseNonce is the nonce of the last response. If it is empty, the registry sends
 	// everything, as to a controller that has just started.
 	ResponseNonce string        `json:"response_nonce,omitempty"`
-	ErrorDetail   *ErrorDetail  `json:"error_detail,omitempty"` // why the last response was rejected; nil if it was accepted
+	ErrorDetail   *ErrorDetail  `json:"error_detail,omitempty"` // why the last response was rejected, if it was
 	CopiesReady   []CopiesReady `json:"stands,omitempty"`       // changes since the last request
 	CallsEnded    []CallsEnded  `json:"ended,omitempty"`        // since the last request
 	// VersionsInUse are the versions under which calls run although their alias no longer names
@@ -135,10 +135,10 @@
 	VersionInfo string   `json:"version_info"` // epoch, in decimal
 	TypeURL     string   `json:"type_url"`
 	Nonce       string   `json:"nonce"`
-	Since       uint64   `json:"since,omitempty"`  // Resources are the changes since this epoch; 0 if they are complete
+	Since       uint64   `json:"since,omitempty"`  // epoch since which Resources changed; 0 if complete
 	Resources   []Alias  `json:"resources"`        // sorted by model and alias
 	LeaseMS     float64  `json:"lease_ms"`         // milliseconds from when the request was sent
-	SettleMS    float64  `json:"settle_ms"`        // milliseconds for which calls under superseded targets may continue
+	SettleMS    float64  `json:"settle_ms"`        // milliseconds; see registry.Settings.SettleTimeout
 	Condemned   []string `json:"barred,omitempty"` // every condemned digest
 	AllowStale  []string `json:"stale,omitempty"`  // every model that permits answers without a lease
 	Stage       []Stage  `json:"stage,omitempty"`  // every version that this controller is to have loaded
