--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -17,20 +17,20 @@
 // kind says whether workers is the complete list, a delta or a cached list; version counts the notifications, and is
 // 0 for a cached list. An error rejects the update: the previous list stays in force.
 type Sink interface {
-	Workers(kind scheduler.ListKind, version uint32, workers []gateway.Worker) error
+	UpdateWorkers(kind scheduler.ListKind, version uint32, workers []gateway.Worker) error
 }
 
 // Config sets up a Watcher, of a file or, if File is empty, of a server.
 type Config struct {
-	Node    string // the controller's name, sent to the server
-	Cluster string // the name that lists must have
-	File    string
-	Server  string        // host:port
-	Poll    time.Duration // how often the file is read
-	Cache   string        // file for the last list that was applied; "" for none
-	Sink    Sink
-	Log     zerolog.Logger
-	Dial    func(ctx context.Context, network, addr string) (net.Conn, error) // nil for net.Dialer's
+	Node         string // the controller's name, sent to the server
+	Cluster      string // the name that lists must have
+	File         string
+	Server       string        // host:port
+	PollInterval time.Duration // how often the file is read
+	CacheFile    string        // file for the last list that was applied; "" for none
+	Sink         Sink
+	Log          zerolog.Logger
+	Dial         func(ctx context.Context, network, addr string) (net.Conn, error) // nil for net.Dialer's
 }
 
 const dialTimeout = 2 * time.Second
@@ -84,7 +84,7 @@
 	if err != nil || event == nil {
 		return err
 	}
-	if err := w.cfg.Sink.Workers(event.Kind, event.Version, event.Workers); err != nil {
+	if err := w.cfg.Sink.UpdateWorkers(event.Kind, event.Version, event.Workers); err != nil {
 		w.state = previous
 		return err
 	}
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -59,16 +59,16 @@
 	}
 	r.outstanding++
 	out := backend.Attempt{
-		Worker:   a.Worker,
-		Call:     call.ID,
-		Class:    g.class(call).Name,
-		Function: call.Function.Name,
-		Trace:    traceparent(call.Trace, g.rng.Uint64()),
-		Key:      call.Key,
-		Digest:   call.Function.Digest,
-		Body:     call.Body,
-		Timeout:  a.Timeout,
-		MayStart: func() bool { return r.claimed.Load() == 0 },
+		Worker:         a.Worker,
+		CallID:         call.ID,
+		Class:          g.class(call).Name,
+		Function:       call.Function.Name,
+		TraceParent:    traceparent(call.TraceID, g.rng.Uint64()),
+		IdempotencyKey: call.IdempotencyKey,
+		Digest:         call.Function.Digest,
+		Body:           call.Body,
+		Timeout:        a.Timeout,
+		MayStart:       func() bool { return r.claimed.Load() == 0 },
 	}
 	t.running = g.cfg.Transport.Send(out, func(res backend.Result) { g.attemptEnded(r, call, a, number, res) })
 	r.attempts = append(r.attempts, t)
@@ -82,7 +82,7 @@
 // a parameter because request.call is the loop's, which clears it with the answer.
 func (g *Gateway) attemptEnded(r *request, call *Call, a scheduler.Send, number int, res backend.Result) {
 	if g.hasDigestMismatch(r, call, res) {
-		g.Counts.Mismatched.Add(1)
+		g.Counts.DigestMismatches.Add(1)
 		g.cfg.Log.Error().Str("worker", g.workerName(a.Worker)).Str("function", call.Function.Name).
 			Str("wanted", call.Function.Digest).Str("ran", res.Digest).Msg("answer dropped, worker ran another digest")
 		res.Outcome = scheduler.Error
@@ -101,7 +101,7 @@
 		Complete:     res.Outcome == scheduler.OK,
 		Note:         res.Note,
 		SameFunction: res.SameFunction,
-		Report:       res.Report,
+		LoadReport:   res.Report,
 	}
 	g.mu.Lock()
 	g.pendingResults[attemptKey{a.Request, number}] = res
--- a/scheduler/snapshot.go
+++ b/scheduler/snapshot.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Snapshot is the state of a worker and a function as the dispatcher sees it, for people to read. Nothing
-// is decided by it.
+// Snapshot is the state of a worker and a function as the dispatcher sees it, for people to read.
+// Nothing is decided by it.
 type Snapshot struct {
 	RingPosition     int     `json:"Place"`    // of the worker in the function's walk; -1: not on it
 	RingSize         int     `json:"Ring"`     // workers on the ring
@@ -17,9 +17,9 @@
 	HasCopy          bool    `json:"Warm"`     // a copy is believed to be loaded
 	Rank             int     `json:"Rank"`     // as advised
 	Tokens           float64 `json:"Tokens"`   // concurrency limit at the worker
-	Busy             int     `json:"Busy"`     // tokens in use
+	TokensInUse      int     `json:"Busy"`     // tokens in use
 	LatencyRatio     float64 `json:"Pace"`     // mean of its run times over its classes' means; 0: not known
-	Loads            int     `json:"Loads"`    // attempts there that may wait for a load
+	AwaitingLoad     int     `json:"Loads"`    // attempts there that may wait for a load
 	AdmittedFraction float64 `json:"Pass"`     // of new requests
 	Queued           int     `json:"Waiting"`  // requests of the function in its queue
 	InFlight         int     `json:"InFlight"` // attempts of the function without an outcome
@@ -27,7 +27,7 @@
 
 // Snapshot returns the state of a worker and a function now. Either may be unknown.
 func (d *Dispatcher) Snapshot(function FunctionID, id WorkerID) Snapshot {
-	snapshot := Snapshot{RingPosition: -1, RingSize: len(d.order), AdmittedFraction: d.admission.fraction}
+	snapshot := Snapshot{RingPosition: -1, RingSize: len(d.listed), AdmittedFraction: d.admission.fraction}
 	worker, queue := d.workers[id], d.queues.byFunction[function]
 	if queue != nil {
 		snapshot.Queued = len(queue.pending)
@@ -43,8 +43,8 @@
 	warmAt := worker.warmingSince + d.settings.Guarantees.WarmupTime
 	snapshot.WarmingUp = worker.warmingSince > 0 && d.now < warmAt
 	snapshot.Tokens = worker.limit.tokens
-	snapshot.Busy = worker.limit.inUse
-	snapshot.Loads = worker.awaitingLoad
+	snapshot.TokensInUse = worker.limit.inUse
+	snapshot.AwaitingLoad = worker.awaitingLoad
 	snapshot.LatencyRatio = worker.limit.latencyRatio
 	if queue != nil {
 		snapshot.HasCopy = d.hasCopy(queue.placements[worker], worker)
@@ -54,7 +54,7 @@
 
 // ringPosition is the place of a worker in a function's walk, or -1.
 func (d *Dispatcher) ringPosition(queue *queue, id WorkerID) int {
-	for i := range d.order {
+	for i := range d.listed {
 		if queue.worker(i).ID == id {
 			return i
 		}
@@ -64,24 +64,24 @@
 
 // WorkerSnapshot is a worker as the dispatcher sees it.
 type WorkerSnapshot struct {
-	ID              WorkerID      `json:"ID"`
-	State           WorkerState   `json:"State"`
-	Snapshot        Snapshot      `json:"Look"`   // of no function
-	SinceLastAnswer time.Duration `json:"Heard"`  // -1: none yet
-	Copies          int           `json:"Copies"` // functions believed to be loaded there
+	ID                WorkerID      `json:"ID"`
+	State             WorkerState   `json:"State"`
+	Snapshot          Snapshot      `json:"Look"`   // of no function
+	SinceLastResponse time.Duration `json:"Heard"`  // -1: none yet
+	Copies            int           `json:"Copies"` // functions believed to be loaded there
 }
 
 // Workers returns all workers that are listed, by id.
 func (d *Dispatcher) Workers() (snapshots []WorkerSnapshot) {
-	for _, worker := range d.order {
+	for _, worker := range d.listed {
 		snapshot := WorkerSnapshot{
-			ID:              worker.ID,
-			State:           worker.State,
-			Snapshot:        d.Snapshot(0, worker.ID),
-			SinceLastAnswer: -1,
+			ID:                worker.ID,
+			State:             worker.State,
+			Snapshot:          d.Snapshot(0, worker.ID),
+			SinceLastResponse: -1,
 		}
-		if worker.lastAnswerAt > 0 {
-			snapshot.SinceLastAnswer = d.now - worker.lastAnswerAt
+		if worker.lastResponseAt > 0 {
+			snapshot.SinceLastResponse = d.now - worker.lastResponseAt
 		}
 		for _, placed := range worker.placements {
 			if d.hasCopy(placed, worker) {
@@ -117,7 +117,7 @@
 			MeanInterarrival: seconds(queue.meanInterarrival),
 			Desired:          queue.desiredUntil > d.now,
 		}
-		for i := 0; i < len(d.order) && snapshot.Home == 0; i++ {
+		for i := 0; i < len(d.listed) && snapshot.Home == 0; i++ {
 			if w := queue.worker(i); d.ready(w) {
 				snapshot.Home = w.ID
 			}
