--- a/cmd/kitehub/registryserve.go
+++ b/cmd/kitehub/registryserve.go
@@ -57,9 +57,9 @@
 		return fmt.Errorf("listen: %w", err)
 	}
 	srv := &http1.Server{
-		Handler: service.NewHandler(svc, b.Callers, time.Duration(b.MaxAgeMS)*time.Millisecond),
-		MaxOpen: b.MaxConnections,
-		Limits:  http1.Limits{Body: maxRegistryBody, Idle: time.Minute},
+		Handler:        service.NewHandler(svc, b.Callers, time.Duration(b.MaxAgeMS)*time.Millisecond),
+		MaxConnections: b.MaxConnections,
+		Limits:         http1.Limits{MaxBodyBytes: maxRegistryBody, IdleTimeout: time.Minute},
 	}
 	go srv.Serve(ln)
 	log.Info().Str("listen", ln.Addr().String()).Uint64("snapshot", rec.Snapshot).Int("records", rec.Records).
--- a/config/clients.go
+++ b/config/clients.go
@@ -33,7 +33,7 @@
 			}
 		}
 		if client.AnswerKey != "" {
-			out.Sign = b.answerKey(field+".answer_key", client.AnswerKey)
+			out.SigningKey = b.answerKey(field+".answer_key", client.AnswerKey)
 		}
 		b.built.Clients = append(b.built.Clients, out)
 	}
--- a/config/network.go
+++ b/config/network.go
@@ -29,20 +29,20 @@
 	}
 	out.MaxConnections = int(w.MaxConnections)
 	out.HTTP = http1.Limits{
-		Body:      int(w.MaxBody),
-		FirstByte: ms(w.FirstByteMs),
-		Head:      ms(w.HeadMs),
-		BodyTime:  ms(w.BodyMs),
-		Idle:      ms(w.IdleMs),
+		MaxBodyBytes:     int(w.MaxBody),
+		FirstByteTimeout: ms(w.FirstByteMs),
+		HeadTimeout:      ms(w.HeadMs),
+		BodyTimeout:      ms(w.BodyMs),
+		IdleTimeout:      ms(w.IdleMs),
 	}
 	source := webhook.FromPath
 	if w.FunctionField != "" {
 		source = webhook.FromBody
 	}
 	out.Webhook = webhook.Config{
-		Prefix: w.Prefix,
-		Source: source,
-		Field:  w.FunctionField,
+		Prefix:         w.Prefix,
+		FunctionSource: source,
+		FunctionField:  w.FunctionField,
 		Replay: replayguard.Settings{
 			MaxAge:         ms(w.PastMs),
 			MaxClockSkew:   ms(w.FutureMs),
--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -62,7 +62,7 @@
 	if cfg.MaxIdlePerWorker == 0 {
 		cfg.MaxIdlePerWorker = defaultMaxIdle
 	}
-	cfg.Limits = cfg.Limits.Filled()
+	cfg.Limits = cfg.Limits.WithDefaults()
 	return &Backend{cfg: cfg, workers: map[scheduler.WorkerID]*worker{}}
 }
 
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -50,7 +50,7 @@
 func (w *scriptedWorker) serve(c net.Conn, answer script) {
 	defer c.Close()
 	reader := bufio.NewReader(c)
-	limits := http1.Limits{}.Filled()
+	limits := http1.Limits{}.WithDefaults()
 	for {
 		if _, err := http1.ReadRequest(reader, &limits, nil); err != nil {
 			return
--- a/internal/backend/exchange.go
+++ b/internal/backend/exchange.go
@@ -123,7 +123,7 @@
 }
 
 var writeBuffers = sync.Pool{New: func() any {
-	buffer := make([]byte, 0, http1.ReadBuffer)
+	buffer := make([]byte, 0, http1.ReadBufferSize)
 	return &buffer
 }}
 
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -30,7 +30,7 @@
 }
 
 func newConn(c net.Conn) *conn {
-	return &conn{Conn: c, reader: bufio.NewReaderSize(c, http1.ReadBuffer)}
+	return &conn{Conn: c, reader: bufio.NewReaderSize(c, http1.ReadBufferSize)}
 }
 
 // takeIdle returns the idle connection used last that is still open, or nil. That the worker has closed one is found
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -55,7 +55,7 @@
 // A Controller runs until Stop, Kill or a handover. Its exported fields are set by Start and must not be changed.
 type Controller struct {
 	Gateway *gateway.Gateway
-	Front   *webhook.Front
+	Front   *webhook.Handler
 	Backend *backend.Backend
 	HTTP    *http1.Server
 	// RPC serves operators and callers on the same machine; nil: none is configured.
--- a/internal/controller/handover_old.go
+++ b/internal/controller/handover_old.go
@@ -210,7 +210,7 @@
 	h.link.Send(daemon.Go, nil) // first: the successor takes nothing else until then
 	answersSent := h.sendEndedCalls()
 	endConns := h.sendConns()
-	c.Front.Pass()
+	c.Front.HandOver()
 	h.closeListeners()
 	c.stopWatchWhenIdle()
 	c.Gateway.Stop(c.built.StopTimeout)
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -183,7 +183,7 @@
 	})
 }
 
-var limits = http1.Limits{}.Filled()
+var limits = http1.Limits{}.WithDefaults()
 
 // An answer is what came back: the status, the outcome as the signed id names it, the body and Retry-After.
 type answer struct {
--- a/internal/controller/models.go
+++ b/internal/controller/models.go
@@ -90,9 +90,9 @@
 	m.agent.Load().EndCall(b.Name, b.Target, ran, failed)
 }
 
-// Begin implements ingress.Models: it asks for an answer to be let out. The duration is how long that may take; 0: no
+// BeginAnswer implements ingress.Models: it asks for an answer to be let out. The duration is how long that may take; 0: no
 // bound.
-func (m *modelVersions) Begin(b gateway.VersionBinding) (func(), time.Duration, registry.Verdict) {
+func (m *modelVersions) BeginAnswer(b gateway.VersionBinding) (func(), time.Duration, registry.Verdict) {
 	t, until, v := m.agent.Load().BeginAnswer(b.Name, b.Target)
 	if v != registry.Allowed {
 		return nil, 0, v
--- a/internal/controller/start.go
+++ b/internal/controller/start.go
@@ -164,7 +164,7 @@
 	fc.Gateway = c.Gateway
 	fc.Clock = c.options.Clock
 	fc.Log = c.log
-	fc.Mark = webhook.File(b.ReplayMark)
+	fc.Watermark = webhook.WatermarkFile(b.ReplayMark)
 	fc.Functions = c.functions.Find
 	fc.Deadline = func(class int) time.Duration { return b.Settings.Classes[class].Deadline }
 	fc.Idempotency = func(class int) scheduler.Idempotency { return b.Settings.Classes[class].Idempotency }
@@ -252,7 +252,7 @@
 	if wrap := c.options.Handler; wrap != nil {
 		handler = wrap(handler)
 	}
-	c.HTTP = &http1.Server{Handler: handler, Limits: c.built.HTTP, MaxOpen: c.built.MaxConnections}
+	c.HTTP = &http1.Server{Handler: handler, Limits: c.built.HTTP, MaxConnections: c.built.MaxConnections}
 	go func() {
 		defer close(c.acceptDone)
 		if err := c.HTTP.Serve(c.listener); err != nil {
--- a/internal/controller/stop.go
+++ b/internal/controller/stop.go
@@ -122,7 +122,7 @@
 		c.listener.Close()
 	}
 	if c.HTTP != nil {
-		c.HTTP.Cut()
+		c.HTTP.Abort()
 	}
 	if c.RPC != nil {
 		c.RPC.Cut()
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -81,7 +81,7 @@
 	d.server = &http1.Server{Handler: service.NewHandler(d.s, []service.Client{{Name: "op", Keys: []*signing.Key{key(operatorSecret)}, Operator: true},
 		{Name: "c1", Keys: []*signing.Key{key(controllerSecret)}, Controller: true}}, time.Minute)}
 	go d.server.Serve(d.ln)
-	t.Cleanup(func() { d.ln.Close(); d.server.Cut(); d.s.Close() })
+	t.Cleanup(func() { d.ln.Close(); d.server.Abort(); d.s.Close() })
 	d.opKey = key(operatorSecret)
 	for _, m := range []string{"safe-1", "keyed-1", "unsafe-1"} {
 		for _, v := range []string{"v1", "v2"} {
@@ -302,7 +302,7 @@
 	}
 
 	d.ln.Close()
-	d.server.Cut()
+	d.server.Abort()
 	for {
 		a := call("alone"+fmt.Sprint(time.Now().UnixNano()), "safe-1")
 		if a.status == 503 && strings.Contains(a.body, "registry is not heard") {
--- a/internal/discovery/server.go
+++ b/internal/discovery/server.go
@@ -21,7 +21,7 @@
 	maxBackoff  = 5 * time.Second
 )
 
-var pollLimits = http1.Limits{Body: maxUpdateBytes}.Filled()
+var pollLimits = http1.Limits{MaxBodyBytes: maxUpdateBytes}.WithDefaults()
 
 // A pollStream is one connection after the other to the server, and the request that continues from the last update.
 // It belongs to the goroutine of watchServer.
@@ -123,7 +123,7 @@
 		return err
 	}
 	stream.conn = conn
-	stream.reader = bufio.NewReaderSize(conn, http1.ReadBuffer)
+	stream.reader = bufio.NewReaderSize(conn, http1.ReadBufferSize)
 	w.state.Reconnected()
 	w.mu.Lock()
 	w.conn = conn
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -199,7 +199,7 @@
 	t.Cleanup(func() {
 		close(s.answers)
 		ln.Close()
-		server.Cut()
+		server.Abort()
 	})
 	return s
 }
--- a/internal/gateway/path_test.go
+++ b/internal/gateway/path_test.go
@@ -75,7 +75,7 @@
 func startIngress(t *testing.T, g *gateway.Gateway, clk clock.Clock, quote *gateway.Function, key *signing.Key) string {
 	t.Helper()
 	front, err := webhook.New(webhook.Config{
-		Prefix: "/call/", Gateway: g, Clock: clk, Mark: webhook.File(t.TempDir() + "/mark"),
+		Prefix: "/call/", Gateway: g, Clock: clk, Watermark: webhook.WatermarkFile(t.TempDir() + "/mark"),
 		Functions: func(name string) *gateway.Function {
 			if name == "quote" {
 				return quote
@@ -101,7 +101,7 @@
 	go srv.Serve(ln)
 	t.Cleanup(func() {
 		ln.Close()
-		srv.Cut()
+		srv.Abort()
 	})
 	return ln.Addr().String()
 }
--- a/internal/harness/fakeworker/blobs.go
+++ b/internal/harness/fakeworker/blobs.go
@@ -74,7 +74,7 @@
 // Close ends the store.
 func (b *Blobs) Close() {
 	b.ln.Close()
-	b.server.Cut()
+	b.server.Abort()
 }
 
 func (b *Blobs) serve(c *http1.Conn, r *http1.Request) *http1.Response {
--- a/internal/harness/fakeworker/list.go
+++ b/internal/harness/fakeworker/list.go
@@ -94,7 +94,7 @@
 func (l *List) Close() {
 	close(l.end)
 	l.ln.Close()
-	l.server.Cut()
+	l.server.Abort()
 	l.wg.Wait()
 }
 
--- a/internal/harness/fakeworker/standin.go
+++ b/internal/harness/fakeworker/standin.go
@@ -293,7 +293,7 @@
 		return err
 	}
 	limits := w.h.cfg.Limits
-	limits.Idle = max(limits.Idle, time.Minute) // above the gateways' keep-alive, as it should be
+	limits.IdleTimeout = max(limits.IdleTimeout, time.Minute) // above the gateways' keep-alive, as it should be
 	w.mu.Lock()
 	w.ln, w.addr = ln, ln.Addr().String()
 	w.server = &http1.Server{Handler: http1.HandlerFunc(w.serve), Limits: limits}
@@ -310,6 +310,6 @@
 	w.mu.Unlock()
 	if ln != nil {
 		ln.Close()
-		server.Cut()
+		server.Abort()
 	}
 }
--- a/internal/harness/proxybench/bench_test.go
+++ b/internal/harness/proxybench/bench_test.go
@@ -46,13 +46,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s := &http1.Server{Limits: http1.Limits{Idle: time.Hour, FirstByte: time.Hour}, Handler: http1.HandlerFunc(func(*http1.Conn, *http1.Request) *http1.Response {
+		s := &http1.Server{Limits: http1.Limits{IdleTimeout: time.Hour, FirstByteTimeout: time.Hour}, Handler: http1.HandlerFunc(func(*http1.Conn, *http1.Request) *http1.Response {
 			return &http1.Response{Status: 200, Body: body, Header: http1.Header{{Name: "Content-Type", Value: "application/octet-stream"},
 				{Name: "Inference-Header-Content-Length", Value: strconv.Itoa(len(head))},
 				{Name: "endpoint-load-metrics", Value: "TEXT cpu_utilization=0.1, named_metrics.queue=0, named_metrics.inflight=1, named_metrics.copy=1"}}}
 		})}
 		go s.Serve(ln)
-		t.Cleanup(func() { ln.Close(); s.Cut() })
+		t.Cleanup(func() { ln.Close(); s.Abort() })
 		addrs = append(addrs, ln.Addr().String())
 	}
 	return addrs
@@ -116,7 +116,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &http1.Server{MaxOpen: 20000, Limits: http1.Limits{Idle: time.Hour, FirstByte: time.Hour}, Handler: http1.HandlerFunc(func(c *http1.Conn, r *http1.Request) *http1.Response {
+	s := &http1.Server{MaxConnections: 20000, Limits: http1.Limits{IdleTimeout: time.Hour, FirstByteTimeout: time.Hour}, Handler: http1.HandlerFunc(func(c *http1.Conn, r *http1.Request) *http1.Response {
 		done := make(chan struct{})
 		var a gateway.Answer
 		id, ok := ctl.Gateway.Submit(&gateway.Call{Function: fns.Find("g" + r.Path()[len("/call/f"):]), Body: r.Body, TimeLeft: 5 * time.Second,
@@ -134,7 +134,7 @@
 		return &http1.Response{Status: 200, Body: a.Body}
 	})}
 	go s.Serve(ln)
-	t.Cleanup(func() { ln.Close(); s.Cut() })
+	t.Cleanup(func() { ln.Close(); s.Abort() })
 	return ln.Addr().String()
 }
 
@@ -198,7 +198,7 @@
 	buf []byte
 }
 
-var limits = http1.Limits{}.Filled()
+var limits = http1.Limits{}.WithDefaults()
 var clients atomic.Int64
 
 func dialClient(t testing.TB, addr string) *client {
--- a/internal/harness/scalebench/registry.go
+++ b/internal/harness/scalebench/registry.go
@@ -159,7 +159,7 @@
 	}
 	stopping.Wait()
 	if p.server != nil {
-		p.server.Cut()
+		p.server.Abort()
 	}
 	if p.service != nil {
 		p.service.Close()
--- a/internal/harness/scenario/client.go
+++ b/internal/harness/scenario/client.go
@@ -119,7 +119,7 @@
 	}
 }
 
-var clientLimits = http1.Limits{}.Filled()
+var clientLimits = http1.Limits{}.WithDefaults()
 
 // record draws the id of a request and begins its records: it is sent now.
 func (l *load) record(p plan, t *target, end time.Duration, rng *rand.Rand) (rec trace.Record, now time.Duration) {
--- a/internal/harness/scenario/guards_test.go
+++ b/internal/harness/scenario/guards_test.go
@@ -131,7 +131,7 @@
 	return registry.Allowed
 }
 
-func (trusting) Begin(gateway.VersionBinding) (func(), time.Duration, registry.Verdict) {
+func (trusting) BeginAnswer(gateway.VersionBinding) (func(), time.Duration, registry.Verdict) {
 	return func() {}, 0, registry.Allowed
 }
 
--- a/internal/harness/scenario/target.go
+++ b/internal/harness/scenario/target.go
@@ -63,7 +63,7 @@
 	if err != nil {
 		return nil
 	}
-	return &wire{nc, bufio.NewReaderSize(nc, http1.ReadBuffer)}
+	return &wire{nc, bufio.NewReaderSize(nc, http1.ReadBufferSize)}
 }
 
 func (t *target) put(w *wire) {
--- a/internal/harness/scenario/versions.go
+++ b/internal/harness/scenario/versions.go
@@ -233,7 +233,7 @@
 		return
 	}
 	ln.Close()
-	server.Cut()
+	server.Abort()
 	s.Close()
 }
 
--- a/internal/hookengine/golden_test.go
+++ b/internal/hookengine/golden_test.go
@@ -168,7 +168,7 @@
 		return &http1.Response{Status: 204}
 	})}
 	go server.Serve(listener)
-	defer server.Cut()
+	defer server.Abort()
 	target := Target{Name: "ops", Address: listener.Addr().String(), Path: "/n", Key: key}
 	notifier := NewNotifier("c1", []Target{target}, clock.System(), zerolog.Nop())
 	defer notifier.Close()
--- a/internal/hookengine/notify.go
+++ b/internal/hookengine/notify.go
@@ -37,7 +37,7 @@
 	statusGone       = 410                    // by Standard Webhooks: the receiver wants no more notices
 )
 
-var noticeLimits = http1.Limits{Body: 64 << 10, Headers: 16 << 10}.Filled()
+var noticeLimits = http1.Limits{MaxBodyBytes: 64 << 10, MaxHeaderBytes: 16 << 10}.WithDefaults()
 
 // Notifier sends notices as signed webhooks (Standard Webhooks), one after the other from a goroutine of its own.
 // It retries each a few times with the same webhook-id, so that the receiver can drop duplicates. Its queue is
--- a/internal/hookengine/notify_test.go
+++ b/internal/hookengine/notify_test.go
@@ -42,7 +42,7 @@
 		return &http1.Response{Status: 204}
 	})}
 	go srv.Serve(ln)
-	defer srv.Cut()
+	defer srv.Abort()
 	defer ln.Close()
 	target := Target{Name: "ops", Address: ln.Addr().String(), Path: "/n", Key: key}
 	n := NewNotifier("c", []Target{target}, clock.System(), zerolog.Nop())
--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -59,7 +59,7 @@
 
 // exactly reads n bytes. The buffer grows as they come: a length alone reserves at most ReadBuffer bytes.
 func (r *reader) exactly(n int) ([]byte, error) {
-	b := make([]byte, 0, min(n, ReadBuffer))
+	b := make([]byte, 0, min(n, ReadBufferSize))
 	for len(b) < n {
 		if len(b) == cap(b) {
 			b = slices.Grow(b, min(len(b), n-len(b)))
@@ -86,8 +86,8 @@
 			_, err := r.headers()
 			return body, err
 		}
-		if len(body)+size > r.limits.Body {
-			return nil, &Error{413, fmt.Sprintf("body over %d bytes", r.limits.Body)}
+		if len(body)+size > r.limits.MaxBodyBytes {
+			return nil, &Error{413, fmt.Sprintf("body over %d bytes", r.limits.MaxBodyBytes)}
 		}
 		chunk, err := r.exactly(size)
 		if err != nil {
@@ -112,7 +112,7 @@
 
 // chunkSize reads the line before a chunk. Extensions are allowed and ignored, but count as header bytes.
 func (r *reader) chunkSize() (int, error) {
-	line, err := r.line(r.limits.Line, 400, "chunk size")
+	line, err := r.line(r.limits.MaxLineBytes, 400, "chunk size")
 	if err != nil {
 		return 0, err
 	}
@@ -148,9 +148,9 @@
 
 // toEnd reads up to the end of the connection.
 func (r *reader) toEnd() ([]byte, error) {
-	b, err := io.ReadAll(io.LimitReader(r.buf, int64(r.limits.Body)+1))
-	if err == nil && len(b) > r.limits.Body {
-		err = &Error{502, fmt.Sprintf("body over %d bytes", r.limits.Body)}
+	b, err := io.ReadAll(io.LimitReader(r.buf, int64(r.limits.MaxBodyBytes)+1))
+	if err == nil && len(b) > r.limits.MaxBodyBytes {
+		err = &Error{502, fmt.Sprintf("body over %d bytes", r.limits.MaxBodyBytes)}
 	}
 	return b, err
 }
--- a/internal/http1/conn.go
+++ b/internal/http1/conn.go
@@ -41,7 +41,7 @@
 		}
 	}()
 	c.allocate(read)
-	for wait := c.limits.FirstByte; ; wait = c.limits.Idle {
+	for wait := c.limits.FirstByteTimeout; ; wait = c.limits.IdleTimeout {
 		c.SetReadDeadline(time.Now().Add(wait))
 		// Asked only now: the deadline could have overwritten that of Drain or Detach.
 		if c.leave(nil) || c.server.stopping() {
@@ -67,11 +67,11 @@
 // allocate allocates the read buffer: on the connection's goroutine, for Serve to be free at once.
 func (c *Conn) allocate(read []byte) {
 	if len(read) == 0 {
-		c.buf = bufio.NewReaderSize(c.Conn, ReadBuffer)
+		c.buf = bufio.NewReaderSize(c.Conn, ReadBufferSize)
 		return
 	}
 	c.prefix = &prefixReader{read, c.Conn}
-	c.buf = bufio.NewReaderSize(c.prefix, max(ReadBuffer, len(read)))
+	c.buf = bufio.NewReaderSize(c.prefix, max(ReadBufferSize, len(read)))
 }
 
 // exchange reads one request and answers it; false ends the connection.
@@ -93,10 +93,10 @@
 
 // readRequest reads a request; false if there is none, after an answer that says why if the client can still read it.
 func (c *Conn) readRequest() (*Request, bool) {
-	c.SetReadDeadline(time.Now().Add(c.limits.Head))
-	req, err := ReadRequest(c.buf, &c.limits, func(s Step) error {
+	c.SetReadDeadline(time.Now().Add(c.limits.HeadTimeout))
+	req, err := ReadRequest(c.buf, &c.limits, func(s ReadStage) error {
 		if s == HeadRead {
-			return c.SetReadDeadline(time.Now().Add(c.limits.BodyTime))
+			return c.SetReadDeadline(time.Now().Add(c.limits.BodyTimeout))
 		}
 		return c.write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 	})
@@ -115,14 +115,14 @@
 	return nil, false
 }
 
-const maxIdleBuffer = 16 * ReadBuffer // bytes of an answer whose memory stays with an idle connection
+const maxIdleBuffer = 16 * ReadBufferSize // bytes of an answer whose memory stays with an idle connection
 
 // respond writes an answer, or what its gate puts in its place; false ends the connection.
 func (c *Conn) respond(req *Request, resp *Response) bool {
-	timeout := c.limits.Write
+	timeout := c.limits.WriteTimeout
 	var written func()
-	if resp.Gate != nil {
-		instead, within, done := resp.Gate()
+	if resp.BeforeWrite != nil {
+		instead, within, done := resp.BeforeWrite()
 		written = done
 		if instead != nil {
 			resp = instead
@@ -151,7 +151,7 @@
 }
 
 func (c *Conn) write(b []byte) error {
-	c.SetWriteDeadline(time.Now().Add(c.limits.Write))
+	c.SetWriteDeadline(time.Now().Add(c.limits.WriteTimeout))
 	_, err := c.Conn.Write(b)
 	return err
 }
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -17,7 +17,7 @@
 }
 
 func newReader(buf *bufio.Reader, limits *Limits) reader {
-	return reader{buf: buf, limits: limits, headersLeft: limits.Headers}
+	return reader{buf: buf, limits: limits, headersLeft: limits.MaxHeaderBytes}
 }
 
 // line returns the next line without its CRLF, which are valid until the next read. status is that of the error for a
@@ -60,7 +60,7 @@
 func (r *reader) headers() (Header, error) {
 	h := make(Header, 0, 8)
 	for {
-		line, err := r.line(r.limits.Line, 431, "header line")
+		line, err := r.line(r.limits.MaxLineBytes, 431, "header line")
 		if err != nil {
 			return nil, err
 		}
@@ -68,10 +68,10 @@
 			return h, nil
 		}
 		if r.headersLeft -= len(line); r.headersLeft < 0 {
-			return nil, &Error{431, fmt.Sprintf("header lines over %d bytes", r.limits.Headers)}
+			return nil, &Error{431, fmt.Sprintf("header lines over %d bytes", r.limits.MaxHeaderBytes)}
 		}
-		if len(h) >= r.limits.Fields {
-			return nil, &Error{431, fmt.Sprintf("over %d header lines", r.limits.Fields)}
+		if len(h) >= r.limits.MaxHeaderLines {
+			return nil, &Error{431, fmt.Sprintf("over %d header lines", r.limits.MaxHeaderLines)}
 		}
 		field, err := parseField(line)
 		if err != nil {
@@ -102,7 +102,7 @@
 
 // closes reports whether the connection ends after a message (RFC 9112 section 9.3).
 func closes(h Header, minor int) bool {
-	return h.Token("Connection", "close") || minor == 0 && !h.Token("Connection", "keep-alive")
+	return h.HasToken("Connection", "close") || minor == 0 && !h.HasToken("Connection", "keep-alive")
 }
 
 // parseVersion returns the minor version of HTTP/1.x.
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -10,10 +10,10 @@
 	"testing"
 )
 
-var testLimits = Limits{Line: 200, Headers: 400, Fields: 6, Body: 64}.Filled()
+var testLimits = Limits{MaxLineBytes: 200, MaxHeaderBytes: 400, MaxHeaderLines: 6, MaxBodyBytes: 64}.WithDefaults()
 
 func parse(text string) (*Request, error) {
-	return ReadRequest(bufio.NewReaderSize(strings.NewReader(text), 16+ReadBuffer), &testLimits, nil)
+	return ReadRequest(bufio.NewReaderSize(strings.NewReader(text), 16+ReadBufferSize), &testLimits, nil)
 }
 
 // What two recipients could read differently is rejected, and what exceeds a limit; the rest is read.
@@ -191,7 +191,7 @@
 	} {
 		f.Add([]byte(s))
 	}
-	l := Limits{}.Filled()
+	l := Limits{}.WithDefaults()
 	f.Fuzz(func(t *testing.T, b []byte) {
 		ours, err := ReadRequest(bufio.NewReader(bytes.NewReader(b)), &l, nil)
 		if err != nil {
--- a/internal/http1/limits.go
+++ b/internal/http1/limits.go
@@ -5,47 +5,47 @@
 	"time"
 )
 
-// ReadBuffer is the size of a connection's read buffer in bytes.
-const ReadBuffer = 4096
+// ReadBufferSize is the size of a connection's read buffer in bytes.
+const ReadBufferSize = 4096
 
 // Limits bound what is read. A zero value of any field means that of DefaultLimits.
 type Limits struct {
-	Line      int           // bytes of the request or status line, and of each header line
-	Headers   int           // bytes of all header lines together
-	Fields    int           // header lines
-	Body      int           // bytes of a body
-	FirstByte time.Duration // from accept to the first byte
-	Head      time.Duration // from the first byte to the end of the head
-	BodyTime  time.Duration // from the end of the head to the end of the body
-	Idle      time.Duration // between two messages of a connection
-	Write     time.Duration // for an answer to be written
+	MaxLineBytes     int           // bytes of the request or status line, and of each header line
+	MaxHeaderBytes   int           // bytes of all header lines together
+	MaxHeaderLines   int           // header lines
+	MaxBodyBytes     int           // bytes of a body
+	FirstByteTimeout time.Duration // from accept to the first byte
+	HeadTimeout      time.Duration // from the first byte to the end of the head
+	BodyTimeout      time.Duration // from the end of the head to the end of the body
+	IdleTimeout      time.Duration // between two messages of a connection
+	WriteTimeout     time.Duration // for an answer to be written
 }
 
 // DefaultLimits suit signed webhooks.
 var DefaultLimits = Limits{
-	Line:      8 << 10,
-	Headers:   32 << 10,
-	Fields:    64,
-	Body:      1 << 20,
-	FirstByte: 10 * time.Second,
-	Head:      5 * time.Second,
-	BodyTime:  10 * time.Second,
-	Idle:      30 * time.Second,
-	Write:     10 * time.Second,
+	MaxLineBytes:     8 << 10,
+	MaxHeaderBytes:   32 << 10,
+	MaxHeaderLines:   64,
+	MaxBodyBytes:     1 << 20,
+	FirstByteTimeout: 10 * time.Second,
+	HeadTimeout:      5 * time.Second,
+	BodyTimeout:      10 * time.Second,
+	IdleTimeout:      30 * time.Second,
+	WriteTimeout:     10 * time.Second,
 }
 
-// Filled returns the limits with DefaultLimits in place of zero values.
-func (l Limits) Filled() Limits {
+// WithDefaults returns the limits with DefaultLimits in place of zero values.
+func (l Limits) WithDefaults() Limits {
 	defaults := DefaultLimits
 	return Limits{
-		Line:      cmp.Or(l.Line, defaults.Line),
-		Headers:   cmp.Or(l.Headers, defaults.Headers),
-		Fields:    cmp.Or(l.Fields, defaults.Fields),
-		Body:      cmp.Or(l.Body, defaults.Body),
-		FirstByte: cmp.Or(l.FirstByte, defaults.FirstByte),
-		Head:      cmp.Or(l.Head, defaults.Head),
-		BodyTime:  cmp.Or(l.BodyTime, defaults.BodyTime),
-		Idle:      cmp.Or(l.Idle, defaults.Idle),
-		Write:     cmp.Or(l.Write, defaults.Write),
+		MaxLineBytes:     cmp.Or(l.MaxLineBytes, defaults.MaxLineBytes),
+		MaxHeaderBytes:   cmp.Or(l.MaxHeaderBytes, defaults.MaxHeaderBytes),
+		MaxHeaderLines:   cmp.Or(l.MaxHeaderLines, defaults.MaxHeaderLines),
+		MaxBodyBytes:     cmp.Or(l.MaxBodyBytes, defaults.MaxBodyBytes),
+		FirstByteTimeout: cmp.Or(l.FirstByteTimeout, defaults.FirstByteTimeout),
+		HeadTimeout:      cmp.Or(l.HeadTimeout, defaults.HeadTimeout),
+		BodyTimeout:      cmp.Or(l.BodyTimeout, defaults.BodyTimeout),
+		IdleTimeout:      cmp.Or(l.IdleTimeout, defaults.IdleTimeout),
+		WriteTimeout:     cmp.Or(l.WriteTimeout, defaults.WriteTimeout),
 	}
 }
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -47,9 +47,9 @@
 // Add appends a line.
 func (h *Header) Add(name, value string) { *h = append(*h, Field{name, value}) }
 
-// Token reports whether a field that is a comma-separated list contains the token, ignoring case (RFC 9110 section
+// HasToken reports whether a field that is a comma-separated list contains the token, ignoring case (RFC 9110 section
 // 5.6.1).
-func (h Header) Token(name, token string) bool {
+func (h Header) HasToken(name, token string) bool {
 	for i := range h {
 		if !strings.EqualFold(h[i].Name, name) {
 			continue
@@ -85,10 +85,10 @@
 	Header Header
 	Body   []byte
 	Close  bool // the connection ends after this exchange
-	// Gate, if set, is called by a server just before the first byte is written. It returns what to write instead
+	// BeforeWrite, if set, is called by a server just before the first byte is written. It returns what to write instead
 	// (nil: this response), how long the write may take (0: Limits.Write) and what to call when it has ended (nil:
 	// nothing).
-	Gate func() (instead *Response, within time.Duration, done func())
+	BeforeWrite func() (instead *Response, within time.Duration, done func())
 	// HandOver hands the connection over with its request unanswered: see Server.Detach.
 	HandOver bool
 }
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -7,21 +7,21 @@
 	"strings"
 )
 
-// A Step is a point in the reading of a request.
-type Step int
+// A ReadStage is a point in the reading of a request.
+type ReadStage int
 
 // Steps of ReadRequest.
 const (
-	HeadRead Step = iota // the head is read: the time for the body starts
-	Continue             // the client waits for 100 (Continue)
+	HeadRead         ReadStage = iota // the head is read: the time for the body starts
+	ContinueExpected                  // the client waits for 100 (Continue)
 )
 
 // ReadRequest reads a complete request. step, unless nil, is called at each Step; its error ends the reading. Errors
 // are of type *Error if the message is at fault, io.EOF if the connection ended before a first byte and
 // io.ErrUnexpectedEOF if it ended within the request.
-func ReadRequest(buf *bufio.Reader, limits *Limits, step func(Step) error) (*Request, error) {
+func ReadRequest(buf *bufio.Reader, limits *Limits, step func(ReadStage) error) (*Request, error) {
 	if step == nil {
-		step = func(Step) error { return nil }
+		step = func(ReadStage) error { return nil }
 	}
 	r := newReader(buf, limits)
 	req, body, err := r.requestHead()
@@ -36,7 +36,7 @@
 			return nil, &Error{417, "unknown expectation"}
 		}
 		if body.chunked || body.length > 0 {
-			if err := step(Continue); err != nil {
+			if err := step(ContinueExpected); err != nil {
 				return nil, err
 			}
 		}
@@ -72,8 +72,8 @@
 		return nil, framing{}, err
 	}
 	req.Close = closes(req.Header, req.Minor)
-	if body.length > r.limits.Body {
-		return nil, framing{}, &Error{413, fmt.Sprintf("body over %d bytes", r.limits.Body)}
+	if body.length > r.limits.MaxBodyBytes {
+		return nil, framing{}, &Error{413, fmt.Sprintf("body over %d bytes", r.limits.MaxBodyBytes)}
 	}
 	return req, body, nil
 }
@@ -83,9 +83,9 @@
 	if _, err := r.buf.Peek(1); err != nil {
 		return nil, err
 	}
-	line, err := r.line(r.limits.Line, 414, "request line")
+	line, err := r.line(r.limits.MaxLineBytes, 414, "request line")
 	if err == nil && len(line) == 0 {
-		line, err = r.line(r.limits.Line, 414, "request line")
+		line, err = r.line(r.limits.MaxLineBytes, 414, "request line")
 	}
 	return line, err
 }
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -36,7 +36,7 @@
 	if _, err := r.buf.Peek(1); err != nil {
 		return nil, 0, err
 	}
-	line, err := r.line(r.limits.Line, 502, "status line")
+	line, err := r.line(r.limits.MaxLineBytes, 502, "status line")
 	if err != nil {
 		return nil, 0, err
 	}
@@ -59,8 +59,8 @@
 	case method == "HEAD" || resp.Status == 204 || resp.Status == 304:
 	case body.chunked:
 		resp.Body, err = r.chunks()
-	case body.length > r.limits.Body:
-		err = &Error{502, fmt.Sprintf("body over %d bytes", r.limits.Body)}
+	case body.length > r.limits.MaxBodyBytes:
+		err = &Error{502, fmt.Sprintf("body over %d bytes", r.limits.MaxBodyBytes)}
 	case body.length >= 0:
 		resp.Body, err = r.exactly(body.length)
 	default: // to the end of the connection: RFC 9112 section 6.3, item 8
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -26,11 +26,11 @@
 // A Server accepts connections and has a handler answer their requests. The exported fields must not change once it
 // serves. It is safe for concurrent use.
 type Server struct {
-	Handler Handler
-	Limits  Limits
-	MaxOpen int          // connections at once; further ones are answered 503 and closed. 0: 10,000
-	Refused atomic.Int64 // connections beyond MaxOpen
-	Stalled atomic.Int64 // times that accept had to wait for file descriptors
+	Handler        Handler
+	Limits         Limits
+	MaxConnections int          // connections at once; further ones are answered 503 and closed. 0: 10,000
+	Rejected       atomic.Int64 // connections beyond MaxOpen
+	AcceptBackoffs atomic.Int64 // times that accept had to wait for file descriptors
 
 	mu       sync.Mutex
 	conns    map[*Conn]struct{}
@@ -55,7 +55,7 @@
 // waits, twice as long each time up to a second, and goes on: to end would lose the listener, and to spin would take
 // the processor from those that answer.
 func (s *Server) Serve(listener net.Listener) error {
-	limits := s.Limits.Filled()
+	limits := s.Limits.WithDefaults()
 	backoff := minAcceptBackoff
 	for {
 		socket, err := listener.Accept()
@@ -66,7 +66,7 @@
 		case errors.Is(err, net.ErrClosed):
 			return nil
 		case isShortage(err):
-			s.Stalled.Add(1)
+			s.AcceptBackoffs.Add(1)
 			time.Sleep(backoff)
 			backoff = min(2*backoff, maxAcceptBackoff)
 		default:
@@ -82,7 +82,7 @@
 }
 
 // Adopt serves a connection that another process accepted; read is what that has read of it and not used.
-func (s *Server) Adopt(socket net.Conn, read []byte) { s.start(socket, read, s.Limits.Filled()) }
+func (s *Server) Adopt(socket net.Conn, read []byte) { s.start(socket, read, s.Limits.WithDefaults()) }
 
 // start serves a connection, unless it is handed over or rejected.
 func (s *Server) start(socket net.Conn, read []byte, limits Limits) {
@@ -92,9 +92,9 @@
 		handOver(socket, read)
 		return
 	}
-	if s.stopped || len(s.conns) >= cmp.Or(s.MaxOpen, defaultMaxOpen) {
+	if s.stopped || len(s.conns) >= cmp.Or(s.MaxConnections, defaultMaxOpen) {
 		s.mu.Unlock()
-		s.Refused.Add(1)
+		s.Rejected.Add(1)
 		reject(socket)
 		return
 	}
@@ -131,7 +131,7 @@
 	select {
 	case <-drained:
 	case <-time.After(timeout):
-		s.Cut()
+		s.Abort()
 		<-drained
 	}
 }
@@ -148,8 +148,8 @@
 // longPast is a deadline that ends a read at once.
 var longPast = time.Unix(1, 0)
 
-// Cut closes all connections at once, with a reset.
-func (s *Server) Cut() {
+// Abort closes all connections at once, with a reset.
+func (s *Server) Abort() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stopped = true
--- a/internal/http1/server_test.go
+++ b/internal/http1/server_test.go
@@ -36,7 +36,7 @@
 	t.Cleanup(func() {
 		ln.Close()
 		<-done
-		s.Cut()
+		s.Abort()
 	})
 	return ln.Addr().String()
 }
@@ -55,7 +55,7 @@
 // read reads an answer.
 func read(t testing.TB, br *bufio.Reader) *Response {
 	t.Helper()
-	l := Limits{}.Filled()
+	l := Limits{}.WithDefaults()
 	resp, err := ReadResponse(br, &l, "GET")
 	if err != nil {
 		t.Fatal(err)
@@ -64,7 +64,7 @@
 }
 
 func TestServerExchanges(t *testing.T) {
-	addr := serve(t, &Server{Handler: HandlerFunc(echo), Limits: Limits{Body: 100}})
+	addr := serve(t, &Server{Handler: HandlerFunc(echo), Limits: Limits{MaxBodyBytes: 100}})
 	t.Run("pipelining and keep-alive", func(t *testing.T) {
 		c, br := dial(t, addr)
 		for range 2 {
@@ -102,7 +102,7 @@
 		c, br := dial(t, addr)
 		io.WriteString(c, "HEAD /h HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabc"+
 			"GET /n HTTP/1.1\r\nHost: a\r\n\r\n")
-		l := Limits{}.Filled()
+		l := Limits{}.WithDefaults()
 		resp, err := ReadResponse(br, &l, "HEAD")
 		if err != nil || resp.Header.Get("Content-Length") != "3" {
 			t.Fatalf("%+v %v", resp, err)
@@ -155,10 +155,10 @@
 		send   string
 		status int // of the answer before the connection ends; 0: none
 	}{
-		{"first byte", Limits{FirstByte: short}, "", 0},
-		{"head", Limits{Head: short}, "GET / HTTP/1.1\r\nHost:", 408},
-		{"body", Limits{BodyTime: short}, "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\na", 408},
-		{"idle", Limits{Idle: short}, "GET / HTTP/1.1\r\nHost: a\r\n\r\n", 200},
+		{"first byte", Limits{FirstByteTimeout: short}, "", 0},
+		{"head", Limits{HeadTimeout: short}, "GET / HTTP/1.1\r\nHost:", 408},
+		{"body", Limits{BodyTimeout: short}, "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\na", 408},
+		{"idle", Limits{IdleTimeout: short}, "GET / HTTP/1.1\r\nHost: a\r\n\r\n", 200},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -179,7 +179,7 @@
 
 // A thousand connections that send their heads a byte at a time delay nobody.
 func TestSlowClientsDelayNobody(t *testing.T) {
-	s := &Server{Handler: HandlerFunc(echo), Limits: Limits{Head: time.Minute, FirstByte: time.Minute}}
+	s := &Server{Handler: HandlerFunc(echo), Limits: Limits{HeadTimeout: time.Minute, FirstByteTimeout: time.Minute}}
 	addr := serve(t, s)
 	var slow []net.Conn
 	for range 1000 {
@@ -205,7 +205,7 @@
 
 // A connection beyond MaxOpen is answered 503 and closed; room that becomes free is used.
 func TestConnectionBeyondMaxOpenIsRejected(t *testing.T) {
-	s := &Server{Handler: HandlerFunc(echo), MaxOpen: 2}
+	s := &Server{Handler: HandlerFunc(echo), MaxConnections: 2}
 	addr := serve(t, s)
 	a, abr := dial(t, addr)
 	b, bbr := dial(t, addr)
@@ -214,8 +214,8 @@
 	io.WriteString(b, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
 	read(t, bbr)
 	_, br := dial(t, addr)
-	if resp := read(t, br); resp.Status != 503 || resp.Header.Get("Retry-After") == "" || s.Refused.Load() != 1 {
-		t.Errorf("%+v, %d refused", resp, s.Refused.Load())
+	if resp := read(t, br); resp.Status != 503 || resp.Header.Get("Retry-After") == "" || s.Rejected.Load() != 1 {
+		t.Errorf("%+v, %d refused", resp, s.Rejected.Load())
 	}
 	io.WriteString(a, "GET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n")
 	read(t, abr)
@@ -255,7 +255,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &Server{Handler: HandlerFunc(echo), MaxOpen: 1}
+	s := &Server{Handler: HandlerFunc(echo), MaxConnections: 1}
 	done := make(chan error)
 	go func() { done <- s.Serve(lateListener{ln}) }()
 	t.Cleanup(func() {
@@ -263,12 +263,12 @@
 		if err := <-done; err != nil {
 			t.Error(err)
 		}
-		s.Cut()
+		s.Abort()
 	})
 	dial(t, ln.Addr().String())
 	_, br := dial(t, ln.Addr().String())
-	if resp := read(t, br); resp.Status != 503 || s.Refused.Load() != 1 {
-		t.Errorf("%+v, %d refused", resp, s.Refused.Load())
+	if resp := read(t, br); resp.Status != 503 || s.Rejected.Load() != 1 {
+		t.Errorf("%+v, %d refused", resp, s.Rejected.Load())
 	}
 }
 
@@ -305,14 +305,14 @@
 	if least := 15 * minAcceptBackoff; time.Since(start) < least {
 		t.Errorf("%v for four failures, want %v and more", time.Since(start), least)
 	}
-	if n := s.Stalled.Load(); n != 4 {
+	if n := s.AcceptBackoffs.Load(); n != 4 {
 		t.Errorf("stalled %d times, want 4", n)
 	}
 	ln.Close()
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
-	s.Cut()
+	s.Abort()
 }
 
 // Drain lets a request in flight be answered, and closes idle connections.
--- a/internal/ingress/bind.go
+++ b/internal/ingress/bind.go
@@ -18,8 +18,8 @@
 	Bind(model *gateway.Function, alias string) (*gateway.Function, gateway.VersionBinding, registry.Verdict)
 	// Unbind ends a call's binding to its version; ran and failed say whether a worker answered it, and with an error.
 	Unbind(b gateway.VersionBinding, ran, failed bool)
-	// Begin asks, just before the first byte is written, whether an answer may be written; see agent.Begin.
-	Begin(gateway.VersionBinding) (done func(), within time.Duration, v registry.Verdict)
+	// BeginAnswer asks, just before the first byte is written, whether an answer may be written; see agent.BeginAnswer.
+	BeginAnswer(gateway.VersionBinding) (done func(), within time.Duration, v registry.Verdict)
 }
 
 // A Binder runs calls of models under the version that their alias names. It is safe for concurrent use.
@@ -32,10 +32,10 @@
 
 // A BoundCall is a call of a model, for a Binder to run.
 type BoundCall struct {
-	Call  gateway.Call
-	Model *gateway.Function
-	Alias string
-	Final time.Duration // when the client's time is up, by the Binder's clock
+	Call     gateway.Call
+	Model    *gateway.Function
+	Alias    string
+	Deadline time.Duration // when the client's time is up, by the Binder's clock
 	// Submit hands a call to the gateway. ClientClosed reports whether no client waits for the answer any more.
 	Submit       func(*gateway.Call)
 	ClientClosed func() bool
@@ -60,7 +60,7 @@
 	call := c.Call
 	call.Function = function
 	call.Binding = &binding
-	call.TimeLeft = c.Final - n.Clock.Now()
+	call.TimeLeft = c.Deadline - n.Clock.Now()
 	call.Retry = call.Retry && restarts == 0
 	call.Deliver = func(a gateway.Answer) { n.deliver(c, function.Class, &binding, a) }
 	c.Submit(&call)
@@ -92,7 +92,7 @@
 	switch next := n.afterMove(class, binding.Restarts, a); {
 	case next == registry.Fail:
 		c.Deliver(gateway.Answer{Kind: gateway.Failed, Verdict: a.Verdict}, nil, nil)
-	case next == registry.Restart && !c.ClientClosed() && c.Final > n.Clock.Now():
+	case next == registry.Restart && !c.ClientClosed() && c.Deadline > n.Clock.Now():
 		n.Restarts.Add(1)
 		n.run(c, binding.Restarts+1)
 	default:
@@ -109,9 +109,9 @@
 	return registry.AfterSuperseded(idempotency, false, a.MayHaveRun, restarts)
 }
 
-// RetryVerdict returns the answer that a retry gets of a call that its client left: a rejection, if to execute the
+// AnswerForRetry returns the answer that a retry gets of a call that its client left: a rejection, if to execute the
 // call again does no harm.
-func RetryVerdict(a gateway.Answer, idempotency scheduler.Idempotency) gateway.Answer {
+func AnswerForRetry(a gateway.Answer, idempotency scheduler.Idempotency) gateway.Answer {
 	if a.Kind == gateway.ClientClosed && (!a.MayHaveRun || idempotency == scheduler.Idempotent) {
 		a.Kind = gateway.Rejected
 	}
--- a/internal/ingress/bind_test.go
+++ b/internal/ingress/bind_test.go
@@ -28,7 +28,7 @@
 
 func (m *fakeModels) Unbind(gateway.VersionBinding, bool, bool) { m.bound-- }
 
-func (m *fakeModels) Begin(gateway.VersionBinding) (func(), time.Duration, registry.Verdict) {
+func (m *fakeModels) BeginAnswer(gateway.VersionBinding) (func(), time.Duration, registry.Verdict) {
 	return func() {}, 0, m.verdict
 }
 
@@ -47,9 +47,9 @@
 	}
 	deliveries := 0
 	binder.Run(&BoundCall{
-		Model: &gateway.Function{Name: "m", IsModel: true},
-		Alias: DefaultAlias,
-		Final: binder.Clock.Now() + time.Second,
+		Model:    &gateway.Function{Name: "m", IsModel: true},
+		Alias:    DefaultAlias,
+		Deadline: binder.Clock.Now() + time.Second,
 		Submit: func(call *gateway.Call) {
 			end := ends[0]
 			ends = ends[1:]
@@ -139,7 +139,7 @@
 		{"may have run", leftAfterRun, scheduler.NonIdempotent, gateway.ClientClosed},
 		{"served", gateway.Answer{Kind: gateway.Served}, scheduler.Idempotent, gateway.Served},
 	} {
-		if got := RetryVerdict(tt.answer, tt.idempotency).Kind; got != tt.want {
+		if got := AnswerForRetry(tt.answer, tt.idempotency).Kind; got != tt.want {
 			t.Errorf("%s: %v, want %v", tt.name, got, tt.want)
 		}
 	}
--- a/internal/ingress/jsonrpc/answer.go
+++ b/internal/ingress/jsonrpc/answer.go
@@ -43,7 +43,7 @@
 		return reply(r.id, result(a, nil), failure(a)), 0, written
 	}
 	s := r.conn.server
-	ended, timeout, verdict := s.cfg.Models.Begin(*b)
+	ended, timeout, verdict := s.cfg.Models.BeginAnswer(*b)
 	if verdict != registry.Allowed {
 		return reply(r.id, nil, failure(s.withheld(r, verdict))), 0, written
 	}
--- a/internal/ingress/jsonrpc/call.go
+++ b/internal/ingress/jsonrpc/call.go
@@ -198,11 +198,11 @@
 		return
 	}
 	s.binder.Run(&ingress.BoundCall{
-		Call:   sub.call,
-		Model:  sub.function,
-		Alias:  sub.alias,
-		Final:  s.cfg.Clock.Now() + sub.call.TimeLeft,
-		Submit: submit,
+		Call:     sub.call,
+		Model:    sub.function,
+		Alias:    sub.alias,
+		Deadline: s.cfg.Clock.Now() + sub.call.TimeLeft,
+		Submit:   submit,
 		ClientClosed: func() bool {
 			c.mu.Lock()
 			defer c.mu.Unlock()
--- a/internal/ingress/jsonrpc/keyed.go
+++ b/internal/ingress/jsonrpc/keyed.go
@@ -47,7 +47,7 @@
 	s.mu.Unlock()
 	s.submit(c, pending, sub, func(a gateway.Answer, b *gateway.VersionBinding, release func()) {
 		s.mu.Lock()
-		waiting := s.keys.end(call, ingress.RetryVerdict(a, scheduler.IdempotentWithKey), b)
+		waiting := s.keys.end(call, ingress.AnswerForRetry(a, scheduler.IdempotentWithKey), b)
 		s.mu.Unlock()
 		written := afterCalls(len(waiting), release)
 		for _, deliver := range waiting {
--- a/internal/ingress/webhook/call.go
+++ b/internal/ingress/webhook/call.go
@@ -44,7 +44,7 @@
 }
 
 // call submits a new call and waits for its answer.
-func (f *Front) call(m message, call *inFlightCall, retry bool) *http1.Response {
+func (f *Handler) call(m message, call *inFlightCall, retry bool) *http1.Response {
 	client := (*f.clients.Load())[m.client]
 	class := m.function.Class
 	submitted := gateway.Call{
@@ -64,7 +64,7 @@
 		f.runBound(m, call, submitted)
 	} else {
 		submitted.Deliver = func(a gateway.Answer) {
-			f.deliver(m.key, call, ingress.RetryVerdict(a, f.cfg.Idempotency(class)), nil)
+			f.deliver(m.key, call, ingress.AnswerForRetry(a, f.cfg.Idempotency(class)), nil)
 		}
 		f.submit(&submitted, call)
 	}
@@ -72,13 +72,13 @@
 }
 
 // runBound runs a call under the version that its alias names.
-func (f *Front) runBound(m message, call *inFlightCall, submitted gateway.Call) {
+func (f *Handler) runBound(m message, call *inFlightCall, submitted gateway.Call) {
 	f.binder.Run(&ingress.BoundCall{
-		Call:   submitted,
-		Model:  m.function,
-		Alias:  m.alias,
-		Final:  f.cfg.Clock.Now() + submitted.TimeLeft,
-		Submit: func(c *gateway.Call) { f.submit(c, call) },
+		Call:     submitted,
+		Model:    m.function,
+		Alias:    m.alias,
+		Deadline: f.cfg.Clock.Now() + submitted.TimeLeft,
+		Submit:   func(c *gateway.Call) { f.submit(c, call) },
 		ClientClosed: func() bool {
 			f.mu.Lock()
 			defer f.mu.Unlock()
@@ -88,13 +88,13 @@
 			if release != nil {
 				f.releaseWhenWritten(call, release)
 			}
-			f.deliver(m.key, call, ingress.RetryVerdict(a, f.cfg.Idempotency(m.function.Class)), b)
+			f.deliver(m.key, call, ingress.AnswerForRetry(a, f.cfg.Idempotency(m.function.Class)), b)
 		},
 	})
 }
 
 // submit hands a call to the gateway, and cancels it if all its clients have left meanwhile.
-func (f *Front) submit(submitted *gateway.Call, call *inFlightCall) {
+func (f *Handler) submit(submitted *gateway.Call, call *inFlightCall) {
 	id, accepted := f.cfg.Gateway.Submit(submitted)
 	if !accepted {
 		submitted.Deliver(gateway.Answer{Kind: gateway.Rejected, RetryAfter: time.Second})
@@ -112,7 +112,7 @@
 
 // releaseWhenWritten calls a function when the answer that is about to be delivered has been written to all requests
 // that wait for it: a move of the alias waits for that.
-func (f *Front) releaseWhenWritten(call *inFlightCall, release func()) {
+func (f *Handler) releaseWhenWritten(call *inFlightCall, release func()) {
 	f.mu.Lock()
 	call.unwritten = call.waiting
 	call.release = release
@@ -124,7 +124,7 @@
 }
 
 // written notes that one request has been written its answer, or that its client has left.
-func (f *Front) written(call *inFlightCall) {
+func (f *Handler) written(call *inFlightCall) {
 	f.mu.Lock()
 	call.unwritten--
 	last := call.unwritten == 0
@@ -135,7 +135,7 @@
 }
 
 // deliver ends a call: its answer is cached, and all requests that wait for it are woken.
-func (f *Front) deliver(key replayguard.Key, call *inFlightCall, a gateway.Answer, b *gateway.VersionBinding) {
+func (f *Handler) deliver(key replayguard.Key, call *inFlightCall, a gateway.Answer, b *gateway.VersionBinding) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if call.ended {
@@ -163,7 +163,7 @@
 
 // wait blocks until the call has its answer, or the client of this request has left; then it returns nil, and cancels
 // the call if that was the last client.
-func (f *Front) wait(m message, call *inFlightCall) *http1.Response {
+func (f *Handler) wait(m message, call *inFlightCall) *http1.Response {
 	if !m.conn.Await(call.done) {
 		return f.gated(m, call.binding, answerResponse(call.answer), call)
 	}
--- a/internal/ingress/webhook/golden_test.go
+++ b/internal/ingress/webhook/golden_test.go
@@ -14,7 +14,7 @@
 
 // The watermark is stored by one process and read by a later one: misread, it would allow replays.
 func TestStoredMarkIsAsBefore(t *testing.T) {
-	file := File(filepath.Join(t.TempDir(), "mark"))
+	file := WatermarkFile(filepath.Join(t.TempDir(), "mark"))
 	mark := time.Unix(1700000009, 0)
 	if err := file.Save(mark); err != nil {
 		t.Fatal(err)
@@ -25,7 +25,7 @@
 	}
 	goldenfile.Compare(t, "mark", written)
 
-	if read, err := File(filepath.Join("testdata", "golden", "mark")).Load(); err != nil || !read.Equal(mark) {
+	if read, err := WatermarkFile(filepath.Join("testdata", "golden", "mark")).Load(); err != nil || !read.Equal(mark) {
 		t.Errorf("read %v, %v; want %v", read, err, mark)
 	}
 }
--- a/internal/ingress/webhook/handover.go
+++ b/internal/ingress/webhook/handover.go
@@ -13,7 +13,7 @@
 
 // Pause makes all further messages wait, and returns what is known of those before. From then on onEnd is notified of
 // how those in flight end; it must not block. Resume or Pass ends the pause.
-func (f *Front) Pause(onEnd func(replayguard.Key, replayguard.Answer)) State {
+func (f *Handler) Pause(onEnd func(replayguard.Key, replayguard.Answer)) State {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.onEnd = onEnd
@@ -24,7 +24,7 @@
 }
 
 // Resume ends a pause: the messages that wait are served here.
-func (f *Front) Resume() {
+func (f *Handler) Resume() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	close(f.resumed)
@@ -32,9 +32,9 @@
 	f.onEnd = nil
 }
 
-// Pass ends a pause: the messages that wait, and all further ones, are passed to the successor with their
+// HandOver ends a pause: the messages that wait, and all further ones, are passed to the successor with their
 // connections.
-func (f *Front) Pass() {
+func (f *Handler) HandOver() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.passed = true
@@ -43,21 +43,21 @@
 }
 
 // Ended reports how a call ended that was in flight in the previous process.
-func (f *Front) Ended(key replayguard.Key, answer replayguard.Answer) {
+func (f *Handler) Ended(key replayguard.Key, answer replayguard.Answer) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.guard.Ended(key, answer)
 }
 
 // EndedUncached reports the end of such a call whose answer is not handed over.
-func (f *Front) EndedUncached(key replayguard.Key) {
+func (f *Handler) EndedUncached(key replayguard.Key) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.guard.EndedUncached(key)
 }
 
 // Abandoned reports that the previous process has ended with these calls in flight: what became of them is not known.
-func (f *Front) Abandoned(keys []replayguard.Key) {
+func (f *Handler) Abandoned(keys []replayguard.Key) {
 	resp := problem(502, "failed", "the process that had it has ended, and it may have run", nil)
 	for _, key := range keys {
 		f.Ended(key, replayguard.Answer{Status: resp.Status, Type: problemType, Body: resp.Body})
--- a/internal/ingress/webhook/markfile.go
+++ b/internal/ingress/webhook/markfile.go
@@ -11,23 +11,23 @@
 	"time"
 )
 
-// A MarkFile keeps the replay guard's watermark across restarts.
-type MarkFile interface {
+// A WatermarkStore keeps the replay guard's watermark across restarts.
+type WatermarkStore interface {
 	// Load returns the watermark, the zero time if there is none.
 	Load() (time.Time, error)
 	// Save returns when the watermark would survive a crash.
 	Save(time.Time) error
 }
 
-// File is a MarkFile, by its name in a folder that exists. A watermark is written to a second file, synced and
+// WatermarkFile is a MarkFile, by its name in a folder that exists. A watermark is written to a second file, synced and
 // renamed, and the folder synced: a crash at any point leaves the old or the new one, complete.
-type File string
+type WatermarkFile string
 
 // markHead begins the file; the Unix seconds and a line feed follow.
 const markHead = "kitehub replay mark 1 "
 
 // Load reads the watermark. A file that is not complete is an error: a start without a watermark would allow replays.
-func (f File) Load() (time.Time, error) {
+func (f WatermarkFile) Load() (time.Time, error) {
 	text, err := os.ReadFile(string(f))
 	if errors.Is(err, fs.ErrNotExist) {
 		return time.Time{}, nil
@@ -45,7 +45,7 @@
 }
 
 // Save writes the watermark.
-func (f File) Save(t time.Time) error {
+func (f WatermarkFile) Save(t time.Time) error {
 	name := string(f)
 	temp, err := os.OpenFile(name+".new", os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
--- a/internal/ingress/webhook/markfile_test.go
+++ b/internal/ingress/webhook/markfile_test.go
@@ -8,16 +8,16 @@
 )
 
 // savedFile returns a mark file in a folder of its own, with a watermark saved.
-func savedFile(t *testing.T, seconds int64) File {
+func savedFile(t *testing.T, seconds int64) WatermarkFile {
 	t.Helper()
-	f := File(filepath.Join(t.TempDir(), "mark"))
+	f := WatermarkFile(filepath.Join(t.TempDir(), "mark"))
 	if err := f.Save(time.Unix(seconds, 0)); err != nil {
 		t.Fatal(err)
 	}
 	return f
 }
 
-func expectWatermark(t *testing.T, f File, seconds int64) {
+func expectWatermark(t *testing.T, f WatermarkFile, seconds int64) {
 	t.Helper()
 	if watermark, err := f.Load(); err != nil || watermark.Unix() != seconds {
 		t.Errorf("%v %v, want %d", watermark, err, seconds)
@@ -25,7 +25,7 @@
 }
 
 func TestMissingFileIsNoWatermark(t *testing.T) {
-	f := File(filepath.Join(t.TempDir(), "mark"))
+	f := WatermarkFile(filepath.Join(t.TempDir(), "mark"))
 	if watermark, err := f.Load(); err != nil || !watermark.IsZero() {
 		t.Error(watermark, err)
 	}
--- a/internal/ingress/webhook/message.go
+++ b/internal/ingress/webhook/message.go
@@ -23,7 +23,7 @@
 }
 
 // serveVerified answers a request that its client has signed.
-func (f *Front) serveVerified(c *http1.Conn, r *http1.Request, from sender) *http1.Response {
+func (f *Handler) serveVerified(c *http1.Conn, r *http1.Request, from sender) *http1.Response {
 	name, ok := f.functionName(r.Path(), r.Body)
 	var function *gateway.Function
 	var alias string
@@ -31,7 +31,7 @@
 		function, alias = ingress.Resolve(f.cfg.Functions, f.cfg.Models, name)
 	}
 	if function == nil {
-		f.Counts.Unknown.Add(1)
+		f.Counts.UnknownFunction.Add(1)
 		return problem(404, "unknown", "no such function", nil)
 	}
 	m := message{
@@ -61,7 +61,7 @@
 }
 
 // rejected returns the response to a message that is neither executed nor has a cached answer.
-func (f *Front) rejected(t taken) *http1.Response {
+func (f *Handler) rejected(t taken) *http1.Response {
 	switch t.verdict {
 	case replayguard.AnswerEvicted:
 		return problem(502, "failed", "the call has ended; its answer was too large to keep", nil)
@@ -79,19 +79,19 @@
 		return refused("this message may have been taken before a restart: sign it again with the present time",
 			t.retryAfter)
 	}
-	f.Counts.Crowded.Add(1)
+	f.Counts.AtCapacity.Add(1)
 	return refused("too many messages are remembered", t.retryAfter)
 }
 
 // functionName returns the name that a request gives; false if there is none.
-func (f *Front) functionName(path string, body []byte) (string, bool) {
-	if f.cfg.Source == FromPath {
+func (f *Handler) functionName(path string, body []byte) (string, bool) {
+	if f.cfg.FunctionSource == FromPath {
 		name := strings.TrimPrefix(path, f.cfg.Prefix)
 		return name, name != "" && !strings.Contains(name, "/")
 	}
 	var members map[string]json.RawMessage
 	var name string
-	if json.Unmarshal(body, &members) != nil || json.Unmarshal(members[f.cfg.Field], &name) != nil {
+	if json.Unmarshal(body, &members) != nil || json.Unmarshal(members[f.cfg.FunctionField], &name) != nil {
 		return "", false
 	}
 	return name, name != ""
@@ -115,7 +115,7 @@
 }
 
 // take has the replay guard judge a message, after the end of a pause; false if a successor is to serve it.
-func (f *Front) take(m message) (t taken, ok bool) {
+func (f *Handler) take(m message) (t taken, ok bool) {
 	signed := replayguard.Message{Key: m.key, Stamp: m.stamp, Digest: m.digest()}
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/ingress/webhook/response.go
+++ b/internal/ingress/webhook/response.go
@@ -105,7 +105,7 @@
 
 // signed adds the signature of an answer, with the present time. It returns the response as it is if the sender's
 // answers are not signed.
-func (f *Front) signed(to sender, resp *http1.Response) *http1.Response {
+func (f *Handler) signed(to sender, resp *http1.Response) *http1.Response {
 	if resp == nil || to.signKey == nil || resp.HandOver {
 		return resp
 	}
--- a/internal/ingress/webhook/verify.go
+++ b/internal/ingress/webhook/verify.go
@@ -19,7 +19,7 @@
 const maxIDBytes = 128 // of a webhook-id
 
 // verify checks the three headers and the signature. fault says what is wrong with them, "" if they are valid.
-func (f *Front) verify(r *http1.Request) (from sender, fault string) {
+func (f *Handler) verify(r *http1.Request) (from sender, fault string) {
 	h := r.Header
 	if h.Count("webhook-id") != 1 || h.Count("webhook-timestamp") != 1 || h.Count("webhook-signature") != 1 {
 		return from, "not exactly one webhook-id, webhook-timestamp and webhook-signature"
@@ -43,7 +43,7 @@
 			from.client = i
 			from.signKey = key
 			if !key.CanSign() {
-				from.signKey = client.Sign
+				from.signKey = client.SigningKey
 			}
 			return from, ""
 		}
--- a/internal/ingress/webhook/watermark.go
+++ b/internal/ingress/webhook/watermark.go
@@ -8,7 +8,7 @@
 const minCheckInterval = 10 * time.Millisecond
 
 // writeWatermarks writes the watermark ahead of the clock until the front is stopped.
-func (f *Front) writeWatermarks() {
+func (f *Handler) writeWatermarks() {
 	defer f.stopped.Done()
 	ticker := time.NewTicker(max(minCheckInterval, f.cfg.Replay.WatermarkStep/checksPerStep))
 	defer ticker.Stop()
@@ -25,7 +25,7 @@
 }
 
 // writeWatermark writes the watermark if it is due.
-func (f *Front) writeWatermark() error {
+func (f *Handler) writeWatermark() error {
 	f.mu.Lock()
 	watermark, due := f.guard.WatermarkDue(f.cfg.Clock.Wall())
 	if f.passed || f.resumed != nil { // the file is the successor's
@@ -35,7 +35,7 @@
 	if !due {
 		return nil
 	}
-	if err := f.cfg.Mark.Save(watermark); err != nil {
+	if err := f.cfg.Watermark.Save(watermark); err != nil {
 		return err
 	}
 	f.mu.Lock()
--- a/internal/registry/client/client.go
+++ b/internal/registry/client/client.go
@@ -53,7 +53,7 @@
 // NewID returns a new random id for a message.
 func NewID(kind string) string { return kind + "_" + rand.Text() }
 
-var limits = http1.Limits{Body: 64 << 20, Headers: 16 << 10}.Filled()
+var limits = http1.Limits{MaxBodyBytes: 64 << 20, MaxHeaderBytes: 16 << 10}.WithDefaults()
 
 // Do sends a request under an id and returns the body of its response. newConnection tells whether a connection was
 // opened for it.
@@ -164,7 +164,7 @@
 		return true, net.ErrClosed
 	}
 	c.conn = conn
-	c.reader = bufio.NewReaderSize(conn, http1.ReadBuffer)
+	c.reader = bufio.NewReaderSize(conn, http1.ReadBufferSize)
 	return true, nil
 }
 
--- a/internal/registry/client/client_test.go
+++ b/internal/registry/client/client_test.go
@@ -46,7 +46,7 @@
 	t.Cleanup(func() {
 		c.Close()
 		listener.Close()
-		server.Cut()
+		server.Abort()
 	})
 	return c
 }
--- a/internal/registry/service/service_test.go
+++ b/internal/registry/service/service_test.go
@@ -94,7 +94,7 @@
 // kill cuts all connections and stops the process.
 func (d *testRegistry) kill() {
 	d.ln.Close()
-	d.srv.Cut()
+	d.srv.Abort()
 	d.s.Close()
 }
 
