--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -51,7 +51,7 @@
 func (w *fakeWorker) serve(c net.Conn, respond respondFunc) {
 	defer c.Close()
 	reader := bufio.NewReader(c)
-	limits := http1.Limits{}.Filled()
+	limits := http1.Limits{}.WithDefaults()
 	for {
 		if _, err := http1.ReadRequest(reader, &limits, nil); err != nil {
 			return
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -199,7 +199,7 @@
 	t.Cleanup(func() {
 		close(s.responses)
 		ln.Close()
-		server.Cut()
+		server.Abort()
 	})
 	return s
 }
--- a/internal/registry/client/client.go
+++ b/internal/registry/client/client.go
@@ -55,7 +55,7 @@
 // NewID returns a random ID for a message. The ID begins with kind.
 func NewID(kind string) string { return kind + "_" + rand.Text() }
 
-var limits = http1.Limits{Body: 64 << 20, Headers: 16 << 10}.Filled()
+var limits = http1.Limits{MaxBodyBytes: 64 << 20, MaxHeaderBytes: 16 << 10}.WithDefaults()
 
 // Do sends a request under an ID and returns the body of its response. newConnection reports
 // whether a connection was opened for the request.
@@ -167,7 +167,7 @@
 		return true, net.ErrClosed
 	}
 	c.conn = conn
-	c.reader = bufio.NewReaderSize(conn, http1.ReadBuffer)
+	c.reader = bufio.NewReaderSize(conn, http1.ReadBufferSize)
 	return true, nil
 }
 
--- a/internal/registry/service/service_test.go
+++ b/internal/registry/service/service_test.go
@@ -95,7 +95,7 @@
 // kill closes all connections and stops the process.
 func (r *testRegistry) kill() {
 	r.ln.Close()
-	r.srv.Cut()
+	r.srv.Abort()
 	r.s.Close()
 }
 
