--- a/cmd/kitehub/operate.go
+++ b/cmd/kitehub/operate.go
@@ -219,7 +219,7 @@
 	if len(s.Topics) == 0 {
 		s.Topics = []string{"ended", "joined", "left", "load_refused", "moved", "level"}
 	}
-	c.Notice = func(method string, params json.RawMessage) { fmt.Printf("%s %s\n", method, params) }
+	c.OnNotification = func(method string, params json.RawMessage) { fmt.Printf("%s %s\n", method, params) }
 	if err := c.Do("subscribe", map[string]any{"topics": s.Topics}, nil, s.Within); err != nil {
 		return err
 	}
--- a/config/rpc.go
+++ b/config/rpc.go
@@ -34,10 +34,10 @@
 			"the name of a Unix socket has at most some hundred")
 	}
 	out.RPC = &jsonrpc.Config{
-		MaxOpen:  int(r.MaxConnections),
-		MaxLine:  int(r.MaxMessage),
-		MaxCalls: int(r.MaxCalls),
-		Window:   b.dedupWindow(),
+		MaxConns:   int(r.MaxConnections),
+		MaxMessage: int(r.MaxMessage),
+		MaxCalls:   int(r.MaxCalls),
+		KeyWindow:  b.dedupWindow(),
 	}
 	b.rpcUsers(r.Users)
 	if path, ok := strings.CutPrefix(b.cfg.Webhook.Listen, unixPrefix); ok && path == r.Socket {
@@ -59,7 +59,7 @@
 	names := map[string]bool{}
 	for i, u := range users {
 		field := fmt.Sprintf("rpc.users[%d]", i)
-		out := jsonrpc.User{UID: u.Uid, Name: u.Name, Call: u.Call, Operate: u.Operate}
+		out := jsonrpc.User{UID: u.Uid, Name: u.Name, MayCall: u.Call, MayOperate: u.Operate}
 		if u.Self {
 			if u.Uid != 0 {
 				b.file.Problem(field+".uid", "beside self", "give one")
--- a/internal/controller/operator.go
+++ b/internal/controller/operator.go
@@ -22,10 +22,10 @@
 	rc.Log = c.log
 	rc.Operator = operator{c}
 	rc.Deadline = c.frontConfig.Deadline
-	rc.Effect = c.frontConfig.Idempotency
+	rc.Idempotency = c.frontConfig.Idempotency
 	rc.Models = c.frontConfig.Models
 	if c.options.Predecessor != nil {
-		rc.After = c.options.Clock.Now()
+		rc.TakeoverTime = c.options.Clock.Now()
 	}
 	c.RPC = jsonrpc.New(rc)
 	c.events.rpc.Store(c.RPC)
@@ -106,7 +106,7 @@
 	case "hooks", "hook.load", "hook.promote", "hook.rollback", "hook.release", "hook.remove":
 		return errNoHooks
 	}
-	return jsonrpc.ErrMethod
+	return jsonrpc.ErrUnknownMethod
 }
 
 func (op operator) explain(params func(any) error) (any, error) {
@@ -118,7 +118,7 @@
 	}
 	x, ok, err := op.controller.Gateway.Explain(p.ID)
 	if err == nil && !ok {
-		err = fmt.Errorf("%w: no call %q in hand or among the last", jsonrpc.ErrUnknown, p.ID)
+		err = fmt.Errorf("%w: no call %q in hand or among the last", jsonrpc.ErrUnknownObject, p.ID)
 	}
 	return x, err
 }
@@ -156,14 +156,14 @@
 		"connections": counts.Connections.Load(),
 		"denied":      counts.Denied.Load(),
 		"messages":    counts.Messages.Load(),
-		"bad":         counts.Bad.Load(),
+		"bad":         counts.Malformed.Load(),
 		"calls":       counts.Calls.Load(),
 		"cancelled":   counts.Cancelled.Load(),
 		"joined":      counts.Joined.Load(),
-		"kept":        counts.Kept.Load(),
+		"kept":        counts.Cached.Load(),
 		"events":      counts.Events.Load(),
-		"events_lost": counts.EventsLost.Load(),
-		"cut":         counts.Cut.Load(),
+		"events_lost": counts.EventsDropped.Load(),
+		"cut":         counts.WriteFailures.Load(),
 	}
 }
 
@@ -215,10 +215,10 @@
 	case "hook.remove":
 		err = engine.Remove(p.Name)
 	default:
-		return nil, jsonrpc.ErrMethod
+		return nil, jsonrpc.ErrUnknownMethod
 	}
 	if errors.Is(err, hookengine.ErrUnknown) {
-		err = fmt.Errorf("%w: %s", jsonrpc.ErrUnknown, p.Name)
+		err = fmt.Errorf("%w: %s", jsonrpc.ErrUnknownObject, p.Name)
 	}
 	return "ok", err
 }
--- a/internal/controller/rpc_test.go
+++ b/internal/controller/rpc_test.go
@@ -188,7 +188,7 @@
 	if got := l.request(call("1", "safe-1", "")); !strings.Contains(got, "result") {
 		t.Fatal(got)
 	}
-	if lost := c.RPC.Counts.EventsLost.Load(); lost == 0 {
+	if lost := c.RPC.Counts.EventsDropped.Load(); lost == 0 {
 		t.Error("no event is lost: nothing is shown")
 	}
 	for i := 0; ; i++ {
@@ -276,7 +276,7 @@
 func TestRPCHalfFrame(t *testing.T) {
 	h := newHarness(t, 1, nil)
 	b := h.configure("c", withRPC(h, "")...)
-	b.RPC.Half = 30 * ms
+	b.RPC.MessageTimeout = 30 * ms
 	c := h.start(b)
 	l := dial(t, h)
 	l.nc.Write([]byte(call("1", "unsafe-1", "")))
--- a/internal/controller/stop.go
+++ b/internal/controller/stop.go
@@ -125,7 +125,7 @@
 		c.HTTP.Cut()
 	}
 	if c.RPC != nil {
-		c.RPC.Cut()
+		c.RPC.Close()
 	}
 	if c.rpcListener != nil {
 		c.rpcListener.Close()
--- a/internal/ingress/jsonrpc/answer.go
+++ b/internal/ingress/jsonrpc/answer.go
@@ -58,7 +58,7 @@
 // withheld returns the answer in place of one whose version may no longer answer.
 func (s *Server) withheld(r *callRequest, verdict registry.Verdict) gateway.Answer {
 	s.Counts.Withheld.Add(1)
-	if registry.WithoutLease(s.cfg.Effect(r.class), false, true) == registry.Fail {
+	if registry.WithoutLease(s.cfg.Idempotency(r.class), false, true) == registry.Fail {
 		return gateway.Answer{Kind: gateway.Failed, Verdict: verdict}
 	}
 	if r.key != "" {
@@ -98,7 +98,7 @@
 		data := map[string]any{"outcome": "gone", "may_have_run": a.MayHaveRun}
 		return &Error{Code: CodeCancelled, Message: "cancelled", Data: data}
 	case a.DeadlineExceeded:
-		return outcomeError(CodeDeadline, "no answer came in the client's time", "failed")
+		return outcomeError(CodeDeadlineExceeded, "no answer came in the client's time", "failed")
 	case a.Verdict != 0:
 		return outcomeError(CodeFailed, "its version may have been replaced while it ran", "failed")
 	}
--- a/internal/ingress/jsonrpc/call.go
+++ b/internal/ingress/jsonrpc/call.go
@@ -60,7 +60,7 @@
 	}
 	function, alias := ingress.Resolve(s.cfg.Functions, s.cfg.Models, p.Function)
 	if function == nil {
-		return problem(CodeUnknown, "no such function")
+		return problem(CodeNotFound, "no such function")
 	}
 	if e := s.checkKey(function.Class, p.Key); e != nil {
 		return e
@@ -75,7 +75,7 @@
 	pending.answer = func() {
 		request.deliver(gateway.Answer{Kind: gateway.ClientClosed, MayHaveRun: true}, nil, nil)
 	}
-	if s.cfg.Effect(function.Class) != scheduler.IdempotentWithKey {
+	if s.cfg.Idempotency(function.Class) != scheduler.IdempotentWithKey {
 		s.submit(c, pending, sub, request.deliver)
 		return nil
 	}
@@ -92,35 +92,35 @@
 func (c *conn) checkCall(r request, p callParams) *Error {
 	switch {
 	case r.ID == nil:
-		return problem(CodeRequest, "a call has an id: its answer would go nowhere")
-	case !c.user.Call:
+		return problem(CodeInvalidRequest, "a call has an id: its answer would go nowhere")
+	case !c.user.MayCall:
 		return problem(CodeDenied, "%s may not call", c.user.Name)
 	case c.server.closing.Load():
 		return refusal(CodeRejected, "stopping: another controller takes calls", time.Second)
 	case p.WaitMS < 0 || p.WaitMS > maxSafe:
-		return problem(CodeParams, "wait_ms: %d is not from 0 to 2^53", p.WaitMS)
+		return problem(CodeInvalidParams, "wait_ms: %d is not from 0 to 2^53", p.WaitMS)
 	case len(p.Body) == 0:
-		return problem(CodeParams, "body: missing")
+		return problem(CodeInvalidParams, "body: missing")
 	case len(p.Key) > maxKey:
-		return problem(CodeParams, "key: more than %d bytes", maxKey)
+		return problem(CodeInvalidParams, "key: more than %d bytes", maxKey)
 	}
 	return nil
 }
 
 // checkKey checks whether a call of the class may have this idempotency key, or none, at this time.
 func (s *Server) checkKey(class int, key string) *Error {
-	keyed := s.cfg.Effect(class) == scheduler.IdempotentWithKey
+	keyed := s.cfg.Idempotency(class) == scheduler.IdempotentWithKey
 	switch {
 	case keyed && key == "":
-		return problem(CodeParams, "key: a call of this class has one")
+		return problem(CodeInvalidParams, "key: a call of this class has one")
 	case !keyed && key != "":
-		return problem(CodeParams, "key: a call of this class has none")
-	case !keyed || s.cfg.After <= 0:
+		return problem(CodeInvalidParams, "key: a call of this class has none")
+	case !keyed || s.cfg.TakeoverTime <= 0:
 		return nil
 	}
 	// The previous process accepted calls until After, each for its deadline at most, and may have run one with this
 	// key.
-	left := s.cfg.After + s.cfg.Deadline(class) + s.cfg.Window(class) - s.cfg.Clock.Now()
+	left := s.cfg.TakeoverTime + s.cfg.Deadline(class) + s.cfg.KeyWindow(class) - s.cfg.Clock.Now()
 	if left > 0 {
 		return refusal(CodeRejected, "the process before may have run this key", left+time.Millisecond)
 	}
@@ -132,7 +132,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.calls[id] != nil {
-		return problem(CodeRequest, "a call with this id is in hand")
+		return problem(CodeInvalidRequest, "a call with this id is in hand")
 	}
 	if c.unwritten >= c.server.cfg.MaxCalls {
 		return refusal(CodeBusy, "too many calls of this connection are in hand", 100*time.Millisecond)
@@ -259,7 +259,7 @@
 		return nil, e
 	}
 	if p.ID == nil {
-		return nil, problem(CodeParams, "id: missing")
+		return nil, problem(CodeInvalidParams, "id: missing")
 	}
 	c.mu.Lock()
 	pending := c.calls[string(p.ID)]
--- a/internal/ingress/jsonrpc/client.go
+++ b/internal/ingress/jsonrpc/client.go
@@ -15,8 +15,8 @@
 	conn   net.Conn
 	reader *bufio.Reader
 	lastID int
-	// Notice, if set, is called with each notification from the server, on the goroutine that calls Do or Listen.
-	Notice func(method string, params json.RawMessage)
+	// OnNotification, if set, is called with each notification from the server, on the goroutine that calls Do or Listen.
+	OnNotification func(method string, params json.RawMessage)
 }
 
 const clientReadBuffer = 64 << 10 // bytes
@@ -62,8 +62,8 @@
 		}
 		switch {
 		case m.Method != "":
-			if c.Notice != nil {
-				c.Notice(m.Method, m.Params)
+			if c.OnNotification != nil {
+				c.OnNotification(m.Method, m.Params)
 			}
 		case m.Error != nil:
 			return m.Error
@@ -96,8 +96,8 @@
 		if err := json.Unmarshal(line, &m); err != nil {
 			return fmt.Errorf("jsonrpc: %w", err)
 		}
-		if m.Method != "" && c.Notice != nil {
-			c.Notice(m.Method, m.Params)
+		if m.Method != "" && c.OnNotification != nil {
+			c.OnNotification(m.Method, m.Params)
 		}
 	}
 }
--- a/internal/ingress/jsonrpc/conn.go
+++ b/internal/ingress/jsonrpc/conn.go
@@ -112,10 +112,10 @@
 		switch {
 		case err == nil:
 		case errors.Is(err, errLineTooLong):
-			c.badMessage(problem(CodeRequest, "a message of more than %d bytes: the connection ends", s.cfg.MaxLine))
+			c.badMessage(problem(CodeInvalidRequest, "a message of more than %d bytes: the connection ends", s.cfg.MaxMessage))
 			return
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			c.badMessage(problem(CodeParse, "half a message for %v: the connection ends", s.cfg.Half))
+			c.badMessage(problem(CodeParseError, "half a message for %v: the connection ends", s.cfg.MessageTimeout))
 			return
 		default:
 			return
@@ -130,7 +130,7 @@
 
 // badMessage counts a malformed message and responds to it.
 func (c *conn) badMessage(e *Error) {
-	c.server.Counts.Bad.Add(1)
+	c.server.Counts.Malformed.Add(1)
 	c.respond(reply(nil, nil, e))
 }
 
@@ -143,8 +143,8 @@
 		if _, err := reader.Peek(1); err != nil {
 			return nil, err
 		}
-		c.socket.SetReadDeadline(time.Now().Add(c.server.cfg.Half))
-		line, err := readUntilNewline(reader, c.server.cfg.MaxLine)
+		c.socket.SetReadDeadline(time.Now().Add(c.server.cfg.MessageTimeout))
+		line, err := readUntilNewline(reader, c.server.cfg.MaxMessage)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/ingress/jsonrpc/dispatch.go
+++ b/internal/ingress/jsonrpc/dispatch.go
@@ -13,7 +13,7 @@
 	}
 	if line[0] != '[' {
 		if !json.Valid(line) {
-			c.badMessage(problem(CodeParse, "not JSON"))
+			c.badMessage(problem(CodeParseError, "not JSON"))
 			return
 		}
 		c.handle(line, nil, nil)
@@ -21,11 +21,11 @@
 	}
 	var requests []json.RawMessage
 	if err := json.Unmarshal(line, &requests); err != nil {
-		c.badMessage(problem(CodeParse, "not JSON"))
+		c.badMessage(problem(CodeParseError, "not JSON"))
 		return
 	}
 	if n := len(requests); n == 0 || n > maxBatch {
-		c.respond(reply(nil, nil, problem(CodeRequest, "a batch has from 1 to %d messages, not %d", maxBatch, n)))
+		c.respond(reply(nil, nil, problem(CodeInvalidRequest, "a batch has from 1 to %d messages, not %d", maxBatch, n)))
 		return
 	}
 	b := &batch{conn: c, missing: len(requests)}
@@ -41,12 +41,12 @@
 	malformed := e != nil
 	if !malformed && r.ID != nil && ids != nil {
 		if ids[string(r.ID)] {
-			e = problem(CodeRequest, "the id stands twice in one batch")
+			e = problem(CodeInvalidRequest, "the id stands twice in one batch")
 		}
 		ids[string(r.ID)] = true
 	}
 	if e != nil {
-		c.server.Counts.Bad.Add(1)
+		c.server.Counts.Malformed.Add(1)
 		c.answer(r, b, malformed, nil, e)
 		return
 	}
@@ -62,7 +62,7 @@
 
 // answer responds to a request. Notifications have no response, unless it is not certain that they are meant as such.
 func (c *conn) answer(r request, b *batch, malformed bool, result any, e *Error) {
-	if r.ID == nil && !malformed && (e == nil || e.Code != CodeRequest) {
+	if r.ID == nil && !malformed && (e == nil || e.Code != CodeInvalidRequest) {
 		if b != nil {
 			b.add(nil)
 		}
@@ -85,7 +85,7 @@
 	case "subscribe", "unsubscribe":
 		return c.subscribe(r.Params, r.Method == "subscribe")
 	}
-	if !c.user.Operate {
+	if !c.user.MayOperate {
 		return nil, problem(CodeDenied, "%s may not do this", c.user.Name)
 	}
 	result, err := c.server.cfg.Operator.Do(r.Method, c.user, func(into any) error {
@@ -100,12 +100,12 @@
 		return result, nil
 	case errors.As(err, &chosen):
 		return nil, chosen
-	case errors.Is(err, ErrMethod):
-		return nil, problem(CodeMethod, "no method %q", r.Method)
-	case errors.Is(err, ErrUnknown):
-		return nil, problem(CodeUnknown, "%v", err)
+	case errors.Is(err, ErrUnknownMethod):
+		return nil, problem(CodeMethodNotFound, "no method %q", r.Method)
+	case errors.Is(err, ErrUnknownObject):
+		return nil, problem(CodeNotFound, "%v", err)
 	}
-	return nil, problem(CodeState, "%v", err)
+	return nil, problem(CodeWrongState, "%v", err)
 }
 
 // topics that may be subscribed to.
@@ -126,12 +126,12 @@
 	if e := params(raw, &p); e != nil {
 		return nil, e
 	}
-	if !c.user.Operate {
+	if !c.user.MayOperate {
 		return nil, problem(CodeDenied, "%s may not see events", c.user.Name)
 	}
 	for _, topic := range p.Topics {
 		if !topics[topic] {
-			return nil, problem(CodeParams, "no topic %q", topic)
+			return nil, problem(CodeInvalidParams, "no topic %q", topic)
 		}
 	}
 	c.mu.Lock()
--- a/internal/ingress/jsonrpc/golden_test.go
+++ b/internal/ingress/jsonrpc/golden_test.go
@@ -52,7 +52,7 @@
 	for _, frame := range [][]byte{
 		reply(json.RawMessage(`"a"`), map[string]int{"topics": 1}, nil),
 		reply(json.RawMessage("1"), nil, nil),
-		reply(nil, nil, problem(CodeParse, "not <JSON>")),
+		reply(nil, nil, problem(CodeParseError, "not <JSON>")),
 		reply(json.RawMessage("1"), nil, outcomeError(CodeFailed, "m", "failed")),
 		reply(json.RawMessage("1"), func() {}, nil),
 		notification("event", map[string]any{"topic": "level", "event": map[string]int{"a": 1}}),
@@ -60,9 +60,9 @@
 	} {
 		fmt.Fprintf(&written, "%s\n", frame)
 	}
-	fmt.Fprintln(&written, "codes:", CodeParse, CodeRequest, CodeMethod, CodeParams, CodeInternal,
-		CodeDenied, CodeUnknown, CodeBusy, CodeRejected, CodeFailed,
-		CodeDeadline, CodeCancelled, CodeReused, CodeState)
+	fmt.Fprintln(&written, "codes:", CodeParseError, CodeInvalidRequest, CodeMethodNotFound, CodeInvalidParams, CodeInternalError,
+		CodeDenied, CodeNotFound, CodeBusy, CodeRejected, CodeFailed,
+		CodeDeadlineExceeded, CodeCancelled, CodeKeyReused, CodeWrongState)
 	fmt.Fprintln(&written, "topics:", topics)
 	goldenfile.Compare(t, "frames.txt", []byte(written.String()))
 }
@@ -128,7 +128,7 @@
 	}
 	defer client.Close()
 	noticed := ""
-	client.Notice = func(method string, params json.RawMessage) { noticed = method + string(params) }
+	client.OnNotification = func(method string, params json.RawMessage) { noticed = method + string(params) }
 	var result struct {
 		Open int `json:"open"`
 	}
--- a/internal/ingress/jsonrpc/keyed.go
+++ b/internal/ingress/jsonrpc/keyed.go
@@ -13,19 +13,19 @@
 // answer. It returns an error if the call is not accepted.
 func (s *Server) submitKeyed(r *callRequest, sub submission, p callParams) *Error {
 	content := append([]byte(p.Function+"\x00"), p.Body...)
-	remember := s.cfg.Window(sub.function.Class) + sub.call.TimeLeft
+	remember := s.cfg.KeyWindow(sub.function.Class) + sub.call.TimeLeft
 	s.mu.Lock()
 	verdict, call := s.keys.take(s.cfg.Clock.Now(), r.key, content, remember, r.deliver)
 	s.mu.Unlock()
 	switch verdict {
 	case keyReused:
-		return problem(CodeReused, "the key was used for another call")
+		return problem(CodeKeyReused, "the key was used for another call")
 	case keyEvicted:
 		return outcomeError(CodeFailed, "the call has ended; its answer was too large to keep", "failed")
 	case keyAtCapacity:
 		return refusal(CodeBusy, "too many keys are remembered, or too many wait for this one", time.Second)
 	case keyCached:
-		s.Counts.Kept.Add(1)
+		s.Counts.Cached.Add(1)
 		r.deliver(call.answer, call.binding, nil)
 		return nil
 	}
--- a/internal/ingress/jsonrpc/message.go
+++ b/internal/ingress/jsonrpc/message.go
@@ -11,20 +11,20 @@
 
 // Codes of errors: those of the specification, and kitehub's own.
 const (
-	CodeParse     = -32700
-	CodeRequest   = -32600
-	CodeMethod    = -32601
-	CodeParams    = -32602
-	CodeInternal  = -32603
-	CodeDenied    = -32001 // the user may not do this
-	CodeUnknown   = -32002 // no such function, script or call
-	CodeBusy      = -32003 // too much is in flight
-	CodeRejected  = -32010 // the call had no effect: a retry does no harm
-	CodeFailed    = -32011 // the call may have run
-	CodeDeadline  = -32012 // the time was up: the call may have run
-	CodeCancelled = -32013
-	CodeReused    = -32014 // the key was used for another call
-	CodeState     = -32020 // not possible in the present state
+	CodeParseError       = -32700
+	CodeInvalidRequest   = -32600
+	CodeMethodNotFound   = -32601
+	CodeInvalidParams    = -32602
+	CodeInternalError    = -32603
+	CodeDenied           = -32001 // the user may not do this
+	CodeNotFound         = -32002 // no such function, script or call
+	CodeBusy             = -32003 // too much is in flight
+	CodeRejected         = -32010 // the call had no effect: a retry does no harm
+	CodeFailed           = -32011 // the call may have run
+	CodeDeadlineExceeded = -32012 // the time was up: the call may have run
+	CodeCancelled        = -32013
+	CodeKeyReused        = -32014 // the key was used for another call
+	CodeWrongState       = -32020 // not possible in the present state
 )
 
 // An Error is an error response of the protocol.
@@ -62,7 +62,7 @@
 // allows.
 func precheck(line []byte) *Error {
 	if !utf8.Valid(line) {
-		return problem(CodeParse, "not UTF-8")
+		return problem(CodeParseError, "not UTF-8")
 	}
 	depth, quoted := 0, false
 	for i := 0; i < len(line); i++ {
@@ -74,7 +74,7 @@
 		case quoted:
 		case c == '[' || c == '{':
 			if depth++; depth > maxDepth {
-				return problem(CodeParse, "nested more than %d deep", maxDepth)
+				return problem(CodeParseError, "nested more than %d deep", maxDepth)
 			}
 		case c == ']' || c == '}':
 			depth--
@@ -93,10 +93,10 @@
 	}
 	raw = bytes.TrimSpace(raw)
 	if len(raw) == 0 || raw[0] != '{' {
-		return r, problem(CodeRequest, "not an object")
+		return r, problem(CodeInvalidRequest, "not an object")
 	}
 	if err := json.Unmarshal(raw, &m); err != nil {
-		return r, problem(CodeRequest, "%v", err)
+		return r, problem(CodeInvalidRequest, "%v", err)
 	}
 	if m.ID != nil {
 		if r.ID, e = checkID(m.ID); e != nil {
@@ -105,11 +105,11 @@
 	}
 	switch {
 	case m.Version == nil || *m.Version != "2.0":
-		return r, problem(CodeRequest, `jsonrpc is not "2.0"`)
+		return r, problem(CodeInvalidRequest, `jsonrpc is not "2.0"`)
 	case m.Method == nil || *m.Method == "" || len(*m.Method) > maxMethod:
-		return r, problem(CodeRequest, "no method")
+		return r, problem(CodeInvalidRequest, "no method")
 	case m.Params != nil && m.Params[0] != '{':
-		return r, problem(CodeParams, "params are given by name, as an object")
+		return r, problem(CodeInvalidParams, "params are given by name, as an object")
 	}
 	r.Method = *m.Method
 	r.Params = m.Params
@@ -120,17 +120,17 @@
 // against null.
 func checkID(raw json.RawMessage) (json.RawMessage, *Error) {
 	if len(raw) > maxID {
-		return nil, problem(CodeRequest, "an id of more than %d bytes", maxID)
+		return nil, problem(CodeInvalidRequest, "an id of more than %d bytes", maxID)
 	}
 	if raw[0] == '"' {
 		return raw, nil
 	}
 	n, err := strconv.ParseInt(string(raw), 10, 64)
 	if err != nil {
-		return nil, problem(CodeRequest, "an id is a string or an integer")
+		return nil, problem(CodeInvalidRequest, "an id is a string or an integer")
 	}
 	if n > maxSafe || n < -maxSafe {
-		return nil, problem(CodeRequest, "an id beyond 2^53 is not kept by all readers: use a string")
+		return nil, problem(CodeInvalidRequest, "an id beyond 2^53 is not kept by all readers: use a string")
 	}
 	return raw, nil
 }
@@ -145,9 +145,9 @@
 	if err := decoder.Decode(into); err != nil {
 		var mismatch *json.UnmarshalTypeError
 		if errors.As(err, &mismatch) {
-			return problem(CodeParams, "%s: a %s is no %s", mismatch.Field, mismatch.Value, mismatch.Type)
+			return problem(CodeInvalidParams, "%s: a %s is no %s", mismatch.Field, mismatch.Value, mismatch.Type)
 		}
-		return problem(CodeParams, "%v", err)
+		return problem(CodeInvalidParams, "%v", err)
 	}
 	return nil
 }
@@ -167,7 +167,7 @@
 		}{"2.0", id, result})
 	}
 	if err != nil { // the result cannot be encoded
-		e = problem(CodeInternal, "%v", err)
+		e = problem(CodeInternalError, "%v", err)
 	}
 	if e != nil {
 		b, _ = json.Marshal(struct {
--- a/internal/ingress/jsonrpc/server.go
+++ b/internal/ingress/jsonrpc/server.go
@@ -18,48 +18,48 @@
 
 // A User is one that may connect, and what for.
 type User struct {
-	UID     uint32
-	Name    string
-	Tenant  int
-	Call    bool // may call functions
-	Operate bool // may send operators' requests and subscribe to events
+	UID        uint32
+	Name       string
+	Tenant     int
+	MayCall    bool // may call functions
+	MayOperate bool // may send operators' requests and subscribe to events
 }
 
 // Config sets up a Server. Zero bounds have the default named beside them.
 type Config struct {
-	Users     []User
-	Gateway   *gateway.Gateway
-	Functions func(name string) *gateway.Function // nil: no such function
-	Deadline  func(class int) time.Duration       // longest time that a client of the class waits
-	Effect    func(class int) scheduler.Idempotency
-	Window    func(class int) time.Duration // in which workers drop repeats of an idempotency key
-	Models    ingress.Models                // nil: no function has versions
-	Clock     clock.Clock
-	Log       zerolog.Logger
-	Operator  Operator
-	MaxOpen   int           // connections: 64
-	MaxLine   int           // bytes of a message: 1 MiB
-	MaxCalls  int           // calls of a connection that are in flight, or whose answer is not written yet: 256
-	Events    int           // events that wait to be written to a connection: 256
-	Write     time.Duration // longest time for a write: 5 s
-	Half      time.Duration // longest time for a line to arrive, once it has begun: 10 s
-	// After is when this process took over from another, whose keys it does not know: calls with a key are rejected
+	Users          []User
+	Gateway        *gateway.Gateway
+	Functions      func(name string) *gateway.Function // nil: no such function
+	Deadline       func(class int) time.Duration       // longest time that a client of the class waits
+	Idempotency    func(class int) scheduler.Idempotency
+	KeyWindow      func(class int) time.Duration // in which workers drop repeats of an idempotency key
+	Models         ingress.Models                // nil: no function has versions
+	Clock          clock.Clock
+	Log            zerolog.Logger
+	Operator       Operator
+	MaxConns       int           // connections: 64
+	MaxMessage     int           // bytes of a message: 1 MiB
+	MaxCalls       int           // calls of a connection that are in flight, or whose answer is not written yet: 256
+	MaxEvents      int           // events that wait to be written to a connection: 256
+	WriteTimeout   time.Duration // longest time for a write: 5 s
+	MessageTimeout time.Duration // longest time for a line to arrive, once it has begun: 10 s
+	// TakeoverTime is when this process took over from another, whose keys it does not know: calls with a key are rejected
 	// until the other's calls of their class have ended and their window is over. 0: it took over from none.
-	After    time.Duration
-	Keys     int // calls with a key that are remembered: 10000
-	KeyBytes int // total size of their answers: 16 MiB
+	TakeoverTime   time.Duration
+	MaxKeys        int // calls with a key that are remembered: 10000
+	MaxCachedBytes int // total size of their answers: 16 MiB
 }
 
 // setDefaults replaces zero bounds.
 func (cfg *Config) setDefaults() {
-	setDefault(&cfg.MaxOpen, 64)
-	setDefault(&cfg.MaxLine, 1<<20)
+	setDefault(&cfg.MaxConns, 64)
+	setDefault(&cfg.MaxMessage, 1<<20)
 	setDefault(&cfg.MaxCalls, 256)
-	setDefault(&cfg.Events, 256)
-	setDefault(&cfg.Keys, 10_000)
-	setDefault(&cfg.KeyBytes, 16<<20)
-	setDefault(&cfg.Write, 5*time.Second)
-	setDefault(&cfg.Half, 10*time.Second)
+	setDefault(&cfg.MaxEvents, 256)
+	setDefault(&cfg.MaxKeys, 10_000)
+	setDefault(&cfg.MaxCachedBytes, 16<<20)
+	setDefault(&cfg.WriteTimeout, 5*time.Second)
+	setDefault(&cfg.MessageTimeout, 10*time.Second)
 }
 
 func setDefault[T comparable](setting *T, value T) {
@@ -79,25 +79,25 @@
 
 // Errors of an Operator that have codes of their own.
 var (
-	ErrMethod  = errors.New("no such method")
-	ErrUnknown = errors.New("unknown")
+	ErrUnknownMethod = errors.New("no such method")
+	ErrUnknownObject = errors.New("unknown")
 )
 
 // Counts are for the log and for tests.
 type Counts struct {
-	Connections atomic.Int64
-	Denied      atomic.Int64 // connections of users that are not configured
-	Messages    atomic.Int64
-	Bad         atomic.Int64 // malformed messages
-	Calls       atomic.Int64 // accepted
-	Cancelled   atomic.Int64 // by the method cancel
-	Joined      atomic.Int64 // calls with a key that waited for one in flight
-	Kept        atomic.Int64 // calls with a key answered with a cached answer
-	Events      atomic.Int64 // queued for a connection
-	EventsLost  atomic.Int64 // dropped because too many waited
-	Cut         atomic.Int64 // connections closed because a write failed
-	Anew        atomic.Int64 // calls that began anew because their alias had moved
-	Withheld    atomic.Int64 // answers not written because their version no longer may answer
+	Connections   atomic.Int64
+	Denied        atomic.Int64 // connections of users that are not configured
+	Messages      atomic.Int64
+	Malformed     atomic.Int64 // malformed messages
+	Calls         atomic.Int64 // accepted
+	Cancelled     atomic.Int64 // by the method cancel
+	Joined        atomic.Int64 // calls with a key that waited for one in flight
+	Cached        atomic.Int64 // calls with a key answered with a cached answer
+	Events        atomic.Int64 // queued for a connection
+	EventsDropped atomic.Int64 // dropped because too many waited
+	WriteFailures atomic.Int64 // connections closed because a write failed
+	Restarted     atomic.Int64 // calls that began anew because their alias had moved
+	Withheld      atomic.Int64 // answers not written because their version no longer may answer
 }
 
 // A Server serves one socket. It is safe for concurrent use. Each connection has a goroutine that reads and carries
@@ -125,13 +125,13 @@
 	s := &Server{
 		cfg:   cfg,
 		conns: map[*conn]bool{},
-		keys:  keyTable{maxCalls: cfg.Keys, maxBytes: cfg.KeyBytes, calls: map[string]*keyedCall{}},
+		keys:  keyTable{maxCalls: cfg.MaxKeys, maxBytes: cfg.MaxCachedBytes, calls: map[string]*keyedCall{}},
 	}
 	s.binder = ingress.Binder{
 		Models:      cfg.Models,
-		Idempotency: cfg.Effect,
+		Idempotency: cfg.Idempotency,
 		Clock:       cfg.Clock,
-		Restarts:    &s.Counts.Anew,
+		Restarts:    &s.Counts.Restarted,
 	}
 	return s
 }
@@ -171,14 +171,14 @@
 	}
 	c := newConn(s, socket, user)
 	s.mu.Lock()
-	full := len(s.conns) >= s.cfg.MaxOpen
+	full := len(s.conns) >= s.cfg.MaxConns
 	if !full {
 		s.conns[c] = true
 		s.wg.Add(1)
 	}
 	s.mu.Unlock()
 	if full {
-		rejectConn(socket, problem(CodeBusy, "%d connections are open, and no more may be", s.cfg.MaxOpen))
+		rejectConn(socket, problem(CodeBusy, "%d connections are open, and no more may be", s.cfg.MaxConns))
 		return
 	}
 	go c.serve()
@@ -243,13 +243,13 @@
 	select {
 	case <-drained:
 	case <-time.After(timeout):
-		s.Cut()
+		s.Close()
 		<-drained
 	}
 }
 
-// Cut closes the listener and all connections at once.
-func (s *Server) Cut() {
+// Close closes the listener and all connections at once.
+func (s *Server) Close() {
 	s.closing.Store(true)
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/ingress/jsonrpc/write.go
+++ b/internal/ingress/jsonrpc/write.go
@@ -37,9 +37,9 @@
 // client is notified how many were. The caller holds mu.
 func (c *conn) queueEvent(text []byte) {
 	counts := &c.server.Counts
-	if len(c.events) >= c.server.cfg.Events {
+	if len(c.events) >= c.server.cfg.MaxEvents {
 		c.lostEvents++
-		counts.EventsLost.Add(1)
+		counts.EventsDropped.Add(1)
 		return
 	}
 	if c.lostEvents > 0 {
@@ -95,8 +95,8 @@
 
 func (c *conn) writeOne(r response) error {
 	text, timeout, done := r.render()
-	if timeout == 0 || timeout > c.server.cfg.Write {
-		timeout = c.server.cfg.Write
+	if timeout == 0 || timeout > c.server.cfg.WriteTimeout {
+		timeout = c.server.cfg.WriteTimeout
 	}
 	c.socket.SetWriteDeadline(time.Now().Add(timeout))
 	_, err := c.socket.Write(append(text, '\n'))
@@ -112,7 +112,7 @@
 	c.mu.Lock()
 	c.unwritten -= failed.calls
 	if !c.ended {
-		c.server.Counts.Cut.Add(1)
+		c.server.Counts.WriteFailures.Add(1)
 	}
 	c.ended = true
 	rest := c.responses
--- a/internal/ingress/msgpackrpc/admission.go
+++ b/internal/ingress/msgpackrpc/admission.go
@@ -54,7 +54,7 @@
 }
 
 // start makes room for a connection, if need be, and serves it.
-func (f *Front) start(socket net.Conn) {
+func (f *Server) start(socket net.Conn) {
 	c := f.newConn(socket)
 	admitted := f.admit(c)
 	for admitted == admitLater { // meanwhile the next to connect wait in the kernel's queue
@@ -82,7 +82,7 @@
 const graceDivisor = 16
 
 // admit adds a connection, and closes another for it if there are too many.
-func (f *Front) admit(c *conn) admission {
+func (f *Server) admit(c *conn) admission {
 	evicted, admitted := f.tryAdmit(c)
 	if evicted != nil {
 		evicted.out.Close()
@@ -90,13 +90,13 @@
 	return admitted
 }
 
-func (f *Front) tryAdmit(c *conn) (evicted *conn, admitted admission) {
+func (f *Server) tryAdmit(c *conn) (evicted *conn, admitted admission) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.closed {
 		return nil, admitNever
 	}
-	if len(f.conns) >= f.cfg.Conns {
+	if len(f.conns) >= f.cfg.MaxConns {
 		evicted, admitted = f.evict()
 		if admitted != admitNow {
 			return nil, admitted
@@ -107,7 +107,7 @@
 }
 
 // evict removes a connection to make room for another, and returns it for the caller to close. The caller holds mu.
-func (f *Front) evict() (*conn, admission) {
+func (f *Server) evict() (*conn, admission) {
 	conns := make([]*conn, 0, len(f.conns))
 	activities := make([]connActivity, 0, len(f.conns))
 	for c := range f.conns {
@@ -116,7 +116,7 @@
 	}
 	switch i := evictionCandidate(activities, f.cfg.Clock.Now(), f.cfg.MessageTimeout/graceDivisor); i {
 	case noCandidate:
-		f.Counts.Turned.Add(1)
+		f.Counts.Rejected.Add(1)
 		return nil, admitNever
 	case candidateSoon:
 		return nil, admitLater
@@ -134,7 +134,7 @@
 const checksPerTimeout = 8
 
 // watch closes silent connections until Close.
-func (f *Front) watch() {
+func (f *Server) watch() {
 	ticker := time.NewTicker(max(f.cfg.MessageTimeout/checksPerTimeout, time.Millisecond))
 	defer ticker.Stop()
 	for {
@@ -144,14 +144,14 @@
 		case <-ticker.C:
 		}
 		for _, c := range f.silentConns(f.cfg.Clock.Now()) {
-			f.Counts.Shut.Add(1)
+			f.Counts.TimedOut.Add(1)
 			c.out.Close()
 		}
 	}
 }
 
 // silentConns returns the connections to close, which accept no request any more.
-func (f *Front) silentConns(now time.Duration) (silent []*conn) {
+func (f *Server) silentConns(now time.Duration) (silent []*conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for c := range f.conns {
--- a/internal/ingress/msgpackrpc/conn.go
+++ b/internal/ingress/msgpackrpc/conn.go
@@ -15,7 +15,7 @@
 // A conn is one client's connection. serve, and all that it calls, runs on a goroutine of its own.
 type conn struct {
 	net.Conn
-	front     *Front
+	front     *Server
 	out       *outbox.Outbox
 	lastSign  atomic.Int64 // see connActivity
 	spoke     atomic.Bool
@@ -36,7 +36,7 @@
 	id  scheduler.RequestID // at the gateway; set once it was submitted
 }
 
-func (f *Front) newConn(socket net.Conn) *conn {
+func (f *Server) newConn(socket net.Conn) *conn {
 	// The outbox holds an answer for each request that may be in flight.
 	maxWaiting := f.cfg.MaxInFlight * f.cfg.MaxBody
 	c := &conn{
@@ -89,7 +89,7 @@
 		err := d.next(&m)
 		c.touch()
 		if errors.Is(err, errFrame) {
-			c.front.Counts.Broken.Add(1)
+			c.front.Counts.Malformed.Add(1)
 			if m.hasID {
 				c.answerInvalid(m.id, err.Error())
 			}
--- a/internal/ingress/msgpackrpc/helpers_test.go
+++ b/internal/ingress/msgpackrpc/helpers_test.go
@@ -67,7 +67,7 @@
 
 // A testFront is a front that serves, with a fake gateway.
 type testFront struct {
-	*Front
+	*Server
 	gateway *fakeGateway
 	addr    string
 }
@@ -92,7 +92,7 @@
 		Log:            zerolog.Nop(),
 		MaxBody:        16 << 10,
 		MaxInFlight:    32,
-		Conns:          100,
+		MaxConns:       100,
 		MessageTimeout: time.Minute,
 		StallTimeout:   time.Minute,
 	}
--- a/internal/ingress/msgpackrpc/parse.go
+++ b/internal/ingress/msgpackrpc/parse.go
@@ -24,8 +24,8 @@
 
 const maxKeyBytes = 64 // of an idempotency key
 
-// Item returns the name of a function on the wire: 16 hex digits, which are its id. So no table of names is kept.
-func Item(id scheduler.FunctionID) string { return fmt.Sprintf("%016x", uint64(id)) }
+// FunctionName returns the name of a function on the wire: 16 hex digits, which are its id. So no table of names is kept.
+func FunctionName(id scheduler.FunctionID) string { return fmt.Sprintf("%016x", uint64(id)) }
 
 // parseHex16 reads 16 lower-case hex digits: another spelling would not be forwarded unchanged.
 func parseHex16(s string) (v uint64, ok bool) {
@@ -61,7 +61,7 @@
 
 // parse checks a request against the settings and returns the call and its txn. The error says what is wrong with the
 // request, for the client.
-func (f *Front) parse(m *message) (call *gateway.Call, txn uint64, err error) {
+func (f *Server) parse(m *message) (call *gateway.Call, txn uint64, err error) {
 	classIndex, ok := f.classes[m.method]
 	if !ok {
 		return nil, 0, errors.New("no such class")
--- a/internal/ingress/msgpackrpc/request.go
+++ b/internal/ingress/msgpackrpc/request.go
@@ -25,7 +25,7 @@
 		return c.answerInvalid(m.id, err.Error())
 	}
 	if inFlight >= f.cfg.MaxInFlight {
-		f.Counts.Over.Add(1)
+		f.Counts.OverLimit.Add(1)
 		c.out.Send(appendError(nil, m.id, errorRejected, "why", "too many open on this connection"))
 		return c.countFault()
 	}
--- a/internal/ingress/msgpackrpc/request_test.go
+++ b/internal/ingress/msgpackrpc/request_test.go
@@ -79,8 +79,8 @@
 	if function.Lanes != 2 || function.MemoryMB != 512 || function.LoadTime != 640*time.Millisecond {
 		t.Errorf("function %+v", function)
 	}
-	if Item(function.ID) != function.Name {
-		t.Errorf("id of %s is written as %s", function.Name, Item(function.ID))
+	if FunctionName(function.ID) != function.Name {
+		t.Errorf("id of %s is written as %s", function.Name, FunctionName(function.ID))
 	}
 }
 
--- a/internal/ingress/msgpackrpc/front.go
+++ b/internal/ingress/msgpackrpc/server.go
@@ -20,7 +20,7 @@
 	Cancel(scheduler.RequestID)
 }
 
-// Config sets up a Front.
+// Config sets up a Server.
 type Config struct {
 	Gateway        Gateway
 	Clock          clock.Clock
@@ -28,7 +28,7 @@
 	Log            zerolog.Logger
 	MaxBody        int           // bytes of a body, at most; the platform has 16 KiB
 	MaxInFlight    int           // requests in flight on one connection, at most; the platform has 32
-	Conns          int           // connections at a time, at most
+	MaxConns       int           // connections at a time, at most
 	MessageTimeout time.Duration // a client must have sent a complete message so long after it connected or began one
 	StallTimeout   time.Duration // a client that reads nothing for so long while answers wait is disconnected
 }
@@ -37,20 +37,20 @@
 type Counts struct {
 	Accepted  atomic.Int64 // connections
 	Evicted   atomic.Int64 // connections closed to make room for another
-	Turned    atomic.Int64 // connections rejected because all others are busy
-	Shut      atomic.Int64 // connections closed because the client was silent for too long
+	Rejected  atomic.Int64 // connections rejected because all others are busy
+	TimedOut  atomic.Int64 // connections closed because the client was silent for too long
 	Requests  atomic.Int64 // submitted to the gateway
 	Invalid   atomic.Int64 // requests answered as invalid
-	Over      atomic.Int64 // requests rejected because too many are in flight on the connection
-	Broken    atomic.Int64 // connections closed because of bytes that are no message
+	OverLimit atomic.Int64 // requests rejected because too many are in flight on the connection
+	Malformed atomic.Int64 // connections closed because of bytes that are no message
 	Withdrawn atomic.Int64 // requests cancelled by the client
 }
 
-// A Front serves clients until Close. It is safe for concurrent use: Serve runs on the goroutine that accepts
+// A Server serves clients until Close. It is safe for concurrent use: Serve runs on the goroutine that accepts
 // connections, each connection has one that reads it, and one goroutine, watch, closes silent connections.
 //
 // Locks are taken in the order front, connection.
-type Front struct {
+type Server struct {
 	Counts Counts
 
 	cfg      Config
@@ -73,8 +73,8 @@
 )
 
 // New returns a front that does not serve yet.
-func New(cfg Config) *Front {
-	f := &Front{
+func New(cfg Config) *Server {
+	f := &Server{
 		cfg:     cfg,
 		classes: map[string]int{},
 		tenants: map[string]int{},
@@ -94,7 +94,7 @@
 }
 
 // Serve accepts connections until the listener is closed, and then returns nil.
-func (f *Front) Serve(listener net.Listener) error {
+func (f *Server) Serve(listener net.Listener) error {
 	go f.watch()
 	for {
 		socket, err := listener.Accept()
@@ -116,7 +116,7 @@
 }
 
 // beginTxn adds the txn of a new request; false if a request with it is in flight.
-func (f *Front) beginTxn(txn uint64) bool {
+func (f *Server) beginTxn(txn uint64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if _, inFlight := f.txns[txn]; inFlight {
@@ -126,7 +126,7 @@
 	return true
 }
 
-func (f *Front) endTxn(txn uint64) {
+func (f *Server) endTxn(txn uint64) {
 	f.mu.Lock()
 	delete(f.txns, txn)
 	f.mu.Unlock()
--- a/internal/ingress/msgpackrpc/front_test.go
+++ b/internal/ingress/msgpackrpc/server_test.go
@@ -18,7 +18,7 @@
 func TestHostileClientsDoNotStopGoodOnes(t *testing.T) {
 	r := serve(t, func(c *Config) {
 		c.MessageTimeout = 1600 * time.Millisecond
-		c.Conns = 30
+		c.MaxConns = 30
 	})
 	go ignoreCancelled(r.gateway)
 	go echoCalls(r.gateway)
@@ -116,7 +116,7 @@
 			break
 		}
 	}
-	for r.Conns() > 0 { // go test's time-out ends it if the client is never disconnected
+	for r.ConnCount() > 0 { // go test's time-out ends it if the client is never disconnected
 		runtime.Gosched()
 	}
 }
--- a/internal/ingress/msgpackrpc/shutdown.go
+++ b/internal/ingress/msgpackrpc/shutdown.go
@@ -8,10 +8,10 @@
 )
 
 // Drain makes `status` say that no more calls are accepted; requests that come are still submitted.
-func (f *Front) Drain() { f.draining.Store(true) }
+func (f *Server) Drain() { f.draining.Store(true) }
 
-// Conns returns how many clients are connected.
-func (f *Front) Conns() int {
+// ConnCount returns how many clients are connected.
+func (f *Server) ConnCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.conns)
@@ -20,7 +20,7 @@
 // Finish ends the connections gracefully, once the gateway has answered all that it accepted: answers that wait are
 // written, then this side of each connection ends, and the client closes the other. It returns when all have, or the
 // time is up. Requests that come on new connections meanwhile are answered by the gateway, which rejects them.
-func (f *Front) Finish(timeout time.Duration) {
+func (f *Server) Finish(timeout time.Duration) {
 	f.mu.Lock()
 	if f.closed || f.empty != nil {
 		f.mu.Unlock()
@@ -50,7 +50,7 @@
 }
 
 // signalIfEmpty ends Finish's wait when no connection is left. The caller holds mu.
-func (f *Front) signalIfEmpty() {
+func (f *Server) signalIfEmpty() {
 	if f.empty == nil || len(f.conns) > 0 {
 		return
 	}
@@ -62,7 +62,7 @@
 }
 
 // Close closes all connections. Serve returns once its listener is closed as well.
-func (f *Front) Close() {
+func (f *Server) Close() {
 	f.mu.Lock()
 	if f.closed {
 		f.mu.Unlock()
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -43,7 +43,7 @@
 // changed.
 type Relay struct {
 	Gateway *gateway.Gateway
-	Ingress *msgpackrpc.Front
+	Ingress *msgpackrpc.Server
 	Backend *frame.Backend
 	Watcher *dns.Watcher
 
@@ -127,7 +127,7 @@
 		Seed:           c.Seed,
 		Clock:          r.options.Clock,
 		Transport:      r.Backend,
-		FunctionName:   msgpackrpc.Item,
+		FunctionName:   msgpackrpc.FunctionName,
 		Log:            r.options.Log,
 		OmitRequestLog: true,
 	}
@@ -147,7 +147,7 @@
 		Log:            r.options.Log,
 		MaxBody:        maxBodyBytes,
 		MaxInFlight:    maxOpenPerConn,
-		Conns:          r.budget.clientConns,
+		MaxConns:       r.budget.clientConns,
 		MessageTimeout: dialTimeouts(c.Settings, firstMessageDials),
 		StallTimeout:   dialTimeouts(c.Settings, stalledReaderDials),
 	})
