--- a/cmd/kitehub/operate.go
+++ b/cmd/kitehub/operate.go
@@ -69,11 +69,11 @@
 		if x.Draining {
 			state = "draining"
 		}
-		fmt.Printf("%s (process %d): %s, %d calls in hand\n", x.Name, x.PID, state, x.Open)
+		fmt.Printf("%s (process %d): %s, %d calls in hand\n", x.Name, x.PID, state, x.InFlight)
 		a := x.Answers
 		fmt.Printf("served %d, refused %d, failed %d, gone %d, left %d, turned away %d\n",
 			a["served"], a["refused"], a["failed"], a["gone"], a["left"], a["turned"])
-		fmt.Printf("a step takes %.1f us, the module crashed %d times\n", x.StepUS, x.Crashes)
+		fmt.Printf("a step takes %.1f us, the module crashed %d times\n", x.MeanStepMicros, x.ModuleCrashes)
 		if h := x.Hooks; h != nil {
 			fmt.Printf("hooks: %d inline of %d ns, %d aside of %d ns, %d faults; events: %d, dropped %d; "+
 				"calls refused %d, let pass over the bound %d\n",
--- a/cmd/kitehub/serve.go
+++ b/cmd/kitehub/serve.go
@@ -112,7 +112,7 @@
 }
 
 func (p *serveProcess) findSupervisor() (err error) {
-	p.supervisor, err = daemon.FromEnv(os.Getenv, os.Getpid())
+	p.supervisor, err = daemon.SupervisorFromEnv(os.Getenv, os.Getpid())
 	return err
 }
 
@@ -156,7 +156,7 @@
 	p.startsFile = filepath.Join(dir, "starts.json")
 	p.starts.Load(p.startsFile)
 	p.startedAt = time.Now().UTC().Round(0)
-	p.crashLoop = p.starts.Begin(p.startedAt) && !p.cmd.TakeOver
+	p.crashLoop = p.starts.RecordStart(p.startedAt) && !p.cmd.TakeOver
 	if err := p.starts.Save(p.startsFile); err != nil {
 		return fmt.Errorf("state_dir: %w", err)
 	}
@@ -170,7 +170,7 @@
 // recordEnd records that this start has ended well. It reads the file anew: a successor may have recorded its own.
 func (p *serveProcess) recordEnd() error {
 	p.starts.Load(p.startsFile)
-	p.starts.End(p.startedAt)
+	p.starts.RecordCleanExit(p.startedAt)
 	return p.starts.Save(p.startsFile)
 }
 
@@ -204,7 +204,7 @@
 	if d.GetHandover() == "" {
 		return errors.New("--take-over: the configuration has no daemon.handover")
 	}
-	p.controller, err = controller.TakeOver(d.Handover, func(s *controller.Succession) (*controller.Controller, error) {
+	p.controller, err = controller.TakeOver(d.Handover, func(s *controller.IncomingHandover) (*controller.Controller, error) {
 		o.Predecessor = s
 		return controller.Start(p.built, o)
 	})
@@ -264,7 +264,7 @@
 	if err != nil {
 		return err
 	}
-	return errors.Join(p.controller.SetClients(b), p.controller.SetScripts(b))
+	return errors.Join(p.controller.SetClients(b), p.controller.ReloadScripts(b))
 }
 
 // stop shuts down gracefully. A second signal ends it at once, with an error.
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -49,13 +49,13 @@
 	// Reload is what the operators' method reload does; nil: it is an error.
 	Reload func() error
 	// Predecessor, where set, is what another process hands over: see TakeOver.
-	Predecessor *Succession
+	Predecessor *IncomingHandover
 }
 
 // A Controller runs until Stop, Kill or a handover. Its exported fields are set by Start and must not be changed.
 type Controller struct {
 	Gateway *gateway.Gateway
-	Front   *webhook.Front
+	Webhook *webhook.Front
 	Backend *backend.Backend
 	HTTP    *http1.Server
 	// RPC serves operators and callers on the same machine; nil: none is configured.
@@ -132,7 +132,7 @@
 				i, b.Clients[i].Name, old[i].Name)
 		}
 	}
-	c.Front.SetClients(b.Clients)
+	c.Webhook.SetClients(b.Clients)
 	c.built.Clients = b.Clients
 	return nil
 }
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -100,14 +100,14 @@
 			wantAnswer(t, post(t, c, "m1", "unsafe-1", `{"work_ms":300}`, now.Add(time.Duration(i-1)*time.Second)), "200 served")
 		}()
 		if i > 0 {
-			for c.Front.Counts.Joined.Load() < int64(i) {
+			for c.Webhook.Counts.Joined.Load() < int64(i) {
 				time.Sleep(ms)
 			}
 		}
 	}
 	wg.Wait()
-	if n := h.runs("unsafe-1"); n != 1 || c.Front.Counts.Joined.Load() != 2 {
-		t.Errorf("ran %d times, %d joined", n, c.Front.Counts.Joined.Load())
+	if n := h.runs("unsafe-1"); n != 1 || c.Webhook.Counts.Joined.Load() != 2 {
+		t.Errorf("ran %d times, %d joined", n, c.Webhook.Counts.Joined.Load())
 	}
 }
 
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -20,9 +20,9 @@
 func TestHandoverStateKeepsItsFormat(t *testing.T) {
 	for name, state := range map[string]handoverState{
 		"legacy.json": {
-			Front:  webhook.State{Known: []replayguard.EntryState{{Key: replayguard.Key{Client: 1, ID: "msg_a"}, Last: 2, Digest: []byte{3}, Status: 200}}, Barrier: 4, Durable: 5, Highest: 6},
-			Budget: scheduler.BudgetHandover{Orders: []time.Duration{7}, Arrivals: []time.Duration{8, 9}},
-			Open:   10,
+			Front:    webhook.State{Known: []replayguard.EntryState{{Key: replayguard.Key{Client: 1, ID: "msg_a"}, Last: 2, Digest: []byte{3}, Status: 200}}, Barrier: 4, Durable: 5, Highest: 6},
+			Budget:   scheduler.BudgetHandover{Orders: []time.Duration{7}, Arrivals: []time.Duration{8, 9}},
+			InFlight: 10,
 		},
 		"legacy_empty.json": {},
 	} {
@@ -34,7 +34,7 @@
 func TestEndedCallsKeepTheirFormat(t *testing.T) {
 	key := replayguard.Key{Client: 1, ID: "msg_a"}
 	served := replayguard.Answer{Status: 200, Type: "application/json", Body: []byte(`{"a":"<b>"}`)}
-	long := make([]byte, daemon.PartSize)
+	long := make([]byte, daemon.MaxPacketBody)
 	for name, tt := range map[string]struct {
 		answer replayguard.Answer
 		end    endedCall
--- a/internal/controller/handover.go
+++ b/internal/controller/handover.go
@@ -22,9 +22,9 @@
 // handoverState is what the old process sends before the new one serves. Its JSON is read by another version of the
 // program.
 type handoverState struct {
-	Front  webhook.State            `json:"Front"` // the replay guard's
-	Budget scheduler.BudgetHandover `json:"Spent"`
-	Open   int                      `json:"Open"` // calls in flight in the old process
+	Front    webhook.State            `json:"Front"` // the replay guard's
+	Budget   scheduler.BudgetHandover `json:"Spent"`
+	InFlight int                      `json:"Open"` // calls in flight in the old process
 }
 
 // An endedCall is how a call that was in flight in the old process ended, sent while the new one serves. Its JSON is
@@ -40,7 +40,7 @@
 func encodeEndedCall(k replayguard.Key, a replayguard.Answer) []byte {
 	e := endedCall{Key: k, Answer: a}
 	if a.Tag == nil {
-		if text, err := json.Marshal(e); err == nil && len(text) <= daemon.PartSize {
+		if text, err := json.Marshal(e); err == nil && len(text) <= daemon.MaxPacketBody {
 			return text
 		}
 	}
--- a/internal/controller/handover_new.go
+++ b/internal/controller/handover_new.go
@@ -14,11 +14,11 @@
 // errPredecessorResumes is that the handover was aborted before this process served.
 var errPredecessorResumes = errors.New("the old process goes on")
 
-// A Succession is the new process's side of a handover. A controller that takes over is started with it, as
+// A IncomingHandover is the new process's side of a handover. A controller that takes over is started with it, as
 // Options.Predecessor. Until the controller serves it is used by the goroutine of TakeOver, then by that of follow.
-type Succession struct {
+type IncomingHandover struct {
 	link     *daemon.Link
-	protocol daemon.NewProcess
+	protocol daemon.SuccessorProtocol
 	sockets  []*os.File // the old process's listeners
 	state    handoverState
 	alone    bool // the old process is gone
@@ -26,19 +26,19 @@
 
 // A handoverPacket is what the old process sent, and what it leads to.
 type handoverPacket struct {
-	step  daemon.Step
+	step  daemon.Action
 	body  []byte
 	files []*os.File
 }
 
 // TakeOver starts a controller in the place of the one that listens at the path. start must call Start with the
 // Succession as Options.Predecessor. On an error the old controller goes on, or its process is gone.
-func TakeOver(path string, start func(*Succession) (*Controller, error)) (*Controller, error) {
+func TakeOver(path string, start func(*IncomingHandover) (*Controller, error)) (*Controller, error) {
 	l, err := daemon.DialLink(path)
 	if err != nil {
 		return nil, err
 	}
-	s := &Succession{link: l}
+	s := &IncomingHandover{link: l}
 	c, err := s.takeOver(start)
 	if err != nil {
 		s.abort()
@@ -48,7 +48,7 @@
 }
 
 // takeOver receives the listeners and the state of the old process, and starts the controller.
-func (s *Succession) takeOver(start func(*Succession) (*Controller, error)) (*Controller, error) {
+func (s *IncomingHandover) takeOver(start func(*IncomingHandover) (*Controller, error)) (*Controller, error) {
 	if err := s.link.Send(daemon.Hello, nil); err != nil {
 		return nil, err
 	}
@@ -61,7 +61,7 @@
 			if err := s.link.Send(daemon.TakeoverRequest, nil); err != nil {
 				return nil, err
 			}
-		case daemon.Record:
+		case daemon.ApplyPacket:
 			state = append(state, p.body...)
 		case daemon.TakeState:
 			if err := json.Unmarshal(state, &s.state); err != nil {
@@ -78,22 +78,22 @@
 }
 
 // receive waits for the old process's next packet.
-func (s *Succession) receive() (p handoverPacket, err error) {
-	var kind daemon.Kind
+func (s *IncomingHandover) receive() (p handoverPacket, err error) {
+	var kind daemon.PacketKind
 	kind, p.body, p.files, err = s.link.Receive(handoverStepTimeout)
 	switch {
 	case errors.Is(err, daemon.ErrTimeout):
-		p.step = s.protocol.TimedOut()
+		p.step = s.protocol.OnTimeout()
 	case err != nil:
-		p.step = s.protocol.Lost()
+		p.step = s.protocol.OnPeerLost()
 	default:
-		p.step, err = s.protocol.Packet(kind)
+		p.step, err = s.protocol.OnPacket(kind)
 	}
 	return p, err
 }
 
 // abort has the old process go on.
-func (s *Succession) abort() {
+func (s *IncomingHandover) abort() {
 	s.link.Send(daemon.Abort, nil)
 	s.link.Close()
 	for _, f := range s.sockets {
@@ -102,7 +102,7 @@
 }
 
 // listener returns the old process's listener of an index.
-func (s *Succession) listener(index int) (net.Listener, error) {
+func (s *IncomingHandover) listener(index int) (net.Listener, error) {
 	if index >= len(s.sockets) {
 		return nil, errors.New("take over: the old process gave no such socket")
 	}
@@ -115,8 +115,8 @@
 }
 
 // awaitGrant reports that the state is taken, and returns when this process may serve.
-func (s *Succession) awaitGrant() error {
-	if err := s.link.Send(daemon.StateTaken, nil); err != nil && s.protocol.Lost() != daemon.ServeAlone {
+func (s *IncomingHandover) awaitGrant() error {
+	if err := s.link.Send(daemon.StateTaken, nil); err != nil && s.protocol.OnPeerLost() != daemon.ServeAlone {
 		return err
 	}
 	for {
@@ -138,7 +138,7 @@
 
 // follow receives connections and ended calls from the old process until it is done or gone. Calls that were in flight
 // in a process that is gone are abandoned: what became of them is not known.
-func (s *Succession) follow(c *Controller) {
+func (s *IncomingHandover) follow(c *Controller) {
 	defer close(c.predecessorDone)
 	defer s.link.Close()
 	running := s.runningCalls()
@@ -150,7 +150,7 @@
 		for key := range running {
 			abandoned = append(abandoned, key)
 		}
-		c.Front.Abandoned(abandoned)
+		c.Webhook.Abandoned(abandoned)
 	}
 	c.log.Info().Bool("alone", s.alone).Int("abandoned", len(running)).Msg("takeover done")
 	if c.afterPredecessor != nil {
@@ -159,7 +159,7 @@
 }
 
 // runningCalls returns the calls that were in flight in the old process as it paused.
-func (s *Succession) runningCalls() map[replayguard.Key]bool {
+func (s *IncomingHandover) runningCalls() map[replayguard.Key]bool {
 	running := map[replayguard.Key]bool{}
 	for _, known := range s.state.Front.Known {
 		if known.Running {
@@ -170,13 +170,13 @@
 }
 
 // receiveRemainder takes one packet of the old process while this one serves. It returns true after the last.
-func (s *Succession) receiveRemainder(c *Controller, running map[replayguard.Key]bool) (done bool) {
+func (s *IncomingHandover) receiveRemainder(c *Controller, running map[replayguard.Key]bool) (done bool) {
 	kind, body, files, err := s.link.Receive(0)
 	if err != nil {
-		s.alone = s.protocol.Lost() == daemon.ServeAlone
+		s.alone = s.protocol.OnPeerLost() == daemon.ServeAlone
 		return true
 	}
-	if _, err := s.protocol.Packet(kind); err != nil {
+	if _, err := s.protocol.OnPacket(kind); err != nil {
 		c.log.Error().Err(err).Msg("takeover: unexpected packet")
 	}
 	switch kind {
@@ -210,9 +210,9 @@
 		return key, false
 	}
 	if e.NotCached {
-		c.Front.EndedUncached(e.Key)
+		c.Webhook.EndedUncached(e.Key)
 	} else {
-		c.Front.Ended(e.Key, e.Answer)
+		c.Webhook.Ended(e.Key, e.Answer)
 	}
 	return e.Key, true
 }
--- a/internal/controller/handover_old.go
+++ b/internal/controller/handover_old.go
@@ -47,7 +47,7 @@
 type outgoingHandover struct {
 	controller *Controller
 	link       *daemon.Link
-	protocol   daemon.OldProcess
+	protocol   daemon.PredecessorProtocol
 	paused     bool
 	// endedCalls gets the calls that end while paused and afterwards. It has capacity for all that may be in flight:
 	// whoever answers a call must never wait for the link.
@@ -78,7 +78,7 @@
 			return
 		}
 		if err != nil {
-			h.protocol.Lost()
+			h.protocol.OnPeerLost()
 			h.abort(err)
 			return
 		}
@@ -86,15 +86,15 @@
 }
 
 // receive waits for the successor's next packet, and returns what it leads to.
-func (h *outgoingHandover) receive() (daemon.Step, error) {
+func (h *outgoingHandover) receive() (daemon.Action, error) {
 	kind, _, files, err := h.link.Receive(handoverStepTimeout)
 	for _, f := range files {
 		f.Close()
 	}
 	if err != nil {
-		return h.protocol.Lost(), err
+		return h.protocol.OnPeerLost(), err
 	}
-	step, err := h.protocol.Packet(kind)
+	step, err := h.protocol.OnPacket(kind)
 	if err != nil {
 		h.link.Send(daemon.Abort, nil)
 	}
@@ -138,10 +138,10 @@
 	c := h.controller
 	c.log.Info().Int("open", c.Gateway.OpenRequests()).Msg("handover: paused")
 	state := handoverState{
-		Front: c.Front.Pause(func(k replayguard.Key, a replayguard.Answer) {
+		Front: c.Webhook.Pause(func(k replayguard.Key, a replayguard.Answer) {
 			h.endedCalls <- endedCall{Key: k, Answer: a}
 		}),
-		Open: c.Gateway.OpenRequests(),
+		InFlight: c.Gateway.OpenRequests(),
 	}
 	if c.RPC != nil {
 		c.RPC.Pause()
@@ -161,7 +161,7 @@
 	if err != nil {
 		return err
 	}
-	if err := h.link.SendAll(text); err != nil {
+	if err := h.link.SendState(text); err != nil {
 		return err
 	}
 	c.unlockStateDir()
@@ -181,7 +181,7 @@
 	if c.RPC != nil {
 		c.RPC.Resume()
 	}
-	c.Front.Resume()
+	c.Webhook.Resume()
 }
 
 // relockStateDir locks the state folder again. The successor may hold it for a moment. A controller that stops
@@ -207,10 +207,10 @@
 	}
 	c.log.Info().Int("open", c.Gateway.OpenRequests()).Msg("handover: successor takes over")
 	c.draining.Store(true)
-	h.link.Send(daemon.Go, nil) // first: the successor takes nothing else until then
+	h.link.Send(daemon.Grant, nil) // first: the successor takes nothing else until then
 	answersSent := h.sendEndedCalls()
 	endConns := h.sendConns()
-	c.Front.Pass()
+	c.Webhook.Pass()
 	h.closeListeners()
 	c.stopWatchWhenIdle()
 	c.Gateway.Stop(c.built.StopTimeout)
@@ -219,7 +219,7 @@
 	if c.RPC != nil {
 		c.RPC.Drain(drainTimeout)
 	}
-	c.Front.Close()
+	c.Webhook.Close()
 	close(h.endedCalls)
 	<-answersSent
 	h.link.Send(daemon.Done, nil)
@@ -252,7 +252,7 @@
 		mu.Lock()
 		defer mu.Unlock()
 		raw, ok := conn.(syscall.Conn)
-		if !ok || !open || len(read) > daemon.PartSize {
+		if !ok || !open || len(read) > daemon.MaxPacketBody {
 			return
 		}
 		if err := h.link.Send(daemon.Conn, read, raw); err != nil {
--- a/internal/controller/handover_test.go
+++ b/internal/controller/handover_test.go
@@ -42,7 +42,7 @@
 
 // takeOver starts a controller in the place of the one that runs.
 func (h *harness) takeOver(path string, changes []string) (*Controller, error) {
-	return TakeOver(path, func(after *Succession) (*Controller, error) {
+	return TakeOver(path, func(after *IncomingHandover) (*Controller, error) {
 		return Start(h.configure("c", changes...), Options{Clock: h.clock, Log: zerolog.Nop(), Predecessor: after})
 	})
 }
@@ -186,10 +186,10 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			step := func(say daemon.Kind, until daemon.Kind) {
+			step := func(say daemon.PacketKind, until daemon.PacketKind) {
 				t.Helper()
 				l.Send(say, nil)
-				for k := daemon.Kind(0); until != 0 && k != until; {
+				for k := daemon.PacketKind(0); until != 0 && k != until; {
 					var files []interface{ Close() error }
 					kk, _, fs, err := l.Receive(10 * time.Second)
 					for _, f := range fs {
@@ -225,7 +225,7 @@
 			case "taken": // from here on the other has the sockets: this one finishes what it has, and ends
 				step(daemon.Hello, daemon.Sockets)
 				step(daemon.TakeoverRequest, daemon.StateComplete)
-				step(daemon.StateTaken, daemon.Go)
+				step(daemon.StateTaken, daemon.Grant)
 				l.Close()
 				<-c.HandedOver()
 				if _, err := net.DialTimeout("tcp", c.Addr(), time.Second); !errors.Is(err, syscall.ECONNREFUSED) {
@@ -253,7 +253,7 @@
 func TestHandoverToBadSuccessor(t *testing.T) {
 	h, changes, path := newHandoverHarness(t, ms)
 	c := h.start(h.configure("c", changes...))
-	_, err := TakeOver(path, func(_ *Succession) (*Controller, error) { return nil, errors.New("it does not start") })
+	_, err := TakeOver(path, func(_ *IncomingHandover) (*Controller, error) { return nil, errors.New("it does not start") })
 	if err == nil || !strings.Contains(err.Error(), "it does not start") {
 		t.Error(err)
 	}
@@ -290,7 +290,7 @@
 			l.Receive(10 * time.Second)
 			l.Send(daemon.Sockets, nil, tcp.(syscall.Conn), unix.(syscall.Conn))
 			l.Receive(10 * time.Second)
-			if l.SendAll(text); whole {
+			if l.SendState(text); whole {
 				l.Send(daemon.StateComplete, nil)
 			}
 			tcp.Close()
@@ -351,7 +351,7 @@
 		f.Close()
 	}
 	l.Send(daemon.TakeoverRequest, nil)
-	for k := daemon.Kind(0); k != daemon.StateComplete; {
+	for k := daemon.PacketKind(0); k != daemon.StateComplete; {
 		if k, _, _, err = l.Receive(10 * time.Second); err != nil {
 			t.Fatal(err)
 		}
@@ -390,7 +390,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	until := func(want daemon.Kind) []byte {
+	until := func(want daemon.PacketKind) []byte {
 		for {
 			k, b, files, err := l.Receive(10 * time.Second)
 			for _, f := range files {
@@ -410,7 +410,7 @@
 	until(daemon.StateComplete)
 	wantAnswer(t, <-first, "200 served") // what is in hand goes on, halted or not
 	l.Send(daemon.StateTaken, nil)
-	until(daemon.Go) // and not after the answer
+	until(daemon.Grant) // and not after the answer
 	var e endedCall
 	if err := json.Unmarshal(until(daemon.Answer), &e); err != nil || e.Key.ID != "once" || e.Answer.Status != 200 {
 		t.Errorf("%v %+v", err, e)
@@ -427,7 +427,7 @@
 	}{
 		{replayguard.Answer{Status: 200, Body: []byte("v1")}, false, "v1"},
 		{replayguard.Answer{Status: 200, Body: []byte("v1"), Tag: 1}, true, ""},
-		{replayguard.Answer{Status: 200, Body: make([]byte, daemon.PartSize)}, true, ""},
+		{replayguard.Answer{Status: 200, Body: make([]byte, daemon.MaxPacketBody)}, true, ""},
 		{replayguard.Answer{Status: 503, Rejected: true, Body: []byte("no"), Tag: 1}, false, ""},
 	} {
 		var e endedCall
--- a/internal/controller/hooks.go
+++ b/internal/controller/hooks.go
@@ -158,19 +158,19 @@
 	return errors.Join(errs...)
 }
 
-// SetScripts loads the scripts' files as they are now. Its error names all that are wrong.
-func (c *Controller) SetScripts(b *config.Built) error {
+// ReloadScripts loads the scripts' files as they are now. Its error names all that are wrong.
+func (c *Controller) ReloadScripts(b *config.Built) error {
 	if c.hooks.Load() == nil {
 		return nil
 	}
 	return c.loadScripts(b)
 }
 
-// Hooks returns the engine that runs scripts, or nil.
-func (c *Controller) Hooks() *hookengine.Engine { return c.hooks.Load() }
+// HookEngine returns the engine that runs scripts, or nil.
+func (c *Controller) HookEngine() *hookengine.Engine { return c.hooks.Load() }
 
-// LoadHook loads a script for a test harness.
-func (c *Controller) LoadHook(name, text string) error {
+// LoadScript loads a script for a test harness.
+func (c *Controller) LoadScript(name, text string) error {
 	if c.hooks.Load() == nil {
 		return errNoHooks
 	}
--- a/internal/controller/operator.go
+++ b/internal/controller/operator.go
@@ -52,15 +52,15 @@
 
 // Status is the result of the operators' method status.
 type Status struct {
-	Name     string           `json:"name"`
-	PID      int              `json:"pid"`
-	Open     int              `json:"open"` // calls in flight
-	Draining bool             `json:"draining"`
-	Answers  map[string]int64 `json:"answers"` // by kind, since the start
-	RPC      map[string]int64 `json:"rpc"`
-	Hooks    map[string]int64 `json:"hooks,omitempty"`
-	StepUS   float64          `json:"mean_step_us"` // mean time of a step of the dispatcher, in microseconds
-	Crashes  int64            `json:"module_crashes"`
+	Name           string           `json:"name"`
+	PID            int              `json:"pid"`
+	InFlight       int              `json:"open"` // calls in flight
+	Draining       bool             `json:"draining"`
+	Answers        map[string]int64 `json:"answers"` // by kind, since the start
+	RPC            map[string]int64 `json:"rpc"`
+	Hooks          map[string]int64 `json:"hooks,omitempty"`
+	MeanStepMicros float64          `json:"mean_step_us"` // mean time of a step of the dispatcher, in microseconds
+	ModuleCrashes  int64            `json:"module_crashes"`
 }
 
 // operator carries out the operators' methods. It implements jsonrpc's Operator, and is safe for concurrent use.
@@ -128,7 +128,7 @@
 	s := Status{
 		Name:     c.built.Name,
 		PID:      os.Getpid(),
-		Open:     c.Gateway.OpenRequests(),
+		InFlight: c.Gateway.OpenRequests(),
 		Draining: c.draining.Load(),
 		Answers: map[string]int64{
 			"served":  counts.Served.Load(),
@@ -138,8 +138,8 @@
 			"left":    counts.Superseded.Load(),
 			"turned":  counts.OverCapacity.Load(),
 		},
-		StepUS:  float64(counts.StepNanos.Load()) / 1e3 / float64(max(1, counts.Steps.Load())),
-		Crashes: counts.Panics.Load(),
+		MeanStepMicros: float64(counts.StepNanos.Load()) / 1e3 / float64(max(1, counts.Steps.Load())),
+		ModuleCrashes:  counts.Panics.Load(),
 	}
 	if c.RPC != nil {
 		s.RPC = rpcStatus(c.RPC)
--- a/internal/controller/rpc_test.go
+++ b/internal/controller/rpc_test.go
@@ -313,15 +313,15 @@
 	}
 	write("a", "on arrive(c) {")
 	write("b", "on ended(e) { log(\"b\") }")
-	if err := c.SetScripts(cfg); err == nil || !strings.Contains(err.Error(), "a.hook:1:15") {
+	if err := c.ReloadScripts(cfg); err == nil || !strings.Contains(err.Error(), "a.hook:1:15") {
 		t.Error(err)
 	}
-	o, _ := c.Hooks().Overview()
+	o, _ := c.HookEngine().Overview()
 	if len(o.Scripts) != 2 || o.Scripts[0].Live != 1 || o.Scripts[1].Live != 3 {
 		t.Errorf("%+v", o.Scripts)
 	}
 	write("a", "on arrive(c) {}")
-	if err := c.SetScripts(cfg); err != nil {
+	if err := c.ReloadScripts(cfg); err != nil {
 		t.Error(err)
 	}
 	if got := l.request(call("1", "safe-1", "")); !strings.Contains(got, "result") {
--- a/internal/controller/start.go
+++ b/internal/controller/start.go
@@ -178,7 +178,7 @@
 		fc.State = &p.state.Front
 		c.Gateway.InheritBudget(p.state.Budget)
 	}
-	if c.Front, err = webhook.New(fc, b.Clients); err != nil {
+	if c.Webhook, err = webhook.New(fc, b.Clients); err != nil {
 		return fmt.Errorf("replay mark: %w", err)
 	}
 	c.frontConfig = fc
@@ -248,7 +248,7 @@
 }
 
 func (c *Controller) serveCalls() error {
-	handler := http1.Handler(c.Front)
+	handler := http1.Handler(c.Webhook)
 	if wrap := c.options.Handler; wrap != nil {
 		handler = wrap(handler)
 	}
--- a/internal/controller/stop.go
+++ b/internal/controller/stop.go
@@ -8,7 +8,7 @@
 // Drain has no further call admitted; what is in flight goes on, and operators are served until Stop.
 func (c *Controller) Drain() {
 	c.draining.Store(true)
-	c.Front.BeginStop()
+	c.Webhook.BeginStop()
 	if c.RPC != nil {
 		c.RPC.BeginStop()
 	}
@@ -33,7 +33,7 @@
 	if c.successorListener != nil {
 		c.successorListener.Close()
 	}
-	err := c.Front.Close()
+	err := c.Webhook.Close()
 	c.closeHooks()
 	c.closeOutbound()
 	c.unlockStateDir()
@@ -101,8 +101,8 @@
 	if c.Gateway != nil {
 		c.Gateway.Kill()
 	}
-	if c.Front != nil {
-		c.Front.Kill()
+	if c.Webhook != nil {
+		c.Webhook.Kill()
 	}
 	c.cutWorkerConns()
 	if c.watcher != nil {
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -185,7 +185,7 @@
 	if n := d.runs("unsafe-1@v1") + d.runs("unsafe-1@v2"); n != 1 {
 		t.Errorf("the unsafe call ran %d times", n)
 	}
-	if n := c.Front.Counts.Restarted.Load(); n != 1 {
+	if n := c.Webhook.Counts.Restarted.Load(); n != 1 {
 		t.Errorf("%d calls began anew, want 1", n)
 	}
 }
@@ -341,7 +341,7 @@
 	if n := d.runs("safe-1@v2"); n != 1 {
 		t.Errorf("the safe call ran %d times under the new version", n)
 	}
-	if n := c.Front.Counts.Withheld.Load(); n != 3 {
+	if n := c.Webhook.Counts.Withheld.Load(); n != 3 {
 		t.Errorf("%d answers withheld, want 3", n)
 	}
 }
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -14,51 +14,51 @@
 
 // Each side gets each packet at each stage: it takes the right step, and only one of the two ever serves.
 func TestOnlyOneProcessServes(t *testing.T) {
-	all := []Kind{Hello, Sockets, TakeoverRequest, StatePart, StateComplete, StateTaken, Go, Conn, Answer, Done, Abort, '?'}
-	old := map[Kind][]Kind{
+	all := []PacketKind{Hello, Sockets, TakeoverRequest, StatePart, StateComplete, StateTaken, Grant, Conn, Answer, Done, Abort, '?'}
+	old := map[PacketKind][]PacketKind{
 		0:             nil,
 		Sockets:       {Hello},
 		StateComplete: {Hello, TakeoverRequest},
-		Go:            {Hello, TakeoverRequest, StateTaken},
+		Grant:         {Hello, TakeoverRequest, StateTaken},
 	}
-	good := map[string]Step{"0H": OfferSockets, "LR": Pause, "ET": HandOff}
+	good := map[string]Action{"0H": OfferSockets, "LR": Pause, "ET": HandOff}
 	for stage, before := range old {
 		for _, k := range all {
-			o := &OldProcess{}
+			o := &PredecessorProtocol{}
 			for _, b := range before {
-				o.Packet(b)
+				o.OnPacket(b)
 			}
-			m, err := o.Packet(k)
+			m, err := o.OnPacket(k)
 			name := strings.ReplaceAll(fmt.Sprintf("%c%c", stage, k), "\x00", "0")
 			want, ok := good[name]
 			switch {
 			case ok && (m != want || err != nil):
 				t.Errorf("old %s: %v, %v", name, m, err)
-			case !ok && stage == Go && m != Wait:
+			case !ok && stage == Grant && m != Wait:
 				t.Errorf("old %s: %v after Go", name, m)
-			case !ok && stage != Go && m != Resume:
+			case !ok && stage != Grant && m != Resume:
 				t.Errorf("old %s: %v", name, m)
 			}
 		}
 	}
-	steps := []Kind{Sockets, StatePart, StateComplete, Go, Done}
+	steps := []PacketKind{Sockets, StatePart, StateComplete, Grant, Done}
 	for n := range len(steps) + 1 {
 		for _, k := range append(all, 0, 1) { // 0: lost, 1: late
-			s := &NewProcess{}
+			s := &SuccessorProtocol{}
 			for _, b := range steps[:n] {
-				s.Packet(b)
+				s.OnPacket(b)
 			}
-			var m Step
+			var m Action
 			switch k {
 			case 0:
-				m = s.Lost()
+				m = s.OnPeerLost()
 			case 1:
-				m = s.TimedOut()
+				m = s.OnTimeout()
 			default:
-				m, _ = s.Packet(k)
+				m, _ = s.OnPacket(k)
 			}
 			serves := m == Serve || m == ServeAlone
-			if may := n == 3 && (k == Go || k == 0) || n == 4 && k == 0; serves != may {
+			if may := n == 3 && (k == Grant || k == 0) || n == 4 && k == 0; serves != may {
 				t.Errorf("new after %d steps, %c: %v", n, k, m)
 			}
 			if n < 3 && m == TakeState != (n == 2 && k == StateComplete) {
@@ -77,11 +77,11 @@
 	}
 	defer c.Close()
 	env := map[string]string{"NOTIFY_SOCKET": name, "WATCHDOG_USEC": "3000000", "WATCHDOG_PID": "7"}
-	s, err := FromEnv(func(k string) string { return env[k] }, 7)
+	s, err := SupervisorFromEnv(func(k string) string { return env[k] }, 7)
 	if err != nil || s.WatchdogInterval() != 1500*time.Millisecond {
 		t.Fatal(err, s)
 	}
-	if s, _ := FromEnv(func(k string) string { return env[k] }, 8); s.WatchdogInterval() != 0 {
+	if s, _ := SupervisorFromEnv(func(k string) string { return env[k] }, 8); s.WatchdogInterval() != 0 {
 		t.Error("another's watchdog")
 	}
 	for _, x := range []struct {
@@ -104,11 +104,11 @@
 		t.Error("a line break is sent")
 	}
 	for _, bad := range []map[string]string{{"NOTIFY_SOCKET": "x"}, {"NOTIFY_SOCKET": "/x", "WATCHDOG_USEC": "-1"}} {
-		if _, err := FromEnv(func(k string) string { return bad[k] }, 7); err == nil {
+		if _, err := SupervisorFromEnv(func(k string) string { return bad[k] }, 7); err == nil {
 			t.Errorf("%v is accepted", bad)
 		}
 	}
-	if s, err := FromEnv(func(string) string { return "" }, 7); err != nil || s.Ready("x") != nil {
+	if s, err := SupervisorFromEnv(func(string) string { return "" }, 7); err != nil || s.Ready("x") != nil {
 		t.Error(err)
 	}
 }
@@ -141,17 +141,17 @@
 	l := &CrashLoop{MaxStarts: 3, Window: time.Minute}
 	at := time.Unix(1000, 0)
 	for i, want := range []bool{false, false, false, true, true} {
-		if got := l.Begin(at); got != want {
+		if got := l.RecordStart(at); got != want {
 			t.Errorf("start %d: in a loop %v", i, got)
 		}
 		at = at.Add(time.Second)
 	}
-	if at = at.Add(time.Hour); l.Begin(at) {
+	if at = at.Add(time.Hour); l.RecordStart(at) {
 		t.Error("what is long ago counts")
 	}
 	for range 5 { // each ends well
-		l.End(at)
-		if at = at.Add(time.Second); l.Begin(at) {
+		l.RecordCleanExit(at)
+		if at = at.Add(time.Second); l.RecordStart(at) {
 			t.Error("a clean end counts")
 		}
 	}
@@ -212,7 +212,7 @@
 	}
 	text := bytes.Repeat([]byte("0123456789"), 30_000)
 	go func() {
-		if err := a.SendAll(text); err != nil {
+		if err := a.SendState(text); err != nil {
 			t.Error(err)
 		}
 		a.Send(StateComplete, nil)
@@ -231,7 +231,7 @@
 	if !bytes.Equal(got, text) {
 		t.Errorf("%d bytes of %d", len(got), len(text))
 	}
-	if err := a.Send(StatePart, make([]byte, PartSize+1)); err == nil {
+	if err := a.Send(StatePart, make([]byte, MaxPacketBody+1)); err == nil {
 		t.Error("too large a packet is sent")
 	}
 	if _, _, _, err := b.Receive(time.Millisecond); err != ErrTimeout {
--- a/internal/daemon/golden_test.go
+++ b/internal/daemon/golden_test.go
@@ -64,10 +64,10 @@
 	defer receiver.Close()
 	receiver.SetReadDeadline(time.Now().Add(10 * time.Second))
 
-	kinds := []Kind{Hello, Sockets, TakeoverRequest, StatePart, StateComplete, StateTaken, Go, Conn, Answer, Done, Abort}
+	kinds := []PacketKind{Hello, Sockets, TakeoverRequest, StatePart, StateComplete, StateTaken, Grant, Conn, Answer, Done, Abort}
 	var written []byte
 	take := func(name string) {
-		packet := make([]byte, 2*PartSize)
+		packet := make([]byte, 2*MaxPacketBody)
 		n, err := receiver.Read(packet)
 		if err != nil {
 			t.Fatal(err)
@@ -89,11 +89,11 @@
 		}
 		take(names[i] + " alone")
 	}
-	for _, size := range []int{0, PartSize, PartSize + 1} {
-		if err := sender.SendAll(make([]byte, size)); err != nil {
+	for _, size := range []int{0, MaxPacketBody, MaxPacketBody + 1} {
+		if err := sender.SendState(make([]byte, size)); err != nil {
 			t.Fatal(err)
 		}
-		for sent := 0; sent == 0 || sent < size; sent += PartSize {
+		for sent := 0; sent == 0 || sent < size; sent += MaxPacketBody {
 			take(fmt.Sprintf("text of %d bytes", size))
 		}
 	}
--- a/internal/daemon/link.go
+++ b/internal/daemon/link.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// PartSize is the length in bytes of the longest body of a packet.
-const PartSize = 64 << 10
+// MaxPacketBody is the length in bytes of the longest body of a packet.
+const MaxPacketBody = 64 << 10
 
 const (
 	// maxFDs is the most file descriptors of one packet, fdBytes the space of one.
@@ -34,8 +34,8 @@
 
 // NewLink returns a link over a connection.
 func NewLink(c *net.UnixConn) *Link {
-	c.SetWriteBuffer(4 * PartSize)
-	return &Link{conn: c, buf: make([]byte, PartSize+1), oob: make([]byte, syscall.CmsgSpace(fdBytes*maxFDs))}
+	c.SetWriteBuffer(4 * MaxPacketBody)
+	return &Link{conn: c, buf: make([]byte, MaxPacketBody+1), oob: make([]byte, syscall.CmsgSpace(fdBytes*maxFDs))}
 }
 
 // DialLink connects to the old process.
@@ -69,8 +69,8 @@
 }
 
 // Send sends a packet, with the descriptors of sockets. Those stay the caller's.
-func (l *Link) Send(k Kind, b []byte, socks ...syscall.Conn) error {
-	if len(b) > PartSize || len(socks) > maxFDs {
+func (l *Link) Send(k PacketKind, b []byte, socks ...syscall.Conn) error {
+	if len(b) > MaxPacketBody || len(socks) > maxFDs {
 		return fmt.Errorf("daemon: a packet of %d bytes and %d sockets", len(b), len(socks))
 	}
 	return withFDs(socks, nil, func(fds []int) error { return l.write(k, b, fds) })
@@ -96,7 +96,7 @@
 	return inner
 }
 
-func (l *Link) write(k Kind, b []byte, fds []int) error {
+func (l *Link) write(k PacketKind, b []byte, fds []int) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.conn.SetWriteDeadline(time.Now().Add(sendTimeout))
@@ -108,10 +108,10 @@
 	return err
 }
 
-// SendAll sends a state in parts, at least one.
-func (l *Link) SendAll(b []byte) error {
+// SendState sends a state in parts, at least one.
+func (l *Link) SendState(b []byte) error {
 	for {
-		n := min(len(b), PartSize)
+		n := min(len(b), MaxPacketBody)
 		if err := l.Send(StatePart, b[:n]); err != nil {
 			return err
 		}
@@ -126,7 +126,7 @@
 
 // Receive returns the next packet; within 0 waits for ever. The files are the caller's to close. Its error is
 // ErrTimeout, or that the link has ended.
-func (l *Link) Receive(within time.Duration) (k Kind, b []byte, files []*os.File, err error) {
+func (l *Link) Receive(within time.Duration) (k PacketKind, b []byte, files []*os.File, err error) {
 	l.conn.SetReadDeadline(time.Time{})
 	if within > 0 {
 		l.conn.SetReadDeadline(time.Now().Add(within))
@@ -144,7 +144,7 @@
 	if n == 0 {
 		return 0, nil, files, io.EOF
 	}
-	return Kind(l.buf[0]), append([]byte(nil), l.buf[1:n]...), files, nil
+	return PacketKind(l.buf[0]), append([]byte(nil), l.buf[1:n]...), files, nil
 }
 
 // receivedFiles returns the file descriptors of control messages. No child process inherits them.
--- a/internal/daemon/loop.go
+++ b/internal/daemon/loop.go
@@ -20,9 +20,9 @@
 	Clean bool      `json:"clean"` // it ended by a graceful shutdown or a handover
 }
 
-// Begin records a start, and returns whether the process is in a crash loop: it should leave out then what may be the
+// RecordStart records a start, and returns whether the process is in a crash loop: it should leave out then what may be the
 // cause. A start in the future, by a clock that was set back, counts as one of now.
-func (l *CrashLoop) Begin(now time.Time) (inLoop bool) {
+func (l *CrashLoop) RecordStart(now time.Time) (inLoop bool) {
 	crashes := 0
 	recent := l.Starts[:0]
 	for _, s := range l.Starts {
@@ -41,8 +41,8 @@
 	return l.MaxStarts > 0 && crashes >= l.MaxStarts
 }
 
-// End records that the start of a time ended well.
-func (l *CrashLoop) End(at time.Time) {
+// RecordCleanExit records that the start of a time ended well.
+func (l *CrashLoop) RecordCleanExit(at time.Time) {
 	for i := range l.Starts {
 		if l.Starts[i].At.Equal(at) {
 			l.Starts[i].Clean = true
--- a/internal/daemon/notify.go
+++ b/internal/daemon/notify.go
@@ -19,9 +19,9 @@
 	watchdogInterval time.Duration // 0: no watchdog
 }
 
-// FromEnv returns the supervisor that the environment names. pid is the id of this process. A socket or an interval
+// SupervisorFromEnv returns the supervisor that the environment names. pid is the id of this process. A socket or an interval
 // that cannot be read is an error.
-func FromEnv(get func(string) string, pid int) (*Supervisor, error) {
+func SupervisorFromEnv(get func(string) string, pid int) (*Supervisor, error) {
 	name := get("NOTIFY_SOCKET")
 	if name == "" {
 		return &Supervisor{}, nil
--- a/internal/harness/scenario/controllers.go
+++ b/internal/harness/scenario/controllers.go
@@ -31,7 +31,7 @@
 		Dial: p.net.dialer(c.Zone), Sink: p.o.Sink, Handler: p.o.Handler, Models: p.o.Models, Versions: p.o.Versions}
 	if over { // the one before finishes what it has; what it counted goes on
 		old := p.controllers[i]
-		ctl, err := controller.TakeOver(p.socket(i, "h"), func(after *controller.Succession) (*controller.Controller, error) {
+		ctl, err := controller.TakeOver(p.socket(i, "h"), func(after *controller.IncomingHandover) (*controller.Controller, error) {
 			o.Predecessor = after
 			return controller.Start(b, o)
 		})
@@ -148,7 +148,7 @@
 func (p *player) loadHooks(i int, c *controller.Controller) error {
 	for _, h := range p.s.Hooks {
 		if h.Part == 0 || float64(i) < h.Part*float64(p.s.Controllers) {
-			if err := c.LoadHook(h.Name, h.Text); err != nil {
+			if err := c.LoadScript(h.Name, h.Text); err != nil {
 				return err
 			}
 		}
--- a/internal/harness/scenario/play.go
+++ b/internal/harness/scenario/play.go
@@ -313,12 +313,12 @@
 			continue
 		}
 		res.LateStep = max(res.LateStep, time.Duration(c.Gateway.Counts.MaxStepDelayNanos.Load()))
-		if e := c.Hooks(); e != nil {
+		if e := c.HookEngine(); e != nil {
 			res.Hooks = append(res.Hooks, hookResult(c.Name(), e))
 		}
 		if p.versions != nil {
-			res.Anew += c.Front.Counts.Restarted.Load()
-			res.Withheld += c.Front.Counts.Withheld.Load()
+			res.Anew += c.Webhook.Counts.Restarted.Load()
+			res.Withheld += c.Webhook.Counts.Withheld.Load()
 			res.Mismatched += c.Gateway.Counts.DigestMismatches.Load()
 		}
 	}
