--- a/cmd/kitehub/main_test.go
+++ b/cmd/kitehub/main_test.go
@@ -91,7 +91,7 @@
 	if err != nil {
 		return nil, err
 	}
-	m := signing.Message{ID: id, Stamp: strconv.FormatInt(time.Now().Unix(), 10), Body: []byte(body)}
+	m := signing.Message{ID: id, Timestamp: strconv.FormatInt(time.Now().Unix(), 10), Body: []byte(body)}
 	s, err := k.Sign(m)
 	if err != nil {
 		return nil, err
@@ -101,7 +101,7 @@
 		return nil, err
 	}
 	req.Header.Set("webhook-id", id)
-	req.Header.Set("webhook-timestamp", m.Stamp)
+	req.Header.Set("webhook-timestamp", m.Timestamp)
 	req.Header.Set("webhook-signature", s)
 	return (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}).Do(req)
 }
--- a/cmd/kitehub/registryserve.go
+++ b/cmd/kitehub/registryserve.go
@@ -62,8 +62,8 @@
 		Limits:  http1.Limits{Body: maxRegistryBody, Idle: time.Minute},
 	}
 	go srv.Serve(ln)
-	log.Info().Str("listen", ln.Addr().String()).Uint64("snapshot", rec.Snapshot).Int("records", rec.Records).
-		Int64("cut", rec.Cut).Msg("serving")
+	log.Info().Str("listen", ln.Addr().String()).Uint64("snapshot", rec.SnapshotSeq).Int("records", rec.ReplayedRecords).
+		Int64("cut", rec.DiscardedBytes).Msg("serving")
 	err = awaitEnd(svc)
 	ln.Close()
 	go srv.Drain(registryDrainTimeout) // while the service closes, which answers those who wait
--- a/cmd/kitehub/tools.go
+++ b/cmd/kitehub/tools.go
@@ -253,7 +253,7 @@
 	if _, err := fmt.Scanln(&common); err != nil {
 		return fmt.Errorf("no secret on standard input: %w", err)
 	}
-	own, err := signing.Derive(common, k.Endpoint)
+	own, err := signing.DeriveSecret(common, k.Endpoint)
 	if err != nil {
 		return err
 	}
--- a/config/clients.go
+++ b/config/clients.go
@@ -64,7 +64,7 @@
 		b.file.Problem(field, err.Error(), "make a secret with: kitehub key new")
 		return "", false
 	}
-	own, err := signing.Derive(common, b.cfg.Name)
+	own, err := signing.DeriveSecret(common, b.cfg.Name)
 	if err != nil {
 		b.file.Problem(field, err.Error(), "")
 		return "", false
--- a/internal/backend/frame/conn.go
+++ b/internal/backend/frame/conn.go
@@ -61,7 +61,7 @@
 	return connState{
 		inFlight: len(c.inFlight),
 		lastUsed: c.lastUsed,
-		suspect:  c.pingedAt > 0 || c.closed || c.out.Busy(),
+		suspect:  c.pingedAt > 0 || c.closed || c.out.HasPending(),
 		used:     c.started > 0,
 		knowsID:  inFlight || ended,
 	}
@@ -78,7 +78,7 @@
 	if len(c.inFlight) == 0 {
 		c.lastHeard = now
 	}
-	end, ok := c.out.Begin(frame)
+	end, ok := c.out.TrySend(frame)
 	if !ok { // the first byte must not wait: the worker may begin to drain before it is sent
 		return false
 	}
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -20,7 +20,7 @@
 func TestHandoverStateKeepsItsFormat(t *testing.T) {
 	for name, state := range map[string]handoverState{
 		"legacy.json": {
-			Front:  webhook.State{Known: []replayguard.EntryState{{Key: replayguard.Key{Client: 1, ID: "msg_a"}, Last: 2, Digest: []byte{3}, Status: 200}}, Barrier: 4, Durable: 5, Highest: 6},
+			Front:  webhook.State{Known: []replayguard.EntryState{{Key: replayguard.Key{Client: 1, ID: "msg_a"}, LastTimestamp: 2, Digest: []byte{3}, Status: 200}}, Barrier: 4, Durable: 5, Highest: 6},
 			Budget: scheduler.BudgetHandover{Orders: []time.Duration{7}, Arrivals: []time.Duration{8, 9}},
 			Open:   10,
 		},
--- a/internal/controller/handover_test.go
+++ b/internal/controller/handover_test.go
@@ -279,7 +279,7 @@
 		}
 		m := sign(t, commonSecret, "c", "known", "unsafe-1", `{}`, time.Now().Add(-3*time.Second))
 		state := handoverState{Front: webhook.State{Highest: time.Now().Unix(), Durable: time.Now().Unix() + 10, Known: []replayguard.EntryState{
-			{Key: replayguard.Key{ID: "known"}, Last: time.Now().Unix() - 3, Running: true, Digest: bodyDigest("unsafe-1", m)}}}}
+			{Key: replayguard.Key{ID: "known"}, LastTimestamp: time.Now().Unix() - 3, Running: true, Digest: bodyDigest("unsafe-1", m)}}}}
 		text, _ := json.Marshal(state)
 		go func() {
 			uc, err := links.AcceptUnix()
@@ -437,9 +437,9 @@
 	}
 	now := time.Now()
 	g := replayguard.NewGuard(replayguard.Settings{MaxAge: time.Minute, MaxClockSkew: time.Second, WatermarkStep: time.Second, MaxEntries: 9, MaxAnswerBytes: 99}, now, time.Time{})
-	g.Import([]replayguard.EntryState{{Key: k, Last: now.Unix() - 2, Running: true, Digest: make([]byte, 32)}}, 0, now.Unix()+5, 0)
-	g.EndedUncached(k)
-	if v, _, _ := g.Admit(now, replayguard.Message{Key: k, Stamp: now.Add(-time.Second)}); v != replayguard.AnswerEvicted {
+	g.Import([]replayguard.EntryState{{Key: k, LastTimestamp: now.Unix() - 2, Running: true, Digest: make([]byte, 32)}}, 0, now.Unix()+5, 0)
+	g.CompleteUncached(k)
+	if v, _, _ := g.Admit(now, replayguard.Message{Key: k, Timestamp: now.Add(-time.Second)}); v != replayguard.AnswerEvicted {
 		t.Errorf("verdict %v: lost is wanted, neither run again nor given", v)
 	}
 }
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -155,7 +155,7 @@
 	t.Helper()
 	if endpoint != "" {
 		var err error
-		if secret, err = signing.Derive(secret, endpoint); err != nil {
+		if secret, err = signing.DeriveSecret(secret, endpoint); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -163,7 +163,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := signing.Message{ID: id, Stamp: strconv.FormatInt(at.Unix(), 10), Body: []byte(body)}
+	m := signing.Message{ID: id, Timestamp: strconv.FormatInt(at.Unix(), 10), Body: []byte(body)}
 	s, err := k.Sign(m)
 	if err != nil {
 		t.Fatal(err)
@@ -175,7 +175,7 @@
 	header := append(http1.Header{
 		{Name: "Host", Value: "c"},
 		{Name: "webhook-id", Value: m.signed.ID},
-		{Name: "webhook-timestamp", Value: m.signed.Stamp},
+		{Name: "webhook-timestamp", Value: m.signed.Timestamp},
 		{Name: "webhook-signature", Value: m.signature},
 	}, m.extra...)
 	return http1.AppendRequest(nil, &http1.Request{
@@ -233,7 +233,7 @@
 	}
 	if s := resp.Header.Get("webhook-signature"); s != "" {
 		signed := signing.Message{
-			ID: resp.Header.Get("webhook-id"), Stamp: resp.Header.Get("webhook-timestamp"), Body: resp.Body,
+			ID: resp.Header.Get("webhook-id"), Timestamp: resp.Header.Get("webhook-timestamp"), Body: resp.Body,
 		}
 		if signed.ID != signing.AnswerID(a.outcome, m.signed.ID) || !m.key.Verify(signed, s) {
 			t.Errorf("the signature of answer %v does not verify", a)
--- a/internal/gateway/path_test.go
+++ b/internal/gateway/path_test.go
@@ -139,7 +139,7 @@
 	quote := &gateway.Function{Name: "quote", ID: id, MemoryMB: 100, Lanes: 2}
 	addr := startIngress(t, g, clk, quote, key)
 	body := `{"nights":3}`
-	m := signing.Message{ID: "msg_1", Stamp: strconv.FormatInt(time.Now().Unix(), 10), Body: []byte(body)}
+	m := signing.Message{ID: "msg_1", Timestamp: strconv.FormatInt(time.Now().Unix(), 10), Body: []byte(body)}
 	sig, err := key.Sign(m)
 	if err != nil {
 		t.Fatal(err)
@@ -147,7 +147,7 @@
 	post := func() *http.Response {
 		req, _ := http.NewRequest("POST", "http://"+addr+"/call/quote", strings.NewReader(body))
 		req.Header.Set("webhook-id", m.ID)
-		req.Header.Set("webhook-timestamp", m.Stamp)
+		req.Header.Set("webhook-timestamp", m.Timestamp)
 		req.Header.Set("webhook-signature", sig)
 		resp, err := http.DefaultClient.Do(req)
 		if err != nil {
@@ -161,7 +161,7 @@
 	if resp.StatusCode != 200 || string(got[:n]) != body {
 		t.Fatalf("%d %q", resp.StatusCode, got[:n])
 	}
-	a := signing.Message{ID: resp.Header.Get("webhook-id"), Stamp: resp.Header.Get("webhook-timestamp"), Body: got[:n]}
+	a := signing.Message{ID: resp.Header.Get("webhook-id"), Timestamp: resp.Header.Get("webhook-timestamp"), Body: got[:n]}
 	if a.ID != signing.AnswerID("served", "msg_1") || !key.Verify(a, resp.Header.Get("webhook-signature")) {
 		t.Errorf("the answer's signature does not verify: %q", a.ID)
 	}
--- a/internal/harness/proxybench/bench_test.go
+++ b/internal/harness/proxybench/bench_test.go
@@ -217,14 +217,14 @@
 
 func (c *client) call(t testing.TB) bool {
 	c.n++
-	m := signing.Message{ID: c.id + strconv.Itoa(c.n), Stamp: strconv.FormatInt(time.Now().Unix(), 10), Body: callBody}
+	m := signing.Message{ID: c.id + strconv.Itoa(c.n), Timestamp: strconv.FormatInt(time.Now().Unix(), 10), Body: callBody}
 	s, err := c.key.Sign(m)
 	if err != nil {
 		t.Fatal(err)
 	}
 	c.buf = http1.AppendRequest(c.buf[:0], &http1.Request{Method: "POST", Target: "/call/f-" + strconv.Itoa(c.n%functions), Body: callBody, Header: http1.Header{
 		{Name: "Host", Value: "x"}, {Name: "Content-Type", Value: "application/json"}, {Name: "webhook-id", Value: m.ID},
-		{Name: "webhook-timestamp", Value: m.Stamp}, {Name: "webhook-signature", Value: s}}})
+		{Name: "webhook-timestamp", Value: m.Timestamp}, {Name: "webhook-signature", Value: s}}})
 	if _, err := c.nc.Write(c.buf); err != nil {
 		t.Error(err)
 		return false
--- a/internal/harness/scalebench/registry.go
+++ b/internal/harness/scalebench/registry.go
@@ -112,7 +112,7 @@
 }
 
 func scaleKey(name string) (*signing.Key, error) {
-	text, err := signing.Derive(scaleSecret, name)
+	text, err := signing.DeriveSecret(scaleSecret, name)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/harness/scenario/client.go
+++ b/internal/harness/scenario/client.go
@@ -145,7 +145,7 @@
 // attempt makes one attempt by a signed webhook, and checks its answer.
 func (l *load) attempt(p plan, t *target, w *wire, stamp int64, end time.Duration, rng *rand.Rand) (outcome string, retryAfter time.Duration) {
 	rec, now := l.record(p, t, end, rng)
-	m := signing.Message{ID: rec.Key, Stamp: strconv.FormatInt(stamp, 10), Body: fmt.Appendf(nil, `{"n":%d,"work_ms":%.3f}`, p.n, p.work)}
+	m := signing.Message{ID: rec.Key, Timestamp: strconv.FormatInt(stamp, 10), Body: fmt.Appendf(nil, `{"n":%d,"work_ms":%.3f}`, p.n, p.work)}
 	key := t.keys[p.tenant]
 	signature, err := key.Sign(m)
 	if err != nil {
@@ -153,7 +153,7 @@
 	}
 	req := &http1.Request{Method: "POST", Target: "/call/" + p.function, Body: m.Body, Header: http1.Header{
 		{Name: "Host", Value: t.name}, {Name: "Content-Type", Value: "application/json"}, {Name: "webhook-id", Value: m.ID},
-		{Name: "webhook-timestamp", Value: m.Stamp}, {Name: "webhook-signature", Value: signature},
+		{Name: "webhook-timestamp", Value: m.Timestamp}, {Name: "webhook-signature", Value: signature},
 		{Name: "traceparent", Value: "00-" + rec.Request + "-00000000000000c1-01"},
 		{Name: "x-envoy-upstream-rq-timeout-ms", Value: strconv.FormatInt((end - now).Milliseconds(), 10)}}}
 	l.log.Add(rec)
@@ -207,7 +207,7 @@
 	if stopping := outcome == "refused" && resp.Close; stopping {
 		return
 	}
-	answer := signing.Message{ID: resp.Header.Get("webhook-id"), Stamp: resp.Header.Get("webhook-timestamp"), Body: resp.Body}
+	answer := signing.Message{ID: resp.Header.Get("webhook-id"), Timestamp: resp.Header.Get("webhook-timestamp"), Body: resp.Body}
 	if answer.ID == signing.AnswerID(outcome, question.ID) && key.Verify(answer, resp.Header.Get("webhook-signature")) {
 		return
 	}
--- a/internal/harness/scenario/setup.go
+++ b/internal/harness/scenario/setup.go
@@ -132,7 +132,7 @@
 	for i := range p.controllers {
 		t := &target{name: controllerName(i), hooked: p.hooked(i) > 0}
 		for _, secret := range p.secrets {
-			own, err := signing.Derive(secret, t.name)
+			own, err := signing.DeriveSecret(secret, t.name)
 			if err != nil {
 				return nil, err
 			}
--- a/internal/hookengine/golden_test.go
+++ b/internal/hookengine/golden_test.go
@@ -47,7 +47,7 @@
 // openStore opens a store in a folder and gives what it holds.
 func openStore(t *testing.T, folder string) (log *store.Log, snapshot []byte, records [][]byte) {
 	t.Helper()
-	log, _, err := store.Open(store.Dir(folder), store.Options{MaxRecord: 16 << 20, MaxGroup: 32 << 20},
+	log, _, err := store.Open(store.Dir(folder), store.Options{MaxRecordBytes: 16 << 20, MaxGroupBytes: 32 << 20},
 		func(_ uint64, state []byte) error { snapshot = append([]byte(nil), state...); return nil },
 		func(_ uint64, payload []byte) error {
 			records = append(records, append([]byte(nil), payload...))
--- a/internal/hookengine/notify.go
+++ b/internal/hookengine/notify.go
@@ -181,7 +181,7 @@
 		return nil, err
 	}
 	stamp := strconv.FormatInt(n.clock.Wall().Unix(), 10)
-	message := signing.Message{ID: notice.id, Stamp: stamp, Body: body}
+	message := signing.Message{ID: notice.id, Timestamp: stamp, Body: body}
 	signature, err := target.Key.Sign(message)
 	if err != nil {
 		return nil, err
@@ -192,7 +192,7 @@
 		{Name: "Content-Type", Value: "application/json"},
 		{Name: "Connection", Value: "close"},
 		{Name: "webhook-id", Value: message.ID},
-		{Name: "webhook-timestamp", Value: message.Stamp},
+		{Name: "webhook-timestamp", Value: message.Timestamp},
 		{Name: "webhook-signature", Value: signature},
 	}}, nil
 }
--- a/internal/hookengine/notify_test.go
+++ b/internal/hookengine/notify_test.go
@@ -31,7 +31,7 @@
 	srv := &http1.Server{Handler: http1.HandlerFunc(func(_ *http1.Conn, r *http1.Request) *http1.Response {
 		mu.Lock()
 		defer mu.Unlock()
-		m := signing.Message{ID: r.Header.Get("webhook-id"), Stamp: r.Header.Get("webhook-timestamp"), Body: r.Body}
+		m := signing.Message{ID: r.Header.Get("webhook-id"), Timestamp: r.Header.Get("webhook-timestamp"), Body: r.Body}
 		if !key.Verify(m, r.Header.Get("webhook-signature")) || r.Path() != "/n" {
 			t.Errorf("%s: not signed", r.Target)
 		}
--- a/internal/hookengine/storage.go
+++ b/internal/hookengine/storage.go
@@ -41,7 +41,7 @@
 // restore opens the log, and runs the scripts that it holds.
 func (e *Engine) restore() error {
 	stored := snapshot{States: map[string]json.RawMessage{}}
-	options := store.Options{MaxRecord: 16 << 20, MaxGroup: 32 << 20}
+	options := store.Options{MaxRecordBytes: 16 << 20, MaxGroupBytes: 32 << 20}
 	log, recovered, err := store.Open(e.config.FS, options,
 		func(_ uint64, text []byte) error { return json.Unmarshal(text, &stored) },
 		func(sequence uint64, text []byte) error {
@@ -61,7 +61,7 @@
 		return err
 	}
 	e.log = log
-	e.sequence = recovered.Last
+	e.sequence = recovered.LastSeq
 	e.states = stored.States
 	e.lifecycle.Scripts = stored.Scripts
 	e.lifecycle.Last = stored.Last
--- a/internal/ingress/webhook/call.go
+++ b/internal/ingress/webhook/call.go
@@ -151,7 +151,7 @@
 	if f.inFlight[key] == call {
 		delete(f.inFlight, key)
 	}
-	f.guard.Ended(key, cached)
+	f.guard.Complete(key, cached)
 	if f.onEnd != nil {
 		f.onEnd(key, cached)
 	}
--- a/internal/ingress/webhook/gate.go
+++ b/internal/ingress/webhook/gate.go
@@ -44,7 +44,7 @@
 		return f.signed(m.sender, answerResponse(gateway.Answer{Kind: gateway.Failed, Verdict: verdict}))
 	}
 	f.mu.Lock()
-	f.guard.Withdraw(m.key) // a retry is executed anew
+	f.guard.InvalidateAnswer(m.key) // a retry is executed anew
 	f.mu.Unlock()
 	return f.signed(m.sender, answerResponse(gateway.Answer{Kind: gateway.Rejected, Verdict: verdict}))
 }
--- a/internal/ingress/webhook/golden_test.go
+++ b/internal/ingress/webhook/golden_test.go
@@ -35,10 +35,10 @@
 	for name, state := range map[string]State{
 		"state.json": {
 			Known: []replayguard.EntryState{{
-				Key:     replayguard.Key{Client: 1, ID: "msg_a"},
-				Last:    5,
-				Digest:  []byte{1, 2},
-				Running: true,
+				Key:           replayguard.Key{Client: 1, ID: "msg_a"},
+				LastTimestamp: 5,
+				Digest:        []byte{1, 2},
+				Running:       true,
 			}},
 			Barrier: 6,
 			Durable: 7,
--- a/internal/ingress/webhook/handover.go
+++ b/internal/ingress/webhook/handover.go
@@ -46,14 +46,14 @@
 func (f *Front) Ended(key replayguard.Key, answer replayguard.Answer) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.guard.Ended(key, answer)
+	f.guard.Complete(key, answer)
 }
 
 // EndedUncached reports the end of such a call whose answer is not handed over.
 func (f *Front) EndedUncached(key replayguard.Key) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.guard.EndedUncached(key)
+	f.guard.CompleteUncached(key)
 }
 
 // Abandoned reports that the previous process has ended with these calls in flight: what became of them is not known.
--- a/internal/ingress/webhook/message.go
+++ b/internal/ingress/webhook/message.go
@@ -68,13 +68,13 @@
 	case replayguard.Replay:
 		f.Counts.Replayed.Add(1)
 		return problem(409, "replayed", "this message was taken before", nil)
-	case replayguard.Reused:
+	case replayguard.IDReused:
 		f.Counts.Reused.Add(1)
 		return problem(422, "reused", "the webhook-id was used for another call", nil)
 	case replayguard.Stale, replayguard.Early:
 		f.Counts.Stale.Add(1)
 		return problem(401, "forged", "webhook-timestamp is too old or too far ahead", nil)
-	case replayguard.Unsettled:
+	case replayguard.PossibleReplay:
 		f.Counts.Unsettled.Add(1)
 		return refused("this message may have been taken before a restart: sign it again with the present time",
 			t.retryAfter)
@@ -116,7 +116,7 @@
 
 // take has the replay guard judge a message, after the end of a pause; false if a successor is to serve it.
 func (f *Front) take(m message) (t taken, ok bool) {
-	signed := replayguard.Message{Key: m.key, Stamp: m.stamp, Digest: m.digest()}
+	signed := replayguard.Message{Key: m.key, Timestamp: m.stamp, Digest: m.digest()}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for f.resumed != nil {
--- a/internal/ingress/webhook/response.go
+++ b/internal/ingress/webhook/response.go
@@ -110,16 +110,16 @@
 		return resp
 	}
 	m := signing.Message{
-		ID:    signing.AnswerID(outcomeOf(resp), to.id),
-		Stamp: strconv.FormatInt(f.cfg.Clock.Wall().Unix(), 10),
-		Body:  resp.Body,
+		ID:        signing.AnswerID(outcomeOf(resp), to.id),
+		Timestamp: strconv.FormatInt(f.cfg.Clock.Wall().Unix(), 10),
+		Body:      resp.Body,
 	}
 	signature, err := to.signKey.Sign(m)
 	if err != nil {
 		return resp
 	}
 	resp.Header.Add("webhook-id", m.ID)
-	resp.Header.Add("webhook-timestamp", m.Stamp)
+	resp.Header.Add("webhook-timestamp", m.Timestamp)
 	resp.Header.Add("webhook-signature", signature)
 	return resp
 }
--- a/internal/ingress/webhook/verify.go
+++ b/internal/ingress/webhook/verify.go
@@ -30,10 +30,10 @@
 	}
 	stamp := h.Get("webhook-timestamp")
 	var ok bool
-	if from.stamp, ok = signing.ParseStamp(stamp); !ok {
+	if from.stamp, ok = signing.ParseTimestamp(stamp); !ok {
 		return from, "webhook-timestamp is not a time in seconds"
 	}
-	m := signing.Message{ID: from.id, Stamp: stamp, Body: r.Body}
+	m := signing.Message{ID: from.id, Timestamp: stamp, Body: r.Body}
 	signatures := h.Get("webhook-signature")
 	for i, client := range *f.clients.Load() {
 		for _, key := range client.Keys {
@@ -55,5 +55,5 @@
 // of answers.
 func validID(id string) bool {
 	return id != "" && len(id) <= maxIDBytes && !strings.ContainsAny(id, ". \t") &&
-		!strings.HasPrefix(id, signing.AnswerPrefix)
+		!strings.HasPrefix(id, signing.AnswerIDPrefix)
 }
--- a/internal/outbox/outbox.go
+++ b/internal/outbox/outbox.go
@@ -58,9 +58,9 @@
 	return o.send(message)
 }
 
-// Begin hands a message over as Send does, but only if its first byte is written at once; otherwise nothing of it
-// ever is, and Begin returns false.
-func (o *Outbox) Begin(message []byte) (end uint64, ok bool) {
+// TrySend hands a message over as Send does, but only if its first byte is written at once; otherwise nothing of it
+// ever is, and TrySend returns false.
+func (o *Outbox) TrySend(message []byte) (end uint64, ok bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.flushing || o.finished || o.closed || o.raw == nil {
@@ -233,8 +233,8 @@
 	o.close()
 }
 
-// Busy reports whether anything waits for the reader.
-func (o *Outbox) Busy() bool {
+// HasPending reports whether anything waits for the reader.
+func (o *Outbox) HasPending() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.flushing
--- a/internal/outbox/outbox_test.go
+++ b/internal/outbox/outbox_test.go
@@ -49,8 +49,8 @@
 		}
 		last = end
 	}
-	if !o.Busy() || o.Written(last) {
-		t.Fatalf("2 MB were written to a reader that reads nothing: busy %v, written %v", o.Busy(), o.Written(last))
+	if !o.HasPending() || o.Written(last) {
+		t.Fatalf("2 MB were written to a reader that reads nothing: busy %v, written %v", o.HasPending(), o.Written(last))
 	}
 	got := make([]byte, want.Len())
 	if _, err := io.ReadFull(theirs, got); err != nil {
@@ -113,13 +113,13 @@
 	m := bytes.Repeat([]byte("x"), 100<<10)
 	sum := 0
 	for { // until a part waits, or the kernel takes nothing
-		if _, ok := o.Begin(m); !ok {
+		if _, ok := o.TrySend(m); !ok {
 			break
 		}
 		sum += len(m)
 	}
 	for range 3 {
-		if _, ok := o.Begin([]byte("never")); ok {
+		if _, ok := o.TrySend([]byte("never")); ok {
 			t.Fatal("a message was begun while bytes wait")
 		}
 	}
@@ -127,10 +127,10 @@
 	if _, err := io.ReadFull(theirs, got); err != nil || bytes.Contains(got, []byte("never")) {
 		t.Fatalf("%v, or a message that was not begun arrived", err)
 	}
-	for o.Busy() {
+	for o.HasPending() {
 		runtime.Gosched()
 	}
-	if end, ok := o.Begin([]byte("last")); !ok || end != uint64(sum+4) {
+	if end, ok := o.TrySend([]byte("last")); !ok || end != uint64(sum+4) {
 		t.Errorf("end %d, %v, want %d", end, ok, sum+4)
 	}
 	if _, err := io.ReadFull(theirs, got[:4]); err != nil || string(got[:4]) != "last" {
@@ -199,15 +199,15 @@
 		ours, theirs := pair(t)
 		o := New(ours, 8<<20, time.Minute)
 		want := bytes.Repeat([]byte("x"), size)
-		if _, ok := o.Send(want); !ok || o.Busy() != (size > 10) {
-			t.Fatalf("%d bytes: sent %v, busy %v", size, ok, o.Busy())
+		if _, ok := o.Send(want); !ok || o.HasPending() != (size > 10) {
+			t.Fatalf("%d bytes: sent %v, busy %v", size, ok, o.HasPending())
 		}
 		o.Finish()
 		o.Finish()
 		if _, ok := o.Send([]byte("more")); ok {
 			t.Error("a message is accepted after Finish")
 		}
-		if _, ok := o.Begin([]byte("more")); ok {
+		if _, ok := o.TrySend([]byte("more")); ok {
 			t.Error("a message is begun after Finish")
 		}
 		if got, err := io.ReadAll(theirs); err != nil || !bytes.Equal(got, want) {
--- a/internal/registry/client/client.go
+++ b/internal/registry/client/client.go
@@ -93,7 +93,7 @@
 
 // newRequest returns a signed request.
 func (c *Client) newRequest(path, id string, header http1.Header, body []byte) (*http1.Request, error) {
-	m := signing.Message{ID: id, Stamp: strconv.FormatInt(c.Wall().Unix(), 10), Body: body}
+	m := signing.Message{ID: id, Timestamp: strconv.FormatInt(c.Wall().Unix(), 10), Body: body}
 	signature, err := c.Key.Sign(m)
 	if err != nil {
 		return nil, err
@@ -103,7 +103,7 @@
 		{Name: "User-Agent", Value: "kitehub/" + c.Name},
 		{Name: "Content-Type", Value: "application/json"},
 		{Name: "webhook-id", Value: id},
-		{Name: "webhook-timestamp", Value: m.Stamp},
+		{Name: "webhook-timestamp", Value: m.Timestamp},
 		{Name: "webhook-signature", Value: signature},
 	}
 	return &http1.Request{Method: "POST", Target: path, Body: body, Header: append(all, header...)}, nil
@@ -121,9 +121,9 @@
 // verify checks that a response is signed for the request of an id.
 func (c *Client) verify(resp *http1.Response, id string) error {
 	m := signing.Message{
-		ID:    resp.Header.Get("webhook-id"),
-		Stamp: resp.Header.Get("webhook-timestamp"),
-		Body:  resp.Body,
+		ID:        resp.Header.Get("webhook-id"),
+		Timestamp: resp.Header.Get("webhook-timestamp"),
+		Body:      resp.Body,
 	}
 	isAnswer := m.ID == signing.AnswerID(strconv.Itoa(resp.Status), id)
 	if isAnswer && c.Key.Verify(m, resp.Header.Get("webhook-signature")) {
--- a/internal/registry/client/client_test.go
+++ b/internal/registry/client/client_test.go
@@ -17,7 +17,7 @@
 // registryKey returns a key that the client and the server share, or another one.
 func registryKey(t *testing.T, name string) *signing.Key {
 	t.Helper()
-	text, err := signing.Derive("whsec_MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw", name)
+	text, err := signing.DeriveSecret("whsec_MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw", name)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,9 +55,9 @@
 func signedAnswer(t *testing.T, key *signing.Key, id string, status int, body string) *http1.Response {
 	t.Helper()
 	m := signing.Message{
-		ID:    signing.AnswerID(strconv.Itoa(status), id),
-		Stamp: strconv.FormatInt(time.Now().Unix(), 10),
-		Body:  []byte(body),
+		ID:        signing.AnswerID(strconv.Itoa(status), id),
+		Timestamp: strconv.FormatInt(time.Now().Unix(), 10),
+		Body:      []byte(body),
 	}
 	signature, err := key.Sign(m)
 	if err != nil {
@@ -65,7 +65,7 @@
 	}
 	header := http1.Header{
 		{Name: "webhook-id", Value: m.ID},
-		{Name: "webhook-timestamp", Value: m.Stamp},
+		{Name: "webhook-timestamp", Value: m.Timestamp},
 		{Name: "webhook-signature", Value: signature},
 	}
 	return &http1.Response{Status: status, Header: header, Body: m.Body}
--- a/internal/registry/service/golden_answers_test.go
+++ b/internal/registry/service/golden_answers_test.go
@@ -43,7 +43,7 @@
 func newGoldenAnswers(s *script) *goldenAnswers {
 	keys := map[string]*signing.Key{}
 	for _, name := range []string{"ann", "c1", "eve"} {
-		text, err := signing.Derive("whsec_MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw", name)
+		text, err := signing.DeriveSecret("whsec_MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw", name)
 		if err != nil {
 			s.t.Fatal(err)
 		}
@@ -63,14 +63,14 @@
 	t := a.script.t
 	t.Helper()
 	stamp := strconv.FormatInt(a.script.clock.Wall().Unix(), 10)
-	message := signing.Message{ID: r.id, Stamp: stamp, Body: []byte(r.body)}
+	message := signing.Message{ID: r.id, Timestamp: stamp, Body: []byte(r.body)}
 	signature, err := a.keys[r.caller].Sign(message)
 	if err != nil {
 		t.Fatal(err)
 	}
 	header := http1.Header{
 		{Name: "webhook-id", Value: message.ID},
-		{Name: "webhook-timestamp", Value: message.Stamp},
+		{Name: "webhook-timestamp", Value: message.Timestamp},
 		{Name: "webhook-signature", Value: signature},
 	}
 	if r.match != "" {
--- a/internal/registry/service/golden_test.go
+++ b/internal/registry/service/golden_test.go
@@ -226,12 +226,12 @@
 	select {
 	case <-renamed: // and Close waits for what is left of it
 	case <-time.After(time.Minute):
-		t.Fatalf("no snapshot after %d records", s.log.Seq())
+		t.Fatalf("no snapshot after %d records", s.log.DurableSeq())
 	}
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
-	want := store.Recovered{Snapshot: recordsBeforeSnapshot, Last: recordsBeforeSnapshot}
+	want := store.Recovered{SnapshotSeq: recordsBeforeSnapshot, LastSeq: recordsBeforeSnapshot}
 	if recovered := s.open(1000, nil); *recovered != want {
 		t.Fatalf("before the snapshot: %+v", *recovered)
 	}
@@ -270,7 +270,7 @@
 		t.Fatal(err)
 	}
 	_, records := payloads(t, goldenFolder)
-	if recovered.Snapshot != recordsBeforeSnapshot || recovered.Records != len(records) || recovered.Cut != 0 {
+	if recovered.SnapshotSeq != recordsBeforeSnapshot || recovered.ReplayedRecords != len(records) || recovered.DiscardedBytes != 0 {
 		t.Errorf("recovered: %+v, want %d records behind %d", *recovered, len(records), recordsBeforeSnapshot)
 	}
 	for name, old := range goldenfile.Files(t, goldenFolder) {
--- a/internal/registry/service/handler.go
+++ b/internal/registry/service/handler.go
@@ -43,9 +43,9 @@
 		resp.Header.Add("Allow", "POST")
 		return resp
 	}
-	message := signing.Message{ID: r.Header.Get("webhook-id"), Stamp: r.Header.Get("webhook-timestamp"), Body: r.Body}
+	message := signing.Message{ID: r.Header.Get("webhook-id"), Timestamp: r.Header.Get("webhook-timestamp"), Body: r.Body}
 	caller, key := f.authenticate(message, r.Header.Get("webhook-signature"))
-	stamp, ok := signing.ParseStamp(message.Stamp)
+	stamp, ok := signing.ParseTimestamp(message.Timestamp)
 	if caller == nil || !ok || !validID(message.ID) {
 		return problem(401, "forged", "no signature is valid")
 	}
@@ -73,23 +73,23 @@
 // be sent back as a request.
 func validID(id string) bool {
 	return id != "" && len(id) <= maxIDLength && !strings.ContainsRune(id, '.') &&
-		!strings.HasPrefix(id, signing.AnswerPrefix)
+		!strings.HasPrefix(id, signing.AnswerIDPrefix)
 }
 
 // sign adds the signature of a response, which is bound to its request by the id. Without a signature the client
 // rejects the response.
 func (f *Handler) sign(resp *http1.Response, key *signing.Key, requestID string) {
 	m := signing.Message{
-		ID:    signing.AnswerID(strconv.Itoa(resp.Status), requestID),
-		Stamp: strconv.FormatInt(f.service.cfg.Clock.Wall().Unix(), 10),
-		Body:  resp.Body,
+		ID:        signing.AnswerID(strconv.Itoa(resp.Status), requestID),
+		Timestamp: strconv.FormatInt(f.service.cfg.Clock.Wall().Unix(), 10),
+		Body:      resp.Body,
 	}
 	signature, err := key.Sign(m)
 	if err != nil {
 		return
 	}
 	resp.Header.Add("webhook-id", m.ID)
-	resp.Header.Add("webhook-timestamp", m.Stamp)
+	resp.Header.Add("webhook-timestamp", m.Timestamp)
 	resp.Header.Add("webhook-signature", signature)
 }
 
--- a/internal/registry/service/service.go
+++ b/internal/registry/service/service.go
@@ -91,14 +91,14 @@
 		log:             log,
 		clockOffset:     state.Now - cfg.Clock.Now(),
 		state:           state,
-		applied:         recovered.Last,
+		applied:         recovered.LastSeq,
 		changed:         make(chan struct{}),
 		lastNack:        map[string]string{},
 		deadlineChanged: make(chan struct{}, 1),
 		closed:          make(chan struct{}),
 	}
 	s.appliedCond = sync.NewCond(&s.mu)
-	s.leases = registry.NewLeases(cfg.Settings, s.now(), recovered.Last == 0)
+	s.leases = registry.NewLeases(cfg.Settings, s.now(), recovered.LastSeq == 0)
 	s.deadlineDone.Add(1)
 	go s.deadlineLoop()
 	return s, recovered, nil
--- a/internal/registry/service/service_test.go
+++ b/internal/registry/service/service_test.go
@@ -40,7 +40,7 @@
 // secret returns the key of a caller.
 func secret(t testing.TB, name string) *signing.Key {
 	t.Helper()
-	text, err := signing.Derive("whsec_MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw", name)
+	text, err := signing.DeriveSecret("whsec_MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw", name)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/replayguard/guard.go
+++ b/internal/replayguard/guard.go
@@ -21,8 +21,8 @@
 // A Message is one whose signature has been verified.
 type Message struct {
 	Key
-	Stamp  time.Time // when the client signed it; whole seconds count
-	Digest [32]byte  // of the signed body and the function that it calls
+	Timestamp time.Time // when the client signed it; whole seconds count
+	Digest    [32]byte  // of the signed body and the function that it calls
 }
 
 // A Verdict is what to do with a message.
@@ -30,17 +30,17 @@
 
 // New, Retry, Join, Cached and AnswerEvicted accept the message; the other verdicts reject it.
 const (
-	New           Verdict = iota + 1 // execute it
-	Retry                            // execute it again: the earlier attempt was rejected before it had any effect
-	Join                             // an earlier attempt is in flight: wait for its answer
-	Cached                           // an earlier attempt has ended: send its cached answer
-	AnswerEvicted                    // an earlier attempt has ended, but its answer is not cached
-	Replay                           // this message, or a newer one with its id, was accepted before
-	Reused                           // the id was used with another body or for another function
-	Stale                            // the timestamp is too old
-	Early                            // the timestamp is too far ahead
-	Unsettled                        // it may have been accepted before a restart: retry with a newer timestamp
-	AtCapacity                       // as many ids as allowed are remembered
+	New            Verdict = iota + 1 // execute it
+	Retry                             // execute it again: the earlier attempt was rejected before it had any effect
+	Join                              // an earlier attempt is in flight: wait for its answer
+	Cached                            // an earlier attempt has ended: send its cached answer
+	AnswerEvicted                     // an earlier attempt has ended, but its answer is not cached
+	Replay                            // this message, or a newer one with its id, was accepted before
+	IDReused                          // the id was used with another body or for another function
+	Stale                             // the timestamp is too old
+	Early                             // the timestamp is too far ahead
+	PossibleReplay                    // it may have been accepted before a restart: retry with a newer timestamp
+	AtCapacity                        // as many ids as allowed are remembered
 )
 
 // An Answer is how a call ended.
@@ -109,7 +109,7 @@
 	if verdict, retryAfter := g.reject(m); verdict != 0 {
 		return verdict, Answer{}, retryAfter
 	}
-	stamp := m.Stamp.Unix()
+	stamp := m.Timestamp.Unix()
 	g.highest = max(g.highest, stamp)
 	known := g.entries[m.Key]
 	if known == nil {
@@ -135,7 +135,7 @@
 // reject returns the verdict on a message that is not accepted, and how long the client should wait; 0 if the
 // message is accepted.
 func (g *Guard) reject(m Message) (verdict Verdict, retryAfter time.Duration) {
-	stamp := m.Stamp.Unix()
+	stamp := m.Timestamp.Unix()
 	known := g.entries[m.Key]
 	switch {
 	case stamp <= g.oldestAccepted():
@@ -145,20 +145,20 @@
 	case known != nil && stamp <= known.lastStamp:
 		return Replay, 0
 	case known != nil && known.digest != m.Digest:
-		return Reused, 0
+		return IDReused, 0
 	case known == nil && stamp <= g.barrier:
-		return Unsettled, time.Duration(g.barrier-stamp+1) * time.Second
+		return PossibleReplay, time.Duration(g.barrier-stamp+1) * time.Second
 	case stamp > g.durable: // the watermark is being written, or cannot be
-		return Unsettled, time.Second
+		return PossibleReplay, time.Second
 	case known == nil && len(g.entries) >= g.settings.MaxEntries:
 		return AtCapacity, time.Second
 	}
 	return 0, 0
 }
 
-// Ended reports how a call that was New or Retry ended. The answer is cached if it fits; of a rejection that does
+// Complete reports how a call that was New or Retry ended. The answer is cached if it fits; of a rejection that does
 // not fit, the body alone is left out. It does nothing if no call with this key is in flight.
-func (g *Guard) Ended(key Key, answer Answer) {
+func (g *Guard) Complete(key Key, answer Answer) {
 	known := g.entries[key]
 	if known == nil || !known.running {
 		return
@@ -175,17 +175,17 @@
 	known.answer = answer
 }
 
-// EndedUncached reports that a call that was New or Retry ended, without being rejected, and that its answer is not
+// CompleteUncached reports that a call that was New or Retry ended, without being rejected, and that its answer is not
 // to be cached.
-func (g *Guard) EndedUncached(key Key) {
+func (g *Guard) CompleteUncached(key Key) {
 	if known := g.entries[key]; known != nil && known.running {
 		known.running = false
 		known.answerEvicted = true
 	}
 }
 
-// Withdraw drops a cached answer that no longer holds and was never sent; a retry is then executed again.
-func (g *Guard) Withdraw(key Key) {
+// InvalidateAnswer drops a cached answer that no longer holds and was never sent; a retry is then executed again.
+func (g *Guard) InvalidateAnswer(key Key) {
 	if known := g.entries[key]; known != nil && !known.running {
 		g.dropAnswer(known)
 		known.answer.Rejected = true
--- a/internal/replayguard/guard_test.go
+++ b/internal/replayguard/guard_test.go
@@ -27,7 +27,7 @@
 func at(seconds int64) time.Time { return time.Unix(epoch+seconds, 0) }
 
 func message(id string, stamp int64) Message {
-	return Message{Key: Key{0, id}, Stamp: at(stamp), Digest: [32]byte{1}}
+	return Message{Key: Key{0, id}, Timestamp: at(stamp), Digest: [32]byte{1}}
 }
 
 // newGuard returns a guard that found no watermark, and whose first one has been written.
@@ -51,7 +51,7 @@
 	saveWatermark(g, now)
 	verdict, cached, _ := g.Admit(at(now), m)
 	if verdict != want {
-		t.Errorf("at %d, %s stamped %d: verdict %v, want %v", now, m.ID, m.Stamp.Unix()-epoch, verdict, want)
+		t.Errorf("at %d, %s stamped %d: verdict %v, want %v", now, m.ID, m.Timestamp.Unix()-epoch, verdict, want)
 	}
 	return cached
 }
@@ -70,7 +70,7 @@
 	expect(t, g, 100, message("a", 100), New)
 	other := message("a", 102)
 	other.Digest = [32]byte{2}
-	expect(t, g, 102, other, Reused)
+	expect(t, g, 102, other, IDReused)
 }
 
 func TestIDsAreUniqueWithinClientOnly(t *testing.T) {
@@ -84,7 +84,7 @@
 func TestRetryAfterEndGetsCachedAnswer(t *testing.T) {
 	g := newGuard(102)
 	expect(t, g, 102, message("a", 102), New)
-	g.Ended(Key{0, "a"}, Answer{Status: 200, Body: []byte("served")})
+	g.Complete(Key{0, "a"}, Answer{Status: 200, Body: []byte("served")})
 	if cached := expect(t, g, 103, message("a", 103), Cached); string(cached.Body) != "served" {
 		t.Errorf("cached answer %q", cached.Body)
 	}
@@ -93,7 +93,7 @@
 func TestRetryAfterRejectionIsExecutedOnce(t *testing.T) {
 	g := newGuard(103)
 	expect(t, g, 103, message("b", 103), New)
-	g.Ended(Key{0, "b"}, Answer{Rejected: true, Status: 503})
+	g.Complete(Key{0, "b"}, Answer{Rejected: true, Status: 503})
 	expect(t, g, 104, message("b", 104), Retry)
 	expect(t, g, 104, message("b", 104), Replay)
 	expect(t, g, 104, message("b", 105), Join)
@@ -110,9 +110,9 @@
 func TestAnswerThatDoesNotFitIsNotCached(t *testing.T) {
 	g := newGuard(102)
 	expect(t, g, 102, message("a", 102), New)
-	g.Ended(Key{0, "a"}, Answer{Status: 200, Body: []byte("served")})
+	g.Complete(Key{0, "a"}, Answer{Status: 200, Body: []byte("served")})
 	expect(t, g, 106, message("big", 106), New)
-	g.Ended(Key{0, "big"}, Answer{Status: 200, Body: make([]byte, 95)}) // 6 + 95 bytes are over the limit
+	g.Complete(Key{0, "big"}, Answer{Status: 200, Body: make([]byte, 95)}) // 6 + 95 bytes are over the limit
 	expect(t, g, 107, message("big", 107), AnswerEvicted)
 }
 
@@ -122,7 +122,7 @@
 		expect(t, g, 107, message(fmt.Sprint("id", i), 107), New)
 	}
 	expect(t, g, 107, message("further", 107), AtCapacity)
-	g.Ended(Key{0, "id0"}, Answer{Status: 200})
+	g.Complete(Key{0, "id0"}, Answer{Status: 200})
 	expect(t, g, 400, message("further", 400), New)
 	// The calls in flight stay, and the new one takes the place of the one that ended.
 	if n := g.Len(); n != settings.MaxEntries {
@@ -148,10 +148,10 @@
 	g = NewGuard(settings, at(101), watermark)
 	saveWatermark(g, 101)
 	verdict, _, retryAfter := g.Admit(at(101), message("a", 104))
-	if verdict != Unsettled || retryAfter != 6*time.Second {
+	if verdict != PossibleReplay || retryAfter != 6*time.Second {
 		t.Errorf("after the crash: verdict %v, retry after %v", verdict, retryAfter)
 	}
-	expect(t, g, 105, message("a", 109), Unsettled)
+	expect(t, g, 105, message("a", 109), PossibleReplay)
 	expect(t, g, 106, message("a", 110), New)
 }
 
@@ -163,20 +163,20 @@
 	if !watermark.Equal(at(110)) {
 		t.Errorf("final watermark %v, want %v", watermark, at(110))
 	}
-	if verdict, _, _ := g.Admit(at(107), message("z", 111)); verdict != Unsettled {
+	if verdict, _, _ := g.Admit(at(107), message("z", 111)); verdict != PossibleReplay {
 		t.Errorf("message above the final watermark: verdict %v", verdict)
 	}
 
 	g = NewGuard(settings, at(50), watermark) // the machine's clock was set back by a minute meanwhile
 	saveWatermark(g, 50)
-	if verdict, _, _ := g.Admit(at(50), message("a", 50)); verdict != Unsettled {
+	if verdict, _, _ := g.Admit(at(50), message("a", 50)); verdict != PossibleReplay {
 		t.Errorf("clock set back: verdict %v", verdict)
 	}
 }
 
 func TestWatermarkThatCannotBeWrittenRejectsMessagesAboveIt(t *testing.T) {
 	g := newGuard(100)
-	if verdict, _, _ := g.Admit(at(120), message("a", 120)); verdict != Unsettled {
+	if verdict, _, _ := g.Admit(at(120), message("a", 120)); verdict != PossibleReplay {
 		t.Errorf("watermark not written for 20 s: verdict %v", verdict)
 	}
 }
@@ -245,7 +245,7 @@
 			continue
 		}
 		rejected := rapid.Bool().Draw(t, "rejected")
-		c.guard.Ended(Key{0, id}, Answer{Rejected: rejected})
+		c.guard.Complete(Key{0, id}, Answer{Rejected: rejected})
 		c.retryable[id] = rejected
 		delete(c.running, id)
 		return
@@ -256,7 +256,7 @@
 func (c *crashable) send(t *rapid.T) {
 	id := string(rune('a' + rapid.IntRange(0, 3).Draw(t, "id")))
 	m := message(id, c.now+int64(rapid.IntRange(-65, 7).Draw(t, "skew")))
-	name := fmt.Sprint(id, m.Stamp.Unix())
+	name := fmt.Sprint(id, m.Timestamp.Unix())
 	verdict, _, _ := c.guard.Admit(at(c.now), m)
 	switch verdict {
 	case New, Retry:
--- a/internal/signing/sign.go
+++ b/internal/signing/sign.go
@@ -77,10 +77,10 @@
 	return &Key{macs: &sync.Pool{New: func() any { return hmac.New(sha256.New, raw) }}}
 }
 
-// Derive returns the text of the secret that an endpoint shares with a client, from the client's common secret
+// DeriveSecret returns the text of the secret that an endpoint shares with a client, from the client's common secret
 // (HKDF-SHA256, RFC 5869, with the endpoint's name as info). Endpoints with secrets of their own cannot be sent
 // each other's messages.
-func Derive(secret, endpoint string) (string, error) {
+func DeriveSecret(secret, endpoint string) (string, error) {
 	rest, ok := strings.CutPrefix(secret, "whsec_")
 	raw, err := base64.StdEncoding.DecodeString(rest)
 	if !ok || err != nil {
@@ -95,9 +95,9 @@
 
 // Message is the content that is signed, in its parts.
 type Message struct {
-	ID    string // without dots, as the parts are joined by them
-	Stamp string // unix seconds, decimal
-	Body  []byte
+	ID        string // without dots, as the parts are joined by them
+	Timestamp string // unix seconds, decimal
+	Body      []byte
 }
 
 // CanSign tells whether the key signs as well as verifies.
@@ -117,7 +117,7 @@
 
 // content returns the bytes that are signed.
 func (m Message) content() []byte {
-	return bytes.Join([][]byte{[]byte(m.ID), []byte(m.Stamp), m.Body}, []byte("."))
+	return bytes.Join([][]byte{[]byte(m.ID), []byte(m.Timestamp), m.Body}, []byte("."))
 }
 
 // appendMAC appends the MAC of a message, without a copy of its body.
@@ -128,7 +128,7 @@
 	var head [160]byte
 	b := append(head[:0], m.ID...)
 	b = append(b, '.')
-	b = append(b, m.Stamp...)
+	b = append(b, m.Timestamp...)
 	h.Write(append(b, '.'))
 	h.Write(m.Body)
 	return h.Sum(to)
@@ -177,9 +177,9 @@
 	return 0
 }
 
-// ParseStamp parses a timestamp, in unix seconds above 0. It is strict: another text for the same time would make
+// ParseTimestamp parses a timestamp, in unix seconds above 0. It is strict: another text for the same time would make
 // another message.
-func ParseStamp(s string) (time.Time, bool) {
+func ParseTimestamp(s string) (time.Time, bool) {
 	n, err := strconv.ParseInt(s, 10, 64)
 	if err != nil || n <= 0 || strconv.FormatInt(n, 10) != s {
 		return time.Time{}, false
@@ -187,9 +187,9 @@
 	return time.Unix(n, 0), true
 }
 
-// AnswerPrefix begins the ids under which answers are signed. A request with such an id must be rejected: a signed
+// AnswerIDPrefix begins the ids under which answers are signed. A request with such an id must be rejected: a signed
 // answer could otherwise be sent back as a request.
-const AnswerPrefix = "answer_"
+const AnswerIDPrefix = "answer_"
 
 // AnswerID returns the webhook-id of the answer with an outcome (served, refused, failed, ...) to a request.
-func AnswerID(outcome, id string) string { return AnswerPrefix + outcome + "_" + id }
+func AnswerID(outcome, id string) string { return AnswerIDPrefix + outcome + "_" + id }
--- a/internal/signing/sign_test.go
+++ b/internal/signing/sign_test.go
@@ -18,7 +18,7 @@
 	exampleSignature = "v1,g0hM9SsE+OTPJTGt/tmIKtSyZlE3uFJELVlNIOLJ1OE="
 )
 
-var example = Message{ID: "msg_p5jXN8AQM9LWM0D4loKWxJek", Stamp: "1614265330", Body: []byte(`{"test": 2432232314}`)}
+var example = Message{ID: "msg_p5jXN8AQM9LWM0D4loKWxJek", Timestamp: "1614265330", Body: []byte(`{"test": 2432232314}`)}
 
 func key(t testing.TB, text string) *Key {
 	t.Helper()
@@ -48,7 +48,7 @@
 	}
 	now := time.Now()
 	for _, body := range []string{"", "{}", strings.Repeat("x", 100000), "\x00\xff.\n"} {
-		m := Message{ID: "msg_1", Stamp: strconv.FormatInt(now.Unix(), 10), Body: []byte(body)}
+		m := Message{ID: "msg_1", Timestamp: strconv.FormatInt(now.Unix(), 10), Body: []byte(body)}
 		ours, err := k.Sign(m)
 		if err != nil {
 			t.Fatal(err)
@@ -59,7 +59,7 @@
 		}
 		h := http.Header{}
 		h.Set("webhook-id", m.ID)
-		h.Set("webhook-timestamp", m.Stamp)
+		h.Set("webhook-timestamp", m.Timestamp)
 		h.Set("webhook-signature", ours)
 		if err := lib.Verify(m.Body, h); err != nil {
 			t.Errorf("%d bytes: the library refuses ours: %v", len(body), err)
@@ -111,8 +111,8 @@
 			t.Errorf("%s: %v, want %v", tt.name, got, tt.want)
 		}
 	}
-	for name, m := range map[string]Message{"id": {"msg_x", example.Stamp, example.Body}, "stamp": {example.ID, "1614265331", example.Body},
-		"body": {example.ID, example.Stamp, []byte("{}")}} {
+	for name, m := range map[string]Message{"id": {"msg_x", example.Timestamp, example.Body}, "stamp": {example.ID, "1614265331", example.Body},
+		"body": {example.ID, example.Timestamp, []byte("{}")}} {
 		if shared.Verify(m, exampleSignature) || pk.Verify(m, v1a) {
 			t.Errorf("verifies with another %s", name)
 		}
@@ -134,12 +134,12 @@
 
 // A secret derived for one endpoint neither equals the common one nor that of another endpoint.
 func TestDerive(t *testing.T) {
-	a, err := Derive(exampleSecret, "c1")
+	a, err := DeriveSecret(exampleSecret, "c1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, _ := Derive(exampleSecret, "c2")
-	again, _ := Derive(exampleSecret, "c1")
+	b, _ := DeriveSecret(exampleSecret, "c2")
+	again, _ := DeriveSecret(exampleSecret, "c1")
 	if a == b || a == exampleSecret || a != again {
 		t.Error(a, b, again)
 	}
@@ -147,18 +147,18 @@
 	if key(t, b).Verify(example, s) || !key(t, a).Verify(example, s) {
 		t.Error("a message to one endpoint verifies at another")
 	}
-	if _, err := Derive("whpk_AAAA", "c1"); err == nil {
+	if _, err := DeriveSecret("whpk_AAAA", "c1"); err == nil {
 		t.Error("derived from a public key")
 	}
 }
 
 func TestParseStamp(t *testing.T) {
 	for _, s := range []string{"", "0", "-1", "+1", "01", "1.0", " 1", "1e3", "99999999999999999999"} {
-		if _, ok := ParseStamp(s); ok {
+		if _, ok := ParseTimestamp(s); ok {
 			t.Errorf("%q was taken", s)
 		}
 	}
-	if at, ok := ParseStamp("1614265330"); !ok || at.Unix() != 1614265330 {
+	if at, ok := ParseTimestamp("1614265330"); !ok || at.Unix() != 1614265330 {
 		t.Error(at, ok)
 	}
 }
--- a/internal/store/append.go
+++ b/internal/store/append.go
@@ -18,8 +18,8 @@
 // After ErrBroken, or when ctx ends while the record is being written, the next Open may or may not find the
 // record; after any other error it will not.
 func (l *Log) Append(ctx context.Context, payload []byte) (uint64, error) {
-	if len(payload) > l.options.MaxRecord {
-		return 0, fmt.Errorf("store: record of %d bytes, at most %d", len(payload), l.options.MaxRecord)
+	if len(payload) > l.options.MaxRecordBytes {
+		return 0, fmt.Errorf("store: record of %d bytes, at most %d", len(payload), l.options.MaxRecordBytes)
 	}
 	p := &pending{payload: payload, done: make(chan error, 1)}
 	select {
@@ -68,7 +68,7 @@
 	if l.options.SyncEachRecord {
 		return group
 	}
-	for size := len(first.payload); size < l.options.MaxGroup; {
+	for size := len(first.payload); size < l.options.MaxGroupBytes; {
 		select {
 		case p := <-l.queue:
 			group = append(group, p)
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -77,7 +77,7 @@
 	if !slices.Equal(got, want) {
 		t.Errorf("got  %q\nwant %q", got, want)
 	}
-	if *recovered != (Recovered{Snapshot: 2, Records: 4, Last: 6}) {
+	if *recovered != (Recovered{SnapshotSeq: 2, ReplayedRecords: 4, LastSeq: 6}) {
 		t.Errorf("recovered: %+v", *recovered)
 	}
 	for name, old := range goldenfile.Files(t, goldenFolder) {
@@ -86,8 +86,8 @@
 		}
 	}
 	add(t, log, "seventh")
-	if log.Seq() != 7 {
-		t.Errorf("the next record has the number %d, want 7", log.Seq())
+	if log.DurableSeq() != 7 {
+		t.Errorf("the next record has the number %d, want 7", log.DurableSeq())
 	}
 }
 
--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -29,12 +29,12 @@
 			}
 		}
 	}
-	l.snapshotSeq = rec.Snapshot
-	l.writtenSeq = rec.Snapshot
+	l.snapshotSeq = rec.SnapshotSeq
+	l.writtenSeq = rec.SnapshotSeq
 	if err := l.replayLogs(logs, rec, apply); err != nil {
 		return nil, err
 	}
-	rec.Last = l.writtenSeq
+	rec.LastSeq = l.writtenSeq
 	l.durableSeq = l.writtenSeq
 	if l.fileName == "" {
 		return rec, l.startFile(l.writtenSeq)
@@ -65,7 +65,7 @@
 			recordSeq(record) != seq {
 			return &CorruptError{name, fileHeaderSize, "snapshot is damaged"}
 		}
-		rec.Snapshot = seq
+		rec.SnapshotSeq = seq
 		return restore(seq, record[recordHeaderSize:])
 	}
 	return nil
@@ -76,7 +76,7 @@
 func (l *Log) replayLogs(logs []uint64, rec *Recovered, apply func(uint64, []byte) error) error {
 	for i, before := range logs {
 		later := logs[i+1:]
-		if len(later) > 0 && later[0] <= rec.Snapshot {
+		if len(later) > 0 && later[0] <= rec.SnapshotSeq {
 			continue // the snapshot includes all of it: a crash came before it was removed
 		}
 		if before > l.writtenSeq {
@@ -148,7 +148,7 @@
 		if err != nil {
 			return false
 		}
-		if len(b) > fileHeaderSize && findRecord(b[fileHeaderSize:], l.options.MaxRecord, 0) {
+		if len(b) > fileHeaderSize && findRecord(b[fileHeaderSize:], l.options.MaxRecordBytes, 0) {
 			return false
 		}
 	}
--- a/internal/store/recover_test.go
+++ b/internal/store/recover_test.go
@@ -74,7 +74,7 @@
 			var corrupt *CorruptError
 			switch {
 			case i >= lastAt:
-				if err != nil || !slices.Equal(got, want[:5]) || rec.Cut != int64(len(b)-lastAt) {
+				if err != nil || !slices.Equal(got, want[:5]) || rec.DiscardedBytes != int64(len(b)-lastAt) {
 					t.Fatalf("byte %d bit %d of the last record: %q %v", i, bit, got, err)
 				}
 				l.Close()
@@ -103,7 +103,7 @@
 			case 2:
 				h.drawCapacity()
 			case 3:
-				if seq := h.log.Seq(); int(seq) == len(h.acked) {
+				if seq := h.log.DurableSeq(); int(seq) == len(h.acked) {
 					h.log.Snapshot(seq, []byte(strings.Join(h.acked, "\n")))
 				}
 			default:
--- a/internal/store/replay.go
+++ b/internal/store/replay.go
@@ -32,7 +32,7 @@
 	buf := make([]byte, 0, 4096)
 	for {
 		var ok bool
-		buf, ok, err = readRecord(r, buf, end.seq+1, l.options.MaxRecord)
+		buf, ok, err = readRecord(r, buf, end.seq+1, l.options.MaxRecordBytes)
 		switch {
 		case err != nil:
 			return end, err
@@ -51,7 +51,7 @@
 			return end, fmt.Errorf("store: record %d: %w", end.seq, err)
 		}
 		l.writtenSeq = end.seq
-		rec.Records++
+		rec.ReplayedRecords++
 	}
 }
 
@@ -61,7 +61,7 @@
 	var header [fileHeaderSize]byte
 	n, err := io.ReadFull(r, header[:])
 	if err != nil {
-		rec.Cut += int64(n)
+		rec.DiscardedBytes += int64(n)
 		return false, ignoreEOF(err)
 	}
 	if isFileHeader(header[:], logMagic, before) {
@@ -71,10 +71,10 @@
 	if err != nil {
 		return false, err
 	}
-	if findRecord(rest, l.options.MaxRecord, 0) {
+	if findRecord(rest, l.options.MaxRecordBytes, 0) {
 		return false, &CorruptError{logName(before), 0, "no head of a log, but records behind it"}
 	}
-	rec.Cut += int64(fileHeaderSize + len(rest))
+	rec.DiscardedBytes += int64(fileHeaderSize + len(rest))
 	return false, nil
 }
 
@@ -108,11 +108,11 @@
 	}
 	rest = append(slices.Clone(read), rest...)
 	damaged := end.seq + 1
-	if findRecord(rest[1:], l.options.MaxRecord, damaged) {
+	if findRecord(rest[1:], l.options.MaxRecordBytes, damaged) {
 		what := fmt.Sprintf("record %d is damaged, and a later one shows that it was committed", damaged)
 		return &CorruptError{name, end.offset, what}
 	}
-	rec.Cut += int64(len(rest))
+	rec.DiscardedBytes += int64(len(rest))
 	return nil
 }
 
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -50,22 +50,22 @@
 
 // Options bound a log. Their zero values are the defaults.
 type Options struct {
-	MaxRecord int // payload of one record, in bytes; 0: 1 MiB
-	MaxGroup  int // payloads from which a group takes no further record, in bytes; 0: 4 MiB
-	MaxQueued int // appends that wait for a group; further ones block. 0: 1024
+	MaxRecordBytes   int // payload of one record, in bytes; 0: 1 MiB
+	MaxGroupBytes    int // payloads from which a group takes no further record, in bytes; 0: 4 MiB
+	MaxQueuedAppends int // appends that wait for a group; further ones block. 0: 1024
 	// SyncEachRecord makes groups of one record: only to measure what groups gain.
 	SyncEachRecord bool
 }
 
 func (o Options) withDefaults() Options {
-	if o.MaxRecord == 0 {
-		o.MaxRecord = 1 << 20
+	if o.MaxRecordBytes == 0 {
+		o.MaxRecordBytes = 1 << 20
 	}
-	if o.MaxGroup == 0 {
-		o.MaxGroup = 4 << 20
+	if o.MaxGroupBytes == 0 {
+		o.MaxGroupBytes = 4 << 20
 	}
-	if o.MaxQueued == 0 {
-		o.MaxQueued = 1024
+	if o.MaxQueuedAppends == 0 {
+		o.MaxQueuedAppends = 1024
 	}
 	return o
 }
@@ -82,12 +82,12 @@
 type CorruptError struct {
 	File   string
 	Offset int64 // byte of the file at which the damaged part begins
-	What   string
+	Reason string
 }
 
 // Error returns the place and the kind of the damage, and what to do.
 func (e *CorruptError) Error() string {
-	return fmt.Sprintf("store: %s at byte %d: %s: restore the folder from a copy", e.File, e.Offset, e.What)
+	return fmt.Sprintf("store: %s at byte %d: %s: restore the folder from a copy", e.File, e.Offset, e.Reason)
 }
 
 // A Log is open for appending. It is safe for concurrent use.
@@ -118,10 +118,10 @@
 
 // Recovered is what Open found.
 type Recovered struct {
-	Snapshot uint64 // sequence number of the snapshot; 0: none
-	Records  int    // applied behind it
-	Last     uint64 // sequence number of the last record
-	Cut      int64  // bytes cut off the end of the log
+	SnapshotSeq     uint64 // sequence number of the snapshot; 0: none
+	ReplayedRecords int    // applied behind it
+	LastSeq         uint64 // sequence number of the last record
+	DiscardedBytes  int64  // bytes cut off the end of the log
 }
 
 // Open recovers a log and opens it for appending. It calls restore with the newest snapshot, if there is one, then
@@ -133,7 +133,7 @@
 	apply func(seq uint64, payload []byte) error,
 ) (*Log, *Recovered, error) {
 	opt = opt.withDefaults()
-	l := &Log{folder: fs, options: opt, queue: make(chan *pending, opt.MaxQueued), quit: make(chan struct{})}
+	l := &Log{folder: fs, options: opt, queue: make(chan *pending, opt.MaxQueuedAppends), quit: make(chan struct{})}
 	rec, err := l.recover(restore, apply)
 	if err != nil {
 		return nil, nil, err
@@ -143,15 +143,15 @@
 	return l, rec, nil
 }
 
-// Seq returns the sequence number of the last durable record; 0: there is none.
-func (l *Log) Seq() uint64 {
+// DurableSeq returns the sequence number of the last durable record; 0: there is none.
+func (l *Log) DurableSeq() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.durableSeq
 }
 
-// Counts returns how many groups and records were committed since Open.
-func (l *Log) Counts() (groups, records uint64) {
+// CommitCounts returns how many groups and records were committed since Open.
+func (l *Log) CommitCounts() (groups, records uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.groups, l.records
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -31,7 +31,7 @@
 		payloads = append(payloads, string(payload))
 		return nil
 	}
-	l, rec, err := Open(fs, Options{MaxRecord: 4096}, restore, apply)
+	l, rec, err := Open(fs, Options{MaxRecordBytes: 4096}, restore, apply)
 	return l, payloads, rec, err
 }
 
@@ -124,7 +124,7 @@
 	}
 	close(release)
 	wg.Wait()
-	if g, r := l.Counts(); g != 2 || r != 101 {
+	if g, r := l.CommitCounts(); g != 2 || r != 101 {
 		t.Errorf("%d groups of %d records, want 2 of 101", g, r)
 	}
 	l.Close()
