--- a/internal/backend/frame/conn.go
+++ b/internal/backend/frame/conn.go
@@ -62,7 +62,7 @@
 	return connState{
 		inFlight: len(c.inFlight),
 		lastUsed: c.lastUsed,
-		suspect:  c.pingSentAt > 0 || c.closed || c.out.Busy(),
+		suspect:  c.pingSentAt > 0 || c.closed || c.out.HasPending(),
 		used:     c.started > 0,
 		idTaken:  inFlight || ended,
 	}
@@ -80,7 +80,7 @@
 	if len(c.inFlight) == 0 {
 		c.lastReceived = now
 	}
-	end, ok := c.out.Begin(frame)
+	end, ok := c.out.TrySend(frame)
 	if !ok { // the first byte must not be queued: the worker may begin to drain before it is sent
 		return false
 	}
--- a/internal/registry/service/golden_exchanges_test.go
+++ b/internal/registry/service/golden_exchanges_test.go
@@ -43,7 +43,7 @@
 func newExchangeRecorder(s *scenario) *exchangeRecorder {
 	keys := map[string]*signing.Key{}
 	for _, name := range []string{"ann", "c1", "eve"} {
-		text, err := signing.Derive("whsec_MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw", name)
+		text, err := signing.DeriveSecret("whsec_MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw", name)
 		if err != nil {
 			s.t.Fatal(err)
 		}
@@ -63,14 +63,14 @@
 	t := r.scenario.t
 	t.Helper()
 	stamp := strconv.FormatInt(r.scenario.clock.Wall().Unix(), 10)
-	message := signing.Message{ID: request.id, Stamp: stamp, Body: []byte(request.body)}
+	message := signing.Message{ID: request.id, Timestamp: stamp, Body: []byte(request.body)}
 	signature, err := r.keys[request.client].Sign(message)
 	if err != nil {
 		t.Fatal(err)
 	}
 	header := http1.Header{
 		{Name: "webhook-id", Value: message.ID},
-		{Name: "webhook-timestamp", Value: message.Stamp},
+		{Name: "webhook-timestamp", Value: message.Timestamp},
 		{Name: "webhook-signature", Value: signature},
 	}
 	if request.match != "" {
