--- a/cmd/kitehub/registryserve.go
+++ b/cmd/kitehub/registryserve.go
@@ -57,7 +57,7 @@
 		return fmt.Errorf("listen: %w", err)
 	}
 	srv := &http1.Server{
-		Handler: service.NewHandler(svc, b.Callers, time.Duration(b.MaxAgeMS)*time.Millisecond),
+		Handler: service.NewHandler(svc, b.Clients, time.Duration(b.MaxAgeMS)*time.Millisecond),
 		MaxOpen: b.MaxConnections,
 		Limits:  http1.Limits{Body: maxRegistryBody, Idle: time.Minute},
 	}
--- a/cmd/kitehub/serve.go
+++ b/cmd/kitehub/serve.go
@@ -59,7 +59,7 @@
 // which comes by the channel.
 type serveProcess struct {
 	cmd        *serveCmd
-	built      *config.Built
+	built      *config.ControllerConfig
 	log        zerolog.Logger
 	signals    chan os.Signal
 	reloads    chan chan error // an operator waits for the error
@@ -73,7 +73,7 @@
 	crashLoop  bool // the process has crashed too often
 }
 
-func newServeProcess(s *serveCmd, b *config.Built) *serveProcess {
+func newServeProcess(s *serveCmd, b *config.ControllerConfig) *serveProcess {
 	w := lossyLog()
 	p := &serveProcess{
 		cmd:     s,
@@ -144,7 +144,7 @@
 
 // recordStart detects a crash loop, and records this start as one that has not ended well.
 func (p *serveProcess) recordStart() error {
-	dir := filepath.Dir(p.built.ReplayMark)
+	dir := filepath.Dir(p.built.WatermarkFile)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return fmt.Errorf("state_dir: %w", err)
 	}
--- a/cmd/kitehub/tools.go
+++ b/cmd/kitehub/tools.go
@@ -174,7 +174,7 @@
 }
 
 func (c *configCheckCmd) Run() error {
-	var built []*config.Built
+	var built []*config.ControllerConfig
 	var all config.Problems
 	for _, name := range c.Files {
 		b, err := config.Load(name)
@@ -193,7 +193,7 @@
 		}
 	}
 	if len(all) == 0 && len(built) > 1 {
-		if err := config.Across(c.Files, built); err != nil {
+		if err := config.CheckConsistency(c.Files, built); err != nil {
 			return err
 		}
 	}
@@ -209,10 +209,10 @@
 	for i, script := range scripts {
 		if _, err := compileFile(script.File); err != nil {
 			l = append(l, config.Problem{
-				File:   configFile,
-				Field:  fmt.Sprintf("hooks.scripts[%d].file", i),
-				What:   err.Error(),
-				Remedy: "see kitehub hook check",
+				File:    configFile,
+				Field:   fmt.Sprintf("hooks.scripts[%d].file", i),
+				Message: err.Error(),
+				Remedy:  "see kitehub hook check",
 			})
 		}
 	}
--- a/config/build.go
+++ b/config/build.go
@@ -17,7 +17,7 @@
 func ms(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
 
 // Load reads, checks and builds a configuration. What is wrong with its contents is Problems.
-func Load(name string) (*Built, error) {
+func Load(name string) (*ControllerConfig, error) {
 	var c Config
 	f, err := Read(name, &c)
 	if err != nil {
@@ -30,14 +30,14 @@
 type builder struct {
 	file    *File
 	cfg     *Config
-	built   *Built
+	built   *ControllerConfig
 	zone    int            // index of the controller's zone; 0 where there are none
 	tenants map[string]int // indexes by name
 }
 
 // Build checks what the schema cannot say, and maps the rest. Its errors are Problems.
-func Build(f *File, c *Config) (*Built, error) {
-	b := &builder{file: f, cfg: c, built: &Built{}, tenants: map[string]int{}}
+func Build(f *File, c *Config) (*ControllerConfig, error) {
+	b := &builder{file: f, cfg: c, built: &ControllerConfig{}, tenants: map[string]int{}}
 	for _, step := range []func(){
 		b.identity,
 		b.findZone,
@@ -62,7 +62,7 @@
 		return nil, err
 	}
 	if _, err := scheduler.New(b.built.Settings, b.built.Seed); err != nil {
-		f.Problem("", err.Error(), "")
+		f.AddProblem("", err.Error(), "")
 		return nil, f.Err()
 	}
 	return b.built, nil
@@ -79,7 +79,7 @@
 		h.Write([]byte(c.Name))
 		out.Seed = h.Sum64()
 	}
-	out.ReplayMark = filepath.Join(c.StateDir, "replay.mark")
+	out.WatermarkFile = filepath.Join(c.StateDir, "replay.mark")
 	out.StopTimeout = ms(c.StopMs)
 	out.OmitRequestLog = c.GetLog().GetNoRequests()
 	out.LogLevel, _ = zerolog.ParseLevel(c.GetLog().GetLevel()) // the schema admits the known ones only
@@ -87,7 +87,7 @@
 		out.LogLevel = zerolog.InfoLevel
 	}
 	if c.Me >= c.Controllers {
-		b.file.Problem("me", fmt.Sprintf("%d of %d controllers", c.Me, c.Controllers), "number them from 0")
+		b.file.AddProblem("me", fmt.Sprintf("%d of %d controllers", c.Me, c.Controllers), "number them from 0")
 	}
 }
 
@@ -103,7 +103,7 @@
 		}
 	}
 	if b.zone < 0 {
-		b.file.Problem("zone", fmt.Sprintf("%q is not among zones", c.Zone), "add it there")
+		b.file.AddProblem("zone", fmt.Sprintf("%q is not among zones", c.Zone), "add it there")
 	}
 }
 
@@ -123,7 +123,7 @@
 		err = errors.New("a public key does not sign")
 	}
 	if err != nil {
-		b.file.Problem(field, err.Error(), "make a secret with: kitehub key new")
+		b.file.AddProblem(field, err.Error(), "make a secret with: kitehub key new")
 	}
 	b.built.Secrets = append(b.built.Secrets, text)
 	return key
@@ -132,7 +132,7 @@
 func (b *builder) checkTenants() {
 	for i, t := range b.cfg.Tenants {
 		if _, ok := b.tenants[t.Name]; ok {
-			b.file.Problem(fmt.Sprintf("tenants[%d].name", i), fmt.Sprintf("%q twice", t.Name), "names must differ")
+			b.file.AddProblem(fmt.Sprintf("tenants[%d].name", i), fmt.Sprintf("%q twice", t.Name), "names must differ")
 		}
 		b.tenants[t.Name] = i
 	}
@@ -145,7 +145,7 @@
 	}
 	i, ok := b.tenants[name]
 	if !ok {
-		b.file.Problem(field, fmt.Sprintf("%q is not among tenants", name), "add it there or name another")
+		b.file.AddProblem(field, fmt.Sprintf("%q is not among tenants", name), "add it there or name another")
 	}
 	return i
 }
@@ -155,7 +155,7 @@
 	b.built.Peers = map[int]string{}
 	for i, p := range c.Peers {
 		if p.Number >= c.Controllers || p.Number == c.Me {
-			b.file.Problem(fmt.Sprintf("peers[%d].number", i), fmt.Sprintf("%d is not another controller", p.Number),
+			b.file.AddProblem(fmt.Sprintf("peers[%d].number", i), fmt.Sprintf("%d is not another controller", p.Number),
 				"use the others' numbers, from 0")
 		}
 		b.built.Peers[int(p.Number)] = p.Address
@@ -166,11 +166,11 @@
 	for i, class := range b.cfg.Classes {
 		field := fmt.Sprintf("classes[%d]", i)
 		if class.Effect == Effect_KEYED && (class.Scope == Scope_SCOPE_UNSPECIFIED || class.WindowMs == 0) {
-			b.file.Problem(field+".scope", "a keyed class needs a scope and a window_ms",
+			b.file.AddProblem(field+".scope", "a keyed class needs a scope and a window_ms",
 				"say which workers drop repeats, and for how long")
 		}
 		if class.AimMs > class.DeadlineMs {
-			b.file.Problem(field+".aim_ms", fmt.Sprintf("%v is over deadline_ms %v", class.AimMs, class.DeadlineMs),
+			b.file.AddProblem(field+".aim_ms", fmt.Sprintf("%v is over deadline_ms %v", class.AimMs, class.DeadlineMs),
 				"an aim lies within the deadline")
 		}
 	}
@@ -180,7 +180,7 @@
 func (b *builder) checkDeadlines() {
 	for i, class := range b.cfg.Classes {
 		if ms(class.DeadlineMs) > ms(b.cfg.Webhook.PastMs) {
-			b.file.Problem(fmt.Sprintf("classes[%d].deadline_ms", i), "over webhook.past_ms",
+			b.file.AddProblem(fmt.Sprintf("classes[%d].deadline_ms", i), "over webhook.past_ms",
 				"a call must be remembered for as long as it runs: raise past_ms")
 		}
 	}
--- a/config/clients.go
+++ b/config/clients.go
@@ -16,12 +16,12 @@
 	for i, client := range b.cfg.Clients {
 		field := fmt.Sprintf("clients[%d]", i)
 		if names[client.Name] {
-			b.file.Problem(field+".name", fmt.Sprintf("%q twice", client.Name), "names must differ")
+			b.file.AddProblem(field+".name", fmt.Sprintf("%q twice", client.Name), "names must differ")
 		}
 		names[client.Name] = true
 		out := webhook.Client{Name: client.Name, Tenant: b.tenant(field+".tenant", client.Tenant)}
 		if len(client.Keys)+len(client.CommonKeys) == 0 {
-			b.file.Problem(field+".keys", "none", "give keys or common_keys")
+			b.file.AddProblem(field+".keys", "none", "give keys or common_keys")
 		}
 		for j, text := range client.Keys {
 			out.Keys = b.addClientKey(out.Keys, fmt.Sprintf("%s.keys[%d]", field, j), text, keyFields)
@@ -42,16 +42,16 @@
 // addClientKey appends the key of a text by which a client's messages are verified, unless it is wrong.
 func (b *builder) addClientKey(keys []*signing.Key, field, text string, keyFields map[string]string) []*signing.Key {
 	if first, ok := keyFields[text]; ok {
-		b.file.Problem(field, "the same key as "+first, "a key names its client: give each its own")
+		b.file.AddProblem(field, "the same key as "+first, "a key names its client: give each its own")
 	}
 	keyFields[text] = field
 	key, err := signing.ParseKey(text)
 	if err != nil {
-		b.file.Problem(field, err.Error(), "make a secret with: kitehub key new")
+		b.file.AddProblem(field, err.Error(), "make a secret with: kitehub key new")
 		return keys
 	}
 	if strings.HasPrefix(text, "whsk_") {
-		b.file.Problem(field, "a private key", "clients keep theirs: give its whpk_ key")
+		b.file.AddProblem(field, "a private key", "clients keep theirs: give its whpk_ key")
 		return keys
 	}
 	b.built.Secrets = append(b.built.Secrets, text)
@@ -61,12 +61,12 @@
 // deriveKey returns the key of this controller's endpoint, from one that is common to all controllers.
 func (b *builder) deriveKey(field, common string) (own string, ok bool) {
 	if _, err := signing.ParseKey(common); err != nil {
-		b.file.Problem(field, err.Error(), "make a secret with: kitehub key new")
+		b.file.AddProblem(field, err.Error(), "make a secret with: kitehub key new")
 		return "", false
 	}
 	own, err := signing.Derive(common, b.cfg.Name)
 	if err != nil {
-		b.file.Problem(field, err.Error(), "")
+		b.file.AddProblem(field, err.Error(), "")
 		return "", false
 	}
 	return own, true
@@ -79,7 +79,7 @@
 		err = errors.New("not a whsk_ key")
 	}
 	if err != nil {
-		b.file.Problem(field, err.Error(), "make one with: kitehub key new --asymmetric")
+		b.file.AddProblem(field, err.Error(), "make one with: kitehub key new --asymmetric")
 	}
 	return key
 }
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -57,7 +57,7 @@
 guarantees { drain_grace_ms: 500 cold_share: 0.2 cold_ms: 16000 fall_factor: 2 fall_within_ms: 2000 }
 `
 
-func load(t *testing.T, text string) (*Built, error) {
+func load(t *testing.T, text string) (*ControllerConfig, error) {
 	t.Helper()
 	name := filepath.Join(t.TempDir(), "c.textproto")
 	if err := os.WriteFile(name, []byte(text), 0o600); err != nil {
@@ -79,8 +79,8 @@
 	if s.Limits.MaxOpenRequests != 1000 || !s.Loading.LoadsOnMiss {
 		t.Errorf("limits %+v, loading %+v", s.Limits, s.Loading)
 	}
-	if len(b.Specs) != 2 || b.Specs[1].Class != 1 {
-		t.Errorf("functions %+v", b.Specs)
+	if len(b.Functions) != 2 || b.Functions[1].Class != 1 {
+		t.Errorf("functions %+v", b.Functions)
 	}
 	if b.Clients[0].Tenant != 0 || len(b.Clients[0].Keys) != 1 {
 		t.Errorf("client %+v", b.Clients[0])
@@ -161,7 +161,7 @@
 
 // Keys, numbers, names and the count of controllers are checked across files.
 func TestAcrossFindsWhatOnlySeveralFilesShow(t *testing.T) {
-	build := func(change ...string) *Built {
+	build := func(change ...string) *ControllerConfig {
 		b, err := load(t, strings.NewReplacer(append(change, "controllers: 1", "controllers: 2")...).Replace(complete))
 		if err != nil {
 			t.Fatal(err)
@@ -171,16 +171,16 @@
 	common := `common_keys: "` + secret + `"`
 	own := `keys: "` + secret + `"`
 	two := `name: "c2" me: 1`
-	if err := Across([]string{"a", "b"}, []*Built{build(own, common), build(own, common, `name: "c1"`, two)}); err != nil {
+	if err := CheckConsistency([]string{"a", "b"}, []*ControllerConfig{build(own, common), build(own, common, `name: "c1"`, two)}); err != nil {
 		t.Error(err)
 	}
-	for want, pair := range map[string][]*Built{
+	for want, pair := range map[string][]*ControllerConfig{
 		"a message to one could be replayed": {build(), build(`name: "c1"`, two)},
 		"number them from 0":                 {build(own, common), build(own, common, `name: "c1"`, `name: "c2"`)},
 		"names must differ":                  {build(own, common), build(own, common, `name: "c1"`, `name: "c1" me: 1`)},
 		"but 1 files":                        {build(own, common)},
 	} {
-		if err := Across([]string{"a", "b"}, pair); err == nil || !strings.Contains(err.Error(), want) {
+		if err := CheckConsistency([]string{"a", "b"}, pair); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v, want %q", err, want)
 		}
 	}
--- a/config/built.go
+++ b/config/controller.go
@@ -17,13 +17,13 @@
 	"kitehub/scheduler"
 )
 
-// A Built is a checked configuration in the forms that the parts of a controller take. Configurations of running parts
+// A ControllerConfig is a checked configuration in the forms that the parts of a controller take. Configurations of running parts
 // are without what only a running controller has: its gateway, clock and log.
-type Built struct {
-	Name     string
-	Seed     uint64
-	Settings scheduler.Settings
-	Specs    []gateway.FunctionSpec
+type ControllerConfig struct {
+	Name      string
+	Seed      uint64
+	Settings  scheduler.Settings
+	Functions []gateway.FunctionSpec
 	// Peers are the addresses of the other controllers by index.
 	Peers map[int]string
 
@@ -37,8 +37,8 @@
 	MaxConnections int
 	// Secrets are the effective texts of all shared keys, for checks across controllers. They must never be shown.
 	Secrets []string
-	// ReplayMark is the file of the replay guard's watermark. Its folder is the state folder.
-	ReplayMark string
+	// WatermarkFile is the file of the replay guard's watermark. Its folder is the state folder.
+	WatermarkFile string
 
 	Backend   backend.Config
 	Discovery discovery.Config
--- a/config/functions.go
+++ b/config/functions.go
@@ -18,26 +18,26 @@
 	for i, fn := range b.cfg.Functions {
 		field := fmt.Sprintf("functions[%d]", i)
 		if first, ok := indexes[fn.Name]; ok {
-			b.file.Problem(field+".name", fmt.Sprintf("%q is functions[%d] already", fn.Name, first),
+			b.file.AddProblem(field+".name", fmt.Sprintf("%q is functions[%d] already", fn.Name, first),
 				"names must differ")
 		}
 		indexes[fn.Name] = i
 		id := gateway.FunctionID(fn.Name)
 		if other, ok := names[id]; ok && other != fn.Name {
-			b.file.Problem(field+".name", fmt.Sprintf("%q has the same hash as %q", fn.Name, other), "rename one")
+			b.file.AddProblem(field+".name", fmt.Sprintf("%q has the same hash as %q", fn.Name, other), "rename one")
 		}
 		names[id] = fn.Name
 		class, ok := classes[fn.Class]
 		if !ok {
-			b.file.Problem(field+".class", fmt.Sprintf("%q is not among classes", fn.Class),
+			b.file.AddProblem(field+".class", fmt.Sprintf("%q is not among classes", fn.Class),
 				"add it there or name another")
 		}
-		b.built.Specs = append(b.built.Specs, functionSpec(fn, class))
+		b.built.Functions = append(b.built.Functions, functionSpec(fn, class))
 		if fn.Versions && b.cfg.Registry == nil {
-			b.file.Problem(field+".versions", "no registry is named", "add a registry section")
+			b.file.AddProblem(field+".versions", "no registry is named", "add a registry section")
 		}
 		if fn.Versions && strings.HasSuffix(fn.Name, "*") {
-			b.file.Problem(field+".versions", "a model has no star in its name", "name each model")
+			b.file.AddProblem(field+".versions", "a model has no star in its name", "name each model")
 		}
 	}
 }
@@ -47,7 +47,7 @@
 	classes := map[string]int{}
 	for i, class := range b.cfg.Classes {
 		if _, ok := classes[class.Name]; ok {
-			b.file.Problem(fmt.Sprintf("classes[%d].name", i), fmt.Sprintf("%q twice", class.Name), "names must differ")
+			b.file.AddProblem(fmt.Sprintf("classes[%d].name", i), fmt.Sprintf("%q twice", class.Name), "names must differ")
 		}
 		classes[class.Name] = i
 	}
--- a/config/hooks.go
+++ b/config/hooks.go
@@ -11,7 +11,7 @@
 	d := b.cfg.Daemon
 	b.built.Daemon = d
 	if d != nil && (d.Starts > 0) != (d.WithinMs > 0) {
-		b.file.Problem("daemon.starts", "only one of starts and within_ms", "give both or neither")
+		b.file.AddProblem("daemon.starts", "only one of starts and within_ms", "give both or neither")
 	}
 }
 
@@ -36,13 +36,13 @@
 		},
 	}
 	if h.Weight != 0 && h.Weight < 1 {
-		b.file.Problem("hooks.weight", fmt.Sprintf("%v is under 1", h.Weight),
+		b.file.AddProblem("hooks.weight", fmt.Sprintf("%v is under 1", h.Weight),
 			"a factor: weights lie between it and its inverse")
 	}
 	names := map[string]bool{}
 	for i, script := range h.Scripts {
 		if names[script.Name] {
-			b.file.Problem(fmt.Sprintf("hooks.scripts[%d].name", i), fmt.Sprintf("%q twice", script.Name),
+			b.file.AddProblem(fmt.Sprintf("hooks.scripts[%d].name", i), fmt.Sprintf("%q twice", script.Name),
 				"names must differ")
 		}
 		names[script.Name] = true
@@ -56,7 +56,7 @@
 	for i, t := range targets {
 		field := fmt.Sprintf("hooks.targets[%d]", i)
 		if names[t.Name] {
-			b.file.Problem(field+".name", fmt.Sprintf("%q twice", t.Name), "names must differ")
+			b.file.AddProblem(field+".name", fmt.Sprintf("%q twice", t.Name), "names must differ")
 		}
 		names[t.Name] = true
 		b.built.Targets = append(b.built.Targets, hookengine.Target{
--- a/config/load.go
+++ b/config/load.go
@@ -2,7 +2,7 @@
 // config.proto. It exists so that every error is found before anything starts, and names file, line, field and remedy.
 //
 // Read and Parse check a text by the schema's own rules (protovalidate); Load and LoadRegistry also check what no
-// schema can say, and map the settings to the forms that the parts of the program take; Across checks several files
+// schema can say, and map the settings to the forms that the parts of the program take; CheckConsistency checks several files
 // together. Nothing here is shared between goroutines.
 package config
 
@@ -24,11 +24,11 @@
 
 // A Problem is one thing wrong with a file.
 type Problem struct {
-	File   string
-	Line   int    // from 1; 0: not known
-	Field  string // as in "classes[1].aim_ms"; "": the file as a whole
-	What   string // what is wrong
-	Remedy string // what to do; "": that is obvious
+	File    string
+	Line    int    // from 1; 0: not known
+	Field   string // as in "classes[1].aim_ms"; "": the file as a whole
+	Message string // what is wrong
+	Remedy  string // what to do; "": that is obvious
 }
 
 // Error returns one line: file, line, field, what is wrong and the remedy.
@@ -40,7 +40,7 @@
 	if p.Field != "" {
 		s += ": " + p.Field
 	}
-	s += ": " + p.What
+	s += ": " + p.Message
 	if p.Remedy != "" {
 		s += "; " + p.Remedy
 	}
@@ -85,7 +85,7 @@
 // Parse is Read of a text; name is for the errors.
 func Parse(name string, text []byte, m proto.Message) (*File, error) {
 	if len(text) > maxBytes {
-		return nil, Problem{File: name, What: fmt.Sprintf("over %d bytes", maxBytes)}
+		return nil, Problem{File: name, Message: fmt.Sprintf("over %d bytes", maxBytes)}
 	}
 	if err := prototext.Unmarshal(text, m); err != nil {
 		return nil, Problems{syntaxProblem(name, err)}
@@ -98,7 +98,7 @@
 	case errors.As(err, &invalid):
 		for _, violation := range invalid.Violations {
 			field := protovalidate.FieldPathString(violation.Proto.GetField())
-			f.Problem(field, violation.Proto.GetMessage(), "")
+			f.AddProblem(field, violation.Proto.GetMessage(), "")
 		}
 	case err != nil:
 		return nil, err
@@ -109,19 +109,19 @@
 // syntaxProblem takes the position out of an error of prototext.
 func syntaxProblem(name string, err error) Problem {
 	text := strings.ReplaceAll(err.Error(), "\u00a0", " ") // prototext varies its errors by such spaces
-	p := Problem{File: name, What: strings.TrimPrefix(text, "proto: ")}
-	if match := positionPattern.FindStringSubmatchIndex(p.What); match != nil {
-		p.Line, _ = strconv.Atoi(p.What[match[2]:match[3]])
-		p.What = p.What[:match[0]] + p.What[match[1]:]
+	p := Problem{File: name, Message: strings.TrimPrefix(text, "proto: ")}
+	if match := positionPattern.FindStringSubmatchIndex(p.Message); match != nil {
+		p.Line, _ = strconv.Atoi(p.Message[match[2]:match[3]])
+		p.Message = p.Message[:match[0]] + p.Message[match[1]:]
 	}
-	if strings.Contains(p.What, "unknown field") {
+	if strings.Contains(p.Message, "unknown field") {
 		p.Remedy = "see docs/operate.md for the fields"
 	}
 	return p
 }
 
-// Problem adds a problem of a field, which is named as in "classes[1].aim_ms".
-func (f *File) Problem(field, what, remedy string) {
+// AddProblem adds a problem of a field, which is named as in "classes[1].aim_ms".
+func (f *File) AddProblem(field, what, remedy string) {
 	f.problems = append(f.problems, Problem{f.Name, f.line(field), field, what, remedy})
 }
 
--- a/config/network.go
+++ b/config/network.go
@@ -75,11 +75,11 @@
 func (b *builder) discovery() {
 	d := b.cfg.Discovery
 	if (d.File == "") == (d.Server == "") {
-		b.file.Problem("discovery", "not exactly one of file and server", "give one")
+		b.file.AddProblem("discovery", "not exactly one of file and server", "give one")
 	}
 	poll := ms(d.PollMs)
 	if d.File != "" && poll <= 0 {
-		b.file.Problem("discovery.poll_ms", "a file is watched by looking at it", "give the time between two looks")
+		b.file.AddProblem("discovery.poll_ms", "a file is watched by looking at it", "give the time between two looks")
 	}
 	b.built.Discovery = discovery.Config{
 		Node:         b.cfg.Name,
--- a/config/rpc.go
+++ b/config/rpc.go
@@ -30,7 +30,7 @@
 		out.RPCSocketMode = defaultSocketMode
 	}
 	if len(r.Socket) > maxSocketPath {
-		b.file.Problem("rpc.socket", fmt.Sprintf("%d bytes", len(r.Socket)),
+		b.file.AddProblem("rpc.socket", fmt.Sprintf("%d bytes", len(r.Socket)),
 			"the name of a Unix socket has at most some hundred")
 	}
 	out.RPC = &jsonrpc.Config{
@@ -41,7 +41,7 @@
 	}
 	b.rpcUsers(r.Users)
 	if path, ok := strings.CutPrefix(b.cfg.Webhook.Listen, unixPrefix); ok && path == r.Socket {
-		b.file.Problem("rpc.socket", "that of webhook.listen", "each front has its own")
+		b.file.AddProblem("rpc.socket", "that of webhook.listen", "each front has its own")
 	}
 }
 
@@ -62,17 +62,17 @@
 		out := jsonrpc.User{UID: u.Uid, Name: u.Name, Call: u.Call, Operate: u.Operate}
 		if u.Self {
 			if u.Uid != 0 {
-				b.file.Problem(field+".uid", "beside self", "give one")
+				b.file.AddProblem(field+".uid", "beside self", "give one")
 			}
 			out.UID = uint32(os.Getuid())
 		}
 		if uids[out.UID] {
-			b.file.Problem(field+".uid", fmt.Sprintf("%d twice", out.UID), "a user has one entry")
+			b.file.AddProblem(field+".uid", fmt.Sprintf("%d twice", out.UID), "a user has one entry")
 		}
 		uids[out.UID] = true
 		b.checkUserName(field+".name", u.Name, names)
 		if !u.Call && !u.Operate {
-			b.file.Problem(field, "may do nothing", "set call, operate or both")
+			b.file.AddProblem(field, "may do nothing", "set call, operate or both")
 		}
 		out.Tenant = b.tenant(field+".tenant", u.Tenant)
 		b.built.RPC.Users = append(b.built.RPC.Users, out)
@@ -82,12 +82,12 @@
 // checkUserName checks that a user's name is unlike that of another user or client: idempotency keys begin with it.
 func (b *builder) checkUserName(field, name string, users map[string]bool) {
 	if users[name] {
-		b.file.Problem(field, fmt.Sprintf("%q twice", name), "names must differ")
+		b.file.AddProblem(field, fmt.Sprintf("%q twice", name), "names must differ")
 	}
 	users[name] = true
 	for _, client := range b.cfg.Clients {
 		if client.Name == name {
-			b.file.Problem(field, fmt.Sprintf("%q is a client", name),
+			b.file.AddProblem(field, fmt.Sprintf("%q is a client", name),
 				"keys of keyed calls begin with the name: it must differ")
 		}
 	}
--- a/internal/blobfetch/client.go
+++ b/internal/blobfetch/client.go
@@ -115,16 +115,16 @@
 	defer c.plansMu.Unlock()
 	plan.Received(received)
 	if fault == 0 && !plan.Complete() {
-		fault = Broken
+		fault = Interrupted
 	}
 	if fault != 0 {
 		plan.Failed(c.clock.Now(), fault, rand.Float64())
 		return fault
 	}
 	match := verify()
-	plan.Checked(c.clock.Now(), match, rand.Float64())
+	plan.Verified(c.clock.Now(), match, rand.Float64())
 	if !match {
-		return Mismatch
+		return DigestMismatch
 	}
 	return 0
 }
--- a/internal/blobfetch/download.go
+++ b/internal/blobfetch/download.go
@@ -41,7 +41,7 @@
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, "GET", "http://"+r.Store+"/v2/"+d.name+"/blobs/"+d.digest, nil)
 	if err != nil {
-		return Refused
+		return BadStatus
 	}
 	if r.Offset > 0 {
 		req.Header.Set("Range", "bytes="+strconv.FormatInt(r.Offset, 10)+"-")
@@ -61,14 +61,14 @@
 		n, err := resp.Body.Read(buf)
 		idle.Reset(c.idleTimeout)
 		if int64(len(d.blob)+n) > d.size {
-			return Wrong
+			return WrongLength
 		}
 		d.append(buf[:n])
 		if errors.Is(err, io.EOF) {
 			return 0
 		}
 		if err != nil {
-			return Broken
+			return Interrupted
 		}
 	}
 }
@@ -79,19 +79,19 @@
 	switch {
 	case resp.StatusCode == 206 && offset > 0:
 		if resp.Header.Get("Content-Range") != fmt.Sprintf("bytes %d-%d/%d", offset, size-1, size) {
-			return Wrong
+			return WrongLength
 		}
 	case resp.StatusCode == 200: // a store may answer a range with all bytes (RFC 9110 section 14.2)
 		if offset > 0 {
 			if _, err := io.CopyN(io.Discard, resp.Body, offset); err != nil {
-				return Broken
+				return Interrupted
 			}
 		}
 		if resp.ContentLength >= 0 && resp.ContentLength != size {
-			return Wrong
+			return WrongLength
 		}
 	default:
-		return Refused
+		return BadStatus
 	}
 	return 0
 }
--- a/internal/blobfetch/fetch_test.go
+++ b/internal/blobfetch/fetch_test.go
@@ -18,7 +18,7 @@
 
 const ms = time.Millisecond
 
-var settings = blobfetch.Settings{MaxRequests: 60, MinBackoff: ms, MaxBackoff: 4 * ms, BlameBackoff: time.Hour}
+var settings = blobfetch.Settings{MaxRequests: 60, MinBackoff: ms, MaxBackoff: 4 * ms, CorruptBackoff: time.Hour}
 
 // Whatever stores do to a blob, its verified bytes are returned or none are, and stores at fault are not asked again.
 func TestFaults(t *testing.T) {
@@ -102,7 +102,7 @@
 
 // A store that gave wrong bytes is avoided, for longer each time.
 func TestBlameGrows(t *testing.T) {
-	settings := blobfetch.Settings{MaxRequests: 9, MinBackoff: 10 * ms, MaxBackoff: time.Hour, BlameBackoff: time.Second}
+	settings := blobfetch.Settings{MaxRequests: 9, MinBackoff: 10 * ms, MaxBackoff: time.Hour, CorruptBackoff: time.Second}
 	stores := blobfetch.NewStores(settings, []string{"a", "b"})
 	now := time.Duration(0)
 	var asked []string
@@ -120,10 +120,10 @@
 			asked = append(asked, ask.Store)
 			p.Received(10)
 			if match := ask.Store == "b"; match {
-				p.Checked(now, match, 1)
+				p.Verified(now, match, 1)
 				break
 			}
-			p.Checked(now, false, 1)
+			p.Verified(now, false, 1)
 		}
 		now += 1500 * ms // over the first backoff, under the second
 	}
--- a/internal/blobfetch/plan.go
+++ b/internal/blobfetch/plan.go
@@ -20,10 +20,10 @@
 
 // Settings bound a fetch. All must be above 0.
 type Settings struct {
-	MaxRequests  int           // requests of one fetch, to all stores together
-	MinBackoff   time.Duration // backoff from a store after its first failure in a row; doubled with each further one
-	MaxBackoff   time.Duration // bound on every backoff
-	BlameBackoff time.Duration // backoff from a store, for all digests, after it first gave wrong bytes; doubled each time
+	MaxRequests    int           // requests of one fetch, to all stores together
+	MinBackoff     time.Duration // backoff from a store after its first failure in a row; doubled with each further one
+	MaxBackoff     time.Duration // bound on every backoff
+	CorruptBackoff time.Duration // backoff from a store, for all digests, after it first gave wrong bytes; doubled each time
 }
 
 // A Fault is how a request failed.
@@ -31,11 +31,11 @@
 
 // The faults of a request.
 const (
-	Unreachable Fault = iota + 1 // no answer
-	Broken                       // the answer ended before its length
-	Refused                      // a status other than success, 404 included
-	Wrong                        // the answer has another length or range than requested
-	Mismatch                     // the bytes are not those of the digest
+	Unreachable    Fault = iota + 1 // no answer
+	Interrupted                     // the answer ended before its length
+	BadStatus                       // a status other than success, 404 included
+	WrongLength                     // the answer has another length or range than requested
+	DigestMismatch                  // the bytes are not those of the digest
 )
 
 // String returns a few words for logs and errors.
@@ -50,15 +50,15 @@
 	FromStart bool // the bytes received so far are to be dropped first
 }
 
-// A Report is one fault, for an operator.
-type Report struct {
-	Store string
-	Fault Fault
-	At    int64 // bytes received until then
+// A Failure is one fault, for an operator.
+type Failure struct {
+	Store    string
+	Fault    Fault
+	Received int64 // bytes received until then
 }
 
 // A Plan is one fetch of one digest. It is not safe for concurrent use. Next says which request to make; after it,
-// Received says how many bytes came, then Failed or Checked how it ended.
+// Received says how many bytes came, then Failed or Verified how it ended.
 type Plan struct {
 	stores       *Stores
 	size         int64
@@ -68,7 +68,7 @@
 	singleSource bool            // a fetch is not resumed at another store any more
 	excluded     map[string]bool // stores that gave wrong bytes
 	current      string          // store of the last request
-	Reports      []Report        // oldest first
+	Failures     []Failure       // oldest first
 }
 
 // NewPlan returns the plan of a fetch of so many bytes.
@@ -145,7 +145,7 @@
 // summary names each fault of each store once.
 func (p *Plan) summary() string {
 	var faults []string
-	for _, r := range p.Reports {
+	for _, r := range p.Failures {
 		if fault := r.Store + " " + r.Fault.String(); !slices.Contains(faults, fault) {
 			faults = append(faults, fault)
 		}
@@ -162,8 +162,8 @@
 // Failed notes the fault of the last request. draw, from 0 to 1, spreads the backoffs of many workers. Bytes of a
 // request that broke off stay, so that the fetch can be resumed.
 func (p *Plan) Failed(now time.Duration, f Fault, draw float64) {
-	p.Reports = append(p.Reports, Report{p.current, f, p.received})
-	if f == Wrong { // the store does not have what was requested, whatever it has
+	p.Failures = append(p.Failures, Failure{p.current, f, p.received})
+	if f == WrongLength { // the store does not have what was requested, whatever it has
 		p.drop()
 		p.excluded[p.current] = true
 		p.stores.blame(p.current, now, draw)
@@ -178,15 +178,15 @@
 	p.sources = nil
 }
 
-// Checked notes whether the bytes, all received now, have the digest. If not they are dropped.
-func (p *Plan) Checked(now time.Duration, match bool, draw float64) {
+// Verified notes whether the bytes, all received now, have the digest. If not they are dropped.
+func (p *Plan) Verified(now time.Duration, match bool, draw float64) {
 	if match {
 		p.stores.good(p.current)
 		return
 	}
 	sources := p.sources
 	for _, source := range sources {
-		p.Reports = append(p.Reports, Report{source, Mismatch, p.received})
+		p.Failures = append(p.Failures, Failure{source, DigestMismatch, p.received})
 	}
 	p.drop()
 	if len(sources) == 1 {
--- a/internal/blobfetch/stores.go
+++ b/internal/blobfetch/stores.go
@@ -58,7 +58,7 @@
 // blame backs off from a store that gave wrong bytes. Only time ends that: no good answer does.
 func (s *Stores) blame(name string, now time.Duration, draw float64) {
 	if store := s.find(name); store != nil {
-		s.backOff(store, now, s.settings.BlameBackoff, store.blames, draw)
+		s.backOff(store, now, s.settings.CorruptBackoff, store.blames, draw)
 		store.blames++
 	}
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -61,7 +61,7 @@
 	// RPC serves operators and callers on the same machine; nil: none is configured.
 	RPC *jsonrpc.Server
 
-	built   *config.Built
+	built   *config.ControllerConfig
 	options Options
 	log     zerolog.Logger
 
@@ -96,7 +96,7 @@
 
 // Start runs a controller. Its state folder is made if it is missing, and locked against a second controller. On an
 // error nothing is left running.
-func Start(b *config.Built, o Options) (*Controller, error) {
+func Start(b *config.ControllerConfig, o Options) (*Controller, error) {
 	c := &Controller{
 		built:      b,
 		options:    o,
@@ -120,7 +120,7 @@
 
 // SetClients replaces clients and their keys by those of a configuration that was reloaded. Clients may only be added,
 // at the end: their indexes are part of the replay guard's keys. It must not be called concurrently.
-func (c *Controller) SetClients(b *config.Built) error {
+func (c *Controller) SetClients(b *config.ControllerConfig) error {
 	old := c.built.Clients
 	if len(b.Clients) < len(old) {
 		return fmt.Errorf("clients: %d, fewer than the %d that run: take their keys away instead",
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -102,7 +102,7 @@
 }
 
 // configure returns a controller's configuration; changes are pairs of old and new text.
-func (h *harness) configure(name string, changes ...string) *config.Built {
+func (h *harness) configure(name string, changes ...string) *config.ControllerConfig {
 	h.t.Helper()
 	text := fmt.Sprintf(`name: %q controllers: 1 tick_ms: 1 state_dir: %q stop_ms: 5000
 webhook { listen: "127.0.0.1:0" prefix: "/call/" past_ms: 60000 future_ms: 2000 ahead_ms: 1000 remembered: 1000 kept_bytes: 1000000
@@ -132,7 +132,7 @@
 	return b
 }
 
-func (h *harness) start(b *config.Built) *Controller {
+func (h *harness) start(b *config.ControllerConfig) *Controller {
 	h.t.Helper()
 	c, err := Start(b, Options{Clock: h.clock, Log: zerolog.Nop()})
 	if err != nil {
--- a/internal/controller/hooks.go
+++ b/internal/controller/hooks.go
@@ -140,7 +140,7 @@
 
 // loadScripts loads the files as they are now. Of one that is wrong the previous version goes on; the others are
 // loaded.
-func (c *Controller) loadScripts(b *config.Built) error {
+func (c *Controller) loadScripts(b *config.ControllerConfig) error {
 	var errs []error
 	for _, s := range b.Scripts {
 		text, err := os.ReadFile(s.File)
@@ -159,7 +159,7 @@
 }
 
 // SetScripts loads the scripts' files as they are now. Its error names all that are wrong.
-func (c *Controller) SetScripts(b *config.Built) error {
+func (c *Controller) SetScripts(b *config.ControllerConfig) error {
 	if c.hooks.Load() == nil {
 		return nil
 	}
--- a/internal/controller/start.go
+++ b/internal/controller/start.go
@@ -47,7 +47,7 @@
 }
 
 // stateDir is where the replay watermark, the hooks and the lock are.
-func (c *Controller) stateDir() string { return filepath.Dir(c.built.ReplayMark) }
+func (c *Controller) stateDir() string { return filepath.Dir(c.built.WatermarkFile) }
 
 func (c *Controller) lockStateDir() error {
 	if err := os.MkdirAll(c.stateDir(), 0o700); err != nil {
@@ -111,7 +111,7 @@
 	if c.Gateway, err = gateway.New(gc); err != nil {
 		return err
 	}
-	c.functions, err = gateway.NewFunctions(c.Gateway, b.Specs)
+	c.functions, err = gateway.NewFunctions(c.Gateway, b.Functions)
 	return err
 }
 
@@ -164,7 +164,7 @@
 	fc.Gateway = c.Gateway
 	fc.Clock = c.options.Clock
 	fc.Log = c.log
-	fc.Mark = webhook.File(b.ReplayMark)
+	fc.Mark = webhook.File(b.WatermarkFile)
 	fc.Functions = c.functions.Find
 	fc.Deadline = func(class int) time.Duration { return b.Settings.Classes[class].Deadline }
 	fc.Idempotency = func(class int) scheduler.Idempotency { return b.Settings.Classes[class].Idempotency }
--- a/internal/harness/scenario/play.go
+++ b/internal/harness/scenario/play.go
@@ -60,16 +60,16 @@
 	for i, t := range d.Troubles {
 		at := fmt.Sprintf("troubles[%d]", i)
 		if t.AtS >= d.LengthS {
-			f.Problem(at+".at_s", "after the end of the day", "")
+			f.AddProblem(at+".at_s", "after the end of the day", "")
 		}
 		if t.What == What_CLASS_FAILS && !slices.ContainsFunc(d.Classes, func(c *Class) bool { return c.Name == t.Target }) {
-			f.Problem(at+".target", fmt.Sprintf("%q is not among classes", t.Target), "")
+			f.AddProblem(at+".target", fmt.Sprintf("%q is not among classes", t.Target), "")
 		}
 		if t.What == What_TENANT_JUMP && !slices.ContainsFunc(d.Tenants, func(c *Tenant) bool { return c.Name == t.Target }) {
-			f.Problem(at+".target", fmt.Sprintf("%q is not among tenants", t.Target), "")
+			f.AddProblem(at+".target", fmt.Sprintf("%q is not among tenants", t.Target), "")
 		}
 		if t.What == What_ZONE_CUT && !slices.Contains(d.Zones, t.Target) {
-			f.Problem(at+".target", fmt.Sprintf("%q is not among zones", t.Target), "")
+			f.AddProblem(at+".target", fmt.Sprintf("%q is not among zones", t.Target), "")
 		}
 	}
 	return &d, f.Err()
@@ -84,7 +84,7 @@
 	Progress io.Writer // nil: none
 	Log      zerolog.Logger
 	// Spoil, Sink and Handler take a guard out of the controllers, to show that this is caught.
-	Spoil    func(*config.Built)
+	Spoil    func(*config.ControllerConfig)
 	Sink     func(discovery.Sink) discovery.Sink
 	Handler  func(http1.Handler) http1.Handler
 	Models   func(ingress.Models) ingress.Models
--- a/internal/harness/scenario/versions.go
+++ b/internal/harness/scenario/versions.go
@@ -104,7 +104,7 @@
 		// Each worker prefers another store.
 		l := append([]string(nil), stores...)
 		p.rng.Shuffle(len(l), func(i, j int) { l[i], l[j] = l[j], l[i] })
-		v.fetch[name] = blobfetch.NewClient(blobfetch.Settings{MaxRequests: 12, MinBackoff: 5 * time.Millisecond, MaxBackoff: 200 * time.Millisecond, BlameBackoff: time.Second}, l,
+		v.fetch[name] = blobfetch.NewClient(blobfetch.Settings{MaxRequests: 12, MinBackoff: 5 * time.Millisecond, MaxBackoff: 200 * time.Millisecond, CorruptBackoff: time.Second}, l,
 			time.Second, p.clk, zerolog.Nop())
 	}
 	return nil
