--- a/internal/daemon/loop.go
+++ b/internal/daemon/crashloop.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// A CrashLoop detects that the process crashes again and again. It is not safe for concurrent use.
+// A CrashLoop detects that the process crashes repeatedly. It is not safe for concurrent use.
 type CrashLoop struct {
-	MaxStarts int           // starts that ended badly within Window, from which on it is a loop; 0: never
+	MaxStarts int           // number of crashes within Window that make a crash loop; 0: no detection
 	Window    time.Duration // how long a start counts
 	Starts    []Start       // newest last
 }
@@ -17,11 +17,12 @@
 // A Start is one start of the process.
 type Start struct {
 	At    time.Time `json:"at"`
-	Clean bool      `json:"clean"` // it ended by a graceful shutdown or a handover
+	Clean bool      `json:"clean"` // the process ended with a graceful shutdown or a handover
 }
 
-// RecordStart records a start, and returns whether the process is in a crash loop: it should leave out then what may be the
-// cause. A start in the future, by a clock that was set back, counts as one of now.
+// RecordStart records a start and returns whether the process is in a crash loop. In a crash loop the
+// process should start without the components that may cause the crashes. An earlier start that lies
+// in the future, because the clock was set back, counts as recent.
 func (l *CrashLoop) RecordStart(now time.Time) (inLoop bool) {
 	crashes := 0
 	recent := l.Starts[:0]
@@ -35,13 +36,14 @@
 		}
 	}
 	l.Starts = append(recent, Start{At: now})
-	if n := len(l.Starts) - 4*(l.MaxStarts+1); n > 0 { // more say nothing, and the file must not grow
+	// Older starts do not affect the result, and the file must not grow without bound.
+	if n := len(l.Starts) - 4*(l.MaxStarts+1); n > 0 {
 		l.Starts = l.Starts[n:]
 	}
 	return l.MaxStarts > 0 && crashes >= l.MaxStarts
 }
 
-// RecordCleanExit records that the start of a time ended well.
+// RecordCleanExit marks the start at the given time as ended without a crash.
 func (l *CrashLoop) RecordCleanExit(at time.Time) {
 	for i := range l.Starts {
 		if l.Starts[i].At.Equal(at) {
@@ -50,14 +52,15 @@
 	}
 }
 
-// Load reads the starts from a file. One that cannot be read counts as empty: it must not prevent the start.
+// Load reads the starts from a file. A file that cannot be read or parsed counts as empty, as it must
+// not prevent the process from starting.
 func (l *CrashLoop) Load(name string) {
 	if text, err := os.ReadFile(name); err != nil || json.Unmarshal(text, &l.Starts) != nil {
 		l.Starts = nil
 	}
 }
 
-// Save writes the starts to a file, atomically.
+// Save atomically writes the starts to a file.
 func (l *CrashLoop) Save(name string) error {
 	text, err := json.Marshal(l.Starts)
 	if err != nil {
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -12,63 +12,66 @@
 	"time"
 )
 
-// Each side gets each packet at each stage: it takes the right step, and only one of the two ever serves.
+// Each side receives each packet at each stage: it takes the right action, and only one of the two
+// ever serves.
 func TestOnlyOneProcessServes(t *testing.T) {
 	all := []PacketKind{Hello, Sockets, TakeoverRequest, StatePart, StateComplete, StateTaken, Grant, Conn, Answer, Done, Abort, '?'}
-	old := map[PacketKind][]PacketKind{
+	predecessorStages := map[PacketKind][]PacketKind{ // the packets that lead to each stage
 		0:             nil,
 		Sockets:       {Hello},
 		StateComplete: {Hello, TakeoverRequest},
 		Grant:         {Hello, TakeoverRequest, StateTaken},
 	}
-	good := map[string]Action{"0H": OfferSockets, "LR": Pause, "ET": HandOff}
-	for stage, before := range old {
+	allowed := map[string]Action{"0H": OfferSockets, "LR": Pause, "ET": HandOff}
+	for stage, before := range predecessorStages {
 		for _, k := range all {
-			o := &PredecessorProtocol{}
+			p := &PredecessorProtocol{}
 			for _, b := range before {
-				o.OnPacket(b)
+				p.OnPacket(b)
 			}
-			m, err := o.OnPacket(k)
+			action, err := p.OnPacket(k)
 			name := strings.ReplaceAll(fmt.Sprintf("%c%c", stage, k), "\x00", "0")
-			want, ok := good[name]
+			want, ok := allowed[name]
 			switch {
-			case ok && (m != want || err != nil):
-				t.Errorf("old %s: %v, %v", name, m, err)
-			case !ok && stage == Grant && m != Wait:
-				t.Errorf("old %s: %v after Go", name, m)
-			case !ok && stage != Grant && m != Resume:
-				t.Errorf("old %s: %v", name, m)
+			case ok && (action != want || err != nil):
+				t.Errorf("predecessor at %s: action %v, error %v, want %v", name, action, err, want)
+			case !ok && stage == Grant && action != Wait:
+				t.Errorf("predecessor at %s: action %v after Grant, want wait", name, action)
+			case !ok && stage != Grant && action != Resume:
+				t.Errorf("predecessor at %s: action %v, want resume", name, action)
 			}
 		}
 	}
-	steps := []PacketKind{Sockets, StatePart, StateComplete, Grant, Done}
-	for n := range len(steps) + 1 {
-		for _, k := range append(all, 0, 1) { // 0: lost, 1: late
+	const lost, late PacketKind = 0, 1 // stand for OnPeerLost and OnTimeout
+	packets := []PacketKind{Sockets, StatePart, StateComplete, Grant, Done}
+	for n := range len(packets) + 1 {
+		for _, k := range append(all, lost, late) {
 			s := &SuccessorProtocol{}
-			for _, b := range steps[:n] {
+			for _, b := range packets[:n] {
 				s.OnPacket(b)
 			}
-			var m Action
+			var action Action
 			switch k {
-			case 0:
-				m = s.OnPeerLost()
-			case 1:
-				m = s.OnTimeout()
+			case lost:
+				action = s.OnPeerLost()
+			case late:
+				action = s.OnTimeout()
 			default:
-				m, _ = s.OnPacket(k)
+				action, _ = s.OnPacket(k)
 			}
-			serves := m == Serve || m == ServeAlone
-			if may := n == 3 && (k == Grant || k == 0) || n == 4 && k == 0; serves != may {
-				t.Errorf("new after %d steps, %c: %v", n, k, m)
+			serves := action == Serve || action == ServeAlone
+			if may := n == 3 && (k == Grant || k == lost) || n == 4 && k == lost; serves != may {
+				t.Errorf("successor after %d packets, %q: action %v", n, k, action)
 			}
-			if n < 3 && m == TakeState != (n == 2 && k == StateComplete) {
-				t.Errorf("new after %d steps, %c: %v", n, k, m)
+			if n < 3 && action == TakeState != (n == 2 && k == StateComplete) {
+				t.Errorf("successor after %d packets, %q: action %v", n, k, action)
 			}
 		}
 	}
 }
 
-// A supervisor gets the messages of sd_notify(3), and the watchdog only of the process that is named.
+// The supervisor receives the messages of sd_notify(3). The watchdog applies only to the process that
+// WATCHDOG_PID names.
 func TestSupervisorMessages(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "n")
 	c, err := net.ListenUnixgram("unixgram", &net.UnixAddr{Name: name, Net: "unixgram"})
@@ -82,7 +85,7 @@
 		t.Fatal(err, s)
 	}
 	if s, _ := SupervisorFromEnv(func(k string) string { return env[k] }, 8); s.WatchdogInterval() != 0 {
-		t.Error("another's watchdog")
+		t.Error("the watchdog of another process is active")
 	}
 	for _, x := range []struct {
 		err  error
@@ -97,15 +100,15 @@
 		b := make([]byte, 100)
 		c.SetReadDeadline(time.Now().Add(10 * time.Second))
 		if n, err := c.Read(b); x.err != nil || err != nil || string(b[:n]) != x.want {
-			t.Errorf("%v %v %q, %q is wanted", x.err, err, b[:n], x.want)
+			t.Errorf("send error %v, read error %v, message %q, want %q", x.err, err, b[:n], x.want)
 		}
 	}
 	if err := s.Ready("a\nREADY=0"); err == nil {
-		t.Error("a line break is sent")
+		t.Error("a status with a line break was sent")
 	}
 	for _, bad := range []map[string]string{{"NOTIFY_SOCKET": "x"}, {"NOTIFY_SOCKET": "/x", "WATCHDOG_USEC": "-1"}} {
 		if _, err := SupervisorFromEnv(func(k string) string { return bad[k] }, 7); err == nil {
-			t.Errorf("%v is accepted", bad)
+			t.Errorf("invalid environment %v was accepted", bad)
 		}
 	}
 	if s, err := SupervisorFromEnv(func(string) string { return "" }, 7); err != nil || s.Ready("x") != nil {
@@ -113,46 +116,47 @@
 	}
 }
 
-// The file of a living process is neither overwritten nor removed by another.
+// The file of a running process is neither overwritten nor removed by another.
 func TestPIDFile(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "pid")
-	me := os.Getpid()
-	if err := WritePID(name, me); err != nil {
+	self := os.Getpid()
+	if err := WritePID(name, self); err != nil {
 		t.Fatal(err)
 	}
-	if err := WritePID(name, me+1); err == nil {
-		t.Error("the file of a living process is overwritten")
+	if err := WritePID(name, self+1); err == nil {
+		t.Error("the file of a running process was overwritten")
 	}
-	RemovePID(name, me+1)
+	RemovePID(name, self+1)
 	if _, err := os.Stat(name); err != nil {
-		t.Error("another's file is removed")
+		t.Error("the file of another process was removed")
 	}
-	os.WriteFile(name, []byte("2147483646\n"), 0o644) // nobody
-	if err := WritePID(name, me); err != nil {
+	os.WriteFile(name, []byte("2147483646\n"), 0o644) // no such process
+	if err := WritePID(name, self); err != nil {
 		t.Error(err)
 	}
-	if RemovePID(name, me); !os.IsNotExist(func() error { _, err := os.Stat(name); return err }()) {
-		t.Error("it is still there")
+	if RemovePID(name, self); !os.IsNotExist(func() error { _, err := os.Stat(name); return err }()) {
+		t.Error("the process's own file was not removed")
 	}
 }
 
-// Only recent starts that ended badly make a loop; a file that cannot be read counts as empty.
+// Only recent starts that ended in a crash make a crash loop; a file that cannot be parsed counts as
+// empty.
 func TestCrashLoopCountsRecentCrashes(t *testing.T) {
 	l := &CrashLoop{MaxStarts: 3, Window: time.Minute}
 	at := time.Unix(1000, 0)
 	for i, want := range []bool{false, false, false, true, true} {
 		if got := l.RecordStart(at); got != want {
-			t.Errorf("start %d: in a loop %v", i, got)
+			t.Errorf("start %d: in a crash loop: %v, want %v", i, got, want)
 		}
 		at = at.Add(time.Second)
 	}
 	if at = at.Add(time.Hour); l.RecordStart(at) {
-		t.Error("what is long ago counts")
+		t.Error("crashes before the window are counted")
 	}
-	for range 5 { // each ends well
+	for range 5 {
 		l.RecordCleanExit(at)
 		if at = at.Add(time.Second); l.RecordStart(at) {
-			t.Error("a clean end counts")
+			t.Error("clean exits are counted as crashes")
 		}
 	}
 	name := filepath.Join(t.TempDir(), "s")
@@ -169,7 +173,7 @@
 	}
 }
 
-// Packets keep their bounds, and a socket that is sent is the same one.
+// Packet boundaries are preserved, and a received socket is the one that was sent.
 func TestLinkCarriesPacketsAndSockets(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "h")
 	ln, err := ListenLinks(path)
@@ -219,20 +223,20 @@
 	}()
 	var got []byte
 	for {
-		k, p, _, err := b.Receive(10 * time.Second)
+		kind, part, _, err := b.Receive(10 * time.Second)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if k == StateComplete {
+		if kind == StateComplete {
 			break
 		}
-		got = append(got, p...)
+		got = append(got, part...)
 	}
 	if !bytes.Equal(got, text) {
-		t.Errorf("%d bytes of %d", len(got), len(text))
+		t.Errorf("received a state of %d bytes that differs from the %d bytes sent", len(got), len(text))
 	}
 	if err := a.Send(StatePart, make([]byte, MaxPacketBody+1)); err == nil {
-		t.Error("too large a packet is sent")
+		t.Error("a packet beyond the maximum length was sent")
 	}
 	if _, _, _, err := b.Receive(time.Millisecond); err != ErrTimeout {
 		t.Error(err)
--- a/internal/daemon/doc.go
+++ b/internal/daemon/doc.go
@@ -1,24 +1,25 @@
-// Package daemon is what a long-lived process needs of the system around it: notifications to its supervisor
-// (notify.go), a PID file (pid.go), protection against a crash loop (loop.go), and the handover to a successor process:
-// its protocol as two state machines without I/O (stage.go), and the link between the processes (link.go). It exists so
-// that package controller and the command hold none of this.
+// Package daemon contains what a long-running process needs from the operating system: notifications
+// to its supervisor (notify.go), a PID file (pid.go), crash-loop detection (crashloop.go), and the
+// handover to a successor process, as a protocol of two state machines without I/O (protocol.go) and
+// the link between the processes (link.go). Package controller and the command build on it.
 //
 // # Handover
 //
-// The old process, which serves, and the new one exchange packets over a Unix socket:
+// The predecessor, which serves, and its successor exchange packets over a Unix socket:
 //
-//	new                     old
+//	successor               predecessor
 //	Hello             ->
 //	                  <-    Sockets           the listeners
-//	TakeoverRequest   ->                      (it could serve)
-//	                                          the old one pauses: calls wait
+//	TakeoverRequest   ->                      the successor has checked that it can serve
+//	                                          the predecessor pauses: new calls wait
 //	                  <-    StatePart ...
-//	                  <-    StateComplete     its state folder is unlocked
-//	StateTaken        ->                      (the folder is locked by the new one)
-//	                  <-    Go                from here on the new process serves
+//	                  <-    StateComplete     the predecessor has unlocked its state folder
+//	StateTaken        ->                      the successor has locked the folder
+//	                  <-    Grant             from here on the successor serves
 //	                  <-    Conn, Answer ...
 //	                  <-    Done
 //
-// Either side aborts by Abort, or by closing the link, before Go: then the old one resumes. At no time do both serve.
-// If the old process dies once StateComplete has come, the new one serves alone.
+// Until Grant is sent, either side can abort, with Abort or by closing the link; the predecessor then
+// resumes. The two never serve at the same time. If the predecessor dies after StateComplete has
+// arrived, the successor serves alone.
 package daemon
--- a/internal/daemon/golden_test.go
+++ b/internal/daemon/golden_test.go
@@ -12,7 +12,8 @@
 	"kitehub/internal/goldenfile"
 )
 
-// The crash-loop file is written at one start of the process and read at the next.
+// The crash-loop file is written at one start of the process and read at the next, which may run
+// another version of the program.
 func TestStoredStartsKeepTheirFormat(t *testing.T) {
 	starts := []Start{
 		{At: time.Date(2026, 3, 4, 5, 6, 7, 890, time.UTC), Clean: true},
@@ -43,8 +44,8 @@
 	}
 }
 
-// The packets of a handover go between two versions of the program: a byte for the kind, then what it carries. A text
-// goes in parts.
+// Packets are exchanged between two versions of the program: one byte for the kind, then the body. A
+// long state is sent in parts.
 func TestPacketsKeepTheirFormat(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "h")
 	listener, err := ListenLinks(path)
@@ -66,7 +67,7 @@
 
 	kinds := []PacketKind{Hello, Sockets, TakeoverRequest, StatePart, StateComplete, StateTaken, Grant, Conn, Answer, Done, Abort}
 	var written []byte
-	take := func(name string) {
+	recordPacket := func(name string) {
 		packet := make([]byte, 2*MaxPacketBody)
 		n, err := receiver.Read(packet)
 		if err != nil {
@@ -78,29 +79,30 @@
 		}
 		written = append(written, line+"\n"...)
 	}
+	// The names that the golden file uses; some differ from those of the constants.
 	names := []string{"Hello", "Sockets", "Wish", "Part", "Whole", "Taken", "Go", "Conn", "Answer", "Done", "Abort"}
 	for i, kind := range kinds {
 		if err := sender.Send(kind, []byte("{\x00}")); err != nil {
 			t.Fatal(err)
 		}
-		take(names[i])
+		recordPacket(names[i])
 		if err := sender.Send(kind, nil); err != nil {
 			t.Fatal(err)
 		}
-		take(names[i] + " alone")
+		recordPacket(names[i] + " alone")
 	}
 	for _, size := range []int{0, MaxPacketBody, MaxPacketBody + 1} {
 		if err := sender.SendState(make([]byte, size)); err != nil {
 			t.Fatal(err)
 		}
 		for sent := 0; sent == 0 || sent < size; sent += MaxPacketBody {
-			take(fmt.Sprintf("text of %d bytes", size))
+			recordPacket(fmt.Sprintf("text of %d bytes", size))
 		}
 	}
 	goldenfile.Compare(t, "packets.txt", written)
 }
 
-// Packets are read as earlier versions of the program wrote them.
+// Packets that earlier versions of the program wrote are read.
 func TestPacketsOfOtherVersionsAreRead(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "h")
 	listener, err := ListenLinks(path)
@@ -123,14 +125,15 @@
 		if _, err := writer.Write([]byte(packet)); err != nil {
 			t.Fatal(err)
 		}
-		kind, carried, _, err := link.Receive(10 * time.Second)
-		if err != nil || !reflect.DeepEqual(append([]byte{byte(kind)}, carried...), []byte(packet)) {
-			t.Errorf("%q is read as %q with %q: %v", packet, kind, carried, err)
+		kind, body, _, err := link.Receive(10 * time.Second)
+		if err != nil || !reflect.DeepEqual(append([]byte{byte(kind)}, body...), []byte(packet)) {
+			t.Errorf("%q is read as kind %q with body %q: %v", packet, kind, body, err)
 		}
 	}
 }
 
-// Each field that is stored or sent has a key of its own: what it is called in Go may change, the format may not.
+// Every stored or sent field has an explicit JSON key: renaming the field does not change the
+// format.
 func TestKeysDoNotFollowFieldNames(t *testing.T) {
 	goldenfile.Tagged(t, Start{})
 }
--- a/internal/daemon/link.go
+++ b/internal/daemon/link.go
@@ -11,34 +11,39 @@
 	"time"
 )
 
-// MaxPacketBody is the length in bytes of the longest body of a packet.
+// MaxPacketBody is the maximum length of a packet's body, in bytes.
 const MaxPacketBody = 64 << 10
 
 const (
-	// maxFDs is the most file descriptors of one packet, fdBytes the space of one.
-	maxFDs  = 8
+	// maxFDs is the maximum number of file descriptors in one packet.
+	maxFDs = 8
+	// fdBytes is the size of one file descriptor in a control message.
 	fdBytes = 4
-	// sendTimeout is how long the other process may take to read before it counts as gone.
+	// sendTimeout is how long a send waits for the peer to read. After it the peer counts as gone.
 	sendTimeout = time.Second
 )
 
-// A Link carries the packets of a handover between two processes, over a Unix socket that keeps their bounds
-// (SOCK_SEQPACKET), with file descriptors beside them (SCM_RIGHTS, unix(7)). Sends are safe for concurrent use; only
-// one goroutine may receive.
+// A Link carries the packets of a handover between two processes, over a Unix socket that preserves
+// packet boundaries (SOCK_SEQPACKET). File descriptors travel with the packets (SCM_RIGHTS,
+// unix(7)). Sends are safe for concurrent use; only one goroutine may receive.
 type Link struct {
 	conn *net.UnixConn
 	mu   sync.Mutex // serialises writes and their deadlines
 
-	buf, oob []byte // the receiver's
+	receiveBuf, receiveOOB []byte // used by Receive alone
 }
 
 // NewLink returns a link over a connection.
 func NewLink(c *net.UnixConn) *Link {
 	c.SetWriteBuffer(4 * MaxPacketBody)
-	return &Link{conn: c, buf: make([]byte, MaxPacketBody+1), oob: make([]byte, syscall.CmsgSpace(fdBytes*maxFDs))}
+	return &Link{
+		conn:       c,
+		receiveBuf: make([]byte, MaxPacketBody+1),
+		receiveOOB: make([]byte, syscall.CmsgSpace(fdBytes*maxFDs)),
+	}
 }
 
-// DialLink connects to the old process.
+// DialLink connects to the predecessor, which listens at path.
 func DialLink(path string) (*Link, error) {
 	c, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Name: path, Net: "unixpacket"})
 	if err != nil {
@@ -47,56 +52,59 @@
 	return NewLink(c), nil
 }
 
-// ListenLinks opens the socket on which successors connect; only the same user may. A socket that is there already is
-// replaced, also one that another process serves: the lock of the state folder has decided by then that it is this
-// process's. It changes the umask of the process for a moment.
+// ListenLinks opens the socket to which successors connect. Only processes of the same user can
+// connect. An existing socket is replaced, even if another process listens on it: this process holds
+// the lock of the state folder by then, so the socket belongs to it. ListenLinks changes the umask of
+// the process briefly.
 func ListenLinks(path string) (*net.UnixListener, error) {
 	if info, err := os.Lstat(path); err == nil {
 		if info.Mode()&os.ModeSocket == 0 {
-			return nil, fmt.Errorf("%s is there and is no socket", path)
+			return nil, fmt.Errorf("%s exists and is not a socket", path)
 		}
 		if err := os.Remove(path); err != nil {
 			return nil, err
 		}
 	}
-	old := syscall.Umask(0o177)
+	previousMask := syscall.Umask(0o177)
 	ln, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: path, Net: "unixpacket"})
-	syscall.Umask(old)
+	syscall.Umask(previousMask)
 	if err == nil {
-		ln.SetUnlinkOnClose(false) // it may be the successor's by then
+		ln.SetUnlinkOnClose(false) // by then a successor may have created a new socket at the path
 	}
 	return ln, err
 }
 
-// Send sends a packet, with the descriptors of sockets. Those stay the caller's.
-func (l *Link) Send(k PacketKind, b []byte, socks ...syscall.Conn) error {
-	if len(b) > MaxPacketBody || len(socks) > maxFDs {
-		return fmt.Errorf("daemon: a packet of %d bytes and %d sockets", len(b), len(socks))
+// Send sends a packet with duplicates of the file descriptors of sockets. The sockets remain the
+// caller's to close.
+func (l *Link) Send(kind PacketKind, body []byte, sockets ...syscall.Conn) error {
+	if len(body) > MaxPacketBody || len(sockets) > maxFDs {
+		return fmt.Errorf("daemon: packet %c with %d bytes and %d sockets exceeds the limit of %d bytes or %d sockets",
+			kind, len(body), len(sockets), MaxPacketBody, maxFDs)
 	}
-	return withFDs(socks, nil, func(fds []int) error { return l.write(k, b, fds) })
+	return withFDs(sockets, nil, func(fds []int) error { return l.write(kind, body, fds) })
 }
 
-// withFDs calls f with the descriptors of sockets, which stay open until f returns: each call holds one and makes the
-// next.
-func withFDs(socks []syscall.Conn, fds []int, f func(fds []int) error) error {
-	if len(socks) == 0 {
+// withFDs calls f with the file descriptors of sockets. Each level of the recursion keeps one
+// descriptor open until f returns.
+func withFDs(sockets []syscall.Conn, fds []int, f func(fds []int) error) error {
+	if len(sockets) == 0 {
 		return f(fds)
 	}
-	raw, err := socks[0].SyscallConn()
+	raw, err := sockets[0].SyscallConn()
 	if err != nil {
 		return err
 	}
-	var inner error
+	var errInner error
 	err = raw.Control(func(fd uintptr) {
-		inner = withFDs(socks[1:], append(fds, int(fd)), f)
+		errInner = withFDs(sockets[1:], append(fds, int(fd)), f)
 	})
 	if err != nil {
 		return err
 	}
-	return inner
+	return errInner
 }
 
-func (l *Link) write(k PacketKind, b []byte, fds []int) error {
+func (l *Link) write(kind PacketKind, body []byte, fds []int) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.conn.SetWriteDeadline(time.Now().Add(sendTimeout))
@@ -104,50 +112,52 @@
 	if len(fds) > 0 {
 		oob = syscall.UnixRights(fds...)
 	}
-	_, _, err := l.conn.WriteMsgUnix(append([]byte{byte(k)}, b...), oob, nil)
+	_, _, err := l.conn.WriteMsgUnix(append([]byte{byte(kind)}, body...), oob, nil)
 	return err
 }
 
-// SendState sends a state in parts, at least one.
-func (l *Link) SendState(b []byte) error {
+// SendState sends the state in one or more StatePart packets. An empty state is sent as one part.
+func (l *Link) SendState(state []byte) error {
 	for {
-		n := min(len(b), MaxPacketBody)
-		if err := l.Send(StatePart, b[:n]); err != nil {
+		n := min(len(state), MaxPacketBody)
+		if err := l.Send(StatePart, state[:n]); err != nil {
 			return err
 		}
-		if b = b[n:]; len(b) == 0 {
+		if state = state[n:]; len(state) == 0 {
 			return nil
 		}
 	}
 }
 
-// ErrTimeout is that no packet came in time. The other process is there, but silent.
-var ErrTimeout = errors.New("daemon: the other process is silent")
+// ErrTimeout is returned by Receive if no packet arrives in time. The link is still open.
+var ErrTimeout = errors.New("daemon: timeout while waiting for a packet of the peer process")
 
-// Receive returns the next packet; within 0 waits for ever. The files are the caller's to close. Its error is
-// ErrTimeout, or that the link has ended.
-func (l *Link) Receive(within time.Duration) (k PacketKind, b []byte, files []*os.File, err error) {
+// Receive returns the next packet. It waits for at most timeout, or without a limit if timeout is 0.
+// The caller must close the files. On a timeout it returns ErrTimeout; any other error means that the
+// link has ended.
+func (l *Link) Receive(timeout time.Duration) (kind PacketKind, body []byte, files []*os.File, err error) {
 	l.conn.SetReadDeadline(time.Time{})
-	if within > 0 {
-		l.conn.SetReadDeadline(time.Now().Add(within))
+	if timeout > 0 {
+		l.conn.SetReadDeadline(time.Now().Add(timeout))
 	}
-	n, oobLen, _, _, err := l.conn.ReadMsgUnix(l.buf, l.oob)
+	n, oobLen, _, _, err := l.conn.ReadMsgUnix(l.receiveBuf, l.receiveOOB)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return 0, nil, nil, ErrTimeout
 	}
 	if err != nil {
 		return 0, nil, nil, err
 	}
-	if files, err = receivedFiles(l.oob[:oobLen]); err != nil {
+	if files, err = receivedFiles(l.receiveOOB[:oobLen]); err != nil {
 		return 0, nil, nil, err
 	}
 	if n == 0 {
 		return 0, nil, files, io.EOF
 	}
-	return PacketKind(l.buf[0]), append([]byte(nil), l.buf[1:n]...), files, nil
+	return PacketKind(l.receiveBuf[0]), append([]byte(nil), l.receiveBuf[1:n]...), files, nil
 }
 
-// receivedFiles returns the file descriptors of control messages. No child process inherits them.
+// receivedFiles returns the file descriptors in control messages. They are set to close on exec, so
+// that no child process inherits them.
 func receivedFiles(oob []byte) (files []*os.File, err error) {
 	if len(oob) == 0 {
 		return nil, nil
@@ -169,5 +179,5 @@
 	return files, nil
 }
 
-// Close ends the link.
+// Close closes the link.
 func (l *Link) Close() error { return l.conn.Close() }
--- a/internal/daemon/notify.go
+++ b/internal/daemon/notify.go
@@ -8,19 +8,19 @@
 	"time"
 )
 
-// notifyTimeout is how long a supervisor that does not read may delay the process.
+// notifyTimeout bounds how long a supervisor that does not read its socket delays the process.
 const notifyTimeout = 100 * time.Millisecond
 
-// A Supervisor is notified of the state of the process by the protocol of sd_notify(3): datagrams to the socket that
-// NOTIFY_SOCKET names. A nil Supervisor, or one without a socket, is notified of nothing. It is safe for concurrent
-// use.
+// A Supervisor is notified of the state of the process with the protocol of sd_notify(3): datagrams
+// to the socket that NOTIFY_SOCKET names. A nil Supervisor, or one without a socket, sends nothing. A
+// Supervisor is safe for concurrent use.
 type Supervisor struct {
-	addr             *net.UnixAddr // nil: there is none
+	addr             *net.UnixAddr // nil: no supervisor
 	watchdogInterval time.Duration // 0: no watchdog
 }
 
-// SupervisorFromEnv returns the supervisor that the environment names. pid is the id of this process. A socket or an interval
-// that cannot be read is an error.
+// SupervisorFromEnv returns the supervisor that the environment variables describe. pid is the id of
+// this process. It returns an error if the socket's name or the watchdog interval is invalid.
 func SupervisorFromEnv(get func(string) string, pid int) (*Supervisor, error) {
 	name := get("NOTIFY_SOCKET")
 	if name == "" {
@@ -36,14 +36,15 @@
 	if us := get("WATCHDOG_USEC"); us != "" && (get("WATCHDOG_PID") == "" || get("WATCHDOG_PID") == strconv.Itoa(pid)) {
 		n, err := strconv.ParseInt(us, 10, 64)
 		if err != nil || n <= 0 {
-			return nil, fmt.Errorf("WATCHDOG_USEC: %q is no time", us)
+			return nil, fmt.Errorf("WATCHDOG_USEC: %q is not a positive number of microseconds", us)
 		}
-		s.watchdogInterval = time.Duration(n) * time.Microsecond / 2 // as sd_watchdog_enabled(3) advises
+		// sd_watchdog_enabled(3) recommends half of the timeout.
+		s.watchdogInterval = time.Duration(n) * time.Microsecond / 2
 	}
 	return s, nil
 }
 
-// WatchdogInterval returns how often a healthy process is to call Alive; 0: never.
+// WatchdogInterval returns the interval at which a healthy process calls Alive; 0 without a watchdog.
 func (s *Supervisor) WatchdogInterval() time.Duration {
 	if s == nil {
 		return 0
@@ -51,14 +52,15 @@
 	return s.watchdogInterval
 }
 
-// Send sends one message of variables, each "NAME=value". It waits at most 100 ms for a supervisor that does not read.
+// Send sends one message of variables, each as "NAME=value". It waits at most 100 ms if the
+// supervisor does not read its socket.
 func (s *Supervisor) Send(vars ...string) error {
 	if s == nil || s.addr == nil {
 		return nil
 	}
 	for _, v := range vars {
 		if strings.ContainsRune(v, '\n') {
-			return fmt.Errorf("daemon: a line break in %q", v)
+			return fmt.Errorf("daemon: notification variable %q contains a line break", v)
 		}
 	}
 	c, err := net.DialUnix("unixgram", nil, s.addr)
@@ -71,22 +73,23 @@
 	return err
 }
 
-// Ready says that the process serves, with a status for people to read.
+// Ready notifies the supervisor that the process serves. status is a text for operators.
 func (s *Supervisor) Ready(status string) error { return s.Send("READY=1", "STATUS="+status) }
 
-// Reloading says that the process reloads its configuration; Ready must follow. now is CLOCK_MONOTONIC, in
-// microseconds.
+// Reloading notifies the supervisor that the process reloads its configuration. A call of Ready must
+// follow. now is the time of CLOCK_MONOTONIC in microseconds.
 func (s *Supervisor) Reloading(now int64) error {
 	return s.Send("RELOADING=1", "MONOTONIC_USEC="+strconv.FormatInt(now, 10))
 }
 
-// Stopping says that the process shuts down.
+// Stopping notifies the supervisor that the process shuts down.
 func (s *Supervisor) Stopping() error { return s.Send("STOPPING=1") }
 
-// Alive says to the watchdog that the process is healthy.
+// Alive resets the supervisor's watchdog.
 func (s *Supervisor) Alive() error { return s.Send("WATCHDOG=1") }
 
-// MainPID says that another process is the service now, and serves.
+// MainPID notifies the supervisor that the process pid is now the main process of the service, and
+// serves.
 func (s *Supervisor) MainPID(pid int) error {
 	return s.Send("MAINPID="+strconv.Itoa(pid), "READY=1")
 }
--- a/internal/daemon/pid_test.go
+++ b/internal/daemon/pid_test.go
@@ -7,14 +7,15 @@
 )
 
 const (
-	predecessor = 101
-	successor   = 102
+	predecessorPID = 101
+	successorPID   = 102
 )
 
-// A predecessor that ends as its successor writes the PID file must not remove the successor's.
+// A predecessor that exits while its successor writes the PID file does not remove the successor's
+// file.
 func TestRemovePIDKeepsFileOfSuccessor(t *testing.T) {
 	replace := func(name string) {
-		if err := ReplacePID(name, successor); err != nil {
+		if err := ReplacePID(name, successorPID); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -25,25 +26,25 @@
 		want       string
 	}{
 		{"no successor", nil, nil, ""},
-		{"successor wrote before", replace, nil, "102\n"},
+		{"successor writes before the check", replace, nil, "102\n"},
 		{"successor writes after the check", nil, replace, "102\n"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			dir := t.TempDir()
 			name := filepath.Join(dir, "pid")
-			if err := ReplacePID(name, predecessor); err != nil {
+			if err := ReplacePID(name, predecessorPID); err != nil {
 				t.Fatal(err)
 			}
 			if c.before != nil {
 				c.before(name)
 			}
-			removePID(name, predecessor, func() {
+			removePID(name, predecessorPID, func() {
 				if c.afterCheck != nil {
 					c.afterCheck(name)
 				}
 			})
 			if text, _ := os.ReadFile(name); string(text) != c.want {
-				t.Errorf("the file has %q, want %q", text, c.want)
+				t.Errorf("the file contains %q, want %q", text, c.want)
 			}
 			entries, err := os.ReadDir(dir)
 			if err != nil {
