--- a/internal/controller/conns.go
+++ b/internal/controller/conns.go
@@ -8,7 +8,8 @@
 	"kitehub/internal/backend"
 )
 
-// trackConns notes the connections that are dialled, so that Kill can cut them as the end of a process would.
+// trackConns returns a dial function that records its connections, so that Kill can cut them as the
+// end of the process would.
 func (c *Controller) trackConns(dial backend.DialFunc) backend.DialFunc {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		conn, err := dial(ctx, network, addr)
@@ -19,7 +20,7 @@
 		c.mu.Lock()
 		c.conns[tracked] = struct{}{}
 		c.mu.Unlock()
-		if c.killed.Load() { // Kill may not have seen it
+		if c.killed.Load() { // Kill may have run before conn was recorded
 			tracked.Close()
 			return nil, net.ErrClosed
 		}
@@ -30,13 +31,13 @@
 	}
 }
 
-// A trackedConn is forgotten by its controller when it is closed.
+// A trackedConn is a connection in Controller.conns until it is closed.
 type trackedConn struct {
 	net.Conn
 	controller *Controller
 }
 
-// Close closes the connection and forgets it.
+// Close closes the connection and removes it from the controller.
 func (t *trackedConn) Close() error {
 	t.controller.mu.Lock()
 	delete(t.controller.conns, t)
@@ -44,8 +45,8 @@
 	return t.Conn.Close()
 }
 
-// A trackedSyscallConn gives access to the file descriptor as well, by which the back end notices that an idle
-// connection was closed by the worker.
+// A trackedSyscallConn also gives access to the file descriptor. The backend needs it to detect
+// that a worker has closed an idle connection.
 type trackedSyscallConn struct {
 	*trackedConn
 	raw syscall.Conn
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,12 +1,14 @@
-// Package controller assembles one controller from its configuration: the ingresses, the gateway, the back end,
-// discovery, the registry's agent and the hooks. It exists so that the program and the test harnesses start the same
-// thing. It makes no decision about calls.
+// Package controller assembles a controller from its configuration: the ingresses, the gateway, the
+// backend, discovery, the registry agent and the hooks. The program and the test harnesses both use
+// it, so that they run the same controller. The package makes no decisions about calls.
 //
-// # Life of a controller
+// # Lifecycle
 //
-// Start runs the steps of start.go in order and returns once calls are served. Three ways end it: Stop (graceful
-// shutdown), Kill (as a crash would), and a handover to a successor process (handover_old.go, handover_new.go; the
-// protocol is package daemon's). Controller.stopping is set by the first of them; the others then do nothing.
+// Start runs the steps of start.go in order and returns once calls are served. A controller ends
+// with Stop (graceful shutdown), Kill (like a crash) or a handover to a successor process. The
+// first of the three sets Controller.stopping, and the others then do nothing. The two sides of a
+// handover are in handover_predecessor.go and handover_successor.go; package daemon defines the
+// protocol.
 package controller
 
 import (
@@ -30,35 +32,37 @@
 	"kitehub/internal/registry/agent"
 )
 
-// Options are what a configuration does not say.
+// Options are the settings of a controller that are not part of its configuration.
 type Options struct {
 	// Clock and Log are required.
 	Clock clock.Clock
 	Log   zerolog.Logger
-	// Dial connects to workers; nil: by the machine's network.
+	// Dial connects to workers; nil: through the network of the machine.
 	Dial backend.DialFunc
-	// Sink and Handler, where set, wrap what discovery feeds and what serves calls. Harnesses use them to show that a
-	// gateway without a guard is caught.
+	// Sink and Handler, if set, wrap the sink of discovery and the handler of calls. Test harnesses
+	// use them to disable a safeguard, and so to show that they detect a gateway without it.
 	Sink    func(discovery.Sink) discovery.Sink
 	Handler func(http1.Handler) http1.Handler
-	// Models and Versions wrap the registry's view, likewise.
+	// Models and Versions, if set, wrap the registry's view for the same purpose.
 	Models   func(ingress.Models) ingress.Models
 	Versions func(gateway.Versions) gateway.Versions
-	// NoHooks starts without scripts: after a crash loop they may be its cause.
+	// NoHooks starts the controller without scripts. In a crash loop they may be the cause.
 	NoHooks bool
-	// Reload is what the operators' method reload does; nil: it is an error.
+	// Reload implements the operators' method reload; nil: the method returns an error.
 	Reload func() error
-	// Predecessor, where set, is what another process hands over: see TakeOver.
+	// Predecessor, if set, is the handover from the process that this controller replaces. See
+	// TakeOver.
 	Predecessor *IncomingHandover
 }
 
-// A Controller runs until Stop, Kill or a handover. Its exported fields are set by Start and must not be changed.
+// A Controller runs until Stop, Kill or a handover. Start sets its exported fields, which must not
+// be changed.
 type Controller struct {
 	Gateway *gateway.Gateway
 	Webhook *webhook.Front
 	Backend *backend.Backend
 	HTTP    *http1.Server
-	// RPC serves operators and callers on the same machine; nil: none is configured.
+	// RPC serves operators and clients on the same machine; nil: not configured.
 	RPC *jsonrpc.Server
 
 	built   *config.Built
@@ -66,36 +70,36 @@
 	log     zerolog.Logger
 
 	// Set by the steps of start, and not changed afterwards.
-	frontConfig       webhook.Config // of Front; RPC shares parts of it
+	webhookConfig     webhook.Config // of Webhook; RPC uses parts of it
 	functions         *gateway.Functions
 	models            *modelVersions
 	listener          net.Listener // of HTTP
 	watcher           *discovery.Watcher
-	peers             *Peers // nil: there are no other controllers
+	peers             *Peers // nil: peer messages are disabled or there are no other controllers
 	notifier          *hookengine.Notifier
-	rpcListener       net.Listener      // nil: none is configured
-	successorListener *net.UnixListener // nil: no handover is configured
-	afterPredecessor  func()            // called once the predecessor is done; nil: nothing waits for it
+	rpcListener       net.Listener      // nil: not configured
+	successorListener *net.UnixListener // nil: handovers are not configured
+	onPredecessorDone func()            // called once the predecessor is done; nil: nothing to do then
 
-	events eventTap
-	hooks  atomic.Pointer[hookengine.Engine] // replaced when a handover is aborted; nil: no scripts
+	events     eventFanout
+	hookEngine atomic.Pointer[hookengine.Engine] // replaced when a handover is aborted; nil: no scripts
 
 	draining atomic.Bool // no further call is admitted
 	stopping atomic.Bool // set by the first of Stop, Kill and a handover that succeeds
-	killed   atomic.Bool // nothing may be dialled
+	killed   atomic.Bool // no further connection may be dialled
 
 	acceptDone      chan struct{} // closed when no further connection is accepted
-	predecessorDone chan struct{} // closed when the predecessor is done; nil: there was none
+	predecessorDone chan struct{} // closed when the predecessor is done; nil: no predecessor
 	handedOver      chan struct{} // closed when a successor serves and nothing is in flight here
 
 	mu     sync.Mutex                // guards the fields below
-	conns  map[*trackedConn]struct{} // for Kill
-	agent  *agent.Agent              // nil: none, or it waits for the predecessor
-	unlock func() error              // unlocks the state folder; nil: it is not locked by this controller
+	conns  map[*trackedConn]struct{} // open connections that were dialled; Kill cuts them
+	agent  *agent.Agent              // nil: not configured, or not started until the predecessor is done
+	unlock func() error              // unlocks the state folder; nil: this controller does not hold the lock
 }
 
-// Start runs a controller. Its state folder is made if it is missing, and locked against a second controller. On an
-// error nothing is left running.
+// Start runs a controller. It creates the state folder if it is missing, and locks it against a
+// second controller. If Start returns an error, nothing is left running.
 func Start(b *config.Built, o Options) (*Controller, error) {
 	c := &Controller{
 		built:      b,
@@ -112,24 +116,25 @@
 	return c, nil
 }
 
-// Addr returns where the controller listens for calls.
+// Addr returns the address at which the controller listens for calls.
 func (c *Controller) Addr() string { return c.listener.Addr().String() }
 
 // Name returns the controller's name.
 func (c *Controller) Name() string { return c.built.Name }
 
-// SetClients replaces clients and their keys by those of a configuration that was reloaded. Clients may only be added,
-// at the end: their indexes are part of the replay guard's keys. It must not be called concurrently.
+// SetClients replaces the clients and their keys by those of a reloaded configuration. Clients can
+// only be added at the end, as the replay guard's keys contain their indexes. SetClients must not
+// be called concurrently.
 func (c *Controller) SetClients(b *config.Built) error {
-	old := c.built.Clients
-	if len(b.Clients) < len(old) {
-		return fmt.Errorf("clients: %d, fewer than the %d that run: take their keys away instead",
-			len(b.Clients), len(old))
+	current := c.built.Clients
+	if len(b.Clients) < len(current) {
+		return fmt.Errorf("clients: %d configured, but %d are active: to disable a client, remove its keys instead",
+			len(b.Clients), len(current))
 	}
-	for i := range old {
-		if b.Clients[i].Name != old[i].Name {
-			return fmt.Errorf("clients[%d].name: %q, runs as %q: add clients at the end",
-				i, b.Clients[i].Name, old[i].Name)
+	for i := range current {
+		if b.Clients[i].Name != current[i].Name {
+			return fmt.Errorf("clients[%d].name: %q replaces the active client %q: add new clients at the end",
+				i, b.Clients[i].Name, current[i].Name)
 		}
 	}
 	c.Webhook.SetClients(b.Clients)
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -22,7 +22,7 @@
 	"kitehub/scheduler"
 )
 
-// Each outcome of a call has a status of its own.
+// Each outcome of a call has its own HTTP status.
 func TestEachOutcomeHasItsStatus(t *testing.T) {
 	h := newHarness(t, 2, nil)
 	c := h.start(h.configure("c1"))
@@ -34,7 +34,7 @@
 		t.Errorf("body %q", got.body)
 	}
 	wantAnswer(t, exchange(t, c.Addr(), one), "409 replayed")
-	wantAnswer(t, post(t, c, "m1", "safe-1", `{"x":1}`, now.Add(time.Second)), "200 served") // kept
+	wantAnswer(t, post(t, c, "m1", "safe-1", `{"x":1}`, now.Add(time.Second)), "200 served") // cached
 	wantAnswer(t, post(t, c, "m1", "safe-1", `{"x":2}`, now.Add(time.Second)), "409 replayed")
 	other422 := sign(t, commonSecret, "c1", "m2", "safe-1", `{}`, now)
 	wantAnswer(t, exchange(t, c.Addr(), other422), "200 served")
@@ -59,12 +59,13 @@
 	}
 }
 
-// A valid signature replayed after the controller was killed and started again does not run; nor at a second
-// controller, which shares nothing with the first.
+// A message with a valid signature is replayed: it runs neither at a controller that was killed and
+// started again, nor at a second controller, which shares no state with the first.
 func TestReplayAfterRestartOrElsewhereDoesNotRun(t *testing.T) {
 	h := newHarness(t, 2, nil)
 	c := h.start(h.configure("c1"))
-	m := sign(t, commonSecret, "c1", "m1", "unsafe-1", `{}`, time.Now().Add(time.Second)) // as far in the future as is accepted
+	// The timestamp lies in the future, but within the accepted clock skew.
+	m := sign(t, commonSecret, "c1", "m1", "unsafe-1", `{}`, time.Now().Add(time.Second))
 	wantAnswer(t, exchange(t, c.Addr(), m), "200 served")
 	c2 := h.start(h.configure("c2"))
 	wantAnswer(t, exchange(t, c2.Addr(), m), "401 forged")
@@ -73,9 +74,8 @@
 	got := exchange(t, c.Addr(), m)
 	wantAnswer(t, got, "503 refused")
 	if n, err := strconv.Atoi(got.retryAfter); err != nil || n < 1 || n > 4 {
-		t.Errorf("come back after %q", got.retryAfter)
+		t.Errorf("Retry-After is %q, want 1 to 4", got.retryAfter)
 	}
-	// after a clean stop, what is newer than all that was admitted is served at once
 	if err := c.Stop(time.Second); err != nil {
 		t.Fatal(err)
 	}
@@ -84,7 +84,8 @@
 	}
 }
 
-// A client's retry joins the call that still runs: both get the one answer, and the function runs once.
+// A client's retry joins the call that still runs: both get the same answer, and the function runs
+// once.
 func TestRetryJoinsTheRunningCall(t *testing.T) {
 	h := newHarness(t, 1, nil)
 	c := h.start(h.configure("c1"))
@@ -111,8 +112,8 @@
 	}
 }
 
-// The attempt of a client that closes is cancelled. Its retry runs again where that does no harm, and has failed
-// elsewhere.
+// The attempt of a client that closes its connection is cancelled. The client's retry of a safe
+// call runs again; that of an unsafe call is answered as failed.
 func TestClientCloseCancelsTheAttempt(t *testing.T) {
 	for class, then := range map[string]string{"safe": "200 served", "unsafe": "502 failed"} {
 		h := newHarness(t, 1, nil)
@@ -131,12 +132,13 @@
 		}
 		wantAnswer(t, post(t, c, "m1", class+"-1", `{"work_ms":200}`, now.Add(time.Second)), then)
 		if n := c.Gateway.Counts.ClientClosed.Load(); n != 1 {
-			t.Errorf("%s: %d gone", class, n)
+			t.Errorf("%s: %d calls counted as closed by the client, want 1", class, n)
 		}
 	}
 }
 
-// The client closes at every moment around that of the answer: no request stays open, and the next calls are served.
+// Clients close their connections at many moments around that of the answer: no request stays open,
+// and later calls are served.
 func TestClientClosesAsTheAnswerComes(t *testing.T) {
 	h := newHarness(t, 1, nil)
 	c := h.start(h.configure("c1"))
@@ -147,7 +149,8 @@
 			t.Fatal(err)
 		}
 		nc.Write(sign(t, commonSecret, "c1", fmt.Sprint("m", i), "safe-1", `{"work_ms":5}`, time.Now()).bytes())
-		time.Sleep(4*ms + time.Duration(i)*100*time.Microsecond) // spread over the answer's time; nothing is judged by it
+		// Spreads the closes; no check depends on the exact time.
+		time.Sleep(4*ms + time.Duration(i)*100*time.Microsecond)
 		nc.Close()
 	}
 	for c.Gateway.OpenRequests() > 0 {
@@ -155,12 +158,12 @@
 	}
 	n := &c.Gateway.Counts
 	if sum := n.Served.Load() + n.ClientClosed.Load(); sum != 61 {
-		t.Errorf("%d served and %d gone of 61", n.Served.Load(), n.ClientClosed.Load())
+		t.Errorf("%d calls served and %d closed by the client, want 61 in total", n.Served.Load(), n.ClientClosed.Load())
 	}
 	wantAnswer(t, post(t, c, "last", "safe-1", `{}`, time.Now()), "200 served")
 }
 
-// Answers that come just as the deadline does: each call has one, by its time and a tick or so.
+// Responses of workers arrive around the deadline of their calls: each call has exactly one answer.
 func TestOneAnswerAtTheDeadline(t *testing.T) {
 	h := newHarness(t, 1, nil)
 	c := h.start(h.configure("c1"))
@@ -186,10 +189,10 @@
 			h.mu.Lock()
 			outcomes[a.outcome]++
 			h.mu.Unlock()
-			// a second answer would come with the worker's
+			// A second answer would arrive with the worker's response.
 			nc.SetReadDeadline(time.Now().Add(60 * ms))
 			if b, err := br.ReadByte(); err == nil {
-				t.Errorf("a byte %q behind the answer", b)
+				t.Errorf("unexpected byte %q after the answer", b)
 			}
 		}()
 		if i%4 == 3 {
@@ -198,11 +201,11 @@
 	}
 	wg.Wait()
 	if outcomes["served"]+outcomes["refused"] != 40 || outcomes["served"] == 0 || outcomes["refused"] == 0 {
-		t.Errorf("outcomes %v", outcomes)
+		t.Errorf("outcomes %v, want both served and refused, 40 in total", outcomes)
 	}
 }
 
-// A worker that becomes draining during a call finishes it; the calls that follow go elsewhere.
+// A worker that starts to drain during a call finishes that call; later calls go to other workers.
 func TestDrainingWorkerFinishesItsCall(t *testing.T) {
 	h := newHarness(t, 2, nil)
 	c := h.start(h.configure("c1"))
@@ -233,11 +236,12 @@
 		}
 	}
 	if n != 1 {
-		t.Errorf("%d calls reached the draining worker, want the one before", n)
+		t.Errorf("%d calls reached the draining worker, want only the one before it drained", n)
 	}
 }
 
-// After a list without workers, calls that wait are rejected; they are served again when workers are back.
+// After an empty endpoint list, waiting calls are rejected. Calls are served again when workers are
+// back.
 func TestNoWorkersRejectsUntilTheyAreBack(t *testing.T) {
 	h := newHarness(t, 2, nil)
 	c := h.start(h.configure("c1"))
@@ -248,7 +252,7 @@
 	m := sign(t, commonSecret, "c1", "m2", "unsafe-1", `{}`, time.Now())
 	m.extra = http1.Header{{Name: "Prefer", Value: "wait=1"}}
 	wantAnswer(t, exchange(t, c.Addr(), m), "503 refused")
-	h.writeList(scheduler.Draining) // another text than before, so that the file is read
+	h.writeList(scheduler.Draining) // a changed text, so that discovery reads the file again
 	for {
 		m := sign(t, commonSecret, "c1", fmt.Sprint("m", time.Now().UnixNano()), "unsafe-1", `{}`, time.Now())
 		if a := exchange(t, c.Addr(), m); a.status == 200 {
@@ -257,7 +261,8 @@
 	}
 }
 
-// Whatever a worker answers, a call gets one answer by its deadline; unsafe ones are not run twice.
+// Whatever a faulty worker responds, a call gets one answer by its deadline. Keyed and unsafe calls
+// do not run twice.
 func TestFaultyWorkersCostOneAnswerEach(t *testing.T) {
 	faults := map[string]fakeworker.Fault{
 		"cut":     fakeworker.CutAnswer,
@@ -286,19 +291,19 @@
 					wantAnswer(t, a, "503 refused")
 				default:
 					if a.outcome != "failed" || a.status != 502 && a.status != 504 {
-						t.Errorf("got %v", a)
+						t.Errorf("got %v, want failed with status 502 or 504", a)
 					}
 				}
 				if n := h.runs(class + "-1"); class != "safe" && n != 1 {
-					t.Errorf("ran %d times", n)
+					t.Errorf("ran %d times, want 1", n)
 				}
 			})
 		}
 	}
 }
 
-// A secret is replaced while calls run: the old one verifies until it is removed, and calls in flight are answered,
-// signed by the key that verified them.
+// A secret is replaced while calls run. The old secret verifies until it is removed; calls in
+// flight are answered, signed with the key that verified them.
 func TestSecretIsReplacedWhileCallsRun(t *testing.T) {
 	h := newHarness(t, 1, nil)
 	c := h.start(h.configure("c1"))
@@ -320,11 +325,12 @@
 	wantAnswer(t, post(t, c, "m3", "safe-1", `{}`, time.Now()), "401 forged")
 	wantAnswer(t, <-done, "200 served")
 	if err := c.SetClients(h.configure("c1", `name: "shop"`, `name: "shed"`)); err == nil {
-		t.Error("another client took the place of one that runs")
+		t.Error("an active client was replaced by another one")
 	}
 }
 
-// Stop finishes the calls in flight and accepts no more; another controller can use the state folder then.
+// Stop finishes the calls in flight and accepts no more. Another controller can then use the state
+// folder.
 func TestStopFinishesAndFreesTheStateFolder(t *testing.T) {
 	h := newHarness(t, 1, nil)
 	c := h.start(h.configure("c1"))
@@ -335,7 +341,7 @@
 	h.awaitRecord(ofKind(trace.RunStarted))
 	_, err := Start(h.configure("c1"), Options{Clock: h.clock, Log: zerolog.Nop()})
 	if err == nil || !strings.Contains(err.Error(), "another process's") {
-		t.Errorf("a second controller on the same state: %v", err)
+		t.Errorf("a second controller started on the same state folder: error %v", err)
 	}
 	idle, err := net.Dial("tcp", c.Addr())
 	if err != nil {
@@ -349,14 +355,14 @@
 		t.Fatal(err)
 	}
 	if _, err := net.Dial("tcp", c.Addr()); err == nil {
-		t.Error("still listening")
+		t.Error("the controller still listens after Stop")
 	}
 	c = h.start(h.configure("c1"))
 	wantAnswer(t, post(t, c, "m2", "safe-1", `{}`, time.Now().Add(time.Second)), "200 served")
 }
 
-// Stop with too little time answers the calls that still run as well: they may have run, so they have failed.
-func TestStopWithTooLittleTimeFailsWhatRuns(t *testing.T) {
+// Stop with a short timeout answers the calls that still run as failed, as they may have run.
+func TestStopWithShortTimeoutFailsRunningCalls(t *testing.T) {
 	h := newHarness(t, 1, nil)
 	c := h.start(h.configure("c1"))
 	done := make(chan answer, 1)
@@ -370,7 +376,7 @@
 	wantAnswer(t, <-done, "502 failed")
 }
 
-// Beyond limits.open a call is rejected at once; the others are served.
+// Calls beyond limits.open are rejected at once; the others are served.
 func TestCallsBeyondCapacityAreRejected(t *testing.T) {
 	h := newHarness(t, 1, nil)
 	c := h.start(h.configure("c1", "open: 100", "open: 4"))
@@ -385,11 +391,12 @@
 		count[(<-got).String()]++
 	}
 	if count["200 served"] < 4 || count["200 served"]+count["503 refused"] != 20 || c.Gateway.Counts.OverCapacity.Load() == 0 {
-		t.Errorf("%v, %d turned away", count, c.Gateway.Counts.OverCapacity.Load())
+		t.Errorf("outcomes %v, %d calls rejected as over capacity", count, c.Gateway.Counts.OverCapacity.Load())
 	}
 }
 
-// A body longer than its Content-Length is a second request to the parser, and no call.
+// The bytes after the Content-Length of a body are parsed as a second request, which is malformed
+// and not a call.
 func TestBodyLongerThanStatedIsNoSecondCall(t *testing.T) {
 	h := newHarness(t, 1, nil)
 	c := h.start(h.configure("c1"))
@@ -411,7 +418,7 @@
 	}
 }
 
-// Calls go on beside a thousand connections that never finish their heads.
+// Calls are served while a thousand connections never complete their request heads.
 func TestSlowHeadsDoNotDelayCalls(t *testing.T) {
 	h := newHarness(t, 2, nil)
 	c := h.start(h.configure("c1"))
@@ -428,7 +435,8 @@
 	}
 }
 
-// A socket that a killed process left behind is replaced; one in use, or a file that is no socket, is an error.
+// The socket of a killed process is replaced. A socket in use, or a file that is not a socket, is
+// an error.
 func TestStaleUnixSocketIsReplaced(t *testing.T) {
 	h := newHarness(t, 1, nil)
 	path := filepath.Join(h.dir, "s")
@@ -439,7 +447,7 @@
 	ln.(*net.UnixListener).SetUnlinkOnClose(false)
 	b := h.configure("c1", "127.0.0.1:0", "unix:"+path)
 	if _, err := Start(b, Options{Clock: h.clock, Log: zerolog.Nop()}); err == nil {
-		t.Error("took a socket in use")
+		t.Error("Start replaced a socket in use")
 	}
 	ln.Close()
 	h.start(b).Kill()
@@ -448,14 +456,14 @@
 		t.Fatal(err)
 	}
 	if _, err := Start(b, Options{Clock: h.clock, Log: zerolog.Nop()}); err == nil {
-		t.Error("took a file that is no socket")
+		t.Error("Start replaced a file that is not a socket")
 	}
 	if text, err := os.ReadFile(path); err != nil || string(text) != "precious" {
-		t.Error("the file is gone")
+		t.Error("Start removed or changed a file that is not a socket")
 	}
 }
 
-// A field of the body can name the function instead of the path.
+// A field of the body, instead of the path, can name the function.
 func TestFunctionIsNamedByTheBody(t *testing.T) {
 	h := newHarness(t, 1, nil)
 	c := h.start(h.configure("c1", `prefix: "/call/"`, `prefix: "/hooks/" function_field: "type"`))
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -16,11 +16,11 @@
 	"kitehub/scheduler"
 )
 
-// The state that goes over in a handover is written by one version of the program and read by another.
+// The state in a handover is written by one version of the program and read by another.
 func TestHandoverStateKeepsItsFormat(t *testing.T) {
 	for name, state := range map[string]handoverState{
 		"legacy.json": {
-			Front:    webhook.State{Known: []replayguard.EntryState{{Key: replayguard.Key{Client: 1, ID: "msg_a"}, Last: 2, Digest: []byte{3}, Status: 200}}, Barrier: 4, Durable: 5, Highest: 6},
+			Webhook:  webhook.State{Known: []replayguard.EntryState{{Key: replayguard.Key{Client: 1, ID: "msg_a"}, Last: 2, Digest: []byte{3}, Status: 200}}, Barrier: 4, Durable: 5, Highest: 6},
 			Budget:   scheduler.BudgetHandover{Orders: []time.Duration{7}, Arrivals: []time.Duration{8, 9}},
 			InFlight: 10,
 		},
@@ -30,7 +30,8 @@
 	}
 }
 
-// A successor gets the end of a call with its answer, without one that must stay or is too long, or as rejected.
+// The successor receives how a call ended: with its answer, without it if the answer belongs to a
+// model's version or is too long, or as rejected.
 func TestEndedCallsKeepTheirFormat(t *testing.T) {
 	key := replayguard.Key{Client: 1, ID: "msg_a"}
 	served := replayguard.Answer{Status: 200, Type: "application/json", Body: []byte(`{"a":"<b>"}`)}
@@ -68,33 +69,34 @@
 	}
 }
 
-// Messages between controllers are datagrams, behind the sender's index where that is agreed.
+// A peer message is one datagram, which starts with the sender's index if that is configured.
 func TestPeerDatagramsKeepTheirFormat(t *testing.T) {
-	heard, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	receiver, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer heard.Close()
-	heard.SetReadDeadline(time.Now().Add(10 * time.Second))
+	defer receiver.Close()
+	receiver.SetReadDeadline(time.Now().Add(10 * time.Second))
 	var written []byte
-	for _, numbered := range []bool{true, false} {
-		peers, err := ListenPeers(258, "127.0.0.1:0", map[int]string{1: heard.LocalAddr().String()}, numbered)
+	for _, indexed := range []bool{true, false} {
+		peers, err := ListenPeers(258, "127.0.0.1:0", map[int]string{1: receiver.LocalAddr().String()}, indexed)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer peers.Close()
 		peers.Send(1, []byte("a\x00word"))
 		datagram := make([]byte, 1000)
-		n, err := heard.Read(datagram)
+		n, err := receiver.Read(datagram)
 		if err != nil {
 			t.Fatal(err)
 		}
-		written = fmt.Appendf(written, "numbered %v: %q\n", numbered, datagram[:n])
+		written = fmt.Appendf(written, "numbered %v: %q\n", indexed, datagram[:n])
 	}
 	goldenfile.Compare(t, "peers.txt", written)
 }
 
-// Each field that is stored or sent has a key of its own: what it is called in Go may change, the format may not.
+// Every stored or sent field has an explicit JSON key: renaming the field does not change the
+// format.
 func TestKeysDoNotFollowFieldNames(t *testing.T) {
 	goldenfile.Tagged(t, handoverState{}, endedCall{}, Status{})
 }
--- a/internal/controller/handover.go
+++ b/internal/controller/handover.go
@@ -10,33 +10,37 @@
 	"kitehub/scheduler"
 )
 
-// handoverStepTimeout is how long either process waits for the other's next packet; until then calls wait.
+// handoverStepTimeout is how long each process waits for the next packet of the other. Calls wait
+// during that time.
 const handoverStepTimeout = 2 * time.Second
 
-// Indexes of the listeners that the old process sends.
+// Indexes of the listeners in the Sockets packet.
 const (
-	frontListener = iota
-	rpcListener
+	webhookListenerIndex = iota
+	rpcListenerIndex
 )
 
-// handoverState is what the old process sends before the new one serves. Its JSON is read by another version of the
-// program.
+// handoverState is the state that the predecessor sends before the successor serves. The successor
+// may run another version of the program, so the JSON format is fixed.
 type handoverState struct {
-	Front    webhook.State            `json:"Front"` // the replay guard's
-	Budget   scheduler.BudgetHandover `json:"Spent"`
-	InFlight int                      `json:"Open"` // calls in flight in the old process
+	Webhook  webhook.State            `json:"Front"` // includes the state of the replay guard
+	Budget   scheduler.BudgetHandover `json:"Spent"` // of load orders
+	InFlight int                      `json:"Open"`  // calls in flight in the predecessor
 }
 
-// An endedCall is how a call that was in flight in the old process ended, sent while the new one serves. Its JSON is
-// read by another version of the program.
+// An endedCall reports how a call that was in flight in the predecessor ended. The predecessor
+// sends it while the successor serves. The successor may run another version of the program, so the
+// JSON format is fixed.
 type endedCall struct {
 	Key       replayguard.Key    `json:"Key"`
 	Answer    replayguard.Answer `json:"End"`
-	NotCached bool               `json:"Unkept"` // the answer is not among it: a duplicate cannot get it again
+	NotCached bool               `json:"Unkept"` // Answer lacks the body, so a duplicate cannot get it
 }
 
-// encodeEndedCall returns the packet about a call. An answer of a model's version is not sent: whether it may still be
-// given must be asked of the registry each time, which the new process could not. Nor is one that fits no packet.
+// encodeEndedCall returns the body of an Answer packet. The answer of a model's version is sent
+// without its body: such an answer may be given again only after a check with the registry, and the
+// successor could not make that check. An answer that is too long for a packet is sent without its
+// body as well.
 func encodeEndedCall(k replayguard.Key, a replayguard.Answer) []byte {
 	e := endedCall{Key: k, Answer: a}
 	if a.Tag == nil {
@@ -46,6 +50,6 @@
 	}
 	e.Answer = replayguard.Answer{Rejected: a.Rejected, Status: a.Status}
 	e.NotCached = !a.Rejected
-	text, _ := json.Marshal(e) // strings and numbers cannot fail
+	text, _ := json.Marshal(e) // cannot fail: it contains only strings, numbers and booleans
 	return text
 }
--- a/internal/controller/handover_old.go
+++ b/internal/controller/handover_predecessor.go
@@ -14,10 +14,11 @@
 	"kitehub/internal/store"
 )
 
-// relockPause is how long resume waits between attempts to lock the state folder again.
-const relockPause = 10 * time.Millisecond
+// relockInterval is the interval between attempts to lock the state folder again after a handover
+// was aborted.
+const relockInterval = 10 * time.Millisecond
 
-// acceptSuccessors listens for processes that take over, one at a time.
+// acceptSuccessors listens for successors and serves one handover at a time.
 func (c *Controller) acceptSuccessors() error {
 	if c.built.Daemon.GetHandover() == "" {
 		return nil
@@ -39,23 +40,24 @@
 	return nil
 }
 
-// HandedOver is closed when a successor serves and nothing is in flight here any more.
+// HandedOver returns a channel that is closed when a successor serves and nothing is in flight in
+// this controller any more.
 func (c *Controller) HandedOver() <-chan struct{} { return c.handedOver }
 
-// An outgoingHandover is the old process's side of one handover. It is used by the goroutine of acceptSuccessors
-// alone, but for endedCalls.
+// An outgoingHandover is the predecessor's side of one handover. Only the goroutine of
+// acceptSuccessors uses it, except for endedCalls.
 type outgoingHandover struct {
 	controller *Controller
 	link       *daemon.Link
 	protocol   daemon.PredecessorProtocol
 	paused     bool
-	// endedCalls gets the calls that end while paused and afterwards. It has capacity for all that may be in flight:
-	// whoever answers a call must never wait for the link.
+	// endedCalls receives the calls that end during the pause and afterwards. It has capacity for
+	// all calls that can be in flight, so that answering a call never waits for the link.
 	endedCalls chan endedCall
 }
 
-// handOver returns when the successor has taken over and all that was in flight here is answered, or when the handover
-// was aborted.
+// handOver runs a handover. It returns when the successor has taken over and all calls in flight
+// here are answered, or when the handover was aborted.
 func (c *Controller) handOver(l *daemon.Link) {
 	defer l.Close()
 	h := &outgoingHandover{
@@ -64,8 +66,8 @@
 		endedCalls: make(chan endedCall, c.built.Settings.Limits.MaxOpenRequests+16),
 	}
 	for {
-		step, err := h.receive()
-		switch step {
+		action, err := h.receive()
+		switch action {
 		case daemon.OfferSockets:
 			err = h.offerSockets()
 		case daemon.Pause:
@@ -85,7 +87,7 @@
 	}
 }
 
-// receive waits for the successor's next packet, and returns what it leads to.
+// receive waits for the next packet of the successor, and returns the action that follows from it.
 func (h *outgoingHandover) receive() (daemon.Action, error) {
 	kind, _, files, err := h.link.Receive(handoverStepTimeout)
 	for _, f := range files {
@@ -94,14 +96,14 @@
 	if err != nil {
 		return h.protocol.OnPeerLost(), err
 	}
-	step, err := h.protocol.OnPacket(kind)
+	action, err := h.protocol.OnPacket(kind)
 	if err != nil {
 		h.link.Send(daemon.Abort, nil)
 	}
-	return step, err
+	return action, err
 }
 
-// abort goes on as if there had been no handover.
+// abort continues as if there had been no handover.
 func (h *outgoingHandover) abort(cause error) {
 	h.controller.log.Warn().Err(cause).Msg("handover aborted")
 	h.link.Send(daemon.Abort, nil)
@@ -110,21 +112,22 @@
 	}
 }
 
-// offerSockets sends the listeners. It waits for the predecessor's end first: what that still sends must not come after
-// this process has handed over.
+// offerSockets sends the listeners. If this process has itself taken over from a predecessor, it
+// first waits until that one is done: a packet of the predecessor must not arrive after this
+// process has handed over.
 func (h *outgoingHandover) offerSockets() error {
 	if h.controller.predecessorDone != nil {
 		select {
 		case <-h.controller.predecessorDone:
 		case <-time.After(handoverStepTimeout):
-			return errors.New("the process before is not done yet")
+			return errors.New("the predecessor of this process is not done yet")
 		}
 	}
-	return h.link.Send(daemon.Sockets, nil, h.controller.sockets()...)
+	return h.link.Send(daemon.Sockets, nil, h.controller.listenerSockets()...)
 }
 
-// sockets are the listeners, in the order of their indexes.
-func (c *Controller) sockets() []syscall.Conn {
+// listenerSockets returns the listeners in the order of their indexes.
+func (c *Controller) listenerSockets() []syscall.Conn {
 	l := []syscall.Conn{c.listener.(syscall.Conn)}
 	if c.rpcListener != nil {
 		l = append(l, c.rpcListener.(syscall.Conn))
@@ -132,13 +135,14 @@
 	return l
 }
 
-// pause has all further calls wait, and sends what the successor must know. What is in flight goes on.
+// pause makes all further calls wait, sends the state to the successor and unlocks the state
+// folder. Calls in flight continue.
 func (h *outgoingHandover) pause() error {
 	h.paused = true
 	c := h.controller
 	c.log.Info().Int("open", c.Gateway.OpenRequests()).Msg("handover: paused")
 	state := handoverState{
-		Front: c.Webhook.Pause(func(k replayguard.Key, a replayguard.Answer) {
+		Webhook: c.Webhook.Pause(func(k replayguard.Key, a replayguard.Answer) {
 			h.endedCalls <- endedCall{Key: k, Answer: a}
 		}),
 		InFlight: c.Gateway.OpenRequests(),
@@ -146,12 +150,14 @@
 	if c.RPC != nil {
 		c.RPC.Pause()
 	}
-	c.Gateway.SetBudgetHandedOver(true) // before the budget is read: what would still be ordered would be counted by nobody
+	// Load orders must stop before the budget is read: later ones would be counted by neither
+	// process.
+	c.Gateway.SetBudgetHandedOver(true)
 	var err error
 	if state.Budget, err = c.Gateway.BudgetHandover(); err != nil {
 		return err
 	}
-	if engine := c.hooks.Load(); engine != nil {
+	if engine := c.hookEngine.Load(); engine != nil {
 		c.events.engine.Store(nil)
 		if err := engine.Close(); err != nil {
 			c.log.Error().Err(err).Msg("hooks not closed")
@@ -168,12 +174,12 @@
 	return h.link.Send(daemon.StateComplete, nil)
 }
 
-// resume takes back what pause gave away.
+// resume undoes pause.
 func (c *Controller) resume() {
 	c.relockStateDir()
 	c.Gateway.SetBudgetHandedOver(false)
-	if c.hooks.Load() != nil && !c.stopping.Load() {
-		c.hooks.Store(nil)
+	if c.hookEngine.Load() != nil && !c.stopping.Load() {
+		c.hookEngine.Store(nil)
 		if err := c.startHooks(); err != nil {
 			c.log.Error().Err(err).Msg("hooks not restarted")
 		}
@@ -184,38 +190,41 @@
 	c.Webhook.Resume()
 }
 
-// relockStateDir locks the state folder again. The successor may hold it for a moment. A controller that stops
-// meanwhile needs it no more.
+// relockStateDir locks the state folder again. It retries, as the successor may still hold the lock
+// briefly. It gives up when the controller stops, which then does not need the lock any more.
 func (c *Controller) relockStateDir() {
-	for !c.holdsLock() && !c.stopping.Load() {
+	for !c.holdsStateLock() && !c.stopping.Load() {
 		if unlock, err := store.Lock(c.stateDir()); err == nil {
 			c.setUnlock(unlock)
 			return
 		}
-		time.Sleep(relockPause)
+		time.Sleep(relockInterval)
 	}
 }
 
-// transferService has the successor serve, sends it the connections, and finishes what is in flight. It ends this controller;
-// the state folder, the scripts and the sockets' files are the successor's.
+// transferService lets the successor serve, sends it the connections, finishes what is in flight
+// and ends this controller. The state folder, the scripts and the socket files belong to the
+// successor from then on.
 func (h *outgoingHandover) transferService() {
 	c := h.controller
-	if c.stopping.Swap(true) { // it stops already, with all that it has; from here on Stop does nothing
+	// If Stop or Kill came first, it still uses everything that would be handed over. Otherwise
+	// Stop and Kill do nothing from here on.
+	if c.stopping.Swap(true) {
 		h.link.Send(daemon.Abort, nil)
 		c.resume()
 		return
 	}
 	c.log.Info().Int("open", c.Gateway.OpenRequests()).Msg("handover: successor takes over")
 	c.draining.Store(true)
-	h.link.Send(daemon.Grant, nil) // first: the successor takes nothing else until then
+	h.link.Send(daemon.Grant, nil) // first, as the successor accepts no other packet before it
 	answersSent := h.sendEndedCalls()
-	endConns := h.sendConns()
+	stopSendingConns := h.sendConns()
 	c.Webhook.Pass()
 	h.closeListeners()
-	c.stopWatchWhenIdle()
+	c.stopDiscoveryWhenIdle()
 	c.Gateway.Stop(c.built.StopTimeout)
 	c.HTTP.Drain(drainTimeout)
-	endConns()
+	stopSendingConns()
 	if c.RPC != nil {
 		c.RPC.Drain(drainTimeout)
 	}
@@ -230,7 +239,8 @@
 	close(c.handedOver)
 }
 
-// sendEndedCalls sends the calls that end until endedCalls is closed; done is closed when all are sent.
+// sendEndedCalls starts to send the calls from endedCalls, until that channel is closed. done is
+// closed when all of them are sent.
 func (h *outgoingHandover) sendEndedCalls() (done <-chan struct{}) {
 	sent := make(chan struct{})
 	go func() {
@@ -242,38 +252,38 @@
 	return sent
 }
 
-// sendConns sends the connections of clients as they become idle. After a call of end no more are sent: they are closed
-// instead.
-func (h *outgoingHandover) sendConns() (end func()) {
-	var mu sync.Mutex // guards open, and makes end wait for a connection that is being sent
-	open := true
-	h.controller.HTTP.Detach(func(conn net.Conn, read []byte) {
+// sendConns sends the connections of clients as they become idle. Once stop has returned, no more
+// are sent: they are closed instead.
+func (h *outgoingHandover) sendConns() (stop func()) {
+	var mu sync.Mutex // guards sending, and makes stop wait for a connection that is being sent
+	sending := true
+	h.controller.HTTP.Detach(func(conn net.Conn, pending []byte) {
 		defer conn.Close()
 		mu.Lock()
 		defer mu.Unlock()
 		raw, ok := conn.(syscall.Conn)
-		if !ok || !open || len(read) > daemon.MaxPacketBody {
+		if !ok || !sending || len(pending) > daemon.MaxPacketBody {
 			return
 		}
-		if err := h.link.Send(daemon.Conn, read, raw); err != nil {
+		if err := h.link.Send(daemon.Conn, pending, raw); err != nil {
 			h.controller.log.Warn().Err(err).Msg("handover: connection not sent")
 		}
 	})
 	return func() {
 		mu.Lock()
 		defer mu.Unlock()
-		open = false
+		sending = false
 	}
 }
 
-// closeListeners accepts no further connection, and leaves the sockets' files to the successor.
+// closeListeners closes the listeners without removing the socket files, which the successor uses.
 func (h *outgoingHandover) closeListeners() {
 	c := h.controller
 	if ln, ok := c.listener.(*net.UnixListener); ok {
 		ln.SetUnlinkOnClose(false)
 	}
 	c.listener.Close()
-	<-c.acceptDone // what was accepted is among the connections that are sent
+	<-c.acceptDone // from here on sendConns knows every accepted connection
 	if c.rpcListener != nil {
 		c.rpcListener.(*net.UnixListener).SetUnlinkOnClose(false)
 		c.RPC.BeginStop()
--- a/internal/controller/handover_test.go
+++ b/internal/controller/handover_test.go
@@ -28,8 +28,8 @@
 	"kitehub/internal/replayguard"
 )
 
-// newHandoverHarness returns a harness, the changes to its configuration and the path by which its controller can be
-// taken over.
+// newHandoverHarness returns a harness, the changes to its configuration, and the path at which its
+// controller accepts successors.
 func newHandoverHarness(t *testing.T, work time.Duration) (*harness, []string, string) {
 	h := newHarness(t, 3, func(c *fakeworker.Config) {
 		for i := range c.Functions {
@@ -40,16 +40,16 @@
 	return h, append(withRPC(h, fmt.Sprintf("hooks {} daemon { handover: %q }", path)), "remembered: 1000", "remembered: 100000"), path
 }
 
-// takeOver starts a controller in the place of the one that runs.
+// takeOver starts a controller in place of the one that accepts successors at path.
 func (h *harness) takeOver(path string, changes []string) (*Controller, error) {
-	return TakeOver(path, func(after *IncomingHandover) (*Controller, error) {
-		return Start(h.configure("c", changes...), Options{Clock: h.clock, Log: zerolog.Nop(), Predecessor: after})
+	return TakeOver(path, func(incoming *IncomingHandover) (*Controller, error) {
+		return Start(h.configure("c", changes...), Options{Clock: h.clock, Log: zerolog.Nop(), Predecessor: incoming})
 	})
 }
 
-// load sends signed calls until stop is closed, on one connection or, with fresh, on a new one for each. who makes
-// their ids unlike those of other loads.
-func (h *harness) load(t *testing.T, addr, who, function string, fresh bool, stop chan struct{}, sent *atomic.Int64, got func(answer, time.Duration)) {
+// sendCalls sends signed calls, one after another, until stop is closed. It uses one connection or,
+// with newConns, a new one for each call. The ids of the messages start with idPrefix.
+func (h *harness) sendCalls(t *testing.T, addr, idPrefix, function string, newConns bool, stop chan struct{}, sent *atomic.Int64, got func(answer, time.Duration)) {
 	var nc net.Conn
 	var br *bufio.Reader
 	for i := 0; ; i++ {
@@ -68,7 +68,7 @@
 			nc.SetDeadline(time.Now().Add(100 * time.Second))
 			br = bufio.NewReader(nc)
 		}
-		m := sign(t, commonSecret, "c", fmt.Sprint(who, "-", i), function, `{"x":1}`, time.Now())
+		m := sign(t, commonSecret, "c", fmt.Sprint(idPrefix, "-", i), function, `{"x":1}`, time.Now())
 		begin := time.Now()
 		sent.Add(1)
 		nc.Write(m.bytes())
@@ -77,19 +77,18 @@
 		if a.status == 0 {
 			return
 		}
-		if fresh {
+		if newConns {
 			nc.Close()
 			nc = nil
 		}
 	}
 }
 
-// In fifty handovers in a row under load each call has its one answer, no non-idempotent one runs twice, and none is
-// rejected.
+// During fifty successive handovers under load every call is served and runs exactly once.
 func TestHandoversUnderLoadLoseNoCall(t *testing.T) {
-	times := 50
-	if testing.Short() || racing {
-		times = 8
+	handovers := 50
+	if testing.Short() || raceEnabled {
+		handovers = 8
 	}
 	h, changes, path := newHandoverHarness(t, 5*ms)
 	c := h.start(h.configure("c", changes...))
@@ -110,10 +109,10 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			h.load(t, addr, fmt.Sprint("l", i), []string{"unsafe-1", "keyed-1", "safe-1"}[i%3], i >= 3, stop, &sent, got)
+			h.sendCalls(t, addr, fmt.Sprint("l", i), []string{"unsafe-1", "keyed-1", "safe-1"}[i%3], i >= 3, stop, &sent, got)
 		}()
 	}
-	for i := range times {
+	for i := range handovers {
 		for sent.Load() < int64(20*(i+1)) && !t.Failed() {
 			time.Sleep(ms)
 		}
@@ -129,27 +128,27 @@
 	wg.Wait()
 	slices.Sort(took)
 	n := int(sent.Load())
-	t.Logf("%d handovers, %d calls: %v; half took %v, 99%% %v, the longest %v", times, n, outcomes, took[len(took)/2], took[len(took)*99/100], took[len(took)-1])
+	t.Logf("%d handovers, %d calls: %v; latency median %v, 99th percentile %v, maximum %v", handovers, n, outcomes, took[len(took)/2], took[len(took)*99/100], took[len(took)-1])
 	if outcomes["200 served"] != n {
-		t.Errorf("of %d calls: %v", n, outcomes)
+		t.Errorf("outcomes of %d calls: %v, want all served", n, outcomes)
 	}
 	if ran := h.runs("unsafe-1") + h.runs("keyed-1") + h.runs("safe-1"); ran != n {
 		t.Errorf("%d runs of %d calls", ran, n)
 	}
-	if n < 10*times {
-		t.Errorf("%d calls: little is shown", n)
+	if n < 10*handovers {
+		t.Errorf("only %d calls in %d handovers, too few for the test to be meaningful", n, handovers)
 	}
 }
 
-// A message that is in flight in the old process is not admitted by its successor; the answer is cached there once it
-// has come.
+// The successor does not admit a message that is in flight in the predecessor. Once the predecessor
+// has answered it, the successor gives the cached answer.
 func TestHandoverDuringACall(t *testing.T) {
 	h, changes, path := newHandoverHarness(t, 600*ms)
-	old := h.start(h.configure("c", changes...))
+	predecessor := h.start(h.configure("c", changes...))
 	m := sign(t, commonSecret, "c", "once", "unsafe-1", `{"x":1}`, time.Now().Add(-5*time.Second))
 	first := make(chan answer)
-	go func() { first <- exchange(t, old.Addr(), m) }()
-	for old.Gateway.OpenRequests() == 0 {
+	go func() { first <- exchange(t, predecessor.Addr(), m) }()
+	for predecessor.Gateway.OpenRequests() == 0 {
 		time.Sleep(ms)
 	}
 	c, err := h.takeOver(path, changes)
@@ -157,28 +156,30 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(c.Kill)
-	again := func(after int) answer {
+	retry := func(after int) answer {
 		return post(t, c, "once", "unsafe-1", `{"x":1}`, time.Now().Add(time.Duration(after-4)*time.Second))
 	}
 	wantAnswer(t, exchange(t, c.Addr(), m), "409 replayed")
-	wantAnswer(t, again(0), "503 refused") // it runs in the other process
+	wantAnswer(t, retry(0), "503 refused") // it runs in the predecessor
 	wantAnswer(t, post(t, c, "new", "safe-1", `{}`, time.Now()), "200 served")
 	wantAnswer(t, <-first, "200 served")
-	<-old.HandedOver()
+	<-predecessor.HandedOver()
 	for end := time.Now().Add(10 * time.Second); ; {
-		if a := again(1); a.status == 200 || time.Now().After(end) {
+		if a := retry(1); a.status == 200 || time.Now().After(end) {
 			wantAnswer(t, a, "200 served")
 			break
 		}
 	}
 	if n := h.runs("unsafe-1"); n != 1 {
-		t.Errorf("it ran %d times", n)
+		t.Errorf("the message ran %d times, want 1", n)
 	}
 }
 
-// Whichever process of a handover is killed at whichever stage, one serves; before Go it is the old one.
-func TestHandoverWithAProcessKilled(t *testing.T) {
-	for _, stage := range []string{"hello", "sockets", "wish", "whole", "taken", "garbage", "silent"} {
+// The successor dies, or sends an invalid packet, at each stage of a handover. Before Grant the
+// predecessor then continues to serve, and a later handover succeeds. After Grant it finishes what
+// is in flight, and ends.
+func TestHandoverWithSuccessorKilled(t *testing.T) {
+	for _, stage := range []string{"hello", "sockets", "takeover requested", "state complete", "state taken", "wrong packet", "unknown packet"} {
 		t.Run(stage, func(t *testing.T) {
 			h, changes, path := newHandoverHarness(t, ms)
 			c := h.start(h.configure("c", changes...))
@@ -186,12 +187,14 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			step := func(say daemon.PacketKind, until daemon.PacketKind) {
+			// sendAndAwait sends a packet and receives packets until one of the kind awaited. It
+			// receives none if awaited is 0.
+			sendAndAwait := func(kind daemon.PacketKind, awaited daemon.PacketKind) {
 				t.Helper()
-				l.Send(say, nil)
-				for k := daemon.PacketKind(0); until != 0 && k != until; {
+				l.Send(kind, nil)
+				for k := daemon.PacketKind(0); awaited != 0 && k != awaited; {
 					var files []interface{ Close() error }
-					kk, _, fs, err := l.Receive(10 * time.Second)
+					received, _, fs, err := l.Receive(10 * time.Second)
 					for _, f := range fs {
 						files = append(files, f)
 					}
@@ -201,44 +204,46 @@
 					if err != nil {
 						t.Fatal(err)
 					}
-					k = kk
+					k = received
 				}
 			}
 			switch stage {
 			case "hello":
 			case "sockets":
-				step(daemon.Hello, daemon.Sockets)
-			case "wish":
-				step(daemon.Hello, daemon.Sockets)
-				step(daemon.TakeoverRequest, 0)
-			case "whole":
-				step(daemon.Hello, daemon.Sockets)
-				step(daemon.TakeoverRequest, daemon.StateComplete)
-			case "garbage":
-				step(daemon.Hello, daemon.Sockets)
-				step(daemon.TakeoverRequest, daemon.StateComplete)
-				step(daemon.Done, daemon.Abort)
-			case "silent":
-				step(daemon.Hello, daemon.Sockets)
-				step(daemon.TakeoverRequest, daemon.StateComplete)
-				step(0, daemon.Abort) // nothing that it knows
-			case "taken": // from here on the other has the sockets: this one finishes what it has, and ends
-				step(daemon.Hello, daemon.Sockets)
-				step(daemon.TakeoverRequest, daemon.StateComplete)
-				step(daemon.StateTaken, daemon.Grant)
+				sendAndAwait(daemon.Hello, daemon.Sockets)
+			case "takeover requested":
+				sendAndAwait(daemon.Hello, daemon.Sockets)
+				sendAndAwait(daemon.TakeoverRequest, 0)
+			case "state complete":
+				sendAndAwait(daemon.Hello, daemon.Sockets)
+				sendAndAwait(daemon.TakeoverRequest, daemon.StateComplete)
+			case "wrong packet":
+				sendAndAwait(daemon.Hello, daemon.Sockets)
+				sendAndAwait(daemon.TakeoverRequest, daemon.StateComplete)
+				sendAndAwait(daemon.Done, daemon.Abort)
+			case "unknown packet":
+				sendAndAwait(daemon.Hello, daemon.Sockets)
+				sendAndAwait(daemon.TakeoverRequest, daemon.StateComplete)
+				sendAndAwait(0, daemon.Abort)
+			case "state taken":
+				// After this packet the successor has the sockets: the predecessor finishes what is in
+				// flight, and ends.
+				sendAndAwait(daemon.Hello, daemon.Sockets)
+				sendAndAwait(daemon.TakeoverRequest, daemon.StateComplete)
+				sendAndAwait(daemon.StateTaken, daemon.Grant)
 				l.Close()
 				<-c.HandedOver()
 				if _, err := net.DialTimeout("tcp", c.Addr(), time.Second); !errors.Is(err, syscall.ECONNREFUSED) {
-					t.Error(err)
+					t.Errorf("dial after the handover: error %v, want connection refused", err)
 				}
-				h.start(h.configure("c", changes...)) // as its supervisor would
+				h.start(h.configure("c", changes...)) // as the supervisor would
 				return
 			}
 			l.Close()
 			for i := range 3 {
 				wantAnswer(t, post(t, c, fmt.Sprint("m", i), "safe-1", `{}`, time.Now()), "200 served")
 			}
-			next, err := h.takeOver(path, changes) // and a further one is not held up
+			next, err := h.takeOver(path, changes)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -249,7 +254,7 @@
 	}
 }
 
-// A successor that does not start leaves the old process as it was.
+// If the successor fails to start, the predecessor continues to serve.
 func TestHandoverToBadSuccessor(t *testing.T) {
 	h, changes, path := newHandoverHarness(t, ms)
 	c := h.start(h.configure("c", changes...))
@@ -260,10 +265,11 @@
 	wantAnswer(t, post(t, c, "m", "safe-1", `{}`, time.Now()), "200 served")
 }
 
-// If the old process dies between its state and Go, the new one serves: it remembers the ids, and answers of those that
-// were in flight that they may have run. If it dies before all its state has come, the new one ends.
-func TestHandoverFromADyingProcess(t *testing.T) {
-	for _, whole := range []bool{true, false} {
+// If the predecessor dies after StateComplete and before Grant, the successor serves: it knows the
+// ids of the predecessor's messages, and answers those that were in flight as failed, as they may
+// have run. If the predecessor dies before StateComplete, the successor exits.
+func TestHandoverFromDyingPredecessor(t *testing.T) {
+	for _, complete := range []bool{true, false} {
 		h, changes, path := newHandoverHarness(t, ms)
 		tcp, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -278,7 +284,7 @@
 			t.Fatal(err)
 		}
 		m := sign(t, commonSecret, "c", "known", "unsafe-1", `{}`, time.Now().Add(-3*time.Second))
-		state := handoverState{Front: webhook.State{Highest: time.Now().Unix(), Durable: time.Now().Unix() + 10, Known: []replayguard.EntryState{
+		state := handoverState{Webhook: webhook.State{Highest: time.Now().Unix(), Durable: time.Now().Unix() + 10, Known: []replayguard.EntryState{
 			{Key: replayguard.Key{ID: "known"}, Last: time.Now().Unix() - 3, Running: true, Digest: bodyDigest("unsafe-1", m)}}}}
 		text, _ := json.Marshal(state)
 		go func() {
@@ -290,19 +296,19 @@
 			l.Receive(10 * time.Second)
 			l.Send(daemon.Sockets, nil, tcp.(syscall.Conn), unix.(syscall.Conn))
 			l.Receive(10 * time.Second)
-			if l.SendState(text); whole {
+			if l.SendState(text); complete {
 				l.Send(daemon.StateComplete, nil)
 			}
 			tcp.Close()
 			unix.(*net.UnixListener).SetUnlinkOnClose(false)
 			unix.Close()
 			links.Close()
-			l.Close() // as the end of its process would
+			l.Close() // as the end of the process would
 		}()
 		c, err := h.takeOver(path, changes)
-		if !whole {
+		if !complete {
 			if err == nil {
-				t.Error("it serves with a part of the state")
+				t.Error("the successor serves with only a part of the state")
 			}
 			continue
 		}
@@ -315,19 +321,19 @@
 		wantAnswer(t, post(t, c, "known", "unsafe-1", `{}`, time.Now()), "502 failed")
 		wantAnswer(t, post(t, c, "new", "unsafe-1", `{}`, time.Now()), "200 served")
 		if n := h.runs("unsafe-1"); n != 1 {
-			t.Errorf("%d runs", n)
+			t.Errorf("%d runs, want 1", n)
 		}
 	}
 }
 
-// bodyDigest is what the ingress remembers of a message's body.
+// bodyDigest returns the digest by which the replay guard recognises a message's body.
 func bodyDigest(function string, m message) []byte {
 	sum := sha256.Sum256(append([]byte(function+"\x00\x00"), m.signed.Body...))
 	return sum[:]
 }
 
-// A controller that is stopped while a successor has it paused stops, with all that waited answered, and is not handed
-// over.
+// A controller that is stopped while it is paused for a handover stops: it answers the waiting
+// calls and aborts the handover.
 func TestStopInHandover(t *testing.T) {
 	h, changes, path := newHandoverHarness(t, ms)
 	c := h.start(h.configure("c", changes...))
@@ -364,19 +370,20 @@
 	}
 	l.Send(daemon.StateTaken, nil)
 	if k, _, _, err := l.Receive(10 * time.Second); err != nil || k != daemon.Abort {
-		t.Errorf("%c %v", k, err)
+		t.Errorf("received packet %q, error %v, want Abort", k, err)
 	}
 	if err := <-stopped; err != nil {
 		t.Error(err)
 	}
-	// It was read, and refused; or it was not, and its connection ended.
+	// Either the call was read and rejected, or it was not read and its connection was closed.
 	text, err := io.ReadAll(nc)
 	if err != nil && errors.Is(err, os.ErrDeadlineExceeded) || len(text) > 0 && !bytes.HasPrefix(text, []byte("HTTP/1.1 503")) {
-		t.Errorf("%v: %s", err, text)
+		t.Errorf("got error %v and text %q, want a closed connection or status 503", err, text)
 	}
 }
 
-// A call that ends while its process is paused is known to the successor, like those that end later.
+// The successor receives the answer of a call that ends while the predecessor is paused, as it does
+// for calls that end later.
 func TestCallEndedWhilePausedIsKnownToTheSuccessor(t *testing.T) {
 	h, changes, path := newHandoverHarness(t, 300*ms)
 	c := h.start(h.configure("c", changes...))
@@ -390,14 +397,14 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	until := func(want daemon.PacketKind) []byte {
+	await := func(want daemon.PacketKind) []byte {
 		for {
 			k, b, files, err := l.Receive(10 * time.Second)
 			for _, f := range files {
 				f.Close()
 			}
 			if err != nil || k == daemon.Done && want != daemon.Done {
-				t.Fatalf("%c %v: %c is wanted", k, err, want)
+				t.Fatalf("received packet %q, error %v, want %q", k, err, want)
 			}
 			if k == want {
 				return b
@@ -405,25 +412,26 @@
 		}
 	}
 	l.Send(daemon.Hello, nil)
-	until(daemon.Sockets)
+	await(daemon.Sockets)
 	l.Send(daemon.TakeoverRequest, nil)
-	until(daemon.StateComplete)
-	wantAnswer(t, <-first, "200 served") // what is in hand goes on, halted or not
+	await(daemon.StateComplete)
+	wantAnswer(t, <-first, "200 served") // a call in flight continues during the pause
 	l.Send(daemon.StateTaken, nil)
-	until(daemon.Grant) // and not after the answer
+	await(daemon.Grant) // comes before the Answer packet
 	var e endedCall
-	if err := json.Unmarshal(until(daemon.Answer), &e); err != nil || e.Key.ID != "once" || e.Answer.Status != 200 {
-		t.Errorf("%v %+v", err, e)
+	if err := json.Unmarshal(await(daemon.Answer), &e); err != nil || e.Key.ID != "once" || e.Answer.Status != 200 {
+		t.Errorf("error %v, ended call %+v", err, e)
 	}
 }
 
-// An answer of a model's version is not handed over: the successor could not ask whether its alias has left it.
+// The answer of a model's version is not handed over: the successor could not check whether the
+// alias still names that version.
 func TestVersionedAnswerIsNotHandedOver(t *testing.T) {
 	k := replayguard.Key{ID: "x"}
 	for _, c := range []struct {
-		a      replayguard.Answer
-		unkept bool
-		body   string
+		answer    replayguard.Answer
+		notCached bool
+		body      string
 	}{
 		{replayguard.Answer{Status: 200, Body: []byte("v1")}, false, "v1"},
 		{replayguard.Answer{Status: 200, Body: []byte("v1"), Tag: 1}, true, ""},
@@ -431,8 +439,8 @@
 		{replayguard.Answer{Status: 503, Rejected: true, Body: []byte("no"), Tag: 1}, false, ""},
 	} {
 		var e endedCall
-		if err := json.Unmarshal(encodeEndedCall(k, c.a), &e); err != nil || e.NotCached != c.unkept || string(e.Answer.Body) != c.body || e.Answer.Rejected != c.a.Rejected {
-			t.Errorf("%v %+v", err, e)
+		if err := json.Unmarshal(encodeEndedCall(k, c.answer), &e); err != nil || e.NotCached != c.notCached || string(e.Answer.Body) != c.body || e.Answer.Rejected != c.answer.Rejected {
+			t.Errorf("error %v, ended call %+v", err, e)
 		}
 	}
 	now := time.Now()
@@ -440,12 +448,12 @@
 	g.Import([]replayguard.EntryState{{Key: k, Last: now.Unix() - 2, Running: true, Digest: make([]byte, 32)}}, 0, now.Unix()+5, 0)
 	g.EndedUncached(k)
 	if v, _, _ := g.Admit(now, replayguard.Message{Key: k, Stamp: now.Add(-time.Second)}); v != replayguard.AnswerEvicted {
-		t.Errorf("verdict %v: lost is wanted, neither run again nor given", v)
+		t.Errorf("verdict %v, want AnswerEvicted: the message neither runs again nor gets an answer", v)
 	}
 }
 
-// An idempotency key of RPC that the old process may have run is rejected by its successor; calls without one are
-// served.
+// The successor rejects an RPC call with an idempotency key, as the predecessor may have run it.
+// Calls without a key are served.
 func TestHandoverRejectsIdempotencyKeys(t *testing.T) {
 	h, changes, path := newHandoverHarness(t, ms)
 	c := h.start(h.configure("c", changes...))
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -32,7 +32,8 @@
 const commonSecret = "whsec_MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw"
 const otherSecret = "whsec_AAECAwQFBgcICQoLDA0ODxAREhMUFRYXGBkaGxwdHh8="
 
-// A harness is a host of fake workers, an endpoint list of them in a file, and controllers in front.
+// A harness runs fake workers, the file with their endpoint list, and the controllers that use
+// them.
 type harness struct {
 	t        *testing.T
 	host     *fakeworker.Host
@@ -79,7 +80,8 @@
 	return h
 }
 
-// writeList writes the endpoint list, with the first worker in a state; Gone leaves all out.
+// writeList writes the endpoint list with the first worker in the given state; Removed writes an
+// empty list.
 func (h *harness) writeList(first scheduler.WorkerState) {
 	h.t.Helper()
 	var l []gateway.Worker
@@ -101,7 +103,7 @@
 	}
 }
 
-// configure returns a controller's configuration; changes are pairs of old and new text.
+// configure returns the configuration of a controller. changes are pairs of an old and a new text.
 func (h *harness) configure(name string, changes ...string) *config.Built {
 	h.t.Helper()
 	text := fmt.Sprintf(`name: %q controllers: 1 tick_ms: 1 state_dir: %q stop_ms: 5000
@@ -142,7 +144,7 @@
 	return c
 }
 
-// A message is a signed request that can be sent again byte by byte.
+// A message is a signed request that can be sent several times with identical bytes.
 type message struct {
 	signed    signing.Message
 	key       *signing.Key
@@ -185,17 +187,17 @@
 
 var limits = http1.Limits{}.Filled()
 
-// An answer is what came back: the status, the outcome as the signed id names it, the body and Retry-After.
+// An answer is the answer that a client received.
 type answer struct {
 	status     int
-	outcome    string
+	outcome    string // the outcome in the problem details, which the signed id repeats; "served" for 200
 	body       string
-	retryAfter string
+	retryAfter string // the Retry-After header
 }
 
 func (a answer) String() string { return fmt.Sprint(a.status, " ", a.outcome) }
 
-// exchange sends bytes on a new connection and reads one answer; its signature must verify where it has one.
+// exchange sends a message on a new connection, reads one answer and checks its signature.
 func exchange(t *testing.T, addr string, m message) answer {
 	t.Helper()
 	nc, err := net.Dial("tcp", addr)
@@ -208,13 +210,14 @@
 	return readAnswer(t, bufio.NewReader(nc), m)
 }
 
-// post sends a call, signed for the controller, and reads the answer.
+// post sends a call that is signed for the controller, and reads its answer.
 func post(t *testing.T, c *Controller, id, function, body string, at time.Time) answer {
 	t.Helper()
 	return exchange(t, c.Addr(), sign(t, commonSecret, c.Name(), id, function, body, at))
 }
 
-// readAnswer reads the answer to a message and verifies its signature, where it has one.
+// readAnswer reads the answer to a message and verifies its signature. Only answers with status
+// 401, 405 or 413 may be unsigned.
 func readAnswer(t *testing.T, br *bufio.Reader, m message) answer {
 	t.Helper()
 	resp, err := http1.ReadResponse(br, &limits, "POST")
@@ -227,7 +230,7 @@
 		var p struct{ Type, Outcome string }
 		isProblem := resp.Header.Get("Content-Type") == "application/problem+json"
 		if err := json.Unmarshal(resp.Body, &p); err != nil || !isProblem || p.Type == "" {
-			t.Errorf("%d is no problem details: %s", resp.Status, resp.Body)
+			t.Errorf("the body of status %d is not a problem details object: %s", resp.Status, resp.Body)
 		}
 		a.outcome = p.Outcome
 	}
@@ -251,7 +254,7 @@
 	}
 }
 
-// runs counts how often a function's calls began at workers.
+// runs returns how many times workers started to run a function.
 func (h *harness) runs(function string) (n int) {
 	for _, rec := range h.trace.Records() {
 		if rec.Kind == trace.RunStarted && rec.Function == function {
@@ -261,16 +264,16 @@
 	return n
 }
 
-// awaitRecord waits until the trace holds a record.
-func (h *harness) awaitRecord(what func(trace.Record) bool) trace.Record {
+// awaitRecord waits until the trace contains a matching record, and returns it.
+func (h *harness) awaitRecord(matches func(trace.Record) bool) trace.Record {
 	h.t.Helper()
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(ms) {
 		l := h.trace.Records()
-		if i := slices.IndexFunc(l, what); i >= 0 {
+		if i := slices.IndexFunc(l, matches); i >= 0 {
 			return l[i]
 		}
 	}
-	h.t.Fatal("the trace never held it")
+	h.t.Fatal("no matching record in the trace within 20 s")
 	return trace.Record{}
 }
 
--- a/internal/controller/hooks.go
+++ b/internal/controller/hooks.go
@@ -17,51 +17,53 @@
 	"kitehub/internal/store"
 )
 
-// errNoHooks is that a method on scripts was called where none are configured.
+// errNoHooks is returned by methods on scripts if no hooks are configured.
 var errNoHooks = errors.New("no hooks are configured")
 
-// An eventTap is the gateway's Hooks. It passes events on to the scripts and to those who have subscribed by RPC, so
-// that all see the same. It is safe for concurrent use; either of the two may come and go.
-type eventTap struct {
-	engine atomic.Pointer[hookengine.Engine]
-	rpc    atomic.Pointer[jsonrpc.Server]
+// An eventFanout implements gateway.Hooks. It forwards the same events to the scripts and to the
+// subscribers of the RPC server. It is safe for concurrent use; either destination can be set or
+// removed at any time.
+type eventFanout struct {
+	engine atomic.Pointer[hookengine.Engine] // nil: no scripts
+	rpc    atomic.Pointer[jsonrpc.Server]    // nil: no RPC server
 }
 
-var _ gateway.Hooks = (*eventTap)(nil)
+var _ gateway.Hooks = (*eventFanout)(nil)
 
 // CallArrived implements gateway.Hooks.
-func (t *eventTap) CallArrived(c hooklang.Call) hookadvice.Verdict {
-	if e := t.engine.Load(); e != nil {
+func (f *eventFanout) CallArrived(c hooklang.Call) hookadvice.Verdict {
+	if e := f.engine.Load(); e != nil {
 		return e.Arrive(c)
 	}
 	return hookadvice.Verdict{}
 }
 
 // CallEnded implements gateway.Hooks.
-func (t *eventTap) CallEnded(tenant string) {
-	if e := t.engine.Load(); e != nil {
+func (f *eventFanout) CallEnded(tenant string) {
+	if e := f.engine.Load(); e != nil {
 		e.CallEnded(tenant)
 	}
 }
 
 // Post implements gateway.Hooks.
-func (t *eventTap) Post(point string, event hooklang.Event) {
-	if e := t.engine.Load(); e != nil {
+func (f *eventFanout) Post(point string, event hooklang.Event) {
+	if e := f.engine.Load(); e != nil {
 		e.Post(point, event)
 	}
-	if s := t.rpc.Load(); s != nil {
+	if s := f.rpc.Load(); s != nil {
 		s.Publish(point, event)
 	}
 }
 
 // SetWorkers implements gateway.Hooks.
-func (t *eventTap) SetWorkers(l []hookadvice.Worker) {
-	if e := t.engine.Load(); e != nil {
+func (f *eventFanout) SetWorkers(l []hookadvice.Worker) {
+	if e := f.engine.Load(); e != nil {
 		e.Workers(l)
 	}
 }
 
-// adviceFacts is what advice is checked against. It implements hookengine's Facts.
+// adviceFacts provides the functions and tenants that advice may name. It implements
+// hookengine.Facts.
 type adviceFacts struct {
 	functions *gateway.Functions
 	tenants   map[string]bool
@@ -73,17 +75,20 @@
 	return s.MemoryMB, ok
 }
 
-// Tenant tells whether a tenant is configured.
+// Tenant reports whether a tenant is configured.
 func (f adviceFacts) Tenant(name string) bool { return f.tenants[name] }
 
-// adviceSink hands advice to the gateway. It implements hookengine's Sink.
+// adviceSink passes the advice of scripts to the gateway. It implements hookengine.Sink.
 type adviceSink struct{ controller *Controller }
 
-// KeepWarm advises copies of a function. A model is kept warm as the version that its alias current names.
+// KeepWarm implements hookengine.Sink: it asks for copies of a function. For a model these are
+// copies of the version that its alias "current" names.
 func (s adviceSink) KeepWarm(function string, copies int, until time.Duration) {
 	if spec, ok := s.controller.functions.Spec(function); ok && spec.IsModel {
-		model := s.controller.functions.Find(function) // a model is configured by its whole name: no pattern is used up
-		if v, _, ok := s.controller.models.current(model); ok {
+		// A model is configured by its full name, so this Find does not use up the bound of a
+		// pattern.
+		model := s.controller.functions.Find(function)
+		if v, _, ok := s.controller.models.currentVersion(model); ok {
 			s.controller.Gateway.KeepWarm(v.Name, copies, until)
 		}
 		return
@@ -91,13 +96,13 @@
 	s.controller.Gateway.KeepWarm(function, copies, until)
 }
 
-// RankWorker advises to prefer or avoid a worker.
+// RankWorker implements hookengine.Sink: it makes the gateway prefer or avoid a worker.
 func (s adviceSink) RankWorker(worker string, rank int, until time.Duration) {
 	s.controller.Gateway.RankWorker(worker, rank, until)
 }
 
-// startHooks starts the scripts that were stored and those of the configured files. A script that is wrong must not
-// prevent calls from being served: it is logged.
+// startHooks starts the hook engine with its stored scripts, and loads those of the configured
+// files. An invalid script is only logged, as it must not prevent calls from being served.
 func (c *Controller) startHooks() error {
 	if c.built.Hooks == nil || c.options.NoHooks {
 		return nil
@@ -110,7 +115,7 @@
 	if err != nil {
 		return err
 	}
-	c.hooks.Store(e)
+	c.hookEngine.Store(e)
 	c.events.engine.Store(e)
 	if err := c.loadScripts(c.built); err != nil {
 		c.log.Error().Err(err).Msg("scripts rejected, keeping previous")
@@ -118,7 +123,8 @@
 	return nil
 }
 
-// hookConfig starts the notifier too, if there are targets for it.
+// hookConfig returns the configuration of the hook engine. It also starts the notifier if there are
+// targets for it.
 func (c *Controller) hookConfig(dir string) hookengine.Config {
 	facts := adviceFacts{c.functions, map[string]bool{}}
 	for _, t := range c.built.Settings.Tenants {
@@ -138,15 +144,15 @@
 	return hc
 }
 
-// loadScripts loads the files as they are now. Of one that is wrong the previous version goes on; the others are
-// loaded.
+// loadScripts loads the configured files with their present content. The previous version of an
+// invalid script stays active; the other scripts are loaded.
 func (c *Controller) loadScripts(b *config.Built) error {
 	var errs []error
 	for _, s := range b.Scripts {
 		text, err := os.ReadFile(s.File)
 		if err == nil {
 			var warnings hooklang.Problems
-			_, warnings, err = c.hooks.Load().Load(s.Name, string(text), s.File, s.Shadow)
+			_, warnings, err = c.hookEngine.Load().Load(s.Name, string(text), s.File, s.Shadow)
 			for _, w := range warnings {
 				c.log.Warn().Str("script", s.Name).Msg(w.Error())
 			}
@@ -158,22 +164,23 @@
 	return errors.Join(errs...)
 }
 
-// ReloadScripts loads the scripts' files as they are now. Its error names all that are wrong.
+// ReloadScripts loads the configured script files again. Its error names every invalid script; the
+// others are loaded.
 func (c *Controller) ReloadScripts(b *config.Built) error {
-	if c.hooks.Load() == nil {
+	if c.hookEngine.Load() == nil {
 		return nil
 	}
 	return c.loadScripts(b)
 }
 
-// HookEngine returns the engine that runs scripts, or nil.
-func (c *Controller) HookEngine() *hookengine.Engine { return c.hooks.Load() }
+// HookEngine returns the engine that runs the scripts, or nil if there is none.
+func (c *Controller) HookEngine() *hookengine.Engine { return c.hookEngine.Load() }
 
-// LoadScript loads a script for a test harness.
+// LoadScript loads a script. Test harnesses use it.
 func (c *Controller) LoadScript(name, text string) error {
-	if c.hooks.Load() == nil {
+	if c.hookEngine.Load() == nil {
 		return errNoHooks
 	}
-	_, _, err := c.hooks.Load().Load(name, text, "rig", false)
+	_, _, err := c.hookEngine.Load().Load(name, text, "rig", false)
 	return err
 }
--- a/internal/controller/models.go
+++ b/internal/controller/models.go
@@ -14,30 +14,33 @@
 	"kitehub/internal/registry/wire"
 )
 
-// maxRevisions bounds the aliases whose migrations are posted: clients may name aliases as they like.
-const maxRevisions = 10_000
+// maxTrackedAliases bounds the number of aliases whose migrations are posted as events, as clients
+// choose the aliases in their calls.
+const maxTrackedAliases = 10_000
 
-// modelVersions joins the registry's agent with the gateway's functions: it answers what the ingresses and the gateway
-// ask of the versions of models. It implements ingress.Models and gateway.Versions, and is safe for concurrent use.
+// modelVersions connects the registry agent with the gateway's functions: it resolves the versions
+// of models for the ingresses and the gateway. It implements ingress.Models and gateway.Versions,
+// and is safe for concurrent use.
 type modelVersions struct {
-	agent     atomic.Pointer[agent.Agent] // nil until it has started: after a handover, once the predecessor is done
+	agent     atomic.Pointer[agent.Agent] // nil until started; after a handover, until the predecessor is done
 	functions *gateway.Functions
 	gateway   *gateway.Gateway
 	clock     clock.Clock
-	events    *eventTap
+	events    *eventFanout
 
 	mu        sync.Mutex                    // guards revisions
-	revisions map[registry.AliasName]uint64 // the revision at which calls last found an alias
+	revisions map[registry.AliasName]uint64 // the latest revision at which a call resolved the alias
 }
 
-// postMigration posts that a call finds an alias at a later revision than the calls before.
+// postMigration posts an event if a call resolves an alias at a later revision than earlier calls
+// did.
 func (m *modelVersions) postMigration(n registry.AliasName, t registry.Target) {
 	m.mu.Lock()
 	old, known := m.revisions[n]
 	if m.revisions == nil {
 		m.revisions = map[registry.AliasName]uint64{}
 	}
-	if known || len(m.revisions) < maxRevisions {
+	if known || len(m.revisions) < maxTrackedAliases {
 		m.revisions[n] = max(old, t.Revision)
 	}
 	m.mu.Unlock()
@@ -48,7 +51,7 @@
 	}
 }
 
-// Bind implements ingress.Models: it resolves an alias to a version, and counts a call of it.
+// Bind implements ingress.Models: it resolves an alias to a version, and counts a call under it.
 func (m *modelVersions) Bind(model *gateway.Function, alias string) (*gateway.Function, gateway.VersionBinding, registry.Verdict) {
 	b := gateway.VersionBinding{Name: registry.AliasName{Model: model.Name, Alias: alias}}
 	a := m.agent.Load()
@@ -71,8 +74,9 @@
 	return fn, b, v
 }
 
-// current returns the version that a model's alias "current" names, as a function; false if none may be used now.
-func (m *modelVersions) current(model *gateway.Function) (*gateway.Function, registry.Target, bool) {
+// currentVersion returns the version that a model's alias "current" names, as a function. It
+// returns false if no version may be used now.
+func (m *modelVersions) currentVersion(model *gateway.Function) (*gateway.Function, registry.Target, bool) {
 	a := m.agent.Load()
 	if a == nil {
 		return nil, registry.Target{}, false
@@ -85,13 +89,13 @@
 	return fn, t, err == nil
 }
 
-// Unbind implements ingress.Models: it ends what Bind began.
+// Unbind implements ingress.Models: it ends the call that Bind has counted.
 func (m *modelVersions) Unbind(b gateway.VersionBinding, ran, failed bool) {
 	m.agent.Load().EndCall(b.Name, b.Target, ran, failed)
 }
 
-// Begin implements ingress.Models: it asks for an answer to be let out. The duration is how long that may take; 0: no
-// bound.
+// Begin implements ingress.Models: it asks whether an answer may be written. The duration is the
+// maximum time for writing it; 0: no limit.
 func (m *modelVersions) Begin(b gateway.VersionBinding) (func(), time.Duration, registry.Verdict) {
 	t, until, v := m.agent.Load().BeginAnswer(b.Name, b.Target)
 	if v != registry.Allowed {
@@ -116,13 +120,13 @@
 	}
 }
 
-// stageCopies hands the copies that the registry wants ahead of calls to the dispatcher, which orders them within its
-// budget.
+// stageCopies passes the copies that the registry wants to be loaded ahead of calls to the
+// dispatcher, which orders them within its load budget.
 func (m *modelVersions) stageCopies(l []wire.Stage) {
 	for _, s := range l {
 		model := m.functions.Find(s.Model)
 		if model == nil || !model.IsModel {
-			continue // this controller serves no such model
+			continue // this controller does not serve the model
 		}
 		if fn, err := m.functions.Version(model, s.Version, s.Digest); err == nil {
 			m.gateway.StageCopies(fn, s.Copies)
--- a/internal/controller/norace_test.go
+++ b/internal/controller/norace_test.go
@@ -2,4 +2,4 @@
 
 package controller
 
-const racing = false
+const raceEnabled = false
--- a/internal/controller/operator.go
+++ b/internal/controller/operator.go
@@ -10,7 +10,7 @@
 	"kitehub/internal/ingress/jsonrpc"
 )
 
-// startRPC serves operators, and callers on the same machine.
+// startRPC starts the RPC server for operators and for clients on the same machine.
 func (c *Controller) startRPC() error {
 	if c.built.RPC == nil {
 		return nil
@@ -21,9 +21,9 @@
 	rc.Clock = c.options.Clock
 	rc.Log = c.log
 	rc.Operator = operator{c}
-	rc.Deadline = c.frontConfig.Deadline
-	rc.Effect = c.frontConfig.Idempotency
-	rc.Models = c.frontConfig.Models
+	rc.Deadline = c.webhookConfig.Deadline
+	rc.Effect = c.webhookConfig.Idempotency
+	rc.Models = c.webhookConfig.Models
 	if c.options.Predecessor != nil {
 		rc.After = c.options.Clock.Now()
 	}
@@ -42,10 +42,10 @@
 	return nil
 }
 
-// listenRPC opens the socket, or takes that of the predecessor.
+// listenRPC opens the RPC socket, or takes over that of the predecessor.
 func (c *Controller) listenRPC() (net.Listener, error) {
 	if p := c.options.Predecessor; p != nil {
-		return p.listener(rpcListener)
+		return p.listener(rpcListenerIndex)
 	}
 	return jsonrpc.Listen(c.built.RPCSocket, c.built.RPCSocketMode)
 }
@@ -56,18 +56,19 @@
 	PID            int              `json:"pid"`
 	InFlight       int              `json:"open"` // calls in flight
 	Draining       bool             `json:"draining"`
-	Answers        map[string]int64 `json:"answers"` // by kind, since the start
+	Answers        map[string]int64 `json:"answers"` // number by outcome since the start
 	RPC            map[string]int64 `json:"rpc"`
 	Hooks          map[string]int64 `json:"hooks,omitempty"`
-	MeanStepMicros float64          `json:"mean_step_us"` // mean time of a step of the dispatcher, in microseconds
+	MeanStepMicros float64          `json:"mean_step_us"` // mean time of a scheduler step, in microseconds
 	ModuleCrashes  int64            `json:"module_crashes"`
 }
 
-// operator carries out the operators' methods. It implements jsonrpc's Operator, and is safe for concurrent use.
+// operator executes the operators' methods. It implements jsonrpc.Operator and is safe for
+// concurrent use.
 type operator struct{ controller *Controller }
 
-// Do carries out a method. params reads its parameters. An unknown method is jsonrpc.ErrMethod, an unknown call or
-// script jsonrpc.ErrUnknown.
+// Do executes a method; params decodes its parameters. It returns jsonrpc.ErrMethod for an unknown
+// method, and an error that wraps jsonrpc.ErrUnknown for an unknown call or script.
 func (op operator) Do(method string, user jsonrpc.User, params func(any) error) (any, error) {
 	c := op.controller
 	switch method {
@@ -90,18 +91,19 @@
 		}
 		return "ok", c.options.Reload()
 	}
-	engine := c.hooks.Load()
+	engine := c.hookEngine.Load()
 	if engine == nil {
-		return nil, withoutHooks(method)
+		return nil, errorWithoutHooks(method)
 	}
 	if method == "hooks" {
 		return engine.Overview()
 	}
-	return doHook(engine, method, user, params)
+	return doScriptMethod(engine, method, user, params)
 }
 
-// withoutHooks returns the error of a method that is left where no hooks run.
-func withoutHooks(method string) error {
+// errorWithoutHooks returns the error of a method that needs hooks, or does not exist, in a
+// controller without hooks.
+func errorWithoutHooks(method string) error {
 	switch method {
 	case "hooks", "hook.load", "hook.promote", "hook.rollback", "hook.release", "hook.remove":
 		return errNoHooks
@@ -144,7 +146,7 @@
 	if c.RPC != nil {
 		s.RPC = rpcStatus(c.RPC)
 	}
-	if engine := c.hooks.Load(); engine != nil {
+	if engine := c.hookEngine.Load(); engine != nil {
 		s.Hooks = c.hookStatus(engine)
 	}
 	return s
@@ -188,24 +190,24 @@
 	return status
 }
 
-// hookParams are those of all methods on one script.
-type hookParams struct {
+// scriptParams are the parameters of all methods on one script. Each method uses some of them.
+type scriptParams struct {
 	Name   string `json:"name"`
 	Text   string `json:"text"`
 	Shadow bool   `json:"shadow"`
 	Force  bool   `json:"force"`
 }
 
-// doHook carries out a method on one script.
-func doHook(engine *hookengine.Engine, method string, user jsonrpc.User, params func(any) error) (any, error) {
-	var p hookParams
+// doScriptMethod executes a method on one script.
+func doScriptMethod(engine *hookengine.Engine, method string, user jsonrpc.User, params func(any) error) (any, error) {
+	var p scriptParams
 	if err := params(&p); err != nil {
 		return nil, err
 	}
 	var err error
 	switch method {
 	case "hook.load":
-		return loadHook(engine, p, user)
+		return loadScript(engine, p, user)
 	case "hook.promote":
 		err = engine.Promote(p.Name, p.Force)
 	case "hook.rollback":
@@ -223,7 +225,7 @@
 	return "ok", err
 }
 
-func loadHook(engine *hookengine.Engine, p hookParams, user jsonrpc.User) (any, error) {
+func loadScript(engine *hookengine.Engine, p scriptParams, user jsonrpc.User) (any, error) {
 	version, warnings, err := engine.Load(p.Name, p.Text, "user "+user.Name, p.Shadow)
 	if err != nil {
 		return nil, err
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -10,24 +10,24 @@
 )
 
 const (
-	// maxMessage is the length in bytes of the longest message.
-	maxMessage = 256
-	// indexBytes is the length of the sender's index before a message.
+	// maxMessageBytes is the maximum length of a peer message, without the sender's index.
+	maxMessageBytes = 256
+	// indexBytes is the length of the sender's index in front of a peer message.
 	indexBytes = 4
 )
 
-// Peers carries the dispatchers' gossip between controllers, as one UDP datagram a message. Messages may be lost, as
-// the dispatcher knows. They are accepted only from the addresses that the configuration names. Peers is safe for
-// concurrent use.
+// Peers transports peer messages between the dispatchers of the controllers. Each message is one
+// UDP datagram. Messages can be lost, and the dispatchers tolerate that. Messages are accepted only
+// from the configured addresses. Peers is safe for concurrent use.
 type Peers struct {
 	conn        *net.UDPConn
 	self        int                  // index of this controller
-	addrs       map[int]*net.UDPAddr // by index
-	headerBytes int                  // indexBytes, or 0 where the address alone tells who the sender is
+	addrs       map[int]*net.UDPAddr // addresses of the controllers by index
+	headerBytes int                  // indexBytes, or 0 if the address alone identifies the sender
 }
 
-// ListenPeers sends and receives at the address listen. addrs are the controllers' by index; self is the index of this
-// one. indexed puts the sender's index before each message.
+// ListenPeers opens a socket at the address listen. addrs are the addresses of the controllers by
+// index; self is the index of this one. With indexed, each datagram starts with the sender's index.
 func ListenPeers(self int, listen string, addrs map[int]string, indexed bool) (*Peers, error) {
 	p := &Peers{self: self, addrs: map[int]*net.UDPAddr{}}
 	if indexed {
@@ -52,7 +52,7 @@
 
 // Send implements gateway.Peers. A message of more than 256 bytes is dropped.
 func (p *Peers) Send(to int, payload []byte) {
-	if len(payload) > maxMessage {
+	if len(payload) > maxMessageBytes {
 		return
 	}
 	var datagram []byte
@@ -67,15 +67,15 @@
 	}
 }
 
-// Receive hands what comes to the gateway, until Close.
+// Receive passes the received messages to the gateway until Close is called.
 func (p *Peers) Receive(g *gateway.Gateway) {
-	buf := make([]byte, p.headerBytes+maxMessage+1)
+	buf := make([]byte, p.headerBytes+maxMessageBytes+1)
 	for {
 		n, from, err := p.conn.ReadFromUDP(buf)
 		if err != nil {
 			return
 		}
-		if n < p.headerBytes || n > p.headerBytes+maxMessage {
+		if n < p.headerBytes || n > p.headerBytes+maxMessageBytes {
 			continue
 		}
 		if index, ok := p.sender(buf, from); ok {
@@ -84,7 +84,8 @@
 	}
 }
 
-// sender returns the index of the controller that sent a datagram; false if its address is not that of a controller.
+// sender returns the index of the controller that sent a datagram. It returns false if the address
+// is not that of a controller or does not match the index.
 func (p *Peers) sender(datagram []byte, from *net.UDPAddr) (index int, ok bool) {
 	matches := func(a *net.UDPAddr) bool { return a != nil && a.IP.Equal(from.IP) && a.Port == from.Port }
 	if p.headerBytes > 0 {
@@ -99,5 +100,5 @@
 	return 0, false
 }
 
-// Close ends both directions.
+// Close closes the socket.
 func (p *Peers) Close() { p.conn.Close() }
--- a/internal/controller/peers_test.go
+++ b/internal/controller/peers_test.go
@@ -8,9 +8,10 @@
 	"kitehub/scheduler"
 )
 
-// Messages are sent as they are where the address alone identifies the sender, behind its index elsewhere; one that is
-// too long is not sent, and one of a stranger is rejected.
-func TestPeersPrefixTheIndexAndRejectStrangers(t *testing.T) {
+// Peer messages are sent without a header if the address alone identifies the sender, and after the
+// sender's index otherwise. A message that is too long is not sent, and a message from an unknown
+// address is rejected.
+func TestPeersPrefixIndexAndRejectUnknownSenders(t *testing.T) {
 	for _, indexed := range []bool{false, true} {
 		other, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		if err != nil {
@@ -22,7 +23,7 @@
 			t.Fatal(err)
 		}
 		defer p.Close()
-		p.Send(0, make([]byte, maxMessage+1))
+		p.Send(0, make([]byte, maxMessageBytes+1))
 		p.Send(scheduler.AllControllers, []byte("word"))
 		want := "word"
 		if indexed {
@@ -34,11 +35,11 @@
 			t.Errorf("indexed %v: %q, %v, want %q", indexed, b[:n], err, want)
 		}
 		from := other.LocalAddr().(*net.UDPAddr)
-		if who, ok := p.sender([]byte("\x00\x00\x00\x00word"), from); who != 0 || !ok {
-			t.Errorf("indexed %v: from %d, %v", indexed, who, ok)
+		if sender, ok := p.sender([]byte("\x00\x00\x00\x00word"), from); sender != 0 || !ok {
+			t.Errorf("indexed %v: got sender %d, %v, want 0, true", indexed, sender, ok)
 		}
 		if _, ok := p.sender([]byte("\x00\x00\x00\x01word"), &net.UDPAddr{IP: from.IP, Port: from.Port + 1}); ok {
-			t.Errorf("indexed %v: a stranger's message is accepted", indexed)
+			t.Errorf("indexed %v: a message from an unknown address is accepted", indexed)
 		}
 	}
 }
--- a/internal/controller/race_test.go
+++ b/internal/controller/race_test.go
@@ -2,4 +2,4 @@
 
 package controller
 
-const racing = true
+const raceEnabled = true
--- a/internal/controller/rpc_golden_test.go
+++ b/internal/controller/rpc_golden_test.go
@@ -11,13 +11,13 @@
 	"kitehub/internal/goldenfile"
 )
 
-// shape writes JSON with its keys in their order and no values: of a list only the first element, and for a number 0,
-// for a string "" and for a truth false.
-func shape(text string) string {
+// jsonShape returns JSON with its keys in order but without values: every string becomes "", every
+// number 0 and every boolean false, and a list keeps only its first element.
+func jsonShape(text string) string {
 	var written bytes.Buffer
 	decoder := json.NewDecoder(strings.NewReader(text))
-	var value func(to *bytes.Buffer) error
-	value = func(to *bytes.Buffer) error {
+	var writeValue func(to *bytes.Buffer) error
+	writeValue = func(to *bytes.Buffer) error {
 		token, err := decoder.Token()
 		if err != nil {
 			return err
@@ -26,9 +26,9 @@
 		case json.Delim:
 			to.WriteString(token.String())
 			for i := 0; decoder.More(); i++ {
-				into := to
+				elementTo := to
 				if token == '[' && i > 0 {
-					into = &bytes.Buffer{} // the elements of a list are alike
+					elementTo = &bytes.Buffer{} // discarded: the elements of a list have the same shape
 				} else if i > 0 {
 					to.WriteByte(',')
 				}
@@ -39,7 +39,7 @@
 					}
 					fmt.Fprintf(to, "%q:", key)
 				}
-				if err := value(into); err != nil {
+				if err := writeValue(elementTo); err != nil {
 					return err
 				}
 			}
@@ -59,27 +59,28 @@
 		}
 		return nil
 	}
-	if err := value(&written); err != nil {
+	if err := writeValue(&written); err != nil {
 		return "not JSON: " + err.Error() + ": " + text
 	}
 	return written.String()
 }
 
-// Every method of the second front, with all its params; the keys of its results and notifications, and its errors word
-// by word.
+// Every RPC method with all its parameters. The golden file records the keys of results and
+// notifications, and the full text of errors.
 func TestOperatorMethodsKeepTheirFormat(t *testing.T) {
 	h := newHarness(t, 2, nil)
 	h.start(h.configure("c", withRPC(h, "hooks {}")...))
 	l := dial(t, h)
 	var written strings.Builder
-	// ask notes a request and what comes of it: so many lines in any order, as notifications may come before the answer.
+	// ask sends a request and records it with the given number of lines received. The lines are
+	// sorted, as notifications may arrive before the response.
 	ask := func(name, text string, lines int) {
 		l.send(text)
 		var got []string
 		for range lines {
 			line := l.next()
 			if !strings.Contains(line, `"error"`) {
-				line = shape(line)
+				line = jsonShape(line)
 			}
 			got = append(got, line)
 		}
--- a/internal/controller/rpc_test.go
+++ b/internal/controller/rpc_test.go
@@ -17,25 +17,27 @@
 	"kitehub/internal/ingress/jsonrpc"
 )
 
-// withRPC adds the second front, for the user of the test.
+// withRPC returns configuration changes that add the RPC server, for the user who runs the test,
+// and the settings in more.
 func withRPC(h *harness, more string) []string {
 	return []string{"stop_ms: 5000", fmt.Sprintf(`stop_ms: 5000 tenants { name: "t" } tenants { name: "u" }
 rpc { socket: %q explain: 100 users { self: true name: "me" tenant: "t" call: true operate: true } } %s`, filepath.Join(h.dir, "s"), more)}
 }
 
-func changed(l []string, old, to string) []string {
-	l[1] = strings.Replace(l[1], old, to, 1)
-	return l
+// replaceSetting replaces a text in the changes that withRPC returned.
+func replaceSetting(changes []string, old, replacement string) []string {
+	changes[1] = strings.Replace(changes[1], old, replacement, 1)
+	return changes
 }
 
-// A operatorConn is one connection of a client that writes what it likes.
-type operatorConn struct {
+// An rpcConn is a connection to the RPC server. It can send any text.
+type rpcConn struct {
 	t  *testing.T
 	nc net.Conn
 	br *bufio.Reader
 }
 
-func dial(t *testing.T, h *harness) *operatorConn {
+func dial(t *testing.T, h *harness) *rpcConn {
 	t.Helper()
 	nc, err := net.Dial("unix", filepath.Join(h.dir, "s"))
 	if err != nil {
@@ -43,12 +45,13 @@
 	}
 	t.Cleanup(func() { nc.Close() })
 	nc.SetDeadline(time.Now().Add(20 * time.Second))
-	return &operatorConn{t, nc, bufio.NewReaderSize(nc, 1<<20)}
+	return &rpcConn{t, nc, bufio.NewReaderSize(nc, 1<<20)}
 }
 
-func (l *operatorConn) send(text string) { l.nc.Write([]byte(text + "\n")) }
+func (l *rpcConn) send(text string) { l.nc.Write([]byte(text + "\n")) }
 
-func (l *operatorConn) next() string {
+// next returns the next line, or "end" if the connection has ended.
+func (l *rpcConn) next() string {
 	s, err := l.br.ReadString('\n')
 	if err != nil {
 		return "end"
@@ -56,7 +59,7 @@
 	return strings.TrimSpace(s)
 }
 
-func (l *operatorConn) request(text string) string {
+func (l *rpcConn) request(text string) string {
 	l.send(text)
 	return l.next()
 }
@@ -69,6 +72,8 @@
 	return request(id, "call", fmt.Sprintf(`{"function":%q,"body":{"x":1}%s}`, function, more))
 }
 
+// Valid and invalid messages to the RPC server get the result or the error that the protocol
+// defines.
 func TestRPCMessages(t *testing.T) {
 	h := newHarness(t, 2, nil)
 	h.start(h.configure("c", withRPC(h, "")...))
@@ -105,7 +110,7 @@
 		{request("1", "hooks", `{}`), `no hooks are configured`},
 	} {
 		if got := l.request(c.in); !strings.Contains(got, c.want) {
-			t.Errorf("%.100s: %s: %q is wanted", c.in, got, c.want)
+			t.Errorf("%.100s: got %s, want a text with %q", c.in, got, c.want)
 		}
 	}
 	if got := l.request(deep + deep); !strings.Contains(got, "more than 1048576 bytes") || l.next() != "end" {
@@ -130,7 +135,8 @@
 	}
 }
 
-// What is in hand is given up when its client cancels or leaves; a keyed call goes on while another try waits for it.
+// A call in flight is cancelled when its client cancels it or closes the connection. A keyed call
+// continues as long as a retry waits for it.
 func TestRPCCancel(t *testing.T) {
 	h := newHarness(t, 1, func(c *fakeworker.Config) {
 		for i := range c.Functions {
@@ -170,13 +176,13 @@
 		t.Error(got)
 	}
 	l.nc.Close()
-	for c.Gateway.Counts.ClientClosed.Load() < 2 { // or the test's time is up
+	for c.Gateway.Counts.ClientClosed.Load() < 2 { // or until the test times out
 		runtime.Gosched()
 	}
 }
 
-// A client that subscribes and reads nothing loses events, is told how many, and holds nothing up; one that reads
-// nothing at all while it asks is not read from.
+// A subscriber that does not read loses events, is notified of their number, and does not delay
+// other connections.
 func TestRPCSlowReader(t *testing.T) {
 	h := newHarness(t, 2, nil)
 	c := h.start(h.configure("c", withRPC(h, "")...))
@@ -189,27 +195,29 @@
 		t.Fatal(got)
 	}
 	if lost := c.RPC.Counts.EventsLost.Load(); lost == 0 {
-		t.Error("no event is lost: nothing is shown")
+		t.Error("no event was lost, so the test checks nothing")
 	}
 	for i := 0; ; i++ {
 		if got := slow.next(); strings.Contains(got, `"method":"lost"`) {
 			break
 		} else if got == "end" {
-			t.Fatal("cut")
+			t.Fatal("the slow subscriber's connection was closed")
 		} else if i == 256 {
-			l.request(call("1", "safe-1", "")) // the next event says what was lost
+			l.request(call("1", "safe-1", "")) // the next event is sent with the number of those lost
 		}
 	}
 }
 
+// The RPC server rejects users who are not configured, operators' methods of a user without that
+// permission, and calls while the controller drains. Its socket is open to its own user alone.
 func TestRPCDenied(t *testing.T) {
 	h := newHarness(t, 1, nil)
-	h.start(h.configure("c", changed(withRPC(h, ""), "self: true", "uid: 4294967295")...))
+	h.start(h.configure("c", replaceSetting(withRPC(h, ""), "self: true", "uid: 4294967295")...))
 	if got := dial(t, h).next(); !strings.Contains(got, "-32001") {
 		t.Error(got)
 	}
 	h = newHarness(t, 1, nil)
-	c := h.start(h.configure("c", changed(withRPC(h, ""), "call: true operate: true", "call: true")...))
+	c := h.start(h.configure("c", replaceSetting(withRPC(h, ""), "call: true operate: true", "call: true")...))
 	l := dial(t, h)
 	if got := l.request(request("1", "status", "{}")) + l.request(request("1", "subscribe", `{"topics":["ended"]}`)); strings.Count(got, "-32001") != 2 {
 		t.Error(got)
@@ -223,7 +231,7 @@
 	}
 }
 
-const announced = `state rush bool = false
+const hookScript = `state rush bool = false
 on arrive(c) {
 	if c.tenant == "u" { refuse("closed") }
 	annotate("size", str(c.size))
@@ -234,8 +242,8 @@
 on joined(w) { log("joined " + w.name) }
 `
 
-// A script comes by the second front, keeps copies warm before the first call, and what it refuses is refused with its
-// reason.
+// A script that is loaded by RPC keeps copies warm before the first call. The call that it does not
+// refuse is served.
 func TestHooksInController(t *testing.T) {
 	h := newHarness(t, 3, func(c *fakeworker.Config) {
 		for i := range c.Functions {
@@ -248,7 +256,7 @@
 	if err := l.Do("hook.load", map[string]any{"name": "a", "text": "on arrive(c) {"}, nil, time.Second); err == nil || !strings.Contains(err.Error(), "a.hook:1:15") {
 		t.Error(err)
 	}
-	if err := l.Do("hook.load", map[string]any{"name": "a", "text": announced}, nil, time.Second); err != nil {
+	if err := l.Do("hook.load", map[string]any{"name": "a", "text": hookScript}, nil, time.Second); err != nil {
 		t.Fatal(err)
 	}
 	copies := func() (n int) {
@@ -272,8 +280,9 @@
 	}
 }
 
-// Half a message does nothing: neither when its client leaves, nor when its time is up.
-func TestRPCHalfFrame(t *testing.T) {
+// An incomplete message has no effect, neither when its client closes the connection nor when the
+// message times out.
+func TestRPCIncompleteMessage(t *testing.T) {
 	h := newHarness(t, 1, nil)
 	b := h.configure("c", withRPC(h, "")...)
 	b.RPC.Half = 30 * ms
@@ -294,7 +303,8 @@
 	}
 }
 
-// A script's file is taken anew on reload while calls go on; a wrong one leaves the old one, and others are taken.
+// A reload loads changed script files while calls are served. An invalid file leaves the previous
+// version active, and the other files are loaded.
 func TestScriptsReload(t *testing.T) {
 	h := newHarness(t, 1, nil)
 	write := func(name, text string) string {
--- a/internal/controller/start.go
+++ b/internal/controller/start.go
@@ -19,24 +19,24 @@
 	"kitehub/scheduler"
 )
 
-// start runs the steps in their order and ends with the first error. Kill undoes whatever has been started: it skips
-// what a step that did not run would have set.
+// start runs the steps in order and returns the first error. The comments name what Kill calls to
+// undo each step. Kill also works after a part of the steps: it skips fields that are not set.
 func (c *Controller) start() error {
 	steps := []func() error{
-		c.lockStateDir,      // undone by unlockStateDir
-		c.startBackend,      // Backend.Close
-		c.listenPeers,       // Peers.Close
-		c.newGateway,        // Gateway.Kill
-		c.joinRegistry,      // stopAgent
-		c.newFront,          // Front.Kill
-		c.listen,            // the listener's Close
-		c.startHooks,        // closeHooks
-		c.runGateway,        // Gateway.Kill and Watcher.Stop
-		c.awaitPredecessor,  // nothing to undo: TakeOver aborts the handover
-		c.startRPC,          // Server.Cut and its listener's Close
-		c.serveCalls,        // Server.Cut
-		c.followPredecessor, // nothing to undo: it ends with the predecessor's link
-		c.acceptSuccessors,  // the listener's Close
+		c.lockStateDir,       // undone by unlockStateDir
+		c.startBackend,       // Backend.Close
+		c.listenPeers,        // Peers.Close
+		c.newGateway,         // Gateway.Kill
+		c.startRegistryAgent, // stopAgent
+		c.newWebhook,         // Webhook.Kill
+		c.listen,             // the listener's Close
+		c.startHooks,         // closeHooks
+		c.runGateway,         // Gateway.Kill and Watcher.Stop
+		c.awaitPredecessor,   // nothing to undo: TakeOver aborts the handover
+		c.startRPC,           // Server.Cut and its listener's Close
+		c.serveCalls,         // Server.Cut
+		c.followPredecessor,  // nothing to undo: it ends with the predecessor's link
+		c.acceptSuccessors,   // the listener's Close
 	}
 	for _, step := range steps {
 		if err := step(); err != nil {
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// stateDir is where the replay watermark, the hooks and the lock are.
+// stateDir returns the folder of the replay watermark, the stored scripts and the lock.
 func (c *Controller) stateDir() string { return filepath.Dir(c.built.ReplayMark) }
 
 func (c *Controller) lockStateDir() error {
@@ -82,7 +82,7 @@
 	return err
 }
 
-// newGateway makes the gateway and its functions. The loop does not run yet.
+// newGateway creates the gateway and its functions. It does not start the gateway's loop.
 func (c *Controller) newGateway() (err error) {
 	b := c.built
 	gc := gateway.Config{
@@ -115,16 +115,17 @@
 	return err
 }
 
-// joinRegistry starts the agent that holds this controller's leases of aliases. With a predecessor it starts only when
-// that is done: the registry knows one holder a name, and what this agent confirmed would count for both processes.
-func (c *Controller) joinRegistry() error {
+// startRegistryAgent starts the agent that holds this controller's lease on aliases. After a
+// handover the agent starts only once the predecessor is done: the registry knows one lease holder
+// per name, so what this agent confirms would count for both processes.
+func (c *Controller) startRegistryAgent() error {
 	if c.built.RegistryAddr == "" {
 		return nil
 	}
 	c.models.gateway = c.Gateway
 	c.models.functions = c.functions
 	if c.options.Predecessor != nil {
-		c.afterPredecessor = c.startAgent
+		c.onPredecessorDone = c.startAgent
 		return nil
 	}
 	c.startAgent()
@@ -152,13 +153,14 @@
 	c.agent = a
 	stopped := c.killed.Load() || c.stopping.Load()
 	c.mu.Unlock()
-	if stopped { // stopAgent may have come before
+	if stopped { // stopAgent may have run before c.agent was set
 		a.Stop()
 	}
 }
 
-// newFront makes the webhook ingress, with the replay guard's state of the predecessor if there is one.
-func (c *Controller) newFront() (err error) {
+// newWebhook creates the webhook ingress, with the predecessor's replay guard state if there is
+// one.
+func (c *Controller) newWebhook() (err error) {
 	b := c.built
 	fc := b.Webhook
 	fc.Gateway = c.Gateway
@@ -175,20 +177,20 @@
 		}
 	}
 	if p := c.options.Predecessor; p != nil {
-		fc.State = &p.state.Front
+		fc.State = &p.state.Webhook
 		c.Gateway.InheritBudget(p.state.Budget)
 	}
 	if c.Webhook, err = webhook.New(fc, b.Clients); err != nil {
-		return fmt.Errorf("replay mark: %w", err)
+		return fmt.Errorf("replay watermark: %w", err)
 	}
-	c.frontConfig = fc
+	c.webhookConfig = fc
 	return nil
 }
 
-// listen opens the listener for calls, or takes that of the predecessor.
+// listen opens the listener for calls, or takes over that of the predecessor.
 func (c *Controller) listen() (err error) {
 	if p := c.options.Predecessor; p != nil {
-		c.listener, err = p.listener(frontListener)
+		c.listener, err = p.listener(webhookListenerIndex)
 		return err
 	}
 	if c.built.Network == "unix" {
@@ -202,8 +204,8 @@
 	return nil
 }
 
-// removeStaleSocket removes the socket that a killed process left behind, which must not prevent this start. One that
-// is in use is an error.
+// removeStaleSocket removes the socket file of a process that was killed, so that it does not
+// prevent this start. It returns an error if the socket is in use, or the file is not a socket.
 func removeStaleSocket(name string) error {
 	info, err := os.Lstat(name)
 	if errors.Is(err, os.ErrNotExist) {
@@ -213,16 +215,16 @@
 		return err
 	}
 	if info.Mode()&os.ModeSocket == 0 {
-		return fmt.Errorf("webhook.listen: %s is there and is no socket", name)
+		return fmt.Errorf("webhook.listen: %s exists and is not a socket", name)
 	}
 	if conn, err := net.DialTimeout("unix", name, time.Second); err == nil {
 		conn.Close()
-		return fmt.Errorf("webhook.listen: %s is in use", name)
+		return fmt.Errorf("webhook.listen: another process listens on socket %s", name)
 	}
 	return os.Remove(name)
 }
 
-// runGateway starts the gateway's loop and what feeds it: discovery and the other controllers.
+// runGateway starts the gateway's loop and its inputs: discovery and peer messages.
 func (c *Controller) runGateway() error {
 	go c.Gateway.Run()
 	dc := c.built.Discovery
@@ -239,7 +241,7 @@
 	return nil
 }
 
-// awaitPredecessor returns when the predecessor has ceased to serve.
+// awaitPredecessor waits until the predecessor has stopped serving.
 func (c *Controller) awaitPredecessor() error {
 	if p := c.options.Predecessor; p != nil {
 		return p.awaitGrant()
@@ -262,7 +264,8 @@
 	return nil
 }
 
-// followPredecessor receives the predecessor's connections and answers until it is done.
+// followPredecessor starts to receive the predecessor's connections and answers, until the
+// predecessor is done.
 func (c *Controller) followPredecessor() error {
 	if p := c.options.Predecessor; p != nil {
 		c.predecessorDone = make(chan struct{})
--- a/internal/controller/stop.go
+++ b/internal/controller/stop.go
@@ -2,10 +2,12 @@
 
 import "time"
 
-// drainTimeout is how long connections may take to write the last answers, once all calls are answered.
+// drainTimeout is how long connections may take to write the last answers once all calls are
+// answered.
 const drainTimeout = time.Second
 
-// Drain has no further call admitted; what is in flight goes on, and operators are served until Stop.
+// Drain stops the admission of calls. Calls in flight continue, and operators are served until
+// Stop.
 func (c *Controller) Drain() {
 	c.draining.Store(true)
 	c.Webhook.BeginStop()
@@ -14,17 +16,18 @@
 	}
 }
 
-// Stop shuts down gracefully: it admits no further call, finishes what is in flight within the time, answers the rest,
-// and returns when all is closed. Another controller can start on the same state folder then. If the controller has
-// stopped already or has been handed over, it returns at once. Its error is that the replay watermark was not written.
-func (c *Controller) Stop(within time.Duration) error {
+// Stop shuts the controller down gracefully: it admits no further call, waits up to timeout for the
+// calls in flight, answers the rest, and returns when everything is closed. Another controller can
+// then use the same state folder. If the controller has already stopped or was handed over, Stop
+// returns nil at once. It returns an error if the replay watermark could not be written.
+func (c *Controller) Stop(timeout time.Duration) error {
 	if c.stopping.Swap(true) {
 		return nil
 	}
 	c.Drain()
 	c.listener.Close()
-	c.stopWatchWhenIdle()
-	c.Gateway.Stop(within)
+	c.stopDiscoveryWhenIdle()
+	c.Gateway.Stop(timeout)
 	c.HTTP.Drain(drainTimeout)
 	if c.RPC != nil {
 		c.RPC.Drain(drainTimeout)
@@ -40,9 +43,9 @@
 	return err
 }
 
-// stopWatchWhenIdle ends discovery as soon as nothing is in flight: the endpoint list matters as long as attempts are
-// made.
-func (c *Controller) stopWatchWhenIdle() {
+// stopDiscoveryWhenIdle ends discovery as soon as nothing is in flight. Until then attempts need
+// the current endpoint list.
+func (c *Controller) stopDiscoveryWhenIdle() {
 	if c.Gateway.OpenRequests() == 0 {
 		c.watcher.Stop()
 		return
@@ -55,9 +58,9 @@
 	}()
 }
 
-// closeHooks ends the scripts and the notifications that they send.
+// closeHooks stops the scripts and the notifier.
 func (c *Controller) closeHooks() {
-	if engine := c.hooks.Load(); engine != nil {
+	if engine := c.hookEngine.Load(); engine != nil {
 		engine.Close()
 	}
 	c.closeNotifier()
@@ -69,7 +72,7 @@
 	}
 }
 
-// closeOutbound ends the connections to workers, the registry and other controllers.
+// closeOutbound closes the connections to workers, to the registry and to other controllers.
 func (c *Controller) closeOutbound() {
 	if c.Backend != nil {
 		c.Backend.Close()
@@ -89,9 +92,9 @@
 	}
 }
 
-// Kill ends the controller as the end of its process would: nothing is answered, connections are cut, nothing is
-// written. It also undoes a start that has failed, at any step. If the controller has stopped already or has been
-// handed over, it returns at once.
+// Kill ends the controller as the end of its process would: calls are not answered, connections are
+// cut, and nothing is written to disk. It also undoes a start that has failed at any step. If the
+// controller has already stopped or was handed over, Kill returns at once.
 func (c *Controller) Kill() {
 	if c.stopping.Swap(true) {
 		return
@@ -104,11 +107,11 @@
 	if c.Webhook != nil {
 		c.Webhook.Kill()
 	}
-	c.cutWorkerConns()
+	c.cutDialledConns()
 	if c.watcher != nil {
 		c.watcher.Stop()
 	}
-	if engine := c.hooks.Load(); engine != nil {
+	if engine := c.hookEngine.Load(); engine != nil {
 		engine.Kill()
 	}
 	c.closeHooks()
@@ -135,8 +138,8 @@
 	}
 }
 
-// cutWorkerConns closes the connections that were dialled, without what a graceful close would do.
-func (c *Controller) cutWorkerConns() {
+// cutDialledConns closes all connections that were dialled, without the steps of a graceful close.
+func (c *Controller) cutDialledConns() {
 	c.mu.Lock()
 	conns := c.conns
 	c.conns = map[*trackedConn]struct{}{}
@@ -146,7 +149,7 @@
 	}
 }
 
-// unlockStateDir unlocks the state folder if this controller has locked it.
+// unlockStateDir unlocks the state folder if this controller holds the lock.
 func (c *Controller) unlockStateDir() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -162,7 +165,7 @@
 	c.unlock = unlock
 }
 
-func (c *Controller) holdsLock() bool {
+func (c *Controller) holdsStateLock() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.unlock != nil
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -25,7 +25,8 @@
 const operatorSecret = "whsec_b3BlcmF0b3Itb3BlcmF0b3Itb3BlcmF0b3I="
 const controllerSecret = "whsec_Y29udHJvbGxlci1jb250cm9sbGVyLWNvbnRyb2w="
 
-// A registryServer is a rig with a registry, whose models' bytes come when the test lets them.
+// A registryServer is a harness with a registry. The test controls when workers receive the bytes
+// of a version.
 type registryServer struct {
 	*harness
 	s      *service.Service
@@ -33,29 +34,29 @@
 	ln     net.Listener
 	opKey  *signing.Key
 
-	mu   sync.Mutex
-	hold map[string]chan struct{} // a digest's bytes come once this is closed
-	bad  bool                     // no store has bytes that match
-	keys int
+	mu              sync.Mutex
+	delayed         map[string]chan struct{} // by digest: the bytes arrive once the channel is closed
+	noMatchingBytes bool                     // fetches fail, as if no store had matching bytes
+	keys            int                      // idempotency keys used
 }
 
 func digestOf(v string) string { return "sha256:" + strings.Repeat(v[1:], 64) }
 
 func newRegistryServer(t *testing.T, settle time.Duration) *registryServer {
 	t.Helper()
-	d := &registryServer{hold: map[string]chan struct{}{}}
+	d := &registryServer{delayed: map[string]chan struct{}{}}
 	d.harness = newHarness(t, 3, func(c *fakeworker.Config) {
 		for i := range c.Functions {
 			c.Functions[i].Versions = true
 		}
 		c.Fetch = func(_, _, digest string) error {
 			d.mu.Lock()
-			ch, bad := d.hold[digest], d.bad
+			ch, noMatchingBytes := d.delayed[digest], d.noMatchingBytes
 			d.mu.Unlock()
 			if ch != nil {
 				<-ch
 			}
-			if bad {
+			if noMatchingBytes {
 				return errors.New("no store has bytes that match")
 			}
 			return nil
@@ -98,7 +99,8 @@
 	d.keys++
 	key := fmt.Sprint("k", d.keys)
 	d.mu.Unlock()
-	op := &client.Client{Server: d.ln.Addr().String(), Key: d.opKey, Wall: time.Now} // on one connection they would wait for one another
+	// Each command has its own client, as commands on one connection would wait for each other.
+	op := &client.Client{Server: d.ln.Addr().String(), Key: d.opKey, Wall: time.Now}
 	defer op.Close()
 	a, err := op.Command(key, c)
 	if err != nil {
@@ -112,12 +114,12 @@
 	return d.command(wire.Command{Promote: &registry.Promote{Model: model, Alias: "current", To: to, IfRevision: rev}, WaitMS: 10000})
 }
 
-// delayBytes has a version's bytes come only when the function returned is called.
+// delayBytes delays the bytes of a version until release is called.
 func (d *registryServer) delayBytes(v string) (release func()) {
 	ch := make(chan struct{})
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.hold[digestOf(v)] = ch
+	d.delayed[digestOf(v)] = ch
 	return func() { close(ch) }
 }
 
@@ -125,7 +127,7 @@
 	d.t.Helper()
 	c := d.start(d.configure(name, `functions { name: "safe-1"`, fmt.Sprintf("registry { server: %q key: %q }\nfunctions { versions: true name: \"safe-1\"", d.ln.Addr(), controllerSecret),
 		`functions { name: "keyed-1"`, `functions { versions: true name: "keyed-1"`, `functions { name: "unsafe-1"`, `functions { versions: true name: "unsafe-1"`))
-	for i := 0; ; i++ { // until it has heard the registry
+	for i := 0; ; i++ { // until the controller has received the registry's state
 		a := post(d.t, c, fmt.Sprint(name, "-first-", i), "safe-1@none", "{}", time.Now())
 		if a.status == 503 && strings.Contains(a.body, "names no version") {
 			return c
@@ -134,16 +136,16 @@
 	}
 }
 
-// calls sends one call of each class and returns where their answers come.
+// calls sends one call of each class and returns the channels that receive their answers.
 func (d *registryServer) calls(c *Controller, id string) map[string]chan answer {
-	out := map[string]chan answer{}
+	answers := map[string]chan answer{}
 	for _, class := range []string{"safe", "keyed", "unsafe"} {
 		ch := make(chan answer, 1)
-		out[class] = ch
+		answers[class] = ch
 		m := sign(d.t, commonSecret, "c1", id+"-"+class, class+"-1", "{}", time.Now())
 		go func() { ch <- exchange(d.t, c.Addr(), m) }()
 	}
-	return out
+	return answers
 }
 
 func (d *registryServer) awaitAttempts(function string, n int) {
@@ -159,11 +161,12 @@
 			return
 		}
 	}
-	d.t.Fatalf("%s never reached a worker %d times", function, n)
+	d.t.Fatalf("%s did not reach workers %d times within 20 s", function, n)
 }
 
-// An alias that moves while a worker still loads the old version, with no time for what runs: a safe call begins anew,
-// one that may run and must not twice is failed, though its answer comes.
+// An alias migrates while a worker still loads the old version, with hardly any settle time. A safe
+// call restarts under the new version. Keyed and unsafe calls may run and must not run twice: they
+// fail, although the worker's response arrives.
 func TestMigrationDuringLoad(t *testing.T) {
 	d := newRegistryServer(t, ms)
 	release := d.delayBytes("v1")
@@ -177,20 +180,21 @@
 	}
 	wantAnswer(t, <-got["safe"], "200 served")
 	if n := d.runs("safe-1@v2"); n != 1 {
-		t.Errorf("the new version ran %d times", n)
+		t.Errorf("the new version ran %d times, want 1", n)
 	}
 	release()
 	wantAnswer(t, <-got["keyed"], "502 failed")
 	wantAnswer(t, <-got["unsafe"], "502 failed")
 	if n := d.runs("unsafe-1@v1") + d.runs("unsafe-1@v2"); n != 1 {
-		t.Errorf("the unsafe call ran %d times", n)
+		t.Errorf("the unsafe call ran %d times, want 1", n)
 	}
 	if n := c.Webhook.Counts.Restarted.Load(); n != 1 {
-		t.Errorf("%d calls began anew, want 1", n)
+		t.Errorf("%d calls restarted, want 1", n)
 	}
 }
 
-// With time for what runs the old version answers, and the acknowledgement comes after it.
+// With enough settle time the calls in flight are answered by the old version, and the migration is
+// acknowledged only after that.
 func TestMigrationWaitsForCalls(t *testing.T) {
 	d := newRegistryServer(t, 8*time.Second)
 	release := d.delayBytes("v1")
@@ -205,18 +209,18 @@
 		time.Sleep(ms)
 	}
 	if len(acks) > 0 {
-		t.Error("acknowledged while calls run")
+		t.Error("a migration was acknowledged while calls under the old version run")
 	}
 	release()
 	for class, ch := range got {
 		wantAnswer(t, <-ch, "200 served")
 		if n := d.runs(class + "-1@v1"); n != 1 {
-			t.Errorf("%s ran %d times under v1", class, n)
+			t.Errorf("%s ran %d times under v1, want 1", class, n)
 		}
 	}
 	for range 3 {
 		if s := <-acks; s != "acknowledged" {
-			t.Error(s)
+			t.Errorf("migration status %q, want acknowledged", s)
 		}
 	}
 }
@@ -227,7 +231,8 @@
 	return epoch
 }
 
-// Moved twice during one load, and back: A, B, A. The call that began under the first A is not one of the second.
+// An alias migrates from v1 to v2 and back to v1 during one load. Calls that started before the
+// first migration do not count as calls under the second v1.
 func TestMigrationTwiceAndBack(t *testing.T) {
 	d := newRegistryServer(t, ms)
 	release := d.delayBytes("v1")
@@ -241,13 +246,15 @@
 		d.migrate(m, "v1", 2)
 	}
 	release()
-	wantAnswer(t, <-got["safe"], "200 served") // under v2 if it ran before the move back, else under the second v1
+	wantAnswer(t, <-got["safe"], "200 served") // under v2 if it ran before the migration back, else under v1
 	wantAnswer(t, <-got["unsafe"], "502 failed")
 	wantAnswer(t, <-got["keyed"], "502 failed")
 }
 
-// A controller that is restarted between resolve and send, a mismatch at all stores, and a registry that is gone.
-func TestVersionsAndFailures(t *testing.T) {
+// Calls of versioned functions are answered correctly in four failures: a controller is killed
+// between resolving and answering a call, no store has matching bytes, workers run other bytes, and
+// the registry is unreachable.
+func TestVersionedCallsDuringFailures(t *testing.T) {
 	d := newRegistryServer(t, 100*ms)
 	release := d.delayBytes("v1")
 	c := d.controller("c1")
@@ -260,11 +267,11 @@
 	nc.Write(m.bytes())
 	d.awaitAttempts("unsafe-1@v1", 1)
 	c.Kill()
-	d.migrate("unsafe-1", "v2", 1) // its lease runs out first
+	d.migrate("unsafe-1", "v2", 1) // waits until the lease of the killed controller has expired
 	release()
 	c = d.controller("c1")
 	call := func(id, function string) answer {
-		for i := 0; ; i++ { // a restart has messages signed before it come again
+		for i := 0; ; i++ { // messages signed before a restart are rejected and must be signed again
 			a := post(t, c, fmt.Sprint(id, "-", i), function, "{}", time.Now())
 			if !strings.Contains(a.body, "before a restart") {
 				return a
@@ -274,18 +281,18 @@
 	}
 	wantAnswer(t, call("after", "unsafe-1"), "200 served")
 	if n := d.runs("unsafe-1@v2"); n != 1 {
-		t.Errorf("the new version ran %d times", n)
+		t.Errorf("the new version ran %d times, want 1", n)
 	}
 
 	d.mu.Lock()
-	d.bad = true
+	d.noMatchingBytes = true
 	d.mu.Unlock()
 	d.migrate("safe-1", "v2", 1)
 	if a := call("bad", "safe-1"); a.status == 200 || d.runs("safe-1@v2") > 0 {
-		t.Errorf("with no bytes that match: %v, ran %d times", a, d.runs("safe-1@v2"))
+		t.Errorf("without matching bytes: answer %v, ran %d times", a, d.runs("safe-1@v2"))
 	}
 	d.mu.Lock()
-	d.bad = false
+	d.noMatchingBytes = false
 	d.mu.Unlock()
 	for a := call("good", "safe-1"); a.status != 200; a = call("good"+fmt.Sprint(time.Now().UnixNano()), "safe-1") {
 		if a.outcome != "refused" && a.outcome != "failed" {
@@ -293,12 +300,12 @@
 		}
 	}
 
-	// A worker that runs other bytes: nothing of it is handed out.
+	// Workers run other bytes than the version's: their responses are not used.
 	for _, w := range d.host.Names() {
 		d.host.Lie(w, "keyed-1@v1", digestOf("v2"))
 	}
 	if a := call("lie", "keyed-1"); a.status == 200 || c.Gateway.Counts.DigestMismatches.Load() == 0 {
-		t.Errorf("other bytes: %v, %d mismatched", a, c.Gateway.Counts.DigestMismatches.Load())
+		t.Errorf("with wrong bytes at workers: answer %v, %d digest mismatches", a, c.Gateway.Counts.DigestMismatches.Load())
 	}
 
 	d.ln.Close()
@@ -314,32 +321,32 @@
 	}
 }
 
-// A kept answer is not given again once its version was left: a safe call runs anew with its next try, others are
-// failed.
+// A cached answer is not given again after a migration away from its version. The retry of a safe
+// call runs again, under the new version; other calls fail.
 func TestCachedAnswerOfSupersededVersionIsWithheld(t *testing.T) {
 	d := newRegistryServer(t, ms)
 	c := d.controller("c1")
 	at := time.Now().Add(-10 * time.Second)
-	try := func(class string, n int) answer { // the same call again, signed later
+	send := func(class string, n int) answer { // the same call, signed n seconds later
 		return post(t, c, "kept-"+class, class+"-1", "{}", at.Add(time.Duration(n)*time.Second))
 	}
 	for _, class := range []string{"safe", "keyed", "unsafe"} {
-		wantAnswer(t, try(class, 0), "200 served")
-		wantAnswer(t, try(class, 1), "200 served")
+		wantAnswer(t, send(class, 0), "200 served")
+		wantAnswer(t, send(class, 1), "200 served")
 		if n := d.runs(class + "-1@v1"); n != 1 {
-			t.Errorf("%s ran %d times", class, n)
+			t.Errorf("%s ran %d times under v1, want 1", class, n)
 		}
 		if a := d.migrate(class+"-1", "v2", 1); a.Status != "acknowledged" {
 			t.Fatalf("%+v", a)
 		}
 	}
-	wantAnswer(t, try("safe", 2), "503 refused")
-	wantAnswer(t, try("keyed", 2), "502 failed")
-	wantAnswer(t, try("unsafe", 2), "502 failed")
-	wantAnswer(t, try("safe", 2), "409 replayed") // that message was taken
-	wantAnswer(t, try("safe", 3), "200 served")
+	wantAnswer(t, send("safe", 2), "503 refused")
+	wantAnswer(t, send("keyed", 2), "502 failed")
+	wantAnswer(t, send("unsafe", 2), "502 failed")
+	wantAnswer(t, send("safe", 2), "409 replayed") // the same signed message again
+	wantAnswer(t, send("safe", 3), "200 served")
 	if n := d.runs("safe-1@v2"); n != 1 {
-		t.Errorf("the safe call ran %d times under the new version", n)
+		t.Errorf("the safe call ran %d times under the new version, want 1", n)
 	}
 	if n := c.Webhook.Counts.Withheld.Load(); n != 3 {
 		t.Errorf("%d answers withheld, want 3", n)
--- a/internal/daemon/crashloop.go
+++ b/internal/daemon/crashloop.go
@@ -20,9 +20,9 @@
 	Clean bool      `json:"clean"` // the process ended with a graceful shutdown or a handover
 }
 
-// RecordStart records a start and returns whether the process is in a crash loop. In a crash loop the
-// process should start without the components that may cause the crashes. An earlier start that lies
-// in the future, because the clock was set back, counts as recent.
+// RecordStart records a start and returns whether the process is in a crash loop. In a crash loop
+// the process should start without the components that may cause the crashes. An earlier start that
+// lies in the future, because the clock was set back, counts as recent.
 func (l *CrashLoop) RecordStart(now time.Time) (inLoop bool) {
 	crashes := 0
 	recent := l.Starts[:0]
@@ -52,8 +52,8 @@
 	}
 }
 
-// Load reads the starts from a file. A file that cannot be read or parsed counts as empty, as it must
-// not prevent the process from starting.
+// Load reads the starts from a file. A file that cannot be read or parsed counts as empty, as it
+// must not prevent the process from starting.
 func (l *CrashLoop) Load(name string) {
 	if text, err := os.ReadFile(name); err != nil || json.Unmarshal(text, &l.Starts) != nil {
 		l.Starts = nil
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// The supervisor receives the messages of sd_notify(3). The watchdog applies only to the process that
-// WATCHDOG_PID names.
+// The supervisor receives the messages of sd_notify(3). The watchdog applies only to the process
+// that WATCHDOG_PID names.
 func TestSupervisorMessages(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "n")
 	c, err := net.ListenUnixgram("unixgram", &net.UnixAddr{Name: name, Net: "unixgram"})
@@ -139,8 +139,8 @@
 	}
 }
 
-// Only recent starts that ended in a crash make a crash loop; a file that cannot be parsed counts as
-// empty.
+// Only recent starts that ended in a crash make a crash loop; a file that cannot be parsed counts
+// as empty.
 func TestCrashLoopCountsRecentCrashes(t *testing.T) {
 	l := &CrashLoop{MaxStarts: 3, Window: time.Minute}
 	at := time.Unix(1000, 0)
--- a/internal/daemon/doc.go
+++ b/internal/daemon/doc.go
@@ -1,7 +1,8 @@
-// Package daemon contains what a long-running process needs from the operating system: notifications
-// to its supervisor (notify.go), a PID file (pid.go), crash-loop detection (crashloop.go), and the
-// handover to a successor process, as a protocol of two state machines without I/O (protocol.go) and
-// the link between the processes (link.go). Package controller and the command build on it.
+// Package daemon contains what a long-running process needs from the operating system:
+// notifications to its supervisor (notify.go), a PID file (pid.go), crash-loop detection
+// (crashloop.go), and the handover to a successor process, as a protocol of two state machines
+// without I/O (protocol.go) and the link between the processes (link.go). Package controller and
+// the command build on it.
 //
 // # Handover
 //
@@ -19,7 +20,7 @@
 //	                  <-    Conn, Answer ...
 //	                  <-    Done
 //
-// Until Grant is sent, either side can abort, with Abort or by closing the link; the predecessor then
-// resumes. The two never serve at the same time. If the predecessor dies after StateComplete has
-// arrived, the successor serves alone.
+// Until Grant is sent, either side can abort, with Abort or by closing the link; the predecessor
+// then resumes. The two never serve at the same time. If the predecessor dies after StateComplete
+// has arrived, the successor serves alone.
 package daemon
--- a/internal/daemon/golden_test.go
+++ b/internal/daemon/golden_test.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// Packets are exchanged between two versions of the program: one byte for the kind, then the body. A
-// long state is sent in parts.
+// Packets are exchanged between two versions of the program: one byte for the kind, then the body.
+// A long state is sent in parts.
 func TestPacketsKeepTheirFormat(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "h")
 	listener, err := ListenLinks(path)
--- a/internal/daemon/link.go
+++ b/internal/daemon/link.go
@@ -53,9 +53,9 @@
 }
 
 // ListenLinks opens the socket to which successors connect. Only processes of the same user can
-// connect. An existing socket is replaced, even if another process listens on it: this process holds
-// the lock of the state folder by then, so the socket belongs to it. ListenLinks changes the umask of
-// the process briefly.
+// connect. An existing socket is replaced, even if another process listens on it: this process
+// holds the lock of the state folder by then, so the socket belongs to it. ListenLinks changes the
+// umask of the process briefly.
 func ListenLinks(path string) (*net.UnixListener, error) {
 	if info, err := os.Lstat(path); err == nil {
 		if info.Mode()&os.ModeSocket == 0 {
@@ -132,9 +132,9 @@
 // ErrTimeout is returned by Receive if no packet arrives in time. The link is still open.
 var ErrTimeout = errors.New("daemon: timeout while waiting for a packet of the peer process")
 
-// Receive returns the next packet. It waits for at most timeout, or without a limit if timeout is 0.
-// The caller must close the files. On a timeout it returns ErrTimeout; any other error means that the
-// link has ended.
+// Receive returns the next packet. It waits for at most timeout, or without a limit if timeout is
+// 0. The caller must close the files. On a timeout it returns ErrTimeout; any other error means
+// that the link has ended.
 func (l *Link) Receive(timeout time.Duration) (kind PacketKind, body []byte, files []*os.File, err error) {
 	l.conn.SetReadDeadline(time.Time{})
 	if timeout > 0 {
--- a/internal/daemon/notify.go
+++ b/internal/daemon/notify.go
@@ -12,15 +12,15 @@
 const notifyTimeout = 100 * time.Millisecond
 
 // A Supervisor is notified of the state of the process with the protocol of sd_notify(3): datagrams
-// to the socket that NOTIFY_SOCKET names. A nil Supervisor, or one without a socket, sends nothing. A
-// Supervisor is safe for concurrent use.
+// to the socket that NOTIFY_SOCKET names. A nil Supervisor, or one without a socket, sends nothing.
+// A Supervisor is safe for concurrent use.
 type Supervisor struct {
 	addr             *net.UnixAddr // nil: no supervisor
 	watchdogInterval time.Duration // 0: no watchdog
 }
 
-// SupervisorFromEnv returns the supervisor that the environment variables describe. pid is the id of
-// this process. It returns an error if the socket's name or the watchdog interval is invalid.
+// SupervisorFromEnv returns the supervisor that the environment variables describe. pid is the id
+// of this process. It returns an error if the socket's name or the watchdog interval is invalid.
 func SupervisorFromEnv(get func(string) string, pid int) (*Supervisor, error) {
 	name := get("NOTIFY_SOCKET")
 	if name == "" {
@@ -44,7 +44,8 @@
 	return s, nil
 }
 
-// WatchdogInterval returns the interval at which a healthy process calls Alive; 0 without a watchdog.
+// WatchdogInterval returns the interval at which a healthy process calls Alive; 0 without a
+// watchdog.
 func (s *Supervisor) WatchdogInterval() time.Duration {
 	if s == nil {
 		return 0
@@ -76,8 +77,8 @@
 // Ready notifies the supervisor that the process serves. status is a text for operators.
 func (s *Supervisor) Ready(status string) error { return s.Send("READY=1", "STATUS="+status) }
 
-// Reloading notifies the supervisor that the process reloads its configuration. A call of Ready must
-// follow. now is the time of CLOCK_MONOTONIC in microseconds.
+// Reloading notifies the supervisor that the process reloads its configuration. A call of Ready
+// must follow. now is the time of CLOCK_MONOTONIC in microseconds.
 func (s *Supervisor) Reloading(now int64) error {
 	return s.Send("RELOADING=1", "MONOTONIC_USEC="+strconv.FormatInt(now, 10))
 }
--- a/internal/daemon/pid.go
+++ b/internal/daemon/pid.go
@@ -24,8 +24,8 @@
 	return ReplacePID(name, pid)
 }
 
-// ReplacePID atomically writes the id of a process to a file, regardless of the process that the file
-// names. A successor calls it after it has taken over.
+// ReplacePID atomically writes the id of a process to a file, regardless of the process that the
+// file names. A successor calls it after it has taken over.
 func ReplacePID(name string, pid int) error {
 	temporary := hiddenPIDFile(name, pid, "new")
 	if err := os.WriteFile(temporary, []byte(strconv.Itoa(pid)+"\n"), 0o644); err != nil {
@@ -37,9 +37,9 @@
 // RemovePID removes the file if it still names the process. The file of a successor is kept.
 func RemovePID(name string, pid int) { removePID(name, pid, func() {}) }
 
-// removePID implements RemovePID. A successor can replace the file at any time, so removePID renames
-// the file, checks it again under the new name, and restores it if it is a successor's. Tests use
-// afterCheck, which is called between the first check and the rename.
+// removePID implements RemovePID. A successor can replace the file at any time, so removePID
+// renames the file, checks it again under the new name, and restores it if it is a successor's.
+// Tests use afterCheck, which is called between the first check and the rename.
 func removePID(name string, pid int, afterCheck func()) {
 	if !namesProcess(name, pid) {
 		return
--- a/internal/daemon/protocol.go
+++ b/internal/daemon/protocol.go
@@ -5,7 +5,8 @@
 // PacketKind is the kind of a packet, and its first byte on the link.
 type PacketKind byte
 
-// Packet kinds in the order in which they are sent. P: sent by the predecessor, S: by the successor.
+// Packet kinds in the order in which they are sent. P: sent by the predecessor, S: by the
+// successor.
 const (
 	Hello           PacketKind = 'H' // S: asks for a handover
 	Sockets         PacketKind = 'L' // P: the listeners, as file descriptors
@@ -51,8 +52,8 @@
 	stage PacketKind // the last packet that this side has sent, or Abort; 0 at first
 }
 
-// OnPacket returns the action for a packet of the successor. It returns an error for a packet that is
-// not allowed at this stage.
+// OnPacket returns the action for a packet of the successor. It returns an error for a packet that
+// is not allowed at this stage.
 func (p *PredecessorProtocol) OnPacket(k PacketKind) (Action, error) {
 	switch {
 	case k == Abort:
@@ -89,8 +90,8 @@
 	stage PacketKind // the last packet that has arrived, or Abort; 0 at first
 }
 
-// OnPacket returns the action for a packet of the predecessor. It returns an error for a packet that
-// is not allowed at this stage.
+// OnPacket returns the action for a packet of the predecessor. It returns an error for a packet
+// that is not allowed at this stage.
 func (s *SuccessorProtocol) OnPacket(k PacketKind) (Action, error) {
 	switch {
 	case k == Abort:
