--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -59,7 +59,7 @@
 // be changed.
 type Controller struct {
 	Gateway *gateway.Gateway
-	Webhook *webhook.Front
+	Webhook *webhook.Handler
 	Backend *backend.Backend
 	HTTP    *http1.Server
 	// RPC serves operators and clients on the same machine; nil: not configured.
--- a/internal/controller/handover_predecessor.go
+++ b/internal/controller/handover_predecessor.go
@@ -219,7 +219,7 @@
 	h.link.Send(daemon.Grant, nil) // first, as the successor accepts no other packet before it
 	answersSent := h.sendEndedCalls()
 	stopSendingConns := h.sendConns()
-	c.Webhook.Pass()
+	c.Webhook.HandOver()
 	h.closeListeners()
 	c.stopDiscoveryWhenIdle()
 	c.Gateway.Stop(c.built.StopTimeout)
--- a/internal/controller/handover_test.go
+++ b/internal/controller/handover_test.go
@@ -226,8 +226,8 @@
 				sendAndAwait(daemon.TakeoverRequest, daemon.StateComplete)
 				sendAndAwait(0, daemon.Abort)
 			case "state taken":
-				// After this packet the successor has the sockets: the predecessor finishes what is in
-				// flight, and ends.
+				// After this packet the successor has the sockets: the predecessor finishes what is
+				// in flight, and ends.
 				sendAndAwait(daemon.Hello, daemon.Sockets)
 				sendAndAwait(daemon.TakeoverRequest, daemon.StateComplete)
 				sendAndAwait(daemon.StateTaken, daemon.Grant)
@@ -285,7 +285,7 @@
 		}
 		m := sign(t, commonSecret, "c", "known", "unsafe-1", `{}`, time.Now().Add(-3*time.Second))
 		state := handoverState{Webhook: webhook.State{Highest: time.Now().Unix(), Durable: time.Now().Unix() + 10, Known: []replayguard.EntryState{
-			{Key: replayguard.Key{ID: "known"}, Last: time.Now().Unix() - 3, Running: true, Digest: bodyDigest("unsafe-1", m)}}}}
+			{Key: replayguard.Key{ID: "known"}, LastTimestamp: time.Now().Unix() - 3, Running: true, Digest: bodyDigest("unsafe-1", m)}}}}
 		text, _ := json.Marshal(state)
 		go func() {
 			uc, err := links.AcceptUnix()
@@ -445,9 +445,9 @@
 	}
 	now := time.Now()
 	g := replayguard.NewGuard(replayguard.Settings{MaxAge: time.Minute, MaxClockSkew: time.Second, WatermarkStep: time.Second, MaxEntries: 9, MaxAnswerBytes: 99}, now, time.Time{})
-	g.Import([]replayguard.EntryState{{Key: k, Last: now.Unix() - 2, Running: true, Digest: make([]byte, 32)}}, 0, now.Unix()+5, 0)
-	g.EndedUncached(k)
-	if v, _, _ := g.Admit(now, replayguard.Message{Key: k, Stamp: now.Add(-time.Second)}); v != replayguard.AnswerEvicted {
+	g.Import([]replayguard.EntryState{{Key: k, LastTimestamp: now.Unix() - 2, Running: true, Digest: make([]byte, 32)}}, 0, now.Unix()+5, 0)
+	g.CompleteUncached(k)
+	if v, _, _ := g.Admit(now, replayguard.Message{Key: k, Timestamp: now.Add(-time.Second)}); v != replayguard.AnswerEvicted {
 		t.Errorf("verdict %v, want AnswerEvicted: the message neither runs again nor gets an answer", v)
 	}
 }
--- a/internal/controller/models.go
+++ b/internal/controller/models.go
@@ -94,9 +94,9 @@
 	m.agent.Load().EndCall(b.Name, b.Target, ran, failed)
 }
 
-// Begin implements ingress.Models: it asks whether an answer may be written. The duration is the
-// maximum time for writing it; 0: no limit.
-func (m *modelVersions) Begin(b gateway.VersionBinding) (func(), time.Duration, registry.Verdict) {
+// BeginAnswer implements ingress.Models: it asks whether an answer may be written. The duration is
+// the maximum time for writing it; 0: no limit.
+func (m *modelVersions) BeginAnswer(b gateway.VersionBinding) (func(), time.Duration, registry.Verdict) {
 	t, until, v := m.agent.Load().BeginAnswer(b.Name, b.Target)
 	if v != registry.Allowed {
 		return nil, 0, v
--- a/internal/controller/operator.go
+++ b/internal/controller/operator.go
@@ -22,10 +22,10 @@
 	rc.Log = c.log
 	rc.Operator = operator{c}
 	rc.Deadline = c.webhookConfig.Deadline
-	rc.Effect = c.webhookConfig.Idempotency
+	rc.Idempotency = c.webhookConfig.Idempotency
 	rc.Models = c.webhookConfig.Models
 	if c.options.Predecessor != nil {
-		rc.After = c.options.Clock.Now()
+		rc.TakeoverTime = c.options.Clock.Now()
 	}
 	c.RPC = jsonrpc.New(rc)
 	c.events.rpc.Store(c.RPC)
@@ -67,8 +67,8 @@
 // concurrent use.
 type operator struct{ controller *Controller }
 
-// Do executes a method; params decodes its parameters. It returns jsonrpc.ErrMethod for an unknown
-// method, and an error that wraps jsonrpc.ErrUnknown for an unknown call or script.
+// Do executes a method; params decodes its parameters. It returns jsonrpc.ErrUnknownMethod for an
+// unknown method, and an error that wraps jsonrpc.ErrUnknownObject for an unknown call or script.
 func (op operator) Do(method string, user jsonrpc.User, params func(any) error) (any, error) {
 	c := op.controller
 	switch method {
@@ -108,7 +108,7 @@
 	case "hooks", "hook.load", "hook.promote", "hook.rollback", "hook.release", "hook.remove":
 		return errNoHooks
 	}
-	return jsonrpc.ErrMethod
+	return jsonrpc.ErrUnknownMethod
 }
 
 func (op operator) explain(params func(any) error) (any, error) {
@@ -120,7 +120,7 @@
 	}
 	x, ok, err := op.controller.Gateway.Explain(p.ID)
 	if err == nil && !ok {
-		err = fmt.Errorf("%w: no call %q in hand or among the last", jsonrpc.ErrUnknown, p.ID)
+		err = fmt.Errorf("%w: no call %q in hand or among the last", jsonrpc.ErrUnknownObject, p.ID)
 	}
 	return x, err
 }
@@ -158,14 +158,14 @@
 		"connections": counts.Connections.Load(),
 		"denied":      counts.Denied.Load(),
 		"messages":    counts.Messages.Load(),
-		"bad":         counts.Bad.Load(),
+		"bad":         counts.Malformed.Load(),
 		"calls":       counts.Calls.Load(),
 		"cancelled":   counts.Cancelled.Load(),
 		"joined":      counts.Joined.Load(),
-		"kept":        counts.Kept.Load(),
+		"kept":        counts.Cached.Load(),
 		"events":      counts.Events.Load(),
-		"events_lost": counts.EventsLost.Load(),
-		"cut":         counts.Cut.Load(),
+		"events_lost": counts.EventsDropped.Load(),
+		"cut":         counts.WriteFailures.Load(),
 	}
 }
 
@@ -217,10 +217,10 @@
 	case "hook.remove":
 		err = engine.Remove(p.Name)
 	default:
-		return nil, jsonrpc.ErrMethod
+		return nil, jsonrpc.ErrUnknownMethod
 	}
 	if errors.Is(err, hookengine.ErrUnknown) {
-		err = fmt.Errorf("%w: %s", jsonrpc.ErrUnknown, p.Name)
+		err = fmt.Errorf("%w: %s", jsonrpc.ErrUnknownObject, p.Name)
 	}
 	return "ok", err
 }
--- a/internal/controller/start.go
+++ b/internal/controller/start.go
@@ -33,8 +33,8 @@
 		c.startHooks,         // closeHooks
 		c.runGateway,         // Gateway.Kill and Watcher.Stop
 		c.awaitPredecessor,   // nothing to undo: TakeOver aborts the handover
-		c.startRPC,           // Server.Cut and its listener's Close
-		c.serveCalls,         // Server.Cut
+		c.startRPC,           // Server.Close of RPC and its listener's Close
+		c.serveCalls,         // Server.Abort
 		c.followPredecessor,  // nothing to undo: it ends with the predecessor's link
 		c.acceptSuccessors,   // the listener's Close
 	}
@@ -166,7 +166,7 @@
 	fc.Gateway = c.Gateway
 	fc.Clock = c.options.Clock
 	fc.Log = c.log
-	fc.Mark = webhook.File(b.ReplayMark)
+	fc.Watermark = webhook.WatermarkFile(b.ReplayMark)
 	fc.Functions = c.functions.Find
 	fc.Deadline = func(class int) time.Duration { return b.Settings.Classes[class].Deadline }
 	fc.Idempotency = func(class int) scheduler.Idempotency { return b.Settings.Classes[class].Idempotency }
@@ -254,7 +254,7 @@
 	if wrap := c.options.Handler; wrap != nil {
 		handler = wrap(handler)
 	}
-	c.HTTP = &http1.Server{Handler: handler, Limits: c.built.HTTP, MaxOpen: c.built.MaxConnections}
+	c.HTTP = &http1.Server{Handler: handler, Limits: c.built.HTTP, MaxConnections: c.built.MaxConnections}
 	go func() {
 		defer close(c.acceptDone)
 		if err := c.HTTP.Serve(c.listener); err != nil {
--- a/internal/controller/stop.go
+++ b/internal/controller/stop.go
@@ -125,10 +125,10 @@
 		c.listener.Close()
 	}
 	if c.HTTP != nil {
-		c.HTTP.Cut()
+		c.HTTP.Abort()
 	}
 	if c.RPC != nil {
-		c.RPC.Cut()
+		c.RPC.Close()
 	}
 	if c.rpcListener != nil {
 		c.rpcListener.Close()
--- a/internal/discovery/server.go
+++ b/internal/discovery/server.go
@@ -21,7 +21,7 @@
 	maxBackoff      = 5 * time.Second
 )
 
-var pollLimits = http1.Limits{Body: maxUpdateBytes}.Filled()
+var pollLimits = http1.Limits{MaxBodyBytes: maxUpdateBytes}.WithDefaults()
 
 // A pollSession holds the current connection to the server and the next request to it. Only the
 // goroutine of watchServer uses it.
@@ -124,7 +124,7 @@
 		return err
 	}
 	session.conn = conn
-	session.reader = bufio.NewReaderSize(conn, http1.ReadBuffer)
+	session.reader = bufio.NewReaderSize(conn, http1.ReadBufferSize)
 	w.state.Reconnected()
 	w.mu.Lock()
 	w.conn = conn
