--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -65,7 +65,7 @@
 	// RPC serves operators and clients on the same machine; nil: not configured.
 	RPC *jsonrpc.Server
 
-	built   *config.Built
+	config  *config.ControllerConfig
 	options Options
 	log     zerolog.Logger
 
@@ -100,9 +100,9 @@
 
 // Start runs a controller. It creates the state folder if it is missing, and locks it against a
 // second controller. If Start returns an error, nothing is left running.
-func Start(b *config.Built, o Options) (*Controller, error) {
+func Start(cfg *config.ControllerConfig, o Options) (*Controller, error) {
 	c := &Controller{
-		built:      b,
+		config:     cfg,
 		options:    o,
 		log:        o.Log,
 		conns:      map[*trackedConn]struct{}{},
@@ -120,24 +120,24 @@
 func (c *Controller) Addr() string { return c.listener.Addr().String() }
 
 // Name returns the controller's name.
-func (c *Controller) Name() string { return c.built.Name }
+func (c *Controller) Name() string { return c.config.Name }
 
 // SetClients replaces the clients and their keys by those of a reloaded configuration. Clients can
 // only be added at the end, as the replay guard's keys contain their indexes. SetClients must not
 // be called concurrently.
-func (c *Controller) SetClients(b *config.Built) error {
-	current := c.built.Clients
-	if len(b.Clients) < len(current) {
+func (c *Controller) SetClients(cfg *config.ControllerConfig) error {
+	current := c.config.Clients
+	if len(cfg.Clients) < len(current) {
 		return fmt.Errorf("clients: %d configured, but %d are active: to disable a client, remove its keys instead",
-			len(b.Clients), len(current))
+			len(cfg.Clients), len(current))
 	}
 	for i := range current {
-		if b.Clients[i].Name != current[i].Name {
+		if cfg.Clients[i].Name != current[i].Name {
 			return fmt.Errorf("clients[%d].name: %q replaces the active client %q: add new clients at the end",
-				i, b.Clients[i].Name, current[i].Name)
+				i, cfg.Clients[i].Name, current[i].Name)
 		}
 	}
-	c.Webhook.SetClients(b.Clients)
-	c.built.Clients = b.Clients
+	c.Webhook.SetClients(cfg.Clients)
+	c.config.Clients = cfg.Clients
 	return nil
 }
--- a/internal/controller/handover_predecessor.go
+++ b/internal/controller/handover_predecessor.go
@@ -20,10 +20,10 @@
 
 // acceptSuccessors listens for successors and serves one handover at a time.
 func (c *Controller) acceptSuccessors() error {
-	if c.built.Daemon.GetHandover() == "" {
+	if c.config.Daemon.GetHandover() == "" {
 		return nil
 	}
-	ln, err := daemon.ListenLinks(c.built.Daemon.Handover)
+	ln, err := daemon.ListenLinks(c.config.Daemon.Handover)
 	if err != nil {
 		return fmt.Errorf("daemon.handover: %w", err)
 	}
@@ -63,7 +63,7 @@
 	h := &outgoingHandover{
 		controller: c,
 		link:       l,
-		endedCalls: make(chan endedCall, c.built.Settings.Limits.MaxOpenRequests+16),
+		endedCalls: make(chan endedCall, c.config.Settings.Limits.MaxOpenRequests+16),
 	}
 	for {
 		action, err := h.receive()
@@ -222,7 +222,7 @@
 	c.Webhook.HandOver()
 	h.closeListeners()
 	c.stopDiscoveryWhenIdle()
-	c.Gateway.Stop(c.built.StopTimeout)
+	c.Gateway.Stop(c.config.StopTimeout)
 	c.HTTP.Drain(drainTimeout)
 	stopSendingConns()
 	if c.RPC != nil {
--- a/internal/controller/hooks.go
+++ b/internal/controller/hooks.go
@@ -104,7 +104,7 @@
 // startHooks starts the hook engine with its stored scripts, and loads those of the configured
 // files. An invalid script is only logged, as it must not prevent calls from being served.
 func (c *Controller) startHooks() error {
-	if c.built.Hooks == nil || c.options.NoHooks {
+	if c.config.Hooks == nil || c.options.NoHooks {
 		return nil
 	}
 	dir := filepath.Join(c.stateDir(), "hooks")
@@ -117,7 +117,7 @@
 	}
 	c.hookEngine.Store(e)
 	c.events.engine.Store(e)
-	if err := c.loadScripts(c.built); err != nil {
+	if err := c.loadScripts(c.config); err != nil {
 		c.log.Error().Err(err).Msg("scripts rejected, keeping previous")
 	}
 	return nil
@@ -127,18 +127,18 @@
 // targets for it.
 func (c *Controller) hookConfig(dir string) hookengine.Config {
 	facts := adviceFacts{c.functions, map[string]bool{}}
-	for _, t := range c.built.Settings.Tenants {
+	for _, t := range c.config.Settings.Tenants {
 		facts.tenants[t.Name] = true
 	}
-	hc := *c.built.Hooks
+	hc := *c.config.Hooks
 	hc.Facts = facts
 	hc.Sink = adviceSink{c}
 	hc.Clock = c.options.Clock
 	hc.Log = c.log
 	hc.FS = store.Dir(dir)
 	hc.Open = c.Gateway.OpenRequests
-	if len(c.built.Targets) > 0 {
-		c.notifier = hookengine.NewNotifier(c.built.Name, c.built.Targets, c.options.Clock, c.log)
+	if len(c.config.Targets) > 0 {
+		c.notifier = hookengine.NewNotifier(c.config.Name, c.config.Targets, c.options.Clock, c.log)
 		hc.Notify = c.notifier.Notify
 	}
 	return hc
@@ -146,9 +146,9 @@
 
 // loadScripts loads the configured files with their present content. The previous version of an
 // invalid script stays active; the other scripts are loaded.
-func (c *Controller) loadScripts(b *config.Built) error {
+func (c *Controller) loadScripts(cfg *config.ControllerConfig) error {
 	var errs []error
-	for _, s := range b.Scripts {
+	for _, s := range cfg.Scripts {
 		text, err := os.ReadFile(s.File)
 		if err == nil {
 			var warnings hooklang.Problems
@@ -166,11 +166,11 @@
 
 // ReloadScripts loads the configured script files again. Its error names every invalid script; the
 // others are loaded.
-func (c *Controller) ReloadScripts(b *config.Built) error {
+func (c *Controller) ReloadScripts(cfg *config.ControllerConfig) error {
 	if c.hookEngine.Load() == nil {
 		return nil
 	}
-	return c.loadScripts(b)
+	return c.loadScripts(cfg)
 }
 
 // HookEngine returns the engine that runs the scripts, or nil if there is none.
--- a/internal/controller/operator.go
+++ b/internal/controller/operator.go
@@ -12,10 +12,10 @@
 
 // startRPC starts the RPC server for operators and for clients on the same machine.
 func (c *Controller) startRPC() error {
-	if c.built.RPC == nil {
+	if c.config.RPC == nil {
 		return nil
 	}
-	rc := *c.built.RPC
+	rc := *c.config.RPC
 	rc.Gateway = c.Gateway
 	rc.Functions = c.functions.Find
 	rc.Clock = c.options.Clock
@@ -47,7 +47,7 @@
 	if p := c.options.Predecessor; p != nil {
 		return p.listener(rpcListenerIndex)
 	}
-	return jsonrpc.Listen(c.built.RPCSocket, c.built.RPCSocketMode)
+	return jsonrpc.Listen(c.config.RPCSocket, c.config.RPCSocketMode)
 }
 
 // Status is the result of the operators' method status.
@@ -128,7 +128,7 @@
 func (c *Controller) status() Status {
 	counts := &c.Gateway.Counts
 	s := Status{
-		Name:     c.built.Name,
+		Name:     c.config.Name,
 		PID:      os.Getpid(),
 		InFlight: c.Gateway.OpenRequests(),
 		Draining: c.draining.Load(),
--- a/internal/controller/start.go
+++ b/internal/controller/start.go
@@ -47,7 +47,7 @@
 }
 
 // stateDir returns the folder of the replay watermark, the stored scripts and the lock.
-func (c *Controller) stateDir() string { return filepath.Dir(c.built.ReplayMark) }
+func (c *Controller) stateDir() string { return filepath.Dir(c.config.WatermarkFile) }
 
 func (c *Controller) lockStateDir() error {
 	if err := os.MkdirAll(c.stateDir(), 0o700); err != nil {
@@ -66,7 +66,7 @@
 	if dial == nil {
 		dial = (&net.Dialer{}).DialContext
 	}
-	bc := c.built.Backend
+	bc := c.config.Backend
 	bc.Clock = c.options.Clock
 	bc.Dial = c.trackConns(dial)
 	c.Backend = backend.New(bc)
@@ -74,35 +74,35 @@
 }
 
 func (c *Controller) listenPeers() (err error) {
-	b := c.built
-	if !b.Settings.Limits.Peers || len(b.Peers) == 0 {
+	cfg := c.config
+	if !cfg.Settings.Limits.Peers || len(cfg.Peers) == 0 {
 		return nil
 	}
-	c.peers, err = ListenPeers(b.Settings.ControllerIndex, b.Listen, b.Peers, true)
+	c.peers, err = ListenPeers(cfg.Settings.ControllerIndex, cfg.Listen, cfg.Peers, true)
 	return err
 }
 
 // newGateway creates the gateway and its functions. It does not start the gateway's loop.
 func (c *Controller) newGateway() (err error) {
-	b := c.built
+	cfg := c.config
 	gc := gateway.Config{
-		Name:           b.Name,
-		Settings:       b.Settings,
-		Seed:           b.Seed,
+		Name:           cfg.Name,
+		Settings:       cfg.Settings,
+		Seed:           cfg.Seed,
 		Clock:          c.options.Clock,
 		Transport:      c.Backend,
 		Log:            c.log,
-		OmitRequestLog: b.OmitRequestLog,
+		OmitRequestLog: cfg.OmitRequestLog,
 	}
 	if c.peers != nil {
 		gc.Peers = c.peers
 	}
-	if b.Hooks != nil || b.RPC != nil {
+	if cfg.Hooks != nil || cfg.RPC != nil {
 		gc.Hooks = &c.events
-		gc.MaxExplanations = b.MaxExplanations
+		gc.MaxExplanations = cfg.MaxExplanations
 	}
 	c.models = &modelVersions{clock: c.options.Clock, events: &c.events}
-	if b.RegistryAddr != "" {
+	if cfg.RegistryAddr != "" {
 		gc.Versions = c.models
 		if wrap := c.options.Versions; wrap != nil {
 			gc.Versions = wrap(c.models)
@@ -111,7 +111,7 @@
 	if c.Gateway, err = gateway.New(gc); err != nil {
 		return err
 	}
-	c.functions, err = gateway.NewFunctions(c.Gateway, b.Specs)
+	c.functions, err = gateway.NewFunctions(c.Gateway, cfg.Functions)
 	return err
 }
 
@@ -119,7 +119,7 @@
 // handover the agent starts only once the predecessor is done: the registry knows one lease holder
 // per name, so what this agent confirms would count for both processes.
 func (c *Controller) startRegistryAgent() error {
-	if c.built.RegistryAddr == "" {
+	if c.config.RegistryAddr == "" {
 		return nil
 	}
 	c.models.gateway = c.Gateway
@@ -133,16 +133,16 @@
 }
 
 func (c *Controller) startAgent() {
-	b := c.built
+	cfg := c.config
 	a := agent.Start(agent.Config{
 		Client: &client.Client{
-			Server: b.RegistryAddr,
-			Name:   b.Name,
-			Key:    b.RegistryKey,
+			Server: cfg.RegistryAddr,
+			Name:   cfg.Name,
+			Key:    cfg.RegistryKey,
 			Wall:   c.options.Clock.Wall,
 			Dial:   c.trackConns((&net.Dialer{}).DialContext),
 		},
-		Node:             b.Name,
+		Node:             cfg.Name,
 		Clock:            c.options.Clock,
 		Log:              c.log,
 		OnAliasesChanged: c.Gateway.RecheckVersions,
@@ -161,16 +161,16 @@
 // newWebhook creates the webhook ingress, with the predecessor's replay guard state if there is
 // one.
 func (c *Controller) newWebhook() (err error) {
-	b := c.built
-	fc := b.Webhook
+	cfg := c.config
+	fc := cfg.Webhook
 	fc.Gateway = c.Gateway
 	fc.Clock = c.options.Clock
 	fc.Log = c.log
-	fc.Watermark = webhook.WatermarkFile(b.ReplayMark)
+	fc.Watermark = webhook.WatermarkFile(cfg.WatermarkFile)
 	fc.Functions = c.functions.Find
-	fc.Deadline = func(class int) time.Duration { return b.Settings.Classes[class].Deadline }
-	fc.Idempotency = func(class int) scheduler.Idempotency { return b.Settings.Classes[class].Idempotency }
-	if b.RegistryAddr != "" {
+	fc.Deadline = func(class int) time.Duration { return cfg.Settings.Classes[class].Deadline }
+	fc.Idempotency = func(class int) scheduler.Idempotency { return cfg.Settings.Classes[class].Idempotency }
+	if cfg.RegistryAddr != "" {
 		fc.Models = c.models
 		if wrap := c.options.Models; wrap != nil {
 			fc.Models = wrap(c.models)
@@ -180,7 +180,7 @@
 		fc.State = &p.state.Webhook
 		c.Gateway.InheritBudget(p.state.Budget)
 	}
-	if c.Webhook, err = webhook.New(fc, b.Clients); err != nil {
+	if c.Webhook, err = webhook.New(fc, cfg.Clients); err != nil {
 		return fmt.Errorf("replay watermark: %w", err)
 	}
 	c.webhookConfig = fc
@@ -193,12 +193,12 @@
 		c.listener, err = p.listener(webhookListenerIndex)
 		return err
 	}
-	if c.built.Network == "unix" {
-		if err := removeStaleSocket(c.built.Listen); err != nil {
+	if c.config.Network == "unix" {
+		if err := removeStaleSocket(c.config.Listen); err != nil {
 			return err
 		}
 	}
-	if c.listener, err = net.Listen(c.built.Network, c.built.Listen); err != nil {
+	if c.listener, err = net.Listen(c.config.Network, c.config.Listen); err != nil {
 		return fmt.Errorf("webhook.listen: %w", err)
 	}
 	return nil
@@ -227,7 +227,7 @@
 // runGateway starts the gateway's loop and its inputs: discovery and peer messages.
 func (c *Controller) runGateway() error {
 	go c.Gateway.Run()
-	dc := c.built.Discovery
+	dc := c.config.Discovery
 	dc.Sink = c.Gateway
 	dc.Log = c.log
 	dc.Dial = c.trackConns((&net.Dialer{}).DialContext)
@@ -254,7 +254,7 @@
 	if wrap := c.options.Handler; wrap != nil {
 		handler = wrap(handler)
 	}
-	c.HTTP = &http1.Server{Handler: handler, Limits: c.built.HTTP, MaxConnections: c.built.MaxConnections}
+	c.HTTP = &http1.Server{Handler: handler, Limits: c.config.HTTP, MaxConnections: c.config.MaxConnections}
 	go func() {
 		defer close(c.acceptDone)
 		if err := c.HTTP.Serve(c.listener); err != nil {
--- a/internal/controller/stop.go
+++ b/internal/controller/stop.go
@@ -52,7 +52,7 @@
 	}
 	go func() {
 		for c.Gateway.OpenRequests() > 0 && !c.killed.Load() {
-			time.Sleep(c.built.Settings.Tick)
+			time.Sleep(c.config.Settings.Tick)
 		}
 		c.watcher.Stop()
 	}()
