--- a/internal/replayguard/handover.go
+++ b/internal/replayguard/handover.go
@@ -5,39 +5,40 @@
 	"slices"
 )
 
-// An EntryState is what a guard remembers of one id, as it is handed to the process that takes over. That process may
-// be of another version, so the JSON keys are fixed.
+// An EntryState is what a guard remembers about one id, in the form in which a process hands it
+// over to its successor. The successor may run another version of the program, so the JSON keys are
+// fixed.
 type EntryState struct {
 	Key           Key    `json:"Key"`
 	LastTimestamp int64  `json:"Last"`    // highest timestamp accepted, Unix seconds
 	Digest        []byte `json:"Digest"`  // 32 bytes
 	Running       bool   `json:"Running"` // the call is in flight
-	AnswerEvicted bool   `json:"Dropped"` // the call has ended, and its answer is not cached
+	AnswerEvicted bool   `json:"Dropped"` // the call has completed, and its answer is not cached
 	Rejected      bool   `json:"Refused"` // the call was rejected; it may be retried
 	Status        int    `json:"Status"`
 	Type          string `json:"Type"`
 	Body          []byte `json:"Body"`
 }
 
-// Export returns all that is remembered, by time and key, and the three times of the guard in Unix seconds: the
-// barrier, the watermark on disk and the highest timestamp accepted.
+// Export returns all entries, ordered by timestamp and key, and three times of the guard in Unix
+// seconds: the barrier, the watermark on disk and the highest accepted timestamp.
 //
-// A tagged answer counts as evicted: its tag means something in this process only, so the next one cannot know
-// whether the answer still holds.
-func (g *Guard) Export() (states []EntryState, barrier, durable, highest int64) {
-	for key, known := range g.entries {
+// A tagged answer is exported as evicted. Its tag has a meaning only in this process, so the
+// successor could not tell whether the answer is still valid.
+func (g *Guard) Export() (states []EntryState, barrier, durableWatermark, highestAccepted int64) {
+	for key, e := range g.entries {
 		state := EntryState{
 			Key:           key,
-			LastTimestamp: known.lastStamp,
-			Digest:        known.digest[:],
-			Running:       known.running,
-			AnswerEvicted: known.answerEvicted || known.answer.Tag != nil,
-			Rejected:      known.answer.Rejected,
-			Status:        known.answer.Status,
-			Type:          known.answer.Type,
+			LastTimestamp: e.lastTimestamp,
+			Digest:        e.digest[:],
+			Running:       e.running,
+			AnswerEvicted: e.answerEvicted || e.answer.Tag != nil,
+			Rejected:      e.answer.Rejected,
+			Status:        e.answer.Status,
+			Type:          e.answer.Type,
 		}
 		if !state.AnswerEvicted {
-			state.Body = known.answer.Body
+			state.Body = e.answer.Body
 		}
 		states = append(states, state)
 	}
@@ -48,17 +49,17 @@
 			cmp.Compare(a.Key.ID, b.Key.ID),
 		)
 	})
-	return states, g.barrier, g.durable, g.highest
+	return states, g.barrier, g.durableWatermark, g.highestAccepted
 }
 
-// Import takes over what Export returned in another process. Calls in flight there count as running here until
-// Ended reports how they ended.
-func (g *Guard) Import(states []EntryState, barrier, durable, highest int64) {
+// Import loads what Export returned in another process. Calls that are in flight there count as
+// running here until Complete or CompleteUncached is called for them.
+func (g *Guard) Import(states []EntryState, barrier, durableWatermark, highestAccepted int64) {
 	g.barrier = barrier
-	g.durable = max(g.durable, durable)
-	g.highest = max(g.highest, highest)
+	g.durableWatermark = max(g.durableWatermark, durableWatermark)
+	g.highestAccepted = max(g.highestAccepted, highestAccepted)
 	for _, state := range states {
-		known := &entry{
+		e := &entry{
 			running:       state.Running,
 			answerEvicted: state.AnswerEvicted,
 			answer: Answer{
@@ -68,9 +69,9 @@
 				Body:     state.Body,
 			},
 		}
-		copy(known.digest[:], state.Digest)
-		g.entries[state.Key] = known
-		g.file(state.Key, known, state.LastTimestamp)
+		copy(e.digest[:], state.Digest)
+		g.entries[state.Key] = e
+		g.indexByTimestamp(state.Key, e, state.LastTimestamp)
 		g.bodyBytes += len(state.Body)
 	}
 }
--- a/internal/replayguard/handover_test.go
+++ b/internal/replayguard/handover_test.go
@@ -8,7 +8,8 @@
 	"kitehub/internal/goldenfile"
 )
 
-// remembered is one message in each state that a guard can have it in, in the order in which Export gives them.
+// remembered has one entry in each state that a guard can hold, in the order in which Export
+// returns them.
 var remembered = []EntryState{
 	{
 		Key:           Key{Client: 1, ID: "msg_kept"},
@@ -35,7 +36,8 @@
 	},
 }
 
-// What a guard remembers goes to the process that takes over, which may be of another version.
+// Guards against unintended changes of the exported entries: the process that takes over may run
+// another version of the program.
 func TestExportedMessagesAreAsBefore(t *testing.T) {
 	guard := newGuard(0)
 	guard.Import(remembered, 1, 2, 3)
@@ -55,33 +57,35 @@
 	}
 }
 
-// How a call ended goes over as a key and an answer, whose tag is never set then but is written.
+// Guards against unintended changes of the key and the answer with which a process hands over the
+// completion of a call. The tag of such an answer is never set, but is written.
 func TestKeyAndAnswerAreAsBefore(t *testing.T) {
-	type end struct {
+	type completion struct {
 		Key    Key    `json:"key"`
 		Answer Answer `json:"answer"`
 	}
-	ends := []end{
+	completions := []completion{
 		{Key{1, "msg_a"}, Answer{Status: 200, Type: "application/json", Body: []byte("{}")}},
 		{Key{2, "msg_b"}, Answer{Rejected: true, Status: 503}},
 		{},
 	}
-	written, err := json.Marshal(ends)
+	written, err := json.Marshal(completions)
 	if err != nil {
 		t.Fatal(err)
 	}
 	goldenfile.Compare(t, "key_answer.json", written)
 
-	var read []end
+	var read []completion
 	if err := json.Unmarshal(goldenfile.Read(t, "key_answer.json"), &read); err != nil {
 		t.Fatal(err)
 	}
-	if !reflect.DeepEqual(read, ends) {
-		t.Errorf("read: %+v\nwant: %+v", read, ends)
+	if !reflect.DeepEqual(read, completions) {
+		t.Errorf("read: %+v\nwant: %+v", read, completions)
 	}
 }
 
-// Each field that is stored or sent has a key of its own: what it is called in Go may change, the format may not.
+// Guards against a rename in Go that changes the format: each field that is stored or sent has an
+// explicit JSON key.
 func TestKeysDoNotFollowFieldNames(t *testing.T) {
 	goldenfile.Tagged(t, Key{}, Answer{}, EntryState{})
 }
