--- a/internal/outbox/outbox.go
+++ b/internal/outbox/outbox.go
@@ -1,9 +1,10 @@
-// Package outbox writes messages to a connection without blocking the sender: in order, each complete or cut only by
-// the end of the connection, and with a bound on what waits for a slow reader. It knows how many bytes the kernel has
-// taken, which proves of a message that was cut half-way that it never arrived complete at the other side.
+// Package outbox writes messages to a connection without blocking the sender. Messages are written
+// in order, each of them completely unless the connection closes, and the data pending for a slow
+// reader is bounded. The outbox counts the bytes that the kernel has accepted. Of a message that
+// was interrupted half-way, this count proves that it never arrived complete at the other side.
 //
-// A message is written at once if the kernel takes it. What it does not take waits, and a goroutine, the flusher,
-// writes it; there is one only while anything waits.
+// A message is written immediately if the kernel accepts it. The rest is pending, and a goroutine,
+// the flusher, writes it. The flusher runs only while data is pending.
 package outbox
 
 import (
@@ -15,31 +16,31 @@
 	"time"
 )
 
-// An Outbox belongs to one connection, whose only writer it is. It is safe for concurrent use.
+// An Outbox is the only writer of one connection. It is safe for concurrent use.
 //
-// Positions in the stream of bytes written count from the first byte handed over.
+// Positions are byte offsets in the stream of all messages passed to the outbox.
 type Outbox struct {
-	conn       net.Conn
-	raw        syscall.RawConn // nil: every write is left to the flusher, and Begin always fails
-	maxWaiting int             // bytes
-	stall      time.Duration   // a reader that takes nothing for so long is disconnected
-
-	mu         sync.Mutex
-	waiting    []byte     // to be written by the flusher
-	spare      []byte     // the flusher's: a buffer to exchange with waiting
-	flushing   bool       // there is a flusher
-	writing    bool       // the flusher is in a write: the kernel may have taken any part of what it was given
-	writeEnded *sync.Cond // writing has become false
-	finished   bool       // no message is accepted any more; our half is closed once nothing waits
-	closed     bool
-	taken      uint64 // position up to which the kernel has taken the stream
-	end        uint64 // position up to which the stream was handed over
-}
-
-// New returns the outbox of a connection. At most maxWaiting bytes wait for a slow reader; one that takes none of
-// them for the time stall is disconnected.
-func New(conn net.Conn, maxWaiting int, stall time.Duration) *Outbox {
-	o := &Outbox{conn: conn, maxWaiting: maxWaiting, stall: stall}
+	conn         net.Conn
+	raw          syscall.RawConn // nil: only the flusher writes, and TrySend always fails
+	maxPending   int             // bytes
+	stallTimeout time.Duration   // a reader that accepts no data for this long is disconnected
+
+	mu              sync.Mutex
+	pending         []byte     // data that the flusher has yet to take
+	spare           []byte     // owned by the flusher: the buffer to swap with pending
+	flushing        bool       // the flusher is running
+	writeInProgress bool       // by the flusher; the kernel may have accepted any part of the data
+	writeEnded      *sync.Cond // signals that writeInProgress has become false
+	finished        bool       // no more messages; the write side closes once nothing is pending
+	closed          bool
+	writtenEnd      uint64 // position up to which the kernel has accepted the stream
+	queuedEnd       uint64 // position up to which the outbox has taken over the stream
+}
+
+// New returns an outbox for a connection. At most maxPending bytes are pending for a slow reader. A
+// reader that accepts none of them for stallTimeout is disconnected.
+func New(conn net.Conn, maxPending int, stallTimeout time.Duration) *Outbox {
+	o := &Outbox{conn: conn, maxPending: maxPending, stallTimeout: stallTimeout}
 	o.writeEnded = sync.NewCond(&o.mu)
 	if socket, ok := conn.(syscall.Conn); ok {
 		if raw, err := socket.SyscallConn(); err == nil {
@@ -49,17 +50,17 @@
 	return o
 }
 
-// Send hands a message over. It returns the position of its end in the stream, for Written, and false if the
-// connection is closed, or is being closed because too much waits. The message is copied if it cannot be written at
-// once.
+// Send writes a message, or queues it for the flusher. It returns the position of the end of the
+// message, for Written. It returns false if the connection is closed, or if Send closes it because
+// too much data is pending. A message that cannot be written immediately is copied.
 func (o *Outbox) Send(message []byte) (end uint64, ok bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.send(message)
 }
 
-// TrySend hands a message over as Send does, but only if its first byte is written at once; otherwise nothing of it
-// ever is, and TrySend returns false.
+// TrySend sends a message as Send does, but only if its first byte can be written immediately.
+// Otherwise no part of it is ever written, and TrySend returns false.
 func (o *Outbox) TrySend(message []byte) (end uint64, ok bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -67,61 +68,62 @@
 		return 0, false
 	}
 	n := o.writeNow(message)
-	o.end += uint64(n)
+	o.queuedEnd += uint64(n)
 	if n == 0 || n == len(message) {
-		return o.end, n > 0
+		return o.queuedEnd, n > 0
 	}
-	end = o.end + uint64(len(message)-n)
+	end = o.queuedEnd + uint64(len(message)-n)
 	if !o.closed {
 		o.send(message[n:])
 	}
 	return end, true
 }
 
-// send is Send with mu held.
+// send is Send for a caller that holds mu.
 func (o *Outbox) send(message []byte) (end uint64, ok bool) {
-	if !o.closed && o.flushing && len(o.waiting)+len(message) > o.maxWaiting {
+	if !o.closed && o.flushing && len(o.pending)+len(message) > o.maxPending {
 		o.close()
 	}
 	if o.closed || o.finished {
-		return o.end + uint64(max(1, len(message))), false // a position that is never reached
+		return o.queuedEnd + uint64(max(1, len(message))), false // a position that the stream never reaches
 	}
-	o.end += uint64(len(message))
+	o.queuedEnd += uint64(len(message))
 	if !o.flushing {
 		n := o.writeNow(message)
 		if o.closed {
-			return o.end, false
+			return o.queuedEnd, false
 		}
 		message = message[n:]
 	}
 	if len(message) > 0 {
-		o.waiting = append(o.waiting, message...)
+		o.pending = append(o.pending, message...)
 		if !o.flushing {
 			o.flushing = true
 			go o.flush()
 		}
 	}
-	return o.end, true
+	return o.queuedEnd, true
 }
 
-// writeNow writes what the kernel takes without blocking, and returns how many bytes that is. The caller holds mu.
+// writeNow writes as much as the kernel accepts without blocking, and returns the number of bytes.
+// The caller holds mu.
 func (o *Outbox) writeNow(b []byte) (n int) {
 	if o.raw == nil {
 		return 0
 	}
-	var writeErr error // kept until Write has ended: closing in the function would wait for that very call
+	var writeErr error // handled after Write returns: a close in the callback would wait for itself
 	err := o.raw.Write(func(fd uintptr) bool {
 		n, writeErr = writeNonblocking(int(fd), b)
 		return true
 	})
-	o.taken += uint64(n)
+	o.writtenEnd += uint64(n)
 	if err != nil || writeErr != nil {
 		o.close()
 	}
 	return n
 }
 
-// writeNonblocking writes until the kernel takes no more; that is no error.
+// writeNonblocking writes until the kernel accepts no more data, which is not an error.
 func writeNonblocking(fd int, b []byte) (n int, err error) {
 	for n < len(b) {
 		written, err := syscall.Write(fd, b[n:])
@@ -137,59 +139,60 @@
 	return n, nil
 }
 
-const flushSize = 16 << 10 // bytes of one write by the flusher
+const flushSize = 16 << 10 // limit of one write by the flusher, in bytes
 
-// flush is the flusher: it writes what waits until nothing does.
+// flush is the flusher's goroutine. It writes pending data until none is left.
 func (o *Outbox) flush() {
 	for {
-		b := o.takeWaiting()
+		b := o.nextBatch()
 		if b == nil {
 			return
 		}
-		for open := true; open && len(b) > 0; { // each write has the time stall anew
+		for open := true; open && len(b) > 0; { // stallTimeout applies to each write
 			var n int
-			n, open = o.write(b[:min(len(b), flushSize)])
+			n, open = o.writeBlocking(b[:min(len(b), flushSize)])
 			b = b[n:]
 		}
 		o.spare = b[:0]
 	}
 }
 
-// takeWaiting returns what waits; nil, and the end of the flusher, if nothing does or the connection is closed.
-func (o *Outbox) takeWaiting() []byte {
+// nextBatch returns the pending data. It returns nil and marks the flusher as stopped if no data is
+// pending or the connection is closed.
+func (o *Outbox) nextBatch() []byte {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if len(o.waiting) == 0 || o.closed {
+	if len(o.pending) == 0 || o.closed {
 		o.flushing = false
-		o.waiting = nil
+		o.pending = nil
 		o.spare = nil
 		if o.finished {
 			o.closeWrite()
 		}
 		return nil
 	}
-	b := o.waiting
-	o.waiting = o.spare[:0]
+	b := o.pending
+	o.pending = o.spare[:0]
 	return b
 }
 
-// write writes a part of what waits, blocking, and reports whether the connection is still open.
-func (o *Outbox) write(b []byte) (n int, open bool) {
+// writeBlocking writes a part of the pending data and reports whether the connection is still open.
+func (o *Outbox) writeBlocking(b []byte) (n int, open bool) {
 	o.mu.Lock()
 	if o.closed {
 		o.mu.Unlock()
 		return 0, false
 	}
-	o.writing = true
+	o.writeInProgress = true
 	o.mu.Unlock()
-	o.conn.SetWriteDeadline(time.Now().Add(o.stall))
+	o.conn.SetWriteDeadline(time.Now().Add(o.stallTimeout))
 	n, err := o.conn.Write(b)
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.writing = false
+	o.writeInProgress = false
 	o.writeEnded.Broadcast()
-	o.taken += uint64(n)
-	progress := n > 0 && os.IsTimeout(err) // slow, but it reads
+	o.writtenEnd += uint64(n)
+	progress := n > 0 && os.IsTimeout(err) // the reader is slow, but not stalled
 	if err != nil && !progress {
 		o.close()
 	}
@@ -204,8 +207,9 @@
 	}
 }
 
-// Finish accepts no more messages. What waits is still written, and then our half of the connection is closed: the
-// other side reads all of it and then the end. The owner must still close the connection.
+// Finish stops accepting messages. Pending data is still written, and then the write side of the
+// connection is closed, so the other side reads all messages and then the end of the stream. The
+// owner must still close the connection.
 func (o *Outbox) Finish() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -218,7 +222,8 @@
 	}
 }
 
-// closeWrite closes our half of the connection, or all of it if it has no halves. The caller holds mu.
+// closeWrite closes the write side of the connection, or the whole connection if it does not
+// support that. The caller holds mu.
 func (o *Outbox) closeWrite() {
 	half, ok := o.conn.(interface{ CloseWrite() error })
 	if !o.closed && (!ok || half.CloseWrite() != nil) {
@@ -226,29 +231,30 @@
 	}
 }
 
-// Close closes the connection. What waits is dropped.
+// Close closes the connection. Pending data is discarded.
 func (o *Outbox) Close() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.close()
 }
 
-// HasPending reports whether anything waits for the reader.
+// HasPending reports whether data is pending for the reader.
 func (o *Outbox) HasPending() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.flushing
 }
 
-// Written reports whether the kernel has taken all bytes up to a position. If it has not, and the connection is
-// closed, the message that ends there cannot have arrived complete. On an open connection the answer may lag behind.
-// On a closed one Written first waits for a write in progress, which the close ends: the other side may have what was
-// written before the write returns.
+// Written reports whether the kernel has accepted all bytes up to a position. If it has not, and
+// the connection is closed, the message that ends there cannot have arrived complete. While the
+// connection is open, the result may be outdated. On a closed connection, Written first waits for a
+// write in progress to return, which the close causes: the other side may have received data before
+// that write returns.
 func (o *Outbox) Written(end uint64) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for o.closed && o.writing {
+	for o.closed && o.writeInProgress {
 		o.writeEnded.Wait()
 	}
-	return o.taken >= end
+	return o.writtenEnd >= end
 }
--- a/internal/replayguard/guard.go
+++ b/internal/replayguard/guard.go
@@ -31,15 +31,15 @@
 // New, Retry, Join, Cached and AnswerEvicted accept the message; the other verdicts reject it.
 const (
 	New            Verdict = iota + 1 // execute it
-	Retry                             // execute it again: an earlier attempt was rejected before it had any effect
+	Retry                             // execute it again: an earlier attempt was rejected without effect
 	Join                              // an earlier attempt is in flight: wait for its answer
 	Cached                            // an earlier attempt has completed: send its cached answer
 	AnswerEvicted                     // an earlier attempt has completed, but its answer is not cached
-	Replay                            // this message, or a newer one with its id, has been accepted already
+	Replay                            // this message, or a newer one with its id, was accepted before
 	IDReused                          // the id was used with a different body or for a different function
 	Stale                             // the timestamp is too old
 	Early                             // the timestamp is too far ahead
-	PossibleReplay                    // it may have been accepted before a restart: retry with a newer timestamp
+	PossibleReplay                    // may have been accepted before a restart: retry, signed anew
 	AtCapacity                        // MaxEntries ids are remembered already
 )
 
@@ -49,7 +49,8 @@
 	Status   int    `json:"Status"`  // HTTP status code
 	Type     string `json:"Type"`    // media type of Body
 	Body     []byte `json:"Body"`
-	Tag      any    `json:"Tag"` // opaque to the guard; lets its caller tell whether the answer is still valid
+	// Tag is opaque to the guard. It lets the caller tell whether the answer is still valid.
+	Tag any `json:"Tag"`
 }
 
 // An entry is what a guard remembers about one id.
@@ -71,9 +72,11 @@
 	durableWatermark int64 // the watermark on disk: timestamps above it are not accepted
 	highestAccepted  int64 // highest timestamp accepted
 	entries          map[Key]*entry
-	keysByTimestamp  map[int64][]Key // keys by every lastTimestamp that their entries have had; outdated items are skipped
-	sweptUpTo        int64           // keysByTimestamp has been swept up to here
-	bodyBytes        int             // total size of the bodies of cached answers
+	// keysByTimestamp has a key under every lastTimestamp that its entry has had. All but the
+	// newest are skipped.
+	keysByTimestamp map[int64][]Key
+	sweptUpTo       int64 // keysByTimestamp has been swept up to here
+	bodyBytes       int   // total size of the bodies of cached answers
 }
 
 // NewGuard returns a guard for a process that read the given watermark from disk. watermark is the
--- a/internal/replayguard/guard_test.go
+++ b/internal/replayguard/guard_test.go
@@ -169,7 +169,7 @@
 		t.Errorf("message above the final watermark: verdict %v", verdict)
 	}
 
-	g = NewGuard(settings, at(50), watermark) // in the meantime the machine's clock was set back by a minute
+	g = NewGuard(settings, at(50), watermark) // meanwhile the clock was set back by a minute
 	saveWatermark(g, 50)
 	if verdict, _, _ := g.Admit(at(50), message("a", 50)); verdict != PossibleReplay {
 		t.Errorf("clock set back: verdict %v", verdict)
--- a/internal/signing/sign.go
+++ b/internal/signing/sign.go
@@ -1,9 +1,10 @@
-// Package signing signs and verifies messages as the Standard Webhooks specification says. It serves calls and their
-// answers, and the requests of operators and controllers to the registry.
+// Package signing signs and verifies messages according to the Standard Webhooks specification. It
+// is used for calls and their answers, and for the requests of operators and controllers to the
+// registry.
 //
-// A signature covers the id, the timestamp and the body of a Message. An answer is signed under an id that is
-// derived from the request's and from the outcome: see AnswerID. Whether a timestamp is recent, and whether an id
-// was seen before, the caller checks.
+// A signature covers the id, the timestamp and the body of a Message. An answer is signed with an
+// id that is derived from the id of the request and from the outcome: see AnswerID. The caller must
+// check whether a timestamp is recent and whether an id was used before.
 package signing
 
 import (
@@ -23,25 +24,26 @@
 	"time"
 )
 
-// A Key signs and verifies as the Standard Webhooks specification says: "whsec_" for HMAC-SHA256 (v1), "whsk_"
-// for an ed25519 private key and "whpk_" for a public one (v1a). It is safe for concurrent use.
+// A Key signs and verifies messages. The prefix of its text tells its kind: "whsec_" is a shared
+// secret for HMAC-SHA256 (v1), "whsk_" an ed25519 private key and "whpk_" an ed25519 public key
+// (v1a). A Key is safe for concurrent use.
 type Key struct {
 	public  ed25519.PublicKey
 	private ed25519.PrivateKey
-	macs    *sync.Pool // of hash.Hash; nil for ed25519
+	macPool *sync.Pool // of hash.Hash; nil for ed25519
 }
 
-// Sizes of a shared secret in bytes, from the specification.
+// Limits of the specification for the size of a shared secret, in bytes.
 const (
 	minSecretSize = 24
 	maxSecretSize = 64
 )
 
-// ParseKey reads a key in its textual form. Errors never hold the text.
+// ParseKey parses the text of a key. Its errors never contain the text.
 func ParseKey(s string) (*Key, error) {
 	prefix, rest, ok := strings.Cut(s, "_")
 	if !ok {
-		return nil, errors.New("key has no whsec_, whpk_ or whsk_ in front")
+		return nil, errors.New("key has no whsec_, whpk_ or whsk_ prefix")
 	}
 	raw, err := base64.StdEncoding.DecodeString(rest)
 	if err != nil {
@@ -52,7 +54,7 @@
 		if len(raw) < minSecretSize || len(raw) > maxSecretSize {
 			return nil, fmt.Errorf("whsec_ key has %d bytes, want %d to %d", len(raw), minSecretSize, maxSecretSize)
 		}
-		return newSharedKey(raw), nil
+		return newHMACKey(raw), nil
 	case "whpk":
 		if len(raw) != ed25519.PublicKeySize {
 			return nil, fmt.Errorf("whpk_ key has %d bytes, want %d", len(raw), ed25519.PublicKeySize)
@@ -69,76 +71,78 @@
 		private := ed25519.PrivateKey(raw)
 		return &Key{private: private, public: private.Public().(ed25519.PublicKey)}, nil
 	}
-	return nil, errors.New("key has no whsec_, whpk_ or whsk_ in front")
+	return nil, errors.New("key has no whsec_, whpk_ or whsk_ prefix")
 }
 
-// newSharedKey returns the key of a shared secret. Its MACs are pooled, as each costs two hashes to set up.
-func newSharedKey(raw []byte) *Key {
-	return &Key{macs: &sync.Pool{New: func() any { return hmac.New(sha256.New, raw) }}}
+// newHMACKey returns the key for a shared secret. Its MACs are pooled, because the setup of each
+// costs two hashes.
+func newHMACKey(raw []byte) *Key {
+	return &Key{macPool: &sync.Pool{New: func() any { return hmac.New(sha256.New, raw) }}}
 }
 
-// DeriveSecret returns the text of the secret that an endpoint shares with a client, from the client's common secret
-// (HKDF-SHA256, RFC 5869, with the endpoint's name as info). Endpoints with secrets of their own cannot be sent
-// each other's messages.
+// DeriveSecret returns the text of the secret that a webhook endpoint shares with a client. It is
+// derived from the client's common secret with HKDF-SHA256 (RFC 5869), with the endpoint's name as
+// info. As each endpoint has its own secret, a message to one endpoint does not verify at another.
 func DeriveSecret(secret, endpoint string) (string, error) {
 	rest, ok := strings.CutPrefix(secret, "whsec_")
 	raw, err := base64.StdEncoding.DecodeString(rest)
 	if !ok || err != nil {
-		return "", errors.New("only whsec_ secrets can be derived from")
+		return "", errors.New("secrets can be derived only from a whsec_ secret")
 	}
-	out, err := hkdf.Key(sha256.New, raw, nil, "kitehub webhook endpoint "+endpoint, 32)
+	derived, err := hkdf.Key(sha256.New, raw, nil, "kitehub webhook endpoint "+endpoint, 32)
 	if err != nil {
 		return "", err
 	}
-	return "whsec_" + base64.StdEncoding.EncodeToString(out), nil
+	return "whsec_" + base64.StdEncoding.EncodeToString(derived), nil
 }
 
-// Message is the content that is signed, in its parts.
+// A Message holds the parts of the content that is signed.
 type Message struct {
-	ID        string // without dots, as the parts are joined by them
-	Timestamp string // unix seconds, decimal
+	ID        string // must not contain dots, which separate the parts
+	Timestamp string // Unix seconds, decimal
 	Body      []byte
 }
 
-// CanSign tells whether the key signs as well as verifies.
-func (k *Key) CanSign() bool { return k.macs != nil || k.private != nil }
+// CanSign reports whether the key can sign as well as verify.
+func (k *Key) CanSign() bool { return k.macPool != nil || k.private != nil }
 
-// Sign returns one signature with its version in front, or an error for a public key.
+// Sign returns a signature, prefixed with its version. It returns an error for a public key.
 func (k *Key) Sign(m Message) (string, error) {
 	switch {
-	case k.macs != nil:
+	case k.macPool != nil:
 		var sum [sha256.Size]byte
 		return "v1," + base64.StdEncoding.EncodeToString(k.appendMAC(sum[:0], m)), nil
 	case k.private != nil:
-		return "v1a," + base64.StdEncoding.EncodeToString(ed25519.Sign(k.private, m.content())), nil
+		return "v1a," + base64.StdEncoding.EncodeToString(ed25519.Sign(k.private, m.signedContent())), nil
 	}
-	return "", errors.New("a public key does not sign")
+	return "", errors.New("a public key cannot sign")
 }
 
-// content returns the bytes that are signed.
-func (m Message) content() []byte {
+// signedContent returns the bytes that are signed.
+func (m Message) signedContent() []byte {
 	return bytes.Join([][]byte{[]byte(m.ID), []byte(m.Timestamp), m.Body}, []byte("."))
 }
 
-// appendMAC appends the MAC of a message, without a copy of its body.
-func (k *Key) appendMAC(to []byte, m Message) []byte {
-	h := k.macs.Get().(hash.Hash)
-	defer k.macs.Put(h)
+// appendMAC appends the MAC of a message to dst, without copying the message body.
+func (k *Key) appendMAC(dst []byte, m Message) []byte {
+	h := k.macPool.Get().(hash.Hash)
+	defer k.macPool.Put(h)
 	h.Reset()
-	var head [160]byte
-	b := append(head[:0], m.ID...)
+	var buf [160]byte
+	b := append(buf[:0], m.ID...)
 	b = append(b, '.')
 	b = append(b, m.Timestamp...)
 	h.Write(append(b, '.'))
 	h.Write(m.Body)
-	return h.Sum(to)
+	return h.Sum(dst)
 }
 
-// maxSignatures bounds the work that one message can ask for.
+// maxSignatures limits the work that a single message can cause.
 const maxSignatures = 16
 
-// Verify tells whether one of the space-separated signatures is valid for the key. It compares in constant time, and
-// ignores signatures of another version than the key's. More than 16 signatures are never valid.
+// Verify reports whether one of the space-separated signatures is valid for the key. It compares in
+// constant time and ignores signatures of a version other than the key's. More than 16 signatures
+// are never valid.
 func (k *Key) Verify(m Message, signatures string) bool {
 	count := 0
 	valid := 0
@@ -152,11 +156,11 @@
 	return valid == 1
 }
 
-// verifyOne returns 1 if one signature is valid for the key, else 0.
+// verifyOne returns 1 if a signature is valid for the key, and 0 otherwise.
 func (k *Key) verifyOne(m Message, signature string) int {
 	version, text, _ := strings.Cut(signature, ",")
 	isMAC := version == "v1"
-	if !isMAC && version != "v1a" || isMAC != (k.macs != nil) {
+	if !isMAC && version != "v1a" || isMAC != (k.macPool != nil) {
 		return 0
 	}
 	if len(text) > base64.StdEncoding.EncodedLen(ed25519.SignatureSize) {
@@ -171,14 +175,14 @@
 		var sum [sha256.Size]byte
 		return subtle.ConstantTimeCompare(k.appendMAC(sum[:0], m), decoded[:size])
 	}
-	if size == ed25519.SignatureSize && ed25519.Verify(k.public, m.content(), decoded[:size]) {
+	if size == ed25519.SignatureSize && ed25519.Verify(k.public, m.signedContent(), decoded[:size]) {
 		return 1
 	}
 	return 0
 }
 
-// ParseTimestamp parses a timestamp, in unix seconds above 0. It is strict: another text for the same time would make
-// another message.
+// ParseTimestamp parses a timestamp in Unix seconds, which must be above 0. It accepts only one
+// text for each time, because a different text would make a different message.
 func ParseTimestamp(s string) (time.Time, bool) {
 	n, err := strconv.ParseInt(s, 10, 64)
 	if err != nil || n <= 0 || strconv.FormatInt(n, 10) != s {
@@ -187,9 +191,10 @@
 	return time.Unix(n, 0), true
 }
 
-// AnswerIDPrefix begins the ids under which answers are signed. A request with such an id must be rejected: a signed
-// answer could otherwise be sent back as a request.
+// AnswerIDPrefix is the prefix of the ids with which answers are signed. A request with such an id
+// must be rejected: otherwise a signed answer could be replayed as a request.
 const AnswerIDPrefix = "answer_"
 
-// AnswerID returns the webhook-id of the answer with an outcome (served, refused, failed, ...) to a request.
+// AnswerID returns the webhook-id of the answer to the request with the given id. The outcome is,
+// for example, served, refused or failed.
 func AnswerID(outcome, id string) string { return AnswerIDPrefix + outcome + "_" + id }
--- a/internal/signing/sign_test.go
+++ b/internal/signing/sign_test.go
@@ -12,7 +12,7 @@
 	standard "github.com/standard-webhooks/standard-webhooks/libraries/go"
 )
 
-// The example that the Standard Webhooks specification publishes.
+// The example that is published with the Standard Webhooks specification.
 const (
 	exampleSecret    = "whsec_MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw"
 	exampleSignature = "v1,g0hM9SsE+OTPJTGt/tmIKtSyZlE3uFJELVlNIOLJ1OE="
@@ -20,7 +20,7 @@
 
 var example = Message{ID: "msg_p5jXN8AQM9LWM0D4loKWxJek", Timestamp: "1614265330", Body: []byte(`{"test": 2432232314}`)}
 
-func key(t testing.TB, text string) *Key {
+func mustParseKey(t testing.TB, text string) *Key {
 	t.Helper()
 	k, err := ParseKey(text)
 	if err != nil {
@@ -30,7 +30,7 @@
 }
 
 func TestPublishedExample(t *testing.T) {
-	k := key(t, exampleSecret)
+	k := mustParseKey(t, exampleSecret)
 	if s, err := k.Sign(example); err != nil || s != exampleSignature {
 		t.Errorf("signed %q, want %q", s, exampleSignature)
 	}
@@ -39,9 +39,10 @@
 	}
 }
 
-// Signatures agree with those of the specification's own library, both ways.
+// Guards against a difference from the reference library of the specification: both sides create
+// the same signatures, and the library verifies ours.
 func TestAgainstLibrary(t *testing.T) {
-	k := key(t, exampleSecret)
+	k := mustParseKey(t, exampleSecret)
 	lib, err := standard.NewWebhook(exampleSecret)
 	if err != nil {
 		t.Fatal(err)
@@ -62,7 +63,7 @@
 		h.Set("webhook-timestamp", m.Timestamp)
 		h.Set("webhook-signature", ours)
 		if err := lib.Verify(m.Body, h); err != nil {
-			t.Errorf("%d bytes: the library refuses ours: %v", len(body), err)
+			t.Errorf("%d bytes: the library rejects our signature: %v", len(body), err)
 		}
 	}
 }
@@ -72,48 +73,48 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	sk := key(t, "whsk_"+base64.StdEncoding.EncodeToString(private))
-	pk := key(t, "whpk_"+base64.StdEncoding.EncodeToString(public))
-	v1a, err := sk.Sign(example)
+	privateKey := mustParseKey(t, "whsk_"+base64.StdEncoding.EncodeToString(private))
+	publicKey := mustParseKey(t, "whpk_"+base64.StdEncoding.EncodeToString(public))
+	v1a, err := privateKey.Sign(example)
 	if err != nil || !strings.HasPrefix(v1a, "v1a,") {
 		t.Fatal(v1a, err)
 	}
-	if _, err := pk.Sign(example); err == nil {
+	if _, err := publicKey.Sign(example); err == nil {
 		t.Error("a public key signed")
 	}
-	shared := key(t, exampleSecret)
+	sharedKey := mustParseKey(t, exampleSecret)
 	flipped := []byte(exampleSignature)
 	flipped[10] ^= 1
 	tests := []struct {
-		name string
-		k    *Key
-		sigs string
-		want bool
+		name       string
+		key        *Key
+		signatures string
+		want       bool
 	}{
-		{"v1", shared, exampleSignature, true},
-		{"v1a", pk, v1a, true},
-		{"both, each its own", shared, v1a + " " + exampleSignature, true},
-		{"both, the other key", pk, exampleSignature + " " + v1a, true},
-		{"second of two while a secret is replaced", shared, "v1,AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA= " + exampleSignature, true},
-		{"unknown version before", shared, "v9,zzz " + exampleSignature, true},
-		{"flipped", shared, string(flipped), false},
-		{"v1 to a public key", pk, strings.Replace(v1a, "v1a,", "v1,", 1), false},
-		{"v1a to a secret", shared, strings.Replace(exampleSignature, "v1,", "v1a,", 1), false},
-		{"no version", shared, strings.TrimPrefix(exampleSignature, "v1,"), false},
-		{"not base64", shared, "v1,%%%", false},
-		{"short", shared, "v1,AAAA", false},
-		{"empty", shared, "", false},
-		{"endless", shared, strings.Repeat("v1,AAAA ", 20) + exampleSignature, false},
-		{"too long", shared, "v1," + strings.Repeat("A", 1000), false},
+		{"v1", sharedKey, exampleSignature, true},
+		{"v1a", publicKey, v1a, true},
+		{"both versions, shared secret", sharedKey, v1a + " " + exampleSignature, true},
+		{"both versions, public key", publicKey, exampleSignature + " " + v1a, true},
+		{"second of two during a secret rotation", sharedKey, "v1,AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA= " + exampleSignature, true},
+		{"unknown version first", sharedKey, "v9,zzz " + exampleSignature, true},
+		{"flipped bit", sharedKey, string(flipped), false},
+		{"v1 for a public key", publicKey, strings.Replace(v1a, "v1a,", "v1,", 1), false},
+		{"v1a for a shared secret", sharedKey, strings.Replace(exampleSignature, "v1,", "v1a,", 1), false},
+		{"no version", sharedKey, strings.TrimPrefix(exampleSignature, "v1,"), false},
+		{"not base64", sharedKey, "v1,%%%", false},
+		{"too short", sharedKey, "v1,AAAA", false},
+		{"empty", sharedKey, "", false},
+		{"too many signatures", sharedKey, strings.Repeat("v1,AAAA ", 20) + exampleSignature, false},
+		{"too long", sharedKey, "v1," + strings.Repeat("A", 1000), false},
 	}
 	for _, tt := range tests {
-		if got := tt.k.Verify(example, tt.sigs); got != tt.want {
+		if got := tt.key.Verify(example, tt.signatures); got != tt.want {
 			t.Errorf("%s: %v, want %v", tt.name, got, tt.want)
 		}
 	}
-	for name, m := range map[string]Message{"id": {"msg_x", example.Timestamp, example.Body}, "stamp": {example.ID, "1614265331", example.Body},
+	for name, m := range map[string]Message{"id": {"msg_x", example.Timestamp, example.Body}, "timestamp": {example.ID, "1614265331", example.Body},
 		"body": {example.ID, example.Timestamp, []byte("{}")}} {
-		if shared.Verify(m, exampleSignature) || pk.Verify(m, v1a) {
+		if sharedKey.Verify(m, exampleSignature) || publicKey.Verify(m, v1a) {
 			t.Errorf("verifies with another %s", name)
 		}
 	}
@@ -127,12 +128,13 @@
 			t.Errorf("%q: %v, want %q", text, err, want)
 		}
 		if err != nil && len(text) > 8 && strings.Contains(err.Error(), text[6:]) {
-			t.Errorf("the error holds the key: %v", err)
+			t.Errorf("the error contains the key: %v", err)
 		}
 	}
 }
 
-// A secret derived for one endpoint neither equals the common one nor that of another endpoint.
+// Guards against a message to one endpoint that verifies at another: each derived secret differs
+// from the common one and from those of other endpoints.
 func TestDerive(t *testing.T) {
 	a, err := DeriveSecret(exampleSecret, "c1")
 	if err != nil {
@@ -143,8 +145,8 @@
 	if a == b || a == exampleSecret || a != again {
 		t.Error(a, b, again)
 	}
-	s, _ := key(t, a).Sign(example)
-	if key(t, b).Verify(example, s) || !key(t, a).Verify(example, s) {
+	s, _ := mustParseKey(t, a).Sign(example)
+	if mustParseKey(t, b).Verify(example, s) || !mustParseKey(t, a).Verify(example, s) {
 		t.Error("a message to one endpoint verifies at another")
 	}
 	if _, err := DeriveSecret("whpk_AAAA", "c1"); err == nil {
@@ -155,7 +157,7 @@
 func TestParseStamp(t *testing.T) {
 	for _, s := range []string{"", "0", "-1", "+1", "01", "1.0", " 1", "1e3", "99999999999999999999"} {
 		if _, ok := ParseTimestamp(s); ok {
-			t.Errorf("%q was taken", s)
+			t.Errorf("%q was accepted", s)
 		}
 	}
 	if at, ok := ParseTimestamp("1614265330"); !ok || at.Unix() != 1614265330 {
@@ -164,11 +166,11 @@
 }
 
 func BenchmarkVerify(b *testing.B) {
-	k := key(b, exampleSecret)
+	k := mustParseKey(b, exampleSecret)
 	b.ReportAllocs()
 	for b.Loop() {
 		if !k.Verify(example, exampleSignature) {
-			b.Fatal("no")
+			b.Fatal("the signature does not verify")
 		}
 	}
 }
