--- a/internal/replayguard/guard.go
+++ b/internal/replayguard/guard.go
@@ -9,7 +9,7 @@
 	MaxClockSkew   time.Duration // how far a timestamp may lie ahead of the clock
 	WatermarkStep  time.Duration // how far beyond the needed value the watermark is written
 	MaxEntries     int           // most ids to remember; messages with further ids are rejected
-	MaxAnswerBytes int           // most bytes in the bodies of all cached answers
+	MaxAnswerBytes int           // limit on the total size of the bodies of cached answers
 }
 
 // A Key identifies a message. Ids are unique within a client.
@@ -39,7 +39,7 @@
 	IDReused                          // the id was used with a different body or for a different function
 	Stale                             // the timestamp is too old
 	Early                             // the timestamp is too far ahead
-	PossibleReplay                    // may have been accepted before a restart: retry, signed anew
+	PossibleReplay                    // maybe accepted before a restart: retry with a newer timestamp
 	AtCapacity                        // MaxEntries ids are remembered already
 )
 
@@ -72,8 +72,8 @@
 	durableWatermark int64 // the watermark on disk: timestamps above it are not accepted
 	highestAccepted  int64 // highest timestamp accepted
 	entries          map[Key]*entry
-	// keysByTimestamp has a key under every lastTimestamp that its entry has had. All but the
-	// newest are skipped.
+	// keysByTimestamp has a key under every lastTimestamp that its entry has had. sweep
+	// skips all but the newest.
 	keysByTimestamp map[int64][]Key
 	sweptUpTo       int64 // keysByTimestamp has been swept up to here
 	bodyBytes       int   // total size of the bodies of cached answers
@@ -89,14 +89,14 @@
 	g.durableWatermark = g.barrier
 	g.highestAccepted = g.barrier
 	g.clock = now.Unix()
-	g.sweptUpTo = g.oldestAccepted() - 1
+	g.sweptUpTo = g.newestStale() - 1
 	return g
 }
 
 func ceilSeconds(d time.Duration) int64 { return int64((d + time.Second - 1) / time.Second) }
 
-// oldestAccepted returns the timestamp at or below which messages are stale.
-func (g *Guard) oldestAccepted() int64 { return g.clock - ceilSeconds(g.settings.MaxAge) }
+// newestStale returns the timestamp at or below which messages are stale.
+func (g *Guard) newestStale() int64 { return g.clock - ceilSeconds(g.settings.MaxAge) }
 
 // advanceClock moves the clock forward, but never back.
 func (g *Guard) advanceClock(now time.Time) { g.clock = max(g.clock, now.Unix()) }
@@ -143,7 +143,7 @@
 	timestamp := m.Timestamp.Unix()
 	e := g.entries[m.Key]
 	switch {
-	case timestamp <= g.oldestAccepted():
+	case timestamp <= g.newestStale():
 		return Stale, 0
 	case timestamp >= g.clock+ceilSeconds(g.settings.MaxClockSkew):
 		return Early, 0
@@ -214,9 +214,9 @@
 // sweep removes the entries whose timestamps have become stale. Any message that they could match
 // is rejected as stale anyway.
 func (g *Guard) sweep() {
-	for oldest := g.oldestAccepted(); g.sweptUpTo < oldest; {
+	for limit := g.newestStale(); g.sweptUpTo < limit; {
 		if len(g.keysByTimestamp) == 0 {
-			g.sweptUpTo = oldest
+			g.sweptUpTo = limit
 			return
 		}
 		g.sweptUpTo++
--- a/internal/replayguard/guard_test.go
+++ b/internal/replayguard/guard_test.go
@@ -207,7 +207,7 @@
 		}
 		c.save(t)
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
-			switch rapid.IntRange(0, 9).Draw(t, "what") {
+			switch rapid.IntRange(0, 9).Draw(t, "operation") {
 			case 0: // crash
 				c.restart(t)
 			case 1: // clean stop
--- a/internal/store/memory_test.go
+++ b/internal/store/memory_test.go
@@ -26,7 +26,7 @@
 
 type inode struct {
 	data     []byte // as the process sees it
-	synced   []byte // as on disk, apart from unsynced writes
+	synced   []byte // as on disk, without the unsynced writes
 	unsynced []unsyncedWrite
 }
 
--- a/internal/store/recover_test.go
+++ b/internal/store/recover_test.go
@@ -102,7 +102,7 @@
 		c := &crashTest{t: t, fs: m, log: l}
 		c.drawFault()
 		for range rapid.IntRange(1, 50).Draw(t, "steps") {
-			switch rapid.IntRange(0, 9).Draw(t, "what") {
+			switch rapid.IntRange(0, 9).Draw(t, "operation") {
 			case 0, 1:
 				c.crashAndReopen()
 			case 2:
@@ -150,7 +150,7 @@
 // drawFreeSpace limits the free space of the disk, or removes the limit.
 func (c *crashTest) drawFreeSpace() {
 	freeBytes := -1
-	if rapid.IntRange(0, 2).Draw(c.t, "room") == 0 {
+	if rapid.IntRange(0, 2).Draw(c.t, "limit free space") == 0 {
 		freeBytes = rapid.IntRange(0, 100).Draw(c.t, "bytes")
 	}
 	c.fs.mu.Lock()
