--- a/internal/signing/sign_test.go
+++ b/internal/signing/sign_test.go
@@ -154,7 +154,7 @@
 	}
 }
 
-func TestParseStamp(t *testing.T) {
+func TestParseTimestamp(t *testing.T) {
 	for _, s := range []string{"", "0", "-1", "+1", "01", "1.0", " 1", "1e3", "99999999999999999999"} {
 		if _, ok := ParseTimestamp(s); ok {
 			t.Errorf("%q was accepted", s)
