--- a/config/network.go
+++ b/config/network.go
@@ -29,20 +29,20 @@
 	}
 	out.MaxConnections = int(w.MaxConnections)
 	out.HTTP = http1.Limits{
-		Body:      int(w.MaxBody),
-		FirstByte: ms(w.FirstByteMs),
-		Head:      ms(w.HeadMs),
-		BodyTime:  ms(w.BodyMs),
-		Idle:      ms(w.IdleMs),
+		MaxBodyBytes:     int(w.MaxBody),
+		FirstByteTimeout: ms(w.FirstByteMs),
+		HeadTimeout:      ms(w.HeadMs),
+		BodyTimeout:      ms(w.BodyMs),
+		IdleTimeout:      ms(w.IdleMs),
 	}
 	source := webhook.FromPath
 	if w.FunctionField != "" {
 		source = webhook.FromBody
 	}
 	out.Webhook = webhook.Config{
-		Prefix: w.Prefix,
-		Source: source,
-		Field:  w.FunctionField,
+		Prefix:         w.Prefix,
+		FunctionSource: source,
+		FunctionField:  w.FunctionField,
 		Replay: replayguard.Settings{
 			MaxAge:         ms(w.PastMs),
 			MaxClockSkew:   ms(w.FutureMs),
@@ -75,11 +75,11 @@
 func (b *builder) discovery() {
 	d := b.cfg.Discovery
 	if (d.File == "") == (d.Server == "") {
-		b.file.Problem("discovery", "not exactly one of file and server", "give one")
+		b.file.AddProblem("discovery", "not exactly one of file and server", "give one")
 	}
 	poll := ms(d.PollMs)
 	if d.File != "" && poll <= 0 {
-		b.file.Problem("discovery.poll_ms", "a file is watched by looking at it", "give the time between two looks")
+		b.file.AddProblem("discovery.poll_ms", "a file is watched by looking at it", "give the time between two looks")
 	}
 	b.built.Discovery = discovery.Config{
 		Node:         b.cfg.Name,
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -49,19 +49,19 @@
 	// Reload is what the operators' method reload does; nil: it is an error.
 	Reload func() error
 	// Predecessor, where set, is what another process hands over: see TakeOver.
-	Predecessor *Succession
+	Predecessor *IncomingHandover
 }
 
 // A Controller runs until Stop, Kill or a handover. Its exported fields are set by Start and must not be changed.
 type Controller struct {
 	Gateway *gateway.Gateway
-	Front   *webhook.Front
+	Webhook *webhook.Handler
 	Backend *backend.Backend
 	HTTP    *http1.Server
 	// RPC serves operators and callers on the same machine; nil: none is configured.
 	RPC *jsonrpc.Server
 
-	built   *config.Built
+	built   *config.ControllerConfig
 	options Options
 	log     zerolog.Logger
 
@@ -96,7 +96,7 @@
 
 // Start runs a controller. Its state folder is made if it is missing, and locked against a second controller. On an
 // error nothing is left running.
-func Start(b *config.Built, o Options) (*Controller, error) {
+func Start(b *config.ControllerConfig, o Options) (*Controller, error) {
 	c := &Controller{
 		built:      b,
 		options:    o,
@@ -120,7 +120,7 @@
 
 // SetClients replaces clients and their keys by those of a configuration that was reloaded. Clients may only be added,
 // at the end: their indexes are part of the replay guard's keys. It must not be called concurrently.
-func (c *Controller) SetClients(b *config.Built) error {
+func (c *Controller) SetClients(b *config.ControllerConfig) error {
 	old := c.built.Clients
 	if len(b.Clients) < len(old) {
 		return fmt.Errorf("clients: %d, fewer than the %d that run: take their keys away instead",
@@ -132,7 +132,7 @@
 				i, b.Clients[i].Name, old[i].Name)
 		}
 	}
-	c.Front.SetClients(b.Clients)
+	c.Webhook.SetClients(b.Clients)
 	c.built.Clients = b.Clients
 	return nil
 }
--- a/internal/controller/start.go
+++ b/internal/controller/start.go
@@ -47,7 +47,7 @@
 }
 
 // stateDir is where the replay watermark, the hooks and the lock are.
-func (c *Controller) stateDir() string { return filepath.Dir(c.built.ReplayMark) }
+func (c *Controller) stateDir() string { return filepath.Dir(c.built.WatermarkFile) }
 
 func (c *Controller) lockStateDir() error {
 	if err := os.MkdirAll(c.stateDir(), 0o700); err != nil {
@@ -111,7 +111,7 @@
 	if c.Gateway, err = gateway.New(gc); err != nil {
 		return err
 	}
-	c.functions, err = gateway.NewFunctions(c.Gateway, b.Specs)
+	c.functions, err = gateway.NewFunctions(c.Gateway, b.Functions)
 	return err
 }
 
@@ -164,7 +164,7 @@
 	fc.Gateway = c.Gateway
 	fc.Clock = c.options.Clock
 	fc.Log = c.log
-	fc.Mark = webhook.File(b.ReplayMark)
+	fc.Watermark = webhook.WatermarkFile(b.WatermarkFile)
 	fc.Functions = c.functions.Find
 	fc.Deadline = func(class int) time.Duration { return b.Settings.Classes[class].Deadline }
 	fc.Idempotency = func(class int) scheduler.Idempotency { return b.Settings.Classes[class].Idempotency }
@@ -178,7 +178,7 @@
 		fc.State = &p.state.Front
 		c.Gateway.InheritBudget(p.state.Budget)
 	}
-	if c.Front, err = webhook.New(fc, b.Clients); err != nil {
+	if c.Webhook, err = webhook.New(fc, b.Clients); err != nil {
 		return fmt.Errorf("replay mark: %w", err)
 	}
 	c.frontConfig = fc
@@ -248,11 +248,11 @@
 }
 
 func (c *Controller) serveCalls() error {
-	handler := http1.Handler(c.Front)
+	handler := http1.Handler(c.Webhook)
 	if wrap := c.options.Handler; wrap != nil {
 		handler = wrap(handler)
 	}
-	c.HTTP = &http1.Server{Handler: handler, Limits: c.built.HTTP, MaxOpen: c.built.MaxConnections}
+	c.HTTP = &http1.Server{Handler: handler, Limits: c.built.HTTP, MaxConnections: c.built.MaxConnections}
 	go func() {
 		defer close(c.acceptDone)
 		if err := c.HTTP.Serve(c.listener); err != nil {
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -81,7 +81,7 @@
 	d.server = &http1.Server{Handler: service.NewHandler(d.s, []service.Client{{Name: "op", Keys: []*signing.Key{key(operatorSecret)}, Operator: true},
 		{Name: "c1", Keys: []*signing.Key{key(controllerSecret)}, Controller: true}}, time.Minute)}
 	go d.server.Serve(d.ln)
-	t.Cleanup(func() { d.ln.Close(); d.server.Cut(); d.s.Close() })
+	t.Cleanup(func() { d.ln.Close(); d.server.Abort(); d.s.Close() })
 	d.opKey = key(operatorSecret)
 	for _, m := range []string{"safe-1", "keyed-1", "unsafe-1"} {
 		for _, v := range []string{"v1", "v2"} {
@@ -185,7 +185,7 @@
 	if n := d.runs("unsafe-1@v1") + d.runs("unsafe-1@v2"); n != 1 {
 		t.Errorf("the unsafe call ran %d times", n)
 	}
-	if n := c.Front.Counts.Restarted.Load(); n != 1 {
+	if n := c.Webhook.Counts.Restarted.Load(); n != 1 {
 		t.Errorf("%d calls began anew, want 1", n)
 	}
 }
@@ -302,7 +302,7 @@
 	}
 
 	d.ln.Close()
-	d.server.Cut()
+	d.server.Abort()
 	for {
 		a := call("alone"+fmt.Sprint(time.Now().UnixNano()), "safe-1")
 		if a.status == 503 && strings.Contains(a.body, "registry is not heard") {
@@ -341,7 +341,7 @@
 	if n := d.runs("safe-1@v2"); n != 1 {
 		t.Errorf("the safe call ran %d times under the new version", n)
 	}
-	if n := c.Front.Counts.Withheld.Load(); n != 3 {
+	if n := c.Webhook.Counts.Withheld.Load(); n != 3 {
 		t.Errorf("%d answers withheld, want 3", n)
 	}
 }
