--- a/internal/http1/await.go
+++ b/internal/http1/await.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// Await blocks until Wake is called and done closed, or until the client hangs up, and reports whether it hung up.
-// After Rearm it may be called again for the same request. What the client sends meanwhile is kept for the next
-// request; once the read buffer is full of it, only done is waited for.
-func (c *Conn) Await(done <-chan struct{}) (hungUp bool) {
+// Await blocks until Wake is called and done is closed, or until the client disconnects, and
+// reports whether it disconnected. After Rearm it may be called again for the same request. Bytes
+// that the client sends meanwhile are buffered for the next request; once the read buffer is full,
+// a disconnect is no longer detected and Await only waits for done.
+func (c *Conn) Await(done <-chan struct{}) (disconnected bool) {
 	for !isClosed(done) {
 		buffered := c.buf.Buffered()
 		if buffered >= c.buf.Size() {
@@ -22,7 +23,7 @@
 		case isClosed(done):
 			return false
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			<-done // Wake comes just before done is closed
+			<-done // Wake is called just before done is closed
 			return false
 		default:
 			return true
@@ -40,9 +41,10 @@
 	}
 }
 
-// Rearm must be called before a further Await, once the done of the one before is closed.
+// Rearm resets the effect of Wake. It must be called before a further Await for the same request,
+// after the previous done channel is closed.
 func (c *Conn) Rearm() { c.SetReadDeadline(time.Time{}) }
 
-// Wake ends an Await from another goroutine. It must be called before done is closed: afterwards it could cut short
-// the wait for the next request.
-func (c *Conn) Wake() { c.Conn.SetReadDeadline(longPast) }
+// Wake interrupts an Await from another goroutine. It must be called before done is closed: later
+// it could interrupt the wait for the next request.
+func (c *Conn) Wake() { c.Conn.SetReadDeadline(expiredDeadline) }
--- a/internal/http1/await_test.go
+++ b/internal/http1/await_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-// Await ends when the client hangs up or the answer is there, whichever is first; bytes of a next request are no
-// hang-up.
+// Await returns when the client disconnects or the answer is ready, whichever is first. Bytes of a
+// pipelined request are not taken for a disconnect.
 func TestAwait(t *testing.T) {
-	hung := make(chan bool, 10)
+	disconnects := make(chan bool, 10)
 	var mu sync.Mutex
 	var waiting []func()
 	began := make(chan struct{}, 10)
@@ -22,9 +22,9 @@
 		})
 		mu.Unlock()
 		began <- struct{}{}
-		hungUp := c.Await(done)
-		hung <- hungUp
-		if hungUp {
+		disconnected := c.Await(done)
+		disconnects <- disconnected
+		if disconnected {
 			return nil
 		}
 		return echo(c, r)
@@ -35,13 +35,13 @@
 		io.WriteString(c, "POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\n\r\nz")
 		<-began
 		if i == 1 {
-			io.WriteString(c, "POST /x HTTP/1.1\r\n") // the next begins while this one waits
+			io.WriteString(c, "POST /x HTTP/1.1\r\n") // while this one waits
 		}
 		mu.Lock()
 		waiting[i]()
 		mu.Unlock()
-		if h := <-hung; h {
-			t.Fatal("hung up though the client is there")
+		if h := <-disconnects; h {
+			t.Fatal("reported a disconnect, but the client is connected")
 		}
 		if resp := read(t, br); string(resp.Body) != "z" {
 			t.Fatalf("%q", resp.Body)
@@ -52,8 +52,8 @@
 			mu.Lock()
 			waiting[2]()
 			mu.Unlock()
-			if h := <-hung; h {
-				t.Fatal("hung up though the client is there")
+			if h := <-disconnects; h {
+				t.Fatal("reported a disconnect, but the client is connected")
 			}
 			read(t, br)
 			break
@@ -62,7 +62,7 @@
 	io.WriteString(c, "GET /x HTTP/1.1\r\nHost: a\r\n\r\n")
 	<-began
 	c.Close()
-	if h := <-hung; !h {
-		t.Error("the client hung up unnoticed")
+	if h := <-disconnects; !h {
+		t.Error("the disconnect was not reported")
 	}
 }
--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -8,21 +8,22 @@
 	"strings"
 )
 
-// framing says where the body of a message ends.
+// framing describes where the body of a message ends.
 type framing struct {
 	chunked bool
-	length  int // -1: not given
+	length  int // -1: no Content-Length
 }
 
-// parseFraming reads the framing headers, and rejects all that two recipients could read differently.
+// parseFraming parses the framing headers and rejects any that two recipients could read
+// differently.
 func parseFraming(h Header, minor int) (framing, error) {
 	f := framing{length: -1}
 	if n := h.Count("Transfer-Encoding"); n > 0 {
 		switch {
 		case minor == 0:
-			return f, bad("transfer coding in HTTP/1.0")
+			return f, malformed("transfer coding in HTTP/1.0")
 		case h.Count("Content-Length") > 0:
-			return f, bad("both a length and a transfer coding")
+			return f, malformed("both a length and a transfer coding")
 		case n > 1 || !strings.EqualFold(h.Get("Transfer-Encoding"), "chunked"):
 			return f, &Error{501, "transfer coding other than chunked"}
 		}
@@ -34,31 +35,32 @@
 		return f, nil
 	case 1:
 	default:
-		return f, bad("more than one length")
+		return f, malformed("more than one length")
 	}
-	length, err := parseLength(h.Get("Content-Length"))
+	length, err := parseContentLength(h.Get("Content-Length"))
 	f.length = length
 	return f, err
 }
 
-const maxLengthDigits = 15 // of a length, which fits an int then
+const maxContentLengthDigits = 15 // so that the value fits an int
 
-func parseLength(text string) (int, error) {
-	if text == "" || len(text) > maxLengthDigits {
-		return 0, bad("length is not a number")
+func parseContentLength(text string) (int, error) {
+	if text == "" || len(text) > maxContentLengthDigits {
+		return 0, malformed("length is not a number")
 	}
 	length := 0
 	for _, c := range []byte(text) {
 		if !isDigit(c) {
-			return 0, bad("length is not a number")
+			return 0, malformed("length is not a number")
 		}
 		length = length*10 + int(c-'0')
 	}
 	return length, nil
 }
 
-// exactly reads n bytes. The buffer grows as they come: a length alone reserves at most ReadBuffer bytes.
-func (r *reader) exactly(n int) ([]byte, error) {
+// readExactly reads n bytes. The buffer grows as data arrives: a large Content-Length alone
+// allocates at most ReadBufferSize bytes.
+func (r *messageReader) readExactly(n int) ([]byte, error) {
 	b := make([]byte, 0, min(n, ReadBufferSize))
 	for len(b) < n {
 		if len(b) == cap(b) {
@@ -74,22 +76,22 @@
 	return b, nil
 }
 
-// chunks reads a chunked body with its trailers, which are dropped.
-func (r *reader) chunks() ([]byte, error) {
+// readChunkedBody reads a chunked body. Its trailers are read and discarded.
+func (r *messageReader) readChunkedBody() ([]byte, error) {
 	var body []byte
 	for {
-		size, err := r.chunkSize()
+		size, err := r.readChunkSize()
 		if err != nil {
 			return nil, err
 		}
 		if size == 0 {
-			_, err := r.headers()
+			_, err := r.readHeaders()
 			return body, err
 		}
 		if len(body)+size > r.limits.MaxBodyBytes {
 			return nil, &Error{413, fmt.Sprintf("body over %d bytes", r.limits.MaxBodyBytes)}
 		}
-		chunk, err := r.exactly(size)
+		chunk, err := r.readExactly(size)
 		if err != nil {
 			return nil, err
 		}
@@ -103,31 +105,32 @@
 			return nil, io.ErrUnexpectedEOF
 		}
 		if end != [2]byte{'\r', '\n'} {
-			return nil, bad("chunk is longer than its size")
+			return nil, malformed("chunk is longer than its size")
 		}
 	}
 }
 
-const maxChunkDigits = 8 // hex digits of a chunk's size
+const maxChunkSizeDigits = 8 // hexadecimal
 
-// chunkSize reads the line before a chunk. Extensions are allowed and ignored, but count as header bytes.
-func (r *reader) chunkSize() (int, error) {
-	line, err := r.line(r.limits.MaxLineBytes, 400, "chunk size")
+// readChunkSize reads the line before a chunk. Chunk extensions are allowed and ignored, but count
+// toward MaxHeaderBytes.
+func (r *messageReader) readChunkSize() (int, error) {
+	line, err := r.readLine(r.limits.MaxLineBytes, 400, "chunk size")
 	if err != nil {
 		return 0, err
 	}
 	digits, extension, _ := bytes.Cut(line, []byte(";"))
-	if r.headersLeft -= len(extension) + len("\r\n"); r.headersLeft < 0 {
+	if r.headerBytesLeft -= len(extension) + len("\r\n"); r.headerBytesLeft < 0 {
 		return 0, &Error{431, "chunk framing over the limit of header bytes"}
 	}
-	if len(digits) == 0 || len(digits) > maxChunkDigits {
-		return 0, bad("chunk size is malformed")
+	if len(digits) == 0 || len(digits) > maxChunkSizeDigits {
+		return 0, malformed("chunk size is malformed")
 	}
 	size := 0
 	for _, c := range digits {
 		digit, ok := hexDigit(c)
 		if !ok {
-			return 0, bad("chunk size is malformed")
+			return 0, malformed("chunk size is malformed")
 		}
 		size = size<<4 + digit
 	}
@@ -146,8 +149,8 @@
 	return 0, false
 }
 
-// toEnd reads up to the end of the connection.
-func (r *reader) toEnd() ([]byte, error) {
+// readToEOF reads a body that ends with the connection.
+func (r *messageReader) readToEOF() ([]byte, error) {
 	b, err := io.ReadAll(io.LimitReader(r.buf, int64(r.limits.MaxBodyBytes)+1))
 	if err == nil && len(b) > r.limits.MaxBodyBytes {
 		err = &Error{502, fmt.Sprintf("body over %d bytes", r.limits.MaxBodyBytes)}
--- a/internal/http1/conn.go
+++ b/internal/http1/conn.go
@@ -11,20 +11,20 @@
 	"time"
 )
 
-// A Conn is one connection of a server. It belongs to the goroutine that serves it, and so to its handler; only Wake
-// and Reset may be called from others.
+// A Conn is a server's end of one connection. It belongs to the goroutine that serves it, and hence
+// to its handler; only Wake and Reset may be called from other goroutines.
 type Conn struct {
 	net.Conn
-	server     *Server
-	limits     Limits
-	buf        *bufio.Reader
-	prefix     *prefixReader // below buf, of an adopted connection; else nil
-	out        []byte        // the last answer written, for its memory
-	busy       atomic.Bool   // a request is in flight
-	handedOver bool
+	server      *Server
+	limits      Limits
+	buf         *bufio.Reader
+	prefix      *prefixReader // read by buf; nil unless adopted with unread bytes
+	writeBuffer []byte        // reused between responses
+	busy        atomic.Bool   // whether a request is in flight
+	handedOver  bool
 }
 
-// Reset closes the connection so that the other end sees a reset.
+// Reset closes the connection so that the peer receives a TCP reset.
 func (c *Conn) Reset() {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
@@ -32,40 +32,43 @@
 	c.Conn.Close()
 }
 
-// serve answers requests until the connection ends or is handed over. read is what another process has read of it.
+// serve answers requests until the connection ends or is handed over. read holds the bytes that
+// another process has already read from it.
 func (c *Conn) serve(read []byte) {
-	defer c.server.remove(c)
+	defer c.server.removeConn(c)
 	defer func() {
 		if !c.handedOver {
 			c.Conn.Close()
 		}
 	}()
-	c.allocate(read)
-	for wait := c.limits.FirstByteTimeout; ; wait = c.limits.IdleTimeout {
-		c.SetReadDeadline(time.Now().Add(wait))
-		// Asked only now: the deadline could have overwritten that of Drain or Detach.
-		if c.leave(nil) || c.server.stopping() {
+	c.allocateReadBuffer(read)
+	for timeout := c.limits.FirstByteTimeout; ; timeout = c.limits.IdleTimeout {
+		c.SetReadDeadline(time.Now().Add(timeout))
+		// Check only after setting the deadline, which could have overwritten the one that Drain or
+		// Detach set to interrupt this read.
+		if c.handOverIfDetached(nil) || c.server.stopping() {
 			return
 		}
 		if _, err := c.buf.Peek(1); err != nil {
 			if errors.Is(err, os.ErrDeadlineExceeded) {
-				c.leave(nil)
+				c.handOverIfDetached(nil)
 			}
 			return
 		}
-		if !c.begin() {
-			c.leave(nil)
+		if !c.beginRequest() {
+			c.handOverIfDetached(nil)
 			return
 		}
-		if !c.exchange() {
+		if !c.serveRequest() {
 			return
 		}
 		c.busy.Store(false)
 	}
 }
 
-// allocate allocates the read buffer: on the connection's goroutine, for Serve to be free at once.
-func (c *Conn) allocate(read []byte) {
+// allocateReadBuffer allocates the read buffer. It runs on the connection's goroutine so as not to
+// delay Serve.
+func (c *Conn) allocateReadBuffer(read []byte) {
 	if len(read) == 0 {
 		c.buf = bufio.NewReaderSize(c.Conn, ReadBufferSize)
 		return
@@ -74,8 +77,8 @@
 	c.buf = bufio.NewReaderSize(c.prefix, max(ReadBufferSize, len(read)))
 }
 
-// exchange reads one request and answers it; false ends the connection.
-func (c *Conn) exchange() bool {
+// serveRequest reads one request and answers it. It returns false if the connection ends.
+func (c *Conn) serveRequest() bool {
 	req, ok := c.readRequest()
 	if !ok {
 		return false
@@ -85,13 +88,14 @@
 		return false
 	}
 	if resp.HandOver {
-		c.pass(req)
+		c.handOverWithRequest(req)
 		return false
 	}
-	return c.respond(req, resp)
+	return c.writeResponse(req, resp)
 }
 
-// readRequest reads a request; false if there is none, after an answer that says why if the client can still read it.
+// readRequest reads a request. It returns false if there is none to serve; an error response is
+// written first if the client can still read it.
 func (c *Conn) readRequest() (*Request, bool) {
 	c.SetReadDeadline(time.Now().Add(c.limits.HeadTimeout))
 	req, err := ReadRequest(c.buf, &c.limits, func(s ReadStage) error {
@@ -100,43 +104,44 @@
 		}
 		return c.write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 	})
-	var malformed *Error
+	var httpErr *Error
 	switch {
 	case err == nil:
 		c.SetReadDeadline(time.Time{})
 		return req, true
-	case errors.As(err, &malformed):
-		c.reject(malformed.Status, malformed.Reason)
+	case errors.As(err, &httpErr):
+		c.rejectRequest(httpErr.Status, httpErr.Reason)
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		c.reject(408, "request did not come in time")
+		c.rejectRequest(408, "request did not come in time")
 	case errors.Is(err, io.ErrUnexpectedEOF):
-		c.reject(400, "request ends before its end")
+		c.rejectRequest(400, "request ends before its end")
 	}
 	return nil, false
 }
 
-const maxIdleBuffer = 16 * ReadBufferSize // bytes of an answer whose memory stays with an idle connection
+const maxIdleWriteBuffer = 16 * ReadBufferSize // of a connection, in bytes
 
-// respond writes an answer, or what its gate puts in its place; false ends the connection.
-func (c *Conn) respond(req *Request, resp *Response) bool {
+// writeResponse writes a response, or the replacement that its BeforeWrite returns. It returns
+// false if the connection ends.
+func (c *Conn) writeResponse(req *Request, resp *Response) bool {
 	timeout := c.limits.WriteTimeout
 	var written func()
 	if resp.BeforeWrite != nil {
-		instead, within, done := resp.BeforeWrite()
+		replacement, writeTimeout, done := resp.BeforeWrite()
 		written = done
-		if instead != nil {
-			resp = instead
+		if replacement != nil {
+			resp = replacement
 		}
-		if within > 0 {
-			timeout = min(timeout, within)
+		if writeTimeout > 0 {
+			timeout = min(timeout, writeTimeout)
 		}
 	}
 	resp.Close = resp.Close || req.Close || c.server.stopping()
-	c.out = AppendResponse(c.out[:0], resp, req.Method == "HEAD")
+	c.writeBuffer = AppendResponse(c.writeBuffer[:0], resp, req.Method == "HEAD")
 	c.SetWriteDeadline(time.Now().Add(timeout))
-	_, err := c.Conn.Write(c.out)
-	if cap(c.out) > maxIdleBuffer {
-		c.out = nil
+	_, err := c.Conn.Write(c.writeBuffer)
+	if cap(c.writeBuffer) > maxIdleWriteBuffer {
+		c.writeBuffer = nil
 	}
 	if written != nil {
 		written()
@@ -145,7 +150,7 @@
 		return false
 	}
 	if resp.Close {
-		c.linger()
+		c.lingerBeforeClose()
 	}
 	return !resp.Close
 }
@@ -156,8 +161,8 @@
 	return err
 }
 
-// reject answers a request that cannot be read; the connection ends then.
-func (c *Conn) reject(status int, reason string) {
+// rejectRequest answers a request that cannot be read, after which the connection ends.
+func (c *Conn) rejectRequest(status int, reason string) {
 	body := `{"type":"about:blank","status":` + strconv.Itoa(status) + `,"title":"` + reason + `"}` + "\n"
 	resp := &Response{
 		Status: status,
@@ -166,21 +171,22 @@
 		Close:  true,
 	}
 	c.write(AppendResponse(nil, resp, false))
-	c.linger()
+	c.lingerBeforeClose()
 }
 
-// Bounds of what is read and dropped after the last answer.
+// Bounds on the input that is read and discarded after the last response.
 const (
-	lingerTime  = 200 * time.Millisecond
-	lingerBytes = 256 << 10
+	lingerTimeout  = 200 * time.Millisecond
+	maxLingerBytes = 256 << 10
 )
 
-// linger reads on a little after the last answer: closing with bytes unread resets the connection, which can take the
-// answer away from the client (RFC 9112 section 9.6).
-func (c *Conn) linger() {
+// lingerBeforeClose closes the write side and discards input for a short time after the last
+// response: closing a socket with unread input resets the connection, which can destroy the
+// response before the client has read it (RFC 9112 section 9.6).
+func (c *Conn) lingerBeforeClose() {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		half.CloseWrite()
 	}
-	c.SetReadDeadline(time.Now().Add(lingerTime))
-	io.Copy(io.Discard, io.LimitReader(c.Conn, lingerBytes))
+	c.SetReadDeadline(time.Now().Add(lingerTimeout))
+	io.Copy(io.Discard, io.LimitReader(c.Conn, maxLingerBytes))
 }
--- a/internal/http1/detach.go
+++ b/internal/http1/detach.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// Detach hands connections over instead of reading further requests from them: idle ones at once, others once their
-// request is answered, and those whose handler passes their request on (Response.Pass).
+// Detach hands connections over instead of reading further requests from them: idle ones at once,
+// and others when their request is answered or when their handler hands it over unanswered
+// (Response.HandOver).
 func (s *Server) Detach(handOver HandOverFunc) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -15,8 +16,9 @@
 	s.interruptIdle()
 }
 
-// begin reports whether a request may be read: after Detach none may.
-func (c *Conn) begin() bool {
+// beginRequest marks the connection busy and reports whether a request may be read, which after
+// Detach it may not.
+func (c *Conn) beginRequest() bool {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
 	if c.server.handOver != nil {
@@ -26,9 +28,10 @@
 	return true
 }
 
-// leave hands the connection over after Detach, with the given bytes before what was read and not used. It reports
-// whether it did.
-func (c *Conn) leave(first []byte) bool {
+// handOverIfDetached hands the connection over if Detach was called, and reports whether it did.
+// The successor receives prepend, followed by the bytes that were read from the connection and not
+// used.
+func (c *Conn) handOverIfDetached(prepend []byte) bool {
 	c.server.mu.Lock()
 	handOver := c.server.handOver
 	c.server.mu.Unlock()
@@ -37,18 +40,18 @@
 	}
 	unused, _ := c.buf.Peek(c.buf.Buffered())
 	if c.prefix != nil {
-		unused = append(unused[:len(unused):len(unused)], c.prefix.first...)
+		unused = append(unused[:len(unused):len(unused)], c.prefix.buffered...)
 	}
 	c.handedOver = true
 	c.SetReadDeadline(time.Time{})
 	c.SetWriteDeadline(time.Time{})
-	handOver(c.Conn, append(first, unused...))
+	handOver(c.Conn, append(prepend, unused...))
 	return true
 }
 
-// pass hands the connection over with a request that was read. The request is written anew, with a length, whatever
-// form its body had.
-func (c *Conn) pass(req *Request) {
+// handOverWithRequest hands the connection over with a request that was read. The request is
+// encoded again with a Content-Length, even if its body was chunked.
+func (c *Conn) handOverWithRequest(req *Request) {
 	header := req.Header[:0:0]
 	for _, f := range req.Header {
 		switch strings.ToLower(f.Name) {
@@ -58,21 +61,22 @@
 		}
 	}
 	req.Header = header
-	c.leave(AppendRequest(nil, req))
+	c.handOverIfDetached(AppendRequest(nil, req))
 }
 
-// A prefixReader reads what another process had read of a connection, and then on.
+// A prefixReader reads the bytes that another process has read from a connection, and then from the
+// connection itself.
 type prefixReader struct {
-	first []byte
-	rest  io.Reader
+	buffered []byte
+	conn     io.Reader
 }
 
 // Read implements io.Reader.
 func (p *prefixReader) Read(b []byte) (int, error) {
-	if len(p.first) > 0 {
-		n := copy(b, p.first)
-		p.first = p.first[n:]
+	if len(p.buffered) > 0 {
+		n := copy(b, p.buffered)
+		p.buffered = p.buffered[n:]
 		return n, nil
 	}
-	return p.rest.Read(b)
+	return p.conn.Read(b)
 }
--- a/internal/http1/doc.go
+++ b/internal/http1/doc.go
@@ -1,9 +1,12 @@
-// Package http1 reads and writes HTTP/1.1 messages (RFC 9110, RFC 9112), for servers and clients, on bufio.
+// Package http1 reads and writes HTTP/1.1 messages (RFC 9110, RFC 9112) for servers and clients, on
+// top of bufio.
 //
-// It never guesses. A message that two recipients could frame differently (two lengths, a length beside chunked, a
-// bare LF, white space before a colon, folded lines, odd chunk sizes) is rejected and the connection closed: a
-// gateway that guesses lets requests be smuggled past it. Everything that is read has a limit.
+// The parser is strict. It rejects every message that two recipients could frame differently (two
+// lengths, a length together with chunked, a bare LF, whitespace before a colon, folded lines,
+// malformed chunk sizes), and the server then closes the connection: a gateway with a lenient
+// parser makes request smuggling possible. Everything that is read is limited in size.
 //
-// One goroutine serves a connection. An idle one costs its read buffer (ReadBuffer bytes), a Conn and the goroutine's
-// stack; a request in flight adds its head and its body, at most Limits.Headers + Limits.Body bytes.
+// Each connection is served by one goroutine. An idle connection costs its read buffer
+// (ReadBufferSize bytes), a Conn and the goroutine's stack; a request in flight adds its head and
+// its body, at most Limits.MaxHeaderBytes + Limits.MaxBodyBytes bytes.
 package http1
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -9,20 +9,20 @@
 	"slices"
 )
 
-// A reader reads one message.
-type reader struct {
-	buf         *bufio.Reader
-	limits      *Limits
-	headersLeft int // bytes of header lines, and of chunk framing, still allowed
+// A messageReader reads one message.
+type messageReader struct {
+	buf             *bufio.Reader
+	limits          *Limits
+	headerBytesLeft int // bytes of header lines and chunk framing that may still be read
 }
 
-func newReader(buf *bufio.Reader, limits *Limits) reader {
-	return reader{buf: buf, limits: limits, headersLeft: limits.MaxHeaderBytes}
+func newMessageReader(buf *bufio.Reader, limits *Limits) messageReader {
+	return messageReader{buf: buf, limits: limits, headerBytesLeft: limits.MaxHeaderBytes}
 }
 
-// line returns the next line without its CRLF, which are valid until the next read. status is that of the error for a
-// line over the limit, and what names the line in errors.
-func (r *reader) line(limit, status int, what string) ([]byte, error) {
+// readLine returns the next line without its CRLF; the slice is valid until the next read. status
+// is the status of the error for a line over the limit, and what names the line in errors.
+func (r *messageReader) readLine(limit, status int, what string) ([]byte, error) {
 	line, err := r.buf.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
 		longLine := slices.Clone(line)
@@ -40,15 +40,15 @@
 	}
 	text, ok := bytes.CutSuffix(line, []byte("\r\n"))
 	if !ok {
-		return nil, bad(what + " ends in a bare LF")
+		return nil, malformed(what + " ends in a bare LF")
 	}
 	if bytes.IndexByte(text, '\r') >= 0 {
-		return nil, bad(what + " holds a bare CR")
+		return nil, malformed(what + " holds a bare CR")
 	}
 	return text, nil
 }
 
-// unexpectedEOF returns the error of a connection that ended within a message.
+// unexpectedEOF converts io.EOF within a message to io.ErrUnexpectedEOF.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
@@ -56,18 +56,18 @@
 	return err
 }
 
-// headers reads header or trailer lines up to the empty one.
-func (r *reader) headers() (Header, error) {
+// readHeaders reads header or trailer lines up to and including the empty line.
+func (r *messageReader) readHeaders() (Header, error) {
 	h := make(Header, 0, 8)
 	for {
-		line, err := r.line(r.limits.MaxLineBytes, 431, "header line")
+		line, err := r.readLine(r.limits.MaxLineBytes, 431, "header line")
 		if err != nil {
 			return nil, err
 		}
 		if len(line) == 0 {
 			return h, nil
 		}
-		if r.headersLeft -= len(line); r.headersLeft < 0 {
+		if r.headerBytesLeft -= len(line); r.headerBytesLeft < 0 {
 			return nil, &Error{431, fmt.Sprintf("header lines over %d bytes", r.limits.MaxHeaderBytes)}
 		}
 		if len(h) >= r.limits.MaxHeaderLines {
@@ -83,25 +83,26 @@
 
 func parseField(line []byte) (Field, error) {
 	if line[0] == ' ' || line[0] == '\t' {
-		return Field{}, bad("folded header line") // RFC 9112 section 5.2
+		return Field{}, malformed("folded header line") // RFC 9112 section 5.2
 	}
 	name, value, ok := bytes.Cut(line, []byte(":"))
-	if !ok || !isToken(name) { // which white space before the colon is not, either: section 5.1
-		return Field{}, bad("header line without a valid name")
+	if !ok || !isToken(name) { // nor may whitespace precede the colon: section 5.1
+		return Field{}, malformed("header line without a valid name")
 	}
 	value = bytes.Trim(value, " \t")
 	for _, c := range value {
 		if c < ' ' && c != '\t' || c == 127 {
-			return Field{}, bad("control character in a header value")
+			return Field{}, malformed("control character in a header value")
 		}
 	}
-	// One allocation for the two: most of a request's head are such lines.
+	// One allocation for both strings: most of a request's head consists of such lines.
 	both := string(name) + string(value)
 	return Field{both[:len(name)], both[len(name):]}, nil
 }
 
-// closes reports whether the connection ends after a message (RFC 9112 section 9.3).
-func closes(h Header, minor int) bool {
+// closesConnection reports whether the connection ends after a message with these headers (RFC 9112
+// section 9.3).
+func closesConnection(h Header, minor int) bool {
 	return h.HasToken("Connection", "close") || minor == 0 && !h.HasToken("Connection", "keep-alive")
 }
 
@@ -117,7 +118,7 @@
 		isDigit(text[5]) && text[6] == '.' && isDigit(text[7]) {
 		return 0, &Error{505, "version is not HTTP/1.0 or 1.1"}
 	}
-	return 0, bad("version is malformed")
+	return 0, malformed("version is malformed")
 }
 
 func isDigit(c byte) bool { return c >= '0' && c <= '9' }
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -16,7 +16,8 @@
 	return ReadRequest(bufio.NewReaderSize(strings.NewReader(text), 16+ReadBufferSize), &testLimits, nil)
 }
 
-// What two recipients could read differently is rejected, and what exceeds a limit; the rest is read.
+// Requests that two recipients could read differently or that exceed a limit are rejected; all
+// others are read.
 func TestReadRequest(t *testing.T) {
 	const host = "Host: a\r\n"
 	const (
@@ -28,17 +29,17 @@
 	longExtension := "1;" + strings.Repeat("e", 150) + "\r\nx\r\n"
 	tests := []struct {
 		name, text string
-		status     int // of the error; 0: the request is valid
+		status     int // status of the error; 0: the request is valid
 		body       string
 	}{
 		{"length", "POST /x HTTP/1.1\r\n" + host + "Content-Length: 3\r\n\r\nabcd", 0, "abc"},
 		{"no body", get + "\r\n", 0, ""},
 		{"empty line first", "\r\nGET / HTTP/1.1\r\n" + host + "\r\n", 0, ""},
 		{"chunked", chunked + "3\r\nabc\r\n1;x=y\r\nd\r\n0\r\nT: 1\r\n\r\n", 0, "abcd"},
-		{"chunked in capitals", post + "Transfer-Encoding: Chunked\r\n\r\nA\r\n0123456789\r\n0\r\n\r\n", 0, "0123456789"},
+		{"chunked in mixed case", post + "Transfer-Encoding: Chunked\r\n\r\nA\r\n0123456789\r\n0\r\n\r\n", 0, "0123456789"},
 		{"two empty lines first", "\r\n\r\nGET / HTTP/1.1\r\n" + host + "\r\n", 400, ""},
 		{"two lengths", post + "Content-Length: 3\r\nContent-Length: 3\r\n\r\nabc", 400, ""},
-		{"a list of lengths", post + "Content-Length: 3, 3\r\n\r\nabc", 400, ""},
+		{"list of lengths", post + "Content-Length: 3, 3\r\n\r\nabc", 400, ""},
 		{"length and chunked", post + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400, ""},
 		{"signed length", post + "Content-Length: +3\r\n\r\nabc", 400, ""},
 		{"other coding", post + "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n", 501, ""},
@@ -54,26 +55,26 @@
 		{"no host", "GET / HTTP/1.1\r\n\r\n", 400, ""},
 		{"two hosts", get + host + "\r\n", 400, ""},
 		{"two spaces", "GET  / HTTP/1.1\r\n" + host + "\r\n", 400, ""},
-		{"bare word", "hello\r\n\r\n", 400, ""},
+		{"no request line", "hello\r\n\r\n", 400, ""},
 		{"control byte in target", "GET /\x7f HTTP/1.1\r\n" + host + "\r\n", 400, ""},
 		{"relative target", "GET x HTTP/1.1\r\n" + host + "\r\n", 400, ""},
-		{"tunnel", "CONNECT a:1 HTTP/1.1\r\n" + host + "\r\n", 400, ""},
+		{"CONNECT", "CONNECT a:1 HTTP/1.1\r\n" + host + "\r\n", 400, ""},
 		{"version 2", "GET / HTTP/2.0\r\n" + host + "\r\n", 505, ""},
-		{"version in small letters", "GET / http/1.1\r\n" + host + "\r\n", 400, ""},
+		{"version in lower case", "GET / http/1.1\r\n" + host + "\r\n", 400, ""},
 		{"long line", "GET /" + strings.Repeat("x", 300) + " HTTP/1.1\r\n" + host + "\r\n", 414, ""},
 		{"long header", get + "X: " + strings.Repeat("x", 300) + "\r\n\r\n", 431, ""},
 		{"many headers", get + strings.Repeat("X: x\r\n", 6) + "\r\n", 431, ""},
 		{"headers too long together", get + strings.Repeat(longHeader, 3) + "\r\n", 431, ""},
 		{"long body", post + "Content-Length: 65\r\n\r\n" + strings.Repeat("x", 65), 413, ""},
-		{"length past all numbers", post + "Content-Length: 99999999999999999999\r\n\r\n", 400, ""},
+		{"length that overflows", post + "Content-Length: 99999999999999999999\r\n\r\n", 400, ""},
 		{"long chunks", chunked + "40\r\n" + strings.Repeat("x", 64) + "\r\n1\r\nx\r\n0\r\n\r\n", 413, ""},
-		{"chunk size past all numbers", chunked + "fffffffff\r\n", 400, ""},
+		{"chunk size that overflows", chunked + "fffffffff\r\n", 400, ""},
 		{"chunk size with a sign", chunked + "+1\r\nx\r\n0\r\n\r\n", 400, ""},
 		{"chunk size with 0x", chunked + "0x1\r\nx\r\n0\r\n\r\n", 400, ""},
 		{"chunk size with a space", chunked + "1 \r\nx\r\n0\r\n\r\n", 400, ""},
 		{"chunk longer than its size", chunked + "1\r\nxy\r\n0\r\n\r\n", 400, ""},
 		{"chunk line with a bare LF", chunked + "1\nx\r\n0\r\n\r\n", 400, ""},
-		{"endless chunk extensions", chunked + strings.Repeat(longExtension, 9) + "0\r\n\r\n", 431, ""},
+		{"long chunk extensions", chunked + strings.Repeat(longExtension, 9) + "0\r\n\r\n", 431, ""},
 		{"unknown expectation", post + "Expect: tea\r\n\r\n", 417, ""},
 	}
 	for _, tt := range tests {
@@ -104,7 +105,7 @@
 		"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabc",
 	} {
 		if _, err := parse(truncated); !errors.Is(err, io.ErrUnexpectedEOF) {
-			t.Errorf("%q: err %v, want an unexpected end", truncated, err)
+			t.Errorf("%q: err %v, want io.ErrUnexpectedEOF", truncated, err)
 		}
 	}
 	if _, err := parse(""); err != io.EOF {
@@ -125,19 +126,19 @@
 	}{
 		{"length", "GET", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nabX", "ab", false, false},
 		{"chunked", "GET", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n", "ab", false, false},
-		{"to the end", "GET", "HTTP/1.1 200 OK\r\n\r\nab", "ab", true, false},
+		{"body to EOF", "GET", "HTTP/1.1 200 OK\r\n\r\nab", "ab", true, false},
 		{"head", "HEAD", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n", "", false, false},
 		{"no content", "GET", "HTTP/1.1 204 No Content\r\n\r\nHTTP", "", false, false},
-		{"interim first", "POST", interim + "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na", "a", false, false},
-		{"interim without end", "POST", strings.Repeat(continues, 9) + "HTTP/1.1 200 OK\r\n\r\n", "", false, true},
-		{"switch of protocols", "GET", "HTTP/1.1 101 X\r\n\r\n", "", false, true},
+		{"interim responses first", "POST", interim + "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na", "a", false, false},
+		{"too many interim responses", "POST", strings.Repeat(continues, 9) + "HTTP/1.1 200 OK\r\n\r\n", "", false, true},
+		{"protocol switch", "GET", "HTTP/1.1 101 X\r\n\r\n", "", false, true},
 		{"garbage", "GET", "\x00\x01\x02\x03\r\n\r\n", "", false, true},
 		{"status in words", "GET", "HTTP/1.1 two OK\r\n\r\n", "", false, true},
 		{"too long", "GET", "HTTP/1.1 200 OK\r\nContent-Length: 65\r\n\r\n", "", false, true},
-		{"too long to the end", "GET", "HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", 65), "", false, true},
+		{"body to EOF too long", "GET", "HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", 65), "", false, true},
 		{"two lengths", "GET", "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab", "", false, true},
 		{"short", "GET", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nab", "", false, true},
-		{"close told", "GET", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", "", true, false},
+		{"Connection: close", "GET", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", "", true, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -152,8 +153,8 @@
 	}
 }
 
-// What is written is read back the same, whatever is in it.
-func TestWriteReadsBack(t *testing.T) {
+// A written message is read back unchanged, except for bytes that would inject header lines.
+func TestWrittenMessageIsReadBack(t *testing.T) {
 	in := &Request{
 		Method: "POST",
 		Target: "/a?b",
@@ -177,8 +178,9 @@
 	}
 }
 
-// FuzzReadRequest compares the parser with net/http's on the same bytes. What both accept must mean the same. What
-// only ours accepts must be in the list of justified differences: see allowed.
+// FuzzReadRequest compares the parser with that of net/http on the same input. A request that both
+// accept must be read alike. A request that only this parser accepts must be one of the differences
+// that isAllowedDifference lists.
 func FuzzReadRequest(f *testing.F) {
 	for _, s := range []string{
 		"GET / HTTP/1.1\r\nHost: a\r\n\r\n",
@@ -195,25 +197,25 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		ours, err := ReadRequest(bufio.NewReader(bytes.NewReader(b)), &l, nil)
 		if err != nil {
-			return // rejecting more than net/http is the intent; TestReadRequest says what
+			return // being stricter than net/http is intended; TestReadRequest lists the cases
 		}
-		theirs, herr := http.ReadRequest(bufio.NewReader(bytes.NewReader(b)))
-		if herr != nil {
-			if !allowed(ours, herr) {
-				t.Fatalf("net/http rejects (%v) what we accept: %q", herr, b)
+		theirs, theirErr := http.ReadRequest(bufio.NewReader(bytes.NewReader(b)))
+		if theirErr != nil {
+			if !isAllowedDifference(ours, theirErr) {
+				t.Fatalf("net/http rejects (%v) what we accept: %q", theirErr, b)
 			}
 			return
 		}
-		body, berr := io.ReadAll(theirs.Body)
-		if berr != nil {
-			if !allowed(ours, berr) {
-				t.Fatalf("net/http rejects the body (%v) that we accept: %q", berr, b)
+		body, bodyErr := io.ReadAll(theirs.Body)
+		if bodyErr != nil {
+			if !isAllowedDifference(ours, bodyErr) {
+				t.Fatalf("net/http rejects the body (%v) that we accept: %q", bodyErr, b)
 			}
 			return
 		}
 		if theirs.Method != ours.Method || theirs.RequestURI != ours.Target ||
 			theirs.ProtoMinor != ours.Minor || !bytes.Equal(body, ours.Body) {
-			t.Fatalf("read differently: %q", b)
+			t.Fatalf("net/http reads this differently: %q", b)
 		}
 		if theirs.Close != ours.Close && ours.Minor == 1 {
 			t.Fatalf("close %v, net/http %v: %q", ours.Close, theirs.Close, b)
@@ -221,23 +223,26 @@
 	})
 }
 
-// allowed reports whether a request that net/http rejects may be accepted, each kind with its reason.
-func allowed(r *Request, err error) bool {
+// isAllowedDifference reports whether a request that net/http rejects may be accepted. Each case
+// has its reason.
+func isAllowedDifference(r *Request, err error) bool {
 	s := err.Error()
 	switch {
-	// It parses the target as a URL; here it is only compared with paths.
+	// net/http parses the target as a URL; this package leaves the target to its callers, who
+	// compare it with paths.
 	case strings.Contains(s, "parse ") || strings.Contains(s, "invalid URI") || strings.Contains(s, "invalid URL"):
 		return true
-	// It checks that Host is a host name; calls are not routed by it here.
+	// net/http checks that Host is a valid host name; here nothing is routed by Host.
 	case strings.Contains(s, "malformed Host"):
 		return true
-	// It rejects some names in trailers; here all trailers are dropped, once their form is checked.
+	// net/http rejects some field names in trailers; here trailers are checked for syntax and
+	// discarded.
 	case strings.Contains(s, "trailer"):
 		return true
-	// It interprets announcements of trailers; here they are dropped, whatever was announced.
+	// net/http interprets the Trailer field; here trailers are discarded whether announced or not.
 	case r.Header.Count("Trailer") > 0:
 		return true
-	// It bounds chunk framing that is large compared with its data; Limits.Headers does so here.
+	// net/http bounds chunk framing relative to the data; here Limits.MaxHeaderBytes bounds it.
 	case strings.Contains(s, "chunked encoding contains too much non-data"):
 		return true
 	}
--- a/internal/http1/limits.go
+++ b/internal/http1/limits.go
@@ -8,20 +8,20 @@
 // ReadBufferSize is the size of a connection's read buffer in bytes.
 const ReadBufferSize = 4096
 
-// Limits bound what is read. A zero value of any field means that of DefaultLimits.
+// Limits bounds the size and duration of messages. A zero field takes its value from DefaultLimits.
 type Limits struct {
-	MaxLineBytes     int           // bytes of the request or status line, and of each header line
-	MaxHeaderBytes   int           // bytes of all header lines together
-	MaxHeaderLines   int           // header lines
-	MaxBodyBytes     int           // bytes of a body
+	MaxLineBytes     int // request line, status line, or one header line
+	MaxHeaderBytes   int // all header lines of a message together
+	MaxHeaderLines   int // per message
+	MaxBodyBytes     int
 	FirstByteTimeout time.Duration // from accept to the first byte
 	HeadTimeout      time.Duration // from the first byte to the end of the head
 	BodyTimeout      time.Duration // from the end of the head to the end of the body
 	IdleTimeout      time.Duration // between two messages of a connection
-	WriteTimeout     time.Duration // for an answer to be written
+	WriteTimeout     time.Duration // for writing one response
 }
 
-// DefaultLimits suit signed webhooks.
+// DefaultLimits is sized for signed webhooks.
 var DefaultLimits = Limits{
 	MaxLineBytes:     8 << 10,
 	MaxHeaderBytes:   32 << 10,
@@ -34,7 +34,7 @@
 	WriteTimeout:     10 * time.Second,
 }
 
-// WithDefaults returns the limits with DefaultLimits in place of zero values.
+// WithDefaults returns the limits with zero fields replaced by those of DefaultLimits.
 func (l Limits) WithDefaults() Limits {
 	defaults := DefaultLimits
 	return Limits{
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// An Error says why a message is rejected. Status is what a server answers before it closes the connection.
+// An Error describes why a message is rejected. Status is that of the response that a server sends
+// before it closes the connection.
 type Error struct {
 	Status int
 	Reason string
@@ -15,16 +16,16 @@
 // Error implements error.
 func (e *Error) Error() string { return fmt.Sprintf("http1: %s (%d)", e.Reason, e.Status) }
 
-// bad returns the error of a malformed message.
-func bad(reason string) error { return &Error{400, reason} }
+// malformed returns the error for a malformed message.
+func malformed(reason string) error { return &Error{400, reason} }
 
 // A Field is one header line.
 type Field struct{ Name, Value string }
 
-// A Header holds the header lines in the order in which they came. Names are compared ignoring case.
+// A Header holds header lines in the order in which they were received. Names are case-insensitive.
 type Header []Field
 
-// Get returns the first value of the name, or "".
+// Get returns the first value of the named field, or "" if there is none.
 func (h Header) Get(name string) string {
 	for i := range h {
 		if strings.EqualFold(h[i].Name, name) {
@@ -34,7 +35,7 @@
 	return ""
 }
 
-// Count returns how many lines have the name.
+// Count returns the number of lines with the given name.
 func (h Header) Count(name string) (n int) {
 	for i := range h {
 		if strings.EqualFold(h[i].Name, name) {
@@ -44,11 +45,11 @@
 	return n
 }
 
-// Add appends a line.
+// Add appends a header line.
 func (h *Header) Add(name, value string) { *h = append(*h, Field{name, value}) }
 
-// HasToken reports whether a field that is a comma-separated list contains the token, ignoring case (RFC 9110 section
-// 5.6.1).
+// HasToken reports whether the comma-separated list in a field contains the token, ignoring case
+// (RFC 9110 section 5.6.1).
 func (h Header) HasToken(name, token string) bool {
 	for i := range h {
 		if !strings.EqualFold(h[i].Name, name) {
@@ -63,11 +64,11 @@
 	return false
 }
 
-// A Request is one complete request.
+// A Request is a complete request.
 type Request struct {
 	Method string
 	Target string
-	Minor  int // of HTTP/1.x
+	Minor  int // minor version of HTTP/1.x
 	Header Header
 	Body   []byte
 	Close  bool // the connection ends after this exchange
@@ -79,22 +80,23 @@
 	return path
 }
 
-// A Response is one complete answer.
+// A Response is a complete response.
 type Response struct {
 	Status int
 	Header Header
 	Body   []byte
 	Close  bool // the connection ends after this exchange
-	// BeforeWrite, if set, is called by a server just before the first byte is written. It returns what to write instead
-	// (nil: this response), how long the write may take (0: Limits.Write) and what to call when it has ended (nil:
-	// nothing).
-	BeforeWrite func() (instead *Response, within time.Duration, done func())
-	// HandOver hands the connection over with its request unanswered: see Server.Detach.
+	// BeforeWrite, if set, is called by the server just before it writes the first byte. It returns
+	// a response to write instead (nil: write this one), a bound on the duration of the write (0:
+	// only Limits.WriteTimeout applies), and a function to call when the write has ended (nil:
+	// none).
+	BeforeWrite func() (replacement *Response, timeout time.Duration, done func())
+	// HandOver hands the connection over together with its unanswered request: see Server.Detach.
 	HandOver bool
 }
 
-// reasons are the reason phrases of status lines.
-var reasons = map[int]string{
+// reasonPhrases are the reason phrases of status lines.
+var reasonPhrases = map[int]string{
 	100: "Continue",
 	200: "OK",
 	202: "Accepted",
@@ -125,8 +127,8 @@
 	507: "Insufficient Storage",
 }
 
-// tchar marks the bytes of a token (RFC 9110 section 5.6.2).
-var tchar = func() (t [256]bool) {
+// tokenChars marks the bytes that a token may contain (RFC 9110 section 5.6.2).
+var tokenChars = func() (t [256]bool) {
 	for c := range 256 {
 		t[c] = c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' ||
 			c < 128 && strings.IndexByte("!#$%&'*+-.^_`|~", byte(c)) >= 0
@@ -134,10 +136,10 @@
 	return t
 }()
 
-// isToken reports whether the bytes are a token.
+// isToken reports whether s is a token.
 func isToken(s []byte) bool {
 	for _, c := range s {
-		if !tchar[c] {
+		if !tokenChars[c] {
 			return false
 		}
 	}
--- a/internal/http1/reject.go
+++ b/internal/http1/reject.go
@@ -6,31 +6,32 @@
 	"time"
 )
 
-// reject answers 503 to a connection that there is no room for, and closes it. It does not block: it runs where
-// connections are accepted.
-func reject(socket net.Conn) {
+// rejectConn answers 503 to a connection that is not to be served, and closes it. It must not
+// block, because it runs on the accept loop.
+func rejectConn(socket net.Conn) {
 	resp := &Response{Status: 503, Header: Header{{"Retry-After", "1"}}, Close: true}
-	writeAtOnce(socket, AppendResponse(nil, resp, false))
+	writeNonblocking(socket, AppendResponse(nil, resp, false))
 	socket.Close()
 }
 
-const rejectTimeout = 5 * time.Millisecond // for a write to what is no socket
+const rejectWriteTimeout = 5 * time.Millisecond // for connections that are not sockets
 
-// writeAtOnce writes as much as the kernel takes without blocking; for a new connection that is a short answer. It
-// sets no deadline, which on a busy machine may be over before the write begins, so that nothing is written at all.
-func writeAtOnce(socket net.Conn, b []byte) {
-	withDescriptor, ok := socket.(syscall.Conn)
+// writeNonblocking writes as much as the kernel accepts without blocking, which on a new connection
+// is enough for a short response. It does not use a write deadline: on a busy machine the deadline
+// can expire before the write begins, and then nothing is written.
+func writeNonblocking(socket net.Conn, b []byte) {
+	syscallConn, ok := socket.(syscall.Conn)
 	if !ok {
-		socket.SetWriteDeadline(time.Now().Add(rejectTimeout))
+		socket.SetWriteDeadline(time.Now().Add(rejectWriteTimeout))
 		socket.Write(b)
 		return
 	}
-	raw, err := withDescriptor.SyscallConn()
+	raw, err := syscallConn.SyscallConn()
 	if err != nil {
 		return
 	}
 	raw.Write(func(fd uintptr) bool {
 		syscall.Write(int(fd), b)
-		return true // one attempt
+		return true // do not wait for writability
 	})
 }
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -7,28 +7,29 @@
 	"strings"
 )
 
-// A ReadStage is a point in the reading of a request.
+// A ReadStage is a point in the reading of a request at which ReadRequest calls back.
 type ReadStage int
 
-// Steps of ReadRequest.
+// Stages that ReadRequest reports.
 const (
-	HeadRead         ReadStage = iota // the head is read: the time for the body starts
-	ContinueExpected                  // the client waits for 100 (Continue)
+	HeadRead         ReadStage = iota // the head is complete, and reading of the body begins
+	ContinueExpected                  // the client sends the body after 100 (Continue)
 )
 
-// ReadRequest reads a complete request. step, unless nil, is called at each Step; its error ends the reading. Errors
-// are of type *Error if the message is at fault, io.EOF if the connection ended before a first byte and
-// io.ErrUnexpectedEOF if it ended within the request.
-func ReadRequest(buf *bufio.Reader, limits *Limits, step func(ReadStage) error) (*Request, error) {
-	if step == nil {
-		step = func(ReadStage) error { return nil }
-	}
-	r := newReader(buf, limits)
-	req, body, err := r.requestHead()
+// ReadRequest reads a complete request. onStage, unless nil, is called at each ReadStage; if it
+// returns an error, reading ends with that error. The error is an *Error if the message is invalid,
+// io.EOF if the connection ended before the first byte, and io.ErrUnexpectedEOF if it ended within
+// the request.
+func ReadRequest(buf *bufio.Reader, limits *Limits, onStage func(ReadStage) error) (*Request, error) {
+	if onStage == nil {
+		onStage = func(ReadStage) error { return nil }
+	}
+	r := newMessageReader(buf, limits)
+	req, body, err := r.readRequestHead()
 	if err != nil {
 		return nil, err
 	}
-	if err := step(HeadRead); err != nil {
+	if err := onStage(HeadRead); err != nil {
 		return nil, err
 	}
 	if expect := req.Header.Get("Expect"); expect != "" && req.Minor > 0 {
@@ -36,23 +37,23 @@
 			return nil, &Error{417, "unknown expectation"}
 		}
 		if body.chunked || body.length > 0 {
-			if err := step(ContinueExpected); err != nil {
+			if err := onStage(ContinueExpected); err != nil {
 				return nil, err
 			}
 		}
 	}
 	switch {
 	case body.chunked:
-		req.Body, err = r.chunks()
+		req.Body, err = r.readChunkedBody()
 	case body.length > 0:
-		req.Body, err = r.exactly(body.length)
+		req.Body, err = r.readExactly(body.length)
 	}
 	return req, err
 }
 
-// requestHead reads the request line and the header lines.
-func (r *reader) requestHead() (*Request, framing, error) {
-	line, err := r.firstLine()
+// readRequestHead reads the request line and the header lines, and parses the body's framing.
+func (r *messageReader) readRequestHead() (*Request, framing, error) {
+	line, err := r.readRequestLine()
 	if err != nil {
 		return nil, framing{}, err
 	}
@@ -60,32 +61,33 @@
 	if err != nil {
 		return nil, framing{}, err
 	}
-	if req.Header, err = r.headers(); err != nil {
+	if req.Header, err = r.readHeaders(); err != nil {
 		return nil, framing{}, err
 	}
 	hosts := req.Header.Count("Host")
 	if hosts > 1 || hosts == 0 && req.Minor > 0 {
-		return nil, framing{}, bad("not exactly one Host") // RFC 9112 section 3.2
+		return nil, framing{}, malformed("not exactly one Host") // RFC 9112 section 3.2
 	}
 	body, err := parseFraming(req.Header, req.Minor)
 	if err != nil {
 		return nil, framing{}, err
 	}
-	req.Close = closes(req.Header, req.Minor)
+	req.Close = closesConnection(req.Header, req.Minor)
 	if body.length > r.limits.MaxBodyBytes {
 		return nil, framing{}, &Error{413, fmt.Sprintf("body over %d bytes", r.limits.MaxBodyBytes)}
 	}
 	return req, body, nil
 }
 
-// firstLine returns the request line, which at most one empty line may precede (RFC 9112 section 2.2).
-func (r *reader) firstLine() ([]byte, error) {
+// readRequestLine returns the request line. One empty line before it is ignored (RFC 9112 section
+// 2.2).
+func (r *messageReader) readRequestLine() ([]byte, error) {
 	if _, err := r.buf.Peek(1); err != nil {
 		return nil, err
 	}
-	line, err := r.line(r.limits.MaxLineBytes, 414, "request line")
+	line, err := r.readLine(r.limits.MaxLineBytes, 414, "request line")
 	if err == nil && len(line) == 0 {
-		line, err = r.line(r.limits.MaxLineBytes, 414, "request line")
+		line, err = r.readLine(r.limits.MaxLineBytes, 414, "request line")
 	}
 	return line, err
 }
@@ -94,26 +96,26 @@
 	method, rest, ok := bytes.Cut(line, []byte(" "))
 	target, protocol, ok2 := bytes.Cut(rest, []byte(" "))
 	if !ok || !ok2 || !isToken(method) || len(target) == 0 {
-		return nil, bad("request line is not method, target, version")
+		return nil, malformed("request line is not method, target, version")
 	}
 	for _, c := range target {
 		if c <= ' ' || c >= 127 {
-			return nil, bad("target holds a byte that no URI has")
+			return nil, malformed("target holds a byte that no URI has")
 		}
 	}
 	minor, err := parseVersion(protocol)
 	if err != nil {
 		return nil, err
 	}
-	if !isTarget(target, method) {
-		return nil, bad("target is neither a path nor a URI")
+	if !isValidTarget(target, method) {
+		return nil, malformed("target is neither a path nor a URI")
 	}
 	return &Request{Method: string(method), Target: string(target), Minor: minor}, nil
 }
 
-// isTarget reports whether a target has the origin form, the absolute form, or is * for OPTIONS; a gateway does not
-// tunnel.
-func isTarget(target, method []byte) bool {
+// isValidTarget reports whether a target has the origin form, the absolute form, or is * for
+// OPTIONS. CONNECT is not supported.
+func isValidTarget(target, method []byte) bool {
 	return target[0] == '/' ||
 		bytes.HasPrefix(target, []byte("http://")) ||
 		bytes.HasPrefix(target, []byte("https://")) ||
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -11,49 +11,49 @@
 	"time"
 )
 
-// A Handler answers requests. It runs on the goroutine of the connection. A nil answer closes the connection without
-// one.
+// A Handler answers requests. Serve runs on the connection's goroutine. If it returns nil, the
+// connection is closed without a response.
 type Handler interface {
 	Serve(c *Conn, r *Request) *Response
 }
 
-// HandlerFunc is a Handler that is a function.
+// HandlerFunc adapts a function to a Handler.
 type HandlerFunc func(c *Conn, r *Request) *Response
 
-// Serve calls f.
+// Serve calls f(c, r).
 func (f HandlerFunc) Serve(c *Conn, r *Request) *Response { return f(c, r) }
 
-// A Server accepts connections and has a handler answer their requests. The exported fields must not change once it
-// serves. It is safe for concurrent use.
+// A Server accepts connections and passes their requests to a handler. Its exported fields must not
+// change once it serves. It is safe for concurrent use.
 type Server struct {
 	Handler        Handler
 	Limits         Limits
-	MaxConnections int          // connections at once; further ones are answered 503 and closed. 0: 10,000
-	Rejected       atomic.Int64 // connections beyond MaxOpen
-	AcceptBackoffs atomic.Int64 // times that accept had to wait for file descriptors
+	MaxConnections int          // open at once; further ones are answered 503 and closed. 0: 10,000
+	Rejected       atomic.Int64 // connections answered 503: beyond MaxConnections, or after Drain
+	AcceptBackoffs atomic.Int64 // waits after a failed accept, mostly for want of file descriptors
 
 	mu       sync.Mutex
 	conns    map[*Conn]struct{}
-	stopped  bool         // no connection is accepted, and each ends with its request
-	handOver HandOverFunc // see Detach; nil before
+	stopped  bool         // no connection is accepted, and each one ends with its current request
+	handOver HandOverFunc // set by Detach
 	wg       sync.WaitGroup
 }
 
-// A HandOverFunc gets a connection, and what was read of it and not used. It closes the connection on this side or
-// not, as it likes.
+// A HandOverFunc receives a connection together with the bytes that were read from it and not used.
+// Whether it closes its side of the connection is up to it.
 type HandOverFunc = func(conn net.Conn, read []byte)
 
-const defaultMaxOpen = 10000
+const defaultMaxConnections = 10000
 
-// Waits after an accept that failed for want of resources.
+// Backoff after an accept that failed for lack of resources.
 const (
 	minAcceptBackoff = 5 * time.Millisecond
 	maxAcceptBackoff = time.Second
 )
 
-// Serve accepts connections until the listener is closed, and then returns nil. While file descriptors are used up it
-// waits, twice as long each time up to a second, and goes on: to end would lose the listener, and to spin would take
-// the processor from those that answer.
+// Serve accepts connections until the listener is closed, and then returns nil. While accept fails
+// for lack of file descriptors, it waits and retries, doubling the wait up to one second: returning
+// would lose the listener, and retrying at once would take CPU time from the requests in flight.
 func (s *Server) Serve(listener net.Listener) error {
 	limits := s.Limits.WithDefaults()
 	backoff := minAcceptBackoff
@@ -62,10 +62,10 @@
 		switch {
 		case err == nil:
 			backoff = minAcceptBackoff
-			s.start(socket, nil, limits)
+			s.startConn(socket, nil, limits)
 		case errors.Is(err, net.ErrClosed):
 			return nil
-		case isShortage(err):
+		case isTransientAcceptError(err):
 			s.AcceptBackoffs.Add(1)
 			time.Sleep(backoff)
 			backoff = min(2*backoff, maxAcceptBackoff)
@@ -75,27 +75,31 @@
 	}
 }
 
-// isShortage reports whether an accept failed for want of resources, or of a connection that has ended already.
-func isShortage(err error) bool {
-	shortages := []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNABORTED}
-	return slices.ContainsFunc(shortages, func(shortage error) bool { return errors.Is(err, shortage) })
+// isTransientAcceptError reports whether accept failed for lack of resources, or because the
+// connection was already closed.
+func isTransientAcceptError(err error) bool {
+	transientErrors := []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNABORTED}
+	return slices.ContainsFunc(transientErrors, func(transient error) bool { return errors.Is(err, transient) })
 }
 
-// Adopt serves a connection that another process accepted; read is what that has read of it and not used.
-func (s *Server) Adopt(socket net.Conn, read []byte) { s.start(socket, read, s.Limits.WithDefaults()) }
+// Adopt serves a connection that another process accepted. read holds the bytes that the other
+// process read from it and did not use.
+func (s *Server) Adopt(socket net.Conn, read []byte) {
+	s.startConn(socket, read, s.Limits.WithDefaults())
+}
 
-// start serves a connection, unless it is handed over or rejected.
-func (s *Server) start(socket net.Conn, read []byte, limits Limits) {
+// startConn serves a connection, unless it is to be handed over or rejected.
+func (s *Server) startConn(socket net.Conn, read []byte, limits Limits) {
 	s.mu.Lock()
 	if handOver := s.handOver; handOver != nil {
 		s.mu.Unlock()
 		handOver(socket, read)
 		return
 	}
-	if s.stopped || len(s.conns) >= cmp.Or(s.MaxConnections, defaultMaxOpen) {
+	if s.stopped || len(s.conns) >= cmp.Or(s.MaxConnections, defaultMaxConnections) {
 		s.mu.Unlock()
 		s.Rejected.Add(1)
-		reject(socket)
+		rejectConn(socket)
 		return
 	}
 	if s.conns == nil {
@@ -108,16 +112,16 @@
 	go c.serve(read)
 }
 
-// remove forgets a connection that has ended.
-func (s *Server) remove(c *Conn) {
+// removeConn unregisters a connection that has ended.
+func (s *Server) removeConn(c *Conn) {
 	s.mu.Lock()
 	delete(s.conns, c)
 	s.mu.Unlock()
 	s.wg.Done()
 }
 
-// Drain closes idle connections, lets those with a request in flight answer it, and returns when none is left. After
-// the time given it closes what is left.
+// Drain closes idle connections, lets requests in flight complete, and returns when no connection
+// is left. After the timeout it resets those that remain.
 func (s *Server) Drain(timeout time.Duration) {
 	s.mu.Lock()
 	s.stopped = true
@@ -136,19 +140,20 @@
 	}
 }
 
-// interruptIdle ends the wait of idle connections for their next request. The caller holds mu.
+// interruptIdle interrupts the reads of idle connections that wait for their next request. The
+// caller holds mu.
 func (s *Server) interruptIdle() {
 	for c := range s.conns {
 		if !c.busy.Load() {
-			c.Conn.SetReadDeadline(longPast)
+			c.Conn.SetReadDeadline(expiredDeadline)
 		}
 	}
 }
 
-// longPast is a deadline that ends a read at once.
-var longPast = time.Unix(1, 0)
+// expiredDeadline is a deadline in the past: it interrupts a read at once.
+var expiredDeadline = time.Unix(1, 0)
 
-// Abort closes all connections at once, with a reset.
+// Abort resets all connections at once and rejects further ones.
 func (s *Server) Abort() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -158,7 +163,8 @@
 	}
 }
 
-// stopping reports whether connections end with their request: after Drain, unless they are handed over.
+// stopping reports whether connections end with their current request, which they do after Drain
+// unless they are handed over.
 func (s *Server) stopping() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/http1/server_test.go
+++ b/internal/http1/server_test.go
@@ -14,12 +14,12 @@
 	"time"
 )
 
-// echo answers with the path and the body of the request.
+// echo returns the path and the body of the request.
 func echo(_ *Conn, r *Request) *Response {
 	return &Response{Status: 200, Header: Header{{"X-Path", r.Path()}}, Body: append([]byte(nil), r.Body...)}
 }
 
-// serve runs a server until the test ends.
+// serve runs a server until the test ends, and returns its address.
 func serve(t testing.TB, s *Server) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -52,7 +52,7 @@
 	return c, bufio.NewReader(c)
 }
 
-// read reads an answer.
+// read reads a response to a GET request.
 func read(t testing.TB, br *bufio.Reader) *Response {
 	t.Helper()
 	l := Limits{}.WithDefaults()
@@ -91,7 +91,7 @@
 			t.Errorf("%q", resp.Body)
 		}
 	})
-	t.Run("too large is refused before the body", func(t *testing.T) {
+	t.Run("too large a body is rejected before it is sent", func(t *testing.T) {
 		c, br := dial(t, addr)
 		io.WriteString(c, "POST / HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 101\r\n\r\n")
 		if resp := read(t, br); resp.Status != 413 || !resp.Close {
@@ -116,13 +116,13 @@
 		io.WriteString(c, "GET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"+
 			"GET /never HTTP/1.1\r\nHost: a\r\n\r\n")
 		if resp := read(t, br); !resp.Close {
-			t.Error("not told to close")
+			t.Error("no Connection: close")
 		}
 		if _, err := br.ReadByte(); err != io.EOF {
 			t.Errorf("err %v, want EOF", err)
 		}
 	})
-	t.Run("doubt closes", func(t *testing.T) {
+	t.Run("ambiguous framing closes the connection", func(t *testing.T) {
 		c, br := dial(t, addr)
 		io.WriteString(c, "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\nContent-Length: 1\r\n\r\na"+
 			"GET /smuggled HTTP/1.1\r\nHost: a\r\n\r\n")
@@ -133,8 +133,8 @@
 			t.Errorf("err %v, want EOF", err)
 		}
 	})
-	t.Run("a client of net/http", func(t *testing.T) {
-		body := io.MultiReader(strings.NewReader("chu"), strings.NewReader("nked")) // of unknown length
+	t.Run("net/http client", func(t *testing.T) {
+		body := io.MultiReader(strings.NewReader("chu"), strings.NewReader("nked")) // sent chunked
 		resp, err := http.Post("http://"+addr+"/go", "text/plain", body)
 		if err != nil {
 			t.Fatal(err)
@@ -146,14 +146,14 @@
 	})
 }
 
-// Each time limit ends its connection: with 408 where a request has begun.
+// Each timeout ends its connection, with a 408 response if a request has begun.
 func TestServerTimeouts(t *testing.T) {
 	const short = 30 * time.Millisecond
 	tests := []struct {
 		name   string
 		limits Limits
 		send   string
-		status int // of the answer before the connection ends; 0: none
+		status int // of the response before the connection ends; 0: none
 	}{
 		{"first byte", Limits{FirstByteTimeout: short}, "", 0},
 		{"head", Limits{HeadTimeout: short}, "GET / HTTP/1.1\r\nHost:", 408},
@@ -177,8 +177,8 @@
 	}
 }
 
-// A thousand connections that send their heads a byte at a time delay nobody.
-func TestSlowClientsDelayNobody(t *testing.T) {
+// A thousand connections that send their heads one byte at a time do not delay other requests.
+func TestSlowClientsDoNotDelayOthers(t *testing.T) {
 	s := &Server{Handler: HandlerFunc(echo), Limits: Limits{HeadTimeout: time.Minute, FirstByteTimeout: time.Minute}}
 	addr := serve(t, s)
 	var slow []net.Conn
@@ -203,8 +203,9 @@
 	}
 }
 
-// A connection beyond MaxOpen is answered 503 and closed; room that becomes free is used.
-func TestConnectionBeyondMaxOpenIsRejected(t *testing.T) {
+// A connection beyond MaxConnections is answered 503 and closed; a later one is accepted once
+// another has ended.
+func TestConnectionBeyondMaxConnectionsIsRejected(t *testing.T) {
 	s := &Server{Handler: HandlerFunc(echo), MaxConnections: 2}
 	addr := serve(t, s)
 	a, abr := dial(t, addr)
@@ -215,14 +216,14 @@
 	read(t, bbr)
 	_, br := dial(t, addr)
 	if resp := read(t, br); resp.Status != 503 || resp.Header.Get("Retry-After") == "" || s.Rejected.Load() != 1 {
-		t.Errorf("%+v, %d refused", resp, s.Rejected.Load())
+		t.Errorf("%+v, %d rejected", resp, s.Rejected.Load())
 	}
 	io.WriteString(a, "GET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n")
 	read(t, abr)
 	if _, err := abr.ReadByte(); err != io.EOF {
 		t.Fatal(err)
 	}
-	for { // the server may not have noticed yet
+	for { // the server may not have removed the closed connection yet
 		c, br := dial(t, addr)
 		io.WriteString(c, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
 		if read(t, br).Status == 200 {
@@ -231,33 +232,34 @@
 	}
 }
 
-// lateListener accepts connections on which every write deadline is over: as if the process got no processor between
-// setting the deadline and writing.
-type lateListener struct{ net.Listener }
+// An expiredDeadlineListener accepts connections on which every write deadline has already expired,
+// as if the process had been descheduled between setting the deadline and writing.
+type expiredDeadlineListener struct{ net.Listener }
 
-type lateConn struct{ *net.TCPConn }
+type expiredDeadlineConn struct{ *net.TCPConn }
 
-func (l lateListener) Accept() (net.Conn, error) {
+func (l expiredDeadlineListener) Accept() (net.Conn, error) {
 	nc, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return lateConn{nc.(*net.TCPConn)}, nil
+	return expiredDeadlineConn{nc.(*net.TCPConn)}, nil
 }
 
-func (c lateConn) SetWriteDeadline(time.Time) error {
+func (c expiredDeadlineConn) SetWriteDeadline(time.Time) error {
 	return c.TCPConn.SetWriteDeadline(time.Unix(1, 0))
 }
 
-// A process that gets little processor time rejects a connection all the same.
-func TestRejectionNeedsNoDeadline(t *testing.T) {
+// A connection is answered 503 even if the process gets so little CPU time that any write deadline
+// would expire before the write.
+func TestRejectionNeedsNoWriteDeadline(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	s := &Server{Handler: HandlerFunc(echo), MaxConnections: 1}
 	done := make(chan error)
-	go func() { done <- s.Serve(lateListener{ln}) }()
+	go func() { done <- s.Serve(expiredDeadlineListener{ln}) }()
 	t.Cleanup(func() {
 		ln.Close()
 		if err := <-done; err != nil {
@@ -268,30 +270,30 @@
 	dial(t, ln.Addr().String())
 	_, br := dial(t, ln.Addr().String())
 	if resp := read(t, br); resp.Status != 503 || s.Rejected.Load() != 1 {
-		t.Errorf("%+v, %d refused", resp, s.Rejected.Load())
+		t.Errorf("%+v, %d rejected", resp, s.Rejected.Load())
 	}
 }
 
-// fewFiles is a listener that fails at first, as if the process had no file descriptor left.
-type fewFiles struct {
+// An exhaustedListener fails its first accepts, as if the process had no file descriptors left.
+type exhaustedListener struct {
 	net.Listener
-	failures atomic.Int64 // still to come
+	failures atomic.Int64 // remaining failures
 }
 
-func (f *fewFiles) Accept() (net.Conn, error) {
+func (f *exhaustedListener) Accept() (net.Conn, error) {
 	if f.failures.Add(-1) >= 0 {
 		return nil, &net.OpError{Op: "accept", Err: errors.Join(syscall.EMFILE)}
 	}
 	return f.Listener.Accept()
 }
 
-// Without file descriptors, Serve waits and goes on: it neither ends nor spins.
+// When accept fails for lack of file descriptors, Serve neither returns nor retries without a wait.
 func TestAcceptIsRetriedWithBackoff(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &fewFiles{Listener: ln}
+	f := &exhaustedListener{Listener: ln}
 	f.failures.Store(4)
 	s := &Server{Handler: HandlerFunc(echo)}
 	done := make(chan error)
@@ -306,7 +308,7 @@
 		t.Errorf("%v for four failures, want %v and more", time.Since(start), least)
 	}
 	if n := s.AcceptBackoffs.Load(); n != 4 {
-		t.Errorf("stalled %d times, want 4", n)
+		t.Errorf("%d backoffs, want 4", n)
 	}
 	ln.Close()
 	if err := <-done; err != nil {
@@ -332,7 +334,8 @@
 	go s.Serve(ln)
 	busy, br := dial(t, ln.Addr().String())
 	c, idle := dial(t, ln.Addr().String())
-	io.WriteString(c, "GET / HTTP/1.1\r\nHost: a\r\n\r\n") // so that it is accepted before the listener closes
+	// An answered request ensures that the connection is accepted before the listener closes.
+	io.WriteString(c, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
 	read(t, idle)
 	io.WriteString(busy, "GET /slow HTTP/1.1\r\nHost: a\r\n\r\n")
 	<-began
--- a/internal/http1/write.go
+++ b/internal/http1/write.go
@@ -6,8 +6,9 @@
 	"strings"
 )
 
-// safeValue replaces what would end a header line early: a value that came from elsewhere cannot add lines.
-func safeValue(value string) string {
+// sanitizeValue replaces CR, LF and NUL with spaces, so that a value from an untrusted source
+// cannot inject header lines.
+func sanitizeValue(value string) string {
 	if !strings.ContainsAny(value, "\r\n\x00") {
 		return value
 	}
@@ -19,14 +20,14 @@
 	}, value)
 }
 
-// usualHead is a size in bytes that most heads do not exceed.
-const usualHead = 256
+// typicalHeadBytes is the initial capacity for a head; most heads are smaller.
+const typicalHeadBytes = 256
 
 func appendHeader(b []byte, h Header) []byte {
 	for _, f := range h {
 		b = append(b, f.Name...)
 		b = append(b, ": "...)
-		b = append(b, safeValue(f.Value)...)
+		b = append(b, sanitizeValue(f.Value)...)
 		b = append(b, '\r', '\n')
 	}
 	return b
@@ -38,7 +39,7 @@
 	return append(b, '\r', '\n')
 }
 
-// appendHeadEnd appends the end of a head.
+// appendHeadEnd appends the empty line that ends a head, after Connection: close if closes is set.
 func appendHeadEnd(b []byte, closes bool) []byte {
 	if closes {
 		b = append(b, "Connection: close\r\n"...)
@@ -46,9 +47,10 @@
 	return append(b, '\r', '\n')
 }
 
-// AppendRequest appends the bytes of a request. The framing headers are added here, and must not be in its header.
+// AppendRequest appends the encoded request to b. It adds the framing headers, which r.Header must
+// not contain.
 func AppendRequest(b []byte, r *Request) []byte {
-	b = slices.Grow(b, usualHead+len(r.Body))
+	b = slices.Grow(b, typicalHeadBytes+len(r.Body))
 	b = append(b, r.Method...)
 	b = append(b, ' ')
 	b = append(b, r.Target...)
@@ -61,14 +63,15 @@
 	return append(b, r.Body...)
 }
 
-// AppendResponse appends the bytes of an answer. The framing headers are added here, and must not be in its header.
-// With head set, the answer is to a HEAD request: its body is left out, but not its length.
+// AppendResponse appends the encoded response to b. It adds the framing headers, which r.Header
+// must not contain. If head is set, the response answers a HEAD request: its body is omitted, but
+// not its length.
 func AppendResponse(b []byte, r *Response, head bool) []byte {
-	b = slices.Grow(b, usualHead+len(r.Body))
+	b = slices.Grow(b, typicalHeadBytes+len(r.Body))
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(r.Status), 10)
 	b = append(b, ' ')
-	b = append(b, reasons[r.Status]...)
+	b = append(b, reasonPhrases[r.Status]...)
 	b = append(b, '\r', '\n')
 	b = appendHeader(b, r.Header)
 	if r.Status != 204 && r.Status != 304 && r.Status >= 200 {
@@ -81,10 +84,10 @@
 	return b
 }
 
-// AppendChunk appends one chunk of a chunked body; an empty one ends the body.
-func AppendChunk(b, part []byte) []byte {
-	b = strconv.AppendInt(b, int64(len(part)), 16)
+// AppendChunk appends one chunk of a chunked body; an empty chunk ends the body.
+func AppendChunk(b, data []byte) []byte {
+	b = strconv.AppendInt(b, int64(len(data)), 16)
 	b = append(b, '\r', '\n')
-	b = append(b, part...)
+	b = append(b, data...)
 	return append(b, '\r', '\n')
 }
