--- a/internal/ingress/bind_test.go
+++ b/internal/ingress/bind_test.go
@@ -11,7 +11,8 @@
 	"kitehub/scheduler"
 )
 
-// fakeModels binds every alias to one version, with one verdict, and counts the bindings that have not ended.
+// fakeModels binds every alias to one version, always with the same verdict, and counts the
+// bindings that have not ended.
 type fakeModels struct {
 	verdict registry.Verdict
 	bound   int
@@ -32,11 +33,12 @@
 	return func() {}, 0, m.verdict
 }
 
-// run runs a call whose attempts end with the given answers, one after the other, and returns the answer delivered and
-// whether the binding is released only when that has been written.
+// run runs a call that the gateway answers with the given answers, one for each time that it is
+// submitted. It returns the answer delivered, whether the binding was kept until the answer was
+// written, and the number of restarts.
 func run(
-	t *testing.T, models *fakeModels, idempotency scheduler.Idempotency, clientClosed bool, ends ...gateway.Answer,
-) (delivered gateway.Answer, releasedLater bool, restarts int64) {
+	t *testing.T, models *fakeModels, idempotency scheduler.Idempotency, clientClosed bool, answers ...gateway.Answer,
+) (delivered gateway.Answer, keptUntilWritten bool, restarts int64) {
 	t.Helper()
 	counter := &atomic.Int64{}
 	binder := &Binder{
@@ -51,34 +53,34 @@
 		Alias:    DefaultAlias,
 		Deadline: binder.Clock.Now() + time.Second,
 		Submit: func(call *gateway.Call) {
-			end := ends[0]
-			ends = ends[1:]
-			call.Deliver(end)
+			answer := answers[0]
+			answers = answers[1:]
+			call.Deliver(answer)
 		},
 		ClientClosed: func() bool { return clientClosed },
 		Deliver: func(a gateway.Answer, _ *gateway.VersionBinding, release func()) {
 			deliveries++
 			delivered = a
 			if release != nil {
-				releasedLater = models.bound > 0
+				keptUntilWritten = models.bound > 0
 				release()
 			}
 		},
 	})
 	if deliveries != 1 {
-		t.Errorf("%d answers are delivered, want 1", deliveries)
+		t.Errorf("%d answers delivered, want 1", deliveries)
 	}
 	if models.bound != 0 {
-		t.Errorf("%d bindings are left", models.bound)
+		t.Errorf("%d bindings not ended", models.bound)
 	}
-	return delivered, releasedLater, counter.Load()
+	return delivered, keptUntilWritten, counter.Load()
 }
 
-func TestServedAnswerHoldsItsVersionUntilWritten(t *testing.T) {
+func TestServedAnswerKeepsItsBindingUntilWritten(t *testing.T) {
 	models := &fakeModels{verdict: registry.Allowed}
-	answer, releasedLater, _ := run(t, models, scheduler.Idempotent, false, gateway.Answer{Kind: gateway.Served})
-	if answer.Kind != gateway.Served || !releasedLater {
-		t.Errorf("answer %+v, released later: %v", answer, releasedLater)
+	answer, keptUntilWritten, _ := run(t, models, scheduler.Idempotent, false, gateway.Answer{Kind: gateway.Served})
+	if answer.Kind != gateway.Served || !keptUntilWritten {
+		t.Errorf("answer %+v, binding kept until written: %v", answer, keptUntilWritten)
 	}
 }
 
@@ -93,30 +95,31 @@
 	}
 }
 
-// What becomes of a call whose alias moves depends on whether to execute it again does harm.
-func TestCallWhoseAliasMoves(t *testing.T) {
+// Whether a call whose alias migrates is started anew depends on whether executing it again does
+// harm.
+func TestCallWhoseAliasMigrates(t *testing.T) {
 	served := gateway.Answer{Kind: gateway.Served}
-	moved := gateway.Answer{Kind: gateway.Superseded, Verdict: registry.Superseded}
-	movedAfterRun := gateway.Answer{Kind: gateway.Superseded, Verdict: registry.Superseded, MayHaveRun: true}
+	migrated := gateway.Answer{Kind: gateway.Superseded, Verdict: registry.Superseded}
+	migratedAfterRun := gateway.Answer{Kind: gateway.Superseded, Verdict: registry.Superseded, MayHaveRun: true}
 	tests := []struct {
 		name         string
 		idempotency  scheduler.Idempotency
 		clientClosed bool
-		ends         []gateway.Answer
+		answers      []gateway.Answer
 		want         gateway.Answer
 		wantRestarts int64
 	}{
-		{"never ran", scheduler.NonIdempotent, false, []gateway.Answer{moved, served}, served, 1},
-		{"idempotent", scheduler.Idempotent, false, []gateway.Answer{movedAfterRun, served}, served, 1},
-		{"may have run", scheduler.NonIdempotent, false, []gateway.Answer{movedAfterRun},
+		{"never ran", scheduler.NonIdempotent, false, []gateway.Answer{migrated, served}, served, 1},
+		{"idempotent", scheduler.Idempotent, false, []gateway.Answer{migratedAfterRun, served}, served, 1},
+		{"may have run", scheduler.NonIdempotent, false, []gateway.Answer{migratedAfterRun},
 			gateway.Answer{Kind: gateway.Failed, Verdict: registry.Superseded}, 0},
-		{"its client has left", scheduler.Idempotent, true, []gateway.Answer{moved},
+		{"client closed", scheduler.Idempotent, true, []gateway.Answer{migrated},
 			gateway.Answer{Kind: gateway.Rejected, Verdict: registry.Superseded}, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			models := &fakeModels{verdict: registry.Allowed}
-			got, _, restarts := run(t, models, tt.idempotency, tt.clientClosed, tt.ends...)
+			got, _, restarts := run(t, models, tt.idempotency, tt.clientClosed, tt.answers...)
 			if got.Kind != tt.want.Kind || got.Verdict != tt.want.Verdict || restarts != tt.wantRestarts {
 				t.Errorf("%+v after %d restarts, want %+v after %d", got, restarts, tt.want, tt.wantRestarts)
 			}
@@ -124,19 +127,19 @@
 	}
 }
 
-// A retry of a call that its client left executes it again only if that does no harm.
-func TestRetryVerdict(t *testing.T) {
-	left := gateway.Answer{Kind: gateway.ClientClosed}
-	leftAfterRun := gateway.Answer{Kind: gateway.ClientClosed, MayHaveRun: true}
+// A retry of a call that its client abandoned is executed again only if that does no harm.
+func TestAnswerForRetry(t *testing.T) {
+	abandoned := gateway.Answer{Kind: gateway.ClientClosed}
+	abandonedAfterRun := gateway.Answer{Kind: gateway.ClientClosed, MayHaveRun: true}
 	for _, tt := range []struct {
 		name        string
 		answer      gateway.Answer
 		idempotency scheduler.Idempotency
 		want        gateway.AnswerKind
 	}{
-		{"never ran", left, scheduler.NonIdempotent, gateway.Rejected},
-		{"idempotent", leftAfterRun, scheduler.Idempotent, gateway.Rejected},
-		{"may have run", leftAfterRun, scheduler.NonIdempotent, gateway.ClientClosed},
+		{"never ran", abandoned, scheduler.NonIdempotent, gateway.Rejected},
+		{"idempotent", abandonedAfterRun, scheduler.Idempotent, gateway.Rejected},
+		{"may have run", abandonedAfterRun, scheduler.NonIdempotent, gateway.ClientClosed},
 		{"served", gateway.Answer{Kind: gateway.Served}, scheduler.Idempotent, gateway.Served},
 	} {
 		if got := AnswerForRetry(tt.answer, tt.idempotency).Kind; got != tt.want {
--- a/internal/ingress/resolve.go
+++ b/internal/ingress/resolve.go
@@ -6,11 +6,12 @@
 	"kitehub/internal/gateway"
 )
 
-// DefaultAlias is the alias of a model's versions for calls that name none.
+// DefaultAlias is the alias that a call of a model uses if it names none.
 const DefaultAlias = "current"
 
-// Resolve finds the function that a call names, as a function's name or as model@alias; nil if there is none. The
-// alias is set if the function has versions, which takes models: nil stands for none.
+// Resolve finds the function that a call names, either by the function's name or as model@alias. It
+// returns nil if there is none. alias is set only if the function is a model, which requires models
+// not to be nil.
 func Resolve(functions func(name string) *gateway.Function, models Models, name string) (
 	function *gateway.Function, alias string,
 ) {
--- a/internal/ingress/webhook/call.go
+++ b/internal/ingress/webhook/call.go
@@ -10,44 +10,44 @@
 	"kitehub/scheduler"
 )
 
-// An inFlightCall is a call from its start to its answer, with the requests of its client that wait for it: the first
-// and its retries. Its fields are guarded by the front's mutex; answer and binding do not change after done is
-// closed.
+// An inFlightCall is a call from its start to its answer, together with the requests that wait for
+// it: the first one and its client's retries. Its fields are guarded by Handler.mu; answer and
+// binding do not change after done is closed.
 type inFlightCall struct {
-	done    chan struct{} // closed when the answer is set
+	done    chan struct{} // closed when answer is set
 	answer  gateway.Answer
-	binding *gateway.VersionBinding // of the answer to a bound call, if it was served
+	binding *gateway.VersionBinding // of a served answer of a model; else nil
 	ended   bool
 
-	started bool
-	id      scheduler.RequestID // once started
+	submitted bool
+	id        scheduler.RequestID // valid if submitted
 
-	conns   []*http1.Conn // of all requests, to be woken
-	waiting int           // requests whose clients have not left
+	conns           []*http1.Conn // of all its requests, to be woken
+	waitingRequests int           // requests whose client has not disconnected
 
-	unwritten int    // requests that the answer is still to be written to, if release is set
-	release   func() // called when the answer has been written to all of them
+	pendingWrites int    // requests yet to be answered, if release is set
+	release       func() // called when pendingWrites reaches 0; set with an answer of a model
 }
 
 func newInFlightCall(c *http1.Conn) *inFlightCall {
-	return &inFlightCall{done: make(chan struct{}), waiting: 1, conns: []*http1.Conn{c}}
+	return &inFlightCall{done: make(chan struct{}), waitingRequests: 1, conns: []*http1.Conn{c}}
 }
 
-// join adds a retry that waits for the call; false if as many as allowed do.
+// join adds a retry that waits for the call. It returns false if maxJoin requests already do.
 func (call *inFlightCall) join(c *http1.Conn, maxJoin int) bool {
 	if len(call.conns) >= maxJoin {
 		return false
 	}
-	call.waiting++
+	call.waitingRequests++
 	call.conns = append(call.conns, c)
 	return true
 }
 
-// call submits a new call and waits for its answer.
-func (f *Handler) call(m message, call *inFlightCall, retry bool) *http1.Response {
-	client := (*f.clients.Load())[m.client]
+// submitAndAwait submits a new call and waits for its answer.
+func (h *Handler) submitAndAwait(m message, call *inFlightCall, retry bool) *http1.Response {
+	client := (*h.clients.Load())[m.client]
 	class := m.function.Class
-	submitted := gateway.Call{
+	gatewayCall := gateway.Call{
 		ID:       m.id,
 		Function: m.function,
 		Tenant:   client.Tenant,
@@ -55,105 +55,106 @@
 		Body:     m.request.Body,
 		Retry:    retry,
 		TraceID:  traceID(m.request.Header.Get("traceparent")),
-		TimeLeft: clientTimeout(m.request.Header, f.cfg.Deadline(class)),
+		TimeLeft: clientTimeout(m.request.Header, h.cfg.Deadline(class)),
 	}
-	if f.cfg.Idempotency(class) == scheduler.IdempotentWithKey {
-		submitted.IdempotencyKey = client.Name + ":" + m.id
+	if h.cfg.Idempotency(class) == scheduler.IdempotentWithKey {
+		gatewayCall.IdempotencyKey = client.Name + ":" + m.id
 	}
 	if m.function.IsModel {
-		f.runBound(m, call, submitted)
+		h.submitBound(m, call, gatewayCall)
 	} else {
-		submitted.Deliver = func(a gateway.Answer) {
-			f.deliver(m.key, call, ingress.AnswerForRetry(a, f.cfg.Idempotency(class)), nil)
+		gatewayCall.Deliver = func(a gateway.Answer) {
+			h.deliver(m.key, call, ingress.AnswerForRetry(a, h.cfg.Idempotency(class)), nil)
 		}
-		f.submit(&submitted, call)
+		h.submit(&gatewayCall, call)
 	}
-	return f.wait(m, call)
+	return h.awaitAnswer(m, call)
 }
 
-// runBound runs a call under the version that its alias names.
-func (f *Handler) runBound(m message, call *inFlightCall, submitted gateway.Call) {
-	f.binder.Run(&ingress.BoundCall{
-		Call:     submitted,
+// submitBound submits a call of a model under the version that its alias names.
+func (h *Handler) submitBound(m message, call *inFlightCall, gatewayCall gateway.Call) {
+	h.binder.Run(&ingress.BoundCall{
+		Call:     gatewayCall,
 		Model:    m.function,
 		Alias:    m.alias,
-		Deadline: f.cfg.Clock.Now() + submitted.TimeLeft,
-		Submit:   func(c *gateway.Call) { f.submit(c, call) },
+		Deadline: h.cfg.Clock.Now() + gatewayCall.TimeLeft,
+		Submit:   func(c *gateway.Call) { h.submit(c, call) },
 		ClientClosed: func() bool {
-			f.mu.Lock()
-			defer f.mu.Unlock()
-			return call.waiting == 0
+			h.mu.Lock()
+			defer h.mu.Unlock()
+			return call.waitingRequests == 0
 		},
 		Deliver: func(a gateway.Answer, b *gateway.VersionBinding, release func()) {
 			if release != nil {
-				f.releaseWhenWritten(call, release)
+				h.releaseWhenWritten(call, release)
 			}
-			f.deliver(m.key, call, ingress.AnswerForRetry(a, f.cfg.Idempotency(m.function.Class)), b)
+			h.deliver(m.key, call, ingress.AnswerForRetry(a, h.cfg.Idempotency(m.function.Class)), b)
 		},
 	})
 }
 
-// submit hands a call to the gateway, and cancels it if all its clients have left meanwhile.
-func (f *Handler) submit(submitted *gateway.Call, call *inFlightCall) {
-	id, accepted := f.cfg.Gateway.Submit(submitted)
+// submit submits a call to the gateway, and cancels it if meanwhile no request waits for it any
+// more.
+func (h *Handler) submit(gatewayCall *gateway.Call, call *inFlightCall) {
+	id, accepted := h.cfg.Gateway.Submit(gatewayCall)
 	if !accepted {
-		submitted.Deliver(gateway.Answer{Kind: gateway.Rejected, RetryAfter: time.Second})
+		gatewayCall.Deliver(gateway.Answer{Kind: gateway.Rejected, RetryAfter: time.Second})
 		return
 	}
-	f.mu.Lock()
+	h.mu.Lock()
 	call.id = id
-	call.started = true
-	abandoned := call.waiting == 0 && !call.ended
-	f.mu.Unlock()
+	call.submitted = true
+	abandoned := call.waitingRequests == 0 && !call.ended
+	h.mu.Unlock()
 	if abandoned {
-		f.cfg.Gateway.Cancel(id)
+		h.cfg.Gateway.Cancel(id)
 	}
 }
 
-// releaseWhenWritten calls a function when the answer that is about to be delivered has been written to all requests
-// that wait for it: a move of the alias waits for that.
-func (f *Handler) releaseWhenWritten(call *inFlightCall, release func()) {
-	f.mu.Lock()
-	call.unwritten = call.waiting
+// releaseWhenWritten arranges for release to be called when the answer that is about to be
+// delivered has been written to all waiting requests: a migration of the alias waits for that.
+func (h *Handler) releaseWhenWritten(call *inFlightCall, release func()) {
+	h.mu.Lock()
+	call.pendingWrites = call.waitingRequests
 	call.release = release
-	none := call.unwritten == 0
-	f.mu.Unlock()
-	if none {
+	noRequests := call.pendingWrites == 0
+	h.mu.Unlock()
+	if noRequests {
 		release()
 	}
 }
 
-// written notes that one request has been written its answer, or that its client has left.
-func (f *Handler) written(call *inFlightCall) {
-	f.mu.Lock()
-	call.unwritten--
-	last := call.unwritten == 0
-	f.mu.Unlock()
+// onAnswerWritten records that one request has been answered, or that its client has disconnected.
+func (h *Handler) onAnswerWritten(call *inFlightCall) {
+	h.mu.Lock()
+	call.pendingWrites--
+	last := call.pendingWrites == 0
+	h.mu.Unlock()
 	if last {
 		call.release()
 	}
 }
 
-// deliver ends a call: its answer is cached, and all requests that wait for it are woken.
-func (f *Handler) deliver(key replayguard.Key, call *inFlightCall, a gateway.Answer, b *gateway.VersionBinding) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+// deliver ends a call: it caches the answer and wakes all requests that wait for it.
+func (h *Handler) deliver(key replayguard.Key, call *inFlightCall, a gateway.Answer, b *gateway.VersionBinding) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	if call.ended {
 		return
 	}
 	call.ended = true
 	call.answer = a
-	cached := cachedAnswer(a)
+	cached := cacheableAnswer(a)
 	if b != nil && a.Kind == gateway.Served {
 		call.binding = b
 		cached.Tag = b
 	}
-	if f.inFlight[key] == call {
-		delete(f.inFlight, key)
+	if h.inFlight[key] == call {
+		delete(h.inFlight, key)
 	}
-	f.guard.Ended(key, cached)
-	if f.onEnd != nil {
-		f.onEnd(key, cached)
+	h.guard.Ended(key, cached)
+	if h.onCallEnd != nil {
+		h.onCallEnd(key, cached)
 	}
 	for _, c := range call.conns {
 		c.Wake()
@@ -161,24 +162,25 @@
 	close(call.done)
 }
 
-// wait blocks until the call has its answer, or the client of this request has left; then it returns nil, and cancels
-// the call if that was the last client.
-func (f *Handler) wait(m message, call *inFlightCall) *http1.Response {
+// awaitAnswer blocks until the call is answered or the client of this request disconnects. In the
+// latter case it returns nil, and cancels the call if no other request waits for it.
+func (h *Handler) awaitAnswer(m message, call *inFlightCall) *http1.Response {
 	if !m.conn.Await(call.done) {
-		return f.gated(m, call.binding, answerResponse(call.answer), call)
-	}
-	f.mu.Lock()
-	answered := call.release != nil // the client left just as the answer came
-	call.waiting--
-	// The gateway reports what becomes of a cancelled call: until then a retry joins it.
-	cancel := call.waiting == 0 && !call.ended && call.started
+		return h.boundResponse(m, call.binding, answerResponse(call.answer), call)
+	}
+	h.mu.Lock()
+	delivered := call.release != nil // the client disconnected just as the answer was delivered
+	call.waitingRequests--
+	// The call ends only when the gateway reports the outcome of the cancellation; until then a
+	// retry joins it.
+	cancel := call.waitingRequests == 0 && !call.ended && call.submitted
 	id := call.id
-	f.mu.Unlock()
-	if answered {
-		f.written(call)
+	h.mu.Unlock()
+	if delivered {
+		h.onAnswerWritten(call)
 	}
 	if cancel {
-		f.cfg.Gateway.Cancel(id)
+		h.cfg.Gateway.Cancel(id)
 	}
 	return nil
 }
--- a/internal/ingress/webhook/golden_test.go
+++ b/internal/ingress/webhook/golden_test.go
@@ -12,11 +12,12 @@
 	"kitehub/internal/replayguard"
 )
 
-// The watermark is stored by one process and read by a later one: misread, it would allow replays.
-func TestStoredMarkIsAsBefore(t *testing.T) {
+// The watermark is saved by one process and loaded by a later one, possibly of another version.
+// Misread, it would allow replays.
+func TestStoredWatermarkKeepsFormat(t *testing.T) {
 	file := WatermarkFile(filepath.Join(t.TempDir(), "mark"))
-	mark := time.Unix(1700000009, 0)
-	if err := file.Save(mark); err != nil {
+	watermark := time.Unix(1700000009, 0)
+	if err := file.Save(watermark); err != nil {
 		t.Fatal(err)
 	}
 	written, err := os.ReadFile(string(file))
@@ -25,13 +26,13 @@
 	}
 	goldenfile.Compare(t, "mark", written)
 
-	if read, err := WatermarkFile(filepath.Join("testdata", "golden", "mark")).Load(); err != nil || !read.Equal(mark) {
-		t.Errorf("read %v, %v; want %v", read, err, mark)
+	if read, err := WatermarkFile(filepath.Join("testdata", "golden", "mark")).Load(); err != nil || !read.Equal(watermark) {
+		t.Errorf("read %v, %v; want %v", read, err, watermark)
 	}
 }
 
-// What a front knows of messages goes to the process that takes over.
-func TestHandedOverStateIsAsBefore(t *testing.T) {
+// The state of the replay guard is handed over to a process that may run another version.
+func TestHandedOverStateKeepsFormat(t *testing.T) {
 	for name, state := range map[string]State{
 		"state.json": {
 			Known: []replayguard.EntryState{{
@@ -62,7 +63,8 @@
 	}
 }
 
-// Each field that is stored or sent has a key of its own: what it is called in Go may change, the format may not.
-func TestKeysDoNotFollowFieldNames(t *testing.T) {
+// Every field that is stored or sent has an explicit JSON key, so that renaming a Go field does not
+// change the format.
+func TestStateFieldsHaveJSONKeys(t *testing.T) {
 	goldenfile.Tagged(t, State{})
 }
--- a/internal/ingress/webhook/handover.go
+++ b/internal/ingress/webhook/handover.go
@@ -2,8 +2,9 @@
 
 import "kitehub/internal/replayguard"
 
-// State is what a process that takes over must know of messages: what replayguard.Guard.Export returns. It may be of
-// another version, so the JSON keys are fixed.
+// State is the replay guard's state that is handed over to a successor process, as
+// replayguard.Guard.Export returns it. The successor may run another version of the program, so the
+// JSON keys are fixed.
 type State struct {
 	Known   []replayguard.EntryState `json:"Known"`
 	Barrier int64                    `json:"Barrier"`
@@ -11,55 +12,57 @@
 	Highest int64                    `json:"Highest"`
 }
 
-// Pause makes all further messages wait, and returns what is known of those before. From then on onEnd is notified of
-// how those in flight end; it must not block. Resume or Pass ends the pause.
-func (f *Handler) Pause(onEnd func(replayguard.Key, replayguard.Answer)) State {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.onEnd = onEnd
-	f.resumed = make(chan struct{})
+// Pause makes all further messages wait, and returns the state of those accepted before. From then
+// on onCallEnd is called when a call in flight ends; it must not block. Resume or HandOver ends the
+// pause.
+func (h *Handler) Pause(onCallEnd func(replayguard.Key, replayguard.Answer)) State {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.onCallEnd = onCallEnd
+	h.pauseEnded = make(chan struct{})
 	var s State
-	s.Known, s.Barrier, s.Durable, s.Highest = f.guard.Export()
+	s.Known, s.Barrier, s.Durable, s.Highest = h.guard.Export()
 	return s
 }
 
-// Resume ends a pause: the messages that wait are served here.
-func (f *Handler) Resume() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	close(f.resumed)
-	f.resumed = nil
-	f.onEnd = nil
+// Resume ends a pause: the waiting messages are served by this process.
+func (h *Handler) Resume() {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	close(h.pauseEnded)
+	h.pauseEnded = nil
+	h.onCallEnd = nil
 }
 
-// HandOver ends a pause: the messages that wait, and all further ones, are passed to the successor with their
-// connections.
-func (f *Handler) HandOver() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.passed = true
-	close(f.resumed)
-	f.resumed = nil
+// HandOver ends a pause: the waiting messages and all further ones are handed over to the successor
+// with their connections.
+func (h *Handler) HandOver() {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.handedOver = true
+	close(h.pauseEnded)
+	h.pauseEnded = nil
 }
 
-// Ended reports how a call ended that was in flight in the previous process.
-func (f *Handler) Ended(key replayguard.Key, answer replayguard.Answer) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.guard.Ended(key, answer)
+// Ended records the answer of a call that was in flight in the previous process.
+func (h *Handler) Ended(key replayguard.Key, answer replayguard.Answer) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.guard.Ended(key, answer)
 }
 
-// EndedUncached reports the end of such a call whose answer is not handed over.
-func (f *Handler) EndedUncached(key replayguard.Key) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.guard.EndedUncached(key)
+// EndedUncached records the end of such a call whose answer was not handed over.
+func (h *Handler) EndedUncached(key replayguard.Key) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.guard.EndedUncached(key)
 }
 
-// Abandoned reports that the previous process has ended with these calls in flight: what became of them is not known.
-func (f *Handler) Abandoned(keys []replayguard.Key) {
-	resp := problem(502, "failed", "the process that had it has ended, and it may have run", nil)
+// Abandoned records that the previous process ended with these calls in flight: whether they were
+// executed is unknown.
+func (h *Handler) Abandoned(keys []replayguard.Key) {
+	resp := problemResponse(502, "failed", "the process that had it has ended, and it may have run", nil)
 	for _, key := range keys {
-		f.Ended(key, replayguard.Answer{Status: resp.Status, Type: problemType, Body: resp.Body})
+		h.Ended(key, replayguard.Answer{Status: resp.Status, Type: problemType, Body: resp.Body})
 	}
 }
--- a/internal/ingress/webhook/header.go
+++ b/internal/ingress/webhook/header.go
@@ -10,7 +10,8 @@
 	"kitehub/internal/http1"
 )
 
-// traceID returns the trace id of a traceparent header (W3C Trace Context), or a random one if there is none.
+// traceID returns the trace ID of a traceparent header (W3C Trace Context), or a random one if the
+// header is missing or invalid.
 func traceID(traceparent string) (id [16]byte) {
 	if len(traceparent) == 55 && traceparent[:3] == "00-" && traceparent[35] == '-' {
 		n, err := hex.Decode(id[:], []byte(traceparent[3:35]))
@@ -22,8 +23,9 @@
 	return id
 }
 
-// clientTimeout returns how long the client waits, as it says: x-envoy-upstream-rq-timeout-ms, or Prefer:
-// wait=seconds (RFC 7240). It is at most the class's deadline, which also applies if the client does not say.
+// clientTimeout returns how long the client waits, taken from x-envoy-upstream-rq-timeout-ms or
+// from Prefer: wait=seconds (RFC 7240). It is at most the deadline of the class, which is also the
+// default.
 func clientTimeout(h http1.Header, deadline time.Duration) time.Duration {
 	millis, err := strconv.ParseUint(h.Get("x-envoy-upstream-rq-timeout-ms"), 10, 31)
 	if err == nil && millis > 0 {
--- a/internal/ingress/webhook/message.go
+++ b/internal/ingress/webhook/message.go
@@ -12,27 +12,27 @@
 	"kitehub/internal/replayguard"
 )
 
-// A message is a verified request whose function is known.
+// A message is a verified request to a known function.
 type message struct {
 	sender
 	conn     *http1.Conn
 	request  *http1.Request
 	key      replayguard.Key
 	function *gateway.Function
-	alias    string // of the function's versions; "" if it has none
+	alias    string // "" if the function is not a model
 }
 
-// serveVerified answers a request that its client has signed.
-func (f *Handler) serveVerified(c *http1.Conn, r *http1.Request, from sender) *http1.Response {
-	name, ok := f.functionName(r.Path(), r.Body)
+// serveVerified answers a request whose signature has been verified.
+func (h *Handler) serveVerified(c *http1.Conn, r *http1.Request, from sender) *http1.Response {
+	name, ok := h.functionName(r.Path(), r.Body)
 	var function *gateway.Function
 	var alias string
 	if ok {
-		function, alias = ingress.Resolve(f.cfg.Functions, f.cfg.Models, name)
+		function, alias = ingress.Resolve(h.cfg.Functions, h.cfg.Models, name)
 	}
 	if function == nil {
-		f.Counts.UnknownFunction.Add(1)
-		return problem(404, "unknown", "no such function", nil)
+		h.Counts.UnknownFunction.Add(1)
+		return problemResponse(404, "unknown", "no such function", nil)
 	}
 	m := message{
 		sender:   from,
@@ -42,103 +42,105 @@
 		function: function,
 		alias:    alias,
 	}
-	t, ok := f.take(m)
+	admitted, ok := h.admit(m)
 	if !ok {
 		return &http1.Response{HandOver: true}
 	}
-	switch t.verdict {
+	switch admitted.verdict {
 	case replayguard.New, replayguard.Retry:
-		return f.call(m, t.call, t.verdict == replayguard.Retry)
+		return h.submitAndAwait(m, admitted.call, admitted.verdict == replayguard.Retry)
 	case replayguard.Join:
-		f.Counts.Joined.Add(1)
-		return f.wait(m, t.call)
+		h.Counts.Joined.Add(1)
+		return h.awaitAnswer(m, admitted.call)
 	case replayguard.Cached:
-		f.Counts.Cached.Add(1)
-		binding, _ := t.cached.Tag.(*gateway.VersionBinding)
-		return f.gated(m, binding, cachedResponse(t.cached), nil)
+		h.Counts.Cached.Add(1)
+		binding, _ := admitted.cached.Tag.(*gateway.VersionBinding)
+		return h.boundResponse(m, binding, cachedResponse(admitted.cached), nil)
 	}
-	return f.rejected(t)
+	return h.rejectionResponse(admitted)
 }
 
-// rejected returns the response to a message that is neither executed nor has a cached answer.
-func (f *Handler) rejected(t taken) *http1.Response {
-	switch t.verdict {
+// rejectionResponse returns the response to a message that is neither executed nor answered from
+// the cache.
+func (h *Handler) rejectionResponse(a admission) *http1.Response {
+	switch a.verdict {
 	case replayguard.AnswerEvicted:
-		return problem(502, "failed", "the call has ended; its answer was too large to keep", nil)
+		return problemResponse(502, "failed", "the call has ended; its answer was too large to keep", nil)
 	case replayguard.Replay:
-		f.Counts.Replayed.Add(1)
-		return problem(409, "replayed", "this message was taken before", nil)
+		h.Counts.Replayed.Add(1)
+		return problemResponse(409, "replayed", "this message was taken before", nil)
 	case replayguard.Reused:
-		f.Counts.Reused.Add(1)
-		return problem(422, "reused", "the webhook-id was used for another call", nil)
+		h.Counts.Reused.Add(1)
+		return problemResponse(422, "reused", "the webhook-id was used for another call", nil)
 	case replayguard.Stale, replayguard.Early:
-		f.Counts.Stale.Add(1)
-		return problem(401, "forged", "webhook-timestamp is too old or too far ahead", nil)
+		h.Counts.Stale.Add(1)
+		return problemResponse(401, "forged", "webhook-timestamp is too old or too far ahead", nil)
 	case replayguard.Unsettled:
-		f.Counts.Unsettled.Add(1)
-		return refused("this message may have been taken before a restart: sign it again with the present time",
-			t.retryAfter)
+		h.Counts.Unsettled.Add(1)
+		return rejectedResponse("this message may have been taken before a restart: sign it again with the present time",
+			a.retryAfter)
 	}
-	f.Counts.AtCapacity.Add(1)
-	return refused("too many messages are remembered", t.retryAfter)
+	h.Counts.AtCapacity.Add(1)
+	return rejectedResponse("too many messages are remembered", a.retryAfter)
 }
 
-// functionName returns the name that a request gives; false if there is none.
-func (f *Handler) functionName(path string, body []byte) (string, bool) {
-	if f.cfg.FunctionSource == FromPath {
-		name := strings.TrimPrefix(path, f.cfg.Prefix)
+// functionName returns the function name that a request contains; false if there is none.
+func (h *Handler) functionName(path string, body []byte) (string, bool) {
+	if h.cfg.FunctionSource == FromPath {
+		name := strings.TrimPrefix(path, h.cfg.Prefix)
 		return name, name != "" && !strings.Contains(name, "/")
 	}
 	var members map[string]json.RawMessage
 	var name string
-	if json.Unmarshal(body, &members) != nil || json.Unmarshal(members[f.cfg.FunctionField], &name) != nil {
+	if json.Unmarshal(body, &members) != nil || json.Unmarshal(members[h.cfg.FunctionField], &name) != nil {
 		return "", false
 	}
 	return name, name != ""
 }
 
-// digest covers what a message calls and with which body.
+// digest returns a hash of the function, the alias and the body.
 func (m message) digest() (digest [32]byte) {
-	h := sha256.New()
-	h.Write([]byte(m.function.Name + "\x00" + m.alias + "\x00"))
-	h.Write(m.request.Body)
-	h.Sum(digest[:0])
+	hash := sha256.New()
+	hash.Write([]byte(m.function.Name + "\x00" + m.alias + "\x00"))
+	hash.Write(m.request.Body)
+	hash.Sum(digest[:0])
 	return digest
 }
 
-// taken is what the replay guard says of a message.
-type taken struct {
+// An admission is the replay guard's decision about a message.
+type admission struct {
 	verdict    replayguard.Verdict
 	cached     replayguard.Answer // for Cached
-	retryAfter time.Duration      // for verdicts that reject it for now
-	call       *inFlightCall      // for New and Retry, a new one; for Join, the one to wait for
+	retryAfter time.Duration      // for verdicts that reject the message temporarily
+	call       *inFlightCall      // New and Retry: a new call; Join: the call to wait for
 }
 
-// take has the replay guard judge a message, after the end of a pause; false if a successor is to serve it.
-func (f *Handler) take(m message) (t taken, ok bool) {
-	signed := replayguard.Message{Key: m.key, Stamp: m.stamp, Digest: m.digest()}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for f.resumed != nil {
-		resumed := f.resumed
-		f.mu.Unlock()
-		<-resumed
-		f.mu.Lock()
+// admit asks the replay guard about a message, once no pause is in effect. It returns false if a
+// successor process is to serve the message.
+func (h *Handler) admit(m message) (a admission, ok bool) {
+	signed := replayguard.Message{Key: m.key, Stamp: m.timestamp, Digest: m.digest()}
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for h.pauseEnded != nil {
+		pauseEnded := h.pauseEnded
+		h.mu.Unlock()
+		<-pauseEnded
+		h.mu.Lock()
 	}
-	if f.passed {
-		return t, false
+	if h.handedOver {
+		return a, false
 	}
-	t.verdict, t.cached, t.retryAfter = f.guard.Admit(f.cfg.Clock.Wall(), signed)
-	switch t.verdict {
+	a.verdict, a.cached, a.retryAfter = h.guard.Admit(h.cfg.Clock.Wall(), signed)
+	switch a.verdict {
 	case replayguard.New, replayguard.Retry:
-		t.call = newInFlightCall(m.conn)
-		f.inFlight[m.key] = t.call
+		a.call = newInFlightCall(m.conn)
+		h.inFlight[m.key] = a.call
 	case replayguard.Join:
-		t.call = f.inFlight[m.key] // nil if the call is in flight in the previous process
-		if t.call == nil || !t.call.join(m.conn, f.cfg.MaxJoin) {
-			t.verdict = replayguard.AtCapacity
-			t.retryAfter = time.Second
+		a.call = h.inFlight[m.key] // nil if the call is in flight in the previous process
+		if a.call == nil || !a.call.join(m.conn, h.cfg.MaxJoin) {
+			a.verdict = replayguard.AtCapacity
+			a.retryAfter = time.Second
 		}
 	}
-	return t, true
+	return a, true
 }
--- a/internal/ingress/webhook/response.go
+++ b/internal/ingress/webhook/response.go
@@ -13,36 +13,36 @@
 	"kitehub/internal/signing"
 )
 
-// answerResponse returns the response with the gateway's final answer.
+// answerResponse returns the response for the gateway's final answer.
 func answerResponse(a gateway.Answer) *http1.Response {
 	switch {
 	case a.Kind == gateway.Failed && a.Verdict == registry.Superseded:
-		return problem(502, "failed", "its version was replaced while it ran", nil)
+		return problemResponse(502, "failed", "its version was replaced while it ran", nil)
 	case a.Kind == gateway.Failed && a.Verdict == registry.NoLease:
-		return problem(502, "failed", "it ran, and the registry was not heard: its version may have been replaced", nil)
+		return problemResponse(502, "failed", "it ran, and the registry was not heard: its version may have been replaced", nil)
 	case a.Kind == gateway.Rejected && a.Verdict == registry.Superseded:
-		return refused("its version was replaced", a.RetryAfter)
+		return rejectedResponse("its version was replaced", a.RetryAfter)
 	case a.Kind == gateway.Rejected && a.Verdict == registry.NoLease:
-		return refused("the registry is not heard: which version is to answer is not known", a.RetryAfter)
+		return rejectedResponse("the registry is not heard: which version is to answer is not known", a.RetryAfter)
 	case a.Kind == gateway.Rejected && a.Verdict == registry.Unknown:
-		return refused("the alias names no version", a.RetryAfter)
+		return rejectedResponse("the alias names no version", a.RetryAfter)
 	}
 	switch a.Kind {
 	case gateway.Served:
 		return &http1.Response{Status: 200, Header: contentType("application/json"), Body: a.Body}
 	case gateway.Rejected:
-		return refused("no worker takes it now", a.RetryAfter)
+		return rejectedResponse("no worker takes it now", a.RetryAfter)
 	case gateway.ClientClosed:
-		return problem(502, "failed", "an earlier try was given up by its client and may have run", nil)
+		return problemResponse(502, "failed", "an earlier try was given up by its client and may have run", nil)
 	}
 	if a.DeadlineExceeded {
-		return problem(504, "failed", "no answer came in the client's time", nil)
+		return problemResponse(504, "failed", "no answer came in the client's time", nil)
 	}
-	return problem(502, "failed", "the attempts that the call allows are over", nil)
+	return problemResponse(502, "failed", "the attempts that the call allows are over", nil)
 }
 
-// cachedAnswer returns what the replay guard is to remember of the gateway's final answer.
-func cachedAnswer(a gateway.Answer) replayguard.Answer {
+// cacheableAnswer returns the form of the gateway's final answer that the replay guard caches.
+func cacheableAnswer(a gateway.Answer) replayguard.Answer {
 	resp := answerResponse(a)
 	return replayguard.Answer{
 		Rejected: a.Kind == gateway.Rejected,
@@ -56,9 +56,9 @@
 	return &http1.Response{Status: a.Status, Header: contentType(a.Type), Body: a.Body}
 }
 
-// refused returns the response to a call that had no effect: a retry does no harm.
-func refused(detail string, retryAfter time.Duration) *http1.Response {
-	resp := problem(503, "refused", detail, map[string]any{"retry_after_ms": retryAfter.Milliseconds()})
+// rejectedResponse returns the response to a call that had no effect, so that a retry does no harm.
+func rejectedResponse(detail string, retryAfter time.Duration) *http1.Response {
+	resp := problemResponse(503, "refused", detail, map[string]any{"retry_after_ms": retryAfter.Milliseconds()})
 	seconds := int64((retryAfter + time.Second - 1) / time.Second)
 	resp.Header.Add("Retry-After", strconv.FormatInt(seconds, 10))
 	return resp
@@ -70,23 +70,23 @@
 	return http1.Header{{Name: "Content-Type", Value: value}}
 }
 
-// problem returns a response with problem details, which have further members if more is not nil.
-func problem(status int, outcome, detail string, more map[string]any) *http1.Response {
+// problemResponse returns a response with problem details (RFC 9457) and the given extra members.
+func problemResponse(status int, outcome, detail string, extraMembers map[string]any) *http1.Response {
 	return &http1.Response{
 		Status: status,
 		Header: contentType(problemType),
-		Body:   problemBody(status, outcome, detail, more),
+		Body:   problemBody(status, outcome, detail, extraMembers),
 	}
 }
 
-func problemBody(status int, outcome, detail string, more map[string]any) []byte {
+func problemBody(status int, outcome, detail string, extraMembers map[string]any) []byte {
 	members := map[string]any{
 		"type":    "urn:kitehub:problem:" + outcome,
 		"status":  status,
 		"outcome": outcome,
 		"detail":  detail,
 	}
-	maps.Copy(members, more)
+	maps.Copy(members, extraMembers)
 	text, _ := json.Marshal(members) // strings and numbers cannot fail
 	return append(text, '\n')
 }
@@ -103,18 +103,18 @@
 	return details.Outcome
 }
 
-// signed adds the signature of an answer, with the present time. It returns the response as it is if the sender's
-// answers are not signed.
-func (f *Handler) signed(to sender, resp *http1.Response) *http1.Response {
-	if resp == nil || to.signKey == nil || resp.HandOver {
+// sign signs a response with the current time. It returns the response unchanged if responses to
+// the sender are not signed.
+func (h *Handler) sign(recipient sender, resp *http1.Response) *http1.Response {
+	if resp == nil || recipient.signKey == nil || resp.HandOver {
 		return resp
 	}
 	m := signing.Message{
-		ID:    signing.AnswerID(outcomeOf(resp), to.id),
-		Stamp: strconv.FormatInt(f.cfg.Clock.Wall().Unix(), 10),
+		ID:    signing.AnswerID(outcomeOf(resp), recipient.id),
+		Stamp: strconv.FormatInt(h.cfg.Clock.Wall().Unix(), 10),
 		Body:  resp.Body,
 	}
-	signature, err := to.signKey.Sign(m)
+	signature, err := recipient.signKey.Sign(m)
 	if err != nil {
 		return resp
 	}
--- a/internal/ingress/webhook/verify.go
+++ b/internal/ingress/webhook/verify.go
@@ -8,34 +8,35 @@
 	"kitehub/internal/signing"
 )
 
-// A sender is what the signature of a request proves.
+// A sender is what the signature of a request proves about its origin.
 type sender struct {
-	client  int          // its place in the list of clients
-	signKey *signing.Key // for the answer; nil: it is not signed
-	id      string       // of the message
-	stamp   time.Time
+	client    int          // index in the list of clients
+	signKey   *signing.Key // signs the response; nil: it is unsigned
+	id        string
+	timestamp time.Time
 }
 
-const maxIDBytes = 128 // of a webhook-id
+const maxIDBytes = 128
 
-// verify checks the three headers and the signature. fault says what is wrong with them, "" if they are valid.
-func (f *Handler) verify(r *http1.Request) (from sender, fault string) {
-	h := r.Header
-	if h.Count("webhook-id") != 1 || h.Count("webhook-timestamp") != 1 || h.Count("webhook-signature") != 1 {
+// verify checks the three webhook headers and the signature. fault describes what is wrong with
+// them; it is "" if they are valid.
+func (h *Handler) verify(r *http1.Request) (from sender, fault string) {
+	header := r.Header
+	if header.Count("webhook-id") != 1 || header.Count("webhook-timestamp") != 1 || header.Count("webhook-signature") != 1 {
 		return from, "not exactly one webhook-id, webhook-timestamp and webhook-signature"
 	}
-	from.id = h.Get("webhook-id")
+	from.id = header.Get("webhook-id")
 	if !validID(from.id) {
 		return from, "webhook-id is empty, too long, or has a form that is not taken"
 	}
-	stamp := h.Get("webhook-timestamp")
+	timestamp := header.Get("webhook-timestamp")
 	var ok bool
-	if from.stamp, ok = signing.ParseStamp(stamp); !ok {
+	if from.timestamp, ok = signing.ParseStamp(timestamp); !ok {
 		return from, "webhook-timestamp is not a time in seconds"
 	}
-	m := signing.Message{ID: from.id, Stamp: stamp, Body: r.Body}
-	signatures := h.Get("webhook-signature")
-	for i, client := range *f.clients.Load() {
+	m := signing.Message{ID: from.id, Stamp: timestamp, Body: r.Body}
+	signatures := header.Get("webhook-signature")
+	for i, client := range *h.clients.Load() {
 		for _, key := range client.Keys {
 			if !key.Verify(m, signatures) {
 				continue
@@ -51,8 +52,9 @@
 	return from, "no signature is valid"
 }
 
-// validID rejects ids that could be taken for another's in what is signed, which joins its parts with dots, and those
-// of answers.
+// validID rejects IDs that contain a dot or start with signing.AnswerPrefix. The signed content
+// joins its parts with dots, so one with a dot would be ambiguous; the prefix is reserved for the
+// IDs of responses.
 func validID(id string) bool {
 	return id != "" && len(id) <= maxIDBytes && !strings.ContainsAny(id, ". \t") &&
 		!strings.HasPrefix(id, signing.AnswerPrefix)
--- a/internal/ingress/webhook/watermark.go
+++ b/internal/ingress/webhook/watermark.go
@@ -2,44 +2,47 @@
 
 import "time"
 
-// checksPerStep is how often the watermark is examined in the time that one write of it lasts.
-const checksPerStep = 8
+// checksPerWatermarkStep is the number of checks per WatermarkStep, the time that one saved
+// watermark covers.
+const checksPerWatermarkStep = 8
 
 const minCheckInterval = 10 * time.Millisecond
 
-// writeWatermarks writes the watermark ahead of the clock until the front is stopped.
-func (f *Handler) writeWatermarks() {
-	defer f.stopped.Done()
-	ticker := time.NewTicker(max(minCheckInterval, f.cfg.Replay.WatermarkStep/checksPerStep))
+// writeWatermarks keeps the saved watermark ahead of the clock until the Handler is stopped.
+func (h *Handler) writeWatermarks() {
+	defer h.wg.Done()
+	ticker := time.NewTicker(max(minCheckInterval, h.cfg.Replay.WatermarkStep/checksPerWatermarkStep))
 	defer ticker.Stop()
 	for {
 		select {
-		case <-f.stop:
+		case <-h.stop:
 			return
 		case <-ticker.C:
-			if err := f.writeWatermark(); err != nil { // calls are rejected once the present one is used up
-				f.cfg.Log.Error().Err(err).Msg("replay watermark not written")
+			// A failure is not fatal: once the clock reaches the saved watermark, calls are
+			// rejected.
+			if err := h.writeWatermark(); err != nil {
+				h.cfg.Log.Error().Err(err).Msg("replay watermark not written")
 			}
 		}
 	}
 }
 
-// writeWatermark writes the watermark if it is due.
-func (f *Handler) writeWatermark() error {
-	f.mu.Lock()
-	watermark, due := f.guard.WatermarkDue(f.cfg.Clock.Wall())
-	if f.passed || f.resumed != nil { // the file is the successor's
+// writeWatermark saves the watermark if it is due.
+func (h *Handler) writeWatermark() error {
+	h.mu.Lock()
+	watermark, due := h.guard.WatermarkDue(h.cfg.Clock.Wall())
+	if h.handedOver || h.pauseEnded != nil { // the file belongs to the successor
 		due = false
 	}
-	f.mu.Unlock()
+	h.mu.Unlock()
 	if !due {
 		return nil
 	}
-	if err := f.cfg.Watermark.Save(watermark); err != nil {
+	if err := h.cfg.Watermark.Save(watermark); err != nil {
 		return err
 	}
-	f.mu.Lock()
-	f.guard.WatermarkSaved(watermark)
-	f.mu.Unlock()
+	h.mu.Lock()
+	h.guard.WatermarkSaved(watermark)
+	h.mu.Unlock()
 	return nil
 }
--- a/internal/ingress/webhook/markfile.go
+++ b/internal/ingress/webhook/watermarkfile.go
@@ -13,20 +13,22 @@
 
 // A WatermarkStore keeps the replay guard's watermark across restarts.
 type WatermarkStore interface {
-	// Load returns the watermark, the zero time if there is none.
+	// Load returns the watermark, or the zero time if there is none.
 	Load() (time.Time, error)
-	// Save returns when the watermark would survive a crash.
+	// Save returns once the watermark would survive a crash.
 	Save(time.Time) error
 }
 
-// WatermarkFile is a MarkFile, by its name in a folder that exists. A watermark is written to a second file, synced and
-// renamed, and the folder synced: a crash at any point leaves the old or the new one, complete.
+// A WatermarkFile is a WatermarkStore given by the name of a file in an existing directory. Save
+// writes a temporary file, syncs it, renames it and syncs the directory: a crash at any point
+// leaves either the old or the new watermark, complete.
 type WatermarkFile string
 
-// markHead begins the file; the Unix seconds and a line feed follow.
-const markHead = "kitehub replay mark 1 "
+// watermarkFileHeader is the start of the file; the Unix time in seconds and a line feed follow.
+const watermarkFileHeader = "kitehub replay mark 1 "
 
-// Load reads the watermark. A file that is not complete is an error: a start without a watermark would allow replays.
+// Load reads the watermark. An incomplete or malformed file is an error, because starting without
+// the watermark would allow replays.
 func (f WatermarkFile) Load() (time.Time, error) {
 	text, err := os.ReadFile(string(f))
 	if errors.Is(err, fs.ErrNotExist) {
@@ -35,10 +37,10 @@
 	if err != nil {
 		return time.Time{}, err
 	}
-	digits := strings.TrimSuffix(strings.TrimPrefix(string(text), markHead), "\n")
+	digits := strings.TrimSuffix(strings.TrimPrefix(string(text), watermarkFileHeader), "\n")
 	seconds, err := strconv.ParseInt(digits, 10, 64)
-	if err != nil || seconds < 0 || string(text) != markHead+strconv.FormatInt(seconds, 10)+"\n" {
-		return time.Time{}, fmt.Errorf("%s: not a replay mark; restore it, "+
+	if err != nil || seconds < 0 || string(text) != watermarkFileHeader+strconv.FormatInt(seconds, 10)+"\n" {
+		return time.Time{}, fmt.Errorf("%s: not a valid replay watermark; restore it, "+
 			"or remove it once no message signed before now is within the tolerance", string(f))
 	}
 	return time.Unix(seconds, 0), nil
@@ -51,7 +53,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = fmt.Fprintf(temp, "%s%d\n", markHead, t.Unix())
+	_, err = fmt.Fprintf(temp, "%s%d\n", watermarkFileHeader, t.Unix())
 	if err == nil {
 		err = temp.Sync()
 	}
--- a/internal/ingress/webhook/markfile_test.go
+++ b/internal/ingress/webhook/watermarkfile_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// savedFile returns a mark file in a folder of its own, with a watermark saved.
+// savedFile returns a watermark file in a directory of its own, with a watermark saved.
 func savedFile(t *testing.T, seconds int64) WatermarkFile {
 	t.Helper()
 	f := WatermarkFile(filepath.Join(t.TempDir(), "mark"))
@@ -20,7 +20,7 @@
 func expectWatermark(t *testing.T, f WatermarkFile, seconds int64) {
 	t.Helper()
 	if watermark, err := f.Load(); err != nil || watermark.Unix() != seconds {
-		t.Errorf("%v %v, want %d", watermark, err, seconds)
+		t.Errorf("watermark %v, error %v; want %d", watermark, err, seconds)
 	}
 }
 
@@ -40,7 +40,7 @@
 	expectWatermark(t, f, 1700000009)
 }
 
-// A truncated file is an error, never a start without a watermark.
+// Loading a truncated file fails; it is never taken for a missing one, which would allow replays.
 func TestTruncatedFileIsRejected(t *testing.T) {
 	f := savedFile(t, 1700000009)
 	complete, err := os.ReadFile(string(f))
@@ -52,18 +52,18 @@
 			t.Fatal(err)
 		}
 		if watermark, err := f.Load(); err == nil {
-			t.Errorf("truncated at byte %d: accepted as %v", size, watermark)
+			t.Errorf("truncated to %d bytes: loaded as %v", size, watermark)
 		}
 	}
 }
 
 func TestFailedSaveKeepsPreviousWatermark(t *testing.T) {
 	f := savedFile(t, 1700000009)
-	if err := os.Mkdir(string(f)+".new", 0o700); err != nil { // the second file cannot be written
+	if err := os.Mkdir(string(f)+".new", 0o700); err != nil { // blocks the temporary file
 		t.Fatal(err)
 	}
 	if err := f.Save(time.Unix(1800000000, 0)); err == nil {
-		t.Error("saved although it could not be written")
+		t.Error("Save succeeded without a temporary file")
 	}
 	expectWatermark(t, f, 1700000009)
 }
