--- a/internal/controller/operator.go
+++ b/internal/controller/operator.go
@@ -22,10 +22,10 @@
 	rc.Log = c.log
 	rc.Operator = operator{c}
 	rc.Deadline = c.frontConfig.Deadline
-	rc.Effect = c.frontConfig.Idempotency
+	rc.Idempotency = c.frontConfig.Idempotency
 	rc.Models = c.frontConfig.Models
 	if c.options.Predecessor != nil {
-		rc.After = c.options.Clock.Now()
+		rc.TakeoverTime = c.options.Clock.Now()
 	}
 	c.RPC = jsonrpc.New(rc)
 	c.events.rpc.Store(c.RPC)
@@ -52,15 +52,15 @@
 
 // Status is the result of the operators' method status.
 type Status struct {
-	Name     string           `json:"name"`
-	PID      int              `json:"pid"`
-	Open     int              `json:"open"` // calls in flight
-	Draining bool             `json:"draining"`
-	Answers  map[string]int64 `json:"answers"` // by kind, since the start
-	RPC      map[string]int64 `json:"rpc"`
-	Hooks    map[string]int64 `json:"hooks,omitempty"`
-	StepUS   float64          `json:"mean_step_us"` // mean time of a step of the dispatcher, in microseconds
-	Crashes  int64            `json:"module_crashes"`
+	Name           string           `json:"name"`
+	PID            int              `json:"pid"`
+	InFlight       int              `json:"open"` // calls in flight
+	Draining       bool             `json:"draining"`
+	Answers        map[string]int64 `json:"answers"` // by kind, since the start
+	RPC            map[string]int64 `json:"rpc"`
+	Hooks          map[string]int64 `json:"hooks,omitempty"`
+	MeanStepMicros float64          `json:"mean_step_us"` // mean time of a step of the dispatcher, in microseconds
+	ModuleCrashes  int64            `json:"module_crashes"`
 }
 
 // operator carries out the operators' methods. It implements jsonrpc's Operator, and is safe for concurrent use.
@@ -106,7 +106,7 @@
 	case "hooks", "hook.load", "hook.promote", "hook.rollback", "hook.release", "hook.remove":
 		return errNoHooks
 	}
-	return jsonrpc.ErrMethod
+	return jsonrpc.ErrUnknownMethod
 }
 
 func (op operator) explain(params func(any) error) (any, error) {
@@ -118,7 +118,7 @@
 	}
 	x, ok, err := op.controller.Gateway.Explain(p.ID)
 	if err == nil && !ok {
-		err = fmt.Errorf("%w: no call %q in hand or among the last", jsonrpc.ErrUnknown, p.ID)
+		err = fmt.Errorf("%w: no call %q in hand or among the last", jsonrpc.ErrUnknownObject, p.ID)
 	}
 	return x, err
 }
@@ -128,7 +128,7 @@
 	s := Status{
 		Name:     c.built.Name,
 		PID:      os.Getpid(),
-		Open:     c.Gateway.OpenRequests(),
+		InFlight: c.Gateway.OpenRequests(),
 		Draining: c.draining.Load(),
 		Answers: map[string]int64{
 			"served":  counts.Served.Load(),
@@ -138,8 +138,8 @@
 			"left":    counts.Superseded.Load(),
 			"turned":  counts.OverCapacity.Load(),
 		},
-		StepUS:  float64(counts.StepNanos.Load()) / 1e3 / float64(max(1, counts.Steps.Load())),
-		Crashes: counts.Panics.Load(),
+		MeanStepMicros: float64(counts.StepNanos.Load()) / 1e3 / float64(max(1, counts.Steps.Load())),
+		ModuleCrashes:  counts.Panics.Load(),
 	}
 	if c.RPC != nil {
 		s.RPC = rpcStatus(c.RPC)
@@ -156,14 +156,14 @@
 		"connections": counts.Connections.Load(),
 		"denied":      counts.Denied.Load(),
 		"messages":    counts.Messages.Load(),
-		"bad":         counts.Bad.Load(),
+		"bad":         counts.Malformed.Load(),
 		"calls":       counts.Calls.Load(),
 		"cancelled":   counts.Cancelled.Load(),
 		"joined":      counts.Joined.Load(),
-		"kept":        counts.Kept.Load(),
+		"kept":        counts.Cached.Load(),
 		"events":      counts.Events.Load(),
-		"events_lost": counts.EventsLost.Load(),
-		"cut":         counts.Cut.Load(),
+		"events_lost": counts.EventsDropped.Load(),
+		"cut":         counts.WriteFailures.Load(),
 	}
 }
 
@@ -215,10 +215,10 @@
 	case "hook.remove":
 		err = engine.Remove(p.Name)
 	default:
-		return nil, jsonrpc.ErrMethod
+		return nil, jsonrpc.ErrUnknownMethod
 	}
 	if errors.Is(err, hookengine.ErrUnknown) {
-		err = fmt.Errorf("%w: %s", jsonrpc.ErrUnknown, p.Name)
+		err = fmt.Errorf("%w: %s", jsonrpc.ErrUnknownObject, p.Name)
 	}
 	return "ok", err
 }
--- a/internal/controller/rpc_test.go
+++ b/internal/controller/rpc_test.go
@@ -188,7 +188,7 @@
 	if got := l.request(call("1", "safe-1", "")); !strings.Contains(got, "result") {
 		t.Fatal(got)
 	}
-	if lost := c.RPC.Counts.EventsLost.Load(); lost == 0 {
+	if lost := c.RPC.Counts.EventsDropped.Load(); lost == 0 {
 		t.Error("no event is lost: nothing is shown")
 	}
 	for i := 0; ; i++ {
@@ -276,7 +276,7 @@
 func TestRPCHalfFrame(t *testing.T) {
 	h := newHarness(t, 1, nil)
 	b := h.configure("c", withRPC(h, "")...)
-	b.RPC.Half = 30 * ms
+	b.RPC.MessageTimeout = 30 * ms
 	c := h.start(b)
 	l := dial(t, h)
 	l.nc.Write([]byte(call("1", "unsafe-1", "")))
@@ -313,15 +313,15 @@
 	}
 	write("a", "on arrive(c) {")
 	write("b", "on ended(e) { log(\"b\") }")
-	if err := c.SetScripts(cfg); err == nil || !strings.Contains(err.Error(), "a.hook:1:15") {
+	if err := c.ReloadScripts(cfg); err == nil || !strings.Contains(err.Error(), "a.hook:1:15") {
 		t.Error(err)
 	}
-	o, _ := c.Hooks().Overview()
+	o, _ := c.HookEngine().Overview()
 	if len(o.Scripts) != 2 || o.Scripts[0].Live != 1 || o.Scripts[1].Live != 3 {
 		t.Errorf("%+v", o.Scripts)
 	}
 	write("a", "on arrive(c) {}")
-	if err := c.SetScripts(cfg); err != nil {
+	if err := c.ReloadScripts(cfg); err != nil {
 		t.Error(err)
 	}
 	if got := l.request(call("1", "safe-1", "")); !strings.Contains(got, "result") {
--- a/internal/ingress/webhook/boundresponse.go
+++ b/internal/ingress/webhook/boundresponse.go
@@ -47,7 +47,7 @@
 		return h.sign(m.sender, answerResponse(gateway.Answer{Kind: gateway.Failed, Verdict: verdict}))
 	}
 	h.mu.Lock()
-	h.guard.Withdraw(m.key) // a retry is executed as a new call
+	h.guard.InvalidateAnswer(m.key) // a retry is executed as a new call
 	h.mu.Unlock()
 	return h.sign(m.sender, answerResponse(gateway.Answer{Kind: gateway.Rejected, Verdict: verdict}))
 }
--- a/internal/ingress/webhook/call.go
+++ b/internal/ingress/webhook/call.go
@@ -152,7 +152,7 @@
 	if h.inFlight[key] == call {
 		delete(h.inFlight, key)
 	}
-	h.guard.Ended(key, cached)
+	h.guard.Complete(key, cached)
 	if h.onCallEnd != nil {
 		h.onCallEnd(key, cached)
 	}
--- a/internal/ingress/webhook/handover.go
+++ b/internal/ingress/webhook/handover.go
@@ -48,14 +48,14 @@
 func (h *Handler) Ended(key replayguard.Key, answer replayguard.Answer) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.guard.Ended(key, answer)
+	h.guard.Complete(key, answer)
 }
 
 // EndedUncached records the end of such a call whose answer was not handed over.
 func (h *Handler) EndedUncached(key replayguard.Key) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.guard.EndedUncached(key)
+	h.guard.CompleteUncached(key)
 }
 
 // Abandoned records that the previous process ended with these calls in flight: whether they were
--- a/internal/ingress/webhook/message.go
+++ b/internal/ingress/webhook/message.go
@@ -69,13 +69,13 @@
 	case replayguard.Replay:
 		h.Counts.Replayed.Add(1)
 		return problemResponse(409, "replayed", "this message was taken before", nil)
-	case replayguard.Reused:
+	case replayguard.IDReused:
 		h.Counts.Reused.Add(1)
 		return problemResponse(422, "reused", "the webhook-id was used for another call", nil)
 	case replayguard.Stale, replayguard.Early:
 		h.Counts.Stale.Add(1)
 		return problemResponse(401, "forged", "webhook-timestamp is too old or too far ahead", nil)
-	case replayguard.Unsettled:
+	case replayguard.PossibleReplay:
 		h.Counts.Unsettled.Add(1)
 		return rejectedResponse("this message may have been taken before a restart: sign it again with the present time",
 			a.retryAfter)
@@ -118,7 +118,7 @@
 // admit asks the replay guard about a message, once no pause is in effect. It returns false if a
 // successor process is to serve the message.
 func (h *Handler) admit(m message) (a admission, ok bool) {
-	signed := replayguard.Message{Key: m.key, Stamp: m.timestamp, Digest: m.digest()}
+	signed := replayguard.Message{Key: m.key, Timestamp: m.timestamp, Digest: m.digest()}
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for h.pauseEnded != nil {
--- a/internal/ingress/webhook/verify.go
+++ b/internal/ingress/webhook/verify.go
@@ -31,10 +31,10 @@
 	}
 	timestamp := header.Get("webhook-timestamp")
 	var ok bool
-	if from.timestamp, ok = signing.ParseStamp(timestamp); !ok {
+	if from.timestamp, ok = signing.ParseTimestamp(timestamp); !ok {
 		return from, "webhook-timestamp is not a time in seconds"
 	}
-	m := signing.Message{ID: from.id, Stamp: timestamp, Body: r.Body}
+	m := signing.Message{ID: from.id, Timestamp: timestamp, Body: r.Body}
 	signatures := header.Get("webhook-signature")
 	for i, client := range *h.clients.Load() {
 		for _, key := range client.Keys {
@@ -52,10 +52,10 @@
 	return from, "no signature is valid"
 }
 
-// validID rejects IDs that contain a dot or start with signing.AnswerPrefix. The signed content
+// validID rejects IDs that contain a dot or start with signing.AnswerIDPrefix. The signed content
 // joins its parts with dots, so one with a dot would be ambiguous; the prefix is reserved for the
 // IDs of responses.
 func validID(id string) bool {
 	return id != "" && len(id) <= maxIDBytes && !strings.ContainsAny(id, ". \t") &&
-		!strings.HasPrefix(id, signing.AnswerPrefix)
+		!strings.HasPrefix(id, signing.AnswerIDPrefix)
 }
