--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -29,7 +29,7 @@
 	Handler        Handler
 	Limits         Limits
 	MaxConnections int          // open at once; further ones are answered 503 and closed. 0: 10,000
-	Rejected       atomic.Int64 // connections answered 503: beyond MaxConnections, or after Drain
+	Rejected       atomic.Int64 // connections answered 503: beyond MaxConnections, or while stopping
 	AcceptBackoffs atomic.Int64 // waits after a failed accept, mostly for want of file descriptors
 
 	mu       sync.Mutex
--- a/internal/http1/server_test.go
+++ b/internal/http1/server_test.go
@@ -74,7 +74,7 @@
 			for i, want := range []string{"a", "", "c"} {
 				resp := read(t, br)
 				if string(resp.Body) != want || resp.Header.Get("X-Path") != fmt.Sprintf("/%d", i+1) {
-					t.Errorf("answer %d: %q", i, resp.Body)
+					t.Errorf("response %d: %q", i, resp.Body)
 				}
 			}
 		}
--- a/internal/ingress/bind.go
+++ b/internal/ingress/bind.go
@@ -32,7 +32,7 @@
 	Models      Models
 	Idempotency func(class int) scheduler.Idempotency
 	Clock       clock.Clock
-	Restarts    *atomic.Int64 // number of times that a call was started anew
+	Restarts    *atomic.Int64 // counts restarts of calls
 }
 
 // A BoundCall is a call of a model that a Binder runs.
@@ -52,12 +52,12 @@
 }
 
 // Run resolves a call's alias and submits the call. If the alias leaves the version before the call
-// is answered, the call is started anew or ended, as registry.AfterSuperseded and
-// registry.WithoutLease decide. Run does not block, so it may be called from where an answer is
+// is answered, the call is restarted under the new version or ended, as registry.AfterSuperseded
+// and registry.WithoutLease decide. Run does not block, so it may be called from where an answer is
 // delivered.
 func (b *Binder) Run(c *BoundCall) { b.run(c, 0) }
 
-// run runs a call that has already been started anew the given number of times.
+// run runs a call that has been restarted the given number of times.
 func (b *Binder) run(c *BoundCall, restarts int) {
 	function, binding, verdict := b.Models.Bind(c.Model, c.Alias)
 	if verdict != registry.Allowed {
@@ -83,8 +83,8 @@
 	return gateway.Answer{Kind: gateway.Rejected, Verdict: registry.NoLease, RetryAfter: time.Second}
 }
 
-// deliver delivers the answer of a call, unless the call is started anew. The binding of a served
-// call ends when its answer has been written, that of any other at once.
+// deliver delivers the answer of a call, unless the call is restarted. The binding of a served call
+// ends when its answer has been written, that of any other at once.
 func (b *Binder) deliver(c *BoundCall, class int, binding *gateway.VersionBinding, a gateway.Answer) {
 	unbind := func() {
 		b.Models.Unbind(*binding, a.Kind == gateway.Served || a.Kind == gateway.Failed, a.Kind == gateway.Failed)
--- a/internal/ingress/bind_test.go
+++ b/internal/ingress/bind_test.go
@@ -95,8 +95,7 @@
 	}
 }
 
-// Whether a call whose alias migrates is started anew depends on whether executing it again does
-// harm.
+// Whether a call whose alias migrates is restarted depends on whether executing it again does harm.
 func TestCallWhoseAliasMigrates(t *testing.T) {
 	served := gateway.Answer{Kind: gateway.Served}
 	migrated := gateway.Answer{Kind: gateway.Superseded, Verdict: registry.Superseded}
--- a/internal/ingress/webhook/handler.go
+++ b/internal/ingress/webhook/handler.go
@@ -71,7 +71,7 @@
 	UnknownFunction atomic.Int64 // that name no known function
 	AtCapacity      atomic.Int64 // too many ids remembered, or requests waiting for the call
 
-	Restarted atomic.Int64 // calls started anew because their alias migrated
+	Restarted atomic.Int64 // calls restarted because their alias migrated
 	Withheld  atomic.Int64 // answers not written because their version may no longer answer
 }
 
