--- a/internal/ingress/jsonrpc/answer.go
+++ b/internal/ingress/jsonrpc/answer.go
@@ -8,7 +8,8 @@
 	"kitehub/internal/registry"
 )
 
-// deliver queues the answer to a call request for writing. It does not block; a second answer is dropped.
+// deliver queues the answer to a call request for writing. It does not block. Only the first answer
+// to a request is queued, and none after the connection has ended.
 func (r *callRequest) deliver(a gateway.Answer, b *gateway.VersionBinding, written func()) {
 	c := r.conn
 	queued := response{calls: 1, render: func() ([]byte, time.Duration, func()) { return r.render(a, b, written) }}
@@ -18,7 +19,7 @@
 	if c.calls[string(r.id)] == r.pending {
 		delete(c.calls, string(r.id))
 	}
-	if repeated || c.ended { // nobody reads it
+	if repeated || c.ended { // the client does not read this answer
 		c.mu.Unlock()
 		if written != nil {
 			written()
@@ -34,20 +35,21 @@
 	}
 }
 
-// render renders an answer as it is written. Whether that of a version may still be written is checked then, as the
-// alias may have moved meanwhile; if it may not, a rejection or a failure is written instead.
+// render encodes an answer when its turn to be written comes. An answer of a version is checked
+// again at that moment, as the alias may have been migrated since the call ended. If the answer may
+// not be written any more, a rejection or a failure is written instead.
 func (r *callRequest) render(a gateway.Answer, b *gateway.VersionBinding, written func()) (
 	text []byte, timeout time.Duration, done func(),
 ) {
 	if a.Kind != gateway.Served || b == nil {
-		return reply(r.id, result(a, nil), failure(a)), 0, written
+		return encodeResponse(r.id, callResult(a, nil), callError(a)), 0, written
 	}
 	s := r.conn.server
 	ended, timeout, verdict := s.cfg.Models.Begin(*b)
 	if verdict != registry.Allowed {
-		return reply(r.id, nil, failure(s.withheld(r, verdict))), 0, written
+		return encodeResponse(r.id, nil, callError(s.withholdAnswer(r, verdict))), 0, written
 	}
-	return reply(r.id, result(a, b), nil), timeout, func() {
+	return encodeResponse(r.id, callResult(a, b), nil), timeout, func() {
 		ended()
 		if written != nil {
 			written()
@@ -55,8 +57,9 @@
 	}
 }
 
-// withheld returns the answer in place of one whose version may no longer answer.
-func (s *Server) withheld(r *callRequest, verdict registry.Verdict) gateway.Answer {
+// withholdAnswer returns the answer to send in place of one whose version may no longer answer. If
+// a retry may be executed, it also forgets the cached answer of the request's idempotency key.
+func (s *Server) withholdAnswer(r *callRequest, verdict registry.Verdict) gateway.Answer {
 	s.Counts.Withheld.Add(1)
 	if registry.WithoutLease(s.cfg.Idempotency(r.class), false, true) == registry.Fail {
 		return gateway.Answer{Kind: gateway.Failed, Verdict: verdict}
@@ -69,8 +72,8 @@
 	return gateway.Answer{Kind: gateway.Rejected, Verdict: verdict}
 }
 
-// result returns the result of a call that was served, else nil.
-func result(a gateway.Answer, b *gateway.VersionBinding) any {
+// callResult returns the JSON-RPC result of a call that was served, or nil.
+func callResult(a gateway.Answer, b *gateway.VersionBinding) any {
 	if a.Kind != gateway.Served {
 		return nil
 	}
@@ -87,13 +90,13 @@
 	return members
 }
 
-// failure returns the error of a call that was not served, else nil.
-func failure(a gateway.Answer) *Error {
+// callError returns the JSON-RPC error of a call that was not served, or nil.
+func callError(a gateway.Answer) *Error {
 	switch {
 	case a.Kind == gateway.Served:
 		return nil
 	case a.Kind == gateway.Rejected:
-		return refusal(CodeRejected, rejectionReason(a.Verdict), a.RetryAfter)
+		return rejection(CodeRejected, rejectionReason(a.Verdict), a.RetryAfter)
 	case a.Kind == gateway.ClientClosed:
 		data := map[string]any{"outcome": "gone", "may_have_run": a.MayHaveRun}
 		return &Error{Code: CodeCancelled, Message: "cancelled", Data: data}
@@ -105,6 +108,7 @@
 	return outcomeError(CodeFailed, "the attempts that the call allows are over", "failed")
 }
 
+// rejectionReason describes why the registry or the scheduler rejected a call.
 func rejectionReason(v registry.Verdict) string {
 	switch v {
 	case registry.Superseded:
@@ -117,13 +121,13 @@
 	return "no worker takes it now"
 }
 
-// refusal returns the error of a call that had no effect: a retry does no harm.
-func refusal(code int, message string, retryAfter time.Duration) *Error {
+// rejection returns the error of a call that had no effect, so that the client may retry it safely.
+func rejection(code int, message string, retryAfter time.Duration) *Error {
 	data := map[string]any{"outcome": "refused", "retry_after_ms": retryAfter.Milliseconds()}
 	return &Error{Code: code, Message: message, Data: data}
 }
 
-// outcomeError returns an error with an outcome.
+// outcomeError returns an error whose data names the outcome of the call.
 func outcomeError(code int, message, outcome string) *Error {
 	return &Error{Code: code, Message: message, Data: map[string]any{"outcome": outcome}}
 }
--- a/internal/ingress/jsonrpc/batch.go
+++ b/internal/ingress/jsonrpc/batch.go
@@ -5,27 +5,29 @@
 	"time"
 )
 
-// A batch is a line with several requests. It is answered in one line when all of them are.
+// A batch is a message with several requests. Their responses are sent as one message, once all
+// requests have been handled.
 type batch struct {
 	conn *conn
 
-	mu        sync.Mutex
-	missing   int // requests not answered yet
-	responses []response
-	calls     int // that the responses answer
+	mu         sync.Mutex
+	unanswered int // requests that have not been handled yet
+	responses  []response
+	calls      int // number of calls that the responses answer
 }
 
-// add adds the response to one request; nil if it has none.
+// add adds the response to one request, or nil for a notification, which has none. After the last
+// one it queues the batch for writing.
 func (b *batch) add(r *response) {
 	b.mu.Lock()
 	if r != nil {
 		b.responses = append(b.responses, *r)
 		b.calls += r.calls
 	}
-	b.missing--
-	ready := b.missing == 0
+	b.unanswered--
+	ready := b.unanswered == 0
 	b.mu.Unlock()
-	if !ready || len(b.responses) == 0 { // all of them may be notifications
+	if !ready || len(b.responses) == 0 { // nothing is sent if all requests were notifications
 		return
 	}
 	b.conn.mu.Lock()
@@ -33,7 +35,7 @@
 	b.conn.queue(response{calls: b.calls, render: b.render})
 }
 
-// render renders all responses as an array. The write may take the shortest time that one of them allows.
+// render encodes the responses as an array. Its timeout is the shortest one of all responses.
 func (b *batch) render() (text []byte, timeout time.Duration, done func()) {
 	text = []byte{'['}
 	var dones []func()
--- a/internal/ingress/jsonrpc/call.go
+++ b/internal/ingress/jsonrpc/call.go
@@ -12,47 +12,48 @@
 	"kitehub/scheduler"
 )
 
-// callParams are those of the method "call".
+// callParams are the params of the method "call".
 type callParams struct {
-	Function string          `json:"function"` // or "model@alias"
+	Function string          `json:"function"` // a function's name or "model@alias"
 	Body     json.RawMessage `json:"body"`
-	WaitMS   int64           `json:"wait_ms"`  // how long the client waits; 0: the class's deadline
-	Key      string          `json:"key"`      // idempotency key, for classes that have one
-	Retry    bool            `json:"retry"`    // the client has sent it before
+	WaitMS   int64           `json:"wait_ms"`  // the client's timeout; 0: the class's deadline
+	Key      string          `json:"key"`      // idempotency key, if calls of the class have one
+	Retry    bool            `json:"retry"`    // the client has sent this call before
 	Progress bool            `json:"progress"` // notify the client of each attempt
-	Trace    string          `json:"trace"`    // trace id, 32 hex digits
+	Trace    string          `json:"trace"`    // trace ID, 32 hex digits
 }
 
-const maxKey = 128 // bytes of an idempotency key
+const maxKeyBytes = 128 // of an idempotency key
 
-// A callRequest is one request for a call, with what its answer needs.
+// A callRequest is a client's request for a call, with what is needed to respond to it.
 type callRequest struct {
 	conn    *conn
 	id      json.RawMessage
-	batch   *batch // nil: it came alone
+	batch   *batch // nil: the request was not part of a batch
 	pending *pendingCall
 	class   int
-	key     string // idempotency key, unique over clients; "": none
+	key     string // idempotency key, prefixed with the user's name; "": none
 }
 
-// A submission is a call for the gateway, whose function may still have to be bound to a version.
+// A submission is a call for the gateway. If its function has versions, the call still has to be
+// bound to one of them.
 type submission struct {
 	call     gateway.Call
 	function *gateway.Function
-	alias    string // of the function's versions; "" if it has none
+	alias    string // selects a version of the function; "" if it has no versions
 }
 
-// A deliverFunc takes the answer to a call; b is its version, nil if there is none, and written is called when the
-// answer has been written, or never will be; nil: nobody waits for that.
+// A deliverFunc receives the answer to a call. b is the version that the call was bound to, or nil.
+// written, if not nil, must be called when the answer has been written or is known never to be.
 type deliverFunc func(a gateway.Answer, b *gateway.VersionBinding, written func())
 
-// call starts a call. It returns an error if the call is not accepted; otherwise the call is answered when it has
-// ended.
-func (c *conn) call(r request, b *batch) *Error {
+// startCall validates and starts a call. If it returns an error, the call was not accepted;
+// otherwise the response follows when the call has ended.
+func (c *conn) startCall(r request, b *batch) *Error {
 	s := c.server
 	s.waitWhilePaused()
 	var p callParams
-	if e := params(r.Params, &p); e != nil {
+	if e := decodeParams(r.Params, &p); e != nil {
 		return e
 	}
 	if e := c.checkCall(r, p); e != nil {
@@ -60,7 +61,7 @@
 	}
 	function, alias := ingress.Resolve(s.cfg.Functions, s.cfg.Models, p.Function)
 	if function == nil {
-		return problem(CodeNotFound, "no such function")
+		return errorf(CodeNotFound, "no such function")
 	}
 	if e := s.checkKey(function.Class, p.Key); e != nil {
 		return e
@@ -72,7 +73,7 @@
 	s.Counts.Calls.Add(1)
 	sub := submission{call: c.gatewayCall(r.ID, function, p), function: function, alias: alias}
 	request := callRequest{conn: c, id: r.ID, batch: b, pending: pending, class: function.Class}
-	pending.answer = func() {
+	pending.answerCancelled = func() {
 		request.deliver(gateway.Answer{Kind: gateway.ClientClosed, MayHaveRun: true}, nil, nil)
 	}
 	if s.cfg.Idempotency(function.Class) != scheduler.IdempotentWithKey {
@@ -88,68 +89,70 @@
 	return nil
 }
 
-// checkCall checks what of a call does not depend on its function.
+// checkCall checks what can be checked before the function is resolved.
 func (c *conn) checkCall(r request, p callParams) *Error {
 	switch {
 	case r.ID == nil:
-		return problem(CodeInvalidRequest, "a call has an id: its answer would go nowhere")
+		return errorf(CodeInvalidRequest, "a call has an id: its answer would go nowhere")
 	case !c.user.MayCall:
-		return problem(CodeDenied, "%s may not call", c.user.Name)
+		return errorf(CodeDenied, "%s may not call", c.user.Name)
 	case c.server.closing.Load():
-		return refusal(CodeRejected, "stopping: another controller takes calls", time.Second)
-	case p.WaitMS < 0 || p.WaitMS > maxSafe:
-		return problem(CodeInvalidParams, "wait_ms: %d is not from 0 to 2^53", p.WaitMS)
+		return rejection(CodeRejected, "stopping: another controller takes calls", time.Second)
+	case p.WaitMS < 0 || p.WaitMS > maxSafeInteger:
+		return errorf(CodeInvalidParams, "wait_ms: %d is not from 0 to 2^53", p.WaitMS)
 	case len(p.Body) == 0:
-		return problem(CodeInvalidParams, "body: missing")
-	case len(p.Key) > maxKey:
-		return problem(CodeInvalidParams, "key: more than %d bytes", maxKey)
+		return errorf(CodeInvalidParams, "body: missing")
+	case len(p.Key) > maxKeyBytes:
+		return errorf(CodeInvalidParams, "key: more than %d bytes", maxKeyBytes)
 	}
 	return nil
 }
 
-// checkKey checks whether a call of the class may have this idempotency key, or none, at this time.
+// checkKey checks that a call has an idempotency key if and only if its class requires one, and
+// that this process may already accept keys.
 func (s *Server) checkKey(class int, key string) *Error {
 	keyed := s.cfg.Idempotency(class) == scheduler.IdempotentWithKey
 	switch {
 	case keyed && key == "":
-		return problem(CodeInvalidParams, "key: a call of this class has one")
+		return errorf(CodeInvalidParams, "key: a call of this class has one")
 	case !keyed && key != "":
-		return problem(CodeInvalidParams, "key: a call of this class has none")
+		return errorf(CodeInvalidParams, "key: a call of this class has none")
 	case !keyed || s.cfg.TakeoverTime <= 0:
 		return nil
 	}
-	// The previous process accepted calls until After, each for its deadline at most, and may have run one with this
-	// key.
-	left := s.cfg.TakeoverTime + s.cfg.Deadline(class) + s.cfg.KeyWindow(class) - s.cfg.Clock.Now()
-	if left > 0 {
-		return refusal(CodeRejected, "the process before may have run this key", left+time.Millisecond)
+	// The previous process accepted calls until TakeoverTime. One of them may have run with this
+	// key as late as its deadline, and the key window begins then.
+	remaining := s.cfg.TakeoverTime + s.cfg.Deadline(class) + s.cfg.KeyWindow(class) - s.cfg.Clock.Now()
+	if remaining > 0 {
+		return rejection(CodeRejected, "the process before may have run this key", remaining+time.Millisecond)
 	}
 	return nil
 }
 
-// addCall adds a call in flight.
+// addCall registers a call in flight, unless its ID is in use or the connection has too many calls.
 func (c *conn) addCall(id string, pending *pendingCall) *Error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.calls[id] != nil {
-		return problem(CodeInvalidRequest, "a call with this id is in hand")
+		return errorf(CodeInvalidRequest, "a call with this id is in hand")
 	}
-	if c.unwritten >= c.server.cfg.MaxCalls {
-		return refusal(CodeBusy, "too many calls of this connection are in hand", 100*time.Millisecond)
+	if c.unwrittenCalls >= c.server.cfg.MaxCalls {
+		return rejection(CodeBusy, "too many calls of this connection are in hand", 100*time.Millisecond)
 	}
 	c.calls[id] = pending
-	c.unwritten++
+	c.unwrittenCalls++
 	return nil
 }
 
-// removeCall removes a call that was not accepted.
+// removeCall unregisters a call that was not accepted.
 func (c *conn) removeCall(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.calls, id)
-	c.unwritten--
+	c.unwrittenCalls--
 }
 
+// gatewayCall returns the call to submit to the gateway for a client's request.
 func (c *conn) gatewayCall(id json.RawMessage, function *gateway.Function, p callParams) gateway.Call {
 	timeout := c.server.cfg.Deadline(function.Class)
 	if p.WaitMS > 0 && p.WaitMS < timeout.Milliseconds() {
@@ -167,7 +170,7 @@
 	}
 	if p.Progress {
 		call.Progress = func(attempt int, worker string, load bool) {
-			text := notification("progress", map[string]any{
+			text := encodeNotification("progress", map[string]any{
 				"id":       id,
 				"attempt":  attempt + 1,
 				"worker":   worker,
@@ -181,7 +184,8 @@
 	return call
 }
 
-// traceID returns the trace id that a client gave, or a random one.
+// traceID returns the trace ID that the client sent, or a random one if that is missing or
+// malformed.
 func traceID(text string) (id [16]byte) {
 	if n, err := hex.Decode(id[:], []byte(text)); len(text) != 2*len(id) || err != nil || n != len(id) {
 		rand.Read(id[:])
@@ -189,7 +193,8 @@
 	return id
 }
 
-// submit hands a call to the gateway, bound to a version if its function has versions. pending belongs to c.
+// submit submits a call to the gateway, bound to a version if its function has versions. pending
+// belongs to connection c.
 func (s *Server) submit(c *conn, pending *pendingCall, sub submission, deliver deliverFunc) {
 	submit := func(call *gateway.Call) { s.submitBound(c, pending, call) }
 	if !sub.function.IsModel {
@@ -212,7 +217,8 @@
 	})
 }
 
-// submitBound hands a call to the gateway, and cancels it if it has been abandoned meanwhile.
+// submitBound submits a call to the gateway, and cancels it if it has been abandoned in the
+// meantime.
 func (s *Server) submitBound(c *conn, pending *pendingCall, call *gateway.Call) {
 	id, accepted := s.cfg.Gateway.Submit(call)
 	if !accepted {
@@ -229,16 +235,17 @@
 	}
 }
 
-// leave ends the wait for a call, because its connection has ended or the client cancels it.
-func (s *Server) leave(c *conn, pending *pendingCall) {
-	if pending.leave != nil {
-		pending.leave()
+// stopWaiting ends a request's wait for a call, because its connection has ended or the client has
+// cancelled the call.
+func (s *Server) stopWaiting(c *conn, pending *pendingCall) {
+	if pending.stopWaiting != nil {
+		pending.stopWaiting()
 		return
 	}
 	s.abandon(c, pending)
 }
 
-// abandon cancels a call at the gateway, which then answers it.
+// abandon cancels a call at the gateway, which then delivers a final answer.
 func (s *Server) abandon(c *conn, pending *pendingCall) {
 	c.mu.Lock()
 	pending.abandoned = true
@@ -250,23 +257,23 @@
 	}
 }
 
-// cancel carries out the method "cancel".
-func (c *conn) cancel(raw json.RawMessage) (any, *Error) {
+// handleCancel implements the method "cancel".
+func (c *conn) handleCancel(raw json.RawMessage) (any, *Error) {
 	var p struct {
 		ID json.RawMessage `json:"id"`
 	}
-	if e := params(raw, &p); e != nil {
+	if e := decodeParams(raw, &p); e != nil {
 		return nil, e
 	}
 	if p.ID == nil {
-		return nil, problem(CodeInvalidParams, "id: missing")
+		return nil, errorf(CodeInvalidParams, "id: missing")
 	}
 	c.mu.Lock()
 	pending := c.calls[string(p.ID)]
 	c.mu.Unlock()
 	if pending != nil {
 		c.server.Counts.Cancelled.Add(1)
-		c.server.leave(c, pending)
+		c.server.stopWaiting(c, pending)
 	}
 	return map[string]bool{"in_hand": pending != nil}, nil
 }
--- a/internal/ingress/jsonrpc/client.go
+++ b/internal/ingress/jsonrpc/client.go
@@ -10,18 +10,19 @@
 	"time"
 )
 
-// A Client sends one request after the other over one connection. It is not safe for concurrent use.
+// A Client sends requests over one connection, one at a time. It is not safe for concurrent use.
 type Client struct {
 	conn   net.Conn
 	reader *bufio.Reader
 	lastID int
-	// OnNotification, if set, is called with each notification from the server, on the goroutine that calls Do or Listen.
+	// OnNotification, if set, is called with each notification from the server, on the goroutine
+	// that calls Do or Listen.
 	OnNotification func(method string, params json.RawMessage)
 }
 
 const clientReadBuffer = 64 << 10 // bytes
 
-// Dial connects to a server's socket.
+// Dial connects to the Unix socket of a server.
 func Dial(path string, timeout time.Duration) (*Client, error) {
 	conn, err := net.DialTimeout("unix", path, timeout)
 	if err != nil {
@@ -33,8 +34,8 @@
 // Close closes the connection.
 func (c *Client) Close() error { return c.conn.Close() }
 
-// Do sends a request, waits for the response and decodes its result, unless result is nil. An error response is
-// returned as an *Error.
+// Do sends a request, waits for the response and decodes its result into result, unless that is
+// nil. An error response is returned as an *Error.
 func (c *Client) Do(method string, params, result any, timeout time.Duration) error {
 	c.lastID++
 	text, err := json.Marshal(map[string]any{"jsonrpc": "2.0", "id": c.lastID, "method": method, "params": params})
@@ -76,7 +77,8 @@
 	}
 }
 
-// Listen reads notifications until the time is up, and then returns nil; 0 stands for until the connection ends.
+// Listen reads notifications until the timeout, and then returns nil. A timeout of 0 means that it
+// reads until the connection ends.
 func (c *Client) Listen(timeout time.Duration) error {
 	c.conn.SetDeadline(time.Time{})
 	if timeout > 0 {
--- a/internal/ingress/jsonrpc/conn.go
+++ b/internal/ingress/jsonrpc/conn.go
@@ -13,33 +13,36 @@
 	"kitehub/scheduler"
 )
 
-// A conn is one connection. serve runs on a goroutine that reads and carries out requests, write on another.
+// A conn is one connection. One goroutine runs serve, which reads and handles requests; another
+// runs write.
 type conn struct {
 	server *Server
 	socket net.Conn
 	user   User
 
-	mu         sync.Mutex
-	changed    *sync.Cond // of any field below
-	responses  []response // to be written, before events
-	events     [][]byte   // to be written
-	lostEvents int        // dropped since the last event that was queued
-	calls      map[string]*pendingCall
-	unwritten  int // calls in flight, or whose answers are not written yet
-	topics     map[string]bool
-	ended      bool // nothing more is read
-	draining   bool // to be closed as soon as no answer is unwritten
+	mu             sync.Mutex
+	changed        *sync.Cond              // signals changes of the fields below
+	responses      []response              // queued for writing, before events
+	events         [][]byte                // queued for writing
+	lostEvents     int                     // events dropped since the last one that was queued
+	calls          map[string]*pendingCall // in flight, by request ID
+	unwrittenCalls int                     // accepted calls whose responses have not been written yet
+	topics         map[string]bool         // true for those subscribed to
+	ended          bool                    // no further request is read
+	draining       bool                    // the connection is closed once unwrittenCalls is 0
 }
 
-// A pendingCall is a call in flight. Its fields are guarded by its connection's mutex, but for the functions, which
-// are set before it is known to another goroutine.
+// A pendingCall is a call in flight. The mutex of its connection guards its fields, except for the
+// functions, which are set before another goroutine can reach it.
 type pendingCall struct {
-	id        scheduler.RequestID // at the gateway, once started
+	id        scheduler.RequestID // at the gateway; valid once started is set
 	started   bool
-	abandoned bool // nobody waits for it
+	abandoned bool // no client waits for the answer
 	answered  bool
-	leave     func() // of a call with a key: this request no longer waits, and if it was the last the call is cancelled
-	answer    func() // answers it as cancelled
+	// stopWaiting is set for a call with an idempotency key, for which several requests may wait.
+	// It ends the wait of this one, and cancels the call if no other request waits for it.
+	stopWaiting     func()
+	answerCancelled func() // answers the request as cancelled
 }
 
 func newConn(s *Server, socket net.Conn, user User) *conn {
@@ -54,7 +57,7 @@
 	return c
 }
 
-// serve serves the connection until it ends.
+// serve runs the connection until it ends.
 func (c *conn) serve() {
 	s := c.server
 	defer s.wg.Done()
@@ -64,8 +67,8 @@
 		close(written)
 	}()
 	c.read()
-	for _, call := range c.end() {
-		s.leave(c, call)
+	for _, call := range c.endReading() {
+		s.stopWaiting(c, call)
 	}
 	<-written
 	c.socket.Close()
@@ -74,10 +77,10 @@
 	s.mu.Unlock()
 }
 
-// end ends the connection after its last request, and returns the calls in flight: a client that has left is no
-// longer waited for. A client that only shut down its writing side still reads; it cannot be told from the other
-// here, and gets what is ready.
-func (c *conn) end() map[string]*pendingCall {
+// endReading marks the connection as ended, and returns the calls in flight, which the client no
+// longer waits for. A client that has only shut down its writing side looks the same here: it still
+// receives the responses that are already queued, but its calls are cancelled too.
+func (c *conn) endReading() map[string]*pendingCall {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	calls := c.calls
@@ -87,7 +90,7 @@
 	return calls
 }
 
-// drain closes the connection as soon as the answers to all calls in flight are written.
+// drain makes the connection close once the answers to all calls in flight are written.
 func (c *conn) drain() {
 	c.mu.Lock()
 	c.draining = true
@@ -103,7 +106,7 @@
 
 const readBuffer = 16 << 10 // bytes
 
-// read reads and carries out requests until the connection ends.
+// read reads and handles requests until the connection ends.
 func (c *conn) read() {
 	s := c.server
 	reader := bufio.NewReaderSize(c.socket, readBuffer)
@@ -112,10 +115,10 @@
 		switch {
 		case err == nil:
 		case errors.Is(err, errLineTooLong):
-			c.badMessage(problem(CodeInvalidRequest, "a message of more than %d bytes: the connection ends", s.cfg.MaxMessage))
+			c.rejectMessage(errorf(CodeInvalidRequest, "a message of more than %d bytes: the connection ends", s.cfg.MaxMessage))
 			return
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			c.badMessage(problem(CodeParseError, "half a message for %v: the connection ends", s.cfg.MessageTimeout))
+			c.rejectMessage(errorf(CodeParseError, "half a message for %v: the connection ends", s.cfg.MessageTimeout))
 			return
 		default:
 			return
@@ -128,18 +131,18 @@
 	}
 }
 
-// badMessage counts a malformed message and responds to it.
-func (c *conn) badMessage(e *Error) {
+// rejectMessage counts a malformed message and responds to it with an error.
+func (c *conn) rejectMessage(e *Error) {
 	c.server.Counts.Malformed.Add(1)
-	c.respond(reply(nil, nil, e))
+	c.respond(encodeResponse(nil, nil, e))
 }
 
 var errLineTooLong = errors.New("line too long")
 
-// readLine reads one message. Empty lines are skipped.
+// readLine reads one message, and skips empty lines.
 func (c *conn) readLine(reader *bufio.Reader) ([]byte, error) {
 	for {
-		c.socket.SetReadDeadline(time.Time{}) // a client may be idle for any time
+		c.socket.SetReadDeadline(time.Time{}) // a client may be idle for any length of time
 		if _, err := reader.Peek(1); err != nil {
 			return nil, err
 		}
--- a/internal/ingress/jsonrpc/dispatch.go
+++ b/internal/ingress/jsonrpc/dispatch.go
@@ -5,15 +5,15 @@
 	"errors"
 )
 
-// handleLine carries out one line: a request or a batch.
+// handleLine handles one line, which holds a request or a batch.
 func (c *conn) handleLine(line []byte) {
-	if e := precheck(line); e != nil {
-		c.badMessage(e)
+	if e := checkLine(line); e != nil {
+		c.rejectMessage(e)
 		return
 	}
 	if line[0] != '[' {
 		if !json.Valid(line) {
-			c.badMessage(problem(CodeParseError, "not JSON"))
+			c.rejectMessage(errorf(CodeParseError, "not JSON"))
 			return
 		}
 		c.handle(line, nil, nil)
@@ -21,54 +21,56 @@
 	}
 	var requests []json.RawMessage
 	if err := json.Unmarshal(line, &requests); err != nil {
-		c.badMessage(problem(CodeParseError, "not JSON"))
+		c.rejectMessage(errorf(CodeParseError, "not JSON"))
 		return
 	}
 	if n := len(requests); n == 0 || n > maxBatch {
-		c.respond(reply(nil, nil, problem(CodeInvalidRequest, "a batch has from 1 to %d messages, not %d", maxBatch, n)))
+		c.respond(encodeResponse(nil, nil, errorf(CodeInvalidRequest, "a batch has from 1 to %d messages, not %d", maxBatch, n)))
 		return
 	}
-	b := &batch{conn: c, missing: len(requests)}
+	b := &batch{conn: c, unanswered: len(requests)}
 	ids := map[string]bool{}
 	for _, raw := range requests {
 		c.handle(raw, b, ids)
 	}
 }
 
-// handle carries out one request. If it is part of a batch, ids holds the ids that the batch has used before.
+// handle handles one request. For a request of a batch, ids holds the IDs that the batch has used
+// so far.
 func (c *conn) handle(raw []byte, b *batch, ids map[string]bool) {
-	r, e := decode(raw)
+	r, e := decodeRequest(raw)
 	malformed := e != nil
 	if !malformed && r.ID != nil && ids != nil {
 		if ids[string(r.ID)] {
-			e = problem(CodeInvalidRequest, "the id stands twice in one batch")
+			e = errorf(CodeInvalidRequest, "the id stands twice in one batch")
 		}
 		ids[string(r.ID)] = true
 	}
 	if e != nil {
 		c.server.Counts.Malformed.Add(1)
-		c.answer(r, b, malformed, nil, e)
+		c.respondTo(r, b, malformed, nil, e)
 		return
 	}
 	if r.Method == "call" {
-		if e := c.call(r, b); e != nil {
-			c.answer(r, b, false, nil, e)
+		if e := c.startCall(r, b); e != nil {
+			c.respondTo(r, b, false, nil, e)
 		}
-		return // it is answered when the call has ended
+		return // the response follows when the call has ended
 	}
-	result, e := c.do(r)
-	c.answer(r, b, false, result, e)
+	result, e := c.handleImmediate(r)
+	c.respondTo(r, b, false, result, e)
 }
 
-// answer responds to a request. Notifications have no response, unless it is not certain that they are meant as such.
-func (c *conn) answer(r request, b *batch, malformed bool, result any, e *Error) {
+// respondTo sends the response to a request. A notification has no response, unless it is so
+// malformed that it may have been meant as a request.
+func (c *conn) respondTo(r request, b *batch, malformed bool, result any, e *Error) {
 	if r.ID == nil && !malformed && (e == nil || e.Code != CodeInvalidRequest) {
 		if b != nil {
 			b.add(nil)
 		}
 		return
 	}
-	text := reply(r.ID, result, e)
+	text := encodeResponse(r.ID, result, e)
 	if b == nil {
 		c.respond(text)
 		return
@@ -77,19 +79,19 @@
 	b.add(&single)
 }
 
-// do carries out a request that is answered at once.
-func (c *conn) do(r request) (any, *Error) {
+// handleImmediate handles a request whose response is known at once.
+func (c *conn) handleImmediate(r request) (any, *Error) {
 	switch r.Method {
 	case "cancel":
-		return c.cancel(r.Params)
+		return c.handleCancel(r.Params)
 	case "subscribe", "unsubscribe":
 		return c.subscribe(r.Params, r.Method == "subscribe")
 	}
 	if !c.user.MayOperate {
-		return nil, problem(CodeDenied, "%s may not do this", c.user.Name)
+		return nil, errorf(CodeDenied, "%s may not do this", c.user.Name)
 	}
 	result, err := c.server.cfg.Operator.Do(r.Method, c.user, func(into any) error {
-		if e := params(r.Params, into); e != nil {
+		if e := decodeParams(r.Params, into); e != nil {
 			return e
 		}
 		return nil
@@ -101,14 +103,14 @@
 	case errors.As(err, &chosen):
 		return nil, chosen
 	case errors.Is(err, ErrUnknownMethod):
-		return nil, problem(CodeMethodNotFound, "no method %q", r.Method)
+		return nil, errorf(CodeMethodNotFound, "no method %q", r.Method)
 	case errors.Is(err, ErrUnknownObject):
-		return nil, problem(CodeNotFound, "%v", err)
+		return nil, errorf(CodeNotFound, "%v", err)
 	}
-	return nil, problem(CodeWrongState, "%v", err)
+	return nil, errorf(CodeWrongState, "%v", err)
 }
 
-// topics that may be subscribed to.
+// topics lists the event topics that clients may subscribe to.
 var topics = map[string]bool{
 	"ended":        true,
 	"joined":       true,
@@ -118,20 +120,21 @@
 	"level":        true,
 }
 
-// subscribe subscribes to topics, or unsubscribes from them, and returns how many are subscribed to.
+// subscribe implements the methods "subscribe" and "unsubscribe". It returns how many topics the
+// connection is now subscribed to.
 func (c *conn) subscribe(raw json.RawMessage, on bool) (any, *Error) {
 	var p struct {
 		Topics []string `json:"topics"`
 	}
-	if e := params(raw, &p); e != nil {
+	if e := decodeParams(raw, &p); e != nil {
 		return nil, e
 	}
 	if !c.user.MayOperate {
-		return nil, problem(CodeDenied, "%s may not see events", c.user.Name)
+		return nil, errorf(CodeDenied, "%s may not see events", c.user.Name)
 	}
 	for _, topic := range p.Topics {
 		if !topics[topic] {
-			return nil, problem(CodeInvalidParams, "no topic %q", topic)
+			return nil, errorf(CodeInvalidParams, "no topic %q", topic)
 		}
 	}
 	c.mu.Lock()
--- a/internal/ingress/jsonrpc/doc.go
+++ b/internal/ingress/jsonrpc/doc.go
@@ -1,5 +1,5 @@
-// Package jsonrpc is the ingress for JSON-RPC 2.0 over Unix sockets, one message a line. By it come calls of
-// functions, which go the way of all calls, through the gateway, and the requests of operators. What a user may do
-// depends on the user of the process at the other end, as the kernel tells it (SO_PEERCRED). docs/jsonrpc.md is the
-// reference.
+// Package jsonrpc is the JSON-RPC 2.0 ingress over Unix sockets, with one message per line. It
+// accepts calls of functions, which it submits to the gateway as every ingress does, and operators'
+// requests. What a client may do depends on the user ID of its process, which the kernel reports
+// (SO_PEERCRED). docs/jsonrpc.md is the reference.
 package jsonrpc
--- a/internal/ingress/jsonrpc/golden_test.go
+++ b/internal/ingress/jsonrpc/golden_test.go
@@ -16,13 +16,13 @@
 	"kitehub/internal/registry"
 )
 
-// How a call ended is reported as a result or an error; clients act upon the code, the outcome and their other
-// members.
-func TestAnswersOfCallsAreAsBefore(t *testing.T) {
+// Clients interpret the code, the outcome and the other members of a response to a call. The golden
+// file guards against an unintended change of any of them.
+func TestCallAnswersMatchGolden(t *testing.T) {
 	version := &gateway.VersionBinding{Target: registry.Target{Version: "m-2", Revision: 3}}
-	var written strings.Builder
-	for _, ended := range []struct {
-		what   string
+	var got strings.Builder
+	for _, tt := range []struct {
+		name   string
 		answer gateway.Answer
 		bound  *gateway.VersionBinding
 	}{
@@ -40,35 +40,35 @@
 		{"failed, version replaced", gateway.Answer{Kind: gateway.Failed, Verdict: registry.Superseded}, nil},
 		{"failed", gateway.Answer{Kind: gateway.Failed}, nil},
 	} {
-		response := reply(json.RawMessage("1"), result(ended.answer, ended.bound), failure(ended.answer))
-		fmt.Fprintf(&written, "%s\n<- %s\n", ended.what, response)
+		response := encodeResponse(json.RawMessage("1"), callResult(tt.answer, tt.bound), callError(tt.answer))
+		fmt.Fprintf(&got, "%s\n<- %s\n", tt.name, response)
 	}
-	goldenfile.Compare(t, "answers.txt", []byte(written.String()))
+	goldenfile.Compare(t, "answers.txt", []byte(got.String()))
 }
 
-// The envelopes of all messages, and the codes of errors.
-func TestFramesAreAsBefore(t *testing.T) {
-	var written strings.Builder
-	for _, frame := range [][]byte{
-		reply(json.RawMessage(`"a"`), map[string]int{"topics": 1}, nil),
-		reply(json.RawMessage("1"), nil, nil),
-		reply(nil, nil, problem(CodeParseError, "not <JSON>")),
-		reply(json.RawMessage("1"), nil, outcomeError(CodeFailed, "m", "failed")),
-		reply(json.RawMessage("1"), func() {}, nil),
-		notification("event", map[string]any{"topic": "level", "event": map[string]int{"a": 1}}),
-		notification("lost", map[string]int{"events": 2}),
+// The golden file guards the encoding of all kinds of messages, the error codes and the topics.
+func TestMessagesMatchGolden(t *testing.T) {
+	var got strings.Builder
+	for _, message := range [][]byte{
+		encodeResponse(json.RawMessage(`"a"`), map[string]int{"topics": 1}, nil),
+		encodeResponse(json.RawMessage("1"), nil, nil),
+		encodeResponse(nil, nil, errorf(CodeParseError, "not <JSON>")),
+		encodeResponse(json.RawMessage("1"), nil, outcomeError(CodeFailed, "m", "failed")),
+		encodeResponse(json.RawMessage("1"), func() {}, nil),
+		encodeNotification("event", map[string]any{"topic": "level", "event": map[string]int{"a": 1}}),
+		encodeNotification("lost", map[string]int{"events": 2}),
 	} {
-		fmt.Fprintf(&written, "%s\n", frame)
+		fmt.Fprintf(&got, "%s\n", message)
 	}
-	fmt.Fprintln(&written, "codes:", CodeParseError, CodeInvalidRequest, CodeMethodNotFound, CodeInvalidParams, CodeInternalError,
-		CodeDenied, CodeNotFound, CodeBusy, CodeRejected, CodeFailed,
+	fmt.Fprintln(&got, "codes:", CodeParseError, CodeInvalidRequest, CodeMethodNotFound, CodeInvalidParams,
+		CodeInternalError, CodeDenied, CodeNotFound, CodeBusy, CodeRejected, CodeFailed,
 		CodeDeadlineExceeded, CodeCancelled, CodeKeyReused, CodeWrongState)
-	fmt.Fprintln(&written, "topics:", topics)
-	goldenfile.Compare(t, "frames.txt", []byte(written.String()))
+	fmt.Fprintln(&got, "topics:", topics)
+	goldenfile.Compare(t, "frames.txt", []byte(got.String()))
 }
 
-// Params are read by the same names, each into its field.
-func TestParamsOfCallsAreReadAsBefore(t *testing.T) {
+// The golden file guards the names of the params of a call; each must be decoded into its field.
+func TestCallParamsMatchGolden(t *testing.T) {
 	want := callParams{
 		Function: "m@current",
 		Body:     json.RawMessage(`{"a":1}`),
@@ -78,30 +78,31 @@
 		Progress: true,
 		Trace:    "00",
 	}
-	written, err := json.Marshal(want)
+	got, err := json.Marshal(want)
 	if err != nil {
 		t.Fatal(err)
 	}
-	goldenfile.Compare(t, "call_params.json", written)
+	goldenfile.Compare(t, "call_params.json", got)
 
-	var read callParams
-	if e := params(goldenfile.Read(t, "call_params.json"), &read); e != nil {
+	var decoded callParams
+	if e := decodeParams(goldenfile.Read(t, "call_params.json"), &decoded); e != nil {
 		t.Fatal(e)
 	}
-	if !reflect.DeepEqual(read, want) {
-		t.Errorf("read %+v, want %+v", read, want)
+	if !reflect.DeepEqual(decoded, want) {
+		t.Errorf("decoded %+v, want %+v", decoded, want)
 	}
 }
 
-// The program's own client sends the same requests, and reads the same errors, results and notifications.
-func TestClientIsAsBefore(t *testing.T) {
+// The golden file guards the requests that Client sends. Client must also decode results, errors
+// and notifications.
+func TestClientMatchesGolden(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	listener, err := net.Listen("unix", path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	asked := make(chan string, 2)
+	requests := make(chan string, 2)
 	go func() {
 		nc, err := listener.Accept()
 		if err != nil {
@@ -109,7 +110,7 @@
 		}
 		defer nc.Close()
 		br := bufio.NewReader(nc)
-		for _, answer := range []string{
+		for _, response := range []string{
 			`{"jsonrpc":"2.0","method":"lost","params":{"events":2}}` + "\n" +
 				`{"jsonrpc":"2.0","id":1,"result":{"open":3}}` + "\n",
 			`{"jsonrpc":"2.0","id":2,"error":{"code":-32010,"message":"m","data":{"outcome":"refused"}}}` + "\n",
@@ -118,8 +119,8 @@
 			if err != nil {
 				return
 			}
-			asked <- line
-			nc.Write([]byte(answer))
+			requests <- line
+			nc.Write([]byte(response))
 		}
 	}()
 	client, err := Dial(path, 10*time.Second)
@@ -127,24 +128,25 @@
 		t.Fatal(err)
 	}
 	defer client.Close()
-	noticed := ""
-	client.OnNotification = func(method string, params json.RawMessage) { noticed = method + string(params) }
+	notified := ""
+	client.OnNotification = func(method string, params json.RawMessage) { notified = method + string(params) }
 	var result struct {
 		Open int `json:"open"`
 	}
 	err = client.Do("drain", map[string]any{}, &result, 10*time.Second)
-	if err != nil || result.Open != 3 || noticed != `lost{"events":2}` {
-		t.Error(err, result, noticed)
+	if err != nil || result.Open != 3 || notified != `lost{"events":2}` {
+		t.Errorf("Do: error %v, result %+v, notification %q", err, result, notified)
 	}
 	err = client.Do("explain", map[string]string{"id": "a"}, nil, 10*time.Second)
 	want := &Error{Code: CodeRejected, Message: "m", Data: map[string]any{"outcome": "refused"}}
 	if !reflect.DeepEqual(err, want) {
-		t.Errorf("%#v, want %#v", err, want)
+		t.Errorf("Do: error %#v, want %#v", err, want)
 	}
-	goldenfile.Compare(t, "client.jsonl", []byte(<-asked+<-asked))
+	goldenfile.Compare(t, "client.jsonl", []byte(<-requests+<-requests))
 }
 
-// Each field that is stored or sent has a key of its own: what it is called in Go may change, the format may not.
+// Each field of a message has an explicit JSON key, so that renaming it in Go does not change the
+// encoding.
 func TestKeysDoNotFollowFieldNames(t *testing.T) {
 	goldenfile.Tagged(t, callParams{}, Error{})
 }
--- a/internal/ingress/jsonrpc/server.go
+++ b/internal/ingress/jsonrpc/server.go
@@ -16,7 +16,7 @@
 	"kitehub/scheduler"
 )
 
-// A User is one that may connect, and what for.
+// A User is an entry of the list of users that may connect, with their permissions.
 type User struct {
 	UID        uint32
 	Name       string
@@ -25,32 +25,33 @@
 	MayOperate bool // may send operators' requests and subscribe to events
 }
 
-// Config sets up a Server. Zero bounds have the default named beside them.
+// Config configures a Server. A bound of zero stands for the default that its comment names.
 type Config struct {
 	Users          []User
 	Gateway        *gateway.Gateway
 	Functions      func(name string) *gateway.Function // nil: no such function
-	Deadline       func(class int) time.Duration       // longest time that a client of the class waits
+	Deadline       func(class int) time.Duration       // for calls of the class
 	Idempotency    func(class int) scheduler.Idempotency
-	KeyWindow      func(class int) time.Duration // in which workers drop repeats of an idempotency key
+	KeyWindow      func(class int) time.Duration // how long workers drop repeats of a key
 	Models         ingress.Models                // nil: no function has versions
 	Clock          clock.Clock
 	Log            zerolog.Logger
 	Operator       Operator
-	MaxConns       int           // connections: 64
-	MaxMessage     int           // bytes of a message: 1 MiB
-	MaxCalls       int           // calls of a connection that are in flight, or whose answer is not written yet: 256
-	MaxEvents      int           // events that wait to be written to a connection: 256
-	WriteTimeout   time.Duration // longest time for a write: 5 s
-	MessageTimeout time.Duration // longest time for a line to arrive, once it has begun: 10 s
-	// TakeoverTime is when this process took over from another, whose keys it does not know: calls with a key are rejected
-	// until the other's calls of their class have ended and their window is over. 0: it took over from none.
+	MaxConns       int           // connections at a time; 64 by default
+	MaxMessage     int           // bytes of a message; 1 MiB by default
+	MaxCalls       int           // of a connection, without a written answer; 256 by default
+	MaxEvents      int           // queued for writing on a connection; 256 by default
+	WriteTimeout   time.Duration // for one write; 5 s by default
+	MessageTimeout time.Duration // from the first byte of a message to its last; 10 s by default
+	// TakeoverTime is when this process took over from another, whose idempotency keys it does not
+	// know; 0: it did not take over. Calls with a key are rejected until the calls that the other
+	// process accepted must have ended and the key window of their class has passed.
 	TakeoverTime   time.Duration
-	MaxKeys        int // calls with a key that are remembered: 10000
-	MaxCachedBytes int // total size of their answers: 16 MiB
+	MaxKeys        int // calls with an idempotency key that are remembered; 10000 by default
+	MaxCachedBytes int // total size of their cached answers; 16 MiB by default
 }
 
-// setDefaults replaces zero bounds.
+// setDefaults replaces zero bounds by their defaults.
 func (cfg *Config) setDefaults() {
 	setDefault(&cfg.MaxConns, 64)
 	setDefault(&cfg.MaxMessage, 1<<20)
@@ -69,57 +70,58 @@
 	}
 }
 
-// An Operator carries out operators' requests: all methods but those of calls and events.
+// An Operator carries out operators' requests: all methods except those for calls and events.
 type Operator interface {
-	// Do returns the result, which is encoded as JSON. params decodes the request's params strictly. Do returns
-	// ErrMethod for an unknown method, an error that wraps ErrUnknown for an unknown object, an *Error to choose the
-	// response, and any other error if the request is not possible in the present state.
+	// Do returns the result of a method, to be encoded as JSON. params decodes the params of the
+	// request strictly. Do returns ErrUnknownMethod for an unknown method, an error that wraps
+	// ErrUnknownObject for an unknown object, an *Error to choose the error response, and any other
+	// error if the request is not possible in the current state.
 	Do(method string, user User, params func(into any) error) (any, error)
 }
 
-// Errors of an Operator that have codes of their own.
+// Errors of an Operator for which the response has a code of its own.
 var (
 	ErrUnknownMethod = errors.New("no such method")
 	ErrUnknownObject = errors.New("unknown")
 )
 
-// Counts are for the log and for tests.
+// Counts are counters for the operators' status and for tests.
 type Counts struct {
 	Connections   atomic.Int64
-	Denied        atomic.Int64 // connections of users that are not configured
+	Denied        atomic.Int64 // connections rejected because their user is not configured
 	Messages      atomic.Int64
-	Malformed     atomic.Int64 // malformed messages
-	Calls         atomic.Int64 // accepted
-	Cancelled     atomic.Int64 // by the method cancel
-	Joined        atomic.Int64 // calls with a key that waited for one in flight
-	Cached        atomic.Int64 // calls with a key answered with a cached answer
-	Events        atomic.Int64 // queued for a connection
-	EventsDropped atomic.Int64 // dropped because too many waited
+	Malformed     atomic.Int64 // messages that are not valid JSON-RPC
+	Calls         atomic.Int64 // calls accepted
+	Cancelled     atomic.Int64 // calls cancelled by the method "cancel"
+	Joined        atomic.Int64 // calls that waited for one in flight with their idempotency key
+	Cached        atomic.Int64 // calls that got the cached answer of their idempotency key
+	Events        atomic.Int64 // events queued for a connection
+	EventsDropped atomic.Int64 // events dropped because the queue of a connection was full
 	WriteFailures atomic.Int64 // connections closed because a write failed
-	Restarted     atomic.Int64 // calls that began anew because their alias had moved
-	Withheld      atomic.Int64 // answers not written because their version no longer may answer
+	Restarted     atomic.Int64 // calls started again because their alias was migrated
+	Withheld      atomic.Int64 // answers not written because their version may no longer answer
 }
 
-// A Server serves one socket. It is safe for concurrent use. Each connection has a goroutine that reads and carries
-// out requests, and one that writes.
+// A Server serves one socket. It is safe for concurrent use. Each connection has one goroutine that
+// reads and handles requests, and one that writes.
 //
-// Locks are taken in the order server, connection.
+// Locks are acquired in the order Server, conn.
 type Server struct {
 	Counts Counts
 
 	cfg     Config
 	binder  ingress.Binder
-	closing atomic.Bool // no further call is accepted
+	closing atomic.Bool // set once no further call is accepted
 	wg      sync.WaitGroup
 
 	mu       sync.Mutex
 	listener net.Listener
 	conns    map[*conn]bool
 	keys     keyTable
-	resumed  chan struct{} // closed when the present pause ends; nil: there is none
+	resumed  chan struct{} // closed when the current pause ends; nil: not paused
 }
 
-// New returns a server that does not serve yet.
+// New returns a server. Call Serve to accept connections.
 func New(cfg Config) *Server {
 	cfg.setDefaults()
 	s := &Server{
@@ -136,7 +138,8 @@
 	return s
 }
 
-// acceptRetryDelay is the wait after an accept that failed for want of a descriptor.
+// acceptRetryDelay is the wait after an accept that failed for a temporary reason, such as a lack
+// of file descriptors.
 const acceptRetryDelay = 10 * time.Millisecond
 
 // Serve accepts connections until the listener is closed, and then returns nil.
@@ -159,14 +162,14 @@
 	}
 }
 
-// accept serves a connection, or rejects it.
+// accept starts serving a connection, or rejects it.
 func (s *Server) accept(socket net.Conn) {
 	s.Counts.Connections.Add(1)
-	user, err := s.user(socket)
+	user, err := s.peerUser(socket)
 	if err != nil {
 		s.Counts.Denied.Add(1)
 		s.cfg.Log.Warn().Err(err).Msg("rpc connection rejected")
-		rejectConn(socket, problem(CodeDenied, "%v", err))
+		rejectConn(socket, errorf(CodeDenied, "%v", err))
 		return
 	}
 	c := newConn(s, socket, user)
@@ -178,19 +181,20 @@
 	}
 	s.mu.Unlock()
 	if full {
-		rejectConn(socket, problem(CodeBusy, "%d connections are open, and no more may be", s.cfg.MaxConns))
+		rejectConn(socket, errorf(CodeBusy, "%d connections are open, and no more may be", s.cfg.MaxConns))
 		return
 	}
 	go c.serve()
 }
 
+// rejectConn sends an error and closes the connection.
 func rejectConn(socket net.Conn, e *Error) {
 	socket.SetWriteDeadline(time.Now().Add(time.Second))
-	socket.Write(append(reply(nil, nil, e), '\n'))
+	socket.Write(append(encodeResponse(nil, nil, e), '\n'))
 	socket.Close()
 }
 
-// Pause makes all further calls wait until Resume.
+// Pause delays all further calls until Resume.
 func (s *Server) Pause() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -207,7 +211,7 @@
 	}
 }
 
-// waitWhilePaused blocks until there is no pause.
+// waitWhilePaused blocks until the server is not paused.
 func (s *Server) waitWhilePaused() {
 	for {
 		s.mu.Lock()
@@ -220,11 +224,11 @@
 	}
 }
 
-// BeginStop rejects all further calls; operators are still served.
+// BeginStop makes the server reject all further calls. Operators' requests are still served.
 func (s *Server) BeginStop() { s.closing.Store(true) }
 
-// Drain closes the listener, waits until the answers to all calls in flight are written or the time is up, and closes
-// the connections that are left.
+// Drain closes the listener and waits until the answers to all calls in flight are written. At the
+// timeout it closes the connections that are left.
 func (s *Server) Drain(timeout time.Duration) {
 	s.closing.Store(true)
 	s.mu.Lock()
@@ -248,7 +252,7 @@
 	}
 }
 
-// Close closes the listener and all connections at once.
+// Close closes the listener and all connections immediately.
 func (s *Server) Close() {
 	s.closing.Store(true)
 	s.mu.Lock()
@@ -261,7 +265,7 @@
 	}
 }
 
-// Publish queues an event for the connections that have subscribed to its topic. It never blocks.
+// Publish queues an event for the connections that have subscribed to its topic. It does not block.
 func (s *Server) Publish(topic string, event any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -270,7 +274,7 @@
 		c.mu.Lock()
 		if c.topics[topic] {
 			if text == nil {
-				text = notification("event", map[string]any{"topic": topic, "event": event})
+				text = encodeNotification("event", map[string]any{"topic": topic, "event": event})
 			}
 			c.queueEvent(text)
 		}
--- a/internal/ingress/jsonrpc/socket.go
+++ b/internal/ingress/jsonrpc/socket.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// Listen opens a Unix socket with the given mode. A socket that an earlier process left behind is replaced; one that
-// is being served is an error.
+// Listen listens on a Unix socket with the given file mode. It replaces a socket file that an
+// earlier process left behind, and returns an error if a process still accepts connections on it.
 func Listen(path string, mode os.FileMode) (*net.UnixListener, error) {
 	if info, err := os.Lstat(path); err == nil {
 		if info.Mode()&os.ModeSocket == 0 {
-			return nil, fmt.Errorf("%s is there and is no socket", path)
+			return nil, fmt.Errorf("%s exists and is not a socket", path)
 		}
 		if c, err := net.DialTimeout("unix", path, time.Second); err == nil {
 			c.Close()
@@ -24,7 +24,7 @@
 			return nil, err
 		}
 	}
-	old := syscall.Umask(0o177) // nobody else may connect before the mode is set
+	old := syscall.Umask(0o177) // no other user may connect before the mode is set
 	ln, err := net.Listen("unix", path)
 	syscall.Umask(old)
 	if err != nil {
@@ -37,8 +37,9 @@
 	return ln.(*net.UnixListener), nil
 }
 
-// user returns the user at the other end, as the kernel noted when the process there connected.
-func (s *Server) user(conn net.Conn) (User, error) {
+// peerUser returns the configured user whose user ID the client's process had when it connected, as
+// recorded by the kernel.
+func (s *Server) peerUser(conn net.Conn) (User, error) {
 	socket, ok := conn.(*net.UnixConn)
 	if !ok {
 		return User{}, errors.New("not a Unix socket")
--- a/internal/ingress/jsonrpc/write.go
+++ b/internal/ingress/jsonrpc/write.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// A response is rendered just before it is written, as what it says may depend on that moment.
+// A response is encoded only when it is written, as its content may depend on that moment.
 type response struct {
-	// render returns the text, how long the write may take (0: the configured time) and what to call when it has
-	// ended, in success or not (nil: nothing).
+	// render returns the encoded message, the write timeout (0: the configured one) and a function
+	// to call after the write, whether it succeeded or not (nil: none).
 	render func() (text []byte, timeout time.Duration, done func())
-	calls  int // that it answers
+	calls  int // number of calls that the response answers
 }
 
-// textResponse returns a response whose text is known.
+// textResponse returns a response whose encoding is known in advance.
 func textResponse(text []byte) response {
 	return response{render: func() ([]byte, time.Duration, func()) { return text, 0, nil }}
 }
 
-// respond queues a response for writing. While the client does not read, it blocks, so that its requests are not read
-// either.
+// respond queues a response for writing. It blocks while the queue is full because the client does
+// not read, so that no further requests of the client are read either.
 func (c *conn) respond(text []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -26,15 +26,16 @@
 	c.queue(textResponse(text))
 }
 
-// queue queues a response for writing. It does not block: calls in flight are bounded, and so are their responses.
-// The caller holds mu.
+// queue queues a response for writing. It does not block: the calls in flight are bounded, and so
+// are their responses. The caller holds mu.
 func (c *conn) queue(r response) {
 	c.responses = append(c.responses, r)
 	c.changed.Broadcast()
 }
 
-// queueEvent queues an event for writing. If too many wait it is dropped, and before the next one that is queued the
-// client is notified how many were. The caller holds mu.
+// queueEvent queues an event for writing. If the queue is full, the event is dropped, and a
+// notification with the number of dropped events precedes the next event that is queued. The caller
+// holds mu.
 func (c *conn) queueEvent(text []byte) {
 	counts := &c.server.Counts
 	if len(c.events) >= c.server.cfg.MaxEvents {
@@ -43,7 +44,7 @@
 		return
 	}
 	if c.lostEvents > 0 {
-		c.events = append(c.events, notification("lost", map[string]int{"events": c.lostEvents}))
+		c.events = append(c.events, encodeNotification("lost", map[string]int{"events": c.lostEvents}))
 		c.lostEvents = 0
 	}
 	c.events = append(c.events, text)
@@ -51,7 +52,8 @@
 	c.changed.Broadcast()
 }
 
-// write writes what is queued until the connection ends. A client that reads nothing for too long is disconnected.
+// write writes queued messages until the connection ends. A client that does not read for the
+// duration of the write timeout is disconnected.
 func (c *conn) write() {
 	defer c.socket.Close()
 	for {
@@ -64,12 +66,13 @@
 			return
 		}
 		c.mu.Lock()
-		c.unwritten -= r.calls
+		c.unwrittenCalls -= r.calls
 		c.mu.Unlock()
 	}
 }
 
-// next waits for something to write, responses before events; false if nothing more is to be written.
+// next waits for a message to write; responses precede events. It returns false if no further
+// message is to be written.
 func (c *conn) next() (response, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -91,7 +94,7 @@
 }
 
 // complete reports whether no further response will be queued. The caller holds mu.
-func (c *conn) complete() bool { return c.ended || c.draining && c.unwritten == 0 }
+func (c *conn) complete() bool { return c.ended || c.draining && c.unwrittenCalls == 0 }
 
 func (c *conn) writeOne(r response) error {
 	text, timeout, done := r.render()
@@ -106,11 +109,11 @@
 	return err
 }
 
-// abort ends the connection after a write that failed. The responses that are left are rendered all the same: others
-// wait for the calls of their done functions.
+// abort ends the connection after a failed write. The queued responses are still rendered, because
+// migrations of aliases wait for their done functions.
 func (c *conn) abort(failed response) {
 	c.mu.Lock()
-	c.unwritten -= failed.calls
+	c.unwrittenCalls -= failed.calls
 	if !c.ended {
 		c.server.Counts.WriteFailures.Add(1)
 	}
