--- a/internal/ingress/msgpackrpc/admission.go
+++ b/internal/ingress/msgpackrpc/admission.go
@@ -5,33 +5,34 @@
 	"time"
 )
 
-// A connActivity is what decides whether a connection may be closed.
+// A connActivity is the state of a connection that decides whether it may be closed.
 type connActivity struct {
-	spoke     bool          // it has sent a complete message
-	inMessage bool          // it has begun a message that is not complete yet
-	inFlight  int           // requests
-	lastSign  time.Duration // when it last began or ended a message, was answered or was accepted
+	sentMessage  bool          // the client has sent a complete message
+	inMessage    bool          // the client has begun a message that is not complete yet
+	inFlight     int           // number of requests
+	lastActivity time.Duration // last begin or end of a message, answer, or accept
 }
 
-// Results of evictionCandidate if no connection may be closed.
+// Results of evictionCandidate if no connection may be evicted.
 const (
-	noCandidate   = -1 // all have requests in flight
-	candidateSoon = -2 // those that have none may just be about to send one
+	noCandidate    = -1 // all connections have requests in flight
+	candidateLater = -2 // idle connections exist, but are still in their grace period
 )
 
-// evictionCandidate returns which connection to close to make room for a new one. One that never sent a message goes
-// before any that did, and the one silent longest first. One with a request in flight is never closed for another's
-// sake, nor one that has been silent for less than grace: if many connect and send nothing, those that have something
-// to send need the time to do so. Clients close idle connections by themselves, so the one that has been idle longest
-// is missed least.
+// evictionCandidate returns the index of the connection to close to make room for a new one.
+// Connections that never sent a message are chosen first, and among equals the one that has been
+// silent longest. A connection with a request in flight is never chosen, nor one that has been
+// silent for less than grace: if many clients connect without sending anything, the others need
+// that time to send their first message. Clients close idle connections themselves, so the one that
+// has been idle longest is the least likely to be needed.
 func evictionCandidate(conns []connActivity, now, grace time.Duration) int {
 	best := noCandidate
 	for i, c := range conns {
 		switch {
 		case c.inFlight > 0:
-		case now-c.lastSign < grace:
+		case now-c.lastActivity < grace:
 			if best == noCandidate {
-				best = candidateSoon
+				best = candidateLater
 			}
 		case best < 0, evictBefore(c, conns[best]):
 			best = i
@@ -40,26 +41,29 @@
 	return best
 }
 
+// evictBefore reports whether a is to be evicted rather than b.
 func evictBefore(a, b connActivity) bool {
-	if a.spoke != b.spoke {
-		return !a.spoke
+	if a.sentMessage != b.sentMessage {
+		return !a.sentMessage
 	}
-	return a.lastSign < b.lastSign
+	return a.lastActivity < b.lastActivity
 }
 
-// silentTooLong reports whether to close a connection that waits for no answer: it never sent a message, or is stuck
-// within one, for longer than a client has to send one.
-func silentTooLong(c connActivity, now, within time.Duration) bool {
-	return (!c.spoke || c.inMessage) && now-c.lastSign > within
+// silentTooLong reports whether to close a connection because its client has not completed a
+// message within the timeout. It applies to a client that never sent a message or has stopped
+// within one, not to one that is idle between messages.
+func silentTooLong(c connActivity, now, timeout time.Duration) bool {
+	return (!c.sentMessage || c.inMessage) && now-c.lastActivity > timeout
 }
 
-// start makes room for a connection, if need be, and serves it.
-func (f *Server) start(socket net.Conn) {
-	c := f.newConn(socket)
-	admitted := f.admit(c)
-	for admitted == admitLater { // meanwhile the next to connect wait in the kernel's queue
-		time.Sleep(f.cfg.Settings.Tick)
-		admitted = f.admit(c)
+// accept admits a connection and serves it, or closes it. While no connection can be evicted yet,
+// it waits, and further connections wait in the kernel's accept queue.
+func (s *Server) accept(socket net.Conn) {
+	c := s.newConn(socket)
+	admitted := s.admit(c)
+	for admitted == admitLater {
+		time.Sleep(s.cfg.Settings.Tick)
+		admitted = s.admit(c)
 	}
 	if admitted == admitNever {
 		socket.Close()
@@ -68,94 +72,96 @@
 	go c.serve()
 }
 
-// An admission says whether there is room for a new connection.
+// An admission is the decision about a new connection.
 type admission int
 
 const (
-	admitNow admission = iota
-	admitLater
-	admitNever
+	admitNow   admission = iota
+	admitLater           // retry: an idle connection can be evicted soon
+	admitNever           // close the new connection
 )
 
-// graceDivisor: a connection is not evicted for a time after it was accepted or last sent something, which is the
-// time within which a client must send a message divided by this.
+// graceDivisor determines the grace period: after a connection was accepted or was last active, it
+// is not evicted for MessageTimeout divided by graceDivisor.
 const graceDivisor = 16
 
-// admit adds a connection, and closes another for it if there are too many.
-func (f *Server) admit(c *conn) admission {
-	evicted, admitted := f.tryAdmit(c)
+// admit adds a connection, and evicts another one if the limit is reached.
+func (s *Server) admit(c *conn) admission {
+	evicted, admitted := s.tryAdmit(c)
 	if evicted != nil {
 		evicted.out.Close()
 	}
 	return admitted
 }
 
-func (f *Server) tryAdmit(c *conn) (evicted *conn, admitted admission) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.closed {
+// tryAdmit adds a connection. It returns the evicted connection, if any, for the caller to close.
+func (s *Server) tryAdmit(c *conn) (evicted *conn, admitted admission) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.closed {
 		return nil, admitNever
 	}
-	if len(f.conns) >= f.cfg.MaxConns {
-		evicted, admitted = f.evict()
+	if len(s.conns) >= s.cfg.MaxConns {
+		evicted, admitted = s.evict()
 		if admitted != admitNow {
 			return nil, admitted
 		}
 	}
-	f.conns[c] = struct{}{}
+	s.conns[c] = struct{}{}
 	return evicted, admitNow
 }
 
-// evict removes a connection to make room for another, and returns it for the caller to close. The caller holds mu.
-func (f *Server) evict() (*conn, admission) {
-	conns := make([]*conn, 0, len(f.conns))
-	activities := make([]connActivity, 0, len(f.conns))
-	for c := range f.conns {
+// evict removes a connection to make room for another, and returns it for the caller to close. The
+// caller holds mu.
+func (s *Server) evict() (*conn, admission) {
+	conns := make([]*conn, 0, len(s.conns))
+	activities := make([]connActivity, 0, len(s.conns))
+	for c := range s.conns {
 		conns = append(conns, c)
 		activities = append(activities, c.activity())
 	}
-	switch i := evictionCandidate(activities, f.cfg.Clock.Now(), f.cfg.MessageTimeout/graceDivisor); i {
+	switch i := evictionCandidate(activities, s.cfg.Clock.Now(), s.cfg.MessageTimeout/graceDivisor); i {
 	case noCandidate:
-		f.Counts.Rejected.Add(1)
+		s.Counts.Rejected.Add(1)
 		return nil, admitNever
-	case candidateSoon:
+	case candidateLater:
 		return nil, admitLater
 	default:
-		if !conns[i].leave() { // it has just begun a request
+		if !conns[i].stopIfIdle() { // it has just received a request
 			return nil, admitLater
 		}
-		f.Counts.Evicted.Add(1)
-		delete(f.conns, conns[i])
+		s.Counts.Evicted.Add(1)
+		delete(s.conns, conns[i])
 		return conns[i], admitNow
 	}
 }
 
-// checksPerTimeout is how often connections are examined in the time within which a client must send a message.
+// checksPerTimeout is how often the connections are checked within one MessageTimeout.
 const checksPerTimeout = 8
 
-// watch closes silent connections until Close.
-func (f *Server) watch() {
-	ticker := time.NewTicker(max(f.cfg.MessageTimeout/checksPerTimeout, time.Millisecond))
+// closeSilentConns closes the connections of silent clients until Close is called.
+func (s *Server) closeSilentConns() {
+	ticker := time.NewTicker(max(s.cfg.MessageTimeout/checksPerTimeout, time.Millisecond))
 	defer ticker.Stop()
 	for {
 		select {
-		case <-f.done:
+		case <-s.done:
 			return
 		case <-ticker.C:
 		}
-		for _, c := range f.silentConns(f.cfg.Clock.Now()) {
-			f.Counts.TimedOut.Add(1)
+		for _, c := range s.silentConns(s.cfg.Clock.Now()) {
+			s.Counts.TimedOut.Add(1)
 			c.out.Close()
 		}
 	}
 }
 
-// silentConns returns the connections to close, which accept no request any more.
-func (f *Server) silentConns(now time.Duration) (silent []*conn) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for c := range f.conns {
-		if silentTooLong(c.activity(), now, f.cfg.MessageTimeout) && c.leave() {
+// silentConns returns the connections to close for silence. They accept no further requests.
+func (s *Server) silentConns(now time.Duration) (silent []*conn) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for c := range s.conns {
+		if silentTooLong(c.activity(), now, s.cfg.MessageTimeout) && c.stopIfIdle() {
 			silent = append(silent, c)
 		}
 	}
--- a/internal/ingress/msgpackrpc/admission_test.go
+++ b/internal/ingress/msgpackrpc/admission_test.go
@@ -14,85 +14,85 @@
 	}{
 		{"no connection", nil, noCandidate},
 		{"all have requests in flight", []connActivity{
-			{spoke: true, inFlight: 1, lastSign: 1},
-			{spoke: true, inFlight: 2, lastSign: 0},
+			{sentMessage: true, inFlight: 1, lastActivity: 1},
+			{sentMessage: true, inFlight: 2, lastActivity: 0},
 		}, noCandidate},
-		{"one that never spoke goes first", []connActivity{
-			{spoke: true, lastSign: 1},
-			{lastSign: 9},
-			{lastSign: 8},
-			{spoke: true, lastSign: 0},
+		{"never sent a message", []connActivity{
+			{sentMessage: true, lastActivity: 1},
+			{lastActivity: 9},
+			{lastActivity: 8},
+			{sentMessage: true, lastActivity: 0},
 		}, 2},
-		{"the one idle longest", []connActivity{
-			{spoke: true, lastSign: 5},
-			{spoke: true, lastSign: 3},
-			{spoke: true, inFlight: 1, lastSign: 1},
+		{"idle longest", []connActivity{
+			{sentMessage: true, lastActivity: 5},
+			{sentMessage: true, lastActivity: 3},
+			{sentMessage: true, inFlight: 1, lastActivity: 1},
 		}, 1},
-		{"a new one has time to speak", []connActivity{
-			{lastSign: 96},
-			{spoke: true, lastSign: 3},
+		{"new connection in its grace period", []connActivity{
+			{lastActivity: 96},
+			{sentMessage: true, lastActivity: 3},
 		}, 1},
-		{"all are new", []connActivity{
-			{lastSign: 96},
-			{spoke: true, inFlight: 1, lastSign: 3},
-		}, candidateSoon},
+		{"all idle connections in their grace period", []connActivity{
+			{lastActivity: 96},
+			{sentMessage: true, inFlight: 1, lastActivity: 3},
+		}, candidateLater},
 	}
 	for _, tt := range tests {
 		if got := evictionCandidate(tt.conns, now, grace); got != tt.want {
-			t.Errorf("%s: %d, want %d", tt.name, got, tt.want)
+			t.Errorf("%s: candidate %d, want %d", tt.name, got, tt.want)
 		}
 	}
 }
 
 func TestSilentTooLong(t *testing.T) {
-	const within = time.Second
+	const timeout = time.Second
 	tests := []struct {
 		name string
 		conn connActivity
 		now  time.Duration
 		want bool
 	}{
-		{"new", connActivity{lastSign: 10}, 10 + within, false},
-		{"never spoke", connActivity{lastSign: 10}, 11 + within, true},
-		{"idle after an answer", connActivity{spoke: true, lastSign: 10}, 100 * within, false},
-		{"within a message", connActivity{spoke: true, inMessage: true, lastSign: 10}, 11 + within, true},
+		{"new", connActivity{lastActivity: 10}, 10 + timeout, false},
+		{"never sent a message", connActivity{lastActivity: 10}, 11 + timeout, true},
+		{"idle after an answer", connActivity{sentMessage: true, lastActivity: 10}, 100 * timeout, false},
+		{"within a message", connActivity{sentMessage: true, inMessage: true, lastActivity: 10}, 11 + timeout, true},
 	}
 	for _, tt := range tests {
-		if got := silentTooLong(tt.conn, tt.now, within); got != tt.want {
-			t.Errorf("%s: %v", tt.name, got)
+		if got := silentTooLong(tt.conn, tt.now, timeout); got != tt.want {
+			t.Errorf("%s: %v, want %v", tt.name, got, tt.want)
 		}
 	}
 }
 
-// Between the choice of the connection to evict and its close, a request may be read. It must not be accepted: its
-// client sends it again, and it would run twice.
+// A request may arrive after its connection was chosen for eviction and before it is closed. It
+// must not be accepted: the client sends it again on another connection, so it would run twice.
 func TestEvictedConnectionAcceptsNoRequest(t *testing.T) {
-	r := serve(t, nil)
-	c := r.dial(t)
+	s := serve(t, nil)
+	c := s.dial(t)
 	c.send(newRequest(1, "status", map[string]string{}))
 	c.answer()
-	r.mu.Lock()
+	s.mu.Lock()
 	var idle *conn
-	for only := range r.conns {
-		idle = only
+	for c := range s.conns {
+		idle = c
 	}
-	r.mu.Unlock()
-	if !idle.leave() {
-		t.Fatal("an idle connection does not leave")
+	s.mu.Unlock()
+	if !idle.stopIfIdle() {
+		t.Fatal("stopIfIdle does not stop an idle connection")
 	}
 	c.send(newRequest(2, "lookup", withFields(), []byte("x")))
-	if _, got := c.answer(); got != "closed" || len(r.gateway.calls) > 0 {
-		t.Errorf("%s, %d calls reached the gateway", got, len(r.gateway.calls))
+	if _, got := c.answer(); got != "closed" || len(s.gateway.calls) > 0 {
+		t.Errorf("answer %s, %d calls reached the gateway; want closed and none", got, len(s.gateway.calls))
 	}
 
-	busy := r.dial(t)
+	busy := s.dial(t)
 	busy.send(newRequest(1, "lookup", withFields(), []byte("x")))
-	<-r.gateway.calls
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for other := range r.conns {
-		if other != idle && other.leave() {
-			t.Error("a connection with a request in flight leaves")
+	<-s.gateway.calls
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for other := range s.conns {
+		if other != idle && other.stopIfIdle() {
+			t.Error("stopIfIdle stops a connection with a request in flight")
 		}
 	}
 }
--- a/internal/ingress/msgpackrpc/conn.go
+++ b/internal/ingress/msgpackrpc/conn.go
@@ -12,73 +12,77 @@
 	"kitehub/scheduler"
 )
 
-// A conn is one client's connection. serve, and all that it calls, runs on a goroutine of its own.
+// A conn is one client's connection. It has a goroutine of its own that runs serve and the methods
+// that serve calls.
 type conn struct {
 	net.Conn
-	front     *Server
-	out       *outbox.Outbox
-	lastSign  atomic.Int64 // see connActivity
-	spoke     atomic.Bool
-	inMessage atomic.Bool
-	faults    int // invalid messages; used by the reading goroutine alone
+	server       *Server
+	out          *outbox.Outbox
+	lastActivity atomic.Int64 // on Config.Clock, in nanoseconds; see connActivity
+	sentMessage  atomic.Bool
+	inMessage    atomic.Bool
+	faults       int // invalid messages; only used by the reading goroutine
 
 	mu       sync.Mutex
 	inFlight map[uint32]*inFlightRequest // by msgid
-	leaving  bool                        // it is being closed with nothing in flight: no request is accepted any more
-	// finished: this side has ended, or will once its answers are written. What the client still sends is read and
-	// dropped: closing with bytes unread would reset the connection, and the last answers could be lost.
+	stopped  bool                        // no further request is accepted
+	// finished is set when this side of the connection closes once its answers are written. What
+	// the client still sends is read and discarded: closing the connection with unread bytes would
+	// reset it, and the last answers could be lost.
 	finished bool
 }
 
-// An inFlightRequest is one that the gateway has not answered.
+// An inFlightRequest is a request that the gateway has not answered.
 type inFlightRequest struct {
 	txn uint64
-	id  scheduler.RequestID // at the gateway; set once it was submitted
+	id  scheduler.RequestID // at the gateway; set once submitted
 }
 
-func (f *Server) newConn(socket net.Conn) *conn {
-	// The outbox holds an answer for each request that may be in flight.
-	maxWaiting := f.cfg.MaxInFlight * f.cfg.MaxBody
+func (s *Server) newConn(socket net.Conn) *conn {
+	// The outbox has room for the answers to all requests that may be in flight.
+	maxWaiting := s.cfg.MaxInFlight * s.cfg.MaxBody
 	c := &conn{
 		Conn:     socket,
-		front:    f,
-		out:      outbox.New(socket, maxWaiting, f.cfg.StallTimeout),
+		server:   s,
+		out:      outbox.New(socket, maxWaiting, s.cfg.StallTimeout),
 		inFlight: map[uint32]*inFlightRequest{},
 	}
 	c.touch()
 	return c
 }
 
+// activity returns the state that decides whether the connection may be closed.
 func (c *conn) activity() connActivity {
 	c.mu.Lock()
 	inFlight := len(c.inFlight)
 	c.mu.Unlock()
 	return connActivity{
-		spoke:     c.spoke.Load(),
-		inMessage: c.inMessage.Load(),
-		inFlight:  inFlight,
-		lastSign:  time.Duration(c.lastSign.Load()),
+		sentMessage:  c.sentMessage.Load(),
+		inMessage:    c.inMessage.Load(),
+		inFlight:     inFlight,
+		lastActivity: time.Duration(c.lastActivity.Load()),
 	}
 }
 
-// leave bars the connection from accepting requests, if none is in flight: its client repeats a request that crosses
-// the close. It reports whether the connection is barred.
-func (c *conn) leave() bool {
+// stopIfIdle stops the connection from accepting requests if none is in flight, so that it can be
+// closed: the client sends a request that crosses the close again. It reports whether the
+// connection is stopped.
+func (c *conn) stopIfIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.leaving = c.leaving || len(c.inFlight) == 0
-	return c.leaving
+	c.stopped = c.stopped || len(c.inFlight) == 0
+	return c.stopped
 }
 
-// touch notes a sign of life.
-func (c *conn) touch() { c.lastSign.Store(int64(c.front.cfg.Clock.Now())) }
+// touch records activity on the connection.
+func (c *conn) touch() { c.lastActivity.Store(int64(c.server.cfg.Clock.Now())) }
 
-const readBuffer = 2 << 10 // bytes: requests are mostly shorter; a body is read past it
+const readBuffer = 2 << 10 // bytes; most requests fit, and larger bodies bypass the buffer
 
-// serve reads and carries out messages until the connection ends.
+// serve reads and handles messages until the connection ends.
 func (c *conn) serve() {
 	defer c.end()
-	d := decoder{r: bufio.NewReaderSize(c.Conn, readBuffer), maxBody: c.front.cfg.MaxBody}
+	d := decoder{r: bufio.NewReaderSize(c.Conn, readBuffer), maxBody: c.server.cfg.MaxBody}
 	var m message
 	for {
 		if _, err := d.r.Peek(1); err != nil {
@@ -88,8 +92,8 @@
 		c.inMessage.Store(true)
 		err := d.next(&m)
 		c.touch()
-		if errors.Is(err, errFrame) {
-			c.front.Counts.Malformed.Add(1)
+		if errors.Is(err, errMalformed) {
+			c.server.Counts.Malformed.Add(1)
 			if m.hasID {
 				c.answerInvalid(m.id, err.Error())
 			}
@@ -98,7 +102,7 @@
 			return
 		}
 		c.inMessage.Store(false)
-		c.spoke.Store(true)
+		c.sentMessage.Store(true)
 		if !c.handle(&m) {
 			c.discard(d.r)
 			return
@@ -106,19 +110,19 @@
 	}
 }
 
-// handle carries out a message; false if the connection is to be closed.
+// handle handles a message. It returns false if the connection is to be closed.
 func (c *conn) handle(m *message) bool {
 	switch {
 	case m.kind == typeNotify:
 		if m.method != methodWithdraw || m.fault != "" {
-			return c.countFault() // a notification has no answer
+			return c.countFault() // notifications have no response
 		}
 		for _, id := range m.ids {
 			c.withdraw(id)
 		}
 		return true
 	case m.method == methodStatus:
-		c.out.Send(appendStatus(nil, m.id, !c.front.draining.Load()))
+		c.out.Send(appendStatus(nil, m.id, !c.server.draining.Load()))
 		return true
 	case m.method == methodWithdraw:
 		m.fault = "withdraw is a notification"
@@ -126,34 +130,36 @@
 	return c.handleRequest(m)
 }
 
-// answerInvalid answers a request that does not reach the gateway; false if the connection is to be closed.
+// answerInvalid answers a request that is not submitted to the gateway. It returns false if the
+// connection is to be closed.
 func (c *conn) answerInvalid(id uint32, reason string) bool {
-	c.front.Counts.Invalid.Add(1)
+	c.server.Counts.Invalid.Add(1)
 	c.out.Send(appendError(nil, id, errorInvalid, "why", reason))
 	return c.countFault()
 }
 
-// countFault counts an invalid message; false once there were as many as requests may be in flight.
+// countFault counts an invalid message. It returns false once the connection has sent as many as it
+// may have requests in flight.
 func (c *conn) countFault() bool {
 	c.faults++
-	return c.faults < c.front.cfg.MaxInFlight
+	return c.faults < c.server.cfg.MaxInFlight
 }
 
-// end cancels all that is in flight, and then closes: a client that sees the end knows that no request of its is
-// forwarded any more.
+// end cancels all requests in flight before it closes the connection. When the client sees the
+// close, none of its requests is forwarded any more.
 func (c *conn) end() {
-	f := c.front
+	s := c.server
 	c.mu.Lock()
 	inFlight := c.inFlight
 	c.inFlight = map[uint32]*inFlightRequest{}
 	c.mu.Unlock()
 	for _, r := range inFlight {
-		f.endTxn(r.txn)
-		f.cfg.Gateway.Cancel(r.id)
+		s.endTxn(r.txn)
+		s.cfg.Gateway.Cancel(r.id)
 	}
 	c.out.Close()
-	f.mu.Lock()
-	delete(f.conns, c)
-	f.signalIfEmpty()
-	f.mu.Unlock()
+	s.mu.Lock()
+	delete(s.conns, c)
+	s.signalIfEmpty()
+	s.mu.Unlock()
 }
--- a/internal/ingress/msgpackrpc/encode.go
+++ b/internal/ingress/msgpackrpc/encode.go
@@ -2,30 +2,31 @@
 
 import "encoding/binary"
 
-// Errors of answers. The platform knows Rejected; any other counts as failed, and Failed and Invalid are kitehub's
-// own.
+// Errors in answers. The platform defines Rejected and treats any other error as a failure; Failed
+// and Invalid are defined by kitehub.
 const (
 	errorRejected = "Rejected"
 	errorFailed   = "Failed"
 	errorInvalid  = "Invalid"
 )
 
-// maxServedOverhead is the size of an answer with a body, but for the body.
+// maxServedOverhead is the size in bytes of the answer to a served request, without its body.
 const maxServedOverhead = 24
 
 const typeResponse = 1
 
-// appendServed appends the answer [1, id, nil, [body, {}]].
+// appendServed appends the response [1, id, nil, [body, {}]].
 func appendServed(b []byte, id uint32, body []byte) []byte {
-	b = appendResponse(b, id)
+	b = appendResponseHead(b, id)
 	b = append(b, formatNil, formatFixArray|2)
 	b = appendBin(b, body)
 	return append(b, formatFixMap)
 }
 
-// appendError appends the answer [1, id, [text, {name: value}], nil]; the map is empty if the name is.
+// appendError appends the response [1, id, [text, {name: value}], nil]. The map is empty if name
+// is.
 func appendError(b []byte, id uint32, text, name, value string) []byte {
-	b = appendResponse(b, id)
+	b = appendResponseHead(b, id)
 	b = append(b, formatFixArray|2)
 	b = appendStr(b, text)
 	if name == "" {
@@ -38,9 +39,9 @@
 	return append(b, formatNil)
 }
 
-// appendStatus appends the answer [1, id, nil, [ready, {}]].
+// appendStatus appends the response [1, id, nil, [ready, {}]].
 func appendStatus(b []byte, id uint32, ready bool) []byte {
-	b = appendResponse(b, id)
+	b = appendResponseHead(b, id)
 	b = append(b, formatNil, formatFixArray|2)
 	if ready {
 		b = append(b, formatTrue)
@@ -50,8 +51,9 @@
 	return append(b, formatFixMap)
 }
 
-// appendResponse appends the begin of a response, an array of four: its type and its msgid.
-func appendResponse(b []byte, id uint32) []byte {
+// appendResponseHead appends the start of a response, which is an array of four elements: the array
+// header, the message type and the msgid.
+func appendResponseHead(b []byte, id uint32) []byte {
 	return appendUint(append(b, formatFixArray|4, typeResponse), id)
 }
 
@@ -67,7 +69,7 @@
 	return binary.BigEndian.AppendUint32(append(b, formatUint32), v)
 }
 
-// appendStr appends a string of at most 255 bytes; a longer one is truncated.
+// appendStr appends a string. A string longer than 255 bytes is truncated.
 func appendStr(b []byte, s string) []byte {
 	s = s[:min(len(s), 0xff)]
 	if len(s) < 32 {
--- a/internal/ingress/msgpackrpc/helpers_test.go
+++ b/internal/ingress/msgpackrpc/helpers_test.go
@@ -17,17 +17,17 @@
 
 var withFields, txn = fakeplatform.Fields, fakeplatform.Txn
 
-// newRequest packs a request, with the platform's example fields if there are no params.
+// newRequest encodes a request. Without params it has the platform's example fields.
 var newRequest = fakeplatform.Request
 
-// A fakeGateway hands calls to the test, which answers them.
+// A fakeGateway passes calls to the test, which answers them.
 type fakeGateway struct {
 	calls     chan *gateway.Call
 	cancelled chan scheduler.RequestID
 
 	mu     sync.Mutex
 	lastID scheduler.RequestID
-	full   bool // accepts no call
+	full   bool // rejects all calls
 }
 
 func newFakeGateway() *fakeGateway {
@@ -65,15 +65,15 @@
 	}
 }
 
-// A testFront is a front that serves, with a fake gateway.
-type testFront struct {
+// A testServer is a server with a fake gateway.
+type testServer struct {
 	*Server
 	gateway *fakeGateway
 	addr    string
 }
 
-// serve starts a front; change may alter its configuration first.
-func serve(t *testing.T, change func(*Config)) *testFront {
+// serve starts a server; change, if not nil, may alter its configuration first.
+func serve(t *testing.T, change func(*Config)) *testServer {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -82,7 +82,8 @@
 	return serveOn(t, ln, change)
 }
 
-func serveOn(t *testing.T, ln net.Listener, change func(*Config)) *testFront {
+// serveOn starts a server on a listener.
+func serveOn(t *testing.T, ln net.Listener, change func(*Config)) *testServer {
 	t.Helper()
 	g := newFakeGateway()
 	cfg := Config{
@@ -99,29 +100,29 @@
 	if change != nil {
 		change(&cfg)
 	}
-	f := New(cfg)
+	s := New(cfg)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		f.Serve(ln)
+		s.Serve(ln)
 	}()
 	t.Cleanup(func() {
 		ln.Close()
-		f.Close()
+		s.Close()
 		<-done
 	})
-	return &testFront{f, g, ln.Addr().String()}
+	return &testServer{s, g, ln.Addr().String()}
 }
 
-// A client is one connection of a client of the platform.
+// A client is a connection of a client of the platform.
 type client struct {
 	*fakeplatform.Client
 	t *testing.T
 }
 
-func (f *testFront) dial(t *testing.T) *client {
+func (s *testServer) dial(t *testing.T) *client {
 	t.Helper()
-	c, err := fakeplatform.Dial(f.addr, 20*time.Second) // so that a test without an answer ends
+	c, err := fakeplatform.Dial(s.addr, 20*time.Second) // bounds a test that gets no answer
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -129,10 +130,10 @@
 	return &client{c, t}
 }
 
-// send writes messages in one segment.
+// send writes all messages at once, so that they may arrive in one segment.
 func (c *client) send(messages ...[]byte) { c.Write(bytes.Join(messages, nil)) }
 
-// answer reads one answer, or that the connection was closed.
+// answer reads one answer, or reports that the connection was closed.
 func (c *client) answer() (id int64, what string) {
 	c.t.Helper()
 	if id, what = c.Answer(); what == fakeplatform.Silent {
--- a/internal/ingress/msgpackrpc/message.go
+++ b/internal/ingress/msgpackrpc/message.go
@@ -6,82 +6,83 @@
 	"fmt"
 )
 
-// Bounds of one message, but for its body, which Config.MaxBody bounds.
+// Bounds of one message. Its body is bounded by Config.MaxBody instead.
 const (
-	maxPairs    = 32      // of a map
-	maxText     = 256     // bytes of a name or a value
-	maxOverhead = 4 << 10 // bytes of a message that are not its body
-	maxDepth    = 6       // arrays and maps within each other, in what is skipped
+	maxPairs    = 32      // key-value pairs of a map
+	maxText     = 256     // bytes of a string
+	maxOverhead = 4 << 10 // bytes of a message without its body
+	maxDepth    = 6       // nested arrays and maps in a skipped value
 	maxNumber   = 1<<32 - 1
 )
 
-// Types of messages (MessagePack-RPC specification).
+// Message types of the MessagePack-RPC specification.
 const (
 	typeRequest = 0
 	typeNotify  = 2
 )
 
-// A message is a request or a notification, as far as it is understood.
+// A message is a decoded request or notification.
 type message struct {
 	kind   int
 	id     uint32
-	hasID  bool // id was read: an error can be answered under it
+	hasID  bool // id was read, so an error response can be sent
 	method string
 	fields fields
 	body   []byte
-	ids    []uint32 // of withdraw
-	fault  string   // what is wrong with it, although its end was found; "": nothing
+	ids    []uint32 // msgids of withdraw
+	fault  string   // why a completely read message is invalid; "": it is valid
 }
 
-// fields are those of a request that are known; others are ignored. All are text, "" if missing.
+// fields are the known fields of a request; others are ignored. All are strings, "" if missing.
 type fields struct {
-	txn    string // the client's id of the request
-	limit  string // milliseconds that the client waits
+	txn    string // the client's ID of the request
+	limit  string // milliseconds for which the client waits
 	team   string // tenant
 	unique string // idempotency key
 	item   string // function
-	attrs  string // of the function: see parseAttributes
-	second string // not empty: the client has sent the request before
-	cpu    string // expected run time, milliseconds
+	attrs  string // attributes of the function; see parseAttributes
+	second string // not empty if the client has sent the request before
+	cpu    string // expected run time in milliseconds
 }
 
-// errFrame is wrapped by errors that say that bytes are no message: where the next one begins cannot be told.
-var errFrame = errors.New("not a MessagePack-RPC message")
+// errMalformed is wrapped by errors for bytes that are not a message. The start of the next message
+// is unknown after such an error.
+var errMalformed = errors.New("not a MessagePack-RPC message")
 
-// frameError returns an error that wraps errFrame.
-func frameError(format string, a ...any) error {
-	return fmt.Errorf("%w: %s", errFrame, fmt.Sprintf(format, a...))
+// malformedError returns an error that wraps errMalformed.
+func malformedError(format string, a ...any) error {
+	return fmt.Errorf("%w: %s", errMalformed, fmt.Sprintf(format, a...))
 }
 
-// A decoder reads messages from a connection. Each length is compared with its bound before anything is allocated for
-// it.
+// A decoder reads messages from a connection. It checks each length against its bound before it
+// allocates memory.
 type decoder struct {
-	r       *bufio.Reader
-	maxBody int
-	left    int           // bytes that this message may still take, but for its body
-	text    [maxText]byte // the last string read
+	r         *bufio.Reader
+	maxBody   int
+	remaining int           // bytes that this message may still have, without its body
+	text      [maxText]byte // buffer for strings
 }
 
-// next reads one message. After an error that wraps errFrame the end of the message cannot be found; m.hasID says
-// whether it can be answered all the same.
+// next reads one message. After an error that wraps errMalformed, the end of the message is
+// unknown; m.hasID still says whether an error response can be sent.
 func (d *decoder) next(m *message) error {
 	*m = message{ids: m.ids[:0]}
-	d.left = maxOverhead
-	n, err := d.arrayLen("message")
+	d.remaining = maxOverhead
+	n, err := d.readArrayLen("message")
 	if err != nil {
 		return err
 	}
 	if n != 3 && n != 4 {
-		return frameError("an array of %d, want 3 or 4", n)
+		return malformedError("an array of %d, want 3 or 4", n)
 	}
-	kind, err := d.number("type")
+	kind, err := d.readNumber("type")
 	if err != nil {
 		return err
 	}
 	m.kind = int(kind)
 	switch {
 	case kind == typeRequest && n == 4:
-		id, err := d.number("msgid")
+		id, err := d.readNumber("msgid")
 		if err != nil {
 			return err
 		}
@@ -89,24 +90,24 @@
 		m.hasID = true
 	case kind == typeNotify && n == 3:
 	default:
-		return frameError("type %d in an array of %d", kind, n)
+		return malformedError("type %d in an array of %d", kind, n)
 	}
-	if m.method, err = d.str("method"); err != nil {
+	if m.method, err = d.readStr("method"); err != nil {
 		return err
 	}
-	if n, err = d.arrayLen("params"); err != nil {
+	if n, err = d.readArrayLen("params"); err != nil {
 		return err
 	}
 	if m.kind == typeNotify {
-		return d.msgids(m, n)
+		return d.readMsgids(m, n)
 	}
-	return d.params(m, n)
+	return d.readParams(m, n)
 }
 
-// msgids reads the params of a notification: the msgids that it is about.
-func (d *decoder) msgids(m *message, n int) error {
+// readMsgids reads the params of a notification, which are msgids.
+func (d *decoder) readMsgids(m *message, n int) error {
 	for range n {
-		b, err := d.peek()
+		b, err := d.peekByte()
 		if err != nil {
 			return err
 		}
@@ -117,7 +118,7 @@
 			}
 			continue
 		}
-		id, err := d.number("msgid")
+		id, err := d.readNumber("msgid")
 		if err != nil {
 			return err
 		}
@@ -126,13 +127,13 @@
 	return nil
 }
 
-// params reads the params of a request: a map of fields, and perhaps a body.
-func (d *decoder) params(m *message, n int) error {
+// readParams reads the params of a request: a map of fields and an optional body.
+func (d *decoder) readParams(m *message, n int) error {
 	if n < 1 || n > 2 {
 		m.fault = "params must be fields and a body"
 	}
 	for i := range n {
-		b, err := d.peek()
+		b, err := d.peekByte()
 		if err != nil {
 			return err
 		}
@@ -140,7 +141,7 @@
 		case i == 0 && isMap(b):
 			err = d.readFields(m)
 		case i == 1 && isBin(b):
-			m.body, err = d.bin()
+			m.body, err = d.readBin()
 		default:
 			if i < 2 {
 				m.fault = [...]string{"fields must be a map", "the body must be bin"}[i]
@@ -156,7 +157,7 @@
 
 // readFields reads a map of strings.
 func (d *decoder) readFields(m *message) error {
-	n, err := d.mapLen()
+	n, err := d.readMapLen()
 	if err != nil {
 		return err
 	}
@@ -168,9 +169,10 @@
 	return nil
 }
 
-// readField reads one pair of a map. What is no string is skipped, and noted as a fault.
+// readField reads one pair of a map. A name or value that is not a string is skipped, and makes the
+// message invalid.
 func (d *decoder) readField(m *message) error {
-	b, err := d.peek()
+	b, err := d.peekByte()
 	if err != nil {
 		return err
 	}
@@ -181,31 +183,31 @@
 		}
 		return d.skip(maxDepth)
 	}
-	name, err := d.strBytes("field name")
+	name, err := d.readStrBytes("field name")
 	if err != nil {
 		return err
 	}
-	to := m.fields.named(string(name))
-	if b, err = d.peek(); err != nil {
+	field := m.fields.byName(string(name))
+	if b, err = d.peekByte(); err != nil {
 		return err
 	}
 	if !isStr(b) {
 		m.fault = "a field that is no string"
 		return d.skip(maxDepth)
 	}
-	value, err := d.strBytes("field")
-	if err != nil || to == nil {
+	value, err := d.readStrBytes("field")
+	if err != nil || field == nil {
 		return err
 	}
-	if *to != "" {
+	if *field != "" {
 		m.fault = "a field given twice"
 	}
-	*to = string(value)
+	*field = string(value)
 	return nil
 }
 
-// named returns where a field is stored; nil if it is not known.
-func (f *fields) named(name string) *string {
+// byName returns a pointer to the field with the given name, or nil if the name is unknown.
+func (f *fields) byName(name string) *string {
 	switch name {
 	case "txn":
 		return &f.txn
--- a/internal/ingress/msgpackrpc/message_test.go
+++ b/internal/ingress/msgpackrpc/message_test.go
@@ -21,7 +21,8 @@
 	return m, err
 }
 
-// A message is read completely, with what is wrong with it, or not at all.
+// The decoder must read a message to its end and report why it is invalid, if it is, or fail with
+// errMalformed. It must not accept a truncated message.
 func TestDecode(t *testing.T) {
 	long := strings.Repeat("x", 300)
 	complete := newRequest(7, "call", withFields(), []byte{})
@@ -38,8 +39,8 @@
 	tests := []struct {
 		name      string
 		in        []byte
-		fault     string // of a message whose end was found
-		malformed bool   // its end was not
+		fault     string // expected of a message that is read to its end
+		malformed bool   // the end of the message cannot be found
 	}{
 		{"a call", newRequest(7, "call", withFields(), []byte("body")), "", false},
 		{"no body", newRequest(7, "call", withFields()), "", false},
@@ -47,14 +48,14 @@
 		{"wide numbers", newRequest(uint64(1<<32-1), "call", withFields(), []byte("body")), "", false},
 		{"status", newRequest(8, "status", map[string]string{}), "", false},
 		{"withdraw", fakeplatform.Withdraw(7, 8), "", false},
-		{"fields that are no map", newRequest(7, "call", "x", []byte("body")), "fields must be a map", false},
-		{"a body that is no bin", newRequest(7, "call", withFields(), 17), "the body must be bin", false},
+		{"fields that are not a map", newRequest(7, "call", "x", []byte("body")), "fields must be a map", false},
+		{"a body that is not binary", newRequest(7, "call", withFields(), 17), "the body must be bin", false},
 		{"a field that is a number", newRequest(7, "call", number, []byte("b")), "a field that is no string", false},
 		{"a field that is nested", newRequest(7, "call", nested, []byte("b")), "a field that is no string", false},
 		{"three params", newRequest(7, "call", withFields(), []byte("b"), 3), "params must be fields and a body", false},
 		{"no params", fakeplatform.Pack([]any{0, 7, "call", []any{}}), "params must be fields and a body", false},
 		{"a field twice", twice, "a field given twice", false},
-		{"withdraw of a word", fakeplatform.Withdraw("x"), "a msgid that is no number", false},
+		{"withdraw of a string", fakeplatform.Withdraw("x"), "a msgid that is no number", false},
 		{"a body of 101 bytes", newRequest(7, "call", withFields(), make([]byte, 101)), "", true},
 		{"a body of 4 GB", hugeBody, "", true},
 		{"a long field", newRequest(7, "call", map[string]string{"txn": long}), "", true},
@@ -65,30 +66,30 @@
 		{"endless fields", endless, "", true},
 		{"a negative msgid", newRequest(-1, "call", withFields()), "", true},
 		{"a msgid over 32 bits", newRequest(uint64(1<<32), "call", withFields()), "", true},
-		{"a msgid that is a word", newRequest("7", "call", withFields()), "", true},
-		{"an answer", fakeplatform.Pack([]any{1, 7, nil, nil}), "", true},
+		{"a msgid that is a string", newRequest("7", "call", withFields()), "", true},
+		{"a response", fakeplatform.Pack([]any{1, 7, nil, nil}), "", true},
 		{"a request of three", fakeplatform.Pack([]any{0, 7, "call"}), "", true},
 		{"a notification of four", fakeplatform.Pack([]any{2, 7, "call", []any{}}), "", true},
 		{"a map", fakeplatform.Pack(withFields()), "", true},
 		{"HTTP", []byte("GET / HTTP/1.1\r\n\r\n"), "", true},
-		{"0xc1, which is never used", after(noParams, 0x91, 0xc1), "", true},
+		{"0xc1, which MessagePack does not use", after(noParams, 0x91, 0xc1), "", true},
 	}
 	for _, tt := range tests {
-		for _, singleBytes := range []bool{false, true} {
+		for _, oneByteReads := range []bool{false, true} {
 			r := io.Reader(bytes.NewReader(append(tt.in, "rest"...)))
-			if singleBytes {
+			if oneByteReads {
 				r = iotest.OneByteReader(r)
 			}
 			m, err := decode(r)
-			if tt.malformed != errors.Is(err, errFrame) || !tt.malformed && err != nil {
-				t.Errorf("%s, single bytes %v: error %v, want one of framing: %v",
-					tt.name, singleBytes, err, tt.malformed)
+			if tt.malformed != errors.Is(err, errMalformed) || !tt.malformed && err != nil {
+				t.Errorf("%s, one-byte reads %v: error %v, want errMalformed: %v",
+					tt.name, oneByteReads, err, tt.malformed)
 			}
 			if err == nil && m.fault != tt.fault {
-				t.Errorf("%s, single bytes %v: fault %q, want %q", tt.name, singleBytes, m.fault, tt.fault)
+				t.Errorf("%s, one-byte reads %v: fault %q, want %q", tt.name, oneByteReads, m.fault, tt.fault)
 			}
 		}
-		for n := range tt.in { // truncated anywhere
+		for n := range tt.in { // truncated at every byte
 			if _, err := decode(bytes.NewReader(tt.in[:n])); err == nil {
 				t.Errorf("%s: accepted when truncated at byte %d of %d", tt.name, n, len(tt.in))
 				break
@@ -108,11 +109,12 @@
 		attrs:  "memory_mb:512;lanes:2;load_ms:640",
 	}
 	if err != nil || m.id != 7 || m.method != "call" || m.fields != want || string(m.body) != "body" {
-		t.Errorf("%+v, %v", m, err)
+		t.Errorf("decoded %+v, error %v, want fields %+v", m, err, want)
 	}
 }
 
-// FuzzDecode compares the decoder with another one, which reads the same of every request that ours accepts.
+// FuzzDecode checks every request that the decoder accepts against another implementation of
+// MessagePack, which must decode it to the same values.
 func FuzzDecode(f *testing.F) {
 	f.Add(newRequest(7, "call", withFields(), []byte("body")))
 	f.Add(fakeplatform.Withdraw(7))
@@ -127,16 +129,16 @@
 		dec := msgpack.NewDecoder(bytes.NewReader(in))
 		dec.SetMapDecoder(func(d *msgpack.Decoder) (any, error) { return d.DecodeUntypedMap() })
 		if err := dec.Decode(&v); err != nil {
-			t.Fatalf("%x: ours accepts it, theirs does not: %v", in, err)
+			t.Fatalf("%x: accepted, but the other decoder fails: %v", in, err)
 		}
 		params := v[3].([]any)
 		if v[2] != m.method || len(params) == 2 && !bytes.Equal(params[1].([]byte), m.body) {
-			t.Fatalf("%x: ours %+v, theirs %v", in, m, v)
+			t.Fatalf("%x: decoded %+v, the other decoder %v", in, m, v)
 		}
 		for name, got := range map[string]string{"txn": m.fields.txn, "item": m.fields.item, "limit": m.fields.limit} {
 			want, _ := params[0].(map[any]any)[name].(string)
 			if got != want {
-				t.Fatalf("%x: %s is %q, theirs %q", in, name, got, want)
+				t.Fatalf("%x: %s is %q, by the other decoder %q", in, name, got, want)
 			}
 		}
 	})
--- a/internal/ingress/msgpackrpc/parse.go
+++ b/internal/ingress/msgpackrpc/parse.go
@@ -12,22 +12,24 @@
 	"kitehub/scheduler"
 )
 
-// Bounds of numbers, far above what any machine has: they only keep sums finite.
+// Bounds of numbers, far above those of any machine. They only keep sums finite.
 const (
 	maxMemoryMB = 1 << 30
 	maxLanes    = 1 << 20
 	maxMillis   = 1 << 31
 )
 
-// limitFactor: a client's time limit may be up to its class's deadline times this.
-const limitFactor = 2
+// maxLimitFactor bounds a client's time limit to a multiple of its class's deadline.
+const maxLimitFactor = 2
 
 const maxKeyBytes = 64 // of an idempotency key
 
-// FunctionName returns the name of a function on the wire: 16 hex digits, which are its id. So no table of names is kept.
+// FunctionName returns the name of a function on the wire, which is its ID as 16 hex digits. So no
+// table of names is needed.
 func FunctionName(id scheduler.FunctionID) string { return fmt.Sprintf("%016x", uint64(id)) }
 
-// parseHex16 reads 16 lower-case hex digits: another spelling would not be forwarded unchanged.
+// parseHex16 parses 16 lower-case hex digits. Other spellings are invalid, as they would not be
+// forwarded unchanged.
 func parseHex16(s string) (v uint64, ok bool) {
 	if len(s) != 16 {
 		return 0, false
@@ -47,8 +49,8 @@
 	return v, true
 }
 
-// validKey reports whether an idempotency key can be a field of a worker's frame: letters, digits, dashes and
-// underscores.
+// validKey reports whether an idempotency key can be a field of a frame to a worker. It may consist
+// of letters, digits, dashes and underscores.
 func validKey(s string) bool {
 	for i := range len(s) {
 		c := s[i]
@@ -59,14 +61,14 @@
 	return s != "" && len(s) <= maxKeyBytes
 }
 
-// parse checks a request against the settings and returns the call and its txn. The error says what is wrong with the
-// request, for the client.
-func (f *Server) parse(m *message) (call *gateway.Call, txn uint64, err error) {
-	classIndex, ok := f.classes[m.method]
+// parse checks a request against the settings, and returns the call and its txn. The error tells
+// the client what is wrong with the request.
+func (s *Server) parse(m *message) (call *gateway.Call, txn uint64, err error) {
+	classIndex, ok := s.classes[m.method]
 	if !ok {
 		return nil, 0, errors.New("no such class")
 	}
-	class := &f.cfg.Settings.Classes[classIndex]
+	class := &s.cfg.Settings.Classes[classIndex]
 	if txn, ok = parseHex16(m.fields.txn); !ok {
 		return nil, 0, errors.New("txn: want 16 hex digits")
 	}
@@ -74,11 +76,11 @@
 	if !ok {
 		return nil, 0, errors.New("item: want 16 hex digits")
 	}
-	tenant, ok := f.tenants[m.fields.team]
-	if !ok && (m.fields.team != "" || len(f.tenants) > 0) {
+	tenant, ok := s.tenants[m.fields.team]
+	if !ok && (m.fields.team != "" || len(s.tenants) > 0) {
 		return nil, 0, errors.New("team: no such tenant")
 	}
-	maxLimit := limitFactor * class.Deadline
+	maxLimit := maxLimitFactor * class.Deadline
 	limit, err := parseMillis(m.fields.limit)
 	if err != nil || limit <= 0 || limit > maxLimit {
 		return nil, 0, fmt.Errorf("limit: want milliseconds, above 0 and up to %d", maxLimit.Milliseconds())
@@ -105,7 +107,8 @@
 	return call, txn, parseAttributes(m.fields.attrs, call.Function)
 }
 
-// parseAttributes reads attributes of a function like "memory_mb:512;lanes:2;load_ms:640". Unknown names are ignored.
+// parseAttributes parses attributes of a function such as "memory_mb:512;lanes:2;load_ms:640".
+// Unknown names are ignored.
 func parseAttributes(text string, function *gateway.Function) error {
 	for text != "" {
 		var pair string
@@ -134,10 +137,10 @@
 	return nil
 }
 
-// parseMillis reads milliseconds, which may have a fraction.
+// parseMillis parses a number of milliseconds, which may have a fraction.
 func parseMillis(text string) (time.Duration, error) {
 	millis, err := strconv.ParseFloat(text, 64)
-	if err != nil || !(math.Abs(millis) <= maxMillis) { // so is NaN
+	if err != nil || !(math.Abs(millis) <= maxMillis) { // also false for NaN
 		return 0, fmt.Errorf("%.32q is no number of milliseconds", text)
 	}
 	return time.Duration(millis * float64(time.Millisecond)), nil
--- a/internal/ingress/msgpackrpc/request.go
+++ b/internal/ingress/msgpackrpc/request.go
@@ -6,50 +6,51 @@
 	"kitehub/internal/gateway"
 )
 
-// handleRequest submits a request to the gateway, or answers it; false if the connection is to be closed.
+// handleRequest submits a request to the gateway, or answers it with an error. It returns false if
+// the connection is to be closed.
 func (c *conn) handleRequest(m *message) bool {
-	f := c.front
+	s := c.server
 	c.mu.Lock()
 	_, repeated := c.inFlight[m.id]
 	inFlight := len(c.inFlight)
 	c.mu.Unlock()
-	if repeated { // an error under this msgid would pass for the answer to the request in flight
-		f.Counts.Invalid.Add(1)
+	if repeated { // the client would take an error for the answer to the request in flight
+		s.Counts.Invalid.Add(1)
 		return false
 	}
 	if m.fault != "" {
 		return c.answerInvalid(m.id, m.fault)
 	}
-	call, txn, err := f.parse(m)
+	call, txn, err := s.parse(m)
 	if err != nil {
 		return c.answerInvalid(m.id, err.Error())
 	}
-	if inFlight >= f.cfg.MaxInFlight {
-		f.Counts.OverLimit.Add(1)
+	if inFlight >= s.cfg.MaxInFlight {
+		s.Counts.OverLimit.Add(1)
 		c.out.Send(appendError(nil, m.id, errorRejected, "why", "too many open on this connection"))
 		return c.countFault()
 	}
-	if !f.beginTxn(txn) {
+	if !s.beginTxn(txn) {
 		return c.answerInvalid(m.id, "txn: it is open")
 	}
 	return c.submit(m.id, txn, call)
 }
 
-// submit hands a call to the gateway; false if the connection is being closed.
+// submit submits a call to the gateway. It returns false if the connection is being closed.
 func (c *conn) submit(id uint32, txn uint64, call *gateway.Call) bool {
-	f := c.front
+	s := c.server
 	r := &inFlightRequest{txn: txn}
 	c.mu.Lock()
-	if c.leaving {
+	if c.stopped {
 		c.mu.Unlock()
-		f.endTxn(txn)
+		s.endTxn(txn)
 		return false
 	}
 	c.inFlight[id] = r
 	c.mu.Unlock()
 	call.Deliver = func(a gateway.Answer) { c.deliver(id, r, a) }
-	f.Counts.Requests.Add(1)
-	requestID, accepted := f.cfg.Gateway.Submit(call)
+	s.Counts.Requests.Add(1)
+	requestID, accepted := s.cfg.Gateway.Submit(call)
 	if !accepted {
 		c.deliver(id, r, gateway.Answer{Kind: gateway.Rejected})
 		return true
@@ -60,7 +61,8 @@
 	return true
 }
 
-// claim removes a request in flight; false if another has answered or cancelled it.
+// claim removes a request in flight. It returns false if the request has already been answered or
+// cancelled.
 func (c *conn) claim(id uint32, r *inFlightRequest) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -71,26 +73,27 @@
 	return true
 }
 
-// deliver sends the one answer to a request. It does not block, and may be called from any goroutine. If the
-// connection is closed, the answer is dropped: the reading goroutine ends then.
+// deliver sends the answer to a request, unless the request has already been answered or cancelled.
+// It does not block, and may be called from any goroutine. If the connection is closed, the answer
+// is dropped; the reading goroutine then ends.
 func (c *conn) deliver(id uint32, r *inFlightRequest, a gateway.Answer) {
 	if !c.claim(id, r) {
 		return
 	}
-	c.front.endTxn(r.txn)
+	c.server.endTxn(r.txn)
 	c.touch()
 	if a.Kind != gateway.ClientClosed {
-		c.out.Send(c.encode(id, a))
+		c.out.Send(c.encodeAnswer(id, a))
 	}
 }
 
-// encode returns the message with an answer.
-func (c *conn) encode(id uint32, a gateway.Answer) []byte {
+// encodeAnswer returns the response message with an answer.
+func (c *conn) encodeAnswer(id uint32, a gateway.Answer) []byte {
 	switch a.Kind {
 	case gateway.Served:
 		return appendServed(make([]byte, 0, len(a.Body)+maxServedOverhead), id, a.Body)
 	case gateway.Rejected:
-		if a.RetryAfter > 0 && c.front.cfg.Settings.Limits.RetryAfter {
+		if a.RetryAfter > 0 && c.server.cfg.Settings.Limits.RetryAfter {
 			millis := strconv.FormatInt(max(1, a.RetryAfter.Milliseconds()), 10)
 			return appendError(nil, id, errorRejected, "later", millis)
 		}
@@ -99,7 +102,8 @@
 	return appendError(nil, id, errorFailed, "", "")
 }
 
-// withdraw cancels a request. An id that is not in flight is ignored: its answer has crossed the notification.
+// withdraw cancels a request. A msgid that is not in flight is ignored: the answer to it has
+// crossed the notification.
 func (c *conn) withdraw(id uint32) {
 	c.mu.Lock()
 	r := c.inFlight[id]
@@ -108,7 +112,7 @@
 	if r == nil {
 		return
 	}
-	c.front.Counts.Withdrawn.Add(1)
-	c.front.endTxn(r.txn)
-	c.front.cfg.Gateway.Cancel(r.id)
+	c.server.Counts.Withdrawn.Add(1)
+	c.server.endTxn(r.txn)
+	c.server.cfg.Gateway.Cancel(r.id)
 }
--- a/internal/ingress/msgpackrpc/request_test.go
+++ b/internal/ingress/msgpackrpc/request_test.go
@@ -10,16 +10,17 @@
 	"kitehub/scheduler"
 )
 
-// Requests that the settings do not allow are answered as invalid, and do not reach the gateway.
+// Requests that do not conform to the settings must be answered as invalid without reaching the
+// gateway.
 func TestInvalidRequestsDoNotReachTheGateway(t *testing.T) {
-	r := serve(t, nil)
+	s := serve(t, nil)
 	tests := []struct {
 		name, method string
 		fields       map[string]string
 		valid        bool
 	}{
-		{"good", "lookup", withFields(), true},
-		{"keyed", "update", withFields(), true},
+		{"valid", "lookup", withFields(), true},
+		{"with an idempotency key", "update", withFields(), true},
 		{"half a millisecond", "lookup", withFields("limit", "0.5"), true},
 		{"no attributes", "lookup", withFields("attrs", ""), true},
 		{"an unknown attribute", "lookup", withFields("attrs", "colour:3"), true},
@@ -38,20 +39,20 @@
 		{"a huge limit", "lookup", withFields("limit", "99999999999999999999"), false},
 		{"a limit over twice the deadline", "lookup", withFields("limit", "8001"), false},
 		{"limit NaN", "lookup", withFields("limit", "NaN"), false},
-		{"a limit that is no number", "lookup", withFields("limit", "soon"), false},
+		{"a limit that is not a number", "lookup", withFields("limit", "soon"), false},
 		{"a key that would break a frame", "update", withFields("unique", "a,b=c"), false},
 		{"no key", "update", withFields("unique", ""), false},
-		{"memory that is no number", "lookup", withFields("attrs", "memory_mb:lots"), false},
+		{"memory that is not a number", "lookup", withFields("attrs", "memory_mb:lots"), false},
 		{"negative lanes", "lookup", withFields("attrs", "lanes:-1"), false},
 		{"infinite memory", "lookup", withFields("attrs", "memory_mb:Inf"), false},
 		{"memory out of range", "lookup", withFields("attrs", "memory_mb:1e300"), false},
 		{"attributes without numbers", "lookup", withFields("attrs", ";;"), false},
 	}
 	for i, tt := range tests {
-		c := r.dial(t)
+		c := s.dial(t)
 		c.send(newRequest(i+1, tt.method, tt.fields, []byte("x")))
 		if tt.valid {
-			call := <-r.gateway.calls
+			call := <-s.gateway.calls
 			call.Deliver(served("y"))
 		}
 		want := "Invalid"
@@ -61,17 +62,17 @@
 		if id, got := c.answer(); got != want || id != int64(i+1) {
 			t.Errorf("%s: %q under %d, want %q under %d", tt.name, got, id, want, i+1)
 		}
-		if len(r.gateway.calls) > 0 {
-			t.Fatalf("%s: it reached the gateway", tt.name)
+		if len(s.gateway.calls) > 0 {
+			t.Fatalf("%s: the request reached the gateway", tt.name)
 		}
 	}
 }
 
 func TestCallHasFieldsOfRequest(t *testing.T) {
-	r := serve(t, nil)
-	c := r.dial(t)
+	s := serve(t, nil)
+	c := s.dial(t)
 	c.send(newRequest(1, "lookup", withFields("txn", txn(1)), []byte("x")))
-	call := <-r.gateway.calls
+	call := <-s.gateway.calls
 	function := call.Function
 	if call.TimeLeft != 1500*time.Millisecond || string(call.Body) != "x" || call.ID != txn(1) {
 		t.Errorf("call %+v", call)
@@ -80,16 +81,16 @@
 		t.Errorf("function %+v", function)
 	}
 	if FunctionName(function.ID) != function.Name {
-		t.Errorf("id of %s is written as %s", function.Name, FunctionName(function.ID))
+		t.Errorf("function %s has the name %s on the wire", function.Name, FunctionName(function.ID))
 	}
 }
 
 func TestEachCallIsAnsweredOnceInAnyOrder(t *testing.T) {
-	r := serve(t, func(c *Config) { c.Settings.Limits.RetryAfter = true })
-	c := r.dial(t)
+	s := serve(t, func(c *Config) { c.Settings.Limits.RetryAfter = true })
+	c := s.dial(t)
 	call := func(i int) *gateway.Call {
 		c.send(newRequest(i, "lookup", withFields("txn", txn(i)), []byte("x")))
-		return <-r.gateway.calls
+		return <-s.gateway.calls
 	}
 	first := call(1)
 	second := call(2)
@@ -97,115 +98,115 @@
 	third.Deliver(gateway.Answer{Kind: gateway.Failed})
 	second.Deliver(gateway.Answer{Kind: gateway.Rejected, RetryAfter: 70 * time.Millisecond})
 	first.Deliver(served("one"))
-	first.Deliver(served("two")) // dropped
+	first.Deliver(served("two")) // must be dropped
 	for _, want := range []string{"3 Failed", "2 Rejected", "1 served one"} {
 		if id, got := c.answer(); fmt.Sprint(id, " ", got) != want {
 			t.Errorf("answer %d %s, want %s", id, got, want)
 		}
 	}
-	r.gateway.setFull()
+	s.gateway.setFull()
 	c.send(newRequest(6, "lookup", withFields("txn", txn(6)), []byte("x")))
 	if _, got := c.answer(); got != "Rejected" {
-		t.Errorf("gateway at capacity: %s", got)
+		t.Errorf("gateway at capacity: %s, want Rejected", got)
 	}
 }
 
-func TestStatusSaysWhetherCallsAreAccepted(t *testing.T) {
-	r := serve(t, nil)
-	c := r.dial(t)
+func TestStatusReportsWhetherCallsAreAccepted(t *testing.T) {
+	s := serve(t, nil)
+	c := s.dial(t)
 	c.send(newRequest(4, "status", map[string]string{}))
 	if id, got := c.answer(); id != 4 || got != "ready true" {
-		t.Errorf("status: %d %s", id, got)
+		t.Errorf("status: answer %d %s, want 4 ready true", id, got)
 	}
-	r.Drain()
+	s.Drain()
 	c.send(newRequest(5, "status", map[string]string{}))
 	if _, got := c.answer(); got != "ready false" {
-		t.Errorf("status while draining: %s", got)
+		t.Errorf("status while draining: %s, want ready false", got)
 	}
 }
 
 func TestWithdrawnRequestIsCancelledAndNotAnswered(t *testing.T) {
-	r := serve(t, nil)
-	c := r.dial(t)
-	// Two messages and a half in one segment, the rest later.
+	s := serve(t, nil)
+	c := s.dial(t)
+	// One segment holds two messages and the start of a third; the rest follows later.
 	second := newRequest(2, "lookup", withFields("txn", txn(2)), []byte("x"))
 	c.send(newRequest(1, "lookup", withFields("txn", txn(1)), []byte("x")), fakeplatform.Withdraw(1, 99), second[:20])
-	call := <-r.gateway.calls
-	if id := <-r.gateway.cancelled; id != 1 {
-		t.Errorf("request %d is cancelled, want 1", id)
+	call := <-s.gateway.calls
+	if id := <-s.gateway.cancelled; id != 1 {
+		t.Errorf("request %d was cancelled, want 1", id)
 	}
-	call.Deliver(served("late")) // it crosses the notification, and is dropped
+	call.Deliver(served("late")) // crosses the notification, and must be dropped
 	c.send(second[20:])
-	(<-r.gateway.calls).Deliver(served("two"))
+	(<-s.gateway.calls).Deliver(served("two"))
 	if id, got := c.answer(); id != 2 || got != "served two" {
-		t.Errorf("%d %s, want the answer of 2 alone", id, got)
+		t.Errorf("answer %d %s, want only 2 served two", id, got)
 	}
 	c.send(fakeplatform.Withdraw(2), newRequest(3, "status", map[string]string{}))
 	if id, _ := c.answer(); id != 3 {
 		t.Errorf("answer to %d, want none to the withdrawal of an answered request", id)
 	}
-	// A msgid may be used again once its request has ended, and so may a txn.
+	// Once a request has ended, its msgid and its txn may be used again.
 	c.send(newRequest(1, "lookup", withFields("txn", txn(1)), []byte("x")))
-	(<-r.gateway.calls).Deliver(gateway.Answer{Kind: gateway.Rejected})
+	(<-s.gateway.calls).Deliver(gateway.Answer{Kind: gateway.Rejected})
 	if id, got := c.answer(); id != 1 || got != "Rejected" {
-		t.Errorf("%d %s", id, got)
+		t.Errorf("answer %d %s, want 1 Rejected", id, got)
 	}
 }
 
 func TestTxnInFlightIsNotAcceptedAgain(t *testing.T) {
-	r := serve(t, nil)
-	c, other := r.dial(t), r.dial(t)
+	s := serve(t, nil)
+	c, other := s.dial(t), s.dial(t)
 	c.send(newRequest(1, "lookup", withFields(), []byte("x")))
-	call := <-r.gateway.calls
+	call := <-s.gateway.calls
 	other.send(newRequest(1, "lookup", withFields(), []byte("another body")))
 	if _, got := other.answer(); got != "Invalid" {
-		t.Errorf("the txn of a request in flight: %s", got)
+		t.Errorf("second request with the txn of one in flight: %s, want Invalid", got)
 	}
 	call.Deliver(served("mine"))
 	if _, got := c.answer(); got != "served mine" {
-		t.Errorf("the request in flight: %s", got)
+		t.Errorf("request in flight: %s, want served mine", got)
 	}
 }
 
 func TestMsgidInFlightClosesConnection(t *testing.T) {
-	r := serve(t, nil)
-	c := r.dial(t)
+	s := serve(t, nil)
+	c := s.dial(t)
 	c.send(
 		newRequest(2, "lookup", withFields("txn", txn(2)), []byte("x")),
 		newRequest(2, "lookup", withFields("txn", txn(3)), []byte("x")),
 	)
-	<-r.gateway.calls
+	<-s.gateway.calls
 	if _, got := c.answer(); got != "closed" {
 		t.Errorf("two requests with one msgid: %s, want closed", got)
 	}
-	if id := <-r.gateway.cancelled; id != 1 {
-		t.Errorf("request %d is cancelled, want 1", id)
+	if id := <-s.gateway.cancelled; id != 1 {
+		t.Errorf("request %d was cancelled, want 1", id)
 	}
 }
 
 func TestRequestsOfClosedConnectionAreCancelled(t *testing.T) {
 	const requests, accepted = 40, 32
-	r := serve(t, nil)
-	c := r.dial(t)
+	s := serve(t, nil)
+	c := s.dial(t)
 	for i := range requests {
 		c.send(newRequest(i, "lookup", withFields("txn", txn(i)), []byte("x")))
 	}
 	for range requests - accepted {
 		if id, got := c.answer(); got != "Rejected" || id < accepted {
-			t.Fatalf("%d %s, want those after %d rejected", id, got, accepted)
+			t.Fatalf("answer %d %s, want only those from %d rejected", id, got, accepted)
 		}
 	}
 	c.Close()
 	cancelled := map[scheduler.RequestID]bool{}
 	for range accepted {
-		cancelled[<-r.gateway.cancelled] = true
+		cancelled[<-s.gateway.cancelled] = true
 	}
-	if len(cancelled) != accepted || len(r.gateway.calls) != accepted {
-		t.Errorf("%d cancelled of %d", len(cancelled), len(r.gateway.calls))
+	if len(cancelled) != accepted || len(s.gateway.calls) != accepted {
+		t.Errorf("%d requests cancelled, %d submitted, want %d of each", len(cancelled), len(s.gateway.calls), accepted)
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if len(r.txns) != 0 {
-		t.Errorf("%d txns stay in flight", len(r.txns))
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if len(s.txns) != 0 {
+		t.Errorf("%d txns are still in flight", len(s.txns))
 	}
 }
--- a/internal/ingress/msgpackrpc/server.go
+++ b/internal/ingress/msgpackrpc/server.go
@@ -14,42 +14,43 @@
 	"kitehub/scheduler"
 )
 
-// A Gateway accepts calls. gateway.Gateway is one.
+// A Gateway accepts calls. Its implementation is gateway.Gateway.
 type Gateway interface {
 	Submit(*gateway.Call) (scheduler.RequestID, bool)
 	Cancel(scheduler.RequestID)
 }
 
-// Config sets up a Server.
+// Config configures a Server.
 type Config struct {
 	Gateway        Gateway
 	Clock          clock.Clock
 	Settings       scheduler.Settings
 	Log            zerolog.Logger
-	MaxBody        int           // bytes of a body, at most; the platform has 16 KiB
-	MaxInFlight    int           // requests in flight on one connection, at most; the platform has 32
-	MaxConns       int           // connections at a time, at most
-	MessageTimeout time.Duration // a client must have sent a complete message so long after it connected or began one
-	StallTimeout   time.Duration // a client that reads nothing for so long while answers wait is disconnected
+	MaxBody        int           // bytes; the platform sends bodies of up to 16 KiB
+	MaxInFlight    int           // requests on one connection; the platform sends up to 32
+	MaxConns       int           // connections at a time
+	MessageTimeout time.Duration // for a complete message, from its first byte or from the connect
+	StallTimeout   time.Duration // after it, a client that does not read its answers is cut off
 }
 
-// Counts are for the log and for tests.
+// Counts are counters for the log and for tests.
 type Counts struct {
-	Accepted  atomic.Int64 // connections
-	Evicted   atomic.Int64 // connections closed to make room for another
-	Rejected  atomic.Int64 // connections rejected because all others are busy
-	TimedOut  atomic.Int64 // connections closed because the client was silent for too long
-	Requests  atomic.Int64 // submitted to the gateway
+	Accepted  atomic.Int64 // connections accepted
+	Evicted   atomic.Int64 // connections closed to make room for a new one
+	Rejected  atomic.Int64 // connections rejected because no other could be evicted
+	TimedOut  atomic.Int64 // connections closed because of MessageTimeout
+	Requests  atomic.Int64 // requests submitted to the gateway
 	Invalid   atomic.Int64 // requests answered as invalid
-	OverLimit atomic.Int64 // requests rejected because too many are in flight on the connection
-	Malformed atomic.Int64 // connections closed because of bytes that are no message
+	OverLimit atomic.Int64 // requests rejected because of MaxInFlight
+	Malformed atomic.Int64 // connections closed because of a malformed message
 	Withdrawn atomic.Int64 // requests cancelled by the client
 }
 
-// A Server serves clients until Close. It is safe for concurrent use: Serve runs on the goroutine that accepts
-// connections, each connection has one that reads it, and one goroutine, watch, closes silent connections.
+// A Server serves clients until Close. It is safe for concurrent use. Serve accepts connections on
+// its caller's goroutine; each connection has a goroutine that reads, and one more closes the
+// connections of silent clients.
 //
-// Locks are taken in the order front, connection.
+// Locks are acquired in the order Server, conn.
 type Server struct {
 	Counts Counts
 
@@ -61,20 +62,20 @@
 
 	mu     sync.Mutex
 	conns  map[*conn]struct{}
-	txns   map[uint64]struct{} // of requests in flight: one that is in flight is not accepted again
+	txns   map[uint64]struct{} // of requests in flight; a request with one of them is rejected
 	closed bool
 	empty  chan struct{} // nil before Finish; closed when no connection is left
 }
 
-// Methods that are not classes.
+// Control methods; every other method names a class.
 const (
 	methodStatus   = "status"
 	methodWithdraw = "withdraw"
 )
 
-// New returns a front that does not serve yet.
+// New returns a server. Call Serve to accept connections.
 func New(cfg Config) *Server {
-	f := &Server{
+	s := &Server{
 		cfg:     cfg,
 		classes: map[string]int{},
 		tenants: map[string]int{},
@@ -83,51 +84,54 @@
 		done:    make(chan struct{}),
 	}
 	for i, class := range cfg.Settings.Classes {
-		if class.Name != methodStatus && class.Name != methodWithdraw { // such a class cannot be called
-			f.classes[class.Name] = i
+		// A class with the name of a control method cannot be called.
+		if class.Name != methodStatus && class.Name != methodWithdraw {
+			s.classes[class.Name] = i
 		}
 	}
 	for i, tenant := range cfg.Settings.Tenants {
-		f.tenants[tenant.Name] = i
+		s.tenants[tenant.Name] = i
 	}
-	return f
+	return s
 }
 
 // Serve accepts connections until the listener is closed, and then returns nil.
-func (f *Server) Serve(listener net.Listener) error {
-	go f.watch()
+func (s *Server) Serve(listener net.Listener) error {
+	go s.closeSilentConns()
 	for {
 		socket, err := listener.Accept()
 		if err == nil {
-			f.Counts.Accepted.Add(1)
-			f.start(socket)
+			s.Counts.Accepted.Add(1)
+			s.accept(socket)
 			continue
 		}
-		f.mu.Lock()
-		closed := f.closed
-		f.mu.Unlock()
+		s.mu.Lock()
+		closed := s.closed
+		s.mu.Unlock()
 		if closed || errors.Is(err, net.ErrClosed) {
 			return nil
 		}
-		// File descriptors may be short for a moment: the listener stays open.
-		f.cfg.Log.Warn().Err(err).Msg("accept failed, retrying")
-		time.Sleep(f.cfg.Settings.Tick)
+		// A lack of file descriptors is temporary, so the listener stays open.
+		s.cfg.Log.Warn().Err(err).Msg("accept failed, retrying")
+		time.Sleep(s.cfg.Settings.Tick)
 	}
 }
 
-// beginTxn adds the txn of a new request; false if a request with it is in flight.
-func (f *Server) beginTxn(txn uint64) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if _, inFlight := f.txns[txn]; inFlight {
+// beginTxn adds the txn of a new request. It returns false if a request with the same txn is in
+// flight.
+func (s *Server) beginTxn(txn uint64) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if _, inFlight := s.txns[txn]; inFlight {
 		return false
 	}
-	f.txns[txn] = struct{}{}
+	s.txns[txn] = struct{}{}
 	return true
 }
 
-func (f *Server) endTxn(txn uint64) {
-	f.mu.Lock()
-	delete(f.txns, txn)
-	f.mu.Unlock()
+// endTxn removes the txn of a request that has ended.
+func (s *Server) endTxn(txn uint64) {
+	s.mu.Lock()
+	delete(s.txns, txn)
+	s.mu.Unlock()
 }
--- a/internal/ingress/msgpackrpc/server_test.go
+++ b/internal/ingress/msgpackrpc/server_test.go
@@ -14,21 +14,22 @@
 	"kitehub/internal/harness/fakeplatform"
 )
 
-// Whatever some clients send at full speed, all calls of good ones are answered.
-func TestHostileClientsDoNotStopGoodOnes(t *testing.T) {
-	r := serve(t, func(c *Config) {
+// Clients that send malformed, endless or stalled messages at full speed must not prevent the
+// answers to the calls of other clients.
+func TestHostileClientsDoNotDisturbOthers(t *testing.T) {
+	s := serve(t, func(c *Config) {
 		c.MessageTimeout = 1600 * time.Millisecond
 		c.MaxConns = 30
 	})
-	go ignoreCancelled(r.gateway)
-	go echoCalls(r.gateway)
+	go ignoreCancelled(s.gateway)
+	go echoCalls(s.gateway)
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
 	for _, hostile := range fakeplatform.Hostiles() {
 		for range 3 {
 			wg.Go(func() {
 				for !isClosed(stop) {
-					if err := hostile.Play(r.addr, 20*time.Second); err != nil {
+					if err := hostile.Play(s.addr, 20*time.Second); err != nil {
 						t.Error(err)
 						return
 					}
@@ -39,15 +40,16 @@
 	body := strings.Repeat("b", 16<<10)
 	for i := range 40 {
 		got := "closed"
-		// A request that crosses the close of its connection is sent again, as the platform has it.
+		// Like the platform, the client sends a request again if it crossed the close of its
+		// connection.
 		for attempt := 0; attempt < 5 && got == "closed"; attempt++ {
-			c := r.dial(t)
+			c := s.dial(t)
 			c.send(newRequest(1, "lookup", withFields("txn", txn(1000+i)), []byte(body)))
 			_, got = c.answer()
 			c.Close()
 		}
 		if got != "served "+body {
-			t.Errorf("good client %d: %.40s", i, got)
+			t.Errorf("answer to well-behaved client %d: %.40s", i, got)
 		}
 	}
 	close(stop)
@@ -75,39 +77,39 @@
 	}
 }
 
-// A shortListener has no file descriptor left at first.
-type shortListener struct {
+// An exhaustedListener fails its first accepts as if the process had no free file descriptor.
+type exhaustedListener struct {
 	net.Listener
-	failures atomic.Int64 // still to come
+	failures atomic.Int64 // how many more accepts fail
 }
 
-func (l *shortListener) Accept() (net.Conn, error) {
+func (l *exhaustedListener) Accept() (net.Conn, error) {
 	if l.failures.Add(-1) >= 0 {
 		return nil, &net.OpError{Op: "accept", Err: syscall.EMFILE}
 	}
 	return l.Listener.Accept()
 }
 
-func TestAcceptIsRetriedWhenDescriptorsAreShort(t *testing.T) {
+func TestAcceptIsRetriedWithoutFileDescriptors(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	short := &shortListener{Listener: inner}
-	short.failures.Store(3)
-	c := serveOn(t, short, nil).dial(t)
+	listener := &exhaustedListener{Listener: inner}
+	listener.failures.Store(3)
+	c := serveOn(t, listener, nil).dial(t)
 	c.send(newRequest(1, "status", map[string]string{}))
 	if id, got := c.answer(); id != 1 || got != "ready true" {
-		t.Errorf("after accept failed: %d %s", id, got)
+		t.Errorf("answer %d %s after failed accepts, want 1 ready true", id, got)
 	}
 }
 
 func TestClientThatNeverReadsIsDisconnected(t *testing.T) {
-	r := serve(t, func(c *Config) { c.StallTimeout = 50 * time.Millisecond })
-	c := r.dial(t)
+	s := serve(t, func(c *Config) { c.StallTimeout = 50 * time.Millisecond })
+	c := s.dial(t)
 	c.Client.Conn.(*net.TCPConn).SetReadBuffer(4 << 10)
 	go func() {
-		for call := range r.gateway.calls {
+		for call := range s.gateway.calls {
 			call.Deliver(gateway.Answer{Kind: gateway.Served, Body: make([]byte, 1<<20)})
 		}
 	}()
@@ -116,7 +118,7 @@
 			break
 		}
 	}
-	for r.ConnCount() > 0 { // go test's time-out ends it if the client is never disconnected
+	for s.ConnCount() > 0 { // bounded by the timeout of go test
 		runtime.Gosched()
 	}
 }
--- a/internal/ingress/msgpackrpc/shutdown.go
+++ b/internal/ingress/msgpackrpc/shutdown.go
@@ -7,77 +7,81 @@
 	"time"
 )
 
-// Drain makes `status` say that no more calls are accepted; requests that come are still submitted.
-func (f *Server) Drain() { f.draining.Store(true) }
+// Drain makes `status` report that calls are no longer accepted. Requests that still arrive are
+// submitted to the gateway.
+func (s *Server) Drain() { s.draining.Store(true) }
 
-// ConnCount returns how many clients are connected.
-func (f *Server) ConnCount() int {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return len(f.conns)
+// ConnCount returns the number of open connections.
+func (s *Server) ConnCount() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return len(s.conns)
 }
 
-// Finish ends the connections gracefully, once the gateway has answered all that it accepted: answers that wait are
-// written, then this side of each connection ends, and the client closes the other. It returns when all have, or the
-// time is up. Requests that come on new connections meanwhile are answered by the gateway, which rejects them.
-func (f *Server) Finish(timeout time.Duration) {
-	f.mu.Lock()
-	if f.closed || f.empty != nil {
-		f.mu.Unlock()
+// Finish closes the connections gracefully. It must be called after the gateway has answered all
+// accepted requests. Queued answers are written, then this side of each connection is closed, and
+// the client closes the other side. Finish returns when all connections are closed or the timeout
+// has passed. Requests on connections that are opened meanwhile are rejected by the gateway.
+func (s *Server) Finish(timeout time.Duration) {
+	s.mu.Lock()
+	if s.closed || s.empty != nil {
+		s.mu.Unlock()
 		return
 	}
-	f.empty = make(chan struct{})
-	f.signalIfEmpty()
-	conns := slices.Collect(maps.Keys(f.conns))
-	f.mu.Unlock()
+	s.empty = make(chan struct{})
+	s.signalIfEmpty()
+	conns := slices.Collect(maps.Keys(s.conns))
+	s.mu.Unlock()
 	for _, c := range conns {
 		c.finish()
 	}
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
-	case <-f.empty:
+	case <-s.empty:
 	case <-timer.C:
 	}
 }
 
+// finish closes this side of the connection after the queued answers are written.
 func (c *conn) finish() {
 	c.mu.Lock()
-	c.leaving = true
+	c.stopped = true
 	c.finished = true
 	c.mu.Unlock()
 	c.out.Finish()
 }
 
-// signalIfEmpty ends Finish's wait when no connection is left. The caller holds mu.
-func (f *Server) signalIfEmpty() {
-	if f.empty == nil || len(f.conns) > 0 {
+// signalIfEmpty lets Finish return when no connection is left. The caller holds mu.
+func (s *Server) signalIfEmpty() {
+	if s.empty == nil || len(s.conns) > 0 {
 		return
 	}
 	select {
-	case <-f.empty:
+	case <-s.empty:
 	default:
-		close(f.empty)
+		close(s.empty)
 	}
 }
 
-// Close closes all connections. Serve returns once its listener is closed as well.
-func (f *Server) Close() {
-	f.mu.Lock()
-	if f.closed {
-		f.mu.Unlock()
+// Close closes all connections immediately. Serve returns once its listener is closed as well.
+func (s *Server) Close() {
+	s.mu.Lock()
+	if s.closed {
+		s.mu.Unlock()
 		return
 	}
-	f.closed = true
-	close(f.done)
-	conns := slices.Collect(maps.Keys(f.conns))
-	f.mu.Unlock()
+	s.closed = true
+	close(s.done)
+	conns := slices.Collect(maps.Keys(s.conns))
+	s.mu.Unlock()
 	for _, c := range conns {
 		c.out.Close()
 	}
 }
 
-// discard reads until the client closes its side, if this side has ended gracefully.
+// discard reads and discards input until the client closes its side, if finish has closed this
+// side.
 func (c *conn) discard(r *bufio.Reader) {
 	c.mu.Lock()
 	finished := c.finished
--- a/internal/ingress/msgpackrpc/shutdown_test.go
+++ b/internal/ingress/msgpackrpc/shutdown_test.go
@@ -10,26 +10,26 @@
 	"kitehub/internal/gateway"
 )
 
-// startFinish starts Finish and returns once it has begun with all connections; the channel is closed when it
-// returns.
-func (f *testFront) startFinish() chan struct{} {
+// startFinish calls Finish in the background, and returns once all connections have begun to
+// finish. The channel is closed when Finish returns.
+func (s *testServer) startFinish() chan struct{} {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		f.Finish(time.Minute)
+		s.Finish(time.Minute)
 	}()
-	for !f.allFinished() {
+	for !s.allFinished() {
 		runtime.Gosched()
 	}
 	return done
 }
 
-// allFinished reports whether Finish has begun with all connections.
-func (f *testFront) allFinished() bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	finished := f.empty != nil
-	for c := range f.conns {
+// allFinished reports whether Finish has been called and has reached all connections.
+func (s *testServer) allFinished() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	finished := s.empty != nil
+	for c := range s.conns {
 		c.mu.Lock()
 		finished = finished && c.finished
 		c.mu.Unlock()
@@ -37,21 +37,21 @@
 	return finished
 }
 
-// An answer that still waits to be written when the front finishes arrives complete, although a request crosses the
-// end: closing the connection with the request unread would reset it.
-func TestFinishWritesAnswersThatWait(t *testing.T) {
-	r := serve(t, func(c *Config) { c.MaxBody = 1 << 20 })
-	c := r.dial(t)
+// Queued answers must arrive complete even if the client sends a request after Finish has begun.
+// Closing the connection with that request unread would reset it, and lose the rest of the answer.
+func TestFinishWritesQueuedAnswers(t *testing.T) {
+	s := serve(t, func(c *Config) { c.MaxBody = 1 << 20 })
+	c := s.dial(t)
 	c.send(newRequest(1, "lookup", withFields(), []byte("x")))
 	body := bytes.Repeat([]byte("b"), 8<<20) // more than the kernel's buffers hold
-	(<-r.gateway.calls).Deliver(gateway.Answer{Kind: gateway.Served, Body: body})
-	done := r.startFinish()
+	(<-s.gateway.calls).Deliver(gateway.Answer{Kind: gateway.Served, Body: body})
+	done := s.startFinish()
 	c.send(newRequest(2, "lookup", withFields("txn", txn(2)), []byte("x")))
 	if id, got := c.answer(); id != 1 || len(got) != len("served ")+len(body) {
-		t.Errorf("answer to %d of %d bytes", id, len(got))
+		t.Errorf("answer to %d of %d bytes, want the complete one to 1", id, len(got))
 	}
 	if n, err := c.Read(make([]byte, 1)); n != 0 || err != io.EOF {
-		t.Errorf("after it %d bytes, %v; want the end", n, err)
+		t.Errorf("after the answer: %d bytes, %v; want EOF", n, err)
 	}
 	select {
 	case <-done:
@@ -60,13 +60,13 @@
 	}
 	c.Close()
 	<-done
-	if len(r.gateway.calls) > 0 {
-		t.Error("a request was accepted after the end")
+	if len(s.gateway.calls) > 0 {
+		t.Error("a request was accepted after Finish")
 	}
 }
 
-func TestFinishWithoutClientsReturnsAtOnce(t *testing.T) {
-	r := serve(t, nil)
-	r.Finish(time.Hour)
-	r.Finish(time.Hour)
+func TestFinishWithoutClientsReturnsImmediately(t *testing.T) {
+	s := serve(t, nil)
+	s.Finish(time.Hour)
+	s.Finish(time.Hour)
 }
--- a/internal/ingress/msgpackrpc/value.go
+++ b/internal/ingress/msgpackrpc/value.go
@@ -5,10 +5,11 @@
 	"io"
 )
 
-// First bytes of values, by the MessagePack specification. The fix formats hold a number or a length in their low
-// bits; the others of a kind follow each other by the size of the number or length that comes next.
+// First bytes of values, by the MessagePack specification. The fix formats hold a number or a
+// length in their low bits. The other formats of a type have consecutive first bytes, ordered by
+// the size of the number or length that follows.
 const (
-	formatFixMap      = 0x80 // below: a number up to 127
+	formatFixMap      = 0x80 // lower bytes are the numbers 0 to 127
 	formatFixArray    = 0x90
 	formatFixStr      = 0xa0
 	formatNil         = 0xc0
@@ -35,7 +36,7 @@
 	formatArray32     = 0xdd
 	formatMap16       = 0xde
 	formatMap32       = 0xdf
-	formatNegativeFix = 0xe0 // and above: a number from -32 to -1
+	formatNegativeFix = 0xe0 // this and higher bytes are the numbers -32 to -1
 )
 
 func isFixArray(b byte) bool { return b >= formatFixArray && b < formatFixStr }
@@ -56,8 +57,8 @@
 
 func isArray(b byte) bool { return isFixArray(b) || b == formatArray16 || b == formatArray32 }
 
-// peek returns the first byte of the next value.
-func (d *decoder) peek() (byte, error) {
+// peekByte returns the first byte of the next value without reading it.
+func (d *decoder) peekByte() (byte, error) {
 	b, err := d.r.Peek(1)
 	if err != nil {
 		return 0, unexpectedEOF(err)
@@ -65,7 +66,8 @@
 	return b[0], nil
 }
 
-// unexpectedEOF returns the error of a connection that ended within a message.
+// unexpectedEOF replaces io.EOF with io.ErrUnexpectedEOF, as the connection has ended within a
+// message.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
@@ -73,21 +75,21 @@
 	return err
 }
 
-func errOverhead() error { return frameError("over %d bytes beside the body", maxOverhead) }
+func overheadError() error { return malformedError("over %d bytes beside the body", maxOverhead) }
 
-// byte reads one byte that is not of a body.
-func (d *decoder) byte() (byte, error) {
-	if d.left--; d.left < 0 {
-		return 0, errOverhead()
+// readByte reads one byte that is not part of a body.
+func (d *decoder) readByte() (byte, error) {
+	if d.remaining--; d.remaining < 0 {
+		return 0, overheadError()
 	}
 	b, err := d.r.ReadByte()
 	return b, unexpectedEOF(err)
 }
 
-// uint reads a big-endian number of so many bytes.
-func (d *decoder) uint(bytes int) (v uint64, err error) {
+// readUint reads a big-endian number of the given size in bytes.
+func (d *decoder) readUint(bytes int) (v uint64, err error) {
 	for range bytes {
-		b, err := d.byte()
+		b, err := d.readByte()
 		if err != nil {
 			return 0, err
 		}
@@ -96,9 +98,9 @@
 	return v, nil
 }
 
-// number reads a whole number from 0 to maxNumber. what names it in errors, here and below.
-func (d *decoder) number(what string) (uint64, error) {
-	b, err := d.byte()
+// readNumber reads an integer from 0 to maxNumber. Here and below, what names the value in errors.
+func (d *decoder) readNumber(what string) (uint64, error) {
+	b, err := d.readByte()
 	if err != nil {
 		return 0, err
 	}
@@ -107,24 +109,24 @@
 	case b < formatFixMap:
 		return uint64(b), nil
 	case b >= formatUint8 && b <= formatUint64:
-		v, err = d.uint(1 << (b - formatUint8))
+		v, err = d.readUint(1 << (b - formatUint8))
 	case b >= formatInt8 && b <= formatInt64:
 		bytes := 1 << (b - formatInt8)
-		if v, err = d.uint(bytes); v>>(8*bytes-1) != 0 {
+		if v, err = d.readUint(bytes); v>>(8*bytes-1) != 0 {
 			v = maxNumber + 1 // negative
 		}
 	default:
-		return 0, frameError("%s: no number, but 0x%02x", what, b)
+		return 0, malformedError("%s: no number, but 0x%02x", what, b)
 	}
 	if err == nil && v > maxNumber {
-		err = frameError("%s: out of range", what)
+		err = malformedError("%s: out of range", what)
 	}
 	return v, err
 }
 
-// arrayLen reads the head of an array.
-func (d *decoder) arrayLen(what string) (int, error) {
-	b, err := d.byte()
+// readArrayLen reads the header of an array, and returns the number of elements.
+func (d *decoder) readArrayLen(what string) (int, error) {
+	b, err := d.readByte()
 	if err != nil {
 		return 0, err
 	}
@@ -132,44 +134,46 @@
 	switch {
 	case isFixArray(b):
 	case isArray(b):
-		if v, err = d.uint(2 << (b - formatArray16)); err != nil {
+		if v, err = d.readUint(2 << (b - formatArray16)); err != nil {
 			return 0, err
 		}
 	default:
-		return 0, frameError("%s: no array, but 0x%02x", what, b)
+		return 0, malformedError("%s: no array, but 0x%02x", what, b)
 	}
-	if v > uint64(d.left) { // each element takes a byte at least
-		return 0, frameError("%s: an array of %d", what, v)
+	if v > uint64(d.remaining) { // each element has at least one byte
+		return 0, malformedError("%s: an array of %d", what, v)
 	}
 	return int(v), nil
 }
 
-// mapLen reads the head of a map; that it is one, the caller has seen.
-func (d *decoder) mapLen() (int, error) {
-	b, err := d.byte()
+// readMapLen reads the header of a map, and returns the number of pairs. The caller has checked
+// that the value is a map.
+func (d *decoder) readMapLen() (int, error) {
+	b, err := d.readByte()
 	if err != nil {
 		return 0, err
 	}
 	v := uint64(b & 0x0f)
 	if b >= formatMap16 {
-		if v, err = d.uint(2 << (b - formatMap16)); err != nil {
+		if v, err = d.readUint(2 << (b - formatMap16)); err != nil {
 			return 0, err
 		}
 	}
 	if v > maxPairs {
-		return 0, frameError("a map of %d, at most %d", v, maxPairs)
+		return 0, malformedError("a map of %d, at most %d", v, maxPairs)
 	}
 	return int(v), nil
 }
 
-func (d *decoder) str(what string) (string, error) {
-	b, err := d.strBytes(what)
+func (d *decoder) readStr(what string) (string, error) {
+	b, err := d.readStrBytes(what)
 	return string(b), err
 }
 
-// strBytes reads a string. It is valid until the next one is read.
-func (d *decoder) strBytes(what string) ([]byte, error) {
-	b, err := d.byte()
+// readStrBytes reads a string into the decoder's buffer. The result is valid until the next string
+// is read.
+func (d *decoder) readStrBytes(what string) ([]byte, error) {
+	b, err := d.readByte()
 	if err != nil {
 		return nil, err
 	}
@@ -177,55 +181,56 @@
 	switch {
 	case isFixStr(b):
 	case isStr(b):
-		if n, err = d.uint(1 << (b - formatStr8)); err != nil {
+		if n, err = d.readUint(1 << (b - formatStr8)); err != nil {
 			return nil, err
 		}
 	default:
-		return nil, frameError("%s: no string, but 0x%02x", what, b)
+		return nil, malformedError("%s: no string, but 0x%02x", what, b)
 	}
 	if n > maxText {
-		return nil, frameError("%s: a string of %d bytes, at most %d", what, n, maxText)
+		return nil, malformedError("%s: a string of %d bytes, at most %d", what, n, maxText)
 	}
-	if d.left -= int(n); d.left < 0 {
-		return nil, errOverhead()
+	if d.remaining -= int(n); d.remaining < 0 {
+		return nil, overheadError()
 	}
 	_, err = io.ReadFull(d.r, d.text[:n])
 	return d.text[:n], unexpectedEOF(err)
 }
 
-// bin reads a body; that it is one, the caller has seen.
-func (d *decoder) bin() ([]byte, error) {
-	b, err := d.byte()
+// readBin reads a body. The caller has checked that the value is binary.
+func (d *decoder) readBin() ([]byte, error) {
+	b, err := d.readByte()
 	if err != nil {
 		return nil, err
 	}
-	n, err := d.uint(1 << (b - formatBin8))
+	n, err := d.readUint(1 << (b - formatBin8))
 	if err != nil {
 		return nil, err
 	}
 	if n > uint64(d.maxBody) {
-		return nil, frameError("a body of %d bytes, at most %d", n, d.maxBody)
+		return nil, malformedError("a body of %d bytes, at most %d", n, d.maxBody)
 	}
 	body := make([]byte, n)
 	_, err = io.ReadFull(d.r, body)
 	return body, unexpectedEOF(err)
 }
 
-// skip skips any value, within the bounds of a message. Arrays and maps may lie within each other to this depth.
+// skip skips any value, within the bounds of a message. depth is how deep arrays and maps may still
+// be nested.
 func (d *decoder) skip(depth int) error {
-	b, err := d.peek()
+	b, err := d.peekByte()
 	if err != nil {
 		return err
 	}
 	if depth == 0 && (isArray(b) || isMap(b)) {
-		return frameError("arrays and maps more than %d deep", maxDepth)
+		return malformedError("arrays and maps more than %d deep", maxDepth)
 	}
 	var n int
 	switch {
 	case isArray(b):
-		n, err = d.arrayLen("value")
+		n, err = d.readArrayLen("value")
 	case isMap(b):
-		n, err = d.mapLen()
+		n, err = d.readMapLen()
 		n *= 2
 	default:
 		return d.skipScalar()
@@ -236,9 +241,9 @@
 	return err
 }
 
-// skipScalar skips a value that holds no others.
+// skipScalar skips a value that is neither an array nor a map.
 func (d *decoder) skipScalar() error {
-	b, err := d.byte()
+	b, err := d.readByte()
 	if err != nil {
 		return err
 	}
@@ -246,16 +251,16 @@
 	if err != nil {
 		return err
 	}
-	if n > uint64(max(d.left, 0)) {
-		return errOverhead()
+	if n > uint64(max(d.remaining, 0)) {
+		return overheadError()
 	}
-	d.left -= int(n)
+	d.remaining -= int(n)
 	_, err = d.r.Discard(int(n))
 	return unexpectedEOF(err)
 }
 
-// scalarSize returns how many bytes of a value without others come after its first byte and its length, which it
-// reads.
+// scalarSize returns how many bytes of a value remain after its first byte b and, if it has one,
+// its length, which is read here.
 func (d *decoder) scalarSize(b byte) (n uint64, err error) {
 	switch {
 	case b < formatFixMap, b >= formatNegativeFix, b == formatNil, b == formatFalse, b == formatTrue:
@@ -263,10 +268,10 @@
 	case isFixStr(b):
 		return uint64(b & 0x1f), nil
 	case isBin(b):
-		return d.uint(1 << (b - formatBin8))
+		return d.readUint(1 << (b - formatBin8))
 	case b >= formatExt8 && b <= formatExt32:
-		n, err = d.uint(1 << (b - formatExt8))
-		return n + 1, err // and its type
+		n, err = d.readUint(1 << (b - formatExt8))
+		return n + 1, err // the extension type is one byte
 	case b == formatFloat32, b == formatFloat64:
 		return 4 << (b - formatFloat32), nil
 	case b >= formatUint8 && b <= formatUint64:
@@ -274,9 +279,9 @@
 	case b >= formatInt8 && b <= formatInt64:
 		return 1 << (b - formatInt8), nil
 	case b >= formatFixExt1 && b <= formatFixExt16:
-		return 1<<(b-formatFixExt1) + 1, nil // and its type
+		return 1<<(b-formatFixExt1) + 1, nil // the extension type is one byte
 	case b >= formatStr8 && b <= formatStr32:
-		return d.uint(1 << (b - formatStr8))
+		return d.readUint(1 << (b - formatStr8))
 	}
-	return 0, frameError("no value begins with 0x%02x", b)
+	return 0, malformedError("no value begins with 0x%02x", b)
 }
