--- a/internal/ingress/msgpackrpc/admission_test.go
+++ b/internal/ingress/msgpackrpc/admission_test.go
@@ -73,8 +73,8 @@
 	c.answer()
 	s.mu.Lock()
 	var idle *conn
-	for c := range s.conns {
-		idle = c
+	for open := range s.conns {
+		idle = open
 	}
 	s.mu.Unlock()
 	if !idle.stopIfIdle() {
