--- a/cmd/kitehub/registryserve.go
+++ b/cmd/kitehub/registryserve.go
@@ -57,13 +57,13 @@
 		return fmt.Errorf("listen: %w", err)
 	}
 	srv := &http1.Server{
-		Handler: service.NewHandler(svc, b.Callers, time.Duration(b.MaxAgeMS)*time.Millisecond),
-		MaxOpen: b.MaxConnections,
-		Limits:  http1.Limits{Body: maxRegistryBody, Idle: time.Minute},
+		Handler:        service.NewHandler(svc, b.Clients, time.Duration(b.MaxAgeMS)*time.Millisecond),
+		MaxConnections: b.MaxConnections,
+		Limits:         http1.Limits{MaxBodyBytes: maxRegistryBody, IdleTimeout: time.Minute},
 	}
 	go srv.Serve(ln)
-	log.Info().Str("listen", ln.Addr().String()).Uint64("snapshot", rec.Snapshot).Int("records", rec.Records).
-		Int64("cut", rec.Cut).Msg("serving")
+	log.Info().Str("listen", ln.Addr().String()).Uint64("snapshot", rec.SnapshotSeq).Int("records", rec.ReplayedRecords).
+		Int64("cut", rec.DiscardedBytes).Msg("serving")
 	err = awaitEnd(svc)
 	ln.Close()
 	go srv.Drain(registryDrainTimeout) // while the service closes, which answers those who wait
--- a/internal/harness/scalebench/registry.go
+++ b/internal/harness/scalebench/registry.go
@@ -112,7 +112,7 @@
 }
 
 func scaleKey(name string) (*signing.Key, error) {
-	text, err := signing.Derive(scaleSecret, name)
+	text, err := signing.DeriveSecret(scaleSecret, name)
 	if err != nil {
 		return nil, err
 	}
@@ -159,7 +159,7 @@
 	}
 	stopping.Wait()
 	if p.server != nil {
-		p.server.Cut()
+		p.server.Abort()
 	}
 	if p.service != nil {
 		p.service.Close()
--- a/internal/hookengine/notify.go
+++ b/internal/hookengine/notify.go
@@ -37,7 +37,7 @@
 	statusGone       = 410                    // by Standard Webhooks: the receiver wants no more notices
 )
 
-var noticeLimits = http1.Limits{Body: 64 << 10, Headers: 16 << 10}.Filled()
+var noticeLimits = http1.Limits{MaxBodyBytes: 64 << 10, MaxHeaderBytes: 16 << 10}.WithDefaults()
 
 // Notifier sends notices as signed webhooks (Standard Webhooks), one after the other from a goroutine of its own.
 // It retries each a few times with the same webhook-id, so that the receiver can drop duplicates. Its queue is
@@ -181,7 +181,7 @@
 		return nil, err
 	}
 	stamp := strconv.FormatInt(n.clock.Wall().Unix(), 10)
-	message := signing.Message{ID: notice.id, Stamp: stamp, Body: body}
+	message := signing.Message{ID: notice.id, Timestamp: stamp, Body: body}
 	signature, err := target.Key.Sign(message)
 	if err != nil {
 		return nil, err
@@ -192,7 +192,7 @@
 		{Name: "Content-Type", Value: "application/json"},
 		{Name: "Connection", Value: "close"},
 		{Name: "webhook-id", Value: message.ID},
-		{Name: "webhook-timestamp", Value: message.Stamp},
+		{Name: "webhook-timestamp", Value: message.Timestamp},
 		{Name: "webhook-signature", Value: signature},
 	}}, nil
 }
--- a/internal/ingress/jsonrpc/answer.go
+++ b/internal/ingress/jsonrpc/answer.go
@@ -45,7 +45,7 @@
 		return encodeResponse(r.id, callResult(a, nil), callError(a)), 0, written
 	}
 	s := r.conn.server
-	ended, timeout, verdict := s.cfg.Models.Begin(*b)
+	ended, timeout, verdict := s.cfg.Models.BeginAnswer(*b)
 	if verdict != registry.Allowed {
 		return encodeResponse(r.id, nil, callError(s.withholdAnswer(r, verdict))), 0, written
 	}
--- a/internal/ingress/jsonrpc/keyedcall.go
+++ b/internal/ingress/jsonrpc/keyedcall.go
@@ -48,7 +48,7 @@
 	s.mu.Unlock()
 	s.submit(c, pending, sub, func(a gateway.Answer, b *gateway.VersionBinding, release func()) {
 		s.mu.Lock()
-		waiters := s.keys.complete(call, ingress.RetryVerdict(a, scheduler.IdempotentWithKey), b)
+		waiters := s.keys.complete(call, ingress.AnswerForRetry(a, scheduler.IdempotentWithKey), b)
 		s.mu.Unlock()
 		written := afterCalls(len(waiters), release)
 		for _, deliver := range waiters {
