--- a/cmd/kitehub/hook.go
+++ b/cmd/kitehub/hook.go
@@ -45,7 +45,7 @@
 			fmt.Fprintln(os.Stderr, w)
 		}
 		for _, c := range p.Costs() {
-			fmt.Printf("%s:%v: on %s: %.4g instructions at most, by estimate (%s)\n", name, c.Pos, c.Point, c.Fuel, c.Why)
+			fmt.Printf("%s:%v: on %s: %.4g instructions at most, by estimate (%s)\n", name, c.Pos, c.Point, c.Fuel, c.Reason)
 		}
 	}
 	if bad > 0 {
--- a/internal/hookengine/engine.go
+++ b/internal/hookengine/engine.go
@@ -41,8 +41,8 @@
 	FS           store.FS        // stores scripts and their state; nil: they end with the process
 	Seed         uint64          // of the jitter of backoff
 	Queue        int             // events that wait; further ones are dropped and counted; 0: 4096
-	Aside        hooklang.Limits // of a run on the engine's goroutine; zero: hooklang.Aside
-	Inline       hooklang.Limits // of a run on the goroutine of a call; zero: hooklang.Inline
+	Aside        hooklang.Limits // of a run on the engine's goroutine; zero: hooklang.BackgroundLimits
+	Inline       hooklang.Limits // of a run on the goroutine of a call; zero: hooklang.InlineLimits
 	RunTimeout   time.Duration   // of a run on the engine's goroutine, should Aside not end it before; 0: 250 ms
 	SaveInterval time.Duration   // state is stored at most this often; 0: 1 s
 }
@@ -52,10 +52,10 @@
 	c.RunTimeout = cmp.Or(c.RunTimeout, 250*time.Millisecond)
 	c.SaveInterval = cmp.Or(c.SaveInterval, time.Second)
 	if c.Aside.Fuel == 0 {
-		c.Aside = hooklang.Aside
+		c.Aside = hooklang.BackgroundLimits
 	}
 	if c.Inline.Fuel == 0 {
-		c.Inline = hooklang.Inline
+		c.Inline = hooklang.InlineLimits
 	}
 	return c
 }
--- a/internal/hooklang/bench_test.go
+++ b/internal/hooklang/bench_test.go
@@ -29,7 +29,7 @@
 			b.ReportAllocs()
 			var fuel int64
 			for b.Loop() {
-				res, err := vm.Run(p, "ended", sampleEvent, st, Env{}, Aside)
+				res, err := vm.Run(p, "ended", sampleEvent, st, Env{}, BackgroundLimits)
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/internal/hooklang/check.go
+++ b/internal/hooklang/check.go
@@ -54,8 +54,8 @@
 	return s, c.problems
 }
 
-// Wrong reports whether one of the problems is more than a warning.
-func (l Problems) Wrong() bool {
+// HasErrors reports whether at least one of the problems is an error rather than a warning.
+func (l Problems) HasErrors() bool {
 	return slices.ContainsFunc(l, func(p *Problem) bool { return !p.Warning })
 }
 
--- a/internal/hooklang/compile.go
+++ b/internal/hooklang/compile.go
@@ -6,7 +6,7 @@
 // warnings.
 func Compile(file, text string) (*Program, error) {
 	s, bad := check(file, text)
-	if bad.Wrong() {
+	if bad.HasErrors() {
 		return nil, bad
 	}
 	p := &Program{File: file, Text: text, handlers: map[string]*handler{}, Warnings: bad}
@@ -55,13 +55,13 @@
 // warnOfCosts warns of handlers that may take more than they have.
 func (p *Program) warnOfCosts() {
 	for _, cost := range p.costs {
-		fuel := Aside.Fuel
+		fuel := BackgroundLimits.Fuel
 		if points[cost.Point].Inline {
-			fuel = Inline.Fuel
+			fuel = InlineLimits.Fuel
 		}
 		if cost.Fuel > float64(fuel) {
 			text := fmt.Sprintf("on %s may take %.3g instructions, over the %d it has: %s",
-				cost.Point, cost.Fuel, fuel, cost.Why)
+				cost.Point, cost.Fuel, fuel, cost.Reason)
 			p.Warnings = append(p.Warnings, &Problem{File: p.File, Pos: cost.Pos, Text: text, Warning: true})
 		}
 	}
--- a/internal/hooklang/cost.go
+++ b/internal/hooklang/cost.go
@@ -11,10 +11,10 @@
 // Cost is an estimate of what a handler takes at most, in instructions. Ranges between literals are counted;
 // lists, maps and other ranges are assumed to have 100 entries.
 type Cost struct {
-	Point string
-	Pos   Pos
-	Fuel  float64
-	Why   string // what most of it is
+	Point  string
+	Pos    Pos
+	Fuel   float64
+	Reason string // the construct that contributes most to the estimate
 }
 
 // Costs returns the estimate of each handler, in the order of the text.
--- a/internal/hooklang/doc.go
+++ b/internal/hooklang/doc.go
@@ -69,25 +69,26 @@
 	Stop func() bool
 }
 
-// Inline are the limits of what a call waits for; Aside of what nobody waits for.
+// InlineLimits bound a handler that a call waits for; BackgroundLimits bound the tests of a script and the handlers
+// that no call waits for.
 var (
-	Inline = Limits{Fuel: 2_000, Memory: 64 << 10, Depth: 16, Size: 4 << 10, Effects: 4}
-	Aside  = Limits{Fuel: 1_000_000, Memory: 8 << 20, Depth: 64, Size: 64 << 10, Effects: 1_000}
+	InlineLimits     = Limits{Fuel: 2_000, Memory: 64 << 10, Depth: 16, Size: 4 << 10, Effects: 4}
+	BackgroundLimits = Limits{Fuel: 1_000_000, Memory: 8 << 20, Depth: 64, Size: 64 << 10, Effects: 1_000}
 )
 
 // Bounds of a script's text and of what it compiles to.
 const (
-	MaxSource   = 256 << 10
-	maxNesting  = 64 // of expressions and blocks
-	maxProblems = 20
-	maxSlots    = 200    // variables of a function
-	maxParams   = 16     // of a function
-	maxCode     = 50_000 // instructions
-	maxStates   = 100
-	maxFuncs    = 500
-	maxTests    = 100
-	maxMinutes  = 24 * 60
+	MaxSourceBytes = 256 << 10
+	maxNesting     = 64 // of expressions and blocks
+	maxProblems    = 20
+	maxSlots       = 200    // variables of a function
+	maxParams      = 16     // of a function
+	maxCode        = 50_000 // instructions
+	maxStates      = 100
+	maxFuncs       = 500
+	maxTests       = 100
+	maxMinutes     = 24 * 60
 )
 
-// Least is the shortest interval of a timer.
-const Least = 100 * time.Millisecond
+// MinTimerInterval is the shortest interval that a timer handler may have.
+const MinTimerInterval = 100 * time.Millisecond
--- a/internal/hooklang/host.go
+++ b/internal/hooklang/host.go
@@ -115,7 +115,7 @@
 	Name    string
 	Record  *Record
 	Effects []string // the advice that may be given there, besides log
-	Inline  bool     // the call waits for it: the limits are Inline, and state cannot be changed
+	Inline  bool     // the call waits for it: the limits are InlineLimits, and state cannot be changed
 }
 
 // lastingEffects are in force for a time, or go to operators.
--- a/internal/hooklang/hostile_test.go
+++ b/internal/hooklang/hostile_test.go
@@ -47,7 +47,7 @@
 				}
 				return
 			}
-			res, err := NewVM().Run(p, "ended", Ended{Function: "f", Took: time.Second}, p.State(), Env{}, Aside)
+			res, err := NewVM().Run(p, "ended", Ended{Function: "f", Took: time.Second}, p.State(), Env{}, BackgroundLimits)
 			f, _ := err.(*Fault)
 			switch {
 			case err == nil && c.want != "":
@@ -59,7 +59,7 @@
 			case err != nil && (f.Pos.Line == 0 || len(f.Stack) == 0 || len(f.Text) > 300):
 				t.Errorf("place %v, stack %v, text of %d", f.Pos, f.Stack, len(f.Text))
 			}
-			if res.Fuel > Aside.Fuel+Aside.Fuel/10 {
+			if res.Fuel > BackgroundLimits.Fuel+BackgroundLimits.Fuel/10 {
 				t.Errorf("%d instructions", res.Fuel)
 			}
 		})
@@ -69,7 +69,7 @@
 // A run that is to stop is stopped whatever it does, and names the last net.
 func TestStopped(t *testing.T) {
 	p := compile(t, "on ended(e) {\nfor i in 0..9223372036854775807 {}\n}")
-	lim, asked := Aside, 0
+	lim, asked := BackgroundLimits, 0
 	lim.Fuel = 1 << 40
 	lim.Stop = func() bool { asked++; return asked == 10 }
 	res, err := NewVM().Run(p, "ended", Ended{}, p.State(), Env{}, lim)
@@ -119,7 +119,7 @@
 func TestState(t *testing.T) {
 	p := compile(t, "state n int = 1\nstate l list[list[int]] = [[1]]\nstate s string = \"x\"\non ended(e) {\nn += 1\nlet k = l[0]\npush(k, n)\nl[0] = k\npush(l, [n])\n}")
 	a := p.State()
-	vm, lim := NewVM(), Aside
+	vm, lim := NewVM(), BackgroundLimits
 	r1, err := vm.Run(p, "ended", Ended{}, a, Env{}, lim)
 	if err != nil {
 		t.Fatal(err)
@@ -163,7 +163,7 @@
 	for _, c := range hostile {
 		f.Add(hostileHead + "on ended(e) {\n" + c.body + "\n}\n")
 	}
-	lim := Aside
+	lim := BackgroundLimits
 	lim.Fuel = 20_000
 	f.Fuzz(func(t *testing.T, text string) {
 		p, err := Compile("f.hook", text)
@@ -196,7 +196,7 @@
 // Equal floats look alike: the oracle's first 20,000 programs found a zero with a sign.
 func TestNoNegativeZero(t *testing.T) {
 	p := compile(t, "on ended(e) {\nlet z = 0.0\nlog(str((0.0 - 1.5) * z))\nlog(str(-z))\n}")
-	res, err := NewVM().Run(p, "ended", Ended{}, p.State(), Env{}, Aside)
+	res, err := NewVM().Run(p, "ended", Ended{}, p.State(), Env{}, BackgroundLimits)
 	if err != nil || len(res.Advice) != 2 || res.Advice[0].Text != "0.0" || res.Advice[1].Text != "0.0" {
 		t.Errorf("%v %+v", err, res.Advice)
 	}
--- a/internal/hooklang/oracle_test.go
+++ b/internal/hooklang/oracle_test.go
@@ -649,7 +649,7 @@
 		}
 		s, _ := check("p.hook", src)
 		o := &oracle{s: s, state: map[string]any{"s": int64(3), "m": dict{"a": int64(1)}, "q": []any{int64(4), int64(2)}, "z": []any{[]any{int64(1)}, []any{int64(2)}}}}
-		lim := Aside
+		lim := BackgroundLimits
 		lim.Fuel, lim.Effects = 50_000_000, 1<<20
 		res, err := NewVM().Run(p, "ended", Ended{}, p.State(), Env{}, lim)
 		if f, ok := err.(*Fault); ok && f.Exhausted() {
--- a/internal/hooklang/parsedecl.go
+++ b/internal/hooklang/parsedecl.go
@@ -90,8 +90,8 @@
 	interval := time.Duration(t.number)
 	if point != "timer" {
 		p.problem(t.pos, "only a timer has a time")
-	} else if longest := maxMinutes * time.Minute; interval < Least || interval > longest {
-		p.problem(t.pos, "a timer runs every %v at the shortest and %v at the longest", Least, longest)
+	} else if longest := maxMinutes * time.Minute; interval < MinTimerInterval || interval > longest {
+		p.problem(t.pos, "a timer runs every %v at the shortest and %v at the longest", MinTimerInterval, longest)
 	}
 	return interval
 }
--- a/internal/hooklang/parser.go
+++ b/internal/hooklang/parser.go
@@ -23,8 +23,8 @@
 
 // parse reads a text. It reports syntax errors, and resumes behind each.
 func parse(file, text string) (*script, Problems) {
-	if len(text) > MaxSource {
-		return &script{}, problemAtStart(file, "%d bytes, over the %d that a script may have", len(text), MaxSource)
+	if len(text) > MaxSourceBytes {
+		return &script{}, problemAtStart(file, "%d bytes, over the %d that a script may have", len(text), MaxSourceBytes)
 	}
 	if !utf8.ValidString(text) {
 		return &script{}, problemAtStart(file, "the text is no UTF-8")
--- a/internal/hooklang/program.go
+++ b/internal/hooklang/program.go
@@ -79,7 +79,7 @@
 	c.emit(Pos{}, opReturnNothing, 0, 0, 0)
 	fn.depth += len(s.states) + 1
 	vm := NewVM()
-	vm.limits = Aside
+	vm.limits = BackgroundLimits
 	return vm.guard(p, func() {
 		vm.program = p
 		vm.fuel = vm.limits.Fuel
--- a/internal/hooklang/runtests.go
+++ b/internal/hooklang/runtests.go
@@ -33,9 +33,9 @@
 func (p *Program) Test() (l []TestResult) {
 	vm := NewVM()
 	for _, t := range p.tests {
-		vm.start(p, p.State(), testEnv, Aside)
+		vm.start(p, p.State(), testEnv, BackgroundLimits)
 		err := vm.guard(p, func() { vm.exec(p.funcs[t.function], nil) })
-		l = append(l, TestResult{t.name, t.pos, err, Aside.Fuel - vm.fuel})
+		l = append(l, TestResult{t.name, t.pos, err, BackgroundLimits.Fuel - vm.fuel})
 	}
 	return l
 }
@@ -49,9 +49,9 @@
 			h = k
 		}
 	}
-	lim := Aside
+	lim := BackgroundLimits
 	if h.point.Inline {
-		lim = Inline
+		lim = InlineLimits
 	}
 	in2 := NewVM()
 	in2.Trace = vm.Trace
--- a/internal/hooklang/session.go
+++ b/internal/hooklang/session.go
@@ -31,7 +31,7 @@
 			}
 			tell(s)
 		}
-		vm.start(p, p.State(), testEnv, Aside)
+		vm.start(p, p.State(), testEnv, BackgroundLimits)
 		return true, vm.guard(p, func() { vm.exec(p.funcs[t.function], nil) })
 	}
 	return false, nil
@@ -92,7 +92,7 @@
 		text1 += "let result_ = " + expr + "\n"
 	}
 	sc, bad := check("line", text1+"}\n")
-	if bad.Wrong() {
+	if bad.HasErrors() {
 		var l Problems
 		for _, p := range bad {
 			if !p.Warning {
@@ -106,7 +106,7 @@
 		return "", err
 	}
 	vm := NewVM()
-	vm.start(p, p.State(), testEnv, Aside)
+	vm.start(p, p.State(), testEnv, BackgroundLimits)
 	var keep []Value
 	vm.capture = &keep
 	fn := p.funcs[p.tests[len(p.tests)-1].function]
