--- a/cmd/kitehub/hook.go
+++ b/cmd/kitehub/hook.go
@@ -102,7 +102,7 @@
 		if err != nil {
 			return err
 		}
-		l := p.Test()
+		l := p.RunTests()
 		for _, r := range l {
 			if r.Err != nil {
 				bad++
@@ -160,7 +160,7 @@
 		for strings.Count(text, "{") > strings.Count(text, "}") && in.Scan() {
 			text += "\n" + in.Text()
 		}
-		out, err := r.Do(text)
+		out, err := r.Eval(text)
 		if err != nil {
 			fmt.Fprintln(os.Stderr, err)
 		} else if out != "" {
--- a/internal/hookadvice/accept.go
+++ b/internal/hookadvice/accept.go
@@ -49,7 +49,7 @@
 	if !ok {
 		return
 	}
-	duration := min(item.For, t.settings.MaxDuration)
+	duration := min(item.Lifetime, t.settings.MaxDuration)
 	expiresAt := t.now + duration
 	if withdrawn := duration <= 0 || value == 0; withdrawn {
 		value = 0
--- a/internal/hookadvice/table_test.go
+++ b/internal/hookadvice/table_test.go
@@ -36,7 +36,7 @@
 }
 
 func warm(f string, n int64, d time.Duration) hooklang.Advice {
-	return hooklang.Advice{Kind: "keep_warm", Function: f, Copies: n, For: d}
+	return hooklang.Advice{Kind: "keep_warm", Function: f, Copies: n, Lifetime: d}
 }
 
 func by(script string, l ...hooklang.Advice) Event { return AdviceGiven{script, 1, l} }
@@ -57,9 +57,11 @@
 
 // Each case is what scripts advise, and the effects.
 func TestTable(t *testing.T) {
-	rank := func(kind, w string) hooklang.Advice { return hooklang.Advice{Kind: kind, Worker: w, For: 10 * sec} }
+	rank := func(kind, w string) hooklang.Advice {
+		return hooklang.Advice{Kind: kind, Worker: w, Lifetime: 10 * sec}
+	}
 	tenant := func(kind, n string, f float64) hooklang.Advice {
-		return hooklang.Advice{Kind: kind, Tenant: n, Factor: f, For: 10 * sec}
+		return hooklang.Advice{Kind: kind, Tenant: n, Factor: f, Lifetime: 10 * sec}
 	}
 	for _, c := range []struct {
 		name string
@@ -114,7 +116,7 @@
 
 func TestExpiryAndWorkers(t *testing.T) {
 	b := table(t, Settings{})
-	b.Step(0, []Event{by("a", warm("f1", 2, 10*sec), hooklang.Advice{Kind: "prefer", Worker: "w1", For: 20 * sec})})
+	b.Step(0, []Event{by("a", warm("f1", 2, 10*sec), hooklang.Advice{Kind: "prefer", Worker: "w1", Lifetime: 20 * sec})})
 	if b.NextExpiry() != 10*sec {
 		t.Error(b.NextExpiry())
 	}
@@ -165,7 +167,7 @@
 					Kind:     rapid.SampledFrom(kinds).Draw(t, "kind"),
 					Function: fmt.Sprint("f", rapid.IntRange(0, 9).Draw(t, "f")),
 					Copies:   rapid.Int64Range(-2, 9).Draw(t, "copies"),
-					For:      time.Duration(rapid.Int64().Draw(t, "for")),
+					Lifetime: time.Duration(rapid.Int64().Draw(t, "for")),
 				})
 				if k := l[len(l)-1].Kind; k == "prefer" || k == "avoid" {
 					l[len(l)-1].Function, l[len(l)-1].Worker = "", fmt.Sprint("w", rapid.IntRange(0, 9).Draw(t, "w"))
--- a/internal/hookengine/run.go
+++ b/internal/hookengine/run.go
@@ -119,8 +119,8 @@
 // handle runs a script's handler of an event, and then its shadow's.
 func (e *Engine) handle(s *Script, point string, event hooklang.Event, now time.Duration) {
 	live, shadow := e.active[s.Name], e.shadows[s.Name]
-	if live == nil || !live.program.Has(point) {
-		if live != nil && shadow != nil && shadow.program.Has(point) {
+	if live == nil || !live.program.HasHandler(point) {
+		if live != nil && shadow != nil && shadow.program.HasHandler(point) {
 			e.runShadow(shadow, point, event, nil, "")
 		}
 		return
@@ -137,7 +137,7 @@
 	} else if result.State != live.state {
 		live.state = result.State
 		live.unsaved = true
-		if live.program.Has("arrive") {
+		if live.program.HasHandler("arrive") {
 			e.publish()
 		}
 	}
@@ -183,7 +183,7 @@
 func (e *Engine) runShadow(
 	shadow *loadedVersion, point string, event hooklang.Event, liveAdvice []hooklang.Advice, liveFault string,
 ) {
-	if !shadow.program.Has(point) {
+	if !shadow.program.HasHandler(point) {
 		e.lifecycle.RecordTrial(shadow.script, shadow.version, "", 0, len(liveAdvice) == 0)
 		return
 	}
--- a/internal/hookengine/storage.go
+++ b/internal/hookengine/storage.go
@@ -82,7 +82,7 @@
 			return
 		}
 		if saved := e.states[s.Name]; saved != nil {
-			if state, err := loaded.program.Restore(saved); err != nil {
+			if state, err := loaded.program.RestoreState(saved); err != nil {
 				e.config.Log.Error().Str("script", s.Name).Err(err).Msg("hook's state not restored: it begins anew")
 			} else {
 				loaded.state = state
--- a/internal/hookengine/versions.go
+++ b/internal/hookengine/versions.go
@@ -30,7 +30,7 @@
 		script:   script,
 		version:  v.Number,
 		program:  program,
-		state:    program.State(),
+		state:    program.InitialState(),
 		interval: interval,
 		nextTick: e.config.Clock.Now() + interval,
 	}, nil
@@ -94,9 +94,9 @@
 		return err
 	}
 	if old := e.active[script]; old != nil {
-		loaded.state = loaded.program.Take(old.state)
+		loaded.state = loaded.program.InheritState(old.state)
 	} else if saved := e.states[script]; saved != nil {
-		if state, err := loaded.program.Restore(saved); err == nil {
+		if state, err := loaded.program.RestoreState(saved); err == nil {
 			loaded.state = state
 		}
 	}
@@ -120,7 +120,7 @@
 		return
 	}
 	if live := e.active[name]; live != nil {
-		loaded.state = loaded.program.Take(live.state)
+		loaded.state = loaded.program.InheritState(live.state)
 	}
 	e.shadows[name] = loaded
 }
@@ -140,7 +140,7 @@
 				points[point] = true
 			}
 		}
-		if live != nil && live.program.Has("arrive") {
+		if live != nil && live.program.HasHandler("arrive") {
 			handlers = append(handlers, inlineHandler{
 				script:  s.Name,
 				version: live.version,
--- a/internal/hooklang/bench_test.go
+++ b/internal/hooklang/bench_test.go
@@ -25,7 +25,7 @@
 	for _, c := range pairs {
 		b.Run(c.name, func(b *testing.B) {
 			p := must(Compile("b.hook", c.ours))
-			vm, st := NewVM(), p.State()
+			vm, st := NewVM(), p.InitialState()
 			b.ReportAllocs()
 			var fuel int64
 			for b.Loop() {
--- a/internal/hooklang/builtin.go
+++ b/internal/hooklang/builtin.go
@@ -50,7 +50,7 @@
 		d := build(a)
 		d.Kind = name
 		vm.advice = append(vm.advice, d)
-		vm.alloc(int64(adviceBytes + len(d.Text)))
+		vm.chargeMemory(int64(adviceBytes + len(d.Text)))
 		return Value{}
 	}, params...).effect = true
 }
--- a/internal/hooklang/docs_test.go
+++ b/internal/hooklang/docs_test.go
@@ -26,7 +26,7 @@
 		if form, _ := Format("example", src); form != src {
 			t.Errorf("example %d is formatted as\n%s", i+1, form)
 		}
-		l := p.Test()
+		l := p.RunTests()
 		if len(l) == 0 {
 			t.Errorf("example %d has no test", i+1)
 		}
--- a/internal/hooklang/golden_test.go
+++ b/internal/hooklang/golden_test.go
@@ -25,18 +25,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	written, err := json.Marshal(program.State())
+	written, err := json.Marshal(program.InitialState())
 	if err != nil {
 		t.Fatal(err)
 	}
 	goldenfile.Compare(t, "state.json", written)
 
-	restored, err := program.Restore(goldenfile.Read(t, "state.json"))
+	restored, err := program.RestoreState(goldenfile.Read(t, "state.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !restored.Equal(program.State()) {
-		t.Errorf("read: %v\nwant: %v", restored, program.State())
+	if !restored.Equal(program.InitialState()) {
+		t.Errorf("read: %v\nwant: %v", restored, program.InitialState())
 	}
 }
 
@@ -64,5 +64,5 @@
 
 // Each field that is stored or sent has a key of its own: what it is called in Go may change, the format may not.
 func TestKeysDoNotFollowFieldNames(t *testing.T) {
-	goldenfile.Tagged(t, Call{}, Ended{}, Worker{}, Load{}, Level{}, Tick{}, Move{}, saved{})
+	goldenfile.Tagged(t, Call{}, Ended{}, Worker{}, Load{}, Level{}, Tick{}, Move{}, savedVariable{})
 }
--- a/internal/hooklang/hook_test.go
+++ b/internal/hooklang/hook_test.go
@@ -72,7 +72,7 @@
 
 func TestSample(t *testing.T) {
 	p := compile(t, sample)
-	for _, r := range p.Test() {
+	for _, r := range p.RunTests() {
 		if r.Err != nil {
 			t.Error(r.Name, r.Err)
 		}
--- a/internal/hooklang/host.go
+++ b/internal/hooklang/host.go
@@ -103,8 +103,8 @@
 		field("tenant", typeString), field("copies", typeInt), field("factor", typeFloat),
 		field("life", typeDuration), field("key", typeString), field("text", typeString))
 
-	// noRecord is what the handler of a point gets that does not exist, so that its body can be checked.
-	noRecord = newRecord("Nothing")
+	// emptyRecord is what the handler of a point gets that does not exist, so that its body can be checked.
+	emptyRecord = newRecord("Nothing")
 
 	// records are the records of the host by name.
 	records = map[string]*Record{}
@@ -165,7 +165,7 @@
 	Tenant   string        // of tenant_weight and tenant_cap
 	Copies   int64         // of keep_warm
 	Factor   float64       // weight, or fraction of the calls in flight
-	For      time.Duration // how long it is in force
+	Lifetime time.Duration // how long it is in force
 	Key      string        // of annotate; the target of notify
 	Text     string        // of refuse, annotate, notify and log
 }
@@ -229,7 +229,7 @@
 		strValue(a.Tenant),
 		{bits: a.Copies},
 		floatValue(a.Factor),
-		durationValue(a.For),
+		durationValue(a.Lifetime),
 		strValue(a.Key),
 		strValue(a.Text),
 	}}}
--- a/internal/hooklang/hostile_test.go
+++ b/internal/hooklang/hostile_test.go
@@ -47,14 +47,14 @@
 				}
 				return
 			}
-			res, err := NewVM().Run(p, "ended", Ended{Function: "f", Took: time.Second}, p.State(), Env{}, Aside)
+			res, err := NewVM().Run(p, "ended", Ended{Function: "f", Took: time.Second}, p.InitialState(), Env{}, Aside)
 			f, _ := err.(*Fault)
 			switch {
 			case err == nil && c.want != "":
 				t.Errorf("it ends well after %d instructions: %q is wanted", res.Fuel, c.want)
 			case err != nil && (c.want == "" || !strings.Contains("|"+c.want+"|", "|"+string(f.Kind)+"|")):
 				t.Errorf("%v: %q is wanted", err, c.want)
-			case err != nil && (res.Advice != nil || !res.State.Equal(p.State())):
+			case err != nil && (res.Advice != nil || !res.State.Equal(p.InitialState())):
 				t.Error("something is left of it")
 			case err != nil && (f.Pos.Line == 0 || len(f.Stack) == 0 || len(f.Text) > 300):
 				t.Errorf("place %v, stack %v, text of %d", f.Pos, f.Stack, len(f.Text))
@@ -72,7 +72,7 @@
 	lim, asked := Aside, 0
 	lim.Fuel = 1 << 40
 	lim.Stop = func() bool { asked++; return asked == 10 }
-	res, err := NewVM().Run(p, "ended", Ended{}, p.State(), Env{}, lim)
+	res, err := NewVM().Run(p, "ended", Ended{}, p.InitialState(), Env{}, lim)
 	if f, ok := err.(*Fault); !ok || f.Kind != FaultStopped || res.Fuel > 11*stopInterval {
 		t.Errorf("%v after %d", err, res.Fuel)
 	}
@@ -118,7 +118,7 @@
 // A state goes over to the next version by name and type, and a run never changes one that others read.
 func TestState(t *testing.T) {
 	p := compile(t, "state n int = 1\nstate l list[list[int]] = [[1]]\nstate s string = \"x\"\non ended(e) {\nn += 1\nlet k = l[0]\npush(k, n)\nl[0] = k\npush(l, [n])\n}")
-	a := p.State()
+	a := p.InitialState()
 	vm, lim := NewVM(), Aside
 	r1, err := vm.Run(p, "ended", Ended{}, a, Env{}, lim)
 	if err != nil {
@@ -133,11 +133,11 @@
 		t.Error(r2.State)
 	}
 	q := compile(t, "state s int = 7\nstate n int = 0\nstate more bool = true")
-	if got := q.Take(r2.State).String(); got != "state s int = 7\nstate n int = 3\nstate more bool = true\n" {
+	if got := q.InheritState(r2.State).String(); got != "state s int = 7\nstate n int = 3\nstate more bool = true\n" {
 		t.Error(got)
 	}
 	for _, bad := range []string{`{`, `[{"name":"n","type":"int","value":3}]`, `[{"name":"n","type":"int","value":"99999999999999999999"}]`, `[{"name":"n","type":"int","value":[]}]`} {
-		if _, err := q.Restore([]byte(bad)); err == nil {
+		if _, err := q.RestoreState([]byte(bad)); err == nil {
 			t.Errorf("%s is restored", bad)
 		}
 	}
@@ -181,11 +181,11 @@
 			point string
 			e     Event
 		}{{"ended", Ended{Function: "f"}}, {"timer", Tick{}}, {"arrive", Call{}}} {
-			if _, err := NewVM().Run(p, e.point, e.e, p.State(), Env{}, lim); err != nil && err.(*Fault).Kind == FaultInternal {
+			if _, err := NewVM().Run(p, e.point, e.e, p.InitialState(), Env{}, lim); err != nil && err.(*Fault).Kind == FaultInternal {
 				t.Fatal(err)
 			}
 		}
-		for _, r := range p.Test() {
+		for _, r := range p.RunTests() {
 			if r.Err != nil && r.Err.(*Fault).Kind == FaultInternal {
 				t.Fatal(r.Err)
 			}
@@ -196,7 +196,7 @@
 // Equal floats look alike: the oracle's first 20,000 programs found a zero with a sign.
 func TestNoNegativeZero(t *testing.T) {
 	p := compile(t, "on ended(e) {\nlet z = 0.0\nlog(str((0.0 - 1.5) * z))\nlog(str(-z))\n}")
-	res, err := NewVM().Run(p, "ended", Ended{}, p.State(), Env{}, Aside)
+	res, err := NewVM().Run(p, "ended", Ended{}, p.InitialState(), Env{}, Aside)
 	if err != nil || len(res.Advice) != 2 || res.Advice[0].Text != "0.0" || res.Advice[1].Text != "0.0" {
 		t.Errorf("%v %+v", err, res.Advice)
 	}
--- a/internal/hooklang/library.go
+++ b/internal/hooklang/library.go
@@ -28,7 +28,7 @@
 	define("len", typeInt, length, dict)
 
 	for _, t := range []*Type{typeInt, typeFloat, typeDuration, typeBool} {
-		define("str", typeString, func(vm *VM, a []Value) Value { return vm.str(text(t, a[0])) }, t)
+		define("str", typeString, func(vm *VM, a []Value) Value { return vm.newString(text(t, a[0])) }, t)
 	}
 	define("str", typeString, func(_ *VM, a []Value) Value { return a[0] }, typeString)
 
@@ -75,11 +75,11 @@
 		}, t, t)
 		define("sort", listOf(t), func(vm *VM, a []Value) Value {
 			n := int64(len(a[0].object.items))
-			vm.spend(n * int64(1+math.Log2(float64(n+1))))
+			vm.chargeFuel(n * int64(1+math.Log2(float64(n+1))))
 			if t == typeString {
-				vm.spend(traversalCost(a[0]))
+				vm.chargeFuel(traversalCost(a[0]))
 			}
-			o := vm.clone(a[0].object)
+			o := vm.cloneCollection(a[0].object)
 			slices.SortStableFunc(o.items, func(x, y Value) int { return compare(t, x, y) })
 			return Value{object: o}
 		}, listOf(t))
@@ -100,14 +100,14 @@
 	list, dict := listOf(varT), mapOf(varK, varV)
 	define("sort_by", list, nil, list, typeString).takesFunction = true
 	define("reverse", list, func(vm *VM, a []Value) Value {
-		o := vm.clone(a[0].object)
+		o := vm.cloneCollection(a[0].object)
 		slices.Reverse(o.items)
 		return Value{object: o}
 	}, list)
 	define("slice", list, func(vm *VM, a []Value) Value {
-		from, to := vm.span(a, len(a[0].object.items))
+		from, to := vm.sliceBounds(a, len(a[0].object.items))
 		o := &object{collection: true}
-		vm.list(int64(to - from))
+		vm.chargeList(int64(to - from))
 		for _, e := range a[0].object.items[from:to] {
 			o.items = append(o.items, e.share())
 		}
@@ -115,19 +115,19 @@
 	}, list, typeInt, typeInt)
 	define("slice", typeString, func(vm *VM, a []Value) Value {
 		s := a[0].str()
-		from, to := vm.span(a, len(s))
+		from, to := vm.sliceBounds(a, len(s))
 		if from < len(s) && !utf8.RuneStart(s[from]) || to < len(s) && !utf8.RuneStart(s[to]) {
 			vm.fault(FaultIndex, "slice %d to %d cuts a character in two", from, to)
 		}
-		return vm.str(s[from:to])
+		return vm.newString(s[from:to])
 	}, typeString, typeInt, typeInt)
 
 	define("keys", listOf(varK), func(vm *VM, a []Value) Value {
-		vm.list(int64(len(a[0].object.keys)))
+		vm.chargeList(int64(len(a[0].object.keys)))
 		return Value{object: &object{collection: true, items: slices.Clone(a[0].object.keys)}}
 	}, dict)
 	define("values", listOf(varV), func(vm *VM, a []Value) Value {
-		vm.list(int64(len(a[0].object.items)))
+		vm.chargeList(int64(len(a[0].object.items)))
 		o := &object{collection: true}
 		for _, e := range a[0].object.items {
 			o.items = append(o.items, e.share())
@@ -146,7 +146,7 @@
 func defineStrings() {
 	text := func(f func(s, t string) Value) func(vm *VM, a []Value) Value {
 		return func(vm *VM, a []Value) Value {
-			vm.spend(int64(len(a[0].str())) / 16)
+			vm.chargeFuel(int64(len(a[0].str())) / 16)
 			return f(a[0].str(), a[1].str())
 		}
 	}
@@ -160,13 +160,13 @@
 		return Value{bits: int64(strings.Index(s, t))}
 	}), typeString, typeString)
 	define("lower", typeString, func(vm *VM, a []Value) Value {
-		return vm.str(strings.ToLower(a[0].str()))
+		return vm.newString(strings.ToLower(a[0].str()))
 	}, typeString)
 	define("trim", typeString, func(vm *VM, a []Value) Value {
-		return vm.str(strings.TrimSpace(a[0].str()))
+		return vm.newString(strings.TrimSpace(a[0].str()))
 	}, typeString)
 	define("hash", typeInt, func(vm *VM, a []Value) Value {
-		vm.spend(int64(len(a[0].str())) / 16)
+		vm.chargeFuel(int64(len(a[0].str())) / 16)
 		return Value{bits: int64(xxhash.Sum64String(a[0].str()) >> 1)}
 	}, typeString)
 	defineSplitAndJoin()
@@ -177,10 +177,10 @@
 		if a[1].str() == "" {
 			vm.fault(FaultRange, "split at nothing")
 		}
-		vm.spend(int64(len(a[0].str())) / 4)
+		vm.chargeFuel(int64(len(a[0].str())) / 4)
 		n := strings.Count(a[0].str(), a[1].str()) + 1
-		vm.list(int64(n))
-		vm.alloc(int64(n)*objectBytes + int64(len(a[0].str())))
+		vm.chargeList(int64(n))
+		vm.chargeMemory(int64(n)*objectBytes + int64(len(a[0].str())))
 		o := &object{collection: true}
 		for _, s := range strings.Split(a[0].str(), a[1].str()) {
 			o.items = append(o.items, strValue(s))
@@ -194,14 +194,14 @@
 				n += len(a[1].str())
 			}
 			n += len(e.str())
-			vm.size(n)
+			vm.checkSize(n)
 		}
-		vm.spend(int64(len(a[0].object.items)))
+		vm.chargeFuel(int64(len(a[0].object.items)))
 		l := make([]string, 0, len(a[0].object.items))
 		for _, e := range a[0].object.items {
 			l = append(l, e.str())
 		}
-		return vm.str(strings.Join(l, a[1].str()))
+		return vm.newString(strings.Join(l, a[1].str()))
 	}, listOf(typeString), typeString)
 }
 
@@ -228,19 +228,19 @@
 func defineEffects() {
 	life := func(v Value) time.Duration { return time.Duration(v.bits) }
 	defineEffect("keep_warm", func(a []Value) Advice {
-		return Advice{Function: a[0].str(), Copies: a[1].bits, For: life(a[2])}
+		return Advice{Function: a[0].str(), Copies: a[1].bits, Lifetime: life(a[2])}
 	}, typeString, typeInt, typeDuration)
 	defineEffect("tenant_weight", func(a []Value) Advice {
-		return Advice{Tenant: a[0].str(), Factor: a[1].float(), For: life(a[2])}
+		return Advice{Tenant: a[0].str(), Factor: a[1].float(), Lifetime: life(a[2])}
 	}, typeString, typeFloat, typeDuration)
 	defineEffect("tenant_cap", func(a []Value) Advice {
-		return Advice{Tenant: a[0].str(), Factor: a[1].float(), For: life(a[2])}
+		return Advice{Tenant: a[0].str(), Factor: a[1].float(), Lifetime: life(a[2])}
 	}, typeString, typeFloat, typeDuration)
 	defineEffect("prefer", func(a []Value) Advice {
-		return Advice{Worker: a[0].str(), For: life(a[1])}
+		return Advice{Worker: a[0].str(), Lifetime: life(a[1])}
 	}, typeString, typeDuration)
 	defineEffect("avoid", func(a []Value) Advice {
-		return Advice{Worker: a[0].str(), For: life(a[1])}
+		return Advice{Worker: a[0].str(), Lifetime: life(a[1])}
 	}, typeString, typeDuration)
 	defineEffect("refuse", func(a []Value) Advice {
 		return Advice{Text: a[0].str()}
--- a/internal/hooklang/oracle_test.go
+++ b/internal/hooklang/oracle_test.go
@@ -651,7 +651,7 @@
 		o := &oracle{s: s, state: map[string]any{"s": int64(3), "m": dict{"a": int64(1)}, "q": []any{int64(4), int64(2)}, "z": []any{[]any{int64(1)}, []any{int64(2)}}}}
 		lim := Aside
 		lim.Fuel, lim.Effects = 50_000_000, 1<<20
-		res, err := NewVM().Run(p, "ended", Ended{}, p.State(), Env{}, lim)
+		res, err := NewVM().Run(p, "ended", Ended{}, p.InitialState(), Env{}, lim)
 		if f, ok := err.(*Fault); ok && f.Exhausted() {
 			t.Skip("too much")
 		}
@@ -661,7 +661,7 @@
 			if f, ok := err.(*Fault); !ok || string(f.Kind) != want {
 				t.Fatalf("fault %v, the oracle has %q\n%s", err, want, src)
 			}
-			if !res.State.Equal(p.State()) || res.Advice != nil {
+			if !res.State.Equal(p.InitialState()) || res.Advice != nil {
 				t.Fatalf("a run with a fault left something\n%s", src)
 			}
 			return
@@ -682,12 +682,12 @@
 				t.Fatalf("%s is %s, the oracle has %s\n%s", v.name, a, b, src)
 			}
 		}
-		again, _ := NewVM().Run(p, "ended", Ended{}, p.State(), Env{}, lim)
+		again, _ := NewVM().Run(p, "ended", Ended{}, p.InitialState(), Env{}, lim)
 		if again.Fuel != res.Fuel || again.Memory != res.Memory || !again.State.Equal(res.State) || fmt.Sprint(again.Advice) != fmt.Sprint(res.Advice) {
 			t.Fatalf("a second run differs\n%s", src)
 		}
 		text, _ := res.State.MarshalJSON()
-		if back, err := p.Restore(text); err != nil || !back.Equal(res.State) {
+		if back, err := p.RestoreState(text); err != nil || !back.Equal(res.State) {
 			t.Fatalf("%v: restored another state from %s\n%s", err, text, src)
 		}
 		form, err := Format("p.hook", src)
@@ -698,7 +698,7 @@
 			t.Fatalf("the form of a form differs:\n%s\n%s", form, twice)
 		}
 		q := must(Compile("p.hook", form))
-		if formed, err := NewVM().Run(q, "ended", Ended{}, q.State(), Env{}, lim); err != nil || formed.Fuel != res.Fuel || fmt.Sprint(formed.Advice) != fmt.Sprint(res.Advice) {
+		if formed, err := NewVM().Run(q, "ended", Ended{}, q.InitialState(), Env{}, lim); err != nil || formed.Fuel != res.Fuel || fmt.Sprint(formed.Advice) != fmt.Sprint(res.Advice) {
 			t.Fatalf("%v: formatted, it does something else:\n%s", err, form)
 		}
 	})
--- a/internal/hooklang/parsedecl.go
+++ b/internal/hooklang/parsedecl.go
@@ -64,7 +64,7 @@
 	d := &funcDecl{pos: pos, name: name.text, point: points[name.text]}
 	if d.point == nil {
 		p.problem(name.pos, "there is no point %q: %s are", name.text, pointNames())
-		d.point = &Point{Name: name.text, Record: noRecord}
+		d.point = &Point{Name: name.text, Record: emptyRecord}
 	}
 	p.expect("(")
 	event := p.name("the event's name")
--- a/internal/hooklang/program.go
+++ b/internal/hooklang/program.go
@@ -109,8 +109,8 @@
 	return names, every
 }
 
-// Has reports whether there is a handler of a point.
-func (p *Program) Has(point string) bool { return p.handlers[point] != nil }
+// HasHandler reports whether there is a handler of a point.
+func (p *Program) HasHandler(point string) bool { return p.handlers[point] != nil }
 
 // MarshalJSON names the program: it is shown to operators.
 func (p *Program) MarshalJSON() ([]byte, error) { return json.Marshal(p.File) }
--- a/internal/hooklang/runtests.go
+++ b/internal/hooklang/runtests.go
@@ -21,19 +21,19 @@
 	for _, t := range p.tests {
 		one := *p
 		one.tests = []test{t}
-		if r := one.Test(); r[0].Err != nil {
+		if r := one.RunTests(); r[0].Err != nil {
 			return fmt.Errorf("test %q: %w", t.name, r[0].Err)
 		}
 	}
 	return nil
 }
 
-// Test runs the tests of a program in the order of the text, each from the first state. Their clock is that of a
+// RunTests runs the tests of a program in the order of the text, each from the first state. Their clock is that of a
 // day's begin.
-func (p *Program) Test() (l []TestResult) {
+func (p *Program) RunTests() (l []TestResult) {
 	vm := NewVM()
 	for _, t := range p.tests {
-		vm.start(p, p.State(), testEnv, Aside)
+		vm.start(p, p.InitialState(), testEnv, Aside)
 		err := vm.guard(p, func() { vm.exec(p.funcs[t.function], nil) })
 		l = append(l, TestResult{t.name, t.pos, err, Aside.Fuel - vm.fuel})
 	}
@@ -57,15 +57,15 @@
 	in2.Trace = vm.Trace
 	res, err := in2.runHandler(vm.program, h, event, &State{vm.program, vm.state}, vm.env, lim)
 	if err != nil {
-		panic(faulted{err.(*Fault)})
+		panic(faultPanic{err.(*Fault)})
 	}
-	vm.spend(res.Fuel)
+	vm.chargeFuel(res.Fuel)
 	vm.state = res.State.values
 	o := &object{collection: true}
 	for _, a := range res.Advice {
 		o.items = append(o.items, a.value())
 	}
-	vm.list(int64(len(o.items)))
+	vm.chargeList(int64(len(o.items)))
 	return Value{object: o}
 }
 
--- a/internal/hooklang/session.go
+++ b/internal/hooklang/session.go
@@ -31,7 +31,7 @@
 			}
 			tell(s)
 		}
-		vm.start(p, p.State(), testEnv, Aside)
+		vm.start(p, p.InitialState(), testEnv, Aside)
 		return true, vm.guard(p, func() { vm.exec(p.funcs[t.function], nil) })
 	}
 	return false, nil
@@ -41,7 +41,7 @@
 func (f *function) variablesAt(pos Pos, locals []Value) (vars []string) {
 	for _, v := range f.vars {
 		known := v.from.Line < pos.Line && pos.Line <= v.to.Line && v.slot < len(locals)
-		if !known || locals[v.slot].object == nil && pointer(v.valueType) {
+		if !known || locals[v.slot].object == nil && isReference(v.valueType) {
 			continue
 		}
 		vars = append(vars, v.name+" = "+cut(text(v.valueType, locals[v.slot]), maxShownValue))
@@ -49,8 +49,8 @@
 	return vars
 }
 
-// pointer reports whether a value of a type is an object, once it is set.
-func pointer(t *Type) bool { return t == typeString || t.isCollection() || t.record != nil }
+// isReference reports whether a value of a type is an object, once it is set.
+func isReference(t *Type) bool { return t == typeString || t.isCollection() || t.record != nil }
 
 // Session is what a REPL remembers: declarations, and statements, which are all run anew for each line. As a script
 // depends on nothing else, that is the same as going on. It is not safe for concurrent use.
@@ -58,8 +58,8 @@
 	decls, stmts []string
 }
 
-// Do takes a line: a declaration or statement is remembered, an expression's value is returned.
-func (s *Session) Do(line string) (string, error) {
+// Eval takes a line: a declaration or statement is remembered, an expression's value is returned.
+func (s *Session) Eval(line string) (string, error) {
 	line = strings.TrimSpace(line)
 	if line == "" {
 		return "", nil
@@ -106,7 +106,7 @@
 		return "", err
 	}
 	vm := NewVM()
-	vm.start(p, p.State(), testEnv, Aside)
+	vm.start(p, p.InitialState(), testEnv, Aside)
 	var keep []Value
 	vm.capture = &keep
 	fn := p.funcs[p.tests[len(p.tests)-1].function]
--- a/internal/hooklang/state.go
+++ b/internal/hooklang/state.go
@@ -15,13 +15,13 @@
 	values  []Value
 }
 
-// State returns the state that a program begins with.
-func (p *Program) State() *State { return &State{p, p.initialState} }
+// InitialState returns the state that a program begins with.
+func (p *Program) InitialState() *State { return &State{p, p.initialState} }
 
-// Take returns the program's state with what another, perhaps of another program, has of the same names and types.
-func (p *Program) Take(old *State) *State {
+// InheritState returns the program's state with what another, perhaps of another program, has of the same names and types.
+func (p *Program) InheritState(old *State) *State {
 	if old == nil {
-		return p.State()
+		return p.InitialState()
 	}
 	s := &State{p, slices.Clone(p.initialState)}
 	for i, v := range p.state {
@@ -57,8 +57,8 @@
 	return b.String()
 }
 
-// saved is a state variable as it is stored.
-type saved struct {
+// savedVariable is a state variable as it is stored.
+type savedVariable struct {
 	Name  string          `json:"name"`
 	Type  string          `json:"type"`
 	Value json.RawMessage `json:"value"`
@@ -66,17 +66,17 @@
 
 // MarshalJSON writes the state: ints and durations as strings, as JSON's readers lose digits above 2^53 (RFC 8259, 6).
 func (s *State) MarshalJSON() ([]byte, error) {
-	l := []saved{}
+	l := []savedVariable{}
 	for i, v := range s.program.state {
-		l = append(l, saved{v.name, v.valueType.String(), encode(nil, v.valueType, s.values[i])})
+		l = append(l, savedVariable{v.name, v.valueType.String(), encode(nil, v.valueType, s.values[i])})
 	}
 	return json.Marshal(l)
 }
 
-// Restore reads what MarshalJSON wrote. Variables that the program does not have, or has with another type, are
+// RestoreState reads what MarshalJSON wrote. Variables that the program does not have, or has with another type, are
 // left out.
-func (p *Program) Restore(text []byte) (*State, error) {
-	var l []saved
+func (p *Program) RestoreState(text []byte) (*State, error) {
+	var l []savedVariable
 	if err := json.Unmarshal(text, &l); err != nil {
 		return nil, fmt.Errorf("hook state: %w", err)
 	}
--- a/internal/hooklang/vm.go
+++ b/internal/hooklang/vm.go
@@ -58,25 +58,25 @@
 // NewVM returns a VM.
 func NewVM() *VM { return &VM{stack: make([]Value, 0, 256)} }
 
-// faulted is the panic by which a run ends with a fault; guard recovers it.
-type faulted struct{ f *Fault }
+// faultPanic is the panic by which a run ends with a fault; guard recovers it.
+type faultPanic struct{ f *Fault }
 
 func (vm *VM) fault(kind FaultKind, format string, args ...any) {
-	panic(faulted{&Fault{Kind: kind, Text: fmt.Sprintf(format, args...)}})
+	panic(faultPanic{&Fault{Kind: kind, Text: fmt.Sprintf(format, args...)}})
 }
 
-// spend charges for what costs more than one instruction.
-func (vm *VM) spend(n int64) {
+// chargeFuel charges for what costs more than one instruction.
+func (vm *VM) chargeFuel(n int64) {
 	if vm.fuel -= n; vm.fuel < vm.nextCheck {
-		vm.check()
+		vm.checkLimits()
 	}
 }
 
 // stopInterval is how many instructions are run between two calls of Limits.Stop.
 const stopInterval = 4096
 
-// check ends a run that is out of fuel, or whose time is over.
-func (vm *VM) check() {
+// checkLimits ends a run that is out of fuel, or whose time is over.
+func (vm *VM) checkLimits() {
 	if vm.fuel < 0 {
 		vm.fault(FaultFuel, "more than %d instructions", vm.limits.Fuel)
 	}
@@ -86,38 +86,38 @@
 	vm.nextCheck = max(0, vm.fuel-stopInterval)
 }
 
-// alloc charges for memory.
-func (vm *VM) alloc(n int64) {
+// chargeMemory charges for memory.
+func (vm *VM) chargeMemory(n int64) {
 	if vm.memory -= n; vm.memory < 0 {
 		vm.fault(FaultMemory, "more than %d bytes", vm.limits.Memory)
 	}
 }
 
-// size checks the size of a string, list or map.
-func (vm *VM) size(n int) {
+// checkSize checks the size of a string, list or map.
+func (vm *VM) checkSize(n int) {
 	if n > vm.limits.Size {
 		vm.fault(FaultSize, "%d, over the %d that a string, list or map may have", n, vm.limits.Size)
 	}
 }
 
-// str makes a string, and charges for it.
-func (vm *VM) str(s string) Value {
-	vm.size(len(s))
-	vm.spend(int64(len(s)) / 16)
-	vm.alloc(objectBytes + int64(len(s)))
+// newString makes a string, and charges for it.
+func (vm *VM) newString(s string) Value {
+	vm.checkSize(len(s))
+	vm.chargeFuel(int64(len(s)) / 16)
+	vm.chargeMemory(objectBytes + int64(len(s)))
 	return strValue(s)
 }
 
-// list charges for a list of n entries.
-func (vm *VM) list(n int64) {
-	vm.size(int(n))
-	vm.spend(n / 4)
-	vm.alloc(objectBytes + 16*n)
+// chargeList charges for a list of n entries.
+func (vm *VM) chargeList(n int64) {
+	vm.checkSize(int(n))
+	vm.chargeFuel(n / 4)
+	vm.chargeMemory(objectBytes + 16*n)
 }
 
-// clone copies a list or map, and charges for it. Entries are shared.
-func (vm *VM) clone(o *object) *object {
-	vm.list(int64(len(o.items) + len(o.keys)))
+// cloneCollection copies a list or map, and charges for it. Entries are shared.
+func (vm *VM) cloneCollection(o *object) *object {
+	vm.chargeList(int64(len(o.items) + len(o.keys)))
 	c := &object{collection: true, items: slices.Clone(o.items), keys: slices.Clone(o.keys)}
 	for _, e := range c.items {
 		e.share()
@@ -125,8 +125,8 @@
 	return c
 }
 
-// span checks the bounds of a slice of n entries or bytes, the arguments after the first.
-func (vm *VM) span(a []Value, n int) (from, to int) {
+// sliceBounds checks the bounds of a slice of n entries or bytes, the arguments after the first.
+func (vm *VM) sliceBounds(a []Value, n int) (from, to int) {
 	if a[1].bits < 0 || a[2].bits < a[1].bits || a[2].bits > int64(n) {
 		vm.fault(FaultIndex, "slice %d to %d of %d", a[1].bits, a[2].bits, n)
 	}
@@ -140,7 +140,7 @@
 		if r == nil {
 			return
 		}
-		fault, ok := r.(faulted)
+		fault, ok := r.(faultPanic)
 		if !ok { // a fault of ours must not end the gateway
 			fault.f = &Fault{Kind: FaultInternal, Text: fmt.Sprint(r)}
 		}
@@ -207,8 +207,8 @@
 	for i, w := range vm.written {
 		if w {
 			n := traversalCost(vm.state[i])
-			vm.spend(n)
-			vm.size(int(n))
+			vm.chargeFuel(n)
+			vm.checkSize(int(n))
 			vm.state[i].freeze()
 		}
 	}
@@ -222,8 +222,8 @@
 	return &State{vm.program, vm.state}
 }
 
-// set changes a variable of the state: the run has its own from the first change on.
-func (vm *VM) set(i int32, v Value) {
+// setState changes a variable of the state: the run has its own from the first change on.
+func (vm *VM) setState(i int32, v Value) {
 	if vm.written == nil {
 		vm.written = make([]bool, len(vm.state))
 		vm.state = slices.Clone(vm.state)
@@ -238,23 +238,23 @@
 		if v.object.shares < 2 && vm.written != nil && vm.written[in.a] {
 			return v.object
 		}
-		o := vm.clone(v.object)
+		o := vm.cloneCollection(v.object)
 		o.shares = 1
-		vm.set(in.a, Value{object: o})
+		vm.setState(in.a, Value{object: o})
 		return o
 	}
 	v := vm.stack[base+int(in.a)]
 	if v.object.shares < 2 {
 		return v.object
 	}
-	o := vm.clone(v.object)
+	o := vm.cloneCollection(v.object)
 	o.shares = 1
 	vm.stack[base+int(in.a)] = Value{object: o}
 	return o
 }
 
-// enter begins a call whose arguments are on the stack, and returns the index of its first slot.
-func (vm *VM) enter(fn *function, args int) int {
+// pushFrame begins a call whose arguments are on the stack, and returns the index of its first slot.
+func (vm *VM) pushFrame(fn *function, args int) int {
 	if len(vm.frames) >= vm.limits.Depth {
 		vm.fault(FaultDepth, "more than %d calls within calls", vm.limits.Depth)
 	}
--- a/internal/hooklang/vmexec.go
+++ b/internal/hooklang/vmloop.go
@@ -10,7 +10,7 @@
 func (vm *VM) exec(fn *function, args []Value) Value {
 	vm.stack = append(vm.stack, args...)
 	floor := len(vm.frames)
-	base := vm.enter(fn, len(args))
+	base := vm.pushFrame(fn, len(args))
 	code, pc := fn.code, 0
 	st := vm.stack
 	for {
@@ -18,7 +18,7 @@
 		pc++
 		if vm.fuel--; vm.fuel < vm.nextCheck {
 			vm.frames[len(vm.frames)-1].pc = pc
-			vm.check()
+			vm.checkLimits()
 		}
 		if vm.Trace != nil {
 			if pos := vm.frames[len(vm.frames)-1].function.positions[pc-1]; pos.Line != vm.lastTraced.Line {
@@ -41,7 +41,7 @@
 		case opLoadState:
 			st = append(st, vm.state[in.a])
 		case opStoreState:
-			vm.set(in.a, st[n].share())
+			vm.setState(in.a, st[n].share())
 			st = st[:n]
 		case opPop:
 			st = st[:n]
@@ -74,7 +74,7 @@
 		case opAddIntConst:
 			x := st[n].bits
 			if x > math.MaxInt64-int64(in.a) {
-				vm.at(pc)
+				vm.savePC(pc)
 				vm.fault(FaultOverflow, "%d + %d", x, in.a)
 			}
 			st[n].bits = x + int64(in.a)
@@ -82,7 +82,7 @@
 			x, y := st[n-1].bits, st[n].bits
 			z := x + y
 			if (x^z)&(y^z) < 0 {
-				vm.at(pc)
+				vm.savePC(pc)
 				vm.fault(FaultOverflow, "%d + %d", x, y)
 			}
 			st = st[:n]
@@ -91,7 +91,7 @@
 			x, y := st[n-1].bits, st[n].bits
 			z := x - y
 			if (x^y)&(x^z) < 0 {
-				vm.at(pc)
+				vm.savePC(pc)
 				vm.fault(FaultOverflow, "%d - %d", x, y)
 			}
 			st = st[:n]
@@ -131,7 +131,7 @@
 		case opIndexList:
 			l, i := st[n-1].object.items, st[n].bits
 			if i < 0 || i >= int64(len(l)) {
-				vm.at(pc)
+				vm.savePC(pc)
 				vm.fault(FaultIndex, "entry %d of %d", i, len(l))
 			}
 			st = st[:n]
@@ -154,9 +154,9 @@
 			cur.bits++
 		case opCall:
 			fn := vm.program.funcs[in.a]
-			vm.at(pc)
+			vm.savePC(pc)
 			vm.stack = st
-			base = vm.enter(fn, int(in.b))
+			base = vm.pushFrame(fn, int(in.b))
 			st = vm.stack
 			code, pc = fn.code, 0
 		case opReturn, opReturnNothing:
@@ -178,7 +178,7 @@
 			f := &vm.frames[len(vm.frames)-1]
 			base, code, pc = f.base, f.function.code, f.pc
 		default:
-			vm.at(pc)
+			vm.savePC(pc)
 			vm.stack = st
 			pc = vm.execSlow(in, base, pc, code)
 			st = vm.stack
@@ -186,5 +186,5 @@
 	}
 }
 
-// at notes the position of the innermost frame, for a fault.
-func (vm *VM) at(pc int) { vm.frames[len(vm.frames)-1].pc = pc }
+// savePC notes the position of the innermost frame, for a fault.
+func (vm *VM) savePC(pc int) { vm.frames[len(vm.frames)-1].pc = pc }
--- a/internal/hooklang/vmops.go
+++ b/internal/hooklang/vmslow.go
@@ -12,22 +12,22 @@
 func (vm *VM) execSlow(in instruction, base, pc int, code []instruction) int {
 	switch in.op {
 	case opIndexMap, opSetList, opSetMap, opPush, opRemove:
-		vm.access(in, base)
+		vm.accessCollection(in, base)
 	case opList, opMap, opRecord:
-		vm.build(in)
+		vm.buildComposite(in)
 	case opAddStr, opAddList, opLtStr, opLeStr, opGtStr, opGeStr, opEq, opNe, opInStr, opInList, opInMap:
-		vm.operate(in)
+		vm.combine(in)
 	case opNegInt, opNegFloat, opMulInt, opDivInt, opModInt, opDivDur:
-		vm.calculate(in)
+		vm.integerArithmetic(in)
 	case opAddFloat, opSubFloat, opMulFloat, opDivFloat:
-		vm.calculateFloat(in)
+		vm.floatArithmetic(in)
 	case opIterate:
 		v := vm.pop()
 		v.share()
 		vm.stack[base+int(in.a)+1] = v.share() // twice: a change of the variable leaves what is run over
 		vm.stack[base+int(in.a)+2] = Value{}
 	case opNextMap:
-		return vm.nextOfMap(in, base, pc, code)
+		return vm.nextMapEntry(in, base, pc, code)
 	case opRange:
 		to, from := vm.pop(), vm.pop()
 		vm.stack[base+int(in.a)+1] = from
@@ -40,7 +40,7 @@
 			vm.push(v)
 		}
 	case opSort:
-		vm.sort(vm.program.funcs[in.a])
+		vm.sortList(vm.program.funcs[in.a])
 	case opRun:
 		vm.push(vm.runInTest(in, vm.pop()))
 	default:
@@ -49,8 +49,8 @@
 	return pc
 }
 
-// nextOfMap begins the next turn of a loop over a map, or ends it. The instruction behind it has the slot of the key.
-func (vm *VM) nextOfMap(in instruction, base, pc int, code []instruction) int {
+// nextMapEntry begins the next turn of a loop over a map, or ends it. The instruction behind it has the slot of the key.
+func (vm *VM) nextMapEntry(in instruction, base, pc int, code []instruction) int {
 	o, cur := vm.stack[base+int(in.b)+1].object, &vm.stack[base+int(in.b)+2]
 	if cur.bits >= int64(len(o.keys)) {
 		return int(in.a)
@@ -65,20 +65,20 @@
 	return pc + 1
 }
 
-// sort replaces the list on the stack by a sorted copy.
-func (vm *VM) sort(less *function) {
-	o := vm.clone(vm.pop().object)
+// sortList replaces the list on the stack by a sorted copy.
+func (vm *VM) sortList(less *function) {
+	o := vm.cloneCollection(vm.pop().object)
 	vm.push(Value{object: o}) // where a fault's stack looks, and nothing else does
 	vm.mergeSort(less, o.items, make([]Value, len(o.items)))
 	vm.stack[len(vm.stack)-1] = Value{object: o}
 }
 
-// access reads an entry of a map, or changes a list or map of a variable.
-func (vm *VM) access(in instruction, base int) {
+// accessCollection reads an entry of a map, or changes a list or map of a variable.
+func (vm *VM) accessCollection(in instruction, base int) {
 	switch in.op {
 	case opIndexMap:
 		k, m := vm.pop(), vm.pop()
-		vm.spend(4)
+		vm.chargeFuel(4)
 		i, ok := m.object.find(k)
 		if !ok {
 			vm.fault(FaultKey, "no entry at %s: ask with in, or get(map, key, otherwise)", keyText(k))
@@ -93,29 +93,29 @@
 		o.items[i] = v.share()
 	case opSetMap:
 		v, k := vm.pop(), vm.pop()
-		vm.put(vm.ownedCollection(base, in), k, v)
+		vm.putMapEntry(vm.ownedCollection(base, in), k, v)
 	case opPush:
 		v := vm.pop()
 		o := vm.ownedCollection(base, in)
-		vm.size(len(o.items) + 1)
-		vm.alloc(32)
+		vm.checkSize(len(o.items) + 1)
+		vm.chargeMemory(32)
 		o.items = append(o.items, v.share())
 	case opRemove:
 		k := vm.pop()
 		o := vm.ownedCollection(base, in)
 		if i, ok := o.find(k); ok {
-			vm.spend(4 + int64(len(o.keys)-i)/8)
+			vm.chargeFuel(4 + int64(len(o.keys)-i)/8)
 			o.keys, o.items = slices.Delete(o.keys, i, i+1), slices.Delete(o.items, i, i+1)
 		}
 	}
 }
 
-// build makes a list, map or record of values on the stack.
-func (vm *VM) build(in instruction) {
+// buildComposite makes a list, map or record of values on the stack.
+func (vm *VM) buildComposite(in instruction) {
 	switch in.op {
 	case opList:
 		n := int(in.a)
-		vm.list(int64(n))
+		vm.chargeList(int64(n))
 		o := &object{collection: true, items: slices.Clone(vm.stack[len(vm.stack)-n:])}
 		for _, e := range o.items {
 			e.share()
@@ -124,17 +124,17 @@
 		vm.push(Value{object: o})
 	case opMap:
 		n := int(in.a)
-		vm.list(2 * int64(n))
+		vm.chargeList(2 * int64(n))
 		o := &object{collection: true}
 		l := vm.stack[len(vm.stack)-2*n:]
 		for i := 0; i < n; i++ {
-			vm.put(o, l[2*i], l[2*i+1])
+			vm.putMapEntry(o, l[2*i], l[2*i+1])
 		}
 		vm.stack = vm.stack[:len(vm.stack)-2*n]
 		vm.push(Value{object: o})
 	case opRecord:
 		t := &vm.program.templates[in.a]
-		vm.alloc(objectBytes + 16*int64(len(t.values)))
+		vm.chargeMemory(objectBytes + 16*int64(len(t.values)))
 		o := &object{items: slices.Clone(t.values)}
 		l := vm.stack[len(vm.stack)-len(t.fields):]
 		for i, f := range t.fields {
@@ -145,16 +145,16 @@
 	}
 }
 
-// operate joins, compares and searches strings, lists and maps.
-func (vm *VM) operate(in instruction) {
+// combine joins, compares and searches strings, lists and maps.
+func (vm *VM) combine(in instruction) {
 	switch in.op {
 	case opAddStr:
 		y, x := vm.pop().str(), vm.pop().str()
-		vm.size(len(x) + len(y))
-		vm.push(vm.str(x + y))
+		vm.checkSize(len(x) + len(y))
+		vm.push(vm.newString(x + y))
 	case opAddList:
 		y, x := vm.pop().object, vm.pop().object
-		vm.list(int64(len(x.items) + len(y.items)))
+		vm.chargeList(int64(len(x.items) + len(y.items)))
 		o := &object{collection: true, items: slices.Concat(x.items, y.items)}
 		for _, e := range o.items {
 			e.share()
@@ -162,32 +162,32 @@
 		vm.push(Value{object: o})
 	case opLtStr, opLeStr, opGtStr, opGeStr:
 		y, x := vm.pop().str(), vm.pop().str()
-		vm.spend(int64(min(len(x), len(y))) / 16)
+		vm.chargeFuel(int64(min(len(x), len(y))) / 16)
 		c := strings.Compare(x, y)
 		vm.push(boolValue(map[opcode]bool{opLtStr: c < 0, opLeStr: c <= 0, opGtStr: c > 0, opGeStr: c >= 0}[in.op]))
 	case opEq, opNe:
 		y, x := vm.pop(), vm.pop()
-		vm.spend(min(traversalCost(x), traversalCost(y)))
+		vm.chargeFuel(min(traversalCost(x), traversalCost(y)))
 		vm.push(boolValue(equal(vm.program.types[in.a], x, y) == (in.op == opEq)))
 	case opInStr:
 		y, x := vm.pop().str(), vm.pop().str()
-		vm.spend(int64(len(y)) / 8)
+		vm.chargeFuel(int64(len(y)) / 8)
 		vm.push(boolValue(strings.Contains(y, x)))
 	case opInList:
 		y, x := vm.pop(), vm.pop()
-		vm.spend(traversalCost(y))
+		vm.chargeFuel(traversalCost(y))
 		t := vm.program.types[in.a]
 		vm.push(boolValue(slices.ContainsFunc(y.object.items, func(v Value) bool { return equal(t, v, x) })))
 	case opInMap:
 		y, x := vm.pop(), vm.pop()
-		vm.spend(4)
+		vm.chargeFuel(4)
 		_, ok := y.object.find(x)
 		vm.push(boolValue(ok))
 	}
 }
 
-// calculate does arithmetic of ints and durations that may fail, and negates.
-func (vm *VM) calculate(in instruction) {
+// integerArithmetic does arithmetic of ints and durations that may fail, and negates.
+func (vm *VM) integerArithmetic(in instruction) {
 	switch in.op {
 	case opNegInt:
 		v := vm.pop()
@@ -232,8 +232,8 @@
 	}
 }
 
-// calculateFloat does arithmetic of floats. A result that is not finite is a fault.
-func (vm *VM) calculateFloat(in instruction) {
+// floatArithmetic does arithmetic of floats. A result that is not finite is a fault.
+func (vm *VM) floatArithmetic(in instruction) {
 	y, x := vm.pop().float(), vm.pop().float()
 	switch in.op {
 	case opAddFloat:
@@ -258,16 +258,16 @@
 	return fmt.Sprint(k.bits)
 }
 
-func (vm *VM) put(o *object, k, v Value) {
+func (vm *VM) putMapEntry(o *object, k, v Value) {
 	i, ok := o.find(k)
-	vm.spend(4)
+	vm.chargeFuel(4)
 	if ok {
 		o.items[i] = v.share()
 		return
 	}
-	vm.size(len(o.items) + 1)
-	vm.spend(int64(len(o.keys)-i) / 8)
-	vm.alloc(64)
+	vm.checkSize(len(o.items) + 1)
+	vm.chargeFuel(int64(len(o.keys)-i) / 8)
+	vm.chargeMemory(64)
 	o.keys, o.items = slices.Insert(o.keys, i, k), slices.Insert(o.items, i, v.share())
 }
 
