--- a/cmd/kitehub/main_test.go
+++ b/cmd/kitehub/main_test.go
@@ -255,7 +255,7 @@
 	}{
 		{[]string{"config", "check", config}, 0, "1 files are well"},
 		{[]string{"config", "check", bad}, 2, bad + ":2: unknown field: bogus; see docs/operate.md"},
-		{[]string{"config", "check", config, config}, 2, "also that of"},
+		{[]string{"config", "check", config, config}, 2, "also used by"},
 		{[]string{"serve", "--config", bad}, 2, "unknown field"},
 		{[]string{"serve"}, 2, "missing flags"},
 		{[]string{"registry", "serve", "--config", badRegistry}, 2, badRegistry + ":9: hold_ms: 1700 is over a third of lease_ms 5000"},
--- a/config/build.go
+++ b/config/build.go
@@ -13,10 +13,11 @@
 	"kitehub/scheduler"
 )
 
-// ms turns milliseconds of the configuration into a duration.
+// ms converts milliseconds of the configuration to a duration.
 func ms(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
 
-// Load reads, checks and builds a configuration. What is wrong with its contents is Problems.
+// Load reads, checks and builds the configuration of a controller. An error in the contents of the
+// file is of type Problems.
 func Load(name string) (*ControllerConfig, error) {
 	var c Config
 	f, err := Read(name, &c)
@@ -26,16 +27,18 @@
 	return Build(f, &c)
 }
 
-// A builder maps a configuration to its built form. What it finds wrong becomes a problem of the file.
+// A builder maps a configuration to a ControllerConfig. Errors that it finds become problems of the
+// file.
 type builder struct {
 	file    *File
 	cfg     *Config
 	built   *ControllerConfig
-	zone    int            // index of the controller's zone; 0 where there are none
-	tenants map[string]int // indexes by name
+	zone    int            // index of the controller's zone; 0 without zones
+	tenants map[string]int // index of each tenant, by name
 }
 
-// Build checks what the schema cannot say, and maps the rest. Its errors are Problems.
+// Build checks the rules that the schema cannot express, and maps the configuration to a
+// ControllerConfig. The error is of type Problems.
 func Build(f *File, c *Config) (*ControllerConfig, error) {
 	b := &builder{file: f, cfg: c, built: &ControllerConfig{}, tenants: map[string]int{}}
 	for _, step := range []func(){
@@ -44,7 +47,7 @@
 		b.registry,
 		b.settings,
 		b.functions,
-		b.checkTenants,
+		b.indexTenants,
 		b.clients,
 		b.daemon,
 		b.hooks,
@@ -68,7 +71,7 @@
 	return b.built, nil
 }
 
-// identity maps what concerns the controller as a whole.
+// identity maps the fields of the controller as a whole.
 func (b *builder) identity() {
 	c := b.cfg
 	out := b.built
@@ -82,12 +85,13 @@
 	out.WatermarkFile = filepath.Join(c.StateDir, "replay.mark")
 	out.StopTimeout = ms(c.StopMs)
 	out.OmitRequestLog = c.GetLog().GetNoRequests()
-	out.LogLevel, _ = zerolog.ParseLevel(c.GetLog().GetLevel()) // the schema admits the known ones only
+	out.LogLevel, _ = zerolog.ParseLevel(c.GetLog().GetLevel()) // the schema allows only known levels
 	if out.LogLevel == zerolog.NoLevel {
 		out.LogLevel = zerolog.InfoLevel
 	}
 	if c.Me >= c.Controllers {
-		b.file.AddProblem("me", fmt.Sprintf("%d of %d controllers", c.Me, c.Controllers), "number them from 0")
+		b.file.AddProblem("me", fmt.Sprintf("%d is out of range for %d controllers", c.Me, c.Controllers),
+			"number the controllers from 0")
 	}
 }
 
@@ -116,30 +120,33 @@
 	b.built.RegistryKey = b.signingKey("registry.key", r.Key)
 }
 
-// signingKey parses a shared secret that must sign, and notes it for checks across controllers.
+// signingKey parses a shared secret, which must be able to sign, and records it for
+// CheckConsistency.
 func (b *builder) signingKey(field, text string) *signing.Key {
 	key, err := signing.ParseKey(text)
 	if err == nil && !key.CanSign() {
-		err = errors.New("a public key does not sign")
+		err = errors.New("a public key cannot sign")
 	}
 	if err != nil {
-		b.file.AddProblem(field, err.Error(), "make a secret with: kitehub key new")
+		b.file.AddProblem(field, err.Error(), "create a secret with: kitehub key new")
 	}
 	b.built.Secrets = append(b.built.Secrets, text)
 	return key
 }
 
-func (b *builder) checkTenants() {
+// indexTenants maps the names of the tenants to their indexes. Names must be unique.
+func (b *builder) indexTenants() {
 	for i, t := range b.cfg.Tenants {
 		if _, ok := b.tenants[t.Name]; ok {
-			b.file.AddProblem(fmt.Sprintf("tenants[%d].name", i), fmt.Sprintf("%q twice", t.Name), "names must differ")
+			b.file.AddProblem(fmt.Sprintf("tenants[%d].name", i), fmt.Sprintf("duplicate name %q", t.Name),
+				"names must be unique")
 		}
 		b.tenants[t.Name] = i
 	}
 }
 
-// tenant returns the index of a tenant; -1 if no name is given.
-func (b *builder) tenant(field, name string) int {
+// tenantIndex returns the index of a tenant; -1 if no name is given.
+func (b *builder) tenantIndex(field, name string) int {
 	if name == "" {
 		return -1
 	}
@@ -156,7 +163,7 @@
 	for i, p := range c.Peers {
 		if p.Number >= c.Controllers || p.Number == c.Me {
 			b.file.AddProblem(fmt.Sprintf("peers[%d].number", i), fmt.Sprintf("%d is not another controller", p.Number),
-				"use the others' numbers, from 0")
+				"use the numbers of the other controllers, from 0")
 		}
 		b.built.Peers[int(p.Number)] = p.Address
 	}
@@ -167,20 +174,20 @@
 		field := fmt.Sprintf("classes[%d]", i)
 		if class.Effect == Effect_KEYED && (class.Scope == Scope_SCOPE_UNSPECIFIED || class.WindowMs == 0) {
 			b.file.AddProblem(field+".scope", "a keyed class needs a scope and a window_ms",
-				"say which workers drop repeats, and for how long")
+				"set which workers deduplicate repeats, and for how long")
 		}
 		if class.AimMs > class.DeadlineMs {
 			b.file.AddProblem(field+".aim_ms", fmt.Sprintf("%v is over deadline_ms %v", class.AimMs, class.DeadlineMs),
-				"an aim lies within the deadline")
+				"the latency objective must not exceed the deadline")
 		}
 	}
 }
 
-// checkDeadlines checks that the replay guard remembers a call for as long as it may run.
+// checkDeadlines checks that the replay guard remembers each call for as long as it may run.
 func (b *builder) checkDeadlines() {
 	for i, class := range b.cfg.Classes {
 		if ms(class.DeadlineMs) > ms(b.cfg.Webhook.PastMs) {
-			b.file.AddProblem(fmt.Sprintf("classes[%d].deadline_ms", i), "over webhook.past_ms",
+			b.file.AddProblem(fmt.Sprintf("classes[%d].deadline_ms", i), "is over webhook.past_ms",
 				"a call must be remembered for as long as it runs: raise past_ms")
 		}
 	}
--- a/config/clients.go
+++ b/config/clients.go
@@ -9,19 +9,19 @@
 	"kitehub/internal/signing"
 )
 
-// clients maps the clients and their keys. Problems never hold the text of a key.
+// clients maps the clients and their keys. Problems never contain the text of a key.
 func (b *builder) clients() {
 	names := map[string]bool{}
-	keyFields := map[string]string{} // where a key was first used, by its text
+	keyFields := map[string]string{} // the field that first used each key, by the key's text
 	for i, client := range b.cfg.Clients {
 		field := fmt.Sprintf("clients[%d]", i)
 		if names[client.Name] {
-			b.file.AddProblem(field+".name", fmt.Sprintf("%q twice", client.Name), "names must differ")
+			b.file.AddProblem(field+".name", fmt.Sprintf("duplicate name %q", client.Name), "names must be unique")
 		}
 		names[client.Name] = true
-		out := webhook.Client{Name: client.Name, Tenant: b.tenant(field+".tenant", client.Tenant)}
+		out := webhook.Client{Name: client.Name, Tenant: b.tenantIndex(field+".tenant", client.Tenant)}
 		if len(client.Keys)+len(client.CommonKeys) == 0 {
-			b.file.AddProblem(field+".keys", "none", "give keys or common_keys")
+			b.file.AddProblem(field+".keys", "no key is given", "set keys or common_keys")
 		}
 		for j, text := range client.Keys {
 			out.Keys = b.addClientKey(out.Keys, fmt.Sprintf("%s.keys[%d]", field, j), text, keyFields)
@@ -39,29 +39,29 @@
 	}
 }
 
-// addClientKey appends the key of a text by which a client's messages are verified, unless it is wrong.
+// addClientKey parses a key that verifies a client's messages, and appends it if it is valid.
 func (b *builder) addClientKey(keys []*signing.Key, field, text string, keyFields map[string]string) []*signing.Key {
 	if first, ok := keyFields[text]; ok {
-		b.file.AddProblem(field, "the same key as "+first, "a key names its client: give each its own")
+		b.file.AddProblem(field, "the same key as "+first, "a key identifies its client: give each client its own")
 	}
 	keyFields[text] = field
 	key, err := signing.ParseKey(text)
 	if err != nil {
-		b.file.AddProblem(field, err.Error(), "make a secret with: kitehub key new")
+		b.file.AddProblem(field, err.Error(), "create a secret with: kitehub key new")
 		return keys
 	}
 	if strings.HasPrefix(text, "whsk_") {
-		b.file.AddProblem(field, "a private key", "clients keep theirs: give its whpk_ key")
+		b.file.AddProblem(field, "is a private key", "only the client has its private key: use its whpk_ key")
 		return keys
 	}
 	b.built.Secrets = append(b.built.Secrets, text)
 	return append(keys, key)
 }
 
-// deriveKey returns the key of this controller's endpoint, from one that is common to all controllers.
+// deriveKey derives the key of this controller from a key that is common to all controllers.
 func (b *builder) deriveKey(field, common string) (own string, ok bool) {
 	if _, err := signing.ParseKey(common); err != nil {
-		b.file.AddProblem(field, err.Error(), "make a secret with: kitehub key new")
+		b.file.AddProblem(field, err.Error(), "create a secret with: kitehub key new")
 		return "", false
 	}
 	own, err := signing.Derive(common, b.cfg.Name)
@@ -79,7 +79,7 @@
 		err = errors.New("not a whsk_ key")
 	}
 	if err != nil {
-		b.file.AddProblem(field, err.Error(), "make one with: kitehub key new --asymmetric")
+		b.file.AddProblem(field, err.Error(), "create one with: kitehub key new --asymmetric")
 	}
 	return key
 }
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -13,8 +13,9 @@
 
 const secret = "whsec_MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw"
 
-// complete is a configuration with a line for each field that the tests change.
-const complete = `# A comment.
+// completeConfig is a valid configuration, with a line of its own for each field that the tests
+// change.
+const completeConfig = `# A comment.
 name: "c1"
 controllers: 1
 tick_ms: 2
@@ -66,9 +67,9 @@
 	return Load(name)
 }
 
-// A complete configuration is mapped to the forms of the parts.
+// A complete configuration is mapped to the types that the parts of a controller take.
 func TestCompleteConfigurationIsBuilt(t *testing.T) {
-	b, err := load(t, complete)
+	b, err := load(t, completeConfig)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -87,33 +88,33 @@
 	}
 }
 
-// Every error names the file, the line, the field, and where there is one, the remedy.
+// Every error names the file, the line and the field, and the remedy where there is one.
 func TestProblemsNameFileLineAndField(t *testing.T) {
 	lineOf := func(part string) int {
-		i := strings.Index(complete, part)
+		i := strings.Index(completeConfig, part)
 		if i < 0 {
-			t.Fatalf("%q is not there", part)
+			t.Fatalf("%q is not in the configuration", part)
 		}
-		return 1 + strings.Count(complete[:i], "\n")
+		return 1 + strings.Count(completeConfig[:i], "\n")
 	}
-	tests := []struct{ old, new, field, what string }{
+	tests := []struct{ old, new, field, message string }{
 		{`tick_ms: 2`, `tick_ms: 0`, "tick_ms", "greater than 0"},
 		{`tick_ms: 2`, `tick: 2`, "", "unknown field"},
 		{`tick_ms: 2`, `tick_ms: "x"`, "", "invalid value"},
 		{`name: "c1"`, `name: "C 1"`, "name", "pattern"},
-		{`controllers: 1`, `controllers: 1 me: 1`, "me", "1 of 1 controllers; number them from 0"},
+		{`controllers: 1`, `controllers: 1 me: 1`, "me", "1 is out of range for 1 controllers; number the controllers from 0"},
 		{`prefix: "/call/"`, `prefix: "call"`, "webhook.prefix", "prefix"},
 		{`head_ms: 3000`, `head_ms: -1`, "webhook.head_ms", "greater than 0"},
 		{`scope: SAME_GROUP`, ``, "classes[1].scope", "needs a scope"},
 		{`  deadline_ms: 2000`, `  deadline_ms: 200`, "classes[1].aim_ms", "over deadline_ms"},
 		{`effect: KEYED`, `effect: EFFECT_UNSPECIFIED`, "classes[1].effect", "not be in list"},
 		{`functions { name: "grant" class: "grant"`, `functions { name: "grant" class: "grand"`, "functions[1].class", `"grand" is not among classes`},
-		{`functions { name: "grant" class`, `functions { name: "quote-*" class`, "functions[1].name", "is functions[0] already"},
+		{`functions { name: "grant" class`, `functions { name: "quote-*" class`, "functions[1].name", "already used by functions[0]"},
 		{`tenant: "north"`, `tenant: "south"`, "clients[0].tenant", "not among tenants"},
 		{`keys: "whsec_MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw"`, `keys: "whsec_MfKQ"`, "clients[0].keys[0]", "3 bytes, want 24"},
 		{`keys: "whsec_MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw"`, `keys: ["` + secret + `", "` + secret + `"]`, "clients[0].keys[1]", "the same key as clients[0].keys[0]"},
-		{`keys: "whsec_MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw"`, ``, "clients[0].keys", "none"},
-		{`discovery { file: "list.json"`, `discovery {`, "discovery", "not exactly one of file and server"},
+		{`keys: "whsec_MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw"`, ``, "clients[0].keys", "no key is given"},
+		{`discovery { file: "list.json"`, `discovery {`, "discovery", "exactly one of file and server must be set"},
 		{`poll_ms: 100`, ``, "discovery.poll_ms", "watched"},
 		{`attempts: 3`, `attempts: 0`, "limits.attempts", "greater than or equal to 1"},
 		{`past_ms: 300000`, `past_ms: 1000`, "classes[0].deadline_ms", "over webhook.past_ms"},
@@ -133,36 +134,36 @@
 			if tt.field == "clients[0].keys" {
 				line = lineOf("clients {")
 			}
-			_, err := load(t, strings.Replace(complete, tt.old, tt.new, 1))
+			_, err := load(t, strings.Replace(completeConfig, tt.old, tt.new, 1))
 			var p Problems
 			if !errors.As(err, &p) {
 				t.Fatalf("err %v", err)
 			}
 			for _, x := range p {
-				if x.Field == tt.field && strings.Contains(x.Error(), tt.what) {
+				if x.Field == tt.field && strings.Contains(x.Error(), tt.message) {
 					if x.Line != line || !strings.HasPrefix(x.Error(), x.File+fmt.Sprintf(":%d: ", line)) {
 						t.Errorf("line %d, want %d: %s", x.Line, line, x.Error())
 					}
 					return
 				}
 			}
-			t.Errorf("no problem of %q with %q among:\n%v", tt.field, tt.what, p)
+			t.Errorf("no problem of field %q that contains %q in:\n%v", tt.field, tt.message, p)
 		})
 	}
 }
 
-// Errors never hold a secret.
-func TestSecretsStaySecret(t *testing.T) {
-	_, err := load(t, strings.Replace(complete, secret, "whsec_c2VjcmV0dGhhdG11c3Rub3RiZXNlZW4", 1))
+// Errors never contain a secret.
+func TestErrorsContainNoSecrets(t *testing.T) {
+	_, err := load(t, strings.Replace(completeConfig, secret, "whsec_c2VjcmV0dGhhdG11c3Rub3RiZXNlZW4", 1))
 	if err == nil || strings.Contains(err.Error(), "c2VjcmV0") {
 		t.Error(err)
 	}
 }
 
-// Keys, numbers, names and the count of controllers are checked across files.
-func TestAcrossFindsWhatOnlySeveralFilesShow(t *testing.T) {
+// Keys, numbers, names and the count of controllers are checked across several files.
+func TestConsistencyOfSeveralFiles(t *testing.T) {
 	build := func(change ...string) *ControllerConfig {
-		b, err := load(t, strings.NewReplacer(append(change, "controllers: 1", "controllers: 2")...).Replace(complete))
+		b, err := load(t, strings.NewReplacer(append(change, "controllers: 1", "controllers: 2")...).Replace(completeConfig))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -175,10 +176,10 @@
 		t.Error(err)
 	}
 	for want, pair := range map[string][]*ControllerConfig{
-		"a message to one could be replayed": {build(), build(`name: "c1"`, two)},
-		"number them from 0":                 {build(own, common), build(own, common, `name: "c1"`, `name: "c2"`)},
-		"names must differ":                  {build(own, common), build(own, common, `name: "c1"`, `name: "c1" me: 1`)},
-		"but 1 files":                        {build(own, common)},
+		"a message to one controller could be replayed": {build(), build(`name: "c1"`, two)},
+		"number the controllers from 0":                 {build(own, common), build(own, common, `name: "c1"`, `name: "c2"`)},
+		"names must be unique":                          {build(own, common), build(own, common, `name: "c1"`, `name: "c1" me: 1`)},
+		"but 1 files":                                   {build(own, common)},
 	} {
 		if err := CheckConsistency([]string{"a", "b"}, pair); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v, want %q", err, want)
--- a/config/consistency.go
+++ b/config/consistency.go
@@ -2,81 +2,82 @@
 
 import "fmt"
 
-// CheckConsistency checks what only several controllers' configurations together show: a key shared by two of them would let a
-// message to one be replayed at the other, and two equal numbers would halve the guard for workers that warm up. names
-// are the files' names, in the order of l. Its error is Problems.
-func CheckConsistency(names []string, l []*ControllerConfig) error {
-	a := acrossCheck{
+// CheckConsistency checks the configurations of several controllers against each other. A key that
+// two controllers share would let a message to one be replayed at the other, and two controllers
+// with the same number would share one part of the limit on workers that are warming up. names are
+// the names of the files, in the order of configs. The error is of type Problems.
+func CheckConsistency(names []string, configs []*ControllerConfig) error {
+	c := consistencyCheck{
 		secretFiles: map[string]string{},
 		indexFiles:  map[int]string{},
 		nameFiles:   map[string]string{},
 	}
-	for i, b := range l {
-		a.file = names[i]
-		a.checkSecrets(b)
-		a.checkIndex(b)
-		a.checkName(b)
-		if b.Settings.Controllers != len(l) {
-			a.add(Problem{
+	for i, config := range configs {
+		c.file = names[i]
+		c.checkSecrets(config)
+		c.checkIndex(config)
+		c.checkName(config)
+		if config.Settings.Controllers != len(configs) {
+			c.add(Problem{
 				Field:   "controllers",
-				Message: fmt.Sprintf("%d, but %d files were given", b.Settings.Controllers, len(l)),
-				Remedy:  "guards for cold workers are shared out by this number",
+				Message: fmt.Sprintf("%d, but %d files were given", config.Settings.Controllers, len(configs)),
+				Remedy:  "the limit on workers that are warming up is divided by this number",
 			})
 		}
 	}
-	if len(a.problems) == 0 {
+	if len(c.problems) == 0 {
 		return nil
 	}
-	return a.problems
+	return c.problems
 }
 
-// An acrossCheck holds which file used what first.
-type acrossCheck struct {
-	file        string // that is checked
+// A consistencyCheck records which file each key, number and name was seen in.
+type consistencyCheck struct {
+	file        string // the file that is being checked
 	problems    Problems
 	secretFiles map[string]string
 	indexFiles  map[int]string
 	nameFiles   map[string]string
 }
 
-// add adds a problem of the file that is checked.
-func (a *acrossCheck) add(p Problem) {
-	p.File = a.file
-	a.problems = append(a.problems, p)
+// add adds a problem of the file that is being checked.
+func (c *consistencyCheck) add(p Problem) {
+	p.File = c.file
+	c.problems = append(c.problems, p)
 }
 
-func (a *acrossCheck) checkSecrets(b *ControllerConfig) {
-	for _, secret := range b.Secrets {
-		if other, ok := a.secretFiles[secret]; ok && other != a.file {
-			a.add(Problem{
+func (c *consistencyCheck) checkSecrets(config *ControllerConfig) {
+	for _, secret := range config.Secrets {
+		if other, ok := c.secretFiles[secret]; ok && other != c.file {
+			c.add(Problem{
 				Field:   "clients",
-				Message: "a key that " + other + " has too",
-				Remedy:  "a message to one could be replayed at the other: use common_keys",
+				Message: "a key of " + other + " is used here too",
+				Remedy:  "a message to one controller could be replayed at the other: use common_keys",
 			})
 		}
-		a.secretFiles[secret] = a.file
+		c.secretFiles[secret] = c.file
 	}
 }
 
-func (a *acrossCheck) checkIndex(b *ControllerConfig) {
-	index := b.Settings.ControllerIndex
-	if other, ok := a.indexFiles[index]; ok {
-		a.add(Problem{
+func (c *consistencyCheck) checkIndex(config *ControllerConfig) {
+	index := config.Settings.ControllerIndex
+	if other, ok := c.indexFiles[index]; ok {
+		c.add(Problem{
 			Field:   "me",
-			Message: fmt.Sprintf("%d is also that of %s", index, other),
-			Remedy:  "number them from 0",
+			Message: fmt.Sprintf("%d is also used by %s", index, other),
+			Remedy:  "number the controllers from 0",
 		})
 	}
-	a.indexFiles[index] = a.file
+	c.indexFiles[index] = c.file
 }
 
-func (a *acrossCheck) checkName(b *ControllerConfig) {
-	if other, ok := a.nameFiles[b.Name]; ok {
-		a.add(Problem{
+func (c *consistencyCheck) checkName(config *ControllerConfig) {
+	if other, ok := c.nameFiles[config.Name]; ok {
+		c.add(Problem{
 			Field:   "name",
-			Message: fmt.Sprintf("%q is also that of %s", b.Name, other),
-			Remedy:  "names must differ",
+			Message: fmt.Sprintf("%q is also used by %s", config.Name, other),
+			Remedy:  "names must be unique",
 		})
 	}
-	a.nameFiles[b.Name] = a.file
+	c.nameFiles[config.Name] = c.file
 }
--- a/config/controller.go
+++ b/config/controller.go
@@ -17,8 +17,8 @@
 	"kitehub/scheduler"
 )
 
-// A ControllerConfig is a checked configuration in the forms that the parts of a controller take. Configurations of running parts
-// are without what only a running controller has: its gateway, clock and log.
+// A ControllerConfig is the checked configuration of a controller, as the parts of a controller
+// take it. It leaves unset what only a running controller has: its gateway, clock and log.
 type ControllerConfig struct {
 	Name      string
 	Seed      uint64
@@ -27,51 +27,54 @@
 	// Peers are the addresses of the other controllers by index.
 	Peers map[int]string
 
-	// Network and Listen are where calls come in, as for net.Listen.
+	// Network and Listen are the address of the webhook ingress, as for net.Listen.
 	Network string
 	Listen  string
 	Webhook webhook.Config
 	Clients []webhook.Client
 	HTTP    http1.Limits
-	// MaxConnections bounds the connections of clients.
+	// MaxConnections limits the connections of clients.
 	MaxConnections int
-	// Secrets are the effective texts of all shared keys, for checks across controllers. They must never be shown.
+	// Secrets are the texts of all shared keys, after derivation, for CheckConsistency. They must
+	// never be printed.
 	Secrets []string
-	// WatermarkFile is the file of the replay guard's watermark. Its folder is the state folder.
+	// WatermarkFile is the file of the replay guard's watermark. Its directory is the state
+	// directory.
 	WatermarkFile string
 
 	Backend   backend.Config
 	Discovery discovery.Config
 
-	// RegistryAddr is host and port of the registry of models; "": none.
+	// RegistryAddr is the host and port of the model registry; "": none.
 	RegistryAddr string
-	// RegistryKey is this controller's key there.
+	// RegistryKey is the key with which this controller signs its requests to the registry.
 	RegistryKey *signing.Key
 
-	// Hooks configures the scripts; nil: none.
+	// Hooks configures the hooks; nil: no hooks.
 	Hooks *hookengine.Config
-	// Scripts are the files of scripts, read when the controller starts and on each reload.
+	// Scripts are the script files, which are read when the controller starts and on each reload.
 	Scripts []*HookFile
-	// Targets are where scripts may send notifications.
+	// Targets are the receivers to which scripts may send notifications.
 	Targets []hookengine.Target
 
-	// RPC configures the ingress for operators and local callers; nil: none.
+	// RPC configures the JSON-RPC ingress for operators and local clients; nil: none.
 	RPC *jsonrpc.Config
-	// RPCSocket is the path of its Unix socket, RPCSocketMode the socket's permissions.
+	// RPCSocket is the path of its Unix socket, and RPCSocketMode are the socket's permissions.
 	RPCSocket     string
 	RPCSocketMode os.FileMode
-	// MaxExplanations is how many answered calls can be explained.
+	// MaxExplanations is how many answered calls are kept for explain.
 	MaxExplanations int
 
-	// Daemon is what the process owes to its surroundings; nil: nothing.
+	// Daemon configures the PID file, the handover to a successor and the detection of crash loops;
+	// nil: none of these.
 	Daemon *Daemon
 	// StopTimeout is how long a graceful shutdown waits for calls in flight.
 	StopTimeout time.Duration
 
 	LogLevel zerolog.Level
-	// OmitRequestLog leaves out the log line of each request.
+	// OmitRequestLog turns off the log line of each request.
 	OmitRequestLog bool
 
-	// Warnings are not errors: what they name works, but perhaps not as meant.
+	// Warnings name settings that are valid, but that may not do what was meant.
 	Warnings []string
 }
--- a/config/functions.go
+++ b/config/functions.go
@@ -8,7 +8,8 @@
 	"kitehub/scheduler"
 )
 
-// defaultMaxNames is how many names may become known under a star where the configuration does not say.
+// defaultMaxNames is how many names may match an entry whose name ends in a star, where the
+// configuration sets no limit.
 const defaultMaxNames = 1000
 
 func (b *builder) functions() {
@@ -18,8 +19,8 @@
 	for i, fn := range b.cfg.Functions {
 		field := fmt.Sprintf("functions[%d]", i)
 		if first, ok := indexes[fn.Name]; ok {
-			b.file.AddProblem(field+".name", fmt.Sprintf("%q is functions[%d] already", fn.Name, first),
-				"names must differ")
+			b.file.AddProblem(field+".name", fmt.Sprintf("duplicate name %q, already used by functions[%d]", fn.Name, first),
+				"names must be unique")
 		}
 		indexes[fn.Name] = i
 		id := gateway.FunctionID(fn.Name)
@@ -34,20 +35,21 @@
 		}
 		b.built.Functions = append(b.built.Functions, functionSpec(fn, class))
 		if fn.Versions && b.cfg.Registry == nil {
-			b.file.AddProblem(field+".versions", "no registry is named", "add a registry section")
+			b.file.AddProblem(field+".versions", "no registry is configured", "add a registry section")
 		}
 		if fn.Versions && strings.HasSuffix(fn.Name, "*") {
-			b.file.AddProblem(field+".versions", "a model has no star in its name", "name each model")
+			b.file.AddProblem(field+".versions", "the name of a model cannot end in a star", "add an entry for each model")
 		}
 	}
 }
 
-// classIndexes returns the indexes of classes by name.
+// classIndexes returns the index of each class, by name.
 func (b *builder) classIndexes() map[string]int {
 	classes := map[string]int{}
 	for i, class := range b.cfg.Classes {
 		if _, ok := classes[class.Name]; ok {
-			b.file.AddProblem(fmt.Sprintf("classes[%d].name", i), fmt.Sprintf("%q twice", class.Name), "names must differ")
+			b.file.AddProblem(fmt.Sprintf("classes[%d].name", i), fmt.Sprintf("duplicate name %q", class.Name),
+				"names must be unique")
 		}
 		classes[class.Name] = i
 	}
--- a/config/hooks.go
+++ b/config/hooks.go
@@ -11,11 +11,11 @@
 	d := b.cfg.Daemon
 	b.built.Daemon = d
 	if d != nil && (d.Starts > 0) != (d.WithinMs > 0) {
-		b.file.AddProblem("daemon.starts", "only one of starts and within_ms", "give both or neither")
+		b.file.AddProblem("daemon.starts", "only one of starts and within_ms is set", "set both or neither")
 	}
 }
 
-// hooks maps the scripts, the limits of their advice and the targets of their notifications.
+// hooks maps the scripts, the limits on their advice and the targets of their notifications.
 func (b *builder) hooks() {
 	h := b.cfg.Hooks
 	if h == nil {
@@ -36,27 +36,27 @@
 		},
 	}
 	if h.Weight != 0 && h.Weight < 1 {
-		b.file.AddProblem("hooks.weight", fmt.Sprintf("%v is under 1", h.Weight),
-			"a factor: weights lie between it and its inverse")
+		b.file.AddProblem("hooks.weight", fmt.Sprintf("%v is below 1", h.Weight),
+			"weights range from 1/weight to weight")
 	}
 	names := map[string]bool{}
 	for i, script := range h.Scripts {
 		if names[script.Name] {
-			b.file.AddProblem(fmt.Sprintf("hooks.scripts[%d].name", i), fmt.Sprintf("%q twice", script.Name),
-				"names must differ")
+			b.file.AddProblem(fmt.Sprintf("hooks.scripts[%d].name", i), fmt.Sprintf("duplicate name %q", script.Name),
+				"names must be unique")
 		}
 		names[script.Name] = true
 	}
 	b.built.Scripts = h.Scripts
-	b.hookTargets(h.Targets)
+	b.notificationTargets(h.Targets)
 }
 
-func (b *builder) hookTargets(targets []*NotifyTarget) {
+func (b *builder) notificationTargets(targets []*NotifyTarget) {
 	names := map[string]bool{}
 	for i, t := range targets {
 		field := fmt.Sprintf("hooks.targets[%d]", i)
 		if names[t.Name] {
-			b.file.AddProblem(field+".name", fmt.Sprintf("%q twice", t.Name), "names must differ")
+			b.file.AddProblem(field+".name", fmt.Sprintf("duplicate name %q", t.Name), "names must be unique")
 		}
 		names[t.Name] = true
 		b.built.Targets = append(b.built.Targets, hookengine.Target{
--- a/config/load.go
+++ b/config/load.go
@@ -1,9 +1,11 @@
-// Package config reads the settings of a controller and of a registry: protobuf text format by the schema of
-// config.proto. It exists so that every error is found before anything starts, and names file, line, field and remedy.
+// Package config reads the configuration of a controller and of a registry, which is written in
+// protobuf text format by the schema of config.proto. Every error is found before the program
+// starts anything, and names the file, line, field and remedy.
 //
-// Read and Parse check a text by the schema's own rules (protovalidate); Load and LoadRegistry also check what no
-// schema can say, and map the settings to the forms that the parts of the program take; CheckConsistency checks several files
-// together. Nothing here is shared between goroutines.
+// Read and Parse check a text against the rules of the schema (protovalidate). Load and
+// LoadRegistry also check the rules that a schema cannot express, and map the settings to the types
+// that the parts of the program take. CheckConsistency checks the configurations of several
+// controllers against each other. Nothing in this package is safe for concurrent use.
 package config
 
 import (
@@ -22,16 +24,16 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// A Problem is one thing wrong with a file.
+// A Problem is one error in a configuration file.
 type Problem struct {
 	File    string
-	Line    int    // from 1; 0: not known
-	Field   string // as in "classes[1].aim_ms"; "": the file as a whole
+	Line    int    // from 1; 0: unknown
+	Field   string // path of the field, such as "classes[1].aim_ms"; "": the whole file
 	Message string // what is wrong
-	Remedy  string // what to do; "": that is obvious
+	Remedy  string // how to fix it; "" where that is obvious
 }
 
-// Error returns one line: file, line, field, what is wrong and the remedy.
+// Error returns one line with the file, line, field, message and remedy.
 func (p Problem) Error() string {
 	s := p.File
 	if p.Line > 0 {
@@ -47,10 +49,11 @@
 	return s
 }
 
-// Problems are all that is wrong with a file, by line.
+// Problems are the errors in one or several configuration files. Those of one file are sorted by
+// line.
 type Problems []Problem
 
-// Error returns a line for each problem.
+// Error returns one line for each problem.
 func (p Problems) Error() string {
 	l := make([]string, len(p))
 	for i := range p {
@@ -59,21 +62,22 @@
 	return strings.Join(l, "\n")
 }
 
-// maxBytes bounds the length of a file.
-const maxBytes = 4 << 20
+// maxFileBytes is the maximum size of a configuration file.
+const maxFileBytes = 4 << 20
 
-// A File is a text that was read into a message, with the positions of its fields.
+// A File is a configuration file that was parsed into a message, with the positions of its fields.
 type File struct {
 	Name     string
 	nodes    []*ast.Node
 	problems Problems
 }
 
-// positionPattern finds the position in an error of prototext.
+// positionPattern matches the position in an error of prototext.
 var positionPattern = regexp.MustCompile(`\(line (\d+):(\d+)\):\s*`)
 
-// Read reads a file into a message and checks it by its schema. The problems found so far are in the error; File is
-// not nil where the text could be read, so that further checks can add theirs.
+// Read parses a file into a message and checks it against the schema. The error has the problems
+// that were found. File is not nil where the text could be parsed, so that further checks can add
+// their problems.
 func Read(name string, m proto.Message) (*File, error) {
 	text, err := os.ReadFile(name)
 	if err != nil {
@@ -82,16 +86,16 @@
 	return Parse(name, text, m)
 }
 
-// Parse is Read of a text; name is for the errors.
+// Parse does the same as Read with the text of a file; name is the file's name in errors.
 func Parse(name string, text []byte, m proto.Message) (*File, error) {
-	if len(text) > maxBytes {
-		return nil, Problem{File: name, Message: fmt.Sprintf("over %d bytes", maxBytes)}
+	if len(text) > maxFileBytes {
+		return nil, Problem{File: name, Message: fmt.Sprintf("over %d bytes", maxFileBytes)}
 	}
 	if err := prototext.Unmarshal(text, m); err != nil {
 		return nil, Problems{syntaxProblem(name, err)}
 	}
 	f := &File{Name: name}
-	f.nodes, _ = parser.Parse(text) // for positions only: without them problems have no line
+	f.nodes, _ = parser.Parse(text) // used only for positions: without them problems have no line
 	err := protovalidate.Validate(m)
 	var invalid *protovalidate.ValidationError
 	switch {
@@ -106,9 +110,9 @@
 	return f, f.Err()
 }
 
-// syntaxProblem takes the position out of an error of prototext.
+// syntaxProblem converts an error of prototext to a Problem, with the position from its text.
 func syntaxProblem(name string, err error) Problem {
-	text := strings.ReplaceAll(err.Error(), "\u00a0", " ") // prototext varies its errors by such spaces
+	text := strings.ReplaceAll(err.Error(), "\u00a0", " ") // prototext puts them into some errors
 	p := Problem{File: name, Message: strings.TrimPrefix(text, "proto: ")}
 	if match := positionPattern.FindStringSubmatchIndex(p.Message); match != nil {
 		p.Line, _ = strconv.Atoi(p.Message[match[2]:match[3]])
@@ -120,12 +124,12 @@
 	return p
 }
 
-// AddProblem adds a problem of a field, which is named as in "classes[1].aim_ms".
-func (f *File) AddProblem(field, what, remedy string) {
-	f.problems = append(f.problems, Problem{f.Name, f.line(field), field, what, remedy})
+// AddProblem adds a problem of a field, which is given by its path, such as "classes[1].aim_ms".
+func (f *File) AddProblem(field, message, remedy string) {
+	f.problems = append(f.problems, Problem{f.Name, f.line(field), field, message, remedy})
 }
 
-// Err returns all problems found, by line, or nil.
+// Err returns all problems of the file as Problems, sorted by line, or nil.
 func (f *File) Err() error {
 	if len(f.problems) == 0 {
 		return nil
@@ -135,7 +139,8 @@
 	return l
 }
 
-// line returns the line of a field, or of the nearest message around it that the text has; 0 if there is none.
+// line returns the line of a field, or of the innermost enclosing message that the text has; 0 if
+// there is none.
 func (f *File) line(field string) int {
 	nodes := f.nodes
 	line := 0
@@ -151,7 +156,7 @@
 	return line
 }
 
-// splitIndex splits "name[3]" to name and 3; without an index it is 0.
+// splitIndex splits "name[3]" into name and 3. Without an index it returns 0.
 func splitIndex(part string) (name string, index int) {
 	name, rest, ok := strings.Cut(part, "[")
 	if ok {
@@ -160,10 +165,10 @@
 	return name, index
 }
 
-// findNode returns the node of the index-th value of a field, or nil. A repeated field is written as several nodes, as
-// one node with a list, or as both.
+// findNode returns the node of the value at an index of a field, or nil. A repeated field can be
+// written as several nodes, as one node with a list, or as a mix of both.
 func findNode(nodes []*ast.Node, name string, index int) *ast.Node {
-	before := 0 // values of the nodes before
+	before := 0 // number of values in the preceding nodes
 	for _, node := range nodes {
 		if node.Name != name || node.IsCommentOnly() {
 			continue
--- a/config/network.go
+++ b/config/network.go
@@ -11,13 +11,13 @@
 	"kitehub/internal/replayguard"
 )
 
-// probeDials is how many dial time-outs a health check may take.
-const probeDials = 3
+// probeDialTimeouts is the timeout of a probe, as a multiple of the dial timeout.
+const probeDialTimeouts = 3
 
-// unixPrefix begins the address of a Unix socket.
+// unixPrefix marks the address of a Unix socket.
 const unixPrefix = "unix:"
 
-// webhook maps the ingress for signed calls.
+// webhook maps the settings of the ingress for signed calls.
 func (b *builder) webhook() {
 	w := b.cfg.Webhook
 	out := b.built
@@ -53,7 +53,8 @@
 	}
 }
 
-// backend maps what connects to workers. It needs the settings.
+// backend maps the settings of the connections to workers. It runs after settings, whose result it
+// uses.
 func (b *builder) backend() {
 	c := b.cfg
 	dialTimeout := ms(c.Limits.DialMs)
@@ -62,24 +63,24 @@
 		DialTimeout:  dialTimeout,
 		IdleTimeout:  ms(c.Limits.KeepAliveMs),
 		OrderTimeout: ms(c.Loading.AnswerMs),
-		ProbeTimeout: probeDials * dialTimeout,
+		ProbeTimeout: probeDialTimeouts * dialTimeout,
 		ReportFields: b.built.Settings.LoadReportFields,
 	}
 	if dialTimeout > ms(c.Guarantees.DrainGraceMs) {
 		b.built.Warnings = append(b.built.Warnings, "limits.dial_ms is over guarantees.drain_grace_ms: "+
-			"what still dials when a drain is told is withdrawn, late")
+			"an attempt that is still dialing when its worker starts to drain is withdrawn late")
 	}
 }
 
-// discovery maps where the endpoint list comes from.
+// discovery maps the settings of the source of the endpoint list.
 func (b *builder) discovery() {
 	d := b.cfg.Discovery
 	if (d.File == "") == (d.Server == "") {
-		b.file.AddProblem("discovery", "not exactly one of file and server", "give one")
+		b.file.AddProblem("discovery", "exactly one of file and server must be set", "set one of them")
 	}
 	poll := ms(d.PollMs)
 	if d.File != "" && poll <= 0 {
-		b.file.AddProblem("discovery.poll_ms", "a file is watched by looking at it", "give the time between two looks")
+		b.file.AddProblem("discovery.poll_ms", "a file is watched by polling", "set the polling interval")
 	}
 	b.built.Discovery = discovery.Config{
 		Node:         b.cfg.Name,
--- a/config/rpc.go
+++ b/config/rpc.go
@@ -10,13 +10,14 @@
 )
 
 const (
-	// maxSocketPath is the length in bytes of the longest path of a Unix socket that every system admits.
+	// maxSocketPath is the maximum length of the path of a Unix socket in bytes. Every operating
+	// system allows paths of this length.
 	maxSocketPath = 100
-	// defaultSocketMode lets only the user of the process connect.
+	// defaultSocketMode allows only the user of the process to connect.
 	defaultSocketMode = 0o600
 )
 
-// rpc maps the ingress for operators and callers on the same machine.
+// rpc maps the settings of the ingress for operators and clients on the same machine.
 func (b *builder) rpc() {
 	r := b.cfg.Rpc
 	if r == nil {
@@ -30,8 +31,8 @@
 		out.RPCSocketMode = defaultSocketMode
 	}
 	if len(r.Socket) > maxSocketPath {
-		b.file.AddProblem("rpc.socket", fmt.Sprintf("%d bytes", len(r.Socket)),
-			"the name of a Unix socket has at most some hundred")
+		b.file.AddProblem("rpc.socket", fmt.Sprintf("a path of %d bytes is too long", len(r.Socket)),
+			"the path of a Unix socket has at most about 100 bytes")
 	}
 	out.RPC = &jsonrpc.Config{
 		MaxOpen:  int(r.MaxConnections),
@@ -41,11 +42,11 @@
 	}
 	b.rpcUsers(r.Users)
 	if path, ok := strings.CutPrefix(b.cfg.Webhook.Listen, unixPrefix); ok && path == r.Socket {
-		b.file.AddProblem("rpc.socket", "that of webhook.listen", "each front has its own")
+		b.file.AddProblem("rpc.socket", "is also the socket of webhook.listen", "give each ingress its own socket")
 	}
 }
 
-// dedupWindow returns for how long an idempotency key of a class holds.
+// dedupWindow returns a function that tells for how long an idempotency key of a class is valid.
 func (b *builder) dedupWindow() func(class int) time.Duration {
 	windows := make([]time.Duration, len(b.cfg.Classes))
 	for i, class := range b.cfg.Classes {
@@ -62,33 +63,34 @@
 		out := jsonrpc.User{UID: u.Uid, Name: u.Name, Call: u.Call, Operate: u.Operate}
 		if u.Self {
 			if u.Uid != 0 {
-				b.file.AddProblem(field+".uid", "beside self", "give one")
+				b.file.AddProblem(field+".uid", "is set together with self", "set only one of them")
 			}
 			out.UID = uint32(os.Getuid())
 		}
 		if uids[out.UID] {
-			b.file.AddProblem(field+".uid", fmt.Sprintf("%d twice", out.UID), "a user has one entry")
+			b.file.AddProblem(field+".uid", fmt.Sprintf("duplicate uid %d", out.UID), "a user has one entry")
 		}
 		uids[out.UID] = true
 		b.checkUserName(field+".name", u.Name, names)
 		if !u.Call && !u.Operate {
-			b.file.AddProblem(field, "may do nothing", "set call, operate or both")
+			b.file.AddProblem(field, "neither call nor operate is set", "set call, operate or both")
 		}
-		out.Tenant = b.tenant(field+".tenant", u.Tenant)
+		out.Tenant = b.tenantIndex(field+".tenant", u.Tenant)
 		b.built.RPC.Users = append(b.built.RPC.Users, out)
 	}
 }
 
-// checkUserName checks that a user's name is unlike that of another user or client: idempotency keys begin with it.
+// checkUserName checks that a user's name differs from that of every other user and client, since
+// idempotency keys begin with it.
 func (b *builder) checkUserName(field, name string, users map[string]bool) {
 	if users[name] {
-		b.file.AddProblem(field, fmt.Sprintf("%q twice", name), "names must differ")
+		b.file.AddProblem(field, fmt.Sprintf("duplicate name %q", name), "names must be unique")
 	}
 	users[name] = true
 	for _, client := range b.cfg.Clients {
 		if client.Name == name {
-			b.file.AddProblem(field, fmt.Sprintf("%q is a client", name),
-				"keys of keyed calls begin with the name: it must differ")
+			b.file.AddProblem(field, fmt.Sprintf("%q is also the name of a client", name),
+				"idempotency keys begin with the name: use another one")
 		}
 	}
 }
--- a/config/settings.go
+++ b/config/settings.go
@@ -4,7 +4,7 @@
 	"kitehub/scheduler"
 )
 
-// The words of the schema in the terms of the scheduler.
+// Values of the schema's enums, as values of the scheduler.
 var (
 	idempotencies = map[Effect]scheduler.Idempotency{
 		Effect_SAFE:   scheduler.Idempotent,
@@ -28,7 +28,7 @@
 	}
 )
 
-// settings maps what the scheduler takes.
+// settings maps the settings of the scheduler.
 func (b *builder) settings() {
 	c := b.cfg
 	s := scheduler.Settings{
@@ -104,7 +104,7 @@
 	}
 }
 
-// prices maps a section that may be missing.
+// prices maps the section prices, which may be missing.
 func prices(p *Prices) scheduler.Prices {
 	return scheduler.Prices{
 		CrossZone: p.GetCrossZone(),
