--- a/internal/blobfetch/client.go
+++ b/internal/blobfetch/client.go
@@ -15,7 +15,7 @@
 	"kitehub/internal/clock"
 )
 
-// A Client fetches blobs. It is safe for concurrent use: fetches run at the same time and share what is known of the
+// A Client fetches blobs. It is safe for concurrent use. Concurrent fetches share the state of the
 // stores.
 type Client struct {
 	plansMu     sync.Mutex // guards stores and all plans
@@ -26,8 +26,8 @@
 	idleTimeout time.Duration
 }
 
-// NewClient returns a client of stores, each named by "host:port". A request is broken off when the store sends
-// nothing for idleTimeout.
+// NewClient returns a client of stores, each given as "host:port". A request is aborted when the
+// store sends nothing for idleTimeout.
 func NewClient(settings Settings, stores []string, idleTimeout time.Duration, clk clock.Clock, log zerolog.Logger) *Client {
 	transport := &http.Transport{
 		DisableCompression:    true,
@@ -46,19 +46,21 @@
 // Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Fetch returns the verified bytes of a digest, and the store that gave the last of them. size is known from the
-// registry; a store with more or fewer bytes is blamed. name is that of the repository.
+// Fetch returns the verified blob of a digest, and the store that sent the last part of it. name is
+// the name of the repository. size is the size in bytes that the registry has for the digest; a
+// store that sends more or fewer bytes is excluded as corrupt.
 //
-// Errors are that of ctx, ErrMismatch, ErrExhausted, and a digest or size of a wrong form.
+// The error is that of ctx, wraps ErrMismatch or ErrExhausted, or reports an invalid digest or
+// size.
 func (c *Client) Fetch(ctx context.Context, name, digest string, size int64) (blob []byte, store string, err error) {
 	want, ok := strings.CutPrefix(digest, "sha256:")
 	if !ok || size <= 0 {
-		return nil, "", fmt.Errorf("fetch: %q of %d bytes", digest, size)
+		return nil, "", fmt.Errorf("fetch: invalid digest %q or size of %d bytes", digest, size)
 	}
 	d := &download{name: name, digest: digest, sum: sha256.New(), size: size}
 	plan := c.newPlan(size)
 	for {
-		request, err := c.next(ctx, plan, d)
+		request, err := c.nextRequest(ctx, plan, d)
 		if err != nil {
 			return nil, "", err
 		}
@@ -70,7 +72,7 @@
 		if ctx.Err() != nil {
 			return nil, "", ctx.Err()
 		}
-		fault = c.record(plan, int64(len(d.blob)-before), fault, func() bool { return d.sumHex() == want })
+		fault = c.recordResult(plan, int64(len(d.blob)-before), fault, func() bool { return d.sumHex() == want })
 		if fault == 0 {
 			c.log.Info().Str("store", request.Store).Str("name", name).Str("digest", digest).Int("bytes", len(d.blob)).
 				Msg("blob fetched")
@@ -87,8 +89,8 @@
 	return NewPlan(c.stores, size)
 }
 
-// next returns the plan's next request, once it may be made. An error ends the fetch.
-func (c *Client) next(ctx context.Context, plan *Plan, d *download) (Request, error) {
+// nextRequest waits until the plan allows another request, and returns it. An error ends the fetch.
+func (c *Client) nextRequest(ctx context.Context, plan *Plan, d *download) (Request, error) {
 	for {
 		c.plansMu.Lock()
 		request, wait, err := plan.Next(c.clock.Now())
@@ -108,9 +110,10 @@
 	}
 }
 
-// record tells the plan how a request ended, and returns its fault: that of the request, or the one that shows once
-// the request ended well. 0 is a blob that is complete and verified.
-func (c *Client) record(plan *Plan, received int64, fault Fault, verify func() bool) Fault {
+// recordResult tells the plan how a request ended. It returns the fault of the request, or a fault
+// that shows only after the request has succeeded: an incomplete blob or a wrong digest. 0 means
+// that the blob is complete and verified.
+func (c *Client) recordResult(plan *Plan, received int64, fault Fault, verify func() bool) Fault {
 	c.plansMu.Lock()
 	defer c.plansMu.Unlock()
 	plan.Received(received)
--- a/internal/blobfetch/download.go
+++ b/internal/blobfetch/download.go
@@ -12,16 +12,16 @@
 	"time"
 )
 
-// A download is the bytes of one fetch so far, with their checksum.
+// A download holds the bytes that one fetch has received so far, with their checksum.
 type download struct {
-	name   string // of the repository
+	name   string // name of the repository
 	digest string
 	size   int64
 	blob   []byte
-	sum    hash.Hash // of blob
+	sum    hash.Hash // checksum of blob
 }
 
-// reset drops the bytes.
+// reset discards the bytes.
 func (d *download) reset() {
 	d.blob = d.blob[:0]
 	d.sum.Reset()
@@ -34,8 +34,8 @@
 
 func (d *download) sumHex() string { return hex.EncodeToString(d.sum.Sum(nil)) }
 
-// request makes one request and appends what it gives to the download, to its size at most. It returns 0 when the
-// response ended well.
+// request makes one request and appends the bytes of the response to the download, up to the size
+// of the blob. It returns 0 if the response ended without a fault.
 func (c *Client) request(ctx context.Context, r Request, d *download) Fault {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -51,7 +51,7 @@
 		return Unreachable
 	}
 	defer resp.Body.Close()
-	if fault := seek(resp, r.Offset, d.size); fault != 0 {
+	if fault := skipToOffset(resp, r.Offset, d.size); fault != 0 {
 		return fault
 	}
 	idle := time.AfterFunc(c.idleTimeout, cancel)
@@ -73,15 +73,15 @@
 	}
 }
 
-// seek checks the status and the length of a response to a request from an offset on, and reads its body up to the
-// offset, if it has that part.
-func seek(resp *http.Response, offset, size int64) Fault {
+// skipToOffset checks the status and the length of the response to a request that starts at an
+// offset. If the response has the whole blob, it skips the body up to the offset.
+func skipToOffset(resp *http.Response, offset, size int64) Fault {
 	switch {
 	case resp.StatusCode == 206 && offset > 0:
 		if resp.Header.Get("Content-Range") != fmt.Sprintf("bytes %d-%d/%d", offset, size-1, size) {
 			return WrongLength
 		}
-	case resp.StatusCode == 200: // a store may answer a range with all bytes (RFC 9110 section 14.2)
+	case resp.StatusCode == 200: // a store may ignore a range (RFC 9110 section 14.2)
 		if offset > 0 {
 			if _, err := io.CopyN(io.Discard, resp.Body, offset); err != nil {
 				return Interrupted
--- a/internal/blobfetch/fetch_test.go
+++ b/internal/blobfetch/fetch_test.go
@@ -20,7 +20,8 @@
 
 var settings = blobfetch.Settings{MaxRequests: 60, MinBackoff: ms, MaxBackoff: 4 * ms, CorruptBackoff: time.Hour}
 
-// Whatever stores do to a blob, its verified bytes are returned or none are, and stores at fault are not asked again.
+// Whatever fault the stores have, Fetch returns the verified blob or an error, and does not send
+// further requests to a store that is known to be corrupt.
 func TestFaults(t *testing.T) {
 	blob := make([]byte, 100_000)
 	for i := range blob {
@@ -40,9 +41,9 @@
 	tests := []struct {
 		name   string
 		stores []fakeworker.BlobFault
-		from   int // store that gave the last bytes; below 0: any or none
+		source int // store that sent the last bytes; below 0: any or none
 		err    error
-		asked  []int // most requests to each store
+		limits []int // maximum number of requests to each store
 	}{
 		{"good", []fakeworker.BlobFault{good, good}, 0, nil, []int{1, 0}},
 		{"missing at the first", []fakeworker.BlobFault{missing, good}, 1, nil, []int{1, 1}},
@@ -51,8 +52,8 @@
 		{"swapped", []fakeworker.BlobFault{swapped, good}, 1, nil, []int{1, 1}},
 		{"extended", []fakeworker.BlobFault{extended, good}, 1, nil, []int{1, 1}},
 		{"rotten", []fakeworker.BlobFault{rotten, good}, 1, nil, []int{1, 1}},
-		{"bytes behind the length", []fakeworker.BlobFault{long, missing}, 0, nil, []int{1, 0}},
-		{"truncated, then rotten: no store is known to be at fault, so each is asked by itself",
+		{"bytes after the declared length", []fakeworker.BlobFault{long, missing}, 0, nil, []int{1, 0}},
+		{"truncated, then rotten: the corrupt store is unknown, so the blob is fetched from one store at a time",
 			[]fakeworker.BlobFault{truncated, rotten, good}, 2, nil, []int{60, 2, 2}},
 		{"a mismatch everywhere",
 			[]fakeworker.BlobFault{swapped, rotten, extended}, -1, blobfetch.ErrMismatch, []int{1, 1, 1}},
@@ -74,19 +75,19 @@
 			}
 			c := blobfetch.NewClient(settings, names, time.Second, clock.System(), zerolog.Nop())
 			defer c.Close()
-			got, from, err := c.Fetch(context.Background(), "m", digest, int64(len(blob)))
+			got, source, err := c.Fetch(context.Background(), "m", digest, int64(len(blob)))
 			if !errors.Is(err, tt.err) || (err == nil) != (tt.err == nil) {
 				t.Fatalf("error %v, want %v", err, tt.err)
 			}
 			if err == nil && sha256.Sum256(got) != sum {
-				t.Error("other bytes came")
+				t.Error("the blob has wrong bytes")
 			}
-			if tt.from >= 0 && from != names[tt.from] {
-				t.Errorf("the end came from %s, want %s", from, names[tt.from])
+			if tt.source >= 0 && source != names[tt.source] {
+				t.Errorf("the last bytes are from %s, want %s", source, names[tt.source])
 			}
 			for i, s := range stores {
-				if s.Requests() > tt.asked[i] {
-					t.Errorf("store %d was asked %d times, at most %d", i, s.Requests(), tt.asked[i])
+				if s.Requests() > tt.limits[i] {
+					t.Errorf("store %d received %d requests, want at most %d", i, s.Requests(), tt.limits[i])
 				}
 			}
 			if errors.Is(err, blobfetch.ErrMismatch) {
@@ -100,16 +101,16 @@
 	}
 }
 
-// A store that gave wrong bytes is avoided, for longer each time.
-func TestBlameGrows(t *testing.T) {
+// A store that sent a corrupt blob is avoided for a backoff that doubles each time.
+func TestCorruptBackoffDoubles(t *testing.T) {
 	settings := blobfetch.Settings{MaxRequests: 9, MinBackoff: 10 * ms, MaxBackoff: time.Hour, CorruptBackoff: time.Second}
 	stores := blobfetch.NewStores(settings, []string{"a", "b"})
 	now := time.Duration(0)
-	var asked []string
+	var requested []string
 	for range 3 {
 		p := blobfetch.NewPlan(stores, 10)
 		for {
-			ask, wait, err := p.Next(now)
+			request, wait, err := p.Next(now)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -117,17 +118,17 @@
 				now += wait
 				continue
 			}
-			asked = append(asked, ask.Store)
+			requested = append(requested, request.Store)
 			p.Received(10)
-			if match := ask.Store == "b"; match {
+			if match := request.Store == "b"; match {
 				p.Verified(now, match, 1)
 				break
 			}
 			p.Verified(now, false, 1)
 		}
-		now += 1500 * ms // over the first backoff, under the second
+		now += 1500 * ms // longer than the first backoff, shorter than the second
 	}
-	if got := strings.Join(asked, " "); got != "a b a b b" {
-		t.Errorf("asked %s, want a b a b b", got)
+	if got := strings.Join(requested, " "); got != "a b a b b" {
+		t.Errorf("requests to %s, want a b a b b", got)
 	}
 }
--- a/internal/blobfetch/plan.go
+++ b/internal/blobfetch/plan.go
@@ -1,13 +1,15 @@
-// Package blobfetch fetches the bytes of a model's version from stores that speak the OCI distribution protocol,
-// and hands them out only once their digest is verified. A Plan decides, without I/O: which store to ask next, from
-// which byte, after which pause, and which store to blame for wrong bytes. A Client executes plans.
+// Package blobfetch fetches the blob of a model version from stores that speak the OCI distribution
+// protocol, and returns it only after its digest is verified. A Plan decides, without I/O, which
+// store to request from next, from which byte on and after which backoff, and which store has sent
+// corrupt bytes. A Client executes plans.
 //
-// # Blame
+// # Corrupt stores
 //
-// Wrong bytes show only when all bytes are received. If one store gave all of them, it is to blame. If a fetch was
-// resumed at another store, it is not known which one is: the bytes are dropped, and from then on each store is
-// asked for all of them by itself. So a store that corrupts rarely, a byte in a thousand fetches, is found by its
-// own fetch, and a good one is not avoided for it.
+// Corruption shows only when the whole blob has been received. If one store sent all of it, that
+// store is corrupt. If the fetch was resumed at another store, it is unknown which of them is: the
+// bytes are discarded, and from then on the whole blob is fetched from a single store at a time. So
+// a store that corrupts rarely, one byte in a thousand fetches, is found by its own fetch, and an
+// intact store is not avoided in its place.
 package blobfetch
 
 import (
@@ -18,73 +20,82 @@
 	"time"
 )
 
-// Settings bound a fetch. All must be above 0.
+// Settings limit a fetch. All must be above 0.
 type Settings struct {
-	MaxRequests    int           // requests of one fetch, to all stores together
-	MinBackoff     time.Duration // backoff from a store after its first failure in a row; doubled with each further one
-	MaxBackoff     time.Duration // bound on every backoff
-	CorruptBackoff time.Duration // backoff from a store, for all digests, after it first gave wrong bytes; doubled each time
+	// MaxRequests is the maximum number of requests of one fetch, to all stores together.
+	MaxRequests int
+	// MinBackoff is the backoff from a store after a first failure. It doubles with each further
+	// failure in a row.
+	MinBackoff time.Duration
+	// MaxBackoff limits every backoff.
+	MaxBackoff time.Duration
+	// CorruptBackoff is the backoff from a store, for all digests, after it first sent a corrupt
+	// blob. It doubles with each further one.
+	CorruptBackoff time.Duration
 }
 
-// A Fault is how a request failed.
+// A Fault is the reason why a request failed.
 type Fault int
 
 // The faults of a request.
 const (
-	Unreachable    Fault = iota + 1 // no answer
-	Interrupted                     // the answer ended before its length
-	BadStatus                       // a status other than success, 404 included
-	WrongLength                     // the answer has another length or range than requested
-	DigestMismatch                  // the bytes are not those of the digest
+	Unreachable    Fault = iota + 1 // no response
+	Interrupted                     // the response ended before its length
+	BadStatus                       // the status is not 200 or 206, for example 404
+	WrongLength                     // the response has another length or range than requested
+	DigestMismatch                  // the received blob does not have the digest
 )
 
-// String returns a few words for logs and errors.
+// String returns the text of a fault for logs and errors.
 func (f Fault) String() string {
-	return [...]string{"", "unreachable", "broken off", "refused", "wrong length or range", "digest mismatch"}[f]
+	return [...]string{"", "unreachable", "response interrupted", "unexpected status", "wrong length or range", "digest mismatch"}[f]
 }
 
-// A Request asks a store for the bytes from Offset on.
+// A Request is a request to a store for the bytes from Offset on.
 type Request struct {
 	Store     string
 	Offset    int64
-	FromStart bool // the bytes received so far are to be dropped first
+	FromStart bool // the bytes received so far must be discarded first
 }
 
-// A Failure is one fault, for an operator.
+// A Failure is the fault of one request, as the error of a fetch lists it.
 type Failure struct {
 	Store    string
 	Fault    Fault
-	Received int64 // bytes received until then
+	Received int64 // bytes received by the fetch until then
 }
 
-// A Plan is one fetch of one digest. It is not safe for concurrent use. Next says which request to make; after it,
-// Received says how many bytes came, then Failed or Verified how it ended.
+// A Plan decides the requests of one fetch of one digest. It is not safe for concurrent use. Next
+// returns the request to make. After the request, Received must be called with the number of bytes
+// received, and then Failed or Verified with the result.
 type Plan struct {
 	stores       *Stores
 	size         int64
 	received     int64
-	sources      []string // stores that the received bytes are from
+	sources      []string // stores that sent the received bytes
 	attempts     int
-	singleSource bool            // a fetch is not resumed at another store any more
-	excluded     map[string]bool // stores that gave wrong bytes
+	singleSource bool            // the fetch may no longer be resumed at another store
+	excluded     map[string]bool // stores that sent corrupt bytes or a wrong length
 	current      string          // store of the last request
 	Failures     []Failure       // oldest first
 }
 
-// NewPlan returns the plan of a fetch of so many bytes.
+// NewPlan returns the plan for fetching a blob of the given size in bytes.
 func NewPlan(stores *Stores, size int64) *Plan {
 	return &Plan{stores: stores, size: size, excluded: map[string]bool{}}
 }
 
 var (
-	// ErrMismatch is wrapped by the error of a fetch in which every store that answered gave wrong bytes.
-	ErrMismatch = errors.New("fetch: no store has bytes that match the digest")
-	// ErrExhausted is wrapped by the error of a fetch whose requests are used up, or which has no store.
-	ErrExhausted = errors.New("fetch: given up")
+	// ErrMismatch is wrapped by the error of a fetch that failed after at least one store was
+	// excluded for sending corrupt bytes or a wrong length.
+	ErrMismatch = errors.New("fetch: no store has a blob that matches the digest")
+	// ErrExhausted is wrapped by the error of a fetch that has made its maximum number of requests
+	// without such a store, or that has no store.
+	ErrExhausted = errors.New("fetch: out of attempts")
 )
 
-// Next returns the request to make now, or how long to wait before Next is called again. Errors wrap ErrMismatch or
-// ErrExhausted and name the faults of each store.
+// Next returns the request to make now, or how long to wait before calling Next again. Errors wrap
+// ErrMismatch or ErrExhausted and name the faults of each store.
 func (p *Plan) Next(now time.Duration) (request Request, wait time.Duration, err error) {
 	if err := p.exhausted(); err != nil {
 		return Request{}, 0, err
@@ -95,12 +106,12 @@
 	}
 	p.attempts++
 	if p.received > 0 && p.singleSource && store.Name != p.current {
-		p.drop()
+		p.discard()
 	}
 	request = Request{Store: store.Name, Offset: p.received}
 	if p.received == 0 {
 		request.FromStart = true
-		p.drop() // also the sources that gave no byte
+		p.discard() // also removes sources that sent no byte
 	}
 	p.current = store.Name
 	if !slices.Contains(p.sources, store.Name) {
@@ -114,7 +125,7 @@
 	stores := p.stores.list
 	switch {
 	case len(stores) == 0:
-		return fmt.Errorf("%w: no store is named", ErrExhausted)
+		return fmt.Errorf("%w: no store is configured", ErrExhausted)
 	case len(p.excluded) == len(stores):
 		return fmt.Errorf("%w: %s", ErrMismatch, p.summary())
 	case p.attempts < p.stores.settings.MaxRequests:
@@ -125,8 +136,9 @@
 	return fmt.Errorf("%w after %d requests: %s", ErrExhausted, p.attempts, p.summary())
 }
 
-// choose returns the store to ask: the one that gave the last bytes if it may be asked now, else the first one that
-// may, else the one that may be asked soonest. At least one store is not excluded.
+// choose returns the store for the next request: the store of the last request if it is available
+// now, else the first one that is available, else the one that becomes available first. At least
+// one store must not be excluded.
 func (p *Plan) choose(now time.Duration) *Store {
 	var best *Store
 	for _, store := range p.stores.list {
@@ -153,45 +165,47 @@
 	return strings.Join(faults, ", ")
 }
 
-// Received notes how many bytes the last request gave.
+// Received records the number of bytes that the last request received.
 func (p *Plan) Received(n int64) { p.received += n }
 
-// Complete tells whether all bytes are received.
+// Complete reports whether the whole blob has been received.
 func (p *Plan) Complete() bool { return p.received == p.size }
 
-// Failed notes the fault of the last request. draw, from 0 to 1, spreads the backoffs of many workers. Bytes of a
-// request that broke off stay, so that the fetch can be resumed.
-func (p *Plan) Failed(now time.Duration, f Fault, draw float64) {
+// Failed records the fault of the last request. jitter is a random number from 0 to 1 that spreads
+// the backoffs of many workers. The bytes of an interrupted request are kept, so that the fetch can
+// be resumed.
+func (p *Plan) Failed(now time.Duration, f Fault, jitter float64) {
 	p.Failures = append(p.Failures, Failure{p.current, f, p.received})
-	if f == WrongLength { // the store does not have what was requested, whatever it has
-		p.drop()
+	if f == WrongLength { // the store has another blob than the requested one
+		p.discard()
 		p.excluded[p.current] = true
-		p.stores.blame(p.current, now, draw)
+		p.stores.recordCorruption(p.current, now, jitter)
 		return
 	}
-	p.stores.failed(p.current, now, draw)
+	p.stores.recordFailure(p.current, now, jitter)
 }
 
-// drop forgets the received bytes.
-func (p *Plan) drop() {
+// discard forgets the received bytes and their sources.
+func (p *Plan) discard() {
 	p.received = 0
 	p.sources = nil
 }
 
-// Verified notes whether the bytes, all received now, have the digest. If not they are dropped.
-func (p *Plan) Verified(now time.Duration, match bool, draw float64) {
+// Verified records whether the blob, which is complete now, matches the digest. If not, its bytes
+// are discarded. jitter is as for Failed.
+func (p *Plan) Verified(now time.Duration, match bool, jitter float64) {
 	if match {
-		p.stores.good(p.current)
+		p.stores.recordSuccess(p.current)
 		return
 	}
 	sources := p.sources
 	for _, source := range sources {
 		p.Failures = append(p.Failures, Failure{source, DigestMismatch, p.received})
 	}
-	p.drop()
+	p.discard()
 	if len(sources) == 1 {
 		p.excluded[sources[0]] = true
-		p.stores.blame(sources[0], now, draw)
+		p.stores.recordCorruption(sources[0], now, jitter)
 		return
 	}
 	p.singleSource = true
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,4 +1,5 @@
-// Package clock is the program's one source of time, so that everything above it also runs in virtual time.
+// Package clock is the only source of time in the program, so that the packages that use it can
+// also run in virtual time.
 package clock
 
 import (
@@ -8,17 +9,17 @@
 
 // A Clock tells the time. Implementations are safe for concurrent use.
 type Clock interface {
-	// Now is a reading that never goes back. It starts at the wall time of the clock's making, as time since
-	// 1970, so that clocks of one machine nearly agree and a worker that started before this process still has
-	// a positive start time.
+	// Now returns a monotonic time. It counts from 1970 and starts at the wall time at which the
+	// clock was created, so that clocks of one machine nearly agree, and a worker that started
+	// before this process still has a positive start time.
 	Now() time.Duration
-	// Wall is the time of day, which may jump either way.
+	// Wall returns the wall time, which may jump forward or backward.
 	Wall() time.Time
 }
 
 type system struct{ base time.Time }
 
-// System returns the machine's clock.
+// System returns the clock of the operating system.
 func System() Clock { return system{time.Now()} }
 
 func (s system) Now() time.Duration {
@@ -27,14 +28,14 @@
 
 func (s system) Wall() time.Time { return time.Now() }
 
-// Manual is a clock that tests move.
+// Manual is a clock for tests, which advances only when it is told to.
 type Manual struct {
 	mu   sync.Mutex
 	now  time.Duration
 	wall time.Time
 }
 
-// NewManual returns a clock that stands at the given time of day.
+// NewManual returns a clock that is set to the given wall time.
 func NewManual(at time.Time) *Manual {
 	return &Manual{now: time.Duration(at.UnixNano()), wall: at}
 }
@@ -53,14 +54,14 @@
 	return m.wall
 }
 
-// Advance moves both readings on by d.
+// Advance moves both the monotonic time and the wall time forward by d.
 func (m *Manual) Advance(d time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.now, m.wall = m.now+d, m.wall.Add(d)
 }
 
-// SetWall makes the time of day jump; Now is not touched.
+// SetWall sets the wall time. The monotonic time does not change.
 func (m *Manual) SetWall(t time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
