--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,7 +1,9 @@
-// Simadapter hosts instances of the scheduler's Dispatcher on the simulator's wire (package simwire): batches of events
-// on standard input, one reply to each on standard output. It translates and makes no decision. It is one goroutine.
+// Simadapter runs instances of the scheduler's Dispatcher for the simulator, by the protocol of
+// package simwire: it reads batches of events from standard input and writes one response to each
+// to standard output. It only translates and makes no decisions. It has a single goroutine.
 //
-// Exit 0: input has ended between frames; 1: a frame cannot be read, or a reply cannot be written.
+// Exit status 0: the input ended between two frames; 1: a frame cannot be read, or a response
+// cannot be written.
 package main
 
 import (
@@ -15,7 +17,7 @@
 	"kitehub/scheduler"
 )
 
-// bufferBytes is the size of the buffers of input and output.
+// bufferBytes is the size of the input and the output buffer.
 const bufferBytes = 1 << 16
 
 func main() {
@@ -25,7 +27,7 @@
 	}
 }
 
-// serve answers batches until input ends.
+// serve processes batches until the input ends.
 func serve(in io.Reader, out io.Writer) error {
 	decoder := simwire.NewDecoder(bufio.NewReaderSize(in, bufferBytes))
 	writer := bufio.NewWriterSize(out, bufferBytes)
@@ -38,11 +40,11 @@
 		if err != nil {
 			return err
 		}
-		reply, err := h.answer(batch)
+		response, err := h.processBatch(batch)
 		if err != nil {
 			return err
 		}
-		if _, err := writer.Write(reply); err != nil {
+		if _, err := writer.Write(response); err != nil {
 			return err
 		}
 		if err := writer.Flush(); err != nil {
@@ -51,28 +53,30 @@
 	}
 }
 
-// A host holds the instances that run, and what is reused from batch to batch.
+// A host holds the running instances, and buffers that are reused from batch to batch.
 type host struct {
 	instances map[uint32]*scheduler.Dispatcher
 	steps     []instanceStep
-	current   map[uint32]int // index in steps of an instance's step, plus one
+	current   map[uint32]int // index of an instance's step in steps, plus one
 	encoder   simwire.Encoder
 }
 
-// An instanceStep is the events of one batch for one instance, between its Provision and its Halt.
+// An instanceStep holds the events of one batch for one instance, between its Provision and its
+// Halt.
 type instanceStep struct {
 	instance   uint32
 	dispatcher *scheduler.Dispatcher // nil: the instance was halted in the same batch
 	events     []scheduler.Event
 }
 
-// answer hands each instance its events of the batch together, in order, and returns the reply.
-func (h *host) answer(batch simwire.Batch) ([]byte, error) {
+// processBatch steps each instance once with all its events of the batch, in order, and returns the
+// response.
+func (h *host) processBatch(batch simwire.Batch) ([]byte, error) {
 	h.encoder.Reset()
 	h.steps = h.steps[:0]
 	clear(h.current)
 	for _, record := range batch.Records {
-		if err := h.receive(record); err != nil {
+		if err := h.handleRecord(record); err != nil {
 			return nil, err
 		}
 	}
@@ -84,9 +88,9 @@
 	return h.encoder.Bytes(), nil
 }
 
-// receive starts or ends an instance, or gathers its event. Settings that the scheduler rejects are reported as a
-// crash; its error ends the process.
-func (h *host) receive(record simwire.Record) error {
+// handleRecord starts or halts an instance, or collects its event. Settings that the scheduler
+// rejects are reported as a crash of the instance. An error ends the process.
+func (h *host) handleRecord(record simwire.Record) error {
 	switch e := record.Event.(type) {
 	case simwire.Provision:
 		settings, err := simwire.ParseSettings(e.Settings)
@@ -105,7 +109,7 @@
 	case scheduler.Event:
 		dispatcher := h.instances[record.Instance]
 		if dispatcher == nil {
-			return fmt.Errorf("%s, offset %d: instance %d does not live", record.Name, record.Offset, record.Instance)
+			return fmt.Errorf("%s, offset %d: instance %d does not exist", record.Name, record.Offset, record.Instance)
 		}
 		i := h.current[record.Instance]
 		if i == 0 {
@@ -118,7 +122,7 @@
 	return nil
 }
 
-// halt forgets an instance and its events of this batch.
+// halt removes an instance and its events of this batch.
 func (h *host) halt(instance uint32) {
 	delete(h.instances, instance)
 	if i := h.current[instance]; i > 0 {
@@ -127,7 +131,7 @@
 	}
 }
 
-// step steps an instance and adds its actions to the reply.
+// step steps an instance and adds its actions to the response.
 func (h *host) step(s instanceStep, batch simwire.Batch) {
 	actions, err := stepDispatcher(s, batch)
 	if err != nil {
@@ -151,7 +155,8 @@
 	return s.dispatcher.Step(batch.Now, s.events), nil
 }
 
-// recoverCrash turns a panic of the scheduler into an error. Its text goes out on the wire.
+// recoverCrash converts a panic of the scheduler to an error. The error's text is sent to the
+// simulator.
 func recoverCrash(err *error) {
 	if p := recover(); p != nil {
 		*err = fmt.Errorf("module crashed: %v", p)
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -11,7 +11,8 @@
 const settingsText = `{"balancers": 1, "tickMs": 2, "classes": [{"effect": "pure", "giveUpMs": 4000, "targetMs": 600,
 	"worth": 1}], "domain": {"onMiss": "load", "idleLifeMs": 8500}, "limits": {"mostTries": 3, "dialTimeoutMs": 250}}`
 
-func be(parts ...any) []byte {
+// bigEndian returns the concatenated big-endian encodings of its arguments.
+func bigEndian(parts ...any) []byte {
 	var b bytes.Buffer
 	for _, p := range parts {
 		if err := binary.Write(&b, binary.BigEndian, p); err != nil {
@@ -22,24 +23,25 @@
 }
 
 func provision(instance uint32, text string) []byte {
-	return be(byte(0), instance, uint64(1), uint32(len(text)), []byte(text))
+	return bigEndian(byte(0), instance, uint64(1), uint32(len(text)), []byte(text))
 }
 
 func batch(ms float64, records ...[]byte) []byte {
 	body := bytes.Join(records, nil)
-	return append(be(ms, uint32(16+len(body)), uint32(len(records))), body...)
+	return append(bigEndian(ms, uint32(16+len(body)), uint32(len(records))), body...)
 }
 
 var (
-	worker = append(be(byte(11), uint16(0), uint32(1), float32(1), float64(0), uint16(0), uint32(9), uint16(80),
-		byte(3)), be(byte(0), uint16(0))...)
-	fleet = be(byte(1), uint32(3), byte(2), uint32(1), uint16(0))
-	job   = be(byte(2), uint32(3), uint64(77), uint16(0), uint32(0), uint64(5), float64(3000), float64(0), float32(1),
+	worker = append(bigEndian(byte(11), uint16(0), uint32(1), float32(1), float64(0), uint16(0), uint32(9), uint16(80),
+		byte(3)), bigEndian(byte(0), uint16(0))...)
+	fleet = bigEndian(byte(1), uint32(3), byte(2), uint32(1), uint16(0))
+	job   = bigEndian(byte(2), uint32(3), uint64(77), uint16(0), uint32(0), uint64(5), float64(3000), float64(0), float32(1),
 		float32(2), float32(0), byte(0))
-	halt = be(byte(9), uint32(3))
+	halt = bigEndian(byte(9), uint32(3))
 )
 
-// codes returns the record codes of the first action in each reply.
+// codes returns the record code of the first action in each response, and -1 for a response without
+// one.
 func codes(t *testing.T, out []byte) (l []int) {
 	t.Helper()
 	for len(out) > 0 {
@@ -54,7 +56,7 @@
 	return l
 }
 
-func TestBatchesAreAnswered(t *testing.T) {
+func TestResponsesToBatches(t *testing.T) {
 	tests := []struct {
 		name  string
 		in    [][]byte
@@ -63,11 +65,11 @@
 	}{
 		{"empty batch", [][]byte{batch(1)}, []int{-1}, ""},
 		{"a request is sent", [][]byte{batch(1, provision(3, settingsText), worker, fleet), batch(2, job)}, []int{-1, 0}, ""},
-		{"a new life knows nothing", [][]byte{batch(1, provision(3, settingsText), worker, fleet, job, halt,
+		{"a new instance has no state of the halted one", [][]byte{batch(1, provision(3, settingsText), worker, fleet, job, halt,
 			provision(3, settingsText)), batch(2, job)}, []int{-1, 4}, ""},
 		{"rejected settings", [][]byte{batch(1, provision(3, "{}"))}, []int{9}, ""},
-		{"dead instance", [][]byte{batch(1, job)}, nil, "JOB_IN, offset 16: instance 3 does not live"},
-		{"no JSON", [][]byte{batch(1, provision(3, "]"))}, nil, "PROVISION"},
+		{"unknown instance", [][]byte{batch(1, job)}, nil, "JOB_IN, offset 16: instance 3 does not exist"},
+		{"invalid JSON", [][]byte{batch(1, provision(3, "]"))}, nil, "PROVISION"},
 		{"short frame", [][]byte{batch(math.Pi)[:15]}, nil, "short frame"},
 	}
 	for _, tt := range tests {
@@ -78,12 +80,12 @@
 		}
 		got := codes(t, out.Bytes())
 		if len(got) != len(tt.codes) {
-			t.Errorf("%s: replies %v, want %v", tt.name, got, tt.codes)
+			t.Errorf("%s: response codes %v, want %v", tt.name, got, tt.codes)
 			continue
 		}
 		for i := range got {
 			if got[i] != tt.codes[i] {
-				t.Errorf("%s: replies %v, want %v", tt.name, got, tt.codes)
+				t.Errorf("%s: response codes %v, want %v", tt.name, got, tt.codes)
 			}
 		}
 	}
--- a/internal/simwire/cursor.go
+++ b/internal/simwire/cursor.go
@@ -8,26 +8,27 @@
 	"kitehub/scheduler"
 )
 
-// A cursor reads fields and keeps the first error.
+// A cursor reads the fields of a frame and keeps the first error. After an error it returns zeros.
 type cursor struct {
 	frame  []byte
 	offset int
-	record string
+	record string // name of the current record, for errors
 	err    error
 }
 
-// fail notes an error of the field at an offset, unless there was one before.
-func (c *cursor) fail(at int, what string) {
+// fail records an error of the field at an offset, unless there is an earlier error.
+func (c *cursor) fail(offset int, message string) {
 	if c.err == nil {
-		c.err = fmt.Errorf("%s, offset %d: %s", c.record, at, what)
+		c.err = fmt.Errorf("%s, offset %d: %s", c.record, offset, message)
 	}
 }
 
-var zeros [8]byte // the longest field
+var zeros [8]byte // as long as the longest field
 
+// take returns the next n bytes, or n zeros after an error.
 func (c *cursor) take(n int) []byte {
 	if c.err != nil || len(c.frame)-c.offset < n {
-		c.fail(c.offset, "runs past the frame")
+		c.fail(c.offset, "field extends past the end of the frame")
 		return zeros[:n]
 	}
 	c.offset += n
@@ -41,13 +42,13 @@
 func (c *cursor) f32() float32 { return math.Float32frombits(c.u32()) }
 func (c *cursor) f64() float64 { return math.Float64frombits(c.u64()) }
 
-// worker reads a worker's id: its IPv4 address and port.
+// worker reads the ID of a worker, which consists of its IPv4 address and port.
 func (c *cursor) worker() scheduler.WorkerID {
 	addr := c.u32()
 	return scheduler.WorkerID(addr)<<16 | scheduler.WorkerID(c.u16())
 }
 
-// maxOutcome is the highest number of an outcome; the lowest is 1.
+// maxOutcome is the highest outcome number; the lowest is 1.
 const maxOutcome = 9
 
 func (c *cursor) outcome() scheduler.Outcome {
@@ -59,21 +60,21 @@
 	return scheduler.Outcome(o)
 }
 
-// bytes returns a copy of n bytes.
+// bytes returns a copy of the next n bytes.
 func (c *cursor) bytes(n int64) []byte {
 	if c.err != nil || int64(len(c.frame)-c.offset) < n {
-		c.fail(c.offset, fmt.Sprintf("length %d runs past the frame", n))
+		c.fail(c.offset, fmt.Sprintf("length %d extends past the end of the frame", n))
 		return nil
 	}
 	c.offset += int(n)
 	return append([]byte(nil), c.frame[c.offset-int(n):c.offset]...)
 }
 
-// report reads the fields of a load report.
-func (c *cursor) report() []float64 {
+// loadReport reads the values of a load report.
+func (c *cursor) loadReport() []float64 {
 	n := int(c.u8())
 	if c.err == nil && n*4 > len(c.frame)-c.offset {
-		c.fail(c.offset-1, fmt.Sprintf("count of %d report values runs past the frame", n))
+		c.fail(c.offset-1, fmt.Sprintf("count of %d load report values extends past the end of the frame", n))
 	}
 	if c.err != nil || n == 0 {
 		return nil
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -9,10 +9,11 @@
 	"kitehub/scheduler"
 )
 
-// readStep is by how many bytes at least the buffer of a frame grows.
-const readStep = 1 << 16
+// minReadBytes is the minimum number of bytes by which the buffer of a frame grows.
+const minReadBytes = 1 << 16
 
-// A Decoder reads batches. It keeps the numbered lists of workers between them. It is not safe for concurrent use.
+// A Decoder reads batches. It keeps the numbered lists of workers from batch to batch. It is not
+// safe for concurrent use.
 type Decoder struct {
 	in    io.Reader
 	buf   []byte
@@ -23,8 +24,8 @@
 // NewDecoder returns a decoder that reads from in.
 func NewDecoder(in io.Reader) *Decoder { return &Decoder{in: in} }
 
-// Read returns the next batch, or io.EOF when input ends between frames. After another error the input cannot be read
-// on.
+// Read returns the next batch, or io.EOF if the input ends between two frames. After any other
+// error, Read must not be called again.
 func (d *Decoder) Read() (Batch, error) {
 	head := make([]byte, headerSize)
 	if n, err := io.ReadFull(d.in, head); err != nil {
@@ -38,9 +39,9 @@
 		return Batch{}, fmt.Errorf("frame header, offset 8: length %d is under the header's %d", size, headerSize)
 	}
 	d.buf = append(d.buf[:0], head...)
-	for len(d.buf) < size { // grow with what has come, not with what the length claims
+	for len(d.buf) < size { // grow with the received bytes, since the length may be wrong
 		start := len(d.buf)
-		step := min(size-start, max(readStep, start))
+		step := min(size-start, max(minReadBytes, start))
 		d.buf = append(d.buf, make([]byte, step)...)
 		if n, err := io.ReadFull(d.in, d.buf[start:]); err != nil {
 			return Batch{}, fmt.Errorf("frame body, offset %d: short frame of %d bytes: %w", start+n, size, err)
@@ -49,7 +50,7 @@
 	return d.Decode(d.buf)
 }
 
-// Decode reads one whole frame. Its errors name the record and the offset.
+// Decode decodes one whole frame. Errors name the record and the offset.
 func (d *Decoder) Decode(frame []byte) (Batch, error) {
 	if len(frame) < headerSize {
 		return Batch{}, fmt.Errorf("frame header, offset %d: short frame", len(frame))
@@ -62,7 +63,7 @@
 		return Batch{}, fmt.Errorf("frame header, offset 8: length %d, frame has %d bytes", size, len(frame))
 	}
 	if int64(count) > int64(len(frame)-headerSize) {
-		return Batch{}, fmt.Errorf("frame header, offset 12: %d records cannot stand in %d bytes", count,
+		return Batch{}, fmt.Errorf("frame header, offset 12: %d records do not fit into %d bytes", count,
 			len(frame)-headerSize)
 	}
 	for i := uint32(0); i < count; i++ {
@@ -80,7 +81,8 @@
 	return b, nil
 }
 
-// record reads the i-th record. It returns false for a list of workers, which is of no instance.
+// record reads the record with index i. isEvent is false for a list of workers, which is not for an
+// instance.
 func (d *Decoder) record(c *cursor, i uint32) (r Record, isEvent bool, err error) {
 	start := c.offset
 	c.record = "record"
@@ -109,8 +111,8 @@
 	if c.err == nil && number >= maxLists {
 		c.fail(start, fmt.Sprintf("list number %d is over %d", number, maxLists-1))
 	}
-	if c.err == nil && int64(n)*entrySize > int64(len(c.frame)-c.offset) {
-		c.fail(start+2, fmt.Sprintf("count of %d entries runs past the frame", n))
+	if c.err == nil && int64(n)*listEntrySize > int64(len(c.frame)-c.offset) {
+		c.fail(start+2, fmt.Sprintf("count of %d entries extends past the end of the frame", n))
 	}
 	if c.err != nil {
 		return
@@ -135,14 +137,15 @@
 	case 2:
 		w.State = scheduler.Removed
 	default:
-		c.fail(start, fmt.Sprintf("unknown condition %d", state))
+		c.fail(start, fmt.Sprintf("unknown worker state %d", state))
 	}
 	w.Kind = int(c.u8())
 	w.Zone = int(c.u16())
 	return w
 }
 
-// event reads the fields of an event, in the order of the wire: Go evaluates the elements of a literal as they stand.
+// event reads the fields of an event. Calls in a composite literal are evaluated in source order,
+// which must be the order of the fields in the record.
 func (d *Decoder) event(c *cursor, code byte) any {
 	switch code {
 	case codeProvision:
@@ -165,7 +168,7 @@
 		return scheduler.Timer{Token: c.u64()}
 	case codeProbeDone:
 		e := scheduler.ProbeEnded{Outcome: c.outcome(), Worker: c.worker(), Took: ToDuration(c.f64())}
-		e.LoadReport = c.report()
+		e.LoadReport = c.loadReport()
 		return e
 	case codeMail:
 		return scheduler.PeerMessageReceived{From: int(c.u32()), Payload: c.bytes(int64(c.u16()))}
@@ -178,12 +181,13 @@
 	return Halt{}
 }
 
-// listKinds are by the wire's number.
+// listKinds are the kinds of a list update, indexed by their number in a FLEET record.
 var listKinds = [...]scheduler.ListKind{
 	scheduler.ListDelta, scheduler.FullList, scheduler.CachedList, scheduler.ListFailed,
 }
 
-// listUpdate reads an event of the endpoint list. It refers to a list by number, but for the kind that has none.
+// listUpdate reads an update of the endpoint list. It refers to a list of workers by number, except
+// for a failed one, which has no list.
 func (d *Decoder) listUpdate(c *cursor) any {
 	start := c.offset
 	kind := c.u8()
@@ -193,7 +197,7 @@
 		return nil
 	}
 	if int(kind) >= len(listKinds) {
-		c.fail(start, fmt.Sprintf("unknown form %d", kind))
+		c.fail(start, fmt.Sprintf("unknown list kind %d", kind))
 		return nil
 	}
 	update.Kind = listKinds[kind]
@@ -208,7 +212,7 @@
 	return update
 }
 
-// Bits of an arrival.
+// Flags of an arrival.
 const (
 	hasRunTimeHint = 1 << iota
 	isClientRetry
@@ -227,14 +231,15 @@
 		Lanes:       float64(c.f32()),
 		LoadTime:    ToDuration(float64(c.f32())),
 	}
-	bits := c.u8()
-	a.HasRunTimeHint = bits&hasRunTimeHint != 0
-	a.ClientRetry = bits&isClientRetry != 0
-	a.Write = bits&isWrite != 0
+	flags := c.u8()
+	a.HasRunTimeHint = flags&hasRunTimeHint != 0
+	a.ClientRetry = flags&isClientRetry != 0
+	a.Write = flags&isWrite != 0
 	return a
 }
 
-// Of the byte on loads, the lower bits are the note and the others the count of calls of the same function.
+// The byte on loads has the load note in its lower bits and the count of calls of the same function
+// in the others.
 const (
 	loadNoteBits = 3
 	loadNoteMask = 1<<loadNoteBits - 1
@@ -252,6 +257,6 @@
 	loads := c.u8()
 	e.Note = scheduler.LoadNote(loads & loadNoteMask)
 	e.SameFunction = int(loads >> loadNoteBits)
-	e.LoadReport = c.report()
+	e.LoadReport = c.loadReport()
 	return e
 }
--- a/internal/simwire/encode.go
+++ b/internal/simwire/encode.go
@@ -8,27 +8,28 @@
 	"kitehub/scheduler"
 )
 
-// An Encoder gathers the records of one reply. Reset must come first. It is not safe for concurrent use.
+// An Encoder collects the records of one response. Reset must be called before each response. It is
+// not safe for concurrent use.
 type Encoder struct {
 	buf   []byte
 	count uint32
 }
 
-// Reset begins a new reply.
+// Reset starts a new response.
 func (e *Encoder) Reset() {
-	e.buf = append(e.buf[:0], make([]byte, replyHeaderSize)...)
+	e.buf = append(e.buf[:0], make([]byte, responseHeaderSize)...)
 	e.count = 0
 }
 
-// Bytes returns the finished frame, which is good until the next Reset.
+// Bytes returns the finished frame, which is valid until the next Reset.
 func (e *Encoder) Bytes() []byte {
 	binary.BigEndian.PutUint32(e.buf, uint32(len(e.buf)))
 	binary.BigEndian.PutUint32(e.buf[4:], e.count)
 	return e.buf
 }
 
-// head begins a record.
-func (e *Encoder) head(code byte, instance uint32) {
+// startRecord writes the code and the instance of a record.
+func (e *Encoder) startRecord(code byte, instance uint32) {
 	e.count++
 	e.buf = append(e.buf, code)
 	e.u32(instance)
@@ -53,44 +54,45 @@
 	e.u16(uint16(w))
 }
 
-// text writes a text, cut where its length does not fit.
+// text writes a string with its length, truncated to the maximum of a uint16.
 func (e *Encoder) text(s string) {
 	s = s[:min(len(s), math.MaxUint16)]
 	e.u16(uint16(len(s)))
 	e.buf = append(e.buf, s...)
 }
 
-// Panic adds the report that an instance has crashed.
+// Panic adds a record that reports the crash of an instance.
 func (e *Encoder) Panic(instance uint32, text string) {
-	e.head(codePanic, instance)
+	e.startRecord(codePanic, instance)
 	e.text(text)
 }
 
-// Action adds one action of an instance. One that has no record is an error.
+// Action adds one action of an instance. It returns an error for an action that the protocol has no
+// record for.
 func (e *Encoder) Action(instance uint32, a scheduler.Action) error {
 	switch a := a.(type) {
 	case scheduler.Send:
-		e.head(codeSend, instance)
+		e.startRecord(codeSend, instance)
 		e.u64(uint64(a.Request))
 		e.f64(FromDuration(a.Timeout))
 		e.worker(a.Worker)
 	case scheduler.Reject:
-		e.head(codeDeny, instance)
+		e.startRecord(codeDeny, instance)
 		e.u64(uint64(a.Request))
 		e.f64(FromDuration(a.RetryAfter))
 	case scheduler.Fail:
-		e.head(codeDrop, instance)
+		e.startRecord(codeDrop, instance)
 		e.u64(uint64(a.Request))
 	case scheduler.Cancel:
-		e.head(codeStop, instance)
+		e.startRecord(codeStop, instance)
 		e.u64(uint64(a.Request))
 		e.u8(byte(a.Attempt))
 	case scheduler.Wake:
-		e.head(codeSleep, instance)
+		e.startRecord(codeSleep, instance)
 		e.f64(FromDuration(a.At))
 		e.u64(a.Token)
 	case scheduler.Log:
-		e.head(codeDebug, instance)
+		e.startRecord(codeDebug, instance)
 		e.text(a.Text)
 	default:
 		return e.workerAction(instance, a)
@@ -98,17 +100,17 @@
 	return nil
 }
 
-// workerAction adds an action that is of workers, their list or other controllers rather than of a request.
+// workerAction adds an action that concerns workers, the endpoint list or other controllers.
 func (e *Encoder) workerAction(instance uint32, a scheduler.Action) error {
 	switch a := a.(type) {
 	case scheduler.Probe:
-		e.head(codeTest, instance)
+		e.startRecord(codeTest, instance)
 		e.worker(a.Worker)
 	case scheduler.CloseIdleConnections:
-		e.head(codeFree, instance)
+		e.startRecord(codeFree, instance)
 		e.worker(a.Worker)
 	case scheduler.PeerMessage:
-		e.head(codeNotify, instance)
+		e.startRecord(codeNotify, instance)
 		to := uint16(a.To)
 		if a.To == scheduler.AllControllers {
 			to = math.MaxUint16
@@ -116,17 +118,17 @@
 		e.u16(to)
 		e.text(string(a.Payload))
 	case scheduler.WatchEndpoints:
-		e.head(codeTail, instance)
+		e.startRecord(codeTail, instance)
 		e.bool(a.On)
 	case scheduler.FetchEndpoints:
-		e.head(codeRefresh, instance)
+		e.startRecord(codeRefresh, instance)
 	case scheduler.LoadOrder:
-		e.head(codePreload, instance)
+		e.startRecord(codePreload, instance)
 		e.worker(a.Worker)
 		e.u64(uint64(a.Function))
 		e.u8(byte(a.Copies))
 	case scheduler.Unload:
-		e.head(codeUnload, instance)
+		e.startRecord(codeUnload, instance)
 		e.worker(a.Worker)
 		e.u64(uint64(a.Function))
 	default:
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -8,53 +8,53 @@
 	"kitehub/scheduler"
 )
 
-// milliseconds are a time of the wire.
+// milliseconds is a duration as the settings give it.
 type milliseconds float64
 
 func (m milliseconds) duration() time.Duration { return ToDuration(float64(m)) }
 
-// settingsText mirrors the settings text of the wire: its tags are the wire's words, its fields are named as those of
-// scheduler.Settings. What it does not name is ignored.
-type settingsText struct {
+// settingsJSON is the JSON form of the settings. Its tags are the names of the protocol, and its
+// fields have the names of scheduler.Settings. Unknown keys are ignored.
+type settingsJSON struct {
 	Controllers int         `json:"balancers"`
-	Classes     []classText `json:"classes"`
+	Classes     []classJSON `json:"classes"`
 	Clients     struct {
 		MarksRetry bool `json:"marksRetry"`
 	} `json:"clients"`
-	Discovery string     `json:"membershipMode"`
-	Workload  string     `json:"workload"`
-	Loading   domainText `json:"domain"`
+	Discovery string      `json:"membershipMode"`
+	Workload  string      `json:"workload"`
+	Loading   loadingJSON `json:"domain"`
 	Goal      struct {
-		Whole       float64 `json:"whole"`
+		Overall     float64 `json:"whole"`
 		WorstClass  float64 `json:"worstClass"`
 		WorstTenant float64 `json:"worstTenant"`
 		WorstWindow float64 `json:"worstWindow"`
 	} `json:"goal"`
 	Kinds           []string   `json:"kinds"`
-	Limits          limitsText `json:"limits"`
+	Limits          limitsJSON `json:"limits"`
 	ControllerIndex int        `json:"me"`
 	OverQuotaWeight float64    `json:"overShareWorth"`
-	Prices          costsText  `json:"costs"`
+	Prices          pricesJSON `json:"costs"`
 	Report          struct {
 		Fields []string `json:"fields"`
 		Via    string   `json:"via"`
 	} `json:"report"`
-	Guarantees guaranteesText `json:"guarantees"`
+	Guarantees guaranteesJSON `json:"guarantees"`
 	Tenants    []struct {
 		Name      string  `json:"name"`
 		QuotaPerS float64 `json:"quotaPerS"`
 		Share     float64 `json:"share"`
 	} `json:"tenants"`
-	Tick     milliseconds `json:"tickMs"`
-	Tier     int          `json:"tier"`
-	Tiers    []string     `json:"tiers"`
-	Sizes    string       `json:"weightSource"`
-	WeightBy string       `json:"worthBy"`
-	Zone     int          `json:"zone"`
-	Zones    []string     `json:"localities"`
+	Tick       milliseconds `json:"tickMs"`
+	Tier       int          `json:"tier"`
+	Tiers      []string     `json:"tiers"`
+	SizeSource string       `json:"weightSource"`
+	WeightBy   string       `json:"worthBy"`
+	Zone       int          `json:"zone"`
+	Zones      []string     `json:"localities"`
 }
 
-type classText struct {
+type classJSON struct {
 	ObjectiveStretch float64      `json:"aimStretch"`
 	LatencyObjective milliseconds `json:"targetMs"`
 	Deadline         milliseconds `json:"giveUpMs"`
@@ -67,7 +67,7 @@
 	PriorityWeight   float64      `json:"worth"`
 }
 
-type domainText struct {
+type loadingJSON struct {
 	IdleCopyTTL         milliseconds `json:"idleLifeMs"`
 	MemoryMB            []float64    `json:"machineMb"`
 	BudgetFree          float64      `json:"loadsAnyway"`
@@ -79,11 +79,11 @@
 	Orders              bool         `json:"mayOrder"`
 	X0                  string       `json:"reportX0"`
 	X1                  string       `json:"reportX1"`
-	SameFunctionCounted bool         `json:"countsAlike"`
-	LoadNotesGiven      bool         `json:"warmNotes"`
+	ReportsSameFunction bool         `json:"countsAlike"`
+	ReportsLoadNotes    bool         `json:"warmNotes"`
 }
 
-type limitsText struct {
+type limitsJSON struct {
 	Cancel                bool         `json:"cancel"`
 	IdleConnectionTimeout milliseconds `json:"keepaliveMs"`
 	DialTimeout           milliseconds `json:"dialTimeoutMs"`
@@ -99,7 +99,7 @@
 	StreamsPerConnection  int          `json:"streamsPerConn"`
 }
 
-type costsText struct {
+type pricesJSON struct {
 	Connection float64 `json:"connection"`
 	CrossZone  float64 `json:"crossZone"`
 	LateFail   float64 `json:"lateFail"`
@@ -112,17 +112,17 @@
 	Waste      float64 `json:"waste"`
 }
 
-type guaranteesText struct {
-	AnswerGrace    milliseconds `json:"graceToAnswerMs"`
-	PollWithin     milliseconds `json:"askWithinMs"`
-	WarmupFraction float64      `json:"coldFrom"`
-	WarmupTime     milliseconds `json:"coldMs"`
-	DrainGrace     milliseconds `json:"drainGraceMs"`
-	CollapseFactor float64      `json:"fallMultiple"`
-	CollapseWindow milliseconds `json:"overloadForMs"`
+type guaranteesJSON struct {
+	AnswerGrace     milliseconds `json:"graceToAnswerMs"`
+	MaxPollInterval milliseconds `json:"askWithinMs"`
+	WarmupFraction  float64      `json:"coldFrom"`
+	WarmupTime      milliseconds `json:"coldMs"`
+	DrainGrace      milliseconds `json:"drainGraceMs"`
+	CollapseFactor  float64      `json:"fallMultiple"`
+	CollapseWindow  milliseconds `json:"overloadForMs"`
 }
 
-// The words of the wire in the terms of the scheduler.
+// Values of the protocol, as values of the scheduler.
 var (
 	idempotencies = map[string]scheduler.Idempotency{
 		"pure":        scheduler.Idempotent,
@@ -138,7 +138,7 @@
 		"answers": scheduler.LoadReportsInResponses,
 		"probe":   scheduler.LoadReportsInProbes,
 	}
-	sizeMeanings = map[string]scheduler.SizeSource{
+	sizeSources = map[string]scheduler.SizeSource{
 		"nominal": scheduler.SizeNominal,
 		"rough":   scheduler.SizeEstimated,
 		"live":    scheduler.SizeMeasured,
@@ -155,11 +155,12 @@
 	}
 )
 
-// ParseSettings reads the settings of a controller: the text of a Provision on the simulator's wire, or the object
-// "settings" of a platform's configuration. Its error is that the text is not such JSON. An unknown word becomes the
-// zero value, which the scheduler rejects where it must know.
+// ParseSettings parses the settings of a controller from JSON: the settings of a Provision, or the
+// object "settings" in the configuration of a platform. It returns an error if the JSON is invalid
+// or a value has the wrong type. An unknown value of an enumeration becomes the zero value, which
+// the scheduler rejects where the value is required.
 func ParseSettings(text []byte) (scheduler.Settings, error) {
-	var t settingsText
+	var t settingsJSON
 	if err := json.Unmarshal(text, &t); err != nil {
 		return scheduler.Settings{}, fmt.Errorf("settings: %w", err)
 	}
@@ -177,13 +178,13 @@
 		PollEndpoints:      t.Discovery == "ask",
 		Tick:               t.Tick.duration(),
 		Workload:           t.Workload,
-		SizeSource:         sizeMeanings[t.Sizes],
+		SizeSource:         sizeSources[t.SizeSource],
 		LoadReportSource:   reportSources[t.Report.Via],
 		Limits:             t.Limits.limits(),
 		Loading:            t.Loading.loading(),
 		Guarantees:         t.Guarantees.guarantees(),
 		Goal: scheduler.Goal{
-			Overall:     t.Goal.Whole,
+			Overall:     t.Goal.Overall,
 			WorstWindow: t.Goal.WorstWindow,
 			WorstClass:  t.Goal.WorstClass,
 			WorstTenant: t.Goal.WorstTenant,
@@ -204,7 +205,7 @@
 	return s, nil
 }
 
-func (t limitsText) limits() scheduler.Limits {
+func (t limitsJSON) limits() scheduler.Limits {
 	return scheduler.Limits{
 		MaxAttempts:           t.MaxAttempts,
 		MaxOpenRequests:       t.MaxOpenRequests,
@@ -222,7 +223,7 @@
 	}
 }
 
-func (t domainText) loading() scheduler.Loading {
+func (t loadingJSON) loading() scheduler.Loading {
 	return scheduler.Loading{
 		Orders:              t.Orders,
 		LoadsOnMiss:         t.OnMiss == "load",
@@ -233,19 +234,19 @@
 		BudgetFree:          t.BudgetFree,
 		BudgetRatio:         t.BudgetRatio,
 		IdlePrice:           t.IdlePrice,
-		ReportsLoadNotes:    t.LoadNotesGiven,
-		ReportsSameFunction: t.SameFunctionCounted,
+		ReportsLoadNotes:    t.ReportsLoadNotes,
+		ReportsSameFunction: t.ReportsSameFunction,
 		MemoryMB:            t.MemoryMB,
 		X0:                  t.X0,
 		X1:                  t.X1,
 	}
 }
 
-func (t guaranteesText) guarantees() scheduler.Guarantees {
+func (t guaranteesJSON) guarantees() scheduler.Guarantees {
 	return scheduler.Guarantees{
 		AnswerGrace:     t.AnswerGrace.duration(),
 		DrainGrace:      t.DrainGrace.duration(),
-		MaxPollInterval: t.PollWithin.duration(),
+		MaxPollInterval: t.MaxPollInterval.duration(),
 		WarmupFraction:  t.WarmupFraction,
 		WarmupTime:      t.WarmupTime.duration(),
 		CollapseFactor:  t.CollapseFactor,
@@ -253,7 +254,7 @@
 	}
 }
 
-func (t costsText) prices() scheduler.Prices {
+func (t pricesJSON) prices() scheduler.Prices {
 	return scheduler.Prices{
 		Connection: t.Connection,
 		CrossZone:  t.CrossZone,
@@ -268,7 +269,7 @@
 	}
 }
 
-func (t classText) class() scheduler.Class {
+func (t classJSON) class() scheduler.Class {
 	return scheduler.Class{
 		Name:             t.Name,
 		Idempotency:      idempotencies[t.Idempotency],
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -1,9 +1,12 @@
-// Package simwire is the codec of the simulator's wire: frames of records on standard input and output. It exists so
-// that the words and numbers of the wire are in one place; it makes no decision.
+// Package simwire is the codec of the simulator's protocol, which sends frames of records on
+// standard input and output. All names and numbers of the protocol are in this package; it makes no
+// decisions.
 //
-// A frame of events is a header (float64 milliseconds, uint32 length, uint32 count of records) and the records: a code,
-// the number of an instance, and fields; all big-endian. A POOL record, of no instance, is a list of workers to which
-// later FLEET records refer by number. A reply is a header (uint32 length, uint32 count) and a record for each action.
+// A frame of events is a header (float64 milliseconds, uint32 length, uint32 count of records),
+// followed by the records. A record is a code, the number of an instance, and fields. All numbers
+// are big-endian. A POOL record has no instance: it is a list of workers, to which later FLEET
+// records refer by number. A response is a header (uint32 length, uint32 count), followed by a
+// record for each action.
 package simwire
 
 import (
@@ -11,7 +14,7 @@
 	"time"
 )
 
-// Codes of the records of events.
+// Record codes of events.
 const (
 	codeProvision = 0
 	codeFleet     = 1
@@ -27,7 +30,7 @@
 	codePool      = 11
 )
 
-// Codes of the records of actions.
+// Record codes of actions.
 const (
 	codeSend    = 0
 	codeDeny    = 1
@@ -47,22 +50,22 @@
 
 // Sizes in bytes.
 const (
-	headerSize      = 16 // of a frame of events
-	replyHeaderSize = 8  // of a reply
-	entrySize       = 24 // of a worker in a list
+	headerSize         = 16 // header of a frame of events
+	responseHeaderSize = 8  // header of a response
+	listEntrySize      = 24 // entry of a worker in a list
 )
 
-// maxLists is how many numbered lists of workers there are, from 0.
+// maxLists is the number of numbered lists of workers. The first one is number 0.
 const maxLists = 16
 
-// recordNames are the wire's names of events, for errors.
+// recordNames are the protocol's names of the events, for errors.
 var recordNames = [...]string{"PROVISION", "FLEET", "JOB_IN", "STREAMING", "RETURNED", "HANGUP", "ELAPSED",
 	"PROBE_DONE", "MAIL", "HALT", "LOAD_DONE", "POOL"}
 
 // A Provision starts an instance.
 type Provision struct {
 	Seed uint64
-	// Settings is JSON: see ParseSettings.
+	// Settings is the JSON that ParseSettings reads.
 	Settings []byte
 }
 
@@ -73,7 +76,8 @@
 type Record struct {
 	Instance uint32
 	Event    any
-	// Name and Offset are for errors: the wire's name of the event, and where in the frame its first byte is.
+	// Name and Offset are the protocol's name of the event and the offset of its first byte in the
+	// frame, for errors.
 	Name   string
 	Offset int
 }
@@ -84,8 +88,9 @@
 	Records []Record
 }
 
-// ToDuration turns milliseconds of the wire into a time of whole microseconds, which FromDuration turns back exactly.
-// What is no number is 0; what is out of range is the nearest time that is not.
+// ToDuration converts milliseconds of the protocol to a duration in whole microseconds, which
+// FromDuration converts back exactly. NaN becomes 0, and values out of range become the nearest
+// duration in range.
 func ToDuration(ms float64) time.Duration {
 	us := math.Round(ms * 1000)
 	switch {
@@ -99,5 +104,5 @@
 	return time.Duration(us) * time.Microsecond
 }
 
-// FromDuration turns a time into milliseconds of the wire.
+// FromDuration converts a duration to milliseconds of the protocol.
 func FromDuration(d time.Duration) float64 { return float64(d/time.Microsecond) / 1000 }
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -22,7 +22,7 @@
 	return b
 }
 
-// frame wraps record bytes in the header of a batch.
+// frame returns the records with the header of a batch before them.
 func frame(records []byte, count byte) []byte {
 	n := headerSize + len(records)
 	return append([]byte{0x40, 0xc0, 0x6e, 0x20, 0, 0, 0, 0, 0, 0, byte(n >> 8), byte(n), 0, 0, 0, count}, records...)
@@ -74,7 +74,8 @@
 	}
 }
 
-// A list number is resolved in the order of the records, also where one batch reuses it.
+// A FLEET record refers to the latest POOL record with its list number, also where one batch uses
+// the number twice.
 func TestListNumbersAreResolvedInOrder(t *testing.T) {
 	entry := func(id byte) string {
 		return `3f800000 0000000000000000 0001 0a0000` + hex.EncodeToString([]byte{id}) + ` 1f43 03 01 0002`
@@ -130,7 +131,8 @@
 	}
 }
 
-// A frame cut at any byte is an error, never a hang, a crash or end of input.
+// A frame that is truncated at any byte gives an error: it must not block, panic or look like the
+// end of the input.
 func TestTruncatedFrameIsAnError(t *testing.T) {
 	for _, tt := range events {
 		complete := frame(unhex(t, tt.hex), 1)
@@ -160,16 +162,16 @@
 	for _, tt := range tests {
 		_, err := NewDecoder(bytes.NewReader(frame(unhex(t, tt.hex), 1))).Read()
 		if err == nil || !strings.Contains(err.Error(), tt.want) {
-			t.Errorf("%s: %v, want it to say %q", tt.name, err, tt.want)
+			t.Errorf("%s: error %v, want one that contains %q", tt.name, err, tt.want)
 		}
 	}
 }
 
-func TestDurationsSurviveTheWire(t *testing.T) {
+func TestDurationRoundTrip(t *testing.T) {
 	for us := int64(0); us < 1e12; us = us*3 + 1 {
 		d := time.Duration(us) * time.Microsecond
 		if got := ToDuration(FromDuration(d)); got != d {
-			t.Errorf("%v comes back as %v", d, got)
+			t.Errorf("%v is decoded as %v", d, got)
 		}
 	}
 }
@@ -197,7 +199,7 @@
 		t.Errorf("reports %v in %v", s.LoadReportFields, s.LoadReportSource)
 	}
 	if _, err := ParseSettings([]byte("{")); err == nil {
-		t.Error("settings that are no JSON: no error")
+		t.Error("invalid JSON: no error")
 	}
 }
 
