--- a/cmd/kitehub/daemon_test.go
+++ b/cmd/kitehub/daemon_test.go
@@ -10,38 +10,39 @@
 	"time"
 )
 
-// A successor process takes over from a running one: the old one exits with 0, the supervisor hears of the new one, and
-// what an operator loaded goes on. All by the program's own commands.
+// A successor process takes over from a running one: the old process exits with status 0, the
+// supervisor is notified of the new one, and a script that an operator loaded stays live. The test
+// uses only the program's own commands.
 func TestTakeOverProcess(t *testing.T) {
-	dir, file, _, _ := example(t)
-	socks, err := os.MkdirTemp("", "kh")
+	dir, file, _, _ := startExample(t)
+	socketDir, err := os.MkdirTemp("", "kh") // short, since the path of a socket has a limited length
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { os.RemoveAll(socks) })
-	at := func(name string) string { return filepath.Join(socks, name) }
+	t.Cleanup(func() { os.RemoveAll(socketDir) })
+	socket := func(name string) string { return filepath.Join(socketDir, name) }
 	text, _ := os.ReadFile(file)
-	more := `
+	sections := `
 hooks {}
-rpc { socket: "` + at("s") + `" explain: 100 users { self: true name: "ops" operate: true call: true } }
-daemon { handover: "` + at("h") + `" pid_file: "` + filepath.Join(dir, "pid") + `" starts: 3 within_ms: 60000 }
+rpc { socket: "` + socket("s") + `" explain: 100 users { self: true name: "ops" operate: true call: true } }
+daemon { handover: "` + socket("h") + `" pid_file: "` + filepath.Join(dir, "pid") + `" starts: 3 within_ms: 60000 }
 `
-	if err := os.WriteFile(file, append(text, more...), 0o600); err != nil {
+	if err := os.WriteFile(file, append(text, sections...), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	words, err := net.ListenUnixgram("unixgram", &net.UnixAddr{Name: at("n"), Net: "unixgram"})
+	notifications, err := net.ListenUnixgram("unixgram", &net.UnixAddr{Name: socket("n"), Net: "unixgram"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer words.Close()
-	t.Setenv("NOTIFY_SOCKET", at("n"))
-	hear := func(want string) {
+	defer notifications.Close()
+	t.Setenv("NOTIFY_SOCKET", socket("n"))
+	expectNotification := func(want string) {
 		t.Helper()
 		b := make([]byte, 200)
-		words.SetReadDeadline(time.Now().Add(20 * time.Second))
-		n, err := words.Read(b)
+		notifications.SetReadDeadline(time.Now().Add(20 * time.Second))
+		n, err := notifications.Read(b)
 		if err != nil || !strings.HasPrefix(string(b[:n]), want) {
-			t.Errorf("%q, %v: %q is wanted", b[:n], err, want)
+			t.Errorf("notification %q, error %v, want the prefix %q", b[:n], err, want)
 		}
 	}
 	run := func(args ...string) string {
@@ -53,48 +54,48 @@
 		return string(out)
 	}
 	old, addr := serve(t, file)
-	hear("READY=1")
+	expectNotification("READY=1")
 	script := filepath.Join(dir, "notes.hook")
 	os.WriteFile(script, []byte("on arrive(c) {\nannotate(\"size\", str(c.size))\n}\n"), 0o600)
 	run("hook", "fmt", script)
 	run("hook", "check", script)
-	run("hook", "load", script, "--socket", at("s"))
-	if got := run("hooks", "--socket", at("s")); !strings.Contains(got, "notes   live") {
+	run("hook", "load", script, "--socket", socket("s"))
+	if got := run("hooks", "--socket", socket("s")); !strings.Contains(got, "notes   live") {
 		t.Error(got)
 	}
 	if got := status(t, addr, "a", `{}`); got != 200 {
 		t.Error(got)
 	}
-	if got := run("explain", "a", "--socket", at("s")); !strings.Contains(got, "served") || !strings.Contains(got, "attempt 1") {
+	if got := run("explain", "a", "--socket", socket("s")); !strings.Contains(got, "served") || !strings.Contains(got, "attempt 1") {
 		t.Error(got)
 	}
 	next, nextAddr := launch(t, "serve", "--config", file, "--take-over")
-	hear("MAINPID=" + strconv.Itoa(next.Process.Pid) + "\nREADY=1")
+	expectNotification("MAINPID=" + strconv.Itoa(next.Process.Pid) + "\nREADY=1")
 	if err := old.Wait(); err != nil {
-		t.Errorf("the old process: %v", err)
+		t.Errorf("old process: %v", err)
 	}
 	if nextAddr != addr {
-		t.Errorf("%s serves %s", nextAddr, addr)
+		t.Errorf("the successor listens on %s, want %s", nextAddr, addr)
 	}
-	if got := status(t, addr, "a", `{}`); got != 409 && got != 200 { // taken before: its answer is kept, or it is a replay
+	if got := status(t, addr, "a", `{}`); got != 409 && got != 200 { // a repeated call: the cached answer, or rejected as a replay
 		t.Error(got)
 	}
 	if got := status(t, addr, "b", `{}`); got != 200 {
 		t.Error(got)
 	}
-	if got := run("hooks", "--socket", at("s")); !strings.Contains(got, "notes   live") {
+	if got := run("hooks", "--socket", socket("s")); !strings.Contains(got, "notes   live") {
 		t.Error(got)
 	}
-	if got := run("status", "--socket", at("s")); !strings.Contains(got, strconv.Itoa(next.Process.Pid)) {
+	if got := run("status", "--socket", socket("s")); !strings.Contains(got, strconv.Itoa(next.Process.Pid)) {
 		t.Error(got)
 	}
-	if got := run("call", "trade", "--socket", at("s"), "--wait", "2s"); !strings.Contains(got, `"outcome": "served"`) {
+	if got := run("call", "trade", "--socket", socket("s"), "--wait", "2s"); !strings.Contains(got, `"outcome": "served"`) {
 		t.Error(got)
 	}
 	if pid, _ := os.ReadFile(filepath.Join(dir, "pid")); strings.TrimSpace(string(pid)) != strconv.Itoa(next.Process.Pid) {
 		t.Errorf("pid file: %s", pid)
 	}
-	run("drain", "--socket", at("s"))
+	run("drain", "--socket", socket("s"))
 	if got := status(t, addr, "c", `{}`); got != 503 {
 		t.Error(got)
 	}
--- a/cmd/kitehub/export_test.go
+++ b/cmd/kitehub/export_test.go
@@ -10,10 +10,11 @@
 	"kitehub/internal/registry"
 )
 
-// goldenSnapshot is a state with every kind of version and alias, as an earlier program stored it.
+// goldenSnapshot is a state with every kind of version and alias, as an earlier release stored it.
 const goldenSnapshot = "../../internal/registry/service/testdata/golden/snapshot.json"
 
-// What export prints of a stored state is what earlier programs printed, and import reads it without a key that it does not know.
+// The command export prints a stored state as earlier releases did, and import reads it without
+// finding an unknown key.
 func TestGoldenExport(t *testing.T) {
 	text, err := os.ReadFile(goldenSnapshot)
 	if err != nil {
@@ -29,7 +30,7 @@
 	}
 	goldenfile.Compare(t, "export.json", append(written, '\n'))
 
-	var read exported
+	var read exportedRegistry
 	decoder := json.NewDecoder(bytes.NewReader(goldenfile.Read(t, "export.json")))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&read); err != nil {
@@ -40,7 +41,7 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(append(again, '\n'), goldenfile.Read(t, "export.json")) {
-		t.Errorf("import reads another export: %s", again)
+		t.Errorf("the export differs after import has read it: %s", again)
 	}
-	goldenfile.Tagged(t, exported{})
+	goldenfile.Tagged(t, exportedRegistry{})
 }
--- a/cmd/kitehub/hook.go
+++ b/cmd/kitehub/hook.go
@@ -18,7 +18,7 @@
 	Trace    hookTraceCmd    `cmd:"" help:"Run one test of a script and show each line with its variables."`
 	Repl     hookReplCmd     `cmd:"" help:"Try the language, line by line."`
 	Load     hookLoadCmd     `cmd:"" help:"Load a script into a running controller."`
-	Promote  hookActCmd      `cmd:"" help:"Make a shadow live." name:"promote"`
+	Promote  hookPromoteCmd  `cmd:"" help:"Make a shadow live." name:"promote"`
 	Rollback hookRollbackCmd `cmd:"" help:"Go back to the version before."`
 	Release  hookReleaseCmd  `cmd:"" help:"Let a script in quarantine run again."`
 	Remove   hookRemoveCmd   `cmd:"" help:"Forget a script."`
@@ -29,7 +29,7 @@
 }
 
 func (h *hookCheckCmd) Run() error {
-	bad := 0
+	failed := 0
 	for _, name := range h.Files {
 		text, err := os.ReadFile(name)
 		if err != nil {
@@ -38,7 +38,7 @@
 		p, err := hooklang.Compile(name, string(text))
 		if err != nil {
 			fmt.Fprintln(os.Stderr, err)
-			bad++
+			failed++
 			continue
 		}
 		for _, w := range p.Warnings {
@@ -48,8 +48,8 @@
 			fmt.Printf("%s:%v: on %s: %.4g instructions at most, by estimate (%s)\n", name, c.Pos, c.Point, c.Fuel, c.Why)
 		}
 	}
-	if bad > 0 {
-		return fmt.Errorf("%d of %d scripts are wrong", bad, len(h.Files))
+	if failed > 0 {
+		return fmt.Errorf("%d of %d scripts have errors", failed, len(h.Files))
 	}
 	return nil
 }
@@ -60,7 +60,7 @@
 }
 
 func (h *hookFmtCmd) Run() error {
-	n := 0
+	unformatted := 0
 	for _, name := range h.Files {
 		text, err := os.ReadFile(name)
 		if err != nil {
@@ -73,9 +73,9 @@
 		if out == string(text) {
 			continue
 		}
-		n++
+		unformatted++
 		fmt.Println(name)
-		if !h.List { // whole or not at all
+		if !h.List { // replace the file atomically
 			tmp := filepath.Join(filepath.Dir(name), "."+filepath.Base(name)+".new")
 			if err := os.WriteFile(tmp, []byte(out), 0o644); err != nil {
 				return err
@@ -85,8 +85,8 @@
 			}
 		}
 	}
-	if h.List && n > 0 {
-		return fmt.Errorf("%d not formatted", n)
+	if h.List && unformatted > 0 {
+		return fmt.Errorf("%d scripts are not formatted", unformatted)
 	}
 	return nil
 }
@@ -96,23 +96,23 @@
 }
 
 func (h *hookTestCmd) Run() error {
-	bad := 0
+	failed := 0
 	for _, name := range h.Files {
 		p, err := compileFile(name)
 		if err != nil {
 			return err
 		}
-		l := p.Test()
-		for _, r := range l {
+		results := p.Test()
+		for _, r := range results {
 			if r.Err != nil {
-				bad++
+				failed++
 				fmt.Printf("FAIL %s: %v\n", r.Name, r.Err)
 			}
 		}
-		fmt.Printf("%s: %d tests\n", name, len(l))
+		fmt.Printf("%s: %d tests\n", name, len(results))
 	}
-	if bad > 0 {
-		return fmt.Errorf("%d tests failed", bad)
+	if failed > 0 {
+		return fmt.Errorf("%d tests failed", failed)
 	}
 	return nil
 }
@@ -152,15 +152,15 @@
 type hookReplCmd struct{}
 
 func (h *hookReplCmd) Run() error {
-	r := &hooklang.Session{}
+	session := &hooklang.Session{}
 	in := bufio.NewScanner(os.Stdin)
-	fmt.Fprintln(os.Stderr, "Declarations and statements are kept, expressions are printed. Ctrl-D ends.")
+	fmt.Fprintln(os.Stderr, "Declarations and statements take effect, expressions are printed. Press Ctrl-D to exit.")
 	for fmt.Fprint(os.Stderr, "> "); in.Scan(); fmt.Fprint(os.Stderr, "> ") {
 		text := in.Text()
 		for strings.Count(text, "{") > strings.Count(text, "}") && in.Scan() {
 			text += "\n" + in.Text()
 		}
-		out, err := r.Do(text)
+		out, err := session.Do(text)
 		if err != nil {
 			fmt.Fprintln(os.Stderr, err)
 		} else if out != "" {
@@ -179,7 +179,7 @@
 }
 
 func (h *hookLoadCmd) Run() error {
-	if _, err := compileFile(h.File); err != nil { // told with the file's own name
+	if _, err := compileFile(h.File); err != nil { // checked here so that errors have the name of the file
 		return err
 	}
 	text, err := os.ReadFile(h.File)
@@ -193,32 +193,33 @@
 	return h.request("hook.load", map[string]any{"name": name, "text": string(text), "shadow": h.Shadow}, nil, nil)
 }
 
-type hookActCmd struct {
+type hookPromoteCmd struct {
 	operatorClient
 	Name  string `arg:""`
 	Force bool   `help:"Though it has not been tried enough, or made faults."`
 }
 
-func (h *hookActCmd) Run() error {
+func (h *hookPromoteCmd) Run() error {
 	return h.request("hook.promote", map[string]any{"name": h.Name, "force": h.Force}, nil, nil)
 }
 
-type hookNamed struct {
+// hookNameCmd is the part that commands with only a script's name as argument have in common.
+type hookNameCmd struct {
 	operatorClient
 	Name string `arg:""`
 }
 
-func (h *hookNamed) act(method string) error {
+func (h *hookNameCmd) call(method string) error {
 	if h.Name == "" {
-		return errors.New("no name")
+		return errors.New("the name of the script is empty")
 	}
 	return h.request(method, map[string]any{"name": h.Name}, nil, nil)
 }
 
-type hookRollbackCmd struct{ hookNamed }
-type hookReleaseCmd struct{ hookNamed }
-type hookRemoveCmd struct{ hookNamed }
+type hookRollbackCmd struct{ hookNameCmd }
+type hookReleaseCmd struct{ hookNameCmd }
+type hookRemoveCmd struct{ hookNameCmd }
 
-func (h *hookRollbackCmd) Run() error { return h.act("hook.rollback") }
-func (h *hookReleaseCmd) Run() error  { return h.act("hook.release") }
-func (h *hookRemoveCmd) Run() error   { return h.act("hook.remove") }
+func (h *hookRollbackCmd) Run() error { return h.call("hook.rollback") }
+func (h *hookReleaseCmd) Run() error  { return h.call("hook.release") }
+func (h *hookRemoveCmd) Run() error   { return h.call("hook.remove") }
--- a/cmd/kitehub/interface_test.go
+++ b/cmd/kitehub/interface_test.go
@@ -34,11 +34,12 @@
 	"kitehub/internal/registry/wire"
 )
 
-// The tests of this file hold what operators type and read: a rename of a Go identifier, or a move of a package, must
-// leave the golden files as they are. Where the interface itself is meant to change, run this package's tests with
-// -update and read the difference.
+// The tests of this file compare the program's external interface with golden files. Renaming a Go
+// identifier or moving a package must not change these files. To change the interface on purpose,
+// run the tests of this package with -update and review the diff.
 
-// golden compares text with a file of testdata/interface, or writes it.
+// golden compares text with a file of testdata/interface, or writes the file if the tests run with
+// -update.
 func golden(t *testing.T, name, text string) {
 	t.Helper()
 	path := filepath.Join("testdata", "interface", name)
@@ -55,21 +56,21 @@
 	if string(want) == text {
 		return
 	}
-	held, found := strings.Split(string(want), "\n"), strings.Split(text, "\n")
+	wantLines, gotLines := strings.Split(string(want), "\n"), strings.Split(text, "\n")
 	t.Errorf("%s differs", name)
-	for _, line := range held {
-		if !slices.Contains(found, line) {
-			t.Errorf("%s: gone: %s", name, line)
+	for _, line := range wantLines {
+		if !slices.Contains(gotLines, line) {
+			t.Errorf("%s: removed: %s", name, line)
 		}
 	}
-	for _, line := range found {
-		if !slices.Contains(held, line) {
-			t.Errorf("%s: new: %s", name, line)
+	for _, line := range gotLines {
+		if !slices.Contains(wantLines, line) {
+			t.Errorf("%s: added: %s", name, line)
 		}
 	}
 }
 
-// TestCommandLine holds the commands, with their arguments, flags and defaults.
+// TestCommandLine checks the commands, with their arguments, flags and defaults.
 func TestCommandLine(t *testing.T) {
 	parser, err := kong.New(&cli, kong.Name("kitehub"))
 	if err != nil {
@@ -78,7 +79,7 @@
 	var out strings.Builder
 	var walk func(node *kong.Node, path string)
 	walk = func(node *kong.Node, path string) {
-		fmt.Fprintf(&out, "%s%s%s\n", path, list(" aliases", node.Aliases), mark(node.Hidden, " hidden"))
+		fmt.Fprintf(&out, "%s%s%s\n", path, joined(" aliases", node.Aliases), textIf(node.Hidden, " hidden"))
 		if node.DefaultCmd != nil {
 			fmt.Fprintf(&out, "    default command %s\n", node.DefaultCmd.Name)
 		}
@@ -90,8 +91,8 @@
 			if option.Short != 0 {
 				short = " -" + string(option.Short)
 			}
-			fmt.Fprintf(&out, "    --%s%s %s%s%s%s%s%s%s\n", option.Name, short, describe(option.Value), mark(option.Tag.Negatable != "", " negatable"),
-				list(" env", option.Envs), list(" aliases", option.Aliases), list(" xor", option.Xor), list(" and", option.And), mark(option.Hidden, " hidden"))
+			fmt.Fprintf(&out, "    --%s%s %s%s%s%s%s%s%s\n", option.Name, short, describe(option.Value), textIf(option.Tag.Negatable != "", " negatable"),
+				joined(" env", option.Envs), joined(" aliases", option.Aliases), joined(" xor", option.Xor), joined(" and", option.And), textIf(option.Hidden, " hidden"))
 		}
 		for _, child := range node.Children {
 			name := child.Name
@@ -105,25 +106,27 @@
 	golden(t, "commands.txt", out.String())
 }
 
-// describe tells the form of a value of the command line, without the names of Go types.
+// describe returns the type and the options of a command-line value, without the names of Go types.
 func describe(value *kong.Value) string {
-	return form(value.Target.Type()) + mark(value.Required, " required") + mark(value.HasDefault, " default="+strconv.Quote(value.Default)) +
-		mark(value.Enum != "", " enum="+value.Enum) + mark(value.Tag.Type != "", " type="+value.Tag.Type)
+	return typeName(value.Target.Type()) + textIf(value.Required, " required") + textIf(value.HasDefault, " default="+strconv.Quote(value.Default)) +
+		textIf(value.Enum != "", " enum="+value.Enum) + textIf(value.Tag.Type != "", " type="+value.Tag.Type)
 }
 
-func mark(is bool, text string) string {
-	if is {
+// textIf returns the text if the condition holds, else "".
+func textIf(condition bool, text string) string {
+	if condition {
 		return text
 	}
 	return ""
 }
 
-func list(name string, values []string) string {
-	return mark(len(values) > 0, name+"="+strings.Join(values, ","))
+// joined returns name=values with the values separated by commas; "" without values.
+func joined(name string, values []string) string {
+	return textIf(len(values) > 0, name+"="+strings.Join(values, ","))
 }
 
-// form is a type without the names of those that the program declares.
-func form(t reflect.Type) string {
+// typeName describes a type without the names of types that the program declares.
+func typeName(t reflect.Type) string {
 	switch {
 	case t == reflect.TypeFor[time.Duration]():
 		return "duration"
@@ -132,22 +135,22 @@
 	}
 	switch t.Kind() {
 	case reflect.Pointer:
-		return form(t.Elem())
+		return typeName(t.Elem())
 	case reflect.Slice, reflect.Array:
-		return "[]" + form(t.Elem())
+		return "[]" + typeName(t.Elem())
 	case reflect.Map:
-		return "map[" + form(t.Key()) + "]" + form(t.Elem())
+		return "map[" + typeName(t.Key()) + "]" + typeName(t.Elem())
 	}
 	return t.Kind().String()
 }
 
-// TestProtocolBuffers holds the fields and enums of the configuration and of the script of a day.
+// TestProtocolBuffers checks the fields and enums of the configuration and of the script of a day.
 func TestProtocolBuffers(t *testing.T) {
-	for name, pack := range map[string]protoreflect.FullName{"config.txt": "kitehub.config.v1", "day.txt": "kitehub.day.v1"} {
+	for name, protoPackage := range map[string]protoreflect.FullName{"config.txt": "kitehub.config.v1", "day.txt": "kitehub.day.v1"} {
 		var out strings.Builder
-		protoregistry.GlobalFiles.RangeFilesByPackage(pack, func(file protoreflect.FileDescriptor) bool {
+		protoregistry.GlobalFiles.RangeFilesByPackage(protoPackage, func(file protoreflect.FileDescriptor) bool {
 			local := func(d protoreflect.Descriptor) string {
-				return strings.TrimPrefix(string(d.FullName()), string(pack)+".")
+				return strings.TrimPrefix(string(d.FullName()), string(protoPackage)+".")
 			}
 			var messages func(l protoreflect.MessageDescriptors)
 			enums := func(l protoreflect.EnumDescriptors) {
@@ -178,12 +181,13 @@
 			return true
 		})
 		if out.Len() == 0 {
-			t.Errorf("no file of %s is in the program", pack)
+			t.Errorf("the program has no file of %s", protoPackage)
 		}
 		golden(t, name, out.String())
 	}
 }
 
+// field describes a field of a message. local returns the name of a type within its package.
 func field(f protoreflect.FieldDescriptor, local func(protoreflect.Descriptor) string) string {
 	kind := func(f protoreflect.FieldDescriptor) string {
 		switch {
@@ -201,22 +205,22 @@
 	case f.IsList():
 		text = "repeated " + text
 	}
-	text = fmt.Sprintf("%d %s %s%s", f.Number(), f.Name(), text, mark(f.HasOptionalKeyword(), " optional"))
+	text = fmt.Sprintf("%d %s %s%s", f.Number(), f.Name(), text, textIf(f.HasOptionalKeyword(), " optional"))
 	if one := f.ContainingOneof(); one != nil && !one.IsSynthetic() {
 		text += " oneof=" + string(one.Name())
 	}
 	return text
 }
 
-// TestMessages holds the keys of the JSON that is read and written by way of exported types: results of JSON-RPC
-// methods, the registry's questions and answers (its exported state among them), the list of workers and the lines of a
-// trace. Fields without a tag are there under the names that Go gives them, and a rename of one of these is a change of
-// the interface.
+// TestMessages checks the keys of the JSON that is read and written through exported types: results
+// of JSON-RPC methods, the requests and responses of the registry (including its exported state),
+// the list of workers and the lines of a trace. A field without a tag has its Go name as key, so
+// renaming it changes the interface.
 func TestMessages(t *testing.T) {
 	var out strings.Builder
 	for _, root := range []struct {
 		name string
-		of   reflect.Type
+		typ  reflect.Type
 	}{
 		{"jsonrpc error", reflect.TypeFor[jsonrpc.Error]()},
 		{"jsonrpc result of status", reflect.TypeFor[controller.Status]()},
@@ -236,34 +240,36 @@
 		{"line of a trace", reflect.TypeFor[trace.Record]()},
 	} {
 		fmt.Fprintln(&out, root.name)
-		shape(&out, root.of, "    ", nil)
+		writeKeys(&out, root.typ, "    ", nil)
 	}
 	golden(t, "messages.txt", out.String())
 }
 
-// shape writes the keys that encoding/json gives to a type, each with the form of its value.
-func shape(out *strings.Builder, t reflect.Type, indent string, within []reflect.Type) {
+// writeKeys writes the keys that encoding/json gives to a type, each with the type of its value.
+// enclosing are the types around it. A type among them is not expanded again, so that a type that
+// contains itself does not recurse forever.
+func writeKeys(out *strings.Builder, t reflect.Type, indent string, enclosing []reflect.Type) {
 	for t.Kind() == reflect.Pointer || t.Kind() == reflect.Slice || t.Kind() == reflect.Array || t.Kind() == reflect.Map {
 		t = t.Elem()
 	}
 	if t.Kind() != reflect.Struct || t == reflect.TypeFor[time.Time]() {
 		return
 	}
-	if to := reflect.PointerTo(t); to.Implements(reflect.TypeFor[json.Marshaler]()) || to.Implements(reflect.TypeFor[encoding.TextMarshaler]()) {
+	if pointer := reflect.PointerTo(t); pointer.Implements(reflect.TypeFor[json.Marshaler]()) || pointer.Implements(reflect.TypeFor[encoding.TextMarshaler]()) {
 		fmt.Fprintf(out, "%s(written by itself)\n", indent)
 		return
 	}
-	if slices.Contains(within, t) {
+	if slices.Contains(enclosing, t) {
 		fmt.Fprintf(out, "%s(as above)\n", indent)
 		return
 	}
-	within = append(slices.Clone(within), t)
+	enclosing = append(slices.Clone(enclosing), t)
 	for i := range t.NumField() {
 		f := t.Field(i)
 		tag := f.Tag.Get("json")
 		name, options, _ := strings.Cut(tag, ",")
 		if f.Anonymous && name == "" && f.Type.Kind() == reflect.Struct {
-			shape(out, f.Type, indent, within[:len(within)-1])
+			writeKeys(out, f.Type, indent, enclosing[:len(enclosing)-1])
 			continue
 		}
 		if !f.IsExported() || tag == "-" {
@@ -272,15 +278,16 @@
 		if name == "" {
 			name = f.Name
 		}
-		fmt.Fprintf(out, "%s%s %s%s\n", indent, name, form(f.Type), mark(options != "", " "+options))
-		shape(out, f.Type, indent+"    ", within)
+		fmt.Fprintf(out, "%s%s %s%s\n", indent, name, typeName(f.Type), textIf(options != "", " "+options))
+		writeKeys(out, f.Type, indent+"    ", enclosing)
 	}
 }
 
-// Forms of strings that are names on the wire, wherever in the program they stand.
+// wireNames are patterns of string literals that are names on the wire, wherever in the program
+// they occur.
 var wireNames = []struct {
-	file string
-	form *regexp.Regexp
+	file    string
+	pattern *regexp.Regexp
 }{
 	{"headers.txt", regexp.MustCompile(`^([a-z]+|[A-Z][A-Za-z]*)(-([a-z]+|[A-Z][A-Za-z]*))+$|^(Prefer|traceparent|Allow|Range|Expect|Host|Connection)$`)},
 	{"names.txt", regexp.MustCompile(`^urn:|^type\.googleapis\.com/`)},
@@ -288,17 +295,22 @@
 	{"environment.txt", regexp.MustCompile(`^(RELAY|KITEHUB|NOTIFY|LISTEN|XDG)_[A-Z_]+$`)},
 }
 
-// word is the form of what may be a word of the interface, and is no sentence.
-var word = regexp.MustCompile(`^[A-Za-z0-9_.-]{1,40}$`)
+// wordPattern matches a literal that can be a word of the interface rather than a sentence.
+var wordPattern = regexp.MustCompile(`^[A-Za-z0-9_.-]{1,40}$`)
 
-// TestWords holds the words of the interface that stand in the program's text, as there is no table to reach: names on
-// the wire by their form; words that are compared with (methods, commands, kinds of question), keys of map literals,
-// words that are constants, elements of lists or returned (statuses, outcomes, kinds of record), statuses with the kind
-// of problem, and the keys of each struct with JSON tags, also of those without a name. Sets over the whole module: so
-// neither names in Go nor the packages where they stand are in them. A word that stands in two places is held in a set
-// only as long as one of them has it: so the words of each switch and the keys of each map literal stand together
-// besides, a line each. Where a switch is cut in two, these lines change and the sets do not; that is no change of the
-// interface.
+// TestWords checks the words of the interface that occur only as literals in the source:
+//
+//   - names on the wire, by their patterns;
+//   - literals in comparisons: methods, commands, kinds of query;
+//   - keys of map literals;
+//   - literals that are constants, elements of lists or results: statuses, outcomes, kinds of record;
+//   - HTTP statuses with the kind of problem;
+//   - the keys of each struct with JSON tags, including anonymous structs.
+//
+// The golden files are sets over the whole module, without the names of Go identifiers and
+// packages. A word that occurs twice stays in its set when one occurrence changes. Therefore the
+// words of each switch and the keys of each map literal are also recorded together, one line each.
+// Splitting a switch changes these lines but not the sets; it does not change the interface.
 func TestWords(t *testing.T) {
 	found := map[string]map[string]bool{}
 	add := func(file, text string) {
@@ -335,7 +347,7 @@
 			case *ast.BasicLit:
 				if text, ok := literal(node); ok {
 					for _, w := range wireNames {
-						if w.form.MatchString(text) {
+						if w.pattern.MatchString(text) {
 							add(w.file, text)
 						}
 					}
@@ -353,13 +365,13 @@
 				addAll("switches.txt", words)
 			case *ast.BinaryExpr:
 				for _, e := range []ast.Expr{node.X, node.Y} {
-					if text, ok := literal(e); ok && word.MatchString(text) && (node.Op == token.EQL || node.Op == token.NEQ) {
+					if text, ok := literal(e); ok && wordPattern.MatchString(text) && (node.Op == token.EQL || node.Op == token.NEQ) {
 						add("cases.txt", text)
 					}
 				}
 			case *ast.ValueSpec:
 				for _, e := range node.Values {
-					if text, ok := literal(e); ok && word.MatchString(text) {
+					if text, ok := literal(e); ok && wordPattern.MatchString(text) {
 						add("words.txt", text)
 					}
 				}
@@ -373,14 +385,14 @@
 						}
 						e = pair.Value
 					}
-					if text, ok := literal(e); ok && word.MatchString(text) {
+					if text, ok := literal(e); ok && wordPattern.MatchString(text) {
 						add("words.txt", text)
 					}
 				}
 				addAll("maps.txt", keys)
 			case *ast.ReturnStmt:
 				for _, e := range node.Results {
-					if text, ok := literal(e); ok && word.MatchString(text) {
+					if text, ok := literal(e); ok && wordPattern.MatchString(text) {
 						add("words.txt", text)
 					}
 				}
@@ -401,7 +413,7 @@
 					}
 				}
 			case *ast.StructType:
-				if keys := tagged(node); keys != "" {
+				if keys := taggedKeys(node); keys != "" {
 					add("objects.txt", keys)
 				}
 			}
@@ -423,13 +435,13 @@
 			fmt.Fprintln(&lines, word)
 		}
 		if len(words) == 0 {
-			t.Errorf("%s: nothing found: the test looks in the wrong place", name)
+			t.Errorf("%s: no word found: the test searches the wrong files", name)
 		}
 		golden(t, name, lines.String())
 	}
 }
 
-// literal is the text of a string literal.
+// literal returns the value of an expression that is a string literal.
 func literal(e ast.Expr) (string, bool) {
 	l, ok := e.(*ast.BasicLit)
 	if !ok || l.Kind != token.STRING {
@@ -439,8 +451,9 @@
 	return text, err == nil
 }
 
-// tagged lists the keys of a struct with JSON tags, each with its type where Go has a name for it.
-func tagged(s *ast.StructType) string {
+// taggedKeys lists the keys of a struct with JSON tags, each with its type as builtinType describes
+// it.
+func taggedKeys(s *ast.StructType) string {
 	var keys []string
 	for _, f := range s.Fields.List {
 		if f.Tag == nil {
@@ -448,36 +461,36 @@
 		}
 		tag, _ := literal(f.Tag)
 		if key, ok := reflect.StructTag(tag).Lookup("json"); ok {
-			keys = append(keys, key+" "+builtinForm(f.Type))
+			keys = append(keys, key+" "+builtinType(f.Type))
 		}
 	}
 	return strings.Join(keys, "; ")
 }
 
-// builtinForm tells a type without the names of those that the program declares.
-func builtinForm(e ast.Expr) string {
+// builtinType describes a type expression without the names of types that the program declares.
+func builtinType(e ast.Expr) string {
 	switch e := e.(type) {
 	case *ast.Ident:
 		if slices.Contains([]string{"string", "bool", "int", "int32", "int64", "uint32", "uint64", "float64", "any"}, e.Name) {
 			return e.Name
 		}
 	case *ast.StarExpr:
-		return builtinForm(e.X)
+		return builtinType(e.X)
 	case *ast.ArrayType:
-		return "[]" + builtinForm(e.Elt)
+		return "[]" + builtinType(e.Elt)
 	case *ast.MapType:
-		return "map[" + builtinForm(e.Key) + "]" + builtinForm(e.Value)
+		return "map[" + builtinType(e.Key) + "]" + builtinType(e.Value)
 	}
 	return "other"
 }
 
-// moduleRoot is the nearest directory above that has a go.mod.
+// moduleRoot returns the nearest enclosing directory that has a go.mod.
 func moduleRoot(t *testing.T) string {
 	t.Helper()
 	dir, err := os.Getwd()
 	for err == nil && !exists(filepath.Join(dir, "go.mod")) {
 		if dir == filepath.Dir(dir) {
-			t.Fatal("no go.mod above")
+			t.Fatal("no enclosing directory has a go.mod")
 		}
 		dir = filepath.Dir(dir)
 	}
--- a/cmd/kitehub/main.go
+++ b/cmd/kitehub/main.go
@@ -1,6 +1,6 @@
 // Kitehub is a gateway that runs calls on workers, which load functions on demand.
 //
-// Exit 0: done; 1: failed; 2: wrong use or wrong configuration.
+// Exit status 0: success; 1: failure; 2: invalid command line or configuration.
 package main
 
 import (
@@ -40,7 +40,7 @@
 	parser, err := kong.New(&cli, kong.Name("kitehub"), kong.UsageOnError(),
 		kong.Description("A gateway that runs calls on workers, which load functions on demand."))
 	if err != nil {
-		panic(err) // a fault in the declarations above
+		panic(err) // a bug in the declarations above
 	}
 	ctx, err := parser.Parse(os.Args[1:])
 	if err != nil {
--- a/cmd/kitehub/main_test.go
+++ b/cmd/kitehub/main_test.go
@@ -26,7 +26,8 @@
 	"kitehub/scheduler"
 )
 
-// TestMain runs the program itself where a test asks for it: so tests kill real processes.
+// TestMain runs the program itself instead of the tests if KITEHUB_RUN is set, so that tests can
+// start and kill real processes.
 func TestMain(m *testing.M) {
 	if os.Getenv("KITEHUB_RUN") != "" {
 		main()
@@ -35,21 +36,23 @@
 	os.Exit(m.Run())
 }
 
+// program returns a command that runs the program with the given arguments.
 func program(args ...string) *exec.Cmd {
 	c := exec.Command(os.Args[0], args...)
 	c.Env = append(os.Environ(), "KITEHUB_RUN=1")
 	return c
 }
 
-var listening = regexp.MustCompile(`"listen":"([^"]+)"`)
+// listenAddress matches the address in the log line of a process that starts to serve.
+var listenAddress = regexp.MustCompile(`"listen":"([^"]+)"`)
 
-// serve starts a controller as a process and returns its address.
+// serve starts a controller process, and returns it with its address.
 func serve(t *testing.T, config string) (*exec.Cmd, string) {
 	t.Helper()
 	return launch(t, "serve", "--config", config)
 }
 
-// launch starts a process that serves, and returns its address.
+// launch starts a process that serves, and returns it with its address.
 func launch(t *testing.T, args ...string) (*exec.Cmd, string) {
 	t.Helper()
 	c := program(args...)
@@ -65,7 +68,7 @@
 	go func() {
 		sc := bufio.NewScanner(stderr)
 		for sc.Scan() {
-			if m := listening.FindStringSubmatch(sc.Text()); m != nil {
+			if m := listenAddress.FindStringSubmatch(sc.Text()); m != nil {
 				addr <- m[1]
 			}
 		}
@@ -74,18 +77,18 @@
 	select {
 	case a, ok := <-addr:
 		if !ok {
-			t.Fatal("it ended before it served")
+			t.Fatal("the process ended before it served")
 		}
 		return c, a
 	case <-time.After(20 * time.Second):
-		t.Fatal("it does not serve")
+		t.Fatal("the process does not serve")
 	}
 	return nil, ""
 }
 
 const secret = "whsec_MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw"
 
-// post sends a signed call. The id names the call.
+// post sends a signed call with an id.
 func post(addr, id, function, body string) (*http.Response, error) {
 	k, err := signing.ParseKey(secret)
 	if err != nil {
@@ -106,20 +109,35 @@
 	return (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}).Do(req)
 }
 
-// example writes the configuration of examples/loopback with another folder and port.
-func example(t *testing.T) (dir, config string, host *fakeworker.Host, log *trace.Log) {
+// startExample starts a stand-in worker, and writes the configuration of examples/loopback with
+// another directory and port.
+func startExample(t *testing.T) (dir, config string, host *fakeworker.Host, log *trace.Log) {
 	t.Helper()
 	dir = t.TempDir()
 	clk := clock.System()
 	log = trace.NewLog(clk.Now)
-	host, err := fakeworker.Start(fakeworker.Config{Clock: clk, Trace: log, Fleet: workersim.Config{Store: workersim.Store{FullRateFetches: 4}, Workers: []workersim.Spec{{Name: "w", Cores: 2, Speed: 1,
-		MemoryMB: 4000, Queue: 9, LoadSlots: 2, IdleCopyTTL: time.Minute}}}, Functions: []fakeworker.Kind{{Function: workersim.Function{Name: "trade", MemoryMB: 1, Lanes: 4,
-		Fetch: time.Millisecond}, Class: "trade", Work: time.Millisecond}}})
+	host, err := fakeworker.Start(fakeworker.Config{
+		Clock: clk,
+		Trace: log,
+		Fleet: workersim.Config{
+			Store: workersim.Store{FullRateFetches: 4},
+			Workers: []workersim.Spec{{
+				Name: "w", Cores: 2, Speed: 1, MemoryMB: 4000, Queue: 9, LoadSlots: 2, IdleCopyTTL: time.Minute,
+			}},
+		},
+		Functions: []fakeworker.Kind{{
+			Function: workersim.Function{Name: "trade", MemoryMB: 1, Lanes: 4, Fetch: time.Millisecond},
+			Class:    "trade",
+			Work:     time.Millisecond,
+		}},
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(host.Close)
-	text, err := discovery.MarshalAssignment("workers", []gateway.Worker{{Name: "w", Network: "tcp", Addr: host.Addr("w"), State: scheduler.Ready, Size: 1}})
+	text, err := discovery.MarshalAssignment("workers", []gateway.Worker{
+		{Name: "w", Network: "tcp", Addr: host.Addr("w"), State: scheduler.Ready, Size: 1},
+	})
 	if err == nil {
 		err = discovery.WriteFile(filepath.Join(dir, "workers.json"), text)
 	}
@@ -130,8 +148,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := strings.NewReplacer("127.0.0.1:8080", "127.0.0.1:0", `"state"`, strconv.Quote(filepath.Join(dir, "state")), `"workers.json"`,
-		strconv.Quote(filepath.Join(dir, "workers.json")), "future_ms: 5000", "future_ms: 1000", "ahead_ms: 5000", "ahead_ms: 1000")
+	r := strings.NewReplacer(
+		"127.0.0.1:8080", "127.0.0.1:0",
+		`"state"`, strconv.Quote(filepath.Join(dir, "state")),
+		`"workers.json"`, strconv.Quote(filepath.Join(dir, "workers.json")),
+		"future_ms: 5000", "future_ms: 1000",
+		"ahead_ms: 5000", "ahead_ms: 1000",
+	)
 	config = filepath.Join(dir, "c.textproto")
 	if err := os.WriteFile(config, []byte(r.Replace(string(b))), 0o600); err != nil {
 		t.Fatal(err)
@@ -139,6 +162,7 @@
 	return dir, config, host, log
 }
 
+// status sends a signed call of the function trade, and returns the HTTP status of the response.
 func status(t *testing.T, addr, id, body string) int {
 	t.Helper()
 	resp, err := post(addr, id, "trade", body)
@@ -149,17 +173,18 @@
 	return resp.StatusCode
 }
 
-// kill -9 at any moment leaves nothing that stops the next start, and nothing that runs a call again.
-func TestKilledAndStarted(t *testing.T) {
-	_, config, _, log := example(t)
+// A SIGKILL (kill -9) at any moment leaves no state that prevents the next start, or that lets a
+// call run twice.
+func TestRestartAfterKill(t *testing.T) {
+	_, config, _, log := startExample(t)
 	for i := range 5 {
 		c, addr := serve(t, config)
-		if i > 0 { // taken before the kill, with a timestamp that is not newer than the mark
+		if i > 0 { // called before the kill, with a timestamp that is not newer than the watermark
 			if got := status(t, addr, "same", `{}`); got != 503 && got != 200 {
 				t.Errorf("round %d: %d", i, got)
 			}
 		}
-		for { // until the clock has passed the mark
+		for { // until the clock has passed the watermark
 			got := status(t, addr, fmt.Sprint("round-", i), `{}`)
 			if got == 200 {
 				break
@@ -187,10 +212,11 @@
 	}
 }
 
-// SIGTERM finishes what is out and exits with 0; a second one ends at once with 1.
+// After a SIGTERM, calls in flight are answered and the process exits with status 0. After a second
+// one, it exits at once with status 1.
 func TestSignals(t *testing.T) {
-	_, config, _, log := example(t)
-	began := func() int {
+	_, config, _, log := startExample(t)
+	runsStarted := func() int {
 		n := 0
 		for _, r := range log.Records() {
 			if r.Kind == trace.RunStarted {
@@ -202,28 +228,28 @@
 	c, addr := serve(t, config)
 	got := make(chan int, 1)
 	go func() { got <- status(t, addr, "a", `{"work_ms":500}`) }()
-	for began() < 1 {
+	for runsStarted() < 1 {
 		time.Sleep(time.Millisecond)
 	}
 	c.Process.Signal(syscall.SIGTERM)
 	if s := <-got; s != 200 {
-		t.Errorf("what was out: %d", s)
+		t.Errorf("call in flight: %d", s)
 	}
 	if err := c.Wait(); err != nil {
 		t.Error(err)
 	}
-	c, addr = serve(t, config) // after a clean stop no timestamp but older ones is refused
+	c, addr = serve(t, config) // after a graceful shutdown only older timestamps are rejected
 	served := false
 	for !served {
 		served = status(t, addr, fmt.Sprint("b", time.Now().UnixNano()), `{}`) == 200
 	}
-	n := began()
+	n := runsStarted()
 	go post(addr, "c", "trade", `{"work_ms":3000}`)
-	for began() == n {
+	for runsStarted() == n {
 		time.Sleep(time.Millisecond)
 	}
 	c.Process.Signal(syscall.SIGTERM)
-	for { // until it has begun to stop
+	for { // until the shutdown has begun
 		nc, err := net.Dial("tcp", addr)
 		if err != nil {
 			break
@@ -237,8 +263,9 @@
 	}
 }
 
-func TestExits(t *testing.T) {
-	dir, config, _, _ := example(t)
+// Commands exit with the documented status, and print what is wrong.
+func TestExitStatus(t *testing.T) {
+	dir, config, _, _ := startExample(t)
 	bad := filepath.Join(dir, "bad.textproto")
 	os.WriteFile(bad, []byte("name: \"c1\"\nbogus: 1\n"), 0o600)
 	badRegistry := filepath.Join(dir, "registry.textproto")
@@ -249,11 +276,11 @@
 	text = []byte(strings.NewReplacer("hold_ms: 1500", "hold_ms: 1700", "whsec_b3Bl", "whsec_*").Replace(string(text)))
 	os.WriteFile(badRegistry, text, 0o600)
 	tests := []struct {
-		args []string
-		exit int
-		says string
+		args   []string
+		exit   int
+		output string
 	}{
-		{[]string{"config", "check", config}, 0, "1 files are well"},
+		{[]string{"config", "check", config}, 0, "1 files are valid"},
 		{[]string{"config", "check", bad}, 2, bad + ":2: unknown field: bogus; see docs/operate.md"},
 		{[]string{"config", "check", config, config}, 2, "also used by"},
 		{[]string{"serve", "--config", bad}, 2, "unknown field"},
@@ -275,8 +302,8 @@
 		if errors.As(err, &exit) {
 			code = exit.ExitCode()
 		}
-		if code != tt.exit || !strings.Contains(string(out), tt.says) {
-			t.Errorf("%v: exit %d, want %d with %q:\n%s", tt.args, code, tt.exit, tt.says, out)
+		if code != tt.exit || !strings.Contains(string(out), tt.output) {
+			t.Errorf("%v: exit %d, want %d with %q:\n%s", tt.args, code, tt.exit, tt.output, out)
 		}
 	}
 }
--- a/cmd/kitehub/operate.go
+++ b/cmd/kitehub/operate.go
@@ -17,14 +17,15 @@
 	"kitehub/scheduler"
 )
 
-// A operatorClient is where a running controller listens for operators.
+// An operatorClient holds the flags of commands that send a request to a running controller.
 type operatorClient struct {
 	Socket string        `required:"" type:"path" env:"KITEHUB_SOCKET" help:"The controller's rpc.socket."`
 	Within time.Duration `default:"5s" help:"How long an answer may take."`
 	JSON   bool          `help:"Print the answer as it came."`
 }
 
-// request asks one thing and prints it, by show unless --json is given.
+// request sends one request and prints its result: by show, or as JSON if --json is given or show
+// is nil.
 func (s *operatorClient) request(method string, params, result any, show func()) error {
 	c, err := jsonrpc.Dial(s.Socket, s.Within)
 	if err != nil {
@@ -53,10 +54,10 @@
 	return nil
 }
 
-func printTable(head string, f func(w *tabwriter.Writer)) {
+func printTable(header string, printRows func(w *tabwriter.Writer)) {
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(w, head)
-	f(w)
+	fmt.Fprintln(w, header)
+	printRows(w)
 	w.Flush()
 }
 
@@ -69,7 +70,7 @@
 		if x.Draining {
 			state = "draining"
 		}
-		fmt.Printf("%s (process %d): %s, %d calls in hand\n", x.Name, x.PID, state, x.Open)
+		fmt.Printf("%s (process %d): %s, %d calls in flight\n", x.Name, x.PID, state, x.Open)
 		a := x.Answers
 		fmt.Printf("served %d, refused %d, failed %d, gone %d, left %d, turned away %d\n",
 			a["served"], a["refused"], a["failed"], a["gone"], a["left"], a["turned"])
@@ -174,11 +175,11 @@
 func (s *explainCmd) Run() error {
 	var x gateway.Explanation
 	return s.request("explain", map[string]string{"id": s.ID}, &x, func() {
-		how := "in hand"
+		outcome := "in flight"
 		if x.Answer != "" {
-			how = x.Answer
+			outcome = x.Answer
 		}
-		fmt.Printf("%s: %s, %s after %.1f ms\n", x.ID, x.Function, how, x.TookMS)
+		fmt.Printf("%s: %s, %s after %.1f ms\n", x.ID, x.Function, outcome, x.TookMS)
 		for _, l := range x.Lines {
 			fmt.Println(" ", l)
 		}
--- a/cmd/kitehub/registry.go
+++ b/cmd/kitehub/registry.go
@@ -34,7 +34,7 @@
 	Import   registryImportCmd   `cmd:"" help:"Read from standard input what export printed, into an empty registry."`
 }
 
-// registryClient is how an operator's commands reach the registry.
+// registryClient holds the flags of commands that send a request to the registry.
 type registryClient struct {
 	Server  string        `required:"" env:"KITEHUB_REGISTRY" help:"host:port of the registry."`
 	KeyFile string        `required:"" type:"existingfile" env:"KITEHUB_REGISTRY_KEY" help:"File with the operator's secret."`
@@ -55,8 +55,8 @@
 	return &client.Client{Server: r.Server, Name: "operator", Key: k, Wall: time.Now}, nil
 }
 
-// sendCommand gives a command and prints what came of it. A move that has not ended yet is an error that says how to go
-// on.
+// sendCommand sends a command and prints its result. If it started a migration that is not complete
+// yet, the error says how to query the migration.
 func (r *registryClient) sendCommand(cmd wire.Command) error {
 	c, err := r.client()
 	if err != nil {
@@ -72,12 +72,12 @@
 	var status *client.StatusError
 	if err != nil {
 		if !errors.As(err, &status) || status.Status == 503 {
-			return fmt.Errorf("%w\nit may have been taken: the same again with --key %s is safe", err, key)
+			return fmt.Errorf("%w\nthe command may have been applied: repeating it with --key %s is safe", err, key)
 		}
 		return err
 	}
 	if a.Replayed {
-		fmt.Println("the key was used for this before: nothing was done anew")
+		fmt.Println("this command was already applied with the same key: nothing was changed")
 	}
 	for _, x := range a.Collected {
 		fmt.Println(x.Model, x.Version, x.Digest)
@@ -91,7 +91,7 @@
 	case a.Status == "given up":
 		return fmt.Errorf("move %d was given up: %s", a.Migration, a.Reason)
 	}
-	return fmt.Errorf("move %d is still %s: kitehub registry move %d asks again", a.Migration, a.Status, a.Migration)
+	return fmt.Errorf("move %d is still %s: query it again with kitehub registry move %d", a.Migration, a.Status, a.Migration)
 }
 
 func (r *registryClient) query(q wire.Query) (*wire.Response, error) {
@@ -115,8 +115,18 @@
 }
 
 func (p *registryPushCmd) Run() error {
-	return p.sendCommand(wire.Command{Push: &registry.Push{Model: p.Model, Reason: p.Why, Version: registry.Version{Name: p.Version, Digest: p.Digest, Size: p.Size,
-		MemoryMB: p.MemoryMB, Lanes: p.Lanes, LoadTime: p.Load}}})
+	return p.sendCommand(wire.Command{Push: &registry.Push{
+		Model:  p.Model,
+		Reason: p.Why,
+		Version: registry.Version{
+			Name:     p.Version,
+			Digest:   p.Digest,
+			Size:     p.Size,
+			MemoryMB: p.MemoryMB,
+			Lanes:    p.Lanes,
+			LoadTime: p.Load,
+		},
+	}})
 }
 
 type registryPromoteCmd struct {
@@ -132,13 +142,20 @@
 
 func (p *registryStageCmd) Run() error {
 	if p.Copies == 0 {
-		return errors.New("--copies: give the number of copies that must stand")
+		return errors.New("--copies: set the number of copies that must be loaded first")
 	}
 	return p.registryPromoteCmd.Run()
 }
 
 func (p *registryPromoteCmd) Run() error {
-	return p.sendCommand(wire.Command{Promote: &registry.Promote{Model: p.Model, Alias: p.Alias, To: p.Version, IfRevision: p.IfRevision, Copies: p.Copies, Reason: p.Why}})
+	return p.sendCommand(wire.Command{Promote: &registry.Promote{
+		Model:      p.Model,
+		Alias:      p.Alias,
+		To:         p.Version,
+		IfRevision: p.IfRevision,
+		Copies:     p.Copies,
+		Reason:     p.Why,
+	}})
 }
 
 type registryRollbackCmd struct {
@@ -149,7 +166,12 @@
 }
 
 func (p *registryRollbackCmd) Run() error {
-	return p.sendCommand(wire.Command{Rollback: &registry.Rollback{Model: p.Model, Alias: p.Alias, IfRevision: p.IfRevision, Reason: p.Why}})
+	return p.sendCommand(wire.Command{Rollback: &registry.Rollback{
+		Model:      p.Model,
+		Alias:      p.Alias,
+		IfRevision: p.IfRevision,
+		Reason:     p.Why,
+	}})
 }
 
 type registryCondemnCmd struct {
@@ -169,7 +191,11 @@
 }
 
 func (p *registryPolicyCmd) Run() error {
-	return p.sendCommand(wire.Command{Policy: &registry.Policy{Model: p.Model, AllowStale: p.Stale == "stale", Reason: p.Why}})
+	return p.sendCommand(wire.Command{Policy: &registry.Policy{
+		Model:      p.Model,
+		AllowStale: p.Stale == "stale",
+		Reason:     p.Why,
+	}})
 }
 
 type registryGcCmd struct{ registryClient }
@@ -194,16 +220,16 @@
 		if err := json.Unmarshal(text, &m); err != nil {
 			return err
 		}
-		for _, x := range byName(m.Aliases) {
-			moving := ""
+		for _, x := range sortedByName(m.Aliases) {
+			migration := ""
 			if x.Migration != nil && x.Migration.Fenced {
-				moving = fmt.Sprintf("move %d waits for controllers", x.Migration.ID)
+				migration = fmt.Sprintf("move %d waits for controllers", x.Migration.ID)
 			} else if x.Migration != nil {
-				moving = fmt.Sprintf("move %d to %s waits for copies", x.Migration.ID, x.Migration.To)
+				migration = fmt.Sprintf("move %d to %s waits for copies", x.Migration.ID, x.Migration.To)
 			}
-			fmt.Fprintf(w, "alias\t%s\t%s\t%s\trevision %d\t%s\n", m.Name, x.Name, x.Version, x.Revision, moving)
+			fmt.Fprintf(w, "alias\t%s\t%s\t%s\trevision %d\t%s\n", m.Name, x.Name, x.Version, x.Revision, migration)
 		}
-		for _, v := range byName(m.Versions) {
+		for _, v := range sortedByName(m.Versions) {
 			fmt.Fprintf(w, "version\t%s\t%s\t%s\t%s\t%d bytes\n", m.Name, v.Name, v.Phase, v.Digest, v.Size)
 		}
 	}
@@ -263,8 +289,10 @@
 	}
 }
 
-// An exported registry holds what an empty one needs to name the same bytes under the same names. Revisions begin anew.
-type exported struct {
+// exportedRegistry is the JSON that export prints and import reads: the versions, aliases and
+// policies of a registry. Revisions are not part of it: they start over in the registry that
+// imports it.
+type exportedRegistry struct {
 	Pushes  []registry.Push    `json:"Pushes"`
 	Aliases []registry.Promote `json:"Aliases"`
 	Stale   []string           `json:"Stale"`
@@ -286,22 +314,34 @@
 	return enc.Encode(export(&s))
 }
 
-func byName[V any](m map[string]V) (l []V) {
+// sortedByName returns the values of a map, sorted by their keys.
+func sortedByName[V any](m map[string]V) (values []V) {
 	for _, name := range slices.Sorted(maps.Keys(m)) {
-		l = append(l, m[name])
+		values = append(values, m[name])
 	}
-	return l
+	return values
 }
 
-func export(s *registry.State) (e exported) {
-	for _, m := range byName(s.Models) {
-		for _, v := range byName(m.Versions) {
+// export returns the versions that are not condemned, the aliases that have a version, and the
+// models that allow stale answers.
+func export(s *registry.State) (e exportedRegistry) {
+	for _, m := range sortedByName(s.Models) {
+		for _, v := range sortedByName(m.Versions) {
 			if v.Phase != registry.Condemned {
-				e.Pushes = append(e.Pushes, registry.Push{Model: m.Name, Version: registry.Version{Name: v.Name, Digest: v.Digest, Size: v.Size,
-					MemoryMB: v.MemoryMB, Lanes: v.Lanes, LoadTime: v.LoadTime}})
+				e.Pushes = append(e.Pushes, registry.Push{
+					Model: m.Name,
+					Version: registry.Version{
+						Name:     v.Name,
+						Digest:   v.Digest,
+						Size:     v.Size,
+						MemoryMB: v.MemoryMB,
+						Lanes:    v.Lanes,
+						LoadTime: v.LoadTime,
+					},
+				})
 			}
 		}
-		for _, x := range byName(m.Aliases) {
+		for _, x := range sortedByName(m.Aliases) {
 			if x.Version != "" {
 				e.Aliases = append(e.Aliases, registry.Promote{Model: m.Name, Alias: x.Name, To: x.Version})
 			}
@@ -318,7 +358,7 @@
 func (p *registryImportCmd) Run() error {
 	d := json.NewDecoder(os.Stdin)
 	d.DisallowUnknownFields()
-	var e exported
+	var e exportedRegistry
 	if err := d.Decode(&e); err != nil {
 		return fmt.Errorf("standard input: %w", err)
 	}
@@ -327,11 +367,12 @@
 		key = client.NewID("import")
 	}
 	n := 0
-	send := func(cmd wire.Command) error { // each part has a key of its own: an import that stopped is gone on with by --key
+	// Each part has a key of its own, so that an import that failed can be continued with --key.
+	send := func(cmd wire.Command) error {
 		n++
 		p.Key = fmt.Sprintf("%s-%d", key, n)
 		if err := p.sendCommand(cmd); err != nil {
-			return fmt.Errorf("part %d: %w\ngo on with --key %s", n, err, key)
+			return fmt.Errorf("part %d: %w\ncontinue with --key %s", n, err, key)
 		}
 		return nil
 	}
--- a/cmd/kitehub/registryserve.go
+++ b/cmd/kitehub/registryserve.go
@@ -27,8 +27,8 @@
 	Config string `required:"" type:"path" help:"Configuration, in protobuf text format."`
 }
 
-// Run serves until SIGTERM or SIGINT, or until the store is broken: then it ends with an error, to be restarted by its
-// supervisor.
+// Run serves until SIGTERM or SIGINT. It also ends when the store fails, with an error, so that the
+// supervisor restarts the process.
 func (s *registryServeCmd) Run() error {
 	b, err := config.LoadRegistry(s.Config)
 	if err != nil {
@@ -64,16 +64,16 @@
 	go srv.Serve(ln)
 	log.Info().Str("listen", ln.Addr().String()).Uint64("snapshot", rec.Snapshot).Int("records", rec.Records).
 		Int64("cut", rec.Cut).Msg("serving")
-	err = awaitEnd(svc)
+	err = awaitShutdown(svc)
 	ln.Close()
-	go srv.Drain(registryDrainTimeout) // while the service closes, which answers those who wait
+	go srv.Drain(registryDrainTimeout) // at the same time as svc.Close, which answers pending long polls
 	closeErr := svc.Close()
 	srv.Drain(registryDrainTimeout)
 	return errors.Join(err, closeErr)
 }
 
-// awaitEnd returns nil on SIGTERM or SIGINT, or the error of a store that is broken.
-func awaitEnd(svc *service.Service) error {
+// awaitShutdown returns nil on SIGTERM or SIGINT, or the error of a store that failed.
+func awaitShutdown(svc *service.Service) error {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	ticker := time.NewTicker(time.Second)
--- a/cmd/kitehub/relay.go
+++ b/cmd/kitehub/relay.go
@@ -12,13 +12,14 @@
 
 type relayCmd struct{}
 
-// Run serves as a controller of a platform that configures by RELAY_* and JSON, until SIGTERM has been carried out.
+// Run runs a controller on a platform that configures it by RELAY_* variables and JSON. It returns
+// when the shutdown after a SIGTERM or SIGINT is complete.
 func (*relayCmd) Run() error {
-	reload := make(chan os.Signal, 1) // one that waits is enough: the newest file is read then
-	stop := make(chan os.Signal, 2)   // the first two count
+	reload := make(chan os.Signal, 1) // one pending signal suffices, since a reload reads the newest file
+	stop := make(chan os.Signal, 2)   // the first signal, and a second one during the shutdown
 	signal.Notify(reload, syscall.SIGHUP)
 	signal.Notify(stop, syscall.SIGTERM, os.Interrupt)
-	w := lossyLog()
+	w := newLogWriter()
 	defer w.Close()
 	log := zerolog.New(w).Level(zerolog.InfoLevel).With().Timestamp().Logger()
 	return relay.Run(os.Getenv, log, relay.Signals{Reload: reload, Stop: stop})
--- a/cmd/kitehub/serve.go
+++ b/cmd/kitehub/serve.go
@@ -25,15 +25,15 @@
 	TakeOver bool   `help:"Take the place of the controller that runs with daemon.handover: it finishes what it has in hand."`
 }
 
-// Run serves until the first SIGTERM or SIGINT has been carried out; a second one ends at once. SIGHUP reloads the
-// clients, their keys and the scripts.
+// Run serves until the graceful shutdown after a SIGTERM or SIGINT is complete. A second signal
+// ends the process at once. SIGHUP reloads the clients, their keys and the scripts.
 func (s *serveCmd) Run() error {
 	b, err := config.Load(s.Config)
 	if err != nil {
 		return err
 	}
 	p := newServeProcess(s, b)
-	defer p.undoAll()
+	defer p.cleanUp()
 	for _, step := range []func() error{
 		p.findSupervisor,
 		p.recordStart,
@@ -54,18 +54,18 @@
 	return p.stop()
 }
 
-// A serveProcess is the one controller of a process, and what the process owes to its surroundings: its supervisor, its
-// PID file and the record of its starts. It is used by the goroutine of Run, but for the operators' method reload,
-// which comes by the channel.
+// A serveProcess is the process of the command serve. It runs one controller, notifies the
+// supervisor, and maintains the PID file and the record of starts. Only the goroutine of Run uses
+// it, except for requestReload, which reaches that goroutine through a channel.
 type serveProcess struct {
 	cmd        *serveCmd
-	built      *config.ControllerConfig
+	config     *config.ControllerConfig
 	log        zerolog.Logger
 	signals    chan os.Signal
-	reloads    chan chan error // an operator waits for the error
+	reloads    chan chan error // each element receives the error of one reload
 	supervisor *daemon.Supervisor
 	controller *controller.Controller
-	undo       []func() // of what must be undone when the process ends
+	cleanups   []func() // run by cleanUp when the process ends
 
 	starts     daemon.CrashLoop
 	startsFile string
@@ -74,15 +74,15 @@
 }
 
 func newServeProcess(s *serveCmd, b *config.ControllerConfig) *serveProcess {
-	w := lossyLog()
+	w := newLogWriter()
 	p := &serveProcess{
 		cmd:     s,
-		built:   b,
+		config:  b,
 		log:     zerolog.New(w).Level(b.LogLevel).With().Timestamp().Str("controller", b.Name).Logger(),
 		signals: make(chan os.Signal, 4),
 		reloads: make(chan chan error),
 	}
-	p.undo = append(p.undo, func() { w.Close() })
+	p.cleanups = append(p.cleanups, func() { w.Close() })
 	for _, text := range b.Warnings {
 		p.log.Warn().Msg(text)
 	}
@@ -90,22 +90,24 @@
 	return p
 }
 
-// undoAll undoes what the steps have done, the last one first.
-func (p *serveProcess) undoAll() {
-	for i := len(p.undo) - 1; i >= 0; i-- {
-		p.undo[i]()
+// cleanUp runs the cleanups, the last one first.
+func (p *serveProcess) cleanUp() {
+	for i := len(p.cleanups) - 1; i >= 0; i-- {
+		p.cleanups[i]()
 	}
 }
 
-// logLines is how many log lines wait for a slow standard error before some are dropped, and counted.
-const logLines = 8192
+// maxBufferedLogLines is how many log lines are buffered while standard error is slow. Further
+// lines are dropped and counted.
+const maxBufferedLogLines = 8192
 
-// lossyLog writes to standard error. The gateway's loop must not wait for whoever reads the log: lines are dropped
-// before that.
-func lossyLog() diode.Writer {
-	// Closing a diode closes what it writes to, and the reason of the end is still to be printed there.
+// newLogWriter returns a writer to standard error that drops lines rather than block, since the
+// gateway's loop must not wait for the reader of the log.
+func newLogWriter() diode.Writer {
+	// The wrapper hides os.Stderr's Close method: a diode closes its writer, and the error with
+	// which the process ends is still printed to standard error afterwards.
 	stderr := struct{ io.Writer }{os.Stderr}
-	return diode.NewWriter(stderr, logLines, 5*time.Millisecond, func(missed int) {
+	return diode.NewWriter(stderr, maxBufferedLogLines, 5*time.Millisecond, func(missed int) {
 		const format = `{"level":"warn","missed":%d,"message":"log lines dropped: standard error is slow"}` + "\n"
 		fmt.Fprintf(os.Stderr, format, missed)
 	})
@@ -116,19 +118,19 @@
 	return err
 }
 
-// warnSupervisor logs that the supervisor could not be notified: the process serves all the same.
-func (p *serveProcess) warnSupervisor(err error) {
+// logNotifyError logs that the supervisor could not be notified. The process continues to serve.
+func (p *serveProcess) logNotifyError(err error) {
 	if err != nil {
 		p.log.Warn().Err(err).Msg("supervisor not notified")
 	}
 }
 
 func (p *serveProcess) notifyReady() {
-	p.warnSupervisor(p.supervisor.Ready("serving on " + p.controller.Addr()))
+	p.logNotifyError(p.supervisor.Ready("serving on " + p.controller.Addr()))
 }
 
-// startWatchdog notifies the supervisor for as long as the gateway's loop takes turns: of one that hangs it hears
-// nothing, and restarts the process.
+// startWatchdog notifies the supervisor's watchdog regularly while the gateway's loop is running.
+// If the loop hangs, the notifications stop and the supervisor restarts the process.
 func (p *serveProcess) startWatchdog() {
 	interval := p.supervisor.WatchdogInterval()
 	if interval <= 0 {
@@ -136,19 +138,19 @@
 	}
 	go func() {
 		for p.controller.Gateway.Alive() == nil {
-			p.warnSupervisor(p.supervisor.Alive())
+			p.logNotifyError(p.supervisor.Alive())
 			time.Sleep(interval)
 		}
 	}()
 }
 
-// recordStart detects a crash loop, and records this start as one that has not ended well.
+// recordStart detects a crash loop, and records this start as not clean until recordEnd.
 func (p *serveProcess) recordStart() error {
-	dir := filepath.Dir(p.built.WatermarkFile)
+	dir := filepath.Dir(p.config.WatermarkFile)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return fmt.Errorf("state_dir: %w", err)
 	}
-	d := p.built.Daemon
+	d := p.config.Daemon
 	p.starts = daemon.CrashLoop{
 		MaxStarts: int(d.GetStarts()),
 		Window:    time.Duration(d.GetWithinMs() * float64(time.Millisecond)),
@@ -167,16 +169,18 @@
 	return nil
 }
 
-// recordEnd records that this start has ended well. It reads the file anew: a successor may have recorded its own.
+// recordEnd records this start as clean. It reads the file again, since a successor may have
+// recorded its own start.
 func (p *serveProcess) recordEnd() error {
 	p.starts.Load(p.startsFile)
 	p.starts.End(p.startedAt)
 	return p.starts.Save(p.startsFile)
 }
 
-// writePIDFile writes the PID file, unless this process takes over: then the file is the old process's until it serves.
+// writePIDFile writes the PID file, and removes it when the process ends. A process that takes over
+// leaves the file to its predecessor until takeOver replaces it.
 func (p *serveProcess) writePIDFile() error {
-	file := p.built.Daemon.GetPidFile()
+	file := p.config.Daemon.GetPidFile()
 	if file == "" {
 		return nil
 	}
@@ -185,7 +189,7 @@
 			return err
 		}
 	}
-	p.undo = append(p.undo, func() { daemon.RemovePID(file, os.Getpid()) })
+	p.cleanups = append(p.cleanups, func() { daemon.RemovePID(file, os.Getpid()) })
 	return nil
 }
 
@@ -194,19 +198,19 @@
 	if p.cmd.TakeOver {
 		return p.takeOver(o)
 	}
-	p.controller, err = controller.Start(p.built, o)
+	p.controller, err = controller.Start(p.config, o)
 	return err
 }
 
-// takeOver starts the controller in the place of the one that runs.
+// takeOver starts the controller as the successor of a running one.
 func (p *serveProcess) takeOver(o controller.Options) (err error) {
-	d := p.built.Daemon
+	d := p.config.Daemon
 	if d.GetHandover() == "" {
 		return errors.New("--take-over: the configuration has no daemon.handover")
 	}
 	p.controller, err = controller.TakeOver(d.Handover, func(s *controller.Succession) (*controller.Controller, error) {
 		o.Predecessor = s
-		return controller.Start(p.built, o)
+		return controller.Start(p.config, o)
 	})
 	if err != nil {
 		return err
@@ -216,11 +220,12 @@
 			return err
 		}
 	}
-	p.warnSupervisor(p.supervisor.MainPID(os.Getpid()))
+	p.logNotifyError(p.supervisor.MainPID(os.Getpid()))
 	return nil
 }
 
-// handleEvents serves until a signal to stop, or until a successor has taken over: then it returns true.
+// handleEvents serves until a signal to stop, or until a successor has taken over, in which case it
+// returns true.
 func (p *serveProcess) handleEvents() (handedOver bool) {
 	for {
 		select {
@@ -237,18 +242,20 @@
 	}
 }
 
-// requestReload has the goroutine of Run reload, and waits for it. It is the operators' method reload.
+// requestReload asks the goroutine of Run to reload, and waits for the result. It implements the
+// RPC method reload.
 func (p *serveProcess) requestReload() error {
 	done := make(chan error, 1)
 	p.reloads <- done
 	return <-done
 }
 
-// reload reads the configuration's clients and scripts again. What is wrong is logged, and the previous ones stay.
+// reload reads the clients and scripts of the configuration again. It logs an error, and what
+// cannot be reloaded keeps its previous state.
 func (p *serveProcess) reload() error {
 	var now unix.Timespec
 	unix.ClockGettime(unix.CLOCK_MONOTONIC, &now)
-	p.warnSupervisor(p.supervisor.Reloading(now.Nano() / 1000))
+	p.logNotifyError(p.supervisor.Reloading(now.Nano() / 1000))
 	defer p.notifyReady()
 	err := p.reloadConfig()
 	if err != nil {
@@ -271,9 +278,9 @@
 func (p *serveProcess) stop() error {
 	go p.rejectReloads()
 	p.log.Info().Int("open", p.controller.Gateway.OpenRequests()).Msg("stopping")
-	p.warnSupervisor(p.supervisor.Stopping())
+	p.logNotifyError(p.supervisor.Stopping())
 	stopped := make(chan error, 1)
-	go func() { stopped <- p.controller.Stop(p.built.StopTimeout) }()
+	go func() { stopped <- p.controller.Stop(p.config.StopTimeout) }()
 	for {
 		select {
 		case err := <-stopped:
@@ -281,12 +288,13 @@
 			return errors.Join(err, p.recordEnd())
 		case sig := <-p.signals:
 			if sig != syscall.SIGHUP {
-				return errors.New("ended by a second signal: what was in hand has no answer")
+				return errors.New("stopped by a second signal: calls in flight were not answered")
 			}
 		}
 	}
 }
 
+// rejectReloads rejects requests to reload while the process shuts down.
 func (p *serveProcess) rejectReloads() {
 	for done := range p.reloads {
 		done <- errors.New("stopping")
--- a/cmd/kitehub/standin.go
+++ b/cmd/kitehub/standin.go
@@ -25,12 +25,12 @@
 	Work     time.Duration `default:"40ms" help:"How long a call runs."`
 }
 
-// Run hosts stand-in workers on loopback until SIGTERM or SIGINT.
+// Run runs stand-in workers on the loopback interface until SIGTERM or SIGINT.
 func (s *standinCmd) Run() error {
 	if s.Workers < 1 || s.Workers > 80 {
-		return fmt.Errorf("--workers: %d is not from 1 to 80", s.Workers)
+		return fmt.Errorf("--workers: %d is not between 1 and 80", s.Workers)
 	}
-	cfg, err := s.fleet()
+	cfg, err := s.workerConfig()
 	if err != nil {
 		return err
 	}
@@ -65,8 +65,9 @@
 	return nil
 }
 
-// fleet returns the workers, all alike, and the functions that they can load.
-func (s *standinCmd) fleet() (fakeworker.Config, error) {
+// workerConfig returns the configuration of the workers, which are all alike, and of the functions
+// that they can load.
+func (s *standinCmd) workerConfig() (fakeworker.Config, error) {
 	cfg := fakeworker.Config{
 		Clock: clock.System(),
 		Fleet: workersim.Config{
@@ -89,7 +90,7 @@
 	for _, f := range s.Function {
 		name, class, ok := strings.Cut(f, ":")
 		if !ok || name == "" || class == "" {
-			return cfg, fmt.Errorf("--function: %q is not a name and a class", f)
+			return cfg, fmt.Errorf("--function: %q is not a name and a class, separated by a colon", f)
 		}
 		cfg.Functions = append(cfg.Functions, fakeworker.Kind{
 			Function: workersim.Function{
--- a/cmd/kitehub/tools.go
+++ b/cmd/kitehub/tools.go
@@ -23,7 +23,8 @@
 	Trace string `help:"Write the trace there." type:"path"`
 }
 
-// Run plays the demo's day. A rule that nothing was judged on is not shown to be kept.
+// Run plays the day of the demo. It fails if a rule was broken, and also if a rule was not checked
+// at all.
 func (d *demoCmd) Run() error {
 	s, err := scenario.Load("demo")
 	if err != nil {
@@ -38,7 +39,7 @@
 	res.Write(os.Stdout)
 	for r, n := range res.Verdict.Judged {
 		if n == 0 {
-			return fmt.Errorf("rule %d was judged on nothing", r+1)
+			return fmt.Errorf("rule %d was not checked: the day had no event that it applies to", r+1)
 		}
 	}
 	return checkResult(res)
@@ -62,8 +63,8 @@
 		return err
 	}
 	err = trace.Write(f, records)
-	if cerr := f.Close(); err == nil {
-		err = cerr
+	if closeErr := f.Close(); err == nil {
+		err = closeErr
 	}
 	return err
 }
@@ -174,7 +175,7 @@
 }
 
 func (c *configCheckCmd) Run() error {
-	var built []*config.ControllerConfig
+	var configs []*config.ControllerConfig
 	var all config.Problems
 	for _, name := range c.Files {
 		b, err := config.Load(name)
@@ -185,30 +186,30 @@
 		case err != nil:
 			return err
 		default:
-			built = append(built, b)
+			configs = append(configs, b)
 			all = append(all, checkScripts(name, b.Scripts)...)
 			for _, w := range b.Warnings {
 				fmt.Fprintf(os.Stderr, "%s: warning: %s\n", name, w)
 			}
 		}
 	}
-	if len(all) == 0 && len(built) > 1 {
-		if err := config.CheckConsistency(c.Files, built); err != nil {
+	if len(all) == 0 && len(configs) > 1 {
+		if err := config.CheckConsistency(c.Files, configs); err != nil {
 			return err
 		}
 	}
 	if len(all) > 0 {
 		return all
 	}
-	fmt.Printf("%d files are well\n", len(c.Files))
+	fmt.Printf("%d files are valid\n", len(c.Files))
 	return nil
 }
 
-// checkScripts returns what is wrong with the scripts that a configuration names.
-func checkScripts(configFile string, scripts []*config.HookFile) (l config.Problems) {
+// checkScripts compiles the scripts of a configuration, and returns the errors.
+func checkScripts(configFile string, scripts []*config.HookFile) (problems config.Problems) {
 	for i, script := range scripts {
 		if _, err := compileFile(script.File); err != nil {
-			l = append(l, config.Problem{
+			problems = append(problems, config.Problem{
 				File:    configFile,
 				Field:   fmt.Sprintf("hooks.scripts[%d].file", i),
 				Message: err.Error(),
@@ -216,7 +217,7 @@
 			})
 		}
 	}
-	return l
+	return problems
 }
 
 type keyCmd struct {
