--- a/cmd/kitehub/interface_test.go
+++ b/cmd/kitehub/interface_test.go
@@ -303,7 +303,7 @@
 //   - names on the wire, by their patterns;
 //   - literals in comparisons: methods, commands, kinds of query;
 //   - keys of map literals;
-//   - literals that are constants, elements of lists or results: statuses, outcomes, kinds of record;
+//   - literals that are constants, list elements or results: statuses, outcomes, record kinds;
 //   - HTTP statuses with the kind of problem;
 //   - the keys of each struct with JSON tags, including anonymous structs.
 //
--- a/config/consistency.go
+++ b/config/consistency.go
@@ -4,8 +4,8 @@
 
 // CheckConsistency checks the configurations of several controllers against each other. A key that
 // two controllers share would let a message to one be replayed at the other, and two controllers
-// with the same number would share one part of the limit on workers that are warming up. names are
-// the names of the files, in the order of configs. The error is of type Problems.
+// with the same number would halve the load limit of workers that are warming up. names are the
+// names of the files, in the order of configs. The error is of type Problems.
 func CheckConsistency(names []string, configs []*ControllerConfig) error {
 	c := consistencyCheck{
 		secretFiles: map[string]string{},
@@ -21,7 +21,7 @@
 			c.add(Problem{
 				Field:   "controllers",
 				Message: fmt.Sprintf("%d, but %d files were given", config.Settings.Controllers, len(configs)),
-				Remedy:  "the limit on workers that are warming up is divided by this number",
+				Remedy:  "the load limit of workers that are warming up is divided by this number",
 			})
 		}
 	}
--- a/config/controller.go
+++ b/config/controller.go
@@ -62,7 +62,7 @@
 	// RPCSocket is the path of its Unix socket, and RPCSocketMode are the socket's permissions.
 	RPCSocket     string
 	RPCSocketMode os.FileMode
-	// MaxExplanations is how many answered calls are kept for explain.
+	// MaxExplanations is how many answered calls can still be explained.
 	MaxExplanations int
 
 	// Daemon configures the PID file, the handover to a successor and the detection of crash loops;
--- a/config/load.go
+++ b/config/load.go
@@ -112,7 +112,7 @@
 
 // syntaxProblem converts an error of prototext to a Problem, with the position from its text.
 func syntaxProblem(name string, err error) Problem {
-	text := strings.ReplaceAll(err.Error(), "\u00a0", " ") // prototext puts them into some errors
+	text := strings.ReplaceAll(err.Error(), "\u00a0", " ") // prototext varies the spaces in its errors
 	p := Problem{File: name, Message: strings.TrimPrefix(text, "proto: ")}
 	if match := positionPattern.FindStringSubmatchIndex(p.Message); match != nil {
 		p.Line, _ = strconv.Atoi(p.Message[match[2]:match[3]])
--- a/internal/blobfetch/client.go
+++ b/internal/blobfetch/client.go
@@ -48,7 +48,7 @@
 
 // Fetch returns the verified blob of a digest, and the store that sent the last part of it. name is
 // the name of the repository. size is the size in bytes that the registry has for the digest; a
-// store that sends more or fewer bytes is excluded as corrupt.
+// store that has a blob of another size is excluded.
 //
 // The error is that of ctx, wraps ErrMismatch or ErrExhausted, or reports an invalid digest or
 // size.
--- a/internal/blobfetch/plan.go
+++ b/internal/blobfetch/plan.go
@@ -58,7 +58,7 @@
 	FromStart bool // the bytes received so far must be discarded first
 }
 
-// A Failure is the fault of one request, as the error of a fetch lists it.
+// A Failure records one fault of a store.
 type Failure struct {
 	Store    string
 	Fault    Fault
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -39,7 +39,7 @@
 		return Batch{}, fmt.Errorf("frame header, offset 8: length %d is under the header's %d", size, headerSize)
 	}
 	d.buf = append(d.buf[:0], head...)
-	for len(d.buf) < size { // grow with the received bytes, since the length may be wrong
+	for len(d.buf) < size { // allocate as bytes arrive, since the length may be wrong
 		start := len(d.buf)
 		step := min(size-start, max(minReadBytes, start))
 		d.buf = append(d.buf, make([]byte, step)...)
