--- a/cmd/kitehub/serve.go
+++ b/cmd/kitehub/serve.go
@@ -114,7 +114,7 @@
 }
 
 func (p *serveProcess) findSupervisor() (err error) {
-	p.supervisor, err = daemon.FromEnv(os.Getenv, os.Getpid())
+	p.supervisor, err = daemon.SupervisorFromEnv(os.Getenv, os.Getpid())
 	return err
 }
 
@@ -158,7 +158,7 @@
 	p.startsFile = filepath.Join(dir, "starts.json")
 	p.starts.Load(p.startsFile)
 	p.startedAt = time.Now().UTC().Round(0)
-	p.crashLoop = p.starts.Begin(p.startedAt) && !p.cmd.TakeOver
+	p.crashLoop = p.starts.RecordStart(p.startedAt) && !p.cmd.TakeOver
 	if err := p.starts.Save(p.startsFile); err != nil {
 		return fmt.Errorf("state_dir: %w", err)
 	}
@@ -173,7 +173,7 @@
 // recorded its own start.
 func (p *serveProcess) recordEnd() error {
 	p.starts.Load(p.startsFile)
-	p.starts.End(p.startedAt)
+	p.starts.RecordCleanExit(p.startedAt)
 	return p.starts.Save(p.startsFile)
 }
 
@@ -208,7 +208,7 @@
 	if d.GetHandover() == "" {
 		return errors.New("--take-over: the configuration has no daemon.handover")
 	}
-	p.controller, err = controller.TakeOver(d.Handover, func(s *controller.Succession) (*controller.Controller, error) {
+	p.controller, err = controller.TakeOver(d.Handover, func(s *controller.IncomingHandover) (*controller.Controller, error) {
 		o.Predecessor = s
 		return controller.Start(p.config, o)
 	})
@@ -271,7 +271,7 @@
 	if err != nil {
 		return err
 	}
-	return errors.Join(p.controller.SetClients(b), p.controller.SetScripts(b))
+	return errors.Join(p.controller.SetClients(b), p.controller.ReloadScripts(b))
 }
 
 // stop shuts down gracefully. A second signal ends it at once, with an error.
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -31,7 +31,7 @@
 }
 
 func newConn(c net.Conn) *conn {
-	return &conn{Conn: c, reader: bufio.NewReaderSize(c, http1.ReadBuffer)}
+	return &conn{Conn: c, reader: bufio.NewReaderSize(c, http1.ReadBufferSize)}
 }
 
 // takeIdle returns the most recently used idle connection that is still open, or nil. It detects
