--- a/internal/controller/start.go
+++ b/internal/controller/start.go
@@ -19,24 +19,24 @@
 	"kitehub/scheduler"
 )
 
-// start runs the steps in their order and ends with the first error. Kill undoes whatever has been started: it skips
-// what a step that did not run would have set.
+// start runs the steps in order and returns the first error. The comments name what Kill calls to
+// undo each step. Kill also works after a part of the steps: it skips fields that are not set.
 func (c *Controller) start() error {
 	steps := []func() error{
-		c.lockStateDir,      // undone by unlockStateDir
-		c.startBackend,      // Backend.Close
-		c.listenPeers,       // Peers.Close
-		c.newGateway,        // Gateway.Kill
-		c.joinRegistry,      // stopAgent
-		c.newFront,          // Front.Kill
-		c.listen,            // the listener's Close
-		c.startHooks,        // closeHooks
-		c.runGateway,        // Gateway.Kill and Watcher.Stop
-		c.awaitPredecessor,  // nothing to undo: TakeOver aborts the handover
-		c.startRPC,          // Server.Cut and its listener's Close
-		c.serveCalls,        // Server.Cut
-		c.followPredecessor, // nothing to undo: it ends with the predecessor's link
-		c.acceptSuccessors,  // the listener's Close
+		c.lockStateDir,       // undone by unlockStateDir
+		c.startBackend,       // Backend.Close
+		c.listenPeers,        // Peers.Close
+		c.newGateway,         // Gateway.Kill
+		c.startRegistryAgent, // stopAgent
+		c.newWebhook,         // Webhook.Kill
+		c.listen,             // the listener's Close
+		c.startHooks,         // closeHooks
+		c.runGateway,         // Gateway.Kill and Watcher.Stop
+		c.awaitPredecessor,   // nothing to undo: TakeOver aborts the handover
+		c.startRPC,           // Server.Close of RPC and its listener's Close
+		c.serveCalls,         // Server.Abort
+		c.followPredecessor,  // nothing to undo: it ends with the predecessor's link
+		c.acceptSuccessors,   // the listener's Close
 	}
 	for _, step := range steps {
 		if err := step(); err != nil {
@@ -46,8 +46,8 @@
 	return nil
 }
 
-// stateDir is where the replay watermark, the hooks and the lock are.
-func (c *Controller) stateDir() string { return filepath.Dir(c.built.WatermarkFile) }
+// stateDir returns the folder of the replay watermark, the stored scripts and the lock.
+func (c *Controller) stateDir() string { return filepath.Dir(c.config.WatermarkFile) }
 
 func (c *Controller) lockStateDir() error {
 	if err := os.MkdirAll(c.stateDir(), 0o700); err != nil {
@@ -66,7 +66,7 @@
 	if dial == nil {
 		dial = (&net.Dialer{}).DialContext
 	}
-	bc := c.built.Backend
+	bc := c.config.Backend
 	bc.Clock = c.options.Clock
 	bc.Dial = c.trackConns(dial)
 	c.Backend = backend.New(bc)
@@ -74,35 +74,35 @@
 }
 
 func (c *Controller) listenPeers() (err error) {
-	b := c.built
-	if !b.Settings.Limits.Peers || len(b.Peers) == 0 {
+	cfg := c.config
+	if !cfg.Settings.Limits.Peers || len(cfg.Peers) == 0 {
 		return nil
 	}
-	c.peers, err = ListenPeers(b.Settings.ControllerIndex, b.Listen, b.Peers, true)
+	c.peers, err = ListenPeers(cfg.Settings.ControllerIndex, cfg.Listen, cfg.Peers, true)
 	return err
 }
 
-// newGateway makes the gateway and its functions. The loop does not run yet.
+// newGateway creates the gateway and its functions. It does not start the gateway's loop.
 func (c *Controller) newGateway() (err error) {
-	b := c.built
+	cfg := c.config
 	gc := gateway.Config{
-		Name:           b.Name,
-		Settings:       b.Settings,
-		Seed:           b.Seed,
+		Name:           cfg.Name,
+		Settings:       cfg.Settings,
+		Seed:           cfg.Seed,
 		Clock:          c.options.Clock,
 		Transport:      c.Backend,
 		Log:            c.log,
-		OmitRequestLog: b.OmitRequestLog,
+		OmitRequestLog: cfg.OmitRequestLog,
 	}
 	if c.peers != nil {
 		gc.Peers = c.peers
 	}
-	if b.Hooks != nil || b.RPC != nil {
+	if cfg.Hooks != nil || cfg.RPC != nil {
 		gc.Hooks = &c.events
-		gc.MaxExplanations = b.MaxExplanations
+		gc.MaxExplanations = cfg.MaxExplanations
 	}
 	c.models = &modelVersions{clock: c.options.Clock, events: &c.events}
-	if b.RegistryAddr != "" {
+	if cfg.RegistryAddr != "" {
 		gc.Versions = c.models
 		if wrap := c.options.Versions; wrap != nil {
 			gc.Versions = wrap(c.models)
@@ -111,20 +111,21 @@
 	if c.Gateway, err = gateway.New(gc); err != nil {
 		return err
 	}
-	c.functions, err = gateway.NewFunctions(c.Gateway, b.Functions)
+	c.functions, err = gateway.NewFunctions(c.Gateway, cfg.Functions)
 	return err
 }
 
-// joinRegistry starts the agent that holds this controller's leases of aliases. With a predecessor it starts only when
-// that is done: the registry knows one holder a name, and what this agent confirmed would count for both processes.
-func (c *Controller) joinRegistry() error {
-	if c.built.RegistryAddr == "" {
+// startRegistryAgent starts the agent that holds this controller's lease on aliases. After a
+// handover the agent starts only once the predecessor is done: the registry knows one lease holder
+// per name, so what this agent confirms would count for both processes.
+func (c *Controller) startRegistryAgent() error {
+	if c.config.RegistryAddr == "" {
 		return nil
 	}
 	c.models.gateway = c.Gateway
 	c.models.functions = c.functions
 	if c.options.Predecessor != nil {
-		c.afterPredecessor = c.startAgent
+		c.onPredecessorDone = c.startAgent
 		return nil
 	}
 	c.startAgent()
@@ -132,16 +133,16 @@
 }
 
 func (c *Controller) startAgent() {
-	b := c.built
+	cfg := c.config
 	a := agent.Start(agent.Config{
 		Client: &client.Client{
-			Server: b.RegistryAddr,
-			Name:   b.Name,
-			Key:    b.RegistryKey,
+			Server: cfg.RegistryAddr,
+			Name:   cfg.Name,
+			Key:    cfg.RegistryKey,
 			Wall:   c.options.Clock.Wall,
 			Dial:   c.trackConns((&net.Dialer{}).DialContext),
 		},
-		Node:             b.Name,
+		Node:             cfg.Name,
 		Clock:            c.options.Clock,
 		Log:              c.log,
 		OnAliasesChanged: c.Gateway.RecheckVersions,
@@ -152,58 +153,59 @@
 	c.agent = a
 	stopped := c.killed.Load() || c.stopping.Load()
 	c.mu.Unlock()
-	if stopped { // stopAgent may have come before
+	if stopped { // stopAgent may have run before c.agent was set
 		a.Stop()
 	}
 }
 
-// newFront makes the webhook ingress, with the replay guard's state of the predecessor if there is one.
-func (c *Controller) newFront() (err error) {
-	b := c.built
-	fc := b.Webhook
+// newWebhook creates the webhook ingress, with the predecessor's replay guard state if there is
+// one.
+func (c *Controller) newWebhook() (err error) {
+	cfg := c.config
+	fc := cfg.Webhook
 	fc.Gateway = c.Gateway
 	fc.Clock = c.options.Clock
 	fc.Log = c.log
-	fc.Watermark = webhook.WatermarkFile(b.WatermarkFile)
+	fc.Watermark = webhook.WatermarkFile(cfg.WatermarkFile)
 	fc.Functions = c.functions.Find
-	fc.Deadline = func(class int) time.Duration { return b.Settings.Classes[class].Deadline }
-	fc.Idempotency = func(class int) scheduler.Idempotency { return b.Settings.Classes[class].Idempotency }
-	if b.RegistryAddr != "" {
+	fc.Deadline = func(class int) time.Duration { return cfg.Settings.Classes[class].Deadline }
+	fc.Idempotency = func(class int) scheduler.Idempotency { return cfg.Settings.Classes[class].Idempotency }
+	if cfg.RegistryAddr != "" {
 		fc.Models = c.models
 		if wrap := c.options.Models; wrap != nil {
 			fc.Models = wrap(c.models)
 		}
 	}
 	if p := c.options.Predecessor; p != nil {
-		fc.State = &p.state.Front
+		fc.State = &p.state.Webhook
 		c.Gateway.InheritBudget(p.state.Budget)
 	}
-	if c.Webhook, err = webhook.New(fc, b.Clients); err != nil {
-		return fmt.Errorf("replay mark: %w", err)
+	if c.Webhook, err = webhook.New(fc, cfg.Clients); err != nil {
+		return fmt.Errorf("replay watermark: %w", err)
 	}
-	c.frontConfig = fc
+	c.webhookConfig = fc
 	return nil
 }
 
-// listen opens the listener for calls, or takes that of the predecessor.
+// listen opens the listener for calls, or takes over that of the predecessor.
 func (c *Controller) listen() (err error) {
 	if p := c.options.Predecessor; p != nil {
-		c.listener, err = p.listener(frontListener)
+		c.listener, err = p.listener(webhookListenerIndex)
 		return err
 	}
-	if c.built.Network == "unix" {
-		if err := removeStaleSocket(c.built.Listen); err != nil {
+	if c.config.Network == "unix" {
+		if err := removeStaleSocket(c.config.Listen); err != nil {
 			return err
 		}
 	}
-	if c.listener, err = net.Listen(c.built.Network, c.built.Listen); err != nil {
+	if c.listener, err = net.Listen(c.config.Network, c.config.Listen); err != nil {
 		return fmt.Errorf("webhook.listen: %w", err)
 	}
 	return nil
 }
 
-// removeStaleSocket removes the socket that a killed process left behind, which must not prevent this start. One that
-// is in use is an error.
+// removeStaleSocket removes the socket file of a process that was killed, so that it does not
+// prevent this start. It returns an error if the socket is in use, or the file is not a socket.
 func removeStaleSocket(name string) error {
 	info, err := os.Lstat(name)
 	if errors.Is(err, os.ErrNotExist) {
@@ -213,19 +215,19 @@
 		return err
 	}
 	if info.Mode()&os.ModeSocket == 0 {
-		return fmt.Errorf("webhook.listen: %s is there and is no socket", name)
+		return fmt.Errorf("webhook.listen: %s exists and is not a socket", name)
 	}
 	if conn, err := net.DialTimeout("unix", name, time.Second); err == nil {
 		conn.Close()
-		return fmt.Errorf("webhook.listen: %s is in use", name)
+		return fmt.Errorf("webhook.listen: another process listens on socket %s", name)
 	}
 	return os.Remove(name)
 }
 
-// runGateway starts the gateway's loop and what feeds it: discovery and the other controllers.
+// runGateway starts the gateway's loop and its inputs: discovery and peer messages.
 func (c *Controller) runGateway() error {
 	go c.Gateway.Run()
-	dc := c.built.Discovery
+	dc := c.config.Discovery
 	dc.Sink = c.Gateway
 	dc.Log = c.log
 	dc.Dial = c.trackConns((&net.Dialer{}).DialContext)
@@ -239,7 +241,7 @@
 	return nil
 }
 
-// awaitPredecessor returns when the predecessor has ceased to serve.
+// awaitPredecessor waits until the predecessor has stopped serving.
 func (c *Controller) awaitPredecessor() error {
 	if p := c.options.Predecessor; p != nil {
 		return p.awaitGrant()
@@ -252,7 +254,7 @@
 	if wrap := c.options.Handler; wrap != nil {
 		handler = wrap(handler)
 	}
-	c.HTTP = &http1.Server{Handler: handler, Limits: c.built.HTTP, MaxConnections: c.built.MaxConnections}
+	c.HTTP = &http1.Server{Handler: handler, Limits: c.config.HTTP, MaxConnections: c.config.MaxConnections}
 	go func() {
 		defer close(c.acceptDone)
 		if err := c.HTTP.Serve(c.listener); err != nil {
@@ -262,7 +264,8 @@
 	return nil
 }
 
-// followPredecessor receives the predecessor's connections and answers until it is done.
+// followPredecessor starts to receive the predecessor's connections and answers, until the
+// predecessor is done.
 func (c *Controller) followPredecessor() error {
 	if p := c.options.Predecessor; p != nil {
 		c.predecessorDone = make(chan struct{})
