--- a/cmd/kitehub/export_test.go
+++ b/cmd/kitehub/export_test.go
@@ -43,5 +43,5 @@
 	if !bytes.Equal(append(again, '\n'), goldenfile.Read(t, "export.json")) {
 		t.Errorf("the export differs after import has read it: %s", again)
 	}
-	goldenfile.Tagged(t, exportedRegistry{})
+	goldenfile.RequireJSONTags(t, exportedRegistry{})
 }
--- a/cmd/kitehub/main_test.go
+++ b/cmd/kitehub/main_test.go
@@ -125,7 +125,7 @@
 				Name: "w", Cores: 2, Speed: 1, MemoryMB: 4000, Queue: 9, LoadSlots: 2, IdleCopyTTL: time.Minute,
 			}},
 		},
-		Functions: []fakeworker.Kind{{
+		Functions: []fakeworker.FunctionConfig{{
 			Function: workersim.Function{Name: "trade", MemoryMB: 1, Lanes: 4, Fetch: time.Millisecond},
 			Class:    "trade",
 			Work:     time.Millisecond,
--- a/cmd/kitehub/standin.go
+++ b/cmd/kitehub/standin.go
@@ -92,7 +92,7 @@
 		if !ok || name == "" || class == "" {
 			return cfg, fmt.Errorf("--function: %q is not a name and a class, separated by a colon", f)
 		}
-		cfg.Functions = append(cfg.Functions, fakeworker.Kind{
+		cfg.Functions = append(cfg.Functions, fakeworker.FunctionConfig{
 			Function: workersim.Function{
 				Name: name, MemoryMB: 500, Lanes: 2, Fetch: s.Load * 2 / 3, Start: s.Load / 3,
 			},
--- a/cmd/kitehub/tools.go
+++ b/cmd/kitehub/tools.go
@@ -37,7 +37,7 @@
 		return err
 	}
 	res.Write(os.Stdout)
-	for r, n := range res.Verdict.Judged {
+	for r, n := range res.Verdict.Checked {
 		if n == 0 {
 			return fmt.Errorf("rule %d was not checked: the day had no event that it applies to", r+1)
 		}
@@ -73,7 +73,7 @@
 	if res.Forged > 0 {
 		return fmt.Errorf("%d answers have no valid signature", res.Forged)
 	}
-	if !res.Verdict.Holds() {
+	if !res.Verdict.Passed() {
 		return errors.New("a rule was broken")
 	}
 	return nil
@@ -118,8 +118,8 @@
 		t.Took = nil
 		err := json.NewEncoder(os.Stdout).Encode(map[string]any{
 			"total":     t,
-			"judged":    res.Verdict.Judged,
-			"breaks":    res.Verdict.Breaks,
+			"judged":    res.Verdict.Checked,
+			"breaks":    res.Verdict.Violations,
 			"cold_peak": res.Verdict.SlowStartPeak,
 			"forged":    res.Forged,
 		})
@@ -158,7 +158,7 @@
 		}
 		fmt.Println(name)
 		v.Write(os.Stdout, 20)
-		broken = broken || !v.Holds()
+		broken = broken || !v.Passed()
 	}
 	if broken {
 		return errors.New("a rule was broken")
--- a/internal/backend/frame/attempt_test.go
+++ b/internal/backend/frame/attempt_test.go
@@ -49,7 +49,7 @@
 func TestCommandsOnTheWire(t *testing.T) {
 	addr, commands := startRecordingWorker(t, func(command fakeplatform.Command) []byte {
 		if command.Code == codeLoad {
-			return fakeplatform.Reply(codeOK, command.ID, "slots_up=2", "")
+			return fakeplatform.Response(codeOK, command.ID, "slots_up=2", "")
 		}
 		return nil
 	})
@@ -119,14 +119,14 @@
 		}
 		conns <- n
 		if n == 0 {
-			c.Write(fakeplatform.Reply(codeAtCapacity, command.ID, "", ""))
+			c.Write(fakeplatform.Response(codeAtCapacity, command.ID, "", ""))
 			<-retried
-			c.Write(fakeplatform.Reply(codeAtCapacity, command.ID, "", ""))
+			c.Write(fakeplatform.Response(codeAtCapacity, command.ID, "", ""))
 			readUntilClosed(c)
 			return
 		}
 		close(retried)
-		c.Write(fakeplatform.Reply(codeOK, command.ID, "", "answer"))
+		c.Write(fakeplatform.Response(codeOK, command.ID, "", "answer"))
 		readUntilClosed(c)
 	})
 	b := newTestBackend(t, addr, nil)
@@ -147,7 +147,7 @@
 		case 1:
 			return nil
 		case 2:
-			return append(fakeplatform.Reply(codeOK, 1, "", "late"), respondOK(command)...)
+			return append(fakeplatform.Response(codeOK, 1, "", "late"), respondOK(command)...)
 		}
 		return respondOK(command)
 	})
@@ -174,7 +174,7 @@
 	commands := make(chan fakeplatform.Command, 100)
 	addr := startFakeWorker(t, func(_ int, c *net.TCPConn) {
 		<-startReading
-		fakeplatform.Commands(c, func(command fakeplatform.Command) bool {
+		fakeplatform.ReadCommands(c, func(command fakeplatform.Command) bool {
 			commands <- command
 			c.Write(respondOK(command))
 			return true
--- a/internal/backend/frame/backend_test.go
+++ b/internal/backend/frame/backend_test.go
@@ -21,7 +21,7 @@
 // startFakeWorker starts a worker that runs script on the n-th connection to it (from 0).
 func startFakeWorker(t *testing.T, script func(n int, c *net.TCPConn)) (addr string) {
 	t.Helper()
-	ln, err := fakeplatform.Invoke(script)
+	ln, err := fakeplatform.ListenInvoker(script)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,7 +35,7 @@
 	addr string, commands <-chan fakeplatform.Command,
 ) {
 	t.Helper()
-	ln, commands, err := fakeplatform.Record(respond)
+	ln, commands, err := fakeplatform.RecordInvoker(respond)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,7 +48,7 @@
 	if command.Code != codeCall {
 		return nil
 	}
-	return fakeplatform.Reply(codeOK, command.ID, "", "answer")
+	return fakeplatform.Response(codeOK, command.ID, "", "answer")
 }
 
 func noResponse(fakeplatform.Command) []byte { return nil }
--- a/internal/backend/frame/check_test.go
+++ b/internal/backend/frame/check_test.go
@@ -55,9 +55,9 @@
 		if command.Code != codePing {
 			return nil
 		}
-		pong := fakeplatform.Reply(codePong, command.ID, "", "")
+		pong := fakeplatform.Response(codePong, command.ID, "", "")
 		if received++; received == pings {
-			return append(pong, fakeplatform.Reply(codeOK, 7, "", "answer")...)
+			return append(pong, fakeplatform.Response(codeOK, 7, "", "answer")...)
 		}
 		return pong
 	})
@@ -90,9 +90,9 @@
 		{"dead", noResponse},
 		{"stuck within a response", func(command fakeplatform.Command) []byte {
 			if command.Code == codeCall {
-				return fakeplatform.Reply(codeOK, command.ID, "", "answer")[:20]
+				return fakeplatform.Response(codeOK, command.ID, "", "answer")[:20]
 			}
-			return fakeplatform.Reply(codePong, command.ID, "", "")
+			return fakeplatform.Response(codePong, command.ID, "", "")
 		}},
 	}
 	for _, tt := range tests {
--- a/internal/backend/frame/outcome_test.go
+++ b/internal/backend/frame/outcome_test.go
@@ -13,7 +13,7 @@
 // A call that may have run must not be reported as one that did not, or a retry would run it twice.
 func TestOutcomeOfEachEnd(t *testing.T) {
 	const id = 0x9b1f03aa5c7e2d41
-	frame := fakeplatform.Reply
+	frame := fakeplatform.Response
 	write := func(parts ...[]byte) func(*net.TCPConn) {
 		return func(c *net.TCPConn) {
 			c.Write(bytes.Join(parts, nil))
@@ -78,7 +78,7 @@
 
 func TestResultHasFieldsOfResponse(t *testing.T) {
 	addr, _ := startRecordingWorker(t, func(command fakeplatform.Command) []byte {
-		return fakeplatform.Reply(codeOK, command.ID, "note=booted,company=3,load=queue:2;util:0.5", "answer")
+		return fakeplatform.Response(codeOK, command.ID, "note=booted,company=3,load=queue:2;util:0.5", "answer")
 	})
 	b := newTestBackend(t, addr, func(c *Config) {
 		c.ReportFields = []scheduler.LoadReportField{scheduler.FieldUtilization, scheduler.FieldQueue}
--- a/internal/backend/frame/placement_test.go
+++ b/internal/backend/frame/placement_test.go
@@ -140,7 +140,7 @@
 	addr := startFakeWorker(t, func(_ int, c *net.TCPConn) {
 		command, err := fakeplatform.ReadCommand(c)
 		if err == nil {
-			c.Write(fakeplatform.Reply(codeOK, command.ID, "", "answer"))
+			c.Write(fakeplatform.Response(codeOK, command.ID, "", "answer"))
 			conns <- c
 			readUntilClosed(c)
 		}
--- a/internal/blobfetch/fetch_test.go
+++ b/internal/blobfetch/fetch_test.go
@@ -30,13 +30,13 @@
 	sum := sha256.Sum256(blob)
 	digest := "sha256:" + hex.EncodeToString(sum[:])
 	const (
-		good      = fakeworker.GoodBlobs
+		good      = fakeworker.NoBlobFault
 		truncated = fakeworker.Truncated
 		swapped   = fakeworker.Swapped
 		extended  = fakeworker.Extended
-		rotten    = fakeworker.Rotten
-		missing   = fakeworker.NoBlobs
-		long      = fakeworker.LongBlobs
+		rotten    = fakeworker.BitFlipped
+		missing   = fakeworker.BlobNotFound
+		long      = fakeworker.TrailingBytes
 	)
 	tests := []struct {
 		name   string
@@ -61,16 +61,16 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			var stores []*fakeworker.Blobs
+			var stores []*fakeworker.BlobStore
 			var names []string
 			for _, f := range tt.stores {
-				b, err := fakeworker.StartBlobs()
+				b, err := fakeworker.StartBlobStore()
 				if err != nil {
 					t.Fatal(err)
 				}
 				defer b.Close()
 				b.Put(digest, blob)
-				b.Fault(f)
+				b.SetFault(f)
 				stores, names = append(stores, b), append(names, b.Addr())
 			}
 			c := blobfetch.NewClient(settings, names, time.Second, clock.System(), zerolog.Nop())
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -265,12 +265,12 @@
 // do not run twice.
 func TestFaultyWorkersCostOneAnswerEach(t *testing.T) {
 	faults := map[string]fakeworker.Fault{
-		"cut":     fakeworker.CutAnswer,
+		"cut":     fakeworker.TruncatedResponse,
 		"garbage": fakeworker.Garbage,
-		"two":     fakeworker.TwoAnswers,
-		"long":    fakeworker.LongBody,
+		"two":     fakeworker.DuplicateResponse,
+		"long":    fakeworker.OverlongBody,
 		"huge":    fakeworker.HugeBody,
-		"drip":    fakeworker.Drip,
+		"drip":    fakeworker.ByteAtATime,
 	}
 	for name, f := range faults {
 		for _, class := range []string{"safe", "keyed", "unsafe"} {
@@ -278,14 +278,14 @@
 				t.Parallel()
 				h := newHarness(t, 2, nil)
 				for _, w := range h.host.Names() {
-					h.host.Fault(w, f)
+					h.host.SetFault(w, f)
 				}
 				c := h.start(h.configure("c1"))
 				m := sign(t, commonSecret, "c1", "m1", class+"-1", `{}`, time.Now())
 				m.extra = http1.Header{{Name: "x-envoy-upstream-rq-timeout-ms", Value: "700"}}
 				a := exchange(t, c.Addr(), m)
 				switch {
-				case f == fakeworker.TwoAnswers || f == fakeworker.LongBody:
+				case f == fakeworker.DuplicateResponse || f == fakeworker.OverlongBody:
 					wantAnswer(t, a, "200 served")
 				case class == "safe":
 					wantAnswer(t, a, "503 refused")
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -98,5 +98,5 @@
 // Every stored or sent field has an explicit JSON key: renaming the field does not change the
 // format.
 func TestKeysDoNotFollowFieldNames(t *testing.T) {
-	goldenfile.Tagged(t, handoverState{}, endedCall{}, Status{})
+	goldenfile.RequireJSONTags(t, handoverState{}, endedCall{}, Status{})
 }
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -61,7 +61,7 @@
 		})
 	}
 	for _, class := range []string{"safe", "keyed", "unsafe"} {
-		cfg.Functions = append(cfg.Functions, fakeworker.Kind{
+		cfg.Functions = append(cfg.Functions, fakeworker.FunctionConfig{
 			Function: workersim.Function{Name: class + "-1", MemoryMB: 100, Lanes: 4, Fetch: 5 * ms, Start: ms},
 			Class:    class,
 			Work:     5 * ms,
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -302,7 +302,7 @@
 
 	// Workers run other bytes than the version's: their responses are not used.
 	for _, w := range d.host.Names() {
-		d.host.Lie(w, "keyed-1@v1", digestOf("v2"))
+		d.host.ServeStaleVersion(w, "keyed-1@v1", digestOf("v2"))
 	}
 	if a := call("lie", "keyed-1"); a.status == 200 || c.Gateway.Counts.DigestMismatches.Load() == 0 {
 		t.Errorf("with wrong bytes at workers: answer %v, %d digest mismatches", a, c.Gateway.Counts.DigestMismatches.Load())
--- a/internal/daemon/golden_test.go
+++ b/internal/daemon/golden_test.go
@@ -135,5 +135,5 @@
 // Every stored or sent field has an explicit JSON key: renaming the field does not change the
 // format.
 func TestKeysDoNotFollowFieldNames(t *testing.T) {
-	goldenfile.Tagged(t, Start{})
+	goldenfile.RequireJSONTags(t, Start{})
 }
--- a/internal/discovery/dns/parse_test.go
+++ b/internal/discovery/dns/parse_test.go
@@ -18,7 +18,7 @@
 func name(s string) dnsmessage.Name { return dnsmessage.MustNewName(s + ".") }
 
 // packResponse encodes the directory's response to the query with the given ID.
-func packResponse(t testing.TB, l fakeplatform.List, id uint16) []byte {
+func packResponse(t testing.TB, l fakeplatform.DirectoryResponse, id uint16) []byte {
 	t.Helper()
 	message, err := l.Pack(id)
 	if err != nil {
@@ -31,24 +31,24 @@
 	two := []string{"s-2", "s-1"}
 	tests := []struct {
 		name      string
-		list      fakeplatform.List
+		list      fakeplatform.DirectoryResponse
 		id        uint16 // ID of the query; that of the response is 7
 		wantError string
 	}{
-		{"complete", fakeplatform.List{Workers: two}, 7, ""},
-		{"empty", fakeplatform.List{}, 7, ""},
-		{"draining", fakeplatform.List{Workers: two, Prio: 1}, 7, ""},
-		{"another ID", fakeplatform.List{Workers: two}, 8, "not a response"},
-		{"a query", fakeplatform.List{Workers: two, NotAnswer: true}, 7, "not a response"},
-		{"another question", fakeplatform.List{Workers: two, Question: "_web._tcp.cluster.lan"}, 7, "not a response"},
-		{"failure", fakeplatform.List{Workers: two, RCode: dnsmessage.RCodeServerFailure}, 7, "failure"},
-		{"truncated", fakeplatform.List{Workers: two, Cut: true}, 7, "truncated"},
-		{"no serial", fakeplatform.List{Workers: two, NoSOA: true}, 7, "no serial"},
-		{"no A record", fakeplatform.List{Workers: two, NoA: true}, 7, "missing"},
-		{"no TXT record", fakeplatform.List{Workers: two, NoTXT: true}, 7, "missing"},
-		{"duplicate records", fakeplatform.List{Workers: two, Twice: true}, 7, ""},
-		{"unknown priority", fakeplatform.List{Workers: two, Prio: 2}, 7, "unknown priority 2"},
-		{"invalid start time", fakeplatform.List{Workers: two, Started: "soon"}, 7, "not a valid time"},
+		{"complete", fakeplatform.DirectoryResponse{Workers: two}, 7, ""},
+		{"empty", fakeplatform.DirectoryResponse{}, 7, ""},
+		{"draining", fakeplatform.DirectoryResponse{Workers: two, Priority: 1}, 7, ""},
+		{"another ID", fakeplatform.DirectoryResponse{Workers: two}, 8, "not a response"},
+		{"a query", fakeplatform.DirectoryResponse{Workers: two, NotResponse: true}, 7, "not a response"},
+		{"another question", fakeplatform.DirectoryResponse{Workers: two, Question: "_web._tcp.cluster.lan"}, 7, "not a response"},
+		{"failure", fakeplatform.DirectoryResponse{Workers: two, RCode: dnsmessage.RCodeServerFailure}, 7, "failure"},
+		{"truncated", fakeplatform.DirectoryResponse{Workers: two, Truncated: true}, 7, "truncated"},
+		{"no serial", fakeplatform.DirectoryResponse{Workers: two, NoSOA: true}, 7, "no serial"},
+		{"no A record", fakeplatform.DirectoryResponse{Workers: two, NoA: true}, 7, "missing"},
+		{"no TXT record", fakeplatform.DirectoryResponse{Workers: two, NoTXT: true}, 7, "missing"},
+		{"duplicate records", fakeplatform.DirectoryResponse{Workers: two, DuplicateRecords: true}, 7, ""},
+		{"unknown priority", fakeplatform.DirectoryResponse{Workers: two, Priority: 2}, 7, "unknown priority 2"},
+		{"invalid start time", fakeplatform.DirectoryResponse{Workers: two, Started: "soon"}, 7, "not a valid time"},
 	}
 	for _, tt := range tests {
 		tt.list.Serial = 41
@@ -81,7 +81,7 @@
 }
 
 func TestParsedWorkerCombinesItsRecords(t *testing.T) {
-	list := fakeplatform.List{Serial: 41, Workers: []string{"s-2", "s-1"}, Started: "1500"}
+	list := fakeplatform.DirectoryResponse{Serial: 41, Workers: []string{"s-2", "s-1"}, Started: "1500"}
 	_, workers, err := Parse(packResponse(t, list, 7), 7, name(service))
 	if err != nil {
 		t.Fatal(err)
@@ -118,7 +118,7 @@
 	for _, tt := range tests {
 		for _, changed := range []int{0, 1} { // each of the two records
 			var message dnsmessage.Message
-			list := fakeplatform.List{Serial: 41, Workers: []string{"s-1"}, Twice: true}
+			list := fakeplatform.DirectoryResponse{Serial: 41, Workers: []string{"s-1"}, DuplicateRecords: true}
 			if err := message.Unpack(packResponse(t, list, 7)); err != nil {
 				t.Fatal(err)
 			}
@@ -139,7 +139,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add(packResponse(f, fakeplatform.List{Serial: 41, Workers: []string{"a", "b"}}, 7))
+	f.Add(packResponse(f, fakeplatform.DirectoryResponse{Serial: 41, Workers: []string{"a", "b"}}, 7))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		_, workers, err := Parse(in, 7, name(service))
 		if err != nil {
--- a/internal/discovery/dns/watcher_test.go
+++ b/internal/discovery/dns/watcher_test.go
@@ -51,7 +51,7 @@
 // with the messages that script returns.
 func startServer(t *testing.T, script func(n int, id uint16) [][]byte) (addr string) {
 	t.Helper()
-	c, err := fakeplatform.Direct(script)
+	c, err := fakeplatform.ListenDirectory(script)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -113,25 +113,25 @@
 	ids := &idSet{}
 	first := startServer(t, func(n int, id uint16) [][]byte {
 		ids.add(id)
-		valid := packResponse(t, fakeplatform.List{Serial: 4, Workers: []string{"a", "b"}}, id)
+		valid := packResponse(t, fakeplatform.DirectoryResponse{Serial: 4, Workers: []string{"a", "b"}}, id)
 		switch n {
 		case 0: // lost
 			return nil
 		case 1: // response to another query
-			return [][]byte{packResponse(t, fakeplatform.List{Serial: 9, Workers: []string{"evil"}}, id+1)}
+			return [][]byte{packResponse(t, fakeplatform.DirectoryResponse{Serial: 9, Workers: []string{"evil"}}, id+1)}
 		case 2: // failure
-			return [][]byte{packResponse(t, fakeplatform.List{Serial: 9, RCode: dnsmessage.RCodeServerFailure}, id)}
+			return [][]byte{packResponse(t, fakeplatform.DirectoryResponse{Serial: 9, RCode: dnsmessage.RCodeServerFailure}, id)}
 		case 3: // truncated
-			return [][]byte{packResponse(t, fakeplatform.List{Serial: 9, Workers: []string{"a"}}, id)[:30]}
+			return [][]byte{packResponse(t, fakeplatform.DirectoryResponse{Serial: 9, Workers: []string{"a"}}, id)[:30]}
 		case 4: // from a replica that lags behind
-			return [][]byte{packResponse(t, fakeplatform.List{Serial: 2, Workers: []string{"old"}}, id)}
+			return [][]byte{packResponse(t, fakeplatform.DirectoryResponse{Serial: 2, Workers: []string{"old"}}, id)}
 		case 5: // after garbage, and twice
 			return [][]byte{[]byte("noise"), valid, valid}
 		}
 		return [][]byte{valid}
 	})
 	second := startServer(t, func(_ int, id uint16) [][]byte {
-		return [][]byte{packResponse(t, fakeplatform.List{Serial: 5, Workers: []string{"b"}}, id)}
+		return [][]byte{packResponse(t, fakeplatform.DirectoryResponse{Serial: 5, Workers: []string{"b"}}, id)}
 	})
 	w, s := startWatcher(t, first, shortInterval)
 	s.expect(t, "4 a b")
@@ -157,7 +157,7 @@
 		}
 		close(queried)
 		<-setAgain
-		return [][]byte{packResponse(t, fakeplatform.List{Serial: 4, Workers: []string{"a"}}, id)}
+		return [][]byte{packResponse(t, fakeplatform.DirectoryResponse{Serial: 4, Workers: []string{"a"}}, id)}
 	})
 	w, s := startWatcher(t, startServer(t, noResponse), longInterval)
 	w.mustSetServer(t, addr)
@@ -181,13 +181,13 @@
 	go func() {
 		_, from, _ := first.ReadFrom(make([]byte, 512))
 		close(queried)
-		first.WriteTo(packResponse(t, fakeplatform.List{Serial: 9, Workers: []string{"old"}}, <-ids), from)
+		first.WriteTo(packResponse(t, fakeplatform.DirectoryResponse{Serial: 9, Workers: []string{"old"}}, <-ids), from)
 		close(written)
 	}()
 	second := startServer(t, func(_ int, id uint16) [][]byte {
 		ids <- id
 		<-written // the response of the first server arrives first
-		return [][]byte{packResponse(t, fakeplatform.List{Serial: 5, Workers: []string{"b"}}, id)}
+		return [][]byte{packResponse(t, fakeplatform.DirectoryResponse{Serial: 5, Workers: []string{"b"}}, id)}
 	})
 	w, s := startWatcher(t, startServer(t, noResponse), longInterval)
 	w.mustSetServer(t, first.LocalAddr().String())
@@ -199,7 +199,7 @@
 // A new server must be polled even if no file descriptor is left because idle clients use them all.
 func TestChangeOfServerNeedsNoDescriptor(t *testing.T) {
 	addr := startServer(t, func(_ int, id uint16) [][]byte {
-		return [][]byte{packResponse(t, fakeplatform.List{Serial: 4, Workers: []string{"a"}}, id)}
+		return [][]byte{packResponse(t, fakeplatform.DirectoryResponse{Serial: 4, Workers: []string{"a"}}, id)}
 	})
 	w, s := startWatcher(t, addr, longInterval)
 	w.mustSetServer(t, "127.0.0.1:1") // no listener; a connected socket would report that
@@ -254,7 +254,7 @@
 			}
 			if from.String() != unreachable {
 				id := binary.BigEndian.Uint16(buffer[:n])
-				server.WriteTo(packResponse(t, fakeplatform.List{Serial: 4, Workers: []string{"a"}}, id), from)
+				server.WriteTo(packResponse(t, fakeplatform.DirectoryResponse{Serial: 4, Workers: []string{"a"}}, id), from)
 			}
 		}
 	}()
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -115,5 +115,5 @@
 // Every field that is stored or sent needs a JSON key in its tag, so that renaming it in Go does
 // not change the format.
 func TestFieldsHaveJSONKeys(t *testing.T) {
-	goldenfile.Tagged(t, Assignment{}, Request{}, Update{}, Resource{})
+	goldenfile.RequireJSONTags(t, Assignment{}, Request{}, Update{}, Resource{})
 }
--- a/internal/gateway/end_to_end_test.go
+++ b/internal/gateway/end_to_end_test.go
@@ -29,7 +29,7 @@
 	t.Helper()
 	host, err := fakeworker.Start(fakeworker.Config{
 		Clock: clk,
-		Functions: []fakeworker.Kind{{
+		Functions: []fakeworker.FunctionConfig{{
 			Function: workersim.Function{Name: "quote", MemoryMB: 100, Lanes: 2, Fetch: 20 * ms, Start: 10 * ms},
 			Class:    "quote",
 			Work:     5 * ms,
--- a/internal/gateway/golden_test.go
+++ b/internal/gateway/golden_test.go
@@ -57,5 +57,5 @@
 
 // Each field has a JSON key in its tag, so renaming a Go field does not change the format.
 func TestKeysDoNotFollowFieldNames(t *testing.T) {
-	goldenfile.Tagged(t, WorkerView{}, FunctionView{}, Explanation{})
+	goldenfile.RequireJSONTags(t, WorkerView{}, FunctionView{}, Explanation{})
 }
--- a/internal/goldenfile/goldenfile.go
+++ b/internal/goldenfile/goldenfile.go
@@ -44,9 +44,9 @@
 	return golden
 }
 
-// Tagged fails the test where a field that is stored or sent with one of the values takes its key from the name of the Go field,
+// RequireJSONTags fails the test where a field that is stored or sent with one of the values takes its key from the name of the Go field,
 // so that a rename would change the format. It looks into the program's own types; an embedded struct needs no tag, its fields do.
-func Tagged(t testing.TB, values ...any) {
+func RequireJSONTags(t testing.TB, values ...any) {
 	t.Helper()
 	seen := map[reflect.Type]bool{}
 	for _, value := range values {
@@ -100,8 +100,8 @@
 	}
 }
 
-// Files returns the files of a folder by name.
-func Files(t testing.TB, folder string) map[string][]byte {
+// ReadFolder returns the files of a folder by name.
+func ReadFolder(t testing.TB, folder string) map[string][]byte {
 	t.Helper()
 	entries, err := os.ReadDir(folder)
 	if err != nil {
--- a/internal/harness/fakeplatform/client.go
+++ b/internal/harness/fakeplatform/client.go
@@ -26,8 +26,8 @@
 	return Pack([]any{0, id, method, params})
 }
 
-// Withdraw writes the notification that takes requests back.
-func Withdraw(ids ...any) []byte { return Pack([]any{2, "withdraw", ids}) }
+// CancelNotification writes the notification that takes requests back.
+func CancelNotification(ids ...any) []byte { return Pack([]any{2, "withdraw", ids}) }
 
 // Fields returns those of a good request, with pairs of them changed; "" takes one away.
 func Fields(pairs ...string) map[string]string {
@@ -41,8 +41,8 @@
 	return m
 }
 
-// Txn returns the id of a request by its number.
-func Txn(i int) string { return fmt.Sprintf("%016x", i) }
+// RequestID returns the id of a request by its number.
+func RequestID(i int) string { return fmt.Sprintf("%016x", i) }
 
 // A Client is one connection of a client.
 type Client struct {
@@ -69,8 +69,8 @@
 
 // Words by which Answer tells what is no answer.
 const (
-	Closed = "closed"
-	Silent = "neither an answer nor a close"
+	Closed   = "closed"
+	TimedOut = "neither an answer nor a close"
 )
 
 // Answer reads one answer and tells the request's number with "served BODY" or the error's word, or why there is none.
@@ -78,7 +78,7 @@
 	var v []any
 	if err := c.dec.Decode(&v); err != nil {
 		if isTimeout(err) {
-			return -1, Silent
+			return -1, TimedOut
 		}
 		return -1, Closed
 	}
--- a/internal/harness/fakeplatform/directory.go
+++ b/internal/harness/fakeplatform/directory.go
@@ -11,24 +11,24 @@
 // Service is the name whose SRV records are the list.
 const Service = "_app._tcp.cluster.lan"
 
-// A List is an answer of the directory. What is not set is as in a good one.
-type List struct {
-	Serial  uint32
-	Workers []string // ids
-	Addrs   []netip.AddrPort
-	Prio    uint16 // 1: they drain
-	Started string // "": long ago
+// A DirectoryResponse is an answer of the directory. What is not set is as in a good one.
+type DirectoryResponse struct {
+	Serial   uint32
+	Workers  []string // ids
+	Addrs    []netip.AddrPort
+	Priority uint16 // 1: they drain
+	Started  string // "": long ago
 
 	// Faults.
-	NoSOA, NoA, NoTXT, Cut, NotAnswer, Twice bool
-	RCode                                    dnsmessage.RCode
-	Question                                 string // "": Service
+	NoSOA, NoA, NoTXT, Truncated, NotResponse, DuplicateRecords bool
+	RCode                                                       dnsmessage.RCode
+	Question                                                    string // "": Service
 }
 
 func name(s string) dnsmessage.Name { return dnsmessage.MustNewName(s + ".") }
 
 // Pack builds the answer to the question with this id.
-func (l List) Pack(id uint16) ([]byte, error) {
+func (l DirectoryResponse) Pack(id uint16) ([]byte, error) {
 	q := name(Service)
 	if l.Question != "" {
 		q = name(l.Question)
@@ -36,14 +36,14 @@
 	head := func(n dnsmessage.Name) dnsmessage.ResourceHeader {
 		return dnsmessage.ResourceHeader{Name: n, Class: dnsmessage.ClassINET}
 	}
-	m := dnsmessage.Message{Header: dnsmessage.Header{ID: id, Response: !l.NotAnswer, RCode: l.RCode, Truncated: l.Cut},
+	m := dnsmessage.Message{Header: dnsmessage.Header{ID: id, Response: !l.NotResponse, RCode: l.RCode, Truncated: l.Truncated},
 		Questions: []dnsmessage.Question{{Name: q, Type: dnsmessage.TypeSRV, Class: dnsmessage.ClassINET}}}
 	if !l.NoSOA {
 		m.Authorities = []dnsmessage.Resource{{Header: head(name("cluster.lan")),
 			Body: &dnsmessage.SOAResource{NS: name("ns.cluster.lan"), MBox: name("a.b"), Serial: l.Serial}}}
 	}
 	workers := l.Workers
-	if l.Twice {
+	if l.DuplicateRecords {
 		workers = append(workers, workers...)
 	}
 	started := l.Started
@@ -55,7 +55,7 @@
 		if i < len(l.Addrs) {
 			at = l.Addrs[i]
 		}
-		m.Answers = append(m.Answers, dnsmessage.Resource{Header: head(q), Body: &dnsmessage.SRVResource{Priority: l.Prio, Weight: 40, Port: at.Port(), Target: host}})
+		m.Answers = append(m.Answers, dnsmessage.Resource{Header: head(q), Body: &dnsmessage.SRVResource{Priority: l.Priority, Weight: 40, Port: at.Port(), Target: host}})
 		if !l.NoA || i > 0 {
 			m.Additionals = append(m.Additionals, dnsmessage.Resource{Header: head(host), Body: &dnsmessage.AResource{A: at.Addr().As4()}})
 		}
@@ -67,8 +67,8 @@
 	return m.Pack()
 }
 
-// Direct answers on loopback the n-th good question as a script says: with any datagrams, or none. Others get nothing.
-func Direct(script func(n int, id uint16) [][]byte) (net.PacketConn, error) {
+// ListenDirectory answers on loopback the n-th good question as a script says: with any datagrams, or none. Others get nothing.
+func ListenDirectory(script func(n int, id uint16) [][]byte) (net.PacketConn, error) {
 	c, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -96,14 +96,14 @@
 // A Directory answers with one list, which may change; with none at first.
 type Directory struct {
 	net.PacketConn
-	list atomic.Pointer[List]
+	list atomic.Pointer[DirectoryResponse]
 }
 
 // NewDirectory starts one.
 func NewDirectory() (*Directory, error) {
 	d := &Directory{}
 	var err error
-	d.PacketConn, err = Direct(func(_ int, id uint16) [][]byte {
+	d.PacketConn, err = ListenDirectory(func(_ int, id uint16) [][]byte {
 		l := d.list.Load()
 		if l == nil {
 			return nil
@@ -118,4 +118,4 @@
 }
 
 // Set changes the list.
-func (d *Directory) Set(l List) { d.list.Store(&l) }
+func (d *Directory) Set(l DirectoryResponse) { d.list.Store(&l) }
--- a/internal/harness/fakeplatform/hostile.go
+++ b/internal/harness/fakeplatform/hostile.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// A Hostile is a kind of bad client: what it sends, at full speed, on a connection that it does not close by itself.
-type Hostile struct {
-	Name  string
-	Bytes []byte
-	Again bool // it sends them over and over, as soon as it can
-	Leave bool // it closes right after
+// A HostileClient is a kind of bad client: what it sends, at full speed, on a connection that it does not close by itself.
+type HostileClient struct {
+	Name           string
+	Bytes          []byte
+	Repeat         bool // it sends them over and over, as soon as it can
+	CloseAfterSend bool // it closes right after
 }
 
-// Hostiles returns the kinds that the platform's page of days lists.
-func Hostiles() []Hostile {
+// HostileClients returns the kinds that the platform's page of days lists.
+func HostileClients() []HostileClient {
 	repeat := func(n int, m func(i int) []byte) (b []byte) {
 		for i := range n {
 			b = append(b, m(i)...)
@@ -26,11 +26,11 @@
 	bad := func(pairs ...string) func(int) []byte {
 		return func(i int) []byte { return Request(i, "lookup", Fields(pairs...), []byte("x")) }
 	}
-	whole := func(i int) []byte { return Request(i, "lookup", Fields("txn", Txn(1<<20+i)), []byte("x")) }
+	whole := func(i int) []byte { return Request(i, "lookup", Fields("txn", RequestID(1<<20+i)), []byte("x")) }
 	head := Request(1, "lookup", Fields(), []byte{})
 	head = head[:len(head)-2] // without its empty body
 	body := func(length ...byte) []byte { return append(append(bytes.Clone(head), 0xc6), length...) }
-	return []Hostile{
+	return []HostileClient{
 		{Name: "noise", Bytes: bytes.Repeat([]byte{0xc1, 0x00, 0xff, 0x93}, 1000)},
 		{Name: "another protocol", Bytes: []byte("GET / HTTP/1.1\r\nHost: a\r\n\r\n")},
 		{Name: "a message without end", Bytes: append([]byte{0x94, 0, 1, 0xa4, 'c', 'a', 'l', 'l', 0x91, 0xdc, 0xff, 0xff}, bytes.Repeat([]byte{0x01}, 1<<20)...)},
@@ -38,24 +38,24 @@
 		{Name: "a body of 4 GB by its head", Bytes: body(0xff, 0xff, 0xff, 0xff)},
 		{Name: "a body shorter than its head", Bytes: append(body(0, 0, 0x10, 0), "short"...)},
 		{Name: "a negative number", Bytes: Request(-1, "lookup", Fields(), []byte("x"))},
-		{Name: "unknown classes", Bytes: Request(1, "nonesuch", Fields(), []byte("x")), Again: true},
-		{Name: "unknown tenants", Bytes: bad("team", "nobody")(1), Again: true},
-		{Name: "figures out of range", Bytes: bad("attrs", "memory_mb:1e300")(1), Again: true},
-		{Name: "figures that are none", Bytes: bad("limit", "soon")(1), Again: true},
-		{Name: "no id", Bytes: bad("txn", "")(1), Again: true},
-		{Name: "two requests under one number", Bytes: append(whole(1), Request(1, "lookup", Fields("txn", Txn(2)), []byte("y"))...), Again: true},
-		{Name: "the id of an open request", Bytes: repeat(200, bad()), Again: true},
-		{Name: "taken back at once", Bytes: append(repeat(300, func(i int) []byte { return append(whole(i), Withdraw(i)...) }), 0xc1)},
+		{Name: "unknown classes", Bytes: Request(1, "nonesuch", Fields(), []byte("x")), Repeat: true},
+		{Name: "unknown tenants", Bytes: bad("team", "nobody")(1), Repeat: true},
+		{Name: "figures out of range", Bytes: bad("attrs", "memory_mb:1e300")(1), Repeat: true},
+		{Name: "figures that are none", Bytes: bad("limit", "soon")(1), Repeat: true},
+		{Name: "no id", Bytes: bad("txn", "")(1), Repeat: true},
+		{Name: "two requests under one number", Bytes: append(whole(1), Request(1, "lookup", Fields("txn", RequestID(2)), []byte("y"))...), Repeat: true},
+		{Name: "the id of an open request", Bytes: repeat(200, bad()), Repeat: true},
+		{Name: "taken back at once", Bytes: append(repeat(300, func(i int) []byte { return append(whole(i), CancelNotification(i)...) }), 0xc1)},
 		{Name: "hundreds at once", Bytes: append(repeat(300, whole), 0xc1)},
 		{Name: "half a request", Bytes: head[:40]},
-		{Name: "half a request and a close", Bytes: head[:40], Leave: true},
+		{Name: "half a request and a close", Bytes: head[:40], CloseAfterSend: true},
 		{Name: "nothing"},
 	}
 }
 
-// Play connects once and sends. It returns once the connection is closed, or an error if it was left with nothing: neither
+// Run connects once and sends. It returns once the connection is closed, or an error if it was left with nothing: neither
 // told anything nor closed within the time.
-func (h Hostile) Play(addr string, within time.Duration) error {
+func (h HostileClient) Run(addr string, within time.Duration) error {
 	c, err := Dial(addr, within)
 	if err != nil {
 		return nil // not even taken, which is a close
@@ -63,16 +63,16 @@
 	defer c.Close()
 	go func() {
 		for {
-			if _, err := c.Write(h.Bytes); err != nil || !h.Again {
+			if _, err := c.Write(h.Bytes); err != nil || !h.Repeat {
 				return
 			}
 		}
 	}()
-	if h.Leave {
+	if h.CloseAfterSend {
 		return nil
 	}
 	if _, err := io.Copy(io.Discard, c); isTimeout(err) {
-		return fmt.Errorf("%s: %s", h.Name, Silent)
+		return fmt.Errorf("%s: %s", h.Name, TimedOut)
 	}
 	return nil
 }
--- a/internal/harness/fakeplatform/invoker.go
+++ b/internal/harness/fakeplatform/invoker.go
@@ -19,16 +19,16 @@
 	Call       = 48
 	CancelCall = 49
 	Ping       = 50
-	Hold       = 52
+	Load       = 52
 	Unload     = 54
 
-	Served = 64
-	Missed = 66
-	Full   = 67
-	Failed = 68
-	Over   = 69
-	Pong   = 70
-	Orphan = 71 // answers nothing
+	OK           = 64
+	NotLoaded    = 66
+	AtCapacity   = 67
+	Error        = 68
+	AlreadyEnded = 69
+	Pong         = 70
+	Orphan       = 71 // answers nothing
 )
 
 const (
@@ -74,8 +74,8 @@
 	return Command{0, head[1], binary.BigEndian.Uint64(head[8:]), string(b[:fields]), string(b[fields : fields+body])}, nil
 }
 
-// Reply builds an answer's frame.
-func Reply(code byte, id uint64, fields, body string) []byte {
+// Response builds an answer's frame.
+func Response(code byte, id uint64, fields, body string) []byte {
 	b := []byte{markAnswer, code}
 	b = binary.BigEndian.AppendUint16(b, uint16(len(fields)))
 	b = binary.BigEndian.AppendUint32(b, uint32(len(body)))
@@ -84,8 +84,8 @@
 	return binary.BigEndian.AppendUint32(b, crc32.ChecksumIEEE(b[headSize:]))
 }
 
-// Invoke listens on loopback and plays each connection by a script, which is told its number and returns to close it.
-func Invoke(script func(n int, c *net.TCPConn)) (net.Listener, error) {
+// ListenInvoker listens on loopback and plays each connection by a script, which is told its number and returns to close it.
+func ListenInvoker(script func(n int, c *net.TCPConn)) (net.Listener, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -105,8 +105,8 @@
 	return ln, nil
 }
 
-// Commands hands every command of a connection to do, until do or the connection ends it.
-func Commands(c net.Conn, do func(Command) bool) {
+// ReadCommands hands every command of a connection to do, until do or the connection ends it.
+func ReadCommands(c net.Conn, do func(Command) bool) {
 	for {
 		cmd, err := ReadCommand(c)
 		if err != nil || !do(cmd) {
@@ -115,12 +115,12 @@
 	}
 }
 
-// Record starts an invoker that hands each command over and then writes what answer returns to it. A client that has its
+// RecordInvoker starts an invoker that hands each command over and then writes what answer returns to it. A client that has its
 // answer finds all commands up to it in the channel, in the order of its calls, whichever connections they came on.
-func Record(answer func(Command) []byte) (net.Listener, <-chan Command, error) {
+func RecordInvoker(answer func(Command) []byte) (net.Listener, <-chan Command, error) {
 	seen := make(chan Command, 1000)
-	ln, err := Invoke(func(n int, c *net.TCPConn) {
-		Commands(c, func(cmd Command) bool {
+	ln, err := ListenInvoker(func(n int, c *net.TCPConn) {
+		ReadCommands(c, func(cmd Command) bool {
 			cmd.Conn = n
 			reply := answer(cmd)
 			seen <- cmd
@@ -134,37 +134,37 @@
 // An Echo is an invoker that answers each call by its body.
 type Echo struct {
 	net.Listener
-	Calls atomic.Int64
-	Delay time.Duration
-	Say   func(n int64) byte // code of the answer to the n-th call, 0: the connection is reset; nil: served
+	Calls        atomic.Int64
+	Delay        time.Duration
+	ResponseCode func(n int64) byte // code of the answer to the n-th call, 0: the connection is reset; nil: served
 }
 
 // NewEcho starts one.
 func NewEcho(delay time.Duration, say func(int64) byte) (*Echo, error) {
-	e := &Echo{Delay: delay, Say: say}
+	e := &Echo{Delay: delay, ResponseCode: say}
 	var err error
-	e.Listener, err = Invoke(e.serve)
+	e.Listener, err = ListenInvoker(e.serve)
 	return e, err
 }
 
 func (e *Echo) serve(_ int, c *net.TCPConn) {
-	Commands(c, func(cmd Command) bool {
+	ReadCommands(c, func(cmd Command) bool {
 		if cmd.Code != Call {
 			return true
 		}
 		n := e.Calls.Add(1)
 		go func() {
 			time.Sleep(e.Delay)
-			code := byte(Served)
-			if e.Say != nil {
-				code = e.Say(n)
+			code := byte(OK)
+			if e.ResponseCode != nil {
+				code = e.ResponseCode(n)
 			}
 			if code == 0 {
 				c.SetLinger(0)
 				c.Close()
 				return
 			}
-			c.Write(Reply(code, cmd.ID, "note=resident", cmd.Body)) // whole, as a connection locks its writes
+			c.Write(Response(code, cmd.ID, "note=resident", cmd.Body)) // whole, as a connection locks its writes
 		}()
 		return true
 	})
--- a/internal/harness/fakeworker/blobs.go
+++ b/internal/harness/fakeworker/blobs.go
@@ -15,18 +15,18 @@
 
 // The faults of a store.
 const (
-	GoodBlobs BlobFault = iota
-	Truncated           // its answer ends half way, every time at another byte
-	Swapped             // another blob of the same length
-	Extended            // a byte more, with a length that says so
-	Rotten              // one bit is turned, in the second half
-	NoBlobs             // 404
-	LongBlobs           // bytes behind those that its length tells of
+	NoBlobFault   BlobFault = iota
+	Truncated               // its answer ends half way, every time at another byte
+	Swapped                 // another blob of the same length
+	Extended                // a byte more, with a length that says so
+	BitFlipped              // one bit is turned, in the second half
+	BlobNotFound            // 404
+	TrailingBytes           // bytes behind those that its length tells of
 )
 
-// Blobs is a store that speaks the pull of blobs of the OCI distribution specification: GET /v2/<name>/blobs/<digest>, with
+// BlobStore is a store that speaks the pull of blobs of the OCI distribution specification: GET /v2/<name>/blobs/<digest>, with
 // ranges. It is safe for concurrent use.
-type Blobs struct {
+type BlobStore struct {
 	mu       sync.Mutex
 	blobs    map[string][]byte
 	fault    BlobFault
@@ -35,9 +35,9 @@
 	requests int
 }
 
-// StartBlobs opens a store on a loopback port.
-func StartBlobs() (*Blobs, error) {
-	b := &Blobs{blobs: map[string][]byte{}}
+// StartBlobStore opens a store on a loopback port.
+func StartBlobStore() (*BlobStore, error) {
+	b := &BlobStore{blobs: map[string][]byte{}}
 	var err error
 	if b.ln, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		return nil, err
@@ -48,36 +48,36 @@
 }
 
 // Addr returns where it listens.
-func (b *Blobs) Addr() string { return b.ln.Addr().String() }
+func (b *BlobStore) Addr() string { return b.ln.Addr().String() }
 
 // Put adds a blob under its digest.
-func (b *Blobs) Put(digest string, blob []byte) {
+func (b *BlobStore) Put(digest string, blob []byte) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.blobs[digest] = blob
 }
 
-// Fault has the store fail from now on.
-func (b *Blobs) Fault(f BlobFault) {
+// SetFault has the store fail from now on.
+func (b *BlobStore) SetFault(f BlobFault) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.fault = f
 }
 
 // Requests returns how many requests came.
-func (b *Blobs) Requests() int {
+func (b *BlobStore) Requests() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.requests
 }
 
 // Close ends the store.
-func (b *Blobs) Close() {
+func (b *BlobStore) Close() {
 	b.ln.Close()
 	b.server.Abort()
 }
 
-func (b *Blobs) serve(c *http1.Conn, r *http1.Request) *http1.Response {
+func (b *BlobStore) serve(c *http1.Conn, r *http1.Request) *http1.Response {
 	part := strings.Split(r.Path(), "/")
 	b.mu.Lock()
 	b.requests++
@@ -88,7 +88,7 @@
 		blob, ok = b.blobs[part[len(part)-1]]
 	}
 	b.mu.Unlock()
-	if !ok || fault == NoBlobs || r.Method != "GET" {
+	if !ok || fault == BlobNotFound || r.Method != "GET" {
 		return &http1.Response{Status: 404, Header: http1.Header{{Name: "Content-Type", Value: "application/json"}},
 			Body: []byte(`{"errors":[{"code":"BLOB_UNKNOWN"}]}`)}
 	}
@@ -100,7 +100,7 @@
 		}
 	case Extended:
 		blob = append(blob, 0)
-	case Rotten:
+	case BitFlipped:
 		if len(blob) > 1 {
 			blob[len(blob)/2+len(blob)/4] ^= 1
 		}
@@ -122,7 +122,7 @@
 	case Truncated:
 		c.Write(whole[:len(whole)-len(resp.Body)+max(1, len(resp.Body)*(asked%3+1)/5)])
 		return nil
-	case LongBlobs:
+	case TrailingBytes:
 		c.Write(append(whole, "more"...))
 		return nil
 	}
--- a/internal/harness/fakeworker/list.go
+++ b/internal/harness/fakeworker/discovery.go
@@ -15,9 +15,9 @@
 	"kitehub/scheduler"
 )
 
-// A List is a stand-in for the server of the list of workers. Changes are published after a delay, to the server's
+// A DiscoveryServer is a stand-in for the server of the list of workers. Changes are published after a delay, to the server's
 // long polls and to a file. It notes in the trace when each controller was told what.
-type List struct {
+type DiscoveryServer struct {
 	cluster   string
 	log       *trace.Log
 	mu        sync.Mutex
@@ -43,13 +43,13 @@
 	list []gateway.Worker
 }
 
-// NewList starts a server on loopback.
-func NewList(cluster string, log *trace.Log) (*List, error) {
+// NewDiscoveryServer starts a server on loopback.
+func NewDiscoveryServer(cluster string, log *trace.Log) (*DiscoveryServer, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	l := &List{cluster: cluster, log: log, since: map[int][]gateway.Worker{}, news: make(chan struct{}), end: make(chan struct{}),
+	l := &DiscoveryServer{cluster: cluster, log: log, since: map[int][]gateway.Worker{}, news: make(chan struct{}), end: make(chan struct{}),
 		kick: make(chan struct{}, 1), ln: ln, delivered: map[string]string{}}
 	l.server = &http1.Server{Handler: http1.HandlerFunc(l.serve)}
 	go l.server.Serve(ln)
@@ -59,24 +59,24 @@
 }
 
 // Addr returns where the server listens.
-func (l *List) Addr() string { return l.ln.Addr().String() }
+func (l *DiscoveryServer) Addr() string { return l.ln.Addr().String() }
 
-// ToFile has each publication written to a file too, which the controllers named watch at the interval.
-func (l *List) ToFile(name string, poll time.Duration, readers []string) {
+// WriteToFile has each publication written to a file too, which the controllers named watch at the interval.
+func (l *DiscoveryServer) WriteToFile(name string, poll time.Duration, readers []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.file, l.poll, l.readers = name, poll, readers
 }
 
-// Delay sets how late changes are published from now on. Publications keep their order.
-func (l *List) Delay(d time.Duration) {
+// SetDelay sets how late changes are published from now on. Publications keep their order.
+func (l *DiscoveryServer) SetDelay(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.delay = d
 }
 
-// Set publishes a list after the delay.
-func (l *List) Set(list []gateway.Worker) {
+// Publish publishes a list after the delay.
+func (l *DiscoveryServer) Publish(list []gateway.Worker) {
 	l.mu.Lock()
 	at := time.Now().Add(l.delay)
 	if n := len(l.queue); n > 0 && l.queue[n-1].at.After(at) {
@@ -91,14 +91,14 @@
 }
 
 // Close ends the server.
-func (l *List) Close() {
+func (l *DiscoveryServer) Close() {
 	close(l.end)
 	l.ln.Close()
 	l.server.Abort()
 	l.wg.Wait()
 }
 
-func (l *List) publish() {
+func (l *DiscoveryServer) publish() {
 	defer l.wg.Done()
 	for {
 		l.mu.Lock()
@@ -122,7 +122,7 @@
 }
 
 // show makes a list the present one. It is called with mu held.
-func (l *List) show(list []gateway.Worker) {
+func (l *DiscoveryServer) show(list []gateway.Worker) {
 	l.since[l.version] = l.shown
 	delete(l.since, l.version-64)
 	l.version++
@@ -146,7 +146,7 @@
 
 // tell notes what a controller knows, from some time later on at the latest: bad news is counted from then, good news
 // from now, as it may have read either at once. It is called with mu held.
-func (l *List) tell(controller string, list []gateway.Worker, later time.Duration) {
+func (l *DiscoveryServer) tell(controller string, list []gateway.Worker, later time.Duration) {
 	at := l.now() + later
 	present := map[string]bool{}
 	for _, w := range list {
@@ -168,7 +168,7 @@
 	}
 }
 
-func (l *List) note(controller, worker, state string, at time.Duration) {
+func (l *DiscoveryServer) note(controller, worker, state string, at time.Duration) {
 	key := controller + " " + worker
 	old, known := l.delivered[key]
 	if old == state || !known && state == "ready" {
@@ -179,10 +179,10 @@
 	l.log.Add(trace.Record{At: at, Kind: trace.ListDelivered, Controller: controller, Worker: worker, Outcome: state})
 }
 
-func (l *List) now() time.Duration { return l.log.Now() }
+func (l *DiscoveryServer) now() time.Duration { return l.log.Now() }
 
-// Forget drops what a controller was told: it starts anew.
-func (l *List) Forget(controller string) {
+// ForgetController drops what a controller was told: it starts anew.
+func (l *DiscoveryServer) ForgetController(controller string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for key := range l.delivered {
@@ -193,7 +193,7 @@
 }
 
 // serve answers long polls: a whole list at first, a delta to one who holds a version that is still known.
-func (l *List) serve(_ *http1.Conn, r *http1.Request) *http1.Response {
+func (l *DiscoveryServer) serve(_ *http1.Conn, r *http1.Request) *http1.Response {
 	var req discovery.Request
 	if r.Path() != discovery.EndpointsPath || json.Unmarshal(r.Body, &req) != nil {
 		return &http1.Response{Status: 400}
--- a/internal/harness/fakeworker/standin.go
+++ b/internal/harness/fakeworker/host.go
@@ -15,8 +15,8 @@
 	"kitehub/internal/http1"
 )
 
-// A Kind of function tells how calls of it run.
-type Kind struct {
+// A FunctionConfig of function tells how calls of it run.
+type FunctionConfig struct {
 	workersim.Function
 	Class string
 	Work  time.Duration // mean, on a core of speed 1
@@ -28,7 +28,7 @@
 // Config sets up a Host.
 type Config struct {
 	Fleet     workersim.Config
-	Functions []Kind
+	Functions []FunctionConfig
 	Clock     clock.Clock
 	Trace     *trace.Log
 	Limits    http1.Limits
@@ -41,19 +41,19 @@
 
 // The faults of a worker's answers.
 const (
-	NoFault    Fault = iota
-	CutAnswer        // reset in mid-answer
-	Garbage          // bytes that are no HTTP
-	TwoAnswers       // a second answer behind the first
-	LongBody         // more body than the length tells
-	Drip             // one byte a second
-	HugeBody         // a body over every limit
+	NoFault           Fault = iota
+	TruncatedResponse       // reset in mid-answer
+	Garbage                 // bytes that are no HTTP
+	DuplicateResponse       // a second answer behind the first
+	OverlongBody            // more body than the length tells
+	ByteAtATime             // one byte a second
+	HugeBody                // a body over every limit
 )
 
 // A Host runs stand-in workers. It is safe for concurrent use.
 type Host struct {
 	cfg     Config
-	kinds   map[string]*Kind
+	kinds   map[string]*FunctionConfig
 	do      chan func(*workersim.Fleet)
 	end     chan struct{}
 	stopped sync.WaitGroup
@@ -61,10 +61,10 @@
 
 	mu      sync.Mutex
 	nextID  uint64
-	waiting map[uint64]chan workersim.Effect
+	waiting map[uint64]chan workersim.Event
 	began   map[uint64]trace.Record
-	fails   map[string]bool  // classes whose calls end in errors
-	made    map[string]*Kind // versions of models
+	fails   map[string]bool            // classes whose calls end in errors
+	made    map[string]*FunctionConfig // versions of models
 }
 
 // A site is one worker's socket.
@@ -85,8 +85,8 @@
 
 // Start opens a loopback listener for each worker.
 func Start(cfg Config) (*Host, error) {
-	h := &Host{cfg: cfg, kinds: map[string]*Kind{}, do: make(chan func(*workersim.Fleet), 256), end: make(chan struct{}),
-		waiting: map[uint64]chan workersim.Effect{}, began: map[uint64]trace.Record{}, fails: map[string]bool{}, made: map[string]*Kind{}}
+	h := &Host{cfg: cfg, kinds: map[string]*FunctionConfig{}, do: make(chan func(*workersim.Fleet), 256), end: make(chan struct{}),
+		waiting: map[uint64]chan workersim.Event{}, began: map[uint64]trace.Record{}, fails: map[string]bool{}, made: map[string]*FunctionConfig{}}
 	for i := range cfg.Functions {
 		h.kinds[cfg.Functions[i].Name] = &cfg.Functions[i]
 	}
@@ -141,7 +141,7 @@
 }
 
 // tell hands what happened to those who wait, and to the trace.
-func (h *Host) tell(effects []workersim.Effect) {
+func (h *Host) tell(effects []workersim.Event) {
 	for _, e := range effects {
 		w := h.workers[e.Worker]
 		switch e.Kind {
@@ -248,8 +248,8 @@
 // Silence has a worker accept and read, and say nothing, until Speak or Restart.
 func (h *Host) Silence(name string) { h.site(name).Silence() }
 
-// Fault has a worker answer wrongly until it is told otherwise.
-func (h *Host) Fault(name string, f Fault) { h.site(name).Fault(f) }
+// SetFault has a worker answer wrongly until it is told otherwise.
+func (h *Host) SetFault(name string, f Fault) { h.site(name).Fault(f) }
 
 // FailClass has all calls of a class end in errors, or ends that.
 func (h *Host) FailClass(class string, fails bool) {
--- a/internal/harness/fakeworker/serve.go
+++ b/internal/harness/fakeworker/serve.go
@@ -14,8 +14,8 @@
 	"kitehub/internal/http1"
 )
 
-func (h *Host) newRequest() (uint64, chan workersim.Effect) {
-	ch := make(chan workersim.Effect, 1)
+func (h *Host) newRequest() (uint64, chan workersim.Event) {
+	ch := make(chan workersim.Event, 1)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.nextID++
@@ -24,8 +24,8 @@
 }
 
 // await waits for an effect while watching the connection; false if the other end left first.
-func await(c *http1.Conn, ch chan workersim.Effect) (workersim.Effect, bool) {
-	var e workersim.Effect
+func await(c *http1.Conn, ch chan workersim.Event) (workersim.Event, bool) {
+	var e workersim.Event
 	done := make(chan struct{})
 	quit := make(chan struct{})
 	defer close(quit)
@@ -38,7 +38,7 @@
 		}
 	}()
 	if c.Await(done) {
-		return workersim.Effect{}, false
+		return workersim.Event{}, false
 	}
 	c.Rearm()
 	return e, true
@@ -107,13 +107,13 @@
 }
 
 // reported adds the load report.
-func (w *site) reported(resp *http1.Response, e *workersim.Effect, copies int) *http1.Response {
+func (w *site) reported(resp *http1.Response, e *workersim.Event, copies int) *http1.Response {
 	var rep workersim.Report
 	w.h.Do(func(f *workersim.Fleet) { rep = f.Report(w.index) })
 	s := fmt.Sprintf("TEXT cpu_utilization=%.3f, named_metrics.queue=%d, named_metrics.inflight=%d, named_metrics.x0=%.3f, named_metrics.x1=%d",
 		rep.Utilization, rep.Queue, rep.InFlight, rep.Memory, rep.Loads)
 	if e != nil {
-		s += fmt.Sprintf(", named_metrics.copy=%d, named_metrics.alike=%d", e.Note, e.SameFunction)
+		s += fmt.Sprintf(", named_metrics.copy=%d, named_metrics.alike=%d", e.CopyState, e.SameFunction)
 	}
 	if copies > 0 {
 		s += fmt.Sprintf(", named_metrics.copies=%d", copies)
@@ -162,7 +162,7 @@
 		return w.reported(fault(500, "urn:kitehub:problem:load-failed"), nil, 0)
 	}
 	id, ch := w.h.newRequest()
-	w.h.Do(func(f *workersim.Fleet) { f.Hold(w.index, id, &k.Function, copies) })
+	w.h.Do(func(f *workersim.Fleet) { f.EnsureCopies(w.index, id, &k.Function, copies) })
 	e, ok := await(c, ch)
 	if !ok || e.Outcome == workersim.Reset || !w.hush(c) {
 		return nil
@@ -177,7 +177,7 @@
 }
 
 // kind returns what a name is: a function, or a version of a model.
-func (h *Host) kind(name string) *Kind {
+func (h *Host) kind(name string) *FunctionConfig {
 	if k := h.kinds[name]; k != nil {
 		return k
 	}
@@ -197,9 +197,9 @@
 	return &v
 }
 
-// Lie has a worker hold a version under the name of another, and say nothing of it when asked to run it: as one that comes
+// ServeStaleVersion has a worker hold a version under the name of another, and say nothing of it when asked to run it: as one that comes
 // back from silence with old bytes.
-func (h *Host) Lie(worker, name, digest string) {
+func (h *Host) ServeStaleVersion(worker, name, digest string) {
 	w := h.site(worker)
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -207,7 +207,7 @@
 }
 
 // proved has the bytes of a version at the worker, and returns the digest of what will run; "" if it cannot be had.
-func (w *site) proved(k *Kind, digest string) string {
+func (w *site) proved(k *FunctionConfig, digest string) string {
 	if !k.Versions {
 		return ""
 	}
@@ -243,7 +243,7 @@
 	w.h.cfg.Trace.Add(rec)
 	if k.Versions {
 		if rec.Digest = w.proved(k, r.Header.Get(backend.HeaderDigest)); rec.Digest == "" {
-			return w.reported(fault(404, backend.ProblemNotLoaded), &workersim.Effect{Note: loadFailedNote}, 0) // nothing ran
+			return w.reported(fault(404, backend.ProblemNotLoaded), &workersim.Event{CopyState: loadFailedNote}, 0) // nothing ran
 		}
 		w.mu.Lock()
 		if w.corrupt {
@@ -255,7 +255,7 @@
 	if !ok {
 		return nil
 	}
-	rec.Kind, rec.At, rec.Outcome = trace.Replied, 0, string(e.Outcome)
+	rec.Kind, rec.At, rec.Outcome = trace.ResponseSent, 0, string(e.Outcome)
 	w.h.cfg.Trace.Add(rec)
 	return w.wrong(c, w.reported(inferResponse(name, body, rec.Digest, &e), &e, 0))
 }
@@ -272,7 +272,7 @@
 }
 
 // workOf returns the seconds of work that a call asks for, or the mean of its kind.
-func workOf(k *Kind, body []byte) float64 {
+func workOf(k *FunctionConfig, body []byte) float64 {
 	var m struct {
 		WorkMS float64 `json:"work_ms"`
 	}
@@ -284,13 +284,13 @@
 }
 
 // run has the model run a call, and waits for its end; false if the connection has ended before, or the worker.
-func (w *site) run(c *http1.Conn, k *Kind, rec trace.Record, work float64) (e workersim.Effect, ok bool) {
+func (w *site) run(c *http1.Conn, k *FunctionConfig, rec trace.Record, work float64) (e workersim.Event, ok bool) {
 	id, ch := w.h.newRequest()
 	w.h.mu.Lock()
 	w.h.began[id] = rec
 	fails := w.h.fails[k.Class]
 	w.h.mu.Unlock()
-	call := workersim.Call{ID: id, Function: &k.Function, Work: work, Mean: k.Work.Seconds(), Fails: fails}
+	call := workersim.Call{ID: id, Function: &k.Function, Work: work, MeanWork: k.Work.Seconds(), Fails: fails}
 	if k.Keyed {
 		call.Key = rec.Key
 	}
@@ -313,7 +313,7 @@
 }
 
 // inferResponse echoes the body of a call that was served.
-func inferResponse(name string, body []byte, digest string, e *workersim.Effect) *http1.Response {
+func inferResponse(name string, body []byte, digest string, e *workersim.Event) *http1.Response {
 	switch e.Outcome {
 	case workersim.OK:
 		head := `{"model_name":"` + name + `","outputs":[{"name":"body","shape":[1],"datatype":"BYTES","parameters":{"binary_data_size":` +
@@ -335,18 +335,18 @@
 	_, f := w.state()
 	whole := http1.AppendResponse(nil, resp, false)
 	switch f {
-	case CutAnswer:
+	case TruncatedResponse:
 		c.Write(whole[:len(whole)/2])
 		c.Reset()
 	case Garbage:
 		c.Write([]byte("\x00\xff\x16\x03 this is not the protocol that you asked for\r\n\r\n"))
-	case TwoAnswers:
+	case DuplicateResponse:
 		c.Write(append(whole, whole...))
-	case LongBody:
+	case OverlongBody:
 		c.Write(append(whole, "and some more that no length tells of"...))
 	case HugeBody:
 		c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 99999999999\r\n\r\n"))
-	case Drip:
+	case ByteAtATime:
 		for i := range whole {
 			if _, err := c.Write(whole[i : i+1]); err != nil {
 				return nil
--- a/internal/harness/invariant/drains.go
+++ b/internal/harness/invariant/drains.go
@@ -18,7 +18,7 @@
 				delete(told, key)
 			} else if _, ok := told[key]; !ok {
 				told[key] = r.At
-				c.verdict.Judged[Drains]++
+				c.verdict.Checked[DrainGrace]++
 			}
 		case trace.ControllerUp: // it knows what it is told from now on
 			for _, k := range keysOf(told, r.Controller) {
@@ -30,7 +30,7 @@
 				if r.Kind == trace.LoadOrdered {
 					what = "an order to load"
 				}
-				c.broken(Drains, r.At, "%s sent %s to %s %v after it was told that it drains or is gone", r.Controller, what, r.Worker,
+				c.broken(DrainGrace, r.At, "%s sent %s to %s %v after it was told that it drains or is gone", r.Controller, what, r.Worker,
 					(r.At - at).Round(time.Millisecond))
 			}
 		}
--- a/internal/harness/invariant/golden_test.go
+++ b/internal/harness/invariant/golden_test.go
@@ -10,14 +10,14 @@
 
 // "kitehub day play --json" prints the breaks of rules, a rule by its number; scripts read it.
 func TestPrintedBreaksAreAsBefore(t *testing.T) {
-	breaks := []Break{{Rule: OneAnswer}, {Rule: NoRepeat, At: 1}, {Rule: Drains, At: 2}, {Rule: SlowStartBound, At: 3}, {Rule: Loads, At: 4, What: "too <many>"}}
+	breaks := []Violation{{Rule: OneAnswer}, {Rule: NoRepeat, At: 1}, {Rule: DrainGrace, At: 2}, {Rule: SlowStartBound, At: 3}, {Rule: LoadBudget, At: 4, Message: "too <many>"}}
 	written, err := json.Marshal(breaks)
 	if err != nil {
 		t.Fatal(err)
 	}
 	goldenfile.Compare(t, "breaks.json", written)
 
-	var read []Break
+	var read []Violation
 	if err := json.Unmarshal(goldenfile.Read(t, "breaks.json"), &read); err != nil {
 		t.Fatal(err)
 	}
@@ -28,5 +28,5 @@
 
 // Each field that is stored or sent has a key of its own: what it is called in Go may change, the format may not.
 func TestKeysDoNotFollowFieldNames(t *testing.T) {
-	goldenfile.Tagged(t, Break{})
+	goldenfile.RequireJSONTags(t, Violation{})
 }
--- a/internal/harness/invariant/history.go
+++ b/internal/harness/invariant/history.go
@@ -72,7 +72,7 @@
 	case trace.RunStarted:
 		t := h.request(r.Request)
 		t.runs = append(t.runs, r)
-	case trace.Replied, trace.ClientClosed:
+	case trace.ResponseSent, trace.ClientClosed:
 		h.endAttempt(r)
 	case trace.WorkerDown, trace.Collapsed:
 		h.endAttempts(r.Worker, r.At)
--- a/internal/harness/invariant/invariant.go
+++ b/internal/harness/invariant/invariant.go
@@ -22,9 +22,9 @@
 const (
 	OneAnswer      Rule = iota // each request taken has one final answer in time, and nothing is sent for it afterwards
 	NoRepeat                   // no effect twice
-	Drains                     // nothing new to a draining or removed worker after the grace
+	DrainGrace                 // nothing new to a draining or removed worker after the grace
 	SlowStartBound             // no warming worker is overloaded
-	Loads                      // orders to load within their budget
+	LoadBudget                 // orders to load within their budget
 )
 
 var names = [...]string{"one answer", "no effect twice", "drains kept", "cold not pushed over", "loads rationed"}
@@ -32,35 +32,35 @@
 // String names the rule as reports print it.
 func (r Rule) String() string { return names[r] }
 
-// A Break is one thing that broke a rule.
-type Break struct {
-	Rule Rule          `json:"Rule"`
-	At   time.Duration `json:"At"`
-	What string        `json:"What"`
+// A Violation is one thing that broke a rule.
+type Violation struct {
+	Rule    Rule          `json:"Rule"`
+	At      time.Duration `json:"At"`
+	Message string        `json:"What"`
 }
 
 // A Verdict is what a trace shows.
 type Verdict struct {
-	Judged [len(names)]int // things that each rule was judged on
-	Breaks []Break
+	Checked    [len(names)]int // things that each rule was judged on
+	Violations []Violation
 	// SlowStartPeak is the most that was sent to a cold worker, as a part of what pushes it over.
 	SlowStartPeak float64
 	// Answers counts the tries by outcome, in time; Late those served, refused or failed after their time.
-	Answers   map[string]int
-	OverdueBy int
+	Answers map[string]int
+	Overdue int
 	// Excused counts what would be a break but for a stall of the machine; Stalled is the longest one.
 	Excused int
 	Stalled time.Duration
 }
 
-// Holds tells whether no rule was broken.
-func (v *Verdict) Holds() bool { return len(v.Breaks) == 0 }
+// Passed tells whether no rule was broken.
+func (v *Verdict) Passed() bool { return len(v.Violations) == 0 }
 
 // Write prints a line for each rule, and up to most breaks.
 func (v *Verdict) Write(w io.Writer, most int) {
-	for r, n := range v.Judged {
+	for r, n := range v.Checked {
 		broken := 0
-		for _, b := range v.Breaks {
+		for _, b := range v.Violations {
 			if b.Rule == Rule(r) {
 				broken++
 			}
@@ -74,12 +74,12 @@
 	if v.Stalled > 0 {
 		fmt.Fprintf(w, "the machine stood still for up to %v: %d things excused by that\n", v.Stalled.Round(time.Millisecond), v.Excused)
 	}
-	for i, b := range v.Breaks {
+	for i, b := range v.Violations {
 		if i == most {
-			fmt.Fprintf(w, "and %d more\n", len(v.Breaks)-most)
+			fmt.Fprintf(w, "and %d more\n", len(v.Violations)-most)
 			break
 		}
-		fmt.Fprintf(w, "broken: rule %d at %.3f s: %s\n", b.Rule+1, b.At.Seconds(), b.What)
+		fmt.Fprintf(w, "broken: rule %d at %.3f s: %s\n", b.Rule+1, b.At.Seconds(), b.Message)
 	}
 }
 
@@ -112,12 +112,12 @@
 	c.drains(rs)
 	c.slowStart(rs)
 	c.loads(rs)
-	slices.SortStableFunc(c.verdict.Breaks, func(a, b Break) int { return int(max(-1, min(1, a.At-b.At))) })
+	slices.SortStableFunc(c.verdict.Violations, func(a, b Violation) int { return int(max(-1, min(1, a.At-b.At))) })
 	return c.verdict, nil
 }
 
 func (c *checker) broken(r Rule, at time.Duration, format string, args ...any) {
-	c.verdict.Breaks = append(c.verdict.Breaks, Break{r, at - c.start, fmt.Sprintf(format, args...)})
+	c.verdict.Violations = append(c.verdict.Violations, Violation{r, at - c.start, fmt.Sprintf(format, args...)})
 }
 
 // stalled is how long the machine stood still within a span.
@@ -144,8 +144,8 @@
 
 // Outcomes that a client notes of a try, besides the words of the gateway.
 const (
-	Left      = "left"      // it hung up itself
-	Unreached = "unreached" // the connection was refused or cut with nothing read
+	ClientClosed   = "left"      // it hung up itself
+	ConnectionLost = "unreached" // the connection was refused or cut with nothing read
 )
 
 func final(outcome string) bool {
--- a/internal/harness/invariant/invariant_test.go
+++ b/internal/harness/invariant/invariant_test.go
@@ -29,7 +29,7 @@
 
 func attempt(from, to int, worker, id, attempt, class string) []trace.Record {
 	return []trace.Record{at(trace.RequestRead, from, worker, id, attempt, class), at(trace.RunStarted, from, worker, id, attempt, class),
-		at(trace.RunEnded, to, worker, id, attempt, class), at(trace.Replied, to, worker, id, attempt, class)}
+		at(trace.RunEnded, to, worker, id, attempt, class), at(trace.ResponseSent, to, worker, id, attempt, class)}
 }
 
 func told(at int, worker, state string) trace.Record {
@@ -76,7 +76,7 @@
 		{"lost by a controller that was killed", join(asked(1, "a", "safe"), trace.Record{At: 500 * ms, Kind: trace.ControllerDown, Controller: "c"}), ""},
 		{"lost by one that was killed and back before", join(trace.Record{At: 2 * ms, Kind: trace.ControllerDown, Controller: "c"},
 			trace.Record{At: 4 * ms, Kind: trace.ControllerUp, Controller: "c"}, asked(10, "a", "safe")), "has no answer"},
-		{"cut off", join(asked(1, "a", "safe"), answered(9, "a", Unreached)), "was cut off"},
+		{"cut off", join(asked(1, "a", "safe"), answered(9, "a", ConnectionLost)), "was cut off"},
 		{"two answers", join(asked(1, "a", "safe"), answered(9, "a", "refused"), answered(12, "a", "served")), "has 2 answers"},
 		{"late", join(asked(1, "a", "safe"), answered(1100, "a", "refused")), "99ms after its time"},
 		{"late by a stall of the machine", join(asked(1, "a", "safe"), trace.Record{At: 600 * ms, Until: 800 * ms, Kind: trace.Stall}, answered(1100, "a", "refused")), ""},
@@ -85,7 +85,7 @@
 		{"from nowhere", join(attempt(5, 9, "w", "a", "1", "safe")), "no client sent"},
 		{"unsafe twice", join(asked(1, "a", "unsafe"), attempt(5, 9, "w", "a", "1", "unsafe"), attempt(20, 30, "v", "a", "2", "unsafe"), answered(31, "a", "served")), "ran 2 times"},
 		{"unsafe refused after it ran", join(asked(1, "a", "unsafe"), attempt(5, 9, "w", "a", "1", "unsafe"), answered(31, "a", "refused")), "refused and ran"},
-		{"unsafe sent twice, ran once", join(asked(1, "a", "unsafe"), at(trace.RequestRead, 5, "w", "a", "1", "unsafe"), at(trace.Replied, 6, "w", "a", "1", "unsafe"),
+		{"unsafe sent twice, ran once", join(asked(1, "a", "unsafe"), at(trace.RequestRead, 5, "w", "a", "1", "unsafe"), at(trace.ResponseSent, 6, "w", "a", "1", "unsafe"),
 			attempt(20, 30, "v", "a", "2", "unsafe"), answered(31, "a", "served")), ""},
 		{"keyed in two groups", join(asked(1, "a", "keyed"), keyed(attempt(5, 9, "w", "a", "1", "keyed"), "k"), keyed(attempt(20, 30, "v", "a", "2", "keyed"), "k"),
 			answered(31, "a", "served")), "ran at w and again at v"},
@@ -114,8 +114,8 @@
 				t.Fatal(err)
 			}
 			got := ""
-			if len(v.Breaks) > 0 {
-				got = v.Breaks[0].What
+			if len(v.Violations) > 0 {
+				got = v.Violations[0].Message
 			}
 			if (tt.want == "") != (got == "") || !strings.Contains(got, tt.want) {
 				t.Errorf("got %q, want %q", got, tt.want)
--- a/internal/harness/invariant/load_budget.go
+++ b/internal/harness/invariant/load_budget.go
@@ -15,8 +15,8 @@
 	lives := map[string]*life{}
 	turned := map[string]bool{} // tries that never were taken
 	for id, t := range c.requests {
-		if len(t.answers) > 0 && !final(t.answers[0].Outcome) && t.answers[0].Outcome != Left &&
-			t.answers[0].Outcome != Unreached && len(t.reads) == 0 {
+		if len(t.answers) > 0 && !final(t.answers[0].Outcome) && t.answers[0].Outcome != ClientClosed &&
+			t.answers[0].Outcome != ConnectionLost && len(t.reads) == 0 {
 			turned[id] = true
 		}
 	}
@@ -35,7 +35,7 @@
 			l.asked = append(l.asked, r.At)
 		case r.Kind == trace.LoadOrdered && r.Copies > 0:
 			l.orders = append(l.orders, r.At)
-			c.verdict.Judged[Loads]++
+			c.verdict.Checked[LoadBudget]++
 			n, calls := 0, 0
 			for _, at := range l.orders {
 				if at > r.At-c.rules.LoadWindow+2*c.rules.Slack+c.stalled(r.At-c.rules.LoadWindow, r.At) {
@@ -48,7 +48,7 @@
 				}
 			}
 			if may := c.rules.LoadFree + c.rules.LoadRatio*float64(calls); float64(n) > may {
-				c.broken(Loads, r.At, "%s ordered %d loads in the window, %.1f are allowed by %d calls", r.Controller, n, may, calls)
+				c.broken(LoadBudget, r.At, "%s ordered %d loads in the window, %.1f are allowed by %d calls", r.Controller, n, may, calls)
 			}
 		}
 	}
--- a/internal/harness/invariant/no_repeat.go
+++ b/internal/harness/invariant/no_repeat.go
@@ -31,7 +31,7 @@
 			continue
 		}
 		class := c.classes[t.reads[0].Class]
-		c.verdict.Judged[NoRepeat]++
+		c.verdict.Checked[NoRepeat]++
 		if class.Effect == "unsafe" && len(t.runs) > 1 {
 			c.broken(NoRepeat, t.runs[1].At, "unsafe request %s ran %d times", id, len(t.runs))
 		}
--- a/internal/harness/invariant/one_answer.go
+++ b/internal/harness/invariant/one_answer.go
@@ -15,23 +15,23 @@
 		a := t.sent
 		for _, r := range t.answers {
 			if final(r.Outcome) && r.At > a.Until {
-				c.verdict.OverdueBy++
+				c.verdict.Overdue++
 			}
 			c.verdict.Answers[r.Outcome]++
 		}
 		limit := a.Until + c.rules.AnswerGrace + c.rules.Slack
 		down := c.wasDown(a.Controller, a.At, limit)
-		left := len(t.answers) == 1 && t.answers[0].Outcome == Left
+		left := len(t.answers) == 1 && t.answers[0].Outcome == ClientClosed
 		if !down {
-			c.verdict.Judged[OneAnswer]++
+			c.verdict.Checked[OneAnswer]++
 			switch {
 			case len(t.answers) == 0 && limit > c.end:
-				c.verdict.Judged[OneAnswer]-- // the trace ends before its time
+				c.verdict.Checked[OneAnswer]-- // the trace ends before its time
 			case len(t.answers) == 0:
 				c.broken(OneAnswer, limit, "request %s to %s has no answer", id, a.Controller)
 			case len(t.answers) > 1:
 				c.broken(OneAnswer, t.answers[1].At, "request %s to %s has %d answers", id, a.Controller, len(t.answers))
-			case t.answers[0].Outcome == Unreached:
+			case t.answers[0].Outcome == ConnectionLost:
 				c.broken(OneAnswer, t.answers[0].At, "request %s to %s, which ran, was cut off", id, a.Controller)
 			case !left && c.over(a.At, limit, t.answers[0].At):
 				c.broken(OneAnswer, t.answers[0].At, "request %s to %s was answered %v after its time", id, a.Controller,
--- a/internal/harness/invariant/slow_start.go
+++ b/internal/harness/invariant/slow_start.go
@@ -34,7 +34,7 @@
 			if w == nil || r.At >= w.since+c.rules.WarmupTime || c.rules.CollapseFactor == 0 {
 				continue
 			}
-			c.verdict.Judged[SlowStartBound]++
+			c.verdict.Checked[SlowStartBound]++
 			w.sent = slices.DeleteFunc(w.sent, func(s sent) bool { return s.at <= r.At-c.rules.CollapseWindow })
 			w.sent = append(w.sent, sent{r.At, c.classes[r.Class].WorkSeconds})
 			var sum float64
--- a/internal/harness/invariant/versions.go
+++ b/internal/harness/invariant/versions.go
@@ -8,19 +8,19 @@
 	"kitehub/internal/harness/trace"
 )
 
-// A VersionBreak is an answer, or a run, of a version that should not have been.
-type VersionBreak struct {
-	At   time.Duration
-	What string
+// A VersionViolation is an answer, or a run, of a version that should not have been.
+type VersionViolation struct {
+	At      time.Duration
+	Message string
 }
 
 // A VersionVerdict is what the trace of both ends shows about versions.
 type VersionVerdict struct {
-	Moves, Answers, Runs int // judged
+	Migrations, Answers, Runs int // judged
 	// Near are answers that came in within the slack after an acknowledgement that they contradict: they may have been
 	// written before it. They were asked for before it.
-	Near   int
-	Breaks []VersionBreak
+	WithinSlack int
+	Violations  []VersionViolation
 }
 
 // A migration is one that the operator has the acknowledgement of.
@@ -68,7 +68,7 @@
 func (c *versionChecker) gather(r *trace.Record) {
 	switch r.Kind {
 	case trace.AliasMigrated:
-		c.verdict.Moves++
+		c.verdict.Migrations++
 		c.migrations[r.Function] = append(c.migrations[r.Function], migration{r.At, r.Revision, r.Digest})
 		c.digests[r.Note] = r.Digest
 	case trace.RequestSent:
@@ -82,7 +82,7 @@
 }
 
 func (c *versionChecker) broken(at time.Duration, format string, args ...any) {
-	c.verdict.Breaks = append(c.verdict.Breaks, VersionBreak{at, fmt.Sprintf(format, args...)})
+	c.verdict.Violations = append(c.verdict.Violations, VersionViolation{at, fmt.Sprintf(format, args...)})
 }
 
 // checkRun checks that a worker ran the bytes that the function's name stands for, unless it was told to run others.
@@ -107,7 +107,7 @@
 			c.broken(r.At, "answer %s of revision %d of %s came %v after revision %d was acknowledged",
 				r.Request, r.Revision, r.Function, r.At-m.at, m.revision)
 		case r.At > m.at:
-			c.verdict.Near++
+			c.verdict.WithinSlack++
 		}
 	}
 }
--- a/internal/harness/invariant/versions_test.go
+++ b/internal/harness/invariant/versions_test.go
@@ -36,8 +36,8 @@
 	for _, tt := range tests {
 		rs := append([]trace.Record{moved(0, 1, "a"), moved(100*ms, 2, "b"), moved(200*ms, 3, "a")}, tt.rs...)
 		v := Versions(rs, 50*ms)
-		if v.Near != tt.near || (tt.want == "") != (len(v.Breaks) == 0) || len(v.Breaks) > 0 && !strings.Contains(v.Breaks[0].What, tt.want) {
-			t.Errorf("%s: near %d, breaks %v, want %q", tt.name, v.Near, v.Breaks, tt.want)
+		if v.WithinSlack != tt.near || (tt.want == "") != (len(v.Violations) == 0) || len(v.Violations) > 0 && !strings.Contains(v.Violations[0].Message, tt.want) {
+			t.Errorf("%s: near %d, breaks %v, want %q", tt.name, v.WithinSlack, v.Violations, tt.want)
 		}
 	}
 }
--- a/internal/harness/scenario/client.go
+++ b/internal/harness/scenario/client.go
@@ -62,7 +62,7 @@
 		attempts++
 		var retryAfter time.Duration
 		outcome, retryAfter = l.attempt(p, t, w, stamp, end, rng)
-		if outcome == invariant.Unreached && p.class.Effect == "safe" && attempts <= int(l.s.Retries) {
+		if outcome == invariant.ConnectionLost && p.class.Effect == "safe" && attempts <= int(l.s.Retries) {
 			at = (at + 1) % len(l.targets)
 			continue
 		}
@@ -112,7 +112,7 @@
 		y.Refused++
 	case "failed":
 		y.Failed++
-	case invariant.Left, invariant.Unreached:
+	case invariant.ClientClosed, invariant.ConnectionLost:
 		y.Left++
 	default:
 		y.Nowhere++
@@ -160,14 +160,14 @@
 	w.SetDeadline(time.Now().Add(end - now + time.Second))
 	if _, err := w.Write(http1.AppendRequest(nil, req)); err != nil {
 		w.Close()
-		l.answered(rec, invariant.Unreached)
-		return invariant.Unreached, 0
+		l.answered(rec, invariant.ConnectionLost)
+		return invariant.ConnectionLost, 0
 	}
 	resp, err := http1.ReadResponse(w.br, &clientLimits, "POST")
 	if err != nil {
 		w.Close()
-		l.answered(rec, invariant.Unreached)
-		return invariant.Unreached, 0
+		l.answered(rec, invariant.ConnectionLost)
+		return invariant.ConnectionLost, 0
 	}
 	outcome, retryAfter = outcomeOf(resp)
 	rec.Revision, _ = strconv.ParseUint(resp.Header.Get("kitehub-revision"), 10, 64)
@@ -240,10 +240,10 @@
 		m, _ := e.Data.(map[string]any)
 		outcome, _ = m["outcome"].(string)
 	case err != nil:
-		outcome = invariant.Unreached
+		outcome = invariant.ConnectionLost
 	}
 	l.answered(rec, outcome)
-	if outcome == invariant.Unreached {
+	if outcome == invariant.ConnectionLost {
 		c.Close()
 	} else {
 		t.putRPC(c)
--- a/internal/harness/scenario/controllers.go
+++ b/internal/harness/scenario/controllers.go
@@ -46,7 +46,7 @@
 		return nil
 	}
 	// Its life begins here: before Start returns it may be told of the list, and order loads.
-	p.list.Forget(b.Name)
+	p.list.ForgetController(b.Name)
 	p.log.Add(trace.Record{Kind: trace.ControllerUp, Controller: b.Name})
 	ctl, err := controller.Start(b, o)
 	if err != nil {
--- a/internal/harness/scenario/faults.go
+++ b/internal/harness/scenario/faults.go
@@ -49,12 +49,12 @@
 
 // answerFaults are the ways in which workers answer wrongly.
 var answerFaults = map[What]fakeworker.Fault{
-	What_CUT_ANSWERS: fakeworker.CutAnswer,
+	What_CUT_ANSWERS: fakeworker.TruncatedResponse,
 	What_GARBAGE:     fakeworker.Garbage,
-	What_TWO_ANSWERS: fakeworker.TwoAnswers,
-	What_LONG_BODY:   fakeworker.LongBody,
+	What_TWO_ANSWERS: fakeworker.DuplicateResponse,
+	What_LONG_BODY:   fakeworker.OverlongBody,
 	What_HUGE_BODY:   fakeworker.HugeBody,
-	What_DRIP:        fakeworker.Drip,
+	What_DRIP:        fakeworker.ByteAtATime,
 }
 
 // faultPlayers has, for each other kind of fault, what injects it, waits for its length, and takes it back.
@@ -98,11 +98,11 @@
 func (p *player) corruptAnswers(t *Trouble, fault fakeworker.Fault) {
 	workers := p.pick(t.Part)
 	for _, w := range workers {
-		p.host.Fault(w, fault)
+		p.host.SetFault(w, fault)
 	}
 	p.wait(seconds(t.ForS))
 	for _, w := range workers {
-		p.host.Fault(w, fakeworker.NoFault)
+		p.host.SetFault(w, fakeworker.NoFault)
 	}
 }
 
@@ -171,8 +171,8 @@
 	p.host.Do(func(f *workersim.Fleet) {
 		for i, name := range p.host.Names() {
 			if slices.Contains(workers, name) && f.Up(i) {
-				f.Slow(i, speed)
-				f.StealCPU(i, stolen)
+				f.SetSpeedFactor(i, speed)
+				f.SetStolenFraction(i, stolen)
 			}
 		}
 	})
@@ -185,9 +185,9 @@
 }
 
 func (p *player) delayList(t *Trouble, length time.Duration) {
-	p.list.Delay(ms(p.s.ListDelayMs) + seconds(t.Size))
+	p.list.SetDelay(ms(p.s.ListDelayMs) + seconds(t.Size))
 	p.wait(length)
-	p.list.Delay(ms(p.s.ListDelayMs))
+	p.list.SetDelay(ms(p.s.ListDelayMs))
 }
 
 func (p *player) emptyList(_ *Trouble, length time.Duration) {
@@ -237,9 +237,9 @@
 }
 
 func (p *player) slowStore(t *Trouble, length time.Duration) {
-	p.host.Do(func(f *workersim.Fleet) { f.SlowStore(t.Size) })
+	p.host.Do(func(f *workersim.Fleet) { f.SetStoreSpeedFactor(t.Size) })
 	p.wait(length)
-	p.host.Do(func(f *workersim.Fleet) { f.SlowStore(1) })
+	p.host.Do(func(f *workersim.Fleet) { f.SetStoreSpeedFactor(1) })
 }
 
 func (p *player) rejectFetches(_ *Trouble, length time.Duration) {
--- a/internal/harness/scenario/golden_test.go
+++ b/internal/harness/scenario/golden_test.go
@@ -30,5 +30,5 @@
 
 // Each field that is stored or sent has a key of its own: what it is called in Go may change, the format may not.
 func TestKeysDoNotFollowFieldNames(t *testing.T) {
-	goldenfile.Tagged(t, Tally{})
+	goldenfile.RequireJSONTags(t, Tally{})
 }
--- a/internal/harness/scenario/guards_test.go
+++ b/internal/harness/scenario/guards_test.go
@@ -51,7 +51,7 @@
 		change func(*Day)
 		o      Options
 	}{
-		{"drain", "deploy", invariant.Drains, func(d *Day) {
+		{"drain", "deploy", invariant.DrainGrace, func(d *Day) {
 			for _, t := range d.Troubles {
 				t.DrainS = 1.5
 			}
@@ -60,7 +60,7 @@
 			d.Rate, d.Rules.ColdShare, d.Rules.FallFactor, d.Rules.FallWithinMs, d.Rules.ColdMs = 700, 0.1, 1.6, 500, 5000
 			d.Troubles[0].Part, d.Troubles[0].ForS = 0.75, 0.5
 		}, Options{Spoil: func(b *config.ControllerConfig) { b.Settings.Guarantees.WarmupTime = 0 }}},
-		{"load budget", "flush", invariant.Loads, func(d *Day) { d.Rules.LoadFree, d.Rules.LoadRatio = 2, 0.02 },
+		{"load budget", "flush", invariant.LoadBudget, func(d *Day) { d.Rules.LoadFree, d.Rules.LoadRatio = 2, 0.02 },
 			Options{Spoil: func(b *config.ControllerConfig) { b.Settings.Loading.BudgetWindow = 0 }}},
 		{"double answer", "quiet", invariant.OneAnswer, func(*Day) {}, Options{Handler: func(h http1.Handler) http1.Handler {
 			return http1.HandlerFunc(func(c *http1.Conn, r *http1.Request) *http1.Response {
@@ -94,15 +94,15 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
-			breaks := func(o Options) (l []invariant.Break) {
+			breaks := func(o Options) (l []invariant.Violation) {
 				d := small(t, tt.script)
 				d.Rate *= slower // few calls would break little
 				tt.change(d)
 				res := playSmall(t, d, o)
-				if res.Verdict.Judged[tt.rule] == 0 {
+				if res.Verdict.Checked[tt.rule] == 0 {
 					t.Errorf("rule %v was judged on nothing", tt.rule)
 				}
-				for _, b := range res.Verdict.Breaks {
+				for _, b := range res.Verdict.Violations {
 					if b.Rule == tt.rule {
 						l = append(l, b)
 					}
@@ -158,23 +158,23 @@
 				tt.change(d)
 				return playSmall(t, d, o).Versions
 			}
-			if v := play(Options{}); len(v.Breaks) > 0 || v.Answers == 0 {
-				t.Errorf("with the guard: %d answers, %d breaks: %v", v.Answers, len(v.Breaks), v.Breaks)
+			if v := play(Options{}); len(v.Violations) > 0 || v.Answers == 0 {
+				t.Errorf("with the guard: %d answers, %d breaks: %v", v.Answers, len(v.Violations), v.Violations)
 			}
 			v := play(Options{Models: func(m ingress.Models) ingress.Models { return trusting{Models: m} },
 				Versions: func(g gateway.Versions) gateway.Versions { return trusting{Versions: g} }})
-			if len(v.Breaks) == 0 {
+			if len(v.Violations) == 0 {
 				t.Errorf("without the guard no break was found in %d answers", v.Answers)
 			} else {
-				t.Logf("without the guard %d breaks in %d answers, first: %s", len(v.Breaks), v.Answers, v.Breaks[0].What)
+				t.Logf("without the guard %d breaks in %d answers, first: %s", len(v.Violations), v.Answers, v.Violations[0].Message)
 			}
 		})
 	}
 }
 
-func first(l []invariant.Break) string {
+func first(l []invariant.Violation) string {
 	if len(l) == 0 {
 		return ""
 	}
-	return l[0].At.Round(time.Millisecond).String() + " " + l[0].What
+	return l[0].At.Round(time.Millisecond).String() + " " + l[0].Message
 }
--- a/internal/harness/scenario/play.go
+++ b/internal/harness/scenario/play.go
@@ -131,7 +131,7 @@
 	clk      clock.Clock
 	log      *trace.Log
 	host     *fakeworker.Host
-	list     *fakeworker.List
+	list     *fakeworker.DiscoveryServer
 	net      *network
 	load     *load
 	versions *versions // nil: functions have none
@@ -223,7 +223,7 @@
 				State: state, Size: w.Cores, Started: p.started[name]})
 		}
 	}
-	p.list.Set(l)
+	p.list.Publish(l)
 }
 
 // change alters what the list will say, and publishes it.
@@ -241,7 +241,7 @@
 		now := p.clk.Now()
 		p.host.Do(func(f *workersim.Fleet) {
 			for w := range p.host.Names() {
-				*sum += f.Idle(w) * (now - last).Seconds()
+				*sum += f.IdleMemoryMB(w) * (now - last).Seconds()
 			}
 		})
 		last = now
@@ -294,7 +294,7 @@
 			res.Orders++
 		}
 	}
-	p.host.Do(func(f *workersim.Fleet) { res.Fetches, res.Refusals = f.Fetches, f.Refusals })
+	p.host.Do(func(f *workersim.Fleet) { res.Fetches, res.Refusals = f.Fetches, f.RejectedFetches })
 	p.addControllers(res)
 	if p.versions != nil {
 		res.Moves = p.versions.counts
--- a/internal/harness/scenario/result.go
+++ b/internal/harness/scenario/result.go
@@ -66,10 +66,10 @@
 		m := r.Moves
 		fmt.Fprintf(w, "moves: %d acknowledged, %d given up, %d unknown of %d; longest %v; calls begun anew %d, answers withheld at the door %d, answers of other bytes dropped %d\n",
 			m.Acknowledged, m.Aborted, m.Unknown, m.Requested, m.Longest.Round(time.Millisecond), r.Anew, r.Withheld, r.Mismatched)
-		fmt.Fprintf(w, "versions: %d answers and %d runs judged, %d answers near a move, %d breaks\n", v.Answers, v.Runs, v.Near, len(v.Breaks))
-		for i, b := range v.Breaks {
+		fmt.Fprintf(w, "versions: %d answers and %d runs judged, %d answers near a move, %d breaks\n", v.Answers, v.Runs, v.WithinSlack, len(v.Violations))
+		for i, b := range v.Violations {
 			if i < 10 {
-				fmt.Fprintf(w, "  %v %s\n", b.At.Round(time.Millisecond), b.What)
+				fmt.Fprintf(w, "  %v %s\n", b.At.Round(time.Millisecond), b.Message)
 			}
 		}
 	}
--- a/internal/harness/scenario/setup.go
+++ b/internal/harness/scenario/setup.go
@@ -79,7 +79,7 @@
 		hc.Fleet.DedupWindow = max(hc.Fleet.DedupWindow, ms(c.WindowMs))
 		for i := range int(c.Functions) + spareFunctions {
 			name := functionName(c.Name, i)
-			hc.Functions = append(hc.Functions, fakeworker.Kind{
+			hc.Functions = append(hc.Functions, fakeworker.FunctionConfig{
 				Function: workersim.Function{Name: name, MemoryMB: c.MemoryMb, Lanes: int(c.Lanes), Fetch: ms(c.FetchMs), Start: ms(c.StartMs)},
 				Class:    c.Name, Work: ms(c.WorkMs), Keyed: c.Effect == "keyed", Versions: s.Versions != nil})
 			models = append(models, name)
@@ -100,16 +100,16 @@
 // startList publishes the first endpoint list, by a file or by a server.
 func (p *player) startList() (err error) {
 	p.net = newNetwork(p.zoneOf)
-	if p.list, err = fakeworker.NewList(cluster, p.log); err != nil {
+	if p.list, err = fakeworker.NewDiscoveryServer(cluster, p.log); err != nil {
 		return err
 	}
-	p.list.Delay(ms(p.s.ListDelayMs))
+	p.list.SetDelay(ms(p.s.ListDelayMs))
 	if !p.s.Stream {
 		var names []string
 		for i := range int(p.s.Controllers) {
 			names = append(names, controllerName(i))
 		}
-		p.list.ToFile(filepath.Join(p.dir, "list.json"), listPoll, names)
+		p.list.WriteToFile(filepath.Join(p.dir, "list.json"), listPoll, names)
 	}
 	p.publish()
 	return nil
--- a/internal/harness/scenario/versions.go
+++ b/internal/harness/scenario/versions.go
@@ -33,7 +33,7 @@
 	p     *player
 	dir   string
 	addr  string
-	blobs []*fakeworker.Blobs
+	blobs []*fakeworker.BlobStore
 	fetch map[string]*blobfetch.Client // of each worker
 	sizes map[string]int64             // of digests
 	names []string                     // models
@@ -89,12 +89,12 @@
 func (v *versions) startStores() error {
 	var stores []string
 	for i := range int(v.s.Stores) {
-		b, err := fakeworker.StartBlobs()
+		b, err := fakeworker.StartBlobStore()
 		if err != nil {
 			return err
 		}
 		if i == 1 && v.s.Rotten {
-			b.Fault(fakeworker.Rotten)
+			b.SetFault(fakeworker.BitFlipped)
 		}
 		v.blobs = append(v.blobs, b)
 		stores = append(stores, b.Addr())
@@ -346,7 +346,7 @@
 		for _, m := range v.names {
 			first := v.digest(m, 0)
 			for n := range int(v.s.Count) {
-				v.p.host.Lie(w, m+"@"+version(n), first)
+				v.p.host.ServeStaleVersion(w, m+"@"+version(n), first)
 			}
 		}
 	}
--- a/internal/harness/trace/golden_test.go
+++ b/internal/harness/trace/golden_test.go
@@ -39,7 +39,7 @@
 // Kinds are words in a trace.
 func TestKindsAreAsBefore(t *testing.T) {
 	var written bytes.Buffer
-	for _, kind := range []Kind{Facts, RequestSent, Answered, RequestRead, RunStarted, RunEnded, ClientClosed, Replied, LoadOrdered, ControllerUp, ControllerDown, WorkerUp, WorkerDown,
+	for _, kind := range []Kind{Facts, RequestSent, Answered, RequestRead, RunStarted, RunEnded, ClientClosed, ResponseSent, LoadOrdered, ControllerUp, ControllerDown, WorkerUp, WorkerDown,
 		Collapsed, ListDelivered, FaultInjected, AliasMigrated, Stall} {
 		written.WriteString(string(kind) + "\n")
 	}
@@ -48,5 +48,5 @@
 
 // Each field that is stored or sent has a key of its own: what it is called in Go may change, the format may not.
 func TestKeysDoNotFollowFieldNames(t *testing.T) {
-	goldenfile.Tagged(t, Record{})
+	goldenfile.RequireJSONTags(t, Record{})
 }
--- a/internal/harness/trace/trace.go
+++ b/internal/harness/trace/trace.go
@@ -26,7 +26,7 @@
 	RunStarted     Kind = "began"
 	RunEnded       Kind = "ended"
 	ClientClosed   Kind = "left"
-	Replied        Kind = "replied"
+	ResponseSent   Kind = "replied"
 	LoadOrdered    Kind = "order"
 	ControllerUp   Kind = "controller-up"
 	ControllerDown Kind = "controller-down"
--- a/internal/harness/workersim/calls.go
+++ b/internal/harness/workersim/calls.go
@@ -8,7 +8,7 @@
 func (f *Fleet) Call(worker int, c Call) {
 	w := f.workers[worker]
 	if !w.up {
-		f.out = append(f.out, Effect{Kind: CallAnswered, At: f.now, Worker: worker, ID: c.ID, Outcome: Reset})
+		f.out = append(f.out, Event{Kind: CallAnswered, At: f.now, Worker: worker, ID: c.ID, Outcome: Reset})
 		return
 	}
 	if f.pushed(w, c) {
@@ -50,7 +50,7 @@
 }
 
 func (f *Fleet) refuse(w *worker, h *call) {
-	f.out = append(f.out, Effect{Kind: CallAnswered, At: f.now, Worker: w.index, ID: h.ID, Outcome: AtCapacity, SameFunction: h.sameFunction})
+	f.out = append(f.out, Event{Kind: CallAnswered, At: f.now, Worker: w.index, ID: h.ID, Outcome: AtCapacity, SameFunction: h.sameFunction})
 }
 
 // pushed notes what a cold worker is sent and tells whether that pushes it over.
@@ -61,7 +61,7 @@
 		return false
 	}
 	w.sent = slices.DeleteFunc(w.sent, func(s sent) bool { return s.at <= f.now-cold.CollapseWindow })
-	w.sent = append(w.sent, sent{f.now, c.Mean})
+	w.sent = append(w.sent, sent{f.now, c.MeanWork})
 	var sum float64
 	for _, s := range w.sent {
 		sum += s.work
@@ -71,8 +71,8 @@
 		return false
 	}
 	w.fallen = true
-	f.out = append(f.out, Effect{Kind: Collapsed, At: f.now, Worker: w.index},
-		Effect{Kind: CallAnswered, At: f.now, Worker: w.index, ID: c.ID, Outcome: Reset})
+	f.out = append(f.out, Event{Kind: Collapsed, At: f.now, Worker: w.index},
+		Event{Kind: CallAnswered, At: f.now, Worker: w.index, ID: c.ID, Outcome: Reset})
 	f.Kill(w.index)
 	return true
 }
@@ -93,10 +93,10 @@
 			h.copy.busy++
 			w.running = append(w.running, h)
 			if f.repeated(w, h) {
-				f.finishCall(w, h, Effect{Outcome: OK, Repeat: true})
+				f.finishCall(w, h, Event{Outcome: OK, Repeat: true})
 				continue
 			}
-			f.out = append(f.out, Effect{Kind: RunStarted, At: f.now, Worker: w.index, ID: h.ID})
+			f.out = append(f.out, Event{Kind: RunStarted, At: f.now, Worker: w.index, ID: h.ID})
 		}
 		// Copies that went void under a queue leave it with none: it waits for room, not for ever.
 		if len(fn.queue) > 0 && f.Copies(w.index, name) == 0 &&
@@ -131,15 +131,15 @@
 	return false
 }
 
-func (f *Fleet) end(w *worker, h *call, o Outcome) { f.finishCall(w, h, Effect{Outcome: o}) }
+func (f *Fleet) end(w *worker, h *call, o Outcome) { f.finishCall(w, h, Event{Outcome: o}) }
 
-func (f *Fleet) finishCall(w *worker, h *call, e Effect) {
+func (f *Fleet) finishCall(w *worker, h *call, e Event) {
 	w.running = slices.DeleteFunc(w.running, func(o *call) bool { return o == h })
 	if h.copy.busy--; h.copy.busy == 0 {
 		h.copy.idle = f.now
 	}
 	delete(w.calls, h.ID)
-	e.Kind, e.At, e.Worker, e.ID, e.Note, e.SameFunction = CallAnswered, f.now, w.index, h.ID, h.note, h.sameFunction
+	e.Kind, e.At, e.Worker, e.ID, e.CopyState, e.SameFunction = CallAnswered, f.now, w.index, h.ID, h.note, h.sameFunction
 	f.out = append(f.out, e)
 }
 
--- a/internal/harness/workersim/fleet.go
+++ b/internal/harness/workersim/fleet.go
@@ -18,13 +18,13 @@
 	cfg              Config
 	now              time.Duration
 	workers          []*worker
-	out              []Effect
+	out              []Event
 	completedKeys    map[string]map[string]ran // by group, by key
 	storeSpeedFactor float64                   // factor on the store
 	storeRejects     bool                      // the store turns all away
 	fetches          int
 	// Fetches, Refusals and Faults count what the store did.
-	Fetches, Refusals int
+	Fetches, RejectedFetches int
 }
 
 // New returns a fleet in which all workers are up and warm, at the time given.
@@ -113,7 +113,7 @@
 }
 
 // Advance moves the model to now and returns what has happened since the last call.
-func (f *Fleet) Advance(now time.Duration) []Effect {
+func (f *Fleet) Advance(now time.Duration) []Event {
 	for {
 		next, ok := f.Next()
 		if !ok || next > now {
@@ -244,8 +244,8 @@
 	return n
 }
 
-// Idle returns the memory of a worker's idle copies, in MB.
-func (f *Fleet) Idle(worker int) (mb float64) {
+// IdleMemoryMB returns the memory of a worker's idle copies, in MB.
+func (f *Fleet) IdleMemoryMB(worker int) (mb float64) {
 	w := f.workers[worker]
 	for _, name := range w.names {
 		for _, c := range w.functions[name].copies {
--- a/internal/harness/workersim/fleet_test.go
+++ b/internal/harness/workersim/fleet_test.go
@@ -34,7 +34,7 @@
 		case RunStarted:
 			l = append(l, fmt.Sprintf("%v %d began", e.At.Round(ms), e.ID))
 		case CallAnswered:
-			l = append(l, fmt.Sprintf("%v %d %s note %d alike %d repeat %v", e.At.Round(ms), e.ID, e.Outcome, e.Note, e.SameFunction, e.Repeat))
+			l = append(l, fmt.Sprintf("%v %d %s note %d alike %d repeat %v", e.At.Round(ms), e.ID, e.Outcome, e.CopyState, e.SameFunction, e.Repeat))
 		case OrderEnded:
 			l = append(l, fmt.Sprintf("%v order %d %s %d", e.At.Round(ms), e.ID, e.Outcome, e.Copies))
 		case Collapsed:
@@ -45,7 +45,7 @@
 }
 
 func TestFleet(t *testing.T) {
-	call := func(id uint64, fn string) Call { return Call{ID: id, Function: quote(fn), Work: 0.1, Mean: 0.1} }
+	call := func(id uint64, fn string) Call { return Call{ID: id, Function: quote(fn), Work: 0.1, MeanWork: 0.1} }
 	tests := []struct {
 		name string
 		do   func(f *Fleet) []string
@@ -60,7 +60,7 @@
 		}, "[150ms 1 began 150ms 2 began 250ms 1 ok note 2 alike 0 repeat false 250ms 2 ok note 3 alike 1 repeat false" +
 			" 1s 3 began 1.1s 3 ok note 1 alike 0 repeat false]"},
 		{"three on two cores share them", func(f *Fleet) []string {
-			f.Hold(0, 9, quote("x"), 2)
+			f.EnsureCopies(0, 9, quote("x"), 2)
 			run(f, time.Second)
 			for id := uint64(1); id <= 3; id++ {
 				f.Call(0, call(id, "x"))
@@ -74,16 +74,16 @@
 			return run(f, 1*ms)
 		}, "[0s 3 full note 0 alike 0 repeat false]"},
 		{"the longest idle copy gives way", func(f *Fleet) []string {
-			f.Hold(0, 1, quote("x"), 1)
+			f.EnsureCopies(0, 1, quote("x"), 1)
 			run(f, 300*ms)
-			f.Hold(0, 2, quote("y"), 1)
+			f.EnsureCopies(0, 2, quote("y"), 1)
 			run(f, 600*ms)
-			f.Hold(0, 3, quote("z"), 1)
+			f.EnsureCopies(0, 3, quote("z"), 1)
 			run(f, 900*ms)
 			return []string{fmt.Sprint(f.Copies(0, "x"), f.Copies(0, "y"), f.Copies(0, "z"))}
 		}, "[0 1 1]"},
 		{"an idle copy ends", func(f *Fleet) []string {
-			f.Hold(0, 1, quote("x"), 1)
+			f.EnsureCopies(0, 1, quote("x"), 1)
 			run(f, 6*time.Second)
 			return []string{fmt.Sprint(f.Copies(0, "x"))}
 		}, "[0]"},
@@ -94,15 +94,15 @@
 			return run(f, 1*ms)
 		}, "[0s 5 full note 0 alike 4 repeat false]"},
 		{"the store turns away past its limit", func(f *Fleet) []string {
-			f.Hold(0, 1, quote("x"), 1)
-			f.Hold(0, 2, quote("y"), 1)
-			f.Hold(1, 3, quote("x"), 1)
-			f.Hold(1, 4, quote("y"), 1)
+			f.EnsureCopies(0, 1, quote("x"), 1)
+			f.EnsureCopies(0, 2, quote("y"), 1)
+			f.EnsureCopies(1, 3, quote("x"), 1)
+			f.EnsureCopies(1, 4, quote("y"), 1)
 			return run(f, time.Second)
 		}, "[0s order 4 error 0 350ms order 1 ok 1 350ms order 2 ok 1 350ms order 3 ok 1]"},
 		{"a group drops repeats within its window", func(f *Fleet) []string {
-			f.Hold(0, 8, quote("x"), 1)
-			f.Hold(1, 9, quote("x"), 1)
+			f.EnsureCopies(0, 8, quote("x"), 1)
+			f.EnsureCopies(1, 9, quote("x"), 1)
 			run(f, time.Second)
 			c := call(1, "x")
 			c.Key = "k"
@@ -117,7 +117,7 @@
 			return append(l, run(f, 4000*ms)...)
 		}, "[1s 1 began 1.1s 1 ok note 1 alike 0 repeat false 1.5s 2 ok note 1 alike 0 repeat true 3.5s 3 began 3.6s 3 ok note 1 alike 0 repeat false]"},
 		{"a dead worker resets what it held and comes back cold and empty", func(f *Fleet) []string {
-			f.Hold(0, 9, quote("x"), 1)
+			f.EnsureCopies(0, 9, quote("x"), 1)
 			run(f, time.Second)
 			f.Call(0, call(1, "x"))
 			f.Kill(0)
@@ -138,7 +138,7 @@
 		}, "[1s fell 1s 11 reset note 0 alike 0 repeat false 1s 1 reset note 0 alike 0 repeat false" +
 			" 1s 2 reset note 0 alike 0 repeat false 1s 3 reset note 0 alike 0 repeat false 1s 4 reset note 0 alike 0 repeat false false]"},
 		{"a copy released anew goes when it is done", func(f *Fleet) []string {
-			f.Hold(0, 9, quote("x"), 1)
+			f.EnsureCopies(0, 9, quote("x"), 1)
 			run(f, time.Second)
 			f.Call(0, call(1, "x"))
 			f.Flush()
@@ -146,7 +146,7 @@
 			return run(f, 2*time.Second)
 		}, "[1s 1 began 1.1s 1 ok note 1 alike 0 repeat false 1.15s 2 began 1.25s 2 ok note 2 alike 1 repeat false]"},
 		{"what waits is dropped, what runs goes on", func(f *Fleet) []string {
-			f.Hold(0, 9, quote("x"), 1)
+			f.EnsureCopies(0, 9, quote("x"), 1)
 			run(f, time.Second)
 			for id := uint64(1); id <= 3; id++ {
 				f.Call(0, call(id, "x"))
@@ -171,7 +171,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		f, now, id := New(two(), 0), time.Duration(0), uint64(0)
 		out := map[uint64]int{}
-		note := func(l []Effect) {
+		note := func(l []Event) {
 			for _, e := range l {
 				if e.Kind == CallAnswered {
 					out[e.ID]++
@@ -190,7 +190,7 @@
 			case 1:
 				f.Start(w)
 			case 2:
-				f.Hold(w, id, fn, rapid.IntRange(0, 3).Draw(t, "copies"))
+				f.EnsureCopies(w, id, fn, rapid.IntRange(0, 3).Draw(t, "copies"))
 			case 3:
 				f.Flush()
 			case 4:
@@ -199,7 +199,7 @@
 				f.RejectFetches(rapid.Bool().Draw(t, "refuse"))
 			default:
 				out[id] = 0
-				f.Call(w, Call{ID: id, Function: fn, Work: 0.05, Mean: 0.05})
+				f.Call(w, Call{ID: id, Function: fn, Work: 0.05, MeanWork: 0.05})
 			}
 			for _, w := range f.workers {
 				if w.usedMemoryMB > w.MemoryMB+1e-6 || w.usedMemoryMB < -1e-6 || w.waiting < 0 {
--- a/internal/harness/workersim/load.go
+++ b/internal/harness/workersim/load.go
@@ -44,7 +44,7 @@
 			continue
 		}
 		if f.storeRejects || f.cfg.Store.MaxFetches > 0 && f.fetches >= f.cfg.Store.MaxFetches {
-			f.Refusals++
+			f.RejectedFetches++
 			f.loadFailed(w, l)
 			continue
 		}
@@ -75,7 +75,7 @@
 		for _, h := range fn.queue {
 			delete(w.calls, h.ID)
 			w.waiting--
-			f.out = append(f.out, Effect{Kind: CallAnswered, At: f.now, Worker: w.index, ID: h.ID, Outcome: Failed, SameFunction: h.sameFunction})
+			f.out = append(f.out, Event{Kind: CallAnswered, At: f.now, Worker: w.index, ID: h.ID, Outcome: LoadFailed, SameFunction: h.sameFunction})
 		}
 		fn.queue = nil
 	}
@@ -89,7 +89,7 @@
 }
 
 func (f *Fleet) stands(w *worker, id uint64, o Outcome, copies int) {
-	f.out = append(f.out, Effect{Kind: OrderEnded, At: f.now, Worker: w.index, ID: id, Outcome: o, Copies: copies})
+	f.out = append(f.out, Event{Kind: OrderEnded, At: f.now, Worker: w.index, ID: id, Outcome: o, Copies: copies})
 }
 
 // tell answers the orders whose copies stand.
@@ -104,8 +104,8 @@
 	})
 }
 
-// Hold orders copies of a function to stand; one Stands follows. Zero copies only ask.
-func (f *Fleet) Hold(worker int, id uint64, fn *Function, copies int) {
+// EnsureCopies orders copies of a function to stand; one Stands follows. Zero copies only ask.
+func (f *Fleet) EnsureCopies(worker int, id uint64, fn *Function, copies int) {
 	w := f.workers[worker]
 	if !w.up {
 		f.stands(w, id, Reset, 0)
@@ -168,7 +168,7 @@
 		}
 	}
 	for _, id := range sortedIDs(w.calls) {
-		f.out = append(f.out, Effect{Kind: CallAnswered, At: f.now, Worker: worker, ID: id, Outcome: Reset})
+		f.out = append(f.out, Event{Kind: CallAnswered, At: f.now, Worker: worker, ID: id, Outcome: Reset})
 	}
 	for _, o := range w.orders {
 		f.stands(w, o.id, Reset, 0)
@@ -196,20 +196,22 @@
 	return true
 }
 
-// Started returns when a worker started; 0 if it has run since the beginning.
-func (f *Fleet) Started(worker int) time.Duration { return f.workers[worker].started }
+// StartedAt returns when a worker started; 0 if it has run since the beginning.
+func (f *Fleet) StartedAt(worker int) time.Duration { return f.workers[worker].started }
 
 // Drain marks a worker: it takes no further orders to load, but still serves.
 func (f *Fleet) Drain(worker int) { f.workers[worker].draining = true }
 
-// Slow sets the factor on a worker's speed; 1 is full speed.
-func (f *Fleet) Slow(worker int, factor float64) { f.workers[worker].speedFactor = factor }
+// SetSpeedFactor sets the factor on a worker's speed; 1 is full speed.
+func (f *Fleet) SetSpeedFactor(worker int, factor float64) { f.workers[worker].speedFactor = factor }
 
-// StealCPU sets the fraction of a worker's cores that a neighbour takes, from 0 to below 1.
-func (f *Fleet) StealCPU(worker int, fraction float64) { f.workers[worker].stolenFraction = fraction }
+// SetStolenFraction sets the fraction of a worker's cores that a neighbour takes, from 0 to below 1.
+func (f *Fleet) SetStolenFraction(worker int, fraction float64) {
+	f.workers[worker].stolenFraction = fraction
+}
 
-// SlowStore sets the factor on the speed of the store; 1 is full speed.
-func (f *Fleet) SlowStore(factor float64) { f.storeSpeedFactor = factor }
+// SetStoreSpeedFactor sets the factor on the speed of the store; 1 is full speed.
+func (f *Fleet) SetStoreSpeedFactor(factor float64) { f.storeSpeedFactor = factor }
 
 // RejectFetches makes the store reject all fetches, or serve them again.
 func (f *Fleet) RejectFetches(rejects bool) { f.storeRejects = rejects }
--- a/internal/harness/workersim/types.go
+++ b/internal/harness/workersim/types.go
@@ -49,7 +49,7 @@
 	ID       uint64
 	Function *Function
 	Work     float64 // seconds on one core of speed 1
-	Mean     float64 // of its class, for the cold bound
+	MeanWork float64 // of its class, for the cold bound
 	Key      string  // repeats of it are dropped; "" for none
 	Fails    bool    // it ends in an error
 }
@@ -62,7 +62,7 @@
 	OK         Outcome = "ok"
 	AtCapacity Outcome = "full"
 	Error      Outcome = "error"
-	Failed     Outcome = "load-failed" // the load it waited for
+	LoadFailed Outcome = "load-failed" // the load it waited for
 	Reset      Outcome = "reset"       // the worker died
 )
 
@@ -73,28 +73,28 @@
 	AwaitedLoad   = 3
 )
 
-// An Effect is something that happened at a worker.
-type Effect struct {
-	Kind         EffectKind
+// An Event is something that happened at a worker.
+type Event struct {
+	Kind         EventKind
 	At           time.Duration
 	Worker       int
 	ID           uint64
 	Outcome      Outcome
-	Note         int
+	CopyState    int
 	SameFunction int // calls of the same function that the worker held when this one came
 	Copies       int
 	Repeat       bool // its key had run: nothing ran
 }
 
-// An EffectKind says what an Effect tells.
-type EffectKind int
+// An EventKind says what an Effect tells.
+type EventKind int
 
 // What may happen at a worker.
 const (
-	RunStarted   EffectKind = iota + 1 // the call runs
-	CallAnswered                       // the call has ended
-	OrderEnded                         // the order has ended
-	Collapsed                          // the worker fell over
+	RunStarted   EventKind = iota + 1 // the call runs
+	CallAnswered                      // the call has ended
+	OrderEnded                        // the order has ended
+	Collapsed                         // the worker fell over
 )
 
 // A copyState is one loaded copy.
--- a/internal/hookengine/golden_test.go
+++ b/internal/hookengine/golden_test.go
@@ -203,5 +203,5 @@
 
 // Each field that is stored or sent has a key of its own: what it is called in Go may change, the format may not.
 func TestKeysDoNotFollowFieldNames(t *testing.T) {
-	goldenfile.Tagged(t, record{}, snapshot{}, Overview{}, hookadvice.Tenants{})
+	goldenfile.RequireJSONTags(t, record{}, snapshot{}, Overview{}, hookadvice.Tenants{})
 }
--- a/internal/hooklang/golden_test.go
+++ b/internal/hooklang/golden_test.go
@@ -64,5 +64,5 @@
 
 // Each field that is stored or sent has a key of its own: what it is called in Go may change, the format may not.
 func TestKeysDoNotFollowFieldNames(t *testing.T) {
-	goldenfile.Tagged(t, Call{}, Ended{}, Worker{}, Load{}, Level{}, Tick{}, Move{}, savedVariable{})
+	goldenfile.RequireJSONTags(t, Call{}, Ended{}, Worker{}, Load{}, Level{}, Tick{}, Move{}, savedVariable{})
 }
--- a/internal/ingress/jsonrpc/golden_test.go
+++ b/internal/ingress/jsonrpc/golden_test.go
@@ -148,5 +148,5 @@
 // Each field of a message has an explicit JSON key, so that renaming it in Go does not change the
 // encoding.
 func TestKeysDoNotFollowFieldNames(t *testing.T) {
-	goldenfile.Tagged(t, callParams{}, Error{})
+	goldenfile.RequireJSONTags(t, callParams{}, Error{})
 }
--- a/internal/ingress/msgpackrpc/helpers_test.go
+++ b/internal/ingress/msgpackrpc/helpers_test.go
@@ -15,7 +15,7 @@
 	"kitehub/scheduler"
 )
 
-var withFields, txn = fakeplatform.Fields, fakeplatform.Txn
+var withFields, txn = fakeplatform.Fields, fakeplatform.RequestID
 
 // newRequest encodes a request. Without params it has the platform's example fields.
 var newRequest = fakeplatform.Request
@@ -136,7 +136,7 @@
 // answer reads one answer, or reports that the connection was closed.
 func (c *client) answer() (id int64, what string) {
 	c.t.Helper()
-	if id, what = c.Answer(); what == fakeplatform.Silent {
+	if id, what = c.Answer(); what == fakeplatform.TimedOut {
 		c.t.Fatal(what)
 	}
 	return id, what
--- a/internal/ingress/msgpackrpc/message_test.go
+++ b/internal/ingress/msgpackrpc/message_test.go
@@ -47,7 +47,7 @@
 		{"empty body", newRequest(7, "call", withFields(), []byte{}), "", false},
 		{"wide numbers", newRequest(uint64(1<<32-1), "call", withFields(), []byte("body")), "", false},
 		{"status", newRequest(8, "status", map[string]string{}), "", false},
-		{"withdraw", fakeplatform.Withdraw(7, 8), "", false},
+		{"withdraw", fakeplatform.CancelNotification(7, 8), "", false},
 		{"fields that are not a map", newRequest(7, "call", "x", []byte("body")), "fields must be a map", false},
 		{"a body that is not binary", newRequest(7, "call", withFields(), 17), "the body must be bin", false},
 		{"a field that is a number", newRequest(7, "call", number, []byte("b")), "a field that is no string", false},
@@ -55,7 +55,7 @@
 		{"three params", newRequest(7, "call", withFields(), []byte("b"), 3), "params must be fields and a body", false},
 		{"no params", fakeplatform.Pack([]any{0, 7, "call", []any{}}), "params must be fields and a body", false},
 		{"a field twice", twice, "a field given twice", false},
-		{"withdraw of a string", fakeplatform.Withdraw("x"), "a msgid that is no number", false},
+		{"withdraw of a string", fakeplatform.CancelNotification("x"), "a msgid that is no number", false},
 		{"a body of 101 bytes", newRequest(7, "call", withFields(), make([]byte, 101)), "", true},
 		{"a body of 4 GB", hugeBody, "", true},
 		{"a long field", newRequest(7, "call", map[string]string{"txn": long}), "", true},
@@ -117,7 +117,7 @@
 // MessagePack, which must decode it to the same values.
 func FuzzDecode(f *testing.F) {
 	f.Add(newRequest(7, "call", withFields(), []byte("body")))
-	f.Add(fakeplatform.Withdraw(7))
+	f.Add(fakeplatform.CancelNotification(7))
 	f.Add(newRequest(uint64(1<<31), "call", map[string]any{"limit": 1500, "x": []any{1.5, nil, true}}, []byte("b")))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		d := decoder{r: bufio.NewReader(bytes.NewReader(in)), maxBody: 100}
--- a/internal/ingress/msgpackrpc/request_test.go
+++ b/internal/ingress/msgpackrpc/request_test.go
@@ -130,7 +130,7 @@
 	c := s.dial(t)
 	// One segment holds two messages and the start of a third; the rest follows later.
 	second := newRequest(2, "lookup", withFields("txn", txn(2)), []byte("x"))
-	c.send(newRequest(1, "lookup", withFields("txn", txn(1)), []byte("x")), fakeplatform.Withdraw(1, 99), second[:20])
+	c.send(newRequest(1, "lookup", withFields("txn", txn(1)), []byte("x")), fakeplatform.CancelNotification(1, 99), second[:20])
 	call := <-s.gateway.calls
 	if id := <-s.gateway.cancelled; id != 1 {
 		t.Errorf("request %d was cancelled, want 1", id)
@@ -141,7 +141,7 @@
 	if id, got := c.answer(); id != 2 || got != "served two" {
 		t.Errorf("answer %d %s, want only 2 served two", id, got)
 	}
-	c.send(fakeplatform.Withdraw(2), newRequest(3, "status", map[string]string{}))
+	c.send(fakeplatform.CancelNotification(2), newRequest(3, "status", map[string]string{}))
 	if id, _ := c.answer(); id != 3 {
 		t.Errorf("answer to %d, want none to the withdrawal of an answered request", id)
 	}
--- a/internal/ingress/msgpackrpc/server_test.go
+++ b/internal/ingress/msgpackrpc/server_test.go
@@ -25,11 +25,11 @@
 	go echoCalls(s.gateway)
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
-	for _, hostile := range fakeplatform.Hostiles() {
+	for _, hostile := range fakeplatform.HostileClients() {
 		for range 3 {
 			wg.Go(func() {
 				for !isClosed(stop) {
-					if err := hostile.Play(s.addr, 20*time.Second); err != nil {
+					if err := hostile.Run(s.addr, 20*time.Second); err != nil {
 						t.Error(err)
 						return
 					}
--- a/internal/ingress/webhook/golden_test.go
+++ b/internal/ingress/webhook/golden_test.go
@@ -66,5 +66,5 @@
 // Every field that is stored or sent has an explicit JSON key, so that renaming a Go field does not
 // change the format.
 func TestStateFieldsHaveJSONKeys(t *testing.T) {
-	goldenfile.Tagged(t, State{})
+	goldenfile.RequireJSONTags(t, State{})
 }
--- a/internal/registry/service/golden_test.go
+++ b/internal/registry/service/golden_test.go
@@ -258,8 +258,8 @@
 	goldenfile.Compare(t, "snapshot.json", append(snapshot, '\n'))
 	goldenfile.Compare(t, "records.jsonl", append(bytes.Join(records, []byte("\n")), '\n'))
 	goldenfile.Compare(t, "state.json", state)
-	got := goldenfile.Files(t, s.dir)
-	golden := goldenfile.Files(t, goldenDir)
+	got := goldenfile.ReadFolder(t, s.dir)
+	golden := goldenfile.ReadFolder(t, goldenDir)
 	for name := range golden {
 		if !bytes.Equal(got[name], golden[name]) {
 			t.Errorf("%s: bytes differ from those in %s", name, goldenDir)
@@ -283,8 +283,8 @@
 	if recovered.SnapshotSeq != recordsBeforeSnapshot || recovered.ReplayedRecords != len(records) || recovered.DiscardedBytes != 0 {
 		t.Errorf("recovered: %+v, want %d records after %d", *recovered, len(records), recordsBeforeSnapshot)
 	}
-	for name, old := range goldenfile.Files(t, goldenDir) {
-		if !bytes.Equal(goldenfile.Files(t, s.dir)[name], old) {
+	for name, old := range goldenfile.ReadFolder(t, goldenDir) {
+		if !bytes.Equal(goldenfile.ReadFolder(t, s.dir)[name], old) {
 			t.Errorf("opening the directory changed %s", name)
 		}
 	}
@@ -382,5 +382,5 @@
 
 // Every field that is stored or sent has a JSON tag, so that renames in Go change no format.
 func TestStoredFieldsAreTagged(t *testing.T) {
-	goldenfile.Tagged(t, record{}, registry.State{}, wire.Command{}, wire.Query{}, wire.Response{}, wire.DiscoveryRequest{}, wire.DiscoveryResponse{})
+	goldenfile.RequireJSONTags(t, record{}, registry.State{}, wire.Command{}, wire.Query{}, wire.Response{}, wire.DiscoveryRequest{}, wire.DiscoveryResponse{})
 }
--- a/internal/relay/harness_test.go
+++ b/internal/relay/harness_test.go
@@ -179,7 +179,7 @@
 var txns atomic.Int64
 
 func (c *testClient) call(id int, method string) {
-	fields := fakeplatform.Fields("txn", fakeplatform.Txn(int(txns.Add(1))), "limit", "4000")
+	fields := fakeplatform.Fields("txn", fakeplatform.RequestID(int(txns.Add(1))), "limit", "4000")
 	c.Write(fakeplatform.Request(id, method, fields, []byte(fmt.Sprint("body ", id))))
 }
 
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -78,7 +78,7 @@
 	}
 	r.reload <- syscall.SIGHUP
 	r.log.wait(t, "the current one stays in force")
-	second.Set(fakeplatform.List{Serial: 3, Workers: []string{"s-2"}, Addrs: []netip.AddrPort{addrPort(w.Addr())}})
+	second.Set(fakeplatform.DirectoryResponse{Serial: 3, Workers: []string{"s-2"}, Addrs: []netip.AddrPort{addrPort(w.Addr())}})
 	r.fields["names"] = second.LocalAddr().String()
 	r.write()
 	r.reload <- syscall.SIGHUP
--- a/internal/relay/stop_test.go
+++ b/internal/relay/stop_test.go
@@ -52,13 +52,13 @@
 // if a retry does no harm. The connection is closed cleanly after it.
 func TestStopAnswersRequestsStillOpen(t *testing.T) {
 	received := make(chan struct{}, 3)
-	ln, err := fakeplatform.Invoke(func(_ int, c *net.TCPConn) {
-		fakeplatform.Commands(c, func(cmd fakeplatform.Command) bool {
+	ln, err := fakeplatform.ListenInvoker(func(_ int, c *net.TCPConn) {
+		fakeplatform.ReadCommands(c, func(cmd fakeplatform.Command) bool {
 			switch cmd.Code {
 			case fakeplatform.Call:
 				received <- struct{}{} // without an answer
 			case fakeplatform.Ping:
-				c.Write(fakeplatform.Reply(fakeplatform.Pong, cmd.ID, "", ""))
+				c.Write(fakeplatform.Response(fakeplatform.Pong, cmd.ID, "", ""))
 			}
 			return true
 		})
@@ -116,7 +116,7 @@
 // changes nothing.
 func TestReloadAndSecondSigtermWhileStopping(t *testing.T) {
 	answer := make(chan struct{})
-	v := newInvoker(t, 0, func(int64) byte { <-answer; return fakeplatform.Served })
+	v := newInvoker(t, 0, func(int64) byte { <-answer; return fakeplatform.OK })
 	second := newDirectory(t)
 	r := start(t, v, newDirectory(t).LocalAddr().String())
 	c := r.dial()
@@ -126,8 +126,8 @@
 	}
 	r.stop <- syscall.SIGTERM
 	r.log.wait(t, `"stopping"`)
-	second.Set(fakeplatform.List{
-		Serial: 3, Workers: []string{"s-1"}, Prio: 1, Addrs: []netip.AddrPort{addrPort(v.Addr())},
+	second.Set(fakeplatform.DirectoryResponse{
+		Serial: 3, Workers: []string{"s-1"}, Priority: 1, Addrs: []netip.AddrPort{addrPort(v.Addr())},
 	})
 	r.fields["names"] = second.LocalAddr().String()
 	r.write()
@@ -170,12 +170,12 @@
 	v := newInvoker(t, 0, nil)
 	d := newDirectory(t)
 	r := start(t, v, d.LocalAddr().String())
-	d.Set(fakeplatform.List{Serial: 3})
+	d.Set(fakeplatform.DirectoryResponse{Serial: 3})
 	r.log.wait(t, `"version":3`)
 	staying, leaving := r.dial(), r.dial()
 	staying.call(1, "move")
 	staying.call(2, "move")
-	staying.Write(fakeplatform.Withdraw(1))
+	staying.Write(fakeplatform.CancelNotification(1))
 	staying.status(3)
 	leaving.call(1, "lookup")
 	leaving.status(2)
@@ -186,7 +186,7 @@
 	if n, err := leaving.Read(make([]byte, 1)); n != 0 || err != io.EOF {
 		t.Errorf("%d bytes, %v to a client that closed", n, err)
 	}
-	d.Set(fakeplatform.List{Serial: 4, Workers: []string{"s-1"}, Addrs: []netip.AddrPort{addrPort(v.Addr())}})
+	d.Set(fakeplatform.DirectoryResponse{Serial: 4, Workers: []string{"s-1"}, Addrs: []netip.AddrPort{addrPort(v.Addr())}})
 	if got := staying.answers(1)["2"]; got != "served body 2" {
 		t.Errorf("answer to the call that kept waiting: %q", got)
 	}
@@ -201,7 +201,7 @@
 func TestSecondInterruptEndsAtOnce(t *testing.T) {
 	never := make(chan struct{})
 	defer close(never)
-	v := newInvoker(t, 0, func(int64) byte { <-never; return fakeplatform.Served })
+	v := newInvoker(t, 0, func(int64) byte { <-never; return fakeplatform.OK })
 	r := start(t, v, newDirectory(t).LocalAddr().String())
 	r.dial().call(1, "move")
 	for v.Calls.Load() == 0 {
--- a/internal/replayguard/handover_test.go
+++ b/internal/replayguard/handover_test.go
@@ -87,5 +87,5 @@
 // Guards against a rename in Go that changes the format: each field that is stored or sent has an
 // explicit JSON key.
 func TestKeysDoNotFollowFieldNames(t *testing.T) {
-	goldenfile.Tagged(t, Key{}, Answer{}, EntryState{})
+	goldenfile.RequireJSONTags(t, Key{}, Answer{}, EntryState{})
 }
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -43,7 +43,7 @@
 func TestGoldenBytes(t *testing.T) {
 	dir := t.TempDir()
 	writeGoldenStore(t, dir)
-	got := goldenfile.Files(t, dir)
+	got := goldenfile.ReadFolder(t, dir)
 	if goldenfile.Updating() {
 		if err := os.RemoveAll(goldenDir); err != nil {
 			t.Fatal(err)
@@ -52,7 +52,7 @@
 			t.Fatal(err)
 		}
 	}
-	want := goldenfile.Files(t, goldenDir)
+	want := goldenfile.ReadFolder(t, goldenDir)
 	for name := range want {
 		if !bytes.Equal(got[name], want[name]) {
 			t.Errorf("%s:\ngot  %x\nwant %x", name, got[name], want[name])
@@ -83,8 +83,8 @@
 	if *recovered != (Recovered{SnapshotSeq: 2, ReplayedRecords: 4, LastSeq: 6}) {
 		t.Errorf("recovered: %+v", *recovered)
 	}
-	for name, golden := range goldenfile.Files(t, goldenDir) {
-		if !bytes.Equal(goldenfile.Files(t, dir)[name], golden) {
+	for name, golden := range goldenfile.ReadFolder(t, goldenDir) {
+		if !bytes.Equal(goldenfile.ReadFolder(t, dir)[name], golden) {
 			t.Errorf("opening the log changed %s", name)
 		}
 	}
@@ -97,7 +97,7 @@
 // Guards against a difference between the format and its documentation: this test reads the golden
 // files as docs/store-format.md describes them, without using any code of the package.
 func TestGoldenIsAsDocumented(t *testing.T) {
-	files := goldenfile.Files(t, goldenDir)
+	files := goldenfile.ReadFolder(t, goldenDir)
 	castagnoli := crc32.MakeTable(crc32.Castagnoli)
 	for name, magic := range map[string]string{"00000000000000000002.log": "kitelog\x01", "00000000000000000002.snap": "kitesnp\x01"} {
 		rest := files[name]
--- a/scheduler/slowstart_fleet_test.go
+++ b/scheduler/slowstart_fleet_test.go
@@ -113,14 +113,14 @@
 			case workersim.CallAnswered:
 				o := map[workersim.Outcome]scheduler.Outcome{workersim.OK: scheduler.OK,
 					workersim.AtCapacity: scheduler.AtCapacity, workersim.Reset: scheduler.Reset,
-					workersim.Failed: scheduler.NotLoaded, workersim.Error: scheduler.Error}[e.Outcome]
+					workersim.LoadFailed: scheduler.NotLoaded, workersim.Error: scheduler.Error}[e.Outcome]
 				if o == scheduler.OK {
 					p.served++
 				}
 				inbox[k.controller] = append(inbox[k.controller],
 					scheduler.AttemptEnded{Request: k.request, Attempt: k.attempt,
 						Worker: scheduler.WorkerID(k.worker + 1), Outcome: o, Took: now - k.sent,
-						Note: scheduler.LoadNote(e.Note), SameFunction: e.SameFunction})
+						Note: scheduler.LoadNote(e.CopyState), SameFunction: e.SameFunction})
 				delete(calls, e.ID)
 			case workersim.OrderEnded:
 				o := scheduler.OK
@@ -201,7 +201,7 @@
 								Outcome: scheduler.ConnectFailed})
 						continue
 					}
-					if at := f.Started(w); at > 0 && now < at+c.warmupTime {
+					if at := f.StartedAt(w); at > 0 && now < at+c.warmupTime {
 						p.toWarming++
 						sent[w] = append(slices.DeleteFunc(sent[w],
 							func(at time.Duration) bool { return at <= now-c.window }), now)
@@ -213,7 +213,7 @@
 					}
 					calls[next] = k
 					f.Call(w, workersim.Call{ID: next, Function: &fns[functionOf[a.Request]],
-						Work: c.work.Seconds() * (0.5 + rng.Float64()), Mean: 0})
+						Work: c.work.Seconds() * (0.5 + rng.Float64()), MeanWork: 0})
 					next++
 				case scheduler.LoadOrder:
 					w := int(a.Worker) - 1
@@ -224,7 +224,7 @@
 						continue
 					}
 					calls[next] = call{controller: i, worker: w, sent: now, order: int(a.Function)}
-					f.Hold(w, next, &fns[a.Function-1], a.Copies)
+					f.EnsureCopies(w, next, &fns[a.Function-1], a.Copies)
 					next++
 				case scheduler.Probe:
 					o := scheduler.OK
