--- a/internal/harness/invariant/drains.go
+++ b/internal/harness/invariant/drains.go
@@ -6,42 +6,43 @@
 	"kitehub/internal/harness/trace"
 )
 
-// drains judges rule 3.
-func (c *checker) drains(rs []trace.Record) {
-	told := map[string]time.Duration{}
-	for i := range rs {
-		r := &rs[i]
+// checkDrainGrace checks rule 3: a controller sends nothing new to a worker once the drain grace
+// has passed since it learned that the worker is draining or removed.
+func (c *checker) checkDrainGrace(records []trace.Record) {
+	notReadySince := map[string]time.Duration{} // by controller and worker
+	for i := range records {
+		r := &records[i]
 		key := r.Controller + " " + r.Worker
 		switch r.Kind {
 		case trace.ListDelivered:
 			if r.Outcome == "ready" {
-				delete(told, key)
-			} else if _, ok := told[key]; !ok {
-				told[key] = r.At
+				delete(notReadySince, key)
+			} else if _, ok := notReadySince[key]; !ok {
+				notReadySince[key] = r.At
 				c.verdict.Checked[DrainGrace]++
 			}
-		case trace.ControllerUp: // it knows what it is told from now on
-			for _, k := range keysOf(told, r.Controller) {
-				delete(told, k)
+		case trace.ControllerUp: // a restarted controller knows only the lists that it receives from now on
+			for _, k := range keysOfController(notReadySince, r.Controller) {
+				delete(notReadySince, k)
 			}
 		case trace.RequestRead, trace.LoadOrdered:
-			if at, ok := told[key]; ok && c.over(at, at+c.rules.DrainGrace+c.rules.Slack, r.At) {
+			if at, ok := notReadySince[key]; ok && c.exceeds(at, at+c.rules.DrainGrace+c.rules.Slack, r.At) {
 				what := "a call"
 				if r.Kind == trace.LoadOrdered {
-					what = "an order to load"
+					what = "a load order"
 				}
-				c.broken(DrainGrace, r.At, "%s sent %s to %s %v after it was told that it drains or is gone", r.Controller, what, r.Worker,
+				c.report(DrainGrace, r.At, "%s sent %s to %s %v after it learned that the worker is draining or removed", r.Controller, what, r.Worker,
 					(r.At - at).Round(time.Millisecond))
 			}
 		}
 	}
 }
 
-func keysOf(m map[string]time.Duration, controller string) (l []string) {
+func keysOfController(m map[string]time.Duration, controller string) (keys []string) {
 	for k := range m {
 		if len(k) > len(controller) && k[:len(controller)+1] == controller+" " {
-			l = append(l, k)
+			keys = append(keys, k)
 		}
 	}
-	return l
+	return keys
 }
--- a/internal/harness/invariant/golden_test.go
+++ b/internal/harness/invariant/golden_test.go
@@ -8,10 +8,11 @@
 	"kitehub/internal/goldenfile"
 )
 
-// "kitehub day play --json" prints the breaks of rules, a rule by its number; scripts read it.
-func TestPrintedBreaksAreAsBefore(t *testing.T) {
-	breaks := []Violation{{Rule: OneAnswer}, {Rule: NoRepeat, At: 1}, {Rule: DrainGrace, At: 2}, {Rule: SlowStartBound, At: 3}, {Rule: LoadBudget, At: 4, Message: "too <many>"}}
-	written, err := json.Marshal(breaks)
+// "kitehub day play --json" prints violations, with a rule as its number; scripts parse that
+// output.
+func TestViolationJSONUnchanged(t *testing.T) {
+	violations := []Violation{{Rule: OneAnswer}, {Rule: NoRepeat, At: 1}, {Rule: DrainGrace, At: 2}, {Rule: SlowStartBound, At: 3}, {Rule: LoadBudget, At: 4, Message: "too <many>"}}
+	written, err := json.Marshal(violations)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -21,12 +22,13 @@
 	if err := json.Unmarshal(goldenfile.Read(t, "breaks.json"), &read); err != nil {
 		t.Fatal(err)
 	}
-	if !reflect.DeepEqual(read, breaks) {
-		t.Errorf("read %+v, want %+v", read, breaks)
+	if !reflect.DeepEqual(read, violations) {
+		t.Errorf("read %+v, want %+v", read, violations)
 	}
 }
 
-// Each field that is stored or sent has a key of its own: what it is called in Go may change, the format may not.
-func TestKeysDoNotFollowFieldNames(t *testing.T) {
+// Every field that is written has an explicit JSON key, so that renaming a Go field does not change
+// the format.
+func TestFieldsHaveJSONKeys(t *testing.T) {
 	goldenfile.RequireJSONTags(t, Violation{})
 }
--- a/internal/harness/invariant/load_budget.go
+++ b/internal/harness/invariant/load_budget.go
@@ -6,49 +6,51 @@
 	"kitehub/internal/harness/trace"
 )
 
-// loads judges rule 5. A window's orders are counted over it less twice the slack, its calls over it and the slack.
-func (c *checker) loads(rs []trace.Record) {
+// checkLoadBudget checks rule 5: a controller's load orders within a window stay within the budget
+// that its calls allow. The window over which orders are counted is shortened by twice the slack,
+// and the one over which calls are counted is extended by the slack.
+func (c *checker) checkLoadBudget(records []trace.Record) {
 	if c.rules.LoadWindow == 0 {
 		return
 	}
-	type life struct{ asked, orders []time.Duration }
-	lives := map[string]*life{}
-	turned := map[string]bool{} // tries that never were taken
+	type controllerRun struct{ calls, orders []time.Duration } // times, since the controller started
+	runs := map[string]*controllerRun{}
+	rejected := map[string]bool{} // calls that the controller did not accept
 	for id, t := range c.requests {
-		if len(t.answers) > 0 && !final(t.answers[0].Outcome) && t.answers[0].Outcome != ClientClosed &&
+		if len(t.answers) > 0 && !isFinal(t.answers[0].Outcome) && t.answers[0].Outcome != ClientClosed &&
 			t.answers[0].Outcome != ConnectionLost && len(t.reads) == 0 {
-			turned[id] = true
+			rejected[id] = true
 		}
 	}
-	for i := range rs {
-		r := &rs[i]
+	for i := range records {
+		r := &records[i]
 		if r.Kind != trace.RequestSent && r.Kind != trace.LoadOrdered && r.Kind != trace.ControllerUp {
 			continue
 		}
-		l := lives[r.Controller]
-		if l == nil || r.Kind == trace.ControllerUp {
-			l = &life{}
-			lives[r.Controller] = l
+		run := runs[r.Controller]
+		if run == nil || r.Kind == trace.ControllerUp {
+			run = &controllerRun{}
+			runs[r.Controller] = run
 		}
 		switch {
-		case r.Kind == trace.RequestSent && !turned[r.Request]:
-			l.asked = append(l.asked, r.At)
+		case r.Kind == trace.RequestSent && !rejected[r.Request]:
+			run.calls = append(run.calls, r.At)
 		case r.Kind == trace.LoadOrdered && r.Copies > 0:
-			l.orders = append(l.orders, r.At)
+			run.orders = append(run.orders, r.At)
 			c.verdict.Checked[LoadBudget]++
-			n, calls := 0, 0
-			for _, at := range l.orders {
-				if at > r.At-c.rules.LoadWindow+2*c.rules.Slack+c.stalled(r.At-c.rules.LoadWindow, r.At) {
-					n++
+			orders, calls := 0, 0
+			for _, at := range run.orders {
+				if at > r.At-c.rules.LoadWindow+2*c.rules.Slack+c.stallTime(r.At-c.rules.LoadWindow, r.At) {
+					orders++
 				}
 			}
-			for _, at := range l.asked {
+			for _, at := range run.calls {
 				if at > r.At-c.rules.LoadWindow-c.rules.Slack {
 					calls++
 				}
 			}
-			if may := c.rules.LoadFree + c.rules.LoadRatio*float64(calls); float64(n) > may {
-				c.broken(LoadBudget, r.At, "%s ordered %d loads in the window, %.1f are allowed by %d calls", r.Controller, n, may, calls)
+			if budget := c.rules.LoadFree + c.rules.LoadRatio*float64(calls); float64(orders) > budget {
+				c.report(LoadBudget, r.At, "%s ordered %d loads in the window, %.1f are allowed by %d calls", r.Controller, orders, budget, calls)
 			}
 		}
 	}
--- a/internal/harness/invariant/one_answer.go
+++ b/internal/harness/invariant/one_answer.go
@@ -4,45 +4,47 @@
 	"time"
 )
 
-// answers judges rule 1.
-func (c *checker) answers() {
-	for _, id := range c.order {
+// checkOneAnswer checks rule 1: each accepted request gets one answer by its deadline and the
+// answer grace, and nothing is sent to a worker for it afterwards. The first part is not checked
+// for a request whose controller was down at some time until then.
+func (c *checker) checkOneAnswer() {
+	for _, id := range c.requestIDs {
 		t := c.requests[id]
 		if t.sent == nil {
-			c.broken(OneAnswer, t.reads[0].At, "worker %s got request %s, which no client sent", t.reads[0].Worker, id)
+			c.report(OneAnswer, t.reads[0].At, "worker %s received request %s, which no client sent", t.reads[0].Worker, id)
 			continue
 		}
-		a := t.sent
+		sent := t.sent
 		for _, r := range t.answers {
-			if final(r.Outcome) && r.At > a.Until {
+			if isFinal(r.Outcome) && r.At > sent.Until {
 				c.verdict.Overdue++
 			}
 			c.verdict.Answers[r.Outcome]++
 		}
-		limit := a.Until + c.rules.AnswerGrace + c.rules.Slack
-		down := c.wasDown(a.Controller, a.At, limit)
-		left := len(t.answers) == 1 && t.answers[0].Outcome == ClientClosed
+		limit := sent.Until + c.rules.AnswerGrace + c.rules.Slack
+		down := c.wasDown(sent.Controller, sent.At, limit)
+		clientClosed := len(t.answers) == 1 && t.answers[0].Outcome == ClientClosed
 		if !down {
 			c.verdict.Checked[OneAnswer]++
 			switch {
 			case len(t.answers) == 0 && limit > c.end:
-				c.verdict.Checked[OneAnswer]-- // the trace ends before its time
+				c.verdict.Checked[OneAnswer]-- // the trace ends before the answer is due
 			case len(t.answers) == 0:
-				c.broken(OneAnswer, limit, "request %s to %s has no answer", id, a.Controller)
+				c.report(OneAnswer, limit, "request %s to %s has no answer", id, sent.Controller)
 			case len(t.answers) > 1:
-				c.broken(OneAnswer, t.answers[1].At, "request %s to %s has %d answers", id, a.Controller, len(t.answers))
+				c.report(OneAnswer, t.answers[1].At, "request %s to %s has %d answers", id, sent.Controller, len(t.answers))
 			case t.answers[0].Outcome == ConnectionLost:
-				c.broken(OneAnswer, t.answers[0].At, "request %s to %s, which ran, was cut off", id, a.Controller)
-			case !left && c.over(a.At, limit, t.answers[0].At):
-				c.broken(OneAnswer, t.answers[0].At, "request %s to %s was answered %v after its time", id, a.Controller,
-					(t.answers[0].At - a.Until).Round(time.Millisecond))
+				c.report(OneAnswer, t.answers[0].At, "request %s to %s lost its connection while the controller was running", id, sent.Controller)
+			case !clientClosed && c.exceeds(sent.At, limit, t.answers[0].At):
+				c.report(OneAnswer, t.answers[0].At, "request %s to %s was answered %v after its deadline", id, sent.Controller,
+					(t.answers[0].At - sent.Until).Round(time.Millisecond))
 			}
 		}
 		if len(t.answers) > 0 {
-			for _, g := range t.reads {
-				if c.over(t.answers[0].At, t.answers[0].At+c.rules.Slack, g.At) {
-					c.broken(OneAnswer, g.At, "request %s was sent to %s %v after its answer (%s)", id, g.Worker,
-						(g.At - t.answers[0].At).Round(time.Millisecond), t.answers[0].Outcome)
+			for _, read := range t.reads {
+				if c.exceeds(t.answers[0].At, t.answers[0].At+c.rules.Slack, read.At) {
+					c.report(OneAnswer, read.At, "request %s was sent to %s %v after its answer (%s)", id, read.Worker,
+						(read.At - t.answers[0].At).Round(time.Millisecond), t.answers[0].Outcome)
 				}
 			}
 		}
--- a/internal/harness/invariant/slow_start.go
+++ b/internal/harness/invariant/slow_start.go
@@ -7,45 +7,46 @@
 	"kitehub/internal/harness/trace"
 )
 
-// slowStart judges rule 4.
-func (c *checker) slowStart(rs []trace.Record) {
-	type sent struct {
-		at   time.Duration
-		work float64
+// checkSlowStart checks rule 4: a worker that is warming up receives less work within the collapse
+// window than makes it collapse.
+func (c *checker) checkSlowStart(records []trace.Record) {
+	type sentWork struct {
+		at      time.Duration
+		seconds float64
 	}
-	type state struct {
+	type warmingWorker struct {
 		since    time.Duration
 		capacity float64
-		sent     []sent
+		sent     []sentWork
 	}
-	workers := map[string]*state{}
-	for i := range rs {
-		r := &rs[i]
+	workers := map[string]*warmingWorker{}
+	for i := range records {
+		r := &records[i]
 		switch r.Kind {
 		case trace.WorkerUp:
 			delete(workers, r.Worker)
 			if r.WarmingUp {
-				workers[r.Worker] = &state{since: r.At, capacity: r.Capacity}
+				workers[r.Worker] = &warmingWorker{since: r.At, capacity: r.Capacity}
 			}
 		case trace.Collapsed:
-			c.broken(SlowStartBound, r.At, "%s fell over", r.Worker)
+			c.report(SlowStartBound, r.At, "%s collapsed", r.Worker)
 		case trace.RequestRead:
 			w := workers[r.Worker]
 			if w == nil || r.At >= w.since+c.rules.WarmupTime || c.rules.CollapseFactor == 0 {
 				continue
 			}
 			c.verdict.Checked[SlowStartBound]++
-			w.sent = slices.DeleteFunc(w.sent, func(s sent) bool { return s.at <= r.At-c.rules.CollapseWindow })
-			w.sent = append(w.sent, sent{r.At, c.classes[r.Class].WorkSeconds})
+			w.sent = slices.DeleteFunc(w.sent, func(s sentWork) bool { return s.at <= r.At-c.rules.CollapseWindow })
+			w.sent = append(w.sent, sentWork{r.At, c.classes[r.Class].WorkSeconds})
 			var sum float64
 			for _, s := range w.sent {
-				sum += s.work
+				sum += s.seconds
 			}
-			share := c.rules.WarmupFraction + (1-c.rules.WarmupFraction)*float64(r.At-w.since)/float64(c.rules.WarmupTime)
-			part := sum / (c.rules.CollapseFactor * w.capacity * share * c.rules.CollapseWindow.Seconds())
-			c.verdict.SlowStartPeak = max(c.verdict.SlowStartPeak, part)
-			if part > 1 {
-				c.broken(SlowStartBound, r.At, "%s was sent %.2f times what pushes it over", r.Worker, part)
+			fraction := c.rules.WarmupFraction + (1-c.rules.WarmupFraction)*float64(r.At-w.since)/float64(c.rules.WarmupTime)
+			load := sum / (c.rules.CollapseFactor * w.capacity * fraction * c.rules.CollapseWindow.Seconds())
+			c.verdict.SlowStartPeak = max(c.verdict.SlowStartPeak, load)
+			if load > 1 {
+				c.report(SlowStartBound, r.At, "%s received %.2f times the work that makes it collapse", r.Worker, load)
 			}
 		}
 	}
