--- a/internal/harness/fakeworker/blobs.go
+++ b/internal/harness/fakeworker/blobs.go
@@ -10,22 +10,22 @@
 	"kitehub/internal/http1"
 )
 
-// A BlobFault is a way in which a stand-in store gives wrong bytes, or too few or many.
+// A BlobFault is a way in which a fake blob store corrupts its responses.
 type BlobFault int
 
-// The faults of a store.
+// The faults of a blob store.
 const (
 	NoBlobFault   BlobFault = iota
-	Truncated               // its answer ends half way, every time at another byte
-	Swapped                 // another blob of the same length
-	Extended                // a byte more, with a length that says so
-	BitFlipped              // one bit is turned, in the second half
-	BlobNotFound            // 404
-	TrailingBytes           // bytes behind those that its length tells of
+	Truncated               // the response ends early, at a different byte each time
+	Swapped                 // a different blob of the same length
+	Extended                // one more byte, which the declared length includes
+	BitFlipped              // one bit in the second half is flipped
+	BlobNotFound            // status 404
+	TrailingBytes           // bytes after the declared length
 )
 
-// BlobStore is a store that speaks the pull of blobs of the OCI distribution specification: GET /v2/<name>/blobs/<digest>, with
-// ranges. It is safe for concurrent use.
+// BlobStore is a fake blob store. It serves pulls of blobs as the OCI distribution specification
+// defines them: GET /v2/<name>/blobs/<digest>, with ranges. It is safe for concurrent use.
 type BlobStore struct {
 	mu       sync.Mutex
 	blobs    map[string][]byte
@@ -35,7 +35,7 @@
 	requests int
 }
 
-// StartBlobStore opens a store on a loopback port.
+// StartBlobStore starts a store on a loopback port.
 func StartBlobStore() (*BlobStore, error) {
 	b := &BlobStore{blobs: map[string][]byte{}}
 	var err error
@@ -47,7 +47,7 @@
 	return b, nil
 }
 
-// Addr returns where it listens.
+// Addr returns the address on which the store listens.
 func (b *BlobStore) Addr() string { return b.ln.Addr().String() }
 
 // Put adds a blob under its digest.
@@ -57,21 +57,21 @@
 	b.blobs[digest] = blob
 }
 
-// SetFault has the store fail from now on.
+// SetFault makes the store corrupt its responses from now on.
 func (b *BlobStore) SetFault(f BlobFault) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.fault = f
 }
 
-// Requests returns how many requests came.
+// Requests returns the number of requests received.
 func (b *BlobStore) Requests() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.requests
 }
 
-// Close ends the store.
+// Close stops the store.
 func (b *BlobStore) Close() {
 	b.ln.Close()
 	b.server.Abort()
@@ -81,7 +81,7 @@
 	part := strings.Split(r.Path(), "/")
 	b.mu.Lock()
 	b.requests++
-	asked, fault := b.requests, b.fault
+	number, fault := b.requests, b.fault
 	var blob []byte
 	ok := false
 	if len(part) >= 5 && part[1] == "v2" && part[len(part)-2] == "blobs" {
@@ -120,7 +120,7 @@
 	whole := http1.AppendResponse(nil, resp, false)
 	switch fault {
 	case Truncated:
-		c.Write(whole[:len(whole)-len(resp.Body)+max(1, len(resp.Body)*(asked%3+1)/5)])
+		c.Write(whole[:len(whole)-len(resp.Body)+max(1, len(resp.Body)*(number%3+1)/5)])
 		return nil
 	case TrailingBytes:
 		c.Write(append(whole, "more"...))
--- a/internal/harness/fakeworker/discovery.go
+++ b/internal/harness/fakeworker/discovery.go
@@ -15,139 +15,145 @@
 	"kitehub/scheduler"
 )
 
-// A DiscoveryServer is a stand-in for the server of the list of workers. Changes are published after a delay, to the server's
-// long polls and to a file. It notes in the trace when each controller was told what.
+// A DiscoveryServer is a fake of the server that publishes the endpoint list. It publishes each
+// list after a delay, to long polls and to a file, and records in the trace when each controller
+// received which state of a worker.
 type DiscoveryServer struct {
-	cluster   string
-	log       *trace.Log
-	mu        sync.Mutex
-	version   int
-	shown     []gateway.Worker // as published
-	since     map[int][]gateway.Worker
-	news      chan struct{} // closed at each publication
-	delay     time.Duration
-	queue     []change
-	end       chan struct{}
-	kick      chan struct{}
-	wg        sync.WaitGroup
-	file      string
-	poll      time.Duration
-	readers   []string // controllers that watch the file
-	server    *http1.Server
-	ln        net.Listener
-	delivered map[string]string // last state told, by controller and worker
+	cluster      string
+	log          *trace.Log
+	mu           sync.Mutex
+	version      int
+	published    []gateway.Worker
+	earlier      map[int][]gateway.Worker // by version, for deltas
+	changed      chan struct{}            // closed and replaced at each publication
+	delay        time.Duration
+	queue        []change
+	closed       chan struct{}
+	wake         chan struct{} // has an element after an addition to the queue
+	wg           sync.WaitGroup
+	file         string
+	pollInterval time.Duration
+	readers      []string // controllers that poll the file
+	server       *http1.Server
+	ln           net.Listener
+	states       map[string]string // last state that was recorded, by controller and worker
 }
 
+// A change is a list that is to be published.
 type change struct {
 	at   time.Time
 	list []gateway.Worker
 }
 
-// NewDiscoveryServer starts a server on loopback.
+// NewDiscoveryServer starts a server on a loopback port.
 func NewDiscoveryServer(cluster string, log *trace.Log) (*DiscoveryServer, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	l := &DiscoveryServer{cluster: cluster, log: log, since: map[int][]gateway.Worker{}, news: make(chan struct{}), end: make(chan struct{}),
-		kick: make(chan struct{}, 1), ln: ln, delivered: map[string]string{}}
-	l.server = &http1.Server{Handler: http1.HandlerFunc(l.serve)}
-	go l.server.Serve(ln)
-	l.wg.Add(1)
-	go l.publish()
-	return l, nil
+	d := &DiscoveryServer{cluster: cluster, log: log, earlier: map[int][]gateway.Worker{}, changed: make(chan struct{}), closed: make(chan struct{}),
+		wake: make(chan struct{}, 1), ln: ln, states: map[string]string{}}
+	d.server = &http1.Server{Handler: http1.HandlerFunc(d.serve)}
+	go d.server.Serve(ln)
+	d.wg.Add(1)
+	go d.publishQueued()
+	return d, nil
 }
 
-// Addr returns where the server listens.
-func (l *DiscoveryServer) Addr() string { return l.ln.Addr().String() }
+// Addr returns the address on which the server listens.
+func (d *DiscoveryServer) Addr() string { return d.ln.Addr().String() }
 
-// WriteToFile has each publication written to a file too, which the controllers named watch at the interval.
-func (l *DiscoveryServer) WriteToFile(name string, poll time.Duration, readers []string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.file, l.poll, l.readers = name, poll, readers
+// WriteToFile makes the server also write each published list to a file, which the named
+// controllers poll at the interval.
+func (d *DiscoveryServer) WriteToFile(name string, pollInterval time.Duration, readers []string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.file, d.pollInterval, d.readers = name, pollInterval, readers
 }
 
-// SetDelay sets how late changes are published from now on. Publications keep their order.
-func (l *DiscoveryServer) SetDelay(d time.Duration) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.delay = d
+// SetDelay sets the delay of the lists that are published from now on. Lists stay in order.
+func (d *DiscoveryServer) SetDelay(delay time.Duration) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.delay = delay
 }
 
 // Publish publishes a list after the delay.
-func (l *DiscoveryServer) Publish(list []gateway.Worker) {
-	l.mu.Lock()
-	at := time.Now().Add(l.delay)
-	if n := len(l.queue); n > 0 && l.queue[n-1].at.After(at) {
-		at = l.queue[n-1].at
-	}
-	l.queue = append(l.queue, change{at, append([]gateway.Worker(nil), list...)})
-	l.mu.Unlock()
+func (d *DiscoveryServer) Publish(list []gateway.Worker) {
+	d.mu.Lock()
+	at := time.Now().Add(d.delay)
+	if n := len(d.queue); n > 0 && d.queue[n-1].at.After(at) {
+		at = d.queue[n-1].at
+	}
+	d.queue = append(d.queue, change{at, append([]gateway.Worker(nil), list...)})
+	d.mu.Unlock()
 	select {
-	case l.kick <- struct{}{}:
+	case d.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Close ends the server.
-func (l *DiscoveryServer) Close() {
-	close(l.end)
-	l.ln.Close()
-	l.server.Abort()
-	l.wg.Wait()
+// Close stops the server.
+func (d *DiscoveryServer) Close() {
+	close(d.closed)
+	d.ln.Close()
+	d.server.Abort()
+	d.wg.Wait()
 }
 
-func (l *DiscoveryServer) publish() {
-	defer l.wg.Done()
+// publishQueued publishes each queued list when its time has come, until the server is closed.
+func (d *DiscoveryServer) publishQueued() {
+	defer d.wg.Done()
 	for {
-		l.mu.Lock()
+		d.mu.Lock()
 		wait := time.Hour
-		for len(l.queue) > 0 {
-			if wait = time.Until(l.queue[0].at); wait > 0 {
+		for len(d.queue) > 0 {
+			if wait = time.Until(d.queue[0].at); wait > 0 {
 				break
 			}
-			l.show(l.queue[0].list)
-			l.queue = l.queue[1:]
+			d.publishNow(d.queue[0].list)
+			d.queue = d.queue[1:]
 			wait = time.Hour
 		}
-		l.mu.Unlock()
+		d.mu.Unlock()
 		select {
-		case <-l.end:
+		case <-d.closed:
 			return
-		case <-l.kick:
+		case <-d.wake:
 		case <-time.After(wait):
 		}
 	}
 }
 
-// show makes a list the present one. It is called with mu held.
-func (l *DiscoveryServer) show(list []gateway.Worker) {
-	l.since[l.version] = l.shown
-	delete(l.since, l.version-64)
-	l.version++
-	l.shown = list
-	close(l.news)
-	l.news = make(chan struct{})
-	if l.file == "" {
+// publishNow publishes a list as a new version. The last 64 versions remain available for deltas.
+// The caller holds mu.
+func (d *DiscoveryServer) publishNow(list []gateway.Worker) {
+	d.earlier[d.version] = d.published
+	delete(d.earlier, d.version-64)
+	d.version++
+	d.published = list
+	close(d.changed)
+	d.changed = make(chan struct{})
+	if d.file == "" {
 		return
 	}
-	text, err := discovery.MarshalAssignment(l.cluster, list)
+	text, err := discovery.MarshalAssignment(d.cluster, list)
 	if err == nil {
-		err = discovery.WriteFile(l.file, text)
+		err = discovery.WriteFile(d.file, text)
 	}
 	if err != nil {
-		panic(err) // the rig's own folder
+		panic(err) // the file is in the test's own folder
 	}
-	for _, c := range l.readers {
-		l.tell(c, list, l.poll)
+	for _, c := range d.readers {
+		d.recordDelivery(c, list, d.pollInterval)
 	}
 }
 
-// tell notes what a controller knows, from some time later on at the latest: bad news is counted from then, good news
-// from now, as it may have read either at once. It is called with mu held.
-func (l *DiscoveryServer) tell(controller string, list []gateway.Worker, later time.Duration) {
-	at := l.now() + later
+// recordDelivery records that a controller receives a list within maxDelay. Because it may read the
+// list at once or only at the end of that time, a worker counts as ready from now on, and as
+// draining or gone from the end. The caller holds mu.
+func (d *DiscoveryServer) recordDelivery(controller string, list []gateway.Worker, maxDelay time.Duration) {
+	at := d.now() + maxDelay
 	present := map[string]bool{}
 	for _, w := range list {
 		state := "ready"
@@ -156,78 +162,81 @@
 		}
 		present[w.Name] = true
 		if state == "ready" {
-			l.note(controller, w.Name, state, at-later)
+			d.recordState(controller, w.Name, state, at-maxDelay)
 		} else {
-			l.note(controller, w.Name, state, at)
+			d.recordState(controller, w.Name, state, at)
 		}
 	}
-	for key, state := range l.delivered {
+	for key, state := range d.states {
 		if c, worker, _ := strings.Cut(key, " "); c == controller && !present[worker] && state != "gone" {
-			l.note(controller, worker, "gone", at)
+			d.recordState(controller, worker, "gone", at)
 		}
 	}
 }
 
-func (l *DiscoveryServer) note(controller, worker, state string, at time.Duration) {
+// recordState adds a worker's state to the trace if it differs from the last one that the
+// controller received. The first state is not recorded if it is ready.
+func (d *DiscoveryServer) recordState(controller, worker, state string, at time.Duration) {
 	key := controller + " " + worker
-	old, known := l.delivered[key]
+	old, known := d.states[key]
 	if old == state || !known && state == "ready" {
-		l.delivered[key] = state
+		d.states[key] = state
 		return
 	}
-	l.delivered[key] = state
-	l.log.Add(trace.Record{At: at, Kind: trace.ListDelivered, Controller: controller, Worker: worker, Outcome: state})
+	d.states[key] = state
+	d.log.Add(trace.Record{At: at, Kind: trace.ListDelivered, Controller: controller, Worker: worker, Outcome: state})
 }
 
-func (l *DiscoveryServer) now() time.Duration { return l.log.Now() }
+func (d *DiscoveryServer) now() time.Duration { return d.log.Now() }
 
-// ForgetController drops what a controller was told: it starts anew.
-func (l *DiscoveryServer) ForgetController(controller string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for key := range l.delivered {
+// ForgetController forgets which states a controller received, as it restarts without them.
+func (d *DiscoveryServer) ForgetController(controller string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for key := range d.states {
 		if strings.HasPrefix(key, controller+" ") {
-			delete(l.delivered, key)
+			delete(d.states, key)
 		}
 	}
 }
 
-// serve answers long polls: a whole list at first, a delta to one who holds a version that is still known.
-func (l *DiscoveryServer) serve(_ *http1.Conn, r *http1.Request) *http1.Response {
+// serve responds to a long poll: with a delta if the client has a version that is still available,
+// and with the whole list otherwise.
+func (d *DiscoveryServer) serve(_ *http1.Conn, r *http1.Request) *http1.Response {
 	var req discovery.Request
 	if r.Path() != discovery.EndpointsPath || json.Unmarshal(r.Body, &req) != nil {
 		return &http1.Response{Status: 400}
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	have, err := strconv.Atoi(req.VersionInfo)
 	if err != nil {
 		have = -1
 	}
-	if have == l.version || l.version == 0 {
-		news := l.news
-		l.mu.Unlock()
+	if have == d.version || d.version == 0 {
+		changed := d.changed
+		d.mu.Unlock()
 		timer := time.NewTimer(discovery.LongPollTimeout)
 		select {
-		case <-news:
+		case <-changed:
 		case <-timer.C:
-		case <-l.end:
+		case <-d.closed:
 		}
 		timer.Stop()
-		l.mu.Lock()
+		d.mu.Lock()
 	}
-	if have == l.version || l.version == 0 {
+	if have == d.version || d.version == 0 {
 		return &http1.Response{Status: 304}
 	}
-	u := discovery.Update{Nonce: strconv.Itoa(l.version)}
-	old, known := l.since[have]
+	u := discovery.Update{Nonce: strconv.Itoa(d.version)}
+	old, known := d.earlier[have]
 	if known && have > 0 {
-		u.TypeURL, u.SystemVersionInfo = discovery.TypeEndpoint, strconv.Itoa(l.version)
-		u.Resources, u.RemovedResources, err = discovery.Delta(old, l.shown, u.SystemVersionInfo)
+		u.TypeURL, u.SystemVersionInfo = discovery.TypeEndpoint, strconv.Itoa(d.version)
+		u.Resources, u.RemovedResources, err = discovery.Delta(old, d.published, u.SystemVersionInfo)
 	} else {
-		u.TypeURL, u.VersionInfo = discovery.TypeAssignment, strconv.Itoa(l.version)
+		u.TypeURL, u.VersionInfo = discovery.TypeAssignment, strconv.Itoa(d.version)
 		var text []byte
-		text, err = discovery.MarshalAssignment(l.cluster, l.shown)
+		text, err = discovery.MarshalAssignment(d.cluster, d.published)
 		u.Resources = []json.RawMessage{text}
 	}
 	if err != nil {
@@ -237,6 +246,6 @@
 	if err != nil {
 		panic(err)
 	}
-	l.tell(req.Node.ID, l.shown, 0)
+	d.recordDelivery(req.Node.ID, d.published, 0)
 	return &http1.Response{Status: 200, Header: http1.Header{{Name: "Content-Type", Value: "application/json"}}, Body: body}
 }
--- a/internal/harness/fakeworker/host.go
+++ b/internal/harness/fakeworker/host.go
@@ -1,6 +1,7 @@
-// Package fakeworker puts sockets around package workersim: workers that speak the Open Inference Protocol with its
-// repository extension and ORCA reports, and that can be told to fail in every way that a real one might. One Host
-// holds them all, eighty or more. What really happened goes to the trace, whatever the answers say.
+// Package fakeworker runs fake workers for tests. It serves the fleet model of package workersim
+// over sockets, with the Open Inference Protocol, its repository extension and ORCA load reports,
+// and can inject the faults of real workers. One Host runs all workers of a test, eighty or more.
+// The trace records what really happened, whatever the responses say.
 package fakeworker
 
 import (
@@ -15,107 +16,110 @@
 	"kitehub/internal/http1"
 )
 
-// A FunctionConfig of function tells how calls of it run.
+// A FunctionConfig describes a function and how its calls run.
 type FunctionConfig struct {
 	workersim.Function
 	Class string
-	Work  time.Duration // mean, on a core of speed 1
+	Work  time.Duration // mean per call, on a core of speed 1
 	Keyed bool
-	// Versions says that Name is a model: functions "name@version" are loaded, from bytes fetched and proved.
+	// Versions makes Name the name of a model. Its functions are "name@version", loaded from bytes
+	// that are fetched and verified.
 	Versions bool
 }
 
-// Config sets up a Host.
+// Config has the settings of a Host.
 type Config struct {
 	Fleet     workersim.Config
 	Functions []FunctionConfig
 	Clock     clock.Clock
 	Trace     *trace.Log
 	Limits    http1.Limits
-	// Fetch gets the bytes of a digest for a worker, proved; nil: functions have no versions.
+	// Fetch fetches the bytes of a digest for a worker and verifies them. It is nil if no function
+	// has versions.
 	Fetch func(worker, model, digest string) error
 }
 
-// A Fault is a way of answering wrongly. The call runs all the same.
+// A Fault is a way in which a worker corrupts its response to a call. The call still runs.
 type Fault int
 
-// The faults of a worker's answers.
+// The faults of a worker's responses.
 const (
 	NoFault           Fault = iota
-	TruncatedResponse       // reset in mid-answer
-	Garbage                 // bytes that are no HTTP
-	DuplicateResponse       // a second answer behind the first
-	OverlongBody            // more body than the length tells
-	ByteAtATime             // one byte a second
-	HugeBody                // a body over every limit
+	TruncatedResponse       // the connection is reset after half of the response
+	Garbage                 // bytes that are not HTTP
+	DuplicateResponse       // the response is sent twice
+	OverlongBody            // the body is longer than its declared length
+	ByteAtATime             // one byte per second
+	HugeBody                // the declared length exceeds every limit
 )
 
-// A Host runs stand-in workers. It is safe for concurrent use.
+// A Host runs fake workers. It is safe for concurrent use.
 type Host struct {
-	cfg     Config
-	kinds   map[string]*FunctionConfig
-	do      chan func(*workersim.Fleet)
-	end     chan struct{}
-	stopped sync.WaitGroup
-	workers []*site
+	cfg       Config
+	functions map[string]*FunctionConfig
+	commands  chan func(*workersim.Fleet) // run by the goroutine that owns the fleet
+	closed    chan struct{}
+	stopped   sync.WaitGroup
+	workers   []*worker
 
-	mu      sync.Mutex
-	nextID  uint64
-	waiting map[uint64]chan workersim.Event
-	began   map[uint64]trace.Record
-	fails   map[string]bool            // classes whose calls end in errors
-	made    map[string]*FunctionConfig // versions of models
+	mu             sync.Mutex
+	nextID         uint64
+	pending        map[uint64]chan workersim.Event // by the id of a call or a load order
+	calls          map[uint64]trace.Record         // record of each call that has not ended, by id
+	failingClasses map[string]bool                 // classes whose calls end in an error
+	versions       map[string]*FunctionConfig      // by name, "model@version"
 }
 
-// A site is one worker's socket.
-type site struct {
-	h      *Host
+// A worker is one fake worker's listener and its faults.
+type worker struct {
+	host   *Host
 	index  int
 	name   string
 	addr   string
 	mu     sync.Mutex
 	server *http1.Server
 	ln     net.Listener
-	silent chan struct{} // closed when silence ends; nil: it speaks
+	silent chan struct{} // closed when the worker responds again; nil if it does
 	fault  Fault
-	// The digests of the versions that are loaded, by name; a worker that Lies runs them whatever it is asked for.
-	loaded  map[string]string
-	corrupt bool
+	// digests has the digests of the loaded versions, by name. With servesStale, the worker runs
+	// them whichever digest a call asks for.
+	digests     map[string]string
+	servesStale bool
 }
 
 // Start opens a loopback listener for each worker.
 func Start(cfg Config) (*Host, error) {
-	h := &Host{cfg: cfg, kinds: map[string]*FunctionConfig{}, do: make(chan func(*workersim.Fleet), 256), end: make(chan struct{}),
-		waiting: map[uint64]chan workersim.Event{}, began: map[uint64]trace.Record{}, fails: map[string]bool{}, made: map[string]*FunctionConfig{}}
+	h := &Host{cfg: cfg, functions: map[string]*FunctionConfig{}, commands: make(chan func(*workersim.Fleet), 256), closed: make(chan struct{}),
+		pending: map[uint64]chan workersim.Event{}, calls: map[uint64]trace.Record{}, failingClasses: map[string]bool{}, versions: map[string]*FunctionConfig{}}
 	for i := range cfg.Functions {
-		h.kinds[cfg.Functions[i].Name] = &cfg.Functions[i]
+		h.functions[cfg.Functions[i].Name] = &cfg.Functions[i]
 	}
-	for i, s := range cfg.Fleet.Workers {
-		w := &site{h: h, index: i, name: s.Name, loaded: map[string]string{}}
+	for i, spec := range cfg.Fleet.Workers {
+		w := &worker{host: h, index: i, name: spec.Name, digests: map[string]string{}}
 		if err := w.listen("127.0.0.1:0"); err != nil {
 			h.Close()
 			return nil, err
 		}
 		h.workers = append(h.workers, w)
-		cfg.Trace.Add(trace.Record{Kind: trace.WorkerUp, Worker: s.Name, Capacity: s.Cores * s.Speed})
+		cfg.Trace.Add(trace.Record{Kind: trace.WorkerUp, Worker: spec.Name, Capacity: spec.Cores * spec.Speed})
 	}
 	h.stopped.Add(1)
 	go h.run()
 	return h, nil
 }
 
-// Close ends all workers.
+// Close stops all workers.
 func (h *Host) Close() {
 	for _, w := range h.workers {
-		w.shut()
+		w.close()
 	}
-	if h.end != nil {
-		close(h.end)
+	if h.closed != nil {
+		close(h.closed)
 		h.stopped.Wait()
 	}
 }
 
-// run owns the fleet.
+// run owns the fleet: it advances the model and runs the commands.
 func (h *Host) run() {
 	defer h.stopped.Done()
 	f := workersim.New(h.cfg.Fleet, h.cfg.Clock.Now())
@@ -128,40 +132,40 @@
 		}
 		timer.Reset(wait)
 		select {
-		case <-h.end:
+		case <-h.closed:
 			return
 		case <-timer.C:
-			h.tell(f.Advance(h.cfg.Clock.Now()))
-		case do := <-h.do:
-			h.tell(f.Advance(h.cfg.Clock.Now()))
+			h.dispatch(f.Advance(h.cfg.Clock.Now()))
+		case do := <-h.commands:
+			h.dispatch(f.Advance(h.cfg.Clock.Now()))
 			do(f)
-			h.tell(f.Advance(h.cfg.Clock.Now()))
+			h.dispatch(f.Advance(h.cfg.Clock.Now()))
 		}
 	}
 }
 
-// tell hands what happened to those who wait, and to the trace.
-func (h *Host) tell(effects []workersim.Event) {
-	for _, e := range effects {
+// dispatch records events in the trace and passes them to the handlers that wait for them.
+func (h *Host) dispatch(events []workersim.Event) {
+	for _, e := range events {
 		w := h.workers[e.Worker]
 		switch e.Kind {
 		case workersim.Collapsed:
 			h.cfg.Trace.Add(trace.Record{At: e.At, Kind: trace.Collapsed, Worker: w.name})
-			go w.shut()
+			go w.close()
 			continue
 		case workersim.RunStarted:
 			h.mu.Lock()
-			rec := h.began[e.ID]
+			rec := h.calls[e.ID]
 			h.mu.Unlock()
 			rec.Kind, rec.At = trace.RunStarted, e.At
 			h.cfg.Trace.Add(rec)
 			continue
 		}
 		h.mu.Lock()
-		ch := h.waiting[e.ID]
-		delete(h.waiting, e.ID)
-		rec, call := h.began[e.ID]
-		delete(h.began, e.ID)
+		ch := h.pending[e.ID]
+		delete(h.pending, e.ID)
+		rec, call := h.calls[e.ID]
+		delete(h.calls, e.ID)
 		h.mu.Unlock()
 		if call {
 			rec.Kind, rec.At, rec.Outcome = trace.RunEnded, e.At, string(e.Outcome)
@@ -176,20 +180,20 @@
 	}
 }
 
-// Do runs f on the fleet and waits for it.
+// Do runs f with the fleet and waits until it has returned.
 func (h *Host) Do(f func(*workersim.Fleet)) {
 	done := make(chan struct{})
 	select {
-	case h.do <- func(fl *workersim.Fleet) { f(fl); close(done) }:
+	case h.commands <- func(fl *workersim.Fleet) { f(fl); close(done) }:
 		select {
 		case <-done:
-		case <-h.end:
+		case <-h.closed:
 		}
-	case <-h.end:
+	case <-h.closed:
 	}
 }
 
-func (h *Host) site(name string) *site {
+func (h *Host) worker(name string) *worker {
 	for _, w := range h.workers {
 		if w.name == name {
 			return w
@@ -199,66 +203,68 @@
 }
 
 // Names returns the workers' names in the order of their specs.
-func (h *Host) Names() (l []string) {
+func (h *Host) Names() (names []string) {
 	for _, w := range h.workers {
-		l = append(l, w.name)
+		names = append(names, w.name)
 	}
-	return l
+	return names
 }
 
-// Addr returns where a worker listens, or would.
+// Addr returns the address on which a worker listens, or last listened if it is down.
 func (h *Host) Addr(name string) string {
-	w := h.site(name)
+	w := h.worker(name)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.addr
 }
 
-// Kill ends a worker's process: its connections are reset and its address refuses.
+// Kill simulates the death of a worker's process: its connections are reset, and its address
+// refuses new ones.
 func (h *Host) Kill(name string) {
-	w := h.site(name)
+	w := h.worker(name)
 	h.cfg.Trace.Add(trace.Record{Kind: trace.WorkerDown, Worker: name})
-	w.shut()
+	w.close()
 	h.Do(func(f *workersim.Fleet) { f.Kill(w.index) })
 }
 
-// Restart brings a worker up again, cold and empty, at its old address unless that is taken: see Addr.
+// Restart starts a worker again, warming up and without copies. It listens on its old address
+// unless that is taken; see Addr. A worker that collapsed cannot be restarted.
 func (h *Host) Restart(name string) error {
-	w := h.site(name)
+	w := h.worker(name)
 	h.Kill(name)
 	up := false
 	h.Do(func(f *workersim.Fleet) { up = f.Start(w.index) })
 	if !up {
-		return fmt.Errorf("standin: %s fell over and stays down", name)
+		return fmt.Errorf("fakeworker: %s collapsed and cannot be restarted", name)
 	}
-	w.Speak()
-	w.Fault(NoFault)
+	w.endSilence()
+	w.setFault(NoFault)
 	w.mu.Lock()
-	clear(w.loaded)
-	w.corrupt = false
+	clear(w.digests)
+	w.servesStale = false
 	w.mu.Unlock()
-	s := h.cfg.Fleet.Workers[w.index]
-	h.cfg.Trace.Add(trace.Record{Kind: trace.WorkerUp, Worker: name, Capacity: s.Cores * s.Speed, WarmingUp: true})
-	if err := w.listen(w.addr); err != nil { // somebody took the port meanwhile
+	spec := h.cfg.Fleet.Workers[w.index]
+	h.cfg.Trace.Add(trace.Record{Kind: trace.WorkerUp, Worker: name, Capacity: spec.Cores * spec.Speed, WarmingUp: true})
+	if err := w.listen(w.addr); err != nil { // another process has taken the port
 		return w.listen("127.0.0.1:0")
 	}
 	return nil
 }
 
-// Silence has a worker accept and read, and say nothing, until Speak or Restart.
-func (h *Host) Silence(name string) { h.site(name).Silence() }
+// Silence makes a worker accept connections and read requests without responding, until Restart.
+func (h *Host) Silence(name string) { h.worker(name).silence() }
 
-// SetFault has a worker answer wrongly until it is told otherwise.
-func (h *Host) SetFault(name string, f Fault) { h.site(name).Fault(f) }
+// SetFault makes a worker corrupt its responses until SetFault or Restart.
+func (h *Host) SetFault(name string, f Fault) { h.worker(name).setFault(f) }
 
-// FailClass has all calls of a class end in errors, or ends that.
+// FailClass sets whether all calls of a class end in an error.
 func (h *Host) FailClass(class string, fails bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.fails[class] = fails
+	h.failingClasses[class] = fails
 }
 
-func (w *site) Silence() {
+func (w *worker) silence() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.silent == nil {
@@ -266,7 +272,7 @@
 	}
 }
 
-func (w *site) Speak() {
+func (w *worker) endSilence() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.silent != nil {
@@ -275,25 +281,25 @@
 	}
 }
 
-func (w *site) Fault(f Fault) {
+func (w *worker) setFault(f Fault) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.fault = f
 }
 
-func (w *site) state() (silent chan struct{}, f Fault) {
+func (w *worker) state() (silent chan struct{}, f Fault) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.silent, w.fault
 }
 
-func (w *site) listen(addr string) error {
+func (w *worker) listen(addr string) error {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return err
 	}
-	limits := w.h.cfg.Limits
-	limits.IdleTimeout = max(limits.IdleTimeout, time.Minute) // above the gateways' keep-alive, as it should be
+	limits := w.host.cfg.Limits
+	limits.IdleTimeout = max(limits.IdleTimeout, time.Minute) // must exceed the gateways' keep-alive
 	w.mu.Lock()
 	w.ln, w.addr = ln, ln.Addr().String()
 	w.server = &http1.Server{Handler: http1.HandlerFunc(w.serve), Limits: limits}
@@ -303,7 +309,7 @@
 	return nil
 }
 
-func (w *site) shut() {
+func (w *worker) close() {
 	w.mu.Lock()
 	ln, server := w.ln, w.server
 	w.ln, w.server = nil, nil
--- a/internal/harness/fakeworker/serve.go
+++ b/internal/harness/fakeworker/serve.go
@@ -14,16 +14,17 @@
 	"kitehub/internal/http1"
 )
 
+// newRequest returns the id of a new call or load order and the channel that receives its end.
 func (h *Host) newRequest() (uint64, chan workersim.Event) {
 	ch := make(chan workersim.Event, 1)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.nextID++
-	h.waiting[h.nextID] = ch
+	h.pending[h.nextID] = ch
 	return h.nextID, ch
 }
 
-// await waits for an effect while watching the connection; false if the other end left first.
+// await waits for an event. It returns false if the other end closes the connection first.
 func await(c *http1.Conn, ch chan workersim.Event) (workersim.Event, bool) {
 	var e workersim.Event
 	done := make(chan struct{})
@@ -44,8 +45,9 @@
 	return e, true
 }
 
-// hush blocks while the worker is silent; false if the other end left.
-func (w *site) hush(c *http1.Conn) bool {
+// waitWhileSilent blocks while the worker is silent. It returns false if the other end closes the
+// connection first.
+func (w *worker) waitWhileSilent(c *http1.Conn) bool {
 	silent, _ := w.state()
 	if silent == nil {
 		return true
@@ -67,17 +69,17 @@
 	return true
 }
 
-func (w *site) serve(c *http1.Conn, r *http1.Request) *http1.Response {
-	if !w.hush(c) {
+func (w *worker) serve(c *http1.Conn, r *http1.Request) *http1.Response {
+	if !w.waitWhileSilent(c) {
 		return nil
 	}
-	if r.Header.Get("Host") != w.name { // the port was another worker's when the list was written
-		return fault(421, "urn:kitehub:problem:misdirected")
+	if r.Header.Get("Host") != w.name { // the port belonged to another worker when the list was written
+		return problem(421, "urn:kitehub:problem:misdirected")
 	}
 	path := r.Path()
 	switch {
 	case path == "/v2/health/ready" || path == "/v2/health/live":
-		return w.reported(&http1.Response{Status: 200}, nil, 0)
+		return w.withLoadReport(&http1.Response{Status: 200}, nil, 0)
 	case path == "/v2/repository/index":
 		return w.models()
 	}
@@ -93,177 +95,183 @@
 			case "load":
 				return w.load(c, r, name)
 			case "unload":
-				w.h.Do(func(f *workersim.Fleet) { f.Unload(w.index, name) })
+				w.host.Do(func(f *workersim.Fleet) { f.Unload(w.index, name) })
 				return &http1.Response{Status: 200}
 			}
 		}
 	}
-	return fault(404, "urn:kitehub:problem:path")
+	return problem(404, "urn:kitehub:problem:path")
 }
 
-func fault(status int, kind string) *http1.Response {
+func problem(status int, kind string) *http1.Response {
 	return &http1.Response{Status: status, Header: http1.Header{{Name: "Content-Type", Value: "application/problem+json"}},
 		Body: []byte(`{"type":"` + kind + `","status":` + strconv.Itoa(status) + `}`)}
 }
 
-// reported adds the load report.
-func (w *site) reported(resp *http1.Response, e *workersim.Event, copies int) *http1.Response {
-	var rep workersim.Report
-	w.h.Do(func(f *workersim.Fleet) { rep = f.Report(w.index) })
-	s := fmt.Sprintf("TEXT cpu_utilization=%.3f, named_metrics.queue=%d, named_metrics.inflight=%d, named_metrics.x0=%.3f, named_metrics.x1=%d",
-		rep.Utilization, rep.Queue, rep.InFlight, rep.Memory, rep.Loads)
+// withLoadReport adds a load report to a response. The event, which may be nil, gives the state of
+// the copy that served the call.
+func (w *worker) withLoadReport(resp *http1.Response, e *workersim.Event, copies int) *http1.Response {
+	var report workersim.Report
+	w.host.Do(func(f *workersim.Fleet) { report = f.Report(w.index) })
+	value := fmt.Sprintf("TEXT cpu_utilization=%.3f, named_metrics.queue=%d, named_metrics.inflight=%d, named_metrics.x0=%.3f, named_metrics.x1=%d",
+		report.Utilization, report.Queue, report.InFlight, report.Memory, report.Loads)
 	if e != nil {
-		s += fmt.Sprintf(", named_metrics.copy=%d, named_metrics.alike=%d", e.CopyState, e.SameFunction)
+		value += fmt.Sprintf(", named_metrics.copy=%d, named_metrics.alike=%d", e.CopyState, e.SameFunction)
 	}
 	if copies > 0 {
-		s += fmt.Sprintf(", named_metrics.copies=%d", copies)
+		value += fmt.Sprintf(", named_metrics.copies=%d", copies)
 	}
-	resp.Header.Add(backend.HeaderLoadReport, s)
+	resp.Header.Add(backend.HeaderLoadReport, value)
 	return resp
 }
 
-func (w *site) models() *http1.Response {
-	type line struct {
+// models returns the repository index: the functions that are loaded, with their copies.
+func (w *worker) models() *http1.Response {
+	type model struct {
 		Name   string `json:"name"`
 		State  string `json:"state"`
 		Copies int    `json:"copies"`
 	}
-	l := []line{}
-	w.h.Do(func(f *workersim.Fleet) {
-		for _, k := range w.h.cfg.Functions {
-			if n := f.Copies(w.index, k.Name); n > 0 {
-				l = append(l, line{k.Name, "READY", n})
+	loaded := []model{}
+	w.host.Do(func(f *workersim.Fleet) {
+		for _, fn := range w.host.cfg.Functions {
+			if n := f.Copies(w.index, fn.Name); n > 0 {
+				loaded = append(loaded, model{fn.Name, "READY", n})
 			}
 		}
 	})
-	body, _ := json.Marshal(l)
-	return w.reported(&http1.Response{Status: 200, Body: body}, nil, 0)
+	body, _ := json.Marshal(loaded)
+	return w.withLoadReport(&http1.Response{Status: 200, Body: body}, nil, 0)
 }
 
-// controller is who sent a request, by its user agent.
-func controller(r *http1.Request) string {
+// controllerName returns the name of the controller that sent a request, from its user agent.
+func controllerName(r *http1.Request) string {
 	return strings.TrimPrefix(r.Header.Get("User-Agent"), "kitehub/")
 }
 
-func (w *site) load(c *http1.Conn, r *http1.Request, name string) *http1.Response {
-	k := w.h.kind(name)
-	var m struct {
+// load handles a load order: it waits until the copies are loaded or cannot be.
+func (w *worker) load(c *http1.Conn, r *http1.Request, name string) *http1.Response {
+	fn := w.host.function(name)
+	var order struct {
 		Parameters struct {
 			Copies int    `json:"copies"`
 			Digest string `json:"digest"`
 		} `json:"parameters"`
 	}
-	if k == nil || len(r.Body) > 0 && json.Unmarshal(r.Body, &m) != nil {
-		return fault(400, "urn:kitehub:problem:load")
+	if fn == nil || len(r.Body) > 0 && json.Unmarshal(r.Body, &order) != nil {
+		return problem(400, "urn:kitehub:problem:load")
 	}
-	copies := max(1, m.Parameters.Copies)
-	w.h.cfg.Trace.Add(trace.Record{Kind: trace.LoadOrdered, Worker: w.name, Controller: controller(r), Function: name, Copies: copies})
-	if k.Versions && w.proved(k, m.Parameters.Digest) == "" {
-		return w.reported(fault(500, "urn:kitehub:problem:load-failed"), nil, 0)
+	copies := max(1, order.Parameters.Copies)
+	w.host.cfg.Trace.Add(trace.Record{Kind: trace.LoadOrdered, Worker: w.name, Controller: controllerName(r), Function: name, Copies: copies})
+	if fn.Versions && w.ensureVersion(fn, order.Parameters.Digest) == "" {
+		return w.withLoadReport(problem(500, "urn:kitehub:problem:load-failed"), nil, 0)
 	}
-	id, ch := w.h.newRequest()
-	w.h.Do(func(f *workersim.Fleet) { f.EnsureCopies(w.index, id, &k.Function, copies) })
+	id, ch := w.host.newRequest()
+	w.host.Do(func(f *workersim.Fleet) { f.EnsureCopies(w.index, id, &fn.Function, copies) })
 	e, ok := await(c, ch)
-	if !ok || e.Outcome == workersim.Reset || !w.hush(c) {
+	if !ok || e.Outcome == workersim.Reset || !w.waitWhileSilent(c) {
 		return nil
 	}
 	switch e.Outcome {
 	case workersim.OK:
-		return w.reported(&http1.Response{Status: 200}, nil, e.Copies)
+		return w.withLoadReport(&http1.Response{Status: 200}, nil, e.Copies)
 	case workersim.AtCapacity:
-		return w.reported(fault(503, backend.ProblemAtCapacity), nil, e.Copies)
+		return w.withLoadReport(problem(503, backend.ProblemAtCapacity), nil, e.Copies)
 	}
-	return w.reported(fault(500, "urn:kitehub:problem:load-failed"), nil, e.Copies)
+	return w.withLoadReport(problem(500, "urn:kitehub:problem:load-failed"), nil, e.Copies)
 }
 
-// kind returns what a name is: a function, or a version of a model.
-func (h *Host) kind(name string) *FunctionConfig {
-	if k := h.kinds[name]; k != nil {
-		return k
+// function returns the function of a name, which may be "model@version"; nil if it is unknown.
+func (h *Host) function(name string) *FunctionConfig {
+	if fn := h.functions[name]; fn != nil {
+		return fn
 	}
 	model, _, ok := strings.Cut(name, "@")
-	k := h.kinds[model]
-	if !ok || k == nil || !k.Versions {
+	fn := h.functions[model]
+	if !ok || fn == nil || !fn.Versions {
 		return nil
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if v := h.made[name]; v != nil {
+	if v := h.versions[name]; v != nil {
 		return v
 	}
-	v := *k
+	v := *fn
 	v.Name = name
-	h.made[name] = &v
+	h.versions[name] = &v
 	return &v
 }
 
-// ServeStaleVersion has a worker hold a version under the name of another, and say nothing of it when asked to run it: as one that comes
-// back from silence with old bytes.
+// ServeStaleVersion makes a worker run the bytes of a digest under the name of another version
+// instead of rejecting the call, as a worker that was unreachable for a while does with old bytes.
+// Its responses name the digest that ran.
 func (h *Host) ServeStaleVersion(worker, name, digest string) {
-	w := h.site(worker)
+	w := h.worker(worker)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.loaded[name], w.corrupt = digest, true
+	w.digests[name], w.servesStale = digest, true
 }
 
-// proved has the bytes of a version at the worker, and returns the digest of what will run; "" if it cannot be had.
-func (w *site) proved(k *FunctionConfig, digest string) string {
-	if !k.Versions {
+// ensureVersion fetches a version unless the worker has it, and returns the digest of the bytes
+// that calls run; "" if the version is not available.
+func (w *worker) ensureVersion(fn *FunctionConfig, digest string) string {
+	if !fn.Versions {
 		return ""
 	}
 	w.mu.Lock()
-	have, lies := w.loaded[k.Name], w.corrupt
+	have, stale := w.digests[fn.Name], w.servesStale
 	w.mu.Unlock()
-	if have != "" && (have == digest || lies) {
+	if have != "" && (have == digest || stale) {
 		return have
 	}
-	model, _, _ := strings.Cut(k.Name, "@")
-	if digest == "" || w.h.cfg.Fetch == nil {
+	model, _, _ := strings.Cut(fn.Name, "@")
+	if digest == "" || w.host.cfg.Fetch == nil {
 		return ""
 	}
-	if err := w.h.cfg.Fetch(w.name, model, digest); err != nil {
+	if err := w.host.cfg.Fetch(w.name, model, digest); err != nil {
 		return ""
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.loaded[k.Name] = digest
+	w.digests[fn.Name] = digest
 	return digest
 }
 
-// infer runs one call in the model, and answers as it ended there.
-func (w *site) infer(c *http1.Conn, r *http1.Request, name string) *http1.Response {
-	k := w.h.kind(name)
+// infer runs one call in the fleet model and responds with its outcome.
+func (w *worker) infer(c *http1.Conn, r *http1.Request, name string) *http1.Response {
+	fn := w.host.function(name)
 	traceparent := strings.Split(r.Header.Get(backend.HeaderTraceParent), "-")
-	if k == nil || len(traceparent) != 4 {
-		return fault(404, backend.ProblemNotLoaded)
+	if fn == nil || len(traceparent) != 4 {
+		return problem(404, backend.ProblemNotLoaded)
 	}
 	body := callBody(r)
-	rec := trace.Record{Kind: trace.RequestRead, Worker: w.name, Controller: controller(r), Request: traceparent[1], Attempt: traceparent[2],
-		Class: k.Class, Function: name, Key: r.Header.Get(backend.HeaderIdempotencyKey)}
-	w.h.cfg.Trace.Add(rec)
-	if k.Versions {
-		if rec.Digest = w.proved(k, r.Header.Get(backend.HeaderDigest)); rec.Digest == "" {
-			return w.reported(fault(404, backend.ProblemNotLoaded), &workersim.Event{CopyState: loadFailedNote}, 0) // nothing ran
+	rec := trace.Record{Kind: trace.RequestRead, Worker: w.name, Controller: controllerName(r), Request: traceparent[1], Attempt: traceparent[2],
+		Class: fn.Class, Function: name, Key: r.Header.Get(backend.HeaderIdempotencyKey)}
+	w.host.cfg.Trace.Add(rec)
+	if fn.Versions {
+		if rec.Digest = w.ensureVersion(fn, r.Header.Get(backend.HeaderDigest)); rec.Digest == "" {
+			return w.withLoadReport(problem(404, backend.ProblemNotLoaded), &workersim.Event{CopyState: loadFailedState}, 0) // nothing ran
 		}
 		w.mu.Lock()
-		if w.corrupt {
-			rec.Note = "lie" // on purpose: what is checked is that its answer goes nowhere
+		if w.servesStale {
+			rec.Note = "lie" // expected: the check is that no client receives its answer
 		}
 		w.mu.Unlock()
 	}
-	e, ok := w.run(c, k, rec, workOf(k, body))
+	e, ok := w.run(c, fn, rec, workSeconds(fn, body))
 	if !ok {
 		return nil
 	}
 	rec.Kind, rec.At, rec.Outcome = trace.ResponseSent, 0, string(e.Outcome)
-	w.h.cfg.Trace.Add(rec)
-	return w.wrong(c, w.reported(inferResponse(name, body, rec.Digest, &e), &e, 0))
+	w.host.cfg.Trace.Add(rec)
+	return w.applyFault(c, w.withLoadReport(inferResponse(name, body, rec.Digest, &e), &e, 0))
 }
 
-// loadFailedNote is how a load report says that a load failed.
-const loadFailedNote = 4
+// loadFailedState is the state of a copy, in a load report, whose load failed.
+const loadFailedState = 4
 
-// callBody returns the call's own bytes: those behind the JSON head of the inference request, if it has one.
+// callBody returns the bytes of the call, which follow the JSON head of the inference request if it
+// has one.
 func callBody(r *http1.Request) []byte {
 	if n, err := strconv.Atoi(r.Header.Get(backend.HeaderJSONLength)); err == nil && n >= 0 && n <= len(r.Body) {
 		return r.Body[n:]
@@ -271,38 +279,39 @@
 	return r.Body
 }
 
-// workOf returns the seconds of work that a call asks for, or the mean of its kind.
-func workOf(k *FunctionConfig, body []byte) float64 {
-	var m struct {
+// workSeconds returns the seconds of work that a call asks for, or the mean of its function.
+func workSeconds(fn *FunctionConfig, body []byte) float64 {
+	var params struct {
 		WorkMS float64 `json:"work_ms"`
 	}
-	json.Unmarshal(body, &m)
-	if m.WorkMS > 0 {
-		return m.WorkMS / 1000
+	json.Unmarshal(body, &params)
+	if params.WorkMS > 0 {
+		return params.WorkMS / 1000
 	}
-	return k.Work.Seconds()
+	return fn.Work.Seconds()
 }
 
-// run has the model run a call, and waits for its end; false if the connection has ended before, or the worker.
-func (w *site) run(c *http1.Conn, k *FunctionConfig, rec trace.Record, work float64) (e workersim.Event, ok bool) {
-	id, ch := w.h.newRequest()
-	w.h.mu.Lock()
-	w.h.began[id] = rec
-	fails := w.h.fails[k.Class]
-	w.h.mu.Unlock()
-	call := workersim.Call{ID: id, Function: &k.Function, Work: work, MeanWork: k.Work.Seconds(), Fails: fails}
-	if k.Keyed {
+// run runs a call in the fleet model and waits for its end. It returns false if the connection or
+// the worker ends first.
+func (w *worker) run(c *http1.Conn, fn *FunctionConfig, rec trace.Record, work float64) (e workersim.Event, ok bool) {
+	id, ch := w.host.newRequest()
+	w.host.mu.Lock()
+	w.host.calls[id] = rec
+	fails := w.host.failingClasses[fn.Class]
+	w.host.mu.Unlock()
+	call := workersim.Call{ID: id, Function: &fn.Function, Work: work, MeanWork: fn.Work.Seconds(), Fails: fails}
+	if fn.Keyed {
 		call.Key = rec.Key
 	}
-	w.h.Do(func(f *workersim.Fleet) { f.Call(w.index, call) })
+	w.host.Do(func(f *workersim.Fleet) { f.Call(w.index, call) })
 	e, ok = await(c, ch)
 	if ok && e.Outcome != workersim.Reset {
-		ok = w.hush(c)
+		ok = w.waitWhileSilent(c)
 	}
 	if !ok {
 		rec.Kind, rec.At = trace.ClientClosed, 0
-		w.h.cfg.Trace.Add(rec)
-		w.h.Do(func(f *workersim.Fleet) { f.Cancel(w.index, id) })
+		w.host.cfg.Trace.Add(rec)
+		w.host.Do(func(f *workersim.Fleet) { f.Cancel(w.index, id) })
 		return e, false
 	}
 	if e.Outcome == workersim.Reset {
@@ -312,7 +321,8 @@
 	return e, true
 }
 
-// inferResponse echoes the body of a call that was served.
+// inferResponse returns the response to a call: its own body if it was served, and a problem
+// otherwise.
 func inferResponse(name string, body []byte, digest string, e *workersim.Event) *http1.Response {
 	switch e.Outcome {
 	case workersim.OK:
@@ -325,13 +335,14 @@
 		}
 		return resp
 	case workersim.AtCapacity:
-		return fault(503, backend.ProblemAtCapacity)
+		return problem(503, backend.ProblemAtCapacity)
 	}
-	return fault(500, "urn:kitehub:problem:"+string(e.Outcome))
+	return problem(500, "urn:kitehub:problem:"+string(e.Outcome))
 }
 
-// wrong answers as the fault set for the worker has it.
-func (w *site) wrong(c *http1.Conn, resp *http1.Response) *http1.Response {
+// applyFault writes a response as the worker's fault corrupts it and returns nil. Without a fault
+// it returns the response.
+func (w *worker) applyFault(c *http1.Conn, resp *http1.Response) *http1.Response {
 	_, f := w.state()
 	whole := http1.AppendResponse(nil, resp, false)
 	switch f {
@@ -353,7 +364,7 @@
 			}
 			select {
 			case <-time.After(time.Second):
-			case <-w.h.end:
+			case <-w.host.closed:
 				return nil
 			}
 		}
