--- a/internal/harness/workersim/calls.go
+++ b/internal/harness/workersim/calls.go
@@ -4,154 +4,161 @@
 	"slices"
 )
 
-// Call gives a worker an attempt. Exactly one Answered follows, unless it is cancelled while it waits.
+// Call sends an attempt to a worker. Exactly one CallAnswered event follows, unless the attempt is
+// cancelled while it waits.
 func (f *Fleet) Call(worker int, c Call) {
 	w := f.workers[worker]
 	if !w.up {
-		f.out = append(f.out, Event{Kind: CallAnswered, At: f.now, Worker: worker, ID: c.ID, Outcome: Reset})
+		f.events = append(f.events, Event{Kind: CallAnswered, At: f.now, Worker: worker, ID: c.ID, Outcome: Reset})
 		return
 	}
-	if f.pushed(w, c) {
+	if f.collapses(w, c) {
 		return
 	}
 	fn := w.function(c.Function)
-	h := &call{Call: c, remainingWork: c.Work}
+	attempt := &call{Call: c, remainingWork: c.Work}
 	for _, o := range w.calls {
 		if o.Function.Name == c.Function.Name {
-			h.sameFunction++
+			attempt.sameFunction++
 		}
 	}
-	free := slices.ContainsFunc(fn.copies, func(cp *copyState) bool { return !cp.released && cp.busy < c.Function.Lanes })
+	free := slices.ContainsFunc(fn.copies, func(cp *loadedCopy) bool { return !cp.released && cp.busyLanes < c.Function.Lanes })
 	loading := slices.ContainsFunc(w.loads, func(l *load) bool { return l.function.Name == c.Function.Name })
-	h.note = CopyWasLoaded
+	attempt.copyState = CopyWasLoaded
 	if !free {
 		if w.waiting >= w.Queue {
-			f.refuse(w, h)
+			f.rejectAtCapacity(w, attempt)
 			return
 		}
 		none := f.Copies(worker, c.Function.Name) == 0
 		if none || w.Eager && !loading {
 			switch {
 			case loading:
-				h.note = AwaitedLoad
+				attempt.copyState = AwaitedLoad
 			case f.startLoad(w, c.Function, false):
-				h.note = StartedLoad
-			case none: // no room, no slot
-				f.refuse(w, h)
+				attempt.copyState = StartedLoad
+			case none: // there is no room for a copy, or too many loads wait
+				f.rejectAtCapacity(w, attempt)
 				return
 			}
 		}
 	}
-	w.calls[c.ID] = h
-	fn.queue = append(fn.queue, h)
+	w.calls[c.ID] = attempt
+	fn.queue = append(fn.queue, attempt)
 	w.waiting++
-	f.slots(w)
-	f.begin(w)
+	f.assignLoadSlots(w)
+	f.startRuns(w)
 }
 
-func (f *Fleet) refuse(w *worker, h *call) {
-	f.out = append(f.out, Event{Kind: CallAnswered, At: f.now, Worker: w.index, ID: h.ID, Outcome: AtCapacity, SameFunction: h.sameFunction})
+// rejectAtCapacity answers an attempt with AtCapacity.
+func (f *Fleet) rejectAtCapacity(w *worker, attempt *call) {
+	f.events = append(f.events, Event{Kind: CallAnswered, At: f.now, Worker: w.index, ID: attempt.ID, Outcome: AtCapacity, SameFunction: attempt.sameFunction})
 }
 
-// pushed notes what a cold worker is sent and tells whether that pushes it over.
-func (f *Fleet) pushed(w *worker, c Call) bool {
-	cold := f.cfg.SlowStart
-	if f.warmupFraction(w, f.now) >= 1 || cold.CollapseFactor == 0 {
-		w.sent = nil
+// collapses records the work sent to a worker that is warming up and reports whether the worker
+// collapses under it.
+func (f *Fleet) collapses(w *worker, c Call) bool {
+	slowStart := f.cfg.SlowStart
+	if f.warmupFraction(w, f.now) >= 1 || slowStart.CollapseFactor == 0 {
+		w.recentWork = nil
 		return false
 	}
-	w.sent = slices.DeleteFunc(w.sent, func(s sent) bool { return s.at <= f.now-cold.CollapseWindow })
-	w.sent = append(w.sent, sent{f.now, c.MeanWork})
+	w.recentWork = slices.DeleteFunc(w.recentWork, func(s sentWork) bool { return s.at <= f.now-slowStart.CollapseWindow })
+	w.recentWork = append(w.recentWork, sentWork{f.now, c.MeanWork})
 	var sum float64
-	for _, s := range w.sent {
+	for _, s := range w.recentWork {
 		sum += s.work
 	}
-	can := w.Cores * w.Speed * f.warmupFraction(w, f.now) * cold.CollapseWindow.Seconds()
-	if sum <= cold.CollapseFactor*can {
+	capacity := w.Cores * w.Speed * f.warmupFraction(w, f.now) * slowStart.CollapseWindow.Seconds()
+	if sum <= slowStart.CollapseFactor*capacity {
 		return false
 	}
-	w.fallen = true
-	f.out = append(f.out, Event{Kind: Collapsed, At: f.now, Worker: w.index},
+	w.collapsed = true
+	f.events = append(f.events, Event{Kind: Collapsed, At: f.now, Worker: w.index},
 		Event{Kind: CallAnswered, At: f.now, Worker: w.index, ID: c.ID, Outcome: Reset})
 	f.Kill(w.index)
 	return true
 }
 
-// begin runs what waits and has a lane.
-func (f *Fleet) begin(w *worker) {
-	for _, name := range w.names {
+// startRuns starts the waiting calls for which a copy has a free lane.
+func (f *Fleet) startRuns(w *worker) {
+	for _, name := range w.functionNames {
 		fn := w.functions[name]
 		for len(fn.queue) > 0 {
-			i := slices.IndexFunc(fn.copies, func(c *copyState) bool { return !c.released && c.busy < fn.spec.Lanes })
+			i := slices.IndexFunc(fn.copies, func(c *loadedCopy) bool { return !c.released && c.busyLanes < fn.spec.Lanes })
 			if i < 0 {
 				break
 			}
-			h := fn.queue[0]
+			attempt := fn.queue[0]
 			fn.queue = fn.queue[1:]
 			w.waiting--
-			h.running, h.copy = true, fn.copies[i]
-			h.copy.busy++
-			w.running = append(w.running, h)
-			if f.repeated(w, h) {
-				f.finishCall(w, h, Event{Outcome: OK, Repeat: true})
+			attempt.running, attempt.copy = true, fn.copies[i]
+			attempt.copy.busyLanes++
+			w.running = append(w.running, attempt)
+			if f.isDuplicate(w, attempt) {
+				f.finishCall(w, attempt, Event{Outcome: OK, Repeat: true})
 				continue
 			}
-			f.out = append(f.out, Event{Kind: RunStarted, At: f.now, Worker: w.index, ID: h.ID})
+			f.events = append(f.events, Event{Kind: RunStarted, At: f.now, Worker: w.index, ID: attempt.ID})
 		}
-		// Copies that went void under a queue leave it with none: it waits for room, not for ever.
+		// A queue whose copies were all released gets a new load as soon as there is room, so that
+		// it does not wait for ever.
 		if len(fn.queue) > 0 && f.Copies(w.index, name) == 0 &&
 			!slices.ContainsFunc(w.loads, func(l *load) bool { return l.function.Name == name }) &&
 			f.startLoad(w, fn.spec, false) {
-			f.slots(w)
+			f.assignLoadSlots(w)
 		}
 	}
 }
 
-// repeated tells whether the worker's group has run the key within the window, and notes it.
-func (f *Fleet) repeated(w *worker, h *call) bool {
-	if h.Key == "" {
+// isDuplicate reports whether the worker's group ran the call's key within the dedup window. If
+// not, it records the key.
+func (f *Fleet) isDuplicate(w *worker, attempt *call) bool {
+	if attempt.Key == "" {
 		return false
 	}
-	g := f.completedKeys[w.Group]
-	if g == nil {
-		g = map[string]ran{}
-		f.completedKeys[w.Group] = g
+	keys := f.completedKeys[w.Group]
+	if keys == nil {
+		keys = map[string]completedKey{}
+		f.completedKeys[w.Group] = keys
 	}
-	if r, ok := g[h.Key]; ok && f.now < r.at+f.cfg.DedupWindow {
+	if r, ok := keys[attempt.Key]; ok && f.now < r.at+f.cfg.DedupWindow {
 		return true
 	}
-	g[h.Key] = ran{f.now}
-	if len(g) > 4096 {
-		for k, r := range g { // which are dropped does not depend on the order
+	keys[attempt.Key] = completedKey{f.now}
+	if len(keys) > 4096 {
+		for k, r := range keys { // the iteration order does not matter: each expired key is deleted
 			if f.now >= r.at+f.cfg.DedupWindow {
-				delete(g, k)
+				delete(keys, k)
 			}
 		}
 	}
 	return false
 }
 
-func (f *Fleet) end(w *worker, h *call, o Outcome) { f.finishCall(w, h, Event{Outcome: o}) }
+func (f *Fleet) finishCallWith(w *worker, attempt *call, o Outcome) {
+	f.finishCall(w, attempt, Event{Outcome: o})
+}
 
-func (f *Fleet) finishCall(w *worker, h *call, e Event) {
-	w.running = slices.DeleteFunc(w.running, func(o *call) bool { return o == h })
-	if h.copy.busy--; h.copy.busy == 0 {
-		h.copy.idle = f.now
+func (f *Fleet) finishCall(w *worker, attempt *call, e Event) {
+	w.running = slices.DeleteFunc(w.running, func(o *call) bool { return o == attempt })
+	if attempt.copy.busyLanes--; attempt.copy.busyLanes == 0 {
+		attempt.copy.idleSince = f.now
 	}
-	delete(w.calls, h.ID)
-	e.Kind, e.At, e.Worker, e.ID, e.CopyState, e.SameFunction = CallAnswered, f.now, w.index, h.ID, h.note, h.sameFunction
-	f.out = append(f.out, e)
+	delete(w.calls, attempt.ID)
+	e.Kind, e.At, e.Worker, e.ID, e.CopyState, e.SameFunction = CallAnswered, f.now, w.index, attempt.ID, attempt.copyState, attempt.sameFunction
+	f.events = append(f.events, e)
 }
 
-// Cancel drops an attempt that still waits; one that runs goes on.
+// Cancel removes an attempt that still waits. One that runs continues.
 func (f *Fleet) Cancel(worker int, id uint64) {
 	w := f.workers[worker]
-	h := w.calls[id]
-	if h == nil || h.running {
+	attempt := w.calls[id]
+	if attempt == nil || attempt.running {
 		return
 	}
-	fn := w.functions[h.Function.Name]
-	fn.queue = slices.DeleteFunc(fn.queue, func(o *call) bool { return o == h })
+	fn := w.functions[attempt.Function.Name]
+	fn.queue = slices.DeleteFunc(fn.queue, func(o *call) bool { return o == attempt })
 	w.waiting--
 	delete(w.calls, id)
 }
--- a/internal/harness/workersim/fleet.go
+++ b/internal/harness/workersim/fleet.go
@@ -1,9 +1,11 @@
-// Package workersim models workers that load functions on demand and the store that all of them fetch from, as a pure
-// state machine in virtual time. It tells the truth about what ran; sockets are put around it by package fakeworker.
+// Package workersim models workers that load functions on demand, and the store from which they
+// fetch them, as a pure state machine in virtual time. Its events tell what really ran. Package
+// fakeworker serves the model over sockets.
 //
-// A worker has cores shared evenly by what runs, memory for copies of functions, lanes in each copy, a bounded
-// queue, a few load slots, and a cold spell after its start during which its capacity rises evenly. Sent more
-// than CollapseFactor times what it can do then, for CollapseWindow, it falls over and stays down.
+// A worker has cores that running calls share evenly, memory for copies of functions, lanes in each
+// copy, a bounded queue and a few load slots. After its start it warms up: its capacity rises
+// linearly. If it is sent more than CollapseFactor times the work that it can do then within
+// CollapseWindow, it collapses and stays down.
 package workersim
 
 import (
@@ -13,25 +15,25 @@
 	"time"
 )
 
-// A Fleet is the model. It is not safe for concurrent use.
+// A Fleet models workers and their store. It is not safe for concurrent use.
 type Fleet struct {
 	cfg              Config
 	now              time.Duration
 	workers          []*worker
-	out              []Event
-	completedKeys    map[string]map[string]ran // by group, by key
-	storeSpeedFactor float64                   // factor on the store
-	storeRejects     bool                      // the store turns all away
-	fetches          int
-	// Fetches, Refusals and Faults count what the store did.
+	events           []Event
+	completedKeys    map[string]map[string]completedKey // by group and key
+	storeSpeedFactor float64                            // factor on the rate of fetches
+	storeRejects     bool                               // the store rejects all fetches
+	fetches          int                                // in flight
+	// Fetches and RejectedFetches count the fetches that the store served and rejected.
 	Fetches, RejectedFetches int
 }
 
-// New returns a fleet in which all workers are up and warm, at the time given.
+// New returns a fleet whose workers are all up and warm at the given time.
 func New(cfg Config, now time.Duration) *Fleet {
-	f := &Fleet{cfg: cfg, now: now, completedKeys: map[string]map[string]ran{}, storeSpeedFactor: 1}
-	for i, s := range cfg.Workers {
-		w := &worker{Spec: s, index: i}
+	f := &Fleet{cfg: cfg, now: now, completedKeys: map[string]map[string]completedKey{}, storeSpeedFactor: 1}
+	for i, spec := range cfg.Workers {
+		w := &worker{Spec: spec, index: i}
 		w.reset(now)
 		w.up = true
 		f.workers = append(f.workers, w)
@@ -39,13 +41,14 @@
 	return f
 }
 
+// reset empties a worker: it has no copies, calls, loads or orders.
 func (w *worker) reset(now time.Duration) {
-	w.speedFactor, w.stolenFraction, w.at, w.usedMemoryMB, w.waiting = 1, 0, now, 0, 0
-	w.functions, w.calls, w.names = map[string]*function{}, map[uint64]*call{}, nil
-	w.running, w.loads, w.orders, w.sent = nil, nil, nil, nil
+	w.speedFactor, w.stolenFraction, w.updatedAt, w.usedMemoryMB, w.waiting = 1, 0, now, 0, 0
+	w.functions, w.calls, w.functionNames = map[string]*function{}, map[uint64]*call{}, nil
+	w.running, w.loads, w.orders, w.recentWork = nil, nil, nil, nil
 }
 
-// warmupFraction is the part of its capacity that a worker has.
+// warmupFraction returns the fraction of its capacity that a worker has, below 1 while it warms up.
 func (f *Fleet) warmupFraction(w *worker, now time.Duration) float64 {
 	c := f.cfg.SlowStart
 	if w.started == 0 || now >= w.started+c.WarmupTime || c.WarmupTime == 0 {
@@ -54,57 +57,58 @@
 	return c.WarmupFraction + (1-c.WarmupFraction)*float64(max(0, now-w.started))/float64(c.WarmupTime)
 }
 
-// capacity is what a worker can do now, in seconds of work a second.
+// capacity returns how much a worker can do now, in seconds of work per second.
 func (f *Fleet) capacity(w *worker, now time.Duration) float64 {
 	return w.Cores * w.Speed * w.speedFactor * (1 - w.stolenFraction) * f.warmupFraction(w, now)
 }
 
-// runRate is how fast each running call goes on.
+// runRate returns the rate at which each running call progresses, in seconds of work per second.
 func (f *Fleet) runRate(w *worker, now time.Duration) float64 {
 	n := float64(max(1, len(w.running)))
 	return f.capacity(w, now) / w.Cores * min(1, w.Cores/n)
 }
 
-// fetchRate is how fast each fetch goes on.
+// fetchRate returns the rate at which each fetch progresses; 1 is the full rate.
 func (f *Fleet) fetchRate() float64 {
 	return f.storeSpeedFactor * min(1, f.cfg.Store.FullRateFetches/float64(max(1, f.fetches)))
 }
 
-const rampStep = 20 * time.Millisecond // a rising capacity is taken as even for so long
+// warmupStep is the interval in which a rising capacity is treated as constant.
+const warmupStep = 20 * time.Millisecond
 
-// Next returns when something will happen by itself next; false if nothing will.
+// Next returns the time of the next change that happens without input, and false if there is none.
 func (f *Fleet) Next() (time.Duration, bool) {
 	next := time.Duration(math.MaxInt64)
-	after := func(left, pace float64) {
-		if pace > 0 {
-			next = min(next, f.now+max(time.Duration(left/pace*1e9), time.Microsecond))
+	after := func(remaining, rate float64) {
+		if rate > 0 {
+			next = min(next, f.now+max(time.Duration(remaining/rate*1e9), time.Microsecond))
 		}
 	}
-	fp := f.fetchRate()
+	fetchRate := f.fetchRate()
 	for _, w := range f.workers {
 		if !w.up {
 			continue
 		}
-		p := f.runRate(w, f.now)
+		runRate := f.runRate(w, f.now)
 		for _, c := range w.running {
-			after(c.remainingWork, p)
+			after(c.remainingWork, runRate)
 		}
 		if len(w.running) > 0 && f.warmupFraction(w, f.now) < 1 {
-			next = min(next, f.now+rampStep)
+			next = min(next, f.now+warmupStep)
 		}
 		for _, l := range w.loads {
 			switch {
-			case !l.slot:
+			case !l.hasSlot:
 			case l.fetching:
-				after(l.remainingFetch, fp)
+				after(l.remainingFetch, fetchRate)
 			default:
-				next = min(next, max(l.ready, f.now+time.Microsecond))
+				next = min(next, max(l.readyAt, f.now+time.Microsecond))
 			}
 		}
-		for _, name := range w.names {
+		for _, name := range w.functionNames {
 			for _, c := range w.functions[name].copies {
-				if c.busy == 0 {
-					next = min(next, max(c.idle+w.IdleCopyTTL, f.now+time.Microsecond))
+				if c.busyLanes == 0 {
+					next = min(next, max(c.idleSince+w.IdleCopyTTL, f.now+time.Microsecond))
 				}
 			}
 		}
@@ -112,111 +116,114 @@
 	return next, next != math.MaxInt64
 }
 
-// Advance moves the model to now and returns what has happened since the last call.
+// Advance advances the model to now and returns the events since the last call.
 func (f *Fleet) Advance(now time.Duration) []Event {
 	for {
 		next, ok := f.Next()
 		if !ok || next > now {
 			break
 		}
-		f.settle(next)
+		f.advanceTo(next)
 	}
-	f.settle(max(now, f.now))
-	out := f.out
-	f.out = nil
-	return out
+	f.advanceTo(max(now, f.now))
+	events := f.events
+	f.events = nil
+	return events
 }
 
-// settle carries all that is under way on to a time before which no rate changes.
-func (f *Fleet) settle(to time.Duration) {
-	dt, fp := (to - f.now).Seconds(), f.fetchRate()
+// advanceTo advances all runs, fetches and starts to a time before which no rate changes.
+func (f *Fleet) advanceTo(to time.Duration) {
+	dt, fetchRate := (to - f.now).Seconds(), f.fetchRate()
 	for _, w := range f.workers {
 		if !w.up {
 			continue
 		}
-		p := f.runRate(w, f.now)
+		runRate := f.runRate(w, f.now)
 		for _, c := range w.running {
-			c.remainingWork -= dt * p
+			c.remainingWork -= dt * runRate
 		}
 		for _, l := range w.loads {
-			if l.slot && l.fetching {
-				l.remainingFetch -= dt * fp
+			if l.hasSlot && l.fetching {
+				l.remainingFetch -= dt * fetchRate
 			}
 		}
 	}
 	f.now = to
 	for _, w := range f.workers {
 		if w.up {
-			f.finish(w)
+			f.completeDue(w)
 		}
 	}
 }
 
-const almost = 1e-9
+// workEpsilon is the remaining work, in seconds, below which a run or a fetch has ended.
+const workEpsilon = 1e-9
 
-// finish ends what is done at a worker, and starts what can start.
-func (f *Fleet) finish(w *worker) {
+// completeDue ends the runs, loads and idle copies of a worker that are due, and starts the calls
+// that can start.
+func (f *Fleet) completeDue(w *worker) {
 	for _, c := range slices.Clone(w.running) {
-		if c.remainingWork <= almost {
-			o := OK
+		if c.remainingWork <= workEpsilon {
+			outcome := OK
 			if c.Fails {
-				o = Error
+				outcome = Error
 			}
-			f.end(w, c, o)
+			f.finishCallWith(w, c, outcome)
 		}
 	}
 	for _, l := range slices.Clone(w.loads) {
 		switch {
-		case !l.slot:
-		case l.fetching && l.remainingFetch <= almost:
-			l.fetching, l.ready = false, f.now+l.function.Start
+		case !l.hasSlot:
+		case l.fetching && l.remainingFetch <= workEpsilon:
+			l.fetching, l.readyAt = false, f.now+l.function.Start
 			f.fetches--
-		case !l.fetching && f.now >= l.ready:
+		case !l.fetching && f.now >= l.readyAt:
 			f.loaded(w, l)
 		}
 	}
-	for _, name := range slices.Clone(w.names) {
+	for _, name := range slices.Clone(w.functionNames) {
 		fn := w.functions[name]
 		for _, c := range slices.Clone(fn.copies) {
-			if c.busy == 0 && (c.released || f.now >= c.idle+w.IdleCopyTTL) {
-				w.drop(fn, c)
+			if c.busyLanes == 0 && (c.released || f.now >= c.idleSince+w.IdleCopyTTL) {
+				w.removeCopy(fn, c)
 			}
 		}
 	}
-	f.begin(w)
+	f.startRuns(w)
 }
 
+// function returns the state of a function at a worker and creates it if there is none yet.
 func (w *worker) function(fn *Function) *function {
 	s := w.functions[fn.Name]
 	if s == nil {
 		s = &function{spec: fn}
 		w.functions[fn.Name] = s
-		i, _ := slices.BinarySearch(w.names, fn.Name)
-		w.names = slices.Insert(w.names, i, fn.Name)
+		i, _ := slices.BinarySearch(w.functionNames, fn.Name)
+		w.functionNames = slices.Insert(w.functionNames, i, fn.Name)
 	}
 	return s
 }
 
-func (w *worker) drop(fn *function, c *copyState) {
-	fn.copies = slices.DeleteFunc(fn.copies, func(o *copyState) bool { return o == c })
+func (w *worker) removeCopy(fn *function, c *loadedCopy) {
+	fn.copies = slices.DeleteFunc(fn.copies, func(o *loadedCopy) bool { return o == c })
 	w.usedMemoryMB -= fn.spec.MemoryMB
 }
 
-// Report is what a worker would tell of its load.
+// Report is a worker's load report.
 type Report struct {
 	InFlight, Queue int
 	Utilization     float64
-	Memory          float64 // share that cannot be freed
+	Memory          float64 // fraction of the memory that cannot be freed
 	Loads           int
 }
 
-// Report returns a worker's load as it is.
+// Report returns the current load of a worker.
 func (f *Fleet) Report(worker int) Report {
 	w := f.workers[worker]
 	var pinned float64
-	for _, name := range w.names {
+	for _, name := range w.functionNames {
 		for _, c := range w.functions[name].copies {
-			if c.busy > 0 {
+			if c.busyLanes > 0 {
 				pinned += w.functions[name].spec.MemoryMB
 			}
 		}
@@ -228,10 +235,10 @@
 		Memory: pinned / w.MemoryMB, Loads: len(w.loads)}
 }
 
-// Up tells whether a worker's process runs.
+// Up reports whether a worker's process runs.
 func (f *Fleet) Up(worker int) bool { return f.workers[worker].up }
 
-// Copies returns how many copies of a function stand at a worker.
+// Copies returns the number of copies of a function that a worker has loaded and not released.
 func (f *Fleet) Copies(worker int, name string) int {
 	n := 0
 	if fn := f.workers[worker].functions[name]; fn != nil {
@@ -247,9 +254,9 @@
 // IdleMemoryMB returns the memory of a worker's idle copies, in MB.
 func (f *Fleet) IdleMemoryMB(worker int) (mb float64) {
 	w := f.workers[worker]
-	for _, name := range w.names {
+	for _, name := range w.functionNames {
 		for _, c := range w.functions[name].copies {
-			if c.busy == 0 && !c.released {
+			if c.busyLanes == 0 && !c.released {
 				mb += w.functions[name].spec.MemoryMB
 			}
 		}
@@ -257,26 +264,26 @@
 	return mb
 }
 
-// evictable returns the idle copies of a worker, the longest idle first.
+// evictable returns the idle copies of a worker, the one that was idle longest first.
 func (w *worker) evictable() (l []struct {
 	fn *function
-	c  *copyState
+	c  *loadedCopy
 }) {
-	for _, name := range w.names {
+	for _, name := range w.functionNames {
 		for _, c := range w.functions[name].copies {
-			if c.busy == 0 {
+			if c.busyLanes == 0 {
 				l = append(l, struct {
 					fn *function
-					c  *copyState
+					c  *loadedCopy
 				}{w.functions[name], c})
 			}
 		}
 	}
 	slices.SortStableFunc(l, func(a, b struct {
 		fn *function
-		c  *copyState
+		c  *loadedCopy
 	}) int {
-		return cmp.Compare(a.c.idle, b.c.idle)
+		return cmp.Compare(a.c.idleSince, b.c.idleSince)
 	})
 	return l
 }
