--- a/internal/harness/invariant/invariant.go
+++ b/internal/harness/invariant/invariant.go
@@ -49,9 +49,9 @@
 	// SlowStartPeak is the most work that was sent to a worker that was warming up, as a fraction
 	// of the work that makes it collapse.
 	SlowStartPeak float64
-	// Answers counts the calls by outcome.
+	// Answers counts the requests by outcome.
 	Answers map[string]int
-	// Overdue counts the calls that were served, refused or failed after their deadline.
+	// Overdue counts the requests that were served, refused or failed after their deadline.
 	Overdue int
 	// Excused counts what would be a violation without the stalls of the machine.
 	Excused int
--- a/internal/harness/trace/golden_test.go
+++ b/internal/harness/trace/golden_test.go
@@ -9,7 +9,7 @@
 	"kitehub/internal/goldenfile"
 )
 
-// records has one in which every field is set, and one in which none is.
+// records has a record in which every field is set and others in which none is.
 var records = []Record{
 	{At: time.Second, Kind: Facts, Controller: "c1", Worker: "w1", Request: "r", Attempt: "a", Class: "safe", Function: "resize", Tenant: "t", Key: "k",
 		Outcome: "served <1>", Until: 2 * time.Second, Copies: 3, Capacity: 4.5, WarmingUp: true, Digest: "sha256:00", Revision: 5, Note: "n",
@@ -19,8 +19,9 @@
 	{},
 }
 
-// Traces are kept in files, and judged later by "kitehub rules check".
-func TestWrittenTraceIsAsBefore(t *testing.T) {
+// Traces are stored in files, and "kitehub rules check" reads them later: their format must not
+// change.
+func TestTraceFormatUnchanged(t *testing.T) {
 	var written bytes.Buffer
 	if err := Write(&written, records); err != nil {
 		t.Fatal(err)
@@ -36,8 +37,8 @@
 	}
 }
 
-// Kinds are words in a trace.
-func TestKindsAreAsBefore(t *testing.T) {
+// The kinds of records are written to traces: their texts must not change.
+func TestKindsUnchanged(t *testing.T) {
 	var written bytes.Buffer
 	for _, kind := range []Kind{Facts, RequestSent, Answered, RequestRead, RunStarted, RunEnded, ClientClosed, ResponseSent, LoadOrdered, ControllerUp, ControllerDown, WorkerUp, WorkerDown,
 		Collapsed, ListDelivered, FaultInjected, AliasMigrated, Stall} {
@@ -46,7 +47,8 @@
 	goldenfile.Compare(t, "kinds.txt", written.Bytes())
 }
 
-// Each field that is stored or sent has a key of its own: what it is called in Go may change, the format may not.
-func TestKeysDoNotFollowFieldNames(t *testing.T) {
+// Every field that is written has an explicit JSON key, so that renaming a Go field does not change
+// the format.
+func TestFieldsHaveJSONKeys(t *testing.T) {
 	goldenfile.RequireJSONTags(t, Record{})
 }
--- a/internal/harness/trace/trace.go
+++ b/internal/harness/trace/trace.go
@@ -1,5 +1,6 @@
-// Package trace is the record that all rigs write and package invariant reads: what went over the sockets, seen from
-// both ends, on one clock. It holds nothing that the gateway says of itself.
+// Package trace defines the records that test harnesses write and package invariant reads: what was
+// sent and received on the sockets, as seen from both ends, on one clock. It has nothing that the
+// gateway reports about itself.
 package trace
 
 import (
@@ -11,43 +12,59 @@
 	"time"
 )
 
-// A Kind says what a record tells.
+// A Kind is the kind of a record.
 type Kind string
 
-// Client side: Asked when a try's bytes begin to go out (at the intended start), Answered when its answer is in.
-// Worker side: Got when a call's request is read, Began and Ended around its run, Left when its connection went
-// away first, Order for a load order. Rig: ControllerUp and ControllerDown (killed), WorkerUp, WorkerDown,
-// Fell (a cold worker was pushed over), Told when a list that says so is written to a controller.
+// The kinds of records.
 const (
-	Facts          Kind = "facts"
-	RequestSent    Kind = "asked"
-	Answered       Kind = "answered"
-	RequestRead    Kind = "got"
-	RunStarted     Kind = "began"
-	RunEnded       Kind = "ended"
-	ClientClosed   Kind = "left"
-	ResponseSent   Kind = "replied"
-	LoadOrdered    Kind = "order"
+	// Facts has the rules' parameters.
+	Facts Kind = "facts"
+
+	// RequestSent is recorded by a client when it starts to send a request, at the intended time.
+	RequestSent Kind = "asked"
+	// Answered is recorded by a client when it has received the answer.
+	Answered Kind = "answered"
+
+	// RequestRead is recorded by a worker when it has read the request of a call.
+	RequestRead Kind = "got"
+	// RunStarted and RunEnded are recorded by a worker around the run of a call.
+	RunStarted Kind = "began"
+	RunEnded   Kind = "ended"
+	// ClientClosed is recorded by a worker if the connection of a call closes before its response.
+	ClientClosed Kind = "left"
+	// ResponseSent is recorded by a worker when it responds to a call.
+	ResponseSent Kind = "replied"
+	// LoadOrdered is recorded by a worker when it receives a load order.
+	LoadOrdered Kind = "order"
+
+	// The remaining kinds are recorded by the harness.
+
+	// ControllerUp and ControllerDown record the start and the kill of a controller.
 	ControllerUp   Kind = "controller-up"
 	ControllerDown Kind = "controller-down"
 	WorkerUp       Kind = "worker-up"
 	WorkerDown     Kind = "worker-down"
-	Collapsed      Kind = "fell"
-	ListDelivered  Kind = "told"
-	FaultInjected  Kind = "trouble"
-	AliasMigrated  Kind = "moved" // a move of an alias was acknowledged: Function is it, Revision the new one
-	Stall          Kind = "stall" // the machine ran nothing of the rig from At to Until
+	// Collapsed records that a worker that was warming up was overloaded and stopped.
+	Collapsed Kind = "fell"
+	// ListDelivered records the delivery to a controller of an endpoint list with a worker's state.
+	ListDelivered Kind = "told"
+	FaultInjected Kind = "trouble"
+	// AliasMigrated records that the migration of an alias was acknowledged. Function is the alias,
+	// Revision the new revision.
+	AliasMigrated Kind = "moved"
+	// Stall records that the machine ran nothing of the harness from At to Until.
+	Stall Kind = "stall"
 )
 
-// A Class states what holds for a class of calls.
+// A Class has the properties of a class of calls.
 type Class struct {
 	Name        string  `json:"name"`
 	Effect      string  `json:"effect"` // safe, keyed or unsafe
 	AllWorkers  bool    `json:"all_workers,omitempty"`
-	WorkSeconds float64 `json:"work"` // mean, on one core of speed 1
+	WorkSeconds float64 `json:"work"` // mean per call, on one core of speed 1
 }
 
-// Rules are the figures that the five rules are judged by.
+// Rules has the parameters of the five rules.
 type Rules struct {
 	Classes        []Class       `json:"classes"`
 	AnswerGrace    time.Duration `json:"answer_grace"`
@@ -60,43 +77,44 @@
 	LoadFree       float64       `json:"load_free"`
 	LoadRatio      float64       `json:"load_ratio"`
 	HedgedRequests bool          `json:"duplicate"`
-	Slack          time.Duration `json:"slack"` // between a decision and its bytes being seen at the other end
+	Slack          time.Duration `json:"slack"` // allowed time between a decision and its bytes being seen at the other end
 }
 
-// A Record is one thing that was seen. Fields that a kind does not use are empty.
+// A Record is one observed event. Fields that its kind does not use are empty.
 type Record struct {
 	At         time.Duration `json:"at"`
 	Kind       Kind          `json:"kind"`
 	Controller string        `json:"controller,omitempty"`
 	Worker     string        `json:"worker,omitempty"`
-	Request    string        `json:"request,omitempty"` // the trace id of one try
-	Attempt    string        `json:"attempt,omitempty"` // unique for each call to a worker
+	Request    string        `json:"request,omitempty"` // the trace id; each retry by a client has its own
+	Attempt    string        `json:"attempt,omitempty"` // unique for each request to a worker
 	Class      string        `json:"class,omitempty"`
 	Function   string        `json:"function,omitempty"`
 	Tenant     string        `json:"tenant,omitempty"`
-	Key        string        `json:"key,omitempty"` // the id under which repeats are dropped
+	Key        string        `json:"key,omitempty"` // the idempotency key
 	Outcome    string        `json:"outcome,omitempty"`
-	Until      time.Duration `json:"until,omitempty"` // deadline of a try, on the clock
+	Until      time.Duration `json:"until,omitempty"` // deadline of a request, or end of a stall, on the clock
 	Copies     int           `json:"copies,omitempty"`
-	Capacity   float64       `json:"capacity,omitempty"` // cores times speed, warm
+	Capacity   float64       `json:"capacity,omitempty"` // cores times speed, when warmed up
 	WarmingUp  bool          `json:"cold,omitempty"`
 	Digest     string        `json:"digest,omitempty"`   // of the bytes that ran
-	Revision   uint64        `json:"revision,omitempty"` // of the alias, as an answer or a move tells
+	Revision   uint64        `json:"revision,omitempty"` // of the alias, in an answer or a migration
 	Rules      *Rules        `json:"rules,omitempty"`
 	Note       string        `json:"note,omitempty"`
 }
 
-// A Log gathers records. It is safe for concurrent use. A nil Log drops what it is given.
+// A Log collects records. It is safe for concurrent use. A nil Log discards them.
 type Log struct {
 	mu      sync.Mutex
 	records []Record
 	now     func() time.Duration
 }
 
-// NewLog returns a log that stamps records by the clock.
+// NewLog returns a log that takes the time of records from now.
 func NewLog(now func() time.Duration) *Log { return &Log{now: now} }
 
-// Add appends a record, at the present time unless it has one. The order of the log is that of the calls.
+// Add appends a record, with the current time unless it has one. Records are in the order of the
+// calls to Add.
 func (l *Log) Add(r Record) {
 	if l == nil {
 		return
@@ -109,7 +127,7 @@
 	l.records = append(l.records, r)
 }
 
-// Now returns the time on the log's clock.
+// Now returns the current time on the log's clock.
 func (l *Log) Now() time.Duration {
 	if l == nil {
 		return 0
@@ -117,7 +135,7 @@
 	return l.now()
 }
 
-// Records returns a copy of what was added.
+// Records returns a copy of the records.
 func (l *Log) Records() []Record {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -136,7 +154,7 @@
 	return bw.Flush()
 }
 
-// Read reads what Write wrote. An error names the line.
+// Read reads records that Write wrote. An error names the line.
 func Read(r io.Reader) ([]Record, error) {
 	var out []Record
 	sc := bufio.NewScanner(r)
