--- a/internal/harness/fakeplatform/directory.go
+++ b/internal/harness/fakeplatform/directory.go
@@ -8,67 +8,70 @@
 	"golang.org/x/net/dns/dnsmessage"
 )
 
-// Service is the name whose SRV records are the list.
+// Service is the DNS name whose SRV records are the endpoint list.
 const Service = "_app._tcp.cluster.lan"
 
-// A DirectoryResponse is an answer of the directory. What is not set is as in a good one.
+// A DirectoryResponse describes a DNS response of the directory. Fields that are not set have the
+// values of a valid response.
 type DirectoryResponse struct {
 	Serial   uint32
-	Workers  []string // ids
+	Workers  []string // ids of the workers
 	Addrs    []netip.AddrPort
-	Priority uint16 // 1: they drain
-	Started  string // "": long ago
+	Priority uint16 // 1 if the workers drain
+	Started  string // when the workers started; "" for long ago
 
-	// Faults.
+	// Faults of the response.
 	NoSOA, NoA, NoTXT, Truncated, NotResponse, DuplicateRecords bool
 	RCode                                                       dnsmessage.RCode
-	Question                                                    string // "": Service
+	Question                                                    string // name in the question; "" for Service
 }
 
 func name(s string) dnsmessage.Name { return dnsmessage.MustNewName(s + ".") }
 
-// Pack builds the answer to the question with this id.
-func (l DirectoryResponse) Pack(id uint16) ([]byte, error) {
-	q := name(Service)
-	if l.Question != "" {
-		q = name(l.Question)
+// Pack encodes the response to the query with an id.
+func (r DirectoryResponse) Pack(id uint16) ([]byte, error) {
+	service := name(Service)
+	if r.Question != "" {
+		service = name(r.Question)
 	}
-	head := func(n dnsmessage.Name) dnsmessage.ResourceHeader {
+	header := func(n dnsmessage.Name) dnsmessage.ResourceHeader {
 		return dnsmessage.ResourceHeader{Name: n, Class: dnsmessage.ClassINET}
 	}
-	m := dnsmessage.Message{Header: dnsmessage.Header{ID: id, Response: !l.NotResponse, RCode: l.RCode, Truncated: l.Truncated},
-		Questions: []dnsmessage.Question{{Name: q, Type: dnsmessage.TypeSRV, Class: dnsmessage.ClassINET}}}
-	if !l.NoSOA {
-		m.Authorities = []dnsmessage.Resource{{Header: head(name("cluster.lan")),
-			Body: &dnsmessage.SOAResource{NS: name("ns.cluster.lan"), MBox: name("a.b"), Serial: l.Serial}}}
+	m := dnsmessage.Message{Header: dnsmessage.Header{ID: id, Response: !r.NotResponse, RCode: r.RCode, Truncated: r.Truncated},
+		Questions: []dnsmessage.Question{{Name: service, Type: dnsmessage.TypeSRV, Class: dnsmessage.ClassINET}}}
+	if !r.NoSOA {
+		m.Authorities = []dnsmessage.Resource{{Header: header(name("cluster.lan")),
+			Body: &dnsmessage.SOAResource{NS: name("ns.cluster.lan"), MBox: name("a.b"), Serial: r.Serial}}}
 	}
-	workers := l.Workers
-	if l.DuplicateRecords {
+	workers := r.Workers
+	if r.DuplicateRecords {
 		workers = append(workers, workers...)
 	}
-	started := l.Started
+	started := r.Started
 	if started == "" {
 		started = "0"
 	}
 	for i, w := range workers {
-		host, at := name(w+".east.hosts"), netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, 0, byte(9 + i)}), 7001)
-		if i < len(l.Addrs) {
-			at = l.Addrs[i]
+		host, addr := name(w+".east.hosts"), netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, 0, byte(9 + i)}), 7001)
+		if i < len(r.Addrs) {
+			addr = r.Addrs[i]
 		}
-		m.Answers = append(m.Answers, dnsmessage.Resource{Header: head(q), Body: &dnsmessage.SRVResource{Priority: l.Priority, Weight: 40, Port: at.Port(), Target: host}})
-		if !l.NoA || i > 0 {
-			m.Additionals = append(m.Additionals, dnsmessage.Resource{Header: head(host), Body: &dnsmessage.AResource{A: at.Addr().As4()}})
+		m.Answers = append(m.Answers, dnsmessage.Resource{Header: header(service), Body: &dnsmessage.SRVResource{Priority: r.Priority, Weight: 40, Port: addr.Port(), Target: host}})
+		if !r.NoA || i > 0 {
+			m.Additionals = append(m.Additionals, dnsmessage.Resource{Header: header(host), Body: &dnsmessage.AResource{A: addr.Addr().As4()}})
 		}
-		if !l.NoTXT {
-			m.Additionals = append(m.Additionals, dnsmessage.Resource{Header: head(host),
+		if !r.NoTXT {
+			m.Additionals = append(m.Additionals, dnsmessage.Resource{Header: header(host),
 				Body: &dnsmessage.TXTResource{TXT: []string{"kind=std", "cell=2", "started=" + started}}})
 		}
 	}
 	return m.Pack()
 }
 
-// ListenDirectory answers on loopback the n-th good question as a script says: with any datagrams, or none. Others get nothing.
-func ListenDirectory(script func(n int, id uint16) [][]byte) (net.PacketConn, error) {
+// ListenDirectory listens on a loopback port and calls respond for each valid query, with the
+// number of the query, from 0, and its id. It sends the datagrams that respond returns. Other
+// queries get no response.
+func ListenDirectory(respond func(n int, id uint16) [][]byte) (net.PacketConn, error) {
 	c, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -84,7 +87,7 @@
 			if m.Unpack(buf[:size]) != nil || len(m.Questions) != 1 || m.Questions[0].Type != dnsmessage.TypeSRV || m.Questions[0].Name != name(Service) {
 				continue
 			}
-			for _, b := range script(n, m.ID) {
+			for _, b := range respond(n, m.ID) {
 				c.WriteTo(b, from)
 			}
 			n++
@@ -93,22 +96,22 @@
 	return c, nil
 }
 
-// A Directory answers with one list, which may change; with none at first.
+// A Directory responds to each query with the response that was last set, and not at all before.
 type Directory struct {
 	net.PacketConn
-	list atomic.Pointer[DirectoryResponse]
+	response atomic.Pointer[DirectoryResponse]
 }
 
-// NewDirectory starts one.
+// NewDirectory starts a directory.
 func NewDirectory() (*Directory, error) {
 	d := &Directory{}
 	var err error
 	d.PacketConn, err = ListenDirectory(func(_ int, id uint16) [][]byte {
-		l := d.list.Load()
-		if l == nil {
+		response := d.response.Load()
+		if response == nil {
 			return nil
 		}
-		b, err := l.Pack(id)
+		b, err := response.Pack(id)
 		if err != nil {
 			return nil
 		}
@@ -117,5 +120,5 @@
 	return d, err
 }
 
-// Set changes the list.
-func (d *Directory) Set(l DirectoryResponse) { d.list.Store(&l) }
+// Set sets the response.
+func (d *Directory) Set(response DirectoryResponse) { d.response.Store(&response) }
--- a/internal/harness/fakeplatform/hostile.go
+++ b/internal/harness/fakeplatform/hostile.go
@@ -7,26 +7,27 @@
 	"time"
 )
 
-// A HostileClient is a kind of bad client: what it sends, at full speed, on a connection that it does not close by itself.
+// A HostileClient is a kind of misbehaving client: what it sends, at full speed, on a connection
+// that it does not close.
 type HostileClient struct {
 	Name           string
 	Bytes          []byte
-	Repeat         bool // it sends them over and over, as soon as it can
-	CloseAfterSend bool // it closes right after
+	Repeat         bool // Bytes is sent repeatedly
+	CloseAfterSend bool // the connection is closed right after sending
 }
 
-// HostileClients returns the kinds that the platform's page of days lists.
+// HostileClients returns the kinds of hostile clients that the platform's documentation lists.
 func HostileClients() []HostileClient {
-	repeat := func(n int, m func(i int) []byte) (b []byte) {
+	repeat := func(n int, message func(i int) []byte) (b []byte) {
 		for i := range n {
-			b = append(b, m(i)...)
+			b = append(b, message(i)...)
 		}
 		return b
 	}
-	bad := func(pairs ...string) func(int) []byte {
+	invalid := func(pairs ...string) func(int) []byte {
 		return func(i int) []byte { return Request(i, "lookup", Fields(pairs...), []byte("x")) }
 	}
-	whole := func(i int) []byte { return Request(i, "lookup", Fields("txn", RequestID(1<<20+i)), []byte("x")) }
+	valid := func(i int) []byte { return Request(i, "lookup", Fields("txn", RequestID(1<<20+i)), []byte("x")) }
 	head := Request(1, "lookup", Fields(), []byte{})
 	head = head[:len(head)-2] // without its empty body
 	body := func(length ...byte) []byte { return append(append(bytes.Clone(head), 0xc6), length...) }
@@ -39,26 +40,26 @@
 		{Name: "a body shorter than its head", Bytes: append(body(0, 0, 0x10, 0), "short"...)},
 		{Name: "a negative number", Bytes: Request(-1, "lookup", Fields(), []byte("x"))},
 		{Name: "unknown classes", Bytes: Request(1, "nonesuch", Fields(), []byte("x")), Repeat: true},
-		{Name: "unknown tenants", Bytes: bad("team", "nobody")(1), Repeat: true},
-		{Name: "figures out of range", Bytes: bad("attrs", "memory_mb:1e300")(1), Repeat: true},
-		{Name: "figures that are none", Bytes: bad("limit", "soon")(1), Repeat: true},
-		{Name: "no id", Bytes: bad("txn", "")(1), Repeat: true},
-		{Name: "two requests under one number", Bytes: append(whole(1), Request(1, "lookup", Fields("txn", RequestID(2)), []byte("y"))...), Repeat: true},
-		{Name: "the id of an open request", Bytes: repeat(200, bad()), Repeat: true},
-		{Name: "taken back at once", Bytes: append(repeat(300, func(i int) []byte { return append(whole(i), CancelNotification(i)...) }), 0xc1)},
-		{Name: "hundreds at once", Bytes: append(repeat(300, whole), 0xc1)},
+		{Name: "unknown tenants", Bytes: invalid("team", "nobody")(1), Repeat: true},
+		{Name: "numbers out of range", Bytes: invalid("attrs", "memory_mb:1e300")(1), Repeat: true},
+		{Name: "values that are not numbers", Bytes: invalid("limit", "soon")(1), Repeat: true},
+		{Name: "no id", Bytes: invalid("txn", "")(1), Repeat: true},
+		{Name: "two requests under one number", Bytes: append(valid(1), Request(1, "lookup", Fields("txn", RequestID(2)), []byte("y"))...), Repeat: true},
+		{Name: "the id of an open request", Bytes: repeat(200, invalid()), Repeat: true},
+		{Name: "cancelled at once", Bytes: append(repeat(300, func(i int) []byte { return append(valid(i), CancelNotification(i)...) }), 0xc1)},
+		{Name: "hundreds at once", Bytes: append(repeat(300, valid), 0xc1)},
 		{Name: "half a request", Bytes: head[:40]},
 		{Name: "half a request and a close", Bytes: head[:40], CloseAfterSend: true},
 		{Name: "nothing"},
 	}
 }
 
-// Run connects once and sends. It returns once the connection is closed, or an error if it was left with nothing: neither
-// told anything nor closed within the time.
-func (h HostileClient) Run(addr string, within time.Duration) error {
-	c, err := Dial(addr, within)
+// Run connects once and sends. It returns when the connection is closed, and an error if the server
+// does not close it within the timeout.
+func (h HostileClient) Run(addr string, timeout time.Duration) error {
+	c, err := Dial(addr, timeout)
 	if err != nil {
-		return nil // not even taken, which is a close
+		return nil // a rejected connection counts as closed
 	}
 	defer c.Close()
 	go func() {
--- a/internal/harness/fakeplatform/invoker.go
+++ b/internal/harness/fakeplatform/invoker.go
@@ -1,6 +1,7 @@
-// Package fakeplatform has stand-ins of the parties that a relay meets on its platform: invokers, the directory and clients. They
-// speak the platform's published protocol by code of their own, so that a fault of the relay's codecs does not hide in both.
-// What a party does is a script of the rig's; the stand-ins themselves only frame, listen and count.
+// Package fakeplatform has fakes of the parties with which a relay communicates on its platform:
+// invokers, the directory and clients. They implement the platform's published protocol with code
+// of their own, so that a fault in the relay's codecs cannot hide in both ends. Tests define how a
+// party behaves; the fakes only encode, decode, listen and count.
 package fakeplatform
 
 import (
@@ -14,7 +15,7 @@
 	"time"
 )
 
-// Codes of frames.
+// Codes of the frames to an invoker, and of its responses.
 const (
 	Call       = 48
 	CancelCall = 49
@@ -28,23 +29,23 @@
 	Error        = 68
 	AlreadyEnded = 69
 	Pong         = 70
-	Orphan       = 71 // answers nothing
+	Orphan       = 71 // a response to no request
 )
 
 const (
-	markCommand, markAnswer = 192, 193
-	headSize, checkSize     = 16, 4
+	requestMarker, responseMarker = 192, 193
+	headerSize, checksumSize      = 16, 4
 )
 
-// A Command is a frame that an invoker has read.
+// A Command is a request frame that an invoker received.
 type Command struct {
-	Conn         int // number of the connection that it came on
+	Conn         int // number of its connection, from 0
 	Code         byte
 	ID           uint64
 	Fields, Body string
 }
 
-// Field returns the value of a field, "" for none.
+// Field returns the value of a field, or "" if the command does not have it.
 func (c Command) Field(name string) string {
 	for _, pair := range strings.Split(c.Fields, ",") {
 		if v, ok := strings.CutPrefix(pair, name+"="); ok {
@@ -54,38 +55,39 @@
 	return ""
 }
 
-// ReadCommand reads a frame and checks it.
+// ReadCommand reads a request frame and checks its marker and checksum.
 func ReadCommand(r io.Reader) (c Command, err error) {
-	var head [headSize]byte
-	if _, err = io.ReadFull(r, head[:]); err != nil {
+	var header [headerSize]byte
+	if _, err = io.ReadFull(r, header[:]); err != nil {
 		return c, err
 	}
-	if head[0] != markCommand {
-		return c, fmt.Errorf("mark %d", head[0])
+	if header[0] != requestMarker {
+		return c, fmt.Errorf("marker byte %d is not that of a request", header[0])
 	}
-	fields, body := int(binary.BigEndian.Uint16(head[2:])), int(binary.BigEndian.Uint32(head[4:]))
-	b := make([]byte, fields+body+checkSize)
+	fields, body := int(binary.BigEndian.Uint16(header[2:])), int(binary.BigEndian.Uint32(header[4:]))
+	b := make([]byte, fields+body+checksumSize)
 	if _, err = io.ReadFull(r, b); err != nil {
 		return c, err
 	}
 	if sum := binary.BigEndian.Uint32(b[fields+body:]); sum != crc32.ChecksumIEEE(b[:fields+body]) {
-		return c, fmt.Errorf("check %08x", sum)
+		return c, fmt.Errorf("checksum %08x does not match the frame", sum)
 	}
-	return Command{0, head[1], binary.BigEndian.Uint64(head[8:]), string(b[:fields]), string(b[fields : fields+body])}, nil
+	return Command{0, header[1], binary.BigEndian.Uint64(header[8:]), string(b[:fields]), string(b[fields : fields+body])}, nil
 }
 
-// Response builds an answer's frame.
+// Response encodes a response frame.
 func Response(code byte, id uint64, fields, body string) []byte {
-	b := []byte{markAnswer, code}
+	b := []byte{responseMarker, code}
 	b = binary.BigEndian.AppendUint16(b, uint16(len(fields)))
 	b = binary.BigEndian.AppendUint32(b, uint32(len(body)))
 	b = binary.BigEndian.AppendUint64(b, id)
 	b = append(append(b, fields...), body...)
-	return binary.BigEndian.AppendUint32(b, crc32.ChecksumIEEE(b[headSize:]))
+	return binary.BigEndian.AppendUint32(b, crc32.ChecksumIEEE(b[headerSize:]))
 }
 
-// ListenInvoker listens on loopback and plays each connection by a script, which is told its number and returns to close it.
-func ListenInvoker(script func(n int, c *net.TCPConn)) (net.Listener, error) {
+// ListenInvoker listens on a loopback port and calls serve for each connection, with the number of
+// the connection, from 0. The connection is closed when serve returns.
+func ListenInvoker(serve func(n int, c *net.TCPConn)) (net.Listener, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -98,50 +100,52 @@
 			}
 			go func() {
 				defer c.Close()
-				script(n, c.(*net.TCPConn))
+				serve(n, c.(*net.TCPConn))
 			}()
 		}
 	}()
 	return ln, nil
 }
 
-// ReadCommands hands every command of a connection to do, until do or the connection ends it.
-func ReadCommands(c net.Conn, do func(Command) bool) {
+// ReadCommands calls handle for each command of a connection, until handle returns false or the
+// connection ends.
+func ReadCommands(c net.Conn, handle func(Command) bool) {
 	for {
 		cmd, err := ReadCommand(c)
-		if err != nil || !do(cmd) {
+		if err != nil || !handle(cmd) {
 			return
 		}
 	}
 }
 
-// RecordInvoker starts an invoker that hands each command over and then writes what answer returns to it. A client that has its
-// answer finds all commands up to it in the channel, in the order of its calls, whichever connections they came on.
-func RecordInvoker(answer func(Command) []byte) (net.Listener, <-chan Command, error) {
-	seen := make(chan Command, 1000)
+// RecordInvoker starts an invoker that puts each command into the returned channel and then sends
+// the bytes that respond returns. When a client has received the response to a command, the channel
+// has all commands up to it, in the order of the client's calls, whichever connections they used.
+func RecordInvoker(respond func(Command) []byte) (net.Listener, <-chan Command, error) {
+	commands := make(chan Command, 1000)
 	ln, err := ListenInvoker(func(n int, c *net.TCPConn) {
 		ReadCommands(c, func(cmd Command) bool {
 			cmd.Conn = n
-			reply := answer(cmd)
-			seen <- cmd
-			c.Write(reply)
+			response := respond(cmd)
+			commands <- cmd
+			c.Write(response)
 			return true
 		})
 	})
-	return ln, seen, err
+	return ln, commands, err
 }
 
-// An Echo is an invoker that answers each call by its body.
+// An Echo is an invoker that responds to each call with the body of the call.
 type Echo struct {
 	net.Listener
 	Calls        atomic.Int64
 	Delay        time.Duration
-	ResponseCode func(n int64) byte // code of the answer to the n-th call, 0: the connection is reset; nil: served
+	ResponseCode func(n int64) byte // code of the response to the n-th call, or 0 to reset the connection; nil for OK
 }
 
-// NewEcho starts one.
-func NewEcho(delay time.Duration, say func(int64) byte) (*Echo, error) {
-	e := &Echo{Delay: delay, ResponseCode: say}
+// NewEcho starts an Echo.
+func NewEcho(delay time.Duration, responseCode func(int64) byte) (*Echo, error) {
+	e := &Echo{Delay: delay, ResponseCode: responseCode}
 	var err error
 	e.Listener, err = ListenInvoker(e.serve)
 	return e, err
@@ -164,7 +168,7 @@
 				c.Close()
 				return
 			}
-			c.Write(Response(code, cmd.ID, "note=resident", cmd.Body)) // whole, as a connection locks its writes
+			c.Write(Response(code, cmd.ID, "note=resident", cmd.Body)) // concurrent writes do not mix, as a connection locks each of them
 		}()
 		return true
 	})
