--- a/internal/gen/main.go
+++ b/internal/gen/main.go
@@ -1,5 +1,6 @@
-// Gen makes the Go code of the .proto files that it is given, beside them. It needs no compiler but the modules
-// of go.mod, so that a new machine can check that generated code is up to date: go run ./internal/gen -check.
+// Gen generates the Go code of the program's .proto files, next to them. It needs no compiler
+// besides the modules of go.mod, so that any machine can check that the generated code is up to
+// date: go run ./internal/gen -check.
 package main
 
 import (
@@ -34,10 +35,10 @@
 	}
 }
 
-// registered resolves imports from the Go code linked in.
-type registered struct{}
+// A registered resolver resolves imports from the descriptors that are linked into the program.
+type registeredResolver struct{}
 
-func (registered) FindFileByPath(p string) (protocompile.SearchResult, error) {
+func (registeredResolver) FindFileByPath(p string) (protocompile.SearchResult, error) {
 	d, err := protoregistry.GlobalFiles.FindFileByPath(p)
 	if err != nil {
 		return protocompile.SearchResult{}, err
@@ -45,7 +46,7 @@
 	return protocompile.SearchResult{Desc: d}, nil
 }
 
-// run makes the code of all files, and writes or checks it.
+// run generates the code of all files and writes or checks it.
 func run(check bool) error {
 	req, err := request()
 	if err != nil {
@@ -72,10 +73,10 @@
 	return nil
 }
 
-// request compiles the files, with all that they import, to what a plugin of protoc is given.
+// request compiles the files and their imports to the request that protoc sends to a plugin.
 func request() (*pluginpb.CodeGeneratorRequest, error) {
 	c := protocompile.Compiler{SourceInfoMode: protocompile.SourceInfoStandard,
-		Resolver: protocompile.CompositeResolver{&protocompile.SourceResolver{}, registered{}}}
+		Resolver: protocompile.CompositeResolver{&protocompile.SourceResolver{}, registeredResolver{}}}
 	compiled, err := c.Compile(context.Background(), files...)
 	if err != nil {
 		return nil, err
@@ -96,7 +97,7 @@
 	for _, f := range compiled {
 		add(f)
 	}
-	// Options of our own files are read anew, so that they are of the linked types.
+	// Decode the request again, so that the options of the files have the linked types.
 	b, err := proto.Marshal(req)
 	if err != nil {
 		return nil, err
@@ -105,15 +106,15 @@
 	return req, proto.Unmarshal(b, req)
 }
 
-// write writes a generated file if it has changed; with check that is an error.
+// write writes a generated file if it has changed. With check, a change is an error instead.
 func write(out *pluginpb.CodeGeneratorResponse_File, check bool) error {
-	name := strings.TrimPrefix(out.GetName(), "kitehub/") // by go_package, which is the path within the module
+	name := strings.TrimPrefix(out.GetName(), "kitehub/") // go_package is the import path, without which the path in the module remains
 	old, _ := os.ReadFile(name)
 	if bytes.Equal(old, []byte(out.GetContent())) {
 		return nil
 	}
 	if check {
-		return fmt.Errorf("%s is not up to date: go run ./internal/gen", name)
+		return fmt.Errorf("%s is not up to date: run \"go run ./internal/gen\"", name)
 	}
 	return os.WriteFile(name, []byte(out.GetContent()), 0o644)
 }
--- a/internal/goldenfile/goldenfile.go
+++ b/internal/goldenfile/goldenfile.go
@@ -1,5 +1,6 @@
-// Package goldenfile compares what the program writes with files that an earlier program wrote, for tests only. The files stand
-// under testdata/golden of the package under test; "go test -update" writes them anew, which says that a format is to change.
+// Package goldenfile helps tests to compare what the program writes with golden files that an
+// earlier version wrote. The files are in testdata/golden of the package under test. "go test
+// -update" rewrites them, which declares a change of format.
 package goldenfile
 
 import (
@@ -13,11 +14,12 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
 func path(name string) string { return filepath.Join("testdata", "golden", name) }
 
-// Compare fails the test unless written has the very bytes of the golden file. With -update it writes the file instead.
+// Compare fails the test unless written equals the golden file byte for byte. With -update it
+// writes the file instead.
 func Compare(t testing.TB, name string, written []byte) {
 	t.Helper()
 	if *update {
@@ -30,7 +32,7 @@
 		return
 	}
 	if golden := Read(t, name); !bytes.Equal(golden, written) {
-		t.Errorf("%s: the program writes another format than before\nbefore: %s\nnow:    %s", path(name), golden, written)
+		t.Errorf("%s: the written format has changed\nbefore: %s\nnow:    %s", path(name), golden, written)
 	}
 }
 
@@ -44,22 +46,25 @@
 	return golden
 }
 
-// RequireJSONTags fails the test where a field that is stored or sent with one of the values takes its key from the name of the Go field,
-// so that a rename would change the format. It looks into the program's own types; an embedded struct needs no tag, its fields do.
+// RequireJSONTags fails the test for each field, of the types of the values, that takes its JSON
+// key from the name of the Go field, so that a rename would change the format. It descends into the
+// program's own types. An embedded struct needs no tag, but its fields do.
 func RequireJSONTags(t testing.TB, values ...any) {
 	t.Helper()
 	seen := map[reflect.Type]bool{}
 	for _, value := range values {
-		for _, field := range untagged(reflect.TypeOf(value), seen) {
-			t.Errorf("%s has no key of its own in JSON: give it a tag with today's", field)
+		for _, field := range fieldsWithoutTag(reflect.TypeOf(value), seen) {
+			t.Errorf("%s has no JSON tag: add one with its current key", field)
 		}
 	}
 }
 
-func untagged(typ reflect.Type, seen map[reflect.Type]bool) (fields []string) {
+// fieldsWithoutTag returns the fields without a JSON tag in a type and the types that it uses,
+// except those in seen.
+func fieldsWithoutTag(typ reflect.Type, seen map[reflect.Type]bool) (fields []string) {
 	switch typ.Kind() {
 	case reflect.Pointer, reflect.Slice, reflect.Array, reflect.Map:
-		return untagged(typ.Elem(), seen)
+		return fieldsWithoutTag(typ.Elem(), seen)
 	}
 	if typ.Kind() != reflect.Struct || seen[typ] || typ.PkgPath() != "" && !strings.HasPrefix(typ.PkgPath(), "kitehub/") {
 		return nil
@@ -74,16 +79,18 @@
 			fields = append(fields, typ.String()+"."+field.Name)
 		}
 		if field.IsExported() || field.Anonymous {
-			fields = append(fields, untagged(field.Type, seen)...)
+			fields = append(fields, fieldsWithoutTag(field.Type, seen)...)
 		}
 	}
 	return fields
 }
 
-// Updating tells whether golden files are being written anew, for tests whose golden files are whole folders.
+// Updating reports whether golden files are to be rewritten, for tests whose golden files are whole
+// folders.
 func Updating() bool { return *update }
 
-// RoundTrip compares a value's JSON with a golden file, and fails the test unless the file reads as the same value.
+// RoundTrip compares a value's JSON with a golden file and fails the test unless the file decodes
+// to an equal value.
 func RoundTrip[T any](t testing.TB, name string, value T) {
 	t.Helper()
 	written, err := json.Marshal(value)
@@ -100,7 +107,7 @@
 	}
 }
 
-// ReadFolder returns the files of a folder by name.
+// ReadFolder returns the contents of the files in a folder, by name.
 func ReadFolder(t testing.TB, folder string) map[string][]byte {
 	t.Helper()
 	entries, err := os.ReadDir(folder)
--- a/internal/layers/architecture_test.go
+++ b/internal/layers/architecture_test.go
@@ -14,7 +14,7 @@
 // reference matches `folder.Function` and `folder.(*Type).Method` in the architecture page.
 var reference = regexp.MustCompile("`((?:internal/|cmd/)?[a-z0-9/]+)\\.(?:\\(\\*([A-Za-z]+)\\)\\.)?([A-Za-z]+)`")
 
-// The functions that the architecture page names are in the folders that it names.
+// Every function that the architecture page names must exist in the folder that the page gives.
 func TestArchitecturePageNamesFunctionsThatExist(t *testing.T) {
 	root, _ := moduleRoot(t)
 	page, err := os.ReadFile(filepath.Join(root, "docs", "architecture.md"))
@@ -29,21 +29,22 @@
 		}
 		if info, err := os.Stat(filepath.Join(root, folder)); err != nil || !info.IsDir() {
 			if receiver != "" || strings.Contains(folder, "/") {
-				t.Errorf("%s: no folder %s", match[0], folder)
+				t.Errorf("%s: folder %s does not exist", match[0], folder)
 			}
-			continue // a type by its package's name, as gateway.Gateway
+			continue // a type with the name of its package, such as gateway.Gateway
 		}
 		found++
 		if !declares(t, filepath.Join(root, folder), receiver, name) {
-			t.Errorf("%s: no such function", match[0])
+			t.Errorf("%s: no such function or type", match[0])
 		}
 	}
 	if found < 30 {
-		t.Errorf("%d references found: the test looks for the wrong form", found)
+		t.Errorf("found only %d references: the pattern may no longer match the form in which the page writes them", found)
 	}
 }
 
-// declares tells whether a folder's files declare a function, a method of a type, or (without a receiver) a type.
+// declares reports whether the files of a folder declare a function, a method of a type, or
+// (without a receiver) a type.
 func declares(t *testing.T, folder, receiver, name string) bool {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(folder, "*.go"))
@@ -73,7 +74,7 @@
 	return false
 }
 
-// receiverOf returns the name of a method's type, "" for a function.
+// receiverOf returns the name of the receiver's type, or "" for a function.
 func receiverOf(f *ast.FuncDecl) string {
 	if f.Recv == nil {
 		return ""
--- a/internal/layers/logs_test.go
+++ b/internal/layers/logs_test.go
@@ -13,14 +13,14 @@
 )
 
 var (
-	// quotedLog matches what the pages quote of a log.
+	// quotedLog matches quotations of log messages in the documentation.
 	quotedLog = regexp.MustCompile(`\blogs? "([^"]+)"`)
-	// variablePart matches what stands for a value in a quotation, or joins two texts.
+	// variablePart matches placeholders of values in a quotation, and separators of two texts.
 	variablePart = regexp.MustCompile(`…|\bN\b|: `)
 )
 
-// What the operators' pages quote of a log is written by the program: each part of it that does not stand for a value is in a
-// string of the source.
+// Every log message that the operators' documentation quotes must be written by the program: each
+// part of it that is not a placeholder must occur in a string literal of the source.
 func TestQuotedLogLinesAreWritten(t *testing.T) {
 	root, module := moduleRoot(t)
 	var literals []string
@@ -40,13 +40,13 @@
 			quoted++
 			for _, part := range variablePart.Split(match[1], -1) {
 				if part = strings.Trim(part, " :"); !strings.Contains(source, part) {
-					t.Errorf("%s quotes %q: nothing writes %q", page, match[1], part)
+					t.Errorf("%s quotes %q: no string in the source has %q", page, match[1], part)
 				}
 			}
 		}
 	}
 	if quoted < 10 {
-		t.Errorf("%d quotations found: the test looks for the wrong form", quoted)
+		t.Errorf("found only %d quotations: the pattern may no longer match the form in which pages write them", quoted)
 	}
 }
 
