--- a/cmd/kitehub/operate.go
+++ b/cmd/kitehub/operate.go
@@ -145,20 +145,20 @@
 		printTable("SCRIPT\tSTATUS\tVERSION\tSHADOW\tRUNS\tFAULTS\tLAST FAULT", func(w *tabwriter.Writer) {
 			for _, x := range o.Scripts {
 				shadow := "-"
-				if x.Trial != nil {
+				if x.ShadowStats != nil {
 					shadow = fmt.Sprintf("%d: %d runs, %d differ, %d faults",
-						x.Shadow, x.Trial.Runs, x.Trial.Differ, x.Trial.Faults)
+						x.Shadow, x.ShadowStats.Runs, x.ShadowStats.Mismatches, x.ShadowStats.Faults)
 				}
 				fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%d\t%d\t%s\n",
-					x.Name, x.Status, x.Live, shadow, x.Tally.Runs, x.Tally.Faults, x.Fault)
+					x.Name, x.Status, x.Live, shadow, x.LiveStats.Runs, x.LiveStats.Faults, x.LastFault)
 			}
 		})
-		for _, t := range o.Standing {
+		for _, t := range o.AdviceInForce {
 			fmt.Println("stands:", t)
 		}
 		fmt.Printf("events: %d, dropped %d, waiting %d; advice taken %d, set aside %d; "+
 			"calls refused %d, let pass over the bound %d\n",
-			o.Posted, o.Dropped, o.Waiting, o.Taken, o.Aside, o.Refused, o.Over)
+			o.Posted, o.Dropped, o.QueueLength, o.AdviceAccepted, o.AdviceSuppressed, o.CallsRejected, o.OverRejectionLimit)
 	})
 }
 
--- a/config/hooks.go
+++ b/config/hooks.go
@@ -22,17 +22,17 @@
 		return
 	}
 	b.built.Hooks = &hookengine.Config{
-		Seed:  b.built.Seed,
-		Queue: int(h.Queue),
+		Seed:      b.built.Seed,
+		QueueSize: int(h.Queue),
 		Advice: hookadvice.Settings{
-			Functions:           int(h.Functions),
-			Copies:              int(h.Copies),
-			MemoryShare:         h.MemoryShare,
+			MaxFunctions:        int(h.Functions),
+			MaxCopies:           int(h.Copies),
+			MaxMemoryFraction:   h.MemoryShare,
 			MaxDuration:         ms(h.LongestMs),
-			Workers:             h.Workers,
-			Weight:              h.Weight,
+			MaxRankedFraction:   h.Workers,
+			MaxWeight:           h.Weight,
 			MaxRejectedFraction: h.Refuse,
-			Cap:                 int(b.cfg.Limits.Open),
+			CallLimit:           int(b.cfg.Limits.Open),
 		},
 	}
 	if h.Weight != 0 && h.Weight < 1 {
--- a/internal/controller/hooks.go
+++ b/internal/controller/hooks.go
@@ -32,7 +32,7 @@
 // CallArrived implements gateway.Hooks.
 func (t *eventTap) CallArrived(c hooklang.Call) hookadvice.Verdict {
 	if e := t.engine.Load(); e != nil {
-		return e.Arrive(c)
+		return e.Admit(c)
 	}
 	return hookadvice.Verdict{}
 }
@@ -57,7 +57,7 @@
 // SetWorkers implements gateway.Hooks.
 func (t *eventTap) SetWorkers(l []hookadvice.Worker) {
 	if e := t.engine.Load(); e != nil {
-		e.Workers(l)
+		e.SetWorkers(l)
 	}
 }
 
@@ -68,13 +68,13 @@
 }
 
 // Function returns the memory of a function in MB, and whether it is configured.
-func (f adviceFacts) Function(name string) (float64, bool) {
+func (f adviceFacts) FunctionMemoryMB(name string) (float64, bool) {
 	s, ok := f.functions.Spec(name)
 	return s.MemoryMB, ok
 }
 
 // Tenant tells whether a tenant is configured.
-func (f adviceFacts) Tenant(name string) bool { return f.tenants[name] }
+func (f adviceFacts) HasTenant(name string) bool { return f.tenants[name] }
 
 // adviceSink hands advice to the gateway. It implements hookengine's Sink.
 type adviceSink struct{ controller *Controller }
@@ -125,12 +125,12 @@
 		facts.tenants[t.Name] = true
 	}
 	hc := *c.built.Hooks
-	hc.Facts = facts
+	hc.Catalog = facts
 	hc.Sink = adviceSink{c}
 	hc.Clock = c.options.Clock
 	hc.Log = c.log
 	hc.FS = store.Dir(dir)
-	hc.Open = c.Gateway.OpenRequests
+	hc.CallsInFlight = c.Gateway.OpenRequests
 	if len(c.built.Targets) > 0 {
 		c.notifier = hookengine.NewNotifier(c.built.Name, c.built.Targets, c.options.Clock, c.log)
 		hc.Notify = c.notifier.Notify
--- a/internal/controller/operator.go
+++ b/internal/controller/operator.go
@@ -172,18 +172,18 @@
 	status := map[string]int64{
 		"posted":    counts.Posted.Load(),
 		"dropped":   counts.Dropped.Load(),
-		"inline":    counts.Inline.Load(),
-		"inline_ns": counts.InlineNanos.Load() / max(1, counts.Inline.Load()),
-		"aside":     counts.Aside.Load(),
-		"aside_ns":  counts.AsideNanos.Load() / max(1, counts.Aside.Load()),
+		"inline":    counts.InlineRuns.Load(),
+		"inline_ns": counts.InlineNanos.Load() / max(1, counts.InlineRuns.Load()),
+		"aside":     counts.BackgroundRuns.Load(),
+		"aside_ns":  counts.BackgroundNanos.Load() / max(1, counts.BackgroundRuns.Load()),
 		"faults":    counts.Faults.Load(),
-		"refusals":  counts.Refusals.Load(),
-		"over":      counts.Over.Load(),
+		"refusals":  counts.Rejections.Load(),
+		"over":      counts.OverRejectionLimit.Load(),
 	}
 	if c.notifier != nil {
 		status["notices"] = c.notifier.Sent.Load()
 		status["notices_failed"] = c.notifier.Failed.Load()
-		status["notices_lost"] = c.notifier.Lost.Load()
+		status["notices_lost"] = c.notifier.Dropped.Load()
 	}
 	return status
 }
@@ -217,7 +217,7 @@
 	default:
 		return nil, jsonrpc.ErrUnknownMethod
 	}
-	if errors.Is(err, hookengine.ErrUnknown) {
+	if errors.Is(err, hookengine.ErrUnknownScript) {
 		err = fmt.Errorf("%w: %s", jsonrpc.ErrUnknownObject, p.Name)
 	}
 	return "ok", err
--- a/internal/gateway/explain.go
+++ b/internal/gateway/explain.go
@@ -80,7 +80,7 @@
 		Function: c.Function.Name,
 		Answer:   answer,
 		TookMS:   float64(now-r.submittedAt) / 1e6,
-		Reason:   c.verdict.Why,
+		Reason:   c.verdict.Reason,
 		Lines:    append([]string{}, describeCall(c)...),
 	}
 	for i := range r.attempts {
--- a/internal/gateway/requestlog.go
+++ b/internal/gateway/requestlog.go
@@ -43,10 +43,10 @@
 	if t := g.tenantName(c.Tenant); t != "" {
 		e.Str("tenant", t)
 	}
-	if c.verdict.Why != "" {
-		e.Str("why", c.verdict.Why)
+	if c.verdict.Reason != "" {
+		e.Str("why", c.verdict.Reason)
 	}
-	for _, n := range c.verdict.Notes {
+	for _, n := range c.verdict.Annotations {
 		e.Str("note."+n.Key, n.Text)
 	}
 	if a.RetryAfter > 0 {
--- a/internal/harness/scenario/play.go
+++ b/internal/harness/scenario/play.go
@@ -326,10 +326,10 @@
 
 func hookResult(controller string, e *hookengine.Engine) HookResult {
 	n := &e.Counts
-	h := HookResult{Controller: controller, Inline: n.Inline.Load(), Aside: n.Aside.Load(), Faults: n.Faults.Load(), Refused: n.Refusals.Load(),
+	h := HookResult{Controller: controller, Inline: n.InlineRuns.Load(), Aside: n.BackgroundRuns.Load(), Faults: n.Faults.Load(), Refused: n.Rejections.Load(),
 		Dropped:    n.Dropped.Load(),
-		InlineMean: time.Duration(n.InlineNanos.Load() / max(1, n.Inline.Load())),
-		AsideMean:  time.Duration(n.AsideNanos.Load() / max(1, n.Aside.Load()))}
+		InlineMean: time.Duration(n.InlineNanos.Load() / max(1, n.InlineRuns.Load())),
+		AsideMean:  time.Duration(n.BackgroundNanos.Load() / max(1, n.BackgroundRuns.Load()))}
 	if o, err := e.Overview(); err == nil {
 		for _, s := range o.Scripts {
 			h.Statuses = append(h.Statuses, s.Name+" "+s.Status)
--- a/internal/hookadvice/accept.go
+++ b/internal/hookadvice/accept.go
@@ -29,13 +29,13 @@
 func (t *Table) acceptNotice(s *script, item hooklang.Advice) {
 	window := t.settings.Window
 	s.notices = slices.DeleteFunc(s.notices, func(at time.Duration) bool { return at <= t.now-window })
-	if len(s.notices) >= t.settings.MaxNotices {
-		t.discard(s, item, &t.Counts.Limited, "more than %d notices in %v", t.settings.MaxNotices, window)
+	if len(s.notices) >= t.settings.MaxNotifications {
+		t.discard(s, item, &t.Counts.Limited, "more than %d notices in %v", t.settings.MaxNotifications, window)
 		return
 	}
 	s.notices = append(s.notices, t.now)
 	t.Counts.Accepted++
-	t.effects = append(t.effects, Notice{s.name, item.Key, item.Text})
+	t.effects = append(t.effects, Notification{s.name, item.Key, item.Text})
 }
 
 // acceptEntry takes advice that is in force for a time.
@@ -62,9 +62,9 @@
 		if value == 0 {
 			return
 		}
-		if len(s.entries) >= t.settings.Pieces {
+		if len(s.entries) >= t.settings.MaxEntries {
 			t.discard(s, item, &t.Counts.Limited, "more than %d pieces of one script",
-				t.settings.Pieces)
+				t.settings.MaxEntries)
 			return
 		}
 		s.entries = slices.Insert(s.entries, i, &entry{entryKey: key})
@@ -77,11 +77,11 @@
 func (t *Table) boundedValue(s *script, item hooklang.Advice) (value float64, ok bool) {
 	switch item.Kind {
 	case "keep_warm":
-		if _, exists := t.facts.Function(item.Function); !exists {
+		if _, exists := t.facts.FunctionMemoryMB(item.Function); !exists {
 			t.discard(s, item, &t.Counts.Unknown, "no such function")
 			return 0, false
 		}
-		return float64(max(0, min(item.Copies, int64(t.settings.Copies)))), true
+		return float64(max(0, min(item.Copies, int64(t.settings.MaxCopies)))), true
 	case "tenant_weight", "tenant_cap":
 		return t.boundedFactor(s, item)
 	case "prefer", "avoid":
@@ -91,7 +91,7 @@
 }
 
 func (t *Table) boundedFactor(s *script, item hooklang.Advice) (factor float64, ok bool) {
-	if !t.facts.Tenant(item.Tenant) {
+	if !t.facts.HasTenant(item.Tenant) {
 		t.discard(s, item, &t.Counts.Unknown, "no such tenant")
 		return 0, false
 	}
@@ -102,7 +102,7 @@
 	if item.Kind == "tenant_cap" {
 		return min(item.Factor, 1), true
 	}
-	limit := t.settings.Weight
+	limit := t.settings.MaxWeight
 	return min(max(item.Factor, 1/limit), limit), true
 }
 
@@ -130,7 +130,7 @@
 		return
 	}
 	if e.value != value {
-		window, limit := t.settings.Window, t.settings.Flips
+		window, limit := t.settings.Window, t.settings.MaxChanges
 		if suppressed := e.damping.recordChange(t.now, window, limit); suppressed > 0 {
 			e.value = 0
 			e.expiresAt = 0
--- a/internal/hookadvice/events.go
+++ b/internal/hookadvice/events.go
@@ -7,11 +7,11 @@
 )
 
 // Facts is what advice is checked against. The table calls it from Step.
-type Facts interface {
+type Catalog interface {
 	// Function returns the memory in MB that a copy takes, and whether the function exists.
-	Function(name string) (mb float64, ok bool)
+	FunctionMemoryMB(name string) (mb float64, ok bool)
 	// Tenant reports whether the tenant exists.
-	Tenant(name string) bool
+	HasTenant(name string) bool
 }
 
 // Worker is one worker of the endpoint list.
@@ -40,7 +40,7 @@
 	// ScriptStopped withdraws all that a script advised, and has its further advice discarded.
 	ScriptStopped struct{ Script string }
 	// WorkerList is the current list of workers, complete.
-	WorkerList struct{ List []Worker }
+	WorkerList struct{ Workers []Worker }
 )
 
 func (AdviceGiven) event()      {}
@@ -67,26 +67,26 @@
 	// Tenants is what is in force for all tenants; it replaces the previous Tenants. The receiver must not change
 	// the map.
 	Tenants struct {
-		By map[string]Tenant `json:"By"`
+		ByName map[string]Tenant `json:"By"`
 	}
 	// Notice is to be sent to a target that operators have configured.
-	Notice struct{ Script, Target, Text string }
+	Notification struct{ Script, Target, Text string }
 	// Discarded reports advice that is not followed, and why, for operators.
 	Discarded struct {
 		Script string
 		Item   hooklang.Advice
-		Why    string
+		Reason string
 	}
 )
 
-func (KeepWarm) effect()   {}
-func (RankWorker) effect() {}
-func (Tenants) effect()    {}
-func (Notice) effect()     {}
-func (Discarded) effect()  {}
+func (KeepWarm) effect()     {}
+func (RankWorker) effect()   {}
+func (Tenants) effect()      {}
+func (Notification) effect() {}
+func (Discarded) effect()    {}
 
 // Tenant is what is in force for one tenant.
 type Tenant struct {
-	Weight       float64 `json:"Weight"` // multiplies its priority weight while load is shed; 0: as 1
-	MaxOpenCalls int     `json:"Most"`   // calls in flight at most; 0: no limit
+	Weight      float64 `json:"Weight"` // multiplies its priority weight while load is shed; 0: as 1
+	MaxInFlight int     `json:"Most"`   // calls in flight at most; 0: no limit
 }
--- a/internal/hookadvice/gate.go
+++ b/internal/hookadvice/gate.go
@@ -32,9 +32,9 @@
 // Verdict is what hooks make of a call before the scheduler sees it.
 type Verdict struct {
 	ShedAdvised bool              // the call is to be rejected
-	Why         string            // the reason, if so
+	Reason      string            // the reason, if so
 	Weight      float64           // of the tenant, as in [Tenant]
-	Notes       []hooklang.Advice // annotations, the first few
+	Annotations []hooklang.Advice // annotations, the first few
 	// OverRejectionLimit reports that a hook wanted the call rejected and the bound on rejections prevented it.
 	OverRejectionLimit bool
 }
@@ -45,10 +45,10 @@
 }
 
 // SetTenants replaces what is in force for tenants.
-func (g *AdmissionGate) SetTenants(t Tenants) { g.tenants = t.By }
+func (g *AdmissionGate) SetTenants(t Tenants) { g.tenants = t.ByName }
 
 // Arrive judges a call, and counts it as open until CallEnded. items is the advice of all hooks on it.
-func (g *AdmissionGate) Arrive(now time.Duration, tenant string, items []hooklang.Advice) (v Verdict) {
+func (g *AdmissionGate) Admit(now time.Duration, tenant string, items []hooklang.Advice) (v Verdict) {
 	g.rotateWindows(now)
 	g.current.calls++
 	inForce := g.tenants[tenant]
@@ -58,26 +58,26 @@
 		case "refuse":
 			if !v.ShedAdvised {
 				v.ShedAdvised = true
-				v.Why = "hook: " + item.Text
+				v.Reason = "hook: " + item.Text
 			}
 		case "annotate":
-			if len(v.Notes) < maxNotes {
-				v.Notes = append(v.Notes, item)
+			if len(v.Annotations) < maxNotes {
+				v.Annotations = append(v.Annotations, item)
 			}
 		}
 	}
 	if v.ShedAdvised && !g.mayReject() {
 		v.ShedAdvised = false
-		v.Why = ""
+		v.Reason = ""
 		v.OverRejectionLimit = true
 	}
 	if v.ShedAdvised {
 		g.current.rejected++
 	}
 	// The bound is on what scripts decide call by call; a cap rejects without it.
-	if capped := inForce.MaxOpenCalls > 0 && g.openCalls[tenant] >= inForce.MaxOpenCalls; capped && !v.ShedAdvised {
+	if capped := inForce.MaxInFlight > 0 && g.openCalls[tenant] >= inForce.MaxInFlight; capped && !v.ShedAdvised {
 		v.ShedAdvised = true
-		v.Why = "the tenant's cap"
+		v.Reason = "the tenant's cap"
 	}
 	g.openCalls[tenant]++
 	return v
--- a/internal/hookadvice/merge.go
+++ b/internal/hookadvice/merge.go
@@ -33,13 +33,13 @@
 // the same at each step it keeps the bounds from having copies loaded and evicted in turn.
 func (t *Table) mergeCopies() map[string]KeepWarm {
 	merged := map[string]KeepWarm{}
-	availableMB := t.settings.MemoryShare * t.memoryMB
+	availableMB := t.settings.MaxMemoryFraction * t.memoryMB
 	for _, e := range t.inForce(subjectWarm) {
 		known, exists := merged[e.name]
-		if !exists && len(merged) >= t.settings.Functions {
+		if !exists && len(merged) >= t.settings.MaxFunctions {
 			continue
 		}
-		copyMB, ok := t.facts.Function(e.name)
+		copyMB, ok := t.facts.FunctionMemoryMB(e.name)
 		if !ok {
 			continue
 		}
@@ -71,7 +71,7 @@
 			lowest[e.name] = RankWorker{e.name, rank, max(known.Until, e.expiresAt)}
 		}
 	}
-	limit := int(t.settings.Workers * float64(len(t.workers)))
+	limit := int(t.settings.MaxRankedFraction * float64(len(t.workers)))
 	byRank := map[int]int{} // number of workers
 	merged := map[string]RankWorker{}
 	for _, w := range t.workers {
@@ -99,9 +99,9 @@
 	}
 	for _, e := range t.inForce(subjectCap) {
 		tenant := merged[e.name]
-		limit := max(1, int(e.value*float64(t.settings.Cap)))
-		if tenant.MaxOpenCalls == 0 || limit < tenant.MaxOpenCalls {
-			tenant.MaxOpenCalls = limit
+		limit := max(1, int(e.value*float64(t.settings.CallLimit)))
+		if tenant.MaxInFlight == 0 || limit < tenant.MaxInFlight {
+			tenant.MaxInFlight = limit
 		}
 		merged[e.name] = tenant
 	}
--- a/internal/hookadvice/table.go
+++ b/internal/hookadvice/table.go
@@ -20,7 +20,7 @@
 // goroutine owns it.
 type Table struct {
 	settings Settings
-	facts    Facts
+	facts    Catalog
 	now      time.Duration // of the last step
 	scripts  []*script     // sorted by name
 	workers  []Worker      // sorted by name
@@ -56,9 +56,9 @@
 }
 
 // New returns an empty table. It returns an error if a setting is out of range.
-func New(s Settings, f Facts) (*Table, error) {
-	if s.Cap < 1 {
-		return nil, fmt.Errorf("advice: Cap: %d is under 1", s.Cap)
+func NewTable(s Settings, f Catalog) (*Table, error) {
+	if s.CallLimit < 1 {
+		return nil, fmt.Errorf("advice: Cap: %d is under 1", s.CallLimit)
 	}
 	s = s.withDefaults()
 	if err := s.validate(); err != nil {
@@ -91,7 +91,7 @@
 			s.active = false
 			s.entries = nil
 		case WorkerList:
-			t.setWorkers(e.List)
+			t.setWorkers(e.Workers)
 		}
 	}
 	t.forgetExpired()
--- a/internal/hookadvice/table_test.go
+++ b/internal/hookadvice/table_test.go
@@ -14,16 +14,16 @@
 
 type facts struct{}
 
-func (facts) Function(n string) (float64, bool) { return 100, strings.HasPrefix(n, "f") }
-func (facts) Tenant(n string) bool              { return n == "t" || n == "u" }
+func (facts) FunctionMemoryMB(n string) (float64, bool) { return 100, strings.HasPrefix(n, "f") }
+func (facts) HasTenant(n string) bool                   { return n == "t" || n == "u" }
 
 func table(t interface {
 	Helper()
 	Fatal(...any)
 }, s Settings) *Table {
 	t.Helper()
-	s.Cap = 100
-	b, err := New(s, facts{})
+	s.CallLimit = 100
+	b, err := NewTable(s, facts{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -45,7 +45,7 @@
 	var s []string
 	for _, e := range l {
 		if d, ok := e.(Discarded); ok {
-			s = append(s, "dropped: "+d.Why)
+			s = append(s, "dropped: "+d.Reason)
 			continue
 		}
 		s = append(s, strings.TrimPrefix(fmt.Sprintf("%T%+v", e, e), "hookadvice."))
@@ -94,7 +94,7 @@
 				by("a", tenant("tenant_weight", "t", 100), tenant("tenant_cap", "t", 0.2), tenant("tenant_cap", "u", 1e-9)),
 				by("b", tenant("tenant_weight", "t", 0.5)),
 			},
-			"Tenants{By:map[t:{Weight:0.5 MaxOpenCalls:20} u:{Weight:0 MaxOpenCalls:1}]}"},
+			"Tenants{ByName:map[t:{Weight:0.5 MaxInFlight:20} u:{Weight:0 MaxInFlight:1}]}"},
 		{"no such tenant", []Event{by("a", tenant("tenant_weight", "x", 2))}, "dropped: no such tenant"},
 		{"no weight at all", []Event{by("a", tenant("tenant_weight", "t", 0))}, "dropped: 0 is not above 0"},
 		{"an old version", []Event{VersionActivated{"a", 2}, by("a", warm("f1", 2, 10*sec))},
@@ -104,7 +104,7 @@
 		{"what cannot stand", []Event{by("a", hooklang.Advice{Kind: "send"})}, "dropped: send does not stand"},
 		{"a script that ends", []Event{by("a", warm("f1", 2, 10*sec)), ScriptStopped{"a"}}, ""},
 		{"a notice", []Event{by("a", hooklang.Advice{Kind: "notify", Key: "ops", Text: "x"})},
-			"Notice{Script:a Target:ops Text:x}"},
+			"Notification{Script:a Target:ops Text:x}"},
 	} {
 		if got := show(table(t, Settings{}).Step(0, c.in)); got != c.want {
 			t.Errorf("%s:\n%s\nwanted:\n%s", c.name, got, c.want)
@@ -152,7 +152,7 @@
 func TestBounds(t *testing.T) {
 	kinds := []string{"keep_warm", "tenant_weight", "tenant_cap", "prefer", "avoid", "refuse", "notify", "", "send"}
 	rapid.Check(t, func(t *rapid.T) {
-		s := Settings{Functions: 3, Copies: 3, MemoryShare: 0.2, Workers: 0.3, MaxDuration: 30 * sec, Pieces: 20}
+		s := Settings{MaxFunctions: 3, MaxCopies: 3, MaxMemoryFraction: 0.2, MaxRankedFraction: 0.3, MaxDuration: 30 * sec, MaxEntries: 20}
 		b := table(t, s)
 		held := map[string]KeepWarm{}
 		ranks := map[string]RankWorker{}
@@ -208,11 +208,11 @@
 
 func TestAdmissionGate(t *testing.T) {
 	d := NewAdmissionGate(Settings{})
-	d.SetTenants(Tenants{map[string]Tenant{"t": {Weight: 2, MaxOpenCalls: 3}}})
+	d.SetTenants(Tenants{map[string]Tenant{"t": {Weight: 2, MaxInFlight: 3}}})
 	no := []hooklang.Advice{{Kind: "refuse", Text: "x"}}
 	refused, over := 0, 0
 	for i := range 1000 { // a script that refuses all
-		v := d.Arrive(time.Duration(i)*10*time.Millisecond, "u", no)
+		v := d.Admit(time.Duration(i)*10*time.Millisecond, "u", no)
 		if v.ShedAdvised {
 			refused++
 		}
@@ -226,7 +226,7 @@
 	}
 	var got []bool
 	for range 5 {
-		v := d.Arrive(11*sec, "t", nil)
+		v := d.Admit(11*sec, "t", nil)
 		got = append(got, v.ShedAdvised)
 		if v.Weight != 2 {
 			t.Error(v)
@@ -238,7 +238,7 @@
 	d.CallEnded("t")
 	d.CallEnded("t")
 	d.CallEnded("t")
-	if v := d.Arrive(12*sec, "t", []hooklang.Advice{{Kind: "annotate", Key: "k"}}); v.ShedAdvised || len(v.Notes) != 1 {
+	if v := d.Admit(12*sec, "t", []hooklang.Advice{{Kind: "annotate", Key: "k"}}); v.ShedAdvised || len(v.Annotations) != 1 {
 		t.Error(v)
 	}
 }
--- a/internal/hookengine/arrive.go
+++ b/internal/hookengine/arrive.go
@@ -9,7 +9,7 @@
 
 // Arrive runs the handlers of the arrival of a call, on the caller's goroutine, and judges the call by the versions
 // that are live now. The call counts as open for its tenant until CallEnded.
-func (e *Engine) Arrive(c hooklang.Call) hookadvice.Verdict {
+func (e *Engine) Admit(c hooklang.Call) hookadvice.Verdict {
 	now := e.config.Clock.Now()
 	var advice []hooklang.Advice
 	if handlers := *e.inline.Load(); len(handlers) > 0 {
@@ -19,24 +19,24 @@
 			advice = append(advice, e.runInline(vm, &handlers[i], c, env)...)
 		}
 		e.vmPool.Put(vm)
-		e.Counts.Inline.Add(int64(len(handlers)))
+		e.Counts.InlineRuns.Add(int64(len(handlers)))
 		e.Counts.InlineNanos.Add(int64(e.config.Clock.Now() - now))
 	}
 	e.gateMutex.Lock()
-	verdict := e.gate.Arrive(now, c.Tenant, advice)
+	verdict := e.gate.Admit(now, c.Tenant, advice)
 	e.gateMutex.Unlock()
 	if verdict.ShedAdvised {
-		e.Counts.Refusals.Add(1)
+		e.Counts.Rejections.Add(1)
 	}
 	if verdict.OverRejectionLimit {
-		e.Counts.Over.Add(1)
+		e.Counts.OverRejectionLimit.Add(1)
 	}
 	return verdict
 }
 
 // runInline runs one handler, and queues the outcome for the version's tally, its circuit and its shadow.
 func (e *Engine) runInline(vm *hooklang.VM, h *inlineHandler, c hooklang.Call, env hooklang.Env) []hooklang.Advice {
-	result, err := vm.Run(h.program, "arrive", c, h.state, env, e.config.Inline)
+	result, err := vm.Run(h.program, "arrive", c, h.state, env, e.config.InlineLimits)
 	run := &inlineRun{script: h.script, version: h.version, fuel: result.Fuel, advice: result.Advice}
 	if err != nil {
 		run.fault = err.Error()
--- a/internal/hookengine/circuit.go
+++ b/internal/hookengine/circuit.go
@@ -35,7 +35,7 @@
 
 // awaitsProbe reports whether the circuit of a version that may run waits for its probe.
 func (s *Script) awaitsProbe() bool {
-	return s.circuit.open && !s.circuit.probing && s.Live != nil && s.Live.Bad == ""
+	return s.circuit.open && !s.circuit.probing && s.Live != nil && s.Live.QuarantineReason == ""
 }
 
 // RecordRun counts a run of the live version; fault is "" if it had none, fuel its instructions. Several faults in
@@ -46,14 +46,14 @@
 	if s == nil || s.Live == nil || s.Live.Number != version {
 		return // of a version that is no longer live: it says nothing about the one that is
 	}
-	s.Tally.Runs++
-	s.Tally.Fuel += fuel
+	s.LiveStats.Runs++
+	s.LiveStats.Fuel += fuel
 	if fault == "" {
 		l.recordSuccess(s)
 		return
 	}
-	s.Tally.Faults++
-	s.Fault = fault
+	s.LiveStats.Faults++
+	s.LastFault = fault
 	if !s.circuit.recordFault(l.settings.ConsecutiveFaults) {
 		return
 	}
@@ -73,7 +73,7 @@
 		l.change(s, false, "version %d runs again", s.Live.Number)
 		return
 	}
-	if !c.open && c.openings > 0 && s.Tally.Runs%int64(recoveryRuns*l.settings.ConsecutiveFaults) == 0 {
+	if !c.open && c.openings > 0 && s.LiveStats.Runs%int64(recoveryRuns*l.settings.ConsecutiveFaults) == 0 {
 		c.openings--
 	}
 }
@@ -83,15 +83,15 @@
 	backoff += time.Duration(l.rng.Float64() * 0.5 * float64(backoff)) // jitter
 	s.circuit.open = true
 	s.circuit.openUntil = now + backoff
-	l.change(s, true, "version %d: %s: not run for %v", s.Live.Number, s.Fault, backoff.Round(time.Millisecond))
+	l.change(s, true, "version %d: %s: not run for %v", s.Live.Number, s.LastFault, backoff.Round(time.Millisecond))
 }
 
 // quarantine stops the live version for its last fault, and goes back to the previous one if that may run.
 func (l *Lifecycle) quarantine(s *Script) {
-	faulty, fault := s.Live, s.Fault
-	faulty.Bad = fault
-	if s.Before != nil && s.Before.Bad == "" {
-		s.activate(s.Before)
+	faulty, fault := s.Live, s.LastFault
+	faulty.QuarantineReason = fault
+	if s.Previous != nil && s.Previous.QuarantineReason == "" {
+		s.activate(s.Previous)
 		l.change(s, true, "version %d is given up: %s: back to version %d", faulty.Number, fault, s.Live.Number)
 		return
 	}
@@ -123,7 +123,7 @@
 // WithinRate reports whether a version may run on the engine's goroutine now: its debt is at most two seconds of
 // its instruction rate. A version that exceeds its rate misses events, but its advice counts no less. This leaves
 // the machine's cores to calls.
-func (l *Lifecycle) WithinRate(now time.Duration, t *Tally) bool {
+func (l *Lifecycle) WithinRate(now time.Duration, t *RunStats) bool {
 	rate := l.settings.InstructionRate
 	credit := int64(max(0, now-t.paidAt).Seconds() * float64(rate))
 	t.debt = max(0, t.debt-credit)
@@ -136,18 +136,18 @@
 }
 
 // RecordTrial counts a run of the shadow version; same reports whether it advised what the live version did.
-func (l *Lifecycle) RecordTrial(name string, version uint64, fault string, fuel int64, same bool) {
+func (l *Lifecycle) RecordShadowRun(name string, version uint64, fault string, fuel int64, same bool) {
 	s := l.Find(name)
 	if s == nil || s.Shadow == nil || s.Shadow.Number != version {
 		return
 	}
-	s.Trial.Runs++
-	s.Trial.Fuel += fuel
-	s.Trial.debt += fuel
+	s.ShadowStats.Runs++
+	s.ShadowStats.Fuel += fuel
+	s.ShadowStats.debt += fuel
 	if fault != "" {
-		s.Trial.Faults++
-		s.Fault = fault
+		s.ShadowStats.Faults++
+		s.LastFault = fault
 	} else if !same {
-		s.Trial.Differ++
+		s.ShadowStats.Mismatches++
 	}
 }
--- a/internal/hookengine/engine.go
+++ b/internal/hookengine/engine.go
@@ -30,47 +30,47 @@
 
 // Config is what an Engine needs. Facts, Sink and Clock must be given.
 type Config struct {
-	Lifecycle    LifecycleSettings
-	Advice       hookadvice.Settings
-	Facts        hookadvice.Facts
-	Sink         Sink
-	Notify       func(hookadvice.Notice) // must not block; nil: notices are logged only
-	Open         func() int              // returns the number of calls in flight, for timers; nil: 0
-	Clock        clock.Clock
-	Log          zerolog.Logger
-	FS           store.FS        // stores scripts and their state; nil: they end with the process
-	Seed         uint64          // of the jitter of backoff
-	Queue        int             // events that wait; further ones are dropped and counted; 0: 4096
-	Aside        hooklang.Limits // of a run on the engine's goroutine; zero: hooklang.Aside
-	Inline       hooklang.Limits // of a run on the goroutine of a call; zero: hooklang.Inline
-	RunTimeout   time.Duration   // of a run on the engine's goroutine, should Aside not end it before; 0: 250 ms
-	SaveInterval time.Duration   // state is stored at most this often; 0: 1 s
+	Lifecycle        LifecycleSettings
+	Advice           hookadvice.Settings
+	Catalog          hookadvice.Catalog
+	Sink             Sink
+	Notify           func(hookadvice.Notification) // must not block; nil: notices are logged only
+	CallsInFlight    func() int                    // returns the number of calls in flight, for timers; nil: 0
+	Clock            clock.Clock
+	Log              zerolog.Logger
+	FS               store.FS        // stores scripts and their state; nil: they end with the process
+	Seed             uint64          // of the jitter of backoff
+	QueueSize        int             // events that wait; further ones are dropped and counted; 0: 4096
+	BackgroundLimits hooklang.Limits // of a run on the engine's goroutine; zero: hooklang.Aside
+	InlineLimits     hooklang.Limits // of a run on the goroutine of a call; zero: hooklang.Inline
+	RunTimeout       time.Duration   // of a run on the engine's goroutine, should Aside not end it before; 0: 250 ms
+	SaveInterval     time.Duration   // state is stored at most this often; 0: 1 s
 }
 
 func (c Config) withDefaults() Config {
-	c.Queue = cmp.Or(c.Queue, 4096)
+	c.QueueSize = cmp.Or(c.QueueSize, 4096)
 	c.RunTimeout = cmp.Or(c.RunTimeout, 250*time.Millisecond)
 	c.SaveInterval = cmp.Or(c.SaveInterval, time.Second)
-	if c.Aside.Fuel == 0 {
-		c.Aside = hooklang.Aside
+	if c.BackgroundLimits.Fuel == 0 {
+		c.BackgroundLimits = hooklang.Aside
 	}
-	if c.Inline.Fuel == 0 {
-		c.Inline = hooklang.Inline
+	if c.InlineLimits.Fuel == 0 {
+		c.InlineLimits = hooklang.Inline
 	}
 	return c
 }
 
 // Counts is what an engine has done. Any goroutine may read it.
 type Counts struct {
-	Posted      atomic.Int64 // events and inline runs that were queued
-	Dropped     atomic.Int64 // those that were not, as the queue was full
-	Inline      atomic.Int64 // runs on goroutines of calls
-	InlineNanos atomic.Int64 // the time they took, in ns
-	Aside       atomic.Int64 // runs on the engine's goroutine
-	AsideNanos  atomic.Int64 // the time they took, in ns
-	Faults      atomic.Int64 // runs of live versions that ended with a fault
-	Refusals    atomic.Int64 // calls that were to be rejected
-	Over        atomic.Int64 // calls that hooks wanted rejected beyond the bound on rejections
+	Posted             atomic.Int64 // events and inline runs that were queued
+	Dropped            atomic.Int64 // those that were not, as the queue was full
+	InlineRuns         atomic.Int64 // runs on goroutines of calls
+	InlineNanos        atomic.Int64 // the time they took, in ns
+	BackgroundRuns     atomic.Int64 // runs on the engine's goroutine
+	BackgroundNanos    atomic.Int64 // the time they took, in ns
+	Faults             atomic.Int64 // runs of live versions that ended with a fault
+	Rejections         atomic.Int64 // calls that were to be rejected
+	OverRejectionLimit atomic.Int64 // calls that hooks wanted rejected beyond the bound on rejections
 }
 
 // Engine runs scripts. All its methods are safe for concurrent use. Arrive, CallEnded, Post and Workers never wait
@@ -135,13 +135,13 @@
 // Start restores the stored scripts and runs them. A script that does not compile any more is quarantined.
 func Start(config Config) (*Engine, error) {
 	config = config.withDefaults()
-	table, err := hookadvice.New(config.Advice, config.Facts)
+	table, err := hookadvice.NewTable(config.Advice, config.Catalog)
 	if err != nil {
 		return nil, err
 	}
 	e := &Engine{
 		config:    config,
-		queue:     make(chan job, config.Queue),
+		queue:     make(chan job, config.QueueSize),
 		requests:  make(chan func()),
 		wake:      make(chan struct{}, 1),
 		stop:      make(chan struct{}),
@@ -198,7 +198,7 @@
 
 // Workers notifies the engine of the current list of workers, which must not be changed afterwards. It never
 // blocks: a newer list replaces one that waits.
-func (e *Engine) Workers(workers []hookadvice.Worker) {
+func (e *Engine) SetWorkers(workers []hookadvice.Worker) {
 	e.workers.Store(&workers)
 	select {
 	case e.wake <- struct{}{}:
--- a/internal/hookengine/golden_test.go
+++ b/internal/hookengine/golden_test.go
@@ -24,19 +24,19 @@
 // storedScripts has a script in which every stored field is set, and one in which hardly any is.
 func storedScripts() []*Script {
 	version := func(number uint64) *Version {
-		return &Version{Number: number, Digest: Digest(storedText), Text: storedText, From: "user <me>"}
+		return &Version{Number: number, Digest: Digest(storedText), Text: storedText, Source: "user <me>"}
 	}
 	given := version(2)
-	given.Bad = "raised"
+	given.QuarantineReason = "raised"
 	return []*Script{
 		{
-			Name:   "a",
-			Live:   version(3),
-			Before: given,
-			Shadow: version(4),
-			Tally:  Tally{Runs: 1, Faults: 2, Fuel: 3, Differ: 4, Skipped: 5},
-			Trial:  Tally{Runs: 6, Faults: 7, Fuel: 8, Differ: 9, Skipped: 10},
-			Fault:  "raised",
+			Name:        "a",
+			Live:        version(3),
+			Previous:    given,
+			Shadow:      version(4),
+			LiveStats:   RunStats{Runs: 1, Faults: 2, Fuel: 3, Mismatches: 4, Skipped: 5},
+			ShadowStats: RunStats{Runs: 6, Faults: 7, Fuel: 8, Mismatches: 9, Skipped: 10},
+			LastFault:   "raised",
 		},
 		{Name: "b", Live: &Version{Number: 1, Digest: Digest(storedText), Text: storedText}},
 	}
@@ -65,10 +65,10 @@
 	log, _, _ := openStore(t, folder)
 	engine := &Engine{
 		config:    Config{Log: zerolog.Nop()},
-		lifecycle: &Lifecycle{Scripts: storedScripts(), Last: 4},
+		lifecycle: &Lifecycle{Scripts: storedScripts(), LastVersion: 4},
 		storage:   storage{log: log, states: map[string]json.RawMessage{"a": json.RawMessage(storedState)}},
 	}
-	engine.appendRecord(record{Scripts: engine.lifecycle.Scripts, Last: engine.lifecycle.Last})
+	engine.appendRecord(record{Scripts: engine.lifecycle.Scripts, Last: engine.lifecycle.LastVersion})
 	engine.appendRecord(record{State: "a", Value: json.RawMessage(storedState)})
 	engine.appendRecord(record{})
 	log.Close()
@@ -124,7 +124,7 @@
 			shadows:   map[string]*loadedVersion{},
 		}
 		var err error
-		if engine.table, err = hookadvice.New(hookadvice.Settings{Cap: 1}, nil); err != nil {
+		if engine.table, err = hookadvice.NewTable(hookadvice.Settings{CallLimit: 1}, nil); err != nil {
 			t.Fatal(err)
 		}
 		if err := engine.restore(); err != nil {
@@ -132,8 +132,8 @@
 		}
 		engine.log.Close()
 		read := engine.lifecycle
-		if got, _ := json.Marshal(read.Scripts); !reflect.DeepEqual(read.Scripts, storedScripts()) || read.Last != 4 {
-			t.Errorf("%s: read %s, last version %d", name, got, read.Last)
+		if got, _ := json.Marshal(read.Scripts); !reflect.DeepEqual(read.Scripts, storedScripts()) || read.LastVersion != 4 {
+			t.Errorf("%s: read %s, last version %d", name, got, read.LastVersion)
 		}
 		if state := string(engine.states["a"]); state != storedState {
 			t.Errorf("%s: read the state %s", name, state)
@@ -172,8 +172,8 @@
 	target := Target{Name: "ops", Address: listener.Addr().String(), Path: "/n", Key: key}
 	notifier := NewNotifier("c1", []Target{target}, clock.System(), zerolog.Nop())
 	defer notifier.Close()
-	notice := hookadvice.Notice{Script: "a", Target: "ops", Text: `lost "3" <of> 4`}
-	if err := notifier.send(queuedNotice{Notice: notice, id: "note_1", at: time.Unix(1700000000, 5e8)}); err != nil {
+	notice := hookadvice.Notification{Script: "a", Target: "ops", Text: `lost "3" <of> 4`}
+	if err := notifier.send(queuedNotice{Notification: notice, id: "note_1", at: time.Unix(1700000000, 5e8)}); err != nil {
 		t.Fatal(err)
 	}
 	goldenfile.Compare(t, "notice.txt", []byte(<-taken))
@@ -183,20 +183,20 @@
 func TestOverviewIsAsBefore(t *testing.T) {
 	now := 10 * time.Second
 	overview := Overview{
-		Scripts: []Shown{
-			{Name: "a", Status: "open", Live: 1, Digest: "sha256:00", Before: 2, Shadow: 3, Points: []string{"ended"}, Tally: Tally{Runs: 4, Faults: 5, Fuel: 6, Differ: 7, Skipped: 8},
-				Trial: &Tally{Runs: 9}, Fault: "raised", State: "state n int = 1\n", BackInS: 1.5},
+		Scripts: []ScriptOverview{
+			{Name: "a", Status: "open", Live: 1, Digest: "sha256:00", Previous: 2, Shadow: 3, Points: []string{"ended"}, LiveStats: RunStats{Runs: 4, Faults: 5, Fuel: 6, Mismatches: 7, Skipped: 8},
+				ShadowStats: &RunStats{Runs: 9}, LastFault: "raised", State: "state n int = 1\n", ProbeInS: 1.5},
 			{Name: "b", Status: "empty"},
 		},
-		Standing: []string{
+		AdviceInForce: []string{
 			inForceLine(hookadvice.KeepWarm{Function: "resize", Copies: 2, Until: now + 90*time.Second}, now),
 			inForceLine(hookadvice.RankWorker{Worker: "w1", Rank: -1, Until: now + time.Second}, now),
-			inForceLine(hookadvice.Tenants{By: map[string]hookadvice.Tenant{"t": {Weight: 0.5, MaxOpenCalls: 3}, "s": {}}}, now),
+			inForceLine(hookadvice.Tenants{ByName: map[string]hookadvice.Tenant{"t": {Weight: 0.5, MaxInFlight: 3}, "s": {}}}, now),
 			inForceLine(hookadvice.Tenants{}, now),
 		},
-		Posted: 1, Dropped: 2, Waiting: 3, Taken: 4, Refused: 5, Over: 6, Aside: 7,
+		Posted: 1, Dropped: 2, QueueLength: 3, AdviceAccepted: 4, CallsRejected: 5, OverRejectionLimit: 6, AdviceSuppressed: 7,
 	}
-	for name, overview := range map[string]Overview{"overview.json": overview, "overview_empty.json": {Scripts: []Shown{}, Standing: []string{}}} {
+	for name, overview := range map[string]Overview{"overview.json": overview, "overview_empty.json": {Scripts: []ScriptOverview{}, AdviceInForce: []string{}}} {
 		goldenfile.RoundTrip(t, name, overview)
 	}
 }
--- a/internal/hookengine/hooks_test.go
+++ b/internal/hookengine/hooks_test.go
@@ -44,7 +44,7 @@
 		}
 		l.RecordRun(now, "a", s.Live.Number, "raised", 1)
 	}
-	if s.Live.Text != "one" || s.Before.Bad == "" || len(opened) != 4 {
+	if s.Live.Text != "one" || s.Previous.QuarantineReason == "" || len(opened) != 4 {
 		t.Fatalf("%+v after %v", s, opened)
 	}
 	for i, back := range opened {
@@ -58,7 +58,7 @@
 	if _, err := l.Load("a", "two", "x", false); !errors.Is(err, ErrQuarantined) || s.Live.Text != "one" {
 		t.Errorf("the text that was given up is taken again: %v", err)
 	}
-	for n := 0; s.Live.Bad == "" && n < 1000; n++ {
+	for n := 0; s.Live.QuarantineReason == "" && n < 1000; n++ {
 		if s.circuit.open {
 			now = s.circuit.openUntil
 			l.StartProbes(now)
@@ -80,15 +80,15 @@
 	if s.Live.Number == 1 && s.Status(now) != "open" {
 		t.Error("three faults in a row do not open it")
 	}
-	before := s.Tally
+	before := s.LiveStats
 	l.RecordRun(now, "a", 99, "x", 1) // a run of a version that is gone says nothing
-	if s.Tally != before {
-		t.Error(s.Tally)
+	if s.LiveStats != before {
+		t.Error(s.LiveStats)
 	}
 }
 
 func TestPromotion(t *testing.T) {
-	l := NewLifecycle(LifecycleSettings{MinTrialRuns: 3}, 1)
+	l := NewLifecycle(LifecycleSettings{MinShadowRuns: 3}, 1)
 	l.Load("a", "one", "x", false)
 	v, _ := l.Load("a", "two", "x", true)
 	if again, _ := l.Load("a", "two", "x", true); again != v {
@@ -101,13 +101,13 @@
 		t.Error(err)
 	}
 	for range 3 {
-		l.RecordTrial("a", v, "", 10, false)
+		l.RecordShadowRun("a", v, "", 10, false)
 	}
-	l.RecordTrial("a", v, "x", 10, false)
+	l.RecordShadowRun("a", v, "x", 10, false)
 	if err := l.Promote("a", false); err == nil || !strings.Contains(err.Error(), "1 faults, 3 differ") {
 		t.Error(err)
 	}
-	if err := l.Promote("a", true); err != nil || l.Find("a").Live.Number != v || l.Find("a").Before.Text != "one" {
+	if err := l.Promote("a", true); err != nil || l.Find("a").Live.Number != v || l.Find("a").Previous.Text != "one" {
 		t.Error(err, l.Find("a"))
 	}
 	if err := l.Rollback("a"); err != nil || l.Find("a").Live.Text != "one" {
@@ -124,7 +124,7 @@
 type host struct {
 	mu      sync.Mutex
 	said    []string
-	notices []hookadvice.Notice
+	notices []hookadvice.Notification
 }
 
 func (h *host) KeepWarm(f string, n int, _ time.Duration) {
@@ -137,8 +137,8 @@
 	defer h.mu.Unlock()
 	h.said = append(h.said, fmt.Sprintf("regard %s %d", w, rank))
 }
-func (h *host) Function(n string) (float64, bool) { return 1, strings.HasPrefix(n, "f") }
-func (h *host) Tenant(n string) bool              { return n == "t" }
+func (h *host) FunctionMemoryMB(n string) (float64, bool) { return 1, strings.HasPrefix(n, "f") }
+func (h *host) HasTenant(n string) bool                   { return n == "t" }
 
 func (h *host) calls() string {
 	h.mu.Lock()
@@ -154,13 +154,13 @@
 	}
 	cfg := Config{
 		Lifecycle:    life,
-		Advice:       hookadvice.Settings{Cap: 100},
-		Facts:        h,
+		Advice:       hookadvice.Settings{CallLimit: 100},
+		Catalog:      h,
 		Sink:         h,
 		Clock:        clk,
 		Log:          zerolog.Nop(),
 		SaveInterval: time.Nanosecond,
-		Notify: func(n hookadvice.Notice) {
+		Notify: func(n hookadvice.Notification) {
 			h.mu.Lock()
 			h.notices = append(h.notices, n)
 			h.mu.Unlock()
@@ -174,7 +174,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { e.Close() })
-	e.Workers([]hookadvice.Worker{
+	e.SetWorkers([]hookadvice.Worker{
 		{Name: "w1", Ready: true},
 		{Name: "w2", Ready: true},
 		{Name: "w3", Ready: true},
@@ -233,7 +233,7 @@
 	if err != nil || len(o.Scripts) != 1 {
 		t.Fatalf("%v %+v", err, o)
 	}
-	if a := o.Scripts[0]; a.Live != 2 || a.Before != 1 || !strings.Contains(a.State, "n int = 4") {
+	if a := o.Scripts[0]; a.Live != 2 || a.Previous != 1 || !strings.Contains(a.State, "n int = 4") {
 		t.Errorf("%v %+v", err, o)
 	}
 	if err := e.Remove("a"); err != nil {
@@ -277,10 +277,10 @@
 	all(t, e)
 	o, _ := e.Overview()
 	b := o.Scripts[0]
-	if b.Status != "open" || b.Tally.Runs != 5 || b.Tally.Faults != 3 || !strings.Contains(b.Fault, "fuel") {
+	if b.Status != "open" || b.LiveStats.Runs != 5 || b.LiveStats.Faults != 3 || !strings.Contains(b.LastFault, "fuel") {
 		t.Errorf("%+v", b)
 	}
-	if g := o.Scripts[1]; g.Status != "live" || g.Tally.Runs != 10 {
+	if g := o.Scripts[1]; g.Status != "live" || g.LiveStats.Runs != 10 {
 		t.Errorf("%+v", g)
 	}
 	if got := h.calls(); strings.Count(got, "warm f0 1") != 1 || strings.Count(got, "warm f0 0") != 1 {
@@ -296,16 +296,16 @@
 	load(t, e, "a", "on ended(e) { keep_warm(e.function, 1, 1h) }\non arrive(c) { annotate(\"k\", \"2\") }", true)
 	e.Post("ended", hooklang.Ended{Function: "f1"})
 	e.Post("ended", hooklang.Ended{Function: "f2"})
-	v := e.Arrive(hooklang.Call{})
+	v := e.Admit(hooklang.Call{})
 	all(t, e)
 	o, _ := e.Overview()
-	if tr := o.Scripts[0].Trial; tr.Runs != 3 || tr.Differ != 2 || h.calls() != "warm f1 1" || v.Notes[0].Text != "1" {
+	if tr := o.Scripts[0].ShadowStats; tr.Runs != 3 || tr.Mismatches != 2 || h.calls() != "warm f1 1" || v.Annotations[0].Text != "1" {
 		t.Errorf("%+v, %s, %+v", tr, h.calls(), v)
 	}
 	if err := e.Promote("a", true); err != nil {
 		t.Fatal(err)
 	}
-	if v := e.Arrive(hooklang.Call{}); v.Notes[0].Text != "2" {
+	if v := e.Admit(hooklang.Call{}); v.Annotations[0].Text != "2" {
 		t.Error(v)
 	}
 }
@@ -322,7 +322,7 @@
 	for range 10_000 {
 		e.Post("ended", hooklang.Ended{})
 	}
-	if v := e.Arrive(hooklang.Call{Tenant: "t"}); !v.ShedAdvised || v.Why != "hook: no" {
+	if v := e.Admit(hooklang.Call{Tenant: "t"}); !v.ShedAdvised || v.Reason != "hook: no" {
 		t.Error(v)
 	}
 	if n := e.Counts.Dropped.Load(); n != 10_001-4096 {
@@ -357,10 +357,10 @@
 	if h.calls() != "regard w1 -1, regard w1 0, regard w1 -1" && h.calls() != "regard w1 -1, regard w1 -1" {
 		t.Error(h.calls())
 	}
-	if v := e.Arrive(hooklang.Call{Tenant: "t"}); v.ShedAdvised || v.Weight != 2 {
+	if v := e.Admit(hooklang.Call{Tenant: "t"}); v.ShedAdvised || v.Weight != 2 {
 		t.Error(v)
 	}
-	if v := e.Arrive(hooklang.Call{Tenant: "t"}); !v.ShedAdvised {
+	if v := e.Admit(hooklang.Call{Tenant: "t"}); !v.ShedAdvised {
 		t.Error(v)
 	}
 }
@@ -379,10 +379,10 @@
 		clk.Advance(sec)
 	}
 	o, _ := e.Overview()
-	if d := o.Scripts[0].Tally; d.Skipped+d.Runs != 1000 || d.Fuel > 23_000_000 || d.Fuel < 18_000_000 {
+	if d := o.Scripts[0].LiveStats; d.Skipped+d.Runs != 1000 || d.Fuel > 23_000_000 || d.Fuel < 18_000_000 {
 		t.Errorf("%+v", d)
 	}
-	if g := o.Scripts[1].Tally; g.Runs != 1000 || g.Skipped != 0 {
+	if g := o.Scripts[1].LiveStats; g.Runs != 1000 || g.Skipped != 0 {
 		t.Errorf("%+v", g)
 	}
 }
--- a/internal/hookengine/lifecycle.go
+++ b/internal/hookengine/lifecycle.go
@@ -19,7 +19,7 @@
 	InitialBackoff    time.Duration // how long a circuit is open at first, doubled each further time in a row: 1 s
 	MaxBackoff        time.Duration // how long a circuit is open at most: 5 min
 	MaxOpenings       int           // openings of the circuit in a row; after these the version is quarantined: 4
-	MinTrialRuns      int           // runs of a shadow before it may be promoted without force: 20
+	MinShadowRuns     int           // runs of a shadow before it may be promoted without force: 20
 	// InstructionRate is how many instructions a second a version may run on the engine's goroutine: 1,000,000, which
 	// is some 1% of a core.
 	InstructionRate int64
@@ -31,15 +31,15 @@
 	s.InitialBackoff = cmp.Or(s.InitialBackoff, time.Second)
 	s.MaxBackoff = cmp.Or(s.MaxBackoff, 5*time.Minute)
 	s.MaxOpenings = cmp.Or(s.MaxOpenings, 4)
-	s.MinTrialRuns = cmp.Or(s.MinTrialRuns, 20)
+	s.MinShadowRuns = cmp.Or(s.MinShadowRuns, 20)
 	s.InstructionRate = cmp.Or(s.InstructionRate, 1_000_000)
 	return s
 }
 
 // Errors that operators' commands return, wrapped with details.
 var (
-	ErrUnknown       = errors.New("hooks: no such script")
-	ErrTrialTooShort = errors.New("hooks: the shadow has not been tried enough")
+	ErrUnknownScript = errors.New("hooks: no such script")
+	ErrNotPromotable = errors.New("hooks: the shadow has not been tried enough")
 	ErrNotApplicable = errors.New("hooks: nothing to go to")
 	ErrQuarantined   = errors.New("hooks: this very text was given up, change it")
 )
@@ -58,7 +58,7 @@
 	// Scripts is sorted by name.
 	Scripts []*Script
 	// Last is the number of the version loaded last.
-	Last uint64
+	LastVersion uint64
 
 	settings LifecycleSettings
 	rng      *rand.Rand // jitter of the backoff
@@ -122,14 +122,14 @@
 		return s.Live.Number, nil
 	case shadow && same(s.Shadow):
 		return s.Shadow.Number, nil
-	case same(s.Before) && s.Before.Bad != "": // reading a script's file again must not bring it back
-		return 0, fmt.Errorf("%w: %s", ErrQuarantined, s.Before.Bad)
+	case same(s.Previous) && s.Previous.QuarantineReason != "": // reading a script's file again must not bring it back
+		return 0, fmt.Errorf("%w: %s", ErrQuarantined, s.Previous.QuarantineReason)
 	}
-	l.Last++
-	v := &Version{Number: l.Last, Digest: digest, Text: text, From: from}
+	l.LastVersion++
+	v := &Version{Number: l.LastVersion, Digest: digest, Text: text, Source: from}
 	if shadow {
 		s.Shadow = v
-		s.Trial = Tally{}
+		s.ShadowStats = RunStats{}
 		l.change(s, false, "version %d runs in the shadow", v.Number)
 		return v.Number, nil
 	}
@@ -160,14 +160,14 @@
 func (l *Lifecycle) Promote(name string, force bool) error {
 	s := l.Find(name)
 	if s == nil {
-		return ErrUnknown
+		return ErrUnknownScript
 	}
 	if s.Shadow == nil {
 		return fmt.Errorf("%w: %s has no shadow", ErrNotApplicable, name)
 	}
-	if !force && (s.Trial.Runs < int64(l.settings.MinTrialRuns) || s.Trial.Faults > 0) {
+	if !force && (s.ShadowStats.Runs < int64(l.settings.MinShadowRuns) || s.ShadowStats.Faults > 0) {
 		return fmt.Errorf("%w: %d runs of %d, %d faults, %d differ from the live version",
-			ErrTrialTooShort, s.Trial.Runs, l.settings.MinTrialRuns, s.Trial.Faults, s.Trial.Differ)
+			ErrNotPromotable, s.ShadowStats.Runs, l.settings.MinShadowRuns, s.ShadowStats.Faults, s.ShadowStats.Mismatches)
 	}
 	s.activate(s.Shadow)
 	s.Shadow = nil
@@ -180,14 +180,14 @@
 func (l *Lifecycle) Rollback(name string) error {
 	s := l.Find(name)
 	if s == nil {
-		return ErrUnknown
+		return ErrUnknownScript
 	}
-	if s.Before == nil || s.Before.Bad != "" {
+	if s.Previous == nil || s.Previous.QuarantineReason != "" {
 		return fmt.Errorf("%w: %s has no version before that was not given up", ErrNotApplicable, name)
 	}
 	old := s.Live
-	s.activate(s.Before)
-	s.Before = old
+	s.activate(s.Previous)
+	s.Previous = old
 	l.change(s, false, "back to version %d", s.Live.Number)
 	return nil
 }
@@ -197,12 +197,12 @@
 func (l *Lifecycle) Release(name string) error {
 	s := l.Find(name)
 	if s == nil {
-		return ErrUnknown
+		return ErrUnknownScript
 	}
-	if s.Live == nil || s.Live.Bad == "" && !s.circuit.open {
+	if s.Live == nil || s.Live.QuarantineReason == "" && !s.circuit.open {
 		return fmt.Errorf("%w: %s is not held back", ErrNotApplicable, name)
 	}
-	s.Live.Bad = ""
+	s.Live.QuarantineReason = ""
 	s.circuit = circuit{}
 	l.change(s, false, "version %d is released", s.Live.Number)
 	return nil
@@ -212,7 +212,7 @@
 func (l *Lifecycle) Remove(name string) error {
 	s := l.Find(name)
 	if s == nil {
-		return ErrUnknown
+		return ErrUnknownScript
 	}
 	l.Scripts = slices.DeleteFunc(l.Scripts, func(o *Script) bool { return o == s })
 	s.Live = nil
--- a/internal/hookengine/notify.go
+++ b/internal/hookengine/notify.go
@@ -43,9 +43,9 @@
 // It retries each a few times with the same webhook-id, so that the receiver can drop duplicates. Its queue is
 // bounded, and no call waits for it. It is safe for concurrent use.
 type Notifier struct {
-	Sent   atomic.Int64 // notices that were accepted by their target
-	Failed atomic.Int64 // notices whose target is not known, or did not accept them
-	Lost   atomic.Int64 // notices dropped as the queue was full
+	Sent    atomic.Int64 // notices that were accepted by their target
+	Failed  atomic.Int64 // notices whose target is not known, or did not accept them
+	Dropped atomic.Int64 // notices dropped as the queue was full
 
 	targets    map[string]Target // by name
 	controller string
@@ -58,7 +58,7 @@
 }
 
 type queuedNotice struct {
-	hookadvice.Notice
+	hookadvice.Notification
 	id string // the webhook-id
 	at time.Time
 }
@@ -82,7 +82,7 @@
 }
 
 // Notify queues a notice. It never blocks: if the queue is full the notice is dropped, and counted.
-func (n *Notifier) Notify(notice hookadvice.Notice) {
+func (n *Notifier) Notify(notice hookadvice.Notification) {
 	if _, ok := n.targets[notice.Target]; !ok {
 		n.Failed.Add(1)
 		n.log.Warn().Str("script", notice.Script).Str("target", notice.Target).
@@ -90,9 +90,9 @@
 		return
 	}
 	select {
-	case n.queue <- queuedNotice{Notice: notice, id: "note_" + rand.Text(), at: n.clock.Wall()}:
+	case n.queue <- queuedNotice{Notification: notice, id: "note_" + rand.Text(), at: n.clock.Wall()}:
 	default:
-		n.Lost.Add(1)
+		n.Dropped.Add(1)
 	}
 }
 
--- a/internal/hookengine/notify_test.go
+++ b/internal/hookengine/notify_test.go
@@ -47,8 +47,8 @@
 	target := Target{Name: "ops", Address: ln.Addr().String(), Path: "/n", Key: key}
 	n := NewNotifier("c", []Target{target}, clock.System(), zerolog.Nop())
 	defer n.Close()
-	n.Notify(hookadvice.Notice{Script: "a", Target: "nobody", Text: "x"})
-	n.Notify(hookadvice.Notice{Script: "a", Target: "ops", Text: "lost 3"})
+	n.Notify(hookadvice.Notification{Script: "a", Target: "nobody", Text: "x"})
+	n.Notify(hookadvice.Notification{Script: "a", Target: "ops", Text: "lost 3"})
 	select {
 	case got := <-taken:
 		if !strings.Contains(got, `"type":"hook.notice"`) || !strings.Contains(got, `"text":"lost 3"`) {
--- a/internal/hookengine/overview.go
+++ b/internal/hookengine/overview.go
@@ -8,77 +8,77 @@
 )
 
 // Shown is a script as operators see it.
-type Shown struct {
-	Name    string   `json:"name"`
-	Status  string   `json:"status"`              // see [Script.Status]
-	Live    uint64   `json:"live,omitempty"`      // number of the live version
-	Digest  string   `json:"digest,omitempty"`    // of the live version's text
-	Before  uint64   `json:"before,omitempty"`    // number of the previous version
-	Shadow  uint64   `json:"shadow,omitempty"`    // number of the shadow version
-	Points  []string `json:"points,omitempty"`    // of which the live version has handlers
-	Tally   Tally    `json:"tally"`               // of the live version
-	Trial   *Tally   `json:"trial,omitempty"`     // of the shadow version
-	Fault   string   `json:"fault,omitempty"`     // the last one
-	State   string   `json:"state,omitempty"`     // of the live version, as declarations of the hook language
-	BackInS float64  `json:"back_in_s,omitempty"` // seconds until an open circuit admits a probe
+type ScriptOverview struct {
+	Name        string    `json:"name"`
+	Status      string    `json:"status"`              // see [Script.Status]
+	Live        uint64    `json:"live,omitempty"`      // number of the live version
+	Digest      string    `json:"digest,omitempty"`    // of the live version's text
+	Previous    uint64    `json:"before,omitempty"`    // number of the previous version
+	Shadow      uint64    `json:"shadow,omitempty"`    // number of the shadow version
+	Points      []string  `json:"points,omitempty"`    // of which the live version has handlers
+	LiveStats   RunStats  `json:"tally"`               // of the live version
+	ShadowStats *RunStats `json:"trial,omitempty"`     // of the shadow version
+	LastFault   string    `json:"fault,omitempty"`     // the last one
+	State       string    `json:"state,omitempty"`     // of the live version, as declarations of the hook language
+	ProbeInS    float64   `json:"back_in_s,omitempty"` // seconds until an open circuit admits a probe
 }
 
 // Overview is all that operators see of hooks.
 type Overview struct {
-	Scripts  []Shown  `json:"scripts"`
-	Standing []string `json:"standing"`            // the advice in force, a line each
-	Posted   int64    `json:"posted"`              // events queued
-	Dropped  int64    `json:"dropped"`             // events dropped, as the queue was full
-	Waiting  int      `json:"waiting"`             // events in the queue
-	Taken    int      `json:"advice_taken"`        // items of advice accepted
-	Refused  int64    `json:"calls_refused"`       // calls that were to be rejected
-	Over     int64    `json:"refusals_over_bound"` // calls that hooks wanted rejected beyond the bound
-	Aside    int      `json:"advice_set_aside"`    // items of advice suppressed
+	Scripts            []ScriptOverview `json:"scripts"`
+	AdviceInForce      []string         `json:"standing"`            // the advice in force, a line each
+	Posted             int64            `json:"posted"`              // events queued
+	Dropped            int64            `json:"dropped"`             // events dropped, as the queue was full
+	QueueLength        int              `json:"waiting"`             // events in the queue
+	AdviceAccepted     int              `json:"advice_taken"`        // items of advice accepted
+	CallsRejected      int64            `json:"calls_refused"`       // calls that were to be rejected
+	OverRejectionLimit int64            `json:"refusals_over_bound"` // calls that hooks wanted rejected beyond the bound
+	AdviceSuppressed   int              `json:"advice_set_aside"`    // items of advice suppressed
 }
 
 // Overview returns the scripts and the advice in force. It returns an error if the engine has stopped.
 func (e *Engine) Overview() (o Overview, err error) {
-	o.Scripts = []Shown{}
-	o.Standing = []string{}
+	o.Scripts = []ScriptOverview{}
+	o.AdviceInForce = []string{}
 	err = e.do(func() {
 		now := e.config.Clock.Now()
 		for _, s := range e.lifecycle.Scripts {
 			o.Scripts = append(o.Scripts, e.show(s, now))
 		}
 		for _, effect := range e.table.InForce() {
-			o.Standing = append(o.Standing, inForceLine(effect, now))
+			o.AdviceInForce = append(o.AdviceInForce, inForceLine(effect, now))
 		}
-		o.Taken = e.table.Counts.Accepted
-		o.Aside = e.table.Counts.Suppressed
+		o.AdviceAccepted = e.table.Counts.Accepted
+		o.AdviceSuppressed = e.table.Counts.Suppressed
 	})
 	o.Posted = e.Counts.Posted.Load()
 	o.Dropped = e.Counts.Dropped.Load()
-	o.Waiting = len(e.queue)
-	o.Refused = e.Counts.Refusals.Load()
-	o.Over = e.Counts.Over.Load()
+	o.QueueLength = len(e.queue)
+	o.CallsRejected = e.Counts.Rejections.Load()
+	o.OverRejectionLimit = e.Counts.OverRejectionLimit.Load()
 	return o, err
 }
 
-func (e *Engine) show(s *Script, now time.Duration) Shown {
-	shown := Shown{Name: s.Name, Status: s.Status(now), Tally: s.Tally, Fault: s.Fault}
+func (e *Engine) show(s *Script, now time.Duration) ScriptOverview {
+	shown := ScriptOverview{Name: s.Name, Status: s.Status(now), LiveStats: s.LiveStats, LastFault: s.LastFault}
 	if s.Live != nil {
 		shown.Live = s.Live.Number
 		shown.Digest = s.Live.Digest
 	}
-	if s.Before != nil {
-		shown.Before = s.Before.Number
+	if s.Previous != nil {
+		shown.Previous = s.Previous.Number
 	}
 	if s.Shadow != nil {
-		trial := s.Trial
+		trial := s.ShadowStats
 		shown.Shadow = s.Shadow.Number
-		shown.Trial = &trial
+		shown.ShadowStats = &trial
 	}
 	if live := e.active[s.Name]; live != nil {
 		shown.Points, _ = live.program.Points()
 		shown.State = live.state.String()
 	}
 	if s.circuit.open && s.circuit.openUntil > now {
-		shown.BackInS = (s.circuit.openUntil - now).Seconds()
+		shown.ProbeInS = (s.circuit.openUntil - now).Seconds()
 	}
 	return shown
 }
--- a/internal/hookengine/run.go
+++ b/internal/hookengine/run.go
@@ -29,7 +29,7 @@
 		case <-timer.C:
 		}
 		if workers := e.workers.Swap(nil); workers != nil {
-			e.advise(hookadvice.WorkerList{List: *workers})
+			e.advise(hookadvice.WorkerList{Workers: *workers})
 		}
 		e.applyChanges()
 		now := e.config.Clock.Now()
@@ -85,8 +85,8 @@
 			loaded.nextTick = now + loaded.interval
 		}
 		open := 0
-		if e.config.Open != nil {
-			open = e.config.Open()
+		if e.config.CallsInFlight != nil {
+			open = e.config.CallsInFlight()
 		}
 		e.handle(s, "timer", hooklang.Tick{Count: loaded.ticks, Open: open}, now)
 	}
@@ -125,11 +125,11 @@
 		}
 		return
 	}
-	if !e.lifecycle.WithinRate(now, &s.Tally) {
+	if !e.lifecycle.WithinRate(now, &s.LiveStats) {
 		return // the shadow does not see it either, as there is nothing to compare it with
 	}
 	result, err := e.runAside(live, point, event)
-	s.Tally.debt += result.Fuel
+	s.LiveStats.debt += result.Fuel
 	fault := ""
 	if err != nil {
 		fault = err.Error()
@@ -166,15 +166,15 @@
 // runAside runs a handler on the engine's goroutine.
 func (e *Engine) runAside(loaded *loadedVersion, point string, event hooklang.Event) (hooklang.Result, error) {
 	begin := time.Now()
-	limits := e.config.Aside
+	limits := e.config.BackgroundLimits
 	if point == "arrive" {
-		limits = e.config.Inline
+		limits = e.config.InlineLimits
 	}
 	limits.Stop = func() bool { return time.Since(begin) > e.config.RunTimeout }
 	env := hooklang.Env{Now: int64(e.config.Clock.Now()), Wall: e.config.Clock.Wall().Unix()}
 	result, err := e.vm.Run(loaded.program, point, event, loaded.state, env, limits)
-	e.Counts.Aside.Add(1)
-	e.Counts.AsideNanos.Add(int64(time.Since(begin)))
+	e.Counts.BackgroundRuns.Add(1)
+	e.Counts.BackgroundNanos.Add(int64(time.Since(begin)))
 	return result, err
 }
 
@@ -184,19 +184,19 @@
 	shadow *loadedVersion, point string, event hooklang.Event, liveAdvice []hooklang.Advice, liveFault string,
 ) {
 	if !shadow.program.Has(point) {
-		e.lifecycle.RecordTrial(shadow.script, shadow.version, "", 0, len(liveAdvice) == 0)
+		e.lifecycle.RecordShadowRun(shadow.script, shadow.version, "", 0, len(liveAdvice) == 0)
 		return
 	}
 	s := e.lifecycle.Find(shadow.script)
-	if s == nil || !e.lifecycle.WithinRate(e.config.Clock.Now(), &s.Trial) {
+	if s == nil || !e.lifecycle.WithinRate(e.config.Clock.Now(), &s.ShadowStats) {
 		return
 	}
 	result, err := e.runAside(shadow, point, event)
 	if err != nil {
-		e.lifecycle.RecordTrial(shadow.script, shadow.version, err.Error(), result.Fuel, false)
+		e.lifecycle.RecordShadowRun(shadow.script, shadow.version, err.Error(), result.Fuel, false)
 		return
 	}
 	shadow.state = result.State
 	same := liveFault == "" && slices.Equal(result.Advice, liveAdvice)
-	e.lifecycle.RecordTrial(shadow.script, shadow.version, "", result.Fuel, same)
+	e.lifecycle.RecordShadowRun(shadow.script, shadow.version, "", result.Fuel, same)
 }
--- a/internal/hookengine/storage.go
+++ b/internal/hookengine/storage.go
@@ -64,7 +64,7 @@
 	e.sequence = recovered.LastSeq
 	e.states = stored.States
 	e.lifecycle.Scripts = stored.Scripts
-	e.lifecycle.Last = stored.Last
+	e.lifecycle.LastVersion = stored.Last
 	for _, s := range e.lifecycle.Scripts {
 		e.restoreScript(s)
 	}
@@ -74,10 +74,10 @@
 // restoreScript runs the live and the shadow version of a script. What compiled in the program that stored it need not
 // compile in this one.
 func (e *Engine) restoreScript(s *Script) {
-	if s.Live != nil && s.Live.Bad == "" {
+	if s.Live != nil && s.Live.QuarantineReason == "" {
 		loaded, err := e.compile(s.Name, s.Live)
 		if err != nil {
-			s.Live.Bad = err.Error()
+			s.Live.QuarantineReason = err.Error()
 			e.config.Log.Error().Str("script", s.Name).Err(err).Msg("hook in quarantine: it does not compile any more")
 			return
 		}
@@ -129,7 +129,7 @@
 func (e *Engine) writeSnapshot() error {
 	all := snapshot{
 		Scripts: e.lifecycle.Scripts,
-		Last:    e.lifecycle.Last,
+		Last:    e.lifecycle.LastVersion,
 		States:  map[string]json.RawMessage{},
 	}
 	for _, s := range e.lifecycle.Scripts {
--- a/internal/hookengine/versions.go
+++ b/internal/hookengine/versions.go
@@ -46,7 +46,7 @@
 		e.publish()
 	}
 	if dirty {
-		e.appendRecord(record{Scripts: e.lifecycle.Scripts, Last: e.lifecycle.Last})
+		e.appendRecord(record{Scripts: e.lifecycle.Scripts, Last: e.lifecycle.LastVersion})
 	}
 }
 
@@ -166,13 +166,13 @@
 			e.gateMutex.Lock()
 			e.gate.SetTenants(effect)
 			e.gateMutex.Unlock()
-		case hookadvice.Notice:
+		case hookadvice.Notification:
 			e.config.Log.Info().Str("script", effect.Script).Str("target", effect.Target).Msg("notice")
 			if e.config.Notify != nil {
 				e.config.Notify(effect)
 			}
 		case hookadvice.Discarded:
-			e.config.Log.Debug().Str("script", effect.Script).Str("kind", effect.Item.Kind).Str("why", effect.Why).
+			e.config.Log.Debug().Str("script", effect.Script).Str("kind", effect.Item.Kind).Str("why", effect.Reason).
 				Msg("advice dropped")
 		}
 	}
