--- a/internal/hookadvice/accept.go
+++ b/internal/hookadvice/accept.go
@@ -11,7 +11,7 @@
 
 // accept takes the advice of one run, item by item.
 func (t *Table) accept(given AdviceGiven) {
-	s := t.script(given.Script)
+	s := t.findOrAddScript(given.Script)
 	for _, item := range given.Items {
 		if !s.active || given.Version != s.version {
 			t.discard(s, item, &t.Counts.Stale, "of version %d, which is not heard", given.Version)
@@ -19,28 +19,28 @@
 		}
 		switch item.Kind {
 		case "notify":
-			t.acceptNotice(s, item)
+			t.acceptNotification(s, item)
 		default:
 			t.acceptEntry(s, item)
 		}
 	}
 }
 
-func (t *Table) acceptNotice(s *script, item hooklang.Advice) {
+func (t *Table) acceptNotification(s *script, item hooklang.Advice) {
 	window := t.settings.Window
-	s.notices = slices.DeleteFunc(s.notices, func(at time.Duration) bool { return at <= t.now-window })
-	if len(s.notices) >= t.settings.MaxNotifications {
+	s.notifications = slices.DeleteFunc(s.notifications, func(at time.Duration) bool { return at <= t.now-window })
+	if len(s.notifications) >= t.settings.MaxNotifications {
 		t.discard(s, item, &t.Counts.Limited, "more than %d notices in %v", t.settings.MaxNotifications, window)
 		return
 	}
-	s.notices = append(s.notices, t.now)
+	s.notifications = append(s.notifications, t.now)
 	t.Counts.Accepted++
 	t.effects = append(t.effects, Notification{s.name, item.Key, item.Text})
 }
 
 // acceptEntry takes advice that is in force for a time.
 func (t *Table) acceptEntry(s *script, item hooklang.Advice) {
-	on, ok := subjects[item.Kind]
+	on, ok := subjectByKind[item.Kind]
 	if !ok {
 		t.discard(s, item, &t.Counts.Unknown, "%s does not stand", item.Kind)
 		return
@@ -85,7 +85,7 @@
 	case "tenant_weight", "tenant_cap":
 		return t.boundedFactor(s, item)
 	case "prefer", "avoid":
-		return t.rank(s, item)
+		return t.boundedRank(s, item)
 	}
 	return 0, false
 }
@@ -106,7 +106,7 @@
 	return min(max(item.Factor, 1/limit), limit), true
 }
 
-func (t *Table) rank(s *script, item hooklang.Advice) (rank float64, ok bool) {
+func (t *Table) boundedRank(s *script, item hooklang.Advice) (boundedRank float64, ok bool) {
 	w, exists := t.findWorker(item.Worker)
 	if !exists {
 		t.discard(s, item, &t.Counts.Unknown, "no such worker")
--- a/internal/hookadvice/entry.go
+++ b/internal/hookadvice/entry.go
@@ -18,7 +18,7 @@
 
 // subjects are the subjects of the kinds of advice that are in force for a time. To prefer and to avoid have the
 // same one: a script that gives both for one worker has changed its mind.
-var subjects = map[string]subject{
+var subjectByKind = map[string]subject{
 	"keep_warm":     subjectWarm,
 	"tenant_weight": subjectWeight,
 	"tenant_cap":    subjectCap,
@@ -72,7 +72,7 @@
 }
 
 // idle reports whether nothing of the last window has to be remembered.
-func (d *flapDamping) idle(now, window time.Duration) bool {
+func (d *flapDamping) expired(now, window time.Duration) bool {
 	changed := len(d.changes) > 0 && d.changes[len(d.changes)-1] > now-window
 	return !changed && d.suppressedUntil <= now-window
 }
--- a/internal/hookadvice/gate.go
+++ b/internal/hookadvice/gate.go
@@ -8,7 +8,7 @@
 
 const (
 	// maxNotes is how many annotations a call keeps.
-	maxNotes = 4
+	maxAnnotations = 4
 	// minRejections is how many rejections in a window hooks always may make: a fraction of a few calls rounds to
 	// none.
 	minRejections = 10
@@ -61,7 +61,7 @@
 				v.Reason = "hook: " + item.Text
 			}
 		case "annotate":
-			if len(v.Annotations) < maxNotes {
+			if len(v.Annotations) < maxAnnotations {
 				v.Annotations = append(v.Annotations, item)
 			}
 		}
--- a/internal/hookadvice/merge.go
+++ b/internal/hookadvice/merge.go
@@ -7,10 +7,10 @@
 )
 
 // forgetExpired drops entries that are not in force and need not be remembered for their changes.
-func (t *Table) forgetExpired() {
+func (t *Table) dropExpired() {
 	for _, s := range t.scripts {
 		s.entries = slices.DeleteFunc(s.entries, func(e *entry) bool {
-			return e.expiresAt <= t.now && e.damping.idle(t.now, t.settings.Window)
+			return e.expiresAt <= t.now && e.damping.expired(t.now, t.settings.Window)
 		})
 	}
 }
@@ -109,7 +109,7 @@
 }
 
 // publish adds the effects that lead from what was in force before to what is now.
-func (t *Table) publish(warm map[string]KeepWarm, ranks map[string]RankWorker, tenants map[string]Tenant) {
+func (t *Table) emitChanges(warm map[string]KeepWarm, ranks map[string]RankWorker, tenants map[string]Tenant) {
 	for _, name := range sortedKeys(t.warm, warm) {
 		if now := warm[name]; now != t.warm[name] {
 			now.Function = name // not set in one that has ended
--- a/internal/hookadvice/table.go
+++ b/internal/hookadvice/table.go
@@ -48,11 +48,11 @@
 
 // script is the advice of one script.
 type script struct {
-	name    string
-	version uint64 // whose advice is accepted, if active
-	active  bool
-	entries []*entry        // sorted by key
-	notices []time.Duration // when notices were accepted, within the last window
+	name          string
+	version       uint64 // whose advice is accepted, if active
+	active        bool
+	entries       []*entry        // sorted by key
+	notifications []time.Duration // when notices were accepted, within the last window
 }
 
 // New returns an empty table. It returns an error if a setting is out of range.
@@ -83,19 +83,19 @@
 		case AdviceGiven:
 			t.accept(e)
 		case VersionActivated:
-			s := t.script(e.Script)
+			s := t.findOrAddScript(e.Script)
 			s.active = true
 			s.version = e.Version
 		case ScriptStopped:
-			s := t.script(e.Script)
+			s := t.findOrAddScript(e.Script)
 			s.active = false
 			s.entries = nil
 		case WorkerList:
 			t.setWorkers(e.Workers)
 		}
 	}
-	t.forgetExpired()
-	t.publish(t.mergeCopies(), t.mergeRanks(), t.mergeTenants())
+	t.dropExpired()
+	t.emitChanges(t.mergeCopies(), t.mergeRanks(), t.mergeTenants())
 	return t.effects
 }
 
@@ -151,7 +151,7 @@
 }
 
 // script returns the script of that name, which it adds if need be.
-func (t *Table) script(name string) *script {
+func (t *Table) findOrAddScript(name string) *script {
 	byName := func(s *script, name string) int { return cmp.Compare(s.name, name) }
 	i, ok := slices.BinarySearchFunc(t.scripts, name, byName)
 	if !ok {
--- a/internal/hookengine/arrive.go
+++ b/internal/hookengine/admit.go
@@ -12,7 +12,7 @@
 func (e *Engine) Admit(c hooklang.Call) hookadvice.Verdict {
 	now := e.config.Clock.Now()
 	var advice []hooklang.Advice
-	if handlers := *e.inline.Load(); len(handlers) > 0 {
+	if handlers := *e.arrivalHandlers.Load(); len(handlers) > 0 {
 		env := hooklang.Env{Now: int64(now), Wall: e.config.Clock.Wall().Unix()}
 		vm := e.vmPool.Get().(*hooklang.VM)
 		for i := range handlers {
--- a/internal/hookengine/circuit.go
+++ b/internal/hookengine/circuit.go
@@ -70,7 +70,7 @@
 	if c.open && c.probing {
 		c.open = false
 		c.probing = false
-		l.change(s, false, "version %d runs again", s.Live.Number)
+		l.recordChange(s, false, "version %d runs again", s.Live.Number)
 		return
 	}
 	if !c.open && c.openings > 0 && s.LiveStats.Runs%int64(recoveryRuns*l.settings.ConsecutiveFaults) == 0 {
@@ -83,7 +83,7 @@
 	backoff += time.Duration(l.rng.Float64() * 0.5 * float64(backoff)) // jitter
 	s.circuit.open = true
 	s.circuit.openUntil = now + backoff
-	l.change(s, true, "version %d: %s: not run for %v", s.Live.Number, s.LastFault, backoff.Round(time.Millisecond))
+	l.recordChange(s, true, "version %d: %s: not run for %v", s.Live.Number, s.LastFault, backoff.Round(time.Millisecond))
 }
 
 // quarantine stops the live version for its last fault, and goes back to the previous one if that may run.
@@ -92,11 +92,11 @@
 	faulty.QuarantineReason = fault
 	if s.Previous != nil && s.Previous.QuarantineReason == "" {
 		s.activate(s.Previous)
-		l.change(s, true, "version %d is given up: %s: back to version %d", faulty.Number, fault, s.Live.Number)
+		l.recordChange(s, true, "version %d is given up: %s: back to version %d", faulty.Number, fault, s.Live.Number)
 		return
 	}
 	s.circuit.open = false
-	l.change(s, true, "version %d is in quarantine: %s", faulty.Number, fault)
+	l.recordChange(s, true, "version %d is in quarantine: %s", faulty.Number, fault)
 }
 
 // StartProbes admits one run of the versions whose circuit has been open for its backoff.
@@ -125,10 +125,10 @@
 // the machine's cores to calls.
 func (l *Lifecycle) WithinRate(now time.Duration, t *RunStats) bool {
 	rate := l.settings.InstructionRate
-	credit := int64(max(0, now-t.paidAt).Seconds() * float64(rate))
-	t.debt = max(0, t.debt-credit)
-	t.paidAt = now
-	if t.debt > 2*rate {
+	credit := int64(max(0, now-t.creditedAt).Seconds() * float64(rate))
+	t.instructionDebt = max(0, t.instructionDebt-credit)
+	t.creditedAt = now
+	if t.instructionDebt > 2*rate {
 		t.Skipped++
 		return false
 	}
@@ -143,7 +143,7 @@
 	}
 	s.ShadowStats.Runs++
 	s.ShadowStats.Fuel += fuel
-	s.ShadowStats.debt += fuel
+	s.ShadowStats.instructionDebt += fuel
 	if fault != "" {
 		s.ShadowStats.Faults++
 		s.LastFault = fault
--- a/internal/hookengine/commands.go
+++ b/internal/hookengine/commands.go
@@ -41,7 +41,7 @@
 
 // command has the lifecycle changed by the engine's goroutine, which carries the change out at once.
 func (e *Engine) command(change func() error) (err error) {
-	stopped := e.do(func() {
+	stopped := e.runOnEngine(func() {
 		err = change()
 		e.applyChanges()
 	})
--- a/internal/hookengine/engine.go
+++ b/internal/hookengine/engine.go
@@ -81,27 +81,27 @@
 	Counts Counts
 
 	// Input of the engine's goroutine.
-	queue    chan job
-	requests chan func() // see do
-	workers  atomic.Pointer[[]hookadvice.Worker]
-	wake     chan struct{} // workers was set
-	stop     chan struct{} // closed by Close
-	stopOnce sync.Once
-	killed   atomic.Bool   // nothing is to be stored any more
-	done     chan struct{} // closed when the engine's goroutine has ended
+	queue          chan job
+	commands       chan func() // see do
+	workers        atomic.Pointer[[]hookadvice.Worker]
+	workersChanged chan struct{} // workers was set
+	stop           chan struct{} // closed by Close
+	stopOnce       sync.Once
+	killed         atomic.Bool   // nothing is to be stored any more
+	done           chan struct{} // closed when the engine's goroutine has ended
 
 	// Shared with the goroutines of calls; the engine's goroutine replaces what the pointers refer to, see publish.
-	inline    atomic.Pointer[[]inlineHandler]
-	points    atomic.Pointer[map[string]bool] // those of which some script has a handler
-	vmPool    sync.Pool                       // of *hooklang.VM
-	gateMutex sync.Mutex
-	gate      *hookadvice.AdmissionGate // guarded by gateMutex
+	arrivalHandlers atomic.Pointer[[]inlineHandler]
+	handledPoints   atomic.Pointer[map[string]bool] // those of which some script has a handler
+	vmPool          sync.Pool                       // of *hooklang.VM
+	gateMutex       sync.Mutex
+	gate            *hookadvice.AdmissionGate // guarded by gateMutex
 
 	// Owned by the engine's goroutine.
 	lifecycle *Lifecycle
 	table     *hookadvice.Table
 	vm        *hooklang.VM
-	active    map[string]*loadedVersion // the live versions, by script
+	live      map[string]*loadedVersion // the live versions, by script
 	shadows   map[string]*loadedVersion // the shadow versions, by script
 	storage
 }
@@ -140,27 +140,27 @@
 		return nil, err
 	}
 	e := &Engine{
-		config:    config,
-		queue:     make(chan job, config.QueueSize),
-		requests:  make(chan func()),
-		wake:      make(chan struct{}, 1),
-		stop:      make(chan struct{}),
-		done:      make(chan struct{}),
-		vmPool:    sync.Pool{New: func() any { return hooklang.NewVM() }},
-		gate:      hookadvice.NewAdmissionGate(config.Advice),
-		lifecycle: NewLifecycle(config.Lifecycle, config.Seed),
-		table:     table,
-		vm:        hooklang.NewVM(),
-		active:    map[string]*loadedVersion{},
-		shadows:   map[string]*loadedVersion{},
-		storage:   storage{states: map[string]json.RawMessage{}},
+		config:         config,
+		queue:          make(chan job, config.QueueSize),
+		commands:       make(chan func()),
+		workersChanged: make(chan struct{}, 1),
+		stop:           make(chan struct{}),
+		done:           make(chan struct{}),
+		vmPool:         sync.Pool{New: func() any { return hooklang.NewVM() }},
+		gate:           hookadvice.NewAdmissionGate(config.Advice),
+		lifecycle:      NewLifecycle(config.Lifecycle, config.Seed),
+		table:          table,
+		vm:             hooklang.NewVM(),
+		live:           map[string]*loadedVersion{},
+		shadows:        map[string]*loadedVersion{},
+		storage:        storage{savedStates: map[string]json.RawMessage{}},
 	}
 	if config.FS != nil {
 		if err := e.restore(); err != nil {
 			return nil, fmt.Errorf("hooks: %w", err)
 		}
 	}
-	e.publish()
+	e.publishHandlers()
 	go e.run()
 	return e, nil
 }
@@ -181,7 +181,7 @@
 // Post hands an event to the scripts, if any has a handler of it. It never blocks: if the queue is full the event
 // is dropped, and counted.
 func (e *Engine) Post(point string, event hooklang.Event) {
-	if points := e.points.Load(); points != nil && !(*points)[point] {
+	if points := e.handledPoints.Load(); points != nil && !(*points)[point] {
 		return
 	}
 	e.enqueue(job{point: point, event: event, at: e.config.Clock.Now()})
@@ -201,16 +201,16 @@
 func (e *Engine) SetWorkers(workers []hookadvice.Worker) {
 	e.workers.Store(&workers)
 	select {
-	case e.wake <- struct{}{}:
+	case e.workersChanged <- struct{}{}:
 	default:
 	}
 }
 
 // do has f run by the engine's goroutine, and waits for it. It returns an error if the engine has stopped.
-func (e *Engine) do(f func()) error {
+func (e *Engine) runOnEngine(f func()) error {
 	ready := make(chan struct{})
 	select {
-	case e.requests <- func() { f(); close(ready) }:
+	case e.commands <- func() { f(); close(ready) }:
 		<-ready
 		return nil
 	case <-e.done:
--- a/internal/hookengine/golden_test.go
+++ b/internal/hookengine/golden_test.go
@@ -45,7 +45,7 @@
 const storedState = `[{"name":"seen","type":"int","value":"7"}]`
 
 // openStore opens a store in a folder and gives what it holds.
-func openStore(t *testing.T, folder string) (log *store.Log, snapshot []byte, records [][]byte) {
+func openStoreFolder(t *testing.T, folder string) (log *store.Log, snapshot []byte, records [][]byte) {
 	t.Helper()
 	log, _, err := store.Open(store.Dir(folder), store.Options{MaxRecordBytes: 16 << 20, MaxGroupBytes: 32 << 20},
 		func(_ uint64, state []byte) error { snapshot = append([]byte(nil), state...); return nil },
@@ -60,19 +60,19 @@
 }
 
 // Scripts and their states are stored as records, and now and then as a snapshot of all.
-func TestStoredScriptsAreAsBefore(t *testing.T) {
+func TestStoredFormat(t *testing.T) {
 	folder := t.TempDir()
-	log, _, _ := openStore(t, folder)
+	log, _, _ := openStoreFolder(t, folder)
 	engine := &Engine{
 		config:    Config{Log: zerolog.Nop()},
 		lifecycle: &Lifecycle{Scripts: storedScripts(), LastVersion: 4},
-		storage:   storage{log: log, states: map[string]json.RawMessage{"a": json.RawMessage(storedState)}},
+		storage:   storage{log: log, savedStates: map[string]json.RawMessage{"a": json.RawMessage(storedState)}},
 	}
-	engine.appendRecord(record{Scripts: engine.lifecycle.Scripts, Last: engine.lifecycle.LastVersion})
+	engine.appendRecord(record{Scripts: engine.lifecycle.Scripts, LastVersion: engine.lifecycle.LastVersion})
 	engine.appendRecord(record{State: "a", Value: json.RawMessage(storedState)})
 	engine.appendRecord(record{})
 	log.Close()
-	log, snapshot, records := openStore(t, folder)
+	log, snapshot, records := openStoreFolder(t, folder)
 	if snapshot != nil || len(records) != 3 {
 		t.Fatalf("a snapshot of %d bytes, %d records", len(snapshot), len(records))
 	}
@@ -80,19 +80,19 @@
 	goldenfile.Compare(t, "record_state.json", records[1])
 	goldenfile.Compare(t, "record_empty.json", records[2])
 
-	engine.log, engine.sinceSnapshot = log, recordsPerSnapshot-1
+	engine.log, engine.recordsSinceSnapshot = log, recordsPerSnapshot-1
 	engine.appendRecord(record{State: "a", Value: json.RawMessage(storedState)})
-	if engine.storeErr != nil || engine.sinceSnapshot != 0 {
-		t.Fatal(engine.storeErr, engine.sinceSnapshot)
+	if engine.storeErr != nil || engine.recordsSinceSnapshot != 0 {
+		t.Fatal(engine.storeErr, engine.recordsSinceSnapshot)
 	}
 	log.Close()
-	log, snapshot, _ = openStore(t, folder)
+	log, snapshot, _ = openStoreFolder(t, folder)
 	log.Close()
 	goldenfile.Compare(t, "snapshot.json", snapshot)
 }
 
 // An engine begins with what was stored, by records or by a snapshot.
-func TestStoredScriptsAreReadAsBefore(t *testing.T) {
+func TestRestoreStoredFormat(t *testing.T) {
 	fill := map[string]func(*store.Log) error{
 		"records": func(log *store.Log) error {
 			for _, name := range []string{"record_scripts.json", "record_state.json"} {
@@ -112,7 +112,7 @@
 	}
 	for name, fill := range fill {
 		folder := t.TempDir()
-		log, _, _ := openStore(t, folder)
+		log, _, _ := openStoreFolder(t, folder)
 		if err := fill(log); err != nil {
 			t.Fatal(err)
 		}
@@ -120,7 +120,7 @@
 		engine := &Engine{
 			config:    Config{FS: store.Dir(folder), Clock: clock.System(), Log: zerolog.Nop()},
 			lifecycle: NewLifecycle(LifecycleSettings{}, 1),
-			active:    map[string]*loadedVersion{},
+			live:      map[string]*loadedVersion{},
 			shadows:   map[string]*loadedVersion{},
 		}
 		var err error
@@ -135,20 +135,20 @@
 		if got, _ := json.Marshal(read.Scripts); !reflect.DeepEqual(read.Scripts, storedScripts()) || read.LastVersion != 4 {
 			t.Errorf("%s: read %s, last version %d", name, got, read.LastVersion)
 		}
-		if state := string(engine.states["a"]); state != storedState {
+		if state := string(engine.savedStates["a"]); state != storedState {
 			t.Errorf("%s: read the state %s", name, state)
 		}
-		if state := engine.active["a"].state.String(); state != "state seen int = 7\n" {
+		if state := engine.live["a"].state.String(); state != "state seen int = 7\n" {
 			t.Errorf("%s: runs with %s", name, state)
 		}
-		if engine.shadows["a"] == nil || engine.active["b"] == nil {
+		if engine.shadows["a"] == nil || engine.live["b"] == nil {
 			t.Errorf("%s: not all versions run", name)
 		}
 	}
 }
 
 // A notice goes out as a signed webhook.
-func TestSentNoticeIsAsBefore(t *testing.T) {
+func TestNotificationFormat(t *testing.T) {
 	key, err := signing.ParseKey("whsec_MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw")
 	if err != nil {
 		t.Fatal(err)
@@ -173,14 +173,14 @@
 	notifier := NewNotifier("c1", []Target{target}, clock.System(), zerolog.Nop())
 	defer notifier.Close()
 	notice := hookadvice.Notification{Script: "a", Target: "ops", Text: `lost "3" <of> 4`}
-	if err := notifier.send(queuedNotice{Notification: notice, id: "note_1", at: time.Unix(1700000000, 5e8)}); err != nil {
+	if err := notifier.send(queuedNotification{Notification: notice, id: "note_1", queuedAt: time.Unix(1700000000, 5e8)}); err != nil {
 		t.Fatal(err)
 	}
 	goldenfile.Compare(t, "notice.txt", []byte(<-taken))
 }
 
 // Operators are shown scripts, and the advice that stands.
-func TestOverviewIsAsBefore(t *testing.T) {
+func TestOverviewFormat(t *testing.T) {
 	now := 10 * time.Second
 	overview := Overview{
 		Scripts: []ScriptOverview{
--- a/internal/hookengine/hooks_test.go
+++ b/internal/hookengine/hooks_test.go
@@ -121,32 +121,32 @@
 }
 
 // host records what an engine asks of the gateway.
-type host struct {
-	mu      sync.Mutex
-	said    []string
-	notices []hookadvice.Notification
+type fakeGateway struct {
+	mu            sync.Mutex
+	recorded      []string
+	notifications []hookadvice.Notification
 }
 
-func (h *host) KeepWarm(f string, n int, _ time.Duration) {
+func (h *fakeGateway) KeepWarm(f string, n int, _ time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.said = append(h.said, fmt.Sprintf("warm %s %d", f, n))
+	h.recorded = append(h.recorded, fmt.Sprintf("warm %s %d", f, n))
 }
-func (h *host) RankWorker(w string, rank int, _ time.Duration) {
+func (h *fakeGateway) RankWorker(w string, rank int, _ time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.said = append(h.said, fmt.Sprintf("regard %s %d", w, rank))
+	h.recorded = append(h.recorded, fmt.Sprintf("regard %s %d", w, rank))
 }
-func (h *host) FunctionMemoryMB(n string) (float64, bool) { return 1, strings.HasPrefix(n, "f") }
-func (h *host) HasTenant(n string) bool                   { return n == "t" }
+func (h *fakeGateway) FunctionMemoryMB(n string) (float64, bool) { return 1, strings.HasPrefix(n, "f") }
+func (h *fakeGateway) HasTenant(n string) bool                   { return n == "t" }
 
-func (h *host) calls() string {
+func (h *fakeGateway) recordedCalls() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return strings.Join(h.said, ", ")
+	return strings.Join(h.recorded, ", ")
 }
 
-func engine(t *testing.T, h *host, clk clock.Clock, dir string, rate ...int64) *Engine {
+func startEngine(t *testing.T, h *fakeGateway, clk clock.Clock, dir string, rate ...int64) *Engine {
 	t.Helper()
 	life := LifecycleSettings{InstructionRate: 1 << 40}
 	if rate != nil {
@@ -162,7 +162,7 @@
 		SaveInterval: time.Nanosecond,
 		Notify: func(n hookadvice.Notification) {
 			h.mu.Lock()
-			h.notices = append(h.notices, n)
+			h.notifications = append(h.notifications, n)
 			h.mu.Unlock()
 		},
 	}
@@ -184,49 +184,49 @@
 }
 
 // all waits until what was posted before has been run.
-func all(t *testing.T, e *Engine) {
+func drainQueue(t *testing.T, e *Engine) {
 	t.Helper()
 	for len(e.queue) > 0 {
-		if err := e.do(func() {}); err != nil {
+		if err := e.runOnEngine(func() {}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	e.do(func() {})
-	e.do(func() {}) // the turn of the one before has ended, timers and all
+	e.runOnEngine(func() {})
+	e.runOnEngine(func() {}) // the turn of the one before has ended, timers and all
 }
 
-func load(t *testing.T, e *Engine, name, text string, shadow bool) {
+func loadScript(t *testing.T, e *Engine, name, text string, shadow bool) {
 	t.Helper()
 	if _, _, err := e.Load(name, text, "test", shadow); err != nil {
 		t.Fatal(err)
 	}
 }
 
-const counter = "state n int = 0\non ended(e) {\nn += 1\nkeep_warm(\"f\" + str(n), 1, 1h)\n}\n"
+const counterScript = "state n int = 0\non ended(e) {\nn += 1\nkeep_warm(\"f\" + str(n), 1, 1h)\n}\n"
 
 // State and versions outlive the process, also one that was cut off, and a new version goes on with the state.
 func TestEngineRestarts(t *testing.T) {
-	h, clk, dir := &host{}, clock.NewManual(time.Unix(1000, 0)), t.TempDir()
-	e := engine(t, h, clk, dir)
-	load(t, e, "a", counter, false)
+	h, clk, dir := &fakeGateway{}, clock.NewManual(time.Unix(1000, 0)), t.TempDir()
+	e := startEngine(t, h, clk, dir)
+	loadScript(t, e, "a", counterScript, false)
 	for range 3 {
 		e.Post("ended", hooklang.Ended{})
 	}
 	e.Post("timer", hooklang.Tick{}) // nobody wants it
-	all(t, e)
-	if got := h.calls(); got != "warm f1 1, warm f2 1, warm f3 1" {
+	drainQueue(t, e)
+	if got := h.recordedCalls(); got != "warm f1 1, warm f2 1, warm f3 1" {
 		t.Fatal(got)
 	}
 	if n := e.Counts.Posted.Load(); n != 3 {
 		t.Errorf("%d posted", n)
 	}
 	e.Close()
-	h = &host{}
-	e = engine(t, h, clk, dir)
-	load(t, e, "a", strings.Replace(counter, "1h", "2h", 1), false)
+	h = &fakeGateway{}
+	e = startEngine(t, h, clk, dir)
+	loadScript(t, e, "a", strings.Replace(counterScript, "1h", "2h", 1), false)
 	e.Post("ended", hooklang.Ended{})
-	all(t, e)
-	if got := h.calls(); got != "warm f4 1" {
+	drainQueue(t, e)
+	if got := h.recordedCalls(); got != "warm f4 1" {
 		t.Error(got)
 	}
 	o, err := e.Overview()
@@ -239,19 +239,19 @@
 	if err := e.Remove("a"); err != nil {
 		t.Fatal(err)
 	}
-	all(t, e)
-	if got := h.calls(); got != "warm f4 1, warm f4 0" {
+	drainQueue(t, e)
+	if got := h.recordedCalls(); got != "warm f4 1, warm f4 0" {
 		t.Error(got)
 	}
 	for range 2 * recordsPerSnapshot { // snapshots among them
-		load(t, e, "a", counter, false)
-		load(t, e, "a", counter+"\n", false)
+		loadScript(t, e, "a", counterScript, false)
+		loadScript(t, e, "a", counterScript+"\n", false)
 	}
 	e.Close()
 	if l, _ := os.ReadDir(dir); len(l) > 4 {
 		t.Errorf("%d files after snapshots", len(l))
 	}
-	e = engine(t, h, clk, dir)
+	e = startEngine(t, h, clk, dir)
 	if o, _ := e.Overview(); o.Scripts[0].Live == 0 {
 		t.Errorf("%+v", o)
 	}
@@ -259,10 +259,10 @@
 
 // A script that faults does not run while its circuit is open: its advice is withdrawn, its state is that before the fault,
 // and it costs nothing. Others run on.
-func TestEngineShutsOut(t *testing.T) {
-	h, clk := &host{}, clock.NewManual(time.Unix(1000, 0))
-	e := engine(t, h, clk, "")
-	load(t, e, "bad", `
+func TestFaultyScriptIsSuspended(t *testing.T) {
+	h, clk := &fakeGateway{}, clock.NewManual(time.Unix(1000, 0))
+	e := startEngine(t, h, clk, "")
+	loadScript(t, e, "bad", `
 		state n int = 0
 		on ended(e) {
 			n += 1
@@ -270,11 +270,11 @@
 			if n > 2 { for i in 0..9223372036854775807 {} }
 		}
 	`, false)
-	load(t, e, "good", counter, false)
+	loadScript(t, e, "good", counterScript, false)
 	for range 10 {
 		e.Post("ended", hooklang.Ended{})
 	}
-	all(t, e)
+	drainQueue(t, e)
 	o, _ := e.Overview()
 	b := o.Scripts[0]
 	if b.Status != "open" || b.LiveStats.Runs != 5 || b.LiveStats.Faults != 3 || !strings.Contains(b.LastFault, "fuel") {
@@ -283,24 +283,24 @@
 	if g := o.Scripts[1]; g.Status != "live" || g.LiveStats.Runs != 10 {
 		t.Errorf("%+v", g)
 	}
-	if got := h.calls(); strings.Count(got, "warm f0 1") != 1 || strings.Count(got, "warm f0 0") != 1 {
+	if got := h.recordedCalls(); strings.Count(got, "warm f0 1") != 1 || strings.Count(got, "warm f0 0") != 1 {
 		t.Error(got)
 	}
 }
 
 // A shadow sees what the live version sees, its advice goes nowhere, and differences are counted.
 func TestEngineShadow(t *testing.T) {
-	h, clk := &host{}, clock.NewManual(time.Unix(1000, 0))
-	e := engine(t, h, clk, "")
-	load(t, e, "a", "on ended(e) { keep_warm(\"f1\", 1, 1h) }\non arrive(c) { annotate(\"k\", \"1\") }", false)
-	load(t, e, "a", "on ended(e) { keep_warm(e.function, 1, 1h) }\non arrive(c) { annotate(\"k\", \"2\") }", true)
+	h, clk := &fakeGateway{}, clock.NewManual(time.Unix(1000, 0))
+	e := startEngine(t, h, clk, "")
+	loadScript(t, e, "a", "on ended(e) { keep_warm(\"f1\", 1, 1h) }\non arrive(c) { annotate(\"k\", \"1\") }", false)
+	loadScript(t, e, "a", "on ended(e) { keep_warm(e.function, 1, 1h) }\non arrive(c) { annotate(\"k\", \"2\") }", true)
 	e.Post("ended", hooklang.Ended{Function: "f1"})
 	e.Post("ended", hooklang.Ended{Function: "f2"})
 	v := e.Admit(hooklang.Call{})
-	all(t, e)
+	drainQueue(t, e)
 	o, _ := e.Overview()
-	if tr := o.Scripts[0].ShadowStats; tr.Runs != 3 || tr.Mismatches != 2 || h.calls() != "warm f1 1" || v.Annotations[0].Text != "1" {
-		t.Errorf("%+v, %s, %+v", tr, h.calls(), v)
+	if tr := o.Scripts[0].ShadowStats; tr.Runs != 3 || tr.Mismatches != 2 || h.recordedCalls() != "warm f1 1" || v.Annotations[0].Text != "1" {
+		t.Errorf("%+v, %s, %+v", tr, h.recordedCalls(), v)
 	}
 	if err := e.Promote("a", true); err != nil {
 		t.Fatal(err)
@@ -312,12 +312,12 @@
 
 // While the engine's goroutine is busy, calls are judged, posts do not wait, and events beyond the queue are dropped and
 // counted.
-func TestEngineNeverWaits(t *testing.T) {
-	h, clk := &host{}, clock.NewManual(time.Unix(1000, 0))
-	e := engine(t, h, clk, "")
-	load(t, e, "a", "on ended(e) { log(\"x\") }\non arrive(c) { if c.tenant == \"t\" { refuse(\"no\") } }", false)
+func TestBusyEngineDoesNotBlockCalls(t *testing.T) {
+	h, clk := &fakeGateway{}, clock.NewManual(time.Unix(1000, 0))
+	e := startEngine(t, h, clk, "")
+	loadScript(t, e, "a", "on ended(e) { log(\"x\") }\non arrive(c) { if c.tenant == \"t\" { refuse(\"no\") } }", false)
 	hold, held := make(chan struct{}), make(chan struct{})
-	go e.do(func() { close(held); <-hold })
+	go e.runOnEngine(func() { close(held); <-hold })
 	<-held
 	for range 10_000 {
 		e.Post("ended", hooklang.Ended{})
@@ -329,14 +329,14 @@
 		t.Errorf("%d dropped", n)
 	}
 	close(hold)
-	all(t, e)
+	drainQueue(t, e)
 }
 
 // Timers run at their time, missed ticks are not made up for; notices are sent; tenants' weights and caps are applied to calls.
 func TestEngineTimers(t *testing.T) {
-	h, clk := &host{}, clock.NewManual(time.Unix(1000, 0))
-	e := engine(t, h, clk, "")
-	load(t, e, "a", `
+	h, clk := &fakeGateway{}, clock.NewManual(time.Unix(1000, 0))
+	e := startEngine(t, h, clk, "")
+	loadScript(t, e, "a", `
 		on timer(t) every 5s {
 			notify("ops", str(t.count))
 			tenant_weight("t", 2.0, 1m)
@@ -345,17 +345,17 @@
 		}
 	`, false)
 	clk.Advance(5 * sec)
-	all(t, e)
+	drainQueue(t, e)
 	clk.Advance(60 * sec)
-	all(t, e)
-	all(t, e)
+	drainQueue(t, e)
+	drainQueue(t, e)
 	h.mu.Lock()
-	if len(h.notices) != 2 || h.notices[1].Text != "2" {
-		t.Error(h.notices)
+	if len(h.notifications) != 2 || h.notifications[1].Text != "2" {
+		t.Error(h.notifications)
 	}
 	h.mu.Unlock()
-	if h.calls() != "regard w1 -1, regard w1 0, regard w1 -1" && h.calls() != "regard w1 -1, regard w1 -1" {
-		t.Error(h.calls())
+	if h.recordedCalls() != "regard w1 -1, regard w1 0, regard w1 -1" && h.recordedCalls() != "regard w1 -1, regard w1 -1" {
+		t.Error(h.recordedCalls())
 	}
 	if v := e.Admit(hooklang.Call{Tenant: "t"}); v.ShedAdvised || v.Weight != 2 {
 		t.Error(v)
@@ -366,16 +366,16 @@
 }
 
 // A script that costs much misses events, and takes no more than its rate; a cheap one beside it sees all.
-func TestEngineRate(t *testing.T) {
-	h, clk := &host{}, clock.NewManual(time.Unix(1000, 0))
-	e := engine(t, h, clk, "", 1_000_000)
-	load(t, e, "dear", "on ended(e) {\nfor i in 0..100000 {}\n}\n", false) // some 200,000 instructions
-	load(t, e, "good", counter, false)
+func TestInstructionRate(t *testing.T) {
+	h, clk := &fakeGateway{}, clock.NewManual(time.Unix(1000, 0))
+	e := startEngine(t, h, clk, "", 1_000_000)
+	loadScript(t, e, "dear", "on ended(e) {\nfor i in 0..100000 {}\n}\n", false) // some 200,000 instructions
+	loadScript(t, e, "good", counterScript, false)
 	for range 20 {
 		for range 50 {
 			e.Post("ended", hooklang.Ended{})
 		}
-		all(t, e)
+		drainQueue(t, e)
 		clk.Advance(sec)
 	}
 	o, _ := e.Overview()
--- a/internal/hookengine/lifecycle.go
+++ b/internal/hookengine/lifecycle.go
@@ -98,9 +98,9 @@
 }
 
 // change records a decision on a script.
-func (l *Lifecycle) change(s *Script, alarm bool, format string, args ...any) {
+func (l *Lifecycle) recordChange(s *Script, alarm bool, format string, args ...any) {
 	c := Change{Script: s.Name, Text: fmt.Sprintf(format, args...), Alarm: alarm}
-	if s.runs() {
+	if s.isRunning() {
 		c.Live = s.Live
 	}
 	l.changes = append(l.changes, c)
@@ -130,11 +130,11 @@
 	if shadow {
 		s.Shadow = v
 		s.ShadowStats = RunStats{}
-		l.change(s, false, "version %d runs in the shadow", v.Number)
+		l.recordChange(s, false, "version %d runs in the shadow", v.Number)
 		return v.Number, nil
 	}
 	s.activate(v)
-	l.change(s, false, "version %d is live", v.Number)
+	l.recordChange(s, false, "version %d is live", v.Number)
 	return v.Number, nil
 }
 
@@ -171,7 +171,7 @@
 	}
 	s.activate(s.Shadow)
 	s.Shadow = nil
-	l.change(s, false, "version %d is promoted", s.Live.Number)
+	l.recordChange(s, false, "version %d is promoted", s.Live.Number)
 	return nil
 }
 
@@ -188,7 +188,7 @@
 	old := s.Live
 	s.activate(s.Previous)
 	s.Previous = old
-	l.change(s, false, "back to version %d", s.Live.Number)
+	l.recordChange(s, false, "back to version %d", s.Live.Number)
 	return nil
 }
 
@@ -204,7 +204,7 @@
 	}
 	s.Live.QuarantineReason = ""
 	s.circuit = circuit{}
-	l.change(s, false, "version %d is released", s.Live.Number)
+	l.recordChange(s, false, "version %d is released", s.Live.Number)
 	return nil
 }
 
@@ -217,6 +217,6 @@
 	l.Scripts = slices.DeleteFunc(l.Scripts, func(o *Script) bool { return o == s })
 	s.Live = nil
 	s.Shadow = nil
-	l.change(s, false, "removed")
+	l.recordChange(s, false, "removed")
 	return nil
 }
--- a/internal/hookengine/notify.go
+++ b/internal/hookengine/notify.go
@@ -30,14 +30,14 @@
 }
 
 const (
-	maxQueuedNotices = 100
-	noticeAttempts   = 4
-	noticeBackoff    = 250 * time.Millisecond // before the first retry, doubled for each further one
-	noticeTimeout    = 2 * time.Second        // of one attempt
-	statusGone       = 410                    // by Standard Webhooks: the receiver wants no more notices
+	maxQueuedNotifications = 100
+	maxAttempts            = 4
+	initialRetryBackoff    = 250 * time.Millisecond // before the first retry, doubled for each further one
+	attemptTimeout         = 2 * time.Second        // of one attempt
+	statusGone             = 410                    // by Standard Webhooks: the receiver wants no more notices
 )
 
-var noticeLimits = http1.Limits{MaxBodyBytes: 64 << 10, MaxHeaderBytes: 16 << 10}.WithDefaults()
+var responseLimits = http1.Limits{MaxBodyBytes: 64 << 10, MaxHeaderBytes: 16 << 10}.WithDefaults()
 
 // Notifier sends notices as signed webhooks (Standard Webhooks), one after the other from a goroutine of its own.
 // It retries each a few times with the same webhook-id, so that the receiver can drop duplicates. Its queue is
@@ -51,16 +51,16 @@
 	controller string
 	clock      clock.Clock
 	log        zerolog.Logger
-	queue      chan queuedNotice
+	queue      chan queuedNotification
 	stop       chan struct{} // closed by Close
 	stopOnce   sync.Once
 	done       chan struct{} // closed when the goroutine has ended
 }
 
-type queuedNotice struct {
+type queuedNotification struct {
 	hookadvice.Notification
-	id string // the webhook-id
-	at time.Time
+	id       string // the webhook-id
+	queuedAt time.Time
 }
 
 // NewNotifier starts a notifier. The notices name the controller.
@@ -70,7 +70,7 @@
 		controller: controller,
 		clock:      c,
 		log:        log,
-		queue:      make(chan queuedNotice, maxQueuedNotices),
+		queue:      make(chan queuedNotification, maxQueuedNotifications),
 		stop:       make(chan struct{}),
 		done:       make(chan struct{}),
 	}
@@ -90,7 +90,7 @@
 		return
 	}
 	select {
-	case n.queue <- queuedNotice{Notification: notice, id: "note_" + rand.Text(), at: n.clock.Wall()}:
+	case n.queue <- queuedNotification{Notification: notice, id: "note_" + rand.Text(), queuedAt: n.clock.Wall()}:
 	default:
 		n.Dropped.Add(1)
 	}
@@ -115,15 +115,15 @@
 }
 
 // deliver sends a notice, with retries, until it is accepted, the attempts are used up or the notifier stops.
-func (n *Notifier) deliver(notice queuedNotice) {
-	backoff := noticeBackoff
-	for attempt := range noticeAttempts {
+func (n *Notifier) deliver(notice queuedNotification) {
+	backoff := initialRetryBackoff
+	for attempt := range maxAttempts {
 		err := n.send(notice)
 		if err == nil {
 			n.Sent.Add(1)
 			return
 		}
-		if attempt == noticeAttempts-1 {
+		if attempt == maxAttempts-1 {
 			n.Failed.Add(1)
 			n.log.Warn().Err(err).Str("script", notice.Script).Str("target", notice.Target).Msg("notice not taken")
 			return
@@ -140,24 +140,24 @@
 }
 
 // send makes one attempt.
-func (n *Notifier) send(notice queuedNotice) error {
+func (n *Notifier) send(notice queuedNotification) error {
 	target := n.targets[notice.Target]
 	req, err := n.request(target, notice)
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), noticeTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), attemptTimeout)
 	defer cancel()
 	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", target.Address)
 	if err != nil {
 		return err
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(noticeTimeout))
+	conn.SetDeadline(time.Now().Add(attemptTimeout))
 	if _, err := conn.Write(http1.AppendRequest(nil, req)); err != nil {
 		return err
 	}
-	resp, err := http1.ReadResponse(bufio.NewReader(conn), &noticeLimits, "POST")
+	resp, err := http1.ReadResponse(bufio.NewReader(conn), &responseLimits, "POST")
 	if err != nil {
 		return err
 	}
@@ -171,10 +171,10 @@
 }
 
 // request returns the signed webhook for a notice.
-func (n *Notifier) request(target Target, notice queuedNotice) (*http1.Request, error) {
+func (n *Notifier) request(target Target, notice queuedNotification) (*http1.Request, error) {
 	body, err := json.Marshal(map[string]any{
 		"type":      "hook.notice",
-		"timestamp": notice.at.UTC().Format(time.RFC3339),
+		"timestamp": notice.queuedAt.UTC().Format(time.RFC3339),
 		"data":      map[string]string{"controller": n.controller, "script": notice.Script, "text": notice.Text},
 	})
 	if err != nil {
--- a/internal/hookengine/overview.go
+++ b/internal/hookengine/overview.go
@@ -40,10 +40,10 @@
 func (e *Engine) Overview() (o Overview, err error) {
 	o.Scripts = []ScriptOverview{}
 	o.AdviceInForce = []string{}
-	err = e.do(func() {
+	err = e.runOnEngine(func() {
 		now := e.config.Clock.Now()
 		for _, s := range e.lifecycle.Scripts {
-			o.Scripts = append(o.Scripts, e.show(s, now))
+			o.Scripts = append(o.Scripts, e.scriptOverview(s, now))
 		}
 		for _, effect := range e.table.InForce() {
 			o.AdviceInForce = append(o.AdviceInForce, inForceLine(effect, now))
@@ -59,7 +59,7 @@
 	return o, err
 }
 
-func (e *Engine) show(s *Script, now time.Duration) ScriptOverview {
+func (e *Engine) scriptOverview(s *Script, now time.Duration) ScriptOverview {
 	shown := ScriptOverview{Name: s.Name, Status: s.Status(now), LiveStats: s.LiveStats, LastFault: s.LastFault}
 	if s.Live != nil {
 		shown.Live = s.Live.Number
@@ -73,7 +73,7 @@
 		shown.Shadow = s.Shadow.Number
 		shown.ShadowStats = &trial
 	}
-	if live := e.active[s.Name]; live != nil {
+	if live := e.live[s.Name]; live != nil {
 		shown.Points, _ = live.program.Points()
 		shown.State = live.state.String()
 	}
--- a/internal/hookengine/run.go
+++ b/internal/hookengine/run.go
@@ -21,21 +21,21 @@
 		case <-e.stop:
 			e.shutDown()
 			return
-		case <-e.wake:
-		case request := <-e.requests:
+		case <-e.workersChanged:
+		case request := <-e.commands:
 			request()
 		case j := <-e.queue:
-			e.process(j)
+			e.processJob(j)
 		case <-timer.C:
 		}
 		if workers := e.workers.Swap(nil); workers != nil {
-			e.advise(hookadvice.WorkerList{Workers: *workers})
+			e.stepAdvice(hookadvice.WorkerList{Workers: *workers})
 		}
 		e.applyChanges()
 		now := e.config.Clock.Now()
 		e.runTimers(now)
 		e.lifecycle.StartProbes(now)
-		e.advise()
+		e.stepAdvice()
 		e.applyChanges()
 		e.saveStates(false)
 		timer.Reset(max(time.Millisecond, min(e.nextDue(now)-now, maxIdle)))
@@ -61,7 +61,7 @@
 	}
 	consider(e.lifecycle.NextProbe())
 	consider(e.table.NextExpiry())
-	for _, loaded := range e.active {
+	for _, loaded := range e.live {
 		if loaded.interval > 0 {
 			consider(loaded.nextTick)
 		}
@@ -75,7 +75,7 @@
 // runTimers runs the handlers of timers that are due. Ticks that were missed are not made up for.
 func (e *Engine) runTimers(now time.Duration) {
 	for _, s := range e.lifecycle.Scripts {
-		loaded := e.active[s.Name]
+		loaded := e.live[s.Name]
 		if loaded == nil || loaded.interval == 0 || now < loaded.nextTick {
 			continue
 		}
@@ -88,37 +88,37 @@
 		if e.config.CallsInFlight != nil {
 			open = e.config.CallsInFlight()
 		}
-		e.handle(s, "timer", hooklang.Tick{Count: loaded.ticks, Open: open}, now)
+		e.handleEvent(s, "timer", hooklang.Tick{Count: loaded.ticks, Open: open}, now)
 	}
 }
 
 // process takes a job from the queue.
-func (e *Engine) process(j job) {
+func (e *Engine) processJob(j job) {
 	if j.run != nil {
-		e.recordInline(j)
+		e.recordInlineRun(j)
 		return
 	}
 	for _, s := range slices.Clone(e.lifecycle.Scripts) {
-		e.handle(s, j.point, j.event, e.config.Clock.Now())
+		e.handleEvent(s, j.point, j.event, e.config.Clock.Now())
 	}
 }
 
 // recordInline counts a run that was made on the goroutine of a call, and has the shadow see its event.
-func (e *Engine) recordInline(j job) {
+func (e *Engine) recordInlineRun(j job) {
 	run := j.run
 	e.lifecycle.RecordRun(j.at, run.script, run.version, run.fault, run.fuel)
 	if run.fault != "" {
 		e.Counts.Faults.Add(1)
 	}
-	e.logLines(run.script, run.advice)
+	e.writeLogLines(run.script, run.advice)
 	if shadow := e.shadows[run.script]; shadow != nil && j.event != nil {
 		e.runShadow(shadow, j.point, j.event, run.advice, run.fault)
 	}
 }
 
 // handle runs a script's handler of an event, and then its shadow's.
-func (e *Engine) handle(s *Script, point string, event hooklang.Event, now time.Duration) {
-	live, shadow := e.active[s.Name], e.shadows[s.Name]
+func (e *Engine) handleEvent(s *Script, point string, event hooklang.Event, now time.Duration) {
+	live, shadow := e.live[s.Name], e.shadows[s.Name]
 	if live == nil || !live.program.Has(point) {
 		if live != nil && shadow != nil && shadow.program.Has(point) {
 			e.runShadow(shadow, point, event, nil, "")
@@ -128,8 +128,8 @@
 	if !e.lifecycle.WithinRate(now, &s.LiveStats) {
 		return // the shadow does not see it either, as there is nothing to compare it with
 	}
-	result, err := e.runAside(live, point, event)
-	s.LiveStats.debt += result.Fuel
+	result, err := e.runInBackground(live, point, event)
+	s.LiveStats.instructionDebt += result.Fuel
 	fault := ""
 	if err != nil {
 		fault = err.Error()
@@ -138,13 +138,13 @@
 		live.state = result.State
 		live.unsaved = true
 		if live.program.Has("arrive") {
-			e.publish()
+			e.publishHandlers()
 		}
 	}
 	e.lifecycle.RecordRun(now, s.Name, live.version, fault, result.Fuel)
 	if len(result.Advice) > 0 {
-		items := e.logLines(s.Name, result.Advice)
-		e.advise(hookadvice.AdviceGiven{Script: s.Name, Version: live.version, Items: items})
+		items := e.writeLogLines(s.Name, result.Advice)
+		e.stepAdvice(hookadvice.AdviceGiven{Script: s.Name, Version: live.version, Items: items})
 	}
 	if shadow := e.shadows[s.Name]; shadow != nil {
 		e.runShadow(shadow, point, event, result.Advice, fault)
@@ -152,7 +152,7 @@
 }
 
 // logLines writes the lines that a run logs, and returns the rest of its advice.
-func (e *Engine) logLines(script string, advice []hooklang.Advice) (rest []hooklang.Advice) {
+func (e *Engine) writeLogLines(script string, advice []hooklang.Advice) (rest []hooklang.Advice) {
 	for _, item := range advice {
 		if item.Kind == "log" {
 			e.config.Log.Info().Str("script", script).Msg(item.Text)
@@ -164,7 +164,7 @@
 }
 
 // runAside runs a handler on the engine's goroutine.
-func (e *Engine) runAside(loaded *loadedVersion, point string, event hooklang.Event) (hooklang.Result, error) {
+func (e *Engine) runInBackground(loaded *loadedVersion, point string, event hooklang.Event) (hooklang.Result, error) {
 	begin := time.Now()
 	limits := e.config.BackgroundLimits
 	if point == "arrive" {
@@ -191,7 +191,7 @@
 	if s == nil || !e.lifecycle.WithinRate(e.config.Clock.Now(), &s.ShadowStats) {
 		return
 	}
-	result, err := e.runAside(shadow, point, event)
+	result, err := e.runInBackground(shadow, point, event)
 	if err != nil {
 		e.lifecycle.RecordShadowRun(shadow.script, shadow.version, err.Error(), result.Fuel, false)
 		return
--- a/internal/hookengine/script.go
+++ b/internal/hookengine/script.go
@@ -20,8 +20,8 @@
 	// Skipped counts events that the version did not see, as it had exceeded its instruction rate.
 	Skipped int64 `json:"skipped,omitempty"`
 
-	debt   int64         // instructions run that the rate has not paid for yet
-	paidAt time.Duration // up to when the rate has been credited
+	instructionDebt int64         // instructions run that the rate has not paid for yet
+	creditedAt      time.Duration // up to when the rate has been credited
 }
 
 // Script is a script with its versions.
@@ -54,7 +54,7 @@
 	return "live"
 }
 
-func (s *Script) runs() bool {
+func (s *Script) isRunning() bool {
 	return s.Live != nil && s.Live.QuarantineReason == "" && !s.circuit.open
 }
 
--- a/internal/hookengine/storage.go
+++ b/internal/hookengine/storage.go
@@ -15,27 +15,27 @@
 
 // storage is what the engine knows of its log. The engine's goroutine owns it.
 type storage struct {
-	log           *store.Log // nil: nothing is stored
-	sequence      uint64     // of the last record
-	sinceSnapshot int        // records
-	lastSaved     time.Duration
-	storeErr      error                      // nothing is stored after an error
-	states        map[string]json.RawMessage // as stored last, by script
+	log                  *store.Log // nil: nothing is stored
+	sequence             uint64     // of the last record
+	recordsSinceSnapshot int        // records
+	lastSaved            time.Duration
+	storeErr             error                      // nothing is stored after an error
+	savedStates          map[string]json.RawMessage // as stored last, by script
 }
 
 // record is one entry of the log: all scripts with their versions, or the state of one script.
 type record struct {
-	Scripts []*Script       `json:"scripts,omitempty"`
-	Last    uint64          `json:"last,omitempty"`
-	State   string          `json:"state,omitempty"` // name of the script
-	Value   json.RawMessage `json:"value,omitempty"`
+	Scripts     []*Script       `json:"scripts,omitempty"`
+	LastVersion uint64          `json:"last,omitempty"`
+	State       string          `json:"state,omitempty"` // name of the script
+	Value       json.RawMessage `json:"value,omitempty"`
 }
 
 // snapshot replaces all records before it.
 type snapshot struct {
-	Scripts []*Script                  `json:"scripts"`
-	Last    uint64                     `json:"last"`
-	States  map[string]json.RawMessage `json:"states"`
+	Scripts     []*Script                  `json:"scripts"`
+	LastVersion uint64                     `json:"last"`
+	States      map[string]json.RawMessage `json:"states"`
 }
 
 // restore opens the log, and runs the scripts that it holds.
@@ -53,7 +53,7 @@
 				stored.States[r.State] = r.Value
 			} else {
 				stored.Scripts = r.Scripts
-				stored.Last = r.Last
+				stored.LastVersion = r.LastVersion
 			}
 			return nil
 		})
@@ -62,9 +62,9 @@
 	}
 	e.log = log
 	e.sequence = recovered.LastSeq
-	e.states = stored.States
+	e.savedStates = stored.States
 	e.lifecycle.Scripts = stored.Scripts
-	e.lifecycle.LastVersion = stored.Last
+	e.lifecycle.LastVersion = stored.LastVersion
 	for _, s := range e.lifecycle.Scripts {
 		e.restoreScript(s)
 	}
@@ -81,15 +81,15 @@
 			e.config.Log.Error().Str("script", s.Name).Err(err).Msg("hook in quarantine: it does not compile any more")
 			return
 		}
-		if saved := e.states[s.Name]; saved != nil {
+		if saved := e.savedStates[s.Name]; saved != nil {
 			if state, err := loaded.program.Restore(saved); err != nil {
 				e.config.Log.Error().Str("script", s.Name).Err(err).Msg("hook's state not restored: it begins anew")
 			} else {
 				loaded.state = state
 			}
 		}
-		e.active[s.Name] = loaded
-		e.advise(hookadvice.VersionActivated{Script: s.Name, Version: s.Live.Number})
+		e.live[s.Name] = loaded
+		e.stepAdvice(hookadvice.VersionActivated{Script: s.Name, Version: s.Live.Number})
 	}
 	if s.Shadow == nil {
 		return
@@ -116,11 +116,11 @@
 		e.config.Log.Error().Err(err).Msg("hooks: scripts and states are not stored any more: start anew")
 		return
 	}
-	e.sinceSnapshot++
-	if e.sinceSnapshot < recordsPerSnapshot {
+	e.recordsSinceSnapshot++
+	if e.recordsSinceSnapshot < recordsPerSnapshot {
 		return
 	}
-	e.sinceSnapshot = 0
+	e.recordsSinceSnapshot = 0
 	if err := e.writeSnapshot(); err != nil {
 		e.config.Log.Warn().Err(err).Msg("hooks: no snapshot: the log grows")
 	}
@@ -128,12 +128,12 @@
 
 func (e *Engine) writeSnapshot() error {
 	all := snapshot{
-		Scripts: e.lifecycle.Scripts,
-		Last:    e.lifecycle.LastVersion,
-		States:  map[string]json.RawMessage{},
+		Scripts:     e.lifecycle.Scripts,
+		LastVersion: e.lifecycle.LastVersion,
+		States:      map[string]json.RawMessage{},
 	}
 	for _, s := range e.lifecycle.Scripts {
-		if state := e.states[s.Name]; state != nil { // also of a script in quarantine
+		if state := e.savedStates[s.Name]; state != nil { // also of a script in quarantine
 			all.States[s.Name] = state
 		}
 	}
@@ -151,7 +151,7 @@
 		return
 	}
 	for _, s := range e.lifecycle.Scripts {
-		loaded := e.active[s.Name]
+		loaded := e.live[s.Name]
 		if loaded == nil || !loaded.unsaved {
 			continue
 		}
@@ -160,7 +160,7 @@
 		text, err := loaded.state.MarshalJSON()
 		if err == nil {
 			e.appendRecord(record{State: s.Name, Value: text})
-			e.states[s.Name] = text
+			e.savedStates[s.Name] = text
 		}
 	}
 }
--- a/internal/hookengine/versions.go
+++ b/internal/hookengine/versions.go
@@ -40,24 +40,24 @@
 func (e *Engine) applyChanges() {
 	changes, dirty := e.lifecycle.TakeChanges()
 	for _, c := range changes {
-		e.apply(c)
+		e.applyChange(c)
 	}
 	if len(changes) > 0 {
-		e.publish()
+		e.publishHandlers()
 	}
 	if dirty {
-		e.appendRecord(record{Scripts: e.lifecycle.Scripts, Last: e.lifecycle.LastVersion})
+		e.appendRecord(record{Scripts: e.lifecycle.Scripts, LastVersion: e.lifecycle.LastVersion})
 	}
 }
 
-func (e *Engine) apply(c Change) {
+func (e *Engine) applyChange(c Change) {
 	event := e.config.Log.Info()
 	if c.Alarm {
 		event = e.config.Log.Error()
 	}
 	event.Str("script", c.Script).Msg("hook: " + c.Text)
 
-	old := e.active[c.Script]
+	old := e.live[c.Script]
 	if c.Live == nil {
 		e.deactivate(c.Script)
 	} else if old == nil || old.version != c.Live.Number {
@@ -69,22 +69,22 @@
 
 	script := e.lifecycle.Find(c.Script)
 	if script == nil {
-		delete(e.states, c.Script)
+		delete(e.savedStates, c.Script)
 	}
 	e.updateShadow(c.Script, script)
 }
 
 // deactivate stops the live version of a script. Its state is retained, as the version may run again.
 func (e *Engine) deactivate(script string) {
-	old := e.active[script]
-	delete(e.active, script)
+	old := e.live[script]
+	delete(e.live, script)
 	if old == nil {
 		return
 	}
 	if text, err := old.state.MarshalJSON(); err == nil {
-		e.states[script] = text
+		e.savedStates[script] = text
 	}
-	e.advise(hookadvice.ScriptStopped{Script: script})
+	e.stepAdvice(hookadvice.ScriptStopped{Script: script})
 }
 
 // activate runs a version, which takes over the state of the previous one as far as their declarations agree.
@@ -93,16 +93,16 @@
 	if err != nil {
 		return err
 	}
-	if old := e.active[script]; old != nil {
+	if old := e.live[script]; old != nil {
 		loaded.state = loaded.program.Take(old.state)
-	} else if saved := e.states[script]; saved != nil {
+	} else if saved := e.savedStates[script]; saved != nil {
 		if state, err := loaded.program.Restore(saved); err == nil {
 			loaded.state = state
 		}
 	}
 	loaded.unsaved = true
-	e.active[script] = loaded
-	e.advise(hookadvice.VersionActivated{Script: script, Version: loaded.version})
+	e.live[script] = loaded
+	e.stepAdvice(hookadvice.VersionActivated{Script: script, Version: loaded.version})
 	return nil
 }
 
@@ -119,18 +119,18 @@
 	if err != nil {
 		return
 	}
-	if live := e.active[name]; live != nil {
+	if live := e.live[name]; live != nil {
 		loaded.state = loaded.program.Take(live.state)
 	}
 	e.shadows[name] = loaded
 }
 
 // publish gives the goroutines of calls what is live now.
-func (e *Engine) publish() {
+func (e *Engine) publishHandlers() {
 	var handlers []inlineHandler
 	points := map[string]bool{}
 	for _, s := range e.lifecycle.Scripts {
-		live, shadow := e.active[s.Name], e.shadows[s.Name]
+		live, shadow := e.live[s.Name], e.shadows[s.Name]
 		for _, loaded := range []*loadedVersion{live, shadow} {
 			if loaded == nil {
 				continue
@@ -150,12 +150,12 @@
 			})
 		}
 	}
-	e.inline.Store(&handlers)
-	e.points.Store(&points)
+	e.arrivalHandlers.Store(&handlers)
+	e.handledPoints.Store(&points)
 }
 
 // advise passes events to the table of advice and carries out the effects. Without events it only expires advice.
-func (e *Engine) advise(events ...hookadvice.Event) {
+func (e *Engine) stepAdvice(events ...hookadvice.Event) {
 	for _, effect := range e.table.Step(e.config.Clock.Now(), events) {
 		switch effect := effect.(type) {
 		case hookadvice.KeepWarm:
