--- a/internal/hookadvice/accept.go
+++ b/internal/hookadvice/accept.go
@@ -9,12 +9,12 @@
 	"kitehub/internal/hooklang"
 )
 
-// accept takes the advice of one run, item by item.
-func (t *Table) accept(given AdviceGiven) {
-	s := t.findOrAddScript(given.Script)
-	for _, item := range given.Items {
-		if !s.active || given.Version != s.version {
-			t.discard(s, item, &t.Counts.Stale, "of version %d, which is not heard", given.Version)
+// accept processes the advice of one run of a script.
+func (t *Table) accept(advice AdviceGiven) {
+	s := t.findOrAddScript(advice.Script)
+	for _, item := range advice.Items {
+		if !s.active || advice.Version != s.version {
+			t.discard(s, item, &t.Counts.Stale, "version %d is not active", advice.Version)
 			continue
 		}
 		switch item.Kind {
@@ -30,7 +30,7 @@
 	window := t.settings.Window
 	s.notifications = slices.DeleteFunc(s.notifications, func(at time.Duration) bool { return at <= t.now-window })
 	if len(s.notifications) >= t.settings.MaxNotifications {
-		t.discard(s, item, &t.Counts.Limited, "more than %d notices in %v", t.settings.MaxNotifications, window)
+		t.discard(s, item, &t.Counts.Limited, "more than %d notifications in %v", t.settings.MaxNotifications, window)
 		return
 	}
 	s.notifications = append(s.notifications, t.now)
@@ -38,11 +38,11 @@
 	t.effects = append(t.effects, Notification{s.name, item.Key, item.Text})
 }
 
-// acceptEntry takes advice that is in force for a time.
+// acceptEntry adds, updates or withdraws the entry that an item advises on.
 func (t *Table) acceptEntry(s *script, item hooklang.Advice) {
-	on, ok := subjectByKind[item.Kind]
+	advised, ok := subjectByKind[item.Kind]
 	if !ok {
-		t.discard(s, item, &t.Counts.Unknown, "%s does not stand", item.Kind)
+		t.discard(s, item, &t.Counts.Unknown, "kind %q is not supported for this event", item.Kind)
 		return
 	}
 	value, ok := t.boundedValue(s, item)
@@ -55,7 +55,7 @@
 		value = 0
 		expiresAt = 0
 	}
-	key := entryKey{on, cmp.Or(item.Function, item.Tenant, item.Worker)}
+	key := entryKey{advised, cmp.Or(item.Function, item.Tenant, item.Worker)}
 	byKey := func(e *entry, key entryKey) int { return e.compare(key) }
 	i, found := slices.BinarySearchFunc(s.entries, key, byKey)
 	if !found {
@@ -63,7 +63,7 @@
 			return
 		}
 		if len(s.entries) >= t.settings.MaxEntries {
-			t.discard(s, item, &t.Counts.Limited, "more than %d pieces of one script",
+			t.discard(s, item, &t.Counts.Limited, "more than %d entries of one script",
 				t.settings.MaxEntries)
 			return
 		}
@@ -72,13 +72,13 @@
 	t.update(s, s.entries[i], item, value, expiresAt)
 }
 
-// boundedValue returns the value of an item within the bounds of the settings. It discards an item on what does not
-// exist.
+// boundedValue returns the value of an item, clamped to the limits of the settings. It discards the
+// item if the function, tenant or worker does not exist.
 func (t *Table) boundedValue(s *script, item hooklang.Advice) (value float64, ok bool) {
 	switch item.Kind {
 	case "keep_warm":
 		if _, exists := t.facts.FunctionMemoryMB(item.Function); !exists {
-			t.discard(s, item, &t.Counts.Unknown, "no such function")
+			t.discard(s, item, &t.Counts.Unknown, "function %q does not exist", item.Function)
 			return 0, false
 		}
 		return float64(max(0, min(item.Copies, int64(t.settings.MaxCopies)))), true
@@ -92,11 +92,11 @@
 
 func (t *Table) boundedFactor(s *script, item hooklang.Advice) (factor float64, ok bool) {
 	if !t.facts.HasTenant(item.Tenant) {
-		t.discard(s, item, &t.Counts.Unknown, "no such tenant")
+		t.discard(s, item, &t.Counts.Unknown, "tenant %q does not exist", item.Tenant)
 		return 0, false
 	}
-	if !(item.Factor > 0) || math.IsInf(item.Factor, 0) { // written so that NaN fails too
-		t.discard(s, item, &t.Counts.Limited, "%v is not above 0", item.Factor)
+	if !(item.Factor > 0) || math.IsInf(item.Factor, 0) { // also true for NaN
+		t.discard(s, item, &t.Counts.Limited, "factor %v is not a positive number", item.Factor)
 		return 0, false
 	}
 	if item.Kind == "tenant_cap" {
@@ -109,23 +109,23 @@
 func (t *Table) boundedRank(s *script, item hooklang.Advice) (boundedRank float64, ok bool) {
 	w, exists := t.findWorker(item.Worker)
 	if !exists {
-		t.discard(s, item, &t.Counts.Unknown, "no such worker")
+		t.discard(s, item, &t.Counts.Unknown, "worker %q does not exist", item.Worker)
 		return 0, false
 	}
 	if item.Kind == "avoid" {
 		return -1, true
 	}
 	if !w.Ready {
-		t.discard(s, item, &t.Counts.Unknown, "the worker drains")
+		t.discard(s, item, &t.Counts.Unknown, "worker %q is not ready", item.Worker)
 		return 0, false
 	}
 	return 1, true
 }
 
-// update sets an entry, unless it is suppressed. A suppressed entry is as if it were not advised.
+// update sets an entry unless it is suppressed. A suppressed entry has no effect.
 func (t *Table) update(s *script, e *entry, item hooklang.Advice, value float64, expiresAt time.Duration) {
 	if remaining := e.damping.suppressedUntil - t.now; remaining > 0 {
-		t.discard(s, item, &t.Counts.Suppressed, "it flips: not heard for another %v",
+		t.discard(s, item, &t.Counts.Suppressed, "changed too often: suppressed for another %v",
 			remaining.Round(time.Millisecond))
 		return
 	}
@@ -134,7 +134,7 @@
 		if suppressed := e.damping.recordChange(t.now, window, limit); suppressed > 0 {
 			e.value = 0
 			e.expiresAt = 0
-			t.discard(s, item, &t.Counts.Suppressed, "it changed %d times in %v: not heard for %v",
+			t.discard(s, item, &t.Counts.Suppressed, "changed %d times in %v: suppressed for %v",
 				limit+1, window, suppressed)
 			return
 		}
--- a/internal/hookadvice/entry.go
+++ b/internal/hookadvice/entry.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// subject is what an entry advises on.
+// subject is the property that an entry advises on.
 type subject string
 
 const (
-	subjectCap    subject = "cap"    // a tenant's cap
-	subjectRank   subject = "rank"   // a worker's rank
-	subjectWarm   subject = "warm"   // a function's warm copies
-	subjectWeight subject = "weight" // a tenant's weight
+	subjectCap    subject = "cap"    // limit on a tenant's calls in flight
+	subjectRank   subject = "rank"   // preference for a worker
+	subjectWarm   subject = "warm"   // copies of a function that stay loaded
+	subjectWeight subject = "weight" // weight of a tenant
 )
 
-// subjects are the subjects of the kinds of advice that are in force for a time. To prefer and to avoid have the
-// same one: a script that gives both for one worker has changed its mind.
+// subjectByKind maps each kind of advice that stays in force to its subject. "prefer" and "avoid"
+// share a subject, so that the later one replaces the earlier one of the same script.
 var subjectByKind = map[string]subject{
 	"keep_warm":     subjectWarm,
 	"tenant_weight": subjectWeight,
@@ -26,7 +26,7 @@
 	"avoid":         subjectRank,
 }
 
-// entryKey says on what an entry advises: name is that of the function, tenant or worker.
+// entryKey identifies an entry of a script. The name is that of a function, tenant or worker.
 type entryKey struct {
 	subject subject
 	name    string
@@ -36,26 +36,28 @@
 	return cmp.Or(cmp.Compare(k.subject, o.subject), cmp.Compare(k.name, o.name))
 }
 
-// entry is what one script last advised on one subject.
+// entry is the latest advice of one script on one subject.
 type entry struct {
 	entryKey
-	value     float64 // copies, weight, cap or rank; 0: withdrawn
+	value     float64 // copies, weight, cap or rank; 0 if withdrawn
 	expiresAt time.Duration
 	damping   flapDamping
 }
 
-// maxSuppressions bounds the backoff: the longest suppression is 2^maxSuppressions windows.
+// maxSuppressions limits the backoff: the longest suppression is 2^maxSuppressions windows.
 const maxSuppressions = 6
 
-// flapDamping suppresses an entry whose value changes too often, for longer each time in a row: following it would
-// load and evict copies, or migrate functions, over and over.
+// flapDamping suppresses an entry whose value changes too often, because following it would load
+// and evict copies, or migrate functions between workers, again and again. Consecutive suppressions
+// double in length.
 type flapDamping struct {
-	changes         []time.Duration // when the value changed, within the last window
-	suppressions    int             // in a row
+	changes         []time.Duration // times of the changes within the last window
+	suppressions    int             // consecutive suppressions
 	suppressedUntil time.Duration
 }
 
-// recordChange counts a change of the value. It returns for how long the entry is suppressed now, 0 if it is not.
+// recordChange records a change of the value. It returns how long the entry is suppressed from now
+// on, or 0 if it is not.
 func (d *flapDamping) recordChange(now, window time.Duration, limit int) time.Duration {
 	d.changes = slices.DeleteFunc(d.changes, func(at time.Duration) bool { return at <= now-window })
 	if quiet := len(d.changes) == 0 && now > d.suppressedUntil+window; quiet {
@@ -71,7 +73,7 @@
 	return window << d.suppressions
 }
 
-// idle reports whether nothing of the last window has to be remembered.
+// expired reports whether neither a change nor a suppression falls within the last window.
 func (d *flapDamping) expired(now, window time.Duration) bool {
 	changed := len(d.changes) > 0 && d.changes[len(d.changes)-1] > now-window
 	return !changed && d.suppressedUntil <= now-window
--- a/internal/hookadvice/events.go
+++ b/internal/hookadvice/events.go
@@ -6,40 +6,41 @@
 	"kitehub/internal/hooklang"
 )
 
-// Facts is what advice is checked against. The table calls it from Step.
+// Catalog lists the functions and tenants that advice may name. [Table.Step] calls its methods.
 type Catalog interface {
-	// Function returns the memory in MB that a copy takes, and whether the function exists.
+	// FunctionMemoryMB returns the memory that a copy takes, and whether the function exists.
 	FunctionMemoryMB(name string) (mb float64, ok bool)
-	// Tenant reports whether the tenant exists.
+	// HasTenant reports whether the tenant exists.
 	HasTenant(name string) bool
 }
 
 // Worker is one worker of the endpoint list.
 type Worker struct {
 	Name     string
-	Ready    bool    // takes calls: it is neither draining nor gone
-	MemoryMB float64 // 0: not known
+	Ready    bool    // accepts requests: neither draining nor gone
+	MemoryMB float64 // 0 if unknown
 }
 
 // Event is an input of [Table.Step]: AdviceGiven, VersionActivated, ScriptStopped or WorkerList.
 type Event interface{ event() }
 
 type (
-	// AdviceGiven is the complete advice of one run of a script.
+	// AdviceGiven holds all the advice of one run of a script.
 	AdviceGiven struct {
 		Script  string
 		Version uint64
 		Items   []hooklang.Advice
 	}
-	// VersionActivated says whose advice is accepted from now on. What an earlier version advised stays in force until
-	// it expires or is replaced; what that version still advises is discarded.
+	// VersionActivated makes Version the one whose advice is accepted. Advice that an earlier
+	// version gave stays in force until it expires or is replaced; further advice from it is
+	// discarded.
 	VersionActivated struct {
 		Script  string
 		Version uint64
 	}
-	// ScriptStopped withdraws all that a script advised, and has its further advice discarded.
+	// ScriptStopped withdraws all advice of a script. Further advice from it is discarded.
 	ScriptStopped struct{ Script string }
-	// WorkerList is the current list of workers, complete.
+	// WorkerList replaces the list of workers.
 	WorkerList struct{ Workers []Worker }
 )
 
@@ -48,30 +49,31 @@
 func (ScriptStopped) event()    {}
 func (WorkerList) event()       {}
 
-// Effect is an output of [Table.Step]: KeepWarm, RankWorker, Tenants, Notice or Discarded.
+// Effect is an output of [Table.Step]: KeepWarm, RankWorker, Tenants, Notification or
+// Discarded.
 type Effect interface{ effect() }
 
 type (
-	// KeepWarm asks for copies of a function to stay loaded; with Copies 0 no longer.
+	// KeepWarm asks for copies of a function to stay loaded. Copies is 0 if none need to any more.
 	KeepWarm struct {
 		Function string
 		Copies   int
-		Until    time.Duration // on the clock that Step is given
+		Until    time.Duration // on the clock of Step
 	}
-	// RankWorker has a worker preferred (1), avoided (-1) or treated as any other (0).
+	// RankWorker marks a worker as preferred (1), avoided (-1) or neither (0).
 	RankWorker struct {
 		Worker string
 		Rank   int
-		Until  time.Duration // on the clock that Step is given
+		Until  time.Duration // on the clock of Step
 	}
-	// Tenants is what is in force for all tenants; it replaces the previous Tenants. The receiver must not change
-	// the map.
+	// Tenants holds the advice in force for all tenants and replaces the previous Tenants. The
+	// receiver must not change the map.
 	Tenants struct {
 		ByName map[string]Tenant `json:"By"`
 	}
-	// Notice is to be sent to a target that operators have configured.
+	// Notification is a message for a target that operators have configured.
 	Notification struct{ Script, Target, Text string }
-	// Discarded reports advice that is not followed, and why, for operators.
+	// Discarded reports advice that was not accepted, and the reason, for operators.
 	Discarded struct {
 		Script string
 		Item   hooklang.Advice
@@ -85,8 +87,8 @@
 func (Notification) effect() {}
 func (Discarded) effect()    {}
 
-// Tenant is what is in force for one tenant.
+// Tenant is the advice in force for one tenant.
 type Tenant struct {
-	Weight      float64 `json:"Weight"` // multiplies its priority weight while load is shed; 0: as 1
-	MaxInFlight int     `json:"Most"`   // calls in flight at most; 0: no limit
+	Weight      float64 `json:"Weight"` // factor on the priority weight while load is shed; 0 means 1
+	MaxInFlight int     `json:"Most"`   // limit on calls in flight; 0 means none
 }
--- a/internal/hookadvice/gate.go
+++ b/internal/hookadvice/gate.go
@@ -7,47 +7,50 @@
 )
 
 const (
-	// maxNotes is how many annotations a call keeps.
+	// maxAnnotations is the number of annotations retained per call.
 	maxAnnotations = 4
-	// minRejections is how many rejections in a window hooks always may make: a fraction of a few calls rounds to
-	// none.
+	// minRejections is the number of rejections that hooks may always make in a window, because a
+	// fraction of only a few calls would round to none.
 	minRejections = 10
 )
 
-// AdmissionGate judges calls as they arrive, by what hooks advise on them and by what is in force for their
-// tenants. Like [Table] it is pure, and it is not safe for concurrent use: the hook engine guards it with a mutex.
+// AdmissionGate decides on calls as they arrive, by the advice of hooks on the call and by the
+// advice in force for its tenant. Like [Table] it is pure. It is not safe for concurrent use: the
+// hook engine guards it with a mutex.
 type AdmissionGate struct {
-	settings  Settings
-	tenants   map[string]Tenant
-	openCalls map[string]int // by tenant
-	// Rejections are bounded as a fraction of the calls in this window and the previous one.
+	settings Settings
+	tenants  map[string]Tenant
+	inFlight map[string]int // calls by tenant
+	// Rejections are limited to a fraction of the calls in the current and the previous window.
 	windowStart time.Duration
 	current     rejectionWindow
 	previous    rejectionWindow
 }
 
-// rejectionWindow counts the calls of one window, and those of them that hooks had rejected.
+// rejectionWindow counts the calls of one window and those that hooks rejected.
 type rejectionWindow struct{ calls, rejected int }
 
-// Verdict is what hooks make of a call before the scheduler sees it.
+// Verdict is the decision of hooks on a call before it reaches the scheduler.
 type Verdict struct {
-	ShedAdvised bool              // the call is to be rejected
-	Reason      string            // the reason, if so
-	Weight      float64           // of the tenant, as in [Tenant]
-	Annotations []hooklang.Advice // annotations, the first few
-	// OverRejectionLimit reports that a hook wanted the call rejected and the bound on rejections prevented it.
+	ShedAdvised bool              // the call should be rejected
+	Reason      string            // why, if ShedAdvised
+	Weight      float64           // of the tenant, see [Tenant]
+	Annotations []hooklang.Advice // the first maxAnnotations
+	// OverRejectionLimit reports that a hook rejected the call, but the limit on rejections
+	// overruled it.
 	OverRejectionLimit bool
 }
 
-// NewAdmissionGate returns a gate with nothing in force for any tenant.
+// NewAdmissionGate returns a gate with no advice in force for any tenant.
 func NewAdmissionGate(s Settings) *AdmissionGate {
-	return &AdmissionGate{settings: s.withDefaults(), openCalls: map[string]int{}}
+	return &AdmissionGate{settings: s.withDefaults(), inFlight: map[string]int{}}
 }
 
-// SetTenants replaces what is in force for tenants.
+// SetTenants replaces the advice in force for tenants.
 func (g *AdmissionGate) SetTenants(t Tenants) { g.tenants = t.ByName }
 
-// Arrive judges a call, and counts it as open until CallEnded. items is the advice of all hooks on it.
+// Admit decides on a call and counts it as in flight until CallEnded. The items are the advice of
+// all hooks on the call.
 func (g *AdmissionGate) Admit(now time.Duration, tenant string, items []hooklang.Advice) (v Verdict) {
 	g.rotateWindows(now)
 	g.current.calls++
@@ -74,16 +77,16 @@
 	if v.ShedAdvised {
 		g.current.rejected++
 	}
-	// The bound is on what scripts decide call by call; a cap rejects without it.
-	if capped := inForce.MaxInFlight > 0 && g.openCalls[tenant] >= inForce.MaxInFlight; capped && !v.ShedAdvised {
+	// The limit on rejections applies to decisions on single calls only, not to a tenant's cap.
+	if capped := inForce.MaxInFlight > 0 && g.inFlight[tenant] >= inForce.MaxInFlight; capped && !v.ShedAdvised {
 		v.ShedAdvised = true
-		v.Reason = "the tenant's cap"
+		v.Reason = "tenant cap reached"
 	}
-	g.openCalls[tenant]++
+	g.inFlight[tenant]++
 	return v
 }
 
-// rotateWindows begins a new window when the current one is over.
+// rotateWindows starts a new window if the current one has ended.
 func (g *AdmissionGate) rotateWindows(now time.Duration) {
 	elapsed := now - g.windowStart
 	if elapsed < g.settings.Window {
@@ -97,17 +100,17 @@
 	g.windowStart = now
 }
 
-// mayReject reports whether hooks may reject one more call.
+// mayReject reports whether the limit lets hooks reject one more call.
 func (g *AdmissionGate) mayReject() bool {
 	rejected := g.current.rejected + g.previous.rejected + 1
 	calls := g.current.calls + g.previous.calls
 	return rejected <= minRejections || float64(rejected) <= g.settings.MaxRejectedFraction*float64(calls)
 }
 
-// CallEnded says that a call that arrived was answered.
+// CallEnded records the end of a call for which Admit was called.
 func (g *AdmissionGate) CallEnded(tenant string) {
-	g.openCalls[tenant]--
-	if g.openCalls[tenant] <= 0 {
-		delete(g.openCalls, tenant)
+	g.inFlight[tenant]--
+	if g.inFlight[tenant] <= 0 {
+		delete(g.inFlight, tenant)
 	}
 }
--- a/internal/hookadvice/merge.go
+++ b/internal/hookadvice/merge.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// forgetExpired drops entries that are not in force and need not be remembered for their changes.
+// dropExpired removes entries that are neither in force nor needed for flap damping.
 func (t *Table) dropExpired() {
 	for _, s := range t.scripts {
 		s.entries = slices.DeleteFunc(s.entries, func(e *entry) bool {
@@ -15,11 +15,12 @@
 	}
 }
 
-// inForce returns the entries on a subject that are in force, of all scripts, by name and then by script.
-func (t *Table) inForce(on subject) (entries []*entry) {
+// inForce returns the entries of all scripts on a subject that are in force, sorted by entry name
+// and then by script.
+func (t *Table) inForce(wanted subject) (entries []*entry) {
 	for _, s := range t.scripts {
 		for _, e := range s.entries {
-			if e.subject == on && e.value != 0 && e.expiresAt > t.now {
+			if e.subject == wanted && e.value != 0 && e.expiresAt > t.now {
 				entries = append(entries, e)
 			}
 		}
@@ -28,14 +29,15 @@
 	return entries
 }
 
-// mergeCopies takes the most copies and the latest end that any script advises for a function. The bounds on
-// functions and memory admit functions in the order of their names: that order is as good as any other, and being
-// the same at each step it keeps the bounds from having copies loaded and evicted in turn.
+// mergeCopies merges the advice on warm copies: for each function the highest number of copies and
+// the latest expiry that any script advises. Functions are admitted in the order of their names
+// until the limits on functions and memory are reached. A fixed order keeps those limits from
+// causing copies to be loaded and evicted in turn.
 func (t *Table) mergeCopies() map[string]KeepWarm {
 	merged := map[string]KeepWarm{}
 	availableMB := t.settings.MaxMemoryFraction * t.memoryMB
 	for _, e := range t.inForce(subjectWarm) {
-		known, exists := merged[e.name]
+		current, exists := merged[e.name]
 		if !exists && len(merged) >= t.settings.MaxFunctions {
 			continue
 		}
@@ -43,7 +45,7 @@
 		if !ok {
 			continue
 		}
-		added := min(int(e.value), t.ready) - known.Copies
+		added := min(int(e.value), t.ready) - current.Copies
 		if t.memoryMB > 0 && copyMB > 0 {
 			added = min(added, int(availableMB/copyMB))
 		}
@@ -52,42 +54,44 @@
 			continue
 		}
 		availableMB -= float64(added) * copyMB
-		merged[e.name] = KeepWarm{e.name, known.Copies + added, max(known.Until, e.expiresAt)}
+		merged[e.name] = KeepWarm{e.name, current.Copies + added, max(current.Until, e.expiresAt)}
 	}
 	return merged
 }
 
-// mergeRanks takes the lowest rank that any script advises for a worker: to avoid wins over to prefer. At most a
-// fraction of the workers is preferred, and avoided, and only workers that are ready are preferred.
+// mergeRanks merges the advice on workers: the lowest rank wins, so "avoid" overrides "prefer".
+// Only ready workers are preferred. The settings limit which fraction of the workers may be
+// preferred and which may be avoided.
 func (t *Table) mergeRanks() map[string]RankWorker {
 	lowest := map[string]RankWorker{}
 	for _, e := range t.inForce(subjectRank) {
-		known, exists := lowest[e.name]
+		current, exists := lowest[e.name]
 		rank := int(e.value)
 		switch {
-		case !exists || rank < known.Rank:
+		case !exists || rank < current.Rank:
 			lowest[e.name] = RankWorker{e.name, rank, e.expiresAt}
-		case rank == known.Rank:
-			lowest[e.name] = RankWorker{e.name, rank, max(known.Until, e.expiresAt)}
+		case rank == current.Rank:
+			lowest[e.name] = RankWorker{e.name, rank, max(current.Until, e.expiresAt)}
 		}
 	}
 	limit := int(t.settings.MaxRankedFraction * float64(len(t.workers)))
-	byRank := map[int]int{} // number of workers
+	workersByRank := map[int]int{}
 	merged := map[string]RankWorker{}
 	for _, w := range t.workers {
 		ranked, exists := lowest[w.Name]
 		if !exists || ranked.Rank > 0 && !w.Ready {
 			continue
 		}
-		byRank[ranked.Rank]++
-		if byRank[ranked.Rank] <= limit {
+		workersByRank[ranked.Rank]++
+		if workersByRank[ranked.Rank] <= limit {
 			merged[w.Name] = ranked
 		}
 	}
 	return merged
 }
 
-// mergeTenants takes the lowest weight and the lowest cap that any script advises for a tenant.
+// mergeTenants merges the advice on tenants: the lowest weight and the lowest cap of any script
+// win.
 func (t *Table) mergeTenants() map[string]Tenant {
 	merged := map[string]Tenant{}
 	for _, e := range t.inForce(subjectWeight) {
@@ -108,17 +112,18 @@
 	return merged
 }
 
-// publish adds the effects that lead from what was in force before to what is now.
+// emitChanges adds an effect for each difference between the advice in force before and now, and
+// makes the new advice the current one.
 func (t *Table) emitChanges(warm map[string]KeepWarm, ranks map[string]RankWorker, tenants map[string]Tenant) {
 	for _, name := range sortedKeys(t.warm, warm) {
 		if now := warm[name]; now != t.warm[name] {
-			now.Function = name // not set in one that has ended
+			now.Function = name // unset if the advice has ended
 			t.effects = append(t.effects, now)
 		}
 	}
 	for _, name := range sortedKeys(t.ranks, ranks) {
 		if now := ranks[name]; now != t.ranks[name] {
-			now.Worker = name // not set in one that has ended
+			now.Worker = name // unset if the advice has ended
 			t.effects = append(t.effects, now)
 		}
 	}
@@ -130,7 +135,7 @@
 	t.tenants = tenants
 }
 
-// sortedKeys returns the keys of both maps, each once.
+// sortedKeys returns the distinct keys of both maps in order.
 func sortedKeys[V any](a, b map[string]V) []string {
 	keys := slices.AppendSeq(slices.Collect(maps.Keys(a)), maps.Keys(b))
 	slices.Sort(keys)
--- a/internal/hookadvice/settings.go
+++ b/internal/hookadvice/settings.go
@@ -6,23 +6,32 @@
 	"time"
 )
 
-// Settings bound what hooks can bring about. A zero field has the default named beside it.
+// Settings limit the effects of hooks. A field that is zero has the default named in its comment.
 type Settings struct {
-	MaxFunctions      int     // functions kept warm at once: 64
-	MaxCopies         int     // copies of one function: 4
-	MaxMemoryFraction float64 // fraction of the ready workers' memory that copies kept warm may take: 0.25
-	// MaxDuration is how long one piece of advice is in force at most: 1 h.
-	MaxDuration       time.Duration
-	MaxRankedFraction float64 // fraction of the workers that may be preferred, and that may be avoided, at once: 0.25
-	MaxWeight         float64 // a tenant's weight is between this and its inverse: 4
-	// MaxRejectedFraction is the fraction of the calls in a window that hooks may have rejected: 0.5.
+	MaxFunctions      int     // functions kept warm at a time; default 64
+	MaxCopies         int     // warm copies per function; default 4
+	MaxMemoryFraction float64 // fraction of the ready workers' memory for warm copies; default 0.25
+	// MaxDuration is the longest time that advice stays in force without renewal; default 1 h.
+	MaxDuration time.Duration
+	// MaxRankedFraction is the fraction of the workers that may be preferred at a time, and
+	// likewise the fraction that may be avoided; default 0.25.
+	MaxRankedFraction float64
+	// MaxWeight limits a tenant's weight to the range from 1/MaxWeight to MaxWeight; default 4.
+	MaxWeight float64
+	// MaxRejectedFraction is the fraction of the calls of a window that hooks may reject; default
+	// 0.5.
 	MaxRejectedFraction float64
-	CallLimit           int // calls in flight of which a tenant's cap is a fraction; must be given
-	// Flips is how often one script may change its advice on one subject in a window before it is suppressed: 6.
-	MaxChanges       int
-	Window           time.Duration // over which changes, notices and rejections are counted: 1 min
-	MaxNotifications int           // notices of one script in a window: 10
-	MaxEntries       int           // subjects on which one script may have advice in force: 256
+	// CallLimit is the controller's limit on calls in flight; a tenant's cap is a fraction of it.
+	// It has no default.
+	CallLimit int
+	// MaxChanges is how often one script may change one entry within a window before the entry is
+	// suppressed; default 6.
+	MaxChanges int
+	// Window is the time over which changes, notifications and rejections are counted; default 1
+	// min.
+	Window           time.Duration
+	MaxNotifications int // notifications of one script per window; default 10
+	MaxEntries       int // entries per script; default 256
 }
 
 func (s Settings) withDefaults() Settings {
@@ -40,20 +49,20 @@
 	return s
 }
 
-// validate checks settings whose defaults are filled in.
+// validate checks settings after withDefaults.
 func (s Settings) validate() error {
 	for _, fraction := range []struct {
 		name  string
 		value float64
-	}{{"MemoryShare", s.MaxMemoryFraction}, {"Workers", s.MaxRankedFraction}, {"Refuse", s.MaxRejectedFraction}} {
-		if !(fraction.value >= 0 && fraction.value <= 1) { // written so that NaN fails too
-			return fmt.Errorf("advice: %s: %v is not from 0 to 1", fraction.name, fraction.value)
+	}{{"memory_share", s.MaxMemoryFraction}, {"workers", s.MaxRankedFraction}, {"refuse", s.MaxRejectedFraction}} {
+		if !(fraction.value >= 0 && fraction.value <= 1) { // also true for NaN
+			return fmt.Errorf("advice: %s: %v is not between 0 and 1", fraction.name, fraction.value)
 		}
 	}
 	negative := s.MaxFunctions < 0 || s.MaxCopies < 0 || s.MaxDuration < 0 || s.MaxNotifications < 0
 	tooSmall := s.Window <= 0 || s.MaxChanges < 1 || s.MaxEntries < 1
 	if !(s.MaxWeight >= 1) || negative || tooSmall {
-		return fmt.Errorf("advice: Weight is under 1, or a bound is below zero: %+v", s)
+		return fmt.Errorf("advice: weight is less than 1, or a limit is out of range: %+v", s)
 	}
 	return nil
 }
--- a/internal/hookadvice/table.go
+++ b/internal/hookadvice/table.go
@@ -1,10 +1,11 @@
-// Package hookadvice decides what becomes of the advice that operators' hook scripts give: it validates, bounds,
-// expires and merges the advice of all scripts, and suppresses advice that changes too often. The scheduler weighs
-// what remains. The package exists so that a faulty script can at worst make the gateway slower: a hook cannot
-// itself send, answer or cancel a call.
+// Package hookadvice processes the advice that operators' hook scripts give. It validates, limits,
+// expires and merges the advice of all scripts, and suppresses advice that changes too often. The
+// scheduler takes the result into account. The package keeps a faulty script from doing worse than
+// slowing the gateway down: a hook cannot itself send, answer or cancel a call.
 //
-// [Table] handles advice that is in force for a time, [AdmissionGate] the arrival of each call. Both are pure: they
-// have no clock, I/O, goroutines or dependence on map order, and the same inputs give the same outputs.
+// [Table] handles advice that stays in force for a time, [AdmissionGate] decides on calls as they
+// arrive. Both are pure: they have no clock, I/O or goroutines and do not depend on map order, so
+// the same inputs give the same outputs.
 package hookadvice
 
 import (
@@ -16,49 +17,49 @@
 	"kitehub/internal/hooklang"
 )
 
-// Table holds the advice that is in force, of all scripts. It is not safe for concurrent use; the hook engine's
-// goroutine owns it.
+// Table holds the advice of all scripts that is in force. It is not safe for concurrent use; the
+// hook engine's goroutine owns it.
 type Table struct {
 	settings Settings
 	facts    Catalog
-	now      time.Duration // of the last step
+	now      time.Duration // time of the last step
 	scripts  []*script     // sorted by name
 	workers  []Worker      // sorted by name
-	memoryMB float64       // of all ready workers
+	memoryMB float64       // total of the ready workers
 	ready    int           // number of ready workers
-	effects  []Effect      // of the current step
+	effects  []Effect      // output of the current step
 
-	// What the effects returned so far add up to.
+	// Advice in force, as published by the effects so far.
 	warm    map[string]KeepWarm
 	ranks   map[string]RankWorker
 	tenants map[string]Tenant
 
-	// Counts says what became of the advice so far.
+	// Counts holds the number of items by outcome.
 	Counts Counts
 }
 
-// Counts is how many items of advice had which outcome.
+// Counts is the number of items of advice by outcome.
 type Counts struct {
 	Accepted   int
-	Stale      int // of a version that is not active
-	Unknown    int // on a function, tenant, worker or kind that does not exist
-	Limited    int // beyond a bound of the settings
-	Suppressed int // changed too often
+	Stale      int // given by a version that is not active
+	Unknown    int // names a function, tenant, worker or kind that does not exist or is not ready
+	Limited    int // exceeds a limit of the settings
+	Suppressed int // suppressed by flap damping
 }
 
-// script is the advice of one script.
+// script holds the advice of one script.
 type script struct {
 	name          string
-	version       uint64 // whose advice is accepted, if active
+	version       uint64 // the version whose advice is accepted, if active
 	active        bool
 	entries       []*entry        // sorted by key
-	notifications []time.Duration // when notices were accepted, within the last window
+	notifications []time.Duration // times of those accepted within the last window
 }
 
-// New returns an empty table. It returns an error if a setting is out of range.
+// NewTable returns an empty table, or an error if a setting is out of range.
 func NewTable(s Settings, f Catalog) (*Table, error) {
 	if s.CallLimit < 1 {
-		return nil, fmt.Errorf("advice: Cap: %d is under 1", s.CallLimit)
+		return nil, fmt.Errorf("advice: call limit %d is less than 1", s.CallLimit)
 	}
 	s = s.withDefaults()
 	if err := s.validate(); err != nil {
@@ -73,8 +74,9 @@
 	}, nil
 }
 
-// Step applies the events since the last step and returns what changes because of them or because time has passed.
-// A time before that of the last step counts as that time.
+// Step applies the events since the last step. It returns the changes that follow from them and
+// from the expiry of advice. A time before that of the last step is treated as that of the last
+// step.
 func (t *Table) Step(now time.Duration, events []Event) []Effect {
 	t.now = max(t.now, now)
 	t.effects = nil
@@ -121,8 +123,8 @@
 	return t.workers[i], true
 }
 
-// NextExpiry returns when Step is due at the latest if no event comes: when the next advice or suppression ends. 0:
-// never.
+// NextExpiry returns the time at which the next advice or suppression ends, when Step is due even
+// without events. It returns 0 if there is none.
 func (t *Table) NextExpiry() (at time.Duration) {
 	for _, s := range t.scripts {
 		for _, e := range s.entries {
@@ -136,7 +138,8 @@
 	return at
 }
 
-// InForce returns what is in force, for operators: copies by function, ranks by worker, then tenants.
+// InForce returns the advice in force, for operators: warm copies sorted by function, ranks sorted
+// by worker, then the tenants.
 func (t *Table) InForce() (inForce []Effect) {
 	for _, name := range sortedKeys(t.warm, nil) {
 		inForce = append(inForce, t.warm[name])
@@ -150,7 +153,7 @@
 	return inForce
 }
 
-// script returns the script of that name, which it adds if need be.
+// findOrAddScript returns the script of that name, and adds it if it is missing.
 func (t *Table) findOrAddScript(name string) *script {
 	byName := func(s *script, name string) int { return cmp.Compare(s.name, name) }
 	i, ok := slices.BinarySearchFunc(t.scripts, name, byName)
@@ -160,7 +163,7 @@
 	return t.scripts[i]
 }
 
-// discard counts and reports an item that is not followed.
+// discard counts and reports an item that was not accepted.
 func (t *Table) discard(s *script, item hooklang.Advice, count *int, format string, args ...any) {
 	*count++
 	t.effects = append(t.effects, Discarded{s.name, item, fmt.Sprintf(format, args...)})
--- a/internal/hookadvice/table_test.go
+++ b/internal/hookadvice/table_test.go
@@ -23,16 +23,16 @@
 }, s Settings) *Table {
 	t.Helper()
 	s.CallLimit = 100
-	b, err := NewTable(s, catalog{})
+	table, err := NewTable(s, catalog{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	var l []Worker
+	var workers []Worker
 	for i := range 8 {
-		l = append(l, Worker{fmt.Sprint("w", i), i != 7, 1000})
+		workers = append(workers, Worker{fmt.Sprint("w", i), i != 7, 1000})
 	}
-	b.Step(0, []Event{WorkerList{l}, VersionActivated{"a", 1}, VersionActivated{"b", 1}})
-	return b
+	table.Step(0, []Event{WorkerList{workers}, VersionActivated{"a", 1}, VersionActivated{"b", 1}})
+	return table
 }
 
 func keepWarm(f string, n int64, d time.Duration) hooklang.Advice {
@@ -41,21 +41,22 @@
 
 func adviceOf(script string, l ...hooklang.Advice) Event { return AdviceGiven{script, 1, l} }
 
-func formatEffects(l []Effect) string {
-	var s []string
-	for _, e := range l {
+func formatEffects(effects []Effect) string {
+	var lines []string
+	for _, e := range effects {
 		if d, ok := e.(Discarded); ok {
-			s = append(s, "dropped: "+d.Reason)
+			lines = append(lines, "discarded: "+d.Reason)
 			continue
 		}
-		s = append(s, strings.TrimPrefix(fmt.Sprintf("%T%+v", e, e), "hookadvice."))
+		lines = append(lines, strings.TrimPrefix(fmt.Sprintf("%T%+v", e, e), "hookadvice."))
 	}
-	return strings.Join(s, "\n")
+	return strings.Join(lines, "\n")
 }
 
 const sec = time.Second
 
-// Each case is what scripts advise, and the effects.
+// Checks the effects of each kind of advice: limits, merging, withdrawal and the reasons for
+// discarding.
 func TestTable(t *testing.T) {
 	rank := func(kind, w string) hooklang.Advice { return hooklang.Advice{Kind: kind, Worker: w, For: 10 * sec} }
 	tenant := func(kind, n string, f float64) hooklang.Advice {
@@ -67,14 +68,14 @@
 		want string
 	}{
 		{"copies", []Event{adviceOf("a", keepWarm("f1", 2, 10*sec))}, "KeepWarm{Function:f1 Copies:2 Until:10s}"},
-		{"of two scripts the most, until the latest", []Event{adviceOf("a", keepWarm("f1", 3, 10*sec)), adviceOf("b", keepWarm("f1", 2, 20*sec))},
+		{"two scripts: most copies, latest expiry", []Event{adviceOf("a", keepWarm("f1", 3, 10*sec)), adviceOf("b", keepWarm("f1", 2, 20*sec))},
 			"KeepWarm{Function:f1 Copies:3 Until:20s}"},
-		{"too many copies, too long", []Event{adviceOf("a", keepWarm("f1", 1<<40, 1e6*sec))},
+		{"too many copies for too long", []Event{adviceOf("a", keepWarm("f1", 1<<40, 1e6*sec))},
 			"KeepWarm{Function:f1 Copies:4 Until:1h0m0s}"},
-		{"below zero", []Event{adviceOf("a", keepWarm("f1", -3, 10*sec), keepWarm("f2", 1, -sec))}, ""},
+		{"negative copies or duration", []Event{adviceOf("a", keepWarm("f1", -3, 10*sec), keepWarm("f2", 1, -sec))}, ""},
 		{"withdrawn", []Event{adviceOf("a", keepWarm("f1", 2, 10*sec)), adviceOf("a", keepWarm("f1", 0, sec))}, ""},
-		{"no such function", []Event{adviceOf("a", keepWarm("x", 2, 10*sec))}, "dropped: no such function"},
-		{"more than memory",
+		{"no such function", []Event{adviceOf("a", keepWarm("x", 2, 10*sec))}, `discarded: function "x" does not exist`},
+		{"more than the memory limit",
 			[]Event{adviceOf("a", keepWarm("f1", 4, sec), keepWarm("f2", 4, sec), keepWarm("f3", 4, sec), keepWarm("f4", 4, sec), keepWarm("f5", 4, sec))},
 			"KeepWarm{Function:f1 Copies:4 Until:1s}\n" +
 				"KeepWarm{Function:f2 Copies:4 Until:1s}\n" +
@@ -84,9 +85,9 @@
 		{"avoided", []Event{adviceOf("a", rank("avoid", "w1"))}, "RankWorker{Worker:w1 Rank:-1 Until:10s}"},
 		{"avoided and preferred", []Event{adviceOf("a", rank("prefer", "w1")), adviceOf("b", rank("avoid", "w1"))},
 			"RankWorker{Worker:w1 Rank:-1 Until:10s}"},
-		{"one that drains", []Event{adviceOf("a", rank("prefer", "w7"))}, "dropped: the worker drains"},
-		{"no such worker", []Event{adviceOf("a", rank("avoid", "w9"))}, "dropped: no such worker"},
-		{"more than a fraction",
+		{"preferred worker is draining", []Event{adviceOf("a", rank("prefer", "w7"))}, `discarded: worker "w7" is not ready`},
+		{"no such worker", []Event{adviceOf("a", rank("avoid", "w9"))}, `discarded: worker "w9" does not exist`},
+		{"more than the fraction of workers",
 			[]Event{adviceOf("a", rank("avoid", "w1"), rank("avoid", "w2"), rank("avoid", "w3"), rank("avoid", "w4"))},
 			"RankWorker{Worker:w1 Rank:-1 Until:10s}\nRankWorker{Worker:w2 Rank:-1 Until:10s}"},
 		{"weights and caps",
@@ -95,15 +96,15 @@
 				adviceOf("b", tenant("tenant_weight", "t", 0.5)),
 			},
 			"Tenants{ByName:map[t:{Weight:0.5 MaxInFlight:20} u:{Weight:0 MaxInFlight:1}]}"},
-		{"no such tenant", []Event{adviceOf("a", tenant("tenant_weight", "x", 2))}, "dropped: no such tenant"},
-		{"no weight at all", []Event{adviceOf("a", tenant("tenant_weight", "t", 0))}, "dropped: 0 is not above 0"},
-		{"an old version", []Event{VersionActivated{"a", 2}, adviceOf("a", keepWarm("f1", 2, 10*sec))},
-			"dropped: of version 1, which is not heard"},
-		{"a script that is not active", []Event{adviceOf("c", keepWarm("f1", 2, 10*sec))},
-			"dropped: of version 1, which is not heard"},
-		{"what cannot stand", []Event{adviceOf("a", hooklang.Advice{Kind: "send"})}, "dropped: send does not stand"},
-		{"a script that ends", []Event{adviceOf("a", keepWarm("f1", 2, 10*sec)), ScriptStopped{"a"}}, ""},
-		{"a notice", []Event{adviceOf("a", hooklang.Advice{Kind: "notify", Key: "ops", Text: "x"})},
+		{"no such tenant", []Event{adviceOf("a", tenant("tenant_weight", "x", 2))}, `discarded: tenant "x" does not exist`},
+		{"zero weight", []Event{adviceOf("a", tenant("tenant_weight", "t", 0))}, "discarded: factor 0 is not a positive number"},
+		{"old version", []Event{VersionActivated{"a", 2}, adviceOf("a", keepWarm("f1", 2, 10*sec))},
+			"discarded: version 1 is not active"},
+		{"inactive script", []Event{adviceOf("c", keepWarm("f1", 2, 10*sec))},
+			"discarded: version 1 is not active"},
+		{"unsupported kind", []Event{adviceOf("a", hooklang.Advice{Kind: "send"})}, `discarded: kind "send" is not supported for this event`},
+		{"stopped script", []Event{adviceOf("a", keepWarm("f1", 2, 10*sec)), ScriptStopped{"a"}}, ""},
+		{"notification", []Event{adviceOf("a", hooklang.Advice{Kind: "notify", Key: "ops", Text: "x"})},
 			"Notification{Script:a Target:ops Text:x}"},
 	} {
 		if got := formatEffects(newTable(t, Settings{}).Step(0, c.in)); got != c.want {
@@ -113,48 +114,50 @@
 }
 
 func TestExpiryAndWorkers(t *testing.T) {
-	b := newTable(t, Settings{})
-	b.Step(0, []Event{adviceOf("a", keepWarm("f1", 2, 10*sec), hooklang.Advice{Kind: "prefer", Worker: "w1", For: 20 * sec})})
-	if b.NextExpiry() != 10*sec {
-		t.Error(b.NextExpiry())
+	table := newTable(t, Settings{})
+	table.Step(0, []Event{adviceOf("a", keepWarm("f1", 2, 10*sec), hooklang.Advice{Kind: "prefer", Worker: "w1", For: 20 * sec})})
+	if table.NextExpiry() != 10*sec {
+		t.Error(table.NextExpiry())
 	}
-	if got := formatEffects(b.Step(10*sec, nil)); got != "KeepWarm{Function:f1 Copies:0 Until:0s}" {
+	if got := formatEffects(table.Step(10*sec, nil)); got != "KeepWarm{Function:f1 Copies:0 Until:0s}" {
 		t.Error(got)
 	}
 	draining := WorkerList{[]Worker{{"w1", false, 1000}, {"w2", true, 1000}, {"w3", true, 0}, {"w4", true, 0}}}
-	if got := formatEffects(b.Step(11*sec, []Event{draining})); got != "RankWorker{Worker:w1 Rank:0 Until:0s}" {
+	if got := formatEffects(table.Step(11*sec, []Event{draining})); got != "RankWorker{Worker:w1 Rank:0 Until:0s}" {
 		t.Error(got)
 	}
 }
 
-// Advice that changes at each event is suppressed, for longer each time; other advice of the script is still followed.
+// Advice that changes at each event is suppressed for longer and longer; other advice of the same
+// script stays in force.
 func TestFlapDamping(t *testing.T) {
-	b := newTable(t, Settings{})
+	table := newTable(t, Settings{})
 	changes, now := 0, time.Duration(0)
 	for i := range 2000 {
 		now = time.Duration(i) * sec
-		for _, e := range b.Step(now, []Event{adviceOf("a", keepWarm("f1", int64(1+i%2), time.Hour))}) {
+		for _, e := range table.Step(now, []Event{adviceOf("a", keepWarm("f1", int64(1+i%2), time.Hour))}) {
 			if _, ok := e.(KeepWarm); ok {
 				changes++
 			}
 		}
 	}
 	if changes > 60 || changes < 6 {
-		t.Errorf("%d changes of 2000 are followed", changes)
+		t.Errorf("%d of 2000 changes were accepted", changes)
 	}
-	got := formatEffects(b.Step(now, []Event{adviceOf("a", keepWarm("f2", 1, sec))}))
+	got := formatEffects(table.Step(now, []Event{adviceOf("a", keepWarm("f2", 1, sec))}))
 	if got != "KeepWarm{Function:f2 Copies:1 Until:33m20s}" {
 		t.Error(got)
 	}
 }
 
-// Whatever is advised, what is in force stays within the bounds, and is what the effects add up to.
+// Whatever scripts advise, the advice in force stays within the limits and equals the sum of the
+// effects.
 func TestBounds(t *testing.T) {
 	kinds := []string{"keep_warm", "tenant_weight", "tenant_cap", "prefer", "avoid", "refuse", "notify", "", "send"}
 	rapid.Check(t, func(t *rapid.T) {
 		s := Settings{MaxFunctions: 3, MaxCopies: 3, MaxMemoryFraction: 0.2, MaxRankedFraction: 0.3, MaxDuration: 30 * sec, MaxEntries: 20}
-		b := newTable(t, s)
-		held := map[string]KeepWarm{}
+		table := newTable(t, s)
+		copiesInForce := map[string]KeepWarm{}
 		ranks := map[string]RankWorker{}
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -171,19 +174,19 @@
 					l[len(l)-1].Function, l[len(l)-1].Worker = "", fmt.Sprint("w", rapid.IntRange(0, 9).Draw(t, "w"))
 				}
 			}
-			for _, e := range b.Step(now, []Event{adviceOf(rapid.SampledFrom([]string{"a", "b"}).Draw(t, "script"), l...)}) {
+			for _, e := range table.Step(now, []Event{adviceOf(rapid.SampledFrom([]string{"a", "b"}).Draw(t, "script"), l...)}) {
 				switch e := e.(type) {
 				case KeepWarm:
-					held[e.Function] = e
+					copiesInForce[e.Function] = e
 					if e.Copies == 0 {
-						delete(held, e.Function)
+						delete(copiesInForce, e.Function)
 					}
 				case RankWorker:
 					ranks[e.Worker] = e
 				}
 			}
 			copies := 0
-			for _, w := range held {
+			for _, w := range copiesInForce {
 				if copies += w.Copies; w.Copies > 3 || w.Until <= now || w.Until > now+30*sec {
 					t.Fatalf("%+v at %v", w, now)
 				}
@@ -196,37 +199,37 @@
 					down++
 				}
 			}
-			if len(held) > 3 || copies*100 > 1400 || up > 2 || down > 2 || ranks["w7"].Rank > 0 {
-				t.Fatalf("%v %v", held, ranks)
+			if len(copiesInForce) > 3 || copies*100 > 1400 || up > 2 || down > 2 || ranks["w7"].Rank > 0 {
+				t.Fatalf("%v %v", copiesInForce, ranks)
 			}
-			if len(b.InForce()) != len(held)+up+down {
-				t.Fatalf("%s in force, effects were %v %v", formatEffects(b.InForce()), held, ranks)
+			if len(table.InForce()) != len(copiesInForce)+up+down {
+				t.Fatalf("in force: %s, by the effects: %v %v", formatEffects(table.InForce()), copiesInForce, ranks)
 			}
 		}
 	})
 }
 
 func TestAdmissionGate(t *testing.T) {
-	d := NewAdmissionGate(Settings{})
-	d.SetTenants(Tenants{map[string]Tenant{"t": {Weight: 2, MaxInFlight: 3}}})
-	no := []hooklang.Advice{{Kind: "refuse", Text: "x"}}
-	refused, over := 0, 0
-	for i := range 1000 { // a script that refuses all
-		v := d.Admit(time.Duration(i)*10*time.Millisecond, "u", no)
+	gate := NewAdmissionGate(Settings{})
+	gate.SetTenants(Tenants{map[string]Tenant{"t": {Weight: 2, MaxInFlight: 3}}})
+	reject := []hooklang.Advice{{Kind: "refuse", Text: "x"}}
+	rejected, over := 0, 0
+	for i := range 1000 { // a script that rejects every call
+		v := gate.Admit(time.Duration(i)*10*time.Millisecond, "u", reject)
 		if v.ShedAdvised {
-			refused++
+			rejected++
 		}
 		if v.OverRejectionLimit {
 			over++
 		}
-		d.CallEnded("u")
+		gate.CallEnded("u")
 	}
-	if refused < 490 || refused > 510 || over != 1000-refused {
-		t.Errorf("%d refused, %d over the bound, of 1000", refused, over)
+	if rejected < 490 || rejected > 510 || over != 1000-rejected {
+		t.Errorf("of 1000 calls %d were rejected, %d were over the limit", rejected, over)
 	}
 	var got []bool
 	for range 5 {
-		v := d.Admit(11*sec, "t", nil)
+		v := gate.Admit(11*sec, "t", nil)
 		got = append(got, v.ShedAdvised)
 		if v.Weight != 2 {
 			t.Error(v)
@@ -235,10 +238,10 @@
 	if !slices.Equal(got, []bool{false, false, false, true, true}) {
 		t.Error(got)
 	}
-	d.CallEnded("t")
-	d.CallEnded("t")
-	d.CallEnded("t")
-	if v := d.Admit(12*sec, "t", []hooklang.Advice{{Kind: "annotate", Key: "k"}}); v.ShedAdvised || len(v.Annotations) != 1 {
+	gate.CallEnded("t")
+	gate.CallEnded("t")
+	gate.CallEnded("t")
+	if v := gate.Admit(12*sec, "t", []hooklang.Advice{{Kind: "annotate", Key: "k"}}); v.ShedAdvised || len(v.Annotations) != 1 {
 		t.Error(v)
 	}
 }
