--- a/internal/hookadvice/settings.go
+++ b/internal/hookadvice/settings.go
@@ -54,7 +54,7 @@
 	for _, fraction := range []struct {
 		name  string
 		value float64
-	}{{"memory_share", s.MaxMemoryFraction}, {"workers", s.MaxRankedFraction}, {"refuse", s.MaxRejectedFraction}} {
+	}{{"MemoryShare", s.MaxMemoryFraction}, {"Workers", s.MaxRankedFraction}, {"Refuse", s.MaxRejectedFraction}} {
 		if !(fraction.value >= 0 && fraction.value <= 1) { // also true for NaN
 			return fmt.Errorf("advice: %s: %v is not between 0 and 1", fraction.name, fraction.value)
 		}
--- a/internal/hookengine/admit.go
+++ b/internal/hookengine/admit.go
@@ -7,8 +7,8 @@
 	"kitehub/internal/hooklang"
 )
 
-// Arrive runs the handlers of the arrival of a call, on the caller's goroutine, and judges the call by the versions
-// that are live now. The call counts as open for its tenant until CallEnded.
+// Admit runs the arrival handlers of the live versions for a call, on the goroutine of the caller,
+// and returns the verdict on the call. The call counts as in flight for its tenant until CallEnded.
 func (e *Engine) Admit(c hooklang.Call) hookadvice.Verdict {
 	now := e.config.Clock.Now()
 	var advice []hooklang.Advice
@@ -34,7 +34,8 @@
 	return verdict
 }
 
-// runInline runs one handler, and queues the outcome for the version's tally, its circuit and its shadow.
+// runInline runs one arrival handler. It queues the outcome, from which the engine's goroutine
+// updates the version's statistics and circuit and runs the shadow.
 func (e *Engine) runInline(vm *hooklang.VM, h *inlineHandler, c hooklang.Call, env hooklang.Env) []hooklang.Advice {
 	result, err := vm.Run(h.program, "arrive", c, h.state, env, e.config.InlineLimits)
 	run := &inlineRun{script: h.script, version: h.version, fuel: result.Fuel, advice: result.Advice}
@@ -49,7 +50,7 @@
 	return result.Advice
 }
 
-// CallEnded says that a call for which Arrive was called has ended.
+// CallEnded records the end of a call for which Admit was called.
 func (e *Engine) CallEnded(tenant string) {
 	e.gateMutex.Lock()
 	e.gate.CallEnded(tenant)
--- a/internal/hookengine/circuit.go
+++ b/internal/hookengine/circuit.go
@@ -5,22 +5,23 @@
 	"time"
 )
 
-// recoveryRuns times ConsecutiveFaults is how many runs with a closed circuit make up for one opening.
+// recoveryRuns times ConsecutiveFaults is the number of runs with a closed circuit after which one
+// opening is no longer counted.
 const recoveryRuns = 10
 
-// circuit is the circuit breaker of a live version. It opens after several faults in a row, is open for a backoff,
-// and then admits one run as a probe, which closes it or opens it again.
+// circuit is the circuit breaker of a live version. It opens after several consecutive faults,
+// stays open for a backoff, and then admits one run as a probe, which closes it or opens it again.
 type circuit struct {
 	consecutiveFaults int
-	openings          int // in a row
+	openings          int // consecutive
 	open              bool
-	openUntil         time.Duration // then a probe may run
+	openUntil         time.Duration // when a probe may run
 	probing           bool          // the next run is the probe
 }
 
-// recordFault counts a fault and reports whether the circuit must open because of it.
+// recordFault counts a fault and reports whether it opens the circuit.
 func (c *circuit) recordFault(limit int) bool {
-	if c.open && !c.probing { // of a run that began before the circuit opened
+	if c.open && !c.probing { // the run began before the circuit opened
 		return false
 	}
 	c.consecutiveFaults++
@@ -33,18 +34,20 @@
 	return true
 }
 
-// awaitsProbe reports whether the circuit of a version that may run waits for its probe.
+// awaitsProbe reports whether the circuit is open, its probe has not started, and the version is
+// not quarantined.
 func (s *Script) awaitsProbe() bool {
 	return s.circuit.open && !s.circuit.probing && s.Live != nil && s.Live.QuarantineReason == ""
 }
 
-// RecordRun counts a run of the live version; fault is "" if it had none, fuel its instructions. Several faults in
-// a row open the circuit, for a backoff with jitter; after several openings in a row the version is quarantined.
-// The previous version then becomes live if it is not quarantined itself, else none runs until an operator acts.
+// RecordRun records a run of the live version: its fault, "" if it had none, and the instructions
+// it took. Several consecutive faults open the circuit for a backoff with jitter. After several
+// consecutive openings the version is quarantined: the previous version becomes live, unless it is
+// quarantined too, in which case no version runs until an operator intervenes.
 func (l *Lifecycle) RecordRun(now time.Duration, name string, version uint64, fault string, fuel int64) {
 	s := l.Find(name)
 	if s == nil || s.Live == nil || s.Live.Number != version {
-		return // of a version that is no longer live: it says nothing about the one that is
+		return // the run of a version that is no longer live
 	}
 	s.LiveStats.Runs++
 	s.LiveStats.Fuel += fuel
@@ -70,7 +73,7 @@
 	if c.open && c.probing {
 		c.open = false
 		c.probing = false
-		l.recordChange(s, false, "version %d runs again", s.Live.Number)
+		l.recordChange(s, false, "version %d: probe succeeded, circuit closed", s.Live.Number)
 		return
 	}
 	if !c.open && c.openings > 0 && s.LiveStats.Runs%int64(recoveryRuns*l.settings.ConsecutiveFaults) == 0 {
@@ -83,34 +86,36 @@
 	backoff += time.Duration(l.rng.Float64() * 0.5 * float64(backoff)) // jitter
 	s.circuit.open = true
 	s.circuit.openUntil = now + backoff
-	l.recordChange(s, true, "version %d: %s: not run for %v", s.Live.Number, s.LastFault, backoff.Round(time.Millisecond))
+	l.recordChange(s, true, "version %d: %s: circuit open for %v", s.Live.Number, s.LastFault, backoff.Round(time.Millisecond))
 }
 
-// quarantine stops the live version for its last fault, and goes back to the previous one if that may run.
+// quarantine stops the live version because of its last fault, and reverts to the previous version
+// unless that is quarantined too.
 func (l *Lifecycle) quarantine(s *Script) {
 	faulty, fault := s.Live, s.LastFault
 	faulty.QuarantineReason = fault
 	if s.Previous != nil && s.Previous.QuarantineReason == "" {
 		s.activate(s.Previous)
-		l.recordChange(s, true, "version %d is given up: %s: back to version %d", faulty.Number, fault, s.Live.Number)
+		l.recordChange(s, true, "version %d quarantined: %s: rolled back to version %d", faulty.Number, fault, s.Live.Number)
 		return
 	}
 	s.circuit.open = false
-	l.recordChange(s, true, "version %d is in quarantine: %s", faulty.Number, fault)
+	l.recordChange(s, true, "version %d quarantined: %s", faulty.Number, fault)
 }
 
-// StartProbes admits one run of the versions whose circuit has been open for its backoff.
+// StartProbes admits one run of each version whose circuit has been open for its backoff.
 func (l *Lifecycle) StartProbes(now time.Duration) {
 	for _, s := range l.Scripts {
 		if s.awaitsProbe() && now >= s.circuit.openUntil {
 			s.circuit.probing = true
-			text := fmt.Sprintf("version %d is tried", s.Live.Number)
-			l.changes = append(l.changes, Change{Script: s.Name, Live: s.Live, Text: text}) // not stored: not dirty
+			text := fmt.Sprintf("version %d: probing with one run", s.Live.Number)
+			// Nothing that is stored changes, so the lifecycle does not become dirty.
+			l.changes = append(l.changes, Change{Script: s.Name, Live: s.Live, Text: text})
 		}
 	}
 }
 
-// NextProbe returns when StartProbes has something to do, 0: never.
+// NextProbe returns the time of the next probe that StartProbes can admit, or 0 if there is none.
 func (l *Lifecycle) NextProbe() (at time.Duration) {
 	for _, s := range l.Scripts {
 		if s.awaitsProbe() && (at == 0 || s.circuit.openUntil < at) {
@@ -120,22 +125,23 @@
 	return at
 }
 
-// WithinRate reports whether a version may run on the engine's goroutine now: its debt is at most two seconds of
-// its instruction rate. A version that exceeds its rate misses events, but its advice counts no less. This leaves
-// the machine's cores to calls.
-func (l *Lifecycle) WithinRate(now time.Duration, t *RunStats) bool {
+// WithinRate reports whether a version may run on the engine's goroutine now: it may be ahead of
+// its instruction rate by at most two seconds. A version that exceeds the rate misses events, but
+// its advice is treated as before. The rate leaves the machine's cores to calls.
+func (l *Lifecycle) WithinRate(now time.Duration, stats *RunStats) bool {
 	rate := l.settings.InstructionRate
-	credit := int64(max(0, now-t.creditedAt).Seconds() * float64(rate))
-	t.instructionDebt = max(0, t.instructionDebt-credit)
-	t.creditedAt = now
-	if t.instructionDebt > 2*rate {
-		t.Skipped++
+	credit := int64(max(0, now-stats.creditedAt).Seconds() * float64(rate))
+	stats.instructionDebt = max(0, stats.instructionDebt-credit)
+	stats.creditedAt = now
+	if stats.instructionDebt > 2*rate {
+		stats.Skipped++
 		return false
 	}
 	return true
 }
 
-// RecordTrial counts a run of the shadow version; same reports whether it advised what the live version did.
+// RecordShadowRun records a run of the shadow version. The argument same tells whether its advice
+// equals that of the live version.
 func (l *Lifecycle) RecordShadowRun(name string, version uint64, fault string, fuel int64, same bool) {
 	s := l.Find(name)
 	if s == nil || s.Shadow == nil || s.Shadow.Number != version {
--- a/internal/hookengine/engine.go
+++ b/internal/hookengine/engine.go
@@ -17,34 +17,36 @@
 	"kitehub/internal/store"
 )
 
-// Sink takes the advice that is in force; gateway.Gateway is one. The engine's goroutine calls it, so it must not
-// block for long.
+// Sink receives the advice in force; gateway.Gateway implements it. The engine's goroutine calls
+// the methods, so they must not block for long.
 type Sink interface {
-	// KeepWarm asks for copies of a function to stay loaded until a time on the engine's clock; with copies 0 no
-	// longer.
+	// KeepWarm asks for copies of a function to stay loaded until a time on the engine's clock. The
+	// number of copies is 0 if none need to any more.
 	KeepWarm(function string, copies int, until time.Duration)
-	// RankWorker has a worker preferred (1), avoided (-1) or treated as any other (0) until a time on the engine's
-	// clock.
+	// RankWorker marks a worker as preferred (1), avoided (-1) or neither (0) until a time on the
+	// engine's clock.
 	RankWorker(worker string, rank int, until time.Duration)
 }
 
-// Config is what an Engine needs. Facts, Sink and Clock must be given.
+// Config configures an Engine. Catalog, Sink and Clock are required.
 type Config struct {
 	Lifecycle        LifecycleSettings
 	Advice           hookadvice.Settings
 	Catalog          hookadvice.Catalog
 	Sink             Sink
-	Notify           func(hookadvice.Notification) // must not block; nil: notices are logged only
-	CallsInFlight    func() int                    // returns the number of calls in flight, for timers; nil: 0
+	Notify           func(hookadvice.Notification) // must not block; nil: only logs
+	CallsInFlight    func() int                    // for timer handlers; nil: always 0
 	Clock            clock.Clock
 	Log              zerolog.Logger
-	FS               store.FS        // stores scripts and their state; nil: they end with the process
-	Seed             uint64          // of the jitter of backoff
-	QueueSize        int             // events that wait; further ones are dropped and counted; 0: 4096
-	BackgroundLimits hooklang.Limits // of a run on the engine's goroutine; zero: hooklang.Aside
-	InlineLimits     hooklang.Limits // of a run on the goroutine of a call; zero: hooklang.Inline
-	RunTimeout       time.Duration   // of a run on the engine's goroutine, should Aside not end it before; 0: 250 ms
-	SaveInterval     time.Duration   // state is stored at most this often; 0: 1 s
+	FS               store.FS        // stores scripts and their state; nil: nothing is stored
+	Seed             uint64          // seed of the backoff jitter
+	QueueSize        int             // events that may wait; others are dropped and counted; default 4096
+	BackgroundLimits hooklang.Limits // of a run on the engine's goroutine; default hooklang.Aside
+	InlineLimits     hooklang.Limits // of a run on the goroutine of a call; default hooklang.Inline
+	// RunTimeout limits a run on the engine's goroutine that BackgroundLimits has not ended before;
+	// default 250 ms.
+	RunTimeout   time.Duration
+	SaveInterval time.Duration // shortest time between two saves of state; default 1 s
 }
 
 func (c Config) withDefaults() Config {
@@ -60,39 +62,40 @@
 	return c
 }
 
-// Counts is what an engine has done. Any goroutine may read it.
+// Counts holds the counters of an engine. Any goroutine may read them.
 type Counts struct {
-	Posted             atomic.Int64 // events and inline runs that were queued
-	Dropped            atomic.Int64 // those that were not, as the queue was full
+	Posted             atomic.Int64 // events and inline runs queued
+	Dropped            atomic.Int64 // events and inline runs dropped because the queue was full
 	InlineRuns         atomic.Int64 // runs on goroutines of calls
-	InlineNanos        atomic.Int64 // the time they took, in ns
+	InlineNanos        atomic.Int64 // total duration of the inline runs, in ns
 	BackgroundRuns     atomic.Int64 // runs on the engine's goroutine
-	BackgroundNanos    atomic.Int64 // the time they took, in ns
-	Faults             atomic.Int64 // runs of live versions that ended with a fault
-	Rejections         atomic.Int64 // calls that were to be rejected
-	OverRejectionLimit atomic.Int64 // calls that hooks wanted rejected beyond the bound on rejections
+	BackgroundNanos    atomic.Int64 // total duration of the background runs, in ns
+	Faults             atomic.Int64 // runs of live versions that faulted
+	Rejections         atomic.Int64 // calls that hooks or a tenant's cap rejected
+	OverRejectionLimit atomic.Int64 // rejections by hooks that the limit overruled
 }
 
-// Engine runs scripts. All its methods are safe for concurrent use. Arrive, CallEnded, Post and Workers never wait
-// for a handler on the engine's goroutine; the operators' commands do, as that goroutine carries them out between
-// two runs, so that no script is replaced during one.
+// Engine runs scripts. All its methods are safe for concurrent use. Admit, CallEnded, Post and
+// SetWorkers never wait for a handler on the engine's goroutine. Operators' commands do: that
+// goroutine executes them between two runs, so that no script is replaced while it runs.
 type Engine struct {
 	config Config
 	Counts Counts
 
 	// Input of the engine's goroutine.
 	queue          chan job
-	commands       chan func() // see do
+	commands       chan func() // see runOnEngine
 	workers        atomic.Pointer[[]hookadvice.Worker]
-	workersChanged chan struct{} // workers was set
+	workersChanged chan struct{} // signals that workers was set
 	stop           chan struct{} // closed by Close
 	stopOnce       sync.Once
-	killed         atomic.Bool   // nothing is to be stored any more
+	killed         atomic.Bool   // set by Kill: nothing more is stored
 	done           chan struct{} // closed when the engine's goroutine has ended
 
-	// Shared with the goroutines of calls; the engine's goroutine replaces what the pointers refer to, see publish.
+	// Shared with the goroutines of calls. The engine's goroutine replaces the pointers, see
+	// publishHandlers.
 	arrivalHandlers atomic.Pointer[[]inlineHandler]
-	handledPoints   atomic.Pointer[map[string]bool] // those of which some script has a handler
+	handledPoints   atomic.Pointer[map[string]bool] // points that have a handler in some script
 	vmPool          sync.Pool                       // of *hooklang.VM
 	gateMutex       sync.Mutex
 	gate            *hookadvice.AdmissionGate // guarded by gateMutex
@@ -106,24 +109,25 @@
 	storage
 }
 
-// inlineHandler is a live version that has a handler of the arrival of calls. It is not changed once published.
+// inlineHandler is a live version with an arrival handler. It is immutable once published.
 type inlineHandler struct {
 	script  string
 	version uint64
 	program *hooklang.Program
 	state   *hooklang.State
-	shadow  bool // a shadow version is to see the call too
+	shadow  bool // a shadow version must see the call too
 }
 
-// job is what waits for the engine's goroutine: an event, or a run that was made inline.
+// job is an item in the queue of the engine's goroutine: an event, or the outcome of an inline run.
 type job struct {
 	at    time.Duration
 	point string
-	event hooklang.Event // of an inline run only if a shadow is to see it
-	run   *inlineRun     // nil: an event
+	event hooklang.Event // nil for an inline run that no shadow must see
+	run   *inlineRun     // nil for an event
 }
 
-// inlineRun is the outcome of a handler on the goroutine of a call. The engine's goroutine counts it.
+// inlineRun is the outcome of a handler that ran on the goroutine of a call. The engine's goroutine
+// records it.
 type inlineRun struct {
 	script  string
 	version uint64
@@ -132,7 +136,8 @@
 	advice  []hooklang.Advice
 }
 
-// Start restores the stored scripts and runs them. A script that does not compile any more is quarantined.
+// Start restores the stored scripts and starts to run them. A script that no longer compiles is
+// quarantined.
 func Start(config Config) (*Engine, error) {
 	config = config.withDefaults()
 	table, err := hookadvice.NewTable(config.Advice, config.Catalog)
@@ -165,21 +170,23 @@
 	return e, nil
 }
 
-// Close stops the engine and stores the states of its scripts. It returns the error that ended storing, if any did.
+// Close stops the engine and stores the states of its scripts. It returns the error that stopped
+// the engine from storing, if any.
 func (e *Engine) Close() error {
 	e.stopOnce.Do(func() { close(e.stop) })
 	<-e.done
 	return e.storeErr
 }
 
-// Kill stops the engine as the end of its process would, for tests: what is not stored yet is lost.
+// Kill stops the engine like a crash of the process would: what is not stored yet is lost. It is
+// meant for tests.
 func (e *Engine) Kill() {
 	e.killed.Store(true)
 	e.Close()
 }
 
-// Post hands an event to the scripts, if any has a handler of it. It never blocks: if the queue is full the event
-// is dropped, and counted.
+// Post queues an event if any script has a handler for it. It never blocks: if the queue is full
+// the event is dropped and counted.
 func (e *Engine) Post(point string, event hooklang.Event) {
 	if points := e.handledPoints.Load(); points != nil && !(*points)[point] {
 		return
@@ -196,8 +203,9 @@
 	}
 }
 
-// Workers notifies the engine of the current list of workers, which must not be changed afterwards. It never
-// blocks: a newer list replaces one that waits.
+// SetWorkers passes the current list of workers to the engine. The list must not be changed
+// afterwards. SetWorkers never blocks: a newer list replaces one that the engine has not processed
+// yet.
 func (e *Engine) SetWorkers(workers []hookadvice.Worker) {
 	e.workers.Store(&workers)
 	select {
@@ -206,14 +214,15 @@
 	}
 }
 
-// do has f run by the engine's goroutine, and waits for it. It returns an error if the engine has stopped.
+// runOnEngine runs f on the engine's goroutine and waits for it. It returns an error if the engine
+// has stopped.
 func (e *Engine) runOnEngine(f func()) error {
-	ready := make(chan struct{})
+	finished := make(chan struct{})
 	select {
-	case e.commands <- func() { f(); close(ready) }:
-		<-ready
+	case e.commands <- func() { f(); close(finished) }:
+		<-finished
 		return nil
 	case <-e.done:
-		return errors.New("hooks: stopped")
+		return errors.New("hooks: engine is stopped")
 	}
 }
--- a/internal/hookengine/golden_test.go
+++ b/internal/hookengine/golden_test.go
@@ -21,18 +21,18 @@
 
 const storedText = "state seen int = 0\non ended(c) { seen = seen + 1 }\n"
 
-// storedScripts has a script in which every stored field is set, and one in which hardly any is.
+// storedScripts returns a script with every stored field set, and one with hardly any.
 func storedScripts() []*Script {
 	version := func(number uint64) *Version {
 		return &Version{Number: number, Digest: Digest(storedText), Text: storedText, Source: "user <me>"}
 	}
-	given := version(2)
-	given.QuarantineReason = "raised"
+	quarantined := version(2)
+	quarantined.QuarantineReason = "raised"
 	return []*Script{
 		{
 			Name:        "a",
 			Live:        version(3),
-			Previous:    given,
+			Previous:    quarantined,
 			Shadow:      version(4),
 			LiveStats:   RunStats{Runs: 1, Faults: 2, Fuel: 3, Mismatches: 4, Skipped: 5},
 			ShadowStats: RunStats{Runs: 6, Faults: 7, Fuel: 8, Mismatches: 9, Skipped: 10},
@@ -44,7 +44,7 @@
 
 const storedState = `[{"name":"seen","type":"int","value":"7"}]`
 
-// openStore opens a store in a folder and gives what it holds.
+// openStoreFolder opens the store in a folder and returns its contents.
 func openStoreFolder(t *testing.T, folder string) (log *store.Log, snapshot []byte, records [][]byte) {
 	t.Helper()
 	log, _, err := store.Open(store.Dir(folder), store.Options{MaxRecordBytes: 16 << 20, MaxGroupBytes: 32 << 20},
@@ -59,7 +59,8 @@
 	return log, snapshot, records
 }
 
-// Scripts and their states are stored as records, and now and then as a snapshot of all.
+// The format of the records of scripts and states, and of the snapshot that replaces them, is
+// fixed.
 func TestStoredFormat(t *testing.T) {
 	folder := t.TempDir()
 	log, _, _ := openStoreFolder(t, folder)
@@ -74,7 +75,7 @@
 	log.Close()
 	log, snapshot, records := openStoreFolder(t, folder)
 	if snapshot != nil || len(records) != 3 {
-		t.Fatalf("a snapshot of %d bytes, %d records", len(snapshot), len(records))
+		t.Fatalf("snapshot of %d bytes and %d records", len(snapshot), len(records))
 	}
 	goldenfile.Compare(t, "record_scripts.json", records[0])
 	goldenfile.Compare(t, "record_state.json", records[1])
@@ -91,7 +92,7 @@
 	goldenfile.Compare(t, "snapshot.json", snapshot)
 }
 
-// An engine begins with what was stored, by records or by a snapshot.
+// An engine restores what an earlier release stored, from records or from a snapshot.
 func TestRestoreStoredFormat(t *testing.T) {
 	fill := map[string]func(*store.Log) error{
 		"records": func(log *store.Log) error {
@@ -142,12 +143,12 @@
 			t.Errorf("%s: runs with %s", name, state)
 		}
 		if engine.shadows["a"] == nil || engine.live["b"] == nil {
-			t.Errorf("%s: not all versions run", name)
+			t.Errorf("%s: not all versions were restored", name)
 		}
 	}
 }
 
-// A notice goes out as a signed webhook.
+// The format of a notification, a signed webhook, is fixed.
 func TestNotificationFormat(t *testing.T) {
 	key, err := signing.ParseKey("whsec_MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw")
 	if err != nil {
@@ -158,13 +159,13 @@
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	taken := make(chan string, 1)
+	received := make(chan string, 1)
 	server := &http1.Server{Handler: http1.HandlerFunc(func(_ *http1.Conn, r *http1.Request) *http1.Response {
 		written := fmt.Sprintf("%s %s\n", r.Method, r.Target)
 		for _, name := range []string{"User-Agent", "Content-Type", "webhook-id"} {
 			written += fmt.Sprintf("%s: %s\n", name, r.Header.Get(name))
 		}
-		taken <- written + "\n" + string(r.Body) + "\n"
+		received <- written + "\n" + string(r.Body) + "\n"
 		return &http1.Response{Status: 204}
 	})}
 	go server.Serve(listener)
@@ -172,14 +173,14 @@
 	target := Target{Name: "ops", Address: listener.Addr().String(), Path: "/n", Key: key}
 	notifier := NewNotifier("c1", []Target{target}, clock.System(), zerolog.Nop())
 	defer notifier.Close()
-	notice := hookadvice.Notification{Script: "a", Target: "ops", Text: `lost "3" <of> 4`}
-	if err := notifier.send(queuedNotification{Notification: notice, id: "note_1", queuedAt: time.Unix(1700000000, 5e8)}); err != nil {
+	notification := hookadvice.Notification{Script: "a", Target: "ops", Text: `lost "3" <of> 4`}
+	if err := notifier.send(queuedNotification{Notification: notification, id: "note_1", queuedAt: time.Unix(1700000000, 5e8)}); err != nil {
 		t.Fatal(err)
 	}
-	goldenfile.Compare(t, "notice.txt", []byte(<-taken))
+	goldenfile.Compare(t, "notice.txt", []byte(<-received))
 }
 
-// Operators are shown scripts, and the advice that stands.
+// The format of the overview of scripts and advice for operators is fixed.
 func TestOverviewFormat(t *testing.T) {
 	now := 10 * time.Second
 	overview := Overview{
@@ -201,7 +202,8 @@
 	}
 }
 
-// Each field that is stored or sent has a key of its own: what it is called in Go may change, the format may not.
+// Every field that is stored or sent has a JSON tag, so that renaming it in Go does not change the
+// format.
 func TestKeysDoNotFollowFieldNames(t *testing.T) {
 	goldenfile.Tagged(t, record{}, snapshot{}, Overview{}, hookadvice.Tenants{})
 }
--- a/internal/hookengine/hooks_test.go
+++ b/internal/hookengine/hooks_test.go
@@ -19,8 +19,8 @@
 
 const sec = time.Second
 
-// Faults in a row open the circuit, longer each time and with jitter; then the previous version becomes live, and if that
-// faults too it is quarantined.
+// Consecutive faults open the circuit, for longer each time and with jitter. Then the version is
+// quarantined and the previous one becomes live; if that faults too it is quarantined as well.
 func TestCircuit(t *testing.T) {
 	l := NewLifecycle(LifecycleSettings{}, 1)
 	must := func(err error) {
@@ -34,29 +34,29 @@
 	_, err = l.Load("a", "two", "x", false)
 	must(err)
 	s := l.Find("a")
-	now, opened := time.Duration(0), []time.Duration{}
+	now, backoffs := time.Duration(0), []time.Duration{}
 	for n := 0; s.Live.Text == "two" && n < 1000; n++ {
 		if s.circuit.open {
-			back := s.circuit.openUntil - now
-			opened = append(opened, back)
+			backoff := s.circuit.openUntil - now
+			backoffs = append(backoffs, backoff)
 			now = s.circuit.openUntil
 			l.StartProbes(now)
 		}
 		l.RecordRun(now, "a", s.Live.Number, "raised", 1)
 	}
-	if s.Live.Text != "one" || s.Previous.QuarantineReason == "" || len(opened) != 4 {
-		t.Fatalf("%+v after %v", s, opened)
+	if s.Live.Text != "one" || s.Previous.QuarantineReason == "" || len(backoffs) != 4 {
+		t.Fatalf("%+v after %v", s, backoffs)
 	}
-	for i, back := range opened {
-		if least := sec << i; back < least || back > least*3/2 {
-			t.Errorf("open for %v the %d. time", back, i+1)
+	for i, backoff := range backoffs {
+		if shortest := sec << i; backoff < shortest || backoff > shortest*3/2 {
+			t.Errorf("opening %[2]d lasted %[1]v", backoff, i+1)
 		}
 	}
 	if err := l.Rollback("a"); err == nil {
-		t.Error("back to a version that was given up")
+		t.Error("rolled back to a quarantined version")
 	}
 	if _, err := l.Load("a", "two", "x", false); !errors.Is(err, ErrQuarantined) || s.Live.Text != "one" {
-		t.Errorf("the text that was given up is taken again: %v", err)
+		t.Errorf("the quarantined text was loaded again: %v", err)
 	}
 	for n := 0; s.Live.QuarantineReason == "" && n < 1000; n++ {
 		if s.circuit.open {
@@ -73,29 +73,31 @@
 		t.Error(s.Status(now))
 	}
 	l.RecordRun(now, "a", s.Live.Number, "x", 1)
-	l.RecordRun(now, "a", s.Live.Number, "", 1) // one good run begins the count anew
+	l.RecordRun(now, "a", s.Live.Number, "", 1) // a run without a fault resets the count
 	l.RecordRun(now, "a", s.Live.Number, "x", 1)
 	l.RecordRun(now, "a", s.Live.Number, "x", 1)
-	l.RecordRun(now, "a", 1, "x", 1) // two was version 2, and this is one again: of version 1
+	l.RecordRun(now, "a", 1, "x", 1) // version 1 is live again after version 2
 	if s.Live.Number == 1 && s.Status(now) != "open" {
-		t.Error("three faults in a row do not open it")
+		t.Error("three consecutive faults did not open the circuit")
 	}
 	before := s.LiveStats
-	l.RecordRun(now, "a", 99, "x", 1) // a run of a version that is gone says nothing
+	l.RecordRun(now, "a", 99, "x", 1) // a run of a version that is not live is ignored
 	if s.LiveStats != before {
 		t.Error(s.LiveStats)
 	}
 }
 
+// A shadow may be promoted after enough runs without a fault, or by force. Loading the same text
+// again adds no version.
 func TestPromotion(t *testing.T) {
 	l := NewLifecycle(LifecycleSettings{MinShadowRuns: 3}, 1)
 	l.Load("a", "one", "x", false)
 	v, _ := l.Load("a", "two", "x", true)
 	if again, _ := l.Load("a", "two", "x", true); again != v {
-		t.Error("the same text is a new version")
+		t.Error("loading the same text added a version")
 	}
 	if n, _ := l.Load("a", "one", "x", true); n != 1 || l.Find("a").Shadow.Number != v {
-		t.Error("the live text is tried in the shadow")
+		t.Error("the live text was loaded as the shadow")
 	}
 	if err := l.Promote("a", false); err == nil || !strings.Contains(err.Error(), "0 runs of 3") {
 		t.Error(err)
@@ -115,55 +117,55 @@
 	}
 	for _, name := range []string{"", "A", "../x", strings.Repeat("a", 65)} {
 		if _, err := l.Load(name, "x", "x", false); err == nil {
-			t.Errorf("%q is taken", name)
+			t.Errorf("script name %q was accepted", name)
 		}
 	}
 }
 
-// host records what an engine asks of the gateway.
+// fakeGateway is a catalog and a sink. It records the advice and the notifications of an engine.
 type fakeGateway struct {
 	mu            sync.Mutex
 	recorded      []string
 	notifications []hookadvice.Notification
 }
 
-func (h *fakeGateway) KeepWarm(f string, n int, _ time.Duration) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.recorded = append(h.recorded, fmt.Sprintf("warm %s %d", f, n))
+func (g *fakeGateway) KeepWarm(f string, n int, _ time.Duration) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.recorded = append(g.recorded, fmt.Sprintf("warm %s %d", f, n))
 }
-func (h *fakeGateway) RankWorker(w string, rank int, _ time.Duration) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.recorded = append(h.recorded, fmt.Sprintf("regard %s %d", w, rank))
+func (g *fakeGateway) RankWorker(w string, rank int, _ time.Duration) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.recorded = append(g.recorded, fmt.Sprintf("regard %s %d", w, rank))
 }
-func (h *fakeGateway) FunctionMemoryMB(n string) (float64, bool) { return 1, strings.HasPrefix(n, "f") }
-func (h *fakeGateway) HasTenant(n string) bool                   { return n == "t" }
+func (g *fakeGateway) FunctionMemoryMB(n string) (float64, bool) { return 1, strings.HasPrefix(n, "f") }
+func (g *fakeGateway) HasTenant(n string) bool                   { return n == "t" }
 
-func (h *fakeGateway) recordedCalls() string {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return strings.Join(h.recorded, ", ")
+func (g *fakeGateway) recordedAdvice() string {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return strings.Join(g.recorded, ", ")
 }
 
-func startEngine(t *testing.T, h *fakeGateway, clk clock.Clock, dir string, rate ...int64) *Engine {
+func startEngine(t *testing.T, gateway *fakeGateway, clk clock.Clock, dir string, rate ...int64) *Engine {
 	t.Helper()
-	life := LifecycleSettings{InstructionRate: 1 << 40}
+	lifecycle := LifecycleSettings{InstructionRate: 1 << 40}
 	if rate != nil {
-		life.InstructionRate = rate[0]
+		lifecycle.InstructionRate = rate[0]
 	}
 	cfg := Config{
-		Lifecycle:    life,
+		Lifecycle:    lifecycle,
 		Advice:       hookadvice.Settings{CallLimit: 100},
-		Catalog:      h,
-		Sink:         h,
+		Catalog:      gateway,
+		Sink:         gateway,
 		Clock:        clk,
 		Log:          zerolog.Nop(),
 		SaveInterval: time.Nanosecond,
 		Notify: func(n hookadvice.Notification) {
-			h.mu.Lock()
-			h.notifications = append(h.notifications, n)
-			h.mu.Unlock()
+			gateway.mu.Lock()
+			gateway.notifications = append(gateway.notifications, n)
+			gateway.mu.Unlock()
 		},
 	}
 	if dir != "" {
@@ -183,7 +185,7 @@
 	return e
 }
 
-// all waits until what was posted before has been run.
+// drainQueue waits until the engine has processed everything that was posted before.
 func drainQueue(t *testing.T, e *Engine) {
 	t.Helper()
 	for len(e.queue) > 0 {
@@ -192,7 +194,8 @@
 		}
 	}
 	e.runOnEngine(func() {})
-	e.runOnEngine(func() {}) // the turn of the one before has ended, timers and all
+	// After this the previous iteration of the loop has ended, including its timers.
+	e.runOnEngine(func() {})
 }
 
 func loadScript(t *testing.T, e *Engine, name, text string, shadow bool) {
@@ -204,29 +207,30 @@
 
 const counterScript = "state n int = 0\non ended(e) {\nn += 1\nkeep_warm(\"f\" + str(n), 1, 1h)\n}\n"
 
-// State and versions outlive the process, also one that was cut off, and a new version goes on with the state.
+// Versions and state survive a restart, also by way of snapshots, and a new version takes over the
+// state.
 func TestEngineRestarts(t *testing.T) {
-	h, clk, dir := &fakeGateway{}, clock.NewManual(time.Unix(1000, 0)), t.TempDir()
-	e := startEngine(t, h, clk, dir)
+	gateway, clk, dir := &fakeGateway{}, clock.NewManual(time.Unix(1000, 0)), t.TempDir()
+	e := startEngine(t, gateway, clk, dir)
 	loadScript(t, e, "a", counterScript, false)
 	for range 3 {
 		e.Post("ended", hooklang.Ended{})
 	}
-	e.Post("timer", hooklang.Tick{}) // nobody wants it
+	e.Post("timer", hooklang.Tick{}) // no script has a handler for it
 	drainQueue(t, e)
-	if got := h.recordedCalls(); got != "warm f1 1, warm f2 1, warm f3 1" {
+	if got := gateway.recordedAdvice(); got != "warm f1 1, warm f2 1, warm f3 1" {
 		t.Fatal(got)
 	}
 	if n := e.Counts.Posted.Load(); n != 3 {
 		t.Errorf("%d posted", n)
 	}
 	e.Close()
-	h = &fakeGateway{}
-	e = startEngine(t, h, clk, dir)
+	gateway = &fakeGateway{}
+	e = startEngine(t, gateway, clk, dir)
 	loadScript(t, e, "a", strings.Replace(counterScript, "1h", "2h", 1), false)
 	e.Post("ended", hooklang.Ended{})
 	drainQueue(t, e)
-	if got := h.recordedCalls(); got != "warm f4 1" {
+	if got := gateway.recordedAdvice(); got != "warm f4 1" {
 		t.Error(got)
 	}
 	o, err := e.Overview()
@@ -240,10 +244,10 @@
 		t.Fatal(err)
 	}
 	drainQueue(t, e)
-	if got := h.recordedCalls(); got != "warm f4 1, warm f4 0" {
+	if got := gateway.recordedAdvice(); got != "warm f4 1, warm f4 0" {
 		t.Error(got)
 	}
-	for range 2 * recordsPerSnapshot { // snapshots among them
+	for range 2 * recordsPerSnapshot { // enough for snapshots
 		loadScript(t, e, "a", counterScript, false)
 		loadScript(t, e, "a", counterScript+"\n", false)
 	}
@@ -251,17 +255,17 @@
 	if l, _ := os.ReadDir(dir); len(l) > 4 {
 		t.Errorf("%d files after snapshots", len(l))
 	}
-	e = startEngine(t, h, clk, dir)
+	e = startEngine(t, gateway, clk, dir)
 	if o, _ := e.Overview(); o.Scripts[0].Live == 0 {
 		t.Errorf("%+v", o)
 	}
 }
 
-// A script that faults does not run while its circuit is open: its advice is withdrawn, its state is that before the fault,
-// and it costs nothing. Others run on.
+// A faulty script does not run while its circuit is open: its advice is withdrawn, and it costs
+// nothing. Its state is that before the fault. Other scripts keep running.
 func TestFaultyScriptIsSuspended(t *testing.T) {
-	h, clk := &fakeGateway{}, clock.NewManual(time.Unix(1000, 0))
-	e := startEngine(t, h, clk, "")
+	gateway, clk := &fakeGateway{}, clock.NewManual(time.Unix(1000, 0))
+	e := startEngine(t, gateway, clk, "")
 	loadScript(t, e, "bad", `
 		state n int = 0
 		on ended(e) {
@@ -283,15 +287,16 @@
 	if g := o.Scripts[1]; g.Status != "live" || g.LiveStats.Runs != 10 {
 		t.Errorf("%+v", g)
 	}
-	if got := h.recordedCalls(); strings.Count(got, "warm f0 1") != 1 || strings.Count(got, "warm f0 0") != 1 {
+	if got := gateway.recordedAdvice(); strings.Count(got, "warm f0 1") != 1 || strings.Count(got, "warm f0 0") != 1 {
 		t.Error(got)
 	}
 }
 
-// A shadow sees what the live version sees, its advice goes nowhere, and differences are counted.
+// A shadow sees the same events as the live version. Its advice is not followed, and differences
+// are counted.
 func TestEngineShadow(t *testing.T) {
-	h, clk := &fakeGateway{}, clock.NewManual(time.Unix(1000, 0))
-	e := startEngine(t, h, clk, "")
+	gateway, clk := &fakeGateway{}, clock.NewManual(time.Unix(1000, 0))
+	e := startEngine(t, gateway, clk, "")
 	loadScript(t, e, "a", "on ended(e) { keep_warm(\"f1\", 1, 1h) }\non arrive(c) { annotate(\"k\", \"1\") }", false)
 	loadScript(t, e, "a", "on ended(e) { keep_warm(e.function, 1, 1h) }\non arrive(c) { annotate(\"k\", \"2\") }", true)
 	e.Post("ended", hooklang.Ended{Function: "f1"})
@@ -299,8 +304,8 @@
 	v := e.Admit(hooklang.Call{})
 	drainQueue(t, e)
 	o, _ := e.Overview()
-	if tr := o.Scripts[0].ShadowStats; tr.Runs != 3 || tr.Mismatches != 2 || h.recordedCalls() != "warm f1 1" || v.Annotations[0].Text != "1" {
-		t.Errorf("%+v, %s, %+v", tr, h.recordedCalls(), v)
+	if tr := o.Scripts[0].ShadowStats; tr.Runs != 3 || tr.Mismatches != 2 || gateway.recordedAdvice() != "warm f1 1" || v.Annotations[0].Text != "1" {
+		t.Errorf("%+v, %s, %+v", tr, gateway.recordedAdvice(), v)
 	}
 	if err := e.Promote("a", true); err != nil {
 		t.Fatal(err)
@@ -310,15 +315,15 @@
 	}
 }
 
-// While the engine's goroutine is busy, calls are judged, posts do not wait, and events beyond the queue are dropped and
-// counted.
+// While the engine's goroutine is busy, calls still get their verdict, Post does not block, and
+// events that exceed the queue are dropped and counted.
 func TestBusyEngineDoesNotBlockCalls(t *testing.T) {
-	h, clk := &fakeGateway{}, clock.NewManual(time.Unix(1000, 0))
-	e := startEngine(t, h, clk, "")
+	gateway, clk := &fakeGateway{}, clock.NewManual(time.Unix(1000, 0))
+	e := startEngine(t, gateway, clk, "")
 	loadScript(t, e, "a", "on ended(e) { log(\"x\") }\non arrive(c) { if c.tenant == \"t\" { refuse(\"no\") } }", false)
-	hold, held := make(chan struct{}), make(chan struct{})
-	go e.runOnEngine(func() { close(held); <-hold })
-	<-held
+	release, blocked := make(chan struct{}), make(chan struct{})
+	go e.runOnEngine(func() { close(blocked); <-release })
+	<-blocked
 	for range 10_000 {
 		e.Post("ended", hooklang.Ended{})
 	}
@@ -328,14 +333,15 @@
 	if n := e.Counts.Dropped.Load(); n != 10_001-4096 {
 		t.Errorf("%d dropped", n)
 	}
-	close(hold)
+	close(release)
 	drainQueue(t, e)
 }
 
-// Timers run at their time, missed ticks are not made up for; notices are sent; tenants' weights and caps are applied to calls.
+// Timers run when due and missed ticks are skipped. Notifications are sent, and tenants' weights
+// and caps apply to calls.
 func TestEngineTimers(t *testing.T) {
-	h, clk := &fakeGateway{}, clock.NewManual(time.Unix(1000, 0))
-	e := startEngine(t, h, clk, "")
+	gateway, clk := &fakeGateway{}, clock.NewManual(time.Unix(1000, 0))
+	e := startEngine(t, gateway, clk, "")
 	loadScript(t, e, "a", `
 		on timer(t) every 5s {
 			notify("ops", str(t.count))
@@ -349,13 +355,13 @@
 	clk.Advance(60 * sec)
 	drainQueue(t, e)
 	drainQueue(t, e)
-	h.mu.Lock()
-	if len(h.notifications) != 2 || h.notifications[1].Text != "2" {
-		t.Error(h.notifications)
+	gateway.mu.Lock()
+	if len(gateway.notifications) != 2 || gateway.notifications[1].Text != "2" {
+		t.Error(gateway.notifications)
 	}
-	h.mu.Unlock()
-	if h.recordedCalls() != "regard w1 -1, regard w1 0, regard w1 -1" && h.recordedCalls() != "regard w1 -1, regard w1 -1" {
-		t.Error(h.recordedCalls())
+	gateway.mu.Unlock()
+	if gateway.recordedAdvice() != "regard w1 -1, regard w1 0, regard w1 -1" && gateway.recordedAdvice() != "regard w1 -1, regard w1 -1" {
+		t.Error(gateway.recordedAdvice())
 	}
 	if v := e.Admit(hooklang.Call{Tenant: "t"}); v.ShedAdvised || v.Weight != 2 {
 		t.Error(v)
@@ -365,11 +371,12 @@
 	}
 }
 
-// A script that costs much misses events, and takes no more than its rate; a cheap one beside it sees all.
+// A script that exceeds its instruction rate misses events. A cheap script next to it sees every
+// event.
 func TestInstructionRate(t *testing.T) {
-	h, clk := &fakeGateway{}, clock.NewManual(time.Unix(1000, 0))
-	e := startEngine(t, h, clk, "", 1_000_000)
-	loadScript(t, e, "dear", "on ended(e) {\nfor i in 0..100000 {}\n}\n", false) // some 200,000 instructions
+	gateway, clk := &fakeGateway{}, clock.NewManual(time.Unix(1000, 0))
+	e := startEngine(t, gateway, clk, "", 1_000_000)
+	loadScript(t, e, "costly", "on ended(e) {\nfor i in 0..100000 {}\n}\n", false) // about 200,000 instructions
 	loadScript(t, e, "good", counterScript, false)
 	for range 20 {
 		for range 50 {
@@ -379,8 +386,8 @@
 		clk.Advance(sec)
 	}
 	o, _ := e.Overview()
-	if d := o.Scripts[0].LiveStats; d.Skipped+d.Runs != 1000 || d.Fuel > 23_000_000 || d.Fuel < 18_000_000 {
-		t.Errorf("%+v", d)
+	if costly := o.Scripts[0].LiveStats; costly.Skipped+costly.Runs != 1000 || costly.Fuel > 23_000_000 || costly.Fuel < 18_000_000 {
+		t.Errorf("%+v", costly)
 	}
 	if g := o.Scripts[1].LiveStats; g.Runs != 1000 || g.Skipped != 0 {
 		t.Errorf("%+v", g)
--- a/internal/hookengine/notify.go
+++ b/internal/hookengine/notify.go
@@ -21,31 +21,32 @@
 	"kitehub/internal/signing"
 )
 
-// Target is a receiver of notices.
+// Target is a receiver of notifications.
 type Target struct {
 	Name    string
 	Address string // host:port
 	Path    string
-	Key     *signing.Key // signs the notices
+	Key     *signing.Key // signs the notifications
 }
 
 const (
 	maxQueuedNotifications = 100
 	maxAttempts            = 4
-	initialRetryBackoff    = 250 * time.Millisecond // before the first retry, doubled for each further one
-	attemptTimeout         = 2 * time.Second        // of one attempt
-	statusGone             = 410                    // by Standard Webhooks: the receiver wants no more notices
+	initialRetryBackoff    = 250 * time.Millisecond // before the first retry; doubled by each further one
+	attemptTimeout         = 2 * time.Second
+	statusGone             = 410 // in Standard Webhooks: the receiver wants no more webhooks
 )
 
 var responseLimits = http1.Limits{MaxBodyBytes: 64 << 10, MaxHeaderBytes: 16 << 10}.WithDefaults()
 
-// Notifier sends notices as signed webhooks (Standard Webhooks), one after the other from a goroutine of its own.
-// It retries each a few times with the same webhook-id, so that the receiver can drop duplicates. Its queue is
-// bounded, and no call waits for it. It is safe for concurrent use.
+// Notifier sends notifications as signed webhooks (Standard Webhooks), one at a time on its own
+// goroutine. All attempts to send a notification have the same webhook-id, so that the receiver can
+// drop duplicates. The queue is bounded, and calls never wait for it. A Notifier is safe for
+// concurrent use.
 type Notifier struct {
-	Sent    atomic.Int64 // notices that were accepted by their target
-	Failed  atomic.Int64 // notices whose target is not known, or did not accept them
-	Dropped atomic.Int64 // notices dropped as the queue was full
+	Sent    atomic.Int64 // notifications accepted by their target
+	Failed  atomic.Int64 // notifications with an unknown target, or not accepted by theirs
+	Dropped atomic.Int64 // notifications dropped because the queue was full
 
 	targets    map[string]Target // by name
 	controller string
@@ -59,11 +60,11 @@
 
 type queuedNotification struct {
 	hookadvice.Notification
-	id       string // the webhook-id
+	id       string // webhook-id
 	queuedAt time.Time
 }
 
-// NewNotifier starts a notifier. The notices name the controller.
+// NewNotifier starts a notifier. Each notification carries the name of the controller.
 func NewNotifier(controller string, targets []Target, c clock.Clock, log zerolog.Logger) *Notifier {
 	n := &Notifier{
 		targets:    map[string]Target{},
@@ -81,22 +82,23 @@
 	return n
 }
 
-// Notify queues a notice. It never blocks: if the queue is full the notice is dropped, and counted.
-func (n *Notifier) Notify(notice hookadvice.Notification) {
-	if _, ok := n.targets[notice.Target]; !ok {
+// Notify queues a notification. It never blocks: if the queue is full the notification is dropped
+// and counted.
+func (n *Notifier) Notify(notification hookadvice.Notification) {
+	if _, ok := n.targets[notification.Target]; !ok {
 		n.Failed.Add(1)
-		n.log.Warn().Str("script", notice.Script).Str("target", notice.Target).
-			Msg("notice: no such target in hooks.targets")
+		n.log.Warn().Str("script", notification.Script).Str("target", notification.Target).
+			Msg("notification: target is not in hooks.targets")
 		return
 	}
 	select {
-	case n.queue <- queuedNotification{Notification: notice, id: "note_" + rand.Text(), queuedAt: n.clock.Wall()}:
+	case n.queue <- queuedNotification{Notification: notification, id: "note_" + rand.Text(), queuedAt: n.clock.Wall()}:
 	default:
 		n.Dropped.Add(1)
 	}
 }
 
-// Close stops the notifier, after the attempt that is under way. Queued notices are not sent.
+// Close stops the notifier after the current attempt. Queued notifications are not sent.
 func (n *Notifier) Close() {
 	n.stopOnce.Do(func() { close(n.stop) })
 	<-n.done
@@ -108,24 +110,25 @@
 		select {
 		case <-n.stop:
 			return
-		case notice := <-n.queue:
-			n.deliver(notice)
+		case notification := <-n.queue:
+			n.deliver(notification)
 		}
 	}
 }
 
-// deliver sends a notice, with retries, until it is accepted, the attempts are used up or the notifier stops.
-func (n *Notifier) deliver(notice queuedNotification) {
+// deliver sends a notification and retries until it is accepted, the attempts are used up or the
+// notifier stops.
+func (n *Notifier) deliver(notification queuedNotification) {
 	backoff := initialRetryBackoff
 	for attempt := range maxAttempts {
-		err := n.send(notice)
+		err := n.send(notification)
 		if err == nil {
 			n.Sent.Add(1)
 			return
 		}
 		if attempt == maxAttempts-1 {
 			n.Failed.Add(1)
-			n.log.Warn().Err(err).Str("script", notice.Script).Str("target", notice.Target).Msg("notice not taken")
+			n.log.Warn().Err(err).Str("script", notification.Script).Str("target", notification.Target).Msg("notification not accepted")
 			return
 		}
 		timer := time.NewTimer(backoff)
@@ -139,10 +142,10 @@
 	}
 }
 
-// send makes one attempt.
-func (n *Notifier) send(notice queuedNotification) error {
-	target := n.targets[notice.Target]
-	req, err := n.request(target, notice)
+// send makes one attempt to send a notification.
+func (n *Notifier) send(notification queuedNotification) error {
+	target := n.targets[notification.Target]
+	req, err := n.request(target, notification)
 	if err != nil {
 		return err
 	}
@@ -163,25 +166,25 @@
 	}
 	switch {
 	case resp.Status == statusGone:
-		return errors.New("gone: its receiver wants no more (410)")
+		return errors.New("the receiver wants no more webhooks (status 410)")
 	case resp.Status < 200 || resp.Status > 299:
 		return fmt.Errorf("status %d", resp.Status)
 	}
 	return nil
 }
 
-// request returns the signed webhook for a notice.
-func (n *Notifier) request(target Target, notice queuedNotification) (*http1.Request, error) {
+// request returns the signed webhook of a notification.
+func (n *Notifier) request(target Target, notification queuedNotification) (*http1.Request, error) {
 	body, err := json.Marshal(map[string]any{
 		"type":      "hook.notice",
-		"timestamp": notice.queuedAt.UTC().Format(time.RFC3339),
-		"data":      map[string]string{"controller": n.controller, "script": notice.Script, "text": notice.Text},
+		"timestamp": notification.queuedAt.UTC().Format(time.RFC3339),
+		"data":      map[string]string{"controller": n.controller, "script": notification.Script, "text": notification.Text},
 	})
 	if err != nil {
 		return nil, err
 	}
-	stamp := strconv.FormatInt(n.clock.Wall().Unix(), 10)
-	message := signing.Message{ID: notice.id, Timestamp: stamp, Body: body}
+	timestamp := strconv.FormatInt(n.clock.Wall().Unix(), 10)
+	message := signing.Message{ID: notification.id, Timestamp: timestamp, Body: body}
 	signature, err := target.Key.Sign(message)
 	if err != nil {
 		return nil, err
--- a/internal/hookengine/notify_test.go
+++ b/internal/hookengine/notify_test.go
@@ -15,7 +15,8 @@
 	"kitehub/internal/signing"
 )
 
-// A notice is signed, tried again under its id until it is taken, and one for nobody is counted.
+// A notification is signed and retried with the same webhook-id until it is accepted. One without a
+// known target is counted as failed.
 func TestNotifier(t *testing.T) {
 	key, err := signing.ParseKey("whsec_MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw")
 	if err != nil {
@@ -27,18 +28,18 @@
 	}
 	var mu sync.Mutex
 	var ids []string
-	taken := make(chan string, 10)
+	accepted := make(chan string, 10)
 	srv := &http1.Server{Handler: http1.HandlerFunc(func(_ *http1.Conn, r *http1.Request) *http1.Response {
 		mu.Lock()
 		defer mu.Unlock()
 		m := signing.Message{ID: r.Header.Get("webhook-id"), Timestamp: r.Header.Get("webhook-timestamp"), Body: r.Body}
 		if !key.Verify(m, r.Header.Get("webhook-signature")) || r.Path() != "/n" {
-			t.Errorf("%s: not signed", r.Target)
+			t.Errorf("%s: wrong signature or path", r.Target)
 		}
 		if ids = append(ids, m.ID); len(ids) < 3 {
 			return &http1.Response{Status: 500}
 		}
-		taken <- string(r.Body)
+		accepted <- string(r.Body)
 		return &http1.Response{Status: 204}
 	})}
 	go srv.Serve(ln)
@@ -47,15 +48,15 @@
 	target := Target{Name: "ops", Address: ln.Addr().String(), Path: "/n", Key: key}
 	n := NewNotifier("c", []Target{target}, clock.System(), zerolog.Nop())
 	defer n.Close()
-	n.Notify(hookadvice.Notification{Script: "a", Target: "nobody", Text: "x"})
+	n.Notify(hookadvice.Notification{Script: "a", Target: "unknown", Text: "x"})
 	n.Notify(hookadvice.Notification{Script: "a", Target: "ops", Text: "lost 3"})
 	select {
-	case got := <-taken:
+	case got := <-accepted:
 		if !strings.Contains(got, `"type":"hook.notice"`) || !strings.Contains(got, `"text":"lost 3"`) {
 			t.Error(got)
 		}
 	case <-time.After(20 * time.Second):
-		t.Fatal("not taken")
+		t.Fatal("notification was not accepted")
 	}
 	mu.Lock()
 	defer mu.Unlock()
--- a/internal/hookengine/overview.go
+++ b/internal/hookengine/overview.go
@@ -7,7 +7,7 @@
 	"kitehub/internal/hookadvice"
 )
 
-// Shown is a script as operators see it.
+// ScriptOverview describes a script to operators.
 type ScriptOverview struct {
 	Name        string    `json:"name"`
 	Status      string    `json:"status"`              // see [Script.Status]
@@ -15,28 +15,29 @@
 	Digest      string    `json:"digest,omitempty"`    // of the live version's text
 	Previous    uint64    `json:"before,omitempty"`    // number of the previous version
 	Shadow      uint64    `json:"shadow,omitempty"`    // number of the shadow version
-	Points      []string  `json:"points,omitempty"`    // of which the live version has handlers
+	Points      []string  `json:"points,omitempty"`    // points that the live version has handlers for
 	LiveStats   RunStats  `json:"tally"`               // of the live version
 	ShadowStats *RunStats `json:"trial,omitempty"`     // of the shadow version
-	LastFault   string    `json:"fault,omitempty"`     // the last one
-	State       string    `json:"state,omitempty"`     // of the live version, as declarations of the hook language
-	ProbeInS    float64   `json:"back_in_s,omitempty"` // seconds until an open circuit admits a probe
+	LastFault   string    `json:"fault,omitempty"`     // see [Script]
+	State       string    `json:"state,omitempty"`     // of the live version, as declarations in the hook language
+	ProbeInS    float64   `json:"back_in_s,omitempty"` // seconds until the open circuit admits a probe
 }
 
-// Overview is all that operators see of hooks.
+// Overview describes all scripts and their advice to operators.
 type Overview struct {
 	Scripts            []ScriptOverview `json:"scripts"`
-	AdviceInForce      []string         `json:"standing"`            // the advice in force, a line each
-	Posted             int64            `json:"posted"`              // events queued
-	Dropped            int64            `json:"dropped"`             // events dropped, as the queue was full
-	QueueLength        int              `json:"waiting"`             // events in the queue
-	AdviceAccepted     int              `json:"advice_taken"`        // items of advice accepted
-	CallsRejected      int64            `json:"calls_refused"`       // calls that were to be rejected
-	OverRejectionLimit int64            `json:"refusals_over_bound"` // calls that hooks wanted rejected beyond the bound
+	AdviceInForce      []string         `json:"standing"`            // one line per item, see inForceLine
+	Posted             int64            `json:"posted"`              // events and inline runs queued so far
+	Dropped            int64            `json:"dropped"`             // events and inline runs dropped by the full queue
+	QueueLength        int              `json:"waiting"`             // events and inline runs in the queue
+	AdviceAccepted     int              `json:"advice_taken"`        // items of advice accepted so far
+	CallsRejected      int64            `json:"calls_refused"`       // calls rejected by hooks or a cap
+	OverRejectionLimit int64            `json:"refusals_over_bound"` // rejections by hooks that the limit overruled
 	AdviceSuppressed   int              `json:"advice_set_aside"`    // items of advice suppressed
 }
 
-// Overview returns the scripts and the advice in force. It returns an error if the engine has stopped.
+// Overview returns the scripts, the advice in force and the counters. It returns an error if the
+// engine has stopped.
 func (e *Engine) Overview() (o Overview, err error) {
 	o.Scripts = []ScriptOverview{}
 	o.AdviceInForce = []string{}
@@ -83,7 +84,7 @@
 	return shown
 }
 
-// inForceLine returns advice that is in force as a kind and JSON, for operators.
+// inForceLine formats an item of advice in force as its kind followed by JSON, for operators.
 func inForceLine(effect hookadvice.Effect, now time.Duration) string {
 	kind := "tenants"
 	shown := any(effect)
@@ -97,6 +98,6 @@
 		remaining := (effect.Until - now).Seconds()
 		shown = map[string]any{"worker": effect.Worker, "rank": effect.Rank, "for_s": remaining}
 	}
-	text, _ := json.Marshal(shown) // plain values always have a text
+	text, _ := json.Marshal(shown) // cannot fail for these types
 	return kind + " " + string(text)
 }
--- a/internal/hookengine/run.go
+++ b/internal/hookengine/run.go
@@ -8,10 +8,10 @@
 	"kitehub/internal/hooklang"
 )
 
-// maxIdle is how long the engine's goroutine waits at most when nothing is due.
+// maxIdle is the longest time that the engine's goroutine waits when nothing is due.
 const maxIdle = time.Hour
 
-// run is the engine's goroutine.
+// run is the main loop of the engine's goroutine.
 func (e *Engine) run() {
 	defer close(e.done)
 	timer := time.NewTimer(0)
@@ -22,8 +22,8 @@
 			e.shutDown()
 			return
 		case <-e.workersChanged:
-		case request := <-e.commands:
-			request()
+		case command := <-e.commands:
+			command()
 		case j := <-e.queue:
 			e.processJob(j)
 		case <-timer.C:
@@ -51,7 +51,7 @@
 	}
 }
 
-// nextDue returns when the engine's goroutine has something to do next if nothing comes.
+// nextDue returns the time at which the engine's goroutine must act next, even without new input.
 func (e *Engine) nextDue(now time.Duration) time.Duration {
 	due := now + maxIdle
 	consider := func(at time.Duration) {
@@ -72,7 +72,7 @@
 	return due
 }
 
-// runTimers runs the handlers of timers that are due. Ticks that were missed are not made up for.
+// runTimers runs the timer handlers that are due. Missed ticks are skipped.
 func (e *Engine) runTimers(now time.Duration) {
 	for _, s := range e.lifecycle.Scripts {
 		loaded := e.live[s.Name]
@@ -84,15 +84,15 @@
 		if loaded.nextTick <= now {
 			loaded.nextTick = now + loaded.interval
 		}
-		open := 0
+		inFlight := 0
 		if e.config.CallsInFlight != nil {
-			open = e.config.CallsInFlight()
+			inFlight = e.config.CallsInFlight()
 		}
-		e.handleEvent(s, "timer", hooklang.Tick{Count: loaded.ticks, Open: open}, now)
+		e.handleEvent(s, "timer", hooklang.Tick{Count: loaded.ticks, Open: inFlight}, now)
 	}
 }
 
-// process takes a job from the queue.
+// processJob handles a job from the queue.
 func (e *Engine) processJob(j job) {
 	if j.run != nil {
 		e.recordInlineRun(j)
@@ -103,7 +103,8 @@
 	}
 }
 
-// recordInline counts a run that was made on the goroutine of a call, and has the shadow see its event.
+// recordInlineRun records a run that took place on the goroutine of a call, and runs the shadow for
+// the same event.
 func (e *Engine) recordInlineRun(j job) {
 	run := j.run
 	e.lifecycle.RecordRun(j.at, run.script, run.version, run.fault, run.fuel)
@@ -116,7 +117,7 @@
 	}
 }
 
-// handle runs a script's handler of an event, and then its shadow's.
+// handleEvent runs a script's handler for an event, and then that of its shadow.
 func (e *Engine) handleEvent(s *Script, point string, event hooklang.Event, now time.Duration) {
 	live, shadow := e.live[s.Name], e.shadows[s.Name]
 	if live == nil || !live.program.Has(point) {
@@ -126,7 +127,7 @@
 		return
 	}
 	if !e.lifecycle.WithinRate(now, &s.LiveStats) {
-		return // the shadow does not see it either, as there is nothing to compare it with
+		return // the shadow skips the event too, as there is no run to compare it with
 	}
 	result, err := e.runInBackground(live, point, event)
 	s.LiveStats.instructionDebt += result.Fuel
@@ -151,7 +152,7 @@
 	}
 }
 
-// logLines writes the lines that a run logs, and returns the rest of its advice.
+// writeLogLines writes the items of advice that are log lines to the log, and returns the others.
 func (e *Engine) writeLogLines(script string, advice []hooklang.Advice) (rest []hooklang.Advice) {
 	for _, item := range advice {
 		if item.Kind == "log" {
@@ -163,23 +164,24 @@
 	return rest
 }
 
-// runAside runs a handler on the engine's goroutine.
+// runInBackground runs a handler on the engine's goroutine.
 func (e *Engine) runInBackground(loaded *loadedVersion, point string, event hooklang.Event) (hooklang.Result, error) {
-	begin := time.Now()
+	start := time.Now()
 	limits := e.config.BackgroundLimits
 	if point == "arrive" {
 		limits = e.config.InlineLimits
 	}
-	limits.Stop = func() bool { return time.Since(begin) > e.config.RunTimeout }
+	limits.Stop = func() bool { return time.Since(start) > e.config.RunTimeout }
 	env := hooklang.Env{Now: int64(e.config.Clock.Now()), Wall: e.config.Clock.Wall().Unix()}
 	result, err := e.vm.Run(loaded.program, point, event, loaded.state, env, limits)
 	e.Counts.BackgroundRuns.Add(1)
-	e.Counts.BackgroundNanos.Add(int64(time.Since(begin)))
+	e.Counts.BackgroundNanos.Add(int64(time.Since(start)))
 	return result, err
 }
 
-// runShadow runs a shadow's handler of an event that the live version has seen, and compares the two: liveAdvice
-// and liveFault are the outcome of the live version. The shadow's advice is not followed.
+// runShadow runs the handler of a shadow for an event that the live version has handled, and
+// compares the outcomes: liveAdvice and liveFault are those of the live version. The advice of the
+// shadow is not followed.
 func (e *Engine) runShadow(
 	shadow *loadedVersion, point string, event hooklang.Event, liveAdvice []hooklang.Advice, liveFault string,
 ) {
--- a/internal/hookengine/storage.go
+++ b/internal/hookengine/storage.go
@@ -10,20 +10,21 @@
 	"kitehub/internal/store"
 )
 
-// recordsPerSnapshot is how many records the log may have before a snapshot replaces them.
+// recordsPerSnapshot is the number of records in the log after which a snapshot replaces them.
 const recordsPerSnapshot = 200
 
-// storage is what the engine knows of its log. The engine's goroutine owns it.
+// storage holds the log of the engine and its state. The engine's goroutine owns it.
 type storage struct {
-	log                  *store.Log // nil: nothing is stored
+	log                  *store.Log // nil if nothing is stored
 	sequence             uint64     // of the last record
 	recordsSinceSnapshot int        // records
 	lastSaved            time.Duration
-	storeErr             error                      // nothing is stored after an error
-	savedStates          map[string]json.RawMessage // as stored last, by script
+	storeErr             error                      // the first error; nothing is stored after it
+	savedStates          map[string]json.RawMessage // last stored states, by script
 }
 
-// record is one entry of the log: all scripts with their versions, or the state of one script.
+// record is an entry of the log: either all scripts with their versions, or the state of one
+// script.
 type record struct {
 	Scripts     []*Script       `json:"scripts,omitempty"`
 	LastVersion uint64          `json:"last,omitempty"`
@@ -31,14 +32,14 @@
 	Value       json.RawMessage `json:"value,omitempty"`
 }
 
-// snapshot replaces all records before it.
+// snapshot holds everything that is stored. It replaces all earlier records.
 type snapshot struct {
 	Scripts     []*Script                  `json:"scripts"`
 	LastVersion uint64                     `json:"last"`
 	States      map[string]json.RawMessage `json:"states"`
 }
 
-// restore opens the log, and runs the scripts that it holds.
+// restore opens the log and prepares the stored scripts to run.
 func (e *Engine) restore() error {
 	stored := snapshot{States: map[string]json.RawMessage{}}
 	options := store.Options{MaxRecordBytes: 16 << 20, MaxGroupBytes: 32 << 20}
@@ -71,19 +72,19 @@
 	return nil
 }
 
-// restoreScript runs the live and the shadow version of a script. What compiled in the program that stored it need not
-// compile in this one.
+// restoreScript prepares the live and the shadow version of a script to run. A text that compiled
+// in the release that stored it may not compile in this one.
 func (e *Engine) restoreScript(s *Script) {
 	if s.Live != nil && s.Live.QuarantineReason == "" {
 		loaded, err := e.compile(s.Name, s.Live)
 		if err != nil {
 			s.Live.QuarantineReason = err.Error()
-			e.config.Log.Error().Str("script", s.Name).Err(err).Msg("hook in quarantine: it does not compile any more")
+			e.config.Log.Error().Str("script", s.Name).Err(err).Msg("hook quarantined: it no longer compiles")
 			return
 		}
 		if saved := e.savedStates[s.Name]; saved != nil {
 			if state, err := loaded.program.Restore(saved); err != nil {
-				e.config.Log.Error().Str("script", s.Name).Err(err).Msg("hook's state not restored: it begins anew")
+				e.config.Log.Error().Str("script", s.Name).Err(err).Msg("hook state not restored: starting with the initial state")
 			} else {
 				loaded.state = state
 			}
@@ -101,8 +102,8 @@
 	}
 }
 
-// appendRecord stores a record, and a snapshot if it is due. After an error hooks go on, but nothing is stored any
-// more.
+// appendRecord stores a record, and a snapshot if one is due. After an error hooks continue to run,
+// but nothing more is stored.
 func (e *Engine) appendRecord(r record) {
 	if e.log == nil || e.storeErr != nil {
 		return
@@ -113,7 +114,7 @@
 	}
 	if err != nil {
 		e.storeErr = err
-		e.config.Log.Error().Err(err).Msg("hooks: scripts and states are not stored any more: start anew")
+		e.config.Log.Error().Err(err).Msg("hooks: scripts and states are no longer stored: restart the controller")
 		return
 	}
 	e.recordsSinceSnapshot++
@@ -122,7 +123,7 @@
 	}
 	e.recordsSinceSnapshot = 0
 	if err := e.writeSnapshot(); err != nil {
-		e.config.Log.Warn().Err(err).Msg("hooks: no snapshot: the log grows")
+		e.config.Log.Warn().Err(err).Msg("hooks: snapshot failed: the log keeps growing")
 	}
 }
 
@@ -133,7 +134,7 @@
 		States:      map[string]json.RawMessage{},
 	}
 	for _, s := range e.lifecycle.Scripts {
-		if state := e.savedStates[s.Name]; state != nil { // also of a script in quarantine
+		if state := e.savedStates[s.Name]; state != nil { // including those of quarantined scripts
 			all.States[s.Name] = state
 		}
 	}
@@ -144,7 +145,8 @@
 	return e.log.Snapshot(e.sequence, text)
 }
 
-// saveStates stores the states that have changed: at most once per SaveInterval, unless force is set.
+// saveStates stores the states that have changed, at most once per SaveInterval unless force is
+// set.
 func (e *Engine) saveStates(force bool) {
 	now := e.config.Clock.Now()
 	if !force && now < e.lastSaved+e.config.SaveInterval {
--- a/internal/hookengine/versions.go
+++ b/internal/hookengine/versions.go
@@ -7,16 +7,16 @@
 	"kitehub/internal/hooklang"
 )
 
-// loadedVersion is a version that is compiled and runs, with its state.
+// loadedVersion is a compiled version with its state.
 type loadedVersion struct {
 	script   string
 	version  uint64
 	program  *hooklang.Program
 	state    *hooklang.State
-	unsaved  bool          // the state is not stored yet
-	interval time.Duration // of its timer; 0: it has none
+	unsaved  bool          // the state has changed since it was stored
+	interval time.Duration // of its timer; 0 if it has none
 	nextTick time.Duration
-	ticks    int64 // so far
+	ticks    int64 // timer runs so far
 }
 
 // compile prepares a version to run, with its initial state.
@@ -36,7 +36,7 @@
 	}, nil
 }
 
-// applyChanges carries out what the lifecycle has decided.
+// applyChanges applies the pending decisions of the lifecycle.
 func (e *Engine) applyChanges() {
 	changes, dirty := e.lifecycle.TakeChanges()
 	for _, c := range changes {
@@ -61,7 +61,7 @@
 	if c.Live == nil {
 		e.deactivate(c.Script)
 	} else if old == nil || old.version != c.Live.Number {
-		if err := e.activate(c.Script, c.Live); err != nil { // it compiled when it was loaded
+		if err := e.activate(c.Script, c.Live); err != nil { // unexpected, as it compiled when it was loaded
 			e.config.Log.Error().Str("script", c.Script).Err(err).Msg("hook does not compile")
 			return
 		}
@@ -74,7 +74,8 @@
 	e.updateShadow(c.Script, script)
 }
 
-// deactivate stops the live version of a script. Its state is retained, as the version may run again.
+// deactivate stops the live version of a script. Its state is retained because the version may run
+// again.
 func (e *Engine) deactivate(script string) {
 	old := e.live[script]
 	delete(e.live, script)
@@ -87,7 +88,8 @@
 	e.stepAdvice(hookadvice.ScriptStopped{Script: script})
 }
 
-// activate runs a version, which takes over the state of the previous one as far as their declarations agree.
+// activate starts to run a version. It takes over the state of the previous version as far as their
+// declarations agree.
 func (e *Engine) activate(script string, v *Version) error {
 	loaded, err := e.compile(script, v)
 	if err != nil {
@@ -106,7 +108,8 @@
 	return nil
 }
 
-// updateShadow has the shadow version run that the lifecycle wants. s is nil if the script is removed.
+// updateShadow starts or stops the shadow of a script as the lifecycle has decided. The script is
+// nil if it was removed.
 func (e *Engine) updateShadow(name string, s *Script) {
 	if s == nil || s.Shadow == nil {
 		delete(e.shadows, name)
@@ -125,7 +128,8 @@
 	e.shadows[name] = loaded
 }
 
-// publish gives the goroutines of calls what is live now.
+// publishHandlers makes the current arrival handlers, and the points that have handlers, visible to
+// the goroutines of calls.
 func (e *Engine) publishHandlers() {
 	var handlers []inlineHandler
 	points := map[string]bool{}
@@ -154,7 +158,8 @@
 	e.handledPoints.Store(&points)
 }
 
-// advise passes events to the table of advice and carries out the effects. Without events it only expires advice.
+// stepAdvice passes events to the advice table and applies the effects. Without events it only
+// expires advice.
 func (e *Engine) stepAdvice(events ...hookadvice.Event) {
 	for _, effect := range e.table.Step(e.config.Clock.Now(), events) {
 		switch effect := effect.(type) {
@@ -167,13 +172,13 @@
 			e.gate.SetTenants(effect)
 			e.gateMutex.Unlock()
 		case hookadvice.Notification:
-			e.config.Log.Info().Str("script", effect.Script).Str("target", effect.Target).Msg("notice")
+			e.config.Log.Info().Str("script", effect.Script).Str("target", effect.Target).Msg("notification")
 			if e.config.Notify != nil {
 				e.config.Notify(effect)
 			}
 		case hookadvice.Discarded:
 			e.config.Log.Debug().Str("script", effect.Script).Str("kind", effect.Item.Kind).Str("why", effect.Reason).
-				Msg("advice dropped")
+				Msg("advice discarded")
 		}
 	}
 }
