--- a/internal/hookengine/engine.go
+++ b/internal/hookengine/engine.go
@@ -41,8 +41,8 @@
 	FS               store.FS        // stores scripts and their state; nil: nothing is stored
 	Seed             uint64          // seed of the backoff jitter
 	QueueSize        int             // events that may wait; others are dropped and counted; default 4096
-	BackgroundLimits hooklang.Limits // of a run on the engine's goroutine; default hooklang.Aside
-	InlineLimits     hooklang.Limits // of a run on the goroutine of a call; default hooklang.Inline
+	BackgroundLimits hooklang.Limits // of a run on the engine's goroutine; default hooklang.BackgroundLimits
+	InlineLimits     hooklang.Limits // of a run on the goroutine of a call; default hooklang.InlineLimits
 	// RunTimeout limits a run on the engine's goroutine that BackgroundLimits has not ended before;
 	// default 250 ms.
 	RunTimeout   time.Duration
@@ -54,10 +54,10 @@
 	c.RunTimeout = cmp.Or(c.RunTimeout, 250*time.Millisecond)
 	c.SaveInterval = cmp.Or(c.SaveInterval, time.Second)
 	if c.BackgroundLimits.Fuel == 0 {
-		c.BackgroundLimits = hooklang.Aside
+		c.BackgroundLimits = hooklang.BackgroundLimits
 	}
 	if c.InlineLimits.Fuel == 0 {
-		c.InlineLimits = hooklang.Inline
+		c.InlineLimits = hooklang.InlineLimits
 	}
 	return c
 }
--- a/internal/hookengine/run.go
+++ b/internal/hookengine/run.go
@@ -120,8 +120,8 @@
 // handleEvent runs a script's handler for an event, and then that of its shadow.
 func (e *Engine) handleEvent(s *Script, point string, event hooklang.Event, now time.Duration) {
 	live, shadow := e.live[s.Name], e.shadows[s.Name]
-	if live == nil || !live.program.Has(point) {
-		if live != nil && shadow != nil && shadow.program.Has(point) {
+	if live == nil || !live.program.HasHandler(point) {
+		if live != nil && shadow != nil && shadow.program.HasHandler(point) {
 			e.runShadow(shadow, point, event, nil, "")
 		}
 		return
@@ -138,7 +138,7 @@
 	} else if result.State != live.state {
 		live.state = result.State
 		live.unsaved = true
-		if live.program.Has("arrive") {
+		if live.program.HasHandler("arrive") {
 			e.publishHandlers()
 		}
 	}
@@ -185,7 +185,7 @@
 func (e *Engine) runShadow(
 	shadow *loadedVersion, point string, event hooklang.Event, liveAdvice []hooklang.Advice, liveFault string,
 ) {
-	if !shadow.program.Has(point) {
+	if !shadow.program.HasHandler(point) {
 		e.lifecycle.RecordShadowRun(shadow.script, shadow.version, "", 0, len(liveAdvice) == 0)
 		return
 	}
--- a/internal/hookengine/storage.go
+++ b/internal/hookengine/storage.go
@@ -83,7 +83,7 @@
 			return
 		}
 		if saved := e.savedStates[s.Name]; saved != nil {
-			if state, err := loaded.program.Restore(saved); err != nil {
+			if state, err := loaded.program.RestoreState(saved); err != nil {
 				e.config.Log.Error().Str("script", s.Name).Err(err).Msg("hook state not restored: starting with the initial state")
 			} else {
 				loaded.state = state
--- a/internal/hookengine/versions.go
+++ b/internal/hookengine/versions.go
@@ -30,7 +30,7 @@
 		script:   script,
 		version:  v.Number,
 		program:  program,
-		state:    program.State(),
+		state:    program.InitialState(),
 		interval: interval,
 		nextTick: e.config.Clock.Now() + interval,
 	}, nil
@@ -96,9 +96,9 @@
 		return err
 	}
 	if old := e.live[script]; old != nil {
-		loaded.state = loaded.program.Take(old.state)
+		loaded.state = loaded.program.InheritState(old.state)
 	} else if saved := e.savedStates[script]; saved != nil {
-		if state, err := loaded.program.Restore(saved); err == nil {
+		if state, err := loaded.program.RestoreState(saved); err == nil {
 			loaded.state = state
 		}
 	}
@@ -123,7 +123,7 @@
 		return
 	}
 	if live := e.live[name]; live != nil {
-		loaded.state = loaded.program.Take(live.state)
+		loaded.state = loaded.program.InheritState(live.state)
 	}
 	e.shadows[name] = loaded
 }
@@ -144,7 +144,7 @@
 				points[point] = true
 			}
 		}
-		if live != nil && live.program.Has("arrive") {
+		if live != nil && live.program.HasHandler("arrive") {
 			handlers = append(handlers, inlineHandler{
 				script:  s.Name,
 				version: live.version,
--- a/internal/hooklang/parsedecl.go
+++ b/internal/hooklang/parsedecl.go
@@ -64,7 +64,7 @@
 	d := &funcDecl{pos: pos, name: name.text, point: points[name.text]}
 	if d.point == nil {
 		p.problem(name.pos, "there is no point %q: %s are", name.text, pointNames())
-		d.point = &Point{Name: name.text, Record: noRecord}
+		d.point = &Point{Name: name.text, Record: emptyRecord}
 	}
 	p.expect("(")
 	event := p.name("the event's name")
@@ -90,8 +90,8 @@
 	interval := time.Duration(t.number)
 	if point != "timer" {
 		p.problem(t.pos, "only a timer has a time")
-	} else if longest := maxMinutes * time.Minute; interval < Least || interval > longest {
-		p.problem(t.pos, "a timer runs every %v at the shortest and %v at the longest", Least, longest)
+	} else if longest := maxMinutes * time.Minute; interval < MinTimerInterval || interval > longest {
+		p.problem(t.pos, "a timer runs every %v at the shortest and %v at the longest", MinTimerInterval, longest)
 	}
 	return interval
 }
--- a/internal/hooklang/program.go
+++ b/internal/hooklang/program.go
@@ -79,7 +79,7 @@
 	c.emit(Pos{}, opReturnNothing, 0, 0, 0)
 	fn.depth += len(s.states) + 1
 	vm := NewVM()
-	vm.limits = Aside
+	vm.limits = BackgroundLimits
 	return vm.guard(p, func() {
 		vm.program = p
 		vm.fuel = vm.limits.Fuel
@@ -109,8 +109,8 @@
 	return names, every
 }
 
-// Has reports whether there is a handler of a point.
-func (p *Program) Has(point string) bool { return p.handlers[point] != nil }
+// HasHandler reports whether there is a handler of a point.
+func (p *Program) HasHandler(point string) bool { return p.handlers[point] != nil }
 
 // MarshalJSON names the program: it is shown to operators.
 func (p *Program) MarshalJSON() ([]byte, error) { return json.Marshal(p.File) }
