--- a/internal/hookadvice/accept.go
+++ b/internal/hookadvice/accept.go
@@ -77,7 +77,7 @@
 func (t *Table) boundedValue(s *script, item hooklang.Advice) (value float64, ok bool) {
 	switch item.Kind {
 	case "keep_warm":
-		if _, exists := t.facts.FunctionMemoryMB(item.Function); !exists {
+		if _, exists := t.catalog.FunctionMemoryMB(item.Function); !exists {
 			t.discard(s, item, &t.Counts.Unknown, "function %q does not exist", item.Function)
 			return 0, false
 		}
@@ -91,7 +91,7 @@
 }
 
 func (t *Table) boundedFactor(s *script, item hooklang.Advice) (factor float64, ok bool) {
-	if !t.facts.HasTenant(item.Tenant) {
+	if !t.catalog.HasTenant(item.Tenant) {
 		t.discard(s, item, &t.Counts.Unknown, "tenant %q does not exist", item.Tenant)
 		return 0, false
 	}
@@ -106,7 +106,7 @@
 	return min(max(item.Factor, 1/limit), limit), true
 }
 
-func (t *Table) boundedRank(s *script, item hooklang.Advice) (boundedRank float64, ok bool) {
+func (t *Table) boundedRank(s *script, item hooklang.Advice) (rank float64, ok bool) {
 	w, exists := t.findWorker(item.Worker)
 	if !exists {
 		t.discard(s, item, &t.Counts.Unknown, "worker %q does not exist", item.Worker)
--- a/internal/hookadvice/events.go
+++ b/internal/hookadvice/events.go
@@ -6,9 +6,9 @@
 	"kitehub/internal/hooklang"
 )
 
-// Catalog lists the functions and tenants that advice may name. [Table.Step] calls its methods.
+// Catalog provides the functions and tenants that advice may name. [Table.Step] calls its methods.
 type Catalog interface {
-	// FunctionMemoryMB returns the memory that a copy takes, and whether the function exists.
+	// FunctionMemoryMB returns the memory in MB that a copy takes, and whether the function exists.
 	FunctionMemoryMB(name string) (mb float64, ok bool)
 	// HasTenant reports whether the tenant exists.
 	HasTenant(name string) bool
@@ -49,8 +49,7 @@
 func (ScriptStopped) event()    {}
 func (WorkerList) event()       {}
 
-// Effect is an output of [Table.Step]: KeepWarm, RankWorker, Tenants, Notification or
-// Discarded.
+// Effect is an output of [Table.Step]: KeepWarm, RankWorker, Tenants, Notification or Discarded.
 type Effect interface{ effect() }
 
 type (
--- a/internal/hookadvice/merge.go
+++ b/internal/hookadvice/merge.go
@@ -41,7 +41,7 @@
 		if !exists && len(merged) >= t.settings.MaxFunctions {
 			continue
 		}
-		copyMB, ok := t.facts.FunctionMemoryMB(e.name)
+		copyMB, ok := t.catalog.FunctionMemoryMB(e.name)
 		if !ok {
 			continue
 		}
--- a/internal/hookadvice/settings.go
+++ b/internal/hookadvice/settings.go
@@ -18,8 +18,7 @@
 	MaxRankedFraction float64
 	// MaxWeight limits a tenant's weight to the range from 1/MaxWeight to MaxWeight; default 4.
 	MaxWeight float64
-	// MaxRejectedFraction is the fraction of the calls of a window that hooks may reject; default
-	// 0.5.
+	// MaxRejectedFraction is the fraction of a window's calls that hooks may reject; default 0.5.
 	MaxRejectedFraction float64
 	// CallLimit is the controller's limit on calls in flight; a tenant's cap is a fraction of it.
 	// It has no default.
@@ -27,8 +26,7 @@
 	// MaxChanges is how often one script may change one entry within a window before the entry is
 	// suppressed; default 6.
 	MaxChanges int
-	// Window is the time over which changes, notifications and rejections are counted; default 1
-	// min.
+	// Window is the period for counting changes, notifications and rejections; default 1 min.
 	Window           time.Duration
 	MaxNotifications int // notifications of one script per window; default 10
 	MaxEntries       int // entries per script; default 256
--- a/internal/hookadvice/table.go
+++ b/internal/hookadvice/table.go
@@ -21,7 +21,7 @@
 // hook engine's goroutine owns it.
 type Table struct {
 	settings Settings
-	facts    Catalog
+	catalog  Catalog
 	now      time.Duration // time of the last step
 	scripts  []*script     // sorted by name
 	workers  []Worker      // sorted by name
@@ -57,7 +57,7 @@
 }
 
 // NewTable returns an empty table, or an error if a setting is out of range.
-func NewTable(s Settings, f Catalog) (*Table, error) {
+func NewTable(s Settings, catalog Catalog) (*Table, error) {
 	if s.CallLimit < 1 {
 		return nil, fmt.Errorf("advice: call limit %d is less than 1", s.CallLimit)
 	}
@@ -67,7 +67,7 @@
 	}
 	return &Table{
 		settings: s,
-		facts:    f,
+		catalog:  catalog,
 		warm:     map[string]KeepWarm{},
 		ranks:    map[string]RankWorker{},
 		tenants:  map[string]Tenant{},
--- a/internal/hookadvice/table_test.go
+++ b/internal/hookadvice/table_test.go
@@ -115,6 +115,7 @@
 	}
 }
 
+// Advice ends when it expires, and a preference ends when its worker drains.
 func TestExpiryAndWorkers(t *testing.T) {
 	table := newTable(t, Settings{})
 	table.Step(0, []Event{adviceOf("a", keepWarm("f1", 2, 10*sec), hooklang.Advice{Kind: "prefer", Worker: "w1", Lifetime: 20 * sec})})
@@ -193,24 +194,26 @@
 					t.Fatalf("%+v at %v", w, now)
 				}
 			}
-			var up, down int
+			var preferred, avoided int
 			for _, r := range ranks {
 				if r.Rank > 0 {
-					up++
+					preferred++
 				} else if r.Rank < 0 {
-					down++
+					avoided++
 				}
 			}
-			if len(copiesInForce) > 3 || copies*100 > 1400 || up > 2 || down > 2 || ranks["w7"].Rank > 0 {
+			if len(copiesInForce) > 3 || copies*100 > 1400 || preferred > 2 || avoided > 2 || ranks["w7"].Rank > 0 {
 				t.Fatalf("%v %v", copiesInForce, ranks)
 			}
-			if len(table.InForce()) != len(copiesInForce)+up+down {
+			if len(table.InForce()) != len(copiesInForce)+preferred+avoided {
 				t.Fatalf("in force: %s, by the effects: %v %v", formatEffects(table.InForce()), copiesInForce, ranks)
 			}
 		}
 	})
 }
 
+// Hooks can reject at most the configured fraction of the calls, a tenant's weight and cap apply,
+// and annotations reach the verdict.
 func TestAdmissionGate(t *testing.T) {
 	gate := NewAdmissionGate(Settings{})
 	gate.SetTenants(Tenants{map[string]Tenant{"t": {Weight: 2, MaxInFlight: 3}}})
