--- a/cmd/kitehub/tools.go
+++ b/cmd/kitehub/tools.go
@@ -69,8 +69,8 @@
 }
 
 func checkResult(res *scenario.Result) error {
-	if res.Forged > 0 {
-		return fmt.Errorf("%d answers have no valid signature", res.Forged)
+	if res.InvalidSignatures > 0 {
+		return fmt.Errorf("%d answers have no valid signature", res.InvalidSignatures)
 	}
 	if !res.Verdict.Holds() {
 		return errors.New("a rule was broken")
@@ -114,13 +114,13 @@
 	}
 	if d.JSON {
 		t := res.Total()
-		t.Took = nil
+		t.Latency = nil
 		err := json.NewEncoder(os.Stdout).Encode(map[string]any{
 			"total":     t,
 			"judged":    res.Verdict.Judged,
 			"breaks":    res.Verdict.Breaks,
 			"cold_peak": res.Verdict.SlowStartPeak,
-			"forged":    res.Forged,
+			"forged":    res.InvalidSignatures,
 		})
 		if err != nil {
 			return err
--- a/internal/harness/scalebench/dispatch.go
+++ b/internal/harness/scalebench/dispatch.go
@@ -31,28 +31,28 @@
 type DispatchLoad struct {
 	Workers, Functions int
 	Rate               float64 // calls a second
-	Changes            float64 // lists a second that change one worker
-	Faulty             float64 // share of workers with faults: of these half reset what they are sent, half are silent, at times
+	ListChanges        float64 // lists a second that change one worker
+	FaultyShare        float64 // share of workers with faults: of these half reset what they are sent, half are silent, at times
 	IdleCopyTTL        time.Duration
 	Tick               time.Duration
-	Span               time.Duration // that is measured
+	Duration           time.Duration // that is measured
 	Seed               uint64
 }
 
 // DispatchCost is what the measured part of a play cost. Processor time is the thread's own, so a busy machine does not lengthen it;
 // the garbage collector's other threads are not in it.
 type DispatchCost struct {
-	Span         time.Duration
+	Duration     time.Duration
 	Steps, Calls int
-	Sent         int // attempts that workers answer
-	Lost         int // attempts that ended in a reset, or in silence
-	Refused      int
+	Served       int // attempts that workers answer
+	LostAttempts int // attempts that ended in a reset, or in silence
+	Rejected     int
 	Failed       int
-	Orders       int // to load
-	Questions    int // how a worker is: probes, and orders for no copies
+	LoadOrders   int // to load
+	Queries      int // how a worker is: probes, and orders for no copies
 	CPU          time.Duration
-	Longest      time.Duration // step
-	LongestList  time.Duration // step that took a list in
+	MaxStep      time.Duration // step
+	MaxListStep  time.Duration // step that took a list in
 	ListCPU      time.Duration // of all such
 	Lists        int
 	Allocations  uint64
@@ -62,8 +62,8 @@
 	Effort       scheduler.Effort
 }
 
-// Core returns the part of a processor core that the steps used.
-func (c DispatchCost) Core() float64 { return c.CPU.Seconds() / c.Span.Seconds() }
+// CoreShare returns the part of a processor core that the steps used.
+func (c DispatchCost) CoreShare() float64 { return c.CPU.Seconds() / c.Duration.Seconds() }
 
 type timedEvent struct {
 	at    time.Duration
@@ -121,8 +121,8 @@
 		Guarantees: scheduler.Guarantees{DrainGrace: 500 * ms, WarmupFraction: 0.2, WarmupTime: 16 * time.Second, CollapseFactor: 3, CollapseWindow: 2 * time.Second}}
 }
 
-// PlayDispatch plays a load and returns its cost.
-func PlayDispatch(load DispatchLoad) (DispatchCost, error) {
+// RunDispatch plays a load and returns its cost.
+func RunDispatch(load DispatchLoad) (DispatchCost, error) {
 	d, err := scheduler.New(dispatchSettings(load), load.Seed)
 	if err != nil {
 		return DispatchCost{}, err
@@ -140,12 +140,12 @@
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	p.step([]scheduler.Event{scheduler.ListUpdate{Kind: scheduler.FullList, Workers: p.workers}}, true)
-	p.run(load.Span / warmupFraction)
-	p.cost = DispatchCost{Span: load.Span}
+	p.run(load.Duration / warmupFraction)
+	p.cost = DispatchCost{Duration: load.Duration}
 	var before, after runtime.MemStats
 	effort := d.Effort()
 	runtime.ReadMemStats(&before)
-	p.run(load.Span)
+	p.run(load.Duration)
 	runtime.ReadMemStats(&after)
 	p.cost.Effort = scheduler.Effort{RingPoints: d.Effort().RingPoints - effort.RingPoints, Workers: d.Effort().Workers - effort.Workers, Queues: d.Effort().Queues - effort.Queues, SummedWorkers: d.Effort().SummedWorkers - effort.SummedWorkers}
 	p.cost.Allocations, p.cost.Bytes = after.Mallocs-before.Mallocs, after.TotalAlloc-before.TotalAlloc
@@ -173,7 +173,7 @@
 				events = append(events, p.call())
 			}
 		}
-		changed := len(p.workers) > 0 && p.random.Float64() < p.load.Changes*p.load.Tick.Seconds()
+		changed := len(p.workers) > 0 && p.random.Float64() < p.load.ListChanges*p.load.Tick.Seconds()
 		if changed {
 			events = append(events, p.replaceOne())
 		}
@@ -224,11 +224,11 @@
 	took := threadTime() - began
 	p.cost.Steps++
 	p.cost.CPU += took
-	p.cost.Longest = max(p.cost.Longest, took)
+	p.cost.MaxStep = max(p.cost.MaxStep, took)
 	if list {
 		p.cost.Lists++
 		p.cost.ListCPU += took
-		p.cost.LongestList = max(p.cost.LongestList, took)
+		p.cost.MaxListStep = max(p.cost.MaxListStep, took)
 	}
 	for _, a := range actions {
 		p.answer(a)
@@ -247,12 +247,12 @@
 	case scheduler.LoadOrder:
 		p.hold(a)
 	case scheduler.Probe:
-		p.cost.Questions++
+		p.cost.Queries++
 		p.later(roundTrip, scheduler.ProbeEnded{Worker: a.Worker, Outcome: scheduler.OK})
 	case scheduler.Cancel:
 		p.later(roundTrip, scheduler.AttemptEnded{Request: a.Request, Attempt: a.Attempt, Outcome: scheduler.Cancelled})
 	case scheduler.Reject:
-		p.cost.Refused++
+		p.cost.Rejected++
 		p.forget(a.Request)
 	case scheduler.Fail:
 		p.cost.Failed++
@@ -272,8 +272,8 @@
 // fault returns what is wrong with a worker now. Workers with faults are spread evenly over the ids, and half of them have theirs
 // while the other half have none.
 func (p *dispatchPlay) fault(w scheduler.WorkerID) fault {
-	faulty := int(float64(w)*p.load.Faulty) - int(float64(w-1)*p.load.Faulty)
-	number := int(float64(w) * p.load.Faulty)
+	faulty := int(float64(w)*p.load.FaultyShare) - int(float64(w-1)*p.load.FaultyShare)
+	number := int(float64(w) * p.load.FaultyShare)
 	if faulty == 0 || (int(p.now/faultPeriod)+number)%2 == 0 {
 		return noFault
 	}
@@ -288,9 +288,9 @@
 	held := scheduler.LoadOrderEnded{Worker: a.Worker, Function: a.Function, Outcome: scheduler.OK, Copies: a.Copies}
 	after := roundTrip
 	if a.Copies == 0 {
-		p.cost.Questions++
+		p.cost.Queries++
 	} else {
-		p.cost.Orders++
+		p.cost.LoadOrders++
 		after = loadTime
 	}
 	switch p.fault(a.Worker) {
@@ -328,10 +328,10 @@
 	p.attempts[a.Request]++
 	switch p.fault(a.Worker) {
 	case resets:
-		p.cost.Lost++
+		p.cost.LostAttempts++
 		r.Outcome, r.Took = scheduler.Reset, roundTrip
 	case silent:
-		p.cost.Lost++
+		p.cost.LostAttempts++
 		r.Outcome, r.Took = scheduler.TimedOut, a.Timeout
 	default:
 		key := copyKey{a.Worker, p.functions[a.Request]}
@@ -342,7 +342,7 @@
 			r.Took += loadTime
 		}
 		p.lastUse[key] = p.now
-		p.cost.Sent++
+		p.cost.Served++
 		p.forget(a.Request)
 	}
 	p.later(r.Took, r)
--- a/internal/harness/scalebench/list.go
+++ b/internal/harness/scalebench/list.go
@@ -37,8 +37,8 @@
 		Started: time.Unix(1700000000+int64(i), 0)}
 }
 
-// PlayList plays a load and returns its cost.
-func PlayList(load ListLoad) (c ListCost, err error) {
+// RunList plays a load and returns its cost.
+func RunList(load ListLoad) (c ListCost, err error) {
 	workers := make([]gateway.Worker, load.Workers)
 	for i := range workers {
 		workers[i] = listedWorker(i)
--- a/internal/harness/scalebench/list_test.go
+++ b/internal/harness/scalebench/list_test.go
@@ -16,7 +16,7 @@
 			var c scalebench.ListCost
 			for range b.N {
 				var err error
-				if c, err = scalebench.PlayList(scalebench.ListLoad{Workers: workers, Changes: 100}); err != nil {
+				if c, err = scalebench.RunList(scalebench.ListLoad{Workers: workers, Changes: 100}); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -39,7 +39,7 @@
 		workers int
 		cost    *scalebench.ListCost
 	}{{36, &small}, {1000, &large}} {
-		c, err := scalebench.PlayList(scalebench.ListLoad{Workers: p.workers, Changes: 3})
+		c, err := scalebench.RunList(scalebench.ListLoad{Workers: p.workers, Changes: 3})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/harness/scalebench/models.go
+++ b/internal/harness/scalebench/models.go
@@ -73,8 +73,8 @@
 	return len(text)
 }
 
-// PlayModels measures a state of so many models.
-func PlayModels(models int) (c ModelsCost, err error) {
+// RunModels measures a state of so many models.
+func RunModels(models int) (c ModelsCost, err error) {
 	const times = 10
 	s, err := filledRegistry(models)
 	if err != nil {
--- a/internal/harness/scalebench/registry.go
+++ b/internal/harness/scalebench/registry.go
@@ -87,8 +87,8 @@
 	cost    RegistryCost
 }
 
-// PlayRegistry plays a load and returns its cost.
-func PlayRegistry(load RegistryLoad) (RegistryCost, error) {
+// RunRegistry plays a load and returns its cost.
+func RunRegistry(load RegistryLoad) (RegistryCost, error) {
 	p := &registryPlay{load: load}
 	defer p.close()
 	if load.FromSnapshot {
--- a/internal/harness/scalebench/registry_test.go
+++ b/internal/harness/scalebench/registry_test.go
@@ -34,7 +34,7 @@
 func benchmarkRegistry(b *testing.B, load scalebench.RegistryLoad) {
 	b.Helper()
 	load.Migrations, load.IdlePeriod, load.Timeout, load.Lease, load.Dir = 3, 5*time.Second, 40*time.Second, 15*time.Second, b.TempDir()
-	c, err := scalebench.PlayRegistry(load)
+	c, err := scalebench.RunRegistry(load)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -46,7 +46,7 @@
 func TestRegistryShape(t *testing.T) {
 	play := func(controllers, models int, fromSnapshot bool) scalebench.RegistryCost {
 		t.Helper()
-		c, err := scalebench.PlayRegistry(scalebench.RegistryLoad{Controllers: controllers, Models: models, FromSnapshot: fromSnapshot, Migrations: 2, IdlePeriod: 200 * time.Millisecond,
+		c, err := scalebench.RunRegistry(scalebench.RegistryLoad{Controllers: controllers, Models: models, FromSnapshot: fromSnapshot, Migrations: 2, IdlePeriod: 200 * time.Millisecond,
 			Timeout: 20 * time.Second, Lease: 5 * time.Second, Dir: t.TempDir()})
 		if err != nil {
 			t.Fatal(err)
@@ -80,7 +80,7 @@
 			var c scalebench.ModelsCost
 			for range b.N {
 				var err error
-				if c, err = scalebench.PlayModels(models); err != nil {
+				if c, err = scalebench.RunModels(models); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -100,7 +100,7 @@
 func TestModelsShape(t *testing.T) {
 	var small, large scalebench.ModelsCost
 	for models, cost := range map[int]*scalebench.ModelsCost{500: &small, 5000: &large} {
-		c, err := scalebench.PlayModels(models)
+		c, err := scalebench.RunModels(models)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/harness/scenario/client.go
+++ b/internal/harness/scenario/client.go
@@ -96,26 +96,26 @@
 	defer l.mu.Unlock()
 	y := l.tally[p.class.Name]
 	y.Calls++
-	y.Tries += attempts
+	y.Attempts += attempts
 	switch outcome {
 	case "served":
 		y.Served++
-		y.Took.RecordValue(int64(took / time.Microsecond))
+		y.Latency.RecordValue(int64(took / time.Microsecond))
 		l.took[map[bool]int{true: 1}[hooked]].RecordValue(int64(took / time.Microsecond))
 		if took <= ms(p.class.AimMs) {
-			y.InAim++
+			y.WithinObjective++
 		}
 		if took > ms(p.class.DeadlineMs) {
 			y.Late++
 		}
 	case "refused":
-		y.Refused++
+		y.Rejected++
 	case "failed":
 		y.Failed++
 	case invariant.Left, invariant.Unreached:
-		y.Left++
+		y.CutOff++
 	default:
-		y.Nowhere++
+		y.NoController++
 	}
 }
 
@@ -212,7 +212,7 @@
 		return
 	}
 	l.mu.Lock()
-	l.forged++
+	l.invalidSignatures++
 	l.mu.Unlock()
 }
 
--- a/internal/harness/scenario/controllers.go
+++ b/internal/harness/scenario/controllers.go
@@ -24,8 +24,8 @@
 	if err != nil {
 		return err
 	}
-	if p.o.Spoil != nil {
-		p.o.Spoil(b)
+	if p.o.ModifyConfig != nil {
+		p.o.ModifyConfig(b)
 	}
 	o := controller.Options{Clock: p.clk, Log: p.o.Log.With().Str("controller", b.Name).Logger(),
 		Dial: p.net.dialer(c.Zone), Sink: p.o.Sink, Handler: p.o.Handler, Models: p.o.Models, Versions: p.o.Versions}
--- a/internal/harness/scenario/day_test.go
+++ b/internal/harness/scenario/day_test.go
@@ -44,11 +44,11 @@
 			var b strings.Builder
 			res.Write(&b)
 			t.Log("\n" + b.String())
-			if v := res.Versions; v != nil && (len(v.Breaks) > 0 || v.Answers == 0 || v.Runs == 0 || res.Moves.Acknowledged < 5) {
-				t.Errorf("versions: %d breaks, %d answers and %d runs judged, %d moves", len(v.Breaks), v.Answers, v.Runs, res.Moves.Acknowledged)
+			if v := res.Versions; v != nil && (len(v.Breaks) > 0 || v.Answers == 0 || v.Runs == 0 || res.Migrations.Acknowledged < 5) {
+				t.Errorf("versions: %d breaks, %d answers and %d runs judged, %d moves", len(v.Breaks), v.Answers, v.Runs, res.Migrations.Acknowledged)
 			}
-			if !res.Verdict.Holds() || res.Forged > 0 {
-				t.Errorf("%d breaks, %d answers forged", len(res.Verdict.Breaks), res.Forged)
+			if !res.Verdict.Holds() || res.InvalidSignatures > 0 {
+				t.Errorf("%d breaks, %d answers forged", len(res.Verdict.Breaks), res.InvalidSignatures)
 			}
 		})
 	}
--- a/internal/harness/scenario/golden_test.go
+++ b/internal/harness/scenario/golden_test.go
@@ -10,7 +10,7 @@
 
 // "kitehub day play --json" prints the total of a day's tallies; scripts read it.
 func TestPrintedTotalIsAsBefore(t *testing.T) {
-	total := Tally{Calls: 1, Served: 2, InAim: 3, Refused: 4, Failed: 5, Left: 6, Nowhere: 7, Late: 8, Tries: 9}
+	total := Tally{Calls: 1, Served: 2, WithinObjective: 3, Rejected: 4, Failed: 5, CutOff: 6, NoController: 7, Late: 8, Attempts: 9}
 	for name, total := range map[string]Tally{"total.json": total, "total_empty.json": {}} {
 		written, err := json.Marshal(total)
 		if err != nil {
--- a/internal/harness/scenario/guards_test.go
+++ b/internal/harness/scenario/guards_test.go
@@ -59,9 +59,9 @@
 		{"cold bound", "killed", invariant.SlowStartBound, func(d *Day) {
 			d.Rate, d.Rules.ColdShare, d.Rules.FallFactor, d.Rules.FallWithinMs, d.Rules.ColdMs = 700, 0.1, 1.6, 500, 5000
 			d.Troubles[0].Part, d.Troubles[0].ForS = 0.75, 0.5
-		}, Options{Spoil: func(b *config.ControllerConfig) { b.Settings.Guarantees.WarmupTime = 0 }}},
+		}, Options{ModifyConfig: func(b *config.ControllerConfig) { b.Settings.Guarantees.WarmupTime = 0 }}},
 		{"load budget", "flush", invariant.Loads, func(d *Day) { d.Rules.LoadFree, d.Rules.LoadRatio = 2, 0.02 },
-			Options{Spoil: func(b *config.ControllerConfig) { b.Settings.Loading.BudgetWindow = 0 }}},
+			Options{ModifyConfig: func(b *config.ControllerConfig) { b.Settings.Loading.BudgetWindow = 0 }}},
 		{"double answer", "quiet", invariant.OneAnswer, func(*Day) {}, Options{Handler: func(h http1.Handler) http1.Handler {
 			return http1.HandlerFunc(func(c *http1.Conn, r *http1.Request) *http1.Response {
 				resp := h.Serve(c, r)
@@ -71,12 +71,12 @@
 				return resp
 			})
 		}}},
-		{"effect", "cut-answers", invariant.NoRepeat, func(d *Day) { d.Troubles[0].Part = 0.8 }, Options{Spoil: func(b *config.ControllerConfig) {
+		{"effect", "cut-answers", invariant.NoRepeat, func(d *Day) { d.Troubles[0].Part = 0.8 }, Options{ModifyConfig: func(b *config.ControllerConfig) {
 			for i := range b.Settings.Classes {
 				b.Settings.Classes[i].Idempotency = scheduler.Idempotent
 			}
 		}}},
-		{"deadline", "slowed", invariant.OneAnswer, func(d *Day) { d.Troubles[0].Part, d.Troubles[0].Size = 1, 100 }, Options{Spoil: func(b *config.ControllerConfig) {
+		{"deadline", "slowed", invariant.OneAnswer, func(d *Day) { d.Troubles[0].Part, d.Troubles[0].Size = 1, 100 }, Options{ModifyConfig: func(b *config.ControllerConfig) {
 			for i := range b.Settings.Classes {
 				b.Settings.Classes[i].Deadline *= 3
 			}
--- a/internal/harness/scenario/hostile_test.go
+++ b/internal/harness/scenario/hostile_test.go
@@ -47,8 +47,8 @@
 			var b strings.Builder
 			res.Write(&b)
 			t.Log("\n" + b.String())
-			if !res.Verdict.Holds() || res.Forged > 0 {
-				t.Errorf("%d breaks, %d answers forged", len(res.Verdict.Breaks), res.Forged)
+			if !res.Verdict.Holds() || res.InvalidSignatures > 0 {
+				t.Errorf("%d breaks, %d answers forged", len(res.Verdict.Breaks), res.InvalidSignatures)
 			}
 			var faults int64
 			for _, h := range res.Hooks {
--- a/internal/harness/scenario/load.go
+++ b/internal/harness/scenario/load.go
@@ -16,38 +16,38 @@
 
 // Tally counts calls of a class by how they ended, over all attempts of each.
 type Tally struct {
-	Calls   int                     `json:"Calls"`
-	Served  int                     `json:"Served"`
-	InAim   int                     `json:"InAim"`
-	Refused int                     `json:"Refused"`
-	Failed  int                     `json:"Failed"`
-	Left    int                     `json:"Left"`
-	Nowhere int                     `json:"Nowhere"`
-	Late    int                     `json:"Late"` // answers of any kind after the client's time
-	Tries   int                     `json:"Tries"`
-	Took    *hdrhistogram.Histogram `json:"Took"` // of those served, µs from the intended start
+	Calls           int                     `json:"Calls"`
+	Served          int                     `json:"Served"`
+	WithinObjective int                     `json:"InAim"`
+	Rejected        int                     `json:"Refused"`
+	Failed          int                     `json:"Failed"`
+	CutOff          int                     `json:"Left"`
+	NoController    int                     `json:"Nowhere"`
+	Late            int                     `json:"Late"` // answers of any kind after the client's time
+	Attempts        int                     `json:"Tries"`
+	Latency         *hdrhistogram.Histogram `json:"Took"` // of those served, µs from the intended start
 }
 
 // A load is an open loop of signed calls: each starts at its time whether or not earlier ones have ended, and is
 // timed from then, so that a stall of the gateway is not hidden by a generator that stalls with it.
 type load struct {
-	s       *Day
-	clk     clock.Clock
-	log     *trace.Log
-	targets []*target
-	rng     *rand.Rand // owned by run
-	mu      sync.Mutex
-	tally   map[string]*Tally
-	forged  int // answers whose signature does not verify
-	rate    float64
-	hot     float64
-	unseen  float64
-	tenant  map[string]float64 // factors on tenants' shares
-	next    int
-	from    time.Duration // calls before it are not counted
-	wg      sync.WaitGroup
-	slots   chan struct{}
-	took    [2]*hdrhistogram.Histogram // of served calls, by whether the controller has scripts
+	s                 *Day
+	clk               clock.Clock
+	log               *trace.Log
+	targets           []*target
+	rng               *rand.Rand // owned by run
+	mu                sync.Mutex
+	tally             map[string]*Tally
+	invalidSignatures int // answers whose signature does not verify
+	rate              float64
+	hot               float64
+	unseen            float64
+	tenant            map[string]float64 // factors on tenants' shares
+	next              int
+	from              time.Duration // calls before it are not counted
+	wg                sync.WaitGroup
+	slots             chan struct{}
+	took              [2]*hdrhistogram.Histogram // of served calls, by whether the controller has scripts
 }
 
 func newLoad(s *Day, clk clock.Clock, log *trace.Log, targets []*target) *load {
@@ -57,7 +57,7 @@
 		l.took[i] = hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 	}
 	for _, c := range s.Classes {
-		l.tally[c.Name] = &Tally{Took: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
+		l.tally[c.Name] = &Tally{Latency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
 	}
 	return l
 }
--- a/internal/harness/scenario/play.go
+++ b/internal/harness/scenario/play.go
@@ -83,44 +83,44 @@
 	Dir      string    // for state, made and removed if ""
 	Progress io.Writer // nil: none
 	Log      zerolog.Logger
-	// Spoil, Sink and Handler take a guard out of the controllers, to show that this is caught.
-	Spoil    func(*config.ControllerConfig)
-	Sink     func(discovery.Sink) discovery.Sink
-	Handler  func(http1.Handler) http1.Handler
-	Models   func(ingress.Models) ingress.Models
-	Versions func(gateway.Versions) gateway.Versions
+	// ModifyConfig, Sink and Handler take a guard out of the controllers, to show that this is caught.
+	ModifyConfig func(*config.ControllerConfig)
+	Sink         func(discovery.Sink) discovery.Sink
+	Handler      func(http1.Handler) http1.Handler
+	Models       func(ingress.Models) ingress.Models
+	Versions     func(gateway.Versions) gateway.Versions
 }
 
 // A Result is what a day came to.
 type Result struct {
-	Verdict *invariant.Verdict
-	Classes []string
-	Tallies []*Tally
-	Forged  int
+	Verdict           *invariant.Verdict
+	Classes           []string
+	Tallies           []*Tally
+	InvalidSignatures int
 	// Of a day with versions: what became of moves, what the trace shows, calls that began anew, answers withheld at the
 	// door, and answers of other bytes that were dropped.
-	Moves                      VersionCounts
-	Versions                   *invariant.VersionVerdict
-	Anew, Withheld, Mismatched int64
-	Trace                      []trace.Record
+	Migrations                            MigrationCounts
+	Versions                              *invariant.VersionVerdict
+	Restarted, Withheld, DigestMismatches int64
+	Trace                                 []trace.Record
 	// Attempts that reached workers, loads ordered, fetches that the store served and turned away.
-	Attempts, Orders, Fetches, Refusals int
-	// Idle is the memory that idle copies took, in MB seconds. Took are the times of served calls in microseconds, of controllers
+	Attempts, LoadOrders, Fetches, RejectedFetches int
+	// IdleMemory is the memory that idle copies took, in MB seconds. Latency are the times of served calls in microseconds, of controllers
 	// without scripts and of those with.
-	Idle      float64
-	Took      [2]*hdrhistogram.Histogram
-	Handovers int
-	Hooks     []HookResult
-	// LateStep is the longest that a step of a controller that ran at the end came after its time.
-	LateStep time.Duration
+	IdleMemory float64
+	Latency    [2]*hdrhistogram.Histogram
+	Handovers  int
+	Hooks      []HookResult
+	// MaxStepDelay is the longest that a step of a controller that ran at the end came after its time.
+	MaxStepDelay time.Duration
 }
 
 // A HookResult is what became of the scripts of one controller.
 type HookResult struct {
-	Controller                              string
-	Inline, Aside, Faults, Refused, Dropped int64
-	InlineMean, AsideMean                   time.Duration
-	Statuses                                []string
+	Controller                               string
+	Inline, Aside, Faults, Rejected, Dropped int64
+	InlineMean, AsideMean                    time.Duration
+	Statuses                                 []string
 }
 
 const cluster = "workers"
@@ -284,20 +284,20 @@
 
 // result checks the trace, and adds what the parties counted.
 func (p *player) result(idle float64) (res *Result, err error) {
-	res = &Result{Forged: p.load.forged, Trace: p.log.Records(), Idle: idle, Took: p.load.took, Handovers: len(p.retired)}
+	res = &Result{InvalidSignatures: p.load.invalidSignatures, Trace: p.log.Records(), IdleMemory: idle, Latency: p.load.took, Handovers: len(p.retired)}
 	res.Classes, res.Tallies = p.load.tallies()
 	for _, r := range res.Trace {
 		switch r.Kind {
 		case trace.RequestRead:
 			res.Attempts++
 		case trace.LoadOrdered:
-			res.Orders++
+			res.LoadOrders++
 		}
 	}
-	p.host.Do(func(f *workersim.Fleet) { res.Fetches, res.Refusals = f.Fetches, f.Refusals })
+	p.host.Do(func(f *workersim.Fleet) { res.Fetches, res.RejectedFetches = f.Fetches, f.Refusals })
 	p.addControllers(res)
 	if p.versions != nil {
-		res.Moves = p.versions.counts
+		res.Migrations = p.versions.counts
 		res.Versions = invariant.Versions(res.Trace, versionSlack)
 	}
 	res.Verdict, err = invariant.Check(res.Trace)
@@ -312,21 +312,21 @@
 		if c == nil {
 			continue
 		}
-		res.LateStep = max(res.LateStep, time.Duration(c.Gateway.Counts.MaxStepDelayNanos.Load()))
+		res.MaxStepDelay = max(res.MaxStepDelay, time.Duration(c.Gateway.Counts.MaxStepDelayNanos.Load()))
 		if e := c.HookEngine(); e != nil {
 			res.Hooks = append(res.Hooks, hookResult(c.Name(), e))
 		}
 		if p.versions != nil {
-			res.Anew += c.Webhook.Counts.Restarted.Load()
+			res.Restarted += c.Webhook.Counts.Restarted.Load()
 			res.Withheld += c.Webhook.Counts.Withheld.Load()
-			res.Mismatched += c.Gateway.Counts.DigestMismatches.Load()
+			res.DigestMismatches += c.Gateway.Counts.DigestMismatches.Load()
 		}
 	}
 }
 
 func hookResult(controller string, e *hookengine.Engine) HookResult {
 	n := &e.Counts
-	h := HookResult{Controller: controller, Inline: n.Inline.Load(), Aside: n.Aside.Load(), Faults: n.Faults.Load(), Refused: n.Refusals.Load(),
+	h := HookResult{Controller: controller, Inline: n.Inline.Load(), Aside: n.Aside.Load(), Faults: n.Faults.Load(), Rejected: n.Refusals.Load(),
 		Dropped:    n.Dropped.Load(),
 		InlineMean: time.Duration(n.InlineNanos.Load() / max(1, n.Inline.Load())),
 		AsideMean:  time.Duration(n.AsideNanos.Load() / max(1, n.Aside.Load()))}
@@ -366,10 +366,10 @@
 		p.load.mu.Lock()
 		var t Tally
 		for _, y := range p.load.tally {
-			t.Calls, t.Served, t.Refused, t.Failed = t.Calls+y.Calls, t.Served+y.Served, t.Refused+y.Refused, t.Failed+y.Failed
+			t.Calls, t.Served, t.Rejected, t.Failed = t.Calls+y.Calls, t.Served+y.Served, t.Rejected+y.Rejected, t.Failed+y.Failed
 		}
 		p.load.mu.Unlock()
-		fmt.Fprintf(p.o.Progress, "%5.1f s  served %d, refused %d, failed %d of %d\n", (p.clk.Now() - p.begin).Seconds(), t.Served, t.Refused, t.Failed, t.Calls)
+		fmt.Fprintf(p.o.Progress, "%5.1f s  served %d, refused %d, failed %d of %d\n", (p.clk.Now() - p.begin).Seconds(), t.Served, t.Rejected, t.Failed, t.Calls)
 	}
 }
 
--- a/internal/harness/scenario/versions.go
+++ b/internal/harness/scenario/versions.go
@@ -44,13 +44,13 @@
 	server  *http1.Server
 	port    net.Listener
 	ln      *incarnation
-	counts  VersionCounts
+	counts  MigrationCounts
 }
 
-// VersionCounts are what became of the moves that the operator asked for.
-type VersionCounts struct {
-	Requested, Acknowledged, Aborted, Refused, Unknown int
-	Longest                                            time.Duration // from the question to the acknowledgement
+// MigrationCounts are what became of the moves that the operator asked for.
+type MigrationCounts struct {
+	Requested, Acknowledged, Aborted, Rejected, Unknown int
+	Longest                                             time.Duration // from the question to the acknowledgement
 }
 
 func secretOf(rng *rand.Rand) string {
