--- a/internal/hookengine/run.go
+++ b/internal/hookengine/run.go
@@ -8,10 +8,10 @@
 	"kitehub/internal/hooklang"
 )
 
-// maxIdle is how long the engine's goroutine waits at most when nothing is due.
+// maxIdle is the longest time that the engine's goroutine waits when nothing is due.
 const maxIdle = time.Hour
 
-// run is the engine's goroutine.
+// run is the main loop of the engine's goroutine.
 func (e *Engine) run() {
 	defer close(e.done)
 	timer := time.NewTimer(0)
@@ -21,21 +21,21 @@
 		case <-e.stop:
 			e.shutDown()
 			return
-		case <-e.wake:
-		case request := <-e.requests:
-			request()
+		case <-e.workersChanged:
+		case command := <-e.commands:
+			command()
 		case j := <-e.queue:
-			e.process(j)
+			e.processJob(j)
 		case <-timer.C:
 		}
 		if workers := e.workers.Swap(nil); workers != nil {
-			e.advise(hookadvice.WorkerList{Workers: *workers})
+			e.stepAdvice(hookadvice.WorkerList{Workers: *workers})
 		}
 		e.applyChanges()
 		now := e.config.Clock.Now()
 		e.runTimers(now)
 		e.lifecycle.StartProbes(now)
-		e.advise()
+		e.stepAdvice()
 		e.applyChanges()
 		e.saveStates(false)
 		timer.Reset(max(time.Millisecond, min(e.nextDue(now)-now, maxIdle)))
@@ -51,7 +51,7 @@
 	}
 }
 
-// nextDue returns when the engine's goroutine has something to do next if nothing comes.
+// nextDue returns the time at which the engine's goroutine must act next, even without new input.
 func (e *Engine) nextDue(now time.Duration) time.Duration {
 	due := now + maxIdle
 	consider := func(at time.Duration) {
@@ -61,7 +61,7 @@
 	}
 	consider(e.lifecycle.NextProbe())
 	consider(e.table.NextExpiry())
-	for _, loaded := range e.active {
+	for _, loaded := range e.live {
 		if loaded.interval > 0 {
 			consider(loaded.nextTick)
 		}
@@ -72,10 +72,10 @@
 	return due
 }
 
-// runTimers runs the handlers of timers that are due. Ticks that were missed are not made up for.
+// runTimers runs the timer handlers that are due. Missed ticks are skipped.
 func (e *Engine) runTimers(now time.Duration) {
 	for _, s := range e.lifecycle.Scripts {
-		loaded := e.active[s.Name]
+		loaded := e.live[s.Name]
 		if loaded == nil || loaded.interval == 0 || now < loaded.nextTick {
 			continue
 		}
@@ -84,41 +84,42 @@
 		if loaded.nextTick <= now {
 			loaded.nextTick = now + loaded.interval
 		}
-		open := 0
+		inFlight := 0
 		if e.config.CallsInFlight != nil {
-			open = e.config.CallsInFlight()
+			inFlight = e.config.CallsInFlight()
 		}
-		e.handle(s, "timer", hooklang.Tick{Count: loaded.ticks, Open: open}, now)
+		e.handleEvent(s, "timer", hooklang.Tick{Count: loaded.ticks, Open: inFlight}, now)
 	}
 }
 
-// process takes a job from the queue.
-func (e *Engine) process(j job) {
+// processJob handles a job from the queue.
+func (e *Engine) processJob(j job) {
 	if j.run != nil {
-		e.recordInline(j)
+		e.recordInlineRun(j)
 		return
 	}
 	for _, s := range slices.Clone(e.lifecycle.Scripts) {
-		e.handle(s, j.point, j.event, e.config.Clock.Now())
+		e.handleEvent(s, j.point, j.event, e.config.Clock.Now())
 	}
 }
 
-// recordInline counts a run that was made on the goroutine of a call, and has the shadow see its event.
-func (e *Engine) recordInline(j job) {
+// recordInlineRun records a run that took place on the goroutine of a call, and runs the shadow for
+// the same event.
+func (e *Engine) recordInlineRun(j job) {
 	run := j.run
 	e.lifecycle.RecordRun(j.at, run.script, run.version, run.fault, run.fuel)
 	if run.fault != "" {
 		e.Counts.Faults.Add(1)
 	}
-	e.logLines(run.script, run.advice)
+	e.writeLogLines(run.script, run.advice)
 	if shadow := e.shadows[run.script]; shadow != nil && j.event != nil {
 		e.runShadow(shadow, j.point, j.event, run.advice, run.fault)
 	}
 }
 
-// handle runs a script's handler of an event, and then its shadow's.
-func (e *Engine) handle(s *Script, point string, event hooklang.Event, now time.Duration) {
-	live, shadow := e.active[s.Name], e.shadows[s.Name]
+// handleEvent runs a script's handler for an event, and then that of its shadow.
+func (e *Engine) handleEvent(s *Script, point string, event hooklang.Event, now time.Duration) {
+	live, shadow := e.live[s.Name], e.shadows[s.Name]
 	if live == nil || !live.program.HasHandler(point) {
 		if live != nil && shadow != nil && shadow.program.HasHandler(point) {
 			e.runShadow(shadow, point, event, nil, "")
@@ -126,10 +127,10 @@
 		return
 	}
 	if !e.lifecycle.WithinRate(now, &s.LiveStats) {
-		return // the shadow does not see it either, as there is nothing to compare it with
+		return // the shadow skips the event too, as there is no run to compare it with
 	}
-	result, err := e.runAside(live, point, event)
-	s.LiveStats.debt += result.Fuel
+	result, err := e.runInBackground(live, point, event)
+	s.LiveStats.instructionDebt += result.Fuel
 	fault := ""
 	if err != nil {
 		fault = err.Error()
@@ -138,21 +139,21 @@
 		live.state = result.State
 		live.unsaved = true
 		if live.program.HasHandler("arrive") {
-			e.publish()
+			e.publishHandlers()
 		}
 	}
 	e.lifecycle.RecordRun(now, s.Name, live.version, fault, result.Fuel)
 	if len(result.Advice) > 0 {
-		items := e.logLines(s.Name, result.Advice)
-		e.advise(hookadvice.AdviceGiven{Script: s.Name, Version: live.version, Items: items})
+		items := e.writeLogLines(s.Name, result.Advice)
+		e.stepAdvice(hookadvice.AdviceGiven{Script: s.Name, Version: live.version, Items: items})
 	}
 	if shadow := e.shadows[s.Name]; shadow != nil {
 		e.runShadow(shadow, point, event, result.Advice, fault)
 	}
 }
 
-// logLines writes the lines that a run logs, and returns the rest of its advice.
-func (e *Engine) logLines(script string, advice []hooklang.Advice) (rest []hooklang.Advice) {
+// writeLogLines writes the items of advice that are log lines to the log, and returns the others.
+func (e *Engine) writeLogLines(script string, advice []hooklang.Advice) (rest []hooklang.Advice) {
 	for _, item := range advice {
 		if item.Kind == "log" {
 			e.config.Log.Info().Str("script", script).Msg(item.Text)
@@ -163,23 +164,24 @@
 	return rest
 }
 
-// runAside runs a handler on the engine's goroutine.
-func (e *Engine) runAside(loaded *loadedVersion, point string, event hooklang.Event) (hooklang.Result, error) {
-	begin := time.Now()
+// runInBackground runs a handler on the engine's goroutine.
+func (e *Engine) runInBackground(loaded *loadedVersion, point string, event hooklang.Event) (hooklang.Result, error) {
+	start := time.Now()
 	limits := e.config.BackgroundLimits
 	if point == "arrive" {
 		limits = e.config.InlineLimits
 	}
-	limits.Stop = func() bool { return time.Since(begin) > e.config.RunTimeout }
+	limits.Stop = func() bool { return time.Since(start) > e.config.RunTimeout }
 	env := hooklang.Env{Now: int64(e.config.Clock.Now()), Wall: e.config.Clock.Wall().Unix()}
 	result, err := e.vm.Run(loaded.program, point, event, loaded.state, env, limits)
 	e.Counts.BackgroundRuns.Add(1)
-	e.Counts.BackgroundNanos.Add(int64(time.Since(begin)))
+	e.Counts.BackgroundNanos.Add(int64(time.Since(start)))
 	return result, err
 }
 
-// runShadow runs a shadow's handler of an event that the live version has seen, and compares the two: liveAdvice
-// and liveFault are the outcome of the live version. The shadow's advice is not followed.
+// runShadow runs the handler of a shadow for an event that the live version has handled, and
+// compares the outcomes: liveAdvice and liveFault are those of the live version. The advice of the
+// shadow is not followed.
 func (e *Engine) runShadow(
 	shadow *loadedVersion, point string, event hooklang.Event, liveAdvice []hooklang.Advice, liveFault string,
 ) {
@@ -191,7 +193,7 @@
 	if s == nil || !e.lifecycle.WithinRate(e.config.Clock.Now(), &s.ShadowStats) {
 		return
 	}
-	result, err := e.runAside(shadow, point, event)
+	result, err := e.runInBackground(shadow, point, event)
 	if err != nil {
 		e.lifecycle.RecordShadowRun(shadow.script, shadow.version, err.Error(), result.Fuel, false)
 		return
--- a/internal/hookengine/versions.go
+++ b/internal/hookengine/versions.go
@@ -7,16 +7,16 @@
 	"kitehub/internal/hooklang"
 )
 
-// loadedVersion is a version that is compiled and runs, with its state.
+// loadedVersion is a compiled version with its state.
 type loadedVersion struct {
 	script   string
 	version  uint64
 	program  *hooklang.Program
 	state    *hooklang.State
-	unsaved  bool          // the state is not stored yet
-	interval time.Duration // of its timer; 0: it has none
+	unsaved  bool          // the state has changed since it was stored
+	interval time.Duration // of its timer; 0 if it has none
 	nextTick time.Duration
-	ticks    int64 // so far
+	ticks    int64 // timer runs so far
 }
 
 // compile prepares a version to run, with its initial state.
@@ -36,32 +36,32 @@
 	}, nil
 }
 
-// applyChanges carries out what the lifecycle has decided.
+// applyChanges applies the pending decisions of the lifecycle.
 func (e *Engine) applyChanges() {
 	changes, dirty := e.lifecycle.TakeChanges()
 	for _, c := range changes {
-		e.apply(c)
+		e.applyChange(c)
 	}
 	if len(changes) > 0 {
-		e.publish()
+		e.publishHandlers()
 	}
 	if dirty {
-		e.appendRecord(record{Scripts: e.lifecycle.Scripts, Last: e.lifecycle.LastVersion})
+		e.appendRecord(record{Scripts: e.lifecycle.Scripts, LastVersion: e.lifecycle.LastVersion})
 	}
 }
 
-func (e *Engine) apply(c Change) {
+func (e *Engine) applyChange(c Change) {
 	event := e.config.Log.Info()
 	if c.Alarm {
 		event = e.config.Log.Error()
 	}
 	event.Str("script", c.Script).Msg("hook: " + c.Text)
 
-	old := e.active[c.Script]
+	old := e.live[c.Script]
 	if c.Live == nil {
 		e.deactivate(c.Script)
 	} else if old == nil || old.version != c.Live.Number {
-		if err := e.activate(c.Script, c.Live); err != nil { // it compiled when it was loaded
+		if err := e.activate(c.Script, c.Live); err != nil { // unexpected, as it compiled when it was loaded
 			e.config.Log.Error().Str("script", c.Script).Err(err).Msg("hook does not compile")
 			return
 		}
@@ -69,44 +69,47 @@
 
 	script := e.lifecycle.Find(c.Script)
 	if script == nil {
-		delete(e.states, c.Script)
+		delete(e.savedStates, c.Script)
 	}
 	e.updateShadow(c.Script, script)
 }
 
-// deactivate stops the live version of a script. Its state is retained, as the version may run again.
+// deactivate stops the live version of a script. Its state is retained because the version may run
+// again.
 func (e *Engine) deactivate(script string) {
-	old := e.active[script]
-	delete(e.active, script)
+	old := e.live[script]
+	delete(e.live, script)
 	if old == nil {
 		return
 	}
 	if text, err := old.state.MarshalJSON(); err == nil {
-		e.states[script] = text
+		e.savedStates[script] = text
 	}
-	e.advise(hookadvice.ScriptStopped{Script: script})
+	e.stepAdvice(hookadvice.ScriptStopped{Script: script})
 }
 
-// activate runs a version, which takes over the state of the previous one as far as their declarations agree.
+// activate starts to run a version. It takes over the state of the previous version as far as their
+// declarations agree.
 func (e *Engine) activate(script string, v *Version) error {
 	loaded, err := e.compile(script, v)
 	if err != nil {
 		return err
 	}
-	if old := e.active[script]; old != nil {
+	if old := e.live[script]; old != nil {
 		loaded.state = loaded.program.InheritState(old.state)
-	} else if saved := e.states[script]; saved != nil {
+	} else if saved := e.savedStates[script]; saved != nil {
 		if state, err := loaded.program.RestoreState(saved); err == nil {
 			loaded.state = state
 		}
 	}
 	loaded.unsaved = true
-	e.active[script] = loaded
-	e.advise(hookadvice.VersionActivated{Script: script, Version: loaded.version})
+	e.live[script] = loaded
+	e.stepAdvice(hookadvice.VersionActivated{Script: script, Version: loaded.version})
 	return nil
 }
 
-// updateShadow has the shadow version run that the lifecycle wants. s is nil if the script is removed.
+// updateShadow starts or stops the shadow of a script as the lifecycle has decided. The script is
+// nil if it was removed.
 func (e *Engine) updateShadow(name string, s *Script) {
 	if s == nil || s.Shadow == nil {
 		delete(e.shadows, name)
@@ -119,18 +122,19 @@
 	if err != nil {
 		return
 	}
-	if live := e.active[name]; live != nil {
+	if live := e.live[name]; live != nil {
 		loaded.state = loaded.program.InheritState(live.state)
 	}
 	e.shadows[name] = loaded
 }
 
-// publish gives the goroutines of calls what is live now.
-func (e *Engine) publish() {
+// publishHandlers makes the current arrival handlers, and the points that have handlers, visible to
+// the goroutines of calls.
+func (e *Engine) publishHandlers() {
 	var handlers []inlineHandler
 	points := map[string]bool{}
 	for _, s := range e.lifecycle.Scripts {
-		live, shadow := e.active[s.Name], e.shadows[s.Name]
+		live, shadow := e.live[s.Name], e.shadows[s.Name]
 		for _, loaded := range []*loadedVersion{live, shadow} {
 			if loaded == nil {
 				continue
@@ -150,12 +154,13 @@
 			})
 		}
 	}
-	e.inline.Store(&handlers)
-	e.points.Store(&points)
+	e.arrivalHandlers.Store(&handlers)
+	e.handledPoints.Store(&points)
 }
 
-// advise passes events to the table of advice and carries out the effects. Without events it only expires advice.
-func (e *Engine) advise(events ...hookadvice.Event) {
+// stepAdvice passes events to the advice table and applies the effects. Without events it only
+// expires advice.
+func (e *Engine) stepAdvice(events ...hookadvice.Event) {
 	for _, effect := range e.table.Step(e.config.Clock.Now(), events) {
 		switch effect := effect.(type) {
 		case hookadvice.KeepWarm:
@@ -167,13 +172,13 @@
 			e.gate.SetTenants(effect)
 			e.gateMutex.Unlock()
 		case hookadvice.Notification:
-			e.config.Log.Info().Str("script", effect.Script).Str("target", effect.Target).Msg("notice")
+			e.config.Log.Info().Str("script", effect.Script).Str("target", effect.Target).Msg("notification")
 			if e.config.Notify != nil {
 				e.config.Notify(effect)
 			}
 		case hookadvice.Discarded:
 			e.config.Log.Debug().Str("script", effect.Script).Str("kind", effect.Item.Kind).Str("why", effect.Reason).
-				Msg("advice dropped")
+				Msg("advice discarded")
 		}
 	}
 }
