--- a/internal/hooklang/ast.go
+++ b/internal/hooklang/ast.go
@@ -91,7 +91,7 @@
 		value        expr
 		slot         int
 	}
-	setStmt struct { // name = value, name += value, name[index] = value
+	assignStmt struct { // name = value, name += value, name[index] = value
 		node
 		name       string
 		op         string // "", "+" or "-"
--- a/internal/hooklang/builtin.go
+++ b/internal/hooklang/builtin.go
@@ -27,7 +27,7 @@
 
 // define adds a signature to a builtin; of several the first that fits is taken. run may change no list or map that
 // it is given, and charges for what costs more than a step.
-func define(name string, result *Type, run func(vm *VM, a []Value) Value, params ...*Type) *signature {
+func defineBuiltin(name string, result *Type, run func(vm *VM, a []Value) Value, params ...*Type) *signature {
 	b := builtins[name]
 	if b == nil {
 		b = &builtin{name: name}
@@ -39,24 +39,24 @@
 }
 
 // adviceBytes is what a piece of advice counts as memory, besides its text.
-const adviceBytes = 160
+const adviceOverheadBytes = 160
 
 // defineEffect adds a builtin that gives advice.
 func defineEffect(name string, build func(a []Value) Advice, params ...*Type) {
-	define(name, typeVoid, func(vm *VM, a []Value) Value {
+	defineBuiltin(name, typeVoid, func(vm *VM, a []Value) Value {
 		if len(vm.advice) >= vm.limits.Effects {
 			vm.fault(FaultEffects, "more than %d pieces of advice", vm.limits.Effects)
 		}
-		d := build(a)
-		d.Kind = name
-		vm.advice = append(vm.advice, d)
-		vm.alloc(int64(adviceBytes + len(d.Text)))
+		advice := build(a)
+		advice.Kind = name
+		vm.advice = append(vm.advice, advice)
+		vm.alloc(int64(adviceOverheadBytes + len(advice.Text)))
 		return Value{}
 	}, params...).effect = true
 }
 
 // cut shortens a text to some n bytes, between characters.
-func cut(s string, n int) string {
+func truncate(s string, n int) string {
 	if len(s) <= n {
 		return s
 	}
--- a/internal/hooklang/check.go
+++ b/internal/hooklang/check.go
@@ -35,16 +35,16 @@
 
 // check parses a text and checks it. The script can be compiled if no problem is more than a warning.
 func check(file, text string) (*script, Problems) {
-	s, bad := parse(file, text)
+	s, problems := parse(file, text)
 	c := &checker{
 		file:     file,
 		parsed:   s,
-		problems: bad,
+		problems: problems,
 		funcs:    map[string]*funcDecl{},
 		points:   map[string]*funcDecl{},
 		states:   map[string]*stateDecl{},
 	}
-	if len(bad) == 0 || len(s.order) > 0 {
+	if len(problems) == 0 || len(s.order) > 0 {
 		c.script()
 	}
 	sort.SliceStable(c.problems, func(i, j int) bool {
@@ -59,32 +59,32 @@
 	return slices.ContainsFunc(l, func(p *Problem) bool { return !p.Warning })
 }
 
-func (c *checker) problem(pos Pos, format string, args ...any) {
+func (c *checker) reportError(pos Pos, format string, args ...any) {
 	if len(c.problems) < maxProblems {
 		text := strings.ReplaceAll(fmt.Sprintf(format, args...), " a int", " an int")
 		c.problems = append(c.problems, &Problem{File: c.file, Pos: pos, Text: text})
 	}
 }
 
-func (c *checker) warn(pos Pos, format string, args ...any) {
+func (c *checker) reportWarning(pos Pos, format string, args ...any) {
 	if len(c.problems) < maxProblems {
 		c.problems = append(c.problems, &Problem{File: c.file, Pos: pos, Text: fmt.Sprintf(format, args...), Warning: true})
 	}
 }
 
-func (c *checker) typ(n *typeNode) *Type {
+func (c *checker) resolveType(n *typeNode) *Type {
 	switch n.name {
 	case "list":
 		if n.elem != nil {
-			return listOf(c.typ(n.elem))
+			return listOf(c.resolveType(n.elem))
 		}
 	case "map":
-		k := c.typ(n.key)
+		k := c.resolveType(n.key)
 		if k != typeString && k != typeInt && k != typeInvalid {
-			c.problem(n.key.pos, "keys of a map are string or int, not %v", k)
+			c.reportError(n.key.pos, "keys of a map are string or int, not %v", k)
 			k = typeInvalid
 		}
-		return mapOf(k, c.typ(n.elem))
+		return mapOf(k, c.resolveType(n.elem))
 	}
 	if t := scalars[n.name]; t != nil {
 		return t
@@ -92,12 +92,12 @@
 	if r := records[n.name]; r != nil {
 		return r.valueType
 	}
-	c.problem(n.pos, "there is no type %q", n.name)
+	c.reportError(n.pos, "there is no type %q", n.name)
 	return typeInvalid
 }
 
 // isFree reports whether a script may declare a name, and adds a problem if it may not.
-func (c *checker) isFree(pos Pos, name string) bool {
+func (c *checker) checkNameAvailable(pos Pos, name string) bool {
 	what := ""
 	switch {
 	case builtins[name] != nil:
@@ -111,7 +111,7 @@
 	default:
 		return true
 	}
-	c.problem(pos, "%s %s", name, what)
+	c.reportError(pos, "%s %s", name, what)
 	return false
 }
 
@@ -122,7 +122,7 @@
 	for i, d := range c.parsed.states {
 		c.declareState(i, d)
 	}
-	if !c.withinBounds() {
+	if !c.checkDeclarationCounts() {
 		return
 	}
 	for _, d := range c.parsed.funcs {
@@ -131,7 +131,7 @@
 	names := map[string]Pos{}
 	for _, d := range c.parsed.tests {
 		if old, ok := names[d.name]; ok {
-			c.problem(d.pos, "a second test %q: the first is in line %d", d.name, old.Line)
+			c.reportError(d.pos, "a second test %q: the first is in line %d", d.name, old.Line)
 		}
 		names[d.name] = d.pos
 		c.testBody(d)
@@ -152,55 +152,55 @@
 	d.resultType = typeVoid
 	if d.point != nil {
 		if old := c.points[d.name]; old != nil {
-			c.problem(d.pos, "a second handler of %s: the first is in line %d", d.name, old.pos.Line)
+			c.reportError(d.pos, "a second handler of %s: the first is in line %d", d.name, old.pos.Line)
 		}
 		c.points[d.name] = d
 		d.paramTypes = []*Type{d.point.Record.valueType}
 		return
 	}
-	if c.isFree(d.pos, d.name) {
+	if c.checkNameAvailable(d.pos, d.name) {
 		c.funcs[d.name] = d
 	}
 	if len(d.params) > maxParams {
-		c.problem(d.pos, "%d parameters, over %d", len(d.params), maxParams)
+		c.reportError(d.pos, "%d parameters, over %d", len(d.params), maxParams)
 	}
 	for _, p := range d.params {
-		d.paramTypes = append(d.paramTypes, c.typ(p.declaredType))
+		d.paramTypes = append(d.paramTypes, c.resolveType(p.declaredType))
 	}
 	if d.declaredResult != nil {
-		d.resultType = c.typ(d.declaredResult)
+		d.resultType = c.resolveType(d.declaredResult)
 	}
 }
 
 // declareState checks a state variable and its first value, which consists of literals.
 func (c *checker) declareState(index int, d *stateDecl) {
 	d.index = index
-	d.valueType = c.typ(d.declaredType)
+	d.valueType = c.resolveType(d.declaredType)
 	if holdsRecord(d.valueType) {
-		c.problem(d.declaredType.pos, "state holds no records of the host: keep the fields that matter")
+		c.reportError(d.declaredType.pos, "state holds no records of the host: keep the fields that matter")
 	}
 	c.inStateInit = true
 	if t := c.expr(d.init); !sameType(t, d.valueType) {
-		c.problem(d.init.at(), "%s is a %v, not a %v", d.name, d.valueType, t)
+		c.reportError(d.init.at(), "%s is a %v, not a %v", d.name, d.valueType, t)
 	}
 	c.inStateInit = false
-	if c.isFree(d.pos, d.name) {
+	if c.checkNameAvailable(d.pos, d.name) {
 		c.states[d.name] = d
 	}
 }
 
 // withinBounds checks how many declarations there are, which bounds what the rest of the check may take, and what
 // the tests that run before a script is loaded.
-func (c *checker) withinBounds() bool {
+func (c *checker) checkDeclarationCounts() bool {
 	if len(c.parsed.states) > maxStates {
-		c.problem(c.parsed.states[maxStates].pos, "more than %d state variables", maxStates)
+		c.reportError(c.parsed.states[maxStates].pos, "more than %d state variables", maxStates)
 	}
 	if len(c.parsed.funcs) > maxFuncs {
-		c.problem(c.parsed.funcs[maxFuncs].pos, "more than %d functions", maxFuncs)
+		c.reportError(c.parsed.funcs[maxFuncs].pos, "more than %d functions", maxFuncs)
 		return false
 	}
 	if len(c.parsed.tests) > maxTests {
-		c.problem(c.parsed.tests[maxTests].pos, "more than %d tests", maxTests)
+		c.reportError(c.parsed.tests[maxTests].pos, "more than %d tests", maxTests)
 		return false
 	}
 	return true
@@ -240,7 +240,7 @@
 	sort.Slice(d.vars, func(i, j int) bool { return d.vars[i].slot < d.vars[j].slot })
 	returns := c.block(d.body)
 	if d.resultType != typeVoid && !returns {
-		c.problem(d.end, "%s ends without a return", d.name)
+		c.reportError(d.end, "%s ends without a return", d.name)
 	}
 	c.scopes = nil
 }
--- a/internal/hooklang/checkcall.go
+++ b/internal/hooklang/checkcall.go
@@ -4,7 +4,7 @@
 
 func (c *checker) call(e *callExpr) *Type {
 	if c.inStateInit {
-		c.problem(e.pos, "a state's first value is made of literals")
+		c.reportError(e.pos, "a state's first value is made of literals")
 		return typeInvalid
 	}
 	if d := c.funcs[e.name]; d != nil {
@@ -15,12 +15,12 @@
 		for _, arg := range e.args {
 			c.value(arg)
 		}
-		c.problem(e.pos, "there is no function %q", e.name)
+		c.reportError(e.pos, "there is no function %q", e.name)
 		return typeInvalid
 	}
 	e.builtin = &builtin{name: e.name}
 	if b.signatures[0].takesFunction {
-		return c.sortBy(e, b.signatures[0])
+		return c.callSortBy(e, b.signatures[0])
 	}
 	return c.callBuiltin(e, b)
 }
@@ -30,11 +30,11 @@
 	e.function = d
 	c.current.calls = append(c.current.calls, d)
 	if len(e.args) != len(d.paramTypes) {
-		c.problem(e.pos, "%s takes %d arguments, not %d", e.name, len(d.paramTypes), len(e.args))
+		c.reportError(e.pos, "%s takes %d arguments, not %d", e.name, len(d.paramTypes), len(e.args))
 	}
 	for i, arg := range e.args {
 		if i < len(d.paramTypes) {
-			c.expect(arg, d.paramTypes[i], d.params[i].name)
+			c.expectType(arg, d.paramTypes[i], d.params[i].name)
 		} else {
 			c.value(arg)
 		}
@@ -48,7 +48,7 @@
 	for i, arg := range e.args {
 		variable, ok := arg.(*nameExpr)
 		if ok && i == 0 && (e.name == "push" || e.name == "remove") {
-			variable.valueType, variable.ref = c.target(variable.pos, variable.name)
+			variable.valueType, variable.ref = c.assignmentTarget(variable.pos, variable.name)
 			args = append(args, variable.valueType)
 			continue
 		}
@@ -67,7 +67,7 @@
 		}
 		expected += fmt.Sprint(s.params)
 	}
-	c.problem(e.pos, "%s takes %s, not %v", e.name, expected, args)
+	c.reportError(e.pos, "%s takes %s, not %v", e.name, expected, args)
 	return typeInvalid
 }
 
@@ -87,7 +87,7 @@
 
 func (c *checker) useSignature(e *callExpr, s *signature) {
 	if s.testOnly && !c.inTest {
-		c.problem(e.pos, "%s is for tests", e.name)
+		c.reportError(e.pos, "%s is for tests", e.name)
 	}
 	if s.effect {
 		if _, ok := c.current.effectsAt[e.name]; !ok {
@@ -96,27 +96,27 @@
 	}
 	if s.op != opNone {
 		if _, ok := e.args[0].(*nameExpr); !ok {
-			c.problem(e.args[0].at(), "%s changes a variable", e.name)
+			c.reportError(e.args[0].at(), "%s changes a variable", e.name)
 		}
 	}
 	e.builtin.signatures = []*signature{s}
 }
 
 // sortBy checks sort_by(list, less), where less is the name of a function of two entries.
-func (c *checker) sortBy(e *callExpr, s *signature) *Type {
+func (c *checker) callSortBy(e *callExpr, s *signature) *Type {
 	e.builtin.signatures = []*signature{s}
 	if len(e.args) != 2 {
-		c.problem(e.pos, "sort_by takes a list and the name of a function")
+		c.reportError(e.pos, "sort_by takes a list and the name of a function")
 		return typeInvalid
 	}
 	t := c.value(e.args[0])
 	n, ok := e.args[1].(*nameExpr)
 	if t != typeInvalid && t.name != "list" {
-		c.problem(e.args[0].at(), "sort_by takes a list, not a %v", t)
+		c.reportError(e.args[0].at(), "sort_by takes a list, not a %v", t)
 		return typeInvalid
 	}
 	if !ok || c.funcs[n.name] == nil {
-		c.problem(e.args[1].at(), "sort_by takes the name of a function that tells whether one comes before another")
+		c.reportError(e.args[1].at(), "sort_by takes the name of a function that tells whether one comes before another")
 		return t
 	}
 	d := c.funcs[n.name]
@@ -125,7 +125,7 @@
 			d.resultType == typeBool
 	}
 	if t != typeInvalid && !comparesEntries() {
-		c.problem(n.pos, "%s must be fn %s(a %v, b %v) bool", n.name, n.name, t.elem, t.elem)
+		c.reportError(n.pos, "%s must be fn %s(a %v, b %v) bool", n.name, n.name, t.elem, t.elem)
 	}
 	e.function = d
 	c.current.calls = append(c.current.calls, d)
--- a/internal/hooklang/checkexpr.go
+++ b/internal/hooklang/checkexpr.go
@@ -4,9 +4,9 @@
 	"slices"
 )
 
-func (c *checker) expect(e expr, t *Type, what string) {
+func (c *checker) expectType(e expr, t *Type, what string) {
 	if v := c.value(e); !sameType(v, t) {
-		c.problem(e.at(), "%s is a %v, not a %v", what, t, v)
+		c.reportError(e.at(), "%s is a %v, not a %v", what, t, v)
 	}
 }
 
@@ -14,7 +14,7 @@
 func (c *checker) value(e expr) *Type {
 	t := c.expr(e)
 	if t == typeVoid {
-		c.problem(e.at(), "this has no value")
+		c.reportError(e.at(), "this has no value")
 		return typeInvalid
 	}
 	return t
@@ -34,10 +34,10 @@
 	case *listExpr:
 		e.valueType = c.list(e)
 	case *mapExpr:
-		e.valueType = c.typ(e.literalType)
+		e.valueType = c.resolveType(e.literalType)
 		for i := range e.keys {
-			c.expect(e.keys[i], e.valueType.key, "a key")
-			c.expect(e.values[i], e.valueType.elem, "an entry")
+			c.expectType(e.keys[i], e.valueType.key, "a key")
+			c.expectType(e.values[i], e.valueType.elem, "an entry")
 		}
 	case *recordExpr:
 		e.valueType = c.record(e)
@@ -58,11 +58,11 @@
 	switch {
 	case ok:
 	case c.funcs[e.name] != nil:
-		c.problem(e.pos, "%s is a function: call it", e.name)
+		c.reportError(e.pos, "%s is a function: call it", e.name)
 	case c.inStateInit:
-		c.problem(e.pos, "a state's first value is made of literals")
+		c.reportError(e.pos, "a state's first value is made of literals")
 	default:
-		c.problem(e.pos, "there is no variable %q", e.name)
+		c.reportError(e.pos, "there is no variable %q", e.name)
 	}
 	return t, variable
 }
@@ -74,7 +74,7 @@
 		valid = sameType(t, typeBool)
 	}
 	if !valid {
-		c.problem(e.pos, "a %v has no %q", t, e.op)
+		c.reportError(e.pos, "a %v has no %q", t, e.op)
 		return typeInvalid
 	}
 	return t
@@ -83,14 +83,14 @@
 func (c *checker) list(e *listExpr) *Type {
 	elem := typeInvalid
 	if e.literalType != nil {
-		t := c.typ(e.literalType)
+		t := c.resolveType(e.literalType)
 		if t.name != "list" {
-			c.problem(e.pos, "list[T]{…} is wanted")
+			c.reportError(e.pos, "list[T]{…} is wanted")
 			t = listOf(typeInvalid)
 		}
 		elem = t.elem
 	} else if len(e.items) == 0 {
-		c.problem(e.pos, "an empty list names its type: list[int]{}")
+		c.reportError(e.pos, "an empty list names its type: list[int]{}")
 	}
 	for i, item := range e.items {
 		t := c.value(item)
@@ -98,7 +98,7 @@
 			elem = t
 		}
 		if !sameType(t, elem) {
-			c.problem(item.at(), "an entry is a %v, not a %v", elem, t)
+			c.reportError(item.at(), "an entry is a %v, not a %v", elem, t)
 		}
 	}
 	return listOf(elem)
@@ -109,14 +109,14 @@
 	for i, name := range e.fields {
 		n := slices.IndexFunc(r.Fields, func(f Field) bool { return f.Name == name })
 		if n < 0 {
-			c.problem(e.positions[i], "%s has no field %q", e.name, name)
+			c.reportError(e.positions[i], "%s has no field %q", e.name, name)
 			c.value(e.values[i])
 			continue
 		}
 		if slices.Contains(e.fields[:i], name) {
-			c.problem(e.positions[i], "%s stands twice", name)
+			c.reportError(e.positions[i], "%s stands twice", name)
 		}
-		c.expect(e.values[i], r.Fields[n].Type, name)
+		c.expectType(e.values[i], r.Fields[n].Type, name)
 	}
 	return r.valueType
 }
@@ -132,7 +132,7 @@
 	case t.name == "map" && sameType(index, t.key):
 		return t.elem
 	}
-	c.problem(e.pos, "a %v has no entry at a %v", t, index)
+	c.reportError(e.pos, "a %v has no entry at a %v", t, index)
 	return typeInvalid
 }
 
@@ -142,7 +142,7 @@
 		return typeInvalid
 	}
 	if t.record == nil {
-		c.problem(e.pos, "a %v has no fields", t)
+		c.reportError(e.pos, "a %v has no fields", t)
 		return typeInvalid
 	}
 	for i, f := range t.record.Fields {
@@ -151,22 +151,22 @@
 			return f.Type
 		}
 	}
-	c.problem(e.pos, "%v has no field %q", t, e.name)
+	c.reportError(e.pos, "%v has no field %q", t, e.name)
 	return typeInvalid
 }
 
 func (c *checker) run(e *runExpr) *Type {
 	if !c.inTest {
-		c.problem(e.pos, "run is for tests")
+		c.reportError(e.pos, "run is for tests")
 	}
 	t := c.value(e.arg)
 	handler := c.points[e.point]
 	if handler == nil {
-		c.problem(e.pos, "there is no handler of %q", e.point)
+		c.reportError(e.pos, "there is no handler of %q", e.point)
 	} else {
 		e.handler = handler
 		if want := handler.paramTypes[0]; !sameType(t, want) {
-			c.problem(e.arg.at(), "%s gets a %v, not a %v", e.point, want, t)
+			c.reportError(e.arg.at(), "%s gets a %v, not a %v", e.point, want, t)
 		}
 	}
 	return listOf(recordAdvice.valueType)
@@ -185,7 +185,7 @@
 	}
 	result := operatorType(e.op, left, right)
 	if result == nil {
-		c.problem(e.pos, "%v %s %v has no meaning", left, e.op, right)
+		c.reportError(e.pos, "%v %s %v has no meaning", left, e.op, right)
 		return invalid
 	}
 	return result
--- a/internal/hooklang/checkscope.go
+++ b/internal/hooklang/checkscope.go
@@ -17,7 +17,7 @@
 }
 
 // target finds a variable that is to be changed, which does not count as a use.
-func (c *checker) target(pos Pos, name string) (*Type, ref) {
+func (c *checker) assignmentTarget(pos Pos, name string) (*Type, ref) {
 	used := map[string]bool{}
 	for _, s := range c.scopes {
 		if v := s[name]; v != nil {
@@ -26,7 +26,7 @@
 	}
 	t, r, ok := c.lookup(name)
 	if !ok {
-		c.problem(pos, "there is no variable %q", name)
+		c.reportError(pos, "there is no variable %q", name)
 	}
 	for _, s := range c.scopes { // undo the note of lookup
 		if v := s[name]; v != nil {
@@ -37,7 +37,7 @@
 		c.current.writesStateAt = pos
 	}
 	if r.inState && c.inTest {
-		c.problem(pos, "a test changes no state: handlers that it runs do")
+		c.reportError(pos, "a test changes no state: handlers that it runs do")
 	}
 	return t, r
 }
@@ -48,17 +48,17 @@
 	c.nextSlot++
 	c.current.slots = max(c.current.slots, c.nextSlot)
 	if c.nextSlot == maxSlots {
-		c.problem(pos, "more than %d variables in one function", maxSlots)
+		c.reportError(pos, "more than %d variables in one function", maxSlots)
 	}
 	if name == "_" {
 		return v
 	}
-	if !c.isFree(pos, name) {
+	if !c.checkNameAvailable(pos, name) {
 		return v
 	}
 	for _, s := range c.scopes {
 		if old := s[name]; old != nil {
-			c.problem(pos, "%s is the variable of line %d: choose another name", name, old.pos.Line)
+			c.reportError(pos, "%s is the variable of line %d: choose another name", name, old.pos.Line)
 			return v
 		}
 	}
@@ -66,9 +66,9 @@
 	return v
 }
 
-func (c *checker) push() { c.scopes = append(c.scopes, map[string]*variable{}) }
+func (c *checker) pushScope() { c.scopes = append(c.scopes, map[string]*variable{}) }
 
-func (c *checker) pop() {
+func (c *checker) popScope() {
 	top := c.scopes[len(c.scopes)-1]
 	var l []*variable
 	for _, v := range top {
@@ -78,7 +78,7 @@
 	for _, v := range l {
 		c.current.vars = append(c.current.vars, varInfo{v.name, v.valueType, v.ref.index, v.pos, c.scopeEnd})
 		if !v.used {
-			c.warn(v.pos, "%s is never used", v.name)
+			c.reportWarning(v.pos, "%s is never used", v.name)
 		}
 	}
 	c.scopes = c.scopes[:len(c.scopes)-1]
--- a/internal/hooklang/checkstmt.go
+++ b/internal/hooklang/checkstmt.go
@@ -1,19 +1,19 @@
 package hooklang
 
 func (c *checker) block(b *block) (ends bool) {
-	c.push()
+	c.pushScope()
 	from := c.nextSlot
 	for i, s := range b.stmts {
 		if c.stmt(s) {
 			if ends = true; i+1 < len(b.stmts) {
-				c.problem(b.stmts[i+1].at(), "this is never reached")
+				c.reportError(b.stmts[i+1].at(), "this is never reached")
 				break
 			}
 		}
 	}
 	c.nextSlot = from
 	c.scopeEnd = b.end
-	c.pop()
+	c.popScope()
 	return ends
 }
 
@@ -24,10 +24,10 @@
 		return c.block(s)
 	case *letStmt:
 		c.let(s)
-	case *setStmt:
-		c.set(s)
+	case *assignStmt:
+		c.assign(s)
 	case *ifStmt:
-		c.expect(s.cond, typeBool, "a condition")
+		c.expectType(s.cond, typeBool, "a condition")
 		ends := c.block(s.then)
 		return s.otherwise != nil && c.stmt(s.otherwise) && ends
 	case *forStmt:
@@ -39,13 +39,13 @@
 		return true
 	case *branchStmt:
 		if c.loopDepth == 0 {
-			c.problem(s.pos, "%s outside a loop", s.keyword)
+			c.reportError(s.pos, "%s outside a loop", s.keyword)
 		}
 		return true
 	case *exprStmt:
 		t := c.expr(s.value)
 		if _, run := s.value.(*runExpr); t != typeVoid && t != typeInvalid && !run {
-			c.problem(s.pos, "the %v is not used", t)
+			c.reportError(s.pos, "the %v is not used", t)
 		}
 		call, ok := s.value.(*callExpr)
 		return ok && call.builtin != nil && call.name == "fail"
@@ -56,8 +56,8 @@
 func (c *checker) let(s *letStmt) {
 	t := c.value(s.value)
 	if s.declaredType != nil {
-		if declared := c.typ(s.declaredType); !sameType(declared, t) {
-			c.problem(s.value.at(), "%s is a %v, not a %v", s.name, declared, t)
+		if declared := c.resolveType(s.declaredType); !sameType(declared, t) {
+			c.reportError(s.value.at(), "%s is a %v, not a %v", s.name, declared, t)
 			t = declared
 		}
 	}
@@ -67,12 +67,12 @@
 func (c *checker) returnValue(s *returnStmt) {
 	switch {
 	case s.value == nil && c.current.resultType != typeVoid:
-		c.problem(s.pos, "a %v is to be returned", c.current.resultType)
+		c.reportError(s.pos, "a %v is to be returned", c.current.resultType)
 	case s.value != nil && c.current.resultType == typeVoid:
 		c.value(s.value)
-		c.problem(s.value.at(), "nothing is to be returned here")
+		c.reportError(s.value.at(), "nothing is to be returned here")
 	case s.value != nil:
-		c.expect(s.value, c.current.resultType, "the result")
+		c.expectType(s.value, c.current.resultType, "the result")
 	}
 }
 
@@ -81,7 +81,7 @@
 func (c *checker) match(s *matchStmt) (ends bool) {
 	t := c.value(s.value)
 	if !t.ordered() && t != typeBool {
-		c.problem(s.value.at(), "match looks at bool, int, float, duration and string, not at %v", t)
+		c.reportError(s.value.at(), "match looks at bool, int, float, duration and string, not at %v", t)
 	}
 	outer := c.nextSlot
 	s.slot = c.nextSlot
@@ -105,21 +105,21 @@
 // caseValue checks a value of a case. seen has the literals of the cases before.
 func (c *checker) caseValue(e expr, t *Type, seen map[string]Pos) {
 	if found := c.value(e); !sameType(found, t) {
-		c.problem(e.at(), "a case is a %v, not a %v", t, found)
+		c.reportError(e.at(), "a case is a %v, not a %v", t, found)
 	}
 	literal, ok := e.(*literalExpr)
 	if !ok || literal.valueType == typeInvalid {
 		return
 	}
-	key := text(literal.valueType, literal.value)
-	if old, ok := seen[key]; ok {
-		c.problem(e.at(), "the case %s stands in line %d already", key, old.Line)
+	key := formatValue(literal.valueType, literal.value)
+	if previous, ok := seen[key]; ok {
+		c.reportError(e.at(), "the case %s stands in line %d already", key, previous.Line)
 	}
 	seen[key] = e.at()
 }
 
-func (c *checker) set(s *setStmt) {
-	t, r := c.target(s.pos, s.name)
+func (c *checker) assign(s *assignStmt) {
+	t, r := c.assignmentTarget(s.pos, s.name)
 	s.target, s.targetType = r, t
 	if s.index != nil {
 		i := c.value(s.index)
@@ -127,26 +127,26 @@
 		case t == typeInvalid:
 		case t.name == "list":
 			if !sameType(i, typeInt) {
-				c.problem(s.index.at(), "an index of a list is an int, not a %v", i)
+				c.reportError(s.index.at(), "an index of a list is an int, not a %v", i)
 			}
 			t = t.elem
 		case t.name == "map":
 			if !sameType(i, t.key) {
-				c.problem(s.index.at(), "a key of %s is a %v, not a %v", s.name, t.key, i)
+				c.reportError(s.index.at(), "a key of %s is a %v, not a %v", s.name, t.key, i)
 			}
 			t = t.elem
 		default:
-			c.problem(s.pos, "%s is a %v: only lists and maps have entries", s.name, t)
+			c.reportError(s.pos, "%s is a %v: only lists and maps have entries", s.name, t)
 			t = typeInvalid
 		}
 	}
 	v := c.value(s.value)
 	if s.op != "" && !hasCompoundAssignment(t, s.op) {
-		c.problem(s.pos, "a %v has no %s=", t, s.op)
+		c.reportError(s.pos, "a %v has no %s=", t, s.op)
 		return
 	}
 	if !sameType(t, v) {
-		c.problem(s.value.at(), "%s wants a %v, not a %v", s.name, t, v)
+		c.reportError(s.value.at(), "%s wants a %v, not a %v", s.name, t, v)
 	}
 }
 
@@ -166,9 +166,9 @@
 	case s.to != nil:
 		elem = typeInt
 		if !sameType(t, typeInt) {
-			c.problem(s.from.at(), "a range runs over ints, not %v", t)
+			c.reportError(s.from.at(), "a range runs over ints, not %v", t)
 		}
-		c.expect(s.to, typeInt, "the end of a range")
+		c.expectType(s.to, typeInt, "the end of a range")
 	case t == typeInvalid:
 		key, elem = typeInvalid, typeInvalid
 	case t.name == "list":
@@ -179,17 +179,17 @@
 			elem = t.key
 		}
 	default:
-		c.problem(s.from.at(), "for runs over lists, maps and ranges, not over a %v", t)
+		c.reportError(s.from.at(), "for runs over lists, maps and ranges, not over a %v", t)
 		elem = typeInvalid
 	}
 	if s.key != "" && key == nil {
 		if elem != typeInvalid {
-			c.problem(s.pos, "only maps have keys to run over")
+			c.reportError(s.pos, "only maps have keys to run over")
 		}
 		key = typeInvalid
 	}
 	from := c.nextSlot
-	c.push()
+	c.pushScope()
 	v := c.declare(s.pos, s.name, elem)
 	s.slot, v.used = v.ref.index, true // a loop may merely count
 	c.nextSlot += 2                    // the collection or the end of the range, and the position
@@ -202,6 +202,6 @@
 	c.block(s.body)
 	c.loopDepth--
 	c.scopeEnd = s.body.end
-	c.pop()
+	c.popScope()
 	c.nextSlot = from
 }
--- a/internal/hooklang/compile.go
+++ b/internal/hooklang/compile.go
@@ -18,10 +18,10 @@
 	for _, d := range s.tests {
 		c.function(d.function, p.funcs[c.funcs[d.function]])
 	}
-	if c.instructions > maxCode {
-		return nil, problemAtStart(file, "%d instructions, over the %d that a script may have", c.instructions, maxCode)
+	if c.instructions > maxInstructions {
+		return nil, problemAtStart(file, "%d instructions, over the %d that a script may have", c.instructions, maxInstructions)
 	}
-	p.costs = estimate(s)
+	p.costs = estimateCosts(s)
 	p.warnOfCosts()
 	if err := p.computeInitialState(s); err != nil {
 		return nil, problemAtStart(file, "%s", err.Error())
--- a/internal/hooklang/compilestmt.go
+++ b/internal/hooklang/compilestmt.go
@@ -24,7 +24,7 @@
 	case *letStmt:
 		c.expr(s.value)
 		c.emit(s.pos, opStore, s.slot, 0, -1)
-	case *setStmt:
+	case *assignStmt:
 		c.set(s)
 	case *ifStmt:
 		c.ifElse(s)
@@ -121,7 +121,7 @@
 	return 0
 }
 
-func (c *compiler) set(s *setStmt) {
+func (c *compiler) set(s *assignStmt) {
 	if s.index != nil {
 		c.expr(s.index)
 		c.expr(s.value)
--- a/internal/hooklang/cost.go
+++ b/internal/hooklang/cost.go
@@ -22,54 +22,54 @@
 
 // costEstimator estimates the cost of one handler, and notes the largest single reason for it.
 type costEstimator struct {
-	costs   map[*funcDecl]float64
-	active  map[*funcDecl]bool
-	reason  string
-	largest float64
+	costs       map[*funcDecl]float64
+	inProgress  map[*funcDecl]bool
+	reason      string
+	largestCost float64
 }
 
-func estimate(s *script) (l []Cost) {
+func estimateCosts(s *script) (costs []Cost) {
 	for _, d := range s.funcs {
 		if d.point == nil {
 			continue
 		}
-		k := &costEstimator{costs: map[*funcDecl]float64{}, active: map[*funcDecl]bool{}}
-		f := k.function(d)
+		k := &costEstimator{costs: map[*funcDecl]float64{}, inProgress: map[*funcDecl]bool{}}
+		cost := k.function(d)
 		if k.reason == "" {
 			k.reason = "its own length"
 		}
-		l = append(l, Cost{d.name, d.pos, f, k.reason})
+		costs = append(costs, Cost{d.name, d.pos, cost, k.reason})
 	}
-	return l
+	return costs
 }
 
 func (k *costEstimator) function(d *funcDecl) float64 {
-	if f, ok := k.costs[d]; ok {
-		return f
+	if cost, ok := k.costs[d]; ok {
+		return cost
 	}
-	if k.active[d] {
-		k.note(math.Inf(1), fmt.Sprintf("%s calls itself", d.name))
+	if k.inProgress[d] {
+		k.noteReason(math.Inf(1), fmt.Sprintf("%s calls itself", d.name))
 		return math.Inf(1)
 	}
-	k.active[d] = true
-	f := k.block(d.body) + 2
-	k.active[d] = false
-	k.costs[d] = f
-	return f
+	k.inProgress[d] = true
+	cost := k.block(d.body) + 2
+	k.inProgress[d] = false
+	k.costs[d] = cost
+	return cost
 }
 
 // note remembers a reason if it is the largest so far.
-func (k *costEstimator) note(f float64, why string) {
-	if f > k.largest {
-		k.largest, k.reason = f, why
+func (k *costEstimator) noteReason(cost float64, reason string) {
+	if cost > k.largestCost {
+		k.largestCost, k.reason = cost, reason
 	}
 }
 
-func (k *costEstimator) block(b *block) (f float64) {
+func (k *costEstimator) block(b *block) (cost float64) {
 	for _, s := range b.stmts {
-		f += k.stmt(s)
+		cost += k.stmt(s)
 	}
-	return f
+	return cost
 }
 
 func (k *costEstimator) stmt(s stmt) float64 {
@@ -78,18 +78,18 @@
 		return k.block(s)
 	case *letStmt:
 		return k.expr(s.value) + 1
-	case *setStmt:
-		f := k.expr(s.value) + 3
+	case *assignStmt:
+		cost := k.expr(s.value) + 3
 		if s.index != nil {
-			f += k.expr(s.index)
+			cost += k.expr(s.index)
 		}
-		return f
+		return cost
 	case *ifStmt:
-		f := k.block(s.then)
+		cost := k.block(s.then)
 		if s.otherwise != nil {
-			f = max(f, k.stmt(s.otherwise))
+			cost = max(cost, k.stmt(s.otherwise))
 		}
-		return k.expr(s.cond) + 2 + f
+		return k.expr(s.cond) + 2 + cost
 	case *forStmt:
 		return k.loop(s)
 	case *matchStmt:
@@ -105,18 +105,18 @@
 }
 
 func (k *costEstimator) loop(s *forStmt) float64 {
-	times := float64(assumedLength)
+	iterations := float64(assumedLength)
 	cost := k.expr(s.from) + 2
 	if s.to != nil {
 		cost += k.expr(s.to)
 		from, fromKnown := s.from.(*literalExpr)
 		to, toKnown := s.to.(*literalExpr)
 		if fromKnown && toKnown {
-			times = max(0, float64(to.value.bits)-float64(from.value.bits))
+			iterations = max(0, float64(to.value.bits)-float64(from.value.bits))
 		}
 	}
-	cost += times * (k.block(s.body) + 3)
-	k.note(cost, fmt.Sprintf("the loop of line %d, taken %g times", s.pos.Line, times))
+	cost += iterations * (k.block(s.body) + 3)
+	k.noteReason(cost, fmt.Sprintf("the loop of line %d, taken %g times", s.pos.Line, iterations))
 	return cost
 }
 
@@ -137,35 +137,35 @@
 }
 
 func (k *costEstimator) expr(e expr) float64 {
-	f := 1.0
-	each := func(l []expr) {
+	cost := 1.0
+	addAll := func(l []expr) {
 		for _, x := range l {
-			f += k.expr(x)
+			cost += k.expr(x)
 		}
 	}
 	switch e := e.(type) {
 	case *unaryExpr:
-		f += k.expr(e.operand)
+		cost += k.expr(e.operand)
 	case *binaryExpr:
-		f += k.expr(e.left) + k.expr(e.right)
+		cost += k.expr(e.left) + k.expr(e.right)
 		if t := e.right.typ(); e.op == "in" && t.name == "list" || e.op == "+" && t.isCollection() {
-			f += assumedLength
+			cost += assumedLength
 		}
 	case *listExpr:
-		each(e.items)
+		addAll(e.items)
 	case *mapExpr:
-		each(e.keys)
-		each(e.values)
+		addAll(e.keys)
+		addAll(e.values)
 	case *recordExpr:
-		each(e.values)
+		addAll(e.values)
 	case *indexExpr:
-		f += k.expr(e.collection) + k.expr(e.index)
+		cost += k.expr(e.collection) + k.expr(e.index)
 	case *fieldExpr:
-		f += k.expr(e.record)
+		cost += k.expr(e.record)
 	case *callExpr:
 		return k.call(e)
 	}
-	return f
+	return cost
 }
 
 func (k *costEstimator) call(e *callExpr) float64 {
@@ -179,7 +179,7 @@
 		called := k.function(e.function)
 		if e.builtin != nil { // sort_by
 			called *= assumedLength * math.Log2(assumedLength)
-			k.note(called, fmt.Sprintf("the sort of line %d", e.pos.Line))
+			k.noteReason(called, fmt.Sprintf("the sort of line %d", e.pos.Line))
 		}
 		return cost + called
 	}
--- a/internal/hooklang/doc.go
+++ b/internal/hooklang/doc.go
@@ -78,16 +78,16 @@
 
 // Bounds of a script's text and of what it compiles to.
 const (
-	MaxSourceBytes = 256 << 10
-	maxNesting     = 64 // of expressions and blocks
-	maxProblems    = 20
-	maxSlots       = 200    // variables of a function
-	maxParams      = 16     // of a function
-	maxCode        = 50_000 // instructions
-	maxStates      = 100
-	maxFuncs       = 500
-	maxTests       = 100
-	maxMinutes     = 24 * 60
+	MaxSourceBytes  = 256 << 10
+	maxNestingDepth = 64 // of expressions and blocks
+	maxProblems     = 20
+	maxSlots        = 200    // variables of a function
+	maxParams       = 16     // of a function
+	maxInstructions = 50_000 // instructions
+	maxStates       = 100
+	maxFuncs        = 500
+	maxTests        = 100
+	maxTimerMinutes = 24 * 60
 )
 
 // MinTimerInterval is the shortest interval that a timer handler may have.
--- a/internal/hooklang/docs_test.go
+++ b/internal/hooklang/docs_test.go
@@ -17,20 +17,20 @@
 		t.Fatalf("%d examples", len(parts))
 	}
 	for i, part := range parts {
-		src, _, _ := strings.Cut(part, "```")
-		p, err := Compile("example", src)
-		if err != nil || len(p.Warnings) > 0 {
-			t.Errorf("example %d: %v %v", i+1, err, p)
+		source, _, _ := strings.Cut(part, "```")
+		program, err := Compile("example", source)
+		if err != nil || len(program.Warnings) > 0 {
+			t.Errorf("example %d: %v %v", i+1, err, program)
 			continue
 		}
-		if form, _ := Format("example", src); form != src {
-			t.Errorf("example %d is formatted as\n%s", i+1, form)
+		if formatted, _ := Format("example", source); formatted != source {
+			t.Errorf("example %d is formatted as\n%s", i+1, formatted)
 		}
-		l := p.Test()
-		if len(l) == 0 {
+		results := program.Test()
+		if len(results) == 0 {
 			t.Errorf("example %d has no test", i+1)
 		}
-		for _, r := range l {
+		for _, r := range results {
 			if r.Err != nil {
 				t.Errorf("example %d, %s: %v", i+1, r.Name, r.Err)
 			}
--- a/internal/hooklang/format.go
+++ b/internal/hooklang/format.go
@@ -6,22 +6,22 @@
 // declarations at the most where the text has one. Comments stay. A text that cannot be read is returned with its
 // problems.
 func Format(file, text string) (string, error) {
-	s, bad := parse(file, text)
-	if len(bad) > 0 {
-		return text, bad
+	s, problems := parse(file, text)
+	if len(problems) > 0 {
+		return text, problems
 	}
 	f := &formatter{comments: s.comments}
 	for i, d := range s.order {
 		switch d := d.(type) {
 		case *stateDecl:
-			f.begin(d.pos, i > 0)
+			f.startLine(d.pos, i > 0)
 			f.write("state ", d.name, " ", d.declaredType.text(), " = ", f.expr(d.init, 0))
 		case *funcDecl:
-			f.begin(d.pos, i > 0)
+			f.startLine(d.pos, i > 0)
 			if d.point != nil {
 				f.write("on ", d.name, "(", d.params[0].name, ")")
 				if d.interval > 0 {
-					f.write(" every ", durText(d.interval))
+					f.write(" every ", durationText(d.interval))
 				}
 			} else {
 				f.write("fn ", d.name, "(")
@@ -39,12 +39,12 @@
 			f.write(" ")
 			f.block(d.body)
 		case *testDecl:
-			f.begin(d.pos, i > 0)
+			f.startLine(d.pos, i > 0)
 			f.write("test ", quote(d.name), " ")
 			f.block(d.body)
 		}
 	}
-	f.begin(Pos{Line: 1 << 30}, true)
+	f.startLine(Pos{Line: 1 << 30}, true)
 	return strings.TrimSpace(f.out.String()) + "\n", nil
 }
 
@@ -63,22 +63,22 @@
 	out        strings.Builder
 	comments   []comment
 	indent     int
-	line       int // of the text, last written
+	lastLine   int // of the text, last written
 	blockStart bool
 }
 
-func (f *formatter) write(l ...string) {
-	for _, s := range l {
+func (f *formatter) write(parts ...string) {
+	for _, s := range parts {
 		f.out.WriteString(s)
 	}
 }
 
-func (f *formatter) newline(gap bool) {
+func (f *formatter) newline(blankLine bool) {
 	if f.out.Len() == 0 {
 		return
 	}
 	f.out.WriteByte('\n')
-	if gap && !f.blockStart {
+	if blankLine && !f.blockStart {
 		f.out.WriteByte('\n')
 	}
 	f.blockStart = false
@@ -86,61 +86,61 @@
 }
 
 // begin writes the comments before a place, and begins its line.
-func (f *formatter) begin(pos Pos, gap bool) {
+func (f *formatter) startLine(pos Pos, blankLine bool) {
 	for len(f.comments) > 0 && f.comments[0].pos.before(pos) {
 		c := f.comments[0]
 		f.comments = f.comments[1:]
-		if !c.alone && f.line > 0 {
+		if !c.ownLine && f.lastLine > 0 {
 			f.write(" ", c.text)
-			f.line = c.pos.Line
+			f.lastLine = c.pos.Line
 			continue
 		}
-		f.newline(c.pos.Line > f.line+1)
+		f.newline(c.pos.Line > f.lastLine+1)
 		f.write(c.text)
-		f.line = c.pos.Line
+		f.lastLine = c.pos.Line
 	}
 	if pos.Line < 1<<30 {
-		f.newline(gap && pos.Line > f.line+1)
-		f.line = pos.Line
+		f.newline(blankLine && pos.Line > f.lastLine+1)
+		f.lastLine = pos.Line
 	}
 }
 
 func (f *formatter) block(b *block) {
 	if len(b.stmts) == 0 && (len(f.comments) == 0 || f.comments[0].pos.Line > b.end.Line) {
 		f.write("{}")
-		f.line = b.end.Line
+		f.lastLine = b.end.Line
 		return
 	}
 	f.write("{")
-	f.line = b.pos.Line
+	f.lastLine = b.pos.Line
 	f.indent++
 	f.blockStart = true
 	for _, s := range b.stmts {
-		f.begin(s.at(), true)
+		f.startLine(s.at(), true)
 		f.stmt(s)
 	}
-	f.close(b.end)
+	f.closeBlock(b.end)
 }
 
 // close writes the comments before a closing brace, and the brace.
-func (f *formatter) close(end Pos) {
+func (f *formatter) closeBlock(end Pos) {
 	for len(f.comments) > 0 && f.comments[0].pos.Line < end.Line {
 		c := f.comments[0]
 		f.comments = f.comments[1:]
-		if c.alone {
-			f.newline(c.pos.Line > f.line+1)
+		if c.ownLine {
+			f.newline(c.pos.Line > f.lastLine+1)
 			f.write(c.text)
 		} else {
 			f.write(" ", c.text)
 		}
-		f.line = c.pos.Line
+		f.lastLine = c.pos.Line
 	}
 	f.indent--
 	f.blockStart = true
 	f.newline(false)
 	f.blockStart = false
 	f.write("}")
-	f.line = end.Line
+	f.lastLine = end.Line
 }
 
 func (f *formatter) stmt(s stmt) {
@@ -151,7 +151,7 @@
 			f.write(" ", s.declaredType.text())
 		}
 		f.write(" = ", f.expr(s.value, 0))
-	case *setStmt:
+	case *assignStmt:
 		f.write(s.name)
 		if s.index != nil {
 			f.write("[", f.expr(s.index, 0), "]")
@@ -176,7 +176,7 @@
 }
 
 func (f *formatter) ifElse(s *ifStmt) {
-	f.write("if ", f.header(s.cond), " ")
+	f.write("if ", f.headerExpr(s.cond), " ")
 	f.block(s.then)
 	if s.otherwise != nil {
 		f.write(" else ")
@@ -193,68 +193,68 @@
 	if s.key != "" {
 		f.write(s.key, ", ")
 	}
-	f.write(s.name, " in ", f.header(s.from))
+	f.write(s.name, " in ", f.headerExpr(s.from))
 	if s.to != nil {
-		f.write("..", f.header(s.to))
+		f.write("..", f.headerExpr(s.to))
 	}
 	f.write(" ")
 	f.block(s.body)
 }
 
 func (f *formatter) match(s *matchStmt) {
-	f.write("match ", f.header(s.value), " {")
-	f.line = s.pos.Line
+	f.write("match ", f.headerExpr(s.value), " {")
+	f.lastLine = s.pos.Line
 	f.indent++
 	f.blockStart = true
 	for _, c := range s.cases {
-		f.begin(c.values[0].at(), false)
+		f.startLine(c.values[0].at(), false)
 		f.write("case ")
 		for i, v := range c.values {
 			if i > 0 {
 				f.write(", ")
 			}
-			f.write(f.header(v))
+			f.write(f.headerExpr(v))
 		}
 		f.write(" ")
 		f.block(c.body)
 	}
-	end := f.line + 1
+	end := f.lastLine + 1
 	if s.otherwise != nil {
-		f.begin(s.otherwise.pos, false)
+		f.startLine(s.otherwise.pos, false)
 		f.write("else ")
 		f.block(s.otherwise)
-		end = f.line + 1
+		end = f.lastLine + 1
 	}
-	f.close(Pos{Line: end})
-	f.line = end
+	f.closeBlock(Pos{Line: end})
+	f.lastLine = end
 }
 
 // header writes an expression before a block's brace: a record's literal needs brackets there.
-func (f *formatter) header(e expr) string {
-	s := f.expr(e, 0)
-	if bareRecord(e) {
-		return "(" + s + ")"
+func (f *formatter) headerExpr(e expr) string {
+	text := f.expr(e, 0)
+	if containsBareRecord(e) {
+		return "(" + text + ")"
 	}
-	return s
+	return text
 }
 
-func bareRecord(e expr) bool {
+func containsBareRecord(e expr) bool {
 	switch e := e.(type) {
 	case *recordExpr:
 		return true
 	case *unaryExpr:
-		return bareRecord(e.operand)
+		return containsBareRecord(e.operand)
 	case *binaryExpr:
-		return bareRecord(e.left) || bareRecord(e.right)
+		return containsBareRecord(e.left) || containsBareRecord(e.right)
 	case *fieldExpr:
-		return bareRecord(e.record)
+		return containsBareRecord(e.record)
 	case *indexExpr:
-		return bareRecord(e.collection)
+		return containsBareRecord(e.collection)
 	}
 	return false
 }
 
-func strength(op string) int {
+func operatorPrecedence(op string) int {
 	for i, l := range precedence {
 		for _, o := range l {
 			if o == op {
@@ -266,7 +266,7 @@
 }
 
 // expr writes an expression, in brackets if it binds weaker than least, a level of precedence counted from 1.
-func (f *formatter) expr(e expr, least int) string {
+func (f *formatter) expr(e expr, minPrecedence int) string {
 	switch e := e.(type) {
 	case *literalExpr:
 		if e.valueType == typeString {
@@ -276,9 +276,9 @@
 	case *nameExpr:
 		return e.name
 	case *unaryExpr:
-		return f.unary(e, least)
+		return f.unary(e, minPrecedence)
 	case *binaryExpr:
-		return f.binary(e, least)
+		return f.binary(e, minPrecedence)
 	case *listExpr:
 		if e.literalType != nil {
 			return e.literalType.text() + "{" + f.list(e.items) + "}"
@@ -308,29 +308,29 @@
 	return "?"
 }
 
-func (f *formatter) unary(e *unaryExpr, least int) string {
-	n, s := 6, "-"
+func (f *formatter) unary(e *unaryExpr, minPrecedence int) string {
+	precedence, text := 6, "-"
 	if e.op == "not" {
-		n, s = 3, "not "
+		precedence, text = 3, "not "
 	}
-	s += f.expr(e.operand, n)
-	if n < least {
-		return "(" + s + ")"
+	text += f.expr(e.operand, precedence)
+	if precedence < minPrecedence {
+		return "(" + text + ")"
 	}
-	return s
+	return text
 }
 
-func (f *formatter) binary(e *binaryExpr, least int) string {
-	n := strength(e.op)
-	left := n
+func (f *formatter) binary(e *binaryExpr, minPrecedence int) string {
+	n := operatorPrecedence(e.op)
+	leftPrecedence := n
 	if n == 3 {
-		left++ // comparisons do not chain
+		leftPrecedence++ // comparisons do not chain
 	}
-	s := f.expr(e.left, left) + " " + e.op + " " + f.expr(e.right, n+1)
-	if n < least {
-		return "(" + s + ")"
+	text := f.expr(e.left, leftPrecedence) + " " + e.op + " " + f.expr(e.right, n+1)
+	if n < minPrecedence {
+		return "(" + text + ")"
 	}
-	return s
+	return text
 }
 
 // list writes expressions with commas between them.
--- a/internal/hooklang/interface_test.go
+++ b/internal/hooklang/interface_test.go
@@ -13,7 +13,7 @@
 // TestNames holds the names that scripts are written with: keywords, signs, types, points with what they may advise, fields of
 // records, functions with their signatures, and the kinds of fault that operators read. Scripts that run must go on to run, so
 // neither a rename in Go nor a move may change them. Where the language is meant to change, run it with -update.
-func TestNames(t *testing.T) {
+func TestLanguageSurface(t *testing.T) {
 	var out strings.Builder
 	fmt.Fprintf(&out, "keywords %s\n", strings.Join(slices.Sorted(maps.Keys(keywords)), " "))
 	fmt.Fprintf(&out, "signs %s\n", strings.Join(slices.Sorted(slices.Values(symbols)), " "))
--- a/internal/hooklang/lexer.go
+++ b/internal/hooklang/lexer.go
@@ -32,9 +32,9 @@
 
 // comment is for the formatter; the parser does not see it.
 type comment struct {
-	pos   Pos
-	text  string
-	alone bool // it has its line for itself
+	pos     Pos
+	text    string
+	ownLine bool // it has its line for itself
 }
 
 var keywords = map[string]bool{
@@ -69,7 +69,7 @@
 func lex(file, text string) ([]token, []comment, Problems) {
 	l := &lexer{file: file, text: text, line: 1}
 	for l.offset < len(text) {
-		l.next()
+		l.nextToken()
 	}
 	end := l.pos()
 	l.add(token{kind: tokenNewline, text: "end of line", pos: end})
@@ -81,14 +81,14 @@
 
 func (l *lexer) add(t token) { l.tokens = append(l.tokens, t) }
 
-func (l *lexer) problem(pos Pos, format string, args ...any) {
+func (l *lexer) reportError(pos Pos, format string, args ...any) {
 	if len(l.problems) < maxProblems {
 		l.problems = append(l.problems, &Problem{File: l.file, Pos: pos, Text: fmt.Sprintf(format, args...)})
 	}
 }
 
 // next reads a token, a comment, a newline or a blank.
-func (l *lexer) next() {
+func (l *lexer) nextToken() {
 	c, pos := l.text[l.offset], l.pos()
 	switch {
 	case c == '\n':
@@ -103,19 +103,19 @@
 	case c == '#':
 		l.comment(pos)
 	case c == '"':
-		text, end, why := lexString(l.text, l.offset)
+		text, end, problem := lexString(l.text, l.offset)
 		t := token{kind: tokenString, text: text, pos: pos}
-		if why != "" {
-			l.problem(pos, "%s", why)
+		if problem != "" {
+			l.reportError(pos, "%s", problem)
 			t = token{kind: tokenInvalid, pos: pos}
 		}
 		l.add(t)
 		l.offset = end
 	case isDigit(c):
-		t, end, why := lexNumber(l.text, l.offset)
+		t, end, problem := lexNumber(l.text, l.offset)
 		t.pos = pos
-		if why != "" {
-			l.problem(pos, "%s", why)
+		if problem != "" {
+			l.reportError(pos, "%s", problem)
 			t.kind = tokenInt
 		}
 		l.add(t)
@@ -139,8 +139,8 @@
 		end++
 	}
 	text := strings.TrimRight(l.text[l.offset:end], " \t\r")
-	alone := strings.TrimSpace(l.text[l.lineStart:l.offset]) == ""
-	l.comments = append(l.comments, comment{pos, text, alone})
+	ownLine := strings.TrimSpace(l.text[l.lineStart:l.offset]) == ""
+	l.comments = append(l.comments, comment{pos, text, ownLine})
 	l.offset = end
 }
 
@@ -149,7 +149,7 @@
 	i := slices.IndexFunc(symbols, func(s string) bool { return strings.HasPrefix(rest, s) })
 	if i < 0 {
 		r, size := utf8.DecodeRuneInString(rest)
-		l.problem(pos, "%q has no meaning here", r)
+		l.reportError(pos, "%q has no meaning here", r)
 		l.offset += size
 		return
 	}
@@ -161,7 +161,7 @@
 		l.brackets = max(0, l.brackets-1)
 	case "{", "}":
 		// The end of a block closes brackets that were left open: an error must not swallow the rest of the text.
-		if symbol == "}" && l.brackets > 0 && !inBrace(l.tokens) {
+		if symbol == "}" && l.brackets > 0 && !insideBrace(l.tokens) {
 			l.brackets = 0
 		}
 	}
@@ -169,19 +169,19 @@
 	l.offset += len(symbol)
 }
 
-const maxLookBack = 2_000
+const maxLookBackTokens = 2_000
 
 // inBrace reports whether the innermost open bracket is a brace: that of a literal within brackets. It looks back a
 // bounded number of tokens, so that lexing a hostile text takes linear time.
-func inBrace(toks []token) bool {
+func insideBrace(tokens []token) bool {
 	n := 0
-	for i := len(toks) - 1; i >= 0 && i > len(toks)-maxLookBack; i-- {
-		switch toks[i].text {
+	for i := len(tokens) - 1; i >= 0 && i > len(tokens)-maxLookBackTokens; i-- {
+		switch tokens[i].text {
 		case ")", "]", "}":
 			n++
 		case "(", "[", "{":
 			if n--; n < 0 {
-				return toks[i].text == "{"
+				return tokens[i].text == "{"
 			}
 		}
 	}
@@ -203,7 +203,7 @@
 }
 
 // lexString reads a string: escapes \n, \t, \", \\ and \u{hex}.
-func lexString(text string, i int) (s string, end int, why string) {
+func lexString(text string, i int) (s string, end int, problem string) {
 	var b strings.Builder
 	for i++; ; i++ {
 		if i >= len(text) || text[i] == '\n' {
@@ -231,21 +231,21 @@
 			rest := text[i+1:]
 			n := strings.IndexByte(rest, '}')
 			if !strings.HasPrefix(rest, "{") || n < 2 || n > 7 {
-				why = `\u wants one to six hex digits in braces`
+				problem = `\u wants one to six hex digits in braces`
 				continue
 			}
 			r, err := strconv.ParseUint(rest[1:n], 16, 32)
 			if err != nil || !utf8.ValidRune(rune(r)) {
-				why = `\u{` + rest[1:n] + `} is no character`
+				problem = `\u{` + rest[1:n] + `} is no character`
 			}
 			b.WriteRune(rune(r))
 			i += n + 1
 		default:
-			why = fmt.Sprintf(`\%c is no escape: \n, \t, \", \\ and \u{…} are`, text[i])
+			problem = fmt.Sprintf(`\%c is no escape: \n, \t, \", \\ and \u{…} are`, text[i])
 		}
 	}
 	if !utf8.ValidString(b.String()) {
-		why = "the string is no UTF-8"
+		problem = "the string is no UTF-8"
 	}
-	return b.String(), i + 1, why
+	return b.String(), i + 1, problem
 }
--- a/internal/hooklang/lexnumber.go
+++ b/internal/hooklang/lexnumber.go
@@ -9,22 +9,22 @@
 )
 
 // lexNumber reads 12, 1_000, 1.5, 2e-3, or a duration as 1h30m, 250ms, 1.5s, which begins at an offset.
-func lexNumber(text string, begin int) (t token, end int, why string) {
-	end, fraction := skipDecimal(text, begin)
+func lexNumber(text string, start int) (t token, end int, problem string) {
+	end, fraction := skipDecimal(text, start)
 	if unitAt(text, end) != nil {
-		t, end, why = lexDuration(text, begin)
-		if why != "" {
-			return t, end, why
+		t, end, problem = lexDuration(text, start)
+		if problem != "" {
+			return t, end, problem
 		}
 	} else {
-		t, end, why = lexPlainNumber(text, begin, end, fraction)
+		t, end, problem = lexPlainNumber(text, start, end, fraction)
 	}
 	if end < len(text) && isNameByte(text[end]) {
 		end = skipName(text, end)
-		return t, end, fmt.Sprintf("%s is no number", text[begin:end])
+		return t, end, fmt.Sprintf("%s is no number", text[start:end])
 	}
-	t.text = text[begin:end]
-	return t, end, why
+	t.text = text[start:end]
+	return t, end, problem
 }
 
 // maxDurationParts is how many numbers with units a duration has at most.
@@ -32,18 +32,18 @@
 
 // lexDuration reads a duration. It adds whole numbers exactly, and notices by floating point that the sum does not
 // fit.
-func lexDuration(text string, i int) (t token, end int, why string) {
+func lexDuration(text string, i int) (t token, end int, problem string) {
 	var exact int64
 	approximate := 0.0
 	for part := 1; ; part++ {
-		from := i
-		digitsEnd, fraction := skipDecimal(text, from)
+		start := i
+		digitsEnd, fraction := skipDecimal(text, start)
 		i = digitsEnd
 		unit := unitAt(text, i)
 		if unit == nil {
 			return token{kind: tokenDuration}, i, "a duration's last number has no unit: h, m, s, ms and us are"
 		}
-		digits := strings.ReplaceAll(text[from:i], "_", "")
+		digits := strings.ReplaceAll(text[start:i], "_", "")
 		value, _ := strconv.ParseFloat(digits, 64)
 		approximate += value * float64(unit.duration)
 		whole, err := strconv.ParseInt(digits, 10, 64)
@@ -64,7 +64,7 @@
 }
 
 // lexPlainNumber reads an int or a float whose digits end at an offset.
-func lexPlainNumber(text string, begin, digitsEnd int, fraction bool) (t token, end int, why string) {
+func lexPlainNumber(text string, start, digitsEnd int, fraction bool) (t token, end int, problem string) {
 	end = digitsEnd
 	if end < len(text) && (text[end] == 'e' || text[end] == 'E') {
 		exponent := end + 1
@@ -76,7 +76,7 @@
 			end = after
 		}
 	}
-	digits := strings.ReplaceAll(text[begin:end], "_", "")
+	digits := strings.ReplaceAll(text[start:end], "_", "")
 	var err error
 	if fraction {
 		t.kind = tokenFloat
@@ -86,9 +86,9 @@
 		t.number, err = strconv.ParseInt(digits, 10, 64)
 	}
 	if err != nil {
-		why = digits + " is out of range"
+		problem = digits + " is out of range"
 	}
-	return t, end, why
+	return t, end, problem
 }
 
 type durationUnit struct {
--- a/internal/hooklang/library.go
+++ b/internal/hooklang/library.go
@@ -12,7 +12,7 @@
 
 func init() {
 	defineConversions()
-	defineOrder()
+	defineOrdering()
 	defineCollections()
 	defineStrings()
 	defineStatements()
@@ -23,16 +23,16 @@
 func defineConversions() {
 	list, dict := listOf(varT), mapOf(varK, varV)
 	length := func(_ *VM, a []Value) Value { return Value{bits: int64(len(a[0].object.items))} }
-	define("len", typeInt, func(_ *VM, a []Value) Value { return Value{bits: int64(len(a[0].str()))} }, typeString)
-	define("len", typeInt, length, list)
-	define("len", typeInt, length, dict)
+	defineBuiltin("len", typeInt, func(_ *VM, a []Value) Value { return Value{bits: int64(len(a[0].str()))} }, typeString)
+	defineBuiltin("len", typeInt, length, list)
+	defineBuiltin("len", typeInt, length, dict)
 
 	for _, t := range []*Type{typeInt, typeFloat, typeDuration, typeBool} {
-		define("str", typeString, func(vm *VM, a []Value) Value { return vm.str(text(t, a[0])) }, t)
+		defineBuiltin("str", typeString, func(vm *VM, a []Value) Value { return vm.str(formatValue(t, a[0])) }, t)
 	}
-	define("str", typeString, func(_ *VM, a []Value) Value { return a[0] }, typeString)
+	defineBuiltin("str", typeString, func(_ *VM, a []Value) Value { return a[0] }, typeString)
 
-	whole := func(f func(float64) float64) func(vm *VM, a []Value) Value {
+	toInt := func(f func(float64) float64) func(vm *VM, a []Value) Value {
 		return func(vm *VM, a []Value) Value {
 			x := f(a[0].float())
 			if !(x >= -1<<63 && x < 1<<63) {
@@ -41,15 +41,15 @@
 			return Value{bits: int64(x)}
 		}
 	}
-	define("int", typeInt, whole(math.Trunc), typeFloat)
-	define("floor", typeInt, whole(math.Floor), typeFloat)
-	define("ceil", typeInt, whole(math.Ceil), typeFloat)
-	define("round", typeInt, whole(math.Round), typeFloat)
-	define("float", typeFloat, func(_ *VM, a []Value) Value { return floatValue(float64(a[0].bits)) }, typeInt)
-	define("seconds", typeFloat, func(_ *VM, a []Value) Value {
+	defineBuiltin("int", typeInt, toInt(math.Trunc), typeFloat)
+	defineBuiltin("floor", typeInt, toInt(math.Floor), typeFloat)
+	defineBuiltin("ceil", typeInt, toInt(math.Ceil), typeFloat)
+	defineBuiltin("round", typeInt, toInt(math.Round), typeFloat)
+	defineBuiltin("float", typeFloat, func(_ *VM, a []Value) Value { return floatValue(float64(a[0].bits)) }, typeInt)
+	defineBuiltin("seconds", typeFloat, func(_ *VM, a []Value) Value {
 		return floatValue(time.Duration(a[0].bits).Seconds())
 	}, typeDuration)
-	define("duration", typeDuration, func(vm *VM, a []Value) Value {
+	defineBuiltin("duration", typeDuration, func(vm *VM, a []Value) Value {
 		x := a[0].float() * 1e9
 		if !(math.Abs(x) < 1<<62) {
 			vm.fault(FaultRange, "%s seconds are too long", floatText(a[0].float()))
@@ -59,21 +59,21 @@
 }
 
 // defineOrder defines minima, maxima, sorting and magnitudes.
-func defineOrder() {
+func defineOrdering() {
 	for _, t := range []*Type{typeInt, typeFloat, typeDuration, typeString} {
-		define("min", t, func(_ *VM, a []Value) Value {
+		defineBuiltin("min", t, func(_ *VM, a []Value) Value {
 			if compare(t, a[1], a[0]) < 0 {
 				return a[1]
 			}
 			return a[0]
 		}, t, t)
-		define("max", t, func(_ *VM, a []Value) Value {
+		defineBuiltin("max", t, func(_ *VM, a []Value) Value {
 			if compare(t, a[1], a[0]) > 0 {
 				return a[1]
 			}
 			return a[0]
 		}, t, t)
-		define("sort", listOf(t), func(vm *VM, a []Value) Value {
+		defineBuiltin("sort", listOf(t), func(vm *VM, a []Value) Value {
 			n := int64(len(a[0].object.items))
 			vm.spend(n * int64(1+math.Log2(float64(n+1))))
 			if t == typeString {
@@ -85,26 +85,26 @@
 		}, listOf(t))
 	}
 	for _, t := range []*Type{typeInt, typeDuration} {
-		define("abs", t, func(vm *VM, a []Value) Value {
+		defineBuiltin("abs", t, func(vm *VM, a []Value) Value {
 			if a[0].bits == math.MinInt64 {
 				vm.fault(FaultRange, "the least %s has no positive", t.name)
 			}
 			return Value{bits: max(a[0].bits, -a[0].bits)}
 		}, t)
 	}
-	define("abs", typeFloat, func(_ *VM, a []Value) Value { return floatValue(math.Abs(a[0].float())) }, typeFloat)
+	defineBuiltin("abs", typeFloat, func(_ *VM, a []Value) Value { return floatValue(math.Abs(a[0].float())) }, typeFloat)
 }
 
 // defineCollections defines what reads lists and maps, and slices of strings.
 func defineCollections() {
 	list, dict := listOf(varT), mapOf(varK, varV)
-	define("sort_by", list, nil, list, typeString).takesFunction = true
-	define("reverse", list, func(vm *VM, a []Value) Value {
+	defineBuiltin("sort_by", list, nil, list, typeString).takesFunction = true
+	defineBuiltin("reverse", list, func(vm *VM, a []Value) Value {
 		o := vm.clone(a[0].object)
 		slices.Reverse(o.items)
 		return Value{object: o}
 	}, list)
-	define("slice", list, func(vm *VM, a []Value) Value {
+	defineBuiltin("slice", list, func(vm *VM, a []Value) Value {
 		from, to := vm.span(a, len(a[0].object.items))
 		o := &object{collection: true}
 		vm.list(int64(to - from))
@@ -113,7 +113,7 @@
 		}
 		return Value{object: o}
 	}, list, typeInt, typeInt)
-	define("slice", typeString, func(vm *VM, a []Value) Value {
+	defineBuiltin("slice", typeString, func(vm *VM, a []Value) Value {
 		s := a[0].str()
 		from, to := vm.span(a, len(s))
 		if from < len(s) && !utf8.RuneStart(s[from]) || to < len(s) && !utf8.RuneStart(s[to]) {
@@ -122,11 +122,11 @@
 		return vm.str(s[from:to])
 	}, typeString, typeInt, typeInt)
 
-	define("keys", listOf(varK), func(vm *VM, a []Value) Value {
+	defineBuiltin("keys", listOf(varK), func(vm *VM, a []Value) Value {
 		vm.list(int64(len(a[0].object.keys)))
 		return Value{object: &object{collection: true, items: slices.Clone(a[0].object.keys)}}
 	}, dict)
-	define("values", listOf(varV), func(vm *VM, a []Value) Value {
+	defineBuiltin("values", listOf(varV), func(vm *VM, a []Value) Value {
 		vm.list(int64(len(a[0].object.items)))
 		o := &object{collection: true}
 		for _, e := range a[0].object.items {
@@ -134,7 +134,7 @@
 		}
 		return Value{object: o}
 	}, dict)
-	define("get", varV, func(_ *VM, a []Value) Value {
+	defineBuiltin("get", varV, func(_ *VM, a []Value) Value {
 		if i, ok := a[0].object.find(a[1]); ok {
 			return a[0].object.items[i]
 		}
@@ -144,28 +144,28 @@
 
 // defineStrings defines what reads strings.
 func defineStrings() {
-	text := func(f func(s, t string) Value) func(vm *VM, a []Value) Value {
+	onTwoStrings := func(f func(s, t string) Value) func(vm *VM, a []Value) Value {
 		return func(vm *VM, a []Value) Value {
 			vm.spend(int64(len(a[0].str())) / 16)
 			return f(a[0].str(), a[1].str())
 		}
 	}
-	define("starts", typeBool, text(func(s, t string) Value {
+	defineBuiltin("starts", typeBool, onTwoStrings(func(s, t string) Value {
 		return boolValue(strings.HasPrefix(s, t))
 	}), typeString, typeString)
-	define("ends", typeBool, text(func(s, t string) Value {
+	defineBuiltin("ends", typeBool, onTwoStrings(func(s, t string) Value {
 		return boolValue(strings.HasSuffix(s, t))
 	}), typeString, typeString)
-	define("find", typeInt, text(func(s, t string) Value {
+	defineBuiltin("find", typeInt, onTwoStrings(func(s, t string) Value {
 		return Value{bits: int64(strings.Index(s, t))}
 	}), typeString, typeString)
-	define("lower", typeString, func(vm *VM, a []Value) Value {
+	defineBuiltin("lower", typeString, func(vm *VM, a []Value) Value {
 		return vm.str(strings.ToLower(a[0].str()))
 	}, typeString)
-	define("trim", typeString, func(vm *VM, a []Value) Value {
+	defineBuiltin("trim", typeString, func(vm *VM, a []Value) Value {
 		return vm.str(strings.TrimSpace(a[0].str()))
 	}, typeString)
-	define("hash", typeInt, func(vm *VM, a []Value) Value {
+	defineBuiltin("hash", typeInt, func(vm *VM, a []Value) Value {
 		vm.spend(int64(len(a[0].str())) / 16)
 		return Value{bits: int64(xxhash.Sum64String(a[0].str()) >> 1)}
 	}, typeString)
@@ -173,7 +173,7 @@
 }
 
 func defineSplitAndJoin() {
-	define("split", listOf(typeString), func(vm *VM, a []Value) Value {
+	defineBuiltin("split", listOf(typeString), func(vm *VM, a []Value) Value {
 		if a[1].str() == "" {
 			vm.fault(FaultRange, "split at nothing")
 		}
@@ -187,7 +187,7 @@
 		}
 		return Value{object: o}
 	}, typeString, typeString)
-	define("join", typeString, func(vm *VM, a []Value) Value {
+	defineBuiltin("join", typeString, func(vm *VM, a []Value) Value {
 		n := 0
 		for i, e := range a[0].object.items {
 			if i > 0 {
@@ -208,39 +208,39 @@
 // defineStatements defines the clock, faults, and changes of lists and maps.
 func defineStatements() {
 	list, dict := listOf(varT), mapOf(varK, varV)
-	define("now", typeDuration, func(vm *VM, _ []Value) Value { return Value{bits: int64(vm.env.Now)} })
-	define("wall", typeInt, func(vm *VM, _ []Value) Value { return Value{bits: vm.env.Wall} })
-	define("fail", typeVoid, func(vm *VM, a []Value) Value {
-		vm.fault(FaultRaised, "%s", cut(a[0].str(), 200))
+	defineBuiltin("now", typeDuration, func(vm *VM, _ []Value) Value { return Value{bits: int64(vm.env.Now)} })
+	defineBuiltin("wall", typeInt, func(vm *VM, _ []Value) Value { return Value{bits: vm.env.Wall} })
+	defineBuiltin("fail", typeVoid, func(vm *VM, a []Value) Value {
+		vm.fault(FaultRaised, "%s", truncate(a[0].str(), 200))
 		return Value{}
 	}, typeString)
-	define("expect", typeVoid, func(vm *VM, a []Value) Value {
+	defineBuiltin("expect", typeVoid, func(vm *VM, a []Value) Value {
 		if a[0].bits == 0 {
 			vm.fault(FaultExpect, "not so")
 		}
 		return Value{}
 	}, typeBool).testOnly = true
-	define("push", typeVoid, nil, list, varT).op = opPush
-	define("remove", typeVoid, nil, dict, varK).op = opRemove
+	defineBuiltin("push", typeVoid, nil, list, varT).op = opPush
+	defineBuiltin("remove", typeVoid, nil, dict, varK).op = opRemove
 }
 
 // defineEffects defines advice.
 func defineEffects() {
-	life := func(v Value) time.Duration { return time.Duration(v.bits) }
+	lifetime := func(v Value) time.Duration { return time.Duration(v.bits) }
 	defineEffect("keep_warm", func(a []Value) Advice {
-		return Advice{Function: a[0].str(), Copies: a[1].bits, For: life(a[2])}
+		return Advice{Function: a[0].str(), Copies: a[1].bits, For: lifetime(a[2])}
 	}, typeString, typeInt, typeDuration)
 	defineEffect("tenant_weight", func(a []Value) Advice {
-		return Advice{Tenant: a[0].str(), Factor: a[1].float(), For: life(a[2])}
+		return Advice{Tenant: a[0].str(), Factor: a[1].float(), For: lifetime(a[2])}
 	}, typeString, typeFloat, typeDuration)
 	defineEffect("tenant_cap", func(a []Value) Advice {
-		return Advice{Tenant: a[0].str(), Factor: a[1].float(), For: life(a[2])}
+		return Advice{Tenant: a[0].str(), Factor: a[1].float(), For: lifetime(a[2])}
 	}, typeString, typeFloat, typeDuration)
 	defineEffect("prefer", func(a []Value) Advice {
-		return Advice{Worker: a[0].str(), For: life(a[1])}
+		return Advice{Worker: a[0].str(), For: lifetime(a[1])}
 	}, typeString, typeDuration)
 	defineEffect("avoid", func(a []Value) Advice {
-		return Advice{Worker: a[0].str(), For: life(a[1])}
+		return Advice{Worker: a[0].str(), For: lifetime(a[1])}
 	}, typeString, typeDuration)
 	defineEffect("refuse", func(a []Value) Advice {
 		return Advice{Text: a[0].str()}
--- a/internal/hooklang/oracle_test.go
+++ b/internal/hooklang/oracle_test.go
@@ -14,38 +14,38 @@
 // An oracle runs a checked script by walking its tree, with none of the VM's means: values are Go's own, copied whole at
 // each store, ints are computed in big ones.
 type oracle struct {
-	s     *script
-	state map[string]any
-	vars  map[string]any
-	out   []string
+	parsed *script
+	state  map[string]any
+	vars   map[string]any
+	logged []string
 }
 
 type (
-	raised string
-	leaves string
-	gives  struct{ v any }
-	dict   map[any]any
+	oracleFault  string
+	branchSignal string
+	returnSignal struct{ value any }
+	dict         map[any]any
 )
 
-func copied(v any) any {
+func deepCopy(v any) any {
 	switch v := v.(type) {
 	case []any:
 		l := make([]any, len(v))
 		for i := range v {
-			l[i] = copied(v[i])
+			l[i] = deepCopy(v[i])
 		}
 		return l
 	case dict:
 		d := dict{}
 		for k, e := range v {
-			d[k] = copied(e)
+			d[k] = deepCopy(e)
 		}
 		return d
 	}
 	return v
 }
 
-func sorted(d dict) (l []any) {
+func sortedKeys(d dict) (l []any) {
 	for k := range d {
 		l = append(l, k)
 	}
@@ -57,16 +57,16 @@
 	old := o.vars
 	o.vars = map[string]any{}
 	for i, p := range d.params {
-		o.vars[p.name] = copied(args[i])
+		o.vars[p.name] = deepCopy(args[i])
 	}
 	defer func() {
 		o.vars = old
 		if r := recover(); r != nil {
-			g, ok := r.(gives)
+			signal, ok := r.(returnSignal)
 			if !ok {
 				panic(r)
 			}
-			result = g.v
+			result = signal.value
 		}
 	}()
 	o.block(d.body)
@@ -81,9 +81,9 @@
 
 func (o *oracle) store(name string, v any) {
 	if _, ok := o.vars[name]; ok {
-		o.vars[name] = copied(v)
+		o.vars[name] = deepCopy(v)
 	} else {
-		o.state[name] = copied(v)
+		o.state[name] = deepCopy(v)
 	}
 }
 
@@ -95,14 +95,14 @@
 }
 
 // body runs a loop's body and tells whether the loop goes on.
-func (o *oracle) body(b *block) (on bool) {
+func (o *oracle) loopBody(b *block) (continues bool) {
 	defer func() {
 		if r := recover(); r != nil {
-			w, ok := r.(leaves)
+			signal, ok := r.(branchSignal)
 			if !ok {
 				panic(r)
 			}
-			on = w == "continue"
+			continues = signal == "continue"
 		}
 	}()
 	o.block(b)
@@ -114,21 +114,21 @@
 	case *block:
 		o.block(s)
 	case *letStmt:
-		o.vars[s.name] = copied(o.expr(s.value))
-	case *setStmt:
+		o.vars[s.name] = deepCopy(o.expr(s.value))
+	case *assignStmt:
 		if s.index == nil {
 			v := o.expr(s.value)
 			if s.op != "" {
-				v = arith(s.op, o.load(s.name), v)
+				v = arithmetic(s.op, o.load(s.name), v)
 			}
 			o.store(s.name, v)
 			return
 		}
-		i, v := o.expr(s.index), copied(o.expr(s.value))
+		i, v := o.expr(s.index), deepCopy(o.expr(s.value))
 		switch c := o.load(s.name).(type) {
 		case []any:
 			if n := i.(int64); n < 0 || n >= int64(len(c)) {
-				panic(raised("index"))
+				panic(oracleFault("index"))
 			}
 			c[i.(int64)] = v
 		case dict:
@@ -141,29 +141,29 @@
 			o.stmt(s.otherwise)
 		}
 	case *forStmt:
-		x := copied(o.expr(s.from))
+		x := deepCopy(o.expr(s.from))
 		switch c := x.(type) {
 		case int64:
 			end := o.expr(s.to).(int64)
 			for ; c < end; c++ {
 				o.vars[s.name] = c
-				if !o.body(s.body) {
+				if !o.loopBody(s.body) {
 					return
 				}
 			}
 		case []any:
 			for _, v := range c {
-				o.vars[s.name] = copied(v)
-				if !o.body(s.body) {
+				o.vars[s.name] = deepCopy(v)
+				if !o.loopBody(s.body) {
 					return
 				}
 			}
 		case dict:
-			for _, k := range sorted(c) {
+			for _, k := range sortedKeys(c) {
 				if o.vars[s.name] = k; s.key != "" {
-					o.vars[s.key], o.vars[s.name] = k, copied(c[k])
+					o.vars[s.key], o.vars[s.name] = k, deepCopy(c[k])
 				}
-				if !o.body(s.body) {
+				if !o.loopBody(s.body) {
 					return
 				}
 			}
@@ -183,17 +183,17 @@
 		}
 	case *returnStmt:
 		if s.value != nil {
-			panic(gives{o.expr(s.value)})
+			panic(returnSignal{o.expr(s.value)})
 		}
-		panic(gives{})
+		panic(returnSignal{})
 	case *branchStmt:
-		panic(leaves(s.keyword))
+		panic(branchSignal(s.keyword))
 	case *exprStmt:
 		o.expr(s.value)
 	}
 }
 
-func arith(op string, x, y any) any {
+func arithmetic(op string, x, y any) any {
 	switch a := x.(type) {
 	case int64:
 		p, q, z := big.NewInt(a), big.NewInt(y.(int64)), new(big.Int)
@@ -206,7 +206,7 @@
 			z.Mul(p, q)
 		default:
 			if q.Sign() == 0 {
-				panic(raised("division"))
+				panic(oracleFault("division"))
 			}
 			if op == "/" {
 				z.Quo(p, q)
@@ -215,7 +215,7 @@
 			}
 		}
 		if !z.IsInt64() {
-			panic(raised("overflow"))
+			panic(oracleFault("overflow"))
 		}
 		return z.Int64()
 	case float64:
@@ -230,18 +230,18 @@
 			z = a * b
 		default:
 			if b == 0 {
-				panic(raised("division"))
+				panic(oracleFault("division"))
 			}
 			z = a / b
 		}
 		if math.IsNaN(z) || math.IsInf(z, 0) {
-			panic(raised("overflow"))
+			panic(oracleFault("overflow"))
 		}
 		return z + 0
 	case string:
 		return a + y.(string)
 	case []any:
-		return append(copied(a).([]any), copied(y).([]any)...)
+		return append(deepCopy(a).([]any), deepCopy(y).([]any)...)
 	}
 	panic("no such type")
 }
@@ -267,7 +267,7 @@
 		case float64:
 			return -x + 0
 		case int64:
-			return arith("-", int64(0), x)
+			return arithmetic("-", int64(0), x)
 		}
 	case *binaryExpr:
 		x := o.expr(e.left)
@@ -310,18 +310,18 @@
 			}
 			return false
 		}
-		return arith(e.op, x, y)
+		return arithmetic(e.op, x, y)
 	case *listExpr:
 		l := []any{}
 		for _, x := range e.items {
-			l = append(l, copied(o.expr(x)))
+			l = append(l, deepCopy(o.expr(x)))
 		}
 		return l
 	case *mapExpr:
 		d := dict{}
 		for i := range e.keys {
 			k := o.expr(e.keys[i])
-			d[k] = copied(o.expr(e.values[i]))
+			d[k] = deepCopy(o.expr(e.values[i]))
 		}
 		return d
 	case *indexExpr:
@@ -329,13 +329,13 @@
 		switch c := x.(type) {
 		case []any:
 			if n := i.(int64); n < 0 || n >= int64(len(c)) {
-				panic(raised("index"))
+				panic(oracleFault("index"))
 			}
 			return c[i.(int64)]
 		case dict:
 			v, ok := c[i]
 			if !ok {
-				panic(raised("key"))
+				panic(oracleFault("key"))
 			}
 			return v
 		}
@@ -352,7 +352,7 @@
 		}
 		switch e.name {
 		case "log":
-			o.out = append(o.out, a[0].(string))
+			o.logged = append(o.logged, a[0].(string))
 		case "str":
 			if f, ok := a[0].(float64); ok {
 				return floatText(f)
@@ -373,17 +373,17 @@
 			}
 			return a[2]
 		case "keys":
-			return sorted(a[0].(dict))
+			return sortedKeys(a[0].(dict))
 		case "push":
-			o.store(e.args[0].(*nameExpr).name, append(copied(a[0]).([]any), a[1]))
+			o.store(e.args[0].(*nameExpr).name, append(deepCopy(a[0]).([]any), a[1]))
 		case "remove":
-			d := copied(a[0]).(dict)
+			d := deepCopy(a[0]).(dict)
 			delete(d, a[1])
 			o.store(e.args[0].(*nameExpr).name, d)
 		case "fail":
-			panic(raised("raised"))
+			panic(oracleFault("raised"))
 		case "sort_by":
-			l := copied(a[0]).([]any)
+			l := deepCopy(a[0]).([]any)
 			for i := range l { // insertion: stable, as the language promises
 				for k := i; k > 0 && o.call(e.function, []any{l[k], l[k-1]}).(bool); k-- {
 					l[k], l[k-1] = l[k-1], l[k]
@@ -396,241 +396,243 @@
 }
 
 // A writer draws programs that pass the checks.
-type writer struct {
-	t     *rapid.T
-	b     strings.Builder
-	vars  map[string][]string // by type
-	n     int
-	depth int
-	loops int
-	fns   bool
-	calls bool
+type generator struct {
+	rapidT    *rapid.T
+	text      strings.Builder
+	vars      map[string][]string // by type
+	lastID    int
+	exprDepth int
+	loopDepth int
+	inHandler bool
+	mayCall   bool
 }
 
-var kinds = []string{"int", "float", "string", "bool", "list[int]", "map[string]int", "list[list[int]]"}
+var generatedTypes = []string{"int", "float", "string", "bool", "list[int]", "map[string]int", "list[list[int]]"}
 
-func (w *writer) pick(l ...string) string { return rapid.SampledFrom(l).Draw(w.t, "pick") }
+func (g *generator) pick(l ...string) string { return rapid.SampledFrom(l).Draw(g.rapidT, "pick") }
 
-func (w *writer) expr(kind string) string {
-	w.depth++
-	defer func() { w.depth-- }()
-	if l := w.vars[kind]; len(l) > 0 && rapid.IntRange(0, 2).Draw(w.t, "var") > 0 {
-		return w.pick(l...)
+func (g *generator) expr(typeName string) string {
+	g.exprDepth++
+	defer func() { g.exprDepth-- }()
+	if l := g.vars[typeName]; len(l) > 0 && rapid.IntRange(0, 2).Draw(g.rapidT, "var") > 0 {
+		return g.pick(l...)
 	}
-	leaf := w.depth > 4
-	two := func(op, kind string) string { return "(" + w.expr(kind) + " " + op + " " + w.expr(kind) + ")" }
-	switch kind {
+	leaf := g.exprDepth > 4
+	binary := func(op, typeName string) string {
+		return "(" + g.expr(typeName) + " " + op + " " + g.expr(typeName) + ")"
+	}
+	switch typeName {
 	case "int":
-		k := rapid.IntRange(0, 8).Draw(w.t, "int")
+		k := rapid.IntRange(0, 8).Draw(g.rapidT, "int")
 		if leaf {
 			k = 0
 		}
 		switch k {
 		case 0:
-			return w.pick("0", "1", "2", "3", "7", "-1", "9223372036854775807")
+			return g.pick("0", "1", "2", "3", "7", "-1", "9223372036854775807")
 		case 1:
-			return "len(" + w.expr(w.pick("string", "list[int]", "map[string]int")) + ")"
+			return "len(" + g.expr(g.pick("string", "list[int]", "map[string]int")) + ")"
 		case 2:
-			return "get(" + w.expr("map[string]int") + ", " + w.expr("string") + ", " + w.expr("int") + ")"
+			return "get(" + g.expr("map[string]int") + ", " + g.expr("string") + ", " + g.expr("int") + ")"
 		case 3:
-			return w.expr("list[int]") + "[" + w.expr("int") + "]"
+			return g.expr("list[int]") + "[" + g.expr("int") + "]"
 		case 4:
-			if w.calls {
-				return "f(" + w.expr("int") + ", " + w.expr("list[int]") + ")"
+			if g.mayCall {
+				return "f(" + g.expr("int") + ", " + g.expr("list[int]") + ")"
 			}
 		case 5:
-			return "-" + w.expr("int")
+			return "-" + g.expr("int")
 		}
-		return two(w.pick("+", "-", "*", "/", "%"), "int")
+		return binary(g.pick("+", "-", "*", "/", "%"), "int")
 	case "float":
 		if leaf {
-			return w.pick("0.0", "1.5", "1e300", "-2.25")
+			return g.pick("0.0", "1.5", "1e300", "-2.25")
 		}
-		return two(w.pick("+", "-", "*", "/"), "float")
+		return binary(g.pick("+", "-", "*", "/"), "float")
 	case "string":
-		if leaf || w.depth > 2 {
-			return w.pick(`""`, `"a"`, `"b"`, `"ab"`, `"é"`)
+		if leaf || g.exprDepth > 2 {
+			return g.pick(`""`, `"a"`, `"b"`, `"ab"`, `"é"`)
 		}
-		switch rapid.IntRange(0, 2).Draw(w.t, "string") {
+		switch rapid.IntRange(0, 2).Draw(g.rapidT, "string") {
 		case 0:
-			return "str(" + w.expr(w.pick("int", "float", "bool", "string")) + ")"
+			return "str(" + g.expr(g.pick("int", "float", "bool", "string")) + ")"
 		}
-		return two("+", "string")
+		return binary("+", "string")
 	case "bool":
 		if leaf {
-			return w.pick("true", "false")
+			return g.pick("true", "false")
 		}
-		switch rapid.IntRange(0, 5).Draw(w.t, "bool") {
+		switch rapid.IntRange(0, 5).Draw(g.rapidT, "bool") {
 		case 0:
-			return "(not " + w.expr("bool") + ")"
+			return "(not " + g.expr("bool") + ")"
 		case 1:
-			return two(w.pick("and", "or"), "bool")
+			return binary(g.pick("and", "or"), "bool")
 		case 2:
-			return "(" + w.expr("string") + " in " + w.expr(w.pick("map[string]int", "string")) + ")"
+			return "(" + g.expr("string") + " in " + g.expr(g.pick("map[string]int", "string")) + ")"
 		case 3:
-			return two(w.pick("==", "!="), w.pick(kinds...))
+			return binary(g.pick("==", "!="), g.pick(generatedTypes...))
 		}
-		return two(w.pick("<", "<=", ">", ">="), w.pick("int", "float", "string"))
+		return binary(g.pick("<", "<=", ">", ">="), g.pick("int", "float", "string"))
 	case "list[int]":
 		if leaf {
 			return "list[int]{}"
 		}
-		switch rapid.IntRange(0, 3).Draw(w.t, "list") {
+		switch rapid.IntRange(0, 3).Draw(g.rapidT, "list") {
 		case 0:
-			return "[" + w.expr("int") + ", " + w.expr("int") + "]"
+			return "[" + g.expr("int") + ", " + g.expr("int") + "]"
 		case 1:
-			if w.calls {
-				return "sort_by(" + w.expr("list[int]") + ", less)"
+			if g.mayCall {
+				return "sort_by(" + g.expr("list[int]") + ", less)"
 			}
 		case 2:
-			return w.expr("list[list[int]]") + "[" + w.pick("0", "1") + "]"
+			return g.expr("list[list[int]]") + "[" + g.pick("0", "1") + "]"
 		}
-		return two("+", "list[int]")
+		return binary("+", "list[int]")
 	case "list[list[int]]":
-		return "[" + w.expr("list[int]") + ", " + w.expr("list[int]") + "]"
+		return "[" + g.expr("list[int]") + ", " + g.expr("list[int]") + "]"
 	}
 	if leaf {
 		return "map[string]int{}"
 	}
-	return "map[string]int{" + w.expr("string") + ": " + w.expr("int") + ", " + w.expr("string") + ": " + w.expr("int") + "}"
+	return "map[string]int{" + g.expr("string") + ": " + g.expr("int") + ", " + g.expr("string") + ": " + g.expr("int") + "}"
 }
 
-func (w *writer) block(n int) {
+func (g *generator) block(n int) {
 	saved := map[string][]string{}
-	for k, l := range w.vars {
+	for k, l := range g.vars {
 		saved[k] = l[:len(l):len(l)]
 	}
 	for range n {
-		w.stmt()
+		g.stmt()
 	}
-	w.vars = saved
+	g.vars = saved
 }
 
-func (w *writer) any() (kind string, name string) {
+func (g *generator) pickVariable() (typeName string, name string) {
 	var l []string
-	for _, k := range kinds {
-		for _, v := range w.vars[k] {
+	for _, k := range generatedTypes {
+		for _, v := range g.vars[k] {
 			if v[0] != 'i' { // not those of loops
 				l = append(l, k+" "+v)
 			}
 		}
 	}
-	p := w.pick(l...)
+	p := g.pick(l...)
 	i := strings.LastIndexByte(p, ' ')
 	return p[:i], p[i+1:]
 }
 
-func (w *writer) stmt() {
-	w.depth = 0
-	inner := func() {
-		w.b.WriteString(" {\n")
-		w.loops++
-		w.block(rapid.IntRange(1, 3).Draw(w.t, "n"))
-		w.loops--
-		w.b.WriteString("}")
+func (g *generator) stmt() {
+	g.exprDepth = 0
+	body := func() {
+		g.text.WriteString(" {\n")
+		g.loopDepth++
+		g.block(rapid.IntRange(1, 3).Draw(g.rapidT, "n"))
+		g.loopDepth--
+		g.text.WriteString("}")
 	}
-	k := rapid.IntRange(0, 11).Draw(w.t, "stmt")
-	if w.loops > 2 && k >= 7 && k <= 10 {
+	k := rapid.IntRange(0, 11).Draw(g.rapidT, "stmt")
+	if g.loopDepth > 2 && k >= 7 && k <= 10 {
 		k = 0
 	}
 	switch k {
 	case 0, 1:
-		kind := w.pick(kinds...)
-		w.n++
-		e := w.expr(kind)
-		name := fmt.Sprint("v", w.n)
-		fmt.Fprintf(&w.b, "let %s %s = %s\n", name, kind, e)
-		w.vars[kind] = append(w.vars[kind], name)
+		typeName := g.pick(generatedTypes...)
+		g.lastID++
+		e := g.expr(typeName)
+		name := fmt.Sprint("v", g.lastID)
+		fmt.Fprintf(&g.text, "let %s %s = %s\n", name, typeName, e)
+		g.vars[typeName] = append(g.vars[typeName], name)
 	case 2, 3:
-		kind, name := w.any()
-		fmt.Fprintf(&w.b, "%s = %s\n", name, w.expr(kind))
+		typeName, name := g.pickVariable()
+		fmt.Fprintf(&g.text, "%s = %s\n", name, g.expr(typeName))
 	case 4, 5:
-		kind, name := w.any()
-		switch kind {
+		typeName, name := g.pickVariable()
+		switch typeName {
 		case "list[int]":
-			if w.pick("push", "set") == "push" {
-				fmt.Fprintf(&w.b, "push(%s, %s)\n", name, w.expr("int"))
+			if g.pick("push", "set") == "push" {
+				fmt.Fprintf(&g.text, "push(%s, %s)\n", name, g.expr("int"))
 			} else {
-				fmt.Fprintf(&w.b, "%s[%s] = %s\n", name, w.pick("0", "1"), w.expr("int"))
+				fmt.Fprintf(&g.text, "%s[%s] = %s\n", name, g.pick("0", "1"), g.expr("int"))
 			}
 		case "map[string]int":
-			if w.pick("remove", "set") == "remove" {
-				fmt.Fprintf(&w.b, "remove(%s, %s)\n", name, w.expr("string"))
+			if g.pick("remove", "set") == "remove" {
+				fmt.Fprintf(&g.text, "remove(%s, %s)\n", name, g.expr("string"))
 			} else {
-				fmt.Fprintf(&w.b, "%s[%s] = %s\n", name, w.expr("string"), w.expr("int"))
+				fmt.Fprintf(&g.text, "%s[%s] = %s\n", name, g.expr("string"), g.expr("int"))
 			}
 		case "list[list[int]]":
-			fmt.Fprintf(&w.b, "%s[%s] = %s\n", name, w.pick("0", "1"), w.expr("list[int]"))
+			fmt.Fprintf(&g.text, "%s[%s] = %s\n", name, g.pick("0", "1"), g.expr("list[int]"))
 		case "int":
-			fmt.Fprintf(&w.b, "%s %s %s\n", name, w.pick("+=", "-="), w.expr("int"))
+			fmt.Fprintf(&g.text, "%s %s %s\n", name, g.pick("+=", "-="), g.expr("int"))
 		}
 	case 6:
-		if w.fns {
-			fmt.Fprintf(&w.b, "log(str(%s))\n", w.expr(w.pick("int", "float", "string", "bool")))
+		if g.inHandler {
+			fmt.Fprintf(&g.text, "log(str(%s))\n", g.expr(g.pick("int", "float", "string", "bool")))
 		}
 	case 7, 8:
-		w.b.WriteString("if " + w.expr("bool"))
-		inner()
-		if w.pick("else", "") != "" {
-			w.b.WriteString(" else")
-			inner()
+		g.text.WriteString("if " + g.expr("bool"))
+		body()
+		if g.pick("else", "") != "" {
+			g.text.WriteString(" else")
+			body()
 		}
-		w.b.WriteString("\n")
+		g.text.WriteString("\n")
 	case 9:
-		w.n++
-		name := fmt.Sprint("i", w.n)
-		what := w.pick("0..3", "2..4", w.expr("list[int]"))
-		fmt.Fprintf(&w.b, "for %s in %s", name, what)
-		old := w.vars["int"]
-		w.vars["int"] = append(old[:len(old):len(old)], name)
-		inner()
-		w.vars["int"] = old
-		w.b.WriteString("\n")
+		g.lastID++
+		name := fmt.Sprint("i", g.lastID)
+		collection := g.pick("0..3", "2..4", g.expr("list[int]"))
+		fmt.Fprintf(&g.text, "for %s in %s", name, collection)
+		old := g.vars["int"]
+		g.vars["int"] = append(old[:len(old):len(old)], name)
+		body()
+		g.vars["int"] = old
+		g.text.WriteString("\n")
 	case 10:
-		w.n++
-		k, v := fmt.Sprint("ik", w.n), fmt.Sprint("iv", w.n)
-		fmt.Fprintf(&w.b, "for %s, %s in %s", k, v, w.expr("map[string]int"))
-		oi, os := w.vars["int"], w.vars["string"]
-		w.vars["int"], w.vars["string"] = append(oi[:len(oi):len(oi)], v), append(os[:len(os):len(os)], k)
-		inner()
-		w.vars["int"], w.vars["string"] = oi, os
-		w.b.WriteString("\n")
+		g.lastID++
+		k, v := fmt.Sprint("ik", g.lastID), fmt.Sprint("iv", g.lastID)
+		fmt.Fprintf(&g.text, "for %s, %s in %s", k, v, g.expr("map[string]int"))
+		oldInts, oldStrings := g.vars["int"], g.vars["string"]
+		g.vars["int"], g.vars["string"] = append(oldInts[:len(oldInts):len(oldInts)], v), append(oldStrings[:len(oldStrings):len(oldStrings)], k)
+		body()
+		g.vars["int"], g.vars["string"] = oldInts, oldStrings
+		g.text.WriteString("\n")
 	case 11:
-		w.b.WriteString("match " + w.expr("int") + " {\ncase 0, 1")
-		inner()
-		w.b.WriteString("\ncase 2")
-		inner()
-		w.b.WriteString("\nelse")
-		inner()
-		w.b.WriteString("\n}\n")
+		g.text.WriteString("match " + g.expr("int") + " {\ncase 0, 1")
+		body()
+		g.text.WriteString("\ncase 2")
+		body()
+		g.text.WriteString("\nelse")
+		body()
+		g.text.WriteString("\n}\n")
 	}
 }
 
-func program(t *rapid.T) string {
-	w := &writer{t: t, vars: map[string][]string{"int": {"a"}, "list[int]": {"l"}}}
-	w.b.WriteString("state s int = 3\nstate m map[string]int = map[string]int{\"a\": 1}\nstate q list[int] = [4, 2]\nstate z list[list[int]] = [[1], [2]]\n")
-	w.b.WriteString("fn less(a int, b int) bool {\nreturn a % 5 < b % 5\n}\n")
-	w.b.WriteString("fn f(a int, l list[int]) int {\n")
-	w.block(rapid.IntRange(0, 4).Draw(t, "n"))
-	w.b.WriteString("return " + w.expr("int") + "\n}\non ended(e) {\n")
-	w.vars = map[string][]string{"int": {"s"}, "map[string]int": {"m"}, "list[int]": {"q"}, "list[list[int]]": {"z"}}
-	w.fns, w.calls = true, true
-	w.block(rapid.IntRange(1, 10).Draw(t, "n"))
-	w.b.WriteString("}\n")
-	return w.b.String()
+func generateProgram(t *rapid.T) string {
+	g := &generator{rapidT: t, vars: map[string][]string{"int": {"a"}, "list[int]": {"l"}}}
+	g.text.WriteString("state s int = 3\nstate m map[string]int = map[string]int{\"a\": 1}\nstate q list[int] = [4, 2]\nstate z list[list[int]] = [[1], [2]]\n")
+	g.text.WriteString("fn less(a int, b int) bool {\nreturn a % 5 < b % 5\n}\n")
+	g.text.WriteString("fn f(a int, l list[int]) int {\n")
+	g.block(rapid.IntRange(0, 4).Draw(t, "n"))
+	g.text.WriteString("return " + g.expr("int") + "\n}\non ended(e) {\n")
+	g.vars = map[string][]string{"int": {"s"}, "map[string]int": {"m"}, "list[int]": {"q"}, "list[list[int]]": {"z"}}
+	g.inHandler, g.mayCall = true, true
+	g.block(rapid.IntRange(1, 10).Draw(t, "n"))
+	g.text.WriteString("}\n")
+	return g.text.String()
 }
 
 func (o *oracle) run() (fault string) {
 	defer func() {
 		if r := recover(); r != nil {
-			f, ok := r.(raised)
+			f, ok := r.(oracleFault)
 			if !ok {
 				panic(r)
 			}
 			fault = string(f)
 		}
 	}()
-	for _, d := range o.s.funcs {
+	for _, d := range o.parsed.funcs {
 		if d.point != nil {
 			o.call(d, []any{nil})
 		}
@@ -642,16 +644,16 @@
 func TestAgainstOracle(t *testing.T) {
 	faults, clean := map[string]int{}, 0
 	rapid.Check(t, func(t *rapid.T) {
-		src := program(t)
+		src := generateProgram(t)
 		p, err := Compile("p.hook", src)
 		if err != nil {
 			t.Fatalf("%v\n%s", err, src)
 		}
 		s, _ := check("p.hook", src)
-		o := &oracle{s: s, state: map[string]any{"s": int64(3), "m": dict{"a": int64(1)}, "q": []any{int64(4), int64(2)}, "z": []any{[]any{int64(1)}, []any{int64(2)}}}}
-		lim := BackgroundLimits
-		lim.Fuel, lim.Effects = 50_000_000, 1<<20
-		res, err := NewVM().Run(p, "ended", Ended{}, p.State(), Env{}, lim)
+		o := &oracle{parsed: s, state: map[string]any{"s": int64(3), "m": dict{"a": int64(1)}, "q": []any{int64(4), int64(2)}, "z": []any{[]any{int64(1)}, []any{int64(2)}}}}
+		limits := BackgroundLimits
+		limits.Fuel, limits.Effects = 50_000_000, 1<<20
+		result, err := NewVM().Run(p, "ended", Ended{}, p.State(), Env{}, limits)
 		if f, ok := err.(*Fault); ok && f.Exhausted() {
 			t.Skip("too much")
 		}
@@ -661,7 +663,7 @@
 			if f, ok := err.(*Fault); !ok || string(f.Kind) != want {
 				t.Fatalf("fault %v, the oracle has %q\n%s", err, want, src)
 			}
-			if !res.State.Equal(p.State()) || res.Advice != nil {
+			if !result.State.Equal(p.State()) || result.Advice != nil {
 				t.Fatalf("a run with a fault left something\n%s", src)
 			}
 			return
@@ -670,36 +672,36 @@
 			t.Fatalf("%v, the oracle has no fault\n%s", err, src)
 		}
 		clean++
-		var said []string
-		for _, a := range res.Advice {
-			said = append(said, a.Text)
+		var logged []string
+		for _, a := range result.Advice {
+			logged = append(logged, a.Text)
 		}
-		if strings.Join(said, "|") != strings.Join(o.out, "|") {
-			t.Fatalf("%q, the oracle says %q\n%s", said, o.out, src)
+		if strings.Join(logged, "|") != strings.Join(o.logged, "|") {
+			t.Fatalf("%q, the oracle says %q\n%s", logged, o.logged, src)
 		}
 		for i, v := range p.state {
-			if a, b := shown(v.valueType, res.State.values[i]), fmt.Sprint(o.state[v.name]); a != b {
+			if a, b := goText(v.valueType, result.State.values[i]), fmt.Sprint(o.state[v.name]); a != b {
 				t.Fatalf("%s is %s, the oracle has %s\n%s", v.name, a, b, src)
 			}
 		}
-		again, _ := NewVM().Run(p, "ended", Ended{}, p.State(), Env{}, lim)
-		if again.Fuel != res.Fuel || again.Memory != res.Memory || !again.State.Equal(res.State) || fmt.Sprint(again.Advice) != fmt.Sprint(res.Advice) {
+		again, _ := NewVM().Run(p, "ended", Ended{}, p.State(), Env{}, limits)
+		if again.Fuel != result.Fuel || again.Memory != result.Memory || !again.State.Equal(result.State) || fmt.Sprint(again.Advice) != fmt.Sprint(result.Advice) {
 			t.Fatalf("a second run differs\n%s", src)
 		}
-		text, _ := res.State.MarshalJSON()
-		if back, err := p.Restore(text); err != nil || !back.Equal(res.State) {
+		text, _ := result.State.MarshalJSON()
+		if restored, err := p.Restore(text); err != nil || !restored.Equal(result.State) {
 			t.Fatalf("%v: restored another state from %s\n%s", err, text, src)
 		}
-		form, err := Format("p.hook", src)
+		formatted, err := Format("p.hook", src)
 		if err != nil {
 			t.Fatalf("%v\n%s", err, src)
 		}
-		if twice, _ := Format("p.hook", form); twice != form {
-			t.Fatalf("the form of a form differs:\n%s\n%s", form, twice)
+		if formattedTwice, _ := Format("p.hook", formatted); formattedTwice != formatted {
+			t.Fatalf("the form of a form differs:\n%s\n%s", formatted, formattedTwice)
 		}
-		q := must(Compile("p.hook", form))
-		if formed, err := NewVM().Run(q, "ended", Ended{}, q.State(), Env{}, lim); err != nil || formed.Fuel != res.Fuel || fmt.Sprint(formed.Advice) != fmt.Sprint(res.Advice) {
-			t.Fatalf("%v: formatted, it does something else:\n%s", err, form)
+		formattedProgram := must(Compile("p.hook", formatted))
+		if rerun, err := NewVM().Run(formattedProgram, "ended", Ended{}, formattedProgram.State(), Env{}, limits); err != nil || rerun.Fuel != result.Fuel || fmt.Sprint(rerun.Advice) != fmt.Sprint(result.Advice) {
+			t.Fatalf("%v: formatted, it does something else:\n%s", err, formatted)
 		}
 	})
 	if clean < 10 || len(faults) < 3 {
@@ -716,18 +718,18 @@
 }
 
 // shown writes a value as Go writes the oracle's.
-func shown(t *Type, v Value) string {
+func goText(t *Type, v Value) string {
 	switch {
 	case t.name == "list":
 		var l []string
 		for _, e := range v.object.items {
-			l = append(l, shown(t.elem, e))
+			l = append(l, goText(t.elem, e))
 		}
 		return "[" + strings.Join(l, " ") + "]"
 	case t.name == "map":
 		var l []string
 		for i, e := range v.object.items {
-			l = append(l, shown(t.key, v.object.keys[i])+":"+shown(t.elem, e))
+			l = append(l, goText(t.key, v.object.keys[i])+":"+goText(t.elem, e))
 		}
 		return "map[" + strings.Join(l, " ") + "]"
 	case t == typeString:
--- a/internal/hooklang/parsedecl.go
+++ b/internal/hooklang/parsedecl.go
@@ -4,7 +4,7 @@
 
 // declaration reads a state variable, function, handler or test.
 func (p *parser) declaration(s *script) {
-	p.newlines()
+	p.skipNewlines()
 	t := p.peek()
 	if t.kind == tokenEOF {
 		return
@@ -34,7 +34,7 @@
 
 func (p *parser) stateDecl(pos Pos) *stateDecl {
 	d := &stateDecl{pos: pos, name: p.name("a name").text}
-	d.declaredType = p.typeName()
+	d.declaredType = p.typeExpr()
 	p.expect("=")
 	d.init = p.expr()
 	return d
@@ -45,14 +45,14 @@
 	p.expect("(")
 	for !p.is(")") {
 		name := p.name("a parameter")
-		d.params = append(d.params, param{name.pos, name.text, p.typeName()})
+		d.params = append(d.params, param{name.pos, name.text, p.typeExpr()})
 		if !p.accept(",") {
 			break
 		}
 	}
 	p.expect(")")
 	if !p.is("{") {
-		d.declaredResult = p.typeName()
+		d.declaredResult = p.typeExpr()
 	}
 	d.body = p.block()
 	d.end = d.body.end
@@ -63,7 +63,7 @@
 	name := p.name("a point")
 	d := &funcDecl{pos: pos, name: name.text, point: points[name.text]}
 	if d.point == nil {
-		p.problem(name.pos, "there is no point %q: %s are", name.text, pointNames())
+		p.reportError(name.pos, "there is no point %q: %s are", name.text, pointNames())
 		d.point = &Point{Name: name.text, Record: noRecord}
 	}
 	p.expect("(")
@@ -89,9 +89,9 @@
 	p.next++
 	interval := time.Duration(t.number)
 	if point != "timer" {
-		p.problem(t.pos, "only a timer has a time")
-	} else if longest := maxMinutes * time.Minute; interval < MinTimerInterval || interval > longest {
-		p.problem(t.pos, "a timer runs every %v at the shortest and %v at the longest", MinTimerInterval, longest)
+		p.reportError(t.pos, "only a timer has a time")
+	} else if longest := maxTimerMinutes * time.Minute; interval < MinTimerInterval || interval > longest {
+		p.reportError(t.pos, "a timer runs every %v at the shortest and %v at the longest", MinTimerInterval, longest)
 	}
 	return interval
 }
--- a/internal/hooklang/parseexpr.go
+++ b/internal/hooklang/parseexpr.go
@@ -4,8 +4,8 @@
 var precedence = [][]string{{"or"}, {"and"}, {"==", "!=", "<", "<=", ">", ">=", "in"}, {"+", "-"}, {"*", "/", "%"}}
 
 const (
-	comparisonLevel = 2     // of precedence
-	maxOperators    = 1_000 // of one level in an expression
+	comparisonLevel      = 2     // of precedence
+	maxOperatorsPerLevel = 1_000 // of one level in an expression
 )
 
 func (p *parser) expr() expr { return p.binary(0) }
@@ -15,7 +15,7 @@
 		return p.unary()
 	}
 	if level == comparisonLevel && p.is("not") { // binds weaker than comparisons, as and and or do
-		p.nest()
+		p.enterNesting()
 		defer func() { p.depth-- }()
 		t := p.expect("not")
 		return &unaryExpr{typed{node{t.pos}, nil}, "not", p.binary(comparisonLevel)}
@@ -33,7 +33,7 @@
 		if n > 0 && level == comparisonLevel {
 			p.fail("comparisons do not chain: join them by and")
 		}
-		if n > maxOperators {
+		if n > maxOperatorsPerLevel {
 			p.fail("too many in one expression")
 		}
 		p.next++
@@ -44,7 +44,7 @@
 
 func (p *parser) unary() expr {
 	if t := p.peek(); p.accept("-") {
-		p.nest()
+		p.enterNesting()
 		defer func() { p.depth-- }()
 		return &unaryExpr{typed{node{t.pos}, nil}, "-", p.unary()}
 	}
@@ -57,7 +57,7 @@
 			x = &indexExpr{at, x, p.bracketed()}
 			p.expect("]")
 		case p.accept("."):
-			x = &fieldExpr{typed: at, record: x, name: p.field().text}
+			x = &fieldExpr{typed: at, record: x, name: p.fieldName().text}
 		default:
 			return x
 		}
@@ -65,24 +65,24 @@
 }
 
 // items reads entries with commas between them, up to the closing bracket.
-func (p *parser) items(end string, one func()) {
+func (p *parser) items(closing string, parseItem func()) {
 	inHeader := p.inHeader
 	p.inHeader = false
-	for p.newlines(); !p.is(end); p.newlines() {
-		one()
-		p.newlines()
+	for p.skipNewlines(); !p.is(closing); p.skipNewlines() {
+		parseItem()
+		p.skipNewlines()
 		if !p.accept(",") {
 			break
 		}
 	}
-	p.newlines()
+	p.skipNewlines()
 	p.inHeader = inHeader
-	p.expect(end)
+	p.expect(closing)
 }
 
 // primary reads a literal, a name, a call, or an expression in brackets.
 func (p *parser) primary() expr {
-	p.nest()
+	p.enterNesting()
 	defer func() { p.depth-- }()
 	t := p.peek()
 	at := typed{node{t.pos}, nil}
@@ -112,14 +112,14 @@
 		p.items("]", func() { l.items = append(l.items, p.expr()) })
 		return l
 	case p.is("list"):
-		l := &listExpr{typed: at, literalType: p.typeName()}
+		l := &listExpr{typed: at, literalType: p.typeExpr()}
 		p.expect("{")
 		p.items("}", func() { l.items = append(l.items, p.expr()) })
 		return l
 	case p.is("map"):
 		return p.mapLiteral(at)
 	case p.accept("run"):
-		return p.run(at)
+		return p.runExpr(at)
 	}
 	p.fail("a value is wanted, not %s", describe(t))
 	return nil
@@ -146,7 +146,7 @@
 	p.next++
 	r := &recordExpr{typed: at, name: name}
 	p.items("}", func() {
-		field := p.field()
+		field := p.fieldName()
 		p.expect(":")
 		value := p.expr()
 		r.fields = append(r.fields, field.text)
@@ -157,7 +157,7 @@
 }
 
 func (p *parser) mapLiteral(at typed) expr {
-	m := &mapExpr{typed: at, literalType: p.typeName()}
+	m := &mapExpr{typed: at, literalType: p.typeExpr()}
 	p.expect("{")
 	p.items("}", func() {
 		key := p.expr()
@@ -169,7 +169,7 @@
 	return m
 }
 
-func (p *parser) run(at typed) expr {
+func (p *parser) runExpr(at typed) expr {
 	r := &runExpr{typed: at, point: p.name("a point").text}
 	inHeader := p.inHeader
 	p.inHeader = false
--- a/internal/hooklang/parser.go
+++ b/internal/hooklang/parser.go
@@ -8,13 +8,13 @@
 
 // parser reads tokens by recursive descent.
 type parser struct {
-	file        string
-	tokens      []token
-	next        int
-	problems    Problems
-	depth       int
-	inHeader    bool // in a header: a brace begins the block
-	lastProblem int  // where the last problem was, in tokens
+	file           string
+	tokens         []token
+	next           int
+	problems       Problems
+	depth          int
+	inHeader       bool // in a header: a brace begins the block
+	lastErrorToken int  // where the last problem was, in tokens
 }
 
 // syntaxError is the panic by which a function of the parser gives up; guard recovers it. The problem is noted
@@ -29,11 +29,11 @@
 	if !utf8.ValidString(text) {
 		return &script{}, problemAtStart(file, "the text is no UTF-8")
 	}
-	toks, comments, bad := lex(file, text)
-	p := &parser{file: file, tokens: toks, problems: bad, lastProblem: -1}
+	tokens, comments, problems := lex(file, text)
+	p := &parser{file: file, tokens: tokens, problems: problems, lastErrorToken: -1}
 	s := &script{comments: comments}
 	for !p.atEnd() {
-		p.guard(func() { p.declaration(s) }, "fn", "on", "state", "test")
+		p.recoverSyntaxError(func() { p.declaration(s) }, "fn", "on", "state", "test")
 	}
 	return s, p.problems
 }
@@ -60,18 +60,18 @@
 	return false
 }
 
-func (p *parser) problem(pos Pos, format string, args ...any) {
-	if p.next == p.lastProblem { // one for each place where reading went wrong
+func (p *parser) reportError(pos Pos, format string, args ...any) {
+	if p.next == p.lastErrorToken { // one for each place where reading went wrong
 		return
 	}
-	p.lastProblem = p.next
+	p.lastErrorToken = p.next
 	if len(p.problems) < maxProblems {
 		p.problems = append(p.problems, &Problem{File: p.file, Pos: pos, Text: fmt.Sprintf(format, args...)})
 	}
 }
 
 func (p *parser) fail(format string, args ...any) {
-	p.problem(p.peek().pos, format, args...)
+	p.reportError(p.peek().pos, format, args...)
 	panic(syntaxError{})
 }
 
@@ -105,7 +105,7 @@
 }
 
 // field reads a field's name, which may be a keyword.
-func (p *parser) field() token {
+func (p *parser) fieldName() token {
 	if t := p.peek(); t.kind == tokenSymbol && keywords[t.text] {
 		p.next++
 		return t
@@ -115,8 +115,8 @@
 
 // guard runs f. If f gives up at a syntax error, parsing resumes behind it: at the next declaration if words are
 // given, which begin one, otherwise at the next statement of the block.
-func (p *parser) guard(f func(), words ...string) {
-	begin, depth := p.next, p.depth
+func (p *parser) recoverSyntaxError(f func(), declarationKeywords ...string) {
+	start, depth := p.next, p.depth
 	defer func() {
 		r := recover()
 		if r == nil {
@@ -127,11 +127,11 @@
 		}
 		p.depth = depth
 		p.inHeader = false
-		if p.next == begin {
+		if p.next == start {
 			p.next++
 		}
-		if len(words) > 0 {
-			p.skipToDeclaration(words)
+		if len(declarationKeywords) > 0 {
+			p.skipToDeclaration(declarationKeywords)
 		} else {
 			p.skipStatement()
 		}
@@ -141,11 +141,11 @@
 
 // skipToDeclaration skips to a word at the begin of a line, which must not be within braces unless it is in the
 // first column.
-func (p *parser) skipToDeclaration(words []string) {
+func (p *parser) skipToDeclaration(declarationKeywords []string) {
 	braces := 0
 	for ; p.tokens[p.next].kind != tokenEOF; p.next++ {
 		t := p.peek()
-		if t.kind == tokenSymbol && slices.Contains(words, t.text) &&
+		if t.kind == tokenSymbol && slices.Contains(declarationKeywords, t.text) &&
 			(t.pos.Col == 1 || braces <= 0 && p.tokens[p.next-1].kind == tokenNewline) {
 			return
 		}
@@ -177,7 +177,7 @@
 	}
 }
 
-func (p *parser) newlines() {
+func (p *parser) skipNewlines() {
 	for p.peek().kind == tokenNewline {
 		p.next++
 	}
@@ -190,30 +190,30 @@
 	if p.peek().kind != tokenNewline {
 		p.fail("the end of the statement is wanted, not %s", describe(p.peek()))
 	}
-	p.newlines()
+	p.skipNewlines()
 }
 
-func (p *parser) nest() {
-	if p.depth++; p.depth > maxNesting {
-		p.fail("nested more than %d deep", maxNesting)
+func (p *parser) enterNesting() {
+	if p.depth++; p.depth > maxNestingDepth {
+		p.fail("nested more than %d deep", maxNestingDepth)
 	}
 }
 
-func (p *parser) typeName() *typeNode {
-	p.nest()
+func (p *parser) typeExpr() *typeNode {
+	p.enterNesting()
 	defer func() { p.depth-- }()
 	t := p.peek()
 	n := &typeNode{pos: t.pos, name: t.text}
 	switch {
 	case p.accept("list"):
 		p.expect("[")
-		n.elem = p.typeName()
+		n.elem = p.typeExpr()
 		p.expect("]")
 	case p.accept("map"):
 		p.expect("[")
-		n.key = p.typeName()
+		n.key = p.typeExpr()
 		p.expect("]")
-		n.elem = p.typeName()
+		n.elem = p.typeExpr()
 	default:
 		p.name("a type")
 	}
@@ -221,13 +221,13 @@
 }
 
 func (p *parser) block() *block {
-	p.nest()
+	p.enterNesting()
 	defer func() { p.depth-- }()
 	inHeader := p.inHeader
 	p.inHeader = false
 	b := &block{pos: p.expect("{").pos}
-	for p.newlines(); !p.is("}") && !p.atEnd(); p.newlines() {
-		p.guard(func() {
+	for p.skipNewlines(); !p.is("}") && !p.atEnd(); p.skipNewlines() {
+		p.recoverSyntaxError(func() {
 			b.stmts = append(b.stmts, p.stmt())
 			p.endStatement()
 		})
@@ -237,7 +237,7 @@
 	return b
 }
 
-func (p *parser) header() expr {
+func (p *parser) headerExpr() expr {
 	inHeader := p.inHeader
 	p.inHeader = true
 	e := p.expr()
--- a/internal/hooklang/parsestmt.go
+++ b/internal/hooklang/parsestmt.go
@@ -27,7 +27,7 @@
 func (p *parser) letStmt(at node) stmt {
 	s := &letStmt{node: at, name: p.name("a name").text}
 	if !p.is("=") {
-		s.declaredType = p.typeName()
+		s.declaredType = p.typeExpr()
 	}
 	p.expect("=")
 	s.value = p.expr()
@@ -35,10 +35,10 @@
 }
 
 func (p *parser) ifStmt() *ifStmt {
-	p.nest()
+	p.enterNesting()
 	defer func() { p.depth-- }()
 	s := &ifStmt{node: node{p.expect("if").pos}}
-	s.cond = p.header()
+	s.cond = p.headerExpr()
 	s.then = p.block()
 	if p.accept("else") {
 		if p.is("if") {
@@ -57,24 +57,24 @@
 		s.name = p.name("a name").text
 	}
 	p.expect("in")
-	s.from = p.header()
+	s.from = p.headerExpr()
 	if p.accept("..") {
-		s.to = p.header()
+		s.to = p.headerExpr()
 	}
 	s.body = p.block()
 	return s
 }
 
 func (p *parser) matchStmt(at node) stmt {
-	s := &matchStmt{node: at, value: p.header()}
+	s := &matchStmt{node: at, value: p.headerExpr()}
 	p.expect("{")
-	for p.newlines(); !p.is("}") && !p.atEnd(); p.newlines() {
+	for p.skipNewlines(); !p.is("}") && !p.atEnd(); p.skipNewlines() {
 		if p.accept("else") {
 			s.otherwise = p.block()
 			continue
 		}
 		if s.otherwise != nil {
-			p.problem(p.peek().pos, "else is the last case")
+			p.reportError(p.peek().pos, "else is the last case")
 		}
 		p.expect("case")
 		s.cases = append(s.cases, p.matchCase())
@@ -85,7 +85,7 @@
 
 func (p *parser) matchCase() (c matchCase) {
 	for {
-		c.values = append(c.values, p.header())
+		c.values = append(c.values, p.headerExpr())
 		if !p.accept(",") {
 			break
 		}
@@ -108,11 +108,11 @@
 		switch target.(type) {
 		case *callExpr, *runExpr:
 		default:
-			p.problem(at.pos, "a value that nothing is done with")
+			p.reportError(at.pos, "a value that nothing is done with")
 		}
 		return &exprStmt{at, target}
 	}
-	s := &setStmt{node: at, op: op, value: p.expr()}
+	s := &assignStmt{node: at, op: op, value: p.expr()}
 	switch target := target.(type) {
 	case *nameExpr:
 		s.name = target.name
@@ -124,6 +124,6 @@
 			return s
 		}
 	}
-	p.problem(at.pos, "only name = value, name += value, name -= value and name[key] = value are assignments")
+	p.reportError(at.pos, "only name = value, name += value, name -= value and name[key] = value are assignments")
 	return s
 }
--- a/internal/hooklang/session.go
+++ b/internal/hooklang/session.go
@@ -44,7 +44,7 @@
 		if !known || locals[v.slot].object == nil && pointer(v.valueType) {
 			continue
 		}
-		vars = append(vars, v.name+" = "+cut(text(v.valueType, locals[v.slot]), maxShownValue))
+		vars = append(vars, v.name+" = "+truncate(formatValue(v.valueType, locals[v.slot]), maxShownValue))
 	}
 	return vars
 }
@@ -115,5 +115,5 @@
 	}
 	body := sc.tests[len(sc.tests)-1].body.stmts
 	last := body[len(body)-1].(*letStmt)
-	return text(last.value.typ(), keep[len(keep)-fn.slots+last.slot]), nil
+	return formatValue(last.value.typ(), keep[len(keep)-fn.slots+last.slot]), nil
 }
--- a/internal/hooklang/state.go
+++ b/internal/hooklang/state.go
@@ -52,7 +52,7 @@
 func (s *State) String() string {
 	var b bytes.Buffer
 	for i, v := range s.program.state {
-		fmt.Fprintf(&b, "state %s %v = %s\n", v.name, v.valueType, text(v.valueType, s.values[i]))
+		fmt.Fprintf(&b, "state %s %v = %s\n", v.name, v.valueType, formatValue(v.valueType, s.values[i]))
 	}
 	return b.String()
 }
--- a/internal/hooklang/value.go
+++ b/internal/hooklang/value.go
@@ -210,7 +210,7 @@
 }
 
 // text writes a value as the language writes it.
-func text(t *Type, v Value) string {
+func formatValue(t *Type, v Value) string {
 	switch {
 	case t == typeString:
 		return quote(v.str())
@@ -219,7 +219,7 @@
 	case t == typeFloat:
 		return floatText(v.float())
 	case t == typeDuration:
-		return durText(time.Duration(v.bits))
+		return durationText(time.Duration(v.bits))
 	case t.record != nil:
 		var b strings.Builder
 		b.WriteString(t.name + "{")
@@ -227,7 +227,7 @@
 			if i > 0 {
 				b.WriteString(", ")
 			}
-			b.WriteString(f.Name + ": " + text(f.Type, v.object.items[i]))
+			b.WriteString(f.Name + ": " + formatValue(f.Type, v.object.items[i]))
 		}
 		return b.String() + "}"
 	case t.isCollection():
@@ -242,9 +242,9 @@
 				b.WriteString(", ")
 			}
 			if t.key != nil {
-				b.WriteString(text(t.key, v.object.keys[i]) + ": ")
+				b.WriteString(formatValue(t.key, v.object.keys[i]) + ": ")
 			}
-			b.WriteString(text(t.elem, v.object.items[i]))
+			b.WriteString(formatValue(t.elem, v.object.items[i]))
 		}
 		return b.String() + end
 	case t == typeVoid:
@@ -263,7 +263,7 @@
 }
 
 // durText writes a duration that the lexer reads back as the same.
-func durText(d time.Duration) string {
+func durationText(d time.Duration) string {
 	if d == 0 {
 		return "0s"
 	}
--- a/internal/hooklang/vmops.go
+++ b/internal/hooklang/vmops.go
@@ -253,7 +253,7 @@
 
 func keyText(k Value) string {
 	if k.object != nil {
-		return quote(cut(k.object.text, 80))
+		return quote(truncate(k.object.text, 80))
 	}
 	return fmt.Sprint(k.bits)
 }
