--- a/internal/hooklang/ast.go
+++ b/internal/hooklang/ast.go
@@ -2,24 +2,25 @@
 
 import "time"
 
-// script is the syntax tree of a text. The parser makes it; the checker fills in types, slots and what names refer to.
+// script is the syntax tree of a script. The parser builds it; the checker adds the types, the
+// slots of variables, and the declarations that names refer to.
 type script struct {
 	states   []*stateDecl
-	funcs    []*funcDecl // functions and handlers, in order of the text
+	funcs    []*funcDecl // functions and handlers, in source order
 	tests    []*testDecl
-	order    []any // all of them, in order of the text, for the formatter
+	order    []any // all declarations in source order, for the formatter
 	comments []comment
 }
 
-// typeNode is a type as it is written.
+// typeNode is a type as written in the source.
 type typeNode struct {
 	pos  Pos
-	name string // "list", "map" or a name
+	name string // "list", "map", or the name of a scalar or record
 	elem *typeNode
 	key  *typeNode
 }
 
-// stateDecl is a state variable.
+// stateDecl declares a state variable, whose value the host keeps between runs.
 type stateDecl struct {
 	pos          Pos
 	name         string
@@ -36,27 +37,28 @@
 	declaredType *typeNode
 }
 
-// funcDecl is a function or a handler.
+// funcDecl declares a function, or the handler of a point.
 type funcDecl struct {
 	pos            Pos
-	name           string // of a handler: its point
-	point          *Point // nil: a function
+	name           string // for a handler, the name of its point
+	point          *Point // nil for a function
 	interval       time.Duration
 	params         []param
 	declaredResult *typeNode
 	body           *block
 	end            Pos
 
-	paramTypes    []*Type // of the parameters
+	// The checker fills in the fields below.
+	paramTypes    []*Type
 	resultType    *Type
-	slots         int            // how many it needs
-	calls         []*funcDecl    // for what a handler may reach
-	writesStateAt Pos            // where it changes state; zero: it does not
-	effectsAt     map[string]Pos // the advice it gives, and where first
+	slots         int            // number of slots that its variables need
+	calls         []*funcDecl    // the functions that it calls directly
+	writesStateAt Pos            // where it first changes state; zero if it does not
+	effectsAt     map[string]Pos // the advice functions that it calls, and where each is called first
 	vars          []varInfo
 }
 
-// testDecl is a test.
+// testDecl declares a test. The checker wraps its body in a function without parameters.
 type testDecl struct {
 	pos      Pos
 	name     string
@@ -64,21 +66,23 @@
 	function *funcDecl
 }
 
-// block is the statements between braces.
+// block is a sequence of statements in braces.
 type block struct {
 	pos   Pos
 	stmts []stmt
 	end   Pos
 }
 
-// stmt is a statement, expr an expression, whose type is known once it is checked.
+// stmt is a statement.
 type stmt interface{ at() Pos }
+
+// expr is an expression. Its type is known once the expression is checked.
 type expr interface {
 	at() Pos
 	typ() *Type
 }
 
-// node is what has a place in the text.
+// node holds the source position that statements and expressions have in common.
 type node struct{ pos Pos }
 
 func (n node) at() Pos { return n.pos }
@@ -94,7 +98,7 @@
 	assignStmt struct { // name = value, name += value, name[index] = value
 		node
 		name       string
-		op         string // "", "+" or "-"
+		op         string // "+" for +=, "-" for -=, "" for =
 		index      expr
 		value      expr
 		target     ref
@@ -108,10 +112,10 @@
 	}
 	forStmt struct {
 		node
-		key, name string // key: "" but in maps
-		from, to  expr   // to: nil but in ranges
+		key, name string // key is "" unless the loop names the keys of a map
+		from, to  expr   // to is nil unless the loop runs over a range
 		body      *block
-		slot      int // of name; the loop's own variables follow
+		slot      int // slot of name; the next two hold the collection or the range's end, and the position
 		keySlot   int
 	}
 	matchStmt struct {
@@ -135,7 +139,8 @@
 	}
 )
 
-// matchCase is a case of a match statement: any of the values fits.
+// matchCase is a case of a match statement. It applies if the matched value equals any of its
+// values.
 type matchCase struct {
 	values []expr
 	body   *block
@@ -143,13 +148,13 @@
 
 func (b *block) at() Pos { return b.pos }
 
-// ref is a variable: a slot of the function, or of the state.
+// ref identifies a variable: a slot of the current function, or the index of a state variable.
 type ref struct {
 	inState bool
 	index   int
 }
 
-// typed is a node with a type.
+// typed holds the position and the type that all expressions have in common.
 type typed struct {
 	node
 	valueType *Type
@@ -180,7 +185,7 @@
 	}
 	listExpr struct {
 		typed
-		literalType *typeNode // of list[T]{…}; nil: [a, b]
+		literalType *typeNode // of list[T]{…}; nil for [a, b]
 		items       []expr
 	}
 	mapExpr struct {
--- a/internal/hooklang/check.go
+++ b/internal/hooklang/check.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// variable is a local variable.
+// variable is a local variable of the function that is being checked.
 type variable struct {
 	name      string
 	pos       Pos
@@ -16,7 +16,7 @@
 	used      bool
 }
 
-// checker checks the names and types of a script, and fills them in in its syntax tree.
+// checker resolves the names and checks the types of a script, and records both in its syntax tree.
 type checker struct {
 	file        string
 	parsed      *script
@@ -27,13 +27,13 @@
 	scopes      []map[string]*variable
 	current     *funcDecl
 	inTest      bool
-	inStateInit bool // in a state's first value
+	inStateInit bool // in the initial value of a state variable
 	loopDepth   int
-	nextSlot    int // free slot
-	scopeEnd    Pos // of the scope that ends next
+	nextSlot    int // the first slot that is not in use
+	scopeEnd    Pos // end of the scope that is closed next, for the tracer
 }
 
-// check parses a text and checks it. The script can be compiled if no problem is more than a warning.
+// check parses and checks a script. The script can be compiled if [Problems.HasErrors] is false.
 func check(file, text string) (*script, Problems) {
 	s, problems := parse(file, text)
 	c := &checker{
@@ -59,6 +59,8 @@
 	return slices.ContainsFunc(l, func(p *Problem) bool { return !p.Warning })
 }
 
+// reportError adds an error. Type names are inserted into messages after "a", hence the correction
+// for int.
 func (c *checker) reportError(pos Pos, format string, args ...any) {
 	if len(c.problems) < maxProblems {
 		text := strings.ReplaceAll(fmt.Sprintf(format, args...), " a int", " an int")
@@ -72,6 +74,7 @@
 	}
 }
 
+// resolveType returns the type that a type expression denotes.
 func (c *checker) resolveType(n *typeNode) *Type {
 	switch n.name {
 	case "list":
@@ -81,7 +84,7 @@
 	case "map":
 		k := c.resolveType(n.key)
 		if k != typeString && k != typeInt && k != typeInvalid {
-			c.reportError(n.key.pos, "keys of a map are string or int, not %v", k)
+			c.reportError(n.key.pos, "the keys of a map are of type string or int, not %v", k)
 			k = typeInvalid
 		}
 		return mapOf(k, c.resolveType(n.elem))
@@ -96,25 +99,28 @@
 	return typeInvalid
 }
 
-// isFree reports whether a script may declare a name, and adds a problem if it may not.
+// checkNameAvailable reports whether a script may declare a name, and adds an error if the name is
+// taken.
 func (c *checker) checkNameAvailable(pos Pos, name string) bool {
-	what := ""
+	conflict := ""
 	switch {
 	case builtins[name] != nil:
-		what = "is the language's own"
+		conflict = "is the language's own"
 	case records[name] != nil || scalars[name] != nil:
-		what = "is a type"
+		conflict = "is a type"
 	case c.funcs[name] != nil:
-		what = fmt.Sprintf("is the function of line %d", c.funcs[name].pos.Line)
+		conflict = fmt.Sprintf("is the function of line %d", c.funcs[name].pos.Line)
 	case c.states[name] != nil:
-		what = fmt.Sprintf("is the state of line %d", c.states[name].pos.Line)
+		conflict = fmt.Sprintf("is the state variable of line %d", c.states[name].pos.Line)
 	default:
 		return true
 	}
-	c.reportError(pos, "%s %s", name, what)
+	c.reportError(pos, "%s %s", name, conflict)
 	return false
 }
 
+// script checks all declarations: first their names and types, then the bodies, and last what
+// handlers and tests reach through calls.
 func (c *checker) script() {
 	for _, d := range c.parsed.funcs {
 		c.declareFunction(d)
@@ -146,7 +152,8 @@
 	}
 }
 
-// declareFunction notes the types of a function or handler, so that bodies can refer to it wherever they are.
+// declareFunction records the signature of a function or handler before any body is checked, so
+// that a body can call functions declared after it.
 func (c *checker) declareFunction(d *funcDecl) {
 	d.effectsAt = map[string]Pos{}
 	d.resultType = typeVoid
@@ -162,7 +169,7 @@
 		c.funcs[d.name] = d
 	}
 	if len(d.params) > maxParams {
-		c.reportError(d.pos, "%d parameters, over %d", len(d.params), maxParams)
+		c.reportError(d.pos, "%d parameters, more than the maximum of %d", len(d.params), maxParams)
 	}
 	for _, p := range d.params {
 		d.paramTypes = append(d.paramTypes, c.resolveType(p.declaredType))
@@ -172,12 +179,12 @@
 	}
 }
 
-// declareState checks a state variable and its first value, which consists of literals.
+// declareState checks a state variable and its initial value, which consists of literals.
 func (c *checker) declareState(index int, d *stateDecl) {
 	d.index = index
 	d.valueType = c.resolveType(d.declaredType)
 	if holdsRecord(d.valueType) {
-		c.reportError(d.declaredType.pos, "state holds no records of the host: keep the fields that matter")
+		c.reportError(d.declaredType.pos, "a state variable cannot hold a record of the host: store the fields that are needed")
 	}
 	c.inStateInit = true
 	if t := c.expr(d.init); !sameType(t, d.valueType) {
@@ -189,8 +196,9 @@
 	}
 }
 
-// withinBounds checks how many declarations there are, which bounds what the rest of the check may take, and what
-// the tests that run before a script is loaded.
+// checkDeclarationCounts limits the number of declarations. That bounds the time of the remaining
+// checks, and of the tests that run before a script is loaded. It reports whether the checks may go
+// on.
 func (c *checker) checkDeclarationCounts() bool {
 	if len(c.parsed.states) > maxStates {
 		c.reportError(c.parsed.states[maxStates].pos, "more than %d state variables", maxStates)
@@ -206,6 +214,7 @@
 	return true
 }
 
+// testBody checks the body of a test as that of a function without parameters.
 func (c *checker) testBody(d *testDecl) {
 	d.function = &funcDecl{
 		pos:        d.pos,
@@ -220,10 +229,12 @@
 	c.inTest = false
 }
 
+// holdsRecord reports whether a type is a record, or a list or map with records among its entries.
 func holdsRecord(t *Type) bool {
 	return t.record != nil || t.elem != nil && holdsRecord(t.elem)
 }
 
+// function checks the body of a function, handler or test.
 func (c *checker) function(d *funcDecl) {
 	c.current = d
 	c.nextSlot = 0
--- a/internal/hooklang/checkcall.go
+++ b/internal/hooklang/checkcall.go
@@ -2,9 +2,10 @@
 
 import "fmt"
 
+// call checks a call of a function or builtin and returns the type of its result.
 func (c *checker) call(e *callExpr) *Type {
 	if c.inStateInit {
-		c.reportError(e.pos, "a state's first value is made of literals")
+		c.reportError(e.pos, "the initial value of a state variable consists of literals")
 		return typeInvalid
 	}
 	if d := c.funcs[e.name]; d != nil {
@@ -25,7 +26,7 @@
 	return c.callBuiltin(e, b)
 }
 
-// callFunction checks a call of a function of the script.
+// callFunction checks a call of a function that the script declares.
 func (c *checker) callFunction(e *callExpr, d *funcDecl) *Type {
 	e.function = d
 	c.current.calls = append(c.current.calls, d)
@@ -42,7 +43,7 @@
 	return d.resultType
 }
 
-// callBuiltin checks a call of a builtin, and notes in it the first signature that fits.
+// callBuiltin checks a call of a builtin, and records in it the first signature that matches.
 func (c *checker) callBuiltin(e *callExpr, b *builtin) *Type {
 	var args []*Type
 	for i, arg := range e.args {
@@ -71,7 +72,8 @@
 	return typeInvalid
 }
 
-// match reports whether arguments of these types fit, and for which types the type variables stand.
+// match reports whether arguments of these types match the signature, and which types its type
+// variables are bound to.
 func (s *signature) match(args []*Type) (vars map[*Type]*Type, ok bool) {
 	if len(args) != len(s.params) {
 		return nil, false
@@ -85,9 +87,11 @@
 	return vars, true
 }
 
+// useSignature records the signature that a call uses, and checks what the signature requires of
+// the call.
 func (c *checker) useSignature(e *callExpr, s *signature) {
 	if s.testOnly && !c.inTest {
-		c.reportError(e.pos, "%s is for tests", e.name)
+		c.reportError(e.pos, "%s is allowed in tests only", e.name)
 	}
 	if s.effect {
 		if _, ok := c.current.effectsAt[e.name]; !ok {
@@ -96,13 +100,13 @@
 	}
 	if s.op != opNone {
 		if _, ok := e.args[0].(*nameExpr); !ok {
-			c.reportError(e.args[0].at(), "%s changes a variable", e.name)
+			c.reportError(e.args[0].at(), "%s changes its first argument, which must be a variable", e.name)
 		}
 	}
 	e.builtin.signatures = []*signature{s}
 }
 
-// sortBy checks sort_by(list, less), where less is the name of a function of two entries.
+// callSortBy checks sort_by(list, less), where less is the name of a function of two entries.
 func (c *checker) callSortBy(e *callExpr, s *signature) *Type {
 	e.builtin.signatures = []*signature{s}
 	if len(e.args) != 2 {
@@ -116,7 +120,7 @@
 		return typeInvalid
 	}
 	if !ok || c.funcs[n.name] == nil {
-		c.reportError(e.args[1].at(), "sort_by takes the name of a function that tells whether one comes before another")
+		c.reportError(e.args[1].at(), "sort_by takes the name of a function that reports whether one entry comes before another")
 		return t
 	}
 	d := c.funcs[n.name]
--- a/internal/hooklang/checkexpr.go
+++ b/internal/hooklang/checkexpr.go
@@ -4,6 +4,8 @@
 	"slices"
 )
 
+// expectType checks an expression and reports an error if it is not of type t. what names the
+// expression in the message.
 func (c *checker) expectType(e expr, t *Type, what string) {
 	if v := c.value(e); !sameType(v, t) {
 		c.reportError(e.at(), "%s is a %v, not a %v", what, t, v)
@@ -14,13 +16,14 @@
 func (c *checker) value(e expr) *Type {
 	t := c.expr(e)
 	if t == typeVoid {
-		c.reportError(e.at(), "this has no value")
+		c.reportError(e.at(), "the expression has no value")
 		return typeInvalid
 	}
 	return t
 }
 
-// expr checks an expression and notes its type in it, which is typeVoid if it has no value.
+// expr checks an expression and records its type in it, which is typeVoid for an expression without
+// a value.
 func (c *checker) expr(e expr) *Type {
 	switch e := e.(type) {
 	case *literalExpr:
@@ -53,6 +56,7 @@
 	return e.typ()
 }
 
+// name resolves a variable.
 func (c *checker) name(e *nameExpr) (*Type, ref) {
 	t, variable, ok := c.lookup(e.name)
 	switch {
@@ -60,7 +64,7 @@
 	case c.funcs[e.name] != nil:
 		c.reportError(e.pos, "%s is a function: call it", e.name)
 	case c.inStateInit:
-		c.reportError(e.pos, "a state's first value is made of literals")
+		c.reportError(e.pos, "the initial value of a state variable consists of literals")
 	default:
 		c.reportError(e.pos, "there is no variable %q", e.name)
 	}
@@ -90,7 +94,7 @@
 		}
 		elem = t.elem
 	} else if len(e.items) == 0 {
-		c.reportError(e.pos, "an empty list names its type: list[int]{}")
+		c.reportError(e.pos, "an empty list needs its type, as in list[int]{}")
 	}
 	for i, item := range e.items {
 		t := c.value(item)
@@ -114,7 +118,7 @@
 			continue
 		}
 		if slices.Contains(e.fields[:i], name) {
-			c.reportError(e.positions[i], "%s stands twice", name)
+			c.reportError(e.positions[i], "field %q is set twice", name)
 		}
 		c.expectType(e.values[i], r.Fields[n].Type, name)
 	}
@@ -155,9 +159,11 @@
 	return typeInvalid
 }
 
+// run checks the run of a handler in a test, whose result is the list of advice that the handler
+// gives.
 func (c *checker) run(e *runExpr) *Type {
 	if !c.inTest {
-		c.reportError(e.pos, "run is for tests")
+		c.reportError(e.pos, "run is allowed in tests only")
 	}
 	t := c.value(e.arg)
 	handler := c.points[e.point]
@@ -172,7 +178,8 @@
 	return listOf(recordAdvice.valueType)
 }
 
-// binary checks both operands. Where one is invalid already it reports no further problem.
+// binary checks a binary operation. If an operand is invalid, that is reported already, and binary
+// adds no error.
 func (c *checker) binary(e *binaryExpr) *Type {
 	left, right := c.value(e.left), c.value(e.right)
 	invalid := typeInvalid
@@ -191,7 +198,8 @@
 	return result
 }
 
-// operatorType returns the type of an operation on operands of these types, nil if there is none.
+// operatorType returns the result type of an operator on operands of these types, or nil if it is
+// not defined on them.
 func operatorType(op string, left, right *Type) *Type {
 	same := sameType(left, right)
 	number := same && (left == typeInt || left == typeFloat)
@@ -227,7 +235,7 @@
 	return nil
 }
 
-// typeIf returns t if an operation is valid, otherwise nil.
+// typeIf returns t if an operation is valid, and nil otherwise.
 func typeIf(valid bool, t *Type) *Type {
 	if valid {
 		return t
@@ -235,7 +243,7 @@
 	return nil
 }
 
-// canContain reports whether "in" can look for a value of one type in one of another: a part of a string, an entry
+// canContain reports whether "in" can test a container for a value of type t: a substring, an entry
 // of a list, or a key of a map.
 func canContain(container, t *Type) bool {
 	return container == typeString && t == typeString ||
--- a/internal/hooklang/checkscope.go
+++ b/internal/hooklang/checkscope.go
@@ -2,7 +2,7 @@
 
 import "sort"
 
-// lookup finds a variable or state variable, and notes that it is used.
+// lookup finds a local or state variable by name, and marks a local variable as used.
 func (c *checker) lookup(name string) (*Type, ref, bool) {
 	for i := len(c.scopes) - 1; i >= 0; i-- {
 		if v := c.scopes[i][name]; v != nil {
@@ -16,7 +16,8 @@
 	return typeInvalid, ref{}, false
 }
 
-// target finds a variable that is to be changed, which does not count as a use.
+// assignmentTarget finds a variable that is to be changed. An assignment does not count as a use of
+// the variable.
 func (c *checker) assignmentTarget(pos Pos, name string) (*Type, ref) {
 	used := map[string]bool{}
 	for _, s := range c.scopes {
@@ -28,7 +29,7 @@
 	if !ok {
 		c.reportError(pos, "there is no variable %q", name)
 	}
-	for _, s := range c.scopes { // undo the note of lookup
+	for _, s := range c.scopes { // lookup has marked the variable as used: restore the marks
 		if v := s[name]; v != nil {
 			v.used = used[name]
 		}
@@ -37,12 +38,13 @@
 		c.current.writesStateAt = pos
 	}
 	if r.inState && c.inTest {
-		c.reportError(pos, "a test changes no state: handlers that it runs do")
+		c.reportError(pos, "a test cannot change state itself: run a handler that does")
 	}
 	return t, r
 }
 
-// declare adds a variable to the innermost scope, in a slot of its own. Inner scopes may not hide a variable.
+// declare adds a variable to the innermost scope and gives it a slot. A variable must not shadow
+// one of an outer scope.
 func (c *checker) declare(pos Pos, name string, t *Type) *variable {
 	v := &variable{name: name, pos: pos, valueType: t, ref: ref{index: c.nextSlot}, used: name == "_"}
 	c.nextSlot++
@@ -68,6 +70,8 @@
 
 func (c *checker) pushScope() { c.scopes = append(c.scopes, map[string]*variable{}) }
 
+// popScope closes the innermost scope: it records its variables for the tracer, and warns of those
+// that are not used.
 func (c *checker) popScope() {
 	top := c.scopes[len(c.scopes)-1]
 	var l []*variable
--- a/internal/hooklang/checkstmt.go
+++ b/internal/hooklang/checkstmt.go
@@ -1,5 +1,6 @@
 package hooklang
 
+// block checks a block in a scope of its own, and reports whether the code after it is unreachable.
 func (c *checker) block(b *block) (ends bool) {
 	c.pushScope()
 	from := c.nextSlot
@@ -17,7 +18,7 @@
 	return ends
 }
 
-// stmt checks a statement and reports whether nothing behind it is reached.
+// stmt checks a statement and reports whether the code after it is unreachable.
 func (c *checker) stmt(s stmt) (ends bool) {
 	switch s := s.(type) {
 	case *block:
@@ -45,7 +46,7 @@
 	case *exprStmt:
 		t := c.expr(s.value)
 		if _, run := s.value.(*runExpr); t != typeVoid && t != typeInvalid && !run {
-			c.reportError(s.pos, "the %v is not used", t)
+			c.reportError(s.pos, "the value of type %v is not used", t)
 		}
 		call, ok := s.value.(*callExpr)
 		return ok && call.builtin != nil && call.name == "fail"
@@ -67,7 +68,7 @@
 func (c *checker) returnValue(s *returnStmt) {
 	switch {
 	case s.value == nil && c.current.resultType != typeVoid:
-		c.reportError(s.pos, "a %v is to be returned", c.current.resultType)
+		c.reportError(s.pos, "the function must return a %v", c.current.resultType)
 	case s.value != nil && c.current.resultType == typeVoid:
 		c.value(s.value)
 		c.reportError(s.value.at(), "nothing is to be returned here")
@@ -76,12 +77,12 @@
 	}
 }
 
-// match checks a match statement, whose value gets a slot of its own, and reports whether nothing behind it is
-// reached.
+// match checks a match statement, whose value gets a slot of its own, and reports whether the code
+// after it is unreachable.
 func (c *checker) match(s *matchStmt) (ends bool) {
 	t := c.value(s.value)
 	if !t.ordered() && t != typeBool {
-		c.reportError(s.value.at(), "match looks at bool, int, float, duration and string, not at %v", t)
+		c.reportError(s.value.at(), "match takes a bool, int, float, duration or string, not a %v", t)
 	}
 	outer := c.nextSlot
 	s.slot = c.nextSlot
@@ -102,7 +103,8 @@
 	return ends
 }
 
-// caseValue checks a value of a case. seen has the literals of the cases before.
+// caseValue checks a value of a case. seen holds the literals of the preceding values, with their
+// positions.
 func (c *checker) caseValue(e expr, t *Type, seen map[string]Pos) {
 	if found := c.value(e); !sameType(found, t) {
 		c.reportError(e.at(), "a case is a %v, not a %v", t, found)
@@ -113,11 +115,12 @@
 	}
 	key := formatValue(literal.valueType, literal.value)
 	if previous, ok := seen[key]; ok {
-		c.reportError(e.at(), "the case %s stands in line %d already", key, previous.Line)
+		c.reportError(e.at(), "the case %s is listed in line %d already", key, previous.Line)
 	}
 	seen[key] = e.at()
 }
 
+// assign checks an assignment to a variable, or to an entry of a list or map.
 func (c *checker) assign(s *assignStmt) {
 	t, r := c.assignmentTarget(s.pos, s.name)
 	s.target, s.targetType = r, t
@@ -150,8 +153,8 @@
 	}
 }
 
-// hasCompoundAssignment reports whether values of t take op with "=": lists and strings only "+=", numbers and
-// durations any arithmetic operator.
+// hasCompoundAssignment reports whether type t has the compound assignment op=: numbers and
+// durations have += and -=, lists and strings only +=.
 func hasCompoundAssignment(t *Type, op string) bool {
 	if t.isCollection() && t.name == "list" {
 		return op == "+"
@@ -159,6 +162,7 @@
 	return t.ordered() && (op == "+" || t != typeString)
 }
 
+// loop checks a for statement over a list, a map or a range.
 func (c *checker) loop(s *forStmt) {
 	t := c.value(s.from)
 	var key, elem *Type
@@ -191,8 +195,8 @@
 	from := c.nextSlot
 	c.pushScope()
 	v := c.declare(s.pos, s.name, elem)
-	s.slot, v.used = v.ref.index, true // a loop may merely count
-	c.nextSlot += 2                    // the collection or the end of the range, and the position
+	s.slot, v.used = v.ref.index, true // the body of a loop need not use its variable
+	c.nextSlot += 2                    // hidden slots: the collection or the end of the range, and the position
 	c.current.slots = max(c.current.slots, c.nextSlot)
 	if s.key != "" {
 		v := c.declare(s.pos, s.key, key)
--- a/internal/hooklang/cost.go
+++ b/internal/hooklang/cost.go
@@ -5,11 +5,12 @@
 	"math"
 )
 
-// assumedLength is the assumed length of lists, maps and ranges that are not known before a run.
+// assumedLength is the length that the estimate assumes for lists, maps and ranges whose length is
+// not known before a run.
 const assumedLength = 100
 
-// Cost is an estimate of what a handler takes at most, in instructions. Ranges between literals are counted;
-// lists, maps and other ranges are assumed to have 100 entries.
+// Cost estimates the most instructions that a run of a handler executes. The length of a range
+// between literals is known; lists, maps and other ranges are assumed to have 100 entries.
 type Cost struct {
 	Point  string
 	Pos    Pos
@@ -17,17 +18,19 @@
 	Reason string // the construct that contributes most to the estimate
 }
 
-// Costs returns the estimate of each handler, in the order of the text.
+// Costs returns the estimate for each handler, in source order.
 func (p *Program) Costs() []Cost { return p.costs }
 
-// costEstimator estimates the cost of one handler, and notes the largest single reason for it.
+// costEstimator estimates the cost of one handler, and records the construct that contributes most
+// to it.
 type costEstimator struct {
-	costs       map[*funcDecl]float64
-	inProgress  map[*funcDecl]bool
+	costs       map[*funcDecl]float64 // finished functions
+	inProgress  map[*funcDecl]bool    // functions being estimated, to detect recursion
 	reason      string
 	largestCost float64
 }
 
+// estimateCosts estimates the cost of each handler of a checked script.
 func estimateCosts(s *script) (costs []Cost) {
 	for _, d := range s.funcs {
 		if d.point == nil {
@@ -58,7 +61,7 @@
 	return cost
 }
 
-// note remembers a reason if it is the largest so far.
+// noteReason records a reason if its cost is the largest so far.
 func (k *costEstimator) noteReason(cost float64, reason string) {
 	if cost > k.largestCost {
 		k.largestCost, k.reason = cost, reason
@@ -116,11 +119,11 @@
 		}
 	}
 	cost += iterations * (k.block(s.body) + 3)
-	k.noteReason(cost, fmt.Sprintf("the loop of line %d, taken %g times", s.pos.Line, iterations))
+	k.noteReason(cost, fmt.Sprintf("the loop of line %d, run %g times", s.pos.Line, iterations))
 	return cost
 }
 
-// match adds up all values of cases, and the most expensive body.
+// match adds the cost of comparing with every case and that of the most expensive body.
 func (k *costEstimator) match(s *matchStmt) float64 {
 	cost := k.expr(s.value) + 1
 	body := 0.0
@@ -186,7 +189,7 @@
 	if e.builtin == nil || e.name == "len" || e.name == "get" || e.name == "push" {
 		return cost
 	}
-	for _, arg := range e.args { // it reads lists and maps from end to end
+	for _, arg := range e.args { // a builtin visits every entry of a list or map
 		if t := arg.typ(); t != nil && t.isCollection() {
 			cost += assumedLength
 		}
--- a/internal/hooklang/docs_test.go
+++ b/internal/hooklang/docs_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// The examples of the manual are scripts in their one form, whose tests pass.
+// The examples in the manual compile without warnings, are formatted as Format does it, and pass
+// their own tests. A change of the language that leaves the manual behind fails here.
 func TestManual(t *testing.T) {
 	text, err := os.ReadFile("../../docs/hooks.md")
 	if err != nil {
--- a/internal/hooklang/fault.go
+++ b/internal/hooklang/fault.go
@@ -5,10 +5,10 @@
 	"strings"
 )
 
-// FaultKind is the reason why a run was ended.
+// FaultKind classifies why a run was aborted.
 type FaultKind string
 
-// The kinds of faults.
+// The fault kinds. Their values are shown to operators.
 const (
 	FaultFuel     FaultKind = "fuel"
 	FaultMemory   FaultKind = "memory"
@@ -26,21 +26,23 @@
 	FaultInternal FaultKind = "internal"
 )
 
-// Fault is the error that ended a run. What the run had advised or stored is discarded.
+// Fault is the error that aborted a run. The advice and the changes of state of the run are
+// discarded.
 type Fault struct {
 	Kind  FaultKind
 	Text  string
 	File  string
 	Pos   Pos
-	Stack []string // names of the functions, the innermost first
+	Stack []string // names of the active functions, innermost first
 }
 
-// Error returns file:line:column: kind: text, and the stack.
+// Error returns the fault as file:line:column: kind: text (in stack).
 func (f *Fault) Error() string {
 	return fmt.Sprintf("%s:%v: %s: %s (in %s)", f.File, f.Pos, f.Kind, f.Text, strings.Join(f.Stack, ", "))
 }
 
-// Exhausted reports whether the run exceeded a limit, rather than going wrong.
+// Exhausted reports whether the run exceeded one of its [Limits], as opposed to failing by an error
+// of the script.
 func (f *Fault) Exhausted() bool {
 	switch f.Kind {
 	case FaultFuel, FaultMemory, FaultDepth, FaultSize, FaultEffects, FaultStopped:
--- a/internal/hooklang/format.go
+++ b/internal/hooklang/format.go
@@ -2,9 +2,9 @@
 
 import "strings"
 
-// Format returns a text in the one form that all scripts have: tabs, one statement a line, one empty line between
-// declarations at the most where the text has one. Comments stay. A text that cannot be read is returned with its
-// problems.
+// Format returns a script in the canonical format: tabs for indentation, one statement per line,
+// and a blank line only where the source has at least one. Comments are kept. A script that cannot
+// be parsed is returned unchanged, with its problems as the error.
 func Format(file, text string) (string, error) {
 	s, problems := parse(file, text)
 	if len(problems) > 0 {
@@ -48,6 +48,7 @@
 	return strings.TrimSpace(f.out.String()) + "\n", nil
 }
 
+// text returns the type in the syntax of the language.
 func (n *typeNode) text() string {
 	switch {
 	case n.name == "list" && n.elem != nil:
@@ -58,12 +59,13 @@
 	return n.name
 }
 
-// formatter writes a script. Comments are written before what they precede in the text.
+// formatter writes a script in the canonical format. Each comment is written before the code that
+// follows it in the source.
 type formatter struct {
 	out        strings.Builder
 	comments   []comment
 	indent     int
-	lastLine   int // of the text, last written
+	lastLine   int // the source line that was written last
 	blockStart bool
 }
 
@@ -73,6 +75,8 @@
 	}
 }
 
+// newline begins an output line, after a blank line if blankLine is set and the line does not begin
+// a block.
 func (f *formatter) newline(blankLine bool) {
 	if f.out.Len() == 0 {
 		return
@@ -85,7 +89,7 @@
 	f.write(strings.Repeat("\t", f.indent))
 }
 
-// begin writes the comments before a place, and begins its line.
+// startLine writes the comments that precede a position, and begins the output line for it.
 func (f *formatter) startLine(pos Pos, blankLine bool) {
 	for len(f.comments) > 0 && f.comments[0].pos.before(pos) {
 		c := f.comments[0]
@@ -122,7 +126,7 @@
 	f.closeBlock(b.end)
 }
 
-// close writes the comments before a closing brace, and the brace.
+// closeBlock writes the comments that precede a closing brace, and the brace.
 func (f *formatter) closeBlock(end Pos) {
 	for len(f.comments) > 0 && f.comments[0].pos.Line < end.Line {
 		c := f.comments[0]
@@ -229,7 +233,8 @@
 	f.lastLine = end
 }
 
-// header writes an expression before a block's brace: a record's literal needs brackets there.
+// headerExpr formats an expression that precedes the brace of a block. A record literal needs
+// parentheses there, or its brace would begin the block.
 func (f *formatter) headerExpr(e expr) string {
 	text := f.expr(e, 0)
 	if containsBareRecord(e) {
@@ -238,6 +243,8 @@
 	return text
 }
 
+// containsBareRecord reports whether an expression contains a record literal outside of all
+// brackets.
 func containsBareRecord(e expr) bool {
 	switch e := e.(type) {
 	case *recordExpr:
@@ -254,6 +261,8 @@
 	return false
 }
 
+// operatorPrecedence returns the precedence level of a binary operator, counted from 1 for the
+// weakest.
 func operatorPrecedence(op string) int {
 	for i, l := range precedence {
 		for _, o := range l {
@@ -265,7 +274,7 @@
 	return 0
 }
 
-// expr writes an expression, in brackets if it binds weaker than least, a level of precedence counted from 1.
+// expr formats an expression, in parentheses if its precedence is below minPrecedence.
 func (f *formatter) expr(e expr, minPrecedence int) string {
 	switch e := e.(type) {
 	case *literalExpr:
@@ -309,12 +318,12 @@
 }
 
 func (f *formatter) unary(e *unaryExpr, minPrecedence int) string {
-	precedence, text := 6, "-"
+	level, text := 6, "-"
 	if e.op == "not" {
-		precedence, text = 3, "not "
+		level, text = 3, "not "
 	}
-	text += f.expr(e.operand, precedence)
-	if precedence < minPrecedence {
+	text += f.expr(e.operand, level)
+	if level < minPrecedence {
 		return "(" + text + ")"
 	}
 	return text
@@ -324,7 +333,7 @@
 	n := operatorPrecedence(e.op)
 	leftPrecedence := n
 	if n == 3 {
-		leftPrecedence++ // comparisons do not chain
+		leftPrecedence++ // comparisons cannot be chained
 	}
 	text := f.expr(e.left, leftPrecedence) + " " + e.op + " " + f.expr(e.right, n+1)
 	if n < minPrecedence {
@@ -333,7 +342,7 @@
 	return text
 }
 
-// list writes expressions with commas between them.
+// list formats expressions, separated by commas.
 func (f *formatter) list(l []expr) string {
 	var parts []string
 	for _, e := range l {
--- a/internal/hooklang/interface_test.go
+++ b/internal/hooklang/interface_test.go
@@ -10,9 +10,11 @@
 	"kitehub/internal/goldenfile"
 )
 
-// TestNames holds the names that scripts are written with: keywords, signs, types, points with what they may advise, fields of
-// records, functions with their signatures, and the kinds of fault that operators read. Scripts that run must go on to run, so
-// neither a rename in Go nor a move may change them. Where the language is meant to change, run it with -update.
+// TestLanguageSurface compares the names that scripts depend on with a golden file: keywords,
+// operators, types, points with the advice that they allow, record fields, builtins with their
+// signatures, and the fault kinds that operators see. A deployed script must keep working, so a
+// rename or a reorganization of the Go code must not change these names. After an intended change
+// of the language, run the test with -update.
 func TestLanguageSurface(t *testing.T) {
 	var out strings.Builder
 	fmt.Fprintf(&out, "keywords %s\n", strings.Join(slices.Sorted(maps.Keys(keywords)), " "))
--- a/internal/hooklang/lexer.go
+++ b/internal/hooklang/lexer.go
@@ -18,23 +18,25 @@
 	tokenFloat
 	tokenDuration
 	tokenString
-	tokenSymbol // operators, brackets and keywords, by their text
+	tokenSymbol // operators, brackets and keywords, told apart by their text
 	tokenInvalid
 )
 
+// token is a lexical element of a script.
 type token struct {
 	kind   tokenKind
-	text   string // names and signs as written; strings as they are meant
+	text   string // names, numbers and symbols as written; for strings, the value with escapes resolved
 	pos    Pos
 	number int64
 	float  float64
 }
 
-// comment is for the formatter; the parser does not see it.
+// comment is a comment of the source. Only the formatter uses comments; the parser does not see
+// them.
 type comment struct {
 	pos     Pos
 	text    string
-	ownLine bool // it has its line for itself
+	ownLine bool // nothing precedes it on its line
 }
 
 var keywords = map[string]bool{
@@ -45,27 +47,30 @@
 	"list": true, "map": true,
 }
 
-// symbols has the longer ones first, so that they are found.
+// symbols lists the operators and brackets. Longer ones come first, because the first that matches
+// is taken.
 var symbols = []string{
 	"..", "==", "!=", "<=", ">=", "+=", "-=",
 	"(", ")", "[", "]", "{", "}", ",", ":", ".", "=", "<", ">", "+", "-", "*", "/", "%",
 }
 
-// lexer cuts a text into tokens. Positions in bytes; line and lineStart give them as a Pos.
+// lexer splits a script into tokens and comments. Offsets are in bytes; line and lineStart convert
+// them to a Pos.
 type lexer struct {
 	file      string
 	text      string
 	offset    int // of the next byte
 	line      int
 	lineStart int // offset of the line's first byte
-	brackets  int // round and square brackets that are open
+	brackets  int // number of open parentheses and square brackets
 	tokens    []token
 	comments  []comment
 	problems  Problems
 }
 
-// lex cuts a text into tokens. A newline ends a statement where the line could end one and no round or square
-// bracket is open.
+// lex splits a script into tokens and comments. A newline becomes a token, and so ends a statement,
+// only if a statement can end with the preceding token and no parenthesis or square bracket is
+// open.
 func lex(file, text string) ([]token, []comment, Problems) {
 	l := &lexer{file: file, text: text, line: 1}
 	for l.offset < len(text) {
@@ -87,7 +92,7 @@
 	}
 }
 
-// next reads a token, a comment, a newline or a blank.
+// nextToken reads one token, comment, newline or blank.
 func (l *lexer) nextToken() {
 	c, pos := l.text[l.offset], l.pos()
 	switch {
@@ -133,6 +138,7 @@
 	}
 }
 
+// comment reads a comment, which extends to the end of its line.
 func (l *lexer) comment(pos Pos) {
 	end := l.offset
 	for end < len(l.text) && l.text[end] != '\n' {
@@ -144,6 +150,7 @@
 	l.offset = end
 }
 
+// symbol reads an operator or a bracket.
 func (l *lexer) symbol(pos Pos) {
 	rest := l.text[l.offset:]
 	i := slices.IndexFunc(symbols, func(s string) bool { return strings.HasPrefix(rest, s) })
@@ -160,7 +167,9 @@
 	case ")", "]":
 		l.brackets = max(0, l.brackets-1)
 	case "{", "}":
-		// The end of a block closes brackets that were left open: an error must not swallow the rest of the text.
+		// The end of a block closes brackets that were left open, so that the parser can resume
+		// after the block. Otherwise one missing bracket would suppress the newlines of the rest of
+		// the script.
 		if symbol == "}" && l.brackets > 0 && !insideBrace(l.tokens) {
 			l.brackets = 0
 		}
@@ -169,10 +178,12 @@
 	l.offset += len(symbol)
 }
 
+// maxLookBackTokens bounds the search of insideBrace.
 const maxLookBackTokens = 2_000
 
-// inBrace reports whether the innermost open bracket is a brace: that of a literal within brackets. It looks back a
-// bounded number of tokens, so that lexing a hostile text takes linear time.
+// insideBrace reports whether the innermost open bracket is a brace, which is then that of a
+// literal within brackets. It looks back a bounded number of tokens, so that lexing a malicious
+// script takes linear time.
 func insideBrace(tokens []token) bool {
 	n := 0
 	for i := len(tokens) - 1; i >= 0 && i > len(tokens)-maxLookBackTokens; i-- {
@@ -188,7 +199,7 @@
 	return false
 }
 
-// endsStatement reports whether a statement can end with a token.
+// endsStatement reports whether a statement can end with token t.
 func endsStatement(t token) bool {
 	switch t.kind {
 	case tokenName, tokenInt, tokenFloat, tokenDuration, tokenString, tokenInvalid:
@@ -202,12 +213,13 @@
 	return false
 }
 
-// lexString reads a string: escapes \n, \t, \", \\ and \u{hex}.
+// lexString reads a string literal whose opening quote is at offset i. Its escape sequences are \n,
+// \t, \", \\ and \u{hex}. problem is empty if the literal is valid.
 func lexString(text string, i int) (s string, end int, problem string) {
 	var b strings.Builder
 	for i++; ; i++ {
 		if i >= len(text) || text[i] == '\n' {
-			return "", i, "the string is not closed on its line"
+			return "", i, "the string is not terminated on its line"
 		}
 		c := text[i]
 		if c == '"' {
@@ -218,7 +230,7 @@
 			continue
 		}
 		if i++; i >= len(text) {
-			return "", i, "the string is not closed on its line"
+			return "", i, "the string is not terminated on its line"
 		}
 		switch text[i] {
 		case 'n':
@@ -231,21 +243,21 @@
 			rest := text[i+1:]
 			n := strings.IndexByte(rest, '}')
 			if !strings.HasPrefix(rest, "{") || n < 2 || n > 7 {
-				problem = `\u wants one to six hex digits in braces`
+				problem = `\u needs one to six hex digits in braces`
 				continue
 			}
 			r, err := strconv.ParseUint(rest[1:n], 16, 32)
 			if err != nil || !utf8.ValidRune(rune(r)) {
-				problem = `\u{` + rest[1:n] + `} is no character`
+				problem = `\u{` + rest[1:n] + `} is not a valid character`
 			}
 			b.WriteRune(rune(r))
 			i += n + 1
 		default:
-			problem = fmt.Sprintf(`\%c is no escape: \n, \t, \", \\ and \u{…} are`, text[i])
+			problem = fmt.Sprintf(`\%c is not an escape sequence: use \n, \t, \", \\ or \u{…}`, text[i])
 		}
 	}
 	if !utf8.ValidString(b.String()) {
-		problem = "the string is no UTF-8"
+		problem = "the string is not valid UTF-8"
 	}
 	return b.String(), i + 1, problem
 }
--- a/internal/hooklang/lexnumber.go
+++ b/internal/hooklang/lexnumber.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// lexNumber reads 12, 1_000, 1.5, 2e-3, or a duration as 1h30m, 250ms, 1.5s, which begins at an offset.
+// lexNumber reads the number at an offset, such as 12, 1_000, 1.5 or 2e-3, or the duration, such as
+// 1h30m, 250ms or 1.5s. problem is empty if the literal is valid.
 func lexNumber(text string, start int) (t token, end int, problem string) {
 	end, fraction := skipDecimal(text, start)
 	if unitAt(text, end) != nil {
@@ -21,17 +22,17 @@
 	}
 	if end < len(text) && isNameByte(text[end]) {
 		end = skipName(text, end)
-		return t, end, fmt.Sprintf("%s is no number", text[start:end])
+		return t, end, fmt.Sprintf("%s is not a number", text[start:end])
 	}
 	t.text = text[start:end]
 	return t, end, problem
 }
 
-// maxDurationParts is how many numbers with units a duration has at most.
+// maxDurationParts is the maximum number of parts of a duration; 1h30m has two.
 const maxDurationParts = 6
 
-// lexDuration reads a duration. It adds whole numbers exactly, and notices by floating point that the sum does not
-// fit.
+// lexDuration reads a duration. It adds whole numbers exactly, and computes the sum in floating
+// point as well to detect that it does not fit.
 func lexDuration(text string, i int) (t token, end int, problem string) {
 	var exact int64
 	approximate := 0.0
@@ -41,7 +42,7 @@
 		i = digitsEnd
 		unit := unitAt(text, i)
 		if unit == nil {
-			return token{kind: tokenDuration}, i, "a duration's last number has no unit: h, m, s, ms and us are"
+			return token{kind: tokenDuration}, i, "the last number of a duration has no unit: use h, m, s, ms or us"
 		}
 		digits := strings.ReplaceAll(text[start:i], "_", "")
 		value, _ := strconv.ParseFloat(digits, 64)
@@ -63,7 +64,8 @@
 	}
 }
 
-// lexPlainNumber reads an int or a float whose digits end at an offset.
+// lexPlainNumber reads an int or a float. digitsEnd is the end of its digits before an exponent,
+// and fraction whether they contain a decimal point.
 func lexPlainNumber(text string, start, digitsEnd int, fraction bool) (t token, end int, problem string) {
 	end = digitsEnd
 	if end < len(text) && (text[end] == 'e' || text[end] == 'E') {
@@ -91,17 +93,19 @@
 	return t, end, problem
 }
 
+// durationUnit is a unit of duration literals.
 type durationUnit struct {
 	name     string
 	duration time.Duration
 }
 
-// durationUnits has ms before m, so that the longer one is found.
+// durationUnits lists ms before m, because the first unit that matches is taken.
 var durationUnits = []durationUnit{
 	{"ms", time.Millisecond}, {"us", time.Microsecond}, {"h", time.Hour}, {"m", time.Minute}, {"s", time.Second},
 }
 
-// unitAt returns the unit at an offset, or nil. Only a digit or the end of the word may follow it.
+// unitAt returns the unit at an offset, or nil. A unit must be followed by a digit or the end of
+// the word.
 func unitAt(text string, i int) *durationUnit {
 	for k := range durationUnits {
 		unit := &durationUnits[k]
@@ -118,12 +122,13 @@
 
 func isDigit(c byte) bool { return c >= '0' && c <= '9' }
 
-// isNameByte reports whether a byte may be part of a name; a name does not begin with a digit.
+// isNameByte reports whether a byte may be part of a name. A name must not begin with a digit,
+// which callers check.
 func isNameByte(c byte) bool {
 	return c == '_' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || isDigit(c)
 }
 
-// skipName returns the end of the name at an offset.
+// skipName returns the offset after the name at offset i.
 func skipName(text string, i int) int {
 	for i < len(text) && isNameByte(text[i]) {
 		i++
@@ -131,7 +136,7 @@
 	return i
 }
 
-// skipDigits returns the end of the digits at an offset.
+// skipDigits returns the offset after the digits and underscores at offset i.
 func skipDigits(text string, i int) int {
 	for i < len(text) && (isDigit(text[i]) || text[i] == '_') {
 		i++
@@ -139,7 +144,8 @@
 	return i
 }
 
-// skipDecimal returns the end of the decimal number at an offset, and whether it has a fraction.
+// skipDecimal returns the offset after the decimal number at offset i, and whether it has a
+// fraction.
 func skipDecimal(text string, i int) (end int, fraction bool) {
 	end = skipDigits(text, i)
 	if end+1 < len(text) && text[end] == '.' && isDigit(text[end+1]) {
--- a/internal/hooklang/library.go
+++ b/internal/hooklang/library.go
@@ -19,7 +19,7 @@
 	defineEffects()
 }
 
-// defineConversions defines lengths and conversions.
+// defineConversions defines len and the conversions between types.
 func defineConversions() {
 	list, dict := listOf(varT), mapOf(varK, varV)
 	length := func(_ *VM, a []Value) Value { return Value{bits: int64(len(a[0].object.items))} }
@@ -52,13 +52,13 @@
 	defineBuiltin("duration", typeDuration, func(vm *VM, a []Value) Value {
 		x := a[0].float() * 1e9
 		if !(math.Abs(x) < 1<<62) {
-			vm.fault(FaultRange, "%s seconds are too long", floatText(a[0].float()))
+			vm.fault(FaultRange, "%s seconds do not fit a duration", floatText(a[0].float()))
 		}
 		return Value{bits: int64(math.Round(x))}
 	}, typeFloat)
 }
 
-// defineOrder defines minima, maxima, sorting and magnitudes.
+// defineOrdering defines min, max, sort and abs.
 func defineOrdering() {
 	for _, t := range []*Type{typeInt, typeFloat, typeDuration, typeString} {
 		defineBuiltin("min", t, func(_ *VM, a []Value) Value {
@@ -87,7 +87,7 @@
 	for _, t := range []*Type{typeInt, typeDuration} {
 		defineBuiltin("abs", t, func(vm *VM, a []Value) Value {
 			if a[0].bits == math.MinInt64 {
-				vm.fault(FaultRange, "the least %s has no positive", t.name)
+				vm.fault(FaultRange, "the absolute value of the smallest %s does not fit", t.name)
 			}
 			return Value{bits: max(a[0].bits, -a[0].bits)}
 		}, t)
@@ -95,7 +95,7 @@
 	defineBuiltin("abs", typeFloat, func(_ *VM, a []Value) Value { return floatValue(math.Abs(a[0].float())) }, typeFloat)
 }
 
-// defineCollections defines what reads lists and maps, and slices of strings.
+// defineCollections defines the builtins that read lists and maps, and slice on strings.
 func defineCollections() {
 	list, dict := listOf(varT), mapOf(varK, varV)
 	defineBuiltin("sort_by", list, nil, list, typeString).takesFunction = true
@@ -117,7 +117,7 @@
 		s := a[0].str()
 		from, to := vm.span(a, len(s))
 		if from < len(s) && !utf8.RuneStart(s[from]) || to < len(s) && !utf8.RuneStart(s[to]) {
-			vm.fault(FaultIndex, "slice %d to %d cuts a character in two", from, to)
+			vm.fault(FaultIndex, "slice %d to %d splits a character", from, to)
 		}
 		return vm.str(s[from:to])
 	}, typeString, typeInt, typeInt)
@@ -142,7 +142,7 @@
 	}, dict, varK, varV)
 }
 
-// defineStrings defines what reads strings.
+// defineStrings defines the builtins that work on strings.
 func defineStrings() {
 	onTwoStrings := func(f func(s, t string) Value) func(vm *VM, a []Value) Value {
 		return func(vm *VM, a []Value) Value {
@@ -172,10 +172,11 @@
 	defineSplitAndJoin()
 }
 
+// defineSplitAndJoin defines the conversions between strings and lists of strings.
 func defineSplitAndJoin() {
 	defineBuiltin("split", listOf(typeString), func(vm *VM, a []Value) Value {
 		if a[1].str() == "" {
-			vm.fault(FaultRange, "split at nothing")
+			vm.fault(FaultRange, "split: the separator is empty")
 		}
 		vm.spend(int64(len(a[0].str())) / 4)
 		n := strings.Count(a[0].str(), a[1].str()) + 1
@@ -205,7 +206,7 @@
 	}, listOf(typeString), typeString)
 }
 
-// defineStatements defines the clock, faults, and changes of lists and maps.
+// defineStatements defines the clock, fail and expect, and the builtins that change lists and maps.
 func defineStatements() {
 	list, dict := listOf(varT), mapOf(varK, varV)
 	defineBuiltin("now", typeDuration, func(vm *VM, _ []Value) Value { return Value{bits: int64(vm.env.Now)} })
@@ -216,7 +217,7 @@
 	}, typeString)
 	defineBuiltin("expect", typeVoid, func(vm *VM, a []Value) Value {
 		if a[0].bits == 0 {
-			vm.fault(FaultExpect, "not so")
+			vm.fault(FaultExpect, "the condition is false")
 		}
 		return Value{}
 	}, typeBool).testOnly = true
@@ -224,7 +225,7 @@
 	defineBuiltin("remove", typeVoid, nil, dict, varK).op = opRemove
 }
 
-// defineEffects defines advice.
+// defineEffects defines the builtins that give advice.
 func defineEffects() {
 	lifetime := func(v Value) time.Duration { return time.Duration(v.bits) }
 	defineEffect("keep_warm", func(a []Value) Advice {
--- a/internal/hooklang/oracle_test.go
+++ b/internal/hooklang/oracle_test.go
@@ -11,8 +11,9 @@
 	"pgregory.net/rapid"
 )
 
-// An oracle runs a checked script by walking its tree, with none of the VM's means: values are Go's own, copied whole at
-// each store, ints are computed in big ones.
+// oracle interprets the syntax tree of a checked script. It uses neither the VM's values nor its
+// instructions, so that both are unlikely to have the same error: values are plain Go values that
+// are deep-copied at each store, and ints are computed with math/big.
 type oracle struct {
 	parsed *script
 	state  map[string]any
@@ -20,6 +21,8 @@
 	logged []string
 }
 
+// oracleFault, branchSignal and returnSignal are the values of the panics by which the oracle
+// leaves a run, a loop body and a function. dict is a map of the language.
 type (
 	oracleFault  string
 	branchSignal string
@@ -94,7 +97,7 @@
 	return o.state[name]
 }
 
-// body runs a loop's body and tells whether the loop goes on.
+// loopBody runs the body of a loop and reports whether the loop continues.
 func (o *oracle) loopBody(b *block) (continues bool) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -243,7 +246,7 @@
 	case []any:
 		return append(deepCopy(a).([]any), deepCopy(y).([]any)...)
 	}
-	panic("no such type")
+	panic("arithmetic on an unsupported type")
 }
 
 func (o *oracle) expr(e expr) any {
@@ -384,7 +387,7 @@
 			panic(oracleFault("raised"))
 		case "sort_by":
 			l := deepCopy(a[0]).([]any)
-			for i := range l { // insertion: stable, as the language promises
+			for i := range l { // insertion sort: stable, as the language specifies
 				for k := i; k > 0 && o.call(e.function, []any{l[k], l[k-1]}).(bool); k-- {
 					l[k], l[k-1] = l[k-1], l[k]
 				}
@@ -395,11 +398,11 @@
 	return nil
 }
 
-// A writer draws programs that pass the checks.
+// generator draws random programs that pass the checker.
 type generator struct {
 	rapidT    *rapid.T
 	text      strings.Builder
-	vars      map[string][]string // by type
+	vars      map[string][]string // names of the variables in scope, by type
 	lastID    int
 	exprDepth int
 	loopDepth int
@@ -508,11 +511,12 @@
 	g.vars = saved
 }
 
+// pickVariable draws a variable that may be changed.
 func (g *generator) pickVariable() (typeName string, name string) {
 	var l []string
 	for _, k := range generatedTypes {
 		for _, v := range g.vars[k] {
-			if v[0] != 'i' { // not those of loops
+			if v[0] != 'i' { // loop variables are named i… and are not assigned to
 				l = append(l, k+" "+v)
 			}
 		}
@@ -608,6 +612,8 @@
 	}
 }
 
+// generateProgram draws a program with state variables, the functions less and f, and a handler of
+// ended.
 func generateProgram(t *rapid.T) string {
 	g := &generator{rapidT: t, vars: map[string][]string{"int": {"a"}, "list[int]": {"l"}}}
 	g.text.WriteString("state s int = 3\nstate m map[string]int = map[string]int{\"a\": 1}\nstate q list[int] = [4, 2]\nstate z list[list[int]] = [[1], [2]]\n")
@@ -622,6 +628,7 @@
 	return g.text.String()
 }
 
+// run runs the handler of the script and returns the kind of the fault that ended it, or "".
 func (o *oracle) run() (fault string) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -640,7 +647,9 @@
 	return ""
 }
 
-// Compiler and VM do what a plain walk of the tree does, on programs drawn at random: the same words, state and faults.
+// On random programs, the compiled program must behave like the oracle: the same log texts, state
+// and faults. The test also guards determinism, the round trip of stored state, and formatting,
+// which must be idempotent and must not change behaviour.
 func TestAgainstOracle(t *testing.T) {
 	faults, clean := map[string]int{}, 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -655,7 +664,7 @@
 		limits.Fuel, limits.Effects = 50_000_000, 1<<20
 		result, err := NewVM().Run(p, "ended", Ended{}, p.State(), Env{}, limits)
 		if f, ok := err.(*Fault); ok && f.Exhausted() {
-			t.Skip("too much")
+			t.Skip("a limit is exceeded")
 		}
 		want := o.run()
 		faults[want]++
@@ -664,7 +673,7 @@
 				t.Fatalf("fault %v, the oracle has %q\n%s", err, want, src)
 			}
 			if !result.State.Equal(p.State()) || result.Advice != nil {
-				t.Fatalf("a run with a fault left something\n%s", src)
+				t.Fatalf("a run with a fault has changed the state or returned advice\n%s", src)
 			}
 			return
 		}
@@ -677,7 +686,7 @@
 			logged = append(logged, a.Text)
 		}
 		if strings.Join(logged, "|") != strings.Join(o.logged, "|") {
-			t.Fatalf("%q, the oracle says %q\n%s", logged, o.logged, src)
+			t.Fatalf("logged %q, the oracle logged %q\n%s", logged, o.logged, src)
 		}
 		for i, v := range p.state {
 			if a, b := goText(v.valueType, result.State.values[i]), fmt.Sprint(o.state[v.name]); a != b {
@@ -690,24 +699,24 @@
 		}
 		text, _ := result.State.MarshalJSON()
 		if restored, err := p.Restore(text); err != nil || !restored.Equal(result.State) {
-			t.Fatalf("%v: restored another state from %s\n%s", err, text, src)
+			t.Fatalf("%v: the state restored from %s differs\n%s", err, text, src)
 		}
 		formatted, err := Format("p.hook", src)
 		if err != nil {
 			t.Fatalf("%v\n%s", err, src)
 		}
 		if formattedTwice, _ := Format("p.hook", formatted); formattedTwice != formatted {
-			t.Fatalf("the form of a form differs:\n%s\n%s", formatted, formattedTwice)
+			t.Fatalf("formatting twice changes the result:\n%s\n%s", formatted, formattedTwice)
 		}
 		formattedProgram := must(Compile("p.hook", formatted))
 		if rerun, err := NewVM().Run(formattedProgram, "ended", Ended{}, formattedProgram.State(), Env{}, limits); err != nil || rerun.Fuel != result.Fuel || fmt.Sprint(rerun.Advice) != fmt.Sprint(result.Advice) {
-			t.Fatalf("%v: formatted, it does something else:\n%s", err, formatted)
+			t.Fatalf("%v: the formatted script behaves differently:\n%s", err, formatted)
 		}
 	})
 	if clean < 10 || len(faults) < 3 {
-		t.Errorf("%d without a fault, faults %v: little is shown", clean, faults)
+		t.Errorf("%d runs without a fault, faults %v: too few to be significant", clean, faults)
 	}
-	t.Log(clean, "without a fault,", faults)
+	t.Log(clean, "runs without a fault, faults:", faults)
 }
 
 func must(p *Program, err error) *Program {
@@ -717,7 +726,7 @@
 	return p
 }
 
-// shown writes a value as Go writes the oracle's.
+// goText formats a value of the VM as fmt.Sprint formats the corresponding value of the oracle.
 func goText(t *Type, v Value) string {
 	switch {
 	case t.name == "list":
--- a/internal/hooklang/parsedecl.go
+++ b/internal/hooklang/parsedecl.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// declaration reads a state variable, function, handler or test.
+// declaration parses a state variable, function, handler or test, and adds it to the script.
 func (p *parser) declaration(s *script) {
 	p.skipNewlines()
 	t := p.peek()
@@ -63,7 +63,7 @@
 	name := p.name("a point")
 	d := &funcDecl{pos: pos, name: name.text, point: points[name.text]}
 	if d.point == nil {
-		p.reportError(name.pos, "there is no point %q: %s are", name.text, pointNames())
+		p.reportError(name.pos, "there is no point %q: the points are %s", name.text, pointNames())
 		d.point = &Point{Name: name.text, Record: noRecord}
 	}
 	p.expect("(")
@@ -73,14 +73,14 @@
 	if p.accept("every") {
 		d.interval = p.timerInterval(d.name)
 	} else if d.name == "timer" {
-		p.fail("a timer wants its time: on timer(t) every 5s")
+		p.fail("a timer needs an interval: on timer(t) every 5s")
 	}
 	d.body = p.block()
 	d.end = d.body.end
 	return d
 }
 
-// timerInterval reads the duration after "every".
+// timerInterval parses the duration after "every".
 func (p *parser) timerInterval(point string) time.Duration {
 	t := p.peek()
 	if t.kind != tokenDuration {
@@ -89,7 +89,7 @@
 	p.next++
 	interval := time.Duration(t.number)
 	if point != "timer" {
-		p.reportError(t.pos, "only a timer has a time")
+		p.reportError(t.pos, "only a timer has an interval")
 	} else if longest := maxTimerMinutes * time.Minute; interval < MinTimerInterval || interval > longest {
 		p.reportError(t.pos, "a timer runs every %v at the shortest and %v at the longest", MinTimerInterval, longest)
 	}
--- a/internal/hooklang/parseexpr.go
+++ b/internal/hooklang/parseexpr.go
@@ -1,20 +1,22 @@
 package hooklang
 
-// precedence lists the binary operators, those that bind weakest first.
+// precedence lists the binary operators by precedence level, lowest first.
 var precedence = [][]string{{"or"}, {"and"}, {"==", "!=", "<", "<=", ">", ">=", "in"}, {"+", "-"}, {"*", "/", "%"}}
 
 const (
-	comparisonLevel      = 2     // of precedence
-	maxOperatorsPerLevel = 1_000 // of one level in an expression
+	comparisonLevel      = 2     // index of the comparisons in precedence
+	maxOperatorsPerLevel = 1_000 // of one precedence level in an expression
 )
 
+// expr parses an expression.
 func (p *parser) expr() expr { return p.binary(0) }
 
+// binary parses an expression whose binary operators are of the given precedence level or higher.
 func (p *parser) binary(level int) expr {
 	if level == len(precedence) {
 		return p.unary()
 	}
-	if level == comparisonLevel && p.is("not") { // binds weaker than comparisons, as and and or do
+	if level == comparisonLevel && p.is("not") { // not has a lower precedence than comparisons
 		p.enterNesting()
 		defer func() { p.depth-- }()
 		t := p.expect("not")
@@ -31,10 +33,10 @@
 			return x
 		}
 		if n > 0 && level == comparisonLevel {
-			p.fail("comparisons do not chain: join them by and")
+			p.fail("comparisons cannot be chained: join them with and")
 		}
 		if n > maxOperatorsPerLevel {
-			p.fail("too many in one expression")
+			p.fail("too many operators in one expression")
 		}
 		p.next++
 		y := p.binary(level + 1)
@@ -42,6 +44,7 @@
 	}
 }
 
+// unary parses a negation, or a primary expression with the indexes and fields that follow it.
 func (p *parser) unary() expr {
 	if t := p.peek(); p.accept("-") {
 		p.enterNesting()
@@ -64,7 +67,8 @@
 	}
 }
 
-// items reads entries with commas between them, up to the closing bracket.
+// items parses entries that are separated by commas, and the closing bracket. parseItem parses one
+// entry.
 func (p *parser) items(closing string, parseItem func()) {
 	inHeader := p.inHeader
 	p.inHeader = false
@@ -80,7 +84,7 @@
 	p.expect(closing)
 }
 
-// primary reads a literal, a name, a call, or an expression in brackets.
+// primary parses a literal, a name, a call, or an expression in parentheses.
 func (p *parser) primary() expr {
 	p.enterNesting()
 	defer func() { p.depth-- }()
@@ -131,7 +135,7 @@
 	return &literalExpr{typed{node{token.pos}, t}, v, token.text}
 }
 
-// nameOrCall reads a variable, a call or the literal of a record.
+// nameOrCall parses a variable, a call or a record literal.
 func (p *parser) nameOrCall(at typed) expr {
 	name := p.peek().text
 	p.next++
@@ -180,7 +184,7 @@
 	return r
 }
 
-// bracketed reads an expression within brackets, where a brace does not begin a block.
+// bracketed parses an expression within brackets, where a brace begins a literal even in a header.
 func (p *parser) bracketed() expr {
 	inHeader := p.inHeader
 	p.inHeader = false
--- a/internal/hooklang/parser.go
+++ b/internal/hooklang/parser.go
@@ -6,28 +6,29 @@
 	"unicode/utf8"
 )
 
-// parser reads tokens by recursive descent.
+// parser is a recursive-descent parser.
 type parser struct {
 	file           string
 	tokens         []token
-	next           int
+	next           int // index of the next token
 	problems       Problems
 	depth          int
-	inHeader       bool // in a header: a brace begins the block
-	lastErrorToken int  // where the last problem was, in tokens
+	inHeader       bool // in the header of a statement, where a brace begins the block
+	lastErrorToken int  // index of the token at which an error was last reported
 }
 
-// syntaxError is the panic by which a function of the parser gives up; guard recovers it. The problem is noted
-// already.
+// syntaxError is the value of the panic by which the parser abandons a declaration or statement,
+// after the error is reported; recoverSyntaxError recovers it.
 type syntaxError struct{}
 
-// parse reads a text. It reports syntax errors, and resumes behind each.
+// parse parses a script. After a syntax error it resumes at the next statement or declaration, so
+// that it can report several errors.
 func parse(file, text string) (*script, Problems) {
 	if len(text) > MaxSourceBytes {
-		return &script{}, problemAtStart(file, "%d bytes, over the %d that a script may have", len(text), MaxSourceBytes)
+		return &script{}, problemAtStart(file, "%d bytes, more than the %d that a script may have", len(text), MaxSourceBytes)
 	}
 	if !utf8.ValidString(text) {
-		return &script{}, problemAtStart(file, "the text is no UTF-8")
+		return &script{}, problemAtStart(file, "the text is not valid UTF-8")
 	}
 	tokens, comments, problems := lex(file, text)
 	p := &parser{file: file, tokens: tokens, problems: problems, lastErrorToken: -1}
@@ -38,7 +39,7 @@
 	return s, p.problems
 }
 
-// problemAtStart is a problem with a text as a whole.
+// problemAtStart returns an error about a script as a whole, positioned at its start.
 func problemAtStart(file, format string, args ...any) Problems {
 	return Problems{{File: file, Pos: Pos{1, 1}, Text: fmt.Sprintf(format, args...)}}
 }
@@ -52,6 +53,7 @@
 	return t.kind == tokenSymbol && t.text == s
 }
 
+// accept consumes the next token if it is the symbol s, and reports whether it is.
 func (p *parser) accept(s string) bool {
 	if p.is(s) {
 		p.next++
@@ -60,8 +62,9 @@
 	return false
 }
 
+// reportError adds an error, unless one was reported at the same token.
 func (p *parser) reportError(pos Pos, format string, args ...any) {
-	if p.next == p.lastErrorToken { // one for each place where reading went wrong
+	if p.next == p.lastErrorToken {
 		return
 	}
 	p.lastErrorToken = p.next
@@ -70,11 +73,13 @@
 	}
 }
 
+// fail reports an error at the next token and panics with syntaxError.
 func (p *parser) fail(format string, args ...any) {
 	p.reportError(p.peek().pos, format, args...)
 	panic(syntaxError{})
 }
 
+// expect consumes the symbol s, and fails if the next token is another.
 func (p *parser) expect(s string) token {
 	t := p.peek()
 	if !p.accept(s) {
@@ -83,6 +88,7 @@
 	return t
 }
 
+// describe returns a token as error messages name it.
 func describe(t token) string {
 	switch t.kind {
 	case tokenString:
@@ -95,6 +101,7 @@
 	return fmt.Sprintf("%q", t.text)
 }
 
+// name consumes a name. what describes the name in the error message.
 func (p *parser) name(what string) token {
 	t := p.peek()
 	if t.kind != tokenName {
@@ -104,7 +111,7 @@
 	return t
 }
 
-// field reads a field's name, which may be a keyword.
+// fieldName consumes the name of a field, which may be a keyword.
 func (p *parser) fieldName() token {
 	if t := p.peek(); t.kind == tokenSymbol && keywords[t.text] {
 		p.next++
@@ -113,8 +120,8 @@
 	return p.name("a field")
 }
 
-// guard runs f. If f gives up at a syntax error, parsing resumes behind it: at the next declaration if words are
-// given, which begin one, otherwise at the next statement of the block.
+// recoverSyntaxError runs f. If f panics with syntaxError, parsing resumes at the next declaration
+// if keywords that begin one are given, and otherwise at the next statement of the block.
 func (p *parser) recoverSyntaxError(f func(), declarationKeywords ...string) {
 	start, depth := p.next, p.depth
 	defer func() {
@@ -139,8 +146,9 @@
 	f()
 }
 
-// skipToDeclaration skips to a word at the begin of a line, which must not be within braces unless it is in the
-// first column.
+// skipToDeclaration skips to a keyword at the start of a line. The keyword must not be within
+// braces, unless it is in the first column: a declaration there is found even if the error left a
+// brace open.
 func (p *parser) skipToDeclaration(declarationKeywords []string) {
 	braces := 0
 	for ; p.tokens[p.next].kind != tokenEOF; p.next++ {
@@ -158,7 +166,7 @@
 	}
 }
 
-// skipStatement skips to the next line, but not past a brace that closes more than was opened.
+// skipStatement skips to the next line, but not past the brace that closes the enclosing block.
 func (p *parser) skipStatement() {
 	braces := 0
 	for ; p.tokens[p.next].kind != tokenEOF; p.next++ {
@@ -183,6 +191,8 @@
 	}
 }
 
+// endStatement consumes the newlines that end a statement. A closing brace or the end of the script
+// ends it as well.
 func (p *parser) endStatement() {
 	if p.is("}") || p.peek().kind == tokenEOF {
 		return
@@ -193,12 +203,15 @@
 	p.skipNewlines()
 }
 
+// enterNesting increments the nesting depth and fails if it exceeds maxNestingDepth, which bounds
+// the recursion of the parser. The caller decrements depth when it is done.
 func (p *parser) enterNesting() {
 	if p.depth++; p.depth > maxNestingDepth {
 		p.fail("nested more than %d deep", maxNestingDepth)
 	}
 }
 
+// typeExpr parses a type.
 func (p *parser) typeExpr() *typeNode {
 	p.enterNesting()
 	defer func() { p.depth-- }()
@@ -220,6 +233,7 @@
 	return n
 }
 
+// block parses statements in braces. A syntax error in a statement does not end the block.
 func (p *parser) block() *block {
 	p.enterNesting()
 	defer func() { p.depth-- }()
@@ -237,6 +251,8 @@
 	return b
 }
 
+// headerExpr parses an expression that is followed by a block, so that a brace after a name begins
+// the block and not a record literal.
 func (p *parser) headerExpr() expr {
 	inHeader := p.inHeader
 	p.inHeader = true
--- a/internal/hooklang/parsestmt.go
+++ b/internal/hooklang/parsestmt.go
@@ -1,5 +1,6 @@
 package hooklang
 
+// stmt parses a statement.
 func (p *parser) stmt() stmt {
 	t := p.peek()
 	at := node{t.pos}
@@ -74,7 +75,7 @@
 			continue
 		}
 		if s.otherwise != nil {
-			p.reportError(p.peek().pos, "else is the last case")
+			p.reportError(p.peek().pos, "else must be the last case")
 		}
 		p.expect("case")
 		s.cases = append(s.cases, p.matchCase())
@@ -83,6 +84,7 @@
 	return s
 }
 
+// matchCase parses the values and the block of a case, after the keyword.
 func (p *parser) matchCase() (c matchCase) {
 	for {
 		c.values = append(c.values, p.headerExpr())
@@ -94,7 +96,7 @@
 	return c
 }
 
-// simpleStmt reads an assignment or a call.
+// simpleStmt parses an assignment or a call.
 func (p *parser) simpleStmt(at node) stmt {
 	target := p.expr()
 	op := ""
@@ -108,7 +110,7 @@
 		switch target.(type) {
 		case *callExpr, *runExpr:
 		default:
-			p.reportError(at.pos, "a value that nothing is done with")
+			p.reportError(at.pos, "the value is not used")
 		}
 		return &exprStmt{at, target}
 	}
--- a/internal/hooklang/unify.go
+++ b/internal/hooklang/unify.go
@@ -1,6 +1,7 @@
 package hooklang
 
-// unify binds the variables of a parameter's type so that it is the argument's.
+// unify matches a parameter type p with an argument type a, and binds the type variables of p in
+// vars. It reports whether the types match.
 func unify(p, a *Type, vars map[*Type]*Type) bool {
 	switch p {
 	case varT, varK, varV:
@@ -19,7 +20,7 @@
 	return (p.elem == nil || unify(p.elem, a.elem, vars)) && (p.key == nil || unify(p.key, a.key, vars))
 }
 
-// substitute replaces type variables by the types they are bound to.
+// substitute replaces the type variables in t by the types that they are bound to.
 func substitute(t *Type, vars map[*Type]*Type) *Type {
 	switch {
 	case vars[t] != nil:
--- a/internal/hooklang/value.go
+++ b/internal/hooklang/value.go
@@ -9,12 +9,13 @@
 	"time"
 )
 
-// Type is bool, int, float, duration, string, list[T], map[K]V or a record of the host.
+// Type is a type of the language: bool, int, float, duration, string, list[T], map[K]V or a record
+// of the host.
 type Type struct {
 	name   string
-	elem   *Type
-	key    *Type // of maps: string or int
-	record *Record
+	elem   *Type   // of lists and maps
+	key    *Type   // of maps: string or int
+	record *Record // of records
 }
 
 var (
@@ -33,7 +34,7 @@
 func listOf(t *Type) *Type   { return &Type{name: "list", elem: t} }
 func mapOf(k, v *Type) *Type { return &Type{name: "map", key: k, elem: v} }
 
-// String returns the type as the language writes it.
+// String returns the type in the syntax of the language.
 func (t *Type) String() string {
 	switch {
 	case t.name == "list":
@@ -44,8 +45,8 @@
 	return t.name
 }
 
-// sameType reports whether two types are the same. An invalid type passes as any, so that one mistake is reported
-// once.
+// sameType reports whether two types are identical. The invalid type is identical to every type, so
+// that an error is not reported again for each expression that contains it.
 func sameType(a, b *Type) bool {
 	if a == typeInvalid || b == typeInvalid {
 		return true
@@ -57,11 +58,14 @@
 }
 
 func (t *Type) isCollection() bool { return t.name == "list" || t.name == "map" }
+
+// ordered reports whether values of the type can be compared by <. The invalid type passes, as in
+// sameType.
 func (t *Type) ordered() bool {
 	return t == typeInt || t == typeFloat || t == typeDuration || t == typeString || t == typeInvalid
 }
 
-// Record is a type of the host: fields by name, which a script cannot change.
+// Record is a type that the host defines: named fields, which a script can read but not change.
 type Record struct {
 	Name      string
 	Fields    []Field
@@ -74,19 +78,21 @@
 	Type *Type
 }
 
-// Value is a value of the language. It does not know its type: the checks have found that, and the code depends on it.
+// Value is a value of the language. It carries no type: the checker determines types, and the
+// compiled code relies on them.
 type Value struct {
 	bits   int64 // bool, int, duration, and the bits of a float
 	object *object
 }
 
-// An object is a string, list, map or record. Lists and maps are values: whoever stores one that is stored
-// elsewhere makes both stores share it, and a change copies it first. stored counts stores, up to 2, and is 3 where
-// nothing may be written any more, as others read it at the same time.
+// object is a string, list, map or record. Lists and maps have value semantics by copy-on-write:
+// all places that store a list or map share one object, and a change copies the object first if
+// another place stores it too. shares counts these places, up to 2. It is 3 for a frozen object,
+// which is never changed because other goroutines may read it.
 type object struct {
 	text       string
-	items      []Value // list, values of a map, fields
-	keys       []Value // of a map, sorted
+	items      []Value // entries of a list, values of a map, or fields of a record
+	keys       []Value // keys of a map, sorted
 	collection bool
 	shares     uint8
 }
@@ -108,7 +114,7 @@
 	return v.object.text
 }
 
-// share notes that a value is stored once more, see object.
+// share records that a value is stored in one more place; see object.
 func (v Value) share() Value {
 	if v.object != nil && v.object.collection && v.object.shares < 2 {
 		v.object.shares++
@@ -116,7 +122,7 @@
 	return v
 }
 
-// freeze marks a value as shared for good, so that any number of goroutines may read it.
+// freeze marks a value as immutable, so that any number of goroutines may read it.
 func (v Value) freeze() {
 	if v.object == nil || !v.object.collection || v.object.shares == 3 {
 		return
@@ -127,7 +133,7 @@
 	}
 }
 
-// zeroValue is what a field of a record has that a literal leaves out.
+// zeroValue returns the value of a record field that a literal omits.
 func zeroValue(t *Type) Value {
 	switch {
 	case t == typeString:
@@ -144,7 +150,7 @@
 	return Value{}
 }
 
-// traversalCost is what comparing or copying a value costs, at most.
+// traversalCost returns an upper bound on the fuel for comparing or copying a value.
 func traversalCost(v Value) int64 {
 	if v.object == nil {
 		return 0
@@ -158,7 +164,7 @@
 	return n
 }
 
-// equal compares two values of a type.
+// equal reports whether two values of type t are equal.
 func equal(t *Type, a, b Value) bool {
 	switch {
 	case t == typeFloat:
@@ -189,7 +195,7 @@
 	return a.bits == b.bits
 }
 
-// compare orders two values of an ordered type.
+// compare compares two values of an ordered type, as cmp.Compare does.
 func compare(t *Type, a, b Value) int {
 	switch t {
 	case typeFloat:
@@ -200,7 +206,8 @@
 	return cmp.Compare(a.bits, b.bits)
 }
 
-// find returns the index of a key of a map, or where it is to be inserted, and whether the map has it.
+// find returns the index of key k in a map, or the index at which to insert it, and whether the map
+// contains it.
 func (o *object) find(k Value) (int, bool) {
 	if k.object != nil {
 		byText := func(v Value, s string) int { return strings.Compare(v.object.text, s) }
@@ -209,7 +216,7 @@
 	return slices.BinarySearchFunc(o.keys, k.bits, func(v Value, n int64) int { return cmp.Compare(v.bits, n) })
 }
 
-// text writes a value as the language writes it.
+// formatValue returns a value in the syntax of the language.
 func formatValue(t *Type, v Value) string {
 	switch {
 	case t == typeString:
@@ -253,7 +260,7 @@
 	return strconv.FormatInt(v.bits, 10)
 }
 
-// floatText writes a float, which always has a point or an exponent.
+// floatText returns a float as a literal, which always has a decimal point or an exponent.
 func floatText(f float64) string {
 	s := strconv.FormatFloat(f, 'g', -1, 64)
 	if !strings.ContainsAny(s, ".e") {
@@ -262,7 +269,7 @@
 	return s
 }
 
-// durText writes a duration that the lexer reads back as the same.
+// durationText returns a duration as a literal that the lexer reads back unchanged.
 func durationText(d time.Duration) string {
 	if d == 0 {
 		return "0s"
@@ -291,7 +298,7 @@
 	return sign + b.String()
 }
 
-// quote writes a string as a literal.
+// quote returns a string as a literal.
 func quote(s string) string {
 	var b strings.Builder
 	b.WriteByte('"')
