--- a/internal/hooklang/builtin.go
+++ b/internal/hooklang/builtin.go
@@ -20,7 +20,7 @@
 }
 
 // varT, varK and varV are type variables: each stands for any type, and for the same type
-// throughout one signature.
+// throughout one call.
 var (
 	varT, varK, varV = &Type{name: "T"}, &Type{name: "K"}, &Type{name: "V"}
 )
--- a/internal/hooklang/oracle_test.go
+++ b/internal/hooklang/oracle_test.go
@@ -18,7 +18,7 @@
 	parsed *script
 	state  map[string]any
 	vars   map[string]any
-	logged []string
+	logged []string // the texts that the script logged
 }
 
 // oracleFault, branchSignal and returnSignal are the values of the panics by which the oracle
@@ -56,6 +56,7 @@
 	return l
 }
 
+// call runs a function in variables of its own and returns its result, nil if it has none.
 func (o *oracle) call(d *funcDecl, args []any) (result any) {
 	old := o.vars
 	o.vars = map[string]any{}
@@ -196,6 +197,7 @@
 	}
 }
 
+// arithmetic applies an arithmetic operator, and panics with oracleFault where the VM must fault.
 func arithmetic(op string, x, y any) any {
 	switch a := x.(type) {
 	case int64:
@@ -403,17 +405,18 @@
 	rapidT    *rapid.T
 	text      strings.Builder
 	vars      map[string][]string // names of the variables in scope, by type
-	lastID    int
+	lastID    int                 // number in the name of the last variable
 	exprDepth int
 	loopDepth int
-	inHandler bool
-	mayCall   bool
+	inHandler bool // log may be called
+	mayCall   bool // f and less may be called
 }
 
 var generatedTypes = []string{"int", "float", "string", "bool", "list[int]", "map[string]int", "list[list[int]]"}
 
 func (g *generator) pick(l ...string) string { return rapid.SampledFrom(l).Draw(g.rapidT, "pick") }
 
+// expr draws an expression of a type.
 func (g *generator) expr(typeName string) string {
 	g.exprDepth++
 	defer func() { g.exprDepth-- }()
@@ -500,6 +503,7 @@
 	return "map[string]int{" + g.expr("string") + ": " + g.expr("int") + ", " + g.expr("string") + ": " + g.expr("int") + "}"
 }
 
+// block draws n statements, whose variables go out of scope after it.
 func (g *generator) block(n int) {
 	saved := map[string][]string{}
 	for k, l := range g.vars {
