--- a/internal/hooklang/builtin.go
+++ b/internal/hooklang/builtin.go
@@ -54,7 +54,7 @@
 		advice := build(a)
 		advice.Kind = name
 		vm.advice = append(vm.advice, advice)
-		vm.alloc(int64(adviceOverheadBytes + len(advice.Text)))
+		vm.chargeMemory(int64(adviceOverheadBytes + len(advice.Text)))
 		return Value{}
 	}, params...).effect = true
 }
--- a/internal/hooklang/docs_test.go
+++ b/internal/hooklang/docs_test.go
@@ -27,7 +27,7 @@
 		if formatted, _ := Format("example", source); formatted != source {
 			t.Errorf("example %d is formatted as\n%s", i+1, formatted)
 		}
-		results := program.Test()
+		results := program.RunTests()
 		if len(results) == 0 {
 			t.Errorf("example %d has no test", i+1)
 		}
--- a/internal/hooklang/library.go
+++ b/internal/hooklang/library.go
@@ -28,7 +28,7 @@
 	defineBuiltin("len", typeInt, length, dict)
 
 	for _, t := range []*Type{typeInt, typeFloat, typeDuration, typeBool} {
-		defineBuiltin("str", typeString, func(vm *VM, a []Value) Value { return vm.str(formatValue(t, a[0])) }, t)
+		defineBuiltin("str", typeString, func(vm *VM, a []Value) Value { return vm.newString(formatValue(t, a[0])) }, t)
 	}
 	defineBuiltin("str", typeString, func(_ *VM, a []Value) Value { return a[0] }, typeString)
 
@@ -75,11 +75,11 @@
 		}, t, t)
 		defineBuiltin("sort", listOf(t), func(vm *VM, a []Value) Value {
 			n := int64(len(a[0].object.items))
-			vm.spend(n * int64(1+math.Log2(float64(n+1))))
+			vm.chargeFuel(n * int64(1+math.Log2(float64(n+1))))
 			if t == typeString {
-				vm.spend(traversalCost(a[0]))
+				vm.chargeFuel(traversalCost(a[0]))
 			}
-			o := vm.clone(a[0].object)
+			o := vm.cloneCollection(a[0].object)
 			slices.SortStableFunc(o.items, func(x, y Value) int { return compare(t, x, y) })
 			return Value{object: o}
 		}, listOf(t))
@@ -100,14 +100,14 @@
 	list, dict := listOf(varT), mapOf(varK, varV)
 	defineBuiltin("sort_by", list, nil, list, typeString).takesFunction = true
 	defineBuiltin("reverse", list, func(vm *VM, a []Value) Value {
-		o := vm.clone(a[0].object)
+		o := vm.cloneCollection(a[0].object)
 		slices.Reverse(o.items)
 		return Value{object: o}
 	}, list)
 	defineBuiltin("slice", list, func(vm *VM, a []Value) Value {
-		from, to := vm.span(a, len(a[0].object.items))
+		from, to := vm.sliceBounds(a, len(a[0].object.items))
 		o := &object{collection: true}
-		vm.list(int64(to - from))
+		vm.chargeList(int64(to - from))
 		for _, e := range a[0].object.items[from:to] {
 			o.items = append(o.items, e.share())
 		}
@@ -115,19 +115,19 @@
 	}, list, typeInt, typeInt)
 	defineBuiltin("slice", typeString, func(vm *VM, a []Value) Value {
 		s := a[0].str()
-		from, to := vm.span(a, len(s))
+		from, to := vm.sliceBounds(a, len(s))
 		if from < len(s) && !utf8.RuneStart(s[from]) || to < len(s) && !utf8.RuneStart(s[to]) {
 			vm.fault(FaultIndex, "slice %d to %d splits a character", from, to)
 		}
-		return vm.str(s[from:to])
+		return vm.newString(s[from:to])
 	}, typeString, typeInt, typeInt)
 
 	defineBuiltin("keys", listOf(varK), func(vm *VM, a []Value) Value {
-		vm.list(int64(len(a[0].object.keys)))
+		vm.chargeList(int64(len(a[0].object.keys)))
 		return Value{object: &object{collection: true, items: slices.Clone(a[0].object.keys)}}
 	}, dict)
 	defineBuiltin("values", listOf(varV), func(vm *VM, a []Value) Value {
-		vm.list(int64(len(a[0].object.items)))
+		vm.chargeList(int64(len(a[0].object.items)))
 		o := &object{collection: true}
 		for _, e := range a[0].object.items {
 			o.items = append(o.items, e.share())
@@ -146,7 +146,7 @@
 func defineStrings() {
 	onTwoStrings := func(f func(s, t string) Value) func(vm *VM, a []Value) Value {
 		return func(vm *VM, a []Value) Value {
-			vm.spend(int64(len(a[0].str())) / 16)
+			vm.chargeFuel(int64(len(a[0].str())) / 16)
 			return f(a[0].str(), a[1].str())
 		}
 	}
@@ -160,13 +160,13 @@
 		return Value{bits: int64(strings.Index(s, t))}
 	}), typeString, typeString)
 	defineBuiltin("lower", typeString, func(vm *VM, a []Value) Value {
-		return vm.str(strings.ToLower(a[0].str()))
+		return vm.newString(strings.ToLower(a[0].str()))
 	}, typeString)
 	defineBuiltin("trim", typeString, func(vm *VM, a []Value) Value {
-		return vm.str(strings.TrimSpace(a[0].str()))
+		return vm.newString(strings.TrimSpace(a[0].str()))
 	}, typeString)
 	defineBuiltin("hash", typeInt, func(vm *VM, a []Value) Value {
-		vm.spend(int64(len(a[0].str())) / 16)
+		vm.chargeFuel(int64(len(a[0].str())) / 16)
 		return Value{bits: int64(xxhash.Sum64String(a[0].str()) >> 1)}
 	}, typeString)
 	defineSplitAndJoin()
@@ -178,10 +178,10 @@
 		if a[1].str() == "" {
 			vm.fault(FaultRange, "split: the separator is empty")
 		}
-		vm.spend(int64(len(a[0].str())) / 4)
+		vm.chargeFuel(int64(len(a[0].str())) / 4)
 		n := strings.Count(a[0].str(), a[1].str()) + 1
-		vm.list(int64(n))
-		vm.alloc(int64(n)*objectBytes + int64(len(a[0].str())))
+		vm.chargeList(int64(n))
+		vm.chargeMemory(int64(n)*objectBytes + int64(len(a[0].str())))
 		o := &object{collection: true}
 		for _, s := range strings.Split(a[0].str(), a[1].str()) {
 			o.items = append(o.items, strValue(s))
@@ -195,14 +195,14 @@
 				n += len(a[1].str())
 			}
 			n += len(e.str())
-			vm.size(n)
+			vm.checkSize(n)
 		}
-		vm.spend(int64(len(a[0].object.items)))
+		vm.chargeFuel(int64(len(a[0].object.items)))
 		l := make([]string, 0, len(a[0].object.items))
 		for _, e := range a[0].object.items {
 			l = append(l, e.str())
 		}
-		return vm.str(strings.Join(l, a[1].str()))
+		return vm.newString(strings.Join(l, a[1].str()))
 	}, listOf(typeString), typeString)
 }
 
@@ -229,19 +229,19 @@
 func defineEffects() {
 	lifetime := func(v Value) time.Duration { return time.Duration(v.bits) }
 	defineEffect("keep_warm", func(a []Value) Advice {
-		return Advice{Function: a[0].str(), Copies: a[1].bits, For: lifetime(a[2])}
+		return Advice{Function: a[0].str(), Copies: a[1].bits, Lifetime: lifetime(a[2])}
 	}, typeString, typeInt, typeDuration)
 	defineEffect("tenant_weight", func(a []Value) Advice {
-		return Advice{Tenant: a[0].str(), Factor: a[1].float(), For: lifetime(a[2])}
+		return Advice{Tenant: a[0].str(), Factor: a[1].float(), Lifetime: lifetime(a[2])}
 	}, typeString, typeFloat, typeDuration)
 	defineEffect("tenant_cap", func(a []Value) Advice {
-		return Advice{Tenant: a[0].str(), Factor: a[1].float(), For: lifetime(a[2])}
+		return Advice{Tenant: a[0].str(), Factor: a[1].float(), Lifetime: lifetime(a[2])}
 	}, typeString, typeFloat, typeDuration)
 	defineEffect("prefer", func(a []Value) Advice {
-		return Advice{Worker: a[0].str(), For: lifetime(a[1])}
+		return Advice{Worker: a[0].str(), Lifetime: lifetime(a[1])}
 	}, typeString, typeDuration)
 	defineEffect("avoid", func(a []Value) Advice {
-		return Advice{Worker: a[0].str(), For: lifetime(a[1])}
+		return Advice{Worker: a[0].str(), Lifetime: lifetime(a[1])}
 	}, typeString, typeDuration)
 	defineEffect("refuse", func(a []Value) Advice {
 		return Advice{Text: a[0].str()}
--- a/internal/hooklang/oracle_test.go
+++ b/internal/hooklang/oracle_test.go
@@ -666,7 +666,7 @@
 		o := &oracle{parsed: s, state: map[string]any{"s": int64(3), "m": dict{"a": int64(1)}, "q": []any{int64(4), int64(2)}, "z": []any{[]any{int64(1)}, []any{int64(2)}}}}
 		limits := BackgroundLimits
 		limits.Fuel, limits.Effects = 50_000_000, 1<<20
-		result, err := NewVM().Run(p, "ended", Ended{}, p.State(), Env{}, limits)
+		result, err := NewVM().Run(p, "ended", Ended{}, p.InitialState(), Env{}, limits)
 		if f, ok := err.(*Fault); ok && f.Exhausted() {
 			t.Skip("a limit is exceeded")
 		}
@@ -676,7 +676,7 @@
 			if f, ok := err.(*Fault); !ok || string(f.Kind) != want {
 				t.Fatalf("fault %v, the oracle has %q\n%s", err, want, src)
 			}
-			if !result.State.Equal(p.State()) || result.Advice != nil {
+			if !result.State.Equal(p.InitialState()) || result.Advice != nil {
 				t.Fatalf("a run with a fault has changed the state or returned advice\n%s", src)
 			}
 			return
@@ -697,12 +697,12 @@
 				t.Fatalf("%s is %s, the oracle has %s\n%s", v.name, a, b, src)
 			}
 		}
-		again, _ := NewVM().Run(p, "ended", Ended{}, p.State(), Env{}, limits)
+		again, _ := NewVM().Run(p, "ended", Ended{}, p.InitialState(), Env{}, limits)
 		if again.Fuel != result.Fuel || again.Memory != result.Memory || !again.State.Equal(result.State) || fmt.Sprint(again.Advice) != fmt.Sprint(result.Advice) {
 			t.Fatalf("a second run differs\n%s", src)
 		}
 		text, _ := result.State.MarshalJSON()
-		if restored, err := p.Restore(text); err != nil || !restored.Equal(result.State) {
+		if restored, err := p.RestoreState(text); err != nil || !restored.Equal(result.State) {
 			t.Fatalf("%v: the state restored from %s differs\n%s", err, text, src)
 		}
 		formatted, err := Format("p.hook", src)
@@ -713,7 +713,7 @@
 			t.Fatalf("formatting twice changes the result:\n%s\n%s", formatted, formattedTwice)
 		}
 		formattedProgram := must(Compile("p.hook", formatted))
-		if rerun, err := NewVM().Run(formattedProgram, "ended", Ended{}, formattedProgram.State(), Env{}, limits); err != nil || rerun.Fuel != result.Fuel || fmt.Sprint(rerun.Advice) != fmt.Sprint(result.Advice) {
+		if rerun, err := NewVM().Run(formattedProgram, "ended", Ended{}, formattedProgram.InitialState(), Env{}, limits); err != nil || rerun.Fuel != result.Fuel || fmt.Sprint(rerun.Advice) != fmt.Sprint(result.Advice) {
 			t.Fatalf("%v: the formatted script behaves differently:\n%s", err, formatted)
 		}
 	})
