--- a/internal/hooklang/checkscope.go
+++ b/internal/hooklang/checkscope.go
@@ -2,7 +2,7 @@
 
 import "sort"
 
-// lookup finds a variable or state variable, and notes that it is used.
+// lookup finds a local or state variable by name, and marks a local variable as used.
 func (c *checker) lookup(name string) (*Type, ref, bool) {
 	for i := len(c.scopes) - 1; i >= 0; i-- {
 		if v := c.scopes[i][name]; v != nil {
@@ -16,8 +16,9 @@
 	return typeInvalid, ref{}, false
 }
 
-// target finds a variable that is to be changed, which does not count as a use.
-func (c *checker) target(pos Pos, name string) (*Type, ref) {
+// assignmentTarget finds a variable that is to be changed. An assignment does not count as a use of
+// the variable.
+func (c *checker) assignmentTarget(pos Pos, name string) (*Type, ref) {
 	used := map[string]bool{}
 	for _, s := range c.scopes {
 		if v := s[name]; v != nil {
@@ -26,9 +27,9 @@
 	}
 	t, r, ok := c.lookup(name)
 	if !ok {
-		c.problem(pos, "there is no variable %q", name)
+		c.reportError(pos, "there is no variable %q", name)
 	}
-	for _, s := range c.scopes { // undo the note of lookup
+	for _, s := range c.scopes { // lookup has marked the variable as used: restore the marks
 		if v := s[name]; v != nil {
 			v.used = used[name]
 		}
@@ -37,28 +38,29 @@
 		c.current.writesStateAt = pos
 	}
 	if r.inState && c.inTest {
-		c.problem(pos, "a test changes no state: handlers that it runs do")
+		c.reportError(pos, "a test cannot change state itself: run a handler that does")
 	}
 	return t, r
 }
 
-// declare adds a variable to the innermost scope, in a slot of its own. Inner scopes may not hide a variable.
+// declare adds a variable to the innermost scope and gives it a slot. A variable must not shadow
+// one of an outer scope.
 func (c *checker) declare(pos Pos, name string, t *Type) *variable {
 	v := &variable{name: name, pos: pos, valueType: t, ref: ref{index: c.nextSlot}, used: name == "_"}
 	c.nextSlot++
 	c.current.slots = max(c.current.slots, c.nextSlot)
 	if c.nextSlot == maxSlots {
-		c.problem(pos, "more than %d variables in one function", maxSlots)
+		c.reportError(pos, "more than %d variables in one function", maxSlots)
 	}
 	if name == "_" {
 		return v
 	}
-	if !c.isFree(pos, name) {
+	if !c.checkNameAvailable(pos, name) {
 		return v
 	}
 	for _, s := range c.scopes {
 		if old := s[name]; old != nil {
-			c.problem(pos, "%s is the variable of line %d: choose another name", name, old.pos.Line)
+			c.reportError(pos, "%s is the variable of line %d: choose another name", name, old.pos.Line)
 			return v
 		}
 	}
@@ -66,9 +68,11 @@
 	return v
 }
 
-func (c *checker) push() { c.scopes = append(c.scopes, map[string]*variable{}) }
+func (c *checker) pushScope() { c.scopes = append(c.scopes, map[string]*variable{}) }
 
-func (c *checker) pop() {
+// popScope closes the innermost scope: it records its variables for the tracer, and warns of those
+// that are not used.
+func (c *checker) popScope() {
 	top := c.scopes[len(c.scopes)-1]
 	var l []*variable
 	for _, v := range top {
@@ -78,7 +82,7 @@
 	for _, v := range l {
 		c.current.vars = append(c.current.vars, varInfo{v.name, v.valueType, v.ref.index, v.pos, c.scopeEnd})
 		if !v.used {
-			c.warn(v.pos, "%s is never used", v.name)
+			c.reportWarning(v.pos, "%s is never used", v.name)
 		}
 	}
 	c.scopes = c.scopes[:len(c.scopes)-1]
