--- a/internal/controller/hooks.go
+++ b/internal/controller/hooks.go
@@ -33,7 +33,7 @@
 // CallArrived implements gateway.Hooks.
 func (f *eventFanout) CallArrived(c hooklang.Call) hookadvice.Verdict {
 	if e := f.engine.Load(); e != nil {
-		return e.Arrive(c)
+		return e.Admit(c)
 	}
 	return hookadvice.Verdict{}
 }
@@ -58,25 +58,25 @@
 // SetWorkers implements gateway.Hooks.
 func (f *eventFanout) SetWorkers(l []hookadvice.Worker) {
 	if e := f.engine.Load(); e != nil {
-		e.Workers(l)
+		e.SetWorkers(l)
 	}
 }
 
 // adviceFacts provides the functions and tenants that advice may name. It implements
-// hookengine.Facts.
+// hookadvice.Catalog.
 type adviceFacts struct {
 	functions *gateway.Functions
 	tenants   map[string]bool
 }
 
-// Function returns the memory of a function in MB, and whether it is configured.
-func (f adviceFacts) Function(name string) (float64, bool) {
+// FunctionMemoryMB returns the memory of a function in MB, and whether it is configured.
+func (f adviceFacts) FunctionMemoryMB(name string) (float64, bool) {
 	s, ok := f.functions.Spec(name)
 	return s.MemoryMB, ok
 }
 
-// Tenant reports whether a tenant is configured.
-func (f adviceFacts) Tenant(name string) bool { return f.tenants[name] }
+// HasTenant reports whether a tenant is configured.
+func (f adviceFacts) HasTenant(name string) bool { return f.tenants[name] }
 
 // adviceSink passes the advice of scripts to the gateway. It implements hookengine.Sink.
 type adviceSink struct{ controller *Controller }
@@ -131,12 +131,12 @@
 		facts.tenants[t.Name] = true
 	}
 	hc := *c.config.Hooks
-	hc.Facts = facts
+	hc.Catalog = facts
 	hc.Sink = adviceSink{c}
 	hc.Clock = c.options.Clock
 	hc.Log = c.log
 	hc.FS = store.Dir(dir)
-	hc.Open = c.Gateway.OpenRequests
+	hc.CallsInFlight = c.Gateway.OpenRequests
 	if len(c.config.Targets) > 0 {
 		c.notifier = hookengine.NewNotifier(c.config.Name, c.config.Targets, c.options.Clock, c.log)
 		hc.Notify = c.notifier.Notify
--- a/internal/hookengine/arrive.go
+++ b/internal/hookengine/admit.go
@@ -7,36 +7,37 @@
 	"kitehub/internal/hooklang"
 )
 
-// Arrive runs the handlers of the arrival of a call, on the caller's goroutine, and judges the call by the versions
-// that are live now. The call counts as open for its tenant until CallEnded.
-func (e *Engine) Arrive(c hooklang.Call) hookadvice.Verdict {
+// Admit runs the arrival handlers of the live versions for a call, on the goroutine of the caller,
+// and returns the verdict on the call. The call counts as in flight for its tenant until CallEnded.
+func (e *Engine) Admit(c hooklang.Call) hookadvice.Verdict {
 	now := e.config.Clock.Now()
 	var advice []hooklang.Advice
-	if handlers := *e.inline.Load(); len(handlers) > 0 {
+	if handlers := *e.arrivalHandlers.Load(); len(handlers) > 0 {
 		env := hooklang.Env{Now: int64(now), Wall: e.config.Clock.Wall().Unix()}
 		vm := e.vmPool.Get().(*hooklang.VM)
 		for i := range handlers {
 			advice = append(advice, e.runInline(vm, &handlers[i], c, env)...)
 		}
 		e.vmPool.Put(vm)
-		e.Counts.Inline.Add(int64(len(handlers)))
+		e.Counts.InlineRuns.Add(int64(len(handlers)))
 		e.Counts.InlineNanos.Add(int64(e.config.Clock.Now() - now))
 	}
 	e.gateMutex.Lock()
-	verdict := e.gate.Arrive(now, c.Tenant, advice)
+	verdict := e.gate.Admit(now, c.Tenant, advice)
 	e.gateMutex.Unlock()
 	if verdict.ShedAdvised {
-		e.Counts.Refusals.Add(1)
+		e.Counts.Rejections.Add(1)
 	}
 	if verdict.OverRejectionLimit {
-		e.Counts.Over.Add(1)
+		e.Counts.OverRejectionLimit.Add(1)
 	}
 	return verdict
 }
 
-// runInline runs one handler, and queues the outcome for the version's tally, its circuit and its shadow.
+// runInline runs one arrival handler. It queues the outcome, from which the engine's goroutine
+// updates the version's statistics and circuit and runs the shadow.
 func (e *Engine) runInline(vm *hooklang.VM, h *inlineHandler, c hooklang.Call, env hooklang.Env) []hooklang.Advice {
-	result, err := vm.Run(h.program, "arrive", c, h.state, env, e.config.Inline)
+	result, err := vm.Run(h.program, "arrive", c, h.state, env, e.config.InlineLimits)
 	run := &inlineRun{script: h.script, version: h.version, fuel: result.Fuel, advice: result.Advice}
 	if err != nil {
 		run.fault = err.Error()
@@ -49,7 +50,7 @@
 	return result.Advice
 }
 
-// CallEnded says that a call for which Arrive was called has ended.
+// CallEnded records the end of a call for which Admit was called.
 func (e *Engine) CallEnded(tenant string) {
 	e.gateMutex.Lock()
 	e.gate.CallEnded(tenant)
--- a/internal/hookengine/storage.go
+++ b/internal/hookengine/storage.go
@@ -10,35 +10,36 @@
 	"kitehub/internal/store"
 )
 
-// recordsPerSnapshot is how many records the log may have before a snapshot replaces them.
+// recordsPerSnapshot is the number of records in the log after which a snapshot replaces them.
 const recordsPerSnapshot = 200
 
-// storage is what the engine knows of its log. The engine's goroutine owns it.
+// storage holds the log of the engine and its state. The engine's goroutine owns it.
 type storage struct {
-	log           *store.Log // nil: nothing is stored
-	sequence      uint64     // of the last record
-	sinceSnapshot int        // records
-	lastSaved     time.Duration
-	storeErr      error                      // nothing is stored after an error
-	states        map[string]json.RawMessage // as stored last, by script
+	log                  *store.Log // nil if nothing is stored
+	sequence             uint64     // of the last record
+	recordsSinceSnapshot int        // records
+	lastSaved            time.Duration
+	storeErr             error                      // the first error; nothing is stored after it
+	savedStates          map[string]json.RawMessage // last stored states, by script
 }
 
-// record is one entry of the log: all scripts with their versions, or the state of one script.
+// record is an entry of the log: either all scripts with their versions, or the state of one
+// script.
 type record struct {
-	Scripts []*Script       `json:"scripts,omitempty"`
-	Last    uint64          `json:"last,omitempty"`
-	State   string          `json:"state,omitempty"` // name of the script
-	Value   json.RawMessage `json:"value,omitempty"`
+	Scripts     []*Script       `json:"scripts,omitempty"`
+	LastVersion uint64          `json:"last,omitempty"`
+	State       string          `json:"state,omitempty"` // name of the script
+	Value       json.RawMessage `json:"value,omitempty"`
 }
 
-// snapshot replaces all records before it.
+// snapshot holds everything that is stored. It replaces all earlier records.
 type snapshot struct {
-	Scripts []*Script                  `json:"scripts"`
-	Last    uint64                     `json:"last"`
-	States  map[string]json.RawMessage `json:"states"`
+	Scripts     []*Script                  `json:"scripts"`
+	LastVersion uint64                     `json:"last"`
+	States      map[string]json.RawMessage `json:"states"`
 }
 
-// restore opens the log, and runs the scripts that it holds.
+// restore opens the log and prepares the stored scripts to run.
 func (e *Engine) restore() error {
 	stored := snapshot{States: map[string]json.RawMessage{}}
 	options := store.Options{MaxRecordBytes: 16 << 20, MaxGroupBytes: 32 << 20}
@@ -53,7 +54,7 @@
 				stored.States[r.State] = r.Value
 			} else {
 				stored.Scripts = r.Scripts
-				stored.Last = r.Last
+				stored.LastVersion = r.LastVersion
 			}
 			return nil
 		})
@@ -62,34 +63,34 @@
 	}
 	e.log = log
 	e.sequence = recovered.LastSeq
-	e.states = stored.States
+	e.savedStates = stored.States
 	e.lifecycle.Scripts = stored.Scripts
-	e.lifecycle.Last = stored.Last
+	e.lifecycle.LastVersion = stored.LastVersion
 	for _, s := range e.lifecycle.Scripts {
 		e.restoreScript(s)
 	}
 	return nil
 }
 
-// restoreScript runs the live and the shadow version of a script. What compiled in the program that stored it need not
-// compile in this one.
+// restoreScript prepares the live and the shadow version of a script to run. A text that compiled
+// in the release that stored it may not compile in this one.
 func (e *Engine) restoreScript(s *Script) {
-	if s.Live != nil && s.Live.Bad == "" {
+	if s.Live != nil && s.Live.QuarantineReason == "" {
 		loaded, err := e.compile(s.Name, s.Live)
 		if err != nil {
-			s.Live.Bad = err.Error()
-			e.config.Log.Error().Str("script", s.Name).Err(err).Msg("hook in quarantine: it does not compile any more")
+			s.Live.QuarantineReason = err.Error()
+			e.config.Log.Error().Str("script", s.Name).Err(err).Msg("hook quarantined: it no longer compiles")
 			return
 		}
-		if saved := e.states[s.Name]; saved != nil {
+		if saved := e.savedStates[s.Name]; saved != nil {
 			if state, err := loaded.program.RestoreState(saved); err != nil {
-				e.config.Log.Error().Str("script", s.Name).Err(err).Msg("hook's state not restored: it begins anew")
+				e.config.Log.Error().Str("script", s.Name).Err(err).Msg("hook state not restored: starting with the initial state")
 			} else {
 				loaded.state = state
 			}
 		}
-		e.active[s.Name] = loaded
-		e.advise(hookadvice.VersionActivated{Script: s.Name, Version: s.Live.Number})
+		e.live[s.Name] = loaded
+		e.stepAdvice(hookadvice.VersionActivated{Script: s.Name, Version: s.Live.Number})
 	}
 	if s.Shadow == nil {
 		return
@@ -101,8 +102,8 @@
 	}
 }
 
-// appendRecord stores a record, and a snapshot if it is due. After an error hooks go on, but nothing is stored any
-// more.
+// appendRecord stores a record, and a snapshot if one is due. After an error hooks continue to run,
+// but nothing more is stored.
 func (e *Engine) appendRecord(r record) {
 	if e.log == nil || e.storeErr != nil {
 		return
@@ -113,27 +114,27 @@
 	}
 	if err != nil {
 		e.storeErr = err
-		e.config.Log.Error().Err(err).Msg("hooks: scripts and states are not stored any more: start anew")
+		e.config.Log.Error().Err(err).Msg("hooks: scripts and states are no longer stored: restart the controller")
 		return
 	}
-	e.sinceSnapshot++
-	if e.sinceSnapshot < recordsPerSnapshot {
+	e.recordsSinceSnapshot++
+	if e.recordsSinceSnapshot < recordsPerSnapshot {
 		return
 	}
-	e.sinceSnapshot = 0
+	e.recordsSinceSnapshot = 0
 	if err := e.writeSnapshot(); err != nil {
-		e.config.Log.Warn().Err(err).Msg("hooks: no snapshot: the log grows")
+		e.config.Log.Warn().Err(err).Msg("hooks: snapshot failed: the log keeps growing")
 	}
 }
 
 func (e *Engine) writeSnapshot() error {
 	all := snapshot{
-		Scripts: e.lifecycle.Scripts,
-		Last:    e.lifecycle.Last,
-		States:  map[string]json.RawMessage{},
+		Scripts:     e.lifecycle.Scripts,
+		LastVersion: e.lifecycle.LastVersion,
+		States:      map[string]json.RawMessage{},
 	}
 	for _, s := range e.lifecycle.Scripts {
-		if state := e.states[s.Name]; state != nil { // also of a script in quarantine
+		if state := e.savedStates[s.Name]; state != nil { // including those of quarantined scripts
 			all.States[s.Name] = state
 		}
 	}
@@ -144,14 +145,15 @@
 	return e.log.Snapshot(e.sequence, text)
 }
 
-// saveStates stores the states that have changed: at most once per SaveInterval, unless force is set.
+// saveStates stores the states that have changed, at most once per SaveInterval unless force is
+// set.
 func (e *Engine) saveStates(force bool) {
 	now := e.config.Clock.Now()
 	if !force && now < e.lastSaved+e.config.SaveInterval {
 		return
 	}
 	for _, s := range e.lifecycle.Scripts {
-		loaded := e.active[s.Name]
+		loaded := e.live[s.Name]
 		if loaded == nil || !loaded.unsaved {
 			continue
 		}
@@ -160,7 +162,7 @@
 		text, err := loaded.state.MarshalJSON()
 		if err == nil {
 			e.appendRecord(record{State: s.Name, Value: text})
-			e.states[s.Name] = text
+			e.savedStates[s.Name] = text
 		}
 	}
 }
--- a/internal/hooklang/parseexpr.go
+++ b/internal/hooklang/parseexpr.go
@@ -1,21 +1,23 @@
 package hooklang
 
-// precedence lists the binary operators, those that bind weakest first.
+// precedence lists the binary operators by precedence level, lowest first.
 var precedence = [][]string{{"or"}, {"and"}, {"==", "!=", "<", "<=", ">", ">=", "in"}, {"+", "-"}, {"*", "/", "%"}}
 
 const (
-	comparisonLevel = 2     // of precedence
-	maxOperators    = 1_000 // of one level in an expression
+	comparisonLevel      = 2     // index of the comparisons in precedence
+	maxOperatorsPerLevel = 1_000 // of one precedence level in an expression
 )
 
+// expr parses an expression.
 func (p *parser) expr() expr { return p.binary(0) }
 
+// binary parses an expression whose binary operators are of the given precedence level or higher.
 func (p *parser) binary(level int) expr {
 	if level == len(precedence) {
 		return p.unary()
 	}
-	if level == comparisonLevel && p.is("not") { // binds weaker than comparisons, as and and or do
-		p.nest()
+	if level == comparisonLevel && p.is("not") { // not has a lower precedence than comparisons
+		p.enterNesting()
 		defer func() { p.depth-- }()
 		t := p.expect("not")
 		return &unaryExpr{typed{node{t.pos}, nil}, "not", p.binary(comparisonLevel)}
@@ -31,10 +33,10 @@
 			return x
 		}
 		if n > 0 && level == comparisonLevel {
-			p.fail("comparisons do not chain: join them by and")
+			p.fail("comparisons cannot be chained: join them with and")
 		}
-		if n > maxOperators {
-			p.fail("too many in one expression")
+		if n > maxOperatorsPerLevel {
+			p.fail("too many operators in one expression")
 		}
 		p.next++
 		y := p.binary(level + 1)
@@ -42,9 +44,10 @@
 	}
 }
 
+// unary parses a negation, or a primary expression with the indexes and fields that follow it.
 func (p *parser) unary() expr {
 	if t := p.peek(); p.accept("-") {
-		p.nest()
+		p.enterNesting()
 		defer func() { p.depth-- }()
 		return &unaryExpr{typed{node{t.pos}, nil}, "-", p.unary()}
 	}
@@ -57,32 +60,33 @@
 			x = &indexExpr{at, x, p.bracketed()}
 			p.expect("]")
 		case p.accept("."):
-			x = &fieldExpr{typed: at, record: x, name: p.field().text}
+			x = &fieldExpr{typed: at, record: x, name: p.fieldName().text}
 		default:
 			return x
 		}
 	}
 }
 
-// items reads entries with commas between them, up to the closing bracket.
-func (p *parser) items(end string, one func()) {
+// items parses entries that are separated by commas, and the closing bracket. parseItem parses one
+// entry.
+func (p *parser) items(closing string, parseItem func()) {
 	inHeader := p.inHeader
 	p.inHeader = false
-	for p.newlines(); !p.is(end); p.newlines() {
-		one()
-		p.newlines()
+	for p.skipNewlines(); !p.is(closing); p.skipNewlines() {
+		parseItem()
+		p.skipNewlines()
 		if !p.accept(",") {
 			break
 		}
 	}
-	p.newlines()
+	p.skipNewlines()
 	p.inHeader = inHeader
-	p.expect(end)
+	p.expect(closing)
 }
 
-// primary reads a literal, a name, a call, or an expression in brackets.
+// primary parses a literal, a name, a call, or an expression in parentheses.
 func (p *parser) primary() expr {
-	p.nest()
+	p.enterNesting()
 	defer func() { p.depth-- }()
 	t := p.peek()
 	at := typed{node{t.pos}, nil}
@@ -112,14 +116,14 @@
 		p.items("]", func() { l.items = append(l.items, p.expr()) })
 		return l
 	case p.is("list"):
-		l := &listExpr{typed: at, literalType: p.typeName()}
+		l := &listExpr{typed: at, literalType: p.typeExpr()}
 		p.expect("{")
 		p.items("}", func() { l.items = append(l.items, p.expr()) })
 		return l
 	case p.is("map"):
 		return p.mapLiteral(at)
 	case p.accept("run"):
-		return p.run(at)
+		return p.runExpr(at)
 	}
 	p.fail("a value is wanted, not %s", describe(t))
 	return nil
@@ -131,7 +135,7 @@
 	return &literalExpr{typed{node{token.pos}, t}, v, token.text}
 }
 
-// nameOrCall reads a variable, a call or the literal of a record.
+// nameOrCall parses a variable, a call or a record literal.
 func (p *parser) nameOrCall(at typed) expr {
 	name := p.peek().text
 	p.next++
@@ -146,7 +150,7 @@
 	p.next++
 	r := &recordExpr{typed: at, name: name}
 	p.items("}", func() {
-		field := p.field()
+		field := p.fieldName()
 		p.expect(":")
 		value := p.expr()
 		r.fields = append(r.fields, field.text)
@@ -157,7 +161,7 @@
 }
 
 func (p *parser) mapLiteral(at typed) expr {
-	m := &mapExpr{typed: at, literalType: p.typeName()}
+	m := &mapExpr{typed: at, literalType: p.typeExpr()}
 	p.expect("{")
 	p.items("}", func() {
 		key := p.expr()
@@ -169,7 +173,7 @@
 	return m
 }
 
-func (p *parser) run(at typed) expr {
+func (p *parser) runExpr(at typed) expr {
 	r := &runExpr{typed: at, point: p.name("a point").text}
 	inHeader := p.inHeader
 	p.inHeader = false
@@ -180,7 +184,7 @@
 	return r
 }
 
-// bracketed reads an expression within brackets, where a brace does not begin a block.
+// bracketed parses an expression within brackets, where a brace begins a literal even in a header.
 func (p *parser) bracketed() expr {
 	inHeader := p.inHeader
 	p.inHeader = false
