--- a/internal/gen/main.go
+++ b/internal/gen/main.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// A registered resolver resolves imports from the descriptors that are linked into the program.
+// A registeredResolver resolves imports from the descriptors that are linked into the program.
 type registeredResolver struct{}
 
 func (registeredResolver) FindFileByPath(p string) (protocompile.SearchResult, error) {
@@ -108,7 +108,7 @@
 
 // write writes a generated file if it has changed. With check, a change is an error instead.
 func write(out *pluginpb.CodeGeneratorResponse_File, check bool) error {
-	name := strings.TrimPrefix(out.GetName(), "kitehub/") // go_package is the import path, without which the path in the module remains
+	name := strings.TrimPrefix(out.GetName(), "kitehub/") // out is named after go_package, an import path
 	old, _ := os.ReadFile(name)
 	if bytes.Equal(old, []byte(out.GetContent())) {
 		return nil
--- a/internal/harness/workersim/fleet_test.go
+++ b/internal/harness/workersim/fleet_test.go
@@ -19,7 +19,7 @@
 	return Spec{Name: name, Group: group, Cores: 2, Speed: 1, MemoryMB: 1000, Queue: 4, LoadSlots: 2, IdleCopyTTL: 5 * time.Second}
 }
 
-func quote(name string) *Function {
+func newFunction(name string) *Function {
 	return &Function{Name: name, MemoryMB: 400, Lanes: 2, Fetch: 100 * ms, Start: 50 * ms}
 }
 
@@ -46,7 +46,7 @@
 }
 
 func TestFleet(t *testing.T) {
-	call := func(id uint64, fn string) Call { return Call{ID: id, Function: quote(fn), Work: 0.1, MeanWork: 0.1} }
+	call := func(id uint64, fn string) Call { return Call{ID: id, Function: newFunction(fn), Work: 0.1, MeanWork: 0.1} }
 	tests := []struct {
 		name string
 		do   func(f *Fleet) []string
@@ -61,7 +61,7 @@
 		}, "[150ms 1 began 150ms 2 began 250ms 1 ok note 2 same-function 0 repeat false 250ms 2 ok note 3 same-function 1 repeat false" +
 			" 1s 3 began 1.1s 3 ok note 1 same-function 0 repeat false]"},
 		{"three calls share two cores", func(f *Fleet) []string {
-			f.EnsureCopies(0, 9, quote("x"), 2)
+			f.EnsureCopies(0, 9, newFunction("x"), 2)
 			run(f, time.Second)
 			for id := uint64(1); id <= 3; id++ {
 				f.Call(0, call(id, "x"))
@@ -75,16 +75,16 @@
 			return run(f, 1*ms)
 		}, "[0s 3 full note 0 same-function 0 repeat false]"},
 		{"the copy that was idle longest is evicted", func(f *Fleet) []string {
-			f.EnsureCopies(0, 1, quote("x"), 1)
+			f.EnsureCopies(0, 1, newFunction("x"), 1)
 			run(f, 300*ms)
-			f.EnsureCopies(0, 2, quote("y"), 1)
+			f.EnsureCopies(0, 2, newFunction("y"), 1)
 			run(f, 600*ms)
-			f.EnsureCopies(0, 3, quote("z"), 1)
+			f.EnsureCopies(0, 3, newFunction("z"), 1)
 			run(f, 900*ms)
 			return []string{fmt.Sprint(f.Copies(0, "x"), f.Copies(0, "y"), f.Copies(0, "z"))}
 		}, "[0 1 1]"},
 		{"an idle copy expires", func(f *Fleet) []string {
-			f.EnsureCopies(0, 1, quote("x"), 1)
+			f.EnsureCopies(0, 1, newFunction("x"), 1)
 			run(f, 6*time.Second)
 			return []string{fmt.Sprint(f.Copies(0, "x"))}
 		}, "[0]"},
@@ -95,15 +95,15 @@
 			return run(f, 1*ms)
 		}, "[0s 5 full note 0 same-function 4 repeat false]"},
 		{"the store rejects fetches beyond its limit", func(f *Fleet) []string {
-			f.EnsureCopies(0, 1, quote("x"), 1)
-			f.EnsureCopies(0, 2, quote("y"), 1)
-			f.EnsureCopies(1, 3, quote("x"), 1)
-			f.EnsureCopies(1, 4, quote("y"), 1)
+			f.EnsureCopies(0, 1, newFunction("x"), 1)
+			f.EnsureCopies(0, 2, newFunction("y"), 1)
+			f.EnsureCopies(1, 3, newFunction("x"), 1)
+			f.EnsureCopies(1, 4, newFunction("y"), 1)
 			return run(f, time.Second)
 		}, "[0s order 4 error 0 350ms order 1 ok 1 350ms order 2 ok 1 350ms order 3 ok 1]"},
 		{"a group deduplicates calls within its window", func(f *Fleet) []string {
-			f.EnsureCopies(0, 8, quote("x"), 1)
-			f.EnsureCopies(1, 9, quote("x"), 1)
+			f.EnsureCopies(0, 8, newFunction("x"), 1)
+			f.EnsureCopies(1, 9, newFunction("x"), 1)
 			run(f, time.Second)
 			c := call(1, "x")
 			c.Key = "k"
@@ -118,7 +118,7 @@
 			return append(l, run(f, 4000*ms)...)
 		}, "[1s 1 began 1.1s 1 ok note 1 same-function 0 repeat false 1.5s 2 ok note 1 same-function 0 repeat true 3.5s 3 began 3.6s 3 ok note 1 same-function 0 repeat false]"},
 		{"a killed worker resets its calls and restarts warming up and empty", func(f *Fleet) []string {
-			f.EnsureCopies(0, 9, quote("x"), 1)
+			f.EnsureCopies(0, 9, newFunction("x"), 1)
 			run(f, time.Second)
 			f.Call(0, call(1, "x"))
 			f.Kill(0)
@@ -139,7 +139,7 @@
 		}, "[1s collapsed 1s 11 reset note 0 same-function 0 repeat false 1s 1 reset note 0 same-function 0 repeat false" +
 			" 1s 2 reset note 0 same-function 0 repeat false 1s 3 reset note 0 same-function 0 repeat false 1s 4 reset note 0 same-function 0 repeat false false]"},
 		{"a released copy is removed when its call ends", func(f *Fleet) []string {
-			f.EnsureCopies(0, 9, quote("x"), 1)
+			f.EnsureCopies(0, 9, newFunction("x"), 1)
 			run(f, time.Second)
 			f.Call(0, call(1, "x"))
 			f.Flush()
@@ -147,7 +147,7 @@
 			return run(f, 2*time.Second)
 		}, "[1s 1 began 1.1s 1 ok note 1 same-function 0 repeat false 1.15s 2 began 1.25s 2 ok note 2 same-function 1 repeat false]"},
 		{"a waiting call is cancelled, a running one continues", func(f *Fleet) []string {
-			f.EnsureCopies(0, 9, quote("x"), 1)
+			f.EnsureCopies(0, 9, newFunction("x"), 1)
 			run(f, time.Second)
 			for id := uint64(1); id <= 3; id++ {
 				f.Call(0, call(id, "x"))
@@ -178,7 +178,7 @@
 				}
 			}
 		}
-		fns := []*Function{quote("x"), quote("y"), quote("z")}
+		fns := []*Function{newFunction("x"), newFunction("y"), newFunction("z")}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 400).Draw(t, "dt")) * ms
 			countEnded(f.Advance(now))
