--- a/internal/hooklang/compile.go
+++ b/internal/hooklang/compile.go
@@ -2,35 +2,36 @@
 
 import "fmt"
 
-// Compile checks a text and makes a program of it. The error is of type [Problems], with all that is wrong and the
-// warnings.
+// Compile checks and compiles the source text of a script. The error is a [Problems] with all
+// errors and warnings that were found.
 func Compile(file, text string) (*Program, error) {
-	s, bad := check(file, text)
-	if bad.Wrong() {
-		return nil, bad
+	s, problems := check(file, text)
+	if problems.Wrong() {
+		return nil, problems
 	}
-	p := &Program{File: file, Text: text, handlers: map[string]*handler{}, Warnings: bad}
+	p := &Program{File: file, Text: text, handlers: map[string]*handler{}, Warnings: problems}
 	c := &compiler{program: p, funcs: map[*funcDecl]int{}, natives: map[*signature]int{}}
 	c.declare(s)
 	for _, d := range s.funcs {
-		c.function(d, p.funcs[c.funcs[d]])
+		c.compileFunction(d, p.funcs[c.funcs[d]])
 	}
 	for _, d := range s.tests {
-		c.function(d.function, p.funcs[c.funcs[d.function]])
+		c.compileFunction(d.function, p.funcs[c.funcs[d.function]])
 	}
 	if c.instructions > maxCode {
-		return nil, problemAtStart(file, "%d instructions, over the %d that a script may have", c.instructions, maxCode)
+		return nil, problemAtStart(file,
+			"the script compiles to %d instructions, more than the limit of %d", c.instructions, maxCode)
 	}
 	p.costs = estimate(s)
-	p.warnOfCosts()
+	p.addCostWarnings()
 	if err := p.computeInitialState(s); err != nil {
 		return nil, problemAtStart(file, "%s", err.Error())
 	}
 	return p, nil
 }
 
-// declare gives functions, handlers, tests and state variables their places in the program, so that code can refer
-// to them.
+// declare assigns indexes to functions, handlers, tests and state variables before any code is
+// generated, so that code can refer to declarations that follow it in the text.
 func (c *compiler) declare(s *script) {
 	p := c.program
 	for i, d := range s.funcs {
@@ -44,7 +45,7 @@
 	}
 	for _, d := range s.tests {
 		c.funcs[d.function] = len(p.funcs)
-		p.tests = append(p.tests, test{d.name, d.pos, len(p.funcs)})
+		p.tests = append(p.tests, compiledTest{d.name, d.pos, len(p.funcs)})
 		p.funcs = append(p.funcs, &function{name: d.function.name})
 	}
 	for _, d := range s.states {
@@ -52,57 +53,62 @@
 	}
 }
 
-// warnOfCosts warns of handlers that may take more than they have.
-func (p *Program) warnOfCosts() {
+// addCostWarnings adds a warning for each handler whose estimated cost exceeds its fuel limit.
+func (p *Program) addCostWarnings() {
 	for _, cost := range p.costs {
 		fuel := Aside.Fuel
 		if points[cost.Point].Inline {
 			fuel = Inline.Fuel
 		}
 		if cost.Fuel > float64(fuel) {
-			text := fmt.Sprintf("on %s may take %.3g instructions, over the %d it has: %s",
+			text := fmt.Sprintf("the handler of %s may take %.3g instructions, more than its limit of %d: %s",
 				cost.Point, cost.Fuel, fuel, cost.Why)
 			p.Warnings = append(p.Warnings, &Problem{File: p.File, Pos: cost.Pos, Text: text, Warning: true})
 		}
 	}
 }
 
-// compiler writes the code of a script that has passed the checks.
+// compiler generates the code of a script that has passed the checks.
 type compiler struct {
 	program      *Program
 	current      *function
 	funcs        map[*funcDecl]int
 	natives      map[*signature]int
-	depth        int // depth of the stack
+	stackDepth   int // operands on the stack at this point of the current function
 	instructions int
 	loops        []*loopJumps
 }
 
-// loopJumps are the jumps out of a loop and to its next turn, whose targets are not known yet.
+// loopJumps holds the jumps of break and continue statements in a loop, whose targets are not known
+// yet.
 type loopJumps struct{ breaks, continues []int }
 
-// emit adds an instruction and returns its index. grow is by how much it changes the depth of the stack.
-func (c *compiler) emit(pos Pos, op opcode, a, b int, grow int) int {
+// emit appends an instruction to the current function and returns its index. stackDelta is the
+// change in the number of operands on the stack.
+func (c *compiler) emit(pos Pos, op opcode, a, b int, stackDelta int) int {
 	c.current.code = append(c.current.code, instruction{op, int32(a), int32(b)})
 	c.current.positions = append(c.current.positions, pos)
-	c.depth += grow
-	c.current.depth = max(c.current.depth, c.depth)
+	c.stackDepth += stackDelta
+	c.current.maxOperands = max(c.current.maxOperands, c.stackDepth)
 	c.instructions++
 	return len(c.current.code) - 1
 }
 
-// here returns the index of the next instruction.
-func (c *compiler) here() int { return len(c.current.code) }
+// nextIndex returns the index that the next emitted instruction gets.
+func (c *compiler) nextIndex() int { return len(c.current.code) }
 
-// patch makes the next instruction the target of a jump.
-func (c *compiler) patch(at int) { c.current.code[at].a = int32(len(c.current.code)) }
+// patchJump sets the target of an emitted jump to the next instruction.
+func (c *compiler) patchJump(jump int) { c.current.code[jump].a = int32(len(c.current.code)) }
 
-func (c *compiler) constant(v Value) int {
+// addConstant adds a value to the constant pool and returns its index.
+func (c *compiler) addConstant(v Value) int {
 	c.program.consts = append(c.program.consts, v)
 	return len(c.program.consts) - 1
 }
 
-func (c *compiler) typ(t *Type) int {
+// typeIndex returns the index of a type in the program's type table, and adds the type if it is
+// new.
+func (c *compiler) typeIndex(t *Type) int {
 	for i, o := range c.program.types {
 		if sameType(o, t) {
 			return i
@@ -112,11 +118,12 @@
 	return len(c.program.types) - 1
 }
 
-// equal compares the two values on the stack.
-func (c *compiler) equal(pos Pos, t *Type, yes bool) {
+// emitEquality emits the comparison of the two topmost operands, which have type t: == if wantEqual
+// is set, != otherwise.
+func (c *compiler) emitEquality(pos Pos, t *Type, wantEqual bool) {
 	switch t {
 	case typeInt, typeDuration, typeBool:
-		if yes {
+		if wantEqual {
 			c.emit(pos, opEqInt, 0, 0, -1)
 		} else {
 			c.emit(pos, opNeInt, 0, 0, -1)
@@ -124,26 +131,26 @@
 		return
 	}
 	op := opEq
-	if !yes {
+	if !wantEqual {
 		op = opNe
 	}
-	c.emit(pos, op, c.typ(t), 0, -1)
+	c.emit(pos, op, c.typeIndex(t), 0, -1)
 }
 
-// arith calculates with the two values on the stack.
-func (c *compiler) arith(pos Pos, op string, x, y *Type) {
-	var k opcode
+// emitArithmetic emits a binary operator on the two topmost operands, which have the types x and y.
+func (c *compiler) emitArithmetic(pos Pos, op string, x, y *Type) {
+	var code opcode
 	switch {
 	case x == typeString:
-		k = opAddStr
+		code = opAddStr
 	case x.name == "list":
-		k = opAddList
+		code = opAddList
 	case x == typeFloat:
-		k = map[string]opcode{"+": opAddFloat, "-": opSubFloat, "*": opMulFloat, "/": opDivFloat}[op]
+		code = map[string]opcode{"+": opAddFloat, "-": opSubFloat, "*": opMulFloat, "/": opDivFloat}[op]
 	case op == "/" && x == typeDuration && y == typeDuration:
-		k = opDivDur
+		code = opDivDur
 	default:
-		k = map[string]opcode{"+": opAddInt, "-": opSubInt, "*": opMulInt, "/": opDivInt, "%": opModInt}[op]
+		code = map[string]opcode{"+": opAddInt, "-": opSubInt, "*": opMulInt, "/": opDivInt, "%": opModInt}[op]
 	}
-	c.emit(pos, k, 0, 0, -1)
+	c.emit(pos, code, 0, 0, -1)
 }
--- a/internal/hooklang/compileexpr.go
+++ b/internal/hooklang/compileexpr.go
@@ -1,15 +1,16 @@
 package hooklang
 
-// comparisonOffset is the offset of a comparison from the opcode of "<" for the type of its operands.
+// comparisonOffset is the distance of a comparison's opcode from that of "<" for the same operand
+// type.
 var comparisonOffset = map[string]opcode{"<": 0, "<=": 1, ">": 2, ">=": 3}
 
-// expr writes code that leaves the value of an expression on the stack.
+// expr emits code that pushes the value of an expression on the stack.
 func (c *compiler) expr(e expr) {
 	switch e := e.(type) {
 	case *literalExpr:
 		c.literal(e)
 	case *nameExpr:
-		c.load(e.pos, e.ref)
+		c.emitLoad(e.pos, e.ref)
 	case *unaryExpr:
 		c.unary(e)
 	case *binaryExpr:
@@ -50,7 +51,7 @@
 	if e.value.object == nil && e.value.bits >= -1<<31 && e.value.bits < 1<<31 {
 		c.emit(e.pos, opInt, int(e.value.bits), 0, 1)
 	} else {
-		c.emit(e.pos, opConst, c.constant(e.value), 0, 1)
+		c.emit(e.pos, opConst, c.addConstant(e.value), 0, 1)
 	}
 }
 
@@ -68,7 +69,7 @@
 
 func (c *compiler) record(e *recordExpr) {
 	r := e.valueType.record
-	t := template{values: zeroValue(r.valueType).object.items}
+	t := recordTemplate{values: zeroValue(r.valueType).object.items}
 	for i, name := range e.fields {
 		c.expr(e.values[i])
 		for n, f := range r.Fields {
@@ -88,22 +89,22 @@
 		if e.op == "or" {
 			op = opOrJump
 		}
-		at := c.emit(e.pos, op, 0, 0, -1)
+		jump := c.emit(e.pos, op, 0, 0, -1)
 		c.expr(e.right)
-		c.patch(at)
+		c.patchJump(jump)
 		return
 	}
 	c.expr(e.left)
 	x, y := e.left.typ(), e.right.typ()
-	l, ok := e.right.(*literalExpr)
-	if ok && e.op == "+" && (x == typeInt || x == typeDuration) && l.value.bits >= 0 && l.value.bits < 1<<31 {
-		c.emit(e.pos, opAddIntConst, int(l.value.bits), 0, 0)
+	literal, ok := e.right.(*literalExpr)
+	if ok && e.op == "+" && (x == typeInt || x == typeDuration) && literal.value.bits >= 0 && literal.value.bits < 1<<31 {
+		c.emit(e.pos, opAddIntConst, int(literal.value.bits), 0, 0)
 		return
 	}
 	c.expr(e.right)
 	switch e.op {
 	case "==", "!=":
-		c.equal(e.pos, x, e.op == "==")
+		c.emitEquality(e.pos, x, e.op == "==")
 	case "<", "<=", ">", ">=":
 		base := opLtInt
 		switch x {
@@ -118,12 +119,12 @@
 		case y == typeString:
 			c.emit(e.pos, opInStr, 0, 0, -1)
 		case y.name == "list":
-			c.emit(e.pos, opInList, c.typ(y.elem), 0, -1)
+			c.emit(e.pos, opInList, c.typeIndex(y.elem), 0, -1)
 		default:
 			c.emit(e.pos, opInMap, 0, 0, -1)
 		}
 	default:
-		c.arith(e.pos, e.op, x, y)
+		c.emitArithmetic(e.pos, e.op, x, y)
 	}
 }
 
@@ -132,11 +133,11 @@
 		for _, a := range e.args {
 			c.expr(a)
 		}
-		grow := -len(e.args)
+		stackDelta := -len(e.args)
 		if e.function.resultType != typeVoid {
-			grow++
+			stackDelta++
 		}
-		c.emit(e.pos, opCall, c.funcs[e.function], len(e.args), grow)
+		c.emit(e.pos, opCall, c.funcs[e.function], len(e.args), stackDelta)
 		return
 	}
 	s := e.builtin.signatures[0]
@@ -145,9 +146,9 @@
 		c.expr(e.args[0])
 		c.emit(e.pos, opSort, c.funcs[e.function], 0, 0)
 	case s.op != 0:
-		n := e.args[0].(*nameExpr)
+		variable := e.args[0].(*nameExpr)
 		c.expr(e.args[1])
-		c.emit(e.pos, s.op, n.ref.index, n.ref.flag(), -1)
+		c.emit(e.pos, s.op, variable.ref.index, variable.ref.stateFlag(), -1)
 	default:
 		for _, a := range e.args {
 			c.expr(a)
@@ -158,11 +159,11 @@
 			c.program.natives = append(c.program.natives, s.run)
 			c.natives[s] = i
 		}
-		grow, b := -len(e.args), len(e.args)
+		stackDelta, b := -len(e.args), len(e.args)
 		if s.result != typeVoid {
-			grow++
-			b |= 1 << 8 // it leaves a value
+			stackDelta++
+			b |= 1 << 8 // the builtin has a result
 		}
-		c.emit(e.pos, opBuiltin, i, b, grow)
+		c.emit(e.pos, opBuiltin, i, b, stackDelta)
 	}
 }
--- a/internal/hooklang/compilestmt.go
+++ b/internal/hooklang/compilestmt.go
@@ -1,14 +1,14 @@
 package hooklang
 
-func (c *compiler) function(d *funcDecl, f *function) {
+func (c *compiler) compileFunction(d *funcDecl, f *function) {
 	c.current = f
-	c.depth = 0
+	c.stackDepth = 0
 	f.params = len(d.paramTypes)
 	f.slots = d.slots
 	f.vars = d.vars
 	c.block(d.body)
 	c.emit(d.end, opReturnNothing, 0, 0, 0)
-	f.depth += 2
+	f.maxOperands += 2
 }
 
 func (c *compiler) block(b *block) {
@@ -29,7 +29,7 @@
 	case *ifStmt:
 		c.ifElse(s)
 	case *forStmt:
-		c.loop(s)
+		c.forLoop(s)
 	case *matchStmt:
 		c.match(s)
 	case *returnStmt:
@@ -40,12 +40,12 @@
 		c.expr(s.value)
 		c.emit(s.pos, opReturn, 0, 0, -1)
 	case *branchStmt:
-		l := c.loops[len(c.loops)-1]
-		at := c.emit(s.pos, opJump, 0, 0, 0)
+		loop := c.loops[len(c.loops)-1]
+		jump := c.emit(s.pos, opJump, 0, 0, 0)
 		if s.keyword == "break" {
-			l.breaks = append(l.breaks, at)
+			loop.breaks = append(loop.breaks, jump)
 		} else {
-			l.continues = append(l.continues, at)
+			loop.continues = append(loop.continues, jump)
 		}
 	case *exprStmt:
 		c.expr(s.value)
@@ -57,48 +57,49 @@
 
 func (c *compiler) ifElse(s *ifStmt) {
 	c.expr(s.cond)
-	no := c.emit(s.pos, opJumpFalse, 0, 0, -1)
+	toElse := c.emit(s.pos, opJumpFalse, 0, 0, -1)
 	c.block(s.then)
 	if s.otherwise == nil {
-		c.patch(no)
+		c.patchJump(toElse)
 		return
 	}
-	end := c.emit(s.pos, opJump, 0, 0, 0)
-	c.patch(no)
+	toEnd := c.emit(s.pos, opJump, 0, 0, 0)
+	c.patchJump(toElse)
 	c.stmt(s.otherwise)
-	c.patch(end)
+	c.patchJump(toEnd)
 }
 
-// match compares the value, which it stores in a slot, with one case after the other.
+// match emits code that stores the value in a slot and compares it with the values of each case in
+// order.
 func (c *compiler) match(s *matchStmt) {
 	c.expr(s.value)
 	c.emit(s.pos, opStore, s.slot, 0, -1)
-	var ends []int
-	for _, k := range s.cases {
-		var hits []int
-		for _, v := range k.values {
+	var jumpsToEnd []int
+	for _, branch := range s.cases {
+		var jumpsToBody []int
+		for _, v := range branch.values {
 			c.emit(v.at(), opLoad, s.slot, 0, 1)
 			c.expr(v)
-			c.equal(v.at(), s.value.typ(), true)
-			hits = append(hits, c.emit(v.at(), opJumpTrue, 0, 0, -1))
+			c.emitEquality(v.at(), s.value.typ(), true)
+			jumpsToBody = append(jumpsToBody, c.emit(v.at(), opJumpTrue, 0, 0, -1))
 		}
-		next := c.emit(s.pos, opJump, 0, 0, 0)
-		for _, h := range hits {
-			c.patch(h)
+		toNextCase := c.emit(s.pos, opJump, 0, 0, 0)
+		for _, jump := range jumpsToBody {
+			c.patchJump(jump)
 		}
-		c.block(k.body)
-		ends = append(ends, c.emit(s.pos, opJump, 0, 0, 0))
-		c.patch(next)
+		c.block(branch.body)
+		jumpsToEnd = append(jumpsToEnd, c.emit(s.pos, opJump, 0, 0, 0))
+		c.patchJump(toNextCase)
 	}
 	if s.otherwise != nil {
 		c.block(s.otherwise)
 	}
-	for _, end := range ends {
-		c.patch(end)
+	for _, jump := range jumpsToEnd {
+		c.patchJump(jump)
 	}
 }
 
-func (c *compiler) load(pos Pos, r ref) {
+func (c *compiler) emitLoad(pos Pos, r ref) {
 	if r.inState {
 		c.emit(pos, opLoadState, r.index, 0, 1)
 	} else {
@@ -106,7 +107,7 @@
 	}
 }
 
-func (c *compiler) store(pos Pos, r ref) {
+func (c *compiler) emitStore(pos Pos, r ref) {
 	if r.inState {
 		c.emit(pos, opStoreState, r.index, 0, -1)
 	} else {
@@ -114,7 +115,9 @@
 	}
 }
 
-func (r ref) flag() int {
+// stateFlag returns 1 for a state variable and 0 for a slot: operand b of instructions that change
+// a list or map.
+func (r ref) stateFlag() int {
 	if r.inState {
 		return 1
 	}
@@ -129,52 +132,52 @@
 		if s.targetType.name == "map" {
 			op = opSetMap
 		}
-		c.emit(s.pos, op, s.target.index, s.target.flag(), -2)
+		c.emit(s.pos, op, s.target.index, s.target.stateFlag(), -2)
 		return
 	}
 	if s.op == "" {
 		c.expr(s.value)
-		c.store(s.pos, s.target)
+		c.emitStore(s.pos, s.target)
 		return
 	}
-	c.load(s.pos, s.target)
+	c.emitLoad(s.pos, s.target)
 	c.expr(s.value)
-	c.arith(s.pos, s.op, s.targetType, s.targetType)
-	c.store(s.pos, s.target)
+	c.emitArithmetic(s.pos, s.op, s.targetType, s.targetType)
+	c.emitStore(s.pos, s.target)
 }
 
-func (c *compiler) loop(s *forStmt) {
+func (c *compiler) forLoop(s *forStmt) {
 	c.expr(s.from)
-	l := &loopJumps{}
-	c.loops = append(c.loops, l)
-	var top, next int
+	jumps := &loopJumps{}
+	c.loops = append(c.loops, jumps)
+	var loopStart, advance int
 	if s.to != nil {
 		c.expr(s.to)
 		c.emit(s.pos, opRange, s.slot, 0, -2)
-		top = c.here()
-		next = c.emit(s.pos, opNextRange, 0, s.slot, 0)
+		loopStart = c.nextIndex()
+		advance = c.emit(s.pos, opNextRange, 0, s.slot, 0)
 	} else {
 		c.emit(s.pos, opIterate, s.slot, 0, -1)
-		top = c.here()
+		loopStart = c.nextIndex()
 		if s.from.typ().name == "map" {
-			next = c.emit(s.pos, opNextMap, 0, s.slot, 0)
-			k := -1
+			advance = c.emit(s.pos, opNextMap, 0, s.slot, 0)
+			keySlot := -1
 			if s.key != "" {
-				k = s.keySlot
+				keySlot = s.keySlot
 			}
-			c.emit(s.pos, opNone, k, 0, 0) // the key's slot: skipped by opNextMap
+			c.emit(s.pos, opNone, keySlot, 0, 0) // an extra operand of opNextMap, which skips it
 		} else {
-			next = c.emit(s.pos, opNextList, 0, s.slot, 0)
+			advance = c.emit(s.pos, opNextList, 0, s.slot, 0)
 		}
 	}
 	c.block(s.body)
-	for _, at := range l.continues {
-		c.current.code[at].a = int32(top)
+	for _, jump := range jumps.continues {
+		c.current.code[jump].a = int32(loopStart)
 	}
-	c.emit(s.pos, opJump, top, 0, 0)
-	c.patch(next)
-	for _, at := range l.breaks {
-		c.patch(at)
+	c.emit(s.pos, opJump, loopStart, 0, 0)
+	c.patchJump(advance)
+	for _, jump := range jumps.breaks {
+		c.patchJump(jump)
 	}
 	c.loops = c.loops[:len(c.loops)-1]
 }
--- a/internal/hooklang/host.go
+++ b/internal/hooklang/host.go
@@ -5,61 +5,63 @@
 	"time"
 )
 
-// Event is what a point passes to its handler: a Call, Ended, Worker, Load, Level, Tick or Move.
+// Event is the argument of a point's handler: a Call, Ended, Worker, Load, Level, Tick or Move.
 type Event interface {
-	// values returns the record of the event, and the values of its fields.
+	// values returns the record type of the event, and the values of its fields in declaration
+	// order.
 	values() (*Record, []Value)
 }
 
 type (
-	// Call is a call that has arrived, before the scheduler decides on it.
+	// Call describes a call that has arrived and that the scheduler has not seen yet.
 	Call struct {
 		Function string        `json:"Function"`
 		Tenant   string        `json:"Tenant"`
 		Client   string        `json:"Client"`
 		Class    string        `json:"Class"`
 		Retry    bool          `json:"Retry"`
-		Wait     time.Duration `json:"Wait"` // how long the client waits
-		Size     int           `json:"Size"` // bytes of the body
+		Wait     time.Duration `json:"Wait"` // how long the client waits for the answer
+		Size     int           `json:"Size"` // of the body, in bytes
 		Open     int           `json:"Open"` // calls in flight
 	}
-	// Ended is a call that got its final answer.
+	// Ended describes a call that has got its final answer.
 	Ended struct {
 		Function string        `json:"Function"`
 		Tenant   string        `json:"Tenant"`
 		Class    string        `json:"Class"`
-		Worker   string        `json:"Worker"` // of the last attempt
+		Worker   string        `json:"Worker"` // that the last attempt went to
 		Answer   string        `json:"Answer"` // served, refused, failed, gone, left
 		Took     time.Duration `json:"Took"`
 		Attempts int           `json:"Attempts"`
 		Late     bool          `json:"Late"`
 	}
-	// Worker is a worker that has joined, or left: it is draining, or no longer in the endpoint list.
+	// Worker describes a worker that has joined or left. A worker has left when it is draining or
+	// is no longer in the endpoint list.
 	Worker struct {
 		Name  string `json:"Name"`
 		Group string `json:"Group"`
 		Zone  string `json:"Zone"`
 		State string `json:"State"`
 	}
-	// Load is a load order that a worker rejected.
+	// Load describes a load order that a worker rejected.
 	Load struct {
 		Function string        `json:"Function"`
 		Worker   string        `json:"Worker"`
 		Outcome  string        `json:"Outcome"`
 		Took     time.Duration `json:"Took"`
 	}
-	// Level is a level of degraded service that has changed.
+	// Level describes a change of a level of degraded service.
 	Level struct {
 		Name   string `json:"Name"`
 		Before string `json:"Before"`
 		Why    string `json:"Why"`
 	}
-	// Tick is one run of a timer.
+	// Tick describes one run of a timer.
 	Tick struct {
-		Count int64 `json:"Count"` // from 1
+		Count int64 `json:"Count"` // number of the run, from 1
 		Open  int   `json:"Open"`  // calls in flight
 	}
-	// Move is an alias of a model that now names another version.
+	// Move describes a change of a model alias to another version.
 	Move struct {
 		Model    string `json:"Model"`
 		Alias    string `json:"Alias"`
@@ -70,7 +72,8 @@
 
 func field(name string, t *Type) Field { return Field{name, t} }
 
-// newRecord makes a record of fields, whose values the methods "values" below give in the same order.
+// newRecord returns a record type. The values methods below list the field values in the same
+// order.
 func newRecord(name string, fields ...Field) *Record {
 	r := &Record{Name: name, Fields: fields}
 	r.valueType = &Type{name: name, record: r}
@@ -97,31 +100,35 @@
 	recordMove = newRecord("Move",
 		field("model", typeString), field("alias", typeString), field("version", typeString), field("revision", typeInt))
 
-	// recordAdvice is what tests see of a run.
+	// recordAdvice is the type of the entries that a run expression in a test returns.
 	recordAdvice = newRecord("Advice",
 		field("kind", typeString), field("function", typeString), field("worker", typeString),
 		field("tenant", typeString), field("copies", typeInt), field("factor", typeFloat),
 		field("life", typeDuration), field("key", typeString), field("text", typeString))
 
-	// emptyRecord is what the handler of a point gets that does not exist, so that its body can be checked.
+	// emptyRecord is the event type of a handler whose point does not exist. With it the checker
+	// can still check the handler's body.
 	emptyRecord = newRecord("Nothing")
 
-	// records are the records of the host by name.
+	// records maps the names of the record types to the types.
 	records = map[string]*Record{}
 )
 
-// Point is an event of the host for which scripts can have a handler.
+// Point is a hook point: a kind of event for which a script can have a handler.
 type Point struct {
 	Name    string
 	Record  *Record
-	Effects []string // the advice that may be given there, besides log
-	Inline  bool     // the call waits for it: the limits are Inline, and state cannot be changed
+	Effects []string // the kinds of advice that its handler may give besides log
+	// Inline marks a point whose calls wait for the handler. The handler runs within the limits
+	// Inline and cannot change state.
+	Inline bool
 }
 
-// lastingEffects are in force for a time, or go to operators.
+// lastingEffects are the kinds of advice that do not apply to one call: they stay in force for a
+// lifetime, or notify operators.
 var lastingEffects = []string{"keep_warm", "tenant_weight", "tenant_cap", "prefer", "avoid", "notify"}
 
-// Points lists all points, in the order of docs/hooks.md.
+// Points lists all hook points in the order of docs/hooks.md.
 var Points = []*Point{
 	{Name: "arrive", Record: recordCall, Effects: []string{"refuse", "annotate"}, Inline: true},
 	{Name: "ended", Record: recordEnded, Effects: lastingEffects},
@@ -133,7 +140,7 @@
 	{Name: "moved", Record: recordMove, Effects: lastingEffects},
 }
 
-// points are the Points by name.
+// points maps the names of the points to the points.
 var points = map[string]*Point{}
 
 func init() {
@@ -147,16 +154,17 @@
 	}
 }
 
+// pointNames returns the names of all points, separated by commas, for error messages.
 func pointNames() string {
-	var l []string
+	var names []string
 	for _, p := range Points {
-		l = append(l, p.Name)
+		names = append(names, p.Name)
 	}
-	return strings.Join(l, ", ")
+	return strings.Join(names, ", ")
 }
 
-// Advice is one thing that a hook advises. Kind is the name of the function of the language, on which it depends
-// what other fields are set.
+// Advice is one piece of advice that a script gave by calling a builtin. Kind is the name of that
+// builtin and determines which of the other fields are set.
 type Advice struct {
 	// Kind is keep_warm, tenant_weight, tenant_cap, prefer, avoid, refuse, annotate, notify or log.
 	Kind     string
@@ -164,8 +172,8 @@
 	Worker   string        // of prefer and avoid
 	Tenant   string        // of tenant_weight and tenant_cap
 	Copies   int64         // of keep_warm
-	Factor   float64       // weight, or fraction of the calls in flight
-	Lifetime time.Duration // how long it is in force
+	Factor   float64       // weight of tenant_weight, or fraction of the calls in flight of tenant_cap
+	Lifetime time.Duration // how long the advice stays in force
 	Key      string        // of annotate; the target of notify
 	Text     string        // of refuse, annotate, notify and log
 }
@@ -220,7 +228,7 @@
 	return recordMove, []Value{strValue(e.Model), strValue(e.Alias), strValue(e.Version), {bits: e.Revision}}
 }
 
-// value is the advice as tests of a script see it.
+// value converts the advice to a record of type recordAdvice.
 func (a Advice) value() Value {
 	return Value{object: &object{items: []Value{
 		strValue(a.Kind),
--- a/internal/hooklang/opcode.go
+++ b/internal/hooklang/opcode.go
@@ -1,22 +1,23 @@
 package hooklang
 
-// opcode is what an instruction does. Operands are on the stack; a and b are those of the instruction itself.
+// opcode selects the operation of an instruction. Operations take their operands from the stack; a
+// and b are the immediate operands of the instruction.
 type opcode uint8
 
 const (
 	opNone  opcode = iota
-	opConst        // a: constant
-	opInt          // a: the value itself
+	opConst        // a: index of the constant
+	opInt          // a: the value
 	opLoad         // a: slot
 	opStore
 	opLoadState
 	opStoreState
 	opPop
-	opJump // a: where to
+	opJump // a: index of the target instruction
 	opJumpFalse
 	opJumpTrue
-	opAndJump // if false, leave it on the stack and jump; else pop it
-	opOrJump
+	opAndJump // if the operand is false, keep it on the stack and jump; else pop it
+	opOrJump  // the same, if the operand is true
 	opNot
 	opNegInt
 	opNegFloat
@@ -29,10 +30,10 @@
 	opSubFloat
 	opMulFloat
 	opDivFloat
-	opDivDur // of two durations
+	opDivDur // quotient of two durations, a float
 	opAddStr
 	opAddList
-	opEqInt // the six comparisons of each kind in this order
+	opEqInt // comparisonOffset relies on the order of the comparisons
 	opNeInt
 	opLtInt
 	opLeInt
@@ -46,38 +47,39 @@
 	opLeStr
 	opGtStr
 	opGeStr
-	opEq // a: type
+	opEq // a: index of the type
 	opNe
 	opInStr
-	opInList // a: type of entries
+	opInList // a: index of the entries' type
 	opInMap
-	opList   // a: entries
-	opMap    // a: entries
-	opRecord // a: record of the template, b: fields given; their numbers are in template
+	opList   // a: number of entries
+	opMap    // a: number of entries
+	opRecord // a: index of the template, which lists the fields that are on the stack
 	opIndexList
 	opIndexMap
-	opField
-	opSetList // a: slot or state, b: 1 of the state
+	opField   // a: index of the field
+	opSetList // a: index of the slot or state variable, b: 1 for a state variable
 	opSetMap
 	opPush
 	opRemove
-	opIterate // a: slot of the loop: what is run over is on the stack
-	opNextList
-	opNextMap // b: slot of the key, -1: the name is the key
-	opRange
-	opNextRange
-	opCall    // a: function
-	opBuiltin // a: number
-	opSort    // a: function that compares
+	opIterate   // a: first slot of the loop; takes the list or map from the stack
+	opNextList  // a: target at the end of the loop, b: first slot of the loop
+	opNextMap   // as opNextList; a of the next instruction: slot of the key, -1 to iterate over keys
+	opRange     // a: first slot of the loop; takes the bounds from the stack
+	opNextRange // as opNextList
+	opCall      // a: index of the function, b: number of arguments
+	opBuiltin   // a: index of the builtin, b: number of arguments, bit 8: it has a result
+	opSort      // a: index of the comparison function
 	opReturn
 	opReturnNothing
-	opRun // a: handler
-	opAddIntConst
-	opLtIntSlots // a, b: slots; followed by a conditional jump
-	opCodes
+	opRun         // a: index of the handler's function
+	opAddIntConst // a: the constant
+	opLtIntSlots  // a, b: slots; followed by a conditional jump
+	opcodeCount
 )
 
-// instruction is one step of the VM, which costs one unit of fuel and what the operation charges besides.
+// instruction is one instruction of the VM. It costs one unit of fuel, and what the operation
+// charges in addition.
 type instruction struct {
 	op   opcode
 	a, b int32
--- a/internal/hooklang/program.go
+++ b/internal/hooklang/program.go
@@ -7,69 +7,70 @@
 
 // function is a compiled function, handler or test.
 type function struct {
-	name      string
-	code      []instruction
-	positions []Pos // of each instruction
-	params    int
-	slots     int
-	depth     int // of the stack above the slots
-	vars      []varInfo
+	name        string
+	code        []instruction
+	positions   []Pos // source position of each instruction
+	params      int
+	slots       int // stack slots of parameters, variables and loops
+	maxOperands int // bound on the operands on the stack above the slots
+	vars        []varInfo
 }
 
-// varInfo is a variable for the tracer: what it is called, from where to where.
+// varInfo describes a local variable to the tracer: its name, type, slot and scope.
 type varInfo struct {
 	name      string
 	valueType *Type
 	slot      int
-	from, to  Pos
+	from, to  Pos // scope in the text
 }
 
-// handler is the function that runs at a point.
+// handler is the compiled handler of a point.
 type handler struct {
-	function int
+	function int // index in Program.funcs
 	point    *Point
-	interval time.Duration
+	interval time.Duration // of a timer
 }
 
-// stateVar is a state variable, whose value has the same index in State.
+// stateVar is a state variable. Its value has the same index in State.values.
 type stateVar struct {
 	name      string
 	valueType *Type
 }
 
-// Program is a script that can be run. It does not change, and any number of VMs may use it at once.
+// Program is a compiled script. It is immutable and safe for concurrent use by any number of VMs.
 type Program struct {
-	File string // name of the script's file, for positions in messages
+	File string // file name of the script, for positions in messages
 	Text string
-	// Warnings are about what is valid but in doubt, for instance a variable that is never used.
+	// Warnings are problems that do not prevent compilation, for instance a variable that is never
+	// used.
 	Warnings Problems
 
 	funcs        []*function
 	consts       []Value
 	types        []*Type
 	natives      []func(vm *VM, args []Value) Value
-	templates    []template
-	handlers     map[string]*handler // by point
+	templates    []recordTemplate
+	handlers     map[string]*handler // by the name of their point
 	state        []stateVar
 	initialState []Value
-	tests        []test
+	tests        []compiledTest
 	costs        []Cost
 }
 
-// template is a literal of a record: the values of fields left out, and the indexes of those given.
-type template struct {
-	values []Value
-	fields []int32
+// recordTemplate is a record literal without the field values that it computes.
+type recordTemplate struct {
+	values []Value // zero values of all fields
+	fields []int32 // indexes of the fields that the literal sets
 }
 
-// test is a test of a script.
-type test struct {
+// compiledTest is a test of a script.
+type compiledTest struct {
 	name     string
 	pos      Pos
-	function int
+	function int // index in Program.funcs
 }
 
-// computeInitialState computes the state's first values.
+// computeInitialState evaluates the initial values of the state variables.
 func (p *Program) computeInitialState(s *script) error {
 	fn := &function{name: "state"}
 	c := &compiler{program: p, current: fn}
@@ -77,40 +78,40 @@
 		c.expr(d.init)
 	}
 	c.emit(Pos{}, opReturnNothing, 0, 0, 0)
-	fn.depth += len(s.states) + 1
+	fn.maxOperands += len(s.states) + 1
 	vm := NewVM()
 	vm.limits = Aside
 	return vm.guard(p, func() {
 		vm.program = p
 		vm.fuel = vm.limits.Fuel
 		vm.memory = vm.limits.Memory
-		keep := make([]Value, 0, len(s.states))
-		vm.capture = &keep
+		initial := make([]Value, 0, len(s.states))
+		vm.capture = &initial
 		vm.exec(fn, nil)
-		for _, v := range keep {
+		for _, v := range initial {
 			v.freeze()
 		}
-		p.initialState = keep
+		p.initialState = initial
 		vm.capture = nil
 	})
 }
 
-// Points returns the names of the points that the program has handlers for, in the order of the manual, and a
-// timer's time.
-func (p *Program) Points() (names []string, every time.Duration) {
+// Points returns the names of the points that the program has handlers for, in the order of
+// [Points], and the interval of its timer, 0 without one.
+func (p *Program) Points() (names []string, interval time.Duration) {
 	for _, pt := range Points {
 		if h := p.handlers[pt.Name]; h != nil {
 			names = append(names, pt.Name)
 			if h.interval > 0 {
-				every = h.interval
+				interval = h.interval
 			}
 		}
 	}
-	return names, every
+	return names, interval
 }
 
-// HasHandler reports whether there is a handler of a point.
+// HasHandler reports whether the program has a handler for a point.
 func (p *Program) HasHandler(point string) bool { return p.handlers[point] != nil }
 
-// MarshalJSON names the program: it is shown to operators.
+// MarshalJSON encodes a program as its file name, which is how operators identify it.
 func (p *Program) MarshalJSON() ([]byte, error) { return json.Marshal(p.File) }
--- a/internal/hooklang/runtests.go
+++ b/internal/hooklang/runtests.go
@@ -5,57 +5,59 @@
 	"time"
 )
 
-// TestResult is the end of one test of a script.
+// TestResult is the result of one test of a script.
 type TestResult struct {
 	Name string
 	Pos  Pos
-	Err  error // a *Fault, or nil
-	Fuel int64
+	Err  error // a *Fault, or nil if the test passed
+	Fuel int64 // fuel spent
 }
 
-// testEnv is the clock of tests: a day's begin.
+// testEnv is the fixed clock that tests run with: both clocks show 24 hours after zero.
 var testEnv = Env{Now: int64(24 * time.Hour), Wall: 86400}
 
-// FirstFailure runs the tests up to the first that fails.
+// FirstFailure runs the tests in order and returns the error of the first that fails, nil if all
+// pass.
 func (p *Program) FirstFailure() error {
 	for _, t := range p.tests {
-		one := *p
-		one.tests = []test{t}
-		if r := one.RunTests(); r[0].Err != nil {
+		single := *p
+		single.tests = []compiledTest{t}
+		if r := single.RunTests(); r[0].Err != nil {
 			return fmt.Errorf("test %q: %w", t.name, r[0].Err)
 		}
 	}
 	return nil
 }
 
-// RunTests runs the tests of a program in the order of the text, each from the first state. Their clock is that of a
-// day's begin.
-func (p *Program) RunTests() (l []TestResult) {
+// RunTests runs the tests of a program in the order of the text, each from the initial state and
+// with the same fixed clock.
+func (p *Program) RunTests() (results []TestResult) {
 	vm := NewVM()
 	for _, t := range p.tests {
 		vm.start(p, p.InitialState(), testEnv, Aside)
 		err := vm.guard(p, func() { vm.exec(p.funcs[t.function], nil) })
-		l = append(l, TestResult{t.name, t.pos, err, Aside.Fuel - vm.fuel})
+		results = append(results, TestResult{t.name, t.pos, err, Aside.Fuel - vm.fuel})
 	}
-	return l
+	return results
 }
 
-// runInTest carries out "run" in a test: the handler has fuel of its own, its state is that of the run before, and
-// its advice is returned.
-func (vm *VM) runInTest(in instruction, event Value) Value {
+// runInTest executes a run expression of a test and returns the list of the advice that the handler
+// gave. The handler runs within its own limits and starts from the state that the previous run
+// left. The fuel that it spends is charged to the test as well.
+func (vm *VM) runInTest(instr instruction, event Value) Value {
 	var h *handler
 	for _, pt := range Points {
-		if k := vm.program.handlers[pt.Name]; k != nil && k.function == int(in.a) {
-			h = k
+		if candidate := vm.program.handlers[pt.Name]; candidate != nil && candidate.function == int(instr.a) {
+			h = candidate
 		}
 	}
-	lim := Aside
+	limits := Aside
 	if h.point.Inline {
-		lim = Inline
+		limits = Inline
 	}
-	in2 := NewVM()
-	in2.Trace = vm.Trace
-	res, err := in2.runHandler(vm.program, h, event, &State{vm.program, vm.state}, vm.env, lim)
+	nested := NewVM()
+	nested.Trace = vm.Trace
+	res, err := nested.runHandler(vm.program, h, event, &State{vm.program, vm.state}, vm.env, limits)
 	if err != nil {
 		panic(faultPanic{err.(*Fault)})
 	}
@@ -69,11 +71,14 @@
 	return Value{object: o}
 }
 
-func (vm *VM) runHandler(p *Program, h *handler, event Value, st *State, env Env, lim Limits) (Result, error) {
-	vm.start(p, st, env, lim)
+// runHandler runs a handler of a program for an event.
+func (vm *VM) runHandler(
+	p *Program, h *handler, event Value, state *State, env Env, limits Limits,
+) (Result, error) {
+	vm.start(p, state, env, limits)
 	err := vm.guard(p, func() {
 		vm.exec(p.funcs[h.function], []Value{event})
 		vm.freezeState()
 	})
-	return Result{Advice: vm.advice, State: vm.resultState(st), Fuel: lim.Fuel - vm.fuel}, err
+	return Result{Advice: vm.advice, State: vm.resultState(state), Fuel: limits.Fuel - vm.fuel}, err
 }
--- a/internal/hooklang/session.go
+++ b/internal/hooklang/session.go
@@ -4,19 +4,19 @@
 	"strings"
 )
 
-// maxShownValue is how many bytes of a value a Step shows.
-const maxShownValue = 60
+// maxShownBytes is the length at which a Step cuts the text of a value.
+const maxShownBytes = 60
 
-// Step is one line that is about to be run.
+// Step is one step of a trace: a line that is about to be executed.
 type Step struct {
 	Function string
 	Pos      Pos
-	Vars     []string // name = value, of those that are known there and set
+	Vars     []string // "name = value" for each variable that is in scope and set
 }
 
-// TraceTest runs one test of a program and calls tell for each line before it is run. The error is the *Fault that
-// ended it.
-func (p *Program) TraceTest(name string, tell func(Step)) (found bool, err error) {
+// TraceTest runs one test of a program and calls onStep before each line. found reports whether the
+// program has the test; the error is the *Fault that ended it, if any.
+func (p *Program) TraceTest(name string, onStep func(Step)) (found bool, err error) {
 	for _, t := range p.tests {
 		if t.name != name {
 			continue
@@ -29,7 +29,7 @@
 					s.Vars = append(s.Vars, f.variablesAt(pos, locals)...)
 				}
 			}
-			tell(s)
+			onStep(s)
 		}
 		vm.start(p, p.InitialState(), testEnv, Aside)
 		return true, vm.guard(p, func() { vm.exec(p.funcs[t.function], nil) })
@@ -37,28 +37,32 @@
 	return false, nil
 }
 
-// variablesAt returns the variables that are known at a place and have a value, as name = value.
+// variablesAt returns "name = value" for each variable that is in scope at a position and has a
+// value.
 func (f *function) variablesAt(pos Pos, locals []Value) (vars []string) {
 	for _, v := range f.vars {
-		known := v.from.Line < pos.Line && pos.Line <= v.to.Line && v.slot < len(locals)
-		if !known || locals[v.slot].object == nil && isReference(v.valueType) {
+		inScope := v.from.Line < pos.Line && pos.Line <= v.to.Line && v.slot < len(locals)
+		if !inScope || locals[v.slot].object == nil && isReference(v.valueType) {
 			continue
 		}
-		vars = append(vars, v.name+" = "+cut(text(v.valueType, locals[v.slot]), maxShownValue))
+		vars = append(vars, v.name+" = "+cut(text(v.valueType, locals[v.slot]), maxShownBytes))
 	}
 	return vars
 }
 
-// isReference reports whether a value of a type is an object, once it is set.
+// isReference reports whether values of a type are objects. The slot of such a variable holds no
+// object until the variable is set.
 func isReference(t *Type) bool { return t == typeString || t.isCollection() || t.record != nil }
 
-// Session is what a REPL remembers: declarations, and statements, which are all run anew for each line. As a script
-// depends on nothing else, that is the same as going on. It is not safe for concurrent use.
+// Session is the state of a REPL: the declarations and statements entered so far. Each line runs
+// all statements again. Scripts are deterministic and have no other inputs, so the result is the
+// same as if the run had continued. A Session is not safe for concurrent use.
 type Session struct {
 	decls, stmts []string
 }
 
-// Eval takes a line: a declaration or statement is remembered, an expression's value is returned.
+// Eval evaluates a line. It adds a declaration or statement to the session, and returns the value
+// of an expression as text.
 func (s *Session) Eval(line string) (string, error) {
 	line = strings.TrimSpace(line)
 	if line == "" {
@@ -74,7 +78,7 @@
 		return "", err
 	}
 	out, err := s.run(s.decls, s.stmts, line)
-	if _, fault := err.(*Fault); err == nil || fault {
+	if _, isFault := err.(*Fault); err == nil || isFault {
 		return out, err
 	}
 	_, err = s.run(s.decls, append(s.stmts[:len(s.stmts):len(s.stmts)], line), "")
@@ -84,36 +88,38 @@
 	return "", err
 }
 
-// run runs the statements in a test, and then an expression if there is one.
+// run runs the declarations and statements as a test, and then evaluates an expression if it is not
+// empty.
 func (s *Session) run(decls, stmts []string, expr string) (string, error) {
-	const name = "a line of the REPL"
-	text1 := strings.Join(decls, "\n") + "\ntest \"" + name + "\" {\n" + strings.Join(stmts, "\n") + "\n"
+	const name = "REPL line"
+	source := strings.Join(decls, "\n") + "\ntest \"" + name + "\" {\n" +
+		strings.Join(stmts, "\n") + "\n"
 	if expr != "" {
-		text1 += "let result_ = " + expr + "\n"
+		source += "let result_ = " + expr + "\n"
 	}
-	sc, bad := check("line", text1+"}\n")
-	if bad.Wrong() {
-		var l Problems
-		for _, p := range bad {
+	parsed, problems := check("line", source+"}\n")
+	if problems.Wrong() {
+		var errors Problems
+		for _, p := range problems {
 			if !p.Warning {
-				l = append(l, p)
+				errors = append(errors, p)
 			}
 		}
-		return "", l
+		return "", errors
 	}
-	p, err := Compile("line", text1+"}\n")
+	p, err := Compile("line", source+"}\n")
 	if err != nil {
 		return "", err
 	}
 	vm := NewVM()
 	vm.start(p, p.InitialState(), testEnv, Aside)
-	var keep []Value
-	vm.capture = &keep
+	var captured []Value
+	vm.capture = &captured
 	fn := p.funcs[p.tests[len(p.tests)-1].function]
 	if err := vm.guard(p, func() { vm.exec(fn, nil) }); err != nil || expr == "" {
 		return "", err
 	}
-	body := sc.tests[len(sc.tests)-1].body.stmts
+	body := parsed.tests[len(parsed.tests)-1].body.stmts
 	last := body[len(body)-1].(*letStmt)
-	return text(last.value.typ(), keep[len(keep)-fn.slots+last.slot]), nil
+	return text(last.value.typ(), captured[len(captured)-fn.slots+last.slot]), nil
 }
--- a/internal/hooklang/state.go
+++ b/internal/hooklang/state.go
@@ -9,25 +9,27 @@
 	"unicode/utf8"
 )
 
-// State is the values of a program's state variables. It does not change: a run that writes leads to another.
+// State holds the values of a program's state variables. It is immutable: a run that changes state
+// variables returns a new State.
 type State struct {
 	program *Program
 	values  []Value
 }
 
-// InitialState returns the state that a program begins with.
+// InitialState returns the state before the first run of the program.
 func (p *Program) InitialState() *State { return &State{p, p.initialState} }
 
-// InheritState returns the program's state with what another, perhaps of another program, has of the same names and types.
+// InheritState returns the program's initial state, with the values that old, possibly the state of
+// another program, has for variables of the same name and type. old may be nil.
 func (p *Program) InheritState(old *State) *State {
 	if old == nil {
 		return p.InitialState()
 	}
 	s := &State{p, slices.Clone(p.initialState)}
 	for i, v := range p.state {
-		for k, o := range old.program.state {
-			if o.name == v.name && sameType(o.valueType, v.valueType) {
-				s.values[i] = old.values[k]
+		for j, oldVar := range old.program.state {
+			if oldVar.name == v.name && sameType(oldVar.valueType, v.valueType) {
+				s.values[i] = old.values[j]
 			}
 		}
 	}
@@ -40,15 +42,16 @@
 		return false
 	}
 	for i, v := range s.program.state {
-		w := o.program.state[i]
-		if v.name != w.name || !sameType(v.valueType, w.valueType) || !equal(v.valueType, s.values[i], o.values[i]) {
+		other := o.program.state[i]
+		if v.name != other.name || !sameType(v.valueType, other.valueType) ||
+			!equal(v.valueType, s.values[i], o.values[i]) {
 			return false
 		}
 	}
 	return true
 }
 
-// String writes the state as the language does, a line for each variable.
+// String returns the state as declarations of the language, one line for each variable.
 func (s *State) String() string {
 	var b bytes.Buffer
 	for i, v := range s.program.state {
@@ -57,44 +60,45 @@
 	return b.String()
 }
 
-// savedVariable is a state variable as it is stored.
+// savedVariable is the stored form of a state variable.
 type savedVariable struct {
 	Name  string          `json:"name"`
 	Type  string          `json:"type"`
 	Value json.RawMessage `json:"value"`
 }
 
-// MarshalJSON writes the state: ints and durations as strings, as JSON's readers lose digits above 2^53 (RFC 8259, 6).
+// MarshalJSON encodes the state. Ints and durations are strings, because JSON readers may lose
+// digits above 2^53 (RFC 8259, section 6).
 func (s *State) MarshalJSON() ([]byte, error) {
-	l := []savedVariable{}
+	saved := []savedVariable{}
 	for i, v := range s.program.state {
-		l = append(l, savedVariable{v.name, v.valueType.String(), encode(nil, v.valueType, s.values[i])})
+		saved = append(saved, savedVariable{v.name, v.valueType.String(), encode(nil, v.valueType, s.values[i])})
 	}
-	return json.Marshal(l)
+	return json.Marshal(saved)
 }
 
-// RestoreState reads what MarshalJSON wrote. Variables that the program does not have, or has with another type, are
-// left out.
+// RestoreState decodes the output of State.MarshalJSON. It ignores variables that the program does
+// not have or has with another type.
 func (p *Program) RestoreState(text []byte) (*State, error) {
-	var l []savedVariable
-	if err := json.Unmarshal(text, &l); err != nil {
+	var saved []savedVariable
+	if err := json.Unmarshal(text, &saved); err != nil {
 		return nil, fmt.Errorf("hook state: %w", err)
 	}
 	s := &State{p, slices.Clone(p.initialState)}
-	for _, w := range l {
+	for _, stored := range saved {
 		for i, v := range p.state {
-			if v.name != w.Name || v.valueType.String() != w.Type {
+			if v.name != stored.Name || v.valueType.String() != stored.Type {
 				continue
 			}
-			d := json.NewDecoder(bytes.NewReader(w.Value))
-			d.UseNumber()
+			decoder := json.NewDecoder(bytes.NewReader(stored.Value))
+			decoder.UseNumber()
 			var x any
-			if err := d.Decode(&x); err != nil {
-				return nil, fmt.Errorf("hook state: %s: %w", w.Name, err)
+			if err := decoder.Decode(&x); err != nil {
+				return nil, fmt.Errorf("hook state: %s: %w", stored.Name, err)
 			}
 			val, err := decode(v.valueType, x)
 			if err != nil {
-				return nil, fmt.Errorf("hook state: %s: %w", w.Name, err)
+				return nil, fmt.Errorf("hook state: %s: %w", stored.Name, err)
 			}
 			val.freeze()
 			s.values[i] = val
@@ -103,6 +107,7 @@
 	return s, nil
 }
 
+// encode appends the JSON form of a value of type t.
 func encode(b []byte, t *Type, v Value) []byte {
 	switch {
 	case t == typeBool:
@@ -121,7 +126,7 @@
 			b = encode(b, t.elem, e)
 		}
 		return append(b, ']')
-	case t.name == "map": // a list of pairs: keys may be ints
+	case t.name == "map": // a list of pairs, because the keys of JSON objects cannot be ints
 		b = append(b, '[')
 		for i, e := range v.object.items {
 			if i > 0 {
@@ -135,6 +140,7 @@
 	return append(strconv.AppendInt(append(b, '"'), v.bits, 10), '"')
 }
 
+// decode converts the decoded JSON form of a value of type t.
 func decode(t *Type, x any) (Value, error) {
 	switch {
 	case t == typeBool:
@@ -160,12 +166,13 @@
 			}
 		}
 	}
-	return Value{}, fmt.Errorf("%v is no %v", x, t)
+	return Value{}, fmt.Errorf("%v is not a value of type %v", x, t)
 }
 
-// decodeCollection reads a list, or the pairs of a map, whose keys must be in order.
+// decodeCollection decodes a list, or the pairs of a map. The keys of a map must be in ascending
+// order.
 func decodeCollection(t *Type, x any) (Value, error) {
-	invalid := func() error { return fmt.Errorf("%v is no %v", x, t) }
+	invalid := func() error { return fmt.Errorf("%v is not a value of type %v", x, t) }
 	items, ok := x.([]any)
 	if !ok {
 		return Value{}, invalid()
--- a/internal/hooklang/vmloop.go
+++ b/internal/hooklang/vmloop.go
@@ -2,19 +2,20 @@
 
 import "math"
 
-// exec runs a function to its end and returns its result.
+// exec runs a function until it returns, and returns its result.
 //
-// It is the inner loop of the VM, and long on purpose: the frequent instructions are cases of one switch on local
-// variables (stack, code, pc), which the compiler keeps in registers. All others are in execSlow, which works on
-// vm.stack. A change here is to be measured by BenchmarkHook.
+// It is the main loop of the VM and one long function for speed: the frequent instructions are
+// cases of one switch and work on local variables (stack, code, pc), which the Go compiler keeps in
+// registers. execSlow has all other instructions and works on vm.stack. Measure changes to exec
+// with BenchmarkHook.
 func (vm *VM) exec(fn *function, args []Value) Value {
 	vm.stack = append(vm.stack, args...)
-	floor := len(vm.frames)
+	callerDepth := len(vm.frames)
 	base := vm.pushFrame(fn, len(args))
 	code, pc := fn.code, 0
-	st := vm.stack
+	stack := vm.stack
 	for {
-		in := code[pc]
+		instr := code[pc]
 		pc++
 		if vm.fuel--; vm.fuel < vm.nextCheck {
 			vm.frames[len(vm.frames)-1].pc = pc
@@ -24,167 +25,167 @@
 			if pos := vm.frames[len(vm.frames)-1].function.positions[pc-1]; pos.Line != vm.lastTraced.Line {
 				vm.lastTraced = pos
 				f := vm.frames[len(vm.frames)-1].function
-				vm.Trace(f.name, pos, st[base:base+f.slots])
+				vm.Trace(f.name, pos, stack[base:base+f.slots])
 			}
 		}
-		n := len(st) - 1
-		switch in.op {
+		n := len(stack) - 1
+		switch instr.op {
 		case opConst:
-			st = append(st, vm.program.consts[in.a])
+			stack = append(stack, vm.program.consts[instr.a])
 		case opInt:
-			st = append(st, Value{bits: int64(in.a)})
+			stack = append(stack, Value{bits: int64(instr.a)})
 		case opLoad:
-			st = append(st, st[base+int(in.a)])
+			stack = append(stack, stack[base+int(instr.a)])
 		case opStore:
-			st[base+int(in.a)] = st[n].share()
-			st = st[:n]
+			stack[base+int(instr.a)] = stack[n].share()
+			stack = stack[:n]
 		case opLoadState:
-			st = append(st, vm.state[in.a])
+			stack = append(stack, vm.state[instr.a])
 		case opStoreState:
-			vm.setState(in.a, st[n].share())
-			st = st[:n]
+			vm.setState(instr.a, stack[n].share())
+			stack = stack[:n]
 		case opPop:
-			st = st[:n]
+			stack = stack[:n]
 		case opJump:
-			pc = int(in.a)
+			pc = int(instr.a)
 		case opJumpFalse:
-			if st[n].bits == 0 {
-				pc = int(in.a)
+			if stack[n].bits == 0 {
+				pc = int(instr.a)
 			}
-			st = st[:n]
+			stack = stack[:n]
 		case opJumpTrue:
-			if st[n].bits != 0 {
-				pc = int(in.a)
+			if stack[n].bits != 0 {
+				pc = int(instr.a)
 			}
-			st = st[:n]
+			stack = stack[:n]
 		case opAndJump:
-			if st[n].bits == 0 {
-				pc = int(in.a)
+			if stack[n].bits == 0 {
+				pc = int(instr.a)
 			} else {
-				st = st[:n]
+				stack = stack[:n]
 			}
 		case opOrJump:
-			if st[n].bits != 0 {
-				pc = int(in.a)
+			if stack[n].bits != 0 {
+				pc = int(instr.a)
 			} else {
-				st = st[:n]
+				stack = stack[:n]
 			}
 		case opNot:
-			st[n].bits ^= 1
+			stack[n].bits ^= 1
 		case opAddIntConst:
-			x := st[n].bits
-			if x > math.MaxInt64-int64(in.a) {
+			x := stack[n].bits
+			if x > math.MaxInt64-int64(instr.a) {
 				vm.savePC(pc)
-				vm.fault(FaultOverflow, "%d + %d", x, in.a)
+				vm.fault(FaultOverflow, "%d + %d", x, instr.a)
 			}
-			st[n].bits = x + int64(in.a)
+			stack[n].bits = x + int64(instr.a)
 		case opAddInt:
-			x, y := st[n-1].bits, st[n].bits
+			x, y := stack[n-1].bits, stack[n].bits
 			z := x + y
 			if (x^z)&(y^z) < 0 {
 				vm.savePC(pc)
 				vm.fault(FaultOverflow, "%d + %d", x, y)
 			}
-			st = st[:n]
-			st[n-1].bits = z
+			stack = stack[:n]
+			stack[n-1].bits = z
 		case opSubInt:
-			x, y := st[n-1].bits, st[n].bits
+			x, y := stack[n-1].bits, stack[n].bits
 			z := x - y
 			if (x^y)&(x^z) < 0 {
 				vm.savePC(pc)
 				vm.fault(FaultOverflow, "%d - %d", x, y)
 			}
-			st = st[:n]
-			st[n-1].bits = z
+			stack = stack[:n]
+			stack[n-1].bits = z
 		case opEqInt:
-			st = st[:n]
-			st[n-1] = boolValue(st[n-1].bits == st[:n+1][n].bits)
+			stack = stack[:n]
+			stack[n-1] = boolValue(stack[n-1].bits == stack[:n+1][n].bits)
 		case opNeInt:
-			st = st[:n]
-			st[n-1] = boolValue(st[n-1].bits != st[:n+1][n].bits)
+			stack = stack[:n]
+			stack[n-1] = boolValue(stack[n-1].bits != stack[:n+1][n].bits)
 		case opLtInt:
-			st = st[:n]
-			st[n-1] = boolValue(st[n-1].bits < st[:n+1][n].bits)
+			stack = stack[:n]
+			stack[n-1] = boolValue(stack[n-1].bits < stack[:n+1][n].bits)
 		case opLeInt:
-			st = st[:n]
-			st[n-1] = boolValue(st[n-1].bits <= st[:n+1][n].bits)
+			stack = stack[:n]
+			stack[n-1] = boolValue(stack[n-1].bits <= stack[:n+1][n].bits)
 		case opGtInt:
-			st = st[:n]
-			st[n-1] = boolValue(st[n-1].bits > st[:n+1][n].bits)
+			stack = stack[:n]
+			stack[n-1] = boolValue(stack[n-1].bits > stack[:n+1][n].bits)
 		case opGeInt:
-			st = st[:n]
-			st[n-1] = boolValue(st[n-1].bits >= st[:n+1][n].bits)
+			stack = stack[:n]
+			stack[n-1] = boolValue(stack[n-1].bits >= stack[:n+1][n].bits)
 		case opLtFloat:
-			st = st[:n]
-			st[n-1] = boolValue(st[n-1].float() < st[:n+1][n].float())
+			stack = stack[:n]
+			stack[n-1] = boolValue(stack[n-1].float() < stack[:n+1][n].float())
 		case opLeFloat:
-			st = st[:n]
-			st[n-1] = boolValue(st[n-1].float() <= st[:n+1][n].float())
+			stack = stack[:n]
+			stack[n-1] = boolValue(stack[n-1].float() <= stack[:n+1][n].float())
 		case opGtFloat:
-			st = st[:n]
-			st[n-1] = boolValue(st[n-1].float() > st[:n+1][n].float())
+			stack = stack[:n]
+			stack[n-1] = boolValue(stack[n-1].float() > stack[:n+1][n].float())
 		case opGeFloat:
-			st = st[:n]
-			st[n-1] = boolValue(st[n-1].float() >= st[:n+1][n].float())
+			stack = stack[:n]
+			stack[n-1] = boolValue(stack[n-1].float() >= stack[:n+1][n].float())
 		case opField:
-			st[n] = st[n].object.items[in.a]
+			stack[n] = stack[n].object.items[instr.a]
 		case opIndexList:
-			l, i := st[n-1].object.items, st[n].bits
-			if i < 0 || i >= int64(len(l)) {
+			items, i := stack[n-1].object.items, stack[n].bits
+			if i < 0 || i >= int64(len(items)) {
 				vm.savePC(pc)
-				vm.fault(FaultIndex, "entry %d of %d", i, len(l))
+				vm.fault(FaultIndex, "index %d out of range with length %d", i, len(items))
 			}
-			st = st[:n]
-			st[n-1] = l[i]
+			stack = stack[:n]
+			stack[n-1] = items[i]
 		case opNextRange:
-			cur := &st[base+int(in.b)+1]
-			if cur.bits >= st[base+int(in.b)+2].bits {
-				pc = int(in.a)
+			cursor := &stack[base+int(instr.b)+1]
+			if cursor.bits >= stack[base+int(instr.b)+2].bits {
+				pc = int(instr.a)
 				break
 			}
-			st[base+int(in.b)] = Value{bits: cur.bits}
-			cur.bits++
+			stack[base+int(instr.b)] = Value{bits: cursor.bits}
+			cursor.bits++
 		case opNextList:
-			o, cur := st[base+int(in.b)+1].object, &st[base+int(in.b)+2]
-			if cur.bits >= int64(len(o.items)) {
-				pc = int(in.a)
+			o, cursor := stack[base+int(instr.b)+1].object, &stack[base+int(instr.b)+2]
+			if cursor.bits >= int64(len(o.items)) {
+				pc = int(instr.a)
 				break
 			}
-			st[base+int(in.b)] = o.items[cur.bits].share()
-			cur.bits++
+			stack[base+int(instr.b)] = o.items[cursor.bits].share()
+			cursor.bits++
 		case opCall:
-			fn := vm.program.funcs[in.a]
+			fn := vm.program.funcs[instr.a]
 			vm.savePC(pc)
-			vm.stack = st
-			base = vm.pushFrame(fn, int(in.b))
-			st = vm.stack
+			vm.stack = stack
+			base = vm.pushFrame(fn, int(instr.b))
+			stack = vm.stack
 			code, pc = fn.code, 0
 		case opReturn, opReturnNothing:
 			var v Value
-			if in.op == opReturn {
-				v = st[n]
+			if instr.op == opReturn {
+				v = stack[n]
 			} else if vm.capture != nil {
-				*vm.capture = append(*vm.capture, st[base:]...)
+				*vm.capture = append(*vm.capture, stack[base:]...)
 			}
-			st = st[:base]
+			stack = stack[:base]
 			vm.frames = vm.frames[:len(vm.frames)-1]
-			if len(vm.frames) == floor {
-				vm.stack = st
+			if len(vm.frames) == callerDepth {
+				vm.stack = stack
 				return v
 			}
-			if in.op == opReturn {
-				st = append(st, v)
+			if instr.op == opReturn {
+				stack = append(stack, v)
 			}
 			f := &vm.frames[len(vm.frames)-1]
 			base, code, pc = f.base, f.function.code, f.pc
 		default:
 			vm.savePC(pc)
-			vm.stack = st
-			pc = vm.execSlow(in, base, pc, code)
-			st = vm.stack
+			vm.stack = stack
+			pc = vm.execSlow(instr, base, pc, code)
+			stack = vm.stack
 		}
 	}
 }
 
-// savePC notes the position of the innermost frame, for a fault.
+// savePC stores the program counter in the innermost frame, where faults and returns read it.
 func (vm *VM) savePC(pc int) { vm.frames[len(vm.frames)-1].pc = pc }
--- a/internal/hooklang/vmslow.go
+++ b/internal/hooklang/vmslow.go
@@ -7,102 +7,105 @@
 	"strings"
 )
 
-// execSlow carries out the instructions that need not be fastest, with the operands on vm.stack, and returns the
-// index of the next one.
-func (vm *VM) execSlow(in instruction, base, pc int, code []instruction) int {
-	switch in.op {
+// execSlow executes an instruction that is not in the fast path of exec, with its operands on
+// vm.stack, and returns the index of the next instruction.
+func (vm *VM) execSlow(instr instruction, base, pc int, code []instruction) int {
+	switch instr.op {
 	case opIndexMap, opSetList, opSetMap, opPush, opRemove:
-		vm.accessCollection(in, base)
+		vm.accessCollection(instr, base)
 	case opList, opMap, opRecord:
-		vm.buildComposite(in)
+		vm.buildComposite(instr)
 	case opAddStr, opAddList, opLtStr, opLeStr, opGtStr, opGeStr, opEq, opNe, opInStr, opInList, opInMap:
-		vm.combine(in)
+		vm.combine(instr)
 	case opNegInt, opNegFloat, opMulInt, opDivInt, opModInt, opDivDur:
-		vm.integerArithmetic(in)
+		vm.integerArithmetic(instr)
 	case opAddFloat, opSubFloat, opMulFloat, opDivFloat:
-		vm.floatArithmetic(in)
+		vm.floatArithmetic(instr)
 	case opIterate:
 		v := vm.pop()
+		// Sharing the collection twice makes a change of the variable copy it, so that the loop is
+		// not affected.
 		v.share()
-		vm.stack[base+int(in.a)+1] = v.share() // twice: a change of the variable leaves what is run over
-		vm.stack[base+int(in.a)+2] = Value{}
+		vm.stack[base+int(instr.a)+1] = v.share()
+		vm.stack[base+int(instr.a)+2] = Value{}
 	case opNextMap:
-		return vm.nextMapEntry(in, base, pc, code)
+		return vm.nextMapEntry(instr, base, pc, code)
 	case opRange:
 		to, from := vm.pop(), vm.pop()
-		vm.stack[base+int(in.a)+1] = from
-		vm.stack[base+int(in.a)+2] = to
+		vm.stack[base+int(instr.a)+1] = from
+		vm.stack[base+int(instr.a)+2] = to
 	case opBuiltin:
-		n := int(in.b & 0xff)
-		v := vm.program.natives[in.a](vm, vm.stack[len(vm.stack)-n:])
+		n := int(instr.b & 0xff)
+		v := vm.program.natives[instr.a](vm, vm.stack[len(vm.stack)-n:])
 		vm.stack = vm.stack[:len(vm.stack)-n]
-		if in.b>>8 != 0 {
+		if instr.b>>8 != 0 {
 			vm.push(v)
 		}
 	case opSort:
-		vm.sortList(vm.program.funcs[in.a])
+		vm.sortList(vm.program.funcs[instr.a])
 	case opRun:
-		vm.push(vm.runInTest(in, vm.pop()))
+		vm.push(vm.runInTest(instr, vm.pop()))
 	default:
-		panic(fmt.Sprintf("hook: no such instruction: %d", in.op))
+		panic(fmt.Sprintf("hooklang: unknown opcode %d", instr.op))
 	}
 	return pc
 }
 
-// nextMapEntry begins the next turn of a loop over a map, or ends it. The instruction behind it has the slot of the key.
-func (vm *VM) nextMapEntry(in instruction, base, pc int, code []instruction) int {
-	o, cur := vm.stack[base+int(in.b)+1].object, &vm.stack[base+int(in.b)+2]
-	if cur.bits >= int64(len(o.keys)) {
-		return int(in.a)
+// nextMapEntry starts the next iteration of a loop over a map, or ends the loop. Operand a of the
+// following instruction is the slot of the key, or -1 if the loop iterates over keys only.
+func (vm *VM) nextMapEntry(instr instruction, base, pc int, code []instruction) int {
+	o, cursor := vm.stack[base+int(instr.b)+1].object, &vm.stack[base+int(instr.b)+2]
+	if cursor.bits >= int64(len(o.keys)) {
+		return int(instr.a)
 	}
 	if k := code[pc].a; k >= 0 {
-		vm.stack[base+int(k)] = o.keys[cur.bits]
-		vm.stack[base+int(in.b)] = o.items[cur.bits].share()
+		vm.stack[base+int(k)] = o.keys[cursor.bits]
+		vm.stack[base+int(instr.b)] = o.items[cursor.bits].share()
 	} else {
-		vm.stack[base+int(in.b)] = o.keys[cur.bits]
+		vm.stack[base+int(instr.b)] = o.keys[cursor.bits]
 	}
-	cur.bits++
+	cursor.bits++
 	return pc + 1
 }
 
-// sortList replaces the list on the stack by a sorted copy.
+// sortList replaces the list on top of the stack by a sorted copy.
 func (vm *VM) sortList(less *function) {
 	o := vm.cloneCollection(vm.pop().object)
-	vm.push(Value{object: o}) // where a fault's stack looks, and nothing else does
+	vm.push(Value{object: o}) // unfinished until the sort ends; only a fault can see it
 	vm.mergeSort(less, o.items, make([]Value, len(o.items)))
 	vm.stack[len(vm.stack)-1] = Value{object: o}
 }
 
-// accessCollection reads an entry of a map, or changes a list or map of a variable.
-func (vm *VM) accessCollection(in instruction, base int) {
-	switch in.op {
+// accessCollection reads an entry of a map, or modifies the list or map of a variable.
+func (vm *VM) accessCollection(instr instruction, base int) {
+	switch instr.op {
 	case opIndexMap:
 		k, m := vm.pop(), vm.pop()
 		vm.chargeFuel(4)
 		i, ok := m.object.find(k)
 		if !ok {
-			vm.fault(FaultKey, "no entry at %s: ask with in, or get(map, key, otherwise)", keyText(k))
+			vm.fault(FaultKey, "the map has no key %s: test with in, or use get(map, key, otherwise)", keyText(k))
 		}
 		vm.push(m.object.items[i])
 	case opSetList:
 		v, i := vm.pop(), vm.pop().bits
-		o := vm.ownedCollection(base, in)
+		o := vm.ownedCollection(base, instr)
 		if i < 0 || i >= int64(len(o.items)) {
-			vm.fault(FaultIndex, "entry %d of %d", i, len(o.items))
+			vm.fault(FaultIndex, "index %d out of range with length %d", i, len(o.items))
 		}
 		o.items[i] = v.share()
 	case opSetMap:
 		v, k := vm.pop(), vm.pop()
-		vm.putMapEntry(vm.ownedCollection(base, in), k, v)
+		vm.putMapEntry(vm.ownedCollection(base, instr), k, v)
 	case opPush:
 		v := vm.pop()
-		o := vm.ownedCollection(base, in)
+		o := vm.ownedCollection(base, instr)
 		vm.checkSize(len(o.items) + 1)
 		vm.chargeMemory(32)
 		o.items = append(o.items, v.share())
 	case opRemove:
 		k := vm.pop()
-		o := vm.ownedCollection(base, in)
+		o := vm.ownedCollection(base, instr)
 		if i, ok := o.find(k); ok {
 			vm.chargeFuel(4 + int64(len(o.keys)-i)/8)
 			o.keys, o.items = slices.Delete(o.keys, i, i+1), slices.Delete(o.items, i, i+1)
@@ -110,11 +113,11 @@
 	}
 }
 
-// buildComposite makes a list, map or record of values on the stack.
-func (vm *VM) buildComposite(in instruction) {
-	switch in.op {
+// buildComposite replaces values on the stack by the list, map or record that they make up.
+func (vm *VM) buildComposite(instr instruction) {
+	switch instr.op {
 	case opList:
-		n := int(in.a)
+		n := int(instr.a)
 		vm.chargeList(int64(n))
 		o := &object{collection: true, items: slices.Clone(vm.stack[len(vm.stack)-n:])}
 		for _, e := range o.items {
@@ -123,7 +126,7 @@
 		vm.stack = vm.stack[:len(vm.stack)-n]
 		vm.push(Value{object: o})
 	case opMap:
-		n := int(in.a)
+		n := int(instr.a)
 		vm.chargeList(2 * int64(n))
 		o := &object{collection: true}
 		l := vm.stack[len(vm.stack)-2*n:]
@@ -133,7 +136,7 @@
 		vm.stack = vm.stack[:len(vm.stack)-2*n]
 		vm.push(Value{object: o})
 	case opRecord:
-		t := &vm.program.templates[in.a]
+		t := &vm.program.templates[instr.a]
 		vm.chargeMemory(objectBytes + 16*int64(len(t.values)))
 		o := &object{items: slices.Clone(t.values)}
 		l := vm.stack[len(vm.stack)-len(t.fields):]
@@ -145,9 +148,10 @@
 	}
 }
 
-// combine joins, compares and searches strings, lists and maps.
-func (vm *VM) combine(in instruction) {
-	switch in.op {
+// combine concatenates, compares and searches strings, lists and maps, and compares values of all
+// types.
+func (vm *VM) combine(instr instruction) {
+	switch instr.op {
 	case opAddStr:
 		y, x := vm.pop().str(), vm.pop().str()
 		vm.checkSize(len(x) + len(y))
@@ -164,11 +168,11 @@
 		y, x := vm.pop().str(), vm.pop().str()
 		vm.chargeFuel(int64(min(len(x), len(y))) / 16)
 		c := strings.Compare(x, y)
-		vm.push(boolValue(map[opcode]bool{opLtStr: c < 0, opLeStr: c <= 0, opGtStr: c > 0, opGeStr: c >= 0}[in.op]))
+		vm.push(boolValue(map[opcode]bool{opLtStr: c < 0, opLeStr: c <= 0, opGtStr: c > 0, opGeStr: c >= 0}[instr.op]))
 	case opEq, opNe:
 		y, x := vm.pop(), vm.pop()
 		vm.chargeFuel(min(traversalCost(x), traversalCost(y)))
-		vm.push(boolValue(equal(vm.program.types[in.a], x, y) == (in.op == opEq)))
+		vm.push(boolValue(equal(vm.program.types[instr.a], x, y) == (instr.op == opEq)))
 	case opInStr:
 		y, x := vm.pop().str(), vm.pop().str()
 		vm.chargeFuel(int64(len(y)) / 8)
@@ -176,7 +180,7 @@
 	case opInList:
 		y, x := vm.pop(), vm.pop()
 		vm.chargeFuel(traversalCost(y))
-		t := vm.program.types[in.a]
+		t := vm.program.types[instr.a]
 		vm.push(boolValue(slices.ContainsFunc(y.object.items, func(v Value) bool { return equal(t, v, x) })))
 	case opInMap:
 		y, x := vm.pop(), vm.pop()
@@ -186,9 +190,10 @@
 	}
 }
 
-// integerArithmetic does arithmetic of ints and durations that may fail, and negates.
-func (vm *VM) integerArithmetic(in instruction) {
-	switch in.op {
+// integerArithmetic executes the arithmetic on ints and durations that is not in the fast path of
+// exec, and all negations.
+func (vm *VM) integerArithmetic(instr instruction) {
+	switch instr.op {
 	case opNegInt:
 		v := vm.pop()
 		if v.bits == math.MinInt64 {
@@ -207,10 +212,10 @@
 	case opDivInt, opModInt:
 		y, x := vm.pop().bits, vm.pop().bits
 		if y == 0 {
-			vm.fault(FaultDivision, "%d by 0", x)
+			vm.fault(FaultDivision, "%d divided by 0", x)
 		}
-		if y == -1 { // the one quotient that does not fit
-			if in.op == opModInt {
+		if y == -1 { // MinInt64 / -1 is the only quotient that overflows
+			if instr.op == opModInt {
 				vm.push(Value{})
 				break
 			}
@@ -218,7 +223,7 @@
 				vm.fault(FaultOverflow, "%d / %d", x, y)
 			}
 		}
-		if in.op == opDivInt {
+		if instr.op == opDivInt {
 			vm.push(Value{bits: x / y})
 		} else {
 			vm.push(Value{bits: x % y})
@@ -226,16 +231,16 @@
 	case opDivDur:
 		y, x := vm.pop().bits, vm.pop().bits
 		if y == 0 {
-			vm.fault(FaultDivision, "a duration by none")
+			vm.fault(FaultDivision, "a duration divided by a duration of 0")
 		}
 		vm.push(floatValue(float64(x) / float64(y)))
 	}
 }
 
-// floatArithmetic does arithmetic of floats. A result that is not finite is a fault.
-func (vm *VM) floatArithmetic(in instruction) {
+// floatArithmetic executes arithmetic on floats. A result that is not finite is a fault.
+func (vm *VM) floatArithmetic(instr instruction) {
 	y, x := vm.pop().float(), vm.pop().float()
-	switch in.op {
+	switch instr.op {
 	case opAddFloat:
 		x += y
 	case opSubFloat:
@@ -244,13 +249,14 @@
 		x *= y
 	default:
 		if y == 0 {
-			vm.fault(FaultDivision, "%s by 0", floatText(x))
+			vm.fault(FaultDivision, "%s divided by 0", floatText(x))
 		}
 		x /= y
 	}
 	vm.push(vm.finite(x))
 }
 
+// keyText formats the key of a map for a message.
 func keyText(k Value) string {
 	if k.object != nil {
 		return quote(cut(k.object.text, 80))
@@ -258,6 +264,7 @@
 	return fmt.Sprint(k.bits)
 }
 
+// putMapEntry sets an entry of a map and charges for it.
 func (vm *VM) putMapEntry(o *object, k, v Value) {
 	i, ok := o.find(k)
 	vm.chargeFuel(4)
@@ -271,8 +278,8 @@
 	o.keys, o.items = slices.Insert(o.keys, i, k), slices.Insert(o.items, i, v.share())
 }
 
-// mergeSort sorts stably. Which entries are compared depends on the answers, how many never does by more than n log
-// n: a comparison that contradicts itself gives some order, and ends.
+// mergeSort sorts entries stably. An inconsistent comparison function yields an unspecified order,
+// but the sort still ends after at most n log n comparisons.
 func (vm *VM) mergeSort(less *function, l, tmp []Value) {
 	if len(l) < 2 {
 		return
