--- a/internal/hooklang/bench_test.go
+++ b/internal/hooklang/bench_test.go
@@ -7,8 +7,9 @@
 	"go.starlark.net/syntax"
 )
 
-// The same small programs in both languages. Each run is one event: what the host pays for it.
-var pairs = []struct{ name, ours, theirs string }{
+// benchmarkPrograms are small programs, each as a hook script and in Starlark. One run handles one
+// event, so that the benchmarks measure the cost of an event to the host.
+var benchmarkPrograms = []struct{ name, hook, starlark string }{
 	{"loop", "on ended(e) {\nlet n = 0\nfor i in 0..1000 {\nif i % 3 == 0 { n += i * 2 } else { n -= 1 }\n}\nlog(str(n))\n}",
 		"def ended(e):\n  n = 0\n  for i in range(1000):\n    if i % 3 == 0:\n      n += i * 2\n    else:\n      n -= 1\n  log(str(n))\n"},
 	{"calls", "fn fib(n int) int {\nif n < 2 { return n }\nreturn fib(n - 1) + fib(n - 2)\n}\non ended(e) { log(str(fib(15))) }",
@@ -22,14 +23,14 @@
 var sampleEvent = Ended{Function: "lake-7", Tenant: "t", Class: "safe", Worker: "w1", Answer: "served", Attempts: 2}
 
 func BenchmarkHook(b *testing.B) {
-	for _, c := range pairs {
+	for _, c := range benchmarkPrograms {
 		b.Run(c.name, func(b *testing.B) {
-			p := must(Compile("b.hook", c.ours))
-			vm, st := NewVM(), p.InitialState()
+			p := must(Compile("b.hook", c.hook))
+			vm, state := NewVM(), p.InitialState()
 			b.ReportAllocs()
 			var fuel int64
 			for b.Loop() {
-				res, err := vm.Run(p, "ended", sampleEvent, st, Env{}, Aside)
+				res, err := vm.Run(p, "ended", sampleEvent, state, Env{}, Aside)
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -40,7 +41,7 @@
 	}
 }
 
-// attrs is a record as a Starlark host gives it.
+// attrs is a record as a Starlark host passes it to a program.
 type attrs struct{ starlark.StringDict }
 
 func (a attrs) String() string                           { return "event" }
@@ -52,15 +53,15 @@
 func (a attrs) AttrNames() []string                      { return a.Keys() }
 
 func BenchmarkStarlark(b *testing.B) {
-	for _, c := range pairs {
+	for _, c := range benchmarkPrograms {
 		b.Run(c.name, func(b *testing.B) {
-			said := 0
+			logged := 0
 			log := starlark.NewBuiltin("log", func(*starlark.Thread, *starlark.Builtin, starlark.Tuple, []starlark.Tuple) (starlark.Value, error) {
-				said++
+				logged++
 				return starlark.None, nil
 			})
 			th := &starlark.Thread{}
-			mod, err := starlark.ExecFileOptions(&syntax.FileOptions{Recursion: true}, th, "b.star", c.theirs, starlark.StringDict{"log": log})
+			mod, err := starlark.ExecFileOptions(&syntax.FileOptions{Recursion: true}, th, "b.star", c.starlark, starlark.StringDict{"log": log})
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/internal/hooklang/golden_test.go
+++ b/internal/hooklang/golden_test.go
@@ -7,7 +7,8 @@
 	"kitehub/internal/goldenfile"
 )
 
-// everyType has a state variable of each type, with values that are hard to keep: beyond 2^53, with quotes, empty.
+// everyType is a script with a state variable of each type. Its values are easily lost in JSON: an
+// int above 2^53, strings with quotes, empty collections.
 const everyType = `state flag bool = true
 state count int = 9007199254740993
 state share float = 0.1
@@ -19,7 +20,8 @@
 state by_number map[int]list[float] = map[int]list[float]{7: [0.5], 8: list[float]{}}
 `
 
-// The state of a script is stored by one process and read by a later one, perhaps of another version of the program.
+// One process stores the state of a script and a later one reads it, possibly with another version
+// of the program. The stored form must therefore not change.
 func TestStoredStateIsAsBefore(t *testing.T) {
 	program, err := Compile("every.hook", everyType)
 	if err != nil {
@@ -36,11 +38,12 @@
 		t.Fatal(err)
 	}
 	if !restored.Equal(program.InitialState()) {
-		t.Errorf("read: %v\nwant: %v", restored, program.InitialState())
+		t.Errorf("restored state is %v\nwant %v", restored, program.InitialState())
 	}
 }
 
-// Subscribers of the second front are sent events as JSON. Zero values are sent too.
+// Subscribers receive events as JSON, including fields with zero values. The format must not
+// change.
 func TestSentEventsAreAsBefore(t *testing.T) {
 	var written []byte
 	for _, event := range []Event{
@@ -62,7 +65,8 @@
 	goldenfile.Compare(t, "events.jsonl", written)
 }
 
-// Each field that is stored or sent has a key of its own: what it is called in Go may change, the format may not.
+// Each stored or sent field has an explicit JSON key, so that a rename in Go does not change the
+// format.
 func TestKeysDoNotFollowFieldNames(t *testing.T) {
 	goldenfile.Tagged(t, Call{}, Ended{}, Worker{}, Load{}, Level{}, Tick{}, Move{}, savedVariable{})
 }
--- a/internal/hooklang/hook_test.go
+++ b/internal/hooklang/hook_test.go
@@ -5,6 +5,7 @@
 	"testing"
 )
 
+// sample is a formatted script that uses most of the language, with a test that passes.
 const sample = `# Keeps lakes warm.
 state seen map[string]int = map[string]int{}
 state total int = 0
@@ -74,15 +75,15 @@
 	p := compile(t, sample)
 	for _, r := range p.RunTests() {
 		if r.Err != nil {
-			t.Error(r.Name, r.Err)
+			t.Errorf("test %q: %v", r.Name, r.Err)
 		}
 	}
 	out, err := Format("x.hook", sample)
 	if err != nil || out != sample {
-		t.Errorf("%v\n%s", err, out)
+		t.Errorf("the formatter changes the sample: %v\n%s", err, out)
 	}
-	l, _ := p.Points()
-	if strings.Join(l, " ") != "arrive ended timer" {
-		t.Error(l)
+	points, _ := p.Points()
+	if strings.Join(points, " ") != "arrive ended timer" {
+		t.Errorf("the program has handlers for %v", points)
 	}
 }
--- a/internal/hooklang/hostile_test.go
+++ b/internal/hooklang/hostile_test.go
@@ -8,11 +8,14 @@
 	"time"
 )
 
-// A hostileScript and how it ends: by a fault, "" for none, or by a problem found before it runs.
+// hostileScript is the body of a handler that tries to exceed a limit or to break the VM. want is
+// part of a compile error, or the kinds of fault that may end the run, separated by "|"; empty if
+// the run ends without an error.
 type hostileScript struct{ name, body, want string }
 
-// readHostile reads testdata/hostile.txt, and adds what is no text that a file should hold.
-func readHostile(t testing.TB) (head string, l []hostileScript) {
+// readHostile reads testdata/hostile.txt and adds scripts that are too long for a text file or are
+// not valid UTF-8. head is the text that precedes each handler.
+func readHostile(t testing.TB) (head string, scripts []hostileScript) {
 	t.Helper()
 	text, err := os.ReadFile("testdata/hostile.txt")
 	if err != nil {
@@ -25,9 +28,9 @@
 			head = body + "\n"
 			continue
 		}
-		l = append(l, hostileScript{name, body, strings.TrimSpace(want)})
+		scripts = append(scripts, hostileScript{name, body, strings.TrimSpace(want)})
 	}
-	return head, append(l,
+	return head, append(scripts,
 		hostileScript{"nests too deep", "log(str(" + strings.Repeat("(", 200) + "1" + strings.Repeat(")", 200) + "))", "nested more"},
 		hostileScript{"nests minus too deep", "log(str(" + strings.Repeat("- ", 2000) + "1))", "nested more"},
 		hostileScript{"is no text", "log(\"\xff\")", "UTF-8"})
@@ -36,14 +39,14 @@
 func TestHostile(t *testing.T) {
 	hostileHead, hostile := readHostile(t)
 	if len(hostile) < 60 {
-		t.Fatal(len(hostile))
+		t.Fatalf("testdata/hostile.txt has only %d scripts, want at least 60", len(hostile))
 	}
 	for _, c := range hostile {
 		t.Run(c.name, func(t *testing.T) {
 			p, err := Compile("h.hook", hostileHead+"on ended(e) {\n"+c.body+"\n}\n")
 			if err != nil {
 				if c.want == "" || !strings.Contains(err.Error(), c.want) {
-					t.Errorf("%v: %q is wanted", err, c.want)
+					t.Errorf("error is %v, want %q", err, c.want)
 				}
 				return
 			}
@@ -51,34 +54,34 @@
 			f, _ := err.(*Fault)
 			switch {
 			case err == nil && c.want != "":
-				t.Errorf("it ends well after %d instructions: %q is wanted", res.Fuel, c.want)
+				t.Errorf("the run succeeds after %d instructions, want %q", res.Fuel, c.want)
 			case err != nil && (c.want == "" || !strings.Contains("|"+c.want+"|", "|"+string(f.Kind)+"|")):
-				t.Errorf("%v: %q is wanted", err, c.want)
+				t.Errorf("error is %v, want %q", err, c.want)
 			case err != nil && (res.Advice != nil || !res.State.Equal(p.InitialState())):
-				t.Error("something is left of it")
+				t.Error("a failed run gave advice or changed the state")
 			case err != nil && (f.Pos.Line == 0 || len(f.Stack) == 0 || len(f.Text) > 300):
-				t.Errorf("place %v, stack %v, text of %d", f.Pos, f.Stack, len(f.Text))
+				t.Errorf("fault has position %v, stack %v and a text of %d bytes", f.Pos, f.Stack, len(f.Text))
 			}
 			if res.Fuel > Aside.Fuel+Aside.Fuel/10 {
-				t.Errorf("%d instructions", res.Fuel)
+				t.Errorf("the run took %d instructions, over 1.1 times its limit", res.Fuel)
 			}
 		})
 	}
 }
 
-// A run that is to stop is stopped whatever it does, and names the last net.
+// Limits.Stop ends a run that the other limits do not end, and the fault names it as the reason.
 func TestStopped(t *testing.T) {
 	p := compile(t, "on ended(e) {\nfor i in 0..9223372036854775807 {}\n}")
-	lim, asked := Aside, 0
-	lim.Fuel = 1 << 40
-	lim.Stop = func() bool { asked++; return asked == 10 }
-	res, err := NewVM().Run(p, "ended", Ended{}, p.InitialState(), Env{}, lim)
+	limits, stopCalls := Aside, 0
+	limits.Fuel = 1 << 40
+	limits.Stop = func() bool { stopCalls++; return stopCalls == 10 }
+	res, err := NewVM().Run(p, "ended", Ended{}, p.InitialState(), Env{}, limits)
 	if f, ok := err.(*Fault); !ok || f.Kind != FaultStopped || res.Fuel > 11*stopInterval {
-		t.Errorf("%v after %d", err, res.Fuel)
+		t.Errorf("the run ends with %v after %d instructions", err, res.Fuel)
 	}
 }
 
-// What is wrong is told with its place, all at once, and what follows an error is still read.
+// Compile reports all problems at once, each with its position: it continues after an error.
 func TestProblems(t *testing.T) {
 	_, err := Compile("p.hook", `state x int = "a"
 fn f(a int) int {
@@ -103,11 +106,11 @@
 		"10:13: Call has no field", "12:2: this is never reached", "14:1: a second handler of arrive", "15:4: there is no point", "16:19: a timer runs every",
 		"17:23: f is a function", "18:1: len is the language's own"}
 	if err == nil {
-		t.Fatal("no error")
+		t.Fatal("a script with errors compiles")
 	}
 	for _, w := range want {
 		if !strings.Contains(err.Error(), w) {
-			t.Errorf("%q is not told", w)
+			t.Errorf("no problem %q is reported", w)
 		}
 	}
 	if t.Failed() {
@@ -115,34 +118,36 @@
 	}
 }
 
-// A state goes over to the next version by name and type, and a run never changes one that others read.
+// A new version of a program inherits state variables by name and type, and a run never changes the
+// state that it started from, which other goroutines may read.
 func TestState(t *testing.T) {
 	p := compile(t, "state n int = 1\nstate l list[list[int]] = [[1]]\nstate s string = \"x\"\non ended(e) {\nn += 1\nlet k = l[0]\npush(k, n)\nl[0] = k\npush(l, [n])\n}")
-	a := p.InitialState()
-	vm, lim := NewVM(), Aside
-	r1, err := vm.Run(p, "ended", Ended{}, a, Env{}, lim)
+	initial := p.InitialState()
+	vm, limits := NewVM(), Aside
+	r1, err := vm.Run(p, "ended", Ended{}, initial, Env{}, limits)
 	if err != nil {
 		t.Fatal(err)
 	}
 	before := r1.State.String()
-	r2, _ := vm.Run(p, "ended", Ended{}, r1.State, Env{}, lim)
-	if r1.State.String() != before || a.String() != "state n int = 1\nstate l list[list[int]] = [[1]]\nstate s string = \"x\"\n" {
-		t.Error("a run changed the state that it began with")
+	r2, _ := vm.Run(p, "ended", Ended{}, r1.State, Env{}, limits)
+	if r1.State.String() != before || initial.String() != "state n int = 1\nstate l list[list[int]] = [[1]]\nstate s string = \"x\"\n" {
+		t.Error("a run changed the state that it started from")
 	}
 	if want := "state n int = 3\nstate l list[list[int]] = [[1, 2, 3], [2], [3]]\nstate s string = \"x\"\n"; r2.State.String() != want {
-		t.Error(r2.State)
+		t.Errorf("state after two runs is\n%v\nwant\n%s", r2.State, want)
 	}
 	q := compile(t, "state s int = 7\nstate n int = 0\nstate more bool = true")
 	if got := q.InheritState(r2.State).String(); got != "state s int = 7\nstate n int = 3\nstate more bool = true\n" {
-		t.Error(got)
+		t.Errorf("inherited state is\n%s", got)
 	}
 	for _, bad := range []string{`{`, `[{"name":"n","type":"int","value":3}]`, `[{"name":"n","type":"int","value":"99999999999999999999"}]`, `[{"name":"n","type":"int","value":[]}]`} {
 		if _, err := q.RestoreState([]byte(bad)); err == nil {
-			t.Errorf("%s is restored", bad)
+			t.Errorf("invalid state %s is restored without an error", bad)
 		}
 	}
 }
 
+// Compile warns of a handler whose estimated cost exceeds its limit, and names the largest part.
 func TestCosts(t *testing.T) {
 	for _, c := range []struct{ body, warn string }{
 		{"for i in 0..100000 { let x = i * i\nlog(str(x)) }", "the loop of line"},
@@ -152,36 +157,37 @@
 		p := compile(t, "fn f(n int) int { return f(n) }\non ended(e) {\n"+c.body+"\n}")
 		got := fmt.Sprint(p.Warnings)
 		if (c.warn == "") != (len(p.Warnings) == 0) || !strings.Contains(got, c.warn) {
-			t.Errorf("%s: %v", c.body, got)
+			t.Errorf("%s: warnings are %v, want %q", c.body, got, c.warn)
 		}
 	}
 }
 
+// Whatever Compile accepts must format to a stable text and run without an internal fault.
 func FuzzCompile(f *testing.F) {
 	f.Add(sample)
 	hostileHead, hostile := readHostile(f)
 	for _, c := range hostile {
 		f.Add(hostileHead + "on ended(e) {\n" + c.body + "\n}\n")
 	}
-	lim := Aside
-	lim.Fuel = 20_000
+	limits := Aside
+	limits.Fuel = 20_000
 	f.Fuzz(func(t *testing.T, text string) {
 		p, err := Compile("f.hook", text)
 		if err != nil {
 			return
 		}
-		form, err := Format("f.hook", text)
+		formatted, err := Format("f.hook", text)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if again, err := Format("f.hook", form); err != nil || again != form {
-			t.Fatalf("%v: the form of a form differs:\n%q\n%q", err, form, again)
+		if again, err := Format("f.hook", formatted); err != nil || again != formatted {
+			t.Fatalf("formatting twice gives another text (error %v):\n%q\n%q", err, formatted, again)
 		}
 		for _, e := range []struct {
 			point string
 			e     Event
 		}{{"ended", Ended{Function: "f"}}, {"timer", Tick{}}, {"arrive", Call{}}} {
-			if _, err := NewVM().Run(p, e.point, e.e, p.InitialState(), Env{}, lim); err != nil && err.(*Fault).Kind == FaultInternal {
+			if _, err := NewVM().Run(p, e.point, e.e, p.InitialState(), Env{}, limits); err != nil && err.(*Fault).Kind == FaultInternal {
 				t.Fatal(err)
 			}
 		}
@@ -193,11 +199,12 @@
 	})
 }
 
-// Equal floats look alike: the oracle's first 20,000 programs found a zero with a sign.
+// Equal floats must have the same text. A run of the oracle test over 20,000 programs found a
+// negative zero that was written as "-0.0".
 func TestNoNegativeZero(t *testing.T) {
 	p := compile(t, "on ended(e) {\nlet z = 0.0\nlog(str((0.0 - 1.5) * z))\nlog(str(-z))\n}")
 	res, err := NewVM().Run(p, "ended", Ended{}, p.InitialState(), Env{}, Aside)
 	if err != nil || len(res.Advice) != 2 || res.Advice[0].Text != "0.0" || res.Advice[1].Text != "0.0" {
-		t.Errorf("%v %+v", err, res.Advice)
+		t.Errorf("run ends with error %v and advice %+v, want 0.0 logged twice", err, res.Advice)
 	}
 }
