--- a/internal/hooklang/hostile_test.go
+++ b/internal/hooklang/hostile_test.go
@@ -200,7 +200,7 @@
 }
 
 // Equal floats must have the same text. A run of the oracle test over 20,000 programs found a
-// negative zero that was written as "-0.0".
+// negative zero, which was written with its sign.
 func TestNoNegativeZero(t *testing.T) {
 	p := compile(t, "on ended(e) {\nlet z = 0.0\nlog(str((0.0 - 1.5) * z))\nlog(str(-z))\n}")
 	res, err := NewVM().Run(p, "ended", Ended{}, p.InitialState(), Env{}, Aside)
