--- a/internal/hooklang/bench_test.go
+++ b/internal/hooklang/bench_test.go
@@ -30,7 +30,7 @@
 			b.ReportAllocs()
 			var fuel int64
 			for b.Loop() {
-				res, err := vm.Run(p, "ended", sampleEvent, state, Env{}, Aside)
+				res, err := vm.Run(p, "ended", sampleEvent, state, Env{}, BackgroundLimits)
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/internal/hooklang/compile.go
+++ b/internal/hooklang/compile.go
@@ -6,7 +6,7 @@
 // errors and warnings that were found.
 func Compile(file, text string) (*Program, error) {
 	s, problems := check(file, text)
-	if problems.Wrong() {
+	if problems.HasErrors() {
 		return nil, problems
 	}
 	p := &Program{File: file, Text: text, handlers: map[string]*handler{}, Warnings: problems}
@@ -56,13 +56,13 @@
 // addCostWarnings adds a warning for each handler whose estimated cost exceeds its fuel limit.
 func (p *Program) addCostWarnings() {
 	for _, cost := range p.costs {
-		fuel := Aside.Fuel
+		fuel := BackgroundLimits.Fuel
 		if points[cost.Point].Inline {
-			fuel = Inline.Fuel
+			fuel = InlineLimits.Fuel
 		}
 		if cost.Fuel > float64(fuel) {
 			text := fmt.Sprintf("the handler of %s may take %.3g instructions, more than its limit of %d: %s",
-				cost.Point, cost.Fuel, fuel, cost.Why)
+				cost.Point, cost.Fuel, fuel, cost.Reason)
 			p.Warnings = append(p.Warnings, &Problem{File: p.File, Pos: cost.Pos, Text: text, Warning: true})
 		}
 	}
--- a/internal/hooklang/host.go
+++ b/internal/hooklang/host.go
@@ -119,8 +119,8 @@
 	Name    string
 	Record  *Record
 	Effects []string // the kinds of advice that its handler may give besides log
-	// Inline marks a point whose calls wait for the handler. The handler runs within the limits
-	// Inline and cannot change state.
+	// Inline marks a point whose calls wait for the handler. The handler runs within
+	// InlineLimits and cannot change state.
 	Inline bool
 }
 
--- a/internal/hooklang/hostile_test.go
+++ b/internal/hooklang/hostile_test.go
@@ -50,7 +50,7 @@
 				}
 				return
 			}
-			res, err := NewVM().Run(p, "ended", Ended{Function: "f", Took: time.Second}, p.InitialState(), Env{}, Aside)
+			res, err := NewVM().Run(p, "ended", Ended{Function: "f", Took: time.Second}, p.InitialState(), Env{}, BackgroundLimits)
 			f, _ := err.(*Fault)
 			switch {
 			case err == nil && c.want != "":
@@ -62,7 +62,7 @@
 			case err != nil && (f.Pos.Line == 0 || len(f.Stack) == 0 || len(f.Text) > 300):
 				t.Errorf("fault has position %v, stack %v and a text of %d bytes", f.Pos, f.Stack, len(f.Text))
 			}
-			if res.Fuel > Aside.Fuel+Aside.Fuel/10 {
+			if res.Fuel > BackgroundLimits.Fuel+BackgroundLimits.Fuel/10 {
 				t.Errorf("the run took %d instructions, over 1.1 times its limit", res.Fuel)
 			}
 		})
@@ -72,7 +72,7 @@
 // Limits.Stop ends a run that the other limits do not end, and the fault names it as the reason.
 func TestStopped(t *testing.T) {
 	p := compile(t, "on ended(e) {\nfor i in 0..9223372036854775807 {}\n}")
-	limits, stopCalls := Aside, 0
+	limits, stopCalls := BackgroundLimits, 0
 	limits.Fuel = 1 << 40
 	limits.Stop = func() bool { stopCalls++; return stopCalls == 10 }
 	res, err := NewVM().Run(p, "ended", Ended{}, p.InitialState(), Env{}, limits)
@@ -123,7 +123,7 @@
 func TestState(t *testing.T) {
 	p := compile(t, "state n int = 1\nstate l list[list[int]] = [[1]]\nstate s string = \"x\"\non ended(e) {\nn += 1\nlet k = l[0]\npush(k, n)\nl[0] = k\npush(l, [n])\n}")
 	initial := p.InitialState()
-	vm, limits := NewVM(), Aside
+	vm, limits := NewVM(), BackgroundLimits
 	r1, err := vm.Run(p, "ended", Ended{}, initial, Env{}, limits)
 	if err != nil {
 		t.Fatal(err)
@@ -169,7 +169,7 @@
 	for _, c := range hostile {
 		f.Add(hostileHead + "on ended(e) {\n" + c.body + "\n}\n")
 	}
-	limits := Aside
+	limits := BackgroundLimits
 	limits.Fuel = 20_000
 	f.Fuzz(func(t *testing.T, text string) {
 		p, err := Compile("f.hook", text)
@@ -203,7 +203,7 @@
 // negative zero, which was written with its sign.
 func TestNoNegativeZero(t *testing.T) {
 	p := compile(t, "on ended(e) {\nlet z = 0.0\nlog(str((0.0 - 1.5) * z))\nlog(str(-z))\n}")
-	res, err := NewVM().Run(p, "ended", Ended{}, p.InitialState(), Env{}, Aside)
+	res, err := NewVM().Run(p, "ended", Ended{}, p.InitialState(), Env{}, BackgroundLimits)
 	if err != nil || len(res.Advice) != 2 || res.Advice[0].Text != "0.0" || res.Advice[1].Text != "0.0" {
 		t.Errorf("run ends with error %v and advice %+v, want 0.0 logged twice", err, res.Advice)
 	}
--- a/internal/hooklang/runtests.go
+++ b/internal/hooklang/runtests.go
@@ -34,9 +34,9 @@
 func (p *Program) RunTests() (results []TestResult) {
 	vm := NewVM()
 	for _, t := range p.tests {
-		vm.start(p, p.InitialState(), testEnv, Aside)
+		vm.start(p, p.InitialState(), testEnv, BackgroundLimits)
 		err := vm.guard(p, func() { vm.exec(p.funcs[t.function], nil) })
-		results = append(results, TestResult{t.name, t.pos, err, Aside.Fuel - vm.fuel})
+		results = append(results, TestResult{t.name, t.pos, err, BackgroundLimits.Fuel - vm.fuel})
 	}
 	return results
 }
@@ -51,9 +51,9 @@
 			h = candidate
 		}
 	}
-	limits := Aside
+	limits := BackgroundLimits
 	if h.point.Inline {
-		limits = Inline
+		limits = InlineLimits
 	}
 	nested := NewVM()
 	nested.Trace = vm.Trace
--- a/internal/hooklang/session.go
+++ b/internal/hooklang/session.go
@@ -31,7 +31,7 @@
 			}
 			onStep(s)
 		}
-		vm.start(p, p.InitialState(), testEnv, Aside)
+		vm.start(p, p.InitialState(), testEnv, BackgroundLimits)
 		return true, vm.guard(p, func() { vm.exec(p.funcs[t.function], nil) })
 	}
 	return false, nil
@@ -98,7 +98,7 @@
 		source += "let result_ = " + expr + "\n"
 	}
 	parsed, problems := check("line", source+"}\n")
-	if problems.Wrong() {
+	if problems.HasErrors() {
 		var errors Problems
 		for _, p := range problems {
 			if !p.Warning {
@@ -112,7 +112,7 @@
 		return "", err
 	}
 	vm := NewVM()
-	vm.start(p, p.InitialState(), testEnv, Aside)
+	vm.start(p, p.InitialState(), testEnv, BackgroundLimits)
 	var captured []Value
 	vm.capture = &captured
 	fn := p.funcs[p.tests[len(p.tests)-1].function]
