--- a/cmd/kitehub/operate.go
+++ b/cmd/kitehub/operate.go
@@ -17,14 +17,15 @@
 	"kitehub/scheduler"
 )
 
-// A operatorClient is where a running controller listens for operators.
+// An operatorClient holds the flags of commands that send a request to a running controller.
 type operatorClient struct {
 	Socket string        `required:"" type:"path" env:"KITEHUB_SOCKET" help:"The controller's rpc.socket."`
 	Within time.Duration `default:"5s" help:"How long an answer may take."`
 	JSON   bool          `help:"Print the answer as it came."`
 }
 
-// request asks one thing and prints it, by show unless --json is given.
+// request sends one request and prints its result: by show, or as JSON if --json is given or show
+// is nil.
 func (s *operatorClient) request(method string, params, result any, show func()) error {
 	c, err := jsonrpc.Dial(s.Socket, s.Within)
 	if err != nil {
@@ -53,10 +54,10 @@
 	return nil
 }
 
-func printTable(head string, f func(w *tabwriter.Writer)) {
+func printTable(header string, printRows func(w *tabwriter.Writer)) {
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(w, head)
-	f(w)
+	fmt.Fprintln(w, header)
+	printRows(w)
 	w.Flush()
 }
 
@@ -145,20 +146,20 @@
 		printTable("SCRIPT\tSTATUS\tVERSION\tSHADOW\tRUNS\tFAULTS\tLAST FAULT", func(w *tabwriter.Writer) {
 			for _, x := range o.Scripts {
 				shadow := "-"
-				if x.Trial != nil {
+				if x.ShadowStats != nil {
 					shadow = fmt.Sprintf("%d: %d runs, %d differ, %d faults",
-						x.Shadow, x.Trial.Runs, x.Trial.Differ, x.Trial.Faults)
+						x.Shadow, x.ShadowStats.Runs, x.ShadowStats.Mismatches, x.ShadowStats.Faults)
 				}
 				fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%d\t%d\t%s\n",
-					x.Name, x.Status, x.Live, shadow, x.Tally.Runs, x.Tally.Faults, x.Fault)
+					x.Name, x.Status, x.Live, shadow, x.LiveStats.Runs, x.LiveStats.Faults, x.LastFault)
 			}
 		})
-		for _, t := range o.Standing {
+		for _, t := range o.AdviceInForce {
 			fmt.Println("stands:", t)
 		}
 		fmt.Printf("events: %d, dropped %d, waiting %d; advice taken %d, set aside %d; "+
 			"calls refused %d, let pass over the bound %d\n",
-			o.Posted, o.Dropped, o.Waiting, o.Taken, o.Aside, o.Refused, o.Over)
+			o.Posted, o.Dropped, o.QueueLength, o.AdviceAccepted, o.AdviceSuppressed, o.CallsRejected, o.OverRejectionLimit)
 	})
 }
 
@@ -174,11 +175,11 @@
 func (s *explainCmd) Run() error {
 	var x gateway.Explanation
 	return s.request("explain", map[string]string{"id": s.ID}, &x, func() {
-		how := "in hand"
+		outcome := "in hand"
 		if x.Answer != "" {
-			how = x.Answer
+			outcome = x.Answer
 		}
-		fmt.Printf("%s: %s, %s after %.1f ms\n", x.ID, x.Function, how, x.TookMS)
+		fmt.Printf("%s: %s, %s after %.1f ms\n", x.ID, x.Function, outcome, x.TookMS)
 		for _, l := range x.Lines {
 			fmt.Println(" ", l)
 		}
