--- a/internal/harness/workersim/fleet_test.go
+++ b/internal/harness/workersim/fleet_test.go
@@ -46,7 +46,9 @@
 }
 
 func TestFleet(t *testing.T) {
-	call := func(id uint64, fn string) Call { return Call{ID: id, Function: newFunction(fn), Work: 0.1, MeanWork: 0.1} }
+	call := func(id uint64, fn string) Call {
+		return Call{ID: id, Function: newFunction(fn), Work: 0.1, MeanWork: 0.1}
+	}
 	tests := []struct {
 		name string
 		do   func(f *Fleet) []string
