--- a/internal/controller/handover_successor.go
+++ b/internal/controller/handover_successor.go
@@ -217,9 +217,9 @@
 		return key, false
 	}
 	if e.NotCached {
-		c.Webhook.EndedUncached(e.Key)
+		c.Webhook.CompleteUncached(e.Key)
 	} else {
-		c.Webhook.Ended(e.Key, e.Answer)
+		c.Webhook.Complete(e.Key, e.Answer)
 	}
 	return e.Key, true
 }
--- a/internal/ingress/webhook/handler.go
+++ b/internal/ingress/webhook/handler.go
@@ -63,11 +63,11 @@
 type Counts struct {
 	Unverified      atomic.Int64 // without a valid signature
 	Replayed        atomic.Int64
-	Reused          atomic.Int64
+	IDReused        atomic.Int64
 	Stale           atomic.Int64 // with a timestamp too old or too far ahead
 	Joined          atomic.Int64 // retries that joined a call in flight
 	Cached          atomic.Int64 // retries answered with a cached answer
-	Unsettled       atomic.Int64 // possibly accepted by a previous process
+	PossibleReplay  atomic.Int64 // possibly accepted by a previous process
 	UnknownFunction atomic.Int64 // that name no known function
 	AtCapacity      atomic.Int64 // too many ids remembered, or requests waiting for the call
 
--- a/internal/ingress/webhook/handover.go
+++ b/internal/ingress/webhook/handover.go
@@ -44,15 +44,15 @@
 	h.pauseEnded = nil
 }
 
-// Ended records the answer of a call that was in flight in the previous process.
-func (h *Handler) Ended(key replayguard.Key, answer replayguard.Answer) {
+// Complete records the answer of a call that was in flight in the previous process.
+func (h *Handler) Complete(key replayguard.Key, answer replayguard.Answer) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.guard.Complete(key, answer)
 }
 
-// EndedUncached records the end of such a call whose answer was not handed over.
-func (h *Handler) EndedUncached(key replayguard.Key) {
+// CompleteUncached records the end of such a call if its answer was not handed over.
+func (h *Handler) CompleteUncached(key replayguard.Key) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.guard.CompleteUncached(key)
@@ -63,6 +63,6 @@
 func (h *Handler) Abandoned(keys []replayguard.Key) {
 	resp := problemResponse(502, "failed", "the process that had it has ended, and it may have run", nil)
 	for _, key := range keys {
-		h.Ended(key, replayguard.Answer{Status: resp.Status, Type: problemType, Body: resp.Body})
+		h.Complete(key, replayguard.Answer{Status: resp.Status, Type: problemType, Body: resp.Body})
 	}
 }
--- a/internal/ingress/webhook/message.go
+++ b/internal/ingress/webhook/message.go
@@ -70,13 +70,13 @@
 		h.Counts.Replayed.Add(1)
 		return problemResponse(409, "replayed", "this message was taken before", nil)
 	case replayguard.IDReused:
-		h.Counts.Reused.Add(1)
+		h.Counts.IDReused.Add(1)
 		return problemResponse(422, "reused", "the webhook-id was used for another call", nil)
 	case replayguard.Stale, replayguard.Early:
 		h.Counts.Stale.Add(1)
 		return problemResponse(401, "forged", "webhook-timestamp is too old or too far ahead", nil)
 	case replayguard.PossibleReplay:
-		h.Counts.Unsettled.Add(1)
+		h.Counts.PossibleReplay.Add(1)
 		return rejectedResponse("this message may have been taken before a restart: sign it again with the present time",
 			a.retryAfter)
 	}
