--- a/.ci/lint.sh
+++ b/.ci/lint.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# Runs the linters over the whole module: staticcheck with every check, revive with the rules of revive.toml. Their releases are
-# pinned by .ci/tools/go.mod, a module of its own, so that the product's go.mod holds nothing for them; the module proxy is all
-# that a new machine needs. Exit 0 only if neither of them finds anything. Both run, whatever the first one says.
+# Runs the linters on the whole module: staticcheck with every check, and revive with the rules of
+# revive.toml. .ci/tools/go.mod pins their releases. It is a module of its own so that the program's
+# go.mod does not depend on the linters. A new machine needs only the module proxy. Both linters run
+# even if the first one fails; the exit status is 0 only if neither finds anything.
 set -euo pipefail
 cd "$(dirname "${BASH_SOURCE[0]}")/.."
 programs=$PWD/bin/tools
--- a/examples/loopback/call.sh
+++ b/examples/loopback/call.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Sends one signed call: call.sh [FUNCTION [BODY]]
+# Sends one signed call and prints the response. Usage: call.sh [FUNCTION [BODY]]
 set -eu
 secret=$(printf %s MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw | openssl base64 -d -A | od -An -v -tx1 | tr -d ' \n')
 id=call_$(openssl rand -hex 8) now=$(date +%s) body=${2-'{"nights":3}'}
