--- a/cmd/kitehub/daemon_test.go
+++ b/cmd/kitehub/daemon_test.go
@@ -77,7 +77,8 @@
 	if nextAddr != addr {
 		t.Errorf("the successor listens on %s, want %s", nextAddr, addr)
 	}
-	if got := status(t, addr, "a", `{}`); got != 409 && got != 200 { // a repeated call: the cached answer, or rejected as a replay
+	// A repeated call gets the cached answer, or is rejected as a replay.
+	if got := status(t, addr, "a", `{}`); got != 409 && got != 200 {
 		t.Error(got)
 	}
 	if got := status(t, addr, "b", `{}`); got != 200 {
--- a/cmd/kitehub/hook.go
+++ b/cmd/kitehub/hook.go
@@ -179,7 +179,8 @@
 }
 
 func (h *hookLoadCmd) Run() error {
-	if _, err := compileFile(h.File); err != nil { // checked here so that errors have the name of the file
+	// The script is compiled here so that errors have the name of the file.
+	if _, err := compileFile(h.File); err != nil {
 		return err
 	}
 	text, err := os.ReadFile(h.File)
--- a/cmd/kitehub/registryserve.go
+++ b/cmd/kitehub/registryserve.go
@@ -66,7 +66,8 @@
 		Int64("cut", rec.DiscardedBytes).Msg("serving")
 	err = awaitShutdown(svc)
 	ln.Close()
-	go srv.Drain(registryDrainTimeout) // at the same time as svc.Close, which answers pending long polls
+	// Drain runs at the same time as svc.Close, which answers pending long polls.
+	go srv.Drain(registryDrainTimeout)
 	closeErr := svc.Close()
 	srv.Drain(registryDrainTimeout)
 	return errors.Join(err, closeErr)
--- a/cmd/kitehub/relay.go
+++ b/cmd/kitehub/relay.go
@@ -15,7 +15,7 @@
 // Run runs a controller on a platform that configures it by RELAY_* variables and JSON. It returns
 // when the shutdown after a SIGTERM or SIGINT is complete.
 func (*relayCmd) Run() error {
-	reload := make(chan os.Signal, 1) // one pending signal suffices, since a reload reads the newest file
+	reload := make(chan os.Signal, 1) // one pending signal suffices: a reload reads the newest file
 	stop := make(chan os.Signal, 2)   // the first signal, and a second one during the shutdown
 	signal.Notify(reload, syscall.SIGHUP)
 	signal.Notify(stop, syscall.SIGTERM, os.Interrupt)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -81,8 +81,9 @@
 	successorListener *net.UnixListener // nil: handovers are not configured
 	onPredecessorDone func()            // called once the predecessor is done; nil: nothing to do then
 
-	events     eventFanout
-	hookEngine atomic.Pointer[hookengine.Engine] // replaced when a handover is aborted; nil: no scripts
+	events eventFanout
+	// hookEngine is replaced when a handover is aborted. Nil: there are no scripts.
+	hookEngine atomic.Pointer[hookengine.Engine]
 
 	draining atomic.Bool // no further call is admitted
 	stopping atomic.Bool // set by the first of Stop, Kill and a handover that succeeds
@@ -94,8 +95,8 @@
 
 	mu     sync.Mutex                // guards the fields below
 	conns  map[*trackedConn]struct{} // open connections that were dialled; Kill cuts them
-	agent  *agent.Agent              // nil: not configured, or not started until the predecessor is done
-	unlock func() error              // unlocks the state folder; nil: this controller does not hold the lock
+	agent  *agent.Agent              // nil: not configured, or the predecessor is not done
+	unlock func() error              // unlocks the state folder; nil: not locked by this controller
 }
 
 // Start runs a controller. It creates the state folder if it is missing, and locks it against a
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -189,8 +189,9 @@
 
 // An answer is the answer that a client received.
 type answer struct {
-	status     int
-	outcome    string // the outcome in the problem details, which the signed id repeats; "served" for 200
+	status int
+	// outcome is the outcome in the problem details, which the signed id repeats; "served" for 200.
+	outcome    string
 	body       string
 	retryAfter string // the Retry-After header
 }
--- a/internal/controller/models.go
+++ b/internal/controller/models.go
@@ -22,7 +22,8 @@
 // of models for the ingresses and the gateway. It implements ingress.Models and gateway.Versions,
 // and is safe for concurrent use.
 type modelVersions struct {
-	agent     atomic.Pointer[agent.Agent] // nil until started; after a handover, until the predecessor is done
+	// agent is nil until it is started, which after a handover is when the predecessor is done.
+	agent     atomic.Pointer[agent.Agent]
 	functions *gateway.Functions
 	gateway   *gateway.Gateway
 	clock     clock.Clock
--- a/internal/controller/operator.go
+++ b/internal/controller/operator.go
@@ -59,7 +59,7 @@
 	Answers        map[string]int64 `json:"answers"` // number by outcome since the start
 	RPC            map[string]int64 `json:"rpc"`
 	Hooks          map[string]int64 `json:"hooks,omitempty"`
-	MeanStepMicros float64          `json:"mean_step_us"` // mean time of a scheduler step, in microseconds
+	MeanStepMicros float64          `json:"mean_step_us"` // mean scheduler step time, in microseconds
 	ModuleCrashes  int64            `json:"module_crashes"`
 }
 
--- a/internal/controller/rpc_test.go
+++ b/internal/controller/rpc_test.go
@@ -243,7 +243,7 @@
 `
 
 // A script that is loaded by RPC keeps copies warm before the first call. The call that it does not
-// refuse is served.
+// reject is served.
 func TestHooksInController(t *testing.T) {
 	h := newHarness(t, 3, func(c *fakeworker.Config) {
 		for i := range c.Functions {
--- a/internal/controller/versions_test.go
+++ b/internal/controller/versions_test.go
@@ -246,7 +246,8 @@
 		d.migrate(m, "v1", 2)
 	}
 	release()
-	wantAnswer(t, <-got["safe"], "200 served") // under v2 if it ran before the migration back, else under v1
+	// The call is served under v2 if it ran before the migration back, else under v1.
+	wantAnswer(t, <-got["safe"], "200 served")
 	wantAnswer(t, <-got["unsafe"], "502 failed")
 	wantAnswer(t, <-got["keyed"], "502 failed")
 }
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -118,7 +118,7 @@
 	}
 }
 
-// hasDigestMismatch tells whether a result must not be delivered: it comes from other bytes than
+// hasDigestMismatch reports whether a result must not be delivered: it comes from other bytes than
 // the registry names for the version, or other bytes have run under its idempotency key. In the
 // second case a worker that drops duplicates may answer with the result of those bytes.
 func (g *Gateway) hasDigestMismatch(r *request, call *Call, res backend.Result) bool {
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -54,7 +54,7 @@
 	Restarts int
 }
 
-// AnswerKind tells how a request ended.
+// AnswerKind is how a request ended.
 type AnswerKind int
 
 const (
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -31,7 +31,7 @@
 	Lister Lister
 	// Peers carries peer messages to other controllers. Nil: there are no other controllers.
 	Peers Peers
-	// Versions tells whether a version of a model may still be used. Nil: no call has a
+	// Versions reports whether a version of a model may still be used. Nil: no call has a
 	// VersionBinding.
 	Versions Versions
 	// Hooks are notified of calls and workers. Nil: there are no hooks.
@@ -84,14 +84,14 @@
 // goroutine and must not block. Messages may be lost.
 type Peers interface {
 	// Send sends a message to the controller with index to, or to all controllers if to is
-	// scheduler.Everyone.
+	// scheduler.AllControllers.
 	Send(to int, payload []byte)
 }
 
 // Versions gives the registry's view of the versions of models. Its methods are safe for concurrent
 // use and must not block.
 type Versions interface {
-	// MayAnswer tells whether a call that was resolved to the target may be sent and answered now.
+	// MayAnswer reports whether a call that was resolved to the target may be sent and answered now.
 	MayAnswer(registry.AliasName, registry.Target) registry.Verdict
 	// CopiesReady reports that a worker holds copies of a function that is a version of a model.
 	CopiesReady(function, worker string, copies int)
--- a/internal/gateway/explain.go
+++ b/internal/gateway/explain.go
@@ -8,7 +8,7 @@
 	"kitehub/scheduler"
 )
 
-// An Explanation tells why a call went to the workers that it went to: what the dispatcher knew
+// An Explanation says why a call went to the workers that it went to: what the dispatcher knew
 // when it sent each attempt, and how the attempt ended.
 type Explanation struct {
 	ID       string   `json:"id"`
--- a/internal/gateway/loop_test.go
+++ b/internal/gateway/loop_test.go
@@ -31,7 +31,8 @@
 		t.Error("the panic was not both counted and logged")
 	}
 	clk.Advance(ms)
-	transport.callback(0)(backend.Result{Outcome: scheduler.OK, Took: ms}) // the attempt sent before the panic
+	// The attempt sent before the panic ends.
+	transport.callback(0)(backend.Result{Outcome: scheduler.OK, Took: ms})
 	submit(t, g, 1, &after)
 	g.step(clk.Now())
 	if transport.callback(1) == nil {
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -51,7 +51,7 @@
 // claimedAs returns the kind of the final answer, or 0 while there is none.
 func (r *request) claimedAs() AnswerKind { return AnswerKind(r.claimed.Load()) }
 
-// mayHaveRun tells whether an attempt of the request may have run, or may still run.
+// mayHaveRun reports whether an attempt of the request may have run, or may still run.
 func (r *request) mayHaveRun() bool {
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool {
 		switch a.outcome {
@@ -62,7 +62,7 @@
 	})
 }
 
-// hasRunning tells whether an attempt is in flight.
+// hasRunning reports whether an attempt is in flight.
 func (r *request) hasRunning() bool {
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.running != nil })
 }
--- a/internal/gateway/versions.go
+++ b/internal/gateway/versions.go
@@ -7,7 +7,7 @@
 	"kitehub/scheduler"
 )
 
-// verdict tells whether a call may still be sent and answered with the version that its alias was
+// verdict reports whether a call may still be sent and answered with the version that its alias was
 // resolved to. It may be called on any goroutine.
 func (g *Gateway) verdict(c *Call) registry.Verdict {
 	if c.Binding == nil || g.cfg.Versions == nil {
@@ -25,7 +25,7 @@
 	g.wakeLoop()
 }
 
-// takeRecheckPending tells whether RecheckVersions was called since the last takeRecheckPending.
+// takeRecheckPending reports whether RecheckVersions was called since the last takeRecheckPending.
 func (g *Gateway) takeRecheckPending() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/gateway/workers.go
+++ b/internal/gateway/workers.go
@@ -31,7 +31,7 @@
 // nothing that is still unsent goes to a draining worker. The dispatcher is notified in its next
 // step.
 //
-// It returns an error if two names have the same hash; the list then stays as it was.
+// It returns an error if two names have the same hash; the list is then unchanged.
 func (g *Gateway) UpdateWorkers(kind scheduler.ListKind, version uint32, event []Worker) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/gateway/workers_test.go
+++ b/internal/gateway/workers_test.go
@@ -7,7 +7,7 @@
 	"kitehub/scheduler"
 )
 
-// Two names with the same hash are an error, and the endpoint list stays as it was.
+// Two names with the same hash are an error, and leave the endpoint list unchanged.
 func TestHashCollisionsAreErrors(t *testing.T) {
 	g, transport, _, _ := newManualGateway(t)
 	g.directory.functions[FunctionID("a")] = "b"
--- a/internal/hookengine/engine.go
+++ b/internal/hookengine/engine.go
@@ -30,19 +30,22 @@
 
 // Config configures an Engine. Catalog, Sink and Clock are required.
 type Config struct {
-	Lifecycle        LifecycleSettings
-	Advice           hookadvice.Settings
-	Catalog          hookadvice.Catalog
-	Sink             Sink
-	Notify           func(hookadvice.Notification) // must not block; nil: only logs
-	CallsInFlight    func() int                    // for timer handlers; nil: always 0
-	Clock            clock.Clock
-	Log              zerolog.Logger
-	FS               store.FS        // stores scripts and their state; nil: nothing is stored
-	Seed             uint64          // seed of the backoff jitter
-	QueueSize        int             // events that may wait; others are dropped and counted; default 4096
-	BackgroundLimits hooklang.Limits // of a run on the engine's goroutine; default hooklang.BackgroundLimits
-	InlineLimits     hooklang.Limits // of a run on the goroutine of a call; default hooklang.InlineLimits
+	Lifecycle     LifecycleSettings
+	Advice        hookadvice.Settings
+	Catalog       hookadvice.Catalog
+	Sink          Sink
+	Notify        func(hookadvice.Notification) // must not block; nil: only logs
+	CallsInFlight func() int                    // for timer handlers; nil: always 0
+	Clock         clock.Clock
+	Log           zerolog.Logger
+	FS            store.FS // stores scripts and their state; nil: nothing is stored
+	Seed          uint64   // seed of the backoff jitter
+	// QueueSize is how many events may wait; others are dropped and counted; default 4096.
+	QueueSize int
+	// BackgroundLimits limits a run on the engine's goroutine; default hooklang.BackgroundLimits.
+	BackgroundLimits hooklang.Limits
+	// InlineLimits limits a run on the goroutine of a call; default hooklang.InlineLimits.
+	InlineLimits hooklang.Limits
 	// RunTimeout limits a run on the engine's goroutine that BackgroundLimits has not ended before;
 	// default 250 ms.
 	RunTimeout   time.Duration
--- a/internal/hookengine/hooks_test.go
+++ b/internal/hookengine/hooks_test.go
@@ -376,7 +376,8 @@
 func TestInstructionRate(t *testing.T) {
 	gateway, clk := &fakeGateway{}, clock.NewManual(time.Unix(1000, 0))
 	e := startEngine(t, gateway, clk, "", 1_000_000)
-	loadScript(t, e, "costly", "on ended(e) {\nfor i in 0..100000 {}\n}\n", false) // about 200,000 instructions
+	// The handler runs about 200,000 instructions.
+	loadScript(t, e, "costly", "on ended(e) {\nfor i in 0..100000 {}\n}\n", false)
 	loadScript(t, e, "good", counterScript, false)
 	for range 20 {
 		for range 50 {
--- a/internal/hookengine/lifecycle.go
+++ b/internal/hookengine/lifecycle.go
@@ -19,8 +19,10 @@
 	ConsecutiveFaults int           // consecutive faults that open a circuit; default 3
 	InitialBackoff    time.Duration // of a circuit, doubled by each consecutive opening; default 1 s
 	MaxBackoff        time.Duration // of a circuit, without jitter; default 5 min
-	MaxOpenings       int           // consecutive openings; one more quarantines the version; default 4
-	MinShadowRuns     int           // runs of a shadow before a promotion without force; default 20
+	// MaxOpenings is how many openings may follow each other; one more quarantines the version;
+	// default 4.
+	MaxOpenings   int
+	MinShadowRuns int // runs of a shadow before a promotion without force; default 20
 	// InstructionRate is the number of instructions per second that a version may run on the
 	// engine's goroutine; default 1,000,000, which is about 1% of a core.
 	InstructionRate int64
--- a/internal/hookengine/notify.go
+++ b/internal/hookengine/notify.go
@@ -32,7 +32,7 @@
 const (
 	maxQueuedNotifications = 100
 	maxAttempts            = 4
-	initialRetryBackoff    = 250 * time.Millisecond // before the first retry; doubled by each further one
+	initialRetryBackoff    = 250 * time.Millisecond // before the first retry; doubles each time
 	attemptTimeout         = 2 * time.Second
 	statusGone             = 410 // in Standard Webhooks: the receiver wants no more webhooks
 )
--- a/internal/hookengine/overview.go
+++ b/internal/hookengine/overview.go
@@ -10,30 +10,34 @@
 // ScriptOverview describes a script to operators.
 type ScriptOverview struct {
 	Name        string    `json:"name"`
-	Status      string    `json:"status"`              // see [Script.Status]
-	Live        uint64    `json:"live,omitempty"`      // number of the live version
-	Digest      string    `json:"digest,omitempty"`    // of the live version's text
-	Previous    uint64    `json:"before,omitempty"`    // number of the previous version
-	Shadow      uint64    `json:"shadow,omitempty"`    // number of the shadow version
-	Points      []string  `json:"points,omitempty"`    // points that the live version has handlers for
-	LiveStats   RunStats  `json:"tally"`               // of the live version
-	ShadowStats *RunStats `json:"trial,omitempty"`     // of the shadow version
-	LastFault   string    `json:"fault,omitempty"`     // see [Script]
-	State       string    `json:"state,omitempty"`     // of the live version, as declarations in the hook language
-	ProbeInS    float64   `json:"back_in_s,omitempty"` // seconds until the open circuit admits a probe
+	Status      string    `json:"status"`           // see [Script.Status]
+	Live        uint64    `json:"live,omitempty"`   // number of the live version
+	Digest      string    `json:"digest,omitempty"` // of the live version's text
+	Previous    uint64    `json:"before,omitempty"` // number of the previous version
+	Shadow      uint64    `json:"shadow,omitempty"` // number of the shadow version
+	Points      []string  `json:"points,omitempty"` // points that the live version has handlers for
+	LiveStats   RunStats  `json:"tally"`            // of the live version
+	ShadowStats *RunStats `json:"trial,omitempty"`  // of the shadow version
+	LastFault   string    `json:"fault,omitempty"`  // see [Script]
+	// State is that of the live version, as declarations in the hook language.
+	State    string  `json:"state,omitempty"`
+	ProbeInS float64 `json:"back_in_s,omitempty"` // seconds until the open circuit admits a probe
 }
 
 // Overview describes all scripts and their advice to operators.
 type Overview struct {
-	Scripts            []ScriptOverview `json:"scripts"`
-	AdviceInForce      []string         `json:"standing"`            // one line per item, see inForceLine
-	Posted             int64            `json:"posted"`              // events and inline runs queued so far
-	Dropped            int64            `json:"dropped"`             // events and inline runs dropped by the full queue
-	QueueLength        int              `json:"waiting"`             // events and inline runs in the queue
-	AdviceAccepted     int              `json:"advice_taken"`        // items of advice accepted so far
-	CallsRejected      int64            `json:"calls_refused"`       // calls rejected by hooks or a cap
-	OverRejectionLimit int64            `json:"refusals_over_bound"` // rejections by hooks that the limit overruled
-	AdviceSuppressed   int              `json:"advice_set_aside"`    // items of advice suppressed
+	Scripts       []ScriptOverview `json:"scripts"`
+	AdviceInForce []string         `json:"standing"` // one line each, see inForceLine
+	// Posted, Dropped and QueueLength count events and inline runs: those queued so far, those
+	// dropped by the full queue, and those in the queue.
+	Posted         int64 `json:"posted"`
+	Dropped        int64 `json:"dropped"`
+	QueueLength    int   `json:"waiting"`
+	AdviceAccepted int   `json:"advice_taken"`  // items of advice accepted so far
+	CallsRejected  int64 `json:"calls_refused"` // by hooks or a cap
+	// OverRejectionLimit counts the rejections by hooks that the limit overruled.
+	OverRejectionLimit int64 `json:"refusals_over_bound"`
+	AdviceSuppressed   int   `json:"advice_set_aside"` // items of advice suppressed
 }
 
 // Overview returns the scripts, the advice in force and the counters. It returns an error if the
--- a/internal/hookengine/script.go
+++ b/internal/hookengine/script.go
@@ -13,10 +13,11 @@
 
 // RunStats counts the runs of one version.
 type RunStats struct {
-	Runs       int64 `json:"runs"`
-	Faults     int64 `json:"faults"`
-	Fuel       int64 `json:"fuel"`             // instructions executed
-	Mismatches int64 `json:"differ,omitempty"` // runs of a shadow whose advice differed from the live version's
+	Runs   int64 `json:"runs"`
+	Faults int64 `json:"faults"`
+	Fuel   int64 `json:"fuel"` // instructions executed
+	// Mismatches counts the runs of a shadow whose advice differed from the live version's.
+	Mismatches int64 `json:"differ,omitempty"`
 	// Skipped counts the events that the version missed because it had exceeded its instruction
 	// rate.
 	Skipped int64 `json:"skipped,omitempty"`
@@ -28,7 +29,7 @@
 // Script is a script with its versions and their statistics.
 type Script struct {
 	Name        string   `json:"name"`
-	Live        *Version `json:"live,omitempty"`   // runs unless it is quarantined or its circuit is open
+	Live        *Version `json:"live,omitempty"`   // runs unless quarantined or its circuit is open
 	Previous    *Version `json:"before,omitempty"` // was live before Live
 	Shadow      *Version `json:"shadow,omitempty"` // runs for comparison; its advice is not followed
 	LiveStats   RunStats `json:"tally"`            // of the live version
--- a/internal/hookengine/versions.go
+++ b/internal/hookengine/versions.go
@@ -61,7 +61,8 @@
 	if c.Live == nil {
 		e.deactivate(c.Script)
 	} else if old == nil || old.version != c.Live.Number {
-		if err := e.activate(c.Script, c.Live); err != nil { // unexpected, as it compiled when it was loaded
+		if err := e.activate(c.Script, c.Live); err != nil {
+			// This is unexpected, as the script compiled when it was loaded.
 			e.config.Log.Error().Str("script", c.Script).Err(err).Msg("hook does not compile")
 			return
 		}
--- a/internal/hooklang/ast.go
+++ b/internal/hooklang/ast.go
@@ -115,8 +115,10 @@
 		key, name string // key is "" unless the loop names the keys of a map
 		from, to  expr   // to is nil unless the loop runs over a range
 		body      *block
-		slot      int // slot of name; the next two hold the collection or the range's end, and the position
-		keySlot   int
+		// slot is the slot of name. The next two hold the collection or the range's end, and the
+		// position.
+		slot    int
+		keySlot int
 	}
 	matchStmt struct {
 		node
--- a/internal/hooklang/builtin.go
+++ b/internal/hooklang/builtin.go
@@ -10,13 +10,15 @@
 
 // signature is one list of parameter types that a builtin accepts, with its implementation.
 type signature struct {
-	params        []*Type // may contain the type variables T, K and V
-	result        *Type
-	run           func(vm *VM, a []Value) Value
-	op            opcode // set instead of run where the VM has an instruction for the builtin
-	effect        bool   // gives advice
-	testOnly      bool   // may be called in tests only
-	takesFunction bool   // the last argument names a function that reports whether one entry comes before another
+	params   []*Type // may contain the type variables T, K and V
+	result   *Type
+	run      func(vm *VM, a []Value) Value
+	op       opcode // set instead of run where the VM has an instruction for the builtin
+	effect   bool   // gives advice
+	testOnly bool   // may be called in tests only
+	// takesFunction is set if the last argument names a function that reports whether one entry
+	// comes before another.
+	takesFunction bool
 }
 
 // varT, varK and varV are type variables: each stands for any type, and for the same type
--- a/internal/hooklang/checkstmt.go
+++ b/internal/hooklang/checkstmt.go
@@ -196,7 +196,8 @@
 	c.pushScope()
 	v := c.declare(s.pos, s.name, elem)
 	s.slot, v.used = v.ref.index, true // the body of a loop need not use its variable
-	c.nextSlot += 2                    // hidden slots: the collection or the end of the range, and the position
+	// Two hidden slots follow: the collection or the end of the range, and the position.
+	c.nextSlot += 2
 	c.current.slots = max(c.current.slots, c.nextSlot)
 	if s.key != "" {
 		v := c.declare(s.pos, s.key, key)
--- a/internal/hooklang/doc.go
+++ b/internal/hooklang/doc.go
@@ -63,7 +63,9 @@
 // Limits bound one run. All but Stop count resources rather than time, so that a run that exceeds
 // one ends at the same instruction on every machine.
 type Limits struct {
-	Fuel    int64 // instructions; an operation whose cost grows with its operands is charged by their size
+	// Fuel is the number of instructions. An operation whose cost grows with its operands is
+	// charged by their size.
+	Fuel    int64
 	Memory  int64 // bytes allocated for strings, lists and maps, including those no longer in use
 	Depth   int   // nested calls
 	Size    int   // bytes of one string, or entries of one list or map
--- a/internal/hooklang/lexer.go
+++ b/internal/hooklang/lexer.go
@@ -25,7 +25,7 @@
 // token is a lexical element of a script.
 type token struct {
 	kind   tokenKind
-	text   string // names, numbers and symbols as written; for strings, the value with escapes resolved
+	text   string // a name, number or symbol as written; a string with escapes resolved
 	pos    Pos
 	number int64
 	float  float64
--- a/internal/outbox/outbox.go
+++ b/internal/outbox/outbox.go
@@ -85,7 +85,8 @@
 		o.close()
 	}
 	if o.closed || o.finished {
-		return o.queuedEnd + uint64(max(1, len(message))), false // a position that the stream never reaches
+		// The stream never reaches this position.
+		return o.queuedEnd + uint64(max(1, len(message))), false
 	}
 	o.queuedEnd += uint64(len(message))
 	if !o.flushing {
--- a/internal/registry/agent/poll.go
+++ b/internal/registry/agent/poll.go
@@ -32,7 +32,7 @@
 	nack           *wire.ErrorDetail // why the last response was rejected; nil if it was accepted
 	failures       int               // consecutive polls that failed or were rejected
 	lease          time.Duration     // duration of the lease, or firstPollTimeout
-	settleDeadline time.Duration     // when calls under superseded targets are abandoned; 0 if there are none
+	settleDeadline time.Duration     // when calls under superseded targets are abandoned; 0: none
 	older          []*generation     // replaced generations under which answers may still be written
 }
 
@@ -122,7 +122,8 @@
 	p.lease = update.LeaseDuration
 	view := p.agent.current.Load().view
 	previousEpoch := view.Epoch()
-	if !view.Update(sentAt, update) { // from another registry process, or out of order: request everything
+	if !view.Update(sentAt, update) {
+		// The update is from another registry process, or out of order: request everything.
 		p.nonce = ""
 		p.sleep(minBackoff)
 		return
--- a/internal/registry/agent/reports.go
+++ b/internal/registry/agent/reports.go
@@ -12,12 +12,13 @@
 // reports are what calls and workers of the controller report, collected for the next poll. Calls
 // add to them on their own goroutines, and the polling goroutine takes them.
 type reports struct {
-	mu           sync.Mutex // guards all but lastUseEnded
-	uses         map[aliasTarget]int
-	endedCalls   map[registry.VersionRef]wire.CallsEnded // not yet reported
-	readyCopies  map[copiesAt]int                        // of staged versions, not yet reported
-	staged       []wire.Stage                            // as in the last response of the registry
-	lastUseEnded chan struct{}                           // buffers a signal that some target has no calls left
+	mu          sync.Mutex // guards all but lastUseEnded
+	uses        map[aliasTarget]int
+	endedCalls  map[registry.VersionRef]wire.CallsEnded // not yet reported
+	readyCopies map[copiesAt]int                        // of staged versions, not yet reported
+	staged      []wire.Stage                            // as in the last response of the registry
+	// lastUseEnded buffers a signal that some target has no calls left.
+	lastUseEnded chan struct{}
 }
 
 // aliasTarget identifies what a running call is bound to.
--- a/internal/registry/guarantee_test.go
+++ b/internal/registry/guarantee_test.go
@@ -156,7 +156,8 @@
 	}
 	c := p.controller
 	c.view.Update(p.sentAt, *p.response)
-	if rapid.IntRange(0, 2).Draw(g.t, "settle") > 0 { // otherwise calls continue, and it does not confirm
+	// Otherwise calls continue, and the controller does not confirm the epoch.
+	if rapid.IntRange(0, 2).Draw(g.t, "settle") > 0 {
 		c.view = c.view.Settled()
 		c.confirmed = c.view.Epoch()
 	}
@@ -165,7 +166,8 @@
 
 // disturb lets a controller's clock jump, restarts the controller, or loses the oldest message.
 func (g *guaranteeModel) disturb(c *controllerModel) {
-	if rapid.IntRange(0, 3).Draw(g.t, "jump") == 0 { // the machine was suspended and the clock counts it
+	if rapid.IntRange(0, 3).Draw(g.t, "jump") == 0 {
+		// The machine was suspended, and the clock counts that time.
 		c.offset += time.Duration(rapid.IntRange(0, 10_000).Draw(g.t, "slept")) * time.Millisecond
 		return
 	}
--- a/internal/registry/service/golden_test.go
+++ b/internal/registry/service/golden_test.go
@@ -171,7 +171,8 @@
 	s.confirm(time.Hour, 2)
 	s.awaitEnd(6, "given up") // by a tick that the service commits itself
 	s.confirm(2*time.Minute, 5)
-	s.awaitEnd(4, "acknowledged") // the service confirms the epoch itself, as earlier leases have expired
+	// The service confirms the epoch itself, as earlier leases have expired.
+	s.awaitEnd(4, "acknowledged")
 	s.commit(registry.Condemn{Model: "m", Version: "v4", By: "bob", Reason: unusualText})
 	s.commit(registry.Collect{Except: []registry.VersionRef{{Model: "m", Version: "v3"}, {Model: "m", Version: "gone"}}, By: "ann", Reason: "room"})
 	s.commit(registry.Collect{})
--- a/internal/registry/service/service.go
+++ b/internal/registry/service/service.go
@@ -59,13 +59,14 @@
 	mu            sync.Mutex // guards the fields up to lastNack
 	state         *registry.State
 	leases        *registry.Leases
-	applied       uint64            // sequence number of the last applied record
-	appliedCond   *sync.Cond        // signals that applied has grown; uses mu
-	changed       chan struct{}     // closed and replaced when there are changes for watchers
-	sinceSnapshot int               // records applied since the last snapshot was started
-	snapshotting  bool              // a snapshot is being written
-	broken        error             // why nothing can be committed any more
-	lastNack      map[string]string // reason of the last NACK of each controller that has not sent an ACK since
+	applied       uint64        // sequence number of the last applied record
+	appliedCond   *sync.Cond    // signals that applied has grown; uses mu
+	changed       chan struct{} // closed and replaced when there are changes for watchers
+	sinceSnapshot int           // records applied since the last snapshot was started
+	snapshotting  bool          // a snapshot is being written
+	broken        error         // why nothing can be committed any more
+	// lastNack holds the reason of the last NACK of each controller that has not sent an ACK since.
+	lastNack map[string]string
 
 	deadlineChanged chan struct{} // wakes deadlineLoop; buffers one signal
 	closed          chan struct{} // closed by Close
--- a/internal/registry/view.go
+++ b/internal/registry/view.go
@@ -24,7 +24,7 @@
 	Epoch         uint64
 	Since         uint64 // Targets are the changes since this epoch; 0 if they are complete
 	Targets       map[AliasName]Target
-	AllowStale    map[string]bool // every model that permits answers without a lease; nil if there is none
+	AllowStale    map[string]bool // every model that permits answers without a lease; nil if none
 	Condemned     []string        // every condemned digest, sorted
 	LeaseDuration time.Duration   // counted from the time at which the controller sent its request
 	SettleTimeout time.Duration   // how long calls under a superseded target may continue
--- a/internal/registry/wire/wire.go
+++ b/internal/registry/wire/wire.go
@@ -60,10 +60,10 @@
 	Collected      []Collected       `json:"collected,omitempty"`
 	Epoch          uint64            `json:"epoch,omitempty"`
 	ConfirmedEpoch uint64            `json:"confirmed,omitempty"` // see registry.State.ConfirmedEpoch
-	Holders        map[string]uint64 `json:"holders,omitempty"`   // epoch that each lease holder confirmed
+	Holders        map[string]uint64 `json:"holders,omitempty"`   // confirmed epoch by lease holder
 	Models         []json.RawMessage `json:"models,omitempty"`    // each is a registry.Model
 	History        []HistoryEntry    `json:"history,omitempty"`   // oldest first
-	Targets        []Alias           `json:"targets,omitempty"`   // changed since the epoch of the query
+	Targets        []Alias           `json:"targets,omitempty"`   // changed since the queried epoch
 	State          json.RawMessage   `json:"state,omitempty"`     // a registry.State
 }
 
@@ -104,10 +104,11 @@
 	TypeURL     string `json:"type_url"`
 	// ResponseNonce is the nonce of the last response. If it is empty, the registry sends
 	// everything, as to a controller that has just started.
-	ResponseNonce string        `json:"response_nonce,omitempty"`
-	ErrorDetail   *ErrorDetail  `json:"error_detail,omitempty"` // why the last response was rejected, if it was
-	CopiesReady   []CopiesReady `json:"stands,omitempty"`       // changes since the last request
-	CallsEnded    []CallsEnded  `json:"ended,omitempty"`        // since the last request
+	ResponseNonce string `json:"response_nonce,omitempty"`
+	// ErrorDetail is why the last response was rejected, if it was.
+	ErrorDetail *ErrorDetail  `json:"error_detail,omitempty"`
+	CopiesReady []CopiesReady `json:"stands,omitempty"` // changes since the last request
+	CallsEnded  []CallsEnded  `json:"ended,omitempty"`  // since the last request
 	// VersionsInUse are the versions under which calls run although their alias no longer names
 	// them.
 	VersionsInUse []registry.VersionRef `json:"uses,omitempty"`
@@ -135,13 +136,13 @@
 	VersionInfo string   `json:"version_info"` // epoch, in decimal
 	TypeURL     string   `json:"type_url"`
 	Nonce       string   `json:"nonce"`
-	Since       uint64   `json:"since,omitempty"`  // epoch since which Resources changed; 0 if complete
+	Since       uint64   `json:"since,omitempty"`  // epoch since which Resources changed; 0: complete
 	Resources   []Alias  `json:"resources"`        // sorted by model and alias
 	LeaseMS     float64  `json:"lease_ms"`         // milliseconds from when the request was sent
 	SettleMS    float64  `json:"settle_ms"`        // milliseconds; see registry.Settings.SettleTimeout
 	Condemned   []string `json:"barred,omitempty"` // every condemned digest
 	AllowStale  []string `json:"stale,omitempty"`  // every model that permits answers without a lease
-	Stage       []Stage  `json:"stage,omitempty"`  // every version that this controller is to have loaded
+	Stage       []Stage  `json:"stage,omitempty"`  // every version this controller is to have loaded
 }
 
 // An Alias with the version that it names; Version is empty if it names none.
--- a/internal/replayguard/guard.go
+++ b/internal/replayguard/guard.go
@@ -31,12 +31,12 @@
 // New, Retry, Join, Cached and AnswerEvicted accept the message; the other verdicts reject it.
 const (
 	New            Verdict = iota + 1 // execute it
-	Retry                             // execute it again: an earlier attempt was rejected without effect
+	Retry                             // execute it again: an attempt was rejected without effect
 	Join                              // an earlier attempt is in flight: wait for its answer
 	Cached                            // an earlier attempt has completed: send its cached answer
 	AnswerEvicted                     // an earlier attempt has completed, but its answer is not cached
 	Replay                            // this message, or a newer one with its id, was accepted before
-	IDReused                          // the id was used with a different body or for a different function
+	IDReused                          // the id was used with another body or for another function
 	Stale                             // the timestamp is too old
 	Early                             // the timestamp is too far ahead
 	PossibleReplay                    // maybe accepted before a restart: retry with a newer timestamp
@@ -153,7 +153,8 @@
 		return IDReused, 0
 	case e == nil && timestamp <= g.barrier:
 		return PossibleReplay, time.Duration(g.barrier-timestamp+1) * time.Second
-	case timestamp > g.durableWatermark: // the next watermark is still being written, or cannot be written
+	case timestamp > g.durableWatermark:
+		// The next watermark is still being written, or cannot be written.
 		return PossibleReplay, time.Second
 	case e == nil && len(g.entries) >= g.settings.MaxEntries:
 		return AtCapacity, time.Second
--- a/internal/replayguard/guard_test.go
+++ b/internal/replayguard/guard_test.go
@@ -112,7 +112,8 @@
 	expectVerdict(t, g, 102, message("a", 102), New)
 	g.Complete(Key{0, "a"}, Answer{Status: 200, Body: []byte("served")})
 	expectVerdict(t, g, 106, message("big", 106), New)
-	g.Complete(Key{0, "big"}, Answer{Status: 200, Body: make([]byte, 95)}) // 6 + 95 bytes exceed the limit
+	// 6 + 95 bytes exceed the limit.
+	g.Complete(Key{0, "big"}, Answer{Status: 200, Body: make([]byte, 95)})
 	expectVerdict(t, g, 107, message("big", 107), AnswerEvicted)
 }
 
--- a/internal/signing/sign.go
+++ b/internal/signing/sign.go
@@ -166,7 +166,8 @@
 	if len(text) > base64.StdEncoding.EncodedLen(ed25519.SignatureSize) {
 		return 0
 	}
-	var decoded [ed25519.SignatureSize + 2]byte // Decode may write up to two bytes more than it returns
+	// Decode may write up to two bytes more than it returns.
+	var decoded [ed25519.SignatureSize + 2]byte
 	size, err := base64.StdEncoding.Decode(decoded[:], []byte(text))
 	if err != nil {
 		return 0
--- a/internal/store/memory_test.go
+++ b/internal/store/memory_test.go
@@ -148,7 +148,8 @@
 func (m *memFS) crash() *memFS {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, change := range m.nameChanges { // each unsynced name change may have reached the disk or not
+	// Each unsynced name change may have reached the disk or not.
+	for _, change := range m.nameChanges {
 		if m.rng.IntN(2) == 0 {
 			change(m.durable)
 		}
--- a/scheduler/admission_step_test.go
+++ b/scheduler/admission_step_test.go
@@ -62,7 +62,8 @@
 // Loads within their time and errors do not reduce admission, because sending less would not help.
 func TestLoadsAndErrorsDoNotReduceAdmission(t *testing.T) {
 	d := start(t, testSettings(), ready(1, 2, 3, 4, 5, 6)...)
-	playRequests(t, d, 2*time.Second, 1, 900*ms, OK) // the first call waits for a load: objective 500 ms, load 750 ms
+	// The first call waits for a load: objective 500 ms, load 750 ms.
+	playRequests(t, d, 2*time.Second, 1, 900*ms, OK)
 	if d.admission.fraction != 1 {
 		t.Errorf("admitted fraction %v after a load, want 1", d.admission.fraction)
 	}
--- a/scheduler/placement_test.go
+++ b/scheduler/placement_test.go
@@ -35,7 +35,8 @@
 			events = append(events, arrival(id, 0, 7))
 		}
 		d.Step(now, events)
-		orders := len(actionsOf[LoadOrder](d.Step(now+150*ms, []Event{Timer{}}))) // after a quarter of the objective
+		// The timer fires after a quarter of the objective.
+		orders := len(actionsOf[LoadOrder](d.Step(now+150*ms, []Event{Timer{}})))
 		if want := note == FoundWarm; (orders > 0) != want {
 			t.Errorf("note %d: %d load orders for a further copy, want any: %v", note, orders, want)
 		}
--- a/scheduler/queueindex.go
+++ b/scheduler/queueindex.go
@@ -15,10 +15,10 @@
 // entries are used, reindex updates those of all dirty queues.
 type queueIndex struct {
 	dirty        []*queue                          // queues that changed since the last reindex
-	waiting      []*queue                          // all queues with pending requests, and some that had
+	waiting      []*queue                          // those with pending requests, and some that had
 	virtualTimes index.Heap[float64, *queue]       // of active queues
 	expiries     index.Heap[time.Duration, *queue] // when idle queues become inactive or are forgotten
-	renewals     index.Heap[time.Duration, *queue] // when the copies of active, idle queues are renewed
+	renewals     index.Heap[time.Duration, *queue] // when copies of active, idle queues are renewed
 	renewable    index.Heap[FunctionID, *queue]    // queues whose renewal is due, moved from renewals
 	examined     uint64                            // see Effort.Queues
 }
--- a/scheduler/queueindex_test.go
+++ b/scheduler/queueindex_test.go
@@ -159,7 +159,8 @@
 	if len(sent) != 1 {
 		t.Fatal("the request is not sent")
 	}
-	if got := renewals(d, 7*time.Second); got != nil { // it was due at 5.9 s, but a request is in flight
+	// The renewal was due at 5.9 s, but a request is in flight.
+	if got := renewals(d, 7*time.Second); got != nil {
 		t.Errorf("renewed %v while a request was in flight", got)
 	}
 	d.Step(7100*ms, []Event{AttemptEnded{Request: 50, Worker: sent[0].Worker, Outcome: OK, Complete: true,
@@ -216,7 +217,8 @@
 func TestFunctionCalledAsItExpiresIsKept(t *testing.T) {
 	d := startAndServe(t, testSettings(), 7, 8)
 	q := d.queues.getOrCreate(7)
-	past := 1100*ms + (8+8+16)*time.Second + 1 // the queue's time to live, that of an idle copy, and the warmup time
+	// The queue's time to live, that of an idle copy, and the warmup time.
+	past := 1100*ms + (8+8+16)*time.Second + 1
 	d.Step(past-1, nil)
 	if d.queues.byFunction[7] != q || d.queues.byFunction[8] == nil {
 		t.Fatal("forgotten too early")
@@ -239,7 +241,8 @@
 	if len(d.queues.byFunction) != 0 || indexEntries(d) != 0 {
 		t.Errorf("%d queues and %d index entries are left", len(d.queues.byFunction), indexEntries(d))
 	}
-	d.Step(time.Second, []Event{arrival(80, 0, 1)}) // the caller's clock goes back; the dispatcher's does not
+	// The caller's clock goes back; the dispatcher's does not.
+	d.Step(time.Second, []Event{arrival(80, 0, 1)})
 	if d.now != time.Hour || len(d.requests) != 1 {
 		t.Errorf("at %v with %d requests, want 1h and 1", d.now, len(d.requests))
 	}
--- a/scheduler/request.go
+++ b/scheduler/request.go
@@ -15,8 +15,8 @@
 	attempts          []attempt
 	queued            bool          // waits in its queue to be sent
 	ended             bool          // answered, or its client has left
-	retryPending      bool          // an attempt has ended; whether to retry is decided after all events
-	unplaceable       bool          // past its objective, and no worker can take it before its deadline
+	retryPending      bool          // an attempt has ended; the retry is decided after all events
+	unplaceable       bool          // past its objective; no worker can take it by its deadline
 	admissionObserved bool          // counted by the admission
 	loadAllowance     time.Duration // added to its objective for a load that it may wait for
 	mayHedge          bool          // an attempt is given up on, and another may start beside it
@@ -31,7 +31,7 @@
 	work            float64 // expected run time, seconds
 	done            bool    // has an outcome
 	mayHaveRun      bool    // valid once done is set
-	awaitsLoad      bool    // may wait for a load, and therefore holds no token of the concurrency limit
+	awaitsLoad      bool    // may wait for a load, so holds no token of the concurrency limit
 	cancelRequested bool    // a Cancel was issued
 }
 
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -6,8 +6,9 @@
 // other. Some fields are not read by any decision yet. Callers set them all the same, so that a
 // later decision can depend on them.
 type Settings struct {
-	ControllerIndex    int               // index of this controller, from 0
-	Controllers        int               // controllers that share the workers, with this one; at least 1
+	ControllerIndex int // index of this controller, from 0
+	// Controllers is how many controllers share the workers, including this one; at least 1.
+	Controllers        int
 	Zone               int               // zone of this controller: an index into Zones
 	Zones              []string          // names, for display only
 	Tier               int               // an index into Tiers
@@ -51,7 +52,7 @@
 // Values of Class.Idempotency.
 const (
 	Idempotent        Idempotency = iota + 1 // may run any number of times
-	IdempotentWithKey                        // the workers of DedupScope drop repeats within DedupWindow
+	IdempotentWithKey                        // workers of DedupScope drop repeats within DedupWindow
 	NonIdempotent                            // must never run twice
 )
 
@@ -115,8 +116,10 @@
 	MaxPollInterval time.Duration // with PollEndpoints: longest time between two FetchEndpoints
 	WarmupFraction  float64       // fraction of its capacity that a worker has at its start
 	WarmupTime      time.Duration // a worker has its whole capacity after this time
-	CollapseFactor  float64       // a worker that is warming up collapses above this multiple of its capacity
-	CollapseWindow  time.Duration // time for which it has to be sent that much to collapse
+	// CollapseFactor is the multiple of its capacity above which a worker that is warming up
+	// collapses.
+	CollapseFactor float64
+	CollapseWindow time.Duration // time for which it has to be sent that much to collapse
 }
 
 // Goal has the weights of the values by which a deployment is judged.
--- a/scheduler/step.go
+++ b/scheduler/step.go
@@ -155,10 +155,12 @@
 
 // Effort counts what all steps have examined. It measures their cost independently of any clock.
 type Effort struct {
-	RingPoints    uint64 // points of the ring that were visited
-	Workers       uint64 // as candidates for a request, or for a health check
-	Queues        uint64 // whose index entries were updated, or that had pending requests in a dispatch
-	SummedWorkers uint64 // whose capacity was added up while a worker that is warming up was considered
+	RingPoints uint64 // points of the ring that were visited
+	Workers    uint64 // as candidates for a request, or for a health check
+	// Queues whose index entries were updated, or that had pending requests in a dispatch.
+	Queues uint64
+	// Workers whose capacity was added up while a worker that is warming up was considered.
+	SummedWorkers uint64
 }
 
 // Effort returns the counts since the dispatcher was created.
