--- a/internal/hookengine/golden_test.go
+++ b/internal/hookengine/golden_test.go
@@ -205,5 +205,5 @@
 // Every field that is stored or sent has a JSON tag, so that renaming it in Go does not change the
 // format.
 func TestKeysDoNotFollowFieldNames(t *testing.T) {
-	goldenfile.Tagged(t, record{}, snapshot{}, Overview{}, hookadvice.Tenants{})
+	goldenfile.RequireJSONTags(t, record{}, snapshot{}, Overview{}, hookadvice.Tenants{})
 }
