--- a/internal/gen/main.go
+++ b/internal/gen/main.go
@@ -107,7 +107,8 @@
 
 // write writes a generated file if it has changed; with check that is an error.
 func write(out *pluginpb.CodeGeneratorResponse_File, check bool) error {
-	name := strings.TrimPrefix(out.GetName(), "kitehub/") // by go_package, which is the path within the module
+	// The name is derived from go_package, and starts with the name of the module.
+	name := strings.TrimPrefix(out.GetName(), "kitehub/")
 	old, _ := os.ReadFile(name)
 	if bytes.Equal(old, []byte(out.GetContent())) {
 		return nil
