--- a/internal/harness/proxybench/bench_test.go
+++ b/internal/harness/proxybench/bench_test.go
@@ -1,5 +1,6 @@
-// Package proxybench measures the gateway against httputil.ReverseProxy before the same stand-in workers, in one run, by
-// turns, so that the ratio holds on whatever machine it is run. It is no test: see docs/gateway.md for figures.
+// Package proxybench compares the gateway with httputil.ReverseProxy in front of the same simulated
+// workers. Both run alternately in one process, so that the ratio hardly depends on the machine. It
+// has no tests; docs/gateway.md has results.
 package proxybench
 
 import (
@@ -36,8 +37,9 @@
 
 const secret = "whsec_MfKQ9r8GKYqrTwjUPD8ILPZIo2LaLaSw"
 
-// workers are as quick as can be: what is measured is what stands before them.
-func workers(t testing.TB, n int) (addrs []string) {
+// startWorkers starts workers that respond at once, so that the cost of the gateway or proxy in
+// front of them dominates.
+func startWorkers(t testing.TB, n int) (addrs []string) {
 	t.Helper()
 	head := `{"model_name":"f","outputs":[{"name":"body","shape":[1],"datatype":"BYTES","parameters":{"binary_data_size":15}}]}`
 	body := append([]byte(head), `{"price":42.50}`...)
@@ -58,9 +60,10 @@
 	return addrs
 }
 
-const functions = 16
+const functionCount = 16
 
-func text(dir string) string {
+// configText returns the configuration file of the controller.
+func configText(dir string) string {
 	return fmt.Sprintf(`name: "c1" controllers: 1 tick_ms: 0.1 state_dir: %q stop_ms: 1000
 webhook { listen: "127.0.0.1:0" prefix: "/call/" past_ms: 60000 future_ms: 5000 ahead_ms: 60000 remembered: 100000000 kept_bytes: 1000000
   max_connections: 20000 max_body: 65536 first_byte_ms: 3600000 head_ms: 60000 body_ms: 60000 idle_ms: 3600000 }
@@ -74,7 +77,8 @@
 log { no_requests: true }`, dir, secret, filepath.Join(dir, "list.json"))
 }
 
-func start(t testing.TB, addrs []string) *controller.Controller {
+// startController starts a controller in front of the workers.
+func startController(t testing.TB, addrs []string) *controller.Controller {
 	t.Helper()
 	dir := t.TempDir()
 	var l []gateway.Worker
@@ -89,7 +93,7 @@
 		t.Fatal(err)
 	}
 	var c config.Config
-	f, err := config.Parse("c", []byte(text(dir)), &c)
+	f, err := config.Parse("c", []byte(configText(dir)), &c)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -105,10 +109,11 @@
 	return ctl
 }
 
-// unsigned is the gateway behind a front that verifies nothing: what signatures cost is the difference.
-func unsigned(t testing.TB, addrs []string) string {
-	ctl := start(t, addrs)
-	fns, err := gateway.NewFunctions(ctl.Gateway, []gateway.FunctionSpec{{Name: "g-*", Lanes: 1000, MemoryMB: 1, MaxNames: 100}})
+// startUnsignedGateway starts the gateway behind a front that does not verify signatures, and
+// returns its address. The difference to the webhook front is the cost of signatures.
+func startUnsignedGateway(t testing.TB, addrs []string) string {
+	ctl := startController(t, addrs)
+	functionTable, err := gateway.NewFunctions(ctl.Gateway, []gateway.FunctionSpec{{Name: "g-*", Lanes: 1000, MemoryMB: 1, MaxNames: 100}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -119,7 +124,7 @@
 	s := &http1.Server{MaxConnections: 20000, Limits: http1.Limits{IdleTimeout: time.Hour, FirstByteTimeout: time.Hour}, Handler: http1.HandlerFunc(func(c *http1.Conn, r *http1.Request) *http1.Response {
 		done := make(chan struct{})
 		var a gateway.Answer
-		id, ok := ctl.Gateway.Submit(&gateway.Call{Function: fns.Find("g" + r.Path()[len("/call/f"):]), Body: r.Body, TimeLeft: 5 * time.Second,
+		id, ok := ctl.Gateway.Submit(&gateway.Call{Function: functionTable.Find("g" + r.Path()[len("/call/f"):]), Body: r.Body, TimeLeft: 5 * time.Second,
 			Deliver: func(got gateway.Answer) { a = got; c.Wake(); close(done) }})
 		if !ok {
 			return &http1.Response{Status: 503}
@@ -138,8 +143,9 @@
 	return ln.Addr().String()
 }
 
-// proxy is the peer; with signatures it verifies by the specification's own library.
-func proxy(t testing.TB, addrs []string, verify bool) string {
+// startProxy starts the reverse proxy, the peer in the comparison, and returns its address. With
+// verify it checks signatures with the reference library of the Standard Webhooks specification.
+func startProxy(t testing.TB, addrs []string, verify bool) string {
 	var next atomic.Uint64
 	p := &httputil.ReverseProxy{Transport: &http.Transport{MaxIdleConnsPerHost: 1000, IdleConnTimeout: time.Hour}, Rewrite: func(r *httputil.ProxyRequest) {
 		r.SetURL(&url.URL{Scheme: "http", Host: addrs[next.Add(1)%uint64(len(addrs))]})
@@ -159,7 +165,7 @@
 				w.WriteHeader(401)
 				return
 			}
-			r.Body = io.NopCloser(newReader(body))
+			r.Body = io.NopCloser(newBodyReader(body))
 			p.ServeHTTP(w, r)
 		})
 	}
@@ -173,13 +179,14 @@
 	return ln.Addr().String()
 }
 
-type reader struct {
+// A bodyReader reads a body that is in memory.
+type bodyReader struct {
 	b []byte
 }
 
-func newReader(b []byte) *reader { return &reader{b} }
+func newBodyReader(b []byte) *bodyReader { return &bodyReader{b} }
 
-func (r *reader) Read(p []byte) (int, error) {
+func (r *bodyReader) Read(p []byte) (int, error) {
 	if len(r.b) == 0 {
 		return 0, io.EOF
 	}
@@ -199,7 +206,7 @@
 }
 
 var limits = http1.Limits{}.WithDefaults()
-var clients atomic.Int64
+var clientCount atomic.Int64
 
 func dialClient(t testing.TB, addr string) *client {
 	nc, err := net.Dial("tcp", addr)
@@ -210,11 +217,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &client{nc: nc, br: bufio.NewReaderSize(nc, 4096), key: k, id: fmt.Sprint("c", clients.Add(1), "-")}
+	return &client{nc: nc, br: bufio.NewReaderSize(nc, 4096), key: k, id: fmt.Sprint("c", clientCount.Add(1), "-")}
 }
 
 var callBody = []byte(`{"campsite":"lake-7","from":"2026-07-01","nights":7}`)
 
+// call makes one call and reports whether it was served.
 func (c *client) call(t testing.TB) bool {
 	c.n++
 	m := signing.Message{ID: c.id + strconv.Itoa(c.n), Timestamp: strconv.FormatInt(time.Now().Unix(), 10), Body: callBody}
@@ -222,7 +230,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.buf = http1.AppendRequest(c.buf[:0], &http1.Request{Method: "POST", Target: "/call/f-" + strconv.Itoa(c.n%functions), Body: callBody, Header: http1.Header{
+	c.buf = http1.AppendRequest(c.buf[:0], &http1.Request{Method: "POST", Target: "/call/f-" + strconv.Itoa(c.n%functionCount), Body: callBody, Header: http1.Header{
 		{Name: "Host", Value: "x"}, {Name: "Content-Type", Value: "application/json"}, {Name: "webhook-id", Value: m.ID},
 		{Name: "webhook-timestamp", Value: m.Timestamp}, {Name: "webhook-signature", Value: s}}})
 	if _, err := c.nc.Write(c.buf); err != nil {
@@ -235,19 +243,20 @@
 		return false
 	}
 	if resp.Status != 200 {
-		t.Errorf("%d %s", resp.Status, resp.Body)
+		t.Errorf("status %d, want 200: %s", resp.Status, resp.Body)
 	}
 	return resp.Status == 200
 }
 
-// closed runs n connections, each with the next call right after the last answer.
-func closed(t testing.TB, addr string, conns int, d time.Duration) (perSecond float64, allocs float64) {
+// runClosedLoop makes calls on several connections, each of which starts the next call when the
+// last one is answered. It returns the calls per second and the allocations per call.
+func runClosedLoop(t testing.TB, addr string, conns int, d time.Duration) (perSecond float64, allocs float64) {
 	var l []*client
 	for range conns {
 		l = append(l, dialClient(t, addr))
 	}
-	for _, c := range l[:min(conns, 2*functions)] { // warm
-		for range functions {
+	for _, c := range l[:min(conns, 2*functionCount)] { // warm up
+		for range functionCount {
 			c.call(t)
 		}
 	}
@@ -274,15 +283,16 @@
 	return float64(n.Load()) / took.Seconds(), float64(after.Mallocs-before.Mallocs) / float64(n.Load())
 }
 
-// open runs calls at a rate, each timed from when it should have started.
-func open(t testing.TB, addr string, conns int, rate float64, d time.Duration) *hdrhistogram.Histogram {
+// runOpenLoop makes calls at a fixed rate and returns their latencies in µs, each from the intended
+// start.
+func runOpenLoop(t testing.TB, addr string, conns int, rate float64, d time.Duration) *hdrhistogram.Histogram {
 	h := hdrhistogram.New(1, int64(10*time.Second/time.Microsecond), 3)
 	var mu sync.Mutex
 	jobs := make(chan time.Time, 100000)
 	var wg sync.WaitGroup
 	for range conns {
 		c := dialClient(t, addr)
-		for range functions {
+		for range functionCount {
 			c.call(t)
 		}
 		wg.Add(1)
@@ -314,47 +324,50 @@
 	return h
 }
 
+// rounds is the number of measurements of each side, of which the best counts.
 const rounds = 3
 
-// BenchmarkCalls: calls a second, ours and the peer's by turns; best of three rounds each.
+// BenchmarkCalls reports the calls per second of the gateway and of the proxy, which run
+// alternately. The best of 3 rounds counts for each.
 func BenchmarkCalls(b *testing.B) {
-	addrs := workers(b, 4)
-	ctl := start(b, addrs)
-	peers := []struct{ name, ours, theirs string }{{"signed", ctl.Addr(), proxy(b, addrs, true)}, {"unsigned", unsigned(b, addrs), proxy(b, addrs, false)}}
-	for _, p := range peers {
+	addrs := startWorkers(b, 4)
+	ctl := startController(b, addrs)
+	pairs := []struct{ name, gateway, peer string }{{"signed", ctl.Addr(), startProxy(b, addrs, true)}, {"unsigned", startUnsignedGateway(b, addrs), startProxy(b, addrs, false)}}
+	for _, p := range pairs {
 		for _, conns := range []int{1, 64, 1000} {
 			b.Run(fmt.Sprintf("%s/%d", p.name, conns), func(b *testing.B) {
 				for b.Loop() {
-					var ours, theirs, ourAllocs, theirAllocs float64
+					var gatewayRate, peerRate, gatewayAllocs, peerAllocs float64
 					for range rounds {
-						v, a := closed(b, p.ours, conns, time.Second)
-						ours, ourAllocs = max(ours, v), a
-						v, a = closed(b, p.theirs, conns, time.Second)
-						theirs, theirAllocs = max(theirs, v), a
+						v, a := runClosedLoop(b, p.gateway, conns, time.Second)
+						gatewayRate, gatewayAllocs = max(gatewayRate, v), a
+						v, a = runClosedLoop(b, p.peer, conns, time.Second)
+						peerRate, peerAllocs = max(peerRate, v), a
 					}
-					b.ReportMetric(ours, "calls/s")
-					b.ReportMetric(theirs, "peer-calls/s")
-					b.ReportMetric(ours/theirs, "ratio")
-					b.ReportMetric(ourAllocs, "allocs/call")
-					b.ReportMetric(theirAllocs, "peer-allocs/call")
+					b.ReportMetric(gatewayRate, "calls/s")
+					b.ReportMetric(peerRate, "peer-calls/s")
+					b.ReportMetric(gatewayRate/peerRate, "ratio")
+					b.ReportMetric(gatewayAllocs, "allocs/call")
+					b.ReportMetric(peerAllocs, "peer-allocs/call")
 				}
 			})
 		}
 	}
 }
 
-// BenchmarkAdded: time added at half of what the slower of the two can do, over calling a worker directly.
-func BenchmarkAdded(b *testing.B) {
-	addrs := workers(b, 4)
-	ours, theirs := start(b, addrs).Addr(), proxy(b, addrs, true)
+// BenchmarkAddedLatency reports the latency that the gateway and the proxy add to calling a worker
+// directly, at half of the rate that the slower of the two reaches.
+func BenchmarkAddedLatency(b *testing.B) {
+	addrs := startWorkers(b, 4)
+	gatewayAddr, peerAddr := startController(b, addrs).Addr(), startProxy(b, addrs, true)
 	for b.Loop() {
-		a, _ := closed(b, ours, 64, time.Second)
-		c, _ := closed(b, theirs, 64, time.Second)
+		a, _ := runClosedLoop(b, gatewayAddr, 64, time.Second)
+		c, _ := runClosedLoop(b, peerAddr, 64, time.Second)
 		rate := min(a, c) / 2
 		var h [3][]float64
 		for range rounds {
-			for i, addr := range []string{addrs[0], ours, theirs} {
-				got := open(b, addr, 64, rate, 2*time.Second)
+			for i, addr := range []string{addrs[0], gatewayAddr, peerAddr} {
+				got := runOpenLoop(b, addr, 64, rate, 2*time.Second)
 				h[i] = append(h[i], float64(got.ValueAtQuantile(50)), float64(got.ValueAtQuantile(99)))
 			}
 		}
@@ -368,7 +381,8 @@
 	}
 }
 
-// TestMain is also the process that holds the far ends of idle connections.
+// TestMain runs the benchmarks. In a child process of BenchmarkIdleConnections, it opens the client
+// ends of the idle connections instead and holds them until its standard input ends.
 func TestMain(m *testing.M) {
 	addr, n := os.Getenv("BENCH_IDLE"), 0
 	if addr == "" {
@@ -393,15 +407,17 @@
 	os.Exit(0)
 }
 
-// BenchmarkIdle: memory for ten thousand idle connections, each after one call.
-func BenchmarkIdle(b *testing.B) {
+// BenchmarkIdleConnections reports the memory per idle connection, with 10,000 connections that
+// have each made one call.
+func BenchmarkIdleConnections(b *testing.B) {
 	const conns = 10000
-	addrs := workers(b, 1)
+	addrs := startWorkers(b, 1)
 	measure := func(addr string) float64 {
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		// The other ends are another process's: file descriptors are few, and its memory is not ours.
+		// The client ends are in a child process, because file descriptors are limited and the
+		// memory of the clients must not count.
 		c := exec.Command(os.Args[0])
 		c.Env = append(os.Environ(), "BENCH_IDLE="+addr, "BENCH_CONNS="+strconv.Itoa(conns))
 		in, err := c.StdinPipe()
@@ -416,7 +432,7 @@
 			b.Fatal(err)
 		}
 		if line, err := bufio.NewReader(out).ReadString('\n'); err != nil || line != "ready\n" {
-			b.Fatal(line, err)
+			b.Fatalf("the child process printed %q, want ready: %v", line, err)
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
@@ -425,7 +441,7 @@
 		return float64(after.HeapInuse+after.StackInuse-before.HeapInuse-before.StackInuse) / conns
 	}
 	for b.Loop() {
-		b.ReportMetric(measure(start(b, addrs).Addr()), "bytes/conn")
-		b.ReportMetric(measure(proxy(b, addrs, true)), "peer-bytes/conn")
+		b.ReportMetric(measure(startController(b, addrs).Addr()), "bytes/conn")
+		b.ReportMetric(measure(startProxy(b, addrs, true)), "peer-bytes/conn")
 	}
 }
--- a/internal/harness/scalebench/dispatch.go
+++ b/internal/harness/scalebench/dispatch.go
@@ -1,6 +1,7 @@
-// Package scalebench measures how the cost of the product's parts grows with the size of an installation: drivers over the real code,
-// against hollow partners that share the process. Its tests assert shape (counts, bytes, growth) in seconds; its benchmarks
-// play the sizes of docs/CAPACITY.md.
+// Package scalebench measures how the cost of the product's parts grows with the size of an
+// installation. It drives the real code against minimal simulations of its peers in the same
+// process. The tests check the growth of counts and bytes and take seconds; the benchmarks measure
+// the sizes in docs/CAPACITY.md.
 package scalebench
 
 import (
@@ -15,67 +16,70 @@
 	"kitehub/scheduler"
 )
 
-// Figures of the hollow workers that answer a dispatcher. They have no queue and no memory limit, and no fault but those that a load
-// asks for, so what a step costs is not mixed with what trouble costs.
+// Properties of the simulated workers that a dispatcher sends to. They have no queue, no memory
+// limit and no faults but those that a DispatchLoad asks for, so that the cost of a step does not
+// include the cost of handling overload or faults.
 const (
-	meanRun        = 60 * time.Millisecond  // of a call whose copy stands; exponentially distributed
-	loadTime       = 240 * time.Millisecond // of a copy
-	zipfPower      = 0.9                    // of the law by which calls come to functions
-	firstClock     = time.Hour              // of the dispatcher's clock at the start
-	warmupFraction = 3                      // the first part of a play, one in so many, is not measured
-	roundTrip      = time.Millisecond       // to a worker and back
-	faultPeriod    = 20 * time.Second       // a worker with faults has them for one such span, and none for the next
+	meanRunTime   = 60 * time.Millisecond  // of a call whose copy is loaded; exponentially distributed
+	loadTime      = 240 * time.Millisecond // of a copy
+	zipfExponent  = 0.9                    // of the Zipf distribution of calls over functions
+	startTime     = time.Hour              // of the dispatcher's clock at the start
+	warmupDivisor = 3                      // warming up takes the measured duration divided by this
+	roundTrip     = time.Millisecond       // to a worker and back
+	faultPeriod   = 20 * time.Second       // a faulty worker has its fault for one period, and none for the next
 )
 
-// DispatchLoad is one controller's share of an installation, played in virtual time.
+// DispatchLoad is the load of one controller of an installation, simulated in virtual time.
 type DispatchLoad struct {
 	Workers, Functions int
 	Rate               float64 // calls a second
-	ListChanges        float64 // lists a second that change one worker
-	FaultyShare        float64 // share of workers with faults: of these half reset what they are sent, half are silent, at times
+	ListChanges        float64 // endpoint lists a second, each of which changes one worker
+	FaultyShare        float64 // of workers; half of these reset connections and half never respond, in alternate fault periods
 	IdleCopyTTL        time.Duration
 	Tick               time.Duration
-	Duration           time.Duration // that is measured
+	Duration           time.Duration // measured part
 	Seed               uint64
 }
 
-// DispatchCost is what the measured part of a play cost. Processor time is the thread's own, so a busy machine does not lengthen it;
-// the garbage collector's other threads are not in it.
+// DispatchCost is the cost of the measured part of a run. Processor time is that of the thread, so
+// a busy machine does not lengthen it; it excludes the garbage collector's other threads.
 type DispatchCost struct {
 	Duration     time.Duration
 	Steps, Calls int
-	Served       int // attempts that workers answer
-	LostAttempts int // attempts that ended in a reset, or in silence
+	Served       int // attempts that workers answered
+	LostAttempts int // attempts that ended with a reset or a timeout
 	Rejected     int
 	Failed       int
-	LoadOrders   int // to load
-	Queries      int // how a worker is: probes, and orders for no copies
+	LoadOrders   int
+	Queries      int // probes, and load orders for 0 copies, which ask how many are loaded
 	CPU          time.Duration
-	MaxStep      time.Duration // step
-	MaxListStep  time.Duration // step that took a list in
-	ListCPU      time.Duration // of all such
+	MaxStep      time.Duration // processor time of the longest step
+	MaxListStep  time.Duration // the same, of steps that applied an endpoint list
+	ListCPU      time.Duration // of all steps that applied an endpoint list
 	Lists        int
 	Allocations  uint64
 	Bytes        uint64 // allocated
-	Heap         uint64 // in use at the end, the play's own included
-	Functions    int    // remembered at the end
+	Heap         uint64 // bytes in use at the end, including the simulation's own
+	Functions    int    // that the dispatcher knows at the end
 	Effort       scheduler.Effort
 }
 
-// CoreShare returns the part of a processor core that the steps used.
+// CoreShare returns the fraction of a processor core that the steps used.
 func (c DispatchCost) CoreShare() float64 { return c.CPU.Seconds() / c.Duration.Seconds() }
 
+// A timedEvent is an event that the dispatcher gets at a later time.
 type timedEvent struct {
-	at    time.Duration
-	order int
-	event scheduler.Event
+	at       time.Duration
+	sequence int // orders events of the same time
+	event    scheduler.Event
 }
 
+// timedEvents is a heap of events by time.
 type timedEvents []timedEvent
 
 func (h timedEvents) Len() int { return len(h) }
 func (h timedEvents) Less(i, j int) bool {
-	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].order < h[j].order
+	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].sequence < h[j].sequence
 }
 func (h timedEvents) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 func (h *timedEvents) Push(x any)   { *h = append(*h, x.(timedEvent)) }
@@ -90,14 +94,14 @@
 	function scheduler.FunctionID
 }
 
-// A dispatchPlay is a dispatcher with its hollow workers, under way.
-type dispatchPlay struct {
+// A dispatchRun is a running dispatcher with its simulated workers.
+type dispatchRun struct {
 	load       DispatchLoad
 	dispatcher *scheduler.Dispatcher
 	random     *rand.Rand
 	now        time.Duration
 	events     timedEvents
-	order      int
+	sequence   int
 	workers    []scheduler.WorkerInfo
 	nextWorker scheduler.WorkerID
 	nextCall   scheduler.RequestID
@@ -108,7 +112,8 @@
 	cost       DispatchCost
 }
 
-// dispatchSettings are those of a large installation with copies of two sizes of worker.
+// dispatchSettings returns the settings of a controller in a large installation with two kinds of
+// worker.
 func dispatchSettings(l DispatchLoad) scheduler.Settings {
 	const ms = time.Millisecond
 	return scheduler.Settings{Controllers: 800, Tick: l.Tick,
@@ -121,96 +126,99 @@
 		Guarantees: scheduler.Guarantees{DrainGrace: 500 * ms, WarmupFraction: 0.2, WarmupTime: 16 * time.Second, CollapseFactor: 3, CollapseWindow: 2 * time.Second}}
 }
 
-// RunDispatch plays a load and returns its cost.
+// RunDispatch simulates a load and returns its cost.
 func RunDispatch(load DispatchLoad) (DispatchCost, error) {
 	d, err := scheduler.New(dispatchSettings(load), load.Seed)
 	if err != nil {
 		return DispatchCost{}, err
 	}
-	p := &dispatchPlay{load: load, dispatcher: d, random: rand.New(rand.NewPCG(load.Seed, 29)), now: firstClock, nextWorker: 1, nextCall: 1,
+	r := &dispatchRun{load: load, dispatcher: d, random: rand.New(rand.NewPCG(load.Seed, 29)), now: startTime, nextWorker: 1, nextCall: 1,
 		functions: map[scheduler.RequestID]scheduler.FunctionID{}, attempts: map[scheduler.RequestID]int{}, lastUse: map[copyKey]time.Duration{}}
 	for range load.Workers {
-		p.workers = append(p.workers, p.newWorker())
+		r.workers = append(r.workers, r.newWorker())
 	}
 	total := 0.0
 	for i := range load.Functions {
-		total += math.Pow(float64(i+1), -zipfPower)
-		p.popularity = append(p.popularity, total)
+		total += math.Pow(float64(i+1), -zipfExponent)
+		r.popularity = append(r.popularity, total)
 	}
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	p.step([]scheduler.Event{scheduler.ListUpdate{Kind: scheduler.FullList, Workers: p.workers}}, true)
-	p.run(load.Duration / warmupFraction)
-	p.cost = DispatchCost{Duration: load.Duration}
+	r.step([]scheduler.Event{scheduler.ListUpdate{Kind: scheduler.FullList, Workers: r.workers}}, true)
+	r.run(load.Duration / warmupDivisor)
+	r.cost = DispatchCost{Duration: load.Duration}
 	var before, after runtime.MemStats
 	effort := d.Effort()
 	runtime.ReadMemStats(&before)
-	p.run(load.Duration)
+	r.run(load.Duration)
 	runtime.ReadMemStats(&after)
-	p.cost.Effort = scheduler.Effort{RingPoints: d.Effort().RingPoints - effort.RingPoints, Workers: d.Effort().Workers - effort.Workers, Queues: d.Effort().Queues - effort.Queues, SummedWorkers: d.Effort().SummedWorkers - effort.SummedWorkers}
-	p.cost.Allocations, p.cost.Bytes = after.Mallocs-before.Mallocs, after.TotalAlloc-before.TotalAlloc
+	r.cost.Effort = scheduler.Effort{RingPoints: d.Effort().RingPoints - effort.RingPoints, Workers: d.Effort().Workers - effort.Workers, Queues: d.Effort().Queues - effort.Queues, SummedWorkers: d.Effort().SummedWorkers - effort.SummedWorkers}
+	r.cost.Allocations, r.cost.Bytes = after.Mallocs-before.Mallocs, after.TotalAlloc-before.TotalAlloc
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	p.cost.Heap, p.cost.Functions = after.HeapInuse, len(d.Functions())
-	return p.cost, nil
+	r.cost.Heap, r.cost.Functions = after.HeapInuse, len(d.Functions())
+	return r.cost, nil
 }
 
-func (p *dispatchPlay) newWorker() scheduler.WorkerInfo {
-	w := scheduler.WorkerInfo{ID: p.nextWorker, State: scheduler.Ready, Group: int(p.nextWorker) / 8, Zone: int(p.nextWorker) % 10, Kind: int(p.nextWorker) % 2}
-	p.nextWorker++
+func (r *dispatchRun) newWorker() scheduler.WorkerInfo {
+	w := scheduler.WorkerInfo{ID: r.nextWorker, State: scheduler.Ready, Group: int(r.nextWorker) / 8, Zone: int(r.nextWorker) % 10, Kind: int(r.nextWorker) % 2}
+	r.nextWorker++
 	return w
 }
 
-func (p *dispatchPlay) run(span time.Duration) {
-	for end := p.now + span; p.now < end; {
-		p.now += p.load.Tick
+func (r *dispatchRun) run(span time.Duration) {
+	for end := r.now + span; r.now < end; {
+		r.now += r.load.Tick
 		var events []scheduler.Event
-		for len(p.events) > 0 && p.events[0].at <= p.now {
-			events = append(events, heap.Pop(&p.events).(timedEvent).event)
+		for len(r.events) > 0 && r.events[0].at <= r.now {
+			events = append(events, heap.Pop(&r.events).(timedEvent).event)
 		}
-		for n := p.load.Rate * p.load.Tick.Seconds(); n > 0; n-- {
-			if p.random.Float64() < n {
-				events = append(events, p.call())
+		for n := r.load.Rate * r.load.Tick.Seconds(); n > 0; n-- {
+			if r.random.Float64() < n {
+				events = append(events, r.drawCall())
 			}
 		}
-		changed := len(p.workers) > 0 && p.random.Float64() < p.load.ListChanges*p.load.Tick.Seconds()
+		changed := len(r.workers) > 0 && r.random.Float64() < r.load.ListChanges*r.load.Tick.Seconds()
 		if changed {
-			events = append(events, p.replaceOne())
+			events = append(events, r.replaceWorker())
 		}
-		p.step(events, changed)
+		r.step(events, changed)
 	}
 }
 
-// replaceOne has one worker gone and another come, which is cold. The gateway tells the module whole lists, also where it was told a delta.
-func (p *dispatchPlay) replaceOne() scheduler.Event {
-	w := p.newWorker()
-	w.StartedAt = p.now
-	p.workers[p.random.IntN(len(p.workers))] = w
-	return scheduler.ListUpdate{Kind: scheduler.FullList, Workers: p.workers}
+// replaceWorker replaces one worker by a new one, which is warming up. The update is a full list,
+// as the gateway passes full lists to the scheduler even if it received a delta.
+func (r *dispatchRun) replaceWorker() scheduler.Event {
+	w := r.newWorker()
+	w.StartedAt = r.now
+	r.workers[r.random.IntN(len(r.workers))] = w
+	return scheduler.ListUpdate{Kind: scheduler.FullList, Workers: r.workers}
 }
 
-func (p *dispatchPlay) call() scheduler.Event {
-	x := p.random.Float64() * p.popularity[len(p.popularity)-1]
-	low, high := 0, len(p.popularity)-1
+// drawCall draws a call and returns its arrival.
+func (r *dispatchRun) drawCall() scheduler.Event {
+	x := r.random.Float64() * r.popularity[len(r.popularity)-1]
+	low, high := 0, len(r.popularity)-1
 	for low < high {
-		if middle := (low + high) / 2; p.popularity[middle] < x {
+		if middle := (low + high) / 2; r.popularity[middle] < x {
 			low = middle + 1
 		} else {
 			high = middle
 		}
 	}
-	id := p.nextCall
-	p.nextCall++
-	p.functions[id] = scheduler.FunctionID(low + 1)
-	p.cost.Calls++
+	id := r.nextCall
+	r.nextCall++
+	r.functions[id] = scheduler.FunctionID(low + 1)
+	r.cost.Calls++
 	class := 0
-	if p.random.IntN(5) == 0 {
+	if r.random.IntN(5) == 0 {
 		class = 1
 	}
 	return scheduler.Arrival{Request: id, Class: class, Function: scheduler.FunctionID(low + 1), TimeLeft: 2500 * time.Millisecond, Lanes: 2, LoadTime: loadTime}
 }
 
-func threadTime() time.Duration {
+// threadCPUTime returns the processor time that the current thread has used.
+func threadCPUTime() time.Duration {
 	var t unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &t) != nil {
 		return 0
@@ -218,63 +226,65 @@
 	return time.Duration(t.Nano())
 }
 
-func (p *dispatchPlay) step(events []scheduler.Event, list bool) {
-	began := threadTime()
-	actions := p.dispatcher.Step(p.now, events)
-	took := threadTime() - began
-	p.cost.Steps++
-	p.cost.CPU += took
-	p.cost.MaxStep = max(p.cost.MaxStep, took)
+func (r *dispatchRun) step(events []scheduler.Event, list bool) {
+	began := threadCPUTime()
+	actions := r.dispatcher.Step(r.now, events)
+	took := threadCPUTime() - began
+	r.cost.Steps++
+	r.cost.CPU += took
+	r.cost.MaxStep = max(r.cost.MaxStep, took)
 	if list {
-		p.cost.Lists++
-		p.cost.ListCPU += took
-		p.cost.MaxListStep = max(p.cost.MaxListStep, took)
+		r.cost.Lists++
+		r.cost.ListCPU += took
+		r.cost.MaxListStep = max(r.cost.MaxListStep, took)
 	}
 	for _, a := range actions {
-		p.answer(a)
+		r.handleAction(a)
 	}
 }
 
-func (p *dispatchPlay) later(after time.Duration, e scheduler.Event) {
-	p.order++
-	heap.Push(&p.events, timedEvent{p.now + after, p.order, e})
+// schedule delivers an event to the dispatcher after a time.
+func (r *dispatchRun) schedule(after time.Duration, e scheduler.Event) {
+	r.sequence++
+	heap.Push(&r.events, timedEvent{r.now + after, r.sequence, e})
 }
 
-func (p *dispatchPlay) answer(a scheduler.Action) {
+// handleAction carries out an action of the dispatcher as its workers would.
+func (r *dispatchRun) handleAction(a scheduler.Action) {
 	switch a := a.(type) {
 	case scheduler.Send:
-		p.serve(a)
+		r.runAttempt(a)
 	case scheduler.LoadOrder:
-		p.hold(a)
+		r.answerLoadOrder(a)
 	case scheduler.Probe:
-		p.cost.Queries++
-		p.later(roundTrip, scheduler.ProbeEnded{Worker: a.Worker, Outcome: scheduler.OK})
+		r.cost.Queries++
+		r.schedule(roundTrip, scheduler.ProbeEnded{Worker: a.Worker, Outcome: scheduler.OK})
 	case scheduler.Cancel:
-		p.later(roundTrip, scheduler.AttemptEnded{Request: a.Request, Attempt: a.Attempt, Outcome: scheduler.Cancelled})
+		r.schedule(roundTrip, scheduler.AttemptEnded{Request: a.Request, Attempt: a.Attempt, Outcome: scheduler.Cancelled})
 	case scheduler.Reject:
-		p.cost.Rejected++
-		p.forget(a.Request)
+		r.cost.Rejected++
+		r.forgetRequest(a.Request)
 	case scheduler.Fail:
-		p.cost.Failed++
-		p.forget(a.Request)
+		r.cost.Failed++
+		r.forgetRequest(a.Request)
 	}
 }
 
-// A fault is what a worker does with all that it is sent.
+// A fault is a way in which a worker fails everything that it is sent.
 type fault int
 
 const (
 	noFault fault = iota
-	resets
-	silent
+	resets        // resets the connection
+	silent        // never responds
 )
 
-// fault returns what is wrong with a worker now. Workers with faults are spread evenly over the ids, and half of them have theirs
-// while the other half have none.
-func (p *dispatchPlay) fault(w scheduler.WorkerID) fault {
-	faulty := int(float64(w)*p.load.FaultyShare) - int(float64(w-1)*p.load.FaultyShare)
-	number := int(float64(w) * p.load.FaultyShare)
-	if faulty == 0 || (int(p.now/faultPeriod)+number)%2 == 0 {
+// fault returns the current fault of a worker. Faulty workers are spread evenly over the ids. Half
+// of them have their fault in one period, the other half in the next.
+func (r *dispatchRun) fault(w scheduler.WorkerID) fault {
+	faulty := int(float64(w)*r.load.FaultyShare) - int(float64(w-1)*r.load.FaultyShare)
+	number := int(float64(w) * r.load.FaultyShare)
+	if faulty == 0 || (int(r.now/faultPeriod)+number)%2 == 0 {
 		return noFault
 	}
 	if number/2%2 == 0 {
@@ -283,67 +293,69 @@
 	return silent
 }
 
-// hold answers an order to load, or the question how many copies stand.
-func (p *dispatchPlay) hold(a scheduler.LoadOrder) {
-	held := scheduler.LoadOrderEnded{Worker: a.Worker, Function: a.Function, Outcome: scheduler.OK, Copies: a.Copies}
+// answerLoadOrder answers a load order. One for 0 copies asks how many are loaded.
+func (r *dispatchRun) answerLoadOrder(a scheduler.LoadOrder) {
+	ended := scheduler.LoadOrderEnded{Worker: a.Worker, Function: a.Function, Outcome: scheduler.OK, Copies: a.Copies}
 	after := roundTrip
 	if a.Copies == 0 {
-		p.cost.Queries++
+		r.cost.Queries++
 	} else {
-		p.cost.LoadOrders++
+		r.cost.LoadOrders++
 		after = loadTime
 	}
-	switch p.fault(a.Worker) {
+	switch r.fault(a.Worker) {
 	case resets:
-		held.Outcome, held.Copies = scheduler.Reset, 0
+		ended.Outcome, ended.Copies = scheduler.Reset, 0
 		after = roundTrip
 	case silent:
-		held.Outcome, held.Copies = scheduler.TimedOut, 0
-		after = dispatchSettings(p.load).Loading.OrderTimeout
+		ended.Outcome, ended.Copies = scheduler.TimedOut, 0
+		after = dispatchSettings(r.load).Loading.OrderTimeout
 	default:
 		if a.Copies == 0 {
-			held.Copies = p.copies(copyKey{a.Worker, a.Function})
+			ended.Copies = r.loadedCopies(copyKey{a.Worker, a.Function})
 		} else {
-			p.lastUse[copyKey{a.Worker, a.Function}] = p.now
+			r.lastUse[copyKey{a.Worker, a.Function}] = r.now
 		}
 	}
-	p.later(after, held)
+	r.schedule(after, ended)
 }
 
-// copies returns how many copies stand.
-func (p *dispatchPlay) copies(key copyKey) int {
-	if used, known := p.lastUse[key]; known && p.now-used < p.load.IdleCopyTTL {
+// loadedCopies returns the number of loaded copies.
+func (r *dispatchRun) loadedCopies(key copyKey) int {
+	if used, known := r.lastUse[key]; known && r.now-used < r.load.IdleCopyTTL {
 		return 1
 	}
 	return 0
 }
 
-func (p *dispatchPlay) forget(id scheduler.RequestID) {
-	delete(p.functions, id)
-	delete(p.attempts, id)
+// forgetRequest removes a request that has ended.
+func (r *dispatchRun) forgetRequest(id scheduler.RequestID) {
+	delete(r.functions, id)
+	delete(r.attempts, id)
 }
 
-func (p *dispatchPlay) serve(a scheduler.Send) {
-	r := scheduler.AttemptEnded{Request: a.Request, Attempt: p.attempts[a.Request], Worker: a.Worker}
-	p.attempts[a.Request]++
-	switch p.fault(a.Worker) {
+// runAttempt schedules the end of an attempt.
+func (r *dispatchRun) runAttempt(a scheduler.Send) {
+	ended := scheduler.AttemptEnded{Request: a.Request, Attempt: r.attempts[a.Request], Worker: a.Worker}
+	r.attempts[a.Request]++
+	switch r.fault(a.Worker) {
 	case resets:
-		p.cost.LostAttempts++
-		r.Outcome, r.Took = scheduler.Reset, roundTrip
+		r.cost.LostAttempts++
+		ended.Outcome, ended.Took = scheduler.Reset, roundTrip
 	case silent:
-		p.cost.LostAttempts++
-		r.Outcome, r.Took = scheduler.TimedOut, a.Timeout
+		r.cost.LostAttempts++
+		ended.Outcome, ended.Took = scheduler.TimedOut, a.Timeout
 	default:
-		key := copyKey{a.Worker, p.functions[a.Request]}
-		r.Outcome, r.Complete, r.Note = scheduler.OK, true, scheduler.FoundWarm
-		r.Took = time.Duration(p.random.ExpFloat64() * float64(meanRun))
-		if p.copies(key) == 0 {
-			r.Note = scheduler.StartedLoad
-			r.Took += loadTime
+		key := copyKey{a.Worker, r.functions[a.Request]}
+		ended.Outcome, ended.Complete, ended.Note = scheduler.OK, true, scheduler.FoundWarm
+		ended.Took = time.Duration(r.random.ExpFloat64() * float64(meanRunTime))
+		if r.loadedCopies(key) == 0 {
+			ended.Note = scheduler.StartedLoad
+			ended.Took += loadTime
 		}
-		p.lastUse[key] = p.now
-		p.cost.Served++
-		p.forget(a.Request)
+		r.lastUse[key] = r.now
+		r.cost.Served++
+		r.forgetRequest(a.Request)
 	}
-	p.later(r.Took, r)
+	r.schedule(ended.Took, ended)
 }
--- a/internal/harness/scalebench/list.go
+++ b/internal/harness/scalebench/list.go
@@ -17,18 +17,20 @@
 	"kitehub/scheduler"
 )
 
-// ListLoad is a list of workers as a controller takes it in, with the changes of one worker each.
+// ListLoad is an endpoint list that a controller applies, and a number of changes of one worker
+// each.
 type ListLoad struct {
 	Workers, Changes int
 }
 
-// ListCost is what the list's two forms of xDS and its DNS form cost. Processor time is of reading, as a controller does, alone.
+// ListCost is the cost of an endpoint list as a full xDS update, as an xDS delta and as a DNS
+// message. Processor time covers only the reading side, in the controller.
 type ListCost struct {
 	FullBytes, DeltaBytes int           // of one update
 	FullCPU, DeltaCPU     time.Duration // to read one update
-	DNSBytes              int           // of a whole list as SRV, A and TXT records
+	DNSBytes              int           // of a full list as SRV, A and TXT records
 	DNSCPU                time.Duration
-	GatewayCPU            time.Duration // for the gateway to take a delta of one worker in, but for its back end and module
+	GatewayCPU            time.Duration // for the gateway to apply a delta of one worker, without its backend and scheduler
 }
 
 func listedWorker(i int) gateway.Worker {
@@ -37,7 +39,7 @@
 		Started: time.Unix(1700000000+int64(i), 0)}
 }
 
-// RunList plays a load and returns its cost.
+// RunList applies a list and its changes and returns the cost.
 func RunList(load ListLoad) (c ListCost, err error) {
 	workers := make([]gateway.Worker, load.Workers)
 	for i := range workers {
@@ -68,67 +70,71 @@
 		}
 		c.DeltaBytes, c.DeltaCPU = size, c.DeltaCPU+spent/time.Duration(load.Changes)
 	}
-	if err := c.playDNS(workers, load.Changes); err != nil {
+	if err := c.measureDNS(workers, load.Changes); err != nil {
 		return c, err
 	}
-	return c, c.playGateway(workers, load.Changes)
+	return c, c.measureGateway(workers, load.Changes)
 }
 
-// noCarrier carries nothing.
-type noCarrier struct{}
+// discardTransport is a transport that discards everything.
+type discardTransport struct{}
 
-func (noCarrier) Send(backend.Attempt, func(backend.Result)) backend.RunningAttempt         { return nil }
-func (noCarrier) LoadCopies(backend.LoadOrder, func(scheduler.Outcome, int, time.Duration)) {}
-func (noCarrier) Unload(scheduler.WorkerID, string)                                         {}
-func (noCarrier) Probe(scheduler.WorkerID, func(scheduler.Outcome, time.Duration, []float64)) {
+func (discardTransport) Send(backend.Attempt, func(backend.Result)) backend.RunningAttempt {
+	return nil
+}
+func (discardTransport) LoadCopies(backend.LoadOrder, func(scheduler.Outcome, int, time.Duration)) {}
+func (discardTransport) Unload(scheduler.WorkerID, string)                                         {}
+func (discardTransport) Probe(scheduler.WorkerID, func(scheduler.Outcome, time.Duration, []float64)) {
 }
-func (noCarrier) CloseIdle(scheduler.WorkerID) {}
-func (noCarrier) Update([]backend.Endpoint)    {}
+func (discardTransport) CloseIdle(scheduler.WorkerID) {}
+func (discardTransport) Update([]backend.Endpoint)    {}
 
-// playGateway tells a gateway of changes of one worker each. Its loop does not run.
-func (c *ListCost) playGateway(workers []gateway.Worker, times int) error {
+// measureGateway applies changes of one worker each to a gateway whose scheduler loop does not run.
+func (c *ListCost) measureGateway(workers []gateway.Worker, times int) error {
 	settings := dispatchSettings(DispatchLoad{Tick: 10 * time.Millisecond, IdleCopyTTL: time.Minute})
-	g, err := gateway.New(gateway.Config{Name: "scale", Settings: settings, Clock: clock.System(), Transport: noCarrier{}, Log: zerolog.Nop(), OmitRequestLog: true})
+	g, err := gateway.New(gateway.Config{Name: "scale", Settings: settings, Clock: clock.System(), Transport: discardTransport{}, Log: zerolog.Nop(), OmitRequestLog: true})
 	if err != nil {
 		return err
 	}
 	if err := g.UpdateWorkers(scheduler.FullList, 1, workers); err != nil {
 		return err
 	}
-	began := processTime()
+	began := processCPUTime()
 	for i := range times {
-		gone, come := workers[i%len(workers)], listedWorker(2*len(workers)+i)
-		gone.State = scheduler.Removed
-		workers[i%len(workers)] = come
-		if err := g.UpdateWorkers(scheduler.ListDelta, uint32(i+2), []gateway.Worker{gone, come}); err != nil {
+		removed, added := workers[i%len(workers)], listedWorker(2*len(workers)+i)
+		removed.State = scheduler.Removed
+		workers[i%len(workers)] = added
+		if err := g.UpdateWorkers(scheduler.ListDelta, uint32(i+2), []gateway.Worker{removed, added}); err != nil {
 			return err
 		}
 	}
-	c.GatewayCPU = (processTime() - began) / time.Duration(times)
+	c.GatewayCPU = (processCPUTime() - began) / time.Duration(times)
 	return nil
 }
 
-// applyUpdate reads an update from its bytes, as they come.
+// applyUpdate encodes an update, decodes it and applies it. It returns the size of its bytes and
+// the processor time of decoding and applying.
 func applyUpdate(state *discovery.State, u discovery.Update) (size int, spent time.Duration, err error) {
 	text, err := json.Marshal(u)
 	if err != nil {
 		return 0, 0, err
 	}
-	began := processTime()
+	began := processCPUTime()
 	var read discovery.Update
 	if err := json.Unmarshal(text, &read); err != nil {
 		return 0, 0, err
 	}
-	news, err := state.Apply(read)
-	spent = processTime() - began
-	if err == nil && news == nil {
-		err = fmt.Errorf("update %s%s says nothing new", u.VersionInfo, u.SystemVersionInfo)
+	update, err := state.Apply(read)
+	spent = processCPUTime() - began
+	if err == nil && update == nil {
+		err = fmt.Errorf("update %s%s changes nothing", u.VersionInfo, u.SystemVersionInfo)
 	}
 	return len(text), spent, err
 }
 
-// playDNS packs the list as the relay's directory does, past its longest answer too, and reads it.
-func (c *ListCost) playDNS(workers []gateway.Worker, times int) error {
+// measureDNS packs the list into a DNS message as the relay's directory does, without its limit on
+// the size of a response, and parses it.
+func (c *ListCost) measureDNS(workers []gateway.Worker, times int) error {
 	service := dnsmessage.MustNewName("_calls._tcp.workers.internal.")
 	m := dnsmessage.Message{Header: dnsmessage.Header{ID: 1, Response: true},
 		Questions: []dnsmessage.Question{{Name: service, Type: dnsmessage.TypeSRV, Class: dnsmessage.ClassINET}},
@@ -151,12 +157,12 @@
 		return err
 	}
 	c.DNSBytes = len(text)
-	began := processTime()
+	began := processCPUTime()
 	for range times {
 		if _, l, err := dns.Parse(text, 1, service); err != nil || len(l) != len(workers) {
-			return fmt.Errorf("%d of %d workers read: %v", len(l), len(workers), err)
+			return fmt.Errorf("%d of %d workers parsed: %v", len(l), len(workers), err)
 		}
 	}
-	c.DNSCPU = (processTime() - began) / time.Duration(times)
+	c.DNSCPU = (processCPUTime() - began) / time.Duration(times)
 	return nil
 }
--- a/internal/harness/scalebench/list_test.go
+++ b/internal/harness/scalebench/list_test.go
@@ -7,9 +7,10 @@
 	"kitehub/internal/harness/scalebench"
 )
 
+// listSizes are numbers of workers.
 var listSizes = []int{36, 300, 1000, 2000}
 
-// BenchmarkList prints what taking the list of workers in costs by its length.
+// BenchmarkList reports the cost of applying an endpoint list by its length.
 func BenchmarkList(b *testing.B) {
 	for _, workers := range listSizes {
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) {
@@ -31,8 +32,9 @@
 	}
 }
 
-// A whole list grows with its workers; a delta of one worker does not, nor do its bytes. The relay's directory says all in one
-// datagram, which holds some sixty workers: more need another form of the list.
+// TestListShape checks that the size of a full list grows with the workers and that of a delta of
+// one worker does not. The DNS form is not checked: the relay's directory sends one datagram, which
+// holds about 60 workers, so larger installations use another form.
 func TestListShape(t *testing.T) {
 	var small, large scalebench.ListCost
 	for _, p := range []struct {
@@ -46,9 +48,9 @@
 		*p.cost = c
 	}
 	if grown := float64(large.FullBytes) / float64(small.FullBytes); grown < 20 || grown > 1000.0/36*1.1 {
-		t.Errorf("a whole list of 1,000 is %.1f times that of 36: %d and %d bytes", grown, large.FullBytes, small.FullBytes)
+		t.Errorf("a full list of 1,000 workers is %.1f times as large as one of 36: %d and %d bytes", grown, large.FullBytes, small.FullBytes)
 	}
 	if large.DeltaBytes > small.DeltaBytes+20 {
-		t.Errorf("a delta of one worker is %d bytes of 1,000, %d of 36", large.DeltaBytes, small.DeltaBytes)
+		t.Errorf("a delta of one worker has %d bytes with 1,000 workers, %d with 36", large.DeltaBytes, small.DeltaBytes)
 	}
 }
--- a/internal/harness/scalebench/registry_test.go
+++ b/internal/harness/scalebench/registry_test.go
@@ -8,7 +8,8 @@
 	"kitehub/internal/harness/scalebench"
 )
 
-// BenchmarkRegistry prints what a registry costs by controllers and models. One play a size: it is as long as it has to be.
+// BenchmarkRegistry logs the cost of a registry by controllers and models. Each iteration is one
+// full run.
 func BenchmarkRegistry(b *testing.B) {
 	for _, size := range []struct{ controllers, models int }{{100, 250}, {100, 1000}, {100, 2500}, {400, 250}, {400, 1000}, {800, 250}, {800, 1000}, {800, 2500}} {
 		b.Run(fmt.Sprintf("controllers=%d/models=%d", size.controllers, size.models), func(b *testing.B) {
@@ -19,8 +20,8 @@
 	}
 }
 
-// BenchmarkLargeRegistry prints what a registry with all models of the planned size costs, by controllers. The models are not made by
-// commands.
+// BenchmarkLargeRegistry logs the cost of a registry with all models of the planned size, by
+// controllers. The models come from a snapshot.
 func BenchmarkLargeRegistry(b *testing.B) {
 	for _, controllers := range []int{10, 50, 100} {
 		b.Run(fmt.Sprintf("controllers=%d/models=23000", controllers), func(b *testing.B) {
@@ -41,10 +42,11 @@
 	b.Log(c)
 }
 
-// What a controller receives to join grows with the models and not with the controllers; what it receives at rest and for a move
-// grows with neither. Nothing here is a time.
+// TestRegistryShape checks that the bytes that a controller receives to join grow with the models
+// and not with the controllers, and that those for a migration grow with neither. It checks no
+// times.
 func TestRegistryShape(t *testing.T) {
-	play := func(controllers, models int, fromSnapshot bool) scalebench.RegistryCost {
+	run := func(controllers, models int, fromSnapshot bool) scalebench.RegistryCost {
 		t.Helper()
 		c, err := scalebench.RunRegistry(scalebench.RegistryLoad{Controllers: controllers, Models: models, FromSnapshot: fromSnapshot, Migrations: 2, IdlePeriod: 200 * time.Millisecond,
 			Timeout: 20 * time.Second, Lease: 5 * time.Second, Dir: t.TempDir()})
@@ -56,24 +58,25 @@
 		}
 		return c
 	}
-	few, models, controllers := play(4, 50, false), play(4, 500, false), play(40, 50, false)
+	few, models, controllers := run(4, 50, false), run(4, 500, false), run(40, 50, false)
 	if grown := models.JoinBytes / few.JoinBytes; grown < 5 || grown > 11 {
-		t.Errorf("ten times the models: %.1f times the bytes to join", grown)
+		t.Errorf("10 times the models: %.1f times the bytes to join, want 5 to 11", grown)
 	}
 	if grown := controllers.JoinBytes / few.JoinBytes; grown > 1.2 {
-		t.Errorf("ten times the controllers: %.1f times the bytes for each to join", grown)
+		t.Errorf("10 times the controllers: %.1f times the bytes for each to join, want at most 1.2", grown)
 	}
-	// Models that stand in a snapshot are told as those that commands have made.
-	if other := play(4, 50, true).JoinBytes / few.JoinBytes; other < 0.95 || other > 1.05 {
-		t.Errorf("with the models in a snapshot: %.2f times the bytes to join", other)
+	// Models from a snapshot are sent in the same way as models that commands have created.
+	if other := run(4, 50, true).JoinBytes / few.JoinBytes; other < 0.95 || other > 1.05 {
+		t.Errorf("with the models in a snapshot: %.2f times the bytes to join, want 0.95 to 1.05", other)
 	}
-	// A move is told once or twice, with the questions before and after it.
+	// A migration is sent once or twice, along with the requests before and after it.
 	if models.MigrationBytes > 2*few.MigrationBytes || controllers.MigrationBytes > 2*few.MigrationBytes {
-		t.Errorf("a move is %.0f bytes each, %.0f with ten times the models, %.0f with ten times the controllers", few.MigrationBytes, models.MigrationBytes, controllers.MigrationBytes)
+		t.Errorf("a migration takes %.0f bytes per controller, %.0f with 10 times the models, %.0f with 10 times the controllers", few.MigrationBytes, models.MigrationBytes, controllers.MigrationBytes)
 	}
 }
 
-// BenchmarkModels prints what a registry's state and a controller's view cost by models, with no network.
+// BenchmarkModels reports the cost of a registry's state and of a controller's view by models,
+// without a network.
 func BenchmarkModels(b *testing.B) {
 	for _, models := range []int{250, 1000, 2500, 10000, 23000} {
 		b.Run(fmt.Sprintf("models=%d", models), func(b *testing.B) {
@@ -96,7 +99,8 @@
 	}
 }
 
-// What a joining controller is told, and the memory of what it knows, grow with the models and no faster.
+// TestModelsShape checks that the update for a joining controller, and the memory of its view, grow
+// no faster than the models.
 func TestModelsShape(t *testing.T) {
 	var small, large scalebench.ModelsCost
 	for models, cost := range map[int]*scalebench.ModelsCost{500: &small, 5000: &large} {
@@ -107,9 +111,9 @@
 		*cost = c
 	}
 	if grown := float64(large.AllBytes) / float64(small.AllBytes); grown < 9 || grown > 11 {
-		t.Errorf("ten times the models: %.1f times the bytes", grown)
+		t.Errorf("10 times the models: %.1f times the bytes, want 9 to 11", grown)
 	}
-	if small.ViewBytes <= 0 || large.ViewBytes > 25*small.ViewBytes { // a map of ten times as many may have twice the room
-		t.Errorf("a view of ten times the models: %.0f and %.0f bytes", small.ViewBytes, large.ViewBytes)
+	if small.ViewBytes <= 0 || large.ViewBytes > 25*small.ViewBytes { // a map of 10 times as many entries may have twice the spare capacity
+		t.Errorf("views of 500 and of 5,000 models: %.0f and %.0f bytes", small.ViewBytes, large.ViewBytes)
 	}
 }
