--- a/internal/harness/scenario/faults.go
+++ b/internal/harness/scenario/faults.go
@@ -270,14 +270,14 @@
 // restartWorkers starts workers again, which are warming up then, and lists them as ready.
 func (p *player) restartWorkers(workers []string) {
 	now := time.Now()
-	var up []string
+	var restarted []string
 	for _, w := range workers {
 		if err := p.host.Restart(w); err == nil { // a worker that does not start stays unlisted, which the checks of the rules show
-			up = append(up, w)
+			restarted = append(restarted, w)
 		}
 	}
 	p.updateList(func() {
-		for _, w := range up {
+		for _, w := range restarted {
 			p.listed[w], p.started[w] = scheduler.Ready, now
 		}
 	})
@@ -292,16 +292,16 @@
 	pause := seconds(t.ForS) / time.Duration(max(1, batches))
 	for len(workers) > 0 {
 		n := min(batch, len(workers))
-		now := workers[:n]
+		draining := workers[:n]
 		workers = workers[n:]
 		p.updateList(func() {
-			for _, w := range now {
+			for _, w := range draining {
 				p.listed[w] = scheduler.Draining
 			}
 		})
 		p.host.Do(func(f *workersim.Fleet) {
 			for i, name := range p.host.Names() {
-				if slices.Contains(now, name) {
+				if slices.Contains(draining, name) {
 					f.Drain(i)
 				}
 			}
@@ -310,18 +310,18 @@
 			return
 		}
 		p.mu.Lock()
-		fresh := p.spares[:min(n, len(p.spares))]
-		p.spares = p.spares[len(fresh):]
+		replacements := p.spares[:min(n, len(p.spares))]
+		p.spares = p.spares[len(replacements):]
 		p.mu.Unlock()
-		for _, w := range now {
+		for _, w := range draining {
 			p.host.Kill(w)
 		}
 		p.updateList(func() {
-			for _, w := range now {
+			for _, w := range draining {
 				delete(p.listed, w)
 			}
 		})
-		p.restartWorkers(fresh)
+		p.restartWorkers(replacements)
 		if !p.wait(max(0, pause-seconds(t.DrainS))) {
 			return
 		}
