--- a/internal/controller/hooks.go
+++ b/internal/controller/hooks.go
@@ -63,19 +63,19 @@
 }
 
 // adviceFacts provides the functions and tenants that advice may name. It implements
-// hookengine.Facts.
+// hookadvice.Catalog.
 type adviceFacts struct {
 	functions *gateway.Functions
 	tenants   map[string]bool
 }
 
-// Function returns the memory of a function in MB, and whether it is configured.
+// FunctionMemoryMB returns the memory of a function in MB, and whether it is configured.
 func (f adviceFacts) FunctionMemoryMB(name string) (float64, bool) {
 	s, ok := f.functions.Spec(name)
 	return s.MemoryMB, ok
 }
 
-// Tenant reports whether a tenant is configured.
+// HasTenant reports whether a tenant is configured.
 func (f adviceFacts) HasTenant(name string) bool { return f.tenants[name] }
 
 // adviceSink passes the advice of scripts to the gateway. It implements hookengine.Sink.
--- a/internal/hooklang/checkexpr.go
+++ b/internal/hooklang/checkexpr.go
@@ -4,9 +4,11 @@
 	"slices"
 )
 
-func (c *checker) expect(e expr, t *Type, what string) {
+// expectType checks an expression and reports an error if it is not of type t. what names the
+// expression in the message.
+func (c *checker) expectType(e expr, t *Type, what string) {
 	if v := c.value(e); !sameType(v, t) {
-		c.problem(e.at(), "%s is a %v, not a %v", what, t, v)
+		c.reportError(e.at(), "%s is a %v, not a %v", what, t, v)
 	}
 }
 
@@ -14,13 +16,14 @@
 func (c *checker) value(e expr) *Type {
 	t := c.expr(e)
 	if t == typeVoid {
-		c.problem(e.at(), "this has no value")
+		c.reportError(e.at(), "the expression has no value")
 		return typeInvalid
 	}
 	return t
 }
 
-// expr checks an expression and notes its type in it, which is typeVoid if it has no value.
+// expr checks an expression and records its type in it, which is typeVoid for an expression without
+// a value.
 func (c *checker) expr(e expr) *Type {
 	switch e := e.(type) {
 	case *literalExpr:
@@ -34,10 +37,10 @@
 	case *listExpr:
 		e.valueType = c.list(e)
 	case *mapExpr:
-		e.valueType = c.typ(e.literalType)
+		e.valueType = c.resolveType(e.literalType)
 		for i := range e.keys {
-			c.expect(e.keys[i], e.valueType.key, "a key")
-			c.expect(e.values[i], e.valueType.elem, "an entry")
+			c.expectType(e.keys[i], e.valueType.key, "a key")
+			c.expectType(e.values[i], e.valueType.elem, "an entry")
 		}
 	case *recordExpr:
 		e.valueType = c.record(e)
@@ -53,16 +56,17 @@
 	return e.typ()
 }
 
+// name resolves a variable.
 func (c *checker) name(e *nameExpr) (*Type, ref) {
 	t, variable, ok := c.lookup(e.name)
 	switch {
 	case ok:
 	case c.funcs[e.name] != nil:
-		c.problem(e.pos, "%s is a function: call it", e.name)
+		c.reportError(e.pos, "%s is a function: call it", e.name)
 	case c.inStateInit:
-		c.problem(e.pos, "a state's first value is made of literals")
+		c.reportError(e.pos, "the initial value of a state variable consists of literals")
 	default:
-		c.problem(e.pos, "there is no variable %q", e.name)
+		c.reportError(e.pos, "there is no variable %q", e.name)
 	}
 	return t, variable
 }
@@ -74,7 +78,7 @@
 		valid = sameType(t, typeBool)
 	}
 	if !valid {
-		c.problem(e.pos, "a %v has no %q", t, e.op)
+		c.reportError(e.pos, "a %v has no %q", t, e.op)
 		return typeInvalid
 	}
 	return t
@@ -83,14 +87,14 @@
 func (c *checker) list(e *listExpr) *Type {
 	elem := typeInvalid
 	if e.literalType != nil {
-		t := c.typ(e.literalType)
+		t := c.resolveType(e.literalType)
 		if t.name != "list" {
-			c.problem(e.pos, "list[T]{…} is wanted")
+			c.reportError(e.pos, "list[T]{…} is wanted")
 			t = listOf(typeInvalid)
 		}
 		elem = t.elem
 	} else if len(e.items) == 0 {
-		c.problem(e.pos, "an empty list names its type: list[int]{}")
+		c.reportError(e.pos, "an empty list needs its type, as in list[int]{}")
 	}
 	for i, item := range e.items {
 		t := c.value(item)
@@ -98,7 +102,7 @@
 			elem = t
 		}
 		if !sameType(t, elem) {
-			c.problem(item.at(), "an entry is a %v, not a %v", elem, t)
+			c.reportError(item.at(), "an entry is a %v, not a %v", elem, t)
 		}
 	}
 	return listOf(elem)
@@ -109,14 +113,14 @@
 	for i, name := range e.fields {
 		n := slices.IndexFunc(r.Fields, func(f Field) bool { return f.Name == name })
 		if n < 0 {
-			c.problem(e.positions[i], "%s has no field %q", e.name, name)
+			c.reportError(e.positions[i], "%s has no field %q", e.name, name)
 			c.value(e.values[i])
 			continue
 		}
 		if slices.Contains(e.fields[:i], name) {
-			c.problem(e.positions[i], "%s stands twice", name)
+			c.reportError(e.positions[i], "field %q is set twice", name)
 		}
-		c.expect(e.values[i], r.Fields[n].Type, name)
+		c.expectType(e.values[i], r.Fields[n].Type, name)
 	}
 	return r.valueType
 }
@@ -132,7 +136,7 @@
 	case t.name == "map" && sameType(index, t.key):
 		return t.elem
 	}
-	c.problem(e.pos, "a %v has no entry at a %v", t, index)
+	c.reportError(e.pos, "a %v has no entry at a %v", t, index)
 	return typeInvalid
 }
 
@@ -142,7 +146,7 @@
 		return typeInvalid
 	}
 	if t.record == nil {
-		c.problem(e.pos, "a %v has no fields", t)
+		c.reportError(e.pos, "a %v has no fields", t)
 		return typeInvalid
 	}
 	for i, f := range t.record.Fields {
@@ -151,28 +155,31 @@
 			return f.Type
 		}
 	}
-	c.problem(e.pos, "%v has no field %q", t, e.name)
+	c.reportError(e.pos, "%v has no field %q", t, e.name)
 	return typeInvalid
 }
 
+// run checks the run of a handler in a test, whose result is the list of advice that the handler
+// gives.
 func (c *checker) run(e *runExpr) *Type {
 	if !c.inTest {
-		c.problem(e.pos, "run is for tests")
+		c.reportError(e.pos, "run is allowed in tests only")
 	}
 	t := c.value(e.arg)
 	handler := c.points[e.point]
 	if handler == nil {
-		c.problem(e.pos, "there is no handler of %q", e.point)
+		c.reportError(e.pos, "there is no handler of %q", e.point)
 	} else {
 		e.handler = handler
 		if want := handler.paramTypes[0]; !sameType(t, want) {
-			c.problem(e.arg.at(), "%s gets a %v, not a %v", e.point, want, t)
+			c.reportError(e.arg.at(), "%s gets a %v, not a %v", e.point, want, t)
 		}
 	}
 	return listOf(recordAdvice.valueType)
 }
 
-// binary checks both operands. Where one is invalid already it reports no further problem.
+// binary checks a binary operation. If an operand is invalid, that is reported already, and binary
+// adds no error.
 func (c *checker) binary(e *binaryExpr) *Type {
 	left, right := c.value(e.left), c.value(e.right)
 	invalid := typeInvalid
@@ -185,13 +192,14 @@
 	}
 	result := operatorType(e.op, left, right)
 	if result == nil {
-		c.problem(e.pos, "%v %s %v has no meaning", left, e.op, right)
+		c.reportError(e.pos, "%v %s %v has no meaning", left, e.op, right)
 		return invalid
 	}
 	return result
 }
 
-// operatorType returns the type of an operation on operands of these types, nil if there is none.
+// operatorType returns the result type of an operator on operands of these types, or nil if it is
+// not defined on them.
 func operatorType(op string, left, right *Type) *Type {
 	same := sameType(left, right)
 	number := same && (left == typeInt || left == typeFloat)
@@ -227,7 +235,7 @@
 	return nil
 }
 
-// typeIf returns t if an operation is valid, otherwise nil.
+// typeIf returns t if an operation is valid, and nil otherwise.
 func typeIf(valid bool, t *Type) *Type {
 	if valid {
 		return t
@@ -235,7 +243,7 @@
 	return nil
 }
 
-// canContain reports whether "in" can look for a value of one type in one of another: a part of a string, an entry
+// canContain reports whether "in" can test a container for a value of type t: a substring, an entry
 // of a list, or a key of a map.
 func canContain(container, t *Type) bool {
 	return container == typeString && t == typeString ||
