--- a/internal/harness/scenario/play.go
+++ b/internal/harness/scenario/play.go
@@ -123,10 +123,10 @@
 
 // A HookResult holds the counts and the status of the hook scripts of one controller.
 type HookResult struct {
-	Controller                               string
-	Inline, Aside, Faults, Rejected, Dropped int64
-	InlineMean, AsideMean                    time.Duration
-	Statuses                                 []string
+	Controller                                            string
+	InlineRuns, BackgroundRuns, Faults, Rejected, Dropped int64
+	InlineMean, BackgroundMean                            time.Duration
+	Statuses                                              []string
 }
 
 // cluster is the name of the endpoint list.
@@ -336,10 +336,10 @@
 // hookResult returns the counts of a controller's hook engine and the status of its scripts.
 func hookResult(controller string, e *hookengine.Engine) HookResult {
 	n := &e.Counts
-	h := HookResult{Controller: controller, Inline: n.InlineRuns.Load(), Aside: n.BackgroundRuns.Load(), Faults: n.Faults.Load(), Rejected: n.Rejections.Load(),
-		Dropped:    n.Dropped.Load(),
-		InlineMean: time.Duration(n.InlineNanos.Load() / max(1, n.InlineRuns.Load())),
-		AsideMean:  time.Duration(n.BackgroundNanos.Load() / max(1, n.BackgroundRuns.Load()))}
+	h := HookResult{Controller: controller, InlineRuns: n.InlineRuns.Load(), BackgroundRuns: n.BackgroundRuns.Load(), Faults: n.Faults.Load(), Rejected: n.Rejections.Load(),
+		Dropped:        n.Dropped.Load(),
+		InlineMean:     time.Duration(n.InlineNanos.Load() / max(1, n.InlineRuns.Load())),
+		BackgroundMean: time.Duration(n.BackgroundNanos.Load() / max(1, n.BackgroundRuns.Load()))}
 	if o, err := e.Overview(); err == nil {
 		for _, s := range o.Scripts {
 			h.Statuses = append(h.Statuses, s.Name+" "+s.Status)
--- a/internal/harness/scenario/result.go
+++ b/internal/harness/scenario/result.go
@@ -57,8 +57,8 @@
 			}
 		}
 		for _, h := range r.Hooks {
-			fmt.Fprintf(w, "hook scripts of %s: %d inline runs of %v, %d aside runs of %v, %d faults, %d calls rejected, %d events dropped: %s\n", h.Controller, h.Inline, h.InlineMean,
-				h.Aside, h.AsideMean, h.Faults, h.Rejected, h.Dropped, strings.Join(h.Statuses, ", "))
+			fmt.Fprintf(w, "hook scripts of %s: %d inline runs of %v, %d background runs of %v, %d faults, %d calls rejected, %d events dropped: %s\n", h.Controller, h.InlineRuns, h.InlineMean,
+				h.BackgroundRuns, h.BackgroundMean, h.Faults, h.Rejected, h.Dropped, strings.Join(h.Statuses, ", "))
 		}
 	}
 	fmt.Fprintf(w, "longest delay of a scheduler step: %v\n", r.MaxStepDelay.Round(100*time.Microsecond))
