--- a/internal/harness/scenario/client.go
+++ b/internal/harness/scenario/client.go
@@ -65,7 +65,7 @@
 		attempts++
 		var retryAfter time.Duration
 		outcome, retryAfter = l.attempt(p, t, conn, timestamp, deadline, rng)
-		if outcome == invariant.Unreached && p.class.Effect == "safe" && attempts <= int(l.day.Retries) {
+		if outcome == invariant.ConnectionLost && p.class.Effect == "safe" && attempts <= int(l.day.Retries) {
 			at = (at + 1) % len(l.targets)
 			continue
 		}
@@ -116,7 +116,7 @@
 		tally.Rejected++
 	case "failed":
 		tally.Failed++
-	case invariant.Left, invariant.Unreached:
+	case invariant.ClientClosed, invariant.ConnectionLost:
 		tally.CutOff++
 	default:
 		tally.NoController++
@@ -164,14 +164,14 @@
 	conn.SetDeadline(time.Now().Add(deadline - now + time.Second))
 	if _, err := conn.Write(http1.AppendRequest(nil, req)); err != nil {
 		conn.Close()
-		l.recordAnswer(rec, invariant.Unreached)
-		return invariant.Unreached, 0
+		l.recordAnswer(rec, invariant.ConnectionLost)
+		return invariant.ConnectionLost, 0
 	}
 	resp, err := http1.ReadResponse(conn.br, &clientLimits, "POST")
 	if err != nil {
 		conn.Close()
-		l.recordAnswer(rec, invariant.Unreached)
-		return invariant.Unreached, 0
+		l.recordAnswer(rec, invariant.ConnectionLost)
+		return invariant.ConnectionLost, 0
 	}
 	outcome, retryAfter = outcomeOf(resp)
 	rec.Revision, _ = strconv.ParseUint(resp.Header.Get("kitehub-revision"), 10, 64)
@@ -245,10 +245,10 @@
 		m, _ := e.Data.(map[string]any)
 		outcome, _ = m["outcome"].(string)
 	case err != nil:
-		outcome = invariant.Unreached
+		outcome = invariant.ConnectionLost
 	}
 	l.recordAnswer(rec, outcome)
-	if outcome == invariant.Unreached {
+	if outcome == invariant.ConnectionLost {
 		c.Close()
 	} else {
 		t.putRPC(c)
--- a/internal/harness/scenario/controllers.go
+++ b/internal/harness/scenario/controllers.go
@@ -48,7 +48,7 @@
 	}
 	// The controller counts as up from here: before Start returns, it may receive the endpoint list
 	// and order loads.
-	p.list.Forget(b.Name)
+	p.list.ForgetController(b.Name)
 	p.log.Add(trace.Record{Kind: trace.ControllerUp, Controller: b.Name})
 	ctl, err := controller.Start(b, o)
 	if err != nil {
--- a/internal/harness/scenario/day_test.go
+++ b/internal/harness/scenario/day_test.go
@@ -45,11 +45,11 @@
 			var b strings.Builder
 			res.Write(&b)
 			t.Log("\n" + b.String())
-			if v := res.Versions; v != nil && (len(v.Breaks) > 0 || v.Answers == 0 || v.Runs == 0 || res.Migrations.Acknowledged < 5) {
-				t.Errorf("versions: %d violations, %d answers and %d runs checked, %d migrations acknowledged", len(v.Breaks), v.Answers, v.Runs, res.Migrations.Acknowledged)
+			if v := res.Versions; v != nil && (len(v.Violations) > 0 || v.Answers == 0 || v.Runs == 0 || res.Migrations.Acknowledged < 5) {
+				t.Errorf("versions: %d violations, %d answers and %d runs checked, %d migrations acknowledged", len(v.Violations), v.Answers, v.Runs, res.Migrations.Acknowledged)
 			}
-			if !res.Verdict.Holds() || res.InvalidSignatures > 0 {
-				t.Errorf("%d violations, %d answers with an invalid signature", len(res.Verdict.Breaks), res.InvalidSignatures)
+			if !res.Verdict.Passed() || res.InvalidSignatures > 0 {
+				t.Errorf("%d violations, %d answers with an invalid signature", len(res.Verdict.Violations), res.InvalidSignatures)
 			}
 		})
 	}
--- a/internal/harness/scenario/golden_test.go
+++ b/internal/harness/scenario/golden_test.go
@@ -31,5 +31,5 @@
 // Every field of the printed total has an explicit JSON key, so that renaming a Go field does not
 // change the format.
 func TestKeysDoNotFollowFieldNames(t *testing.T) {
-	goldenfile.Tagged(t, Tally{})
+	goldenfile.RequireJSONTags(t, Tally{})
 }
--- a/internal/harness/scenario/hostile_test.go
+++ b/internal/harness/scenario/hostile_test.go
@@ -48,8 +48,8 @@
 			var b strings.Builder
 			res.Write(&b)
 			t.Log("\n" + b.String())
-			if !res.Verdict.Holds() || res.InvalidSignatures > 0 {
-				t.Errorf("%d violations, %d answers with an invalid signature", len(res.Verdict.Breaks), res.InvalidSignatures)
+			if !res.Verdict.Passed() || res.InvalidSignatures > 0 {
+				t.Errorf("%d violations, %d answers with an invalid signature", len(res.Verdict.Violations), res.InvalidSignatures)
 			}
 			var faults int64
 			for _, h := range res.Hooks {
--- a/internal/harness/scenario/model_registry.go
+++ b/internal/harness/scenario/model_registry.go
@@ -34,7 +34,7 @@
 	p          *player
 	dir        string
 	addr       string
-	blobStores []*fakeworker.Blobs
+	blobStores []*fakeworker.BlobStore
 	fetchers   map[string]*blobfetch.Client // by worker
 	sizes      map[string]int64             // by digest
 	models     []string
@@ -92,12 +92,12 @@
 func (v *modelRegistry) startBlobStores() error {
 	var stores []string
 	for i := range int(v.settings.Stores) {
-		b, err := fakeworker.StartBlobs()
+		b, err := fakeworker.StartBlobStore()
 		if err != nil {
 			return err
 		}
 		if i == 1 && v.settings.Rotten {
-			b.Fault(fakeworker.Rotten)
+			b.SetFault(fakeworker.BitFlipped)
 		}
 		v.blobStores = append(v.blobStores, b)
 		stores = append(stores, b.Addr())
@@ -353,7 +353,7 @@
 		for _, m := range v.models {
 			first := v.digest(m, 0)
 			for n := range int(v.settings.Count) {
-				v.p.host.Lie(w, m+"@"+versionName(n), first)
+				v.p.host.ServeStaleVersion(w, m+"@"+versionName(n), first)
 			}
 		}
 	}
--- a/internal/harness/scenario/play.go
+++ b/internal/harness/scenario/play.go
@@ -139,7 +139,7 @@
 	clk      clock.Clock
 	log      *trace.Log
 	host     *fakeworker.Host
-	list     *fakeworker.List
+	list     *fakeworker.DiscoveryServer
 	net      *network
 	load     *loadGenerator
 	registry *modelRegistry // nil: functions have no versions
@@ -232,7 +232,7 @@
 				State: state, Size: w.Cores, Started: p.started[name]})
 		}
 	}
-	p.list.Set(l)
+	p.list.Publish(l)
 }
 
 // updateList changes the state of the endpoint list under the lock, and publishes it.
@@ -250,7 +250,7 @@
 		now := p.clk.Now()
 		p.host.Do(func(f *workersim.Fleet) {
 			for w := range p.host.Names() {
-				*sum += f.Idle(w) * (now - last).Seconds()
+				*sum += f.IdleMemoryMB(w) * (now - last).Seconds()
 			}
 		})
 		last = now
@@ -303,7 +303,7 @@
 			res.LoadOrders++
 		}
 	}
-	p.host.Do(func(f *workersim.Fleet) { res.Fetches, res.RejectedFetches = f.Fetches, f.Refusals })
+	p.host.Do(func(f *workersim.Fleet) { res.Fetches, res.RejectedFetches = f.Fetches, f.RejectedFetches })
 	p.addControllerCounts(res)
 	if p.registry != nil {
 		res.Migrations = p.registry.migrations
--- a/internal/hooklang/golden_test.go
+++ b/internal/hooklang/golden_test.go
@@ -68,5 +68,5 @@
 // Each stored or sent field has an explicit JSON key, so that a rename in Go does not change the
 // format.
 func TestKeysDoNotFollowFieldNames(t *testing.T) {
-	goldenfile.Tagged(t, Call{}, Ended{}, Worker{}, Load{}, Level{}, Tick{}, Move{}, savedVariable{})
+	goldenfile.RequireJSONTags(t, Call{}, Ended{}, Worker{}, Load{}, Level{}, Tick{}, Move{}, savedVariable{})
 }
