--- a/internal/harness/scenario/result.go
+++ b/internal/harness/scenario/result.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// Scale makes the day, its troubles and its cold spells longer or shorter. Calls stay as they are.
+// Scale multiplies the length of the scenario, of its faults and of the slow start of workers. The
+// rate and the run times of calls stay the same.
 func (d *Day) Scale(by float64) {
 	d.LengthS *= by
 	d.LeadS *= by
@@ -20,30 +21,30 @@
 	}
 }
 
-// Total adds the tallies of all classes, but for their histograms.
+// Total returns the sum of the tallies of all classes, without a histogram.
 func (r *Result) Total() (t Tally) {
-	for _, y := range r.Tallies {
-		t.Calls += y.Calls
-		t.Served += y.Served
-		t.WithinObjective += y.WithinObjective
-		t.Rejected += y.Rejected
-		t.Failed += y.Failed
-		t.CutOff += y.CutOff
-		t.NoController += y.NoController
-		t.Late += y.Late
-		t.Attempts += y.Attempts
+	for _, tally := range r.Tallies {
+		t.Calls += tally.Calls
+		t.Served += tally.Served
+		t.WithinObjective += tally.WithinObjective
+		t.Rejected += tally.Rejected
+		t.Failed += tally.Failed
+		t.CutOff += tally.CutOff
+		t.NoController += tally.NoController
+		t.Late += tally.Late
+		t.Attempts += tally.Attempts
 	}
 	return t
 }
 
-// Write prints answers by class, what it cost, and the five rules.
+// Write prints the outcomes by class, the counts of all parties, and the verdict on the five rules.
 func (r *Result) Write(w io.Writer) {
-	at := func(y *Tally, q float64) time.Duration {
-		return (time.Duration(y.Latency.ValueAtQuantile(q)) * time.Microsecond).Round(100 * time.Microsecond)
+	at := func(tally *Tally, q float64) time.Duration {
+		return (time.Duration(tally.Latency.ValueAtQuantile(q)) * time.Microsecond).Round(100 * time.Microsecond)
 	}
-	for i, y := range r.Tallies {
+	for i, tally := range r.Tallies {
 		fmt.Fprintf(w, "%-8s %5d calls: served %d (%d within the aim), refused %d, failed %d, late %d, cut off %d, no controller %d; p50 %v p99 %v max %v\n",
-			r.Classes[i], y.Calls, y.Served, y.WithinObjective, y.Rejected, y.Failed, y.Late, y.CutOff, y.NoController, at(y, 50), at(y, 99), at(y, 100))
+			r.Classes[i], tally.Calls, tally.Served, tally.WithinObjective, tally.Rejected, tally.Failed, tally.Late, tally.CutOff, tally.NoController, at(tally, 50), at(tally, 99), at(tally, 100))
 	}
 	t := r.Total()
 	fmt.Fprintf(w, "answers: served %d, refused %d, failed %d, late %d of %d calls in %d tries; %d attempts, %d orders, %d fetches, %d turned away by the store\n",
@@ -56,8 +57,8 @@
 			}
 		}
 		for _, h := range r.Hooks {
-			fmt.Fprintf(w, "scripts of %s: %d inline of %v, %d aside of %v, %d faults, %d calls refused, %d events dropped: %s\n", h.Controller, h.Inline, h.InlineMean,
-				h.Aside, h.AsideMean, h.Faults, h.Rejected, h.Dropped, strings.Join(h.Statuses, ", "))
+			fmt.Fprintf(w, "scripts of %s: %d inline of %v, %d aside of %v, %d faults, %d calls refused, %d events dropped: %s\n", h.Controller, h.InlineRuns, h.InlineMean,
+				h.BackgroundRuns, h.BackgroundMean, h.Faults, h.Rejected, h.Dropped, strings.Join(h.Statuses, ", "))
 		}
 	}
 	fmt.Fprintf(w, "longest that a controller's step came late: %v\n", r.MaxStepDelay.Round(100*time.Microsecond))
