--- a/config/build.go
+++ b/config/build.go
@@ -32,7 +32,7 @@
 type builder struct {
 	file    *File
 	cfg     *Config
-	built   *ControllerConfig
+	result  *ControllerConfig
 	zone    int            // index of the controller's zone; 0 without zones
 	tenants map[string]int // index of each tenant, by name
 }
@@ -40,7 +40,7 @@
 // Build checks the rules that the schema cannot express, and maps the configuration to a
 // ControllerConfig. The error is of type Problems.
 func Build(f *File, c *Config) (*ControllerConfig, error) {
-	b := &builder{file: f, cfg: c, built: &ControllerConfig{}, tenants: map[string]int{}}
+	b := &builder{file: f, cfg: c, result: &ControllerConfig{}, tenants: map[string]int{}}
 	for _, step := range []func(){
 		b.identity,
 		b.findZone,
@@ -64,17 +64,17 @@
 	if err := f.Err(); err != nil {
 		return nil, err
 	}
-	if _, err := scheduler.New(b.built.Settings, b.built.Seed); err != nil {
+	if _, err := scheduler.New(b.result.Settings, b.result.Seed); err != nil {
 		f.AddProblem("", err.Error(), "")
 		return nil, f.Err()
 	}
-	return b.built, nil
+	return b.result, nil
 }
 
 // identity maps the fields of the controller as a whole.
 func (b *builder) identity() {
 	c := b.cfg
-	out := b.built
+	out := b.result
 	out.Name = c.Name
 	out.Seed = c.Seed
 	if out.Seed == 0 {
@@ -116,8 +116,8 @@
 	if r == nil {
 		return
 	}
-	b.built.RegistryAddr = r.Server
-	b.built.RegistryKey = b.signingKey("registry.key", r.Key)
+	b.result.RegistryAddr = r.Server
+	b.result.RegistryKey = b.signingKey("registry.key", r.Key)
 }
 
 // signingKey parses a shared secret, which must be able to sign, and records it for
@@ -130,7 +130,7 @@
 	if err != nil {
 		b.file.AddProblem(field, err.Error(), "create a secret with: kitehub key new")
 	}
-	b.built.Secrets = append(b.built.Secrets, text)
+	b.result.Secrets = append(b.result.Secrets, text)
 	return key
 }
 
@@ -159,13 +159,13 @@
 
 func (b *builder) peers() {
 	c := b.cfg
-	b.built.Peers = map[int]string{}
+	b.result.Peers = map[int]string{}
 	for i, p := range c.Peers {
 		if p.Number >= c.Controllers || p.Number == c.Me {
 			b.file.AddProblem(fmt.Sprintf("peers[%d].number", i), fmt.Sprintf("%d is not another controller", p.Number),
 				"use the numbers of the other controllers, from 0")
 		}
-		b.built.Peers[int(p.Number)] = p.Address
+		b.result.Peers[int(p.Number)] = p.Address
 	}
 }
 
--- a/config/clients.go
+++ b/config/clients.go
@@ -35,7 +35,7 @@
 		if client.AnswerKey != "" {
 			out.SigningKey = b.answerKey(field+".answer_key", client.AnswerKey)
 		}
-		b.built.Clients = append(b.built.Clients, out)
+		b.result.Clients = append(b.result.Clients, out)
 	}
 }
 
@@ -54,7 +54,7 @@
 		b.file.AddProblem(field, "is a private key", "only the client has its private key: use its whpk_ key")
 		return keys
 	}
-	b.built.Secrets = append(b.built.Secrets, text)
+	b.result.Secrets = append(b.result.Secrets, text)
 	return append(keys, key)
 }
 
--- a/config/functions.go
+++ b/config/functions.go
@@ -33,7 +33,7 @@
 			b.file.AddProblem(field+".class", fmt.Sprintf("%q is not among classes", fn.Class),
 				"add it there or name another")
 		}
-		b.built.Functions = append(b.built.Functions, functionSpec(fn, class))
+		b.result.Functions = append(b.result.Functions, functionSpec(fn, class))
 		if fn.Versions && b.cfg.Registry == nil {
 			b.file.AddProblem(field+".versions", "no registry is configured", "add a registry section")
 		}
--- a/config/hooks.go
+++ b/config/hooks.go
@@ -9,7 +9,7 @@
 
 func (b *builder) daemon() {
 	d := b.cfg.Daemon
-	b.built.Daemon = d
+	b.result.Daemon = d
 	if d != nil && (d.Starts > 0) != (d.WithinMs > 0) {
 		b.file.AddProblem("daemon.starts", "only one of starts and within_ms is set", "set both or neither")
 	}
@@ -21,8 +21,8 @@
 	if h == nil {
 		return
 	}
-	b.built.Hooks = &hookengine.Config{
-		Seed:      b.built.Seed,
+	b.result.Hooks = &hookengine.Config{
+		Seed:      b.result.Seed,
 		QueueSize: int(h.Queue),
 		Advice: hookadvice.Settings{
 			MaxFunctions:        int(h.Functions),
@@ -47,7 +47,7 @@
 		}
 		names[script.Name] = true
 	}
-	b.built.Scripts = h.Scripts
+	b.result.Scripts = h.Scripts
 	b.notificationTargets(h.Targets)
 }
 
@@ -59,7 +59,7 @@
 			b.file.AddProblem(field+".name", fmt.Sprintf("duplicate name %q", t.Name), "names must be unique")
 		}
 		names[t.Name] = true
-		b.built.Targets = append(b.built.Targets, hookengine.Target{
+		b.result.Targets = append(b.result.Targets, hookengine.Target{
 			Name:    t.Name,
 			Address: t.Address,
 			Path:    t.Path,
--- a/config/network.go
+++ b/config/network.go
@@ -20,7 +20,7 @@
 // webhook maps the settings of the ingress for signed calls.
 func (b *builder) webhook() {
 	w := b.cfg.Webhook
-	out := b.built
+	out := b.result
 	out.Network = "tcp"
 	out.Listen = w.Listen
 	if path, ok := strings.CutPrefix(w.Listen, unixPrefix); ok {
@@ -58,16 +58,16 @@
 func (b *builder) backend() {
 	c := b.cfg
 	dialTimeout := ms(c.Limits.DialMs)
-	b.built.Backend = backend.Config{
+	b.result.Backend = backend.Config{
 		Controller:   c.Name,
 		DialTimeout:  dialTimeout,
 		IdleTimeout:  ms(c.Limits.KeepAliveMs),
 		OrderTimeout: ms(c.Loading.AnswerMs),
 		ProbeTimeout: probeDialTimeouts * dialTimeout,
-		ReportFields: b.built.Settings.LoadReportFields,
+		ReportFields: b.result.Settings.LoadReportFields,
 	}
 	if dialTimeout > ms(c.Guarantees.DrainGraceMs) {
-		b.built.Warnings = append(b.built.Warnings, "limits.dial_ms is over guarantees.drain_grace_ms: "+
+		b.result.Warnings = append(b.result.Warnings, "limits.dial_ms is over guarantees.drain_grace_ms: "+
 			"an attempt that is still dialing when its worker starts to drain is withdrawn late")
 	}
 }
@@ -82,7 +82,7 @@
 	if d.File != "" && poll <= 0 {
 		b.file.AddProblem("discovery.poll_ms", "a file is watched by polling", "set the polling interval")
 	}
-	b.built.Discovery = discovery.Config{
+	b.result.Discovery = discovery.Config{
 		Node:         b.cfg.Name,
 		Cluster:      d.Cluster,
 		File:         d.File,
--- a/config/rpc.go
+++ b/config/rpc.go
@@ -23,7 +23,7 @@
 	if r == nil {
 		return
 	}
-	out := b.built
+	out := b.result
 	out.RPCSocket = r.Socket
 	out.RPCSocketMode = os.FileMode(r.Mode)
 	out.MaxExplanations = int(r.Explain)
@@ -76,7 +76,7 @@
 			b.file.AddProblem(field, "neither call nor operate is set", "set call, operate or both")
 		}
 		out.Tenant = b.tenantIndex(field+".tenant", u.Tenant)
-		b.built.RPC.Users = append(b.built.RPC.Users, out)
+		b.result.RPC.Users = append(b.result.RPC.Users, out)
 	}
 }
 
--- a/config/settings.go
+++ b/config/settings.go
@@ -28,7 +28,7 @@
 	}
 )
 
-// settings maps the settings of the scheduler.
+// settings fills in the scheduler's settings from the configuration.
 func (b *builder) settings() {
 	c := b.cfg
 	s := scheduler.Settings{
@@ -58,7 +58,7 @@
 	if len(s.LoadReportFields) > 0 {
 		s.LoadReportSource = scheduler.LoadReportsInResponses
 	}
-	b.built.Settings = s
+	b.result.Settings = s
 }
 
 func limits(l *Limits) scheduler.Limits {
@@ -104,7 +104,7 @@
 	}
 }
 
-// prices maps the section prices, which may be missing.
+// prices returns the prices of the configuration, all zero if it has none.
 func prices(p *Prices) scheduler.Prices {
 	return scheduler.Prices{
 		CrossZone: p.GetCrossZone(),
--- a/internal/gateway/functions.go
+++ b/internal/gateway/functions.go
@@ -182,7 +182,7 @@
 	v := f.versions[key]
 	f.mu.RUnlock()
 	if v != nil && v.Digest == digest {
-		f.touch(v)
+		f.markUsed(v)
 		return &v.Function, nil
 	}
 	f.mu.Lock()
@@ -198,13 +198,13 @@
 	if v.ID, err = f.gateway.addVersion(v.Name, digest); err != nil {
 		return nil, err
 	}
-	f.touch(v)
+	f.markUsed(v)
 	f.versions[key] = v
 	return &v.Function, nil
 }
 
-// touch marks a version as the most recently used one.
-func (f *Functions) touch(v *version) { v.lastUse.Store(f.useCount.Add(1)) }
+// markUsed marks a version as the most recently used one.
+func (f *Functions) markUsed(v *version) { v.lastUse.Store(f.useCount.Add(1)) }
 
 // evictVersion removes the least recently used version. The caller holds f.mu.
 func (f *Functions) evictVersion() {
--- a/internal/ingress/msgpackrpc/conn.go
+++ b/internal/ingress/msgpackrpc/conn.go
@@ -47,7 +47,7 @@
 		out:      outbox.New(socket, maxWaiting, s.cfg.StallTimeout),
 		inFlight: map[uint32]*inFlightRequest{},
 	}
-	c.touch()
+	c.recordActivity()
 	return c
 }
 
@@ -74,8 +74,8 @@
 	return c.stopped
 }
 
-// touch records activity on the connection.
-func (c *conn) touch() { c.lastActivity.Store(int64(c.server.cfg.Clock.Now())) }
+// recordActivity records activity on the connection.
+func (c *conn) recordActivity() { c.lastActivity.Store(int64(c.server.cfg.Clock.Now())) }
 
 const readBuffer = 2 << 10 // bytes; most requests fit, and larger bodies bypass the buffer
 
@@ -88,10 +88,10 @@
 		if _, err := d.r.Peek(1); err != nil {
 			return
 		}
-		c.touch()
+		c.recordActivity()
 		c.inMessage.Store(true)
 		err := d.next(&m)
-		c.touch()
+		c.recordActivity()
 		if errors.Is(err, errMalformed) {
 			c.server.Counts.Malformed.Add(1)
 			if m.hasID {
--- a/internal/ingress/msgpackrpc/request.go
+++ b/internal/ingress/msgpackrpc/request.go
@@ -14,7 +14,7 @@
 	_, repeated := c.inFlight[m.id]
 	inFlight := len(c.inFlight)
 	c.mu.Unlock()
-	if repeated { // the client would take an error for the answer to the request in flight
+	if repeated { // an error with this id would pass for the answer to the request in flight
 		s.Counts.Invalid.Add(1)
 		return false
 	}
@@ -81,7 +81,7 @@
 		return
 	}
 	c.server.endTxn(r.txn)
-	c.touch()
+	c.recordActivity()
 	if a.Kind != gateway.ClientClosed {
 		c.out.Send(c.encodeAnswer(id, a))
 	}
--- a/internal/simwire/cursor.go
+++ b/internal/simwire/cursor.go
@@ -25,8 +25,8 @@
 
 var zeros [8]byte // as long as the longest field
 
-// take returns the next n bytes, or n zeros after an error.
-func (c *cursor) take(n int) []byte {
+// readBytes returns the next n bytes, or n zeros after an error.
+func (c *cursor) readBytes(n int) []byte {
 	if c.err != nil || len(c.frame)-c.offset < n {
 		c.fail(c.offset, "field extends past the end of the frame")
 		return zeros[:n]
@@ -35,10 +35,10 @@
 	return c.frame[c.offset-n : c.offset]
 }
 
-func (c *cursor) u8() byte     { return c.take(1)[0] }
-func (c *cursor) u16() uint16  { return binary.BigEndian.Uint16(c.take(2)) }
-func (c *cursor) u32() uint32  { return binary.BigEndian.Uint32(c.take(4)) }
-func (c *cursor) u64() uint64  { return binary.BigEndian.Uint64(c.take(8)) }
+func (c *cursor) u8() byte     { return c.readBytes(1)[0] }
+func (c *cursor) u16() uint16  { return binary.BigEndian.Uint16(c.readBytes(2)) }
+func (c *cursor) u32() uint32  { return binary.BigEndian.Uint32(c.readBytes(4)) }
+func (c *cursor) u64() uint64  { return binary.BigEndian.Uint64(c.readBytes(8)) }
 func (c *cursor) f32() float32 { return math.Float32frombits(c.u32()) }
 func (c *cursor) f64() float64 { return math.Float64frombits(c.u64()) }
 
--- a/scheduler/copies.go
+++ b/scheduler/copies.go
@@ -76,7 +76,7 @@
 // orderLoad orders one copy if the budget allows it, and reports whether it did. The caller has
 // checked that the worker is ready.
 func (d *Dispatcher) orderLoad(worker *worker, function FunctionID) bool {
-	if !d.loadBudget.take(d.now) {
+	if !d.loadBudget.takeOrder(d.now) {
 		return false
 	}
 	placed := d.queues.getOrCreate(function).placement(worker)
--- a/scheduler/loadbudget.go
+++ b/scheduler/loadbudget.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// take uses up one order if one is allowed, and reports whether it did.
-func (b *loadBudget) take(now time.Duration) bool {
+// takeOrder uses up one order if one is allowed, and reports whether it did.
+func (b *loadBudget) takeOrder(now time.Duration) bool {
 	if !b.allows(now) {
 		return false
 	}
--- a/scheduler/loadbudget_test.go
+++ b/scheduler/loadbudget_test.go
@@ -8,21 +8,21 @@
 func TestLoadBudgetCountsWithinItsWindow(t *testing.T) {
 	b := newLoadBudget(Loading{Orders: true, BudgetWindow: 10 * time.Second, BudgetFree: 1, BudgetRatio: 0.5})
 	now := time.Minute
-	if !b.take(now) || b.take(now) {
+	if !b.takeOrder(now) || b.takeOrder(now) {
 		t.Fatal("want one order that is always allowed, and no more")
 	}
 	b.recordArrival(now)
-	if b.take(now) {
+	if b.takeOrder(now) {
 		t.Error("an order is allowed for one request, which earns half of one")
 	}
 	b.recordArrival(now + time.Second)
-	if !b.take(now + time.Second) {
+	if !b.takeOrder(now + time.Second) {
 		t.Error("no order is allowed for two requests, which earn one")
 	}
-	if b.take(now + 10*time.Second) {
+	if b.takeOrder(now + 10*time.Second) {
 		t.Error("an order is allowed at the end of a window, where the order in it counts and the request does not")
 	}
-	if b.take(now+10*time.Second+1) || !b.take(now+11*time.Second+1) {
+	if b.takeOrder(now+10*time.Second+1) || !b.takeOrder(now+11*time.Second+1) {
 		t.Error("want the second order to count until the end of its own window, and no longer")
 	}
 }
@@ -31,7 +31,7 @@
 	b := newLoadBudget(Loading{Orders: true})
 	for range 100 {
 		b.recordArrival(time.Second)
-		if !b.take(time.Second) || !b.allowsAdvice(time.Second) {
+		if !b.takeOrder(time.Second) || !b.allowsAdvice(time.Second) {
 			t.Fatal("an order is not allowed")
 		}
 	}
@@ -45,7 +45,7 @@
 	superseded := newLoadBudget(Loading{Orders: true, BudgetWindow: time.Second, BudgetFree: 9})
 	superseded.superseded = true
 	for _, b := range []loadBudget{disabled, superseded} {
-		if b.allows(time.Minute) || b.allowsAdvice(time.Minute) || b.take(time.Minute) {
+		if b.allows(time.Minute) || b.allowsAdvice(time.Minute) || b.takeOrder(time.Minute) {
 			t.Errorf("an order is allowed: %+v", b)
 		}
 	}
@@ -54,11 +54,11 @@
 func TestAdviceUsesAtMostHalfOfTheLoadBudget(t *testing.T) {
 	b := newLoadBudget(Loading{Orders: true, BudgetWindow: 10 * time.Second, BudgetFree: 4})
 	advised := 0
-	for b.allowsAdvice(time.Minute) && b.take(time.Minute) {
+	for b.allowsAdvice(time.Minute) && b.takeOrder(time.Minute) {
 		advised++
 	}
 	rest := 0
-	for b.take(time.Minute) {
+	for b.takeOrder(time.Minute) {
 		rest++
 	}
 	if advised != 2 || rest != 2 {
@@ -70,10 +70,10 @@
 	loading := Loading{Orders: true, BudgetWindow: 10 * time.Second, BudgetFree: 2, BudgetRatio: 1}
 	predecessor, successor := newLoadBudget(loading), newLoadBudget(loading)
 	predecessor.recordArrival(time.Minute)
-	predecessor.take(time.Minute)
-	predecessor.take(time.Minute)
+	predecessor.takeOrder(time.Minute)
+	predecessor.takeOrder(time.Minute)
 	successor.inherit(predecessor.handover())
-	if !successor.take(time.Minute+time.Second) || successor.take(time.Minute+time.Second) {
+	if !successor.takeOrder(time.Minute+time.Second) || successor.takeOrder(time.Minute+time.Second) {
 		t.Error("want one more order after two: two are always allowed and one was earned")
 	}
 }
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -92,7 +92,7 @@
 	found := placementSearch{queue: queue, request: request, placeable: len(d.listed) == 0}
 	from := queue.spread.startIndex(request.Request, len(d.listed))
 	for worker := range d.candidates(queue, from, &found.narrow) {
-		if d.consider(&found, worker) {
+		if d.evaluateCandidate(&found, worker) {
 			return worker
 		}
 		found.narrow = found.home != nil && found.loader != nil
@@ -120,9 +120,9 @@
 	return d.now >= due && d.meetsObjective(request)
 }
 
-// consider reports whether the request is sent to this worker of the walk. Otherwise it records in
+// evaluateCandidate reports whether the request is sent to this worker of the walk. Otherwise it records in
 // found whether the worker is home, may load a copy, or is loading one.
-func (d *Dispatcher) consider(found *placementSearch, worker *worker) bool {
+func (d *Dispatcher) evaluateCandidate(found *placementSearch, worker *worker) bool {
 	request := found.request
 	placed := found.queue.placements[worker]
 	hasCopy := d.hasCopy(placed, worker)
@@ -140,7 +140,7 @@
 			return true
 		}
 	case !d.isWarm(worker):
-		return d.considerWarming(found, worker)
+		return d.evaluateWarmingCandidate(found, worker)
 	case placed.loading(d.now, d.loadTime(request)):
 		found.loading = true
 	case !d.accepts(request, worker):
@@ -152,12 +152,12 @@
 	return false
 }
 
-// considerWarming is consider for a worker that is warming up and is not believed to have a copy.
+// evaluateWarmingCandidate is consider for a worker that is warming up and is not believed to have a copy.
 // If the worker is home, it is sent as much as its slow start admits, because another controller
 // may have had the copy loaded. Otherwise the request waits for a copy that is ordered there, or
 // the walk goes on: requests that wait for the loads of all functions would fill the worker's small
 // capacity.
-func (d *Dispatcher) considerWarming(found *placementSearch, worker *worker) bool {
+func (d *Dispatcher) evaluateWarmingCandidate(found *placementSearch, worker *worker) bool {
 	switch {
 	case found.home != nil:
 	case d.mayWaitForLoad(worker) && d.accepts(found.request, worker) &&
