--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -91,7 +91,8 @@
 // Versions gives the registry's view of the versions of models. Its methods are safe for concurrent
 // use and must not block.
 type Versions interface {
-	// MayAnswer reports whether a call that was resolved to the target may be sent and answered now.
+	// MayAnswer reports whether a call that was resolved to the target may be sent and answered
+	// now.
 	MayAnswer(registry.AliasName, registry.Target) registry.Verdict
 	// CopiesReady reports that a worker holds copies of a function that is a version of a model.
 	CopiesReady(function, worker string, copies int)
--- a/scheduler/placement.go
+++ b/scheduler/placement.go
@@ -120,8 +120,8 @@
 	return d.now >= due && d.meetsObjective(request)
 }
 
-// evaluateCandidate reports whether the request is sent to this worker of the walk. Otherwise it records in
-// found whether the worker is home, may load a copy, or is loading one.
+// evaluateCandidate reports whether the request is sent to this worker of the walk. Otherwise it
+// records in found whether the worker is home, may load a copy, or is loading one.
 func (d *Dispatcher) evaluateCandidate(found *placementSearch, worker *worker) bool {
 	request := found.request
 	placed := found.queue.placements[worker]
@@ -152,11 +152,11 @@
 	return false
 }
 
-// evaluateWarmingCandidate is consider for a worker that is warming up and is not believed to have a copy.
-// If the worker is home, it is sent as much as its slow start admits, because another controller
-// may have had the copy loaded. Otherwise the request waits for a copy that is ordered there, or
-// the walk goes on: requests that wait for the loads of all functions would fill the worker's small
-// capacity.
+// evaluateWarmingCandidate is evaluateCandidate for a worker that is warming up and is not believed
+// to have a copy. If the worker is home, it is sent as much as its slow start admits, because
+// another controller may have had the copy loaded. Otherwise the request waits for a copy that is
+// ordered there, or the walk goes on: requests that wait for the loads of all functions would fill
+// the worker's small capacity.
 func (d *Dispatcher) evaluateWarmingCandidate(found *placementSearch, worker *worker) bool {
 	switch {
 	case found.home != nil:
